--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -61,7 +61,7 @@
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: listens on %s, discovery at %s, %d indexes\n", c.Name, c.Listen,
-				c.Discovery, len(c.Terms.Names("indexes")))
+				c.Discovery, len(c.Terms.ClassNames()))
 			return nil
 		}}
 	for _, sub := range []*cobra.Command{serve, check} {
--- a/gather/gather.go
+++ b/gather/gather.go
@@ -2,21 +2,6 @@
 // what it may say. Times are milliseconds with fractions, ids are what the wire gives.
 package gather
 
-// Terms are the settings read at start, by name, in the project's words; the adapter lists the names.
-type Terms map[string]any
-
-// Num is the number of that name, 0 where there is none.
-func (t Terms) Num(name string) float64 { v, _ := t[name].(float64); return v }
-
-// Text is the text of that name, empty where there is none.
-func (t Terms) Text(name string) string { v, _ := t[name].(string); return v }
-
-// Flag is the mark of that name, false where there is none.
-func (t Terms) Flag(name string) bool { v, _ := t[name].(bool); return v }
-
-// Names is the list of that name, nil where there is none.
-func (t Terms) Names(name string) []string { v, _ := t[name].([]string); return v }
-
 // Pass is which pass of a lookup in two phases is handed in.
 type Pass int
 
@@ -135,16 +120,16 @@
 
 // Round is all that came in at one moment, each slice in the order of arrival.
 type Round struct {
-	Now     float64
-	Terms   Terms // in place of those before, nil for the same: a lookup is decided by those at its landing
-	Lists   []List
-	Weights [][]Weight // by group, nil for nothing new; a group without any goes by plain turns
-	Lookups []Lookup
-	Parts   []Part
-	Endings []Ending
-	Samples []Sample
-	Left    []uint64 // lookups whose client has gone
-	Retired []uint64 // parts whose keys other parts of their lookup take over, none of which has a call out
+	Now      float64
+	Settings *Settings // in place of those before, nil for the same: a query is decided by those at its arrival
+	Lists    []List
+	Weights  [][]Weight // by group, nil for nothing new; a group without any goes by plain turns
+	Lookups  []Lookup
+	Parts    []Part
+	Endings  []Ending
+	Samples  []Sample
+	Left     []uint64 // lookups whose client has gone
+	Retired  []uint64 // parts whose keys other parts of their lookup take over, none of which has a call out
 }
 
 // Writer takes the decisions of a round, in order.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,7 +34,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.Reply // nil where nothing was known
-	Terms     gather.Terms
+	Terms     *gather.Settings
 	Sum       string // fingerprint of the text that was read
 }
 
--- a/internal/emulator/careless_test.go
+++ b/internal/emulator/careless_test.go
@@ -6,16 +6,13 @@
 )
 
 type (
-	gatherTerms  = gather.Terms
+	gatherTerms  = *gather.Settings
 	gatherModule = gather.Module
 )
 
 // newCareless is a baseline that does not know that servers start cold.
-func newCareless(seed uint64, terms gather.Terms) gather.Module {
-	blind := gather.Terms{}
-	for name, value := range terms {
-		blind[name] = value
-	}
-	delete(blind, "cold time")
+func newCareless(seed uint64, terms *gather.Settings) gather.Module {
+	blind := terms.Clone()
+	blind.WarmupTime = 0
 	return baselines.New(seed, blind, baselines.Ideas[1])
 }
--- a/internal/emulator/gatherer.go
+++ b/internal/emulator/gatherer.go
@@ -27,7 +27,7 @@
 	roundAt float64
 	rounds  int
 	silence float64
-	terms   gather.Terms
+	terms   *gather.Settings
 	net     *pcg.Source
 	know    *pcg.Source
 	lossy   []float64 // share of calls lost, by server
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -551,21 +551,26 @@
 }
 
 // Terms are what a gatherer of a hall is told.
-func (s *Scenario) Terms(number int, hall string) gather.Terms {
-	t := gather.Terms{"gatherers": float64(s.Gatherers.Count), "own number": float64(number), "tick": s.Tick, "zone": hall,
-		"groups": float64(s.Layout.Sets), "groups in a row": float64(s.Layout.Row), "shards": float64(s.Layout.Shards),
-		"call cost": s.CallCost(), "parts a call": float64(s.Rules.CallParts), "most calls": float64(s.Rules.Calls), "call off": s.Rules.Cancel != "nothing",
-		"second copies": s.Rules.Copies, "connect time-out": s.Rules.Connect, "idle close": s.Rules.Idle, "most held": float64(s.Gatherers.Held),
-		"drain grace": s.Rules.Grace, "answer slack": s.Rules.Slack, "cold time": s.Rules.ColdTime, "cold share": s.Rules.ColdFrom, "fall time": s.Rules.FallSpan,
-		"fall multiple": s.Rules.FallTimes, "budget span": s.Rules.Span, "budget free": s.Rules.Free, "budget share": s.Rules.Share, "longest come back": s.Rules.ComeBack}
-	var names []string
+func (s *Scenario) Terms(number int, hall string) *gather.Settings {
+	t := &gather.Settings{
+		Gatherers: s.Gatherers.Count, GathererIndex: number, Tick: s.Tick, Zone: hall,
+		ReplicaSets: s.Layout.Sets, ReplicaSetsPerShard: s.Layout.Row, Shards: s.Layout.Shards,
+		CallCost: s.CallCost(), RequestsPerCall: s.Rules.CallParts, MaxAttempts: s.Rules.Calls,
+		CancelAllowed: s.Rules.Cancel != "nothing", HedgingAllowed: s.Rules.Copies,
+		ConnectTimeout: s.Rules.Connect, IdleTimeout: s.Rules.Idle,
+		MaxOpenRequests: s.Gatherers.Held, DrainGrace: s.Rules.Grace, AnswerSlack: s.Rules.Slack,
+		WarmupTime: s.Rules.ColdTime, InitialCapacityShare: s.Rules.ColdFrom,
+		OverloadWindow: s.Rules.FallSpan, OverloadMultiple: s.Rules.FallTimes,
+		RetryBudgetWindow: s.Rules.Span, RetryBudgetFloor: s.Rules.Free,
+		RetryBudgetRatio: s.Rules.Share, MaxRetryAfter: s.Rules.ComeBack,
+	}
 	for _, ix := range s.Indexes {
-		n := ix.Name + "/"
-		names = append(names, ix.Name)
-		t[n+"soft deadline"], t[n+"hard deadline"], t[n+"late share"], t[n+"effect"], t[n+"window"] = ix.Soft, ix.Hard, ix.Late, ix.Effect, ix.Window
-		t[n+"whole from"], t[n+"least share"], t[n+"partial earns"], t[n+"gain"] = ix.Need, ix.Least, ix.Partial, ix.Gain
+		t.Classes = append(t.Classes, gather.Class{
+			Name: ix.Name, LatencyObjective: ix.Soft, Deadline: ix.Hard, LateValue: ix.Late,
+			Effect: gather.Effect(ix.Effect), IdempotencyWindow: ix.Window, PriorityWeight: ix.Gain,
+			CompleteShare: ix.Need, MinShare: ix.Least, PartialValue: ix.Partial,
+		})
 	}
-	t["indexes"] = names
 	return t
 }
 
--- a/internal/emulator/variants.go
+++ b/internal/emulator/variants.go
@@ -18,13 +18,15 @@
 func Variants() []Variant {
 	all := []Variant{Ours, {Name: "one-phase"}}
 	for _, idea := range baselines.Ideas {
-		all = append(all, Variant{Name: idea.Name, Module: func(seed uint64, terms gather.Terms, _ Look) gather.Module { return baselines.New(seed, terms, idea) }})
+		all = append(all, Variant{Name: idea.Name, Module: func(seed uint64, terms *gather.Settings, _ Look) gather.Module {
+			return baselines.New(seed, terms, idea)
+		}})
 	}
 	return append(all, Clairvoyant)
 }
 
 // Clairvoyant picks the replica that would be through with a part first, which no gatherer can know.
-var Clairvoyant = Variant{Name: "clairvoyant", Module: func(seed uint64, terms gather.Terms, look Look) gather.Module {
+var Clairvoyant = Variant{Name: "clairvoyant", Module: func(seed uint64, terms *gather.Settings, look Look) gather.Module {
 	return baselines.New(seed, terms, baselines.Idea{Name: "clairvoyant", Choose: func(chance *pcg.Source, _ *int, servers []uint32, out []int) int {
 		best, least := -1, math.Inf(1)
 		for i, id := range servers {
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -18,19 +18,19 @@
 // Variant is the decisions that gatherers run.
 type Variant struct {
 	Name   string
-	Module func(seed uint64, terms gather.Terms, look Look) gather.Module // nil for the project's own
-	Phases bool                                                           // marked indexes may go in two phases
+	Module func(seed uint64, terms *gather.Settings, look Look) gather.Module // nil for the project's own
+	Phases bool                                                               // marked indexes may go in two phases
 }
 
 // Look is what only a model can know, for a variant that is a bound and no policy: how long a part would take at a
 // server from now on, in milliseconds, infinite where it would fail.
 type Look func(server uint32) float64
 
-func (v *Variant) module(w *World, g *gatherer) func(seed uint64, terms gather.Terms) gather.Module {
+func (v *Variant) module(w *World, g *gatherer) func(seed uint64, terms *gather.Settings) gather.Module {
 	if v.Module == nil {
 		return nil
 	}
-	return func(seed uint64, terms gather.Terms) gather.Module {
+	return func(seed uint64, terms *gather.Settings) gather.Module {
 		return v.Module(seed, terms, func(server uint32) float64 { return w.look(g, server) })
 	}
 }
--- a/internal/experiment/plans.go
+++ b/internal/experiment/plans.go
@@ -8,6 +8,7 @@
 	"text/tabwriter"
 	"time"
 
+	"yokeroute/gather"
 	"yokeroute/internal/placefile"
 	"yokeroute/internal/standin/shards"
 	"yokeroute/logic/balance"
@@ -173,7 +174,7 @@
 		l.ID, l.Group, l.Zone, l.Kind = uint32(i), m.Group, m.Hall, m.Kind
 		list = append(list, l)
 	}
-	model, err := f.WithList(list, map[string]any{"groups": 3.0, "groups in a row": 1.0}, now)
+	model, err := f.WithList(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
 	if err != nil {
 		return "", err
 	}
--- a/internal/front/server_test.go
+++ b/internal/front/server_test.go
@@ -35,8 +35,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f := &fake{make(chan *pick.Lookup, 10), decide}
-	s := New(f, gather.Terms{"indexes": []string{"find", "mark"}, "mark/effect": "fingerprinted",
-		"customers": []string{"acme"}, "shards": 10.0, "find/hard deadline": 3000.0}, clients, clients, func() bool { return true }, log)
+	s := New(f, &gather.Settings{Shards: 10, Classes: []gather.Class{{Name: "find", Deadline: 3000.0}, {Name: "mark", Effect: gather.IdempotencyKeyed}}, Tenants: []gather.Tenant{{Name: "acme"}}}, clients, clients, func() bool { return true }, log)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Terms.Num("own number") != 1 || c.Terms.Num("streams") != 64 ||
-		c.Terms.Num("groups in a row") != 3 || c.Terms.Flag("second copies") || c.Terms.Text("reports") != "pull" ||
-		c.Terms.Num("budget span") != 0 || !c.Terms.Flag("list is asked for") || c.Terms.Num("every/soft deadline") != 1000 {
+	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Terms.GathererIndex != 1 || c.Terms.StreamsPerConnection != 64 ||
+		c.Terms.ReplicaSetsPerShard != 3 || c.Terms.HedgingAllowed || c.Terms.LoadReports != "pull" ||
+		c.Terms.RetryBudgetWindow != 0 || !c.Terms.EndpointsOnRequest || c.Terms.Class("every").LatencyObjective != 1000 {
 		t.Errorf("%+v", c)
 	}
 	want := []string{"known: ", "settings.classes: index \"once\"", "settings.domain.partialEarns: ", "settings.rules.budgetShare: ",
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -146,21 +146,21 @@
 
 // Fit gives what of the file does not fit the platform's settings: unknown indexes, and those whose parts may not
 // run twice, for two phases. Phases are the marked indexes that do fit.
-func (f *File) Fit(terms gather.Terms) (marked map[string]phases.Terms, err error) {
+func (f *File) Fit(terms *gather.Settings) (marked map[string]phases.Terms, err error) {
 	marked = map[string]phases.Terms{}
 	var faults conf.Faults
 	for _, ph := range f.TwoPhase {
 		name := ph.Index
-		switch effect := terms.Text(name + "/effect"); {
-		case !slices.Contains(terms.Names("indexes"), name):
-			faults = append(faults, ph.line.Fault("index", "is no index of the settings%s", spell.Hint(name, terms.Names("indexes"))))
-		case effect != "idempotent":
+		switch effect := terms.Class(name).Effect; {
+		case !slices.Contains(terms.ClassNames(), name):
+			faults = append(faults, ph.line.Fault("index", "is no index of the settings%s", spell.Hint(name, terms.ClassNames())))
+		case effect != gather.Idempotent:
 			faults = append(faults, ph.line.Fault("index", "is %s: its parts may not run twice, which two phases may make them", effect))
-		case terms.Num(name+"/second step") > 0:
+		case terms.Class(name).FollowUpRequests > 0:
 			faults = append(faults, ph.line.Fault("index", "has a second step of its own"))
 		default:
-			marked[name] = phases.Terms{Soft: terms.Num(name + "/soft deadline"), Whole: terms.Num(name + "/whole from"),
-				Least: terms.Num(name + "/least share"), First: ph.First, Likely: ph.Likely, Partial: ph.Partial, Trials: ph.Trials}
+			marked[name] = phases.Terms{Soft: terms.Class(name).LatencyObjective, Whole: terms.Class(name).CompleteShare,
+				Least: terms.Class(name).MinShare, First: ph.First, Likely: ph.Likely, Partial: ph.Partial, Trials: ph.Trials}
 		}
 	}
 	if len(faults) > 0 {
--- a/internal/pick/crossings_test.go
+++ b/internal/pick/crossings_test.go
@@ -64,7 +64,11 @@
 		{"after, the first never ran", gather.Full, 101, true},
 	} {
 		now := 1000.0
-		p := newPicker(t, gather.Terms{"all/effect": "fingerprinted", "all/window": 100.0, "budget span": 0.0})
+		p := newPicker(t, func(s *gather.Settings) {
+			s.RetryBudgetWindow = 0.0
+			s.FindClass("all").Effect = gather.IdempotencyKeyed
+			s.FindClass("all").IdempotencyWindow = 100.0
+		})
 		p.clock = func() float64 { return now }
 		p.Play()
 		lk := lookup("all", 1, now+1000)
--- a/internal/pick/govern.go
+++ b/internal/pick/govern.go
@@ -20,7 +20,7 @@
 // one. Its ways are numbered: what is decided in one is decided by one set of terms.
 type Governor interface {
 	// Acts is asked at each round's beginning: the way and its terms, which stay the same for as long as the way does.
-	Acts(now float64) (way uint64, terms gather.Terms)
+	Acts(now float64) (way uint64, terms *gather.Settings)
 	// Closed reports whether nothing new may go to a server; News tells when that may have changed without a way's.
 	Closed(server uint32) bool
 	News() uint64
@@ -48,7 +48,7 @@
 	switch {
 	case way != p.way:
 		p.way = way
-		p.terms, in.Terms = terms, terms
+		p.terms, in.Settings = terms, terms
 		p.retries.set(terms)
 	case news != p.governed:
 	default:
@@ -81,7 +81,7 @@
 
 // turn hands in weights for groups in which a server gets fewer turns than the others.
 func (p *Picker) turn(in *gather.Round) {
-	groups := max(int(p.terms.Num("groups")), 1)
+	groups := max(p.terms.ReplicaSets, 1)
 	weights := make([][]gather.Weight, groups)
 	some := false
 	for _, id := range p.ids {
--- a/internal/pick/lookup.go
+++ b/internal/pick/lookup.go
@@ -273,8 +273,8 @@
 		c.keys, c.segment, c.since, c.further = pc.Range, pc.Segment, pc.Since, c.further || pc.Called && len(s.lk.calls[s.part]) == 0
 		pc.Out++
 	}
-	if index := s.lk.root().Index; w.p.terms.Text(index+"/effect") == "fingerprinted" {
-		c.before, c.window = slices.Clone(s.lk.calls[s.part]), w.p.terms.Num(index+"/window")
+	if index := s.lk.root().Index; w.p.terms.Class(index).Effect == gather.IdempotencyKeyed {
+		c.before, c.window = slices.Clone(s.lk.calls[s.part]), w.p.terms.Class(index).IdempotencyWindow
 	}
 	for _, before := range s.lk.calls[s.part] {
 		c.alone = c.alone && before.told.Load()
--- a/internal/pick/owned.go
+++ b/internal/pick/owned.go
@@ -1,7 +1,6 @@
 package pick
 
 import (
-	"maps"
 	"slices"
 
 	"yokeroute/gather"
@@ -34,9 +33,9 @@
 
 // OwnedTerms are a module's terms where so many segments can be owned: each is a group of its own, and its writer
 // another one.
-func OwnedTerms(terms gather.Terms, most int) gather.Terms {
-	t := maps.Clone(terms)
-	t["groups"], t["groups in a row"] = float64(owners.NewIndex(most).Nowhere()+1), 1.0
+func OwnedTerms(terms *gather.Settings, most int) *gather.Settings {
+	t := terms.Clone()
+	t.ReplicaSets, t.ReplicaSetsPerShard = owners.NewIndex(most).Nowhere()+1, 1
 	return t
 }
 
@@ -162,7 +161,9 @@
 	}
 }
 
-func (p *Picker) onceOnly(lk *Lookup) bool { return p.terms.Text(lk.Index+"/effect") == "once-only" }
+func (p *Picker) onceOnly(lk *Lookup) bool {
+	return p.terms.Class(lk.Index).Effect == gather.NonIdempotent
+}
 
 // add hands one piece to the module.
 func (p *Picker) add(in *gather.Round, lk *Lookup, f owners.Fresh) {
@@ -176,7 +177,7 @@
 		s := &o.Follower.Map.Segments[f.Segment]
 		h.Segment, h.Since = s.Name, s.Since
 		all, writer := o.index.Groups(s.Name)
-		if group = all; p.terms.Text(lk.Index+"/effect") != "idempotent" {
+		if group = all; p.terms.Class(lk.Index).Effect != gather.Idempotent {
 			group = writer
 		}
 	}
--- a/internal/pick/owned_test.go
+++ b/internal/pick/owned_test.go
@@ -12,20 +12,18 @@
 )
 
 // Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the rest.
-func newOwned(t *testing.T, change gather.Terms) (*Picker, *owners.Map) {
-	if change == nil {
-		change = gather.Terms{}
-	}
-	for name, value := range map[string]any{"any/whole from": 1.0, "any/least share": 1.0, "any/soft deadline": 400.0, "all/soft deadline": 400.0, "all/whole from": 1.0, "all/least share": 1.0,
-		"budget span": 2000.0, "budget free": 20.0, "budget share": 0.05, "call off": true} {
-		if change[name] == nil {
-			change[name] = value
+func newOwned(t *testing.T, change func(s *gather.Settings)) (*Picker, *owners.Map) {
+	p := newPicker(t, func(s *gather.Settings) {
+		for _, name := range []string{"any", "all"} {
+			class := s.FindClass(name)
+			class.CompleteShare, class.MinShare, class.LatencyObjective = 1, 1, 400
 		}
-	}
-	p := newPicker(t, OwnedTerms(change, 16))
-	for name, value := range OwnedTerms(p.terms, 16) {
-		p.terms[name] = value
-	}
+		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio, s.CancelAllowed = 2000, 20, 0.05, true
+		if change != nil {
+			change(s)
+		}
+		*s = *OwnedTerms(s, 16)
+	})
 	p.Segments(16, 4)
 	p.module = p.build(5, p.terms)
 	p.clock = func() float64 { return p.ranAt + 4 }
@@ -238,7 +236,10 @@
 // in part is, with what is in; both go on when the range is owned again.
 func TestUnowned(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		p, m := newOwned(t, gather.Terms{"any/least share": 0.4, "any/partial earns": 0.8})
+		p, m := newOwned(t, func(s *gather.Settings) {
+			s.FindClass("any").MinShare = 0.4
+			s.FindClass("any").PartialValue = 0.8
+		})
 		c, err := m.Move("s1", nil)
 		m = follow(t, p, m, c, err)
 		lk, calls := take(p, 1010, "any", "a", 4)
@@ -274,7 +275,10 @@
 
 // TestMergeAnyN: segments merge under an any-n lookup that is under way; n goes by keys, each of which counts once.
 func TestMergeAnyN(t *testing.T) {
-	p, m := newOwned(t, gather.Terms{"any/whole from": 0.75, "any/least share": 0.75})
+	p, m := newOwned(t, func(s *gather.Settings) {
+		s.FindClass("any").CompleteShare = 0.75
+		s.FindClass("any").MinShare = 0.75
+	})
 	split, err := m.Split("s0", owners.Slot(1, 4).Lo, "l", "r")
 	m = follow(t, p, m, split, err)
 	p.round(1005)
@@ -310,7 +314,10 @@
 
 // TestRefusalsInBudget: calls that go again after a refusal are further ones, and no window holds more than allowed.
 func TestRefusalsInBudget(t *testing.T) {
-	p, m := newOwned(t, gather.Terms{"budget free": 3.0, "budget share": 0.0})
+	p, m := newOwned(t, func(s *gather.Settings) {
+		s.RetryBudgetFloor = 3.0
+		s.RetryBudgetRatio = 0.0
+	})
 	var lks []*Lookup
 	var calls []*Call
 	for i := range 6 {
@@ -419,7 +426,7 @@
 // is never asked for again where an earlier call may have run, nor nacked; each lookup has one answer.
 func TestMovingMap(t *testing.T) {
 	for seed := range uint64(8) {
-		p, m := newOwned(t, gather.Terms{"budget free": 1000.0})
+		p, m := newOwned(t, func(s *gather.Settings) { s.RetryBudgetFloor = 1000.0 })
 		chance := pcg.New(seed)
 		draw := func(n int) int { return int(chance.Uint32() % uint32(n)) }
 		type out struct {
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -22,7 +22,7 @@
 
 // Picker stands between the network and one decision module.
 type Picker struct {
-	terms gather.Terms
+	terms *gather.Settings
 	tick  float64
 	most  int // lookups and parts held at once, 0 for no limit
 	start time.Time
@@ -41,7 +41,7 @@
 	spare     inbox
 	seed      uint64
 	module    gather.Module
-	build     func(seed uint64, terms gather.Terms) gather.Module
+	build     func(seed uint64, terms *gather.Settings) gather.Module
 	ranAt     float64
 	wakeAt    float64
 	lookups   map[uint64]*Lookup
@@ -91,12 +91,12 @@
 	summary phases.Summary
 }
 
-func build(seed uint64, terms gather.Terms) gather.Module { return logic.New(seed, terms) }
+func build(seed uint64, terms *gather.Settings) gather.Module { return logic.New(seed, terms) }
 
 // New starts a module that knows only its terms.
-func New(seed uint64, terms gather.Terms, log *logrus.Logger) *Picker {
+func New(seed uint64, terms *gather.Settings, log *logrus.Logger) *Picker {
 	start := time.Now()
-	return &Picker{build: build, retries: newRetryBudget(terms), terms: terms, tick: max(terms.Num("tick"), 1), most: int(terms.Num("most held")), start: start,
+	return &Picker{build: build, retries: newRetryBudget(terms), terms: terms, tick: max(terms.Tick, 1), most: terms.MaxOpenRequests, start: start,
 		unix: float64(start.UnixNano()) / 1e6, log: log, asked: make(chan struct{}, 1), news: make(chan struct{}, 1),
 		seed: seed, module: build(seed, terms), wakeAt: math.Inf(1), lookups: map[uint64]*Lookup{},
 		parts: map[uint64]place{}, servers: map[uint32]gather.Server{}}
@@ -104,10 +104,10 @@
 
 // Silence is for how long nothing may be heard on a connection with calls out before the next call gets another,
 // in milliseconds: a decision, and so the module's.
-func Silence(terms gather.Terms) float64 {
+func Silence(terms *gather.Settings) float64 {
 	shortest := math.Inf(1)
-	for _, index := range terms.Names("indexes") {
-		shortest = min(shortest, terms.Num(index+"/soft deadline"))
+	for _, index := range terms.ClassNames() {
+		shortest = min(shortest, terms.Class(index).LatencyObjective)
 	}
 	return logic.Silence * shortest
 }
--- a/internal/pick/pick_test.go
+++ b/internal/pick/pick_test.go
@@ -22,13 +22,13 @@
 	`"domain":{"cells":2,"inARow":1,"call":27000,"partsACall":16,"classFloor":[0.5,1],"completeFrom":[0.5,1]},` +
 	`"limits":{"attemptsCap":3,"cancel":true,"secondCopies":true,"maxRetryAfter":1000000,"retryAfter":true}}`
 
-func newPicker(t *testing.T, change gather.Terms) *Picker {
+func newPicker(t *testing.T, change func(s *gather.Settings)) *Picker {
 	of, err := terms.Read([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, value := range change {
-		of[name] = value
+	if change != nil {
+		change(of)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -294,7 +294,7 @@
 
 // TestMostHeld keeps the platform's limit on what is held at once, and frees what has ended.
 func TestMostHeld(t *testing.T) {
-	p := newPicker(t, gather.Terms{"most held": 5.0})
+	p := newPicker(t, func(s *gather.Settings) { s.MaxOpenRequests = 5 })
 	tick(t, p)
 	ctx, leave := context.WithCancel(t.Context())
 	done := pickOf(ctx, p, lookup("all", 3, p.Now()+2000))
--- a/internal/pick/played.go
+++ b/internal/pick/played.go
@@ -11,7 +11,7 @@
 // NewPlayed makes a picker whose rounds are played one by one by the caller, by a clock of the caller's: for models
 // of fleets in which time is not the machine's. Build makes the module; nil is the project's own. Nothing of it may
 // be called by two goroutines at once, and Tick and Pick not at all.
-func NewPlayed(seed uint64, terms gather.Terms, build func(seed uint64, terms gather.Terms) gather.Module, clock func() float64, log *logrus.Logger) *Picker {
+func NewPlayed(seed uint64, terms *gather.Settings, build func(seed uint64, terms *gather.Settings) gather.Module, clock func() float64, log *logrus.Logger) *Picker {
 	p := New(seed, terms, log)
 	p.clock = clock
 	if build != nil {
--- a/internal/pick/retrybudget.go
+++ b/internal/pick/retrybudget.go
@@ -21,21 +21,21 @@
 const rounding = 1.0
 
 // newRetryBudget is nil where the terms tell no budget: the module keeps one of its own then, which is no rule.
-func newRetryBudget(terms gather.Terms) *retryBudget {
-	if terms.Num("budget span") == 0 {
+func newRetryBudget(terms *gather.Settings) *retryBudget {
+	if terms.RetryBudgetWindow == 0 {
 		return nil
 	}
-	return &retryBudget{span: terms.Num("budget span"), free: terms.Num("budget free"), share: terms.Num("budget share")}
+	return &retryBudget{span: terms.RetryBudgetWindow, free: terms.RetryBudgetFloor, share: terms.RetryBudgetRatio}
 }
 
 // set takes over other figures; what was booked stays booked.
-func (g *retryBudget) set(terms gather.Terms) {
+func (g *retryBudget) set(terms *gather.Settings) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.free, g.share = terms.Num("budget free"), terms.Num("budget share")
+	g.free, g.share = terms.RetryBudgetFloor, terms.RetryBudgetRatio
 }
 
 // take notes a lookup taken, with its parts.
--- a/internal/pick/twice.go
+++ b/internal/pick/twice.go
@@ -105,7 +105,7 @@
 		}
 		l.Servers = servers
 	}
-	groups, row := max(int(p.terms.Num("groups")), 1), max(int(p.terms.Num("groups in a row")), 1)
+	groups, row := max(p.terms.ReplicaSets, 1), max(p.terms.ReplicaSetsPerShard, 1)
 	for id := range t.brief {
 		if _, listed := p.servers[id]; !listed {
 			delete(t.brief, id)
--- a/internal/pick/twice_test.go
+++ b/internal/pick/twice_test.go
@@ -13,18 +13,16 @@
 )
 
 // newTwice is a picker whose index any may go in two phases, and always does as far as time and budget allow.
-func newTwice(t *testing.T, change gather.Terms) *Picker {
-	if change == nil {
-		change = gather.Terms{}
-	}
-	for name, value := range map[string]any{"any/whole from": 1.0, "any/least share": 1.0, "any/soft deadline": 400.0,
-		"budget span": 2000.0, "budget free": 20.0, "budget share": 0.05, "call off": true} {
-		if change[name] == nil {
-			change[name] = value
+func newTwice(t *testing.T, change func(s *gather.Settings)) *Picker {
+	p := newPicker(t, func(s *gather.Settings) {
+		anyClass := s.FindClass("any")
+		anyClass.CompleteShare, anyClass.MinShare, anyClass.LatencyObjective = 1, 1, 400
+		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio, s.CancelAllowed = 2000, 20, 0.05, true
+		if change != nil {
+			change(s)
 		}
-	}
-	p := newPicker(t, change)
-	whole, least := p.terms.Num("any/whole from"), p.terms.Num("any/least share")
+	})
+	whole, least := p.terms.Class("any").CompleteShare, p.terms.Class("any").MinShare
 	p.Phases(map[string]phases.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
 	p.clock = func() float64 { return p.ranAt + 4 } // what is reported before a round came just before it
 	p.round(1000)
@@ -273,7 +271,7 @@
 // two firsts, one that heard nothing makes the next a further one. Each lookup has one answer, and no call after it.
 func TestBudgetOfPasses(t *testing.T) {
 	for seed := range uint64(6) {
-		p := newTwice(t, gather.Terms{"budget free": 6.0})
+		p := newTwice(t, func(s *gather.Settings) { s.RetryBudgetFloor = 6.0 })
 		chance := pcg.New(seed)
 		type out struct {
 			c    *Call
@@ -385,7 +383,10 @@
 
 // TestAnyN: n is of all parts, by weight: those proved empty count towards it.
 func TestAnyN(t *testing.T) {
-	p := newTwice(t, gather.Terms{"any/whole from": 0.75, "any/least share": 0.75})
+	p := newTwice(t, func(s *gather.Settings) {
+		s.FindClass("any").CompleteShare = 0.75
+		s.FindClass("any").MinShare = 0.75
+	})
 	lk, o := land(p, 1010, "a", 8)
 	if n := firsts(o); n < 6 {
 		t.Fatalf("%d parts of the first pass", n)
--- a/internal/placefile/list.go
+++ b/internal/placefile/list.go
@@ -20,11 +20,11 @@
 // WithList completes a from-list file: hosts are those of the list, of the kinds that the file tells, and each group
 // of shards is a segment group-N. Where a kind does not say how its hosts warm up, the rules of the terms do. A host
 // on the list whose kind the file does not tell is an error, since nothing is known of what it can do.
-func (f *File) WithList(list []Listed, terms gather.Terms, now float64) (*placement.Model, error) {
+func (f *File) WithList(list []Listed, terms *gather.Settings, now float64) (*placement.Model, error) {
 	m := f.Model
 	m.At = math.Ceil(now)
 	m.Halls, m.Hosts = slices.Clone(m.Halls), nil
-	groups, row := int(terms.Num("groups")), int(terms.Num("groups in a row"))
+	groups, row := terms.ReplicaSets, terms.ReplicaSetsPerShard
 	on := make([][]string, groups)
 	for _, l := range list {
 		kind := f.kinds[l.Kind]
@@ -41,7 +41,7 @@
 			h.Capacity = int64(math.Floor(float64(h.Capacity) * l.Size))
 		}
 		if !kind.Has("warms") {
-			h.ColdShare, h.Warming = terms.Num("cold share"), terms.Num("cold time")
+			h.ColdShare, h.Warming = terms.InitialCapacityShare, terms.WarmupTime
 		}
 		m.Hosts = append(m.Hosts, h)
 		if !slices.ContainsFunc(m.Halls, func(o placement.Hall) bool { return o.Name == l.Zone }) {
--- a/internal/placefile/placefile_test.go
+++ b/internal/placefile/placefile_test.go
@@ -123,7 +123,9 @@
 	}
 	list := []Listed{{"a", gather.Server{Group: 0, Zone: "north", Kind: "m2", Size: 0.5}}, {"b", gather.Server{Group: 1, Zone: "east", Kind: "m2", Started: 900}},
 		{"c", gather.Server{Group: 7, Zone: "east", Kind: "m2", State: gather.Draining}}}
-	terms := gather.Terms{"groups": 2.0, "groups in a row": 2.0, "cold share": 0.25, "cold time": 1000.0}
+	terms := &gather.Settings{
+		ReplicaSets: 2, ReplicaSetsPerShard: 2, InitialCapacityShare: 0.25, WarmupTime: 1000.0,
+	}
 	m, err := f.WithList(list, terms, 1000)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -32,7 +32,7 @@
 // Keeper keeps a plan in force.
 type Keeper struct {
 	picker Picker
-	terms  gather.Terms
+	terms  *gather.Settings
 	jobs   *background.Scheduler
 	log    *logrus.Logger
 
@@ -48,7 +48,7 @@
 }
 
 // New makes a keeper without a plan, which hands down nothing.
-func New(picker Picker, terms gather.Terms, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
+func New(picker Picker, terms *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
 	return &Keeper{picker: picker, terms: terms, jobs: jobs, log: log, listed: map[uint32]placefile.Listed{}, numbers: map[string]uint32{}}
 }
 
@@ -185,7 +185,7 @@
 		id, listed := k.numbers[host]
 		return listed && k.listed[id].State == gather.Running
 	})
-	weights := placement.Shares(s.Rows, k.terms.Text("zone"), func(host string) (uint32, bool) {
+	weights := placement.Shares(s.Rows, k.terms.Zone, func(host string) (uint32, bool) {
 		id, listed := k.numbers[host]
 		return id, listed
 	})
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -69,7 +69,7 @@
 	log, hook := test.NewNullLogger()
 	log.SetOutput(io.Discard)
 	h := &hand{now: at + 1, handed: make(chan [][]gather.Weight, 100)}
-	terms := gather.Terms{"zone": zone, "groups": 2.0, "groups in a row": 1.0}
+	terms := &gather.Settings{Zone: zone, ReplicaSets: 2, ReplicaSetsPerShard: 1}
 	return New(h, terms, background.New(1, log), log), h, hook
 }
 
--- a/internal/policy/govern.go
+++ b/internal/policy/govern.go
@@ -18,7 +18,7 @@
 
 // Governor keeps what a gatherer goes by where the decisions, the wire and the follower reach it. It is a pick.Governor.
 type Governor struct {
-	base    gather.Terms // the platform's
+	base    *gather.Settings // the platform's
 	clock   func() float64
 	settled chan struct{} // something is there once all in hand is by what is acted by now
 	stir    func()        // has a round run, where nothing else would
@@ -27,14 +27,14 @@
 	h      *policy.Holder
 	way    uint64 // for which the rest was worked out
 	acts   policy.Policy
-	terms  gather.Terms
+	terms  *gather.Settings
 	places map[uint32]place
 	closed map[uint32]bool
 	news   uint64
 }
 
 // NewGovernor begins within a floor, at the fence that an earlier process left. Clock and stir are the picker's.
-func NewGovernor(base gather.Terms, floor policy.Policy, fence policy.Fence, clock func() float64, stir func()) *Governor {
+func NewGovernor(base *gather.Settings, floor policy.Policy, fence policy.Fence, clock func() float64, stir func()) *Governor {
 	g := &Governor{base: base, clock: clock, stir: stir, settled: make(chan struct{}, 1), places: map[uint32]place{}, closed: map[uint32]bool{}}
 	g.h = policy.NewHolder(floor, fence, g.fit)
 	return g
@@ -112,7 +112,7 @@
 }
 
 // Acts is the way and the terms of lookups that land now.
-func (g *Governor) Acts(now float64) (uint64, gather.Terms) {
+func (g *Governor) Acts(now float64) (uint64, *gather.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
@@ -159,7 +159,7 @@
 
 // tightened reports whether an index is once-only by policy alone. The lock is held.
 func (g *Governor) tightened(index string) bool {
-	return g.acts.Has(policy.OnceOnly, index) && g.base.Text(index+"/effect") != "once-only"
+	return g.acts.Has(policy.OnceOnly, index) && g.base.Class(index).Effect != gather.NonIdempotent
 }
 
 // Answer gives the verdict that may be given now: one that was decided by what does not hold any more is an abort where
--- a/internal/policy/wire_test.go
+++ b/internal/policy/wire_test.go
@@ -163,8 +163,14 @@
 // governed is a governor that has heard a policy, and its settings.
 func governed(t *testing.T, floor, p string) (*Governor, *float64) {
 	t.Helper()
-	terms := gather.Terms{"indexes": []string{"any", "claim"}, "any/effect": "idempotent", "any/least share": 0.5, "any/whole from": 0.75, "claim/effect": "once-only", "second copies": true,
-		"budget span": 1000.0, "budget share": 0.1, "budget free": 8.0, "fall multiple": 3.0}
+	terms := &gather.Settings{
+		HedgingAllowed: true, RetryBudgetWindow: 1000.0, RetryBudgetRatio: 0.1,
+		RetryBudgetFloor: 8.0, OverloadMultiple: 3.0,
+		Classes: []gather.Class{
+			{Name: "any", Effect: gather.Idempotent, MinShare: 0.5, CompleteShare: 0.75},
+			{Name: "claim", Effect: gather.NonIdempotent},
+		},
+	}
 	now := 0.0
 	parse := func(text string) policy.Policy {
 		p, err := Parse("p", text)
@@ -185,8 +191,8 @@
 	floor := "no-copies\nindex any once-only least 90%\nfurther share 1% free 1\ncold 10%\nclose zone north\nclose zone south host s2\n"
 	g, now := governed(t, floor, "index any least 60%\nfurther free 4\ncold 50%\nclose zone south host s2\nturns s1 50%\n")
 	way, terms := g.Acts(1)
-	if terms.Num("any/least share") != 0.6 || terms.Num("any/whole from") != 0.75 || terms.Num("budget free") != 4 || terms.Num("budget share") != 0.1 || terms.Num("fall multiple") != 1.5 || !terms.Flag("second copies") ||
-		g.base.Num("fall multiple") != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
+	if terms.Class("any").MinShare != 0.6 || terms.Class("any").CompleteShare != 0.75 || terms.RetryBudgetFloor != 4 || terms.RetryBudgetRatio != 0.1 || terms.OverloadMultiple != 1.5 || !terms.HedgingAllowed ||
+		g.base.OverloadMultiple != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
 		t.Errorf("%v; %v", terms, g.closed)
 	}
 	call := pick.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
@@ -234,7 +240,7 @@
 
 // BenchmarkMay is what a part call's first byte costs more where a policy is followed.
 func BenchmarkMay(b *testing.B) {
-	g := NewGovernor(gather.Terms{"indexes": []string{"any"}}, nil, policy.Fence{}, func() float64 { return 0 }, func() {})
+	g := NewGovernor(&gather.Settings{Classes: []gather.Class{{Name: "any"}}}, nil, policy.Fence{}, func() float64 { return 0 }, func() {})
 	g.hear(0, policy.Word{Epoch: 1, Last: 1, Lease: 1e9})
 	way, _ := g.Acts(0)
 	for b.Loop() {
--- a/internal/report/count.go
+++ b/internal/report/count.go
@@ -24,7 +24,7 @@
 
 // Counter counts what becomes of lookups. It is a pick.Tracer and a pick.Witness.
 type Counter struct {
-	terms   gather.Terms
+	terms   *gather.Settings
 	now     func() float64
 	pool    Pool
 	head    Document
@@ -60,15 +60,15 @@
 }
 
 // NewCounter makes a counter of a gatherer of that name, by its terms and clock.
-func NewCounter(name string, terms gather.Terms, now func() float64, pool Pool) *Counter {
+func NewCounter(name string, terms *gather.Settings, now func() float64, pool Pool) *Counter {
 	c := &Counter{terms: terms, now: now, pool: pool, indexes: map[string]*Index{}, limits: map[string]limits{}, states: map[uint32]gather.State{}, files: map[string]string{}}
-	for _, ix := range terms.Names("indexes") {
+	for _, ix := range terms.ClassNames() {
 		c.indexes[ix] = newIndex()
-		c.limits[ix] = limits{terms.Num(ix + "/soft deadline"), terms.Num(ix + "/late share"), terms.Num(ix + "/whole from"), terms.Num(ix + "/partial earns")}
+		c.limits[ix] = limits{terms.Class(ix).LatencyObjective, terms.Class(ix).LateValue, terms.Class(ix).CompleteShare, terms.Class(ix).PartialValue}
 	}
 	at := now()
 	c.process = proc.Name(at)
-	c.head = Document{Form: Form, Name: name, Zone: terms.Text("zone"), Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
+	c.head = Document{Form: Form, Name: name, Zone: terms.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
 	return c
 }
 
--- a/internal/report/count_test.go
+++ b/internal/report/count_test.go
@@ -21,9 +21,14 @@
 
 func (pool) Connections() (int, int64) { return 3, 7 }
 
-func terms() gather.Terms {
-	return gather.Terms{"indexes": []string{"any", "once"}, "any/soft deadline": 100.0, "any/late share": 0.1, "any/whole from": 0.75, "any/partial earns": 0.5,
-		"once/soft deadline": 100.0, "once/whole from": 1.0, "groups": 1.0, "tick": 1.0, "zone": "a"}
+func terms() *gather.Settings {
+	return &gather.Settings{
+		ReplicaSets: 1, Tick: 1.0, Zone: "a",
+		Classes: []gather.Class{
+			{Name: "any", LatencyObjective: 100.0, LateValue: 0.1, CompleteShare: 0.75, PartialValue: 0.5},
+			{Name: "once", LatencyObjective: 100.0, CompleteShare: 1.0},
+		},
+	}
 }
 
 func counter(now *float64) *Counter {
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -117,9 +117,14 @@
 func pooledConnections(ctx context.Context, address string, count int) (*shardcall.Pool, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	terms := gather.Terms{"indexes": []string{"find"}, "groups": float64(count), "groups in a row": 1.0, "most calls": 1.0, "tick": 1.0,
-		"connect time-out": 10_000.0, "idle close": 3_600_000.0, "parts a call": 1.0, "streams": 100.0, "call off": true,
-		"find/soft deadline": 30_000.0, "find/hard deadline": 60_000.0, "find/whole from": 1.0, "find/least share": 1.0, "find/effect": "idempotent"}
+	terms := &gather.Settings{
+		ReplicaSets: count, ReplicaSetsPerShard: 1, MaxAttempts: 1, Tick: 1.0,
+		ConnectTimeout: 10_000.0, IdleTimeout: 3_600_000.0, RequestsPerCall: 1,
+		StreamsPerConnection: 100, CancelAllowed: true,
+		Classes: []gather.Class{
+			{Name: "find", LatencyObjective: 30_000.0, Deadline: 60_000.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
+		},
+	}
 	picker := pick.New(1, terms, log)
 	pool := shardcall.New(terms, count, picker, log)
 	list, addresses := gather.List{Full: true}, make([]shardcall.Address, count)
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -50,13 +50,17 @@
 )
 
 // decisionSettings are settings of a deployment of that shape, in the module's words.
-func decisionSettings(t DecisionTerms) gather.Terms {
+func decisionSettings(t DecisionTerms) *gather.Settings {
 	groups := max(t.Servers/t.Replicas, 1)
-	return gather.Terms{"indexes": []string{"find"}, "groups": float64(groups), "groups in a row": 1.0, "shards": float64(groups),
-		"most calls": 3.0, "call off": true, "second copies": true, "tick": decisionTick, "gatherers": float64(DesignGatherers),
-		"longest come back": 1000.0, "budget span": 10_000.0, "budget free": 10.0, "budget share": 0.02,
-		"find/soft deadline": softDeadline, "find/hard deadline": hardDeadline, "find/late share": 0.1,
-		"find/whole from": 0.99, "find/least share": 0.9, "find/effect": "idempotent"}
+	return &gather.Settings{
+		ReplicaSets: groups, ReplicaSetsPerShard: 1, Shards: groups, MaxAttempts: 3,
+		CancelAllowed: true, HedgingAllowed: true, Tick: decisionTick, Gatherers: DesignGatherers,
+		MaxRetryAfter: 1000.0, RetryBudgetWindow: 10_000.0, RetryBudgetFloor: 10.0,
+		RetryBudgetRatio: 0.02,
+		Classes: []gather.Class{
+			{Name: "find", LatencyObjective: softDeadline, Deadline: hardDeadline, LateValue: 0.1, CompleteShare: 0.99, MinShare: 0.9, Effect: gather.Idempotent},
+		},
+	}
 }
 
 // ending is a part call's end to come.
--- a/internal/scale/policies.go
+++ b/internal/scale/policies.go
@@ -208,7 +208,7 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policy.NewGovernor(gather.Terms{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
+	h.governor = policy.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
 	me := decisions.Hello{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Floor: hollowFloor},
 		Process: fmt.Sprintf("%d-%d", number, start.UnixNano())}
 	follower := policy.NewFollower(h.governor, stewards, me, "", f.log)
--- a/internal/scale/reports.go
+++ b/internal/scale/reports.go
@@ -42,7 +42,7 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	terms := gather.Terms{"indexes": []string{"find"}, "find/soft deadline": softDeadline, "find/whole from": 1.0}
+	terms := &gather.Settings{Classes: []gather.Class{{Name: "find", LatencyObjective: softDeadline, CompleteShare: 1.0}}}
 	var addresses []string
 	for i := range gatherers {
 		counter := report.NewCounter(fmt.Sprint("g", i), terms, func() float64 { return 0 }, noPool{})
--- a/internal/service/governed.go
+++ b/internal/service/governed.go
@@ -26,7 +26,7 @@
 
 // govern makes it. A floor or a file that does not fit the platform's settings ends the start: without one the gatherer
 // would do what the rest of the fleet counts on it not to.
-func govern(c *config.Config, own *operator.File, terms gather.Terms, picker *pick.Picker, log *logrus.Logger) (*governed, error) {
+func govern(c *config.Config, own *operator.File, terms *gather.Settings, picker *pick.Picker, log *logrus.Logger) (*governed, error) {
 	if own.Floor+own.Policy == "" {
 		return nil, nil
 	}
@@ -50,7 +50,7 @@
 		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
 	}
 	g := &governed{governor: policy.NewGovernor(terms, floor, fence, picker.Now, picker.Stir)}
-	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: terms.Text("zone"), Floor: floor}, Process: proc.Name(picker.Now()), Version: version.Name()}
+	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: terms.Zone, Floor: floor}, Process: proc.Name(picker.Now()), Version: version.Name()}
 	g.follower = policy.NewFollower(g.governor, own.Stewards, me, own.State, log)
 	picker.Govern(g.governor)
 	return g, nil
--- a/internal/service/loads_test.go
+++ b/internal/service/loads_test.go
@@ -16,8 +16,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !c.Terms.Flag("probes") || c.Terms.Text("reports") != "pull" || c.Terms.Flag("second copies") ||
-		!c.Terms.Flag("list is asked for") || c.Terms.Text("zone") != "a" || c.Terms.Num("any/hard deadline") != 1000 {
+	if !c.Terms.HealthChecksAllowed || c.Terms.LoadReports != "pull" || c.Terms.HedgingAllowed ||
+		!c.Terms.EndpointsOnRequest || c.Terms.Zone != "a" || c.Terms.Class("any").Deadline != 1000 {
 		t.Errorf("%v", c.Terms)
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -62,7 +62,7 @@
 func New(c *config.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
 	terms := c.Terms
 	if own.MostOwned > 0 {
-		if terms.Num("shards") < 1 {
+		if terms.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
 		terms = pick.OwnedTerms(terms, own.MostOwned)
@@ -93,7 +93,7 @@
 		}
 	}
 	if own.MostOwned > 0 {
-		s.Picker.Segments(own.MostOwned, int(terms.Num("shards")))
+		s.Picker.Segments(own.MostOwned, terms.Shards)
 		if s.ledger != nil && s.ledger.Map() != nil {
 			s.Picker.SetMap(s.ledger.Map())
 		}
@@ -134,7 +134,7 @@
 	s.governed = governed
 	shards := 0
 	if own.MostOwned > 0 {
-		shards = int(terms.Num("shards"))
+		shards = terms.Shards
 	}
 	if own.Record != "" {
 		if s.record, err = trace.Create(own.Record, own.RecordMost, own.RecordAtOnce, c.Terms, shards, s.Picker.Now()); err != nil {
@@ -177,7 +177,7 @@
 			listed.Store(true)
 		}
 	}, s.Picker.Asked(), log)
-	if terms.Flag("list is asked for") {
+	if terms.EndpointsOnRequest {
 		s.follower.Shared()
 	}
 	if c.Known != nil {
--- a/internal/shardcall/agree_test.go
+++ b/internal/shardcall/agree_test.go
@@ -14,7 +14,7 @@
 // anew or could not be reached; one that does not know the question is none that answers first passes.
 func TestAgree(t *testing.T) {
 	found := make(chan string, 10)
-	p := New(gather.Terms{"connect time-out": 1000.0}, 100, nil, quiet())
+	p := New(&gather.Settings{ConnectTimeout: 1000.0}, 100, nil, quiet())
 	p.Agree(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
 	p.again = 10 * time.Millisecond
 	start := func(brief float64) *shards.Server {
--- a/internal/shardcall/crossings_test.go
+++ b/internal/shardcall/crossings_test.go
@@ -43,7 +43,10 @@
 func TestDrainWhileWriting(t *testing.T) {
 	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Draining}},
 		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Gone}}, "missing": nil} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"drain grace": 100.0, "i/effect": "idempotent"})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.DrainGrace = 100.0
+			s.FindClass("i").Effect = gather.Idempotent
+		})
 		theirs := d.pipe()
 		d.ask(t.Context(), "a", 1, 60000)
 		d.writing(t)
@@ -66,7 +69,7 @@
 // TestDrainPartWritten: bytes have gone when the drain is told, and the server reads on within the grace: the call is
 // one from before the drain, and is answered.
 func TestDrainPartWritten(t *testing.T) {
-	d := newDesk(t, "127.0.0.1:1", gather.Terms{"drain grace": 60000.0})
+	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
 	theirs := d.pipe()
 	done := d.ask(t.Context(), "a", 1, 60000)
 	head := make([]byte, 5)
@@ -131,7 +134,7 @@
 // its server could read that it is: a call elsewhere would be a second one out at once. It may still be answered.
 func TestToldBeforeCalledAgain(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent"})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 		theirs := d.pipe()
 		d.ask(t.Context(), "a", 1, 60000)
 		frame := func() {
@@ -166,7 +169,10 @@
 		d.want(t, "a.0", gather.CalledOff)
 	}
 	// A server that does not read of it: its connection is ended, which gives the call up as well.
-	d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent", "connect time-out": 50.0})
+	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+		s.ConnectTimeout = 50.0
+		s.FindClass("i").Effect = gather.Idempotent
+	})
 	theirs := d.pipe()
 	d.ask(t.Context(), "a", 1, 60000)
 	head := make([]byte, 4)
@@ -191,7 +197,10 @@
 // must not wait for the write, which had all of the call's time.
 func TestGivenUpWhileWriting(t *testing.T) {
 	for _, copies := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent", "second copies": copies})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.HedgingAllowed = copies
+			s.FindClass("i").Effect = gather.Idempotent
+		})
 		theirs := d.pipe()
 		ctx, leave := context.WithCancel(t.Context())
 		done := d.ask(ctx, "a", 1, 60000)
@@ -212,7 +221,7 @@
 func TestEveryByte(t *testing.T) {
 	length := math.MaxInt
 	for n := 0; n <= length; n++ {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent"})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 		theirs := d.pipe()
 		done := d.ask(t.Context(), "a", 1, 60000)
 		frame := make([]byte, n)
@@ -232,7 +241,7 @@
 // call gets another connection; nothing of it is served.
 func TestNeverEnding(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"i/soft deadline": 100.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
 	done := d.ask(t.Context(), "a", 1, 200)
 	conn := shard.Take()
 	conn.Read()
@@ -267,7 +276,10 @@
 // none, and the connection ended with every part that was.
 func TestNoConnectTime(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"connect time-out": 0.0, "i/effect": "idempotent"})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+		s.ConnectTimeout = 0.0
+		s.FindClass("i").Effect = gather.Idempotent
+	})
 	ctx, leave := context.WithCancel(t.Context())
 	done := d.ask(ctx, "a", 1, 60000)
 	conn := shard.Take()
@@ -282,7 +294,7 @@
 // TestBurstOfLeavers: many lookups wait for one connection, and all their clients go at once. Nothing goes on it.
 func TestBurstOfLeavers(t *testing.T) {
 	const many = 200
-	d := newDesk(t, "127.0.0.1:1", gather.Terms{"streams": 1000.0})
+	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
 	d.reports = make(chan report, 2*many)
 	gate, theirs := d.gated()
 	ctx, leave := context.WithCancel(t.Context())
--- a/internal/shardcall/pool.go
+++ b/internal/shardcall/pool.go
@@ -96,10 +96,10 @@
 const defaultConnect = time.Second
 
 // New makes a pool that keeps the limits in the terms, and to so many connections where it can.
-func New(terms gather.Terms, most int, reporter Reporter, log *logrus.Logger) *Pool {
-	span := func(name string) time.Duration { return time.Duration(terms.Num(name) * 1e6) }
-	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span("connect time-out"),
-		grace: span("drain grace"), copies: terms.Flag("second copies"), perFrame: max(int(terms.Num("parts a call")), 1), perConn: int(terms.Num("streams")),
+func New(terms *gather.Settings, most int, reporter Reporter, log *logrus.Logger) *Pool {
+	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(terms.ConnectTimeout),
+		grace: span(terms.DrainGrace), copies: terms.HedgingAllowed, perFrame: max(terms.RequestsPerCall, 1), perConn: terms.StreamsPerConnection,
 		servers: map[uint32]*server{}, attempts: map[*pick.Call]*attempt{}}
 	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTime) }
 	if p.connectTime == 0 {
@@ -108,8 +108,8 @@
 	// A connection that has stood idle for the time in the terms swallows what is written to it. It is closed
 	// before that by the time that setting one up may take, against a call that crosses the other side's close.
 	p.idleTime = math.MaxInt64
-	if terms.Num("idle close") > 0 {
-		p.idleTime = max(span("idle close")-p.connectTime, span("idle close")/2)
+	if terms.IdleTimeout > 0 {
+		p.idleTime = max(span(terms.IdleTimeout)-p.connectTime, span(terms.IdleTimeout)/2)
 	}
 	if p.perConn < 1 { // no limit is told
 		p.perConn = math.MaxInt32
@@ -119,8 +119,8 @@
 	if ms := pick.Silence(terms); ms < 1e9 {
 		p.silence = time.Duration(ms * 1e6)
 	}
-	for _, index := range terms.Names("indexes") {
-		p.memory = max(p.memory, 2*span(index+"/hard deadline"))
+	for i := range terms.Classes {
+		p.memory = max(p.memory, 2*span(terms.Classes[i].Deadline))
 	}
 	return p
 }
--- a/internal/shardcall/pool_test.go
+++ b/internal/shardcall/pool_test.go
@@ -49,13 +49,17 @@
 	return log
 }
 
-func newDesk(t *testing.T, address string, change gather.Terms) *desk {
-	terms := gather.Terms{"indexes": []string{"i"}, "i/soft deadline": 2000.0, "i/whole from": 1.0, "i/least share": 1.0,
-		"i/late share": 0.1, "i/effect": "once-only", "groups": 1.0, "groups in a row": 1.0, "call off": true, "tick": 1.0,
-		"connect time-out": 2000.0, "idle close": 30000.0, "parts a call": 2.0, "streams": 4.0, "most calls": 1.0,
-		"call cost": 1.0}
-	for name, value := range change {
-		terms[name] = value
+func newDesk(t *testing.T, address string, change func(s *gather.Settings)) *desk {
+	terms := &gather.Settings{
+		ReplicaSets: 1, ReplicaSetsPerShard: 1, CancelAllowed: true, Tick: 1.0,
+		ConnectTimeout: 2000.0, IdleTimeout: 30000.0, RequestsPerCall: 2, StreamsPerConnection: 4,
+		MaxAttempts: 1, CallCost: 1.0,
+		Classes: []gather.Class{
+			{Name: "i", LatencyObjective: 2000.0, CompleteShare: 1.0, MinShare: 1.0, LateValue: 0.1, Effect: gather.NonIdempotent},
+		},
+	}
+	if change != nil {
+		change(terms)
 	}
 	d := &desk{picker: pick.New(1, terms, quiet()), reports: make(chan report, 100), samples: make(chan gather.Sample, 100)}
 	d.Pool = New(terms, 100, d, quiet())
@@ -263,7 +267,7 @@
 		want  gather.Outcome
 	}{{"broken before the last byte", false, gather.Unreached}, {"broken after it", true, gather.Cut}} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent"})
+			d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 			theirs := d.pipe()
 			d.ask(t.Context(), "a", 1, 2000)
 			head := make([]byte, 5)
@@ -285,7 +289,10 @@
 		callOff, copies bool
 		want            gather.Outcome
 	}{{true, true, gather.CalledOff}, {true, false, gather.Unreached}, {false, false, gather.Unreached}} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"call off": c.callOff, "second copies": c.copies})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.CancelAllowed = c.callOff
+			s.HedgingAllowed = c.copies
+		})
 		theirs := d.pipe()
 		ctx, leave := context.WithCancel(t.Context())
 		done := d.ask(ctx, "a", 1, 60000)
@@ -410,7 +417,10 @@
 // one may lead to a machine that has vanished.
 func TestSilent(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"i/soft deadline": 20.0, "tick": 1.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+		s.Tick = 1.0
+		s.FindClass("i").LatencyObjective = 20.0
+	})
 	done := d.ask(t.Context(), "a", 1, 60)
 	shard.Take().Read()
 	if v := <-done; v.Kind != pick.Aborted {
@@ -425,7 +435,7 @@
 // TestSilentSoon wants that well before the soft deadline: what goes out meanwhile is lost on the same connection.
 func TestSilentSoon(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"i/soft deadline": 500.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 500.0 })
 	done := d.ask(t.Context(), "a", 1, 300)
 	shard.Take().Read()
 	<-done
@@ -440,7 +450,10 @@
 // written into its close.
 func TestIdle(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"idle close": 1000.0, "connect time-out": 800.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+		s.IdleTimeout = 1000.0
+		s.ConnectTimeout = 800.0
+	})
 	done := d.ask(t.Context(), "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
--- a/internal/shardcall/probe_test.go
+++ b/internal/shardcall/probe_test.go
@@ -49,7 +49,7 @@
 // answer is not taken for the next one's.
 func TestLoadNever(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"connect time-out": 50.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
 	conns := make(chan *standin.Conn, 2)
 	go func() { conns <- shard.Take() }()
 	if s := d.load(); s.Passed {
@@ -89,7 +89,7 @@
 // TestLoadPiles: a connection that never answers probes is left for a new one before they pile up.
 func TestLoadPiles(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"connect time-out": 20.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
--- a/internal/study/lawless_test.go
+++ b/internal/study/lawless_test.go
@@ -10,13 +10,12 @@
 var breakOf6 = rules.Break{Rule: 6, Words: "seven part calls too many"}
 
 // lawless takes once-only indexes for idempotent ones: it breaks rule 2 wherever a call is cut.
-var lawless = emulator.Variant{Name: "lawless", Module: func(seed uint64, terms gather.Terms, _ emulator.Look) gather.Module {
-	blind := gather.Terms{}
-	for name, value := range terms {
-		if value == "once-only" {
-			value = "idempotent"
+var lawless = emulator.Variant{Name: "lawless", Module: func(seed uint64, terms *gather.Settings, _ emulator.Look) gather.Module {
+	blind := terms.Clone()
+	for i := range blind.Classes {
+		if blind.Classes[i].Effect == gather.NonIdempotent {
+			blind.Classes[i].Effect = gather.Idempotent
 		}
-		blind[name] = value
 	}
 	return baselines.New(seed, blind, baselines.Ideas[1])
 }}
--- a/internal/terms/terms.go
+++ b/internal/terms/terms.go
@@ -74,7 +74,7 @@
 
 func ms(us float64) float64 { return us / 1000 }
 
-var effects = map[string]string{"pure": "idempotent", "token": "fingerprinted", "side_effect": "once-only"}
+var effects = map[string]gather.Effect{"pure": gather.Idempotent, "token": gather.IdempotencyKeyed, "side_effect": gather.NonIdempotent}
 
 // at is a value of a list that goes class by class; a site may leave such a list out.
 func at(list []float64, i int, otherwise float64) float64 {
@@ -85,7 +85,7 @@
 }
 
 // Read takes the settings apart. Their times are microseconds, those of the terms milliseconds.
-func Read(info json.RawMessage) (gather.Terms, error) {
+func Read(info json.RawMessage) (*gather.Settings, error) {
 	var s settings
 	if err := json.Unmarshal(info, &s); err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -104,46 +104,44 @@
 			return nil, fmt.Errorf("settings.classes: %q has a goalTime or hardLimit below 0", c.Name)
 		}
 	}
-	t := gather.Terms{
-		"gatherers": s.Balancers, "own number": s.MyNumber, "tick": ms(s.Tick),
-		"counted by": s.CountedBy, "gain over share": s.OverShare,
-		"list is asked for": s.Discovery == "on_request", "zone": s.Zone, "sizes": s.Weights,
-		"groups": s.Domain.Cells, "groups in a row": s.Domain.InARow, "shards": s.Domain.Shards,
-		"call cost": ms(s.Domain.Call), "parts a call": s.Domain.PartsACall,
-		"most calls": s.Limits.AttemptsCap, "call off": s.Limits.Cancel, "probes": s.Limits.Probes,
-		"connect time-out": ms(s.Limits.ConnectTimeout), "most held": s.Limits.MostHeld,
-		"idle close": ms(s.Limits.IdleClose), "streams": s.Limits.Streams,
-		"second copies": s.Limits.SecondCopies, "reports": s.LoadInfo.How,
-		"answer slack": ms(s.Rules.AnswerSlack), "drain grace": ms(s.Rules.DrainGrace),
-		"cold time": ms(s.Rules.Cold), "cold share": s.Rules.ColdShare,
-		"fall time": ms(s.Rules.Fall), "fall multiple": s.Rules.FallMultiple, "ask within": ms(s.Rules.MustAskIn),
+	t := &gather.Settings{
+		Gatherers: int(s.Balancers), GathererIndex: int(s.MyNumber), Tick: ms(s.Tick), CountedBy: s.CountedBy,
+		OverQuotaWeight: s.OverShare, EndpointsOnRequest: s.Discovery == "on_request", Zone: s.Zone,
+		WeightSource: s.Weights, ReplicaSets: int(s.Domain.Cells), ReplicaSetsPerShard: int(s.Domain.InARow),
+		Shards: int(s.Domain.Shards), CallCost: ms(s.Domain.Call), RequestsPerCall: int(s.Domain.PartsACall),
+		MaxAttempts: int(s.Limits.AttemptsCap), CancelAllowed: s.Limits.Cancel,
+		HealthChecksAllowed: s.Limits.Probes, ConnectTimeout: ms(s.Limits.ConnectTimeout),
+		MaxOpenRequests: int(s.Limits.MostHeld), IdleTimeout: ms(s.Limits.IdleClose),
+		StreamsPerConnection: int(s.Limits.Streams), HedgingAllowed: s.Limits.SecondCopies,
+		LoadReports: s.LoadInfo.How, AnswerSlack: ms(s.Rules.AnswerSlack),
+		DrainGrace: ms(s.Rules.DrainGrace), WarmupTime: ms(s.Rules.Cold),
+		InitialCapacityShare: s.Rules.ColdShare, OverloadWindow: ms(s.Rules.Fall),
+		OverloadMultiple: s.Rules.FallMultiple, DiscoveryInterval: ms(s.Rules.MustAskIn),
 	}
 	if s.Rules.BudgetShare != nil {
-		t["budget span"], t["budget free"] = ms(s.Rules.ResendSpan), s.Rules.ExtraFloor
-		t["budget share"] = *s.Rules.BudgetShare
+		t.RetryBudgetWindow, t.RetryBudgetFloor = ms(s.Rules.ResendSpan), s.Rules.ExtraFloor
+		t.RetryBudgetRatio = *s.Rules.BudgetShare
 	}
 	if s.Limits.RetryAfter { // clients that are told no time have a longest of 0
-		t["longest come back"] = ms(s.Limits.MaxRetryAfter)
+		t.MaxRetryAfter = ms(s.Limits.MaxRetryAfter)
 	}
-	var indexes, customers []string
 	for i, c := range s.Classes {
 		effect, known := effects[c.Effect]
 		if !known {
 			return nil, fmt.Errorf("settings: class %q has effect %q", c.Name, c.Effect)
 		}
-		n := c.Name + "/"
-		indexes = append(indexes, c.Name)
-		t[n+"soft deadline"], t[n+"hard deadline"], t[n+"late share"] = ms(c.GoalTime), ms(c.HardLimit), c.LateValue
-		t[n+"effect"], t[n+"window"], t[n+"gain"] = effect, ms(c.Window), c.Worth
-		t[n+"whole from"] = at(s.Domain.CompleteFrom, i, 1)
-		t[n+"least share"] = at(s.Domain.ClassFloor, i, t.Num(n+"whole from"))
-		t[n+"partial earns"] = at(s.Domain.PartialEarns, i, 0)
-		t[n+"second step"] = at(s.Domain.SecondStep, i, 0)
+		completeShare := at(s.Domain.CompleteFrom, i, 1)
+		t.Classes = append(t.Classes, gather.Class{
+			Name: c.Name, LatencyObjective: ms(c.GoalTime), Deadline: ms(c.HardLimit), LateValue: c.LateValue,
+			Effect: effect, IdempotencyWindow: ms(c.Window), PriorityWeight: c.Worth,
+			CompleteShare:    completeShare,
+			MinShare:         at(s.Domain.ClassFloor, i, completeShare),
+			PartialValue:     at(s.Domain.PartialEarns, i, 0),
+			FollowUpRequests: at(s.Domain.SecondStep, i, 0),
+		})
 	}
 	for _, c := range s.Tenants {
-		customers = append(customers, c.Name)
-		t[c.Name+"/share"], t[c.Name+"/quota"] = c.Portion, c.Quota
+		t.Tenants = append(t.Tenants, gather.Tenant{Name: c.Name, CapacityShare: c.Portion, Quota: c.Quota})
 	}
-	t["indexes"], t["customers"] = indexes, customers
 	return t, nil
 }
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -33,17 +33,17 @@
 
 // Create begins a record by a gatherer's terms, at its time. Shards is 0 where no map says who owns their keys. With
 // atOnce a process that is killed leaves a record that lacks nothing but its last line; each event costs a system call.
-func Create(name string, most float64, atOnce bool, terms gather.Terms, shards int, now float64) (*File, error) {
+func Create(name string, most float64, atOnce bool, terms *gather.Settings, shards int, now float64) (*File, error) {
 	f, err := os.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	h := rules.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: terms.Num("drain grace"), Slack: terms.Num("answer slack"), Indexes: map[string]rules.Index{}}
-	if terms.Num("budget span") > 0 {
-		h.Budget = &rules.Budget{Span: terms.Num("budget span"), Free: terms.Num("budget free"), Share: terms.Num("budget share")}
+	h := rules.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: terms.DrainGrace, Slack: terms.AnswerSlack, Indexes: map[string]rules.Index{}}
+	if terms.RetryBudgetWindow > 0 {
+		h.Budget = &rules.Budget{Span: terms.RetryBudgetWindow, Free: terms.RetryBudgetFloor, Share: terms.RetryBudgetRatio}
 	}
-	for _, name := range terms.Names("indexes") {
-		h.Indexes[name] = rules.Index{Effect: terms.Text(name + "/effect"), Window: terms.Num(name + "/window"), Whole: terms.Num(name + "/whole from"), Least: terms.Num(name + "/least share")}
+	for _, name := range terms.ClassNames() {
+		h.Indexes[name] = rules.Index{Effect: string(terms.Class(name).Effect), Window: terms.Class(name).IdempotencyWindow, Whole: terms.Class(name).CompleteShare, Least: terms.Class(name).MinShare}
 	}
 	return &File{f: f, w: rules.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*pick.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
 }
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -266,9 +266,14 @@
 	cold := &m.Hosts[2]
 	cold.Started, cold.Warming, cold.ColdShare = m.At, 10000, 0.2
 	plan := solve(t, m)
-	terms := gather.Terms{"indexes": []string{"i"}, "i/soft deadline": 400.0, "groups": 1.0, "groups in a row": 1.0, "i/whole from": 1.0,
-		"i/least share": 1.0, "i/effect": "idempotent", "most calls": 3.0, "tick": 5.0, "gatherers": 7.0, "cold time": cold.Warming,
-		"cold share": cold.ColdShare, "fall time": 2000.0, "fall multiple": 3.0}
+	terms := &gather.Settings{
+		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 3, Tick: 5.0, Gatherers: 7,
+		WarmupTime: cold.Warming, InitialCapacityShare: cold.ColdShare, OverloadWindow: 2000.0,
+		OverloadMultiple: 3.0,
+		Classes: []gather.Class{
+			{Name: "i", LatencyObjective: 400.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
+		},
+	}
 	w := &several{}
 	var gs []*logic.Gatherer
 	ids := map[string]uint32{}
@@ -278,10 +283,8 @@
 		list.Servers = append(list.Servers, gather.Server{ID: uint32(i), Started: h.Started})
 	}
 	for i := range 7 {
-		own := gather.Terms{"own number": float64(i)}
-		for k, v := range terms {
-			own[k] = v
-		}
+		own := terms.Clone()
+		own.GathererIndex = i
 		gs = append(gs, logic.New(uint64(i), own))
 	}
 	number := func(host string) (uint32, bool) { id, known := ids[host]; return id, known }
--- a/logic/baselines/baselines.go
+++ b/logic/baselines/baselines.go
@@ -107,7 +107,7 @@
 
 // Module is a gatherer that goes by one idea; it is a gather.Module.
 type Module struct {
-	terms   gather.Terms
+	terms   *gather.Settings
 	idea    Idea
 	chance  *pcg.Source
 	now     float64
@@ -126,21 +126,21 @@
 }
 
 // New makes a gatherer that knows only its terms.
-func New(seed uint64, terms gather.Terms, idea Idea) *Module {
+func New(seed uint64, terms *gather.Settings, idea Idea) *Module {
 	m := &Module{terms: terms, idea: idea, chance: pcg.New(seed), servers: map[uint32]*server{},
 		numbers: map[uint64]*lookup{}, parts: map[uint64]*part{}}
-	m.turns = make([]int, max(int(terms.Num("groups")), 1))
+	m.turns = make([]int, max(terms.ReplicaSets, 1))
 	for i := range m.turns {
 		m.turns[i] = int(m.chance.Uint32() >> 8)
 	}
 	return m
 }
 
-func (m *Module) tick() float64 { return max(m.terms.Num("tick"), 1) }
+func (m *Module) tick() float64 { return max(m.terms.Tick, 1) }
 
 // Room is how many further part calls the budget has left.
 func (m *Module) Room() float64 {
-	allowed := m.terms.Num("budget free") + m.terms.Num("budget share")*float64(len(m.taken))
+	allowed := m.terms.RetryBudgetFloor + m.terms.RetryBudgetRatio*float64(len(m.taken))
 	return allowed - float64(len(m.further))
 }
 
@@ -171,7 +171,7 @@
 			m.drop(lk)
 		}
 	}
-	span := m.terms.Num("budget span")
+	span := m.terms.RetryBudgetWindow
 	m.taken, m.further = m.since(m.taken, span-m.tick()), m.since(m.further, span+m.tick())
 	for _, lk := range m.held {
 		if !lk.over {
@@ -211,7 +211,7 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids) // against the order of a map
-	groups, row := len(m.turns), max(int(m.terms.Num("groups in a row")), 1)
+	groups, row := len(m.turns), max(m.terms.ReplicaSetsPerShard, 1)
 	m.holders = make([][]uint32, groups)
 	for _, id := range ids {
 		s := m.servers[id]
@@ -250,7 +250,7 @@
 
 // hedgeAfter is how long a call is out before a second copy goes, infinite where none does.
 func (m *Module) hedgeAfter() float64 {
-	if m.idea.Hedge == 0 || len(m.took) < fewest || !m.terms.Flag("second copies") {
+	if m.idea.Hedge == 0 || len(m.took) < fewest || !m.terms.HedgingAllowed {
 		return math.Inf(1)
 	}
 	sorted := slices.Clone(m.took)
@@ -258,16 +258,16 @@
 	return sorted[int(m.idea.Hedge*float64(len(sorted)-1))]
 }
 
-func (m *Module) effect(p *part) string { return m.terms.Text(p.lk.Index + "/effect") }
+func (m *Module) effect(p *part) gather.Effect { return m.terms.Class(p.lk.Index).Effect }
 
 // allowed reports whether the rules let a part be sent once more.
 func (m *Module) allowed(p *part) bool {
-	if p.over || len(p.calls) >= int(m.terms.Num("most calls")) {
+	if p.over || len(p.calls) >= m.terms.MaxAttempts {
 		return false
 	}
 	for _, c := range p.calls {
-		outside := m.effect(p) == "fingerprinted" && m.now > c.at+m.terms.Num(p.lk.Index+"/window")-m.tick()
-		if !c.unrun && (outside || m.effect(p) == "once-only") {
+		outside := m.effect(p) == gather.IdempotencyKeyed && m.now > c.at+m.terms.Class(p.lk.Index).IdempotencyWindow-m.tick()
+		if !c.unrun && (outside || m.effect(p) == gather.NonIdempotent) {
 			return false
 		}
 	}
@@ -275,7 +275,7 @@
 }
 
 func (m *Module) tend(lk *lookup) {
-	need, least := m.terms.Num(lk.Index+"/whole from"), m.terms.Num(lk.Index+"/least share")
+	need, least := m.terms.Class(lk.Index).CompleteShare, m.terms.Class(lk.Index).MinShare
 	if !lk.opened {
 		lk.opened = true
 		order := slices.Clone(lk.parts)
@@ -347,7 +347,7 @@
 		if slices.ContainsFunc(p.calls, func(c call) bool { return c.server == id }) {
 			continue
 		}
-		if s.Started == 0 || m.now-s.Started >= m.terms.Num("cold time") {
+		if s.Started == 0 || m.now-s.Started >= m.terms.WarmupTime {
 			warm, out = append(warm, id), append(out, s.out)
 		} else if s.out == 0 {
 			cold = append(cold, id)
@@ -357,7 +357,7 @@
 	switch {
 	case len(warm) > 0:
 		to = warm[m.idea.Choose(m.chance, &m.turns[base], warm, out)]
-	case len(cold) > 0 && m.chance.Float64() < 1/cmp.Or(m.terms.Num("gatherers"), 1):
+	case len(cold) > 0 && m.chance.Float64() < 1/float64(cmp.Or(m.terms.Gatherers, 1)):
 		to = cold[int(m.chance.Uint32()%uint32(len(cold)))]
 	default:
 		return
@@ -371,7 +371,7 @@
 }
 
 func (m *Module) giveUp(lk *lookup) {
-	harmless := m.terms.Text(lk.Index+"/effect") == "idempotent"
+	harmless := m.terms.Class(lk.Index).Effect == gather.Idempotent
 	unrun := true
 	for _, p := range lk.parts {
 		for _, c := range p.calls {
@@ -379,7 +379,7 @@
 		}
 	}
 	if harmless || unrun {
-		m.w.Nack(lk.ID, min(comeBack, m.terms.Num("longest come back")))
+		m.w.Nack(lk.ID, min(comeBack, m.terms.MaxRetryAfter))
 	} else {
 		m.w.Abort(lk.ID)
 	}
@@ -391,7 +391,7 @@
 	delete(m.numbers, lk.Number)
 	for _, p := range lk.parts {
 		for i, c := range p.calls {
-			if !c.ended && m.terms.Flag("call off") {
+			if !c.ended && m.terms.CancelAllowed {
 				m.w.CallOff(p.ID, i)
 			}
 		}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -77,9 +77,10 @@
 }
 
 type index struct {
-	soft, hard, lateShare, whole, least, partialEarns, window, secondStep, alone float64
+	soft, hard, lateShare, whole, least, partialEarns, window, secondStep float64
 
-	effect string
+	alone  bool
+	effect gather.Effect
 	cost   float64 // mean expected work of a part
 	try    float64 // longest time that clients give a first try
 }
@@ -104,7 +105,7 @@
 
 // Gatherer holds what one gatherer knows.
 type Gatherer struct {
-	terms   gather.Terms
+	terms   *gather.Settings
 	chance  *pcg.Source
 	now     float64
 	w       gather.Writer
@@ -155,16 +156,16 @@
 }
 
 // New makes a gatherer that knows only its terms.
-func New(seed uint64, terms gather.Terms) *Gatherer {
+func New(seed uint64, terms *gather.Settings) *Gatherer {
 	g := &Gatherer{terms: terms, chance: pcg.New(seed), dense: map[uint32]int{}, indexes: map[string]*index{},
 		parts: map[uint64]*part{}, byNumber: map[uint64]*lookup{}, soft: math.Inf(1),
 		records: records.New(records.Limits{Span: span, Enough: enough, Memory: memory})}
 	g.slow.Take(terms)
-	g.asks = terms.Flag("probes") && terms.Text("reports") == "pull"
-	for _, name := range terms.Names("indexes") {
+	g.asks = terms.HealthChecksAllowed && terms.LoadReports == "pull"
+	for _, name := range terms.ClassNames() {
 		g.soft = min(g.soft, g.index(name).soft)
 	}
-	g.normal, g.holders = g.soft/10, make([][]int, max(int(terms.Num("groups")), 1))
+	g.normal, g.holders = g.soft/10, make([][]int, max(terms.ReplicaSets, 1))
 	g.leastDoubt, g.doubtAt = make([]float64, len(g.holders)), make([]uint64, len(g.holders))
 	for range g.holders { // by chance, against all gatherers starting at one replica
 		g.turns = append(g.turns, turn{next: int(g.chance.Uint32() >> 8), at: -1})
@@ -181,8 +182,8 @@
 		g.elapsed = min(in.Now-g.now, span)
 	}
 	g.now, g.w, g.rounds = in.Now, w, g.rounds+1
-	if in.Terms != nil { // an operator's policy: what lands from now on goes by it
-		g.terms, g.indexes = in.Terms, map[string]*index{}
+	if in.Settings != nil { // an operator's policy: what lands from now on goes by it
+		g.terms, g.indexes = in.Settings, map[string]*index{}
 		g.slow.Take(g.terms)
 		g.slow.Muster(g.now, g.runs)
 	}
@@ -193,7 +194,7 @@
 		g.plan.Weights = in.Weights
 		g.plan.Lay(g.holders, g.ids, g.chance)
 	}
-	askList := g.terms.Flag("list is asked for") && !g.subscribed
+	askList := g.terms.EndpointsOnRequest && !g.subscribed
 	if askList && g.now >= g.askAt { // against deciding by a list long out of date
 		g.askAt = g.now + 1000
 		w.Subscribe()
@@ -236,16 +237,16 @@
 // Room is how many further part calls the budget had left at the last round.
 func (g *Gatherer) Room() float64 { return g.budget - float64(len(g.further)) }
 
-func (g *Gatherer) tick() float64 { return max(g.terms.Num("tick"), 1) }
+func (g *Gatherer) tick() float64 { return max(g.terms.Tick, 1) }
 
 // index picks the terms of a lookup's index, once, against building their names in every round.
 func (g *Gatherer) index(name string) *index {
 	ix := g.indexes[name]
 	if ix == nil {
-		of := func(what string) float64 { return g.terms.Num(name + "/" + what) }
-		ix = &index{soft: of("soft deadline"), hard: of("hard deadline"), lateShare: of("late share"),
-			whole: of("whole from"), least: of("least share"), partialEarns: of("partial earns"), alone: of("alone"),
-			window: of("window"), secondStep: of("second step"), effect: g.terms.Text(name + "/effect")}
+		c := g.terms.Class(name)
+		ix = &index{soft: c.LatencyObjective, hard: c.Deadline, lateShare: c.LateValue, whole: c.CompleteShare,
+			least: c.MinShare, partialEarns: c.PartialValue, alone: c.HedgingForbidden, window: c.IdempotencyWindow,
+			secondStep: c.FollowUpRequests, effect: c.Effect}
 		g.indexes[name] = ix
 	}
 	return ix
@@ -269,7 +270,7 @@
 			}
 		}
 	}
-	groups, row := len(g.turns), int(g.terms.Num("groups in a row"))
+	groups, row := len(g.turns), g.terms.ReplicaSetsPerShard
 	for i, free := 0, 0; i < len(l.Servers); i++ {
 		e := &l.Servers[i]
 		shd, known := g.dense[e.ID]
@@ -299,7 +300,7 @@
 			g.slow.Start(shd, e.ID, e.Started)
 		}
 		g.state[shd], g.brief[shd], g.holds[shd] = e.State, e.Brief, e.Holds
-		g.away[shd] = e.Zone != g.terms.Text("zone")
+		g.away[shd] = e.Zone != g.terms.Zone
 		here := e.Holds == nil && e.Group >= 0 && e.Group < groups // against sending to one that holds no shard
 		for j := 0; here && j < row; j++ {
 			g.holds[shd] = append(g.holds[shd], ((e.Group-j)%groups+groups)%groups)
@@ -365,10 +366,10 @@
 
 // reckon brings the budget, and s, f and r of all servers, up to the round.
 func (g *Gatherer) reckon(fade float64) {
-	length, free, share := g.terms.Num("budget span"), g.terms.Num("budget free"), g.terms.Num("budget share")
+	length, free, share := g.terms.RetryBudgetWindow, g.terms.RetryBudgetFloor, g.terms.RetryBudgetRatio
 	if length == 0 {
 		length, free, share = ownSpan, ownFree, ownShare
-		if !g.terms.Flag("second copies") {
+		if !g.terms.HedgingAllowed {
 			free, share = free*recalled, share*recalled
 		}
 	}
@@ -662,13 +663,13 @@
 
 // allowed guards against a second effect: it reports whether the part's index lets it be sent once more.
 func (g *Gatherer) allowed(p *part) bool {
-	if p.over || len(p.calls) >= int(g.terms.Num("most calls")) {
+	if p.over || len(p.calls) >= g.terms.MaxAttempts {
 		return false
 	}
 	return !slices.ContainsFunc(p.calls, func(c *call) bool {
 		ix := p.lk.ix
-		outside := ix.effect == "fingerprinted" && g.now > c.at+ix.window-g.tick()
-		return !c.unrun && (outside || ix.effect == "once-only")
+		outside := ix.effect == gather.IdempotencyKeyed && g.now > c.at+ix.window-g.tick()
+		return !c.unrun && (outside || ix.effect == gather.NonIdempotent)
 	})
 }
 
@@ -680,7 +681,7 @@
 	// Against copies feeding a jam. One of the last parts missing is worth it: else the others are lost.
 	sent := float64(len(g.further) + 1)
 	feeds := g.usual*missing > noCopies*p.lk.ix.soft || sent > sparing*g.budget
-	if p.out == 1 && sent <= g.budget && (p.lk.ix.alone > 0 || !g.terms.Flag("second copies")) {
+	if p.out == 1 && sent <= g.budget && (p.lk.ix.alone || !g.terms.HedgingAllowed) {
 		g.recall(p)
 		return false
 	}
@@ -691,7 +692,7 @@
 func (g *Gatherer) recall(p *part) {
 	at := len(p.calls) - 1
 	shd, c := g.peek(p), p.calls[at]
-	if g.terms.Flag("call off") && !c.off && shd >= 0 && g.landing(shd) < g.now-c.at {
+	if g.terms.CancelAllowed && !c.off && shd >= 0 && g.landing(shd) < g.now-c.at {
 		c.off = true
 		g.w.CallOff(p.ID, at)
 	}
@@ -728,7 +729,7 @@
 	c := g.last[shd]
 	out := c != nil && !c.ended
 	return out && (g.now-c.at > overS*g.latency(shd) || !g.asks && g.records.Len(shd) == 0) ||
-		g.standsOut(shd, p) || p.lk.ix.effect == "once-only" && g.trust[shd] < regained
+		g.standsOut(shd, p) || p.lk.ix.effect == gather.NonIdempotent && g.trust[shd] < regained
 }
 
 // peek gives the replica whose turn it is, or -1; where all are skipped, the one that is least bad.
@@ -790,8 +791,8 @@
 		tn.left--
 	} else {
 		*tn = turn{next: (slices.Index(g.holders[base], shd) + 1) % len(g.holders[base]), at: g.now, shd: shd}
-		if g.terms.Num("call cost") > 0 {
-			tn.left = min(callParts, int(g.terms.Num("parts a call"))) - 1
+		if g.terms.CallCost > 0 {
+			tn.left = min(callParts, g.terms.RequestsPerCall) - 1
 		}
 	}
 	// As if it were one in full, which its records stand for.
@@ -825,12 +826,12 @@
 func (g *Gatherer) giveUp(lk *lookup) {
 	may := func(c *call) bool { return !c.unrun }
 	ran := func(p *part) bool { return slices.ContainsFunc(p.calls, may) }
-	if !lk.answered && !slices.ContainsFunc(lk.parts, ran) || lk.ix.effect == "idempotent" {
+	if !lk.answered && !slices.ContainsFunc(lk.parts, ran) || lk.ix.effect == gather.Idempotent {
 		pause := max(comeBack, g.normal)
 		if g.now >= lk.landed+lk.ix.soft { // too late to earn anything by coming again
 			pause = lk.ix.hard
 		}
-		g.w.Nack(lk.ID, min(pause, g.terms.Num("longest come back")))
+		g.w.Nack(lk.ID, min(pause, g.terms.MaxRetryAfter))
 	} else {
 		g.w.Abort(lk.ID)
 	}
@@ -846,7 +847,7 @@
 			g.dropped++
 		}
 		for i, c := range p.calls {
-			if !c.ended && g.terms.Flag("call off") {
+			if !c.ended && g.terms.CancelAllowed {
 				g.w.CallOff(p.ID, i)
 			}
 		}
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -5,6 +5,7 @@
 	"os"
 	"path"
 	"path/filepath"
+	"reflect"
 	"strconv"
 	"strings"
 	"testing"
@@ -14,7 +15,7 @@
 
 // The notation of testdata/*.txt, a line each:
 //
-//	term NAME = VALUE               before the first round; a number, yes, no or a word
+//	set FIELD = VALUE               of gather.Settings, or CLASS/FIELD, before the first round; a number, yes, no or a word
 //	at MS[: LINE]                   the next round begins; what follows comes in with it
 //	list SERVER:GROUP[:STARTED][:draining][:brief][:zone=ZONE] ...      the full list; the first tells how many groups there are
 //	nolist                          asking for the list has failed
@@ -35,7 +36,7 @@
 // Every further line of a round comes in before any is checked.
 type player struct {
 	t       *testing.T
-	terms   gather.Terms
+	terms   *gather.Settings
 	g       *Gatherer
 	in      gather.Round
 	pending bool
@@ -91,18 +92,9 @@
 	}
 	times, err := strconv.Atoi(w[0])
 	switch {
-	case w[0] == "term":
-		name, value, _ := strings.Cut(strings.TrimPrefix(text, "term "), " = ")
-		if v, err := strconv.ParseFloat(value, 64); err == nil {
-			p.terms[name] = v
-		} else if value == "yes" || value == "no" {
-			p.terms[name] = value == "yes"
-		} else {
-			p.terms[name] = value
-		}
-		if index, _, found := strings.Cut(name, "/"); found {
-			p.terms["indexes"] = append(p.terms.Names("indexes"), index)
-		}
+	case w[0] == "set":
+		name, value, _ := strings.Cut(strings.TrimPrefix(text, "set "), " = ")
+		p.set(name, value)
 	case w[0] == "at":
 		p.play()
 		when, rest, _ := strings.Cut(strings.TrimPrefix(text, "at "), ":")
@@ -125,7 +117,7 @@
 			_, s.Zone, _ = strings.Cut(entry, "zone=")
 			list.Servers = append(list.Servers, s)
 			if p.g == nil {
-				p.terms["groups"] = max(p.terms.Num("groups"), float64(group+1))
+				p.terms.ReplicaSets = max(p.terms.ReplicaSets, group+1)
 			}
 		}
 		p.in.Lists = append(p.in.Lists, list)
@@ -200,6 +192,40 @@
 	}
 }
 
+// set sets a field of the settings, or of a class of them.
+func (p *player) set(name, value string) {
+	p.t.Helper()
+	of := reflect.ValueOf(p.terms).Elem()
+	if class, field, found := strings.Cut(name, "/"); found {
+		c := p.terms.FindClass(class)
+		if c == nil {
+			p.t.Fatalf("set %s: there is no class %s", name, class)
+		}
+		of, name = reflect.ValueOf(c).Elem(), field
+	}
+	field := of.FieldByName(name)
+	var err error
+	switch field.Kind() {
+	case reflect.Float64:
+		var v float64
+		v, err = strconv.ParseFloat(value, 64)
+		field.SetFloat(v)
+	case reflect.Int:
+		var v int64
+		v, err = strconv.ParseInt(value, 10, 64)
+		field.SetInt(v)
+	case reflect.Bool:
+		field.SetBool(value == "yes")
+	case reflect.String:
+		field.SetString(value)
+	default:
+		p.t.Fatalf("set %s: there is no such field", name)
+	}
+	if err != nil {
+		p.t.Fatalf("set %s = %s: %v", name, value, err)
+	}
+}
+
 func (p *player) parts(number, first uint64, k int, cost float64) {
 	for i := range k {
 		pt := gather.Part{ID: first + uint64(i), Number: number, Shard: i, Weight: 1 / float64(k)}
@@ -232,18 +258,18 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}, terms: gather.Terms{
-				"groups in a row": 1.0, "most calls": 3.0, "call off": true, "second copies": true,
-				"tick": 5.0, "gatherers": 1.0, "longest come back": 1000.0}}
-			for _, index := range []string{"any", "all", "once", "marked"} {
-				p.terms[index+"/soft deadline"], p.terms[index+"/late share"] = 1000.0, 0.1
-				p.terms[index+"/whole from"], p.terms[index+"/least share"] = 1.0, 1.0
-				p.terms[index+"/effect"] = "idempotent"
+			p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}, terms: &gather.Settings{
+				ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, Tick: 5.0,
+				Gatherers: 1, MaxRetryAfter: 1000.0,
+			}}
+			for _, name := range []string{"any", "all", "once", "marked"} {
+				p.terms.Classes = append(p.terms.Classes, gather.Class{Name: name, LatencyObjective: 1000, LateValue: 0.1,
+					CompleteShare: 1, MinShare: 1, Effect: gather.Idempotent})
 			}
-			p.terms["indexes"] = []string{"any", "all", "once", "marked"}
-			p.terms["any/whole from"], p.terms["any/least share"] = 0.75, 0.75
-			p.terms["once/effect"], p.terms["marked/effect"] = "once-only", "fingerprinted"
-			p.terms["marked/window"] = 500.0
+			anyClass, marked := p.terms.FindClass("any"), p.terms.FindClass("marked")
+			anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.75
+			p.terms.FindClass("once").Effect = gather.NonIdempotent
+			marked.Effect, marked.IdempotencyWindow = gather.IdempotencyKeyed, 500
 			for _, line := range strings.Split(string(text), "\n") {
 				if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
 					p.line(line)
@@ -257,8 +283,12 @@
 // TestFullWindow guards against garbage in each round by the number of records in the window, of which a busy
 // gatherer has thousands: on part of a core and 32 MB it took most of what there is.
 func TestFullWindow(t *testing.T) {
-	g := New(1, gather.Terms{"indexes": []string{"i"}, "i/soft deadline": 1000.0, "groups": 1.0, "groups in a row": 1.0,
-		"i/whole from": 1.0, "i/least share": 1.0, "i/effect": "once-only", "most calls": 1.0, "tick": 5.0})
+	g := New(1, &gather.Settings{
+		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 1, Tick: 5.0,
+		Classes: []gather.Class{
+			{Name: "i", LatencyObjective: 1000.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.NonIdempotent},
+		},
+	})
 	p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}}
 	round := func(in gather.Round) {
 		p.wrote = p.wrote[:0]
@@ -283,7 +313,7 @@
 
 // TestReplaced guards against arrays and maps that grow where each server is replaced by one of a new id.
 func TestReplaced(t *testing.T) {
-	g := New(1, gather.Terms{"indexes": []string{"i"}, "i/soft deadline": 1000.0, "groups": 1.0, "groups in a row": 1.0})
+	g := New(1, &gather.Settings{ReplicaSets: 1, ReplicaSetsPerShard: 1, Classes: []gather.Class{{Name: "i", LatencyObjective: 1000.0}}})
 	p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}}
 	for i := range uint32(1000) {
 		g.Round(&gather.Round{Now: 1000 + float64(i), Lists: []gather.List{{Servers: []gather.Server{{ID: i, State: gather.Gone}, {ID: i + 1}}}}}, p)
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -37,9 +37,9 @@
 }
 
 // Take takes the terms over, at the start or in place of others; Muster has to follow.
-func (t *Table) Take(terms gather.Terms) {
-	t.limits = limits{terms.Num("cold time"), terms.Num("cold share"), terms.Num("fall time"),
-		terms.Num("fall multiple"), max(terms.Num("gatherers"), 1), terms.Num("own number")}
+func (t *Table) Take(terms *gather.Settings) {
+	t.limits = limits{terms.WarmupTime, terms.InitialCapacityShare, terms.OverloadWindow,
+		terms.OverloadMultiple, float64(max(terms.Gatherers, 1)), float64(terms.GathererIndex)}
 }
 
 // Grow adds a server behind the last one.
--- a/logic/slowstart/slowstart_test.go
+++ b/logic/slowstart/slowstart_test.go
@@ -12,9 +12,12 @@
 // that passes, also by just the length of the cold time, shares and credits are the same to the last bit.
 func TestAgainstAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := gather.Terms{"cold time": 1000.0, "cold share": 0.2, "fall time": 500.0, "fall multiple": 3.0, "gatherers": 3.0, "own number": 1.0}
+		terms := &gather.Settings{
+			WarmupTime: 1000.0, InitialCapacityShare: 0.2, OverloadWindow: 500.0, OverloadMultiple: 3.0,
+			Gatherers: 3, GathererIndex: 1,
+		}
 		if rapid.IntRange(0, 9).Draw(t, "no rule") == 0 {
-			terms["fall time"] = 0.0
+			terms.OverloadWindow = 0
 		}
 		var table Table
 		table.Take(terms)
--- a/logic/story_test.go
+++ b/logic/story_test.go
@@ -13,16 +13,21 @@
 // story plays a seeded day of all that a round may bring and gives a hash of all that was written. What is asked
 // for through change comes in with the first round.
 func story(seed uint64, change func(in *gather.Round)) (hash uint64, sends int) {
-	terms := gather.Terms{"indexes": []string{"any", "all", "once", "marked"}, "groups": 6.0, "groups in a row": 2.0,
-		"most calls": 3.0, "call off": true, "second copies": true, "tick": 5.0, "gatherers": 3.0, "own number": 1.0,
-		"longest come back": 1000.0, "cold time": 8000.0, "cold share": 0.2, "fall time": 2000.0, "fall multiple": 3.0,
-		"budget span": 2000.0, "budget free": 10.0, "budget share": 0.05, "parts a call": 16.0, "call cost": 1.0}
-	for i, index := range terms.Names("indexes") {
-		terms[index+"/soft deadline"], terms[index+"/late share"] = 400.0, 0.1
-		terms[index+"/whole from"], terms[index+"/least share"] = 1.0, 1.0
-		terms[index+"/effect"] = []string{"idempotent", "idempotent", "once-only", "fingerprinted"}[i]
+	terms := &gather.Settings{
+		ReplicaSets: 6, ReplicaSetsPerShard: 2, MaxAttempts: 3, CancelAllowed: true,
+		HedgingAllowed: true, Tick: 5.0, Gatherers: 3, GathererIndex: 1, MaxRetryAfter: 1000.0,
+		WarmupTime: 8000.0, InitialCapacityShare: 0.2, OverloadWindow: 2000.0, OverloadMultiple: 3.0,
+		RetryBudgetWindow: 2000.0, RetryBudgetFloor: 10.0, RetryBudgetRatio: 0.05,
+		RequestsPerCall: 16, CallCost: 1.0,
 	}
-	terms["any/whole from"], terms["any/least share"], terms["marked/window"] = 0.75, 0.5, 900.0
+	for i, name := range []string{"any", "all", "once", "marked"} {
+		terms.Classes = append(terms.Classes, gather.Class{Name: name, LatencyObjective: 400, LateValue: 0.1,
+			CompleteShare: 1, MinShare: 1,
+			Effect: []gather.Effect{gather.Idempotent, gather.Idempotent, gather.NonIdempotent, gather.IdempotencyKeyed}[i]})
+	}
+	anyClass := terms.FindClass("any")
+	anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.5
+	terms.FindClass("marked").IdempotencyWindow = 900
 	g, chance := New(seed, terms), pcg.New(seed+1)
 	sum := fnv.New64a()
 	p := &player{to: map[string]uint32{}, sent: map[uint64]int{}}
@@ -48,7 +53,7 @@
 		}
 		for range int(chance.Float64() * 2.2) {
 			k := 1 + int(chance.Uint32()%6)
-			lk := gather.Lookup{ID: id, Number: id, Index: terms.Names("indexes")[chance.Uint32()%4], GiveUpAt: now + 300 + 900*chance.Float64(),
+			lk := gather.Lookup{ID: id, Number: id, Index: terms.ClassNames()[chance.Uint32()%4], GiveUpAt: now + 300 + 900*chance.Float64(),
 				Retry: chance.Uint32()%5 == 0}
 			in.Lookups = append(in.Lookups, lk)
 			for i := range k {
