--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -57,11 +57,11 @@
 			if err != nil {
 				return err
 			}
-			if _, err := own.Fit(c.Terms); err != nil {
+			if _, err := own.Fit(c.Settings); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: listens on %s, discovery at %s, %d indexes\n", c.Name, c.Listen,
-				c.Discovery, len(c.Terms.ClassNames()))
+				c.Discovery, len(c.Settings.ClassNames()))
 			return nil
 		}}
 	for _, sub := range []*cobra.Command{serve, check} {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -34,7 +34,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.Reply // nil where nothing was known
-	Terms     *gather.Settings
+	Settings  *gather.Settings
 	Sum       string // fingerprint of the text that was read
 }
 
@@ -100,7 +100,7 @@
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Terms, err = terms.Read(file.Settings); err != nil {
+	if c.Settings, err = terms.Read(file.Settings); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -150,13 +150,13 @@
 	Name, Hall string
 	Set        int
 	Doing      string // what was done to it, empty for nothing
-	gather.View
+	gather.EndpointView
 	Use float64 // share of its cores' time that it works, lately
 }
 
 // Machines are all machines; those that the gatherer does not list have no figures.
 func (d *Demo) Machines(ctx context.Context) []Machine {
-	views := map[uint32]gather.View{}
+	views := map[uint32]gather.EndpointView{}
 	for _, v := range d.service.Picker.View(ctx) {
 		views[v.Server] = v
 	}
@@ -166,9 +166,9 @@
 	for _, m := range d.Fleet.Machines {
 		v, listed := views[discovery.Number(m.Name)]
 		if !listed {
-			v.State = gather.Gone
+			v.State = gather.Removed
 		}
-		list = append(list, Machine{Name: m.Name, Hall: m.Hall, Set: m.Group, Doing: d.state[m.Name], View: v})
+		list = append(list, Machine{Name: m.Name, Hall: m.Hall, Set: m.Group, Doing: d.state[m.Name], EndpointView: v})
 	}
 	return list
 }
@@ -247,9 +247,9 @@
 
 func (c counter) Heard(_ *pick.Call, outcome gather.Outcome, _ float64, _ *phases.Summary) {
 	switch outcome {
-	case gather.Answered:
+	case gather.Succeeded:
 		c.d.Counts.Answered.Add(1)
-	case gather.CalledOff, gather.Stale:
+	case gather.Cancelled, gather.NotSent:
 		c.d.Counts.GivenUp.Add(1)
 	default:
 		c.d.Counts.Failed.Add(1)
@@ -321,7 +321,7 @@
 		fmt.Fprintln(w, d.Counts.Line())
 		var words []string
 		for _, m := range d.Machines(ctx) {
-			words = append(words, fmt.Sprintf("%s s=%.0fms f=%.2f q=%d", m.Name, m.S, m.F, m.Out))
+			words = append(words, fmt.Sprintf("%s s=%.0fms f=%.2f q=%d", m.Name, m.Latency, m.FailureShare, m.InFlight))
 		}
 		fmt.Fprintln(w, " ", strings.Join(words, "  "))
 	}
--- a/internal/demo/demo_test.go
+++ b/internal/demo/demo_test.go
@@ -56,7 +56,7 @@
 	until(t, d, "all machines are listed", func(all []Machine) bool {
 		listed := 0
 		for _, m := range all {
-			if m.State == gather.Running && m.S > 0 {
+			if m.State == gather.Running && m.Latency > 0 {
 				listed++
 			}
 		}
@@ -69,12 +69,12 @@
 	d.Do(first, "d")
 	until(t, d, "a drained machine shows as draining", func(all []Machine) bool { return all[0].State == gather.Draining && all[0].Doing == "draining" })
 	d.Do(first, "k")
-	until(t, d, "a killed machine leaves the list", func(all []Machine) bool { return all[0].State == gather.Gone })
+	until(t, d, "a killed machine leaves the list", func(all []Machine) bool { return all[0].State == gather.Removed })
 	if status := ask(t, d.Curl(), "by-hand-2"); status != http.StatusOK {
 		t.Errorf("with a server killed the curl is answered with %d", status)
 	}
 	d.Do(first, "r")
-	until(t, d, "a repaired machine is back, cold", func(all []Machine) bool { return all[0].State == gather.Running && all[0].Warm < 1 })
+	until(t, d, "a repaired machine is back, cold", func(all []Machine) bool { return all[0].State == gather.Running && all[0].CapacityShare < 1 })
 
 	// The screen takes keys and new figures without a terminal.
 	s := &screen{d: d, ctx: t.Context(), width: 100}
--- a/internal/demo/screen.go
+++ b/internal/demo/screen.go
@@ -83,7 +83,7 @@
 	return s, nil
 }
 
-var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Gone: "off the list"}
+var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "off the list"}
 
 // View draws the screen.
 func (s *screen) View() string {
@@ -94,11 +94,11 @@
 	fmt.Fprintln(&b)
 	fmt.Fprintln(&b, look.Strong.Render(fmt.Sprintf("  %-10s %-3s %-12s %9s %6s %9s %7s %5s %6s  %s", "server", "set", "list", "s ms", "f", "r ms", "q", "calls", "warm", "done to it")))
 	for i, m := range s.machines {
-		line := fmt.Sprintf("  %-10s %-3d %-12s %9.1f %6.2f %9.1f %7d %5.0f %5.0f%%  %s", m.Name, m.Set, states[m.State], m.S, m.F, m.R, m.Out, m.Rate, 100*m.Warm, m.Doing)
+		line := fmt.Sprintf("  %-10s %-3d %-12s %9.1f %6.2f %9.1f %7d %5.0f %5.0f%%  %s", m.Name, m.Set, states[m.State], m.Latency, m.FailureShare, m.ExtraLatency, m.InFlight, m.Rate, 100*m.CapacityShare, m.Doing)
 		switch {
 		case i == s.at:
 			line = look.Chosen.Render(line)
-		case m.F > 0.2 || m.State != gather.Running:
+		case m.FailureShare > 0.2 || m.State != gather.Running:
 			line = look.Alarm.Render(line)
 		}
 		fmt.Fprintln(&b, line)
--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -25,13 +25,13 @@
 // A list that goes quiet, is cut, comes late or is behind: each forced by the agent.
 
 // follow runs a follower of an agent until the test ends; what it tells comes on the channel.
-func follow(t *testing.T, handle http.HandlerFunc) (f *Follower, told chan gather.List) {
+func follow(t *testing.T, handle http.HandlerFunc) (f *Follower, told chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told = make(chan gather.List, 1000)
-	f = New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.List, _ []shardcall.Address) { told <- l }, nil, log)
+	told = make(chan gather.EndpointList, 1000)
+	f = New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log)
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -45,7 +45,7 @@
 }
 
 // next is the list told next, whatever failures come before it.
-func next(t *testing.T, told chan gather.List) gather.List {
+func next(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
@@ -80,7 +80,7 @@
 			<-r.Context().Done()
 		}
 	})
-	if l := next(t, told); !l.Full || len(l.Servers) != 2 {
+	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("told %+v", l)
 	}
 }
@@ -108,7 +108,7 @@
 			}
 		}
 	})
-	if l := next(t, told); !l.Full || len(l.Servers) != 2 {
+	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("told %+v", l)
 	}
 }
@@ -167,10 +167,10 @@
 					}
 					c.Close()
 				})
-				if l := <-told; !l.Failed || len(l.Servers) > 0 {
+				if l := <-told; !l.Failed || len(l.Endpoints) > 0 {
 					t.Errorf("%s, cut at %d, reset %v: told %+v", how, at, reset, l)
 				}
-				if l := next(t, told); len(l.Servers) != 2 {
+				if l := next(t, told); len(l.Endpoints) != 2 {
 					t.Errorf("%s, cut at %d: then told %+v", how, at, l)
 				}
 			}
@@ -200,7 +200,7 @@
 	next(t, told)
 	from := <-silent
 	l := next(t, told)
-	if len(l.Servers) != 2 || l.Servers[0].State != gather.Draining || time.Since(from) > 6*time.Second {
+	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
 		t.Errorf("told %+v after %v", l, time.Since(from))
 	}
 }
@@ -245,7 +245,7 @@
 	if l := <-told; !l.Failed {
 		t.Errorf("told %+v", l)
 	}
-	if l := next(t, told); !l.Full || len(l.Servers) != 2 {
+	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("then told %+v", l)
 	}
 }
@@ -260,10 +260,10 @@
 	l.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told := make(chan gather.List, 1000)
+	told := make(chan gather.EndpointList, 1000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go New(address, func(l gather.List, _ []shardcall.Address) { told <- l }, nil, log).Run(ctx)
+	go New(address, func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log).Run(ctx)
 	for range 5 {
 		if l := <-told; !l.Failed {
 			t.Errorf("told %+v", l)
@@ -286,7 +286,7 @@
 	})}
 	defer agent.Close()
 	go agent.Serve(l)
-	if l := next(t, told); len(l.Servers) != 2 || calls.Load() <= 20 {
+	if l := next(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
 		t.Errorf("told %+v after %d calls", l, calls.Load())
 	}
 }
@@ -322,7 +322,7 @@
 	defer second.Close()
 	defer second.CloseClientConnections()
 	f.Move(strings.TrimPrefix(second.URL, "http://"))
-	if l := next(t, told); len(l.Servers) != 2 || l.Servers[0].State != gather.Draining {
+	if l := next(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("told %+v", l)
 	}
 }
@@ -354,19 +354,19 @@
 		{"an agent that begins anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9), at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
 	} {
 		var all []shardcall.Address
-		var list gather.List
-		f := New("127.0.0.1:1", func(l gather.List, a []shardcall.Address) { list, all = l, a }, nil, nil)
+		var list gather.EndpointList
+		f := New("127.0.0.1:1", func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a }, nil, nil)
 		for i, text := range c.words {
 			r, err := Parse([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
 			f.Take(r)
-			state, told := gather.Gone, gather.Gone
+			state, told := gather.Removed, gather.Removed
 			for _, a := range all {
 				state = a.State
 			}
-			for _, s := range list.Servers {
+			for _, s := range list.Endpoints {
 				told = s.State
 			}
 			if state != c.want[i] || told != c.want[i] {
@@ -378,7 +378,7 @@
 
 // TestGoneBound: what is kept of servers that are gone is bounded.
 func TestGoneBound(t *testing.T) {
-	f := New("127.0.0.1:1", func(gather.List, []shardcall.Address) {}, nil, nil)
+	f := New("127.0.0.1:1", func(gather.EndpointList, []shardcall.Address) {}, nil, nil)
 	for i := range 3 * mostGone {
 		r, err := Parse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
 		if err != nil {
@@ -396,7 +396,7 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(gather.List, []shardcall.Address) {}, nil, log)
+	f := New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log)
 	f.Shared()
 	known, err := Parse([]byte(whole))
 	if err != nil {
@@ -502,8 +502,8 @@
 		}
 		io.WriteString(w, text)
 	})
-	if l := next(t, told); len(l.Servers) != servers {
-		t.Errorf("%d servers were told", len(l.Servers))
+	if l := next(t, told); len(l.Endpoints) != servers {
+		t.Errorf("%d servers were told", len(l.Endpoints))
 	}
 }
 
@@ -532,7 +532,7 @@
 	told := make(chan []shardcall.Address, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(_ gather.List, all []shardcall.Address) { told <- all }, nil, log)
+	f := New(strings.TrimPrefix(agent.URL, "http://"), func(_ gather.EndpointList, all []shardcall.Address) { told <- all }, nil, log)
 	go func() { f.Run(ctx); close(ended) }()
 	<-again
 	stop()
@@ -565,7 +565,7 @@
 		t.Fatal("they are not alike")
 	}
 	held := map[string]uint32{}
-	f := New("127.0.0.1:1", func(_ gather.List, all []shardcall.Address) {
+	f := New("127.0.0.1:1", func(_ gather.EndpointList, all []shardcall.Address) {
 		clear(held)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -52,7 +52,7 @@
 type Follower struct {
 	http  *http.Client
 	log   *logrus.Logger
-	tell  func(gather.List, []shardcall.Address)
+	tell  func(gather.EndpointList, []shardcall.Address)
 	asked <-chan struct{}
 
 	shared bool // each call costs a service that all gatherers share
@@ -84,7 +84,7 @@
 
 // New makes a follower of the discovery at that address. It calls tell with each piece of news and with the
 // addresses of all servers on the list; asked says when the module asks for the list.
-func New(address string, tell func(gather.List, []shardcall.Address), asked <-chan struct{}, log *logrus.Logger) *Follower {
+func New(address string, tell func(gather.EndpointList, []shardcall.Address), asked <-chan struct{}, log *logrus.Logger) *Follower {
 	return &Follower{base: base(address), moved: make(chan struct{}), tell: tell, asked: asked, log: log,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: longPoll + patience,
 			DisableCompression: true}},
@@ -122,7 +122,7 @@
 // A whole list that may be older than what was told before, since another agent or one that is behind gives it, takes
 // no drain and no end back: of one process, running comes before draining and draining before its end.
 func (f *Follower) Take(r *Reply) {
-	list := gather.List{Full: r.Whole}
+	list := gather.EndpointList{Full: r.Whole}
 	if r.Whole && r.Revision < f.revision {
 		f.source++
 	}
@@ -132,18 +132,18 @@
 	}
 	for _, m := range r.members {
 		started, state := f.settle(m, r.Whole)
-		if state == gather.Gone && r.Whole {
+		if state == gather.Removed && r.Whole {
 			continue // as if the list lacked it
 		}
 		id, cell := f.number(m.ID), 0
 		if m.Cell != nil {
 			cell = *m.Cell
 		}
-		list.Servers = append(list.Servers, gather.Server{ID: id, Group: cell, Zone: m.Locality, Kind: m.Flavor,
-			Size: m.Size, State: state, Started: started})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: id, ReplicaSet: cell, Zone: m.Locality, Kind: m.Flavor,
+			Size: m.Size, State: state, StartedAt: started})
 		_, known := f.held[id]
 		switch {
-		case state == gather.Gone:
+		case state == gather.Removed:
 			f.forget(id)
 			continue
 		case !known:
@@ -165,13 +165,13 @@
 	state = phases[m.Phase]
 	before, known := f.told[m.ID]
 	switch behind := whole && known && before.source != f.source; {
-	case behind && m.UpSince < before.started && state != gather.Gone: // of a process before the one told of
+	case behind && m.UpSince < before.started && state != gather.Removed: // of a process before the one told of
 		return before.started, before.state
 	case behind && m.UpSince == before.started && state < before.state:
 		return before.started, before.state
 	}
 	f.told[m.ID] = fact{m.UpSince, state, f.source}
-	if state == gather.Gone {
+	if state == gather.Removed {
 		if known && m.UpSince < before.started { // a change may name no more than the server
 			f.told[m.ID] = fact{before.started, state, f.source}
 		}
@@ -184,7 +184,7 @@
 func (f *Follower) bury(name string) {
 	f.gone = append(f.gone, name)
 	if len(f.gone) > mostGone {
-		if old := f.gone[0]; f.told[old].state == gather.Gone {
+		if old := f.gone[0]; f.told[old].state == gather.Removed {
 			delete(f.told, old)
 		}
 		f.gone = slices.Delete(f.gone, 0, 1)
@@ -197,7 +197,7 @@
 	case gather.Running: // a list lacked it, which proves no end
 		delete(f.told, name)
 	case gather.Draining: // and of one that drained is its end
-		f.told[name] = fact{f.told[name].started, gather.Gone, f.source}
+		f.told[name] = fact{f.told[name].started, gather.Removed, f.source}
 		f.bury(name)
 	}
 	delete(f.ids, f.names[id])
@@ -274,7 +274,7 @@
 			level = logrus.ErrorLevel
 		}
 		f.log.WithError(err).Log(level, "discovery does not answer; the last list stays in force")
-		f.tell(gather.List{Failed: true}, f.all())
+		f.tell(gather.EndpointList{Failed: true}, f.all())
 		f.whole = f.resumes() && !errors.Is(err, errBehind) // a watch that broke may have missed changes
 		down = true
 		if f.shared {
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -91,24 +91,24 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	type news struct {
-		list gather.List
+		list gather.EndpointList
 		all  []shardcall.Address
 	}
 	var told []news
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.List, all []shardcall.Address) {
+	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, all []shardcall.Address) {
 		told = append(told, news{l, all})
 	}, nil, log)
 	f.Run(ctx)
-	first := gather.Server{ID: 0x5be2a07c, Group: 3, Zone: "a", Kind: "m", Size: 1.5, Started: 7}
-	second := gather.Server{ID: 2, State: gather.Draining}
+	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
+	second := gather.Endpoint{ID: 2, State: gather.Draining}
 	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", Started: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
 	left := both[1:]
 	want := []news{
-		{gather.List{Full: true, Servers: []gather.Server{first, second}}, both},
-		{gather.List{Servers: []gather.Server{{ID: first.ID, State: gather.Gone}}}, left},
-		{gather.List{Failed: true}, left},
-		{gather.List{Failed: true}, left},
-		{gather.List{Full: true, Servers: []gather.Server{first, second}}, both},
+		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
+		{gather.EndpointList{Endpoints: []gather.Endpoint{{ID: first.ID, State: gather.Removed}}}, left},
+		{gather.EndpointList{Failed: true}, left},
+		{gather.EndpointList{Failed: true}, left},
+		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 	}
 	if !reflect.DeepEqual(told, want) {
 		t.Errorf("told %+v\nwant %+v", told, want)
@@ -126,7 +126,7 @@
 		}))
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		New(strings.TrimPrefix(agent.URL, "http://"), func(gather.List, []shardcall.Address) {}, nil, log).Run(ctx)
+		New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log).Run(ctx)
 		agent.Close()
 		stop()
 		if calls < 2 || calls > 15 {
@@ -148,7 +148,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := make(chan bool, 10)
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.List, _ []shardcall.Address) { failed <- l.Failed }, nil, log)
+	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed }, nil, log)
 	go f.Run(ctx)
 	<-calls
 	if !<-failed {
@@ -182,10 +182,10 @@
 		}))
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		told := make(chan gather.List, 100)
-		f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.List, _ []shardcall.Address) { told <- l }, nil, log)
+		told := make(chan gather.EndpointList, 100)
+		f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log)
 		go f.Run(ctx)
-		if l := <-told; l.Failed || !l.Full || len(l.Servers) != 2 {
+		if l := <-told; l.Failed || !l.Full || len(l.Endpoints) != 2 {
 			t.Errorf("call %d answered: told %+v first", answered, l)
 		}
 		stop()
@@ -214,7 +214,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := false
-	f := New(at(old), func(l gather.List, _ []shardcall.Address) { failed = failed || l.Failed }, nil, log)
+	f := New(at(old), func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed }, nil, log)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -238,7 +238,7 @@
 // told as gone in a change, or just missing from a whole list.
 func TestReplaced(t *testing.T) {
 	all := 0
-	f := New("127.0.0.1:1", func(_ gather.List, a []shardcall.Address) { all = len(a) }, nil, nil)
+	f := New("127.0.0.1:1", func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) }, nil, nil)
 	for i := range 1000 {
 		text := `{"revision":%d,"complete":%t,"members":[{"id":"s-%d","phase":"terminated"},{"id":"s-%d","host_port":"h:1","cell":0,"phase":"in_service"}]}`
 		r, err := Parse(fmt.Appendf(nil, text, i, i%10 == 0, i, i+1))
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -46,7 +46,7 @@
 }
 
 var phases = map[string]gather.State{
-	"in_service": gather.Running, "terminating": gather.Draining, "terminated": gather.Gone,
+	"in_service": gather.Running, "terminating": gather.Draining, "terminated": gather.Removed,
 }
 
 // Parse reads a reply and checks it, so that a bad one is dropped whole.
@@ -72,7 +72,7 @@
 			return nil, fmt.Errorf("members[%d]: no id", i)
 		case !known:
 			return nil, fmt.Errorf("members[%d]: phase %q", i, m.Phase)
-		case state == gather.Gone:
+		case state == gather.Removed:
 			continue // needs no more than its name
 		case m.Cell == nil:
 			return nil, fmt.Errorf("members[%d]: no cell", i)
--- a/internal/emulator/careless_test.go
+++ b/internal/emulator/careless_test.go
@@ -11,8 +11,8 @@
 )
 
 // newCareless is a baseline that does not know that servers start cold.
-func newCareless(seed uint64, terms *gather.Settings) gather.Module {
-	blind := terms.Clone()
+func newCareless(seed uint64, settings *gather.Settings) gather.Module {
+	blind := settings.Clone()
 	blind.WarmupTime = 0
 	return baselines.New(seed, blind, baselines.Ideas[1])
 }
--- a/internal/emulator/gatherer.go
+++ b/internal/emulator/gatherer.go
@@ -16,30 +16,30 @@
 
 // gatherer is one gatherer: the facade that service has, over the decisions of a variant.
 type gatherer struct {
-	number  int
-	hall    int
-	seed    uint64
-	offset  float64 // of its clock
-	picker  *pick.Picker
-	alive   bool
-	down    int
-	epoch   int // of its process
-	roundAt float64
-	rounds  int
-	silence float64
-	terms   *gather.Settings
-	net     *pcg.Source
-	know    *pcg.Source
-	lossy   []float64 // share of calls lost, by server
-	wrong   []int     // servers that its list has wrongly as draining
-	known   []gather.Server
-	heard   []float64 // when it will have heard the newest of each server, against news that overtake each other
-	conns   []*conn
-	ownedBy *owners.Map // who owns what, as it was last told
-	held    map[*lookup]bool
-	order   []*lookup // held, in the order of their coming; those over are skipped
-	opened  int
-	taken   int
+	number   int
+	hall     int
+	seed     uint64
+	offset   float64 // of its clock
+	picker   *pick.Picker
+	alive    bool
+	down     int
+	epoch    int // of its process
+	roundAt  float64
+	rounds   int
+	silence  float64
+	settings *gather.Settings
+	net      *pcg.Source
+	know     *pcg.Source
+	lossy    []float64 // share of calls lost, by server
+	wrong    []int     // servers that its list has wrongly as draining
+	known    []gather.Endpoint
+	heard    []float64 // when it will have heard the newest of each server, against news that overtake each other
+	conns    []*conn
+	ownedBy  *owners.Map // who owns what, as it was last told
+	held     map[*lookup]bool
+	order    []*lookup // held, in the order of their coming; those over are skipped
+	opened   int
+	taken    int
 }
 
 // attempt is a part call between its decision and its end.
@@ -71,11 +71,11 @@
 	g.held, g.order = map[*lookup]bool{}, nil
 	g.conns = make([]*conn, len(w.servers))
 	log := w.log
-	terms := g.terms
+	settings := g.settings
 	if w.owned != nil {
-		terms = pick.OwnedTerms(terms, w.sc.Owned.Most)
+		settings = pick.OwnedTerms(settings, w.sc.Owned.Most)
 	}
-	g.picker = pick.NewPlayed(g.seed+uint64(g.epoch), terms, w.variant.module(w, g), func() float64 { return w.clock(g) }, log)
+	g.picker = pick.NewPlayed(g.seed+uint64(g.epoch), settings, w.variant.module(w, g), func() float64 { return w.clock(g) }, log)
 	if marked := w.marked(); len(marked) > 0 && w.variant.Phases {
 		g.picker.Phases(marked)
 	}
@@ -84,7 +84,7 @@
 		g.picker.Names(w.owned.names)
 		g.picker.SetMap(g.ownedBy)
 	}
-	g.picker.Follow(gather.List{Full: true, Servers: slices.Clone(g.known)})
+	g.picker.Follow(gather.EndpointList{Full: true, Endpoints: slices.Clone(g.known)})
 	for _, s := range w.servers {
 		if s.kind.Brief && w.variant.Phases {
 			g.picker.Speaks(s.id, true)
@@ -180,12 +180,12 @@
 func (w *World) orders(g *gatherer, o pick.Orders) {
 	for _, c := range o.Stop {
 		if a, out := c.Tag.(*attempt); out && !a.written {
-			w.ends(a, gather.Stale, nil)
+			w.ends(a, gather.NotSent, nil)
 		}
 	}
 	for _, c := range o.Off {
 		if a, out := c.Tag.(*attempt); out {
-			w.abandon(a, gather.CalledOff)
+			w.abandon(a, gather.Cancelled)
 		}
 	}
 	type turn struct {
@@ -242,7 +242,7 @@
 		return
 	}
 	if !a.written {
-		w.ends(a, gather.Stale, nil)
+		w.ends(a, gather.NotSent, nil)
 		return
 	}
 	c := a.conn
@@ -263,7 +263,7 @@
 	}
 	if a.written {
 		w.see(rules.Event{Kind: rules.Ended, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(),
-			Outcome: outcome.String(), Keys: a.keys, Empty: a.call.First() && outcome == gather.Answered && a.empty && !a.mistaken})
+			Outcome: outcome.String(), Keys: a.keys, Empty: a.call.First() && outcome == gather.Succeeded && a.empty && !a.mistaken})
 	}
 	w.ended[outcome]++
 	a.g.picker.Report(a.call, outcome, text)
@@ -292,7 +292,7 @@
 	when := max(w.now+lag, g.heard[s.number])
 	g.heard[s.number] = when
 	at(when, func() {
-		if known := &g.known[s.number]; known.State == entry.State && known.Started == entry.Started {
+		if known := &g.known[s.number]; known.State == entry.State && known.StartedAt == entry.StartedAt {
 			return
 		}
 		if !g.alive { // it is asked again when it starts
@@ -303,23 +303,23 @@
 	})
 }
 
-func (w *World) hear(g *gatherer, s *server, entry gather.Server) {
+func (w *World) hear(g *gatherer, s *server, entry gather.Endpoint) {
 	g.known[s.number] = entry
-	state := map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Gone: "gone"}[entry.State]
+	state := map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}[entry.State]
 	w.see(rules.Event{Kind: rules.Told, Gatherer: g.number, Server: s.id, State: state})
-	g.picker.Follow(gather.List{Servers: []gather.Server{entry}})
+	g.picker.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{entry}})
 	w.round(g)
 }
 
 // entry is what discovery says of a server now.
-func (w *World) entry(g *gatherer, s *server) gather.Server {
-	e := gather.Server{ID: s.id, Group: s.set, Zone: w.sc.Halls[s.hall], Kind: s.kind.Name, Size: 1}
+func (w *World) entry(g *gatherer, s *server) gather.Endpoint {
+	e := gather.Endpoint{ID: s.id, ReplicaSet: s.set, Zone: w.sc.Halls[s.hall], Kind: s.kind.Name, Size: 1}
 	if s.started > 0 {
-		e.Started = w.begin + s.started
+		e.StartedAt = w.begin + s.started
 	}
 	switch {
 	case s.down > 0 && s.unlisted == 0:
-		e.State = gather.Gone
+		e.State = gather.Removed
 	case s.draining || g.wrong[s.number] > 0:
 		e.State = gather.Draining
 	}
--- a/internal/emulator/net.go
+++ b/internal/emulator/net.go
@@ -119,7 +119,7 @@
 	w.close(c)
 	for _, calls := range c.queue {
 		for _, a := range calls {
-			w.ends(a, gather.Unreached, nil)
+			w.ends(a, gather.ConnectFailed, nil)
 		}
 	}
 	c.queue = nil
@@ -150,7 +150,7 @@
 		out := c.out
 		c.out = nil
 		for _, a := range out {
-			w.ends(a, gather.Cut, nil)
+			w.ends(a, gather.ConnectionReset, nil)
 		}
 	})
 }
@@ -202,7 +202,7 @@
 			continue
 		}
 		if c.g.known[c.s.number].State != gather.Running || !a.call.Begin() {
-			w.ends(a, gather.Stale, nil)
+			w.ends(a, gather.NotSent, nil)
 			continue
 		}
 		a.call.End()
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -193,7 +193,7 @@
 		r.Causes[CauseNames[i]] = float64(c) / n
 		r.Calls += float64(c) / n
 	}
-	for o := gather.Answered; o <= gather.Moved; o++ {
+	for o := gather.Succeeded; o <= gather.NotOwner; o++ {
 		if w.ended[o] > 0 {
 			r.Ends[o.String()] = w.ended[o]
 		}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -550,8 +550,8 @@
 	return nil
 }
 
-// Terms are what a gatherer of a hall is told.
-func (s *Scenario) Terms(number int, hall string) *gather.Settings {
+// Settings are what a gatherer of a hall is told.
+func (s *Scenario) Settings(number int, hall string) *gather.Settings {
 	t := &gather.Settings{
 		Gatherers: s.Gatherers.Count, GathererIndex: number, Tick: s.Tick, Zone: hall,
 		ReplicaSets: s.Layout.Sets, ReplicaSetsPerShard: s.Layout.Row, Shards: s.Layout.Shards,
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -121,22 +121,22 @@
 		if w.pushes(s, a.work) {
 			return
 		}
-		outcome := gather.Answered
+		outcome := gather.Succeeded
 		if w.owned != nil && w.owned.asks(s, a) == owners.Moved {
-			w.reply(c, a, gather.Moved, nil)
+			w.reply(c, a, gather.NotOwner, nil)
 			continue
 		}
 		for _, f := range s.failing {
 			if (f.index == "" || f.index == a.lk.ask.ix.Name) && s.chance.Float64() < f.share {
-				outcome = gather.Erred
+				outcome = gather.Failed
 			}
 		}
 		if s.draining || len(s.waiting)-s.head >= s.kind.Queue || a.stopped {
-			outcome = gather.Full
+			outcome = gather.Rejected
 			s.turnedAway++
 		}
-		if outcome != gather.Answered {
-			if outcome == gather.Erred { // it may have run, and here it did
+		if outcome != gather.Succeeded {
+			if outcome == gather.Failed { // it may have run, and here it did
 				w.ran(s, a)
 			}
 			w.reply(c, a, outcome, nil)
@@ -197,7 +197,7 @@
 			continue
 		}
 		if t.a != nil && w.owned != nil && t.a.call.OnceOnly() && !w.owned.takes(t.a) { // its log is another's by now
-			w.reply(t.a.conn, t.a, gather.Moved, nil)
+			w.reply(t.a.conn, t.a, gather.NotOwner, nil)
 			continue
 		}
 		t.begun = true
@@ -242,7 +242,7 @@
 	case a.call.First():
 		text = mayHold
 	}
-	w.reply(a.conn, a, gather.Answered, text)
+	w.reply(a.conn, a, gather.Succeeded, text)
 }
 
 var value, mayHold, holdsNone = []byte("x"), []byte("some 1 1 v1"), []byte("none v1")
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -18,20 +18,20 @@
 // Variant is the decisions that gatherers run.
 type Variant struct {
 	Name   string
-	Module func(seed uint64, terms *gather.Settings, look Look) gather.Module // nil for the project's own
-	Phases bool                                                               // marked indexes may go in two phases
+	Module func(seed uint64, settings *gather.Settings, look Look) gather.Module // nil for the project's own
+	Phases bool                                                                  // marked indexes may go in two phases
 }
 
 // Look is what only a model can know, for a variant that is a bound and no policy: how long a part would take at a
 // server from now on, in milliseconds, infinite where it would fail.
 type Look func(server uint32) float64
 
-func (v *Variant) module(w *World, g *gatherer) func(seed uint64, terms *gather.Settings) gather.Module {
+func (v *Variant) module(w *World, g *gatherer) func(seed uint64, settings *gather.Settings) gather.Module {
 	if v.Module == nil {
 		return nil
 	}
-	return func(seed uint64, terms *gather.Settings) gather.Module {
-		return v.Module(seed, terms, func(server uint32) float64 { return w.look(g, server) })
+	return func(seed uint64, settings *gather.Settings) gather.Module {
+		return v.Module(seed, settings, func(server uint32) float64 { return w.look(g, server) })
 	}
 }
 
@@ -208,11 +208,11 @@
 	clocks := w.stream("clocks", 0)
 	for n := range sc.Gatherers.Count {
 		g := &gatherer{number: n, hall: n % len(sc.Halls), seed: w.seed*1000003 + uint64(n)*7919, net: w.stream("network", uint64(n)), know: w.stream("news", uint64(n)),
-			lossy: make([]float64, len(w.servers)), wrong: make([]int, len(w.servers)), known: make([]gather.Server, len(w.servers)), heard: make([]float64, len(w.servers))}
+			lossy: make([]float64, len(w.servers)), wrong: make([]int, len(w.servers)), known: make([]gather.Endpoint, len(w.servers)), heard: make([]float64, len(w.servers))}
 		g.offset = (2*clocks.Float64() - 1) * sc.Gatherers.Clock
-		g.terms = sc.Terms(n, sc.Halls[g.hall])
+		g.settings = sc.Settings(n, sc.Halls[g.hall])
 		g.silence = math.Inf(1)
-		if s := pick.Silence(g.terms); s < 1e9 {
+		if s := pick.Silence(g.settings); s < 1e9 {
 			g.silence = s
 		}
 		for i, s := range w.servers {
--- a/internal/experiment/plans.go
+++ b/internal/experiment/plans.go
@@ -171,7 +171,7 @@
 	var list []placefile.Listed
 	for i, m := range fleet.Machines {
 		l := placefile.Listed{Name: m.Name}
-		l.ID, l.Group, l.Zone, l.Kind = uint32(i), m.Group, m.Hall, m.Kind
+		l.ID, l.ReplicaSet, l.Zone, l.Kind = uint32(i), m.Group, m.Hall, m.Kind
 		list = append(list, l)
 	}
 	model, err := f.WithList(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -76,13 +76,13 @@
 }
 
 // New makes a server that holds so many client connections at most, and so many that have asked; ready says whether lookups can be served.
-func New(picker Picker, terms *gather.Settings, clients, kept int, ready func() bool, log *logrus.Logger) *Server {
-	s := &Server{picker: picker, log: log, ready: ready, conns: newConns(clients, kept), shards: terms.Shards,
-		indexes: set(terms.ClassNames()), customers: set(terms.TenantNames()), marked: map[string]bool{},
+func New(picker Picker, settings *gather.Settings, clients, kept int, ready func() bool, log *logrus.Logger) *Server {
+	s := &Server{picker: picker, log: log, ready: ready, conns: newConns(clients, kept), shards: settings.Shards,
+		indexes: set(settings.ClassNames()), customers: set(settings.TenantNames()), marked: map[string]bool{},
 		inHand: map[string]*holder{}, served: make(chan struct{})}
 	for name := range s.indexes {
-		s.longest = max(s.longest, time.Duration(terms.Class(name).Deadline*1e6))
-		if terms.Class(name).Effect == gather.IdempotencyKeyed {
+		s.longest = max(s.longest, time.Duration(settings.Class(name).Deadline*1e6))
+		if settings.Class(name).Effect == gather.IdempotencyKeyed {
 			s.marked[name] = true
 			log.WithField("index", name).Warn("fingerprinted: its lookups are turned away, their mark cannot be passed on")
 		}
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Terms.GathererIndex != 1 || c.Terms.StreamsPerConnection != 64 ||
-		c.Terms.ReplicaSetsPerShard != 3 || c.Terms.HedgingAllowed || c.Terms.LoadReports != "pull" ||
-		c.Terms.RetryBudgetWindow != 0 || !c.Terms.EndpointsOnRequest || c.Terms.Class("every").LatencyObjective != 1000 {
+	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Settings.GathererIndex != 1 || c.Settings.StreamsPerConnection != 64 ||
+		c.Settings.ReplicaSetsPerShard != 3 || c.Settings.HedgingAllowed || c.Settings.LoadReports != "pull" ||
+		c.Settings.RetryBudgetWindow != 0 || !c.Settings.EndpointsOnRequest || c.Settings.Class("every").LatencyObjective != 1000 {
 		t.Errorf("%+v", c)
 	}
 	want := []string{"known: ", "settings.classes: index \"once\"", "settings.domain.partialEarns: ", "settings.rules.budgetShare: ",
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -146,21 +146,21 @@
 
 // Fit gives what of the file does not fit the platform's settings: unknown indexes, and those whose parts may not
 // run twice, for two phases. Phases are the marked indexes that do fit.
-func (f *File) Fit(terms *gather.Settings) (marked map[string]phases.Terms, err error) {
+func (f *File) Fit(settings *gather.Settings) (marked map[string]phases.Terms, err error) {
 	marked = map[string]phases.Terms{}
 	var faults conf.Faults
 	for _, ph := range f.TwoPhase {
 		name := ph.Index
-		switch effect := terms.Class(name).Effect; {
-		case !slices.Contains(terms.ClassNames(), name):
-			faults = append(faults, ph.line.Fault("index", "is no index of the settings%s", spell.Hint(name, terms.ClassNames())))
+		switch effect := settings.Class(name).Effect; {
+		case !slices.Contains(settings.ClassNames(), name):
+			faults = append(faults, ph.line.Fault("index", "is no index of the settings%s", spell.Hint(name, settings.ClassNames())))
 		case effect != gather.Idempotent:
 			faults = append(faults, ph.line.Fault("index", "is %s: its parts may not run twice, which two phases may make them", effect))
-		case terms.Class(name).FollowUpRequests > 0:
+		case settings.Class(name).FollowUpRequests > 0:
 			faults = append(faults, ph.line.Fault("index", "has a second step of its own"))
 		default:
-			marked[name] = phases.Terms{Soft: terms.Class(name).LatencyObjective, Whole: terms.Class(name).CompleteShare,
-				Least: terms.Class(name).MinShare, First: ph.First, Likely: ph.Likely, Partial: ph.Partial, Trials: ph.Trials}
+			marked[name] = phases.Terms{Soft: settings.Class(name).LatencyObjective, Whole: settings.Class(name).CompleteShare,
+				Least: settings.Class(name).MinShare, First: ph.First, Likely: ph.Likely, Partial: ph.Partial, Trials: ph.Trials}
 		}
 	}
 	if len(faults) > 0 {
--- a/internal/pick/crossings_test.go
+++ b/internal/pick/crossings_test.go
@@ -33,7 +33,7 @@
 		if further { // it is turned away, so that its part is called again
 			calls[0].Begin()
 			calls[0].End()
-			p.Report(calls[0], gather.Full, nil)
+			p.Report(calls[0], gather.Rejected, nil)
 			now += 5
 			if calls = p.Play().Calls; len(calls) != 1 || !calls[0].Further() {
 				t.Fatalf("%d calls after one was turned away", len(calls))
@@ -58,10 +58,10 @@
 		late  float64 // the second call's first byte, after the first's decision
 		want  bool
 	}{
-		{"within", gather.Erred, 80, true},
-		{"after", gather.Erred, 101, false},
-		{"at its very end", gather.Erred, 100, false},
-		{"after, the first never ran", gather.Full, 101, true},
+		{"within", gather.Failed, 80, true},
+		{"after", gather.Failed, 101, false},
+		{"at its very end", gather.Failed, 100, false},
+		{"after, the first never ran", gather.Rejected, 101, true},
 	} {
 		now := 1000.0
 		p := newPicker(t, func(s *gather.Settings) {
--- a/internal/pick/govern.go
+++ b/internal/pick/govern.go
@@ -20,7 +20,7 @@
 // one. Its ways are numbered: what is decided in one is decided by one set of terms.
 type Governor interface {
 	// Acts is asked at each round's beginning: the way and its terms, which stay the same for as long as the way does.
-	Acts(now float64) (way uint64, terms *gather.Settings)
+	Acts(now float64) (way uint64, settings *gather.Settings)
 	// Closed reports whether nothing new may go to a server; News tells when that may have changed without a way's.
 	Closed(server uint32) bool
 	News() uint64
@@ -43,37 +43,37 @@
 
 // govern takes over, at a round's beginning, what is acted by: terms, servers that are closed, turns.
 func (p *Picker) govern(in *gather.Round, now float64) {
-	way, terms := p.governor.Acts(now)
+	way, settings := p.governor.Acts(now)
 	news := p.governor.News()
 	switch {
 	case way != p.way:
 		p.way = way
-		p.terms, in.Settings = terms, terms
-		p.retries.set(terms)
+		p.settings, in.Settings = settings, settings
+		p.retries.set(settings)
 	case news != p.governed:
 	default:
-		p.shut(in.Lists)
+		p.shut(in.EndpointLists)
 		return
 	}
 	p.governed = news
 	// All servers are told anew, as they are to be taken from now on.
-	if all := p.whole(); len(all.Servers) > 0 {
-		in.Lists = append(in.Lists, all)
+	if all := p.whole(); len(all.Endpoints) > 0 {
+		in.EndpointLists = append(in.EndpointLists, all)
 	}
-	p.shut(in.Lists)
+	p.shut(in.EndpointLists)
 	p.turn(in)
 }
 
 // shut has servers that are closed look as if they drained: nothing new is sent there, what is out is waited for.
-func (p *Picker) shut(lists []gather.List) {
+func (p *Picker) shut(lists []gather.EndpointList) {
 	for i := range lists {
 		copied := false
-		for j, e := range lists[i].Servers {
+		for j, e := range lists[i].Endpoints {
 			if e.State == gather.Running && p.governor.Closed(e.ID) {
 				if !copied { // the list belongs to who told it
-					lists[i].Servers, copied = slices.Clone(lists[i].Servers), true
+					lists[i].Endpoints, copied = slices.Clone(lists[i].Endpoints), true
 				}
-				lists[i].Servers[j].State = gather.Draining
+				lists[i].Endpoints[j].State = gather.Draining
 			}
 		}
 	}
@@ -81,17 +81,17 @@
 
 // turn hands in weights for groups in which a server gets fewer turns than the others.
 func (p *Picker) turn(in *gather.Round) {
-	groups := max(p.terms.ReplicaSets, 1)
+	groups := max(p.settings.ReplicaSets, 1)
 	weights := make([][]gather.Weight, groups)
 	some := false
 	for _, id := range p.ids {
 		e := p.servers[id]
-		if e.Group < 0 || e.Group >= groups {
+		if e.ReplicaSet < 0 || e.ReplicaSet >= groups {
 			continue
 		}
 		share := p.governor.Turns(id)
 		some = some || share != 1
-		weights[e.Group] = append(weights[e.Group], gather.Weight{Server: id, Share: share})
+		weights[e.ReplicaSet] = append(weights[e.ReplicaSet], gather.Weight{Server: id, Share: share})
 	}
 	if some || p.turned {
 		p.turned = some
--- a/internal/pick/lookup.go
+++ b/internal/pick/lookup.go
@@ -184,7 +184,7 @@
 func (c *Call) Pass() gather.Pass { return c.lk.kind }
 
 // First reports whether the call asks for no more than a summary.
-func (c *Call) First() bool { return c.lk.kind == gather.First }
+func (c *Call) First() bool { return c.lk.kind == gather.FirstPass }
 
 // Number counts the calls of its part, in its pass, from 0.
 func (c *Call) Number() int { return c.number }
@@ -273,8 +273,8 @@
 		c.keys, c.segment, c.since, c.further = pc.Range, pc.Segment, pc.Since, c.further || pc.Called && len(s.lk.calls[s.part]) == 0
 		pc.Out++
 	}
-	if index := s.lk.root().Index; w.p.terms.Class(index).Effect == gather.IdempotencyKeyed {
-		c.before, c.window = slices.Clone(s.lk.calls[s.part]), w.p.terms.Class(index).IdempotencyWindow
+	if index := s.lk.root().Index; w.p.settings.Class(index).Effect == gather.IdempotencyKeyed {
+		c.before, c.window = slices.Clone(s.lk.calls[s.part]), w.p.settings.Class(index).IdempotencyWindow
 	}
 	for _, before := range s.lk.calls[s.part] {
 		c.alone = c.alone && before.told.Load()
@@ -287,7 +287,7 @@
 	w.p.sent(c)
 }
 
-func (w writer) CallOff(ref uint64, number int) {
+func (w writer) Cancel(ref uint64, number int) {
 	if s, known := w.p.parts[ref]; known && number < len(s.lk.calls[s.part]) {
 		w.p.giveUp(s.lk.calls[s.part][number])
 	}
@@ -299,11 +299,11 @@
 	}
 }
 
-func (w writer) Nack(ref uint64, comeBack float64) {
+func (w writer) Reject(ref uint64, comeBack float64) {
 	w.p.end(w.p.lookups[ref], Verdict{Kind: Nacked, ComeBack: comeBack})
 }
 
-func (w writer) Abort(ref uint64) { w.p.end(w.p.lookups[ref], Verdict{Kind: Aborted}) }
+func (w writer) Fail(ref uint64) { w.p.end(w.p.lookups[ref], Verdict{Kind: Aborted}) }
 
 func (w writer) Wake(after float64) { w.p.wakeAt = min(w.p.wakeAt, w.p.ranAt+after) }
 
@@ -314,7 +314,7 @@
 	}
 }
 
-// Probe asks a server for its load.
-func (w writer) Probe(server uint32) { w.p.orders.Probes = append(w.p.orders.Probes, server) }
+// CheckHealth asks a server for its load.
+func (w writer) CheckHealth(server uint32) { w.p.orders.Probes = append(w.p.orders.Probes, server) }
 
 var _ gather.Writer = writer{}
--- a/internal/pick/owned.go
+++ b/internal/pick/owned.go
@@ -33,8 +33,8 @@
 
 // OwnedTerms are a module's terms where so many segments can be owned: each is a group of its own, and its writer
 // another one.
-func OwnedTerms(terms *gather.Settings, most int) *gather.Settings {
-	t := terms.Clone()
+func OwnedTerms(settings *gather.Settings, most int) *gather.Settings {
+	t := settings.Clone()
 	t.ReplicaSets, t.ReplicaSetsPerShard = owners.NewIndex(most).Nowhere()+1, 1
 	return t
 }
@@ -123,22 +123,22 @@
 		o.holds = o.index.Holds(o.Follower.Map)
 	}
 	if news || in.names != nil {
-		all := gather.List{}
+		all := gather.EndpointList{}
 		for _, id := range p.ids {
-			all.Servers = append(all.Servers, p.servers[id])
+			all.Endpoints = append(all.Endpoints, p.servers[id])
 		}
-		in.Lists = append(in.Lists, all)
+		in.EndpointLists = append(in.EndpointLists, all)
 	}
-	for i := range in.Lists {
-		l := &in.Lists[i]
-		servers := make([]gather.Server, len(l.Servers)) // a list may be another's as well
-		for j, s := range l.Servers {
-			if s.Holds = o.holds[o.hosts[s.ID]]; s.Holds == nil {
-				s.Holds = []int{}
+	for i := range in.EndpointLists {
+		l := &in.EndpointLists[i]
+		servers := make([]gather.Endpoint, len(l.Endpoints)) // a list may be another's as well
+		for j, s := range l.Endpoints {
+			if s.ReplicaSets = o.holds[o.hosts[s.ID]]; s.ReplicaSets == nil {
+				s.ReplicaSets = []int{}
 			}
 			servers[j] = s
 		}
-		l.Servers = servers
+		l.Endpoints = servers
 	}
 	return news
 }
@@ -162,7 +162,7 @@
 }
 
 func (p *Picker) onceOnly(lk *Lookup) bool {
-	return p.terms.Class(lk.Index).Effect == gather.NonIdempotent
+	return p.settings.Class(lk.Index).Effect == gather.NonIdempotent
 }
 
 // add hands one piece to the module.
@@ -177,7 +177,7 @@
 		s := &o.Follower.Map.Segments[f.Segment]
 		h.Segment, h.Since = s.Name, s.Since
 		all, writer := o.index.Groups(s.Name)
-		if group = all; p.terms.Class(lk.Index).Effect != gather.Idempotent {
+		if group = all; p.settings.Class(lk.Index).Effect != gather.Idempotent {
 			group = writer
 		}
 	}
@@ -190,7 +190,7 @@
 	lk.values, lk.calls = append(lk.values, nil), append(lk.calls, nil)
 	pt := &lk.Parts[f.Part]
 	share := f.Weight / max(pt.Weight, 1e-9)
-	in.Parts = append(in.Parts, gather.Part{ID: h.ID, Number: lk.ref, Shard: group, Weight: f.Weight, Cost: pt.Cost * share, Key: pt.Key, Again: f.Again})
+	in.Requests = append(in.Requests, gather.ShardRequest{ID: h.ID, Number: lk.ref, Shard: group, Weight: f.Weight, Cost: pt.Cost * share, Key: pt.Key, Retry: f.Again})
 }
 
 // rehome gives the pieces of held lookups to who owns them now, where the map is new or pieces are put aside or
@@ -220,7 +220,7 @@
 			lk.pieces[p.parts[id].part].gone = true
 			delete(p.parts, id)
 		}
-		in.Retired = append(in.Retired, retired...)
+		in.Superseded = append(in.Superseded, retired...)
 		for _, f := range fresh {
 			p.add(in, lk, f)
 		}
@@ -241,12 +241,12 @@
 	pc := &e.call.lk.pieces[e.call.part]
 	pc.Out--
 	switch {
-	case e.outcome == gather.Answered:
+	case e.outcome == gather.Succeeded:
 		pc.In = true
-	case e.outcome == gather.Moved:
+	case e.outcome == gather.NotOwner:
 		pc.Refused = true
 		p.refused = append(p.refused, pc.ID)
-	case !e.outcome.Unrun():
+	case !e.outcome.NeverExecuted():
 		pc.MayRun = true
 	}
 	if e.call.Begun() {
--- a/internal/pick/owned_test.go
+++ b/internal/pick/owned_test.go
@@ -25,7 +25,7 @@
 		*s = *OwnedTerms(s, 16)
 	})
 	p.Segments(16, 4)
-	p.module = p.build(5, p.terms)
+	p.module = p.build(5, p.settings)
 	p.clock = func() float64 { return p.ranAt + 4 }
 	names := map[uint32]string{}
 	for i := range uint32(6) {
@@ -109,7 +109,7 @@
 
 func answerAll(p *Picker, calls []*Call) {
 	for _, c := range calls {
-		p.Report(c, gather.Answered, []byte("x"))
+		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 }
 
@@ -156,9 +156,9 @@
 			t.Fatal("sent again while a call is out")
 		}
 		if refused {
-			p.Report(calls[0], gather.Moved, nil)
+			p.Report(calls[0], gather.NotOwner, nil)
 		} else {
-			p.Report(calls[0], gather.Cut, nil)
+			p.Report(calls[0], gather.ConnectionReset, nil)
 		}
 		var again []*Call
 		for now := 1020.0; now < 1600; now += 5 {
@@ -209,9 +209,9 @@
 		}
 		for _, c := range calls {
 			if when == "while out, refused" {
-				p.Report(c, gather.Moved, nil)
+				p.Report(c, gather.NotOwner, nil)
 			} else {
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 		for now := 1020.0; now < 1100; now += 5 {
@@ -219,7 +219,7 @@
 				if keys, segment, since, _ := c.Keys(); segment == "s0" || since != 2 && since != 3 {
 					t.Errorf("%s: %s of %s since %d", when, keys.Text(), segment, since)
 				}
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 		v, done := told(lk)
@@ -291,9 +291,9 @@
 	p.round(1015)
 	for i, c := range calls {
 		if i == 0 {
-			p.Report(c, gather.Moved, nil) // its host has merged already
+			p.Report(c, gather.NotOwner, nil) // its host has merged already
 		} else {
-			p.Report(c, gather.Answered, []byte("x"))
+			p.Report(c, gather.Succeeded, []byte("x"))
 		}
 	}
 	for now := 1020.0; now < 1200; now += 5 {
@@ -329,7 +329,7 @@
 	c, err := m.Move("s0", []string{"h4"})
 	follow(t, p, m, c, err)
 	for _, c := range calls {
-		p.Report(c, gather.Moved, nil)
+		p.Report(c, gather.NotOwner, nil)
 	}
 	further := 0
 	for now := 1045.0; now < 1400; now += 5 {
@@ -337,9 +337,9 @@
 			if c.Begin() {
 				further++
 				c.End()
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			} else {
-				p.Report(c, gather.Stale, nil)
+				p.Report(c, gather.NotSent, nil)
 			}
 		}
 	}
@@ -362,10 +362,10 @@
 func TestDrainInHandover(t *testing.T) {
 	p, m := newOwned(t, nil)
 	lk, calls := take(p, 1010, "any", "a", 1)
-	p.Follow(gather.List{Servers: []gather.Server{{ID: 14, State: gather.Draining}}})
+	p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}}})
 	c, err := m.Move("s0", []string{"h4"})
 	m = follow(t, p, m, c, err)
-	p.Report(calls[0], gather.Moved, nil)
+	p.Report(calls[0], gather.NotOwner, nil)
 	for now := 1015.0; now < 1100; now += 5 {
 		if o := p.round(now); len(o.Calls) > 0 {
 			t.Fatalf("a call to server %d, which drains", o.Calls[0].Server)
@@ -516,24 +516,24 @@
 				switch {
 				case !owns:
 					a.mayRun = false
-					p.Report(o.c, gather.Moved, nil)
+					p.Report(o.c, gather.NotOwner, nil)
 				case chance.Float64() < 0.04:
-					p.Report(o.c, []gather.Outcome{gather.Cut, gather.Erred, gather.TimedOut}[draw(3)], nil)
+					p.Report(o.c, []gather.Outcome{gather.ConnectionReset, gather.Failed, gather.TimedOut}[draw(3)], nil)
 				case chance.Float64() < 0.04:
 					a.mayRun = false
-					p.Report(o.c, gather.Full, nil)
+					p.Report(o.c, gather.Rejected, nil)
 				default:
-					p.Report(o.c, gather.Answered, []byte("x"))
+					p.Report(o.c, gather.Succeeded, []byte("x"))
 				}
 			}
 			outs = rest
 			o := p.round(now)
 			for _, c := range o.Off {
-				p.Report(c, gather.CalledOff, nil)
+				p.Report(c, gather.Cancelled, nil)
 			}
 			for _, c := range o.Calls {
 				if !c.Begin() {
-					p.Report(c, gather.Stale, nil)
+					p.Report(c, gather.NotSent, nil)
 					continue
 				}
 				c.End()
--- a/internal/pick/pick.go
+++ b/internal/pick/pick.go
@@ -22,15 +22,15 @@
 
 // Picker stands between the network and one decision module.
 type Picker struct {
-	terms *gather.Settings
-	tick  float64
-	most  int // lookups and parts held at once, 0 for no limit
-	start time.Time
-	unix  float64        // of start, in milliseconds
-	clock func() float64 // in place of both, for rounds that are played
-	log   *logrus.Logger
-	asked chan struct{}
-	news  chan struct{}
+	settings *gather.Settings
+	tick     float64
+	most     int // lookups and parts held at once, 0 for no limit
+	start    time.Time
+	unix     float64        // of start, in milliseconds
+	clock    func() float64 // in place of both, for rounds that are played
+	log      *logrus.Logger
+	asked    chan struct{}
+	news     chan struct{}
 
 	mu    sync.Mutex
 	inbox inbox
@@ -41,7 +41,7 @@
 	spare     inbox
 	seed      uint64
 	module    gather.Module
-	build     func(seed uint64, terms *gather.Settings) gather.Module
+	build     func(seed uint64, settings *gather.Settings) gather.Module
 	ranAt     float64
 	wakeAt    float64
 	lookups   map[uint64]*Lookup
@@ -60,7 +60,7 @@
 	retries   *retryBudget
 	traces    []Tracer
 	witnesses []Witness
-	servers   map[uint32]gather.Server
+	servers   map[uint32]gather.Endpoint
 	ids       []uint32 // of servers, in the order in which they were first told
 }
 
@@ -76,7 +76,7 @@
 	taken   []*Lookup
 	ends    []ended
 	speak   map[uint32]bool // servers that were found to answer first passes or not to
-	views   []chan<- []gather.View
+	views   []chan<- []gather.EndpointView
 	maps    []mapNews
 	names   map[uint32]string
 	waiting bool
@@ -91,23 +91,23 @@
 	summary phases.Summary
 }
 
-func build(seed uint64, terms *gather.Settings) gather.Module { return logic.New(seed, terms) }
+func build(seed uint64, settings *gather.Settings) gather.Module { return logic.New(seed, settings) }
 
 // New starts a module that knows only its terms.
-func New(seed uint64, terms *gather.Settings, log *logrus.Logger) *Picker {
+func New(seed uint64, settings *gather.Settings, log *logrus.Logger) *Picker {
 	start := time.Now()
-	return &Picker{build: build, retries: newRetryBudget(terms), terms: terms, tick: max(terms.Tick, 1), most: terms.MaxOpenRequests, start: start,
+	return &Picker{build: build, retries: newRetryBudget(settings), settings: settings, tick: max(settings.Tick, 1), most: settings.MaxOpenRequests, start: start,
 		unix: float64(start.UnixNano()) / 1e6, log: log, asked: make(chan struct{}, 1), news: make(chan struct{}, 1),
-		seed: seed, module: build(seed, terms), wakeAt: math.Inf(1), lookups: map[uint64]*Lookup{},
-		parts: map[uint64]place{}, servers: map[uint32]gather.Server{}}
+		seed: seed, module: build(seed, settings), wakeAt: math.Inf(1), lookups: map[uint64]*Lookup{},
+		parts: map[uint64]place{}, servers: map[uint32]gather.Endpoint{}}
 }
 
 // Silence is for how long nothing may be heard on a connection with calls out before the next call gets another,
 // in milliseconds: a decision, and so the module's.
-func Silence(terms *gather.Settings) float64 {
+func Silence(settings *gather.Settings) float64 {
 	shortest := math.Inf(1)
-	for _, index := range terms.ClassNames() {
-		shortest = min(shortest, terms.Class(index).LatencyObjective)
+	for _, index := range settings.ClassNames() {
+		shortest = min(shortest, settings.Class(index).LatencyObjective)
 	}
 	return logic.Silence * shortest
 }
@@ -137,8 +137,8 @@
 }
 
 // Follow hands in news of the list.
-func (p *Picker) Follow(list gather.List) {
-	p.tell(func(in *inbox) { in.Lists = append(in.Lists, list) })
+func (p *Picker) Follow(list gather.EndpointList) {
+	p.tell(func(in *inbox) { in.EndpointLists = append(in.EndpointLists, list) })
 }
 
 // Weigh hands in weights of turns by group; empty ones for plain turns. They belong to the module from then on.
@@ -152,29 +152,29 @@
 	if !c.told.CompareAndSwap(false, true) {
 		return
 	}
-	c.unrun.Store(outcome.Unrun())
+	c.unrun.Store(outcome.NeverExecuted())
 	e := ended{call: c, outcome: outcome, waited: p.Now() - c.at, text: text}
-	if c.First() && outcome == gather.Answered {
+	if c.First() && outcome == gather.Succeeded {
 		var err error
 		if e.summary, err = phases.ParseSummary(text); err != nil {
 			p.log.WithError(err).WithField("server", c.Server).Warn("first pass: an answer that proves nothing")
-			e.outcome = gather.Erred
+			e.outcome = gather.Failed
 		}
 	}
-	ending := gather.Ending{Part: c.ref, Server: c.Server, Call: c.number,
-		Waited: e.waited, Outcome: e.outcome, Over: e.outcome == gather.Answered}
-	if e.outcome == gather.Moved { // no fault of the server's: it is as if nothing had been sent
-		ending.Outcome = gather.Stale
+	ending := gather.AttemptResult{Request: c.ref, Server: c.Server, Attempt: c.number,
+		Elapsed: e.waited, Outcome: e.outcome, Finished: e.outcome == gather.Succeeded}
+	if e.outcome == gather.NotOwner { // no fault of the server's: it is as if nothing had been sent
+		ending.Outcome = gather.NotSent
 	}
 	p.tell(func(in *inbox) {
-		in.Endings = append(in.Endings, ending)
+		in.Results = append(in.Results, ending)
 		in.ends = append(in.ends, e)
 	})
 }
 
 // Sample tells what came of a probe.
-func (p *Picker) Sample(s gather.Sample) {
-	p.tell(func(in *inbox) { in.Samples = append(in.Samples, s) })
+func (p *Picker) Sample(s gather.HealthCheckResult) {
+	p.tell(func(in *inbox) { in.HealthChecks = append(in.HealthChecks, s) })
 }
 
 // Pick hands a lookup in and blocks until its final answer is decided, or until ctx ends because its client
@@ -195,7 +195,7 @@
 		v = p.said(lk, v)
 	case <-ctx.Done():
 		v.Kind = Left
-		p.tell(func(in *inbox) { in.Left = append(in.Left, lk.ref) })
+		p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
 	}
 	return v
 }
@@ -229,8 +229,8 @@
 // hand gives a lookup, or a pass of one, to the module with the round.
 func (p *Picker) hand(in *gather.Round, lk *Lookup) {
 	p.lookups[lk.ref] = lk
-	in.Lookups = append(in.Lookups, gather.Lookup{ID: lk.ref, Number: lk.ref, Index: lk.Index, Customer: lk.Customer,
-		Cost: lk.Cost, Key: lk.Key, GiveUpAt: lk.GiveUpAt, Retry: lk.Retry, Pass: lk.kind, Since: lk.since, In: lk.in, Lead: lk.lead})
+	in.Queries = append(in.Queries, gather.Query{ID: lk.ref, Number: lk.ref, Class: lk.Index, Tenant: lk.Customer,
+		Cost: lk.Cost, Key: lk.Key, Deadline: lk.GiveUpAt, Retry: lk.Retry, Pass: lk.kind, ArrivedAt: lk.since, ReceivedWeight: lk.in, FullCallExtra: lk.lead})
 	if p.owned != nil {
 		p.cut(in, lk)
 		return
@@ -238,11 +238,11 @@
 	for i, pt := range lk.Parts {
 		ref := lk.ref + 1 + uint64(i)
 		p.parts[ref] = place{lk, i}
-		part := gather.Part{ID: ref, Number: lk.ref, Shard: pt.Shard, Weight: pt.Weight, Cost: pt.Cost, Key: pt.Key}
+		part := gather.ShardRequest{ID: ref, Number: lk.ref, Shard: pt.Shard, Weight: pt.Weight, Cost: pt.Cost, Key: pt.Key}
 		if lk.asks != nil {
-			part.Again, part.Later = lk.asks[i].Again, lk.asks[i].Later
+			part.Retry, part.OrderPenalty = lk.asks[i].Again, lk.asks[i].Later
 		}
-		in.Parts = append(in.Parts, part)
+		in.Requests = append(in.Requests, part)
 	}
 }
 
@@ -287,8 +287,8 @@
 	if p.wakeAt <= now {
 		p.wakeAt = math.Inf(1)
 	}
-	for i := range in.Lists {
-		p.learn(&in.Lists[i])
+	for i := range in.EndpointLists {
+		p.learn(&in.EndpointLists[i])
 	}
 	if in.Weights != nil {
 		p.weights = in.Weights
@@ -308,9 +308,9 @@
 	for _, lk := range in.taken {
 		p.open(&in.Round, lk, now)
 	}
-	for i, ref := range in.Left { // the module holds a pass in the place of a lookup in two phases
+	for i, ref := range in.Abandoned { // the module holds a pass in the place of a lookup in two phases
 		if lk := p.twice.roots[ref]; lk != nil && lk.phased.now != nil {
-			in.Left[i] = lk.phased.now.ref
+			in.Abandoned[i] = lk.phased.now.ref
 		}
 	}
 	in.Now = now
@@ -320,20 +320,20 @@
 		p.settle()
 	}
 	for _, to := range in.views {
-		if m, can := p.module.(interface{ View() []gather.View }); can {
+		if m, can := p.module.(interface{ View() []gather.EndpointView }); can {
 			to <- m.View()
 		}
 		close(to)
 	}
-	for _, ref := range in.Left {
+	for _, ref := range in.Abandoned {
 		p.end(p.lookups[ref], Verdict{Kind: Left})
 	}
 	p.forget()
 	r := in.Round
 	clear(in.taken)
 	clear(in.ends)
-	p.spare = inbox{Round: gather.Round{Lists: r.Lists[:0], Lookups: r.Lookups[:0], Parts: r.Parts[:0],
-		Endings: r.Endings[:0], Samples: r.Samples[:0], Left: r.Left[:0]}, taken: in.taken[:0], ends: in.ends[:0]}
+	p.spare = inbox{Round: gather.Round{EndpointLists: r.EndpointLists[:0], Queries: r.Queries[:0], Requests: r.Requests[:0],
+		Results: r.Results[:0], HealthChecks: r.HealthChecks[:0], Abandoned: r.Abandoned[:0]}, taken: in.taken[:0], ends: in.ends[:0]}
 	return p.orders
 }
 
@@ -353,7 +353,7 @@
 				}
 			}
 			p.seed++
-			p.module, p.wakeAt = p.build(p.seed, p.terms), math.Inf(1)
+			p.module, p.wakeAt = p.build(p.seed, p.settings), math.Inf(1)
 			p.Follow(p.whole())
 			if p.weights != nil {
 				p.Weigh(p.weights)
@@ -364,21 +364,21 @@
 }
 
 // learn keeps the list for a module that has to start anew.
-func (p *Picker) learn(l *gather.List) {
+func (p *Picker) learn(l *gather.EndpointList) {
 	if l.Full {
 		clear(p.servers)
 		p.ids = p.ids[:0]
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Endpoints {
 		_, known := p.servers[e.ID]
 		switch {
-		case e.State == gather.Gone: // against keeping all servers that there ever were
+		case e.State == gather.Removed: // against keeping all servers that there ever were
 			delete(p.servers, e.ID)
 			p.ids = slices.DeleteFunc(p.ids, func(id uint32) bool { return id == e.ID })
 			continue
 		case !known:
 			p.ids = append(p.ids, e.ID)
-		case p.servers[e.ID].Started != e.Started: // another process, which may be of another build
+		case p.servers[e.ID].StartedAt != e.StartedAt: // another process, which may be of another build
 			delete(p.twice.brief, e.ID)
 		}
 		p.servers[e.ID] = e
@@ -386,10 +386,10 @@
 }
 
 // whole is the list as it stands.
-func (p *Picker) whole() gather.List {
-	all := gather.List{Full: true}
+func (p *Picker) whole() gather.EndpointList {
+	all := gather.EndpointList{Full: true}
 	for _, id := range p.ids {
-		all.Servers = append(all.Servers, p.servers[id])
+		all.Endpoints = append(all.Endpoints, p.servers[id])
 	}
 	return all
 }
--- a/internal/pick/pick_test.go
+++ b/internal/pick/pick_test.go
@@ -33,9 +33,9 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p := New(5, of, log)
-	list := gather.List{Full: true}
+	list := gather.EndpointList{Full: true}
 	for i := range uint32(6) {
-		list.Servers = append(list.Servers, gather.Server{ID: 10 + i, Group: int(i % 2)})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: 10 + i, ReplicaSet: int(i % 2)})
 	}
 	p.Follow(list)
 	return p
@@ -63,7 +63,7 @@
 		c       *Call
 		outcome gather.Outcome
 	}
-	verdicts := map[gather.Outcome]string{gather.Answered: "pass", gather.Erred: "fault", gather.CalledOff: "undone"}
+	verdicts := map[gather.Outcome]string{gather.Succeeded: "pass", gather.Failed: "fault", gather.Cancelled: "undone"}
 	var waiting []answer
 	held := map[*Lookup]bool{}
 	var last *Lookup
@@ -83,7 +83,7 @@
 			if a.at <= now && !a.c.told.Load() {
 				p.Report(a.c, a.outcome, []byte("v"))
 				fmt.Fprintf(&batch, `{"cmd":"ClosedAttempt","gathererId":0,"ref":%d,"server":%d,"verdict":%q,"sendNo":%d,"closed":%t}`+"\n",
-					a.c.lk.ref+1+uint64(a.c.part), a.c.Server, verdicts[a.outcome], a.c.number, a.outcome == gather.Answered)
+					a.c.lk.ref+1+uint64(a.c.part), a.c.Server, verdicts[a.outcome], a.c.number, a.outcome == gather.Succeeded)
 			}
 			return a.at <= now
 		})
@@ -98,7 +98,7 @@
 		}
 		if step%12 == 3 && held[last] { // its client goes away
 			delete(held, last)
-			p.tell(func(in *inbox) { in.Left = append(in.Left, last.ref) })
+			p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.ref) })
 			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", last.ref)
 		}
 		fmt.Fprintln(&batch, `{"cmd":"DeadlineHit","gathererId":0}`+"\n"+`{"cmd":"YourTurn"}`)
@@ -118,14 +118,14 @@
 			switch c.Server {
 			case 12: // says nothing
 			case 13:
-				waiting = append(waiting, answer{now + 5, c, gather.Erred})
+				waiting = append(waiting, answer{now + 5, c, gather.Failed})
 			default:
-				waiting = append(waiting, answer{now + 20 + float64(c.Server), c, gather.Answered})
+				waiting = append(waiting, answer{now + 20 + float64(c.Server), c, gather.Succeeded})
 			}
 		}
 		for _, c := range orders.Off {
 			facade = append(facade, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`, c.lk.ref+1+uint64(c.part), c.number))
-			waiting = append(waiting, answer{now + 5, c, gather.CalledOff})
+			waiting = append(waiting, answer{now + 5, c, gather.Cancelled})
 		}
 		for lk := range held {
 			select {
@@ -222,13 +222,13 @@
 		t.Errorf("%d of %d calls given up", len(off), len(calls))
 	}
 	for _, c := range off {
-		p.Report(c, gather.CalledOff, nil)
+		p.Report(c, gather.Cancelled, nil)
 	}
 	tick(t, p)
 	done = pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
 	c := tick(t, p).Calls[0]
-	p.Report(c, gather.Answered, []byte("v"))
-	p.Report(c, gather.Cut, nil) // only the first counts
+	p.Report(c, gather.Succeeded, []byte("v"))
+	p.Report(c, gather.ConnectionReset, nil) // only the first counts
 	tick(t, p)
 	if v := <-done; v.Kind != Satisfied || len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
 		t.Errorf("verdict %+v", v)
@@ -244,7 +244,7 @@
 	to := func() uint32 {
 		pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
 		c := tick(t, p).Calls[0]
-		p.Report(c, gather.Answered, []byte("v"))
+		p.Report(c, gather.Succeeded, []byte("v"))
 		tick(t, p)
 		return c.Server
 	}
@@ -334,11 +334,11 @@
 	p := newPicker(t, nil)
 	p.round(1000)
 	for i := range uint32(2000) {
-		p.Follow(gather.List{Servers: []gather.Server{{ID: 100 + i}, {ID: 99 + i, State: gather.Gone}}})
+		p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
 		lk := lookup("any", 2, 1000+float64(i)*5+1000)
 		p.admit(lk)
 		for _, c := range p.round(1000 + float64(i)*5).Calls {
-			p.Report(c, gather.Answered, []byte("v"))
+			p.Report(c, gather.Succeeded, []byte("v"))
 		}
 	}
 	p.round(1000 + 2001*5)
--- a/internal/pick/played.go
+++ b/internal/pick/played.go
@@ -11,12 +11,12 @@
 // NewPlayed makes a picker whose rounds are played one by one by the caller, by a clock of the caller's: for models
 // of fleets in which time is not the machine's. Build makes the module; nil is the project's own. Nothing of it may
 // be called by two goroutines at once, and Tick and Pick not at all.
-func NewPlayed(seed uint64, terms *gather.Settings, build func(seed uint64, terms *gather.Settings) gather.Module, clock func() float64, log *logrus.Logger) *Picker {
-	p := New(seed, terms, log)
+func NewPlayed(seed uint64, settings *gather.Settings, build func(seed uint64, settings *gather.Settings) gather.Module, clock func() float64, log *logrus.Logger) *Picker {
+	p := New(seed, settings, log)
 	p.clock = clock
 	if build != nil {
 		p.build = build
-		p.module = build(seed, terms)
+		p.module = build(seed, settings)
 	}
 	return p
 }
@@ -39,12 +39,12 @@
 
 // Leave tells that a lookup's client has gone. Its verdict is there after the next round.
 func (p *Picker) Leave(lk *Lookup) {
-	p.tell(func(in *inbox) { in.Left = append(in.Left, lk.ref) })
+	p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
 }
 
 // View is what the module knows of the servers, after one more round; nil where ctx ends before that.
-func (p *Picker) View(ctx context.Context) []gather.View {
-	to := make(chan []gather.View, 1)
+func (p *Picker) View(ctx context.Context) []gather.EndpointView {
+	to := make(chan []gather.EndpointView, 1)
 	p.tell(func(in *inbox) { in.views = append(in.views, to) })
 	select {
 	case v := <-to:
--- a/internal/pick/retrybudget.go
+++ b/internal/pick/retrybudget.go
@@ -21,21 +21,21 @@
 const rounding = 1.0
 
 // newRetryBudget is nil where the terms tell no budget: the module keeps one of its own then, which is no rule.
-func newRetryBudget(terms *gather.Settings) *retryBudget {
-	if terms.RetryBudgetWindow == 0 {
+func newRetryBudget(settings *gather.Settings) *retryBudget {
+	if settings.RetryBudgetWindow == 0 {
 		return nil
 	}
-	return &retryBudget{span: terms.RetryBudgetWindow, free: terms.RetryBudgetFloor, share: terms.RetryBudgetRatio}
+	return &retryBudget{span: settings.RetryBudgetWindow, free: settings.RetryBudgetFloor, share: settings.RetryBudgetRatio}
 }
 
 // set takes over other figures; what was booked stays booked.
-func (g *retryBudget) set(terms *gather.Settings) {
+func (g *retryBudget) set(settings *gather.Settings) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.free, g.share = terms.RetryBudgetFloor, terms.RetryBudgetRatio
+	g.free, g.share = settings.RetryBudgetFloor, settings.RetryBudgetRatio
 }
 
 // take notes a lookup taken, with its parts.
--- a/internal/pick/twice.go
+++ b/internal/pick/twice.go
@@ -83,29 +83,29 @@
 // listen puts into the lists which servers answer first passes. One that has started anew has to be found again.
 func (p *Picker) listen(in *inbox) {
 	t := &p.twice
-	if t.phases == nil || len(in.Lists) == 0 && len(in.speak) == 0 {
+	if t.phases == nil || len(in.EndpointLists) == 0 && len(in.speak) == 0 {
 		return
 	}
-	var news gather.List
+	var news gather.EndpointList
 	for _, id := range p.ids { // in their order, not the map's
 		if yes, found := in.speak[id]; found && yes != t.brief[id] {
 			t.brief[id] = yes
-			news.Servers = append(news.Servers, p.servers[id])
+			news.Endpoints = append(news.Endpoints, p.servers[id])
 		}
 	}
-	if len(news.Servers) > 0 {
-		in.Lists = append(in.Lists, news)
+	if len(news.Endpoints) > 0 {
+		in.EndpointLists = append(in.EndpointLists, news)
 	}
-	for i := range in.Lists {
-		l := &in.Lists[i]
-		servers := make([]gather.Server, len(l.Servers)) // a list may be another's as well
-		for j, s := range l.Servers {
-			s.Brief = t.brief[s.ID]
+	for i := range in.EndpointLists {
+		l := &in.EndpointLists[i]
+		servers := make([]gather.Endpoint, len(l.Endpoints)) // a list may be another's as well
+		for j, s := range l.Endpoints {
+			s.AnswersFirstPass = t.brief[s.ID]
 			servers[j] = s
 		}
-		l.Servers = servers
+		l.Endpoints = servers
 	}
-	groups, row := max(p.terms.ReplicaSets, 1), max(p.terms.ReplicaSetsPerShard, 1)
+	groups, row := max(p.settings.ReplicaSets, 1), max(p.settings.ReplicaSetsPerShard, 1)
 	for id := range t.brief {
 		if _, listed := p.servers[id]; !listed {
 			delete(t.brief, id)
@@ -118,8 +118,8 @@
 			continue
 		}
 		t.count++
-		for j := 0; j < row && t.brief[id] && s.Group >= 0 && s.Group < groups; j++ {
-			t.spoken[((s.Group-j)%groups+groups)%groups] = true
+		for j := 0; j < row && t.brief[id] && s.ReplicaSet >= 0 && s.ReplicaSet < groups; j++ {
+			t.spoken[((s.ReplicaSet-j)%groups+groups)%groups] = true
 		}
 	}
 }
@@ -139,7 +139,7 @@
 		return
 	}
 	first := &Lookup{ID: lk.ID, Index: lk.Index, Customer: lk.Customer, Key: lk.Key, Retry: lk.Retry, Text: lk.Text,
-		pass: pass{of: lk, kind: gather.First}}
+		pass: pass{of: lk, kind: gather.FirstPass}}
 	for i, pt := range lk.Parts {
 		if len(t.spoken) > 0 && t.spoken[pt.Shard%len(t.spoken)] {
 			first.Parts = append(first.Parts, pt)
@@ -149,7 +149,7 @@
 		}
 	}
 	choice := t.phases.Open(now, phases.Lookup{Index: lk.Index, Parts: len(lk.Parts), Spoken: len(first.Parts), GiveUpAt: lk.GiveUpAt,
-		Servers: t.count, Room: p.module.Room() - logic.Reserve*begun(in)})
+		Servers: t.count, Room: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
 	for _, t := range p.traces {
 		t.Opened(lk, &choice, now)
 	}
@@ -171,10 +171,10 @@
 // begun counts the parts of first passes that this round hands in, which the module's room does not know yet.
 func begun(in *gather.Round) (n float64) {
 	first := map[uint64]bool{}
-	for _, lk := range in.Lookups {
-		first[lk.Number] = lk.Pass == gather.First
+	for _, lk := range in.Queries {
+		first[lk.Number] = lk.Pass == gather.FirstPass
 	}
-	for _, pt := range in.Parts {
+	for _, pt := range in.Requests {
 		if first[pt.Number] {
 			n++
 		}
@@ -209,7 +209,7 @@
 
 // heard keeps what a call brought.
 func (p *Picker) heard(now float64, e *ended) {
-	lk, answered := e.call.lk, e.outcome == gather.Answered
+	lk, answered := e.call.lk, e.outcome == gather.Succeeded
 	if p.twice.phases != nil {
 		p.twice.phases.Ended(now, lk.Index, e.call.First(), answered, e.summary.Empty, e.waited)
 	}
@@ -234,7 +234,7 @@
 // passed goes on after a pass has ended.
 func (p *Picker) passed(lk *Lookup, v Verdict) {
 	root, t := lk.of, &p.twice
-	if v.Kind == Broken || v.Kind == Left || lk.kind == gather.Second {
+	if v.Kind == Broken || v.Kind == Left || lk.kind == gather.SecondPass {
 		v.Empty = root.empty()
 		p.over(root, v)
 		return
@@ -252,7 +252,7 @@
 		return
 	}
 	second := &Lookup{ID: root.ID, Index: root.Index, Customer: root.Customer, Key: root.Key, Retry: root.Retry, Text: root.Text,
-		GiveUpAt: root.GiveUpAt, pass: pass{of: root, kind: gather.Second, since: root.landed, in: next.In, asks: next.Ask}}
+		GiveUpAt: root.GiveUpAt, pass: pass{of: root, kind: gather.SecondPass, since: root.landed, in: next.In, asks: next.Ask}}
 	for _, a := range next.Ask {
 		second.Parts = append(second.Parts, root.Parts[a.Part])
 		second.pass.parts = append(second.pass.parts, a.Part)
--- a/internal/pick/twice_test.go
+++ b/internal/pick/twice_test.go
@@ -22,7 +22,7 @@
 			change(s)
 		}
 	})
-	whole, least := p.terms.Class("any").CompleteShare, p.terms.Class("any").MinShare
+	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
 	p.Phases(map[string]phases.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
 	p.clock = func() float64 { return p.ranAt + 4 } // what is reported before a round came just before it
 	p.round(1000)
@@ -82,14 +82,14 @@
 				t.Errorf("a first pass's part is called %s", id)
 			}
 			for i, call := range o.Calls {
-				p.Report(call, gather.Answered, []byte(c.summaries[i]))
+				p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
 			}
 			now, calls := 1015.0, []*Call(nil)
 			for ; now < 1400 && len(calls) == 0; now += 5 {
 				calls = nil
 				for _, call := range p.round(now).Calls {
 					if call.First() { // sent again elsewhere, within the first pass
-						p.Report(call, gather.Answered, []byte("garbled again"))
+						p.Report(call, gather.Succeeded, []byte("garbled again"))
 					} else {
 						calls = append(calls, call)
 					}
@@ -108,7 +108,7 @@
 				if call.ID() != fmt.Sprint("a.", call.Shard()) {
 					t.Errorf("a part in full is called %s", call.ID())
 				}
-				p.Report(call, gather.Answered, fmt.Append(nil, call.Shard()))
+				p.Report(call, gather.Succeeded, fmt.Append(nil, call.Shard()))
 			}
 			p.round(now)
 			v, done := told(lk)
@@ -132,7 +132,7 @@
 func TestLate(t *testing.T) {
 	p := newTwice(t, nil)
 	lk, o := land(p, 1010, "a", 4)
-	p.Report(o.Calls[0], gather.Answered, []byte("none v1"))
+	p.Report(o.Calls[0], gather.Succeeded, []byte("none v1"))
 	late := o.Calls[1:]
 	now, off := 1015.0, 0
 	var second []*Call
@@ -151,14 +151,14 @@
 		if c.Begin() {
 			t.Error("a call of the first pass may still be written")
 		}
-		p.Report(c, gather.Answered, []byte("none v1"))
+		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
 	p.round(now)
 	if _, done := told(lk); done {
 		t.Error("answered by a proof that came too late")
 	}
 	for _, c := range second {
-		p.Report(c, gather.Answered, []byte("x"))
+		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 	p.round(now + 5)
 	if v, done := told(lk); !done || len(v.Hits) != 3 || len(v.Empty) != 1 {
@@ -175,7 +175,7 @@
 		calls, now := o.Calls, 1015.0
 		if when > 0 {
 			for _, c := range o.Calls {
-				p.Report(c, gather.Answered, []byte("some 1 1 v1"))
+				p.Report(c, gather.Succeeded, []byte("some 1 1 v1"))
 			}
 			calls = nil
 			if o := p.round(now); len(o.Calls) > 0 {
@@ -187,7 +187,7 @@
 			calls = p.round(now).Calls
 			now += 5
 		}
-		p.tell(func(in *inbox) { in.Left = append(in.Left, lk.ref) })
+		p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
 		lk.seal() // as Pick does
 		o = p.round(now)
 		if v, done := told(lk); !done || v.Kind != Left {
@@ -199,7 +199,7 @@
 			}
 		}
 		for _, c := range calls {
-			p.Report(c, gather.CalledOff, nil)
+			p.Report(c, gather.Cancelled, nil)
 		}
 		if o := p.round(now + 5); len(o.Calls) > 0 || len(p.lookups)+len(p.twice.roots)+p.held != 0 {
 			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Calls), len(p.lookups))
@@ -223,15 +223,15 @@
 		if c.Server%2 == 1 {
 			t.Errorf("a first pass asks server %d", c.Server)
 		}
-		p.Report(c, gather.Answered, []byte("none v1"))
+		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
 	p.round(1018)
 	if o := p.round(1023); len(o.Calls) != 2 || firsts(o) != 0 || o.Calls[0].Server%2 == 0 {
 		t.Errorf("second pass %+v", o.Calls)
 	}
-	var again gather.List
+	var again gather.EndpointList
 	for id := uint32(10); id < 16; id += 2 {
-		again.Servers = append(again.Servers, gather.Server{ID: id, Group: 0, Started: 1020})
+		again.Endpoints = append(again.Endpoints, gather.Endpoint{ID: id, ReplicaSet: 0, StartedAt: 1020})
 	}
 	p.Follow(again)
 	p.round(1028)
@@ -245,19 +245,19 @@
 func TestDrainsBetween(t *testing.T) {
 	p := newTwice(t, nil)
 	lk, o := land(p, 1010, "a", 2)
-	p.Report(o.Calls[0], gather.Answered, []byte("some 1 1 v1"))
-	p.Report(o.Calls[1], gather.Cut, nil)
+	p.Report(o.Calls[0], gather.Succeeded, []byte("some 1 1 v1"))
+	p.Report(o.Calls[1], gather.ConnectionReset, nil)
 	p.round(1015)
-	p.Follow(gather.List{Servers: []gather.Server{{ID: o.Calls[0].Server, Group: int(o.Calls[0].Server % 2), State: gather.Draining}}})
+	p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: o.Calls[0].Server, ReplicaSet: int(o.Calls[0].Server % 2), State: gather.Draining}}})
 	for now := 1020.0; now < 1200; now += 5 {
 		for _, c := range p.round(now).Calls {
 			if c.Server == o.Calls[0].Server {
 				t.Errorf("a call to the server that drains, of the first pass %t", c.First())
 			}
 			if c.First() {
-				p.Report(c, gather.Cut, nil) // sent again elsewhere within the first pass, and lost again
+				p.Report(c, gather.ConnectionReset, nil) // sent again elsewhere within the first pass, and lost again
 			} else {
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 	}
@@ -308,16 +308,16 @@
 				case o.lost:
 					p.Report(o.c, gather.TimedOut, nil)
 				case o.c.First():
-					p.Report(o.c, gather.Answered, []byte([]string{"none v1", "some 1 1 v1", "some"}[chance.Uint32()%3]))
+					p.Report(o.c, gather.Succeeded, []byte([]string{"none v1", "some 1 1 v1", "some"}[chance.Uint32()%3]))
 					answered[key{o.c.Lookup(), o.c.Shard(), true}] = true
 				default:
-					p.Report(o.c, gather.Answered, []byte("x"))
+					p.Report(o.c, gather.Succeeded, []byte("x"))
 				}
 			}
 			outs = rest
 			o := p.round(now)
 			for _, c := range o.Off {
-				p.Report(c, gather.CalledOff, nil)
+				p.Report(c, gather.Cancelled, nil)
 			}
 			for _, c := range o.Calls {
 				lk := c.Lookup()
@@ -393,9 +393,9 @@
 	}
 	for i, c := range o.Calls {
 		if i < 4 {
-			p.Report(c, gather.Answered, []byte("none v1"))
+			p.Report(c, gather.Succeeded, []byte("none v1"))
 		} else {
-			p.Report(c, gather.Answered, []byte("some 1 1 v1"))
+			p.Report(c, gather.Succeeded, []byte("some 1 1 v1"))
 		}
 	}
 	p.round(1015)
@@ -404,7 +404,7 @@
 		t.Fatalf("%d calls in full, of 8 parts 4 are proved empty and 6 make a whole answer", len(second))
 	}
 	for _, c := range second {
-		p.Report(c, gather.Answered, []byte("x"))
+		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 	p.round(1025)
 	if v, done := told(lk); !done || !v.Whole || len(v.Hits) != 2 || len(v.Empty) != 4 {
--- a/internal/placefile/list.go
+++ b/internal/placefile/list.go
@@ -14,24 +14,24 @@
 // Listed is a server of discovery's list under its name.
 type Listed struct {
 	Name string
-	gather.Server
+	gather.Endpoint
 }
 
 // WithList completes a from-list file: hosts are those of the list, of the kinds that the file tells, and each group
 // of shards is a segment group-N. Where a kind does not say how its hosts warm up, the rules of the terms do. A host
 // on the list whose kind the file does not tell is an error, since nothing is known of what it can do.
-func (f *File) WithList(list []Listed, terms *gather.Settings, now float64) (*placement.Model, error) {
+func (f *File) WithList(list []Listed, settings *gather.Settings, now float64) (*placement.Model, error) {
 	m := f.Model
 	m.At = math.Ceil(now)
 	m.Halls, m.Hosts = slices.Clone(m.Halls), nil
-	groups, row := terms.ReplicaSets, terms.ReplicaSetsPerShard
+	groups, row := settings.ReplicaSets, settings.ReplicaSetsPerShard
 	on := make([][]string, groups)
 	for _, l := range list {
 		kind := f.kinds[l.Kind]
 		if kind == nil {
 			return nil, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s", l.Name, l.Kind, spell.Hint(l.Kind, names(f.kinds)))
 		}
-		h := placement.Host{Name: l.Name, Hall: l.Zone, State: l.State, Started: l.Started}
+		h := placement.Host{Name: l.Name, Hall: l.Zone, State: l.State, Started: l.StartedAt}
 		var wrong error
 		f.fill(&h, kind, nil, func(err error) { wrong = err })
 		if wrong != nil {
@@ -41,14 +41,14 @@
 			h.Capacity = int64(math.Floor(float64(h.Capacity) * l.Size))
 		}
 		if !kind.Has("warms") {
-			h.ColdShare, h.Warming = terms.InitialCapacityShare, terms.WarmupTime
+			h.ColdShare, h.Warming = settings.InitialCapacityShare, settings.WarmupTime
 		}
 		m.Hosts = append(m.Hosts, h)
 		if !slices.ContainsFunc(m.Halls, func(o placement.Hall) bool { return o.Name == l.Zone }) {
 			m.Halls = append(m.Halls, placement.Hall{Name: l.Zone, Most: -1})
 		}
-		for j := 0; j < row && l.Group >= 0 && l.Group < groups; j++ {
-			base := ((l.Group-j)%groups + groups) % groups
+		for j := 0; j < row && l.ReplicaSet >= 0 && l.ReplicaSet < groups; j++ {
+			base := ((l.ReplicaSet-j)%groups + groups) % groups
 			on[base] = append(on[base], l.Name)
 		}
 	}
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -31,10 +31,10 @@
 
 // Keeper keeps a plan in force.
 type Keeper struct {
-	picker Picker
-	terms  *gather.Settings
-	jobs   *background.Scheduler
-	log    *logrus.Logger
+	picker   Picker
+	settings *gather.Settings
+	jobs     *background.Scheduler
+	log      *logrus.Logger
 
 	mu      sync.Mutex
 	force   placement.Force
@@ -48,8 +48,8 @@
 }
 
 // New makes a keeper without a plan, which hands down nothing.
-func New(picker Picker, terms *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
-	return &Keeper{picker: picker, terms: terms, jobs: jobs, log: log, listed: map[uint32]placefile.Listed{}, numbers: map[string]uint32{}}
+func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
+	return &Keeper{picker: picker, settings: settings, jobs: jobs, log: log, listed: map[uint32]placefile.Listed{}, numbers: map[string]uint32{}}
 }
 
 // Configure takes over what the operator's file says of plans. What cannot be read changes nothing: the plan in
@@ -98,23 +98,23 @@
 }
 
 // Follow takes over news of the list; all are the servers on it, by name.
-func (k *Keeper) Follow(list gather.List, all []shardcall.Address) {
+func (k *Keeper) Follow(list gather.EndpointList, all []shardcall.Address) {
 	if list.Failed {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	figures := map[uint32]gather.Server{}
+	figures := map[uint32]gather.Endpoint{}
 	for id, l := range k.listed {
-		figures[id] = l.Server
+		figures[id] = l.Endpoint
 	}
-	for _, s := range list.Servers {
+	for _, s := range list.Endpoints {
 		figures[s.ID] = s
 	}
 	before := k.listed
 	k.listed, k.numbers, k.order = map[uint32]placefile.Listed{}, map[string]uint32{}, k.order[:0]
 	for _, a := range all {
-		k.listed[a.ID] = placefile.Listed{Name: a.Name, Server: figures[a.ID]}
+		k.listed[a.ID] = placefile.Listed{Name: a.Name, Endpoint: figures[a.ID]}
 		k.numbers[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
@@ -144,7 +144,7 @@
 		if file == nil {
 			return nil
 		}
-		model, err := file.WithList(list, k.terms, k.picker.Now())
+		model, err := file.WithList(list, k.settings, k.picker.Now())
 		if err != nil {
 			return err
 		}
@@ -185,7 +185,7 @@
 		id, listed := k.numbers[host]
 		return listed && k.listed[id].State == gather.Running
 	})
-	weights := placement.Shares(s.Rows, k.terms.Zone, func(host string) (uint32, bool) {
+	weights := placement.Shares(s.Rows, k.settings.Zone, func(host string) (uint32, bool) {
 		id, listed := k.numbers[host]
 		return id, listed
 	})
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -69,8 +69,8 @@
 	log, hook := test.NewNullLogger()
 	log.SetOutput(io.Discard)
 	h := &hand{now: at + 1, handed: make(chan [][]gather.Weight, 100)}
-	terms := &gather.Settings{Zone: zone, ReplicaSets: 2, ReplicaSetsPerShard: 1}
-	return New(h, terms, background.New(1, log), log), h, hook
+	settings := &gather.Settings{Zone: zone, ReplicaSets: 2, ReplicaSetsPerShard: 1}
+	return New(h, settings, background.New(1, log), log), h, hook
 }
 
 func write(t *testing.T, name, text string) string {
@@ -83,15 +83,15 @@
 
 // list tells of servers by name, in the order of their numbers from 1 on; groups go by turns.
 func list(k *Keeper, full bool, names ...string) {
-	l := gather.List{Full: full}
+	l := gather.EndpointList{Full: full}
 	var all []shardcall.Address
 	for i, name := range names {
 		name, draining := strings.CutSuffix(name, "!")
-		s := gather.Server{ID: uint32(i + 1), Group: i % 2, Zone: map[byte]string{'n': "north", 's': "south"}[name[0]], Kind: "m"}
+		s := gather.Endpoint{ID: uint32(i + 1), ReplicaSet: i % 2, Zone: map[byte]string{'n': "north", 's': "south"}[name[0]], Kind: "m"}
 		if draining {
 			s.State = gather.Draining
 		}
-		l.Servers = append(l.Servers, s)
+		l.Endpoints = append(l.Endpoints, s)
 		all = append(all, shardcall.Address{ID: s.ID, Name: name, State: s.State})
 	}
 	k.Follow(l, all)
--- a/internal/policy/apply.go
+++ b/internal/policy/apply.go
@@ -9,22 +9,22 @@
 )
 
 // Fit says what the platform's settings say to a policy: an index that there is not, or a policy that would be looser.
-func Fit(terms *gather.Settings, p policy.Policy) error {
+func Fit(settings *gather.Settings, p policy.Policy) error {
 	for _, e := range p {
 		switch e.Kind {
 		case policy.OnceOnly, policy.NoCopies, policy.Least:
-			if e.Of != "" && !slices.Contains(terms.ClassNames(), e.Of) {
+			if e.Of != "" && !slices.Contains(settings.ClassNames(), e.Of) {
 				return fmt.Errorf("%s: there is no index %s", e, e.Of)
 			}
 		}
 		switch {
-		case e.Kind == policy.Least && e.Value < terms.Class(e.Of).MinShare-1e-9:
-			return fmt.Errorf("%s: the platform's least share is %g; a policy can't allow more", e, terms.Class(e.Of).MinShare)
-		case e.Kind == policy.Share && terms.RetryBudgetWindow > 0 && e.Value > terms.RetryBudgetRatio+1e-9:
-			return fmt.Errorf("%s: the platform's budget share is %g; a policy can't allow more", e, terms.RetryBudgetRatio)
-		case e.Kind == policy.Free && terms.RetryBudgetWindow > 0 && e.Value > terms.RetryBudgetFloor+1e-9:
-			return fmt.Errorf("%s: the platform has %g free further calls; a policy can't allow more", e, terms.RetryBudgetFloor)
-		case (e.Kind == policy.Share || e.Kind == policy.Free) && terms.RetryBudgetWindow == 0:
+		case e.Kind == policy.Least && e.Value < settings.Class(e.Of).MinShare-1e-9:
+			return fmt.Errorf("%s: the platform's least share is %g; a policy can't allow more", e, settings.Class(e.Of).MinShare)
+		case e.Kind == policy.Share && settings.RetryBudgetWindow > 0 && e.Value > settings.RetryBudgetRatio+1e-9:
+			return fmt.Errorf("%s: the platform's budget share is %g; a policy can't allow more", e, settings.RetryBudgetRatio)
+		case e.Kind == policy.Free && settings.RetryBudgetWindow > 0 && e.Value > settings.RetryBudgetFloor+1e-9:
+			return fmt.Errorf("%s: the platform has %g free further calls; a policy can't allow more", e, settings.RetryBudgetFloor)
+		case (e.Kind == policy.Share || e.Kind == policy.Free) && settings.RetryBudgetWindow == 0:
 			return fmt.Errorf("%s: the platform has no budget of further calls, and so no window for it", e)
 		}
 	}
@@ -33,11 +33,11 @@
 
 // Apply gives the terms that a policy leaves of the platform's. The platform's stay as they are, and are given back
 // where the policy says nothing.
-func Apply(terms *gather.Settings, p policy.Policy) *gather.Settings {
+func Apply(settings *gather.Settings, p policy.Policy) *gather.Settings {
 	if len(p) == 0 {
-		return terms
+		return settings
 	}
-	t := terms.Clone()
+	t := settings.Clone()
 	for _, e := range p {
 		switch e.Kind {
 		case policy.OnceOnly:
@@ -53,15 +53,15 @@
 		case policy.Least:
 			// What is whole is still whole: a least share above it would leave nothing to answer.
 			if c := t.FindClass(e.Of); c != nil {
-				c.MinShare = max(e.Value, terms.Class(e.Of).MinShare)
-				c.CompleteShare = max(e.Value, terms.Class(e.Of).CompleteShare)
+				c.MinShare = max(e.Value, settings.Class(e.Of).MinShare)
+				c.CompleteShare = max(e.Value, settings.Class(e.Of).CompleteShare)
 			}
 		case policy.Share:
-			t.RetryBudgetRatio = min(e.Value, terms.RetryBudgetRatio)
+			t.RetryBudgetRatio = min(e.Value, settings.RetryBudgetRatio)
 		case policy.Free:
-			t.RetryBudgetFloor = min(e.Value, terms.RetryBudgetFloor)
+			t.RetryBudgetFloor = min(e.Value, settings.RetryBudgetFloor)
 		case policy.Cold:
-			t.OverloadMultiple = e.Value * terms.OverloadMultiple
+			t.OverloadMultiple = e.Value * settings.OverloadMultiple
 		}
 	}
 	return t
--- a/internal/policy/govern.go
+++ b/internal/policy/govern.go
@@ -23,14 +23,14 @@
 	settled chan struct{} // something is there once all in hand is by what is acted by now
 	stir    func()        // has a round run, where nothing else would
 
-	mu     sync.Mutex
-	h      *policy.Holder
-	way    uint64 // for which the rest was worked out
-	acts   policy.Policy
-	terms  *gather.Settings
-	places map[uint32]place
-	closed map[uint32]bool
-	news   uint64
+	mu       sync.Mutex
+	h        *policy.Holder
+	way      uint64 // for which the rest was worked out
+	acts     policy.Policy
+	settings *gather.Settings
+	places   map[uint32]place
+	closed   map[uint32]bool
+	news     uint64
 }
 
 // NewGovernor begins within a floor, at the fence that an earlier process left. Clock and stir are the picker's.
@@ -69,7 +69,7 @@
 		return
 	}
 	g.way, g.acts = way, acts
-	g.terms = Apply(g.base, acts)
+	g.settings = Apply(g.base, acts)
 	g.close()
 }
 
@@ -88,7 +88,7 @@
 }
 
 // Follow takes over where servers stand.
-func (g *Governor) Follow(list gather.List, all []shardcall.Address) {
+func (g *Governor) Follow(list gather.EndpointList, all []shardcall.Address) {
 	if list.Failed {
 		return
 	}
@@ -101,8 +101,8 @@
 	if list.Full {
 		clear(g.places)
 	}
-	for _, s := range list.Servers {
-		if s.State == gather.Gone {
+	for _, s := range list.Endpoints {
+		if s.State == gather.Removed {
 			delete(g.places, s.ID)
 			continue
 		}
@@ -116,7 +116,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
-	return g.way, g.terms
+	return g.way, g.settings
 }
 
 // News counts changes of what is closed.
--- a/internal/policy/wire_test.go
+++ b/internal/policy/wire_test.go
@@ -163,7 +163,7 @@
 // governed is a governor that has heard a policy, and its settings.
 func governed(t *testing.T, floor, p string) (*Governor, *float64) {
 	t.Helper()
-	terms := &gather.Settings{
+	settings := &gather.Settings{
 		HedgingAllowed: true, RetryBudgetWindow: 1000.0, RetryBudgetRatio: 0.1,
 		RetryBudgetFloor: 8.0, OverloadMultiple: 3.0,
 		Classes: []gather.Class{
@@ -179,8 +179,8 @@
 		}
 		return p
 	}
-	g := NewGovernor(terms, parse(floor), policy.Fence{}, func() float64 { return now }, func() {})
-	g.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 1, Zone: "north"}, {ID: 2, Zone: "south"}}}, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
+	g := NewGovernor(settings, parse(floor), policy.Fence{}, func() float64 { return now }, func() {})
+	g.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, Zone: "north"}, {ID: 2, Zone: "south"}}}, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
 	g.hear(0, policy.Word{Epoch: 1, Last: 1, Policy: parse(p), Lease: 1000})
 	return g, &now
 }
@@ -190,10 +190,10 @@
 func TestGovern(t *testing.T) {
 	floor := "no-copies\nindex any once-only least 90%\nfurther share 1% free 1\ncold 10%\nclose zone north\nclose zone south host s2\n"
 	g, now := governed(t, floor, "index any least 60%\nfurther free 4\ncold 50%\nclose zone south host s2\nturns s1 50%\n")
-	way, terms := g.Acts(1)
-	if terms.Class("any").MinShare != 0.6 || terms.Class("any").CompleteShare != 0.75 || terms.RetryBudgetFloor != 4 || terms.RetryBudgetRatio != 0.1 || terms.OverloadMultiple != 1.5 || !terms.HedgingAllowed ||
+	way, settings := g.Acts(1)
+	if settings.Class("any").MinShare != 0.6 || settings.Class("any").CompleteShare != 0.75 || settings.RetryBudgetFloor != 4 || settings.RetryBudgetRatio != 0.1 || settings.OverloadMultiple != 1.5 || !settings.HedgingAllowed ||
 		g.base.OverloadMultiple != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
-		t.Errorf("%v; %v", terms, g.closed)
+		t.Errorf("%v; %v", settings, g.closed)
 	}
 	call := pick.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
 	v := pick.Verdict{Kind: pick.Satisfied}
--- a/internal/report/count.go
+++ b/internal/report/count.go
@@ -24,12 +24,12 @@
 
 // Counter counts what becomes of lookups. It is a pick.Tracer and a pick.Witness.
 type Counter struct {
-	terms   *gather.Settings
-	now     func() float64
-	pool    Pool
-	head    Document
-	process string
-	Policy  func() any // what the gatherer tells of the operators' policy, nil for nothing; set before the first report
+	settings *gather.Settings
+	now      func() float64
+	pool     Pool
+	head     Document
+	process  string
+	Policy   func() any // what the gatherer tells of the operators' policy, nil for nothing; set before the first report
 
 	mu       sync.Mutex
 	indexes  map[string]*Index
@@ -60,15 +60,15 @@
 }
 
 // NewCounter makes a counter of a gatherer of that name, by its terms and clock.
-func NewCounter(name string, terms *gather.Settings, now func() float64, pool Pool) *Counter {
-	c := &Counter{terms: terms, now: now, pool: pool, indexes: map[string]*Index{}, limits: map[string]limits{}, states: map[uint32]gather.State{}, files: map[string]string{}}
-	for _, ix := range terms.ClassNames() {
+func NewCounter(name string, settings *gather.Settings, now func() float64, pool Pool) *Counter {
+	c := &Counter{settings: settings, now: now, pool: pool, indexes: map[string]*Index{}, limits: map[string]limits{}, states: map[uint32]gather.State{}, files: map[string]string{}}
+	for _, ix := range settings.ClassNames() {
 		c.indexes[ix] = newIndex()
-		c.limits[ix] = limits{terms.Class(ix).LatencyObjective, terms.Class(ix).LateValue, terms.Class(ix).CompleteShare, terms.Class(ix).PartialValue}
+		c.limits[ix] = limits{settings.Class(ix).LatencyObjective, settings.Class(ix).LateValue, settings.Class(ix).CompleteShare, settings.Class(ix).PartialValue}
 	}
 	at := now()
 	c.process = proc.Name(at)
-	c.head = Document{Form: Form, Name: name, Zone: terms.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
+	c.head = Document{Form: Form, Name: name, Zone: settings.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
 	return c
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Follow takes news of the list.
-func (c *Counter) Follow(l gather.List) {
+func (c *Counter) Follow(l gather.EndpointList) {
 	if l.Failed {
 		return
 	}
@@ -100,8 +100,8 @@
 	if l.Full {
 		clear(c.states)
 	}
-	for _, s := range l.Servers {
-		if c.states[s.ID] = s.State; s.State == gather.Gone {
+	for _, s := range l.Endpoints {
+		if c.states[s.ID] = s.State; s.State == gather.Removed {
 			delete(c.states, s.ID)
 		}
 	}
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -117,7 +117,7 @@
 func pooledConnections(ctx context.Context, address string, count int) (*shardcall.Pool, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	terms := &gather.Settings{
+	settings := &gather.Settings{
 		ReplicaSets: count, ReplicaSetsPerShard: 1, MaxAttempts: 1, Tick: 1.0,
 		ConnectTimeout: 10_000.0, IdleTimeout: 3_600_000.0, RequestsPerCall: 1,
 		StreamsPerConnection: 100, CancelAllowed: true,
@@ -125,13 +125,13 @@
 			{Name: "find", LatencyObjective: 30_000.0, Deadline: 60_000.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
 		},
 	}
-	picker := pick.New(1, terms, log)
-	pool := shardcall.New(terms, count, picker, log)
-	list, addresses := gather.List{Full: true}, make([]shardcall.Address, count)
+	picker := pick.New(1, settings, log)
+	pool := shardcall.New(settings, count, picker, log)
+	list, addresses := gather.EndpointList{Full: true}, make([]shardcall.Address, count)
 	lk := &pick.Lookup{ID: "scale", Index: "find", GiveUpAt: picker.Now() + 60_000, Text: []byte("q")}
 	for i := range count {
 		addresses[i] = shardcall.Address{ID: uint32(i), Name: fmt.Sprint("s", i), HostPort: address}
-		list.Servers = append(list.Servers, gather.Server{ID: uint32(i), Group: i})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), ReplicaSet: i})
 		lk.Parts = append(lk.Parts, pick.Part{Shard: i, Weight: 1 / float64(count)})
 	}
 	pool.Follow(addresses)
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -66,7 +66,7 @@
 // ending is a part call's end to come.
 type ending struct {
 	at float64
-	gather.Ending
+	gather.AttemptResult
 }
 
 type endings []ending
@@ -108,11 +108,11 @@
 	q := &queryLoad{terms: t, written: fnv.New64a(), chance: pcg.New(t.Seed + 1), now: 1e6, next: 1, calls: map[uint64]int{},
 		module: logic.New(t.Seed, decisionSettings(t))}
 	groups := max(t.Servers/t.Replicas, 1)
-	list := gather.List{Full: true}
+	list := gather.EndpointList{Full: true}
 	for i := range t.Servers {
-		list.Servers = append(list.Servers, gather.Server{ID: uint32(i), Group: i % groups})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), ReplicaSet: i % groups})
 	}
-	q.round.Lists = append(q.round.Lists, list)
+	q.round.EndpointLists = append(q.round.EndpointLists, list)
 	q.play()
 	return q
 }
@@ -127,25 +127,25 @@
 	if server%slowServers == 0 {
 		latency *= slowness
 	}
-	outcome := gather.Answered
+	outcome := gather.Succeeded
 	if q.chance.Uint32()%lostCalls == 0 {
-		outcome = gather.Erred
+		outcome = gather.Failed
 	}
-	heap.Push(&q.ends, ending{q.now + latency, gather.Ending{Part: part, Server: server, Call: number, Waited: latency,
-		Outcome: outcome, Over: outcome == gather.Answered}})
+	heap.Push(&q.ends, ending{q.now + latency, gather.AttemptResult{Request: part, Server: server, Attempt: number, Elapsed: latency,
+		Outcome: outcome, Finished: outcome == gather.Succeeded}})
 }
 
-// CallOff is the module's writer's: a call that is given up may be answered all the same.
-func (q *queryLoad) CallOff(uint64, int) {}
+// Cancel is the module's writer's: a call that is given up may be answered all the same.
+func (q *queryLoad) Cancel(uint64, int) {}
 
 // Answer is the module's writer's.
 func (q *queryLoad) Answer(lookup uint64, _ bool) { q.forget(lookup) }
 
-// Nack is the module's writer's.
-func (q *queryLoad) Nack(lookup uint64, _ float64) { q.forget(lookup) }
+// Reject is the module's writer's.
+func (q *queryLoad) Reject(lookup uint64, _ float64) { q.forget(lookup) }
 
-// Abort is the module's writer's.
-func (q *queryLoad) Abort(lookup uint64) { q.forget(lookup) }
+// Fail is the module's writer's.
+func (q *queryLoad) Fail(lookup uint64) { q.forget(lookup) }
 
 // Wake is the module's writer's.
 func (q *queryLoad) Wake(after float64) { q.wake = q.now + after }
@@ -153,8 +153,8 @@
 // Subscribe is the module's writer's.
 func (q *queryLoad) Subscribe() {}
 
-// Probe is the module's writer's.
-func (q *queryLoad) Probe(uint32) {}
+// CheckHealth is the module's writer's.
+func (q *queryLoad) CheckHealth(uint32) {}
 
 func (q *queryLoad) forget(lookup uint64) {
 	for part := range uint64(q.terms.Parts) {
@@ -167,9 +167,9 @@
 	id, from := q.next, int(q.chance.Uint32()>>1)
 	q.next += uint64(q.terms.Parts) + 1
 	groups := max(q.terms.Servers/q.terms.Replicas, 1)
-	q.round.Lookups = append(q.round.Lookups, gather.Lookup{ID: id, Number: id, Index: "find", GiveUpAt: q.now + hardDeadline})
+	q.round.Queries = append(q.round.Queries, gather.Query{ID: id, Number: id, Class: "find", Deadline: q.now + hardDeadline})
 	for i := range q.terms.Parts {
-		q.round.Parts = append(q.round.Parts, gather.Part{ID: id + 1 + uint64(i), Number: id, Shard: (from + i) % groups,
+		q.round.Requests = append(q.round.Requests, gather.ShardRequest{ID: id + 1 + uint64(i), Number: id, Shard: (from + i) % groups,
 			Weight: 1 / float64(q.terms.Parts)})
 	}
 	q.queries++
@@ -178,17 +178,17 @@
 // play runs one round on what has come in.
 func (q *queryLoad) play() {
 	for len(q.ends) > 0 && q.ends[0].at <= q.now {
-		q.round.Endings = append(q.round.Endings, heap.Pop(&q.ends).(ending).Ending)
+		q.round.Results = append(q.round.Results, heap.Pop(&q.ends).(ending).AttemptResult)
 	}
 	q.round.Now = q.now
 	began := time.Now()
 	q.module.Round(&q.round, q)
 	took := time.Since(began)
 	q.longest = max(q.longest, took)
-	if len(q.round.Lookups) > 0 {
+	if len(q.round.Queries) > 0 {
 		q.landing = append(q.landing, took.Seconds())
 	}
-	q.round = gather.Round{Lookups: q.round.Lookups[:0], Parts: q.round.Parts[:0], Endings: q.round.Endings[:0]}
+	q.round = gather.Round{Queries: q.round.Queries[:0], Requests: q.round.Requests[:0], Results: q.round.Results[:0]}
 }
 
 // run plays so many seconds; queries land evenly.
@@ -201,7 +201,7 @@
 		for ; q.due <= q.now; q.due += gap {
 			q.land()
 		}
-		if len(q.round.Lookups) > 0 || len(q.ends) > 0 && q.ends[0].at <= q.now || q.wake > 0 && q.wake <= q.now {
+		if len(q.round.Queries) > 0 || len(q.ends) > 0 && q.ends[0].at <= q.now || q.wake > 0 && q.wake <= q.now {
 			q.wake = 0
 			q.play()
 		}
--- a/internal/scale/lists.go
+++ b/internal/scale/lists.go
@@ -53,7 +53,7 @@
 
 // listReader is the reader of one gatherer's list, with what it was told.
 type listReader struct {
-	told chan gather.List
+	told chan gather.EndpointList
 	stop context.CancelFunc
 	done chan struct{}
 }
@@ -61,9 +61,9 @@
 func startListReader(ctx context.Context, address string) *listReader {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &listReader{told: make(chan gather.List, 1024), done: make(chan struct{})}
-	follower := discovery.New(address, func(l gather.List, _ []shardcall.Address) {
-		if l.Full || len(l.Servers) > 0 {
+	r := &listReader{told: make(chan gather.EndpointList, 1024), done: make(chan struct{})}
+	follower := discovery.New(address, func(l gather.EndpointList, _ []shardcall.Address) {
+		if l.Full || len(l.Endpoints) > 0 {
 			r.told <- l
 		}
 	}, nil, log)
@@ -82,7 +82,7 @@
 	for entries > 0 {
 		select {
 		case l := <-r.told:
-			entries -= len(l.Servers)
+			entries -= len(l.Endpoints)
 		case <-limit.C:
 			return fmt.Errorf("lists: %d entries were not told within %s", entries, listWait)
 		case <-ctx.Done():
--- a/internal/scale/reports.go
+++ b/internal/scale/reports.go
@@ -42,10 +42,10 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	terms := &gather.Settings{Classes: []gather.Class{{Name: "find", LatencyObjective: softDeadline, CompleteShare: 1.0}}}
+	settings := &gather.Settings{Classes: []gather.Class{{Name: "find", LatencyObjective: softDeadline, CompleteShare: 1.0}}}
 	var addresses []string
 	for i := range gatherers {
-		counter := report.NewCounter(fmt.Sprint("g", i), terms, func() float64 { return 0 }, noPool{})
+		counter := report.NewCounter(fmt.Sprint("g", i), settings, func() float64 { return 0 }, noPool{})
 		s, err := report.Listen("127.0.0.1:0", counter, func() bool { return true }, log)
 		if err != nil {
 			return c, err
--- a/internal/service/governed.go
+++ b/internal/service/governed.go
@@ -26,12 +26,12 @@
 
 // govern makes it. A floor or a file that does not fit the platform's settings ends the start: without one the gatherer
 // would do what the rest of the fleet counts on it not to.
-func govern(c *config.Config, own *operator.File, terms *gather.Settings, picker *pick.Picker, log *logrus.Logger) (*governed, error) {
+func govern(c *config.Config, own *operator.File, settings *gather.Settings, picker *pick.Picker, log *logrus.Logger) (*governed, error) {
 	if own.Floor+own.Policy == "" {
 		return nil, nil
 	}
 	if own.Floor == "" {
-		g := &governed{governor: policy.NewGovernor(terms, nil, logic.Fence{}, picker.Now, picker.Stir)}
+		g := &governed{governor: policy.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Stir)}
 		if err := g.reread(own); err != nil {
 			return nil, err
 		}
@@ -40,7 +40,7 @@
 	}
 	floor, err := policy.Read(own.Floor)
 	if err == nil {
-		err = policy.Fit(terms, floor)
+		err = policy.Fit(settings, floor)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("policy floor: %w", err)
@@ -49,8 +49,8 @@
 	if err != nil {
 		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
 	}
-	g := &governed{governor: policy.NewGovernor(terms, floor, fence, picker.Now, picker.Stir)}
-	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: terms.Zone, Floor: floor}, Process: proc.Name(picker.Now()), Version: version.Name()}
+	g := &governed{governor: policy.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
+	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: proc.Name(picker.Now()), Version: version.Name()}
 	g.follower = policy.NewFollower(g.governor, own.Stewards, me, own.State, log)
 	picker.Govern(g.governor)
 	return g, nil
@@ -76,7 +76,7 @@
 	}
 }
 
-func (g *governed) follow(list gather.List, all []shardcall.Address) {
+func (g *governed) follow(list gather.EndpointList, all []shardcall.Address) {
 	if g != nil {
 		g.governor.Follow(list, all)
 	}
--- a/internal/service/loads_test.go
+++ b/internal/service/loads_test.go
@@ -16,9 +16,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !c.Terms.HealthChecksAllowed || c.Terms.LoadReports != "pull" || c.Terms.HedgingAllowed ||
-		!c.Terms.EndpointsOnRequest || c.Terms.Zone != "a" || c.Terms.Class("any").Deadline != 1000 {
-		t.Errorf("%v", c.Terms)
+	if !c.Settings.HealthChecksAllowed || c.Settings.LoadReports != "pull" || c.Settings.HedgingAllowed ||
+		!c.Settings.EndpointsOnRequest || c.Settings.Zone != "a" || c.Settings.Class("any").Deadline != 1000 {
+		t.Errorf("%v", c.Settings)
 	}
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -60,18 +60,18 @@
 // New makes a gatherer that serves nothing yet. What of the operator's file does not fit is told in the log and left
 // out: a gatherer serves without a plan rather than not at all.
 func New(c *config.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
-	terms := c.Terms
+	settings := c.Settings
 	if own.MostOwned > 0 {
-		if terms.Shards < 1 {
+		if settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		terms = pick.OwnedTerms(terms, own.MostOwned)
+		settings = pick.OwnedTerms(settings, own.MostOwned)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("plans and two phases go by groups of shards and are left out where segments have owners of their own")
 			own.Plan, own.Placement, own.TwoPhase = "", "", nil
 		}
 	}
-	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: pick.New(c.Seed, terms, log)}
+	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: pick.New(c.Seed, settings, log)}
 	if own.Keep > 0 {
 		ledger, found, err := state.OpenGatherer(own.State, int64(own.StateMost), own.Keep, s.Picker.Now())
 		if err != nil {
@@ -93,7 +93,7 @@
 		}
 	}
 	if own.MostOwned > 0 {
-		s.Picker.Segments(own.MostOwned, terms.Shards)
+		s.Picker.Segments(own.MostOwned, settings.Shards)
 		if s.ledger != nil && s.ledger.Map() != nil {
 			s.Picker.SetMap(s.ledger.Map())
 		}
@@ -114,8 +114,8 @@
 	// They get a third of all for requests; of those that have asked a quarter is kept, so that new ones find room.
 	rest := c.Limits.Sockets - ownSockets
 	clients := (rest - rest/4 - 2) * 8 / 10
-	s.pool = shardcall.New(c.Terms, rest/4, s.Picker, log)
-	marked, err := own.Fit(c.Terms)
+	s.pool = shardcall.New(c.Settings, rest/4, s.Picker, log)
+	marked, err := own.Fit(c.Settings)
 	if err != nil {
 		log.WithError(err).Error("two phases refused for these indexes: one phase")
 	}
@@ -127,23 +127,23 @@
 		s.traces = trace.New(own.Traces, own.KeepShare)
 		s.Picker.Trace(s.traces)
 	}
-	governed, err := govern(c, own, terms, s.Picker, log)
+	governed, err := govern(c, own, settings, s.Picker, log)
 	if err != nil {
 		return nil, err
 	}
 	s.governed = governed
 	shards := 0
 	if own.MostOwned > 0 {
-		shards = terms.Shards
+		shards = settings.Shards
 	}
 	if own.Record != "" {
-		if s.record, err = trace.Create(own.Record, own.RecordMost, own.RecordAtOnce, c.Terms, shards, s.Picker.Now()); err != nil {
+		if s.record, err = trace.Create(own.Record, own.RecordMost, own.RecordAtOnce, c.Settings, shards, s.Picker.Now()); err != nil {
 			return nil, fmt.Errorf("record: %w", err)
 		}
 		s.Picker.Trace(s.record)
 		s.Picker.Watch(s.record)
 	}
-	s.keeper = plans.New(s.Picker, c.Terms, background.New(own.Background, log), log)
+	s.keeper = plans.New(s.Picker, c.Settings, background.New(own.Background, log), log)
 	if err := s.keeper.Configure(own); err != nil { // against not serving for want of a plan
 		log.WithError(err).Error("plan refused: plain turns")
 	}
@@ -153,7 +153,7 @@
 			return nil, err
 		}
 	}
-	s.follower = discovery.New(c.Discovery, func(list gather.List, all []shardcall.Address) {
+	s.follower = discovery.New(c.Discovery, func(list gather.EndpointList, all []shardcall.Address) {
 		s.governed.follow(list, all)
 		s.pool.Follow(all) // first, so that the module names no server whose address is not known
 		if own.MostOwned > 0 {
@@ -177,14 +177,14 @@
 			listed.Store(true)
 		}
 	}, s.Picker.Asked(), log)
-	if terms.EndpointsOnRequest {
+	if settings.EndpointsOnRequest {
 		s.follower.Shared()
 	}
 	if c.Known != nil {
 		s.handover.apply(c.Known)
 		s.follower.Take(c.Known)
 	}
-	s.server = front.New(s.Picker, c.Terms, clients, c.Limits.Sockets/4, listed.Load, log)
+	s.server = front.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
 	if s.traces != nil {
 		s.server.Admin(trace.Path, s.traces)
 	}
@@ -263,7 +263,7 @@
 		Limit(c.Limits)
 	}
 	for key, changed := range map[string]bool{"name": c.Name != old.Name, "listen": c.Listen != old.Listen,
-		"limits.sockets": c.Limits.Sockets != old.Limits.Sockets, "settings": !reflect.DeepEqual(c.Terms, old.Terms)} {
+		"limits.sockets": c.Limits.Sockets != old.Limits.Sockets, "settings": !reflect.DeepEqual(c.Settings, old.Settings)} {
 		if changed { // connections and lookups in hand go by it
 			s.log.WithField("key", key).Warn("new configuration: this key counts from the next start")
 		}
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -21,7 +21,7 @@
 }
 
 func newTells(c *config.Config, own *operator.File, picker *pick.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
-	counter := report.NewCounter(c.Name, c.Terms, picker.Now, pool)
+	counter := report.NewCounter(c.Name, c.Settings, picker.Now, pool)
 	counter.Policy = policy
 	server, err := report.Listen(own.Report, counter, ready, log)
 	if err != nil {
@@ -59,7 +59,7 @@
 	}
 }
 
-func (t *tells) follow(list gather.List) {
+func (t *tells) follow(list gather.EndpointList) {
 	if t != nil {
 		t.counter.Follow(list)
 	}
@@ -99,7 +99,7 @@
 }
 
 // follow puts down which servers drain. What earlier processes heard stays until discovery itself has told.
-func (h *handover) follow(list gather.List, all []shardcall.Address) {
+func (h *handover) follow(list gather.EndpointList, all []shardcall.Address) {
 	if h == nil || list.Failed {
 		return
 	}
--- a/internal/shardcall/crossings_test.go
+++ b/internal/shardcall/crossings_test.go
@@ -42,7 +42,7 @@
 // is gone or is missing from the list. Nothing of the frame may go once it reads again; the call never ran.
 func TestDrainWhileWriting(t *testing.T) {
 	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Draining}},
-		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Gone}}, "missing": nil} {
+		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
 		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.DrainGrace = 100.0
 			s.FindClass("i").Effect = gather.Idempotent
@@ -53,7 +53,7 @@
 		d.Follow(word)
 		select {
 		case r := <-d.reports:
-			if r.outcome != gather.Unreached {
+			if r.outcome != gather.ConnectFailed {
 				t.Errorf("%s: ended as %v", name, r.outcome)
 			}
 		case <-time.After(5 * time.Second):
@@ -100,7 +100,7 @@
 		"client gone": func(d *desk, leave func()) { leave() },
 		"time up":     func(d *desk, _ func()) {},
 		"draining":    func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Draining) },
-		"gone":        func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Gone) },
+		"gone":        func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Removed) },
 		"moved":       func(d *desk, _ func()) { d.list("127.0.0.1:2", gather.Running) },
 	} {
 		d := newDesk(t, "127.0.0.1:1", nil)
@@ -123,7 +123,7 @@
 		if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
 			t.Errorf("%s: %d bytes went", name, n)
 		}
-		if r := <-d.reports; !r.outcome.Unrun() {
+		if r := <-d.reports; !r.outcome.NeverExecuted() {
 			t.Errorf("%s: ended as %v, and nothing went", name, r.outcome)
 		}
 		leave()
@@ -161,12 +161,12 @@
 		}
 		if answered {
 			(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
-			d.want(t, "a.0", gather.Answered)
+			d.want(t, "a.0", gather.Succeeded)
 			frame()
 			continue
 		}
 		frame()
-		d.want(t, "a.0", gather.CalledOff)
+		d.want(t, "a.0", gather.Cancelled)
 	}
 	// A server that does not read of it: its connection is ended, which gives the call up as well.
 	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
@@ -187,7 +187,7 @@
 		d.mu.Unlock()
 	}
 	d.abandon(a.call, GivenUp, errGivenUp)
-	d.want(t, "a.0", gather.Cut)
+	d.want(t, "a.0", gather.ConnectionReset)
 	if n, err := theirs.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("%d bytes, %v: the connection is still open", n, err)
 	}
@@ -230,7 +230,7 @@
 			length = 4 + int(binary.LittleEndian.Uint32(frame))
 		}
 		theirs.Close()
-		d.want(t, "a.0", map[bool]gather.Outcome{true: gather.Cut, false: gather.Unreached}[n == length])
+		d.want(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset, false: gather.ConnectFailed}[n == length])
 		if v := <-done; v.Kind == pick.Satisfied {
 			t.Errorf("after %d bytes: %+v", n, v)
 		}
@@ -319,7 +319,7 @@
 		t.Errorf("%d bytes went", n)
 	}
 	for range 2 * many {
-		if r := <-d.reports; !r.outcome.Unrun() {
+		if r := <-d.reports; !r.outcome.NeverExecuted() {
 			t.Errorf("%s ended as %v", r.id, r.outcome)
 		}
 	}
@@ -343,7 +343,7 @@
 	if v := <-done; v.Kind != pick.Left {
 		t.Errorf("verdict %+v", v)
 	}
-	d.want(t, "b.0", gather.Stale)
+	d.want(t, "b.0", gather.NotSent)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
 	theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
--- a/internal/shardcall/errors.go
+++ b/internal/shardcall/errors.go
@@ -26,15 +26,15 @@
 // outcomes says what each stage proves, for the module. It is the one place where that is said: a once-only
 // part is sent again only on the word of this table. Where the frame's last byte may be out, it may have run.
 var outcomes = [stageNumber]gather.Outcome{
-	NotSent:    gather.Stale,
-	Connecting: gather.Unreached,
-	Writing:    gather.Unreached,
-	Written:    gather.Cut,
-	TurnedAway: gather.Full,
-	Failed:     gather.Erred,
+	NotSent:    gather.NotSent,
+	Connecting: gather.ConnectFailed,
+	Writing:    gather.ConnectFailed,
+	Written:    gather.ConnectionReset,
+	TurnedAway: gather.Rejected,
+	Failed:     gather.Failed,
 	OutOfTime:  gather.TimedOut,
-	GivenUp:    gather.CalledOff,
-	NotOwned:   gather.Moved,
+	GivenUp:    gather.Cancelled,
+	NotOwned:   gather.NotOwner,
 }
 
 // Error tells how far a part call had come, and why it went no further.
@@ -52,11 +52,11 @@
 	var e *Error
 	switch {
 	case err == nil:
-		return gather.Answered
+		return gather.Succeeded
 	case errors.As(err, &e) && e.Stage >= 0 && e.Stage < stageNumber:
 		return outcomes[e.Stage]
 	}
-	return gather.Cut
+	return gather.ConnectionReset
 }
 
 var (
--- a/internal/shardcall/pool.go
+++ b/internal/shardcall/pool.go
@@ -21,7 +21,7 @@
 // Reporter hears how part calls ended and what came of probes; it must not block.
 type Reporter interface {
 	Report(c *pick.Call, outcome gather.Outcome, value []byte)
-	Sample(s gather.Sample)
+	Sample(s gather.HealthCheckResult)
 }
 
 // Address is where a server of the list is reached.
@@ -96,10 +96,10 @@
 const defaultConnect = time.Second
 
 // New makes a pool that keeps the limits in the terms, and to so many connections where it can.
-func New(terms *gather.Settings, most int, reporter Reporter, log *logrus.Logger) *Pool {
+func New(settings *gather.Settings, most int, reporter Reporter, log *logrus.Logger) *Pool {
 	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
-	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(terms.ConnectTimeout),
-		grace: span(terms.DrainGrace), copies: terms.HedgingAllowed, perFrame: max(terms.RequestsPerCall, 1), perConn: terms.StreamsPerConnection,
+	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(settings.ConnectTimeout),
+		grace: span(settings.DrainGrace), copies: settings.HedgingAllowed, perFrame: max(settings.RequestsPerCall, 1), perConn: settings.StreamsPerConnection,
 		servers: map[uint32]*server{}, attempts: map[*pick.Call]*attempt{}}
 	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTime) }
 	if p.connectTime == 0 {
@@ -108,19 +108,19 @@
 	// A connection that has stood idle for the time in the terms swallows what is written to it. It is closed
 	// before that by the time that setting one up may take, against a call that crosses the other side's close.
 	p.idleTime = math.MaxInt64
-	if terms.IdleTimeout > 0 {
-		p.idleTime = max(span(terms.IdleTimeout)-p.connectTime, span(terms.IdleTimeout)/2)
+	if settings.IdleTimeout > 0 {
+		p.idleTime = max(span(settings.IdleTimeout)-p.connectTime, span(settings.IdleTimeout)/2)
 	}
 	if p.perConn < 1 { // no limit is told
 		p.perConn = math.MaxInt32
 	}
 	// On a machine that vanished, and where a connection has fallen silent, only a new one shows what is there.
 	p.silence = math.MaxInt64
-	if ms := pick.Silence(terms); ms < 1e9 {
+	if ms := pick.Silence(settings); ms < 1e9 {
 		p.silence = time.Duration(ms * 1e6)
 	}
-	for i := range terms.Classes {
-		p.memory = max(p.memory, 2*span(terms.Classes[i].Deadline))
+	for i := range settings.Classes {
+		p.memory = max(p.memory, 2*span(settings.Classes[i].Deadline))
 	}
 	return p
 }
@@ -145,8 +145,8 @@
 		p.agree(s)
 	}
 	for id, s := range p.servers {
-		if !listed[id] || s.State == gather.Gone {
-			s.State = gather.Gone
+		if !listed[id] || s.State == gather.Removed {
+			s.State = gather.Removed
 			p.hasten(s)
 			s.retire()
 			delete(p.servers, id)
--- a/internal/shardcall/pool_test.go
+++ b/internal/shardcall/pool_test.go
@@ -24,7 +24,7 @@
 	*Pool
 	picker  *pick.Picker
 	reports chan report
-	samples chan gather.Sample
+	samples chan gather.HealthCheckResult
 }
 
 type report struct {
@@ -38,7 +38,7 @@
 	d.picker.Report(c, outcome, value)
 }
 
-func (d *desk) Sample(s gather.Sample) {
+func (d *desk) Sample(s gather.HealthCheckResult) {
 	d.samples <- s
 	d.picker.Sample(s)
 }
@@ -50,7 +50,7 @@
 }
 
 func newDesk(t *testing.T, address string, change func(s *gather.Settings)) *desk {
-	terms := &gather.Settings{
+	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, CancelAllowed: true, Tick: 1.0,
 		ConnectTimeout: 2000.0, IdleTimeout: 30000.0, RequestsPerCall: 2, StreamsPerConnection: 4,
 		MaxAttempts: 1, CallCost: 1.0,
@@ -59,10 +59,10 @@
 		},
 	}
 	if change != nil {
-		change(terms)
+		change(settings)
 	}
-	d := &desk{picker: pick.New(1, terms, quiet()), reports: make(chan report, 100), samples: make(chan gather.Sample, 100)}
-	d.Pool = New(terms, 100, d, quiet())
+	d := &desk{picker: pick.New(1, settings, quiet()), reports: make(chan report, 100), samples: make(chan gather.HealthCheckResult, 100)}
+	d.Pool = New(settings, 100, d, quiet())
 	d.list(address, gather.Running)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
@@ -80,7 +80,7 @@
 
 func (d *desk) list(address string, state gather.State) {
 	d.Follow([]Address{{ID: 7, HostPort: address, State: state}})
-	d.picker.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 7, State: state}}})
+	d.picker.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: state}}})
 }
 
 func (d *desk) sockets() int {
@@ -115,25 +115,25 @@
 		want   gather.Outcome
 		broken bool // the connection is not used again
 	}{
-		{"answered", func(c *standin.Conn, id string) { c.Answer(id, "ok", "v") }, gather.Answered, false},
-		{"busy", func(c *standin.Conn, id string) { c.Answer(id, "busy", "") }, gather.Full, false},
-		{"failed", func(c *standin.Conn, id string) { c.Answer(id, "err", "") }, gather.Erred, false},
-		{"ended after the frame", func(c *standin.Conn, _ string) { c.Close() }, gather.Cut, true},
-		{"reset after the frame", func(c *standin.Conn, _ string) { c.Reset() }, gather.Cut, true},
-		{"frame that could not be used", func(c *standin.Conn, _ string) { c.Write('E', "no such shard") }, gather.Cut, true},
-		{"unknown letter", func(c *standin.Conn, _ string) { c.Write('Z', "") }, gather.Cut, true},
-		{"unknown ending", func(c *standin.Conn, id string) { c.Answer(id, "maybe", "") }, gather.Cut, true},
-		{"answer without its line", func(c *standin.Conn, id string) { c.Write('A', id) }, gather.Cut, true},
-		{"length too long", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) }, gather.Cut, true},
-		{"length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) }, gather.Cut, true},
-		{"frame cut off", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() }, gather.Cut, true},
+		{"answered", func(c *standin.Conn, id string) { c.Answer(id, "ok", "v") }, gather.Succeeded, false},
+		{"busy", func(c *standin.Conn, id string) { c.Answer(id, "busy", "") }, gather.Rejected, false},
+		{"failed", func(c *standin.Conn, id string) { c.Answer(id, "err", "") }, gather.Failed, false},
+		{"ended after the frame", func(c *standin.Conn, _ string) { c.Close() }, gather.ConnectionReset, true},
+		{"reset after the frame", func(c *standin.Conn, _ string) { c.Reset() }, gather.ConnectionReset, true},
+		{"frame that could not be used", func(c *standin.Conn, _ string) { c.Write('E', "no such shard") }, gather.ConnectionReset, true},
+		{"unknown letter", func(c *standin.Conn, _ string) { c.Write('Z', "") }, gather.ConnectionReset, true},
+		{"unknown ending", func(c *standin.Conn, id string) { c.Answer(id, "maybe", "") }, gather.ConnectionReset, true},
+		{"answer without its line", func(c *standin.Conn, id string) { c.Write('A', id) }, gather.ConnectionReset, true},
+		{"length too long", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) }, gather.ConnectionReset, true},
+		{"length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) }, gather.ConnectionReset, true},
+		{"frame cut off", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() }, gather.ConnectionReset, true},
 		// The answer that this one stands for will not come: waiting for it would take all of the lookup's time.
-		{"answer for a name never asked", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") }, gather.Cut, true},
-		{"score that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") }, gather.Cut, true},
-		{"report that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") }, gather.Answered, false},
-		{"no report", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1\nv") }, gather.Answered, false},
-		{"value with the next frame in it", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\nv\x08\x00\x00\x00Ab.0") }, gather.Cut, true},
-		{"value that is no text", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\n\xff\xfe") }, gather.Cut, true},
+		{"answer for a name never asked", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") }, gather.ConnectionReset, true},
+		{"score that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") }, gather.ConnectionReset, true},
+		{"report that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") }, gather.Succeeded, false},
+		{"no report", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1\nv") }, gather.Succeeded, false},
+		{"value with the next frame in it", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\nv\x08\x00\x00\x00Ab.0") }, gather.ConnectionReset, true},
+		{"value that is no text", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\n\xff\xfe") }, gather.ConnectionReset, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shard := standin.NewShard(t)
@@ -148,10 +148,10 @@
 			c.act(conn, "a.0")
 			d.want(t, "a.0", c.want)
 			v := <-done
-			if (v.Kind == pick.Satisfied) != (c.want == gather.Answered) {
+			if (v.Kind == pick.Satisfied) != (c.want == gather.Succeeded) {
 				t.Errorf("verdict %+v", v)
 			}
-			if v.Kind == pick.Nacked && !c.want.Unrun() {
+			if v.Kind == pick.Nacked && !c.want.NeverExecuted() {
 				t.Error("nacked, though it may have run")
 			}
 			if c.broken {
@@ -245,7 +245,7 @@
 	shard.Close()
 	d := newDesk(t, shard.Address(), nil)
 	done := d.ask(t.Context(), "a", 1, 2000)
-	d.want(t, "a.0", gather.Unreached)
+	d.want(t, "a.0", gather.ConnectFailed)
 	if v := <-done; v.Kind != pick.Nacked {
 		t.Errorf("verdict %+v: it never ran, so that the client may come again", v)
 	}
@@ -265,7 +265,7 @@
 		name  string
 		whole bool
 		want  gather.Outcome
-	}{{"broken before the last byte", false, gather.Unreached}, {"broken after it", true, gather.Cut}} {
+	}{{"broken before the last byte", false, gather.ConnectFailed}, {"broken after it", true, gather.ConnectionReset}} {
 		t.Run(c.name, func(t *testing.T) {
 			d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 			theirs := d.pipe()
@@ -288,7 +288,7 @@
 	for _, c := range []struct {
 		callOff, copies bool
 		want            gather.Outcome
-	}{{true, true, gather.CalledOff}, {true, false, gather.Unreached}, {false, false, gather.Unreached}} {
+	}{{true, true, gather.Cancelled}, {true, false, gather.ConnectFailed}, {false, false, gather.ConnectFailed}} {
 		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.CancelAllowed = c.callOff
 			s.HedgingAllowed = c.copies
@@ -372,7 +372,7 @@
 				<-done
 			}
 			close(hold)
-			d.want(t, "a.0", gather.Stale)
+			d.want(t, "a.0", gather.NotSent)
 			d.list(shard.Address(), gather.Running)
 			d.ask(t.Context(), "b", 1, 2000)
 			f := shard.Take().Read()
@@ -399,7 +399,7 @@
 	if v := <-done; v.Kind != pick.Left {
 		t.Errorf("verdict %+v", v)
 	}
-	d.want(t, "a.0", gather.CalledOff)
+	d.want(t, "a.0", gather.Cancelled)
 	if f := conn.Read(); f.Letter != 'X' || f.Body != "a.0" {
 		t.Errorf("frame %+v", f)
 	}
@@ -407,7 +407,7 @@
 	done = d.ask(t.Context(), "b", 1, 2000)
 	conn.Read()
 	conn.Answer("b.0", "ok", "v")
-	d.want(t, "b.0", gather.Answered)
+	d.want(t, "b.0", gather.Succeeded)
 	if v := <-done; len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
 		t.Errorf("verdict %+v", v)
 	}
@@ -479,7 +479,7 @@
 	conn.Answer("a.0", "ok", "v")
 	<-done
 	d.Follow([]Address{{ID: 7, HostPort: one.Address()}, {ID: 8, HostPort: two.Address()}})
-	d.picker.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 7, State: gather.Draining}, {ID: 8}}})
+	d.picker.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
 	d.ask(t.Context(), "b", 1, 2000)
 	two.Take().Read()
 	if n := d.sockets(); n != 1 {
@@ -512,12 +512,12 @@
 }
 
 func TestOutcome(t *testing.T) {
-	if got := Outcome(io.EOF); got != gather.Cut {
+	if got := Outcome(io.EOF); got != gather.ConnectionReset {
 		t.Errorf("an error without a stage is %d; it may have run", got)
 	}
 	unrun := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, TurnedAway: true, NotOwned: true}
 	for s := range stageNumber {
-		if got := Outcome(&Error{s, io.EOF}); got.Unrun() != unrun[s] || got == gather.Answered {
+		if got := Outcome(&Error{s, io.EOF}); got.NeverExecuted() != unrun[s] || got == gather.Succeeded {
 			t.Errorf("stage %d is outcome %d", s, got)
 		}
 	}
--- a/internal/shardcall/probe.go
+++ b/internal/shardcall/probe.go
@@ -51,9 +51,9 @@
 	if pr.on != nil {
 		pr.on.free()
 	}
-	smp := gather.Sample{Server: pr.server, Waited: float64(time.Since(pr.at)) / 1e6, Passed: report != nil, Waiting: -1, Latency: -1}
+	smp := gather.HealthCheckResult{Server: pr.server, Elapsed: float64(time.Since(pr.at)) / 1e6, Succeeded: report != nil, QueueLength: -1, Latency: -1}
 	if string(report) == "err" {
-		smp.Passed = false
+		smp.Succeeded = false
 	}
 	for pair := range bytes.SplitSeq(report, []byte{','}) { // what can't be read tells nothing, as "-" does
 		name, text, _ := bytes.Cut(pair, []byte{'='})
@@ -63,7 +63,7 @@
 		}
 		switch string(name) { // the settings and the frames word them differently
 		case "queue", "backlog":
-			smp.Waiting = v
+			smp.QueueLength = v
 		case "latency_ms", "recent_ms":
 			smp.Latency = v
 		}
--- a/internal/shardcall/probe_test.go
+++ b/internal/shardcall/probe_test.go
@@ -9,7 +9,7 @@
 )
 
 // load asks for a load and gives back what came of it.
-func (d *desk) load() gather.Sample {
+func (d *desk) load() gather.HealthCheckResult {
 	d.Carry(pick.Orders{Probes: []uint32{7}})
 	return <-d.samples
 }
@@ -38,7 +38,7 @@
 				}
 				conn.Write('L', c.told)
 			}()
-			if s := d.load(); s.Server != 7 || s.Passed != c.passed || s.Waiting != c.waiting || s.Latency != c.latency || s.Waited <= 0 {
+			if s := d.load(); s.Server != 7 || s.Succeeded != c.passed || s.QueueLength != c.waiting || s.Latency != c.latency || s.Elapsed <= 0 {
 				t.Errorf("%+v", s)
 			}
 		})
@@ -52,7 +52,7 @@
 	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
 	conns := make(chan *standin.Conn, 2)
 	go func() { conns <- shard.Take() }()
-	if s := d.load(); s.Passed {
+	if s := d.load(); s.Succeeded {
 		t.Errorf("silent: %+v", s)
 	}
 	conn := <-conns
@@ -64,21 +64,21 @@
 	}
 	conn.Write('L', "queue=1,latency_ms=1")
 	conn.Write('L', "queue=2,latency_ms=2")
-	if s := <-d.samples; s.Passed && s.Waiting != 2 {
+	if s := <-d.samples; s.Succeeded && s.QueueLength != 2 {
 		t.Errorf("an answer that was too late counts for the next: %+v", s)
 	}
 	d.Carry(pick.Orders{Probes: []uint32{7}})
 	conn.Read()
 	conn.Close()
-	if s := <-d.samples; s.Passed {
+	if s := <-d.samples; s.Succeeded {
 		t.Errorf("cut: %+v", s)
 	}
 	shard.Close()
-	if s := d.load(); s.Passed {
+	if s := d.load(); s.Succeeded {
 		t.Errorf("unreached: %+v", s)
 	}
 	d.list(shard.Address(), gather.Draining)
-	if s := d.load(); s.Passed {
+	if s := d.load(); s.Succeeded {
 		t.Errorf("draining: %+v", s)
 	}
 	if len(d.samples) > 0 {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -63,12 +63,12 @@
 }
 
 var outcomes = map[string]gather.Outcome{
-	"pass": gather.Answered, "fault": gather.Erred, "no_room": gather.Full, "too_slow": gather.TimedOut,
-	"no_route": gather.Unreached, "cut": gather.Cut, "undone": gather.CalledOff, "stale_send": gather.Stale,
+	"pass": gather.Succeeded, "fault": gather.Failed, "no_room": gather.Rejected, "too_slow": gather.TimedOut,
+	"no_route": gather.ConnectFailed, "cut": gather.ConnectionReset, "undone": gather.Cancelled, "stale_send": gather.NotSent,
 }
 
 var states = map[string]gather.State{
-	"Running": gather.Running, "Stopping": gather.Draining, "Deleted": gather.Gone,
+	"Running": gather.Running, "Stopping": gather.Draining, "Deleted": gather.Removed,
 }
 
 func ms(us float64) float64 { return us / 1000 }
@@ -84,7 +84,7 @@
 	out       *bufio.Writer
 	instances map[int64]*instance
 	order     []int64 // instances in the order of their first event of the batch
-	sheets    map[int][]gather.Server
+	sheets    map[int][]gather.Endpoint
 	now       float64
 	batch     int64
 	open      bool
@@ -96,7 +96,7 @@
 	h := &host{
 		out:       bufio.NewWriterSize(out, 1<<16),
 		instances: map[int64]*instance{},
-		sheets:    map[int][]gather.Server{},
+		sheets:    map[int][]gather.Endpoint{},
 	}
 	r := bufio.NewReaderSize(in, 1<<20)
 	for line := 1; ; line++ {
@@ -149,14 +149,14 @@
 	if m.Sheet == nil {
 		return errors.New("DefineList: no sheet")
 	}
-	list := make([]gather.Server, 0, len(m.Members))
+	list := make([]gather.Endpoint, 0, len(m.Members))
 	for _, e := range m.Members {
 		state, known := states[e.Condition]
 		if !known || e.Server == nil {
 			return fmt.Errorf("DefineList: entry without server or with condition %q", e.Condition)
 		}
-		list = append(list, gather.Server{ID: *e.Server, Group: e.Group, Zone: e.Zone, Kind: e.Kind,
-			Size: e.Size, State: state, Started: ms(e.Started)})
+		list = append(list, gather.Endpoint{ID: *e.Server, ReplicaSet: e.Group, Zone: e.Zone, Kind: e.Kind,
+			Size: e.Size, State: state, StartedAt: ms(e.Started)})
 	}
 	h.sheets[*m.Sheet] = list
 	return nil
@@ -195,16 +195,16 @@
 		if m.Server == nil {
 			return errors.New("no server")
 		}
-		s := gather.Sample{Server: *m.Server, Waited: ms(m.Wait), Passed: m.Verdict == "pass", Waiting: -1, Latency: -1}
+		s := gather.HealthCheckResult{Server: *m.Server, Elapsed: ms(m.Wait), Succeeded: m.Verdict == "pass", QueueLength: -1, Latency: -1}
 		if m.Health.Waiting != nil {
-			s.Waiting = *m.Health.Waiting
+			s.QueueLength = *m.Health.Waiting
 		}
 		if m.Health.Latency != nil {
 			s.Latency = *m.Health.Latency
 		}
-		r.Samples = append(r.Samples, s)
+		r.HealthChecks = append(r.HealthChecks, s)
 	case "RosterChange":
-		list := gather.List{Full: m.Form == "F" || m.Form == "C", Failed: m.Form == "X"}
+		list := gather.EndpointList{Full: m.Form == "F" || m.Form == "C", Failed: m.Form == "X"}
 		if !list.Full && !list.Failed && m.Form != "D" {
 			return fmt.Errorf("unknown form %q", m.Form)
 		}
@@ -216,15 +216,15 @@
 			if !known {
 				return fmt.Errorf("sheet %d was never defined", *m.Sheet)
 			}
-			list.Servers = servers
+			list.Endpoints = servers
 		}
-		r.Lists = append(r.Lists, list)
+		r.EndpointLists = append(r.EndpointLists, list)
 	case "Accept":
 		if m.Ref == nil || m.Query == nil || m.Shard == nil {
 			return errors.New("no ref, query or shard")
 		}
 		if *m.Shard >= 0 {
-			r.Parts = append(r.Parts, gather.Part{ID: *m.Ref, Number: *m.Query, Shard: *m.Shard,
+			r.Requests = append(r.Requests, gather.ShardRequest{ID: *m.Ref, Number: *m.Query, Shard: *m.Shard,
 				Weight: m.Amount, Cost: ms(m.Hint), Key: m.Key})
 			return nil
 		}
@@ -234,20 +234,20 @@
 				return err
 			}
 		}
-		r.Lookups = append(r.Lookups, gather.Lookup{ID: *m.Ref, Number: *m.Query, Index: m.Class,
-			Customer: customer, Cost: ms(m.Hint), Key: m.Key, GiveUpAt: ms(m.GiveUpAt), Retry: m.Retry, Write: m.Update})
+		r.Queries = append(r.Queries, gather.Query{ID: *m.Ref, Number: *m.Query, Class: m.Class,
+			Tenant: customer, Cost: ms(m.Hint), Key: m.Key, Deadline: ms(m.GiveUpAt), Retry: m.Retry, Write: m.Update})
 	case "ClosedAttempt":
 		outcome, known := outcomes[m.Verdict]
 		if m.Ref == nil || m.Server == nil || !known {
 			return fmt.Errorf("no ref or server, or verdict %q", m.Verdict)
 		}
-		r.Endings = append(r.Endings, gather.Ending{Part: *m.Ref, Server: *m.Server, Call: m.SendNo,
-			Waited: ms(m.Wait), Outcome: outcome, Over: m.Closed})
+		r.Results = append(r.Results, gather.AttemptResult{Request: *m.Ref, Server: *m.Server, Attempt: m.SendNo,
+			Elapsed: ms(m.Wait), Outcome: outcome, Finished: m.Closed})
 	case "CancelledByClient":
 		if m.Ref == nil {
 			return errors.New("no ref")
 		}
-		r.Left = append(r.Left, *m.Ref)
+		r.Abandoned = append(r.Abandoned, *m.Ref)
 	default:
 		return errors.New("unknown message")
 	}
@@ -266,8 +266,8 @@
 		h.speaking = id
 		h.run(in)
 		r := &in.round
-		*r = gather.Round{Lists: r.Lists[:0], Lookups: r.Lookups[:0], Parts: r.Parts[:0], Endings: r.Endings[:0],
-			Samples: r.Samples[:0], Left: r.Left[:0]}
+		*r = gather.Round{EndpointLists: r.EndpointLists[:0], Queries: r.Queries[:0], Requests: r.Requests[:0], Results: r.Results[:0],
+			HealthChecks: r.HealthChecks[:0], Abandoned: r.Abandoned[:0]}
 	}
 	h.order = h.order[:0]
 	h.open = false
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -33,7 +33,7 @@
 	h.act("PassOn", `,"ref":`, num(part), `,"server":`, num(uint64(server)), `,"cap":`, us(timeout))
 }
 
-func (h *host) CallOff(part uint64, call int) {
+func (h *host) Cancel(part uint64, call int) {
 	h.act("UndoSend", `,"ref":`, num(part), `,"sendNo":`, strconv.Itoa(call))
 }
 
@@ -41,14 +41,14 @@
 	h.act("SettleQuery", `,"ref":`, num(lookup), `,"complete":`, strconv.FormatBool(whole))
 }
 
-func (h *host) Nack(lookup uint64, comeBack float64) {
+func (h *host) Reject(lookup uint64, comeBack float64) {
 	h.act("PushBack", `,"ref":`, num(lookup), `,"pause":`, us(comeBack))
 }
 
-func (h *host) Abort(lookup uint64) { h.act("EndFailed", `,"ref":`, num(lookup)) }
+func (h *host) Fail(lookup uint64) { h.act("EndFailed", `,"ref":`, num(lookup)) }
 
 func (h *host) Wake(after float64) { h.act("Schedule", `,"sleepFor":`, us(after), `,"ctx":"round"`) }
 
 func (h *host) Subscribe() { h.act("Follow", `,"complete":true`) }
 
-func (h *host) Probe(server uint32) { h.act("Inspect", `,"server":`, num(uint64(server))) }
+func (h *host) CheckHealth(server uint32) { h.act("Inspect", `,"server":`, num(uint64(server))) }
--- a/internal/study/lawless_test.go
+++ b/internal/study/lawless_test.go
@@ -10,8 +10,8 @@
 var breakOf6 = rules.Break{Rule: 6, Words: "seven part calls too many"}
 
 // lawless takes once-only indexes for idempotent ones: it breaks rule 2 wherever a call is cut.
-var lawless = emulator.Variant{Name: "lawless", Module: func(seed uint64, terms *gather.Settings, _ emulator.Look) gather.Module {
-	blind := terms.Clone()
+var lawless = emulator.Variant{Name: "lawless", Module: func(seed uint64, settings *gather.Settings, _ emulator.Look) gather.Module {
+	blind := settings.Clone()
 	for i := range blind.Classes {
 		if blind.Classes[i].Effect == gather.NonIdempotent {
 			blind.Classes[i].Effect = gather.Idempotent
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -33,17 +33,17 @@
 
 // Create begins a record by a gatherer's terms, at its time. Shards is 0 where no map says who owns their keys. With
 // atOnce a process that is killed leaves a record that lacks nothing but its last line; each event costs a system call.
-func Create(name string, most float64, atOnce bool, terms *gather.Settings, shards int, now float64) (*File, error) {
+func Create(name string, most float64, atOnce bool, settings *gather.Settings, shards int, now float64) (*File, error) {
 	f, err := os.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	h := rules.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: terms.DrainGrace, Slack: terms.AnswerSlack, Indexes: map[string]rules.Index{}}
-	if terms.RetryBudgetWindow > 0 {
-		h.Budget = &rules.Budget{Span: terms.RetryBudgetWindow, Free: terms.RetryBudgetFloor, Share: terms.RetryBudgetRatio}
+	h := rules.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: settings.DrainGrace, Slack: settings.AnswerSlack, Indexes: map[string]rules.Index{}}
+	if settings.RetryBudgetWindow > 0 {
+		h.Budget = &rules.Budget{Span: settings.RetryBudgetWindow, Free: settings.RetryBudgetFloor, Share: settings.RetryBudgetRatio}
 	}
-	for _, name := range terms.ClassNames() {
-		h.Indexes[name] = rules.Index{Effect: string(terms.Class(name).Effect), Window: terms.Class(name).IdempotencyWindow, Whole: terms.Class(name).CompleteShare, Least: terms.Class(name).MinShare}
+	for _, name := range settings.ClassNames() {
+		h.Indexes[name] = rules.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
 	}
 	return &File{f: f, w: rules.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*pick.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
 }
@@ -87,17 +87,17 @@
 	return nil
 }
 
-var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Gone: "gone"}
+var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}
 
 // Follow records what the gatherer was told of servers.
-func (r *File) Follow(l gather.List, at float64) {
+func (r *File) Follow(l gather.EndpointList, at float64) {
 	if l.Failed {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := map[uint32]bool{}
-	for _, s := range l.Servers {
+	for _, s := range l.Endpoints {
 		listed[s.ID] = true
 		if was, known := r.states[s.ID]; !known || was != s.State {
 			r.states[s.ID] = s.State
@@ -161,7 +161,7 @@
 		return
 	}
 	r.see(c.At()+waited, rules.Event{Kind: rules.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Outcome: outcome.String(),
-		Empty: c.First() && outcome == gather.Answered && s.Empty, Keys: keysOf(c)})
+		Empty: c.First() && outcome == gather.Succeeded && s.Empty, Keys: keysOf(c)})
 }
 
 // Closed is of no interest to the rules.
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -140,7 +140,7 @@
 	r.byID[t.ID] = t
 }
 
-var passes = map[gather.Pass]string{gather.Only: "only", gather.First: "first", gather.Second: "second"}
+var passes = map[gather.Pass]string{gather.SinglePass: "only", gather.FirstPass: "first", gather.SecondPass: "second"}
 
 // Sent adds a call.
 func (r *Recorder) Sent(c *pick.Call, at float64) {
@@ -157,8 +157,8 @@
 	}
 }
 
-var ends = map[gather.Outcome]string{gather.Answered: "answered", gather.Erred: "failed", gather.Full: "turned away", gather.TimedOut: "out of time",
-	gather.Unreached: "not reached", gather.Cut: "cut off", gather.CalledOff: "given up", gather.Stale: "never sent", gather.Moved: "not owned there"}
+var ends = map[gather.Outcome]string{gather.Succeeded: "answered", gather.Failed: "failed", gather.Rejected: "turned away", gather.TimedOut: "out of time",
+	gather.ConnectFailed: "not reached", gather.ConnectionReset: "cut off", gather.Cancelled: "given up", gather.NotSent: "never sent", gather.NotOwner: "not owned there"}
 
 // Heard ends a call.
 func (r *Recorder) Heard(c *pick.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
@@ -175,7 +175,7 @@
 	call := &t.Calls[i]
 	call.End, call.Took = ends[outcome], round(waited)
 	switch {
-	case !c.First() || outcome != gather.Answered:
+	case !c.First() || outcome != gather.Succeeded:
 	case s.Empty:
 		call.Summary = "nothing, at version " + s.Version
 	default:
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -138,7 +138,7 @@
 	ready := use(m, rows)
 	less := *m
 	less.Hosts = slices.Clone(m.Hosts)
-	less.Hosts[1].State = gather.Gone
+	less.Hosts[1].State = gather.Removed
 	again := solve(t, &less)
 	if best := again.Steps[0].Greatest.Float(); ready > best+1e-9 || best > 0.55 {
 		t.Errorf("greatest utilisation %g made ready, %g solved again", ready, best)
@@ -251,13 +251,13 @@
 	s.outs = append(s.outs, out{s.at, s.now + 20, part, server})
 	s.sent = append(s.sent, out{s.at, s.now, part, server})
 }
-func (*several) CallOff(uint64, int)  {}
-func (*several) Answer(uint64, bool)  {}
-func (*several) Nack(uint64, float64) {}
-func (*several) Abort(uint64)         {}
-func (*several) Wake(float64)         {}
-func (*several) Subscribe()           {}
-func (*several) Probe(uint32)         {}
+func (*several) Cancel(uint64, int)     {}
+func (*several) Answer(uint64, bool)    {}
+func (*several) Reject(uint64, float64) {}
+func (*several) Fail(uint64)            {}
+func (*several) Wake(float64)           {}
+func (*several) Subscribe()             {}
+func (*several) CheckHealth(uint32)     {}
 
 // TestSeveral lets uneven gatherers follow one plan beside a host that warms up, and wants the host never sent more
 // than rule 4 allows in any window, by all of them together; and more than nothing.
@@ -266,7 +266,7 @@
 	cold := &m.Hosts[2]
 	cold.Started, cold.Warming, cold.ColdShare = m.At, 10000, 0.2
 	plan := solve(t, m)
-	terms := &gather.Settings{
+	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 3, Tick: 5.0, Gatherers: 7,
 		WarmupTime: cold.Warming, InitialCapacityShare: cold.ColdShare, OverloadWindow: 2000.0,
 		OverloadMultiple: 3.0,
@@ -277,13 +277,13 @@
 	w := &several{}
 	var gs []*logic.Gatherer
 	ids := map[string]uint32{}
-	list := gather.List{Full: true}
+	list := gather.EndpointList{Full: true}
 	for i, h := range m.Hosts {
 		ids[h.Name] = uint32(i)
-		list.Servers = append(list.Servers, gather.Server{ID: uint32(i), Started: h.Started})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), StartedAt: h.Started})
 	}
 	for i := range 7 {
-		own := terms.Clone()
+		own := settings.Clone()
 		own.GathererIndex = i
 		gs = append(gs, logic.New(uint64(i), own))
 	}
@@ -293,7 +293,7 @@
 		for i, g := range gs {
 			in := gather.Round{Now: w.now}
 			if w.now == m.At {
-				in.Lists = []gather.List{list}
+				in.EndpointLists = []gather.EndpointList{list}
 			}
 			if math.Mod(w.now-m.At, 250) == 0 {
 				rows, _, _ := plan.InForce(w.now, func(string) bool { return true })
@@ -301,14 +301,14 @@
 			}
 			// 160 parts a second, half of them at one gatherer.
 			if turn++; i == 0 && turn%21 < 17 && math.Mod(w.now, 10) == 0 || i > 0 && (turn+i)%60 == 0 {
-				in.Lookups = []gather.Lookup{{ID: id, Number: id, Index: "i", GiveUpAt: w.now + 2000}}
-				in.Parts = []gather.Part{{ID: id + 1, Number: id, Weight: 1}}
+				in.Queries = []gather.Query{{ID: id, Number: id, Class: "i", Deadline: w.now + 2000}}
+				in.Requests = []gather.ShardRequest{{ID: id + 1, Number: id, Weight: 1}}
 				id += 2
 			}
 			rest := w.outs[:0]
 			for _, o := range w.outs {
 				if o.g == i && o.at <= w.now {
-					in.Endings = append(in.Endings, gather.Ending{Part: o.part, Server: o.shd, Outcome: gather.Answered, Over: true})
+					in.Results = append(in.Results, gather.AttemptResult{Request: o.part, Server: o.shd, Outcome: gather.Succeeded, Finished: true})
 				} else {
 					rest = append(rest, o)
 				}
--- a/logic/balance/clash.go
+++ b/logic/balance/clash.go
@@ -105,7 +105,7 @@
 	switch {
 	case host.State == gather.Draining:
 		return placement.HostDraining
-	case host.State == gather.Gone || p.lost != nil && p.lost[h]:
+	case host.State == gather.Removed || p.lost != nil && p.lost[h]:
 		return placement.HostGone
 	case host.Started > at-p.m.Clocks:
 		return placement.HostComing
--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -115,7 +115,7 @@
 		return "lost in this case"
 	case h.State == gather.Draining:
 		return "draining"
-	case h.State == gather.Gone:
+	case h.State == gather.Removed:
 		return "gone"
 	case h.Started > at-p.m.Clocks:
 		return "not started yet"
--- a/logic/baselines/baselines.go
+++ b/logic/baselines/baselines.go
@@ -84,7 +84,7 @@
 }
 
 type part struct {
-	gather.Part
+	gather.ShardRequest
 	lk    *lookup
 	calls []call
 	out   int
@@ -94,84 +94,84 @@
 }
 
 type lookup struct {
-	gather.Lookup
+	gather.Query
 	parts  []*part
 	opened bool
 	over   bool
 }
 
 type server struct {
-	gather.Server
+	gather.Endpoint
 	out int
 }
 
 // Module is a gatherer that goes by one idea; it is a gather.Module.
 type Module struct {
-	terms   *gather.Settings
-	idea    Idea
-	chance  *pcg.Source
-	now     float64
-	w       gather.Writer
-	servers map[uint32]*server
-	holders [][]uint32
-	turns   []int
-	held    []*lookup
-	numbers map[uint64]*lookup
-	parts   map[uint64]*part
-	taken   []float64
-	further []float64
-	took    []float64 // ring of latencies
-	next    int
-	wakeAt  float64
+	settings *gather.Settings
+	idea     Idea
+	chance   *pcg.Source
+	now      float64
+	w        gather.Writer
+	servers  map[uint32]*server
+	holders  [][]uint32
+	turns    []int
+	held     []*lookup
+	numbers  map[uint64]*lookup
+	parts    map[uint64]*part
+	taken    []float64
+	further  []float64
+	took     []float64 // ring of latencies
+	next     int
+	wakeAt   float64
 }
 
 // New makes a gatherer that knows only its terms.
-func New(seed uint64, terms *gather.Settings, idea Idea) *Module {
-	m := &Module{terms: terms, idea: idea, chance: pcg.New(seed), servers: map[uint32]*server{},
+func New(seed uint64, settings *gather.Settings, idea Idea) *Module {
+	m := &Module{settings: settings, idea: idea, chance: pcg.New(seed), servers: map[uint32]*server{},
 		numbers: map[uint64]*lookup{}, parts: map[uint64]*part{}}
-	m.turns = make([]int, max(terms.ReplicaSets, 1))
+	m.turns = make([]int, max(settings.ReplicaSets, 1))
 	for i := range m.turns {
 		m.turns[i] = int(m.chance.Uint32() >> 8)
 	}
 	return m
 }
 
-func (m *Module) tick() float64 { return max(m.terms.Tick, 1) }
+func (m *Module) tick() float64 { return max(m.settings.Tick, 1) }
 
-// Room is how many further part calls the budget has left.
-func (m *Module) Room() float64 {
-	allowed := m.terms.RetryBudgetFloor + m.terms.RetryBudgetRatio*float64(len(m.taken))
+// RetryBudgetLeft is how many further part calls the budget has left.
+func (m *Module) RetryBudgetLeft() float64 {
+	allowed := m.settings.RetryBudgetFloor + m.settings.RetryBudgetRatio*float64(len(m.taken))
 	return allowed - float64(len(m.further))
 }
 
 // Round takes in all that came at one moment and decides.
 func (m *Module) Round(in *gather.Round, w gather.Writer) {
 	m.now, m.w = in.Now, w
-	for i := range in.Lists {
-		m.follow(&in.Lists[i])
+	for i := range in.EndpointLists {
+		m.follow(&in.EndpointLists[i])
 	}
-	for i := range in.Endings {
-		m.ended(&in.Endings[i])
+	for i := range in.Results {
+		m.ended(&in.Results[i])
 	}
-	for _, l := range in.Lookups {
-		lk := &lookup{Lookup: l}
+	for _, l := range in.Queries {
+		lk := &lookup{Query: l}
 		m.held, m.numbers[l.Number] = append(m.held, lk), lk
 		m.taken = append(m.taken, m.now)
 	}
-	for _, pt := range in.Parts {
+	for _, pt := range in.Requests {
 		m.taken = append(m.taken, m.now)
 		if lk := m.numbers[pt.Number]; lk != nil {
-			p := &part{Part: pt, lk: lk}
+			p := &part{ShardRequest: pt, lk: lk}
 			lk.parts = append(lk.parts, p)
 			m.parts[pt.ID] = p
 		}
 	}
 	for _, lk := range m.held {
-		if slices.Contains(in.Left, lk.ID) {
+		if slices.Contains(in.Abandoned, lk.ID) {
 			m.drop(lk)
 		}
 	}
-	span := m.terms.RetryBudgetWindow
+	span := m.settings.RetryBudgetWindow
 	m.taken, m.further = m.since(m.taken, span-m.tick()), m.since(m.further, span+m.tick())
 	for _, lk := range m.held {
 		if !lk.over {
@@ -190,20 +190,20 @@
 	return times[old:]
 }
 
-func (m *Module) follow(l *gather.List) {
+func (m *Module) follow(l *gather.EndpointList) {
 	if l.Failed {
 		return
 	}
 	if l.Full {
 		for _, s := range m.servers {
-			s.State = gather.Gone
+			s.State = gather.Removed
 		}
 	}
-	for _, e := range l.Servers {
+	for _, e := range l.Endpoints {
 		if s := m.servers[e.ID]; s != nil {
-			s.Server = e
+			s.Endpoint = e
 		} else {
-			m.servers[e.ID] = &server{Server: e}
+			m.servers[e.ID] = &server{Endpoint: e}
 		}
 	}
 	ids := make([]uint32, 0, len(m.servers))
@@ -211,30 +211,30 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids) // against the order of a map
-	groups, row := len(m.turns), max(m.terms.ReplicaSetsPerShard, 1)
+	groups, row := len(m.turns), max(m.settings.ReplicaSetsPerShard, 1)
 	m.holders = make([][]uint32, groups)
 	for _, id := range ids {
 		s := m.servers[id]
-		for j := 0; s.State == gather.Running && s.Group >= 0 && s.Group < groups && j < row; j++ {
-			base := ((s.Group-j)%groups + groups) % groups
+		for j := 0; s.State == gather.Running && s.ReplicaSet >= 0 && s.ReplicaSet < groups && j < row; j++ {
+			base := ((s.ReplicaSet-j)%groups + groups) % groups
 			m.holders[base] = append(m.holders[base], id)
 		}
 	}
 }
 
-func (m *Module) ended(e *gather.Ending) {
-	p := m.parts[e.Part]
-	if p == nil || e.Call >= len(p.calls) || p.calls[e.Call].ended {
+func (m *Module) ended(e *gather.AttemptResult) {
+	p := m.parts[e.Request]
+	if p == nil || e.Attempt >= len(p.calls) || p.calls[e.Attempt].ended {
 		return
 	}
-	c := &p.calls[e.Call]
-	c.ended, c.unrun = true, e.Outcome.Unrun()
+	c := &p.calls[e.Attempt]
+	c.ended, c.unrun = true, e.Outcome.NeverExecuted()
 	p.out--
-	p.over = p.over || e.Over
+	p.over = p.over || e.Finished
 	if s := m.servers[c.server]; s != nil {
 		s.out--
 	}
-	if e.Outcome == gather.Answered {
+	if e.Outcome == gather.Succeeded {
 		p.in = true
 		if len(m.took) < kept {
 			m.took = append(m.took, m.now-c.at)
@@ -250,7 +250,7 @@
 
 // hedgeAfter is how long a call is out before a second copy goes, infinite where none does.
 func (m *Module) hedgeAfter() float64 {
-	if m.idea.Hedge == 0 || len(m.took) < fewest || !m.terms.HedgingAllowed {
+	if m.idea.Hedge == 0 || len(m.took) < fewest || !m.settings.HedgingAllowed {
 		return math.Inf(1)
 	}
 	sorted := slices.Clone(m.took)
@@ -258,15 +258,15 @@
 	return sorted[int(m.idea.Hedge*float64(len(sorted)-1))]
 }
 
-func (m *Module) effect(p *part) gather.Effect { return m.terms.Class(p.lk.Index).Effect }
+func (m *Module) effect(p *part) gather.Effect { return m.settings.Class(p.lk.Class).Effect }
 
 // allowed reports whether the rules let a part be sent once more.
 func (m *Module) allowed(p *part) bool {
-	if p.over || len(p.calls) >= m.terms.MaxAttempts {
+	if p.over || len(p.calls) >= m.settings.MaxAttempts {
 		return false
 	}
 	for _, c := range p.calls {
-		outside := m.effect(p) == gather.IdempotencyKeyed && m.now > c.at+m.terms.Class(p.lk.Index).IdempotencyWindow-m.tick()
+		outside := m.effect(p) == gather.IdempotencyKeyed && m.now > c.at+m.settings.Class(p.lk.Class).IdempotencyWindow-m.tick()
 		if !c.unrun && (outside || m.effect(p) == gather.NonIdempotent) {
 			return false
 		}
@@ -275,7 +275,7 @@
 }
 
 func (m *Module) tend(lk *lookup) {
-	need, least := m.terms.Class(lk.Index).CompleteShare, m.terms.Class(lk.Index).MinShare
+	need, least := m.settings.Class(lk.Class).CompleteShare, m.settings.Class(lk.Class).MinShare
 	if !lk.opened {
 		lk.opened = true
 		order := slices.Clone(lk.parts)
@@ -302,7 +302,7 @@
 			possible += p.Weight
 		}
 	}
-	timeUp := lk.GiveUpAt-m.now <= 3*m.tick()
+	timeUp := lk.Deadline-m.now <= 3*m.tick()
 	switch {
 	case in >= need-eps, in > 0 && in >= least-eps && (timeUp || possible < need-eps && in >= possible-eps):
 		m.w.Answer(lk.ID, in >= need-eps)
@@ -328,7 +328,7 @@
 		case p.in || !p.asked || p.out > 1 || p.out == 1 && !late:
 		case len(p.calls) == 0:
 			m.send(p, false)
-		case m.allowed(p) && m.Room() >= 1:
+		case m.allowed(p) && m.RetryBudgetLeft() >= 1:
 			m.send(p, true)
 		}
 	}
@@ -347,7 +347,7 @@
 		if slices.ContainsFunc(p.calls, func(c call) bool { return c.server == id }) {
 			continue
 		}
-		if s.Started == 0 || m.now-s.Started >= m.terms.WarmupTime {
+		if s.StartedAt == 0 || m.now-s.StartedAt >= m.settings.WarmupTime {
 			warm, out = append(warm, id), append(out, s.out)
 		} else if s.out == 0 {
 			cold = append(cold, id)
@@ -357,7 +357,7 @@
 	switch {
 	case len(warm) > 0:
 		to = warm[m.idea.Choose(m.chance, &m.turns[base], warm, out)]
-	case len(cold) > 0 && m.chance.Float64() < 1/float64(cmp.Or(m.terms.Gatherers, 1)):
+	case len(cold) > 0 && m.chance.Float64() < 1/float64(cmp.Or(m.settings.Gatherers, 1)):
 		to = cold[int(m.chance.Uint32()%uint32(len(cold)))]
 	default:
 		return
@@ -367,11 +367,11 @@
 	if further {
 		m.further = append(m.further, m.now)
 	}
-	m.w.Send(p.ID, to, p.lk.GiveUpAt-m.now)
+	m.w.Send(p.ID, to, p.lk.Deadline-m.now)
 }
 
 func (m *Module) giveUp(lk *lookup) {
-	harmless := m.terms.Class(lk.Index).Effect == gather.Idempotent
+	harmless := m.settings.Class(lk.Class).Effect == gather.Idempotent
 	unrun := true
 	for _, p := range lk.parts {
 		for _, c := range p.calls {
@@ -379,9 +379,9 @@
 		}
 	}
 	if harmless || unrun {
-		m.w.Nack(lk.ID, min(comeBack, m.terms.MaxRetryAfter))
+		m.w.Reject(lk.ID, min(comeBack, m.settings.MaxRetryAfter))
 	} else {
-		m.w.Abort(lk.ID)
+		m.w.Fail(lk.ID)
 	}
 	m.drop(lk)
 }
@@ -391,8 +391,8 @@
 	delete(m.numbers, lk.Number)
 	for _, p := range lk.parts {
 		for i, c := range p.calls {
-			if !c.ended && m.terms.CancelAllowed {
-				m.w.CallOff(p.ID, i)
+			if !c.ended && m.settings.CancelAllowed {
+				m.w.Cancel(p.ID, i)
 			}
 		}
 		if p.out == 0 {
--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -194,7 +194,7 @@
 			h = &host{fresh: true}
 			m.hosts[given.Name] = h
 		}
-		if h.Started != given.Started || given.State == gather.Gone { // another process than the one judged
+		if h.Started != given.Started || given.State == gather.Removed { // another process than the one judged
 			h.out, h.sickFrom, h.wellFrom, h.times, h.latency, h.fresh = false, 0, 0, 0, 0, true
 			for _, of := range m.seen {
 				delete(of, given.Name)
@@ -256,7 +256,7 @@
 		if h.leftAt > 0 && h.State == gather.Running && !believed && now-h.leftAt < doubts {
 			continue // it stays as it was told
 		}
-		if h.State == gather.Gone || h.leftAt > 0 {
+		if h.State == gather.Removed || h.leftAt > 0 {
 			gone = append(gone, name)
 			if h.toldReady {
 				c.Changed, c.Urgent = append(c.Changed, name), true
--- a/logic/hoststate/hoststate_test.go
+++ b/logic/hoststate/hoststate_test.go
@@ -87,7 +87,7 @@
 					h.Groups = append(h.Groups, int(s.number(g)))
 				}
 			case "state":
-				h.State = map[string]gather.State{"running": gather.Running, "draining": gather.Draining, "gone": gather.Gone}[values[i]]
+				h.State = map[string]gather.State{"running": gather.Running, "draining": gather.Draining, "gone": gather.Removed}[values[i]]
 			case "started":
 				if h.Started = s.number(values[i]); values[i] == "0" {
 					h.Started = s.now
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -64,7 +64,7 @@
 }
 
 type part struct {
-	gather.Part
+	gather.ShardRequest
 	lk    *lookup
 	calls []*call
 	first [1]*call // room for the first of them
@@ -86,7 +86,7 @@
 }
 
 type lookup struct {
-	gather.Lookup
+	gather.Query
 	ix       *index
 	landed   float64
 	parts    []*part
@@ -105,11 +105,11 @@
 
 // Gatherer holds what one gatherer knows.
 type Gatherer struct {
-	terms   *gather.Settings
-	chance  *pcg.Source
-	now     float64
-	w       gather.Writer
-	indexes map[string]*index
+	settings *gather.Settings
+	chance   *pcg.Source
+	now      float64
+	w        gather.Writer
+	indexes  map[string]*index
 
 	// Figures about servers, in parallel arrays under a dense index.
 	dense         map[uint32]int
@@ -156,16 +156,16 @@
 }
 
 // New makes a gatherer that knows only its terms.
-func New(seed uint64, terms *gather.Settings) *Gatherer {
-	g := &Gatherer{terms: terms, chance: pcg.New(seed), dense: map[uint32]int{}, indexes: map[string]*index{},
+func New(seed uint64, settings *gather.Settings) *Gatherer {
+	g := &Gatherer{settings: settings, chance: pcg.New(seed), dense: map[uint32]int{}, indexes: map[string]*index{},
 		parts: map[uint64]*part{}, byNumber: map[uint64]*lookup{}, soft: math.Inf(1),
 		records: records.New(records.Limits{Span: span, Enough: enough, Memory: memory})}
-	g.slow.Take(terms)
-	g.asks = terms.HealthChecksAllowed && terms.LoadReports == "pull"
-	for _, name := range terms.ClassNames() {
+	g.slow.Take(settings)
+	g.asks = settings.HealthChecksAllowed && settings.LoadReports == "pull"
+	for _, name := range settings.ClassNames() {
 		g.soft = min(g.soft, g.index(name).soft)
 	}
-	g.normal, g.holders = g.soft/10, make([][]int, max(terms.ReplicaSets, 1))
+	g.normal, g.holders = g.soft/10, make([][]int, max(settings.ReplicaSets, 1))
 	g.leastDoubt, g.doubtAt = make([]float64, len(g.holders)), make([]uint64, len(g.holders))
 	for range g.holders { // by chance, against all gatherers starting at one replica
 		g.turns = append(g.turns, turn{next: int(g.chance.Uint32() >> 8), at: -1})
@@ -183,43 +183,43 @@
 	}
 	g.now, g.w, g.rounds = in.Now, w, g.rounds+1
 	if in.Settings != nil { // an operator's policy: what lands from now on goes by it
-		g.terms, g.indexes = in.Settings, map[string]*index{}
-		g.slow.Take(g.terms)
+		g.settings, g.indexes = in.Settings, map[string]*index{}
+		g.slow.Take(g.settings)
 		g.slow.Muster(g.now, g.runs)
 	}
-	for i := range in.Lists {
-		g.follow(&in.Lists[i])
+	for i := range in.EndpointLists {
+		g.follow(&in.EndpointLists[i])
 	}
 	if in.Weights != nil {
 		g.plan.Weights = in.Weights
 		g.plan.Lay(g.holders, g.ids, g.chance)
 	}
-	askList := g.terms.EndpointsOnRequest && !g.subscribed
+	askList := g.settings.EndpointsOnRequest && !g.subscribed
 	if askList && g.now >= g.askAt { // against deciding by a list long out of date
 		g.askAt = g.now + 1000
 		w.Subscribe()
 	}
-	for i := range in.Endings {
-		g.ended(&in.Endings[i])
+	for i := range in.Results {
+		g.ended(&in.Results[i])
 	}
-	for _, id := range in.Retired { // other parts take its place
+	for _, id := range in.Superseded { // other parts take its place
 		if p := g.parts[id]; p != nil {
 			p.lk.parts = slices.DeleteFunc(p.lk.parts, func(o *part) bool { return o == p })
 			delete(g.parts, id)
 		}
 	}
-	for _, smp := range in.Samples {
+	for _, smp := range in.HealthChecks {
 		if shd, known := g.dense[smp.Server]; known && g.polled[shd] > 0 {
-			g.polled[shd], g.told[shd], g.way[shd] = 0, g.now, smp.Waited
-			g.queue[shd], g.work[shd] = smp.Waiting, smp.Latency
-			if !smp.Passed {
+			g.polled[shd], g.told[shd], g.way[shd] = 0, g.now, smp.Elapsed
+			g.queue[shd], g.work[shd] = smp.QueueLength, smp.Latency
+			if !smp.Succeeded {
 				g.queue[shd] = silent
 			}
 		}
 	}
 	g.take(in)
 	for _, lk := range g.held { // after take: a client may leave in the round that its lookup lands in
-		if slices.Contains(in.Left, lk.ID) {
+		if slices.Contains(in.Abandoned, lk.ID) {
 			g.drop(lk)
 		}
 	}
@@ -234,16 +234,16 @@
 	}
 }
 
-// Room is how many further part calls the budget had left at the last round.
-func (g *Gatherer) Room() float64 { return g.budget - float64(len(g.further)) }
+// RetryBudgetLeft is how many further part calls the budget had left at the last round.
+func (g *Gatherer) RetryBudgetLeft() float64 { return g.budget - float64(len(g.further)) }
 
-func (g *Gatherer) tick() float64 { return max(g.terms.Tick, 1) }
+func (g *Gatherer) tick() float64 { return max(g.settings.Tick, 1) }
 
 // index picks the terms of a lookup's index, once, against building their names in every round.
 func (g *Gatherer) index(name string) *index {
 	ix := g.indexes[name]
 	if ix == nil {
-		c := g.terms.Class(name)
+		c := g.settings.Class(name)
 		ix = &index{soft: c.LatencyObjective, hard: c.Deadline, lateShare: c.LateValue, whole: c.CompleteShare,
 			least: c.MinShare, partialEarns: c.PartialValue, alone: c.HedgingForbidden, window: c.IdempotencyWindow,
 			secondStep: c.FollowUpRequests, effect: c.Effect}
@@ -253,29 +253,29 @@
 }
 
 // follow takes over a list. A failed one leaves the last in force, as the wire has it.
-func (g *Gatherer) follow(l *gather.List) {
+func (g *Gatherer) follow(l *gather.EndpointList) {
 	if l.Failed {
 		g.subscribed, g.askAt = false, g.now+500+500*g.chance.Float64()
 		return
 	}
 	g.subscribed = g.askAt > 0
 	if l.Full {
-		listed := make(map[uint32]bool, len(l.Servers))
-		for i := range l.Servers {
-			listed[l.Servers[i].ID] = true
+		listed := make(map[uint32]bool, len(l.Endpoints))
+		for i := range l.Endpoints {
+			listed[l.Endpoints[i].ID] = true
 		}
 		for shd, id := range g.ids {
 			if !listed[id] {
-				g.state[shd] = gather.Gone
+				g.state[shd] = gather.Removed
 			}
 		}
 	}
-	groups, row := len(g.turns), g.terms.ReplicaSetsPerShard
-	for i, free := 0, 0; i < len(l.Servers); i++ {
-		e := &l.Servers[i]
+	groups, row := len(g.turns), g.settings.ReplicaSetsPerShard
+	for i, free := 0, 0; i < len(l.Endpoints); i++ {
+		e := &l.Endpoints[i]
 		shd, known := g.dense[e.ID]
 		if !known { // against arrays that grow with every machine replaced: one that is gone leaves its place
-			for ; free < len(g.ids) && (g.state[free] != gather.Gone || len(g.out[free]) > 0); free++ {
+			for ; free < len(g.ids) && (g.state[free] != gather.Removed || len(g.out[free]) > 0); free++ {
 			}
 			shd = free
 			if shd < len(g.ids) {
@@ -293,17 +293,17 @@
 			}
 			g.dense[e.ID], g.ids[shd] = shd, e.ID
 		}
-		if !known || e.Started != g.slow.Started(shd) { // against judging a process by the one before it
+		if !known || e.StartedAt != g.slow.Started(shd) { // against judging a process by the one before it
 			g.records.Forget(shd)
 			g.last[shd], g.rate[shd] = nil, 0
 			g.polled[shd], g.told[shd] = 0, math.Inf(-1)
-			g.slow.Start(shd, e.ID, e.Started)
+			g.slow.Start(shd, e.ID, e.StartedAt)
 		}
-		g.state[shd], g.brief[shd], g.holds[shd] = e.State, e.Brief, e.Holds
-		g.away[shd] = e.Zone != g.terms.Zone
-		here := e.Holds == nil && e.Group >= 0 && e.Group < groups // against sending to one that holds no shard
+		g.state[shd], g.brief[shd], g.holds[shd] = e.State, e.AnswersFirstPass, e.ReplicaSets
+		g.away[shd] = e.Zone != g.settings.Zone
+		here := e.ReplicaSets == nil && e.ReplicaSet >= 0 && e.ReplicaSet < groups // against sending to one that holds no shard
 		for j := 0; here && j < row; j++ {
-			g.holds[shd] = append(g.holds[shd], ((e.Group-j)%groups+groups)%groups)
+			g.holds[shd] = append(g.holds[shd], ((e.ReplicaSet-j)%groups+groups)%groups)
 		}
 	}
 	clear(g.holders)
@@ -321,18 +321,18 @@
 func (g *Gatherer) runs(shd int) bool { return g.state[shd] == gather.Running }
 
 // ended books how a part call went.
-func (g *Gatherer) ended(e *gather.Ending) {
-	p := g.parts[e.Part]
-	if p == nil || e.Call < 0 || e.Call >= len(p.calls) || p.calls[e.Call].ended {
+func (g *Gatherer) ended(e *gather.AttemptResult) {
+	p := g.parts[e.Request]
+	if p == nil || e.Attempt < 0 || e.Attempt >= len(p.calls) || p.calls[e.Attempt].ended {
 		return
 	}
-	c := p.calls[e.Call]
-	c.ended, c.unrun = true, e.Outcome.Unrun()
+	c := p.calls[e.Attempt]
+	c.ended, c.unrun = true, e.Outcome.NeverExecuted()
 	p.out--
-	p.over = p.over || e.Over
+	p.over = p.over || e.Finished
 	g.out[c.shd] = slices.DeleteFunc(g.out[c.shd], func(o *call) bool { return o == c })
 	g.records.Touch(c.shd)
-	waited, limit, passed := g.now-c.at, overS*g.yard(c), e.Outcome == gather.Answered
+	waited, limit, passed := g.now-c.at, overS*g.yard(c), e.Outcome == gather.Succeeded
 	rec := records.Record{At: g.now, Latency: waited, Extra: waited - limit/overS, Weight: c.cost,
 		Passed: passed, Failed: !passed || waited > limit}
 	if passed {
@@ -344,7 +344,7 @@
 		rec.Extra, rec.Lost = rec.Extra+limit, !c.unrun // its next call takes its time as well
 	}
 	// What we ended ourselves before it could be called slow says nothing of the server.
-	if passed || e.Outcome != gather.Stale && (e.Outcome != gather.CalledOff || waited > limit) {
+	if passed || e.Outcome != gather.NotSent && (e.Outcome != gather.Cancelled || waited > limit) {
 		g.records.Add(c.shd, rec)
 	}
 	if p.lk.over && p.out == 0 {
@@ -366,10 +366,10 @@
 
 // reckon brings the budget, and s, f and r of all servers, up to the round.
 func (g *Gatherer) reckon(fade float64) {
-	length, free, share := g.terms.RetryBudgetWindow, g.terms.RetryBudgetFloor, g.terms.RetryBudgetRatio
+	length, free, share := g.settings.RetryBudgetWindow, g.settings.RetryBudgetFloor, g.settings.RetryBudgetRatio
 	if length == 0 {
 		length, free, share = ownSpan, ownFree, ownShare
-		if !g.terms.HedgingAllowed {
+		if !g.settings.HedgingAllowed {
 			free, share = free*recalled, share*recalled
 		}
 	}
@@ -378,7 +378,7 @@
 	g.budget = free + share*float64(len(g.taken))
 	for _, lk := range g.held { // a first pass that hears nothing is made up for by a further call
 		for _, p := range lk.parts {
-			if lk.Pass == gather.First && p.out > 0 {
+			if lk.Pass == gather.FirstPass && p.out > 0 {
 				g.budget -= Reserve
 			}
 		}
@@ -439,31 +439,31 @@
 }
 
 func (g *Gatherer) take(in *gather.Round) {
-	for _, l := range in.Lookups {
-		lk := &lookup{Lookup: l, ix: g.index(l.Index), landed: cmp.Or(l.Since, g.now)}
-		switch ix, left := lk.ix, l.GiveUpAt-g.now; {
-		case !l.Retry && l.Since == 0: // the longest of late; some clients give a try less
+	for _, l := range in.Queries {
+		lk := &lookup{Query: l, ix: g.index(l.Class), landed: cmp.Or(l.ArrivedAt, g.now)}
+		switch ix, left := lk.ix, l.Deadline-g.now; {
+		case !l.Retry && l.ArrivedAt == 0: // the longest of late; some clients give a try less
 			ix.try = max(left, ix.try*0.99)
-		case l.Since == 0 && left < ix.try-4*g.tick(): // cut by the hard deadline, from the first try on
-			lk.landed = min(l.GiveUpAt-ix.hard, g.now)
+		case l.ArrivedAt == 0 && left < ix.try-4*g.tick(): // cut by the hard deadline, from the first try on
+			lk.landed = min(l.Deadline-ix.hard, g.now)
 		}
 		g.held = append(g.held, lk)
 		g.byNumber[l.Number] = lk
-		if l.Pass != gather.Second { // its parts were taken with its first pass, and count once
+		if l.Pass != gather.SecondPass { // its parts were taken with its first pass, and count once
 			g.taken = append(g.taken, g.now)
 		}
 	}
-	slab := make([]part, len(in.Parts)) // at once: one by one they were a quarter of all allocations
-	for i, pt := range in.Parts {
+	slab := make([]part, len(in.Requests)) // at once: one by one they were a quarter of all allocations
+	for i, pt := range in.Requests {
 		lk := g.byNumber[pt.Number]
-		if lk == nil || lk.Pass != gather.Second && (!lk.opened || lk.answered) {
+		if lk == nil || lk.Pass != gather.SecondPass && (!lk.opened || lk.answered) {
 			g.taken = append(g.taken, g.now)
 		}
 		if lk == nil {
 			continue
 		}
 		p := &slab[i]
-		p.Part, p.lk, p.asked = pt, lk, lk.answered // a second step needs all its parts
+		p.ShardRequest, p.lk, p.asked = pt, lk, lk.answered // a second step needs all its parts
 		p.calls = p.first[:0]
 		lk.parts = append(lk.parts, p)
 		g.parts[pt.ID] = p
@@ -491,7 +491,7 @@
 	all := make([]choice, len(lk.parts))
 	for i, p := range lk.parts {
 		p.due = g.peek(p)
-		all[i] = choice{p: p, shd: p.due, f: 1, tie: p.Cost + p.Later + g.chance.Float64()}
+		all[i] = choice{p: p, shd: p.due, f: 1, tie: p.Cost + p.OrderPenalty + g.chance.Float64()}
 		if p.due >= 0 {
 			all[i].f = g.f[p.due]
 		}
@@ -499,7 +499,7 @@
 	slices.SortStableFunc(all, func(a, b choice) int {
 		return cmp.Or(cmp.Compare(a.f, b.f), cmp.Compare(a.tie, b.tie))
 	})
-	need, weight, failing, netGain := lk.ix.whole, lk.In, false, 0.0
+	need, weight, failing, netGain := lk.ix.whole, lk.ReceivedWeight, false, 0.0
 	c := g.dropped / max(g.dropped+g.sentExtras, eps)
 	for _, ch := range all {
 		extra := weight >= need-eps
@@ -558,18 +558,18 @@
 		}
 	}
 	slices.SortFunc(waits, func(a, b wait) int { return cmp.Compare(a.ms, b.ms) })
-	slowest, in := 0.0, lk.In
+	slowest, in := 0.0, lk.ReceivedWeight
 	for i := 0; i < len(waits) && in < lk.ix.whole-eps; i++ { // of those that it needs
 		slowest, in = waits[i].ms, in+waits[i].weight
 	}
 	// Against storms of clients that wait less than that: they leave before their answer and come again.
-	left := max(min(lk.landed+lk.ix.soft, lk.GiveUpAt)-g.now, 1)
+	left := max(min(lk.landed+lk.ix.soft, lk.Deadline)-g.now, 1)
 	return g.normal != g.soft/10 && (slowest/left-jamFrom)/(jamFull-jamFrom) > g.chance.Float64()
 }
 
 // polls asks a landing lookup's replicas for their load where it is told only so; it reports whether to wait.
 func (g *Gatherer) polls(lk *lookup) (waits bool) {
-	if !g.asks || lk.until > 0 && g.now >= lk.until || lk.GiveUpAt-g.now <= 2*pollWait {
+	if !g.asks || lk.until > 0 && g.now >= lk.until || lk.Deadline-g.now <= 2*pollWait {
 		return false
 	}
 	lk.until = cmp.Or(lk.until, g.now+pollWait)
@@ -580,7 +580,7 @@
 			}
 			if g.polled[shd] == 0 || g.now-g.polled[shd] > 1000 {
 				g.polled[shd] = g.now
-				g.w.Probe(g.ids[shd])
+				g.w.CheckHealth(g.ids[shd])
 			}
 			waits = waits || g.now-g.polled[shd] < pollWait
 		}
@@ -598,7 +598,7 @@
 			return
 		}
 		g.open(lk)
-		if lk.Pass != gather.First && g.jammed(lk) { // a first pass is over soon, and its lookup is judged then
+		if lk.Pass != gather.FirstPass && g.jammed(lk) { // a first pass is over soon, and its lookup is judged then
 			g.giveUp(lk)
 			return
 		}
@@ -607,7 +607,7 @@
 	if lk.answered {
 		need = 1
 	}
-	in, possible, reach, outs, ins := lk.In, lk.In, lk.In, 0, 0
+	in, possible, reach, outs, ins := lk.ReceivedWeight, lk.ReceivedWeight, lk.ReceivedWeight, 0, 0
 	for _, p := range lk.parts {
 		outs += p.out
 		if p.in {
@@ -622,7 +622,7 @@
 		}
 	}
 	softLeft := lk.landed + lk.ix.soft - g.now
-	timeUp := lk.GiveUpAt-g.now <= 3*g.tick()
+	timeUp := lk.Deadline-g.now <= 3*g.tick()
 	now := timeUp || softLeft <= 2*g.tick() && lk.ix.partialEarns*in/need > lk.ix.lateShare
 	whole := in >= need-eps && (need < 1-eps || ins == len(lk.parts)) // a part may weigh less than eps
 	switch {
@@ -641,8 +641,8 @@
 			p.asked, p.extra = true, false
 			reach += p.Weight
 		}
-		if p.asked && len(p.calls) == 0 && (!p.Again || float64(len(g.further)+1) <= g.budget) {
-			g.place(p, !p.extra, p.Again)
+		if p.asked && len(p.calls) == 0 && (!p.Retry || float64(len(g.further)+1) <= g.budget) {
+			g.place(p, !p.extra, p.Retry)
 		}
 	}
 	for _, p := range lk.parts {
@@ -663,7 +663,7 @@
 
 // allowed guards against a second effect: it reports whether the part's index lets it be sent once more.
 func (g *Gatherer) allowed(p *part) bool {
-	if p.over || len(p.calls) >= g.terms.MaxAttempts {
+	if p.over || len(p.calls) >= g.settings.MaxAttempts {
 		return false
 	}
 	return !slices.ContainsFunc(p.calls, func(c *call) bool {
@@ -681,7 +681,7 @@
 	// Against copies feeding a jam. One of the last parts missing is worth it: else the others are lost.
 	sent := float64(len(g.further) + 1)
 	feeds := g.usual*missing > noCopies*p.lk.ix.soft || sent > sparing*g.budget
-	if p.out == 1 && sent <= g.budget && (p.lk.ix.alone || !g.terms.HedgingAllowed) {
+	if p.out == 1 && sent <= g.budget && (p.lk.ix.alone || !g.settings.HedgingAllowed) {
 		g.recall(p)
 		return false
 	}
@@ -692,15 +692,15 @@
 func (g *Gatherer) recall(p *part) {
 	at := len(p.calls) - 1
 	shd, c := g.peek(p), p.calls[at]
-	if g.terms.CancelAllowed && !c.off && shd >= 0 && g.landing(shd) < g.now-c.at {
+	if g.settings.CancelAllowed && !c.off && shd >= 0 && g.landing(shd) < g.now-c.at {
 		c.off = true
-		g.w.CallOff(p.ID, at)
+		g.w.Cancel(p.ID, at)
 	}
 }
 
 // usable reports whether a server may be sent the part at all.
 func (g *Gatherer) usable(shd int, p *part) bool {
-	if p.lk.Pass == gather.First && !g.brief[shd] {
+	if p.lk.Pass == gather.FirstPass && !g.brief[shd] {
 		return false
 	}
 	// The same server would only answer the same again; one that turned away, too.
@@ -791,12 +791,12 @@
 		tn.left--
 	} else {
 		*tn = turn{next: (slices.Index(g.holders[base], shd) + 1) % len(g.holders[base]), at: g.now, shd: shd}
-		if g.terms.CallCost > 0 {
-			tn.left = min(callParts, g.terms.RequestsPerCall) - 1
+		if g.settings.CallCost > 0 {
+			tn.left = min(callParts, g.settings.RequestsPerCall) - 1
 		}
 	}
 	// As if it were one in full, which its records stand for.
-	c := &call{part: p, shd: shd, at: g.now - p.lk.Lead, cost: max(1-p.lk.Lead/max(g.latency(shd), 1), eps)}
+	c := &call{part: p, shd: shd, at: g.now - p.lk.FullCallExtra, cost: max(1-p.lk.FullCallExtra/max(g.latency(shd), 1), eps)}
 	p.calls, p.out = append(p.calls, c), p.out+1
 	if !g.isBusy[shd] {
 		g.isBusy[shd], g.busy = true, append(g.busy, shd)
@@ -809,7 +809,7 @@
 	} else if p.extra {
 		g.sentExtras++
 	}
-	g.w.Send(p.ID, g.ids[shd], p.lk.GiveUpAt-g.now)
+	g.w.Send(p.ID, g.ids[shd], p.lk.Deadline-g.now)
 	return true
 }
 
@@ -817,7 +817,7 @@
 	g.w.Answer(lk.ID, whole)
 	g.drop(lk)
 	if !lk.answered && lk.ix.secondStep > 0 {
-		lk = &lookup{Lookup: lk.Lookup, ix: lk.ix, landed: lk.landed, opened: true, answered: true, whole: whole}
+		lk = &lookup{Query: lk.Query, ix: lk.ix, landed: lk.landed, opened: true, answered: true, whole: whole}
 		g.held, g.byNumber[lk.Number] = append(g.held, lk), lk
 	}
 }
@@ -831,9 +831,9 @@
 		if g.now >= lk.landed+lk.ix.soft { // too late to earn anything by coming again
 			pause = lk.ix.hard
 		}
-		g.w.Nack(lk.ID, min(pause, g.terms.MaxRetryAfter))
+		g.w.Reject(lk.ID, min(pause, g.settings.MaxRetryAfter))
 	} else {
-		g.w.Abort(lk.ID)
+		g.w.Fail(lk.ID)
 	}
 	g.drop(lk)
 }
@@ -847,8 +847,8 @@
 			g.dropped++
 		}
 		for i, c := range p.calls {
-			if !c.ended && g.terms.CancelAllowed {
-				g.w.CallOff(p.ID, i)
+			if !c.ended && g.settings.CancelAllowed {
+				g.w.Cancel(p.ID, i)
 			}
 		}
 		if p.out == 0 {
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -35,19 +35,19 @@
 //
 // Every further line of a round comes in before any is checked.
 type player struct {
-	t       *testing.T
-	terms   *gather.Settings
-	g       *Gatherer
-	in      gather.Round
-	pending bool
-	wrote   []string
-	to      map[string]uint32
-	sent    map[uint64]int
+	t        *testing.T
+	settings *gather.Settings
+	g        *Gatherer
+	in       gather.Round
+	pending  bool
+	wrote    []string
+	to       map[string]uint32
+	sent     map[uint64]int
 }
 
-var outcomes = map[string]gather.Outcome{"answered": gather.Answered, "erred": gather.Erred, "full": gather.Full,
-	"late": gather.TimedOut, "unreached": gather.Unreached, "cut": gather.Cut, "off": gather.CalledOff,
-	"over": gather.Stale}
+var outcomes = map[string]gather.Outcome{"answered": gather.Succeeded, "erred": gather.Failed, "full": gather.Rejected,
+	"late": gather.TimedOut, "unreached": gather.ConnectFailed, "cut": gather.ConnectionReset, "off": gather.Cancelled,
+	"over": gather.NotSent}
 
 func (p *player) write(format string, args ...any) {
 	p.wrote = append(p.wrote, fmt.Sprintf(format, args...))
@@ -58,20 +58,20 @@
 	p.sent[part]++
 	p.write("send %d %d %g", part, server, timeout)
 }
-func (p *player) CallOff(part uint64, call int)        { p.write("calloff %d %d", part, call) }
-func (p *player) Answer(lookup uint64, whole bool)     { p.write("answer %d %t", lookup, whole) }
-func (p *player) Nack(lookup uint64, comeBack float64) { p.write("nack %d %g", lookup, comeBack) }
-func (p *player) Abort(lookup uint64)                  { p.write("abort %d", lookup) }
-func (p *player) Wake(after float64)                   { p.write("wake %g", after) }
-func (p *player) Subscribe()                           { p.write("subscribe") }
-func (p *player) Probe(server uint32)                  { p.write("probe %d", server) }
+func (p *player) Cancel(part uint64, call int)           { p.write("calloff %d %d", part, call) }
+func (p *player) Answer(lookup uint64, whole bool)       { p.write("answer %d %t", lookup, whole) }
+func (p *player) Reject(lookup uint64, comeBack float64) { p.write("nack %d %g", lookup, comeBack) }
+func (p *player) Fail(lookup uint64)                     { p.write("abort %d", lookup) }
+func (p *player) Wake(after float64)                     { p.write("wake %g", after) }
+func (p *player) Subscribe()                             { p.write("subscribe") }
+func (p *player) CheckHealth(server uint32)              { p.write("probe %d", server) }
 
 func (p *player) play() {
 	if !p.pending {
 		return
 	}
 	if p.g == nil {
-		p.g = New(7, p.terms)
+		p.g = New(7, p.settings)
 	}
 	p.wrote = nil
 	p.g.Round(&p.in, p)
@@ -103,45 +103,45 @@
 			p.line(strings.TrimSpace(rest))
 		}
 	case w[0] == "list":
-		list := gather.List{Full: true}
+		list := gather.EndpointList{Full: true}
 		for _, entry := range w[1:] {
 			f := append(strings.Split(entry, ":"), "0", "")
 			id, _ := strconv.Atoi(f[0])
 			group, _ := strconv.Atoi(f[1])
 			started, _ := strconv.ParseFloat(f[2], 64)
-			s := gather.Server{ID: uint32(id), Group: group, Started: started}
+			s := gather.Endpoint{ID: uint32(id), ReplicaSet: group, StartedAt: started}
 			if strings.HasSuffix(entry, ":draining") {
 				s.State = gather.Draining
 			}
-			s.Brief = strings.HasSuffix(entry, ":brief")
+			s.AnswersFirstPass = strings.HasSuffix(entry, ":brief")
 			_, s.Zone, _ = strings.Cut(entry, "zone=")
-			list.Servers = append(list.Servers, s)
+			list.Endpoints = append(list.Endpoints, s)
 			if p.g == nil {
-				p.terms.ReplicaSets = max(p.terms.ReplicaSets, group+1)
+				p.settings.ReplicaSets = max(p.settings.ReplicaSets, group+1)
 			}
 		}
-		p.in.Lists = append(p.in.Lists, list)
+		p.in.EndpointLists = append(p.in.EndpointLists, list)
 	case w[0] == "lookup", w[0] == "again":
 		for _, name := range strings.Split(w[1], ",") {
 			id, _ := strconv.ParseUint(name, 10, 64)
-			p.in.Lookups = append(p.in.Lookups, gather.Lookup{ID: id, Number: id, Index: w[2], GiveUpAt: num(4),
+			p.in.Queries = append(p.in.Queries, gather.Query{ID: id, Number: id, Class: w[2], Deadline: num(4),
 				Retry: w[0] == "again"})
 			p.parts(id, id+1, int(num(3)), num(5))
 		}
 	case w[0] == "first":
 		for _, name := range strings.Split(w[1], ",") {
 			id, _ := strconv.ParseUint(name, 10, 64)
-			p.in.Lookups = append(p.in.Lookups, gather.Lookup{ID: id, Number: id, Index: w[2], GiveUpAt: num(4), Pass: gather.First, Lead: num(5)})
+			p.in.Queries = append(p.in.Queries, gather.Query{ID: id, Number: id, Class: w[2], Deadline: num(4), Pass: gather.FirstPass, FullCallExtra: num(5)})
 			p.parts(id, id+1, int(num(3)), 0)
 		}
 	case w[0] == "rest":
 		id := uint64(num(1))
-		p.in.Lookups = append(p.in.Lookups, gather.Lookup{ID: id, Number: id, Index: w[2], GiveUpAt: num(4), Pass: gather.Second, Since: 1, In: num(5)})
-		from := len(p.in.Parts)
+		p.in.Queries = append(p.in.Queries, gather.Query{ID: id, Number: id, Class: w[2], Deadline: num(4), Pass: gather.SecondPass, ArrivedAt: 1, ReceivedWeight: num(5)})
+		from := len(p.in.Requests)
 		p.parts(id, id+1, int(num(3)), 0)
-		for i := range p.in.Parts[from:] {
-			p.in.Parts[from+i].Weight *= 1 - num(5)
-			p.in.Parts[from+i].Again = len(w) > 6
+		for i := range p.in.Requests[from:] {
+			p.in.Requests[from+i].Weight *= 1 - num(5)
+			p.in.Requests[from+i].Retry = len(w) > 6
 		}
 	case w[0] == "second":
 		p.parts(uint64(num(1)), uint64(num(1))+101, int(num(2)), 0)
@@ -167,12 +167,12 @@
 			p.end(part, strings.TrimSuffix(call, "/0"), outcomes[w[2]])
 		}
 	case w[0] == "nolist":
-		p.in.Lists = append(p.in.Lists, gather.List{Failed: true})
+		p.in.EndpointLists = append(p.in.EndpointLists, gather.EndpointList{Failed: true})
 	case w[0] == "sample":
-		p.in.Samples = append(p.in.Samples, gather.Sample{Server: uint32(num(1)), Passed: len(w) > 2, Waiting: num(2),
-			Latency: num(3), Waited: num(4)})
+		p.in.HealthChecks = append(p.in.HealthChecks, gather.HealthCheckResult{Server: uint32(num(1)), Succeeded: len(w) > 2, QueueLength: num(2),
+			Latency: num(3), Elapsed: num(4)})
 	case w[0] == "left":
-		p.in.Left = append(p.in.Left, uint64(num(1)))
+		p.in.Abandoned = append(p.in.Abandoned, uint64(num(1)))
 	default:
 		p.play()
 		want, got := strings.Join(w[1:], " "), 0
@@ -195,9 +195,9 @@
 // set sets a field of the settings, or of a class of them.
 func (p *player) set(name, value string) {
 	p.t.Helper()
-	of := reflect.ValueOf(p.terms).Elem()
+	of := reflect.ValueOf(p.settings).Elem()
 	if class, field, found := strings.Cut(name, "/"); found {
-		c := p.terms.FindClass(class)
+		c := p.settings.FindClass(class)
 		if c == nil {
 			p.t.Fatalf("set %s: there is no class %s", name, class)
 		}
@@ -228,11 +228,11 @@
 
 func (p *player) parts(number, first uint64, k int, cost float64) {
 	for i := range k {
-		pt := gather.Part{ID: first + uint64(i), Number: number, Shard: i, Weight: 1 / float64(k)}
+		pt := gather.ShardRequest{ID: first + uint64(i), Number: number, Shard: i, Weight: 1 / float64(k)}
 		if cost > 0 {
 			pt.Cost = cost + 10*float64(i)
 		}
-		p.in.Parts = append(p.in.Parts, pt)
+		p.in.Requests = append(p.in.Requests, pt)
 	}
 }
 
@@ -243,8 +243,8 @@
 	if !sent {
 		p.t.Fatalf("at %g: call %s of part %s was never sent; written was %q", p.in.Now, call, part, p.wrote)
 	}
-	p.in.Endings = append(p.in.Endings, gather.Ending{Part: id, Server: server, Call: no, Outcome: o,
-		Over: o == gather.Stale})
+	p.in.Results = append(p.in.Results, gather.AttemptResult{Request: id, Server: server, Attempt: no, Outcome: o,
+		Finished: o == gather.NotSent})
 }
 
 func TestScenarios(t *testing.T) {
@@ -258,17 +258,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}, terms: &gather.Settings{
+			p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}, settings: &gather.Settings{
 				ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, Tick: 5.0,
 				Gatherers: 1, MaxRetryAfter: 1000.0,
 			}}
 			for _, name := range []string{"any", "all", "once", "marked"} {
-				p.terms.Classes = append(p.terms.Classes, gather.Class{Name: name, LatencyObjective: 1000, LateValue: 0.1,
+				p.settings.Classes = append(p.settings.Classes, gather.Class{Name: name, LatencyObjective: 1000, LateValue: 0.1,
 					CompleteShare: 1, MinShare: 1, Effect: gather.Idempotent})
 			}
-			anyClass, marked := p.terms.FindClass("any"), p.terms.FindClass("marked")
+			anyClass, marked := p.settings.FindClass("any"), p.settings.FindClass("marked")
 			anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.75
-			p.terms.FindClass("once").Effect = gather.NonIdempotent
+			p.settings.FindClass("once").Effect = gather.NonIdempotent
 			marked.Effect, marked.IdempotencyWindow = gather.IdempotencyKeyed, 500
 			for _, line := range strings.Split(string(text), "\n") {
 				if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
@@ -294,14 +294,14 @@
 		p.wrote = p.wrote[:0]
 		g.Round(&in, p)
 	}
-	round(gather.Round{Now: 1000, Lists: []gather.List{{Full: true, Servers: []gather.Server{{ID: 1}, {ID: 2}}}}})
+	round(gather.Round{Now: 1000, EndpointLists: []gather.EndpointList{{Full: true, Endpoints: []gather.Endpoint{{ID: 1}, {ID: 2}}}}})
 	now := 1000.0
 	for id := uint64(10); id < 4000; id += 2 {
 		now++
-		round(gather.Round{Now: now, Lookups: []gather.Lookup{{ID: id, Number: id, Index: "i", GiveUpAt: now + 900}},
-			Parts: []gather.Part{{ID: id + 1, Number: id, Weight: 1}}})
+		round(gather.Round{Now: now, Queries: []gather.Query{{ID: id, Number: id, Class: "i", Deadline: now + 900}},
+			Requests: []gather.ShardRequest{{ID: id + 1, Number: id, Weight: 1}}})
 		now++
-		round(gather.Round{Now: now, Endings: []gather.Ending{{Part: id + 1, Outcome: gather.Answered, Over: true}}})
+		round(gather.Round{Now: now, Results: []gather.AttemptResult{{Request: id + 1, Outcome: gather.Succeeded, Finished: true}}})
 	}
 	if n := g.records.Len(0) + g.records.Len(1); n < 1900 {
 		t.Fatalf("%d records are too few to tell", n)
@@ -316,7 +316,7 @@
 	g := New(1, &gather.Settings{ReplicaSets: 1, ReplicaSetsPerShard: 1, Classes: []gather.Class{{Name: "i", LatencyObjective: 1000.0}}})
 	p := &player{t: t, to: map[string]uint32{}, sent: map[uint64]int{}}
 	for i := range uint32(1000) {
-		g.Round(&gather.Round{Now: 1000 + float64(i), Lists: []gather.List{{Servers: []gather.Server{{ID: i, State: gather.Gone}, {ID: i + 1}}}}}, p)
+		g.Round(&gather.Round{Now: 1000 + float64(i), EndpointLists: []gather.EndpointList{{Endpoints: []gather.Endpoint{{ID: i, State: gather.Removed}, {ID: i + 1}}}}}, p)
 	}
 	if len(g.ids) > 3 || len(g.dense) > 3 || len(g.out) > 3 {
 		t.Errorf("%d ids, %d in the map, %d rows of calls", len(g.ids), len(g.dense), len(g.out))
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -37,9 +37,9 @@
 }
 
 // Take takes the terms over, at the start or in place of others; Muster has to follow.
-func (t *Table) Take(terms *gather.Settings) {
-	t.limits = limits{terms.WarmupTime, terms.InitialCapacityShare, terms.OverloadWindow,
-		terms.OverloadMultiple, float64(max(terms.Gatherers, 1)), float64(terms.GathererIndex)}
+func (t *Table) Take(settings *gather.Settings) {
+	t.limits = limits{settings.WarmupTime, settings.InitialCapacityShare, settings.OverloadWindow,
+		settings.OverloadMultiple, float64(max(settings.Gatherers, 1)), float64(settings.GathererIndex)}
 }
 
 // Grow adds a server behind the last one.
--- a/logic/slowstart/slowstart_test.go
+++ b/logic/slowstart/slowstart_test.go
@@ -12,15 +12,15 @@
 // that passes, also by just the length of the cold time, shares and credits are the same to the last bit.
 func TestAgainstAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		terms := &gather.Settings{
+		settings := &gather.Settings{
 			WarmupTime: 1000.0, InitialCapacityShare: 0.2, OverloadWindow: 500.0, OverloadMultiple: 3.0,
 			Gatherers: 3, GathererIndex: 1,
 		}
 		if rapid.IntRange(0, 9).Draw(t, "no rule") == 0 {
-			terms.OverloadWindow = 0
+			settings.OverloadWindow = 0
 		}
 		var table Table
-		table.Take(terms)
+		table.Take(settings)
 		var running []bool
 		var started, credit []float64
 		warmBefore, now := 0.0, 10_000.0
--- a/logic/story_test.go
+++ b/logic/story_test.go
@@ -13,7 +13,7 @@
 // story plays a seeded day of all that a round may bring and gives a hash of all that was written. What is asked
 // for through change comes in with the first round.
 func story(seed uint64, change func(in *gather.Round)) (hash uint64, sends int) {
-	terms := &gather.Settings{
+	settings := &gather.Settings{
 		ReplicaSets: 6, ReplicaSetsPerShard: 2, MaxAttempts: 3, CancelAllowed: true,
 		HedgingAllowed: true, Tick: 5.0, Gatherers: 3, GathererIndex: 1, MaxRetryAfter: 1000.0,
 		WarmupTime: 8000.0, InitialCapacityShare: 0.2, OverloadWindow: 2000.0, OverloadMultiple: 3.0,
@@ -21,14 +21,14 @@
 		RequestsPerCall: 16, CallCost: 1.0,
 	}
 	for i, name := range []string{"any", "all", "once", "marked"} {
-		terms.Classes = append(terms.Classes, gather.Class{Name: name, LatencyObjective: 400, LateValue: 0.1,
+		settings.Classes = append(settings.Classes, gather.Class{Name: name, LatencyObjective: 400, LateValue: 0.1,
 			CompleteShare: 1, MinShare: 1,
 			Effect: []gather.Effect{gather.Idempotent, gather.Idempotent, gather.NonIdempotent, gather.IdempotencyKeyed}[i]})
 	}
-	anyClass := terms.FindClass("any")
+	anyClass := settings.FindClass("any")
 	anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.5
-	terms.FindClass("marked").IdempotencyWindow = 900
-	g, chance := New(seed, terms), pcg.New(seed+1)
+	settings.FindClass("marked").IdempotencyWindow = 900
+	g, chance := New(seed, settings), pcg.New(seed+1)
 	sum := fnv.New64a()
 	p := &player{to: map[string]uint32{}, sent: map[uint64]int{}}
 	type out struct {
@@ -40,27 +40,27 @@
 	}
 	var outs []out
 	started := map[uint32]float64{}
-	list := gather.List{Full: true}
+	list := gather.EndpointList{Full: true}
 	for id := range uint32(18) {
-		list.Servers = append(list.Servers, gather.Server{ID: id, Group: int(id % 6)})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: id, ReplicaSet: int(id % 6)})
 	}
 	id := uint64(1)
 	for now := 1e6; now < 1e6+30000; now += 5 + 5*chance.Float64() {
 		in := gather.Round{Now: now}
-		if list.Servers != nil {
-			in.Lists, list.Servers = append(in.Lists, list), nil
+		if list.Endpoints != nil {
+			in.EndpointLists, list.Endpoints = append(in.EndpointLists, list), nil
 			change(&in)
 		}
 		for range int(chance.Float64() * 2.2) {
 			k := 1 + int(chance.Uint32()%6)
-			lk := gather.Lookup{ID: id, Number: id, Index: terms.ClassNames()[chance.Uint32()%4], GiveUpAt: now + 300 + 900*chance.Float64(),
+			lk := gather.Query{ID: id, Number: id, Class: settings.ClassNames()[chance.Uint32()%4], Deadline: now + 300 + 900*chance.Float64(),
 				Retry: chance.Uint32()%5 == 0}
-			in.Lookups = append(in.Lookups, lk)
+			in.Queries = append(in.Queries, lk)
 			for i := range k {
-				in.Parts = append(in.Parts, gather.Part{ID: id + 1 + uint64(i), Number: id, Shard: int(chance.Uint32()%7) + i, Weight: 1 / float64(k), Cost: 20 * chance.Float64()})
+				in.Requests = append(in.Requests, gather.ShardRequest{ID: id + 1 + uint64(i), Number: id, Shard: int(chance.Uint32()%7) + i, Weight: 1 / float64(k), Cost: 20 * chance.Float64()})
 			}
 			if chance.Uint32()%40 == 0 {
-				in.Left = append(in.Left, id)
+				in.Abandoned = append(in.Abandoned, id)
 			}
 			id += uint64(k) + 1
 		}
@@ -70,13 +70,13 @@
 				rest = append(rest, o)
 				continue
 			}
-			in.Endings = append(in.Endings, gather.Ending{Part: o.part, Server: o.shd, Call: o.call, Outcome: o.end, Over: o.end == gather.Answered})
+			in.Results = append(in.Results, gather.AttemptResult{Request: o.part, Server: o.shd, Attempt: o.call, Outcome: o.end, Finished: o.end == gather.Succeeded})
 		}
 		outs = rest
 		if chance.Uint32()%150 == 0 { // one server drains, has gone or starts again
 			shd := chance.Uint32() % 18
 			started[shd] = now
-			in.Lists = append(in.Lists, gather.List{Servers: []gather.Server{{ID: shd, Group: int(shd % 6), State: gather.State(chance.Uint32() % 3), Started: started[shd]}}})
+			in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: []gather.Endpoint{{ID: shd, ReplicaSet: int(shd % 6), State: gather.State(chance.Uint32() % 3), StartedAt: started[shd]}}})
 		}
 		p.wrote = p.wrote[:0]
 		g.Round(&in, p)
@@ -86,7 +86,7 @@
 			var shd uint32
 			if n, _ := fmt.Sscanf(line, "send %d %d", &part, &shd); n == 2 {
 				sends++
-				took, end := 10+60*chance.Float64()*chance.Float64()*float64(1+shd%4), gather.Answered
+				took, end := 10+60*chance.Float64()*chance.Float64()*float64(1+shd%4), gather.Succeeded
 				switch chance.Uint32() % 30 {
 				case 0:
 					end = gather.Outcome(1 + chance.Uint32()%7)
