--- a/internal/knownred/knownred_test.go
+++ b/internal/knownred/knownred_test.go
@@ -10,8 +10,9 @@
 	"testing"
 )
 
+// TestKnownRed wants every line that is complete to be printed and passed on, and any other to fail the script.
 func TestKnownRed(t *testing.T) {
-	const good = "./internal/knownred | TestKnownRed | fails for a reason | 33"
+	const good = "./internal/knownred | TestKnownRed | go test -run TestKnownRed ./internal/knownred -seed 7 | fails for a reason | 33"
 	for _, c := range []struct {
 		name, text string
 		out, words string // of standard error
@@ -23,7 +24,9 @@
 		{"four", strings.Repeat(good+"\n", 4), "", ":4: a fourth line", true},
 		{"no such test", strings.Replace(good, "TestKnownRed", "TestNothing", 1), "", ":1: no test TestNothing", true},
 		{"no such package", strings.Replace(good, "knownred", "nowhere", 1), "", ":1: no test", true},
-		{"no cause", strings.Replace(good, "fails for a reason", "", 1), "", ":1: not 'PACKAGE", true},
+		{"nothing seen", strings.Replace(good, "fails for a reason", "", 1), "", ":1: not 'PACKAGE", true},
+		{"no command", strings.Replace(good, " | go test -run TestKnownRed ./internal/knownred -seed 7", "", 1), "", ":1: not 'PACKAGE", true},
+		{"an empty command", strings.Replace(good, "go test -run TestKnownRed ./internal/knownred -seed 7", " ", 1), "", ":1: not 'PACKAGE", true},
 		{"no issue", strings.Replace(good, " | 33", "", 1), "", ":1: not 'PACKAGE", true},
 		{"empty line", good + "\n\n", "", ":2: not 'PACKAGE", true},
 		{"a pattern for a test", strings.Replace(good, "TestKnownRed", "Test.*", 1), "", ":1: not 'PACKAGE", true},
