--- a/cmd/yokelab/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -101,7 +101,7 @@
 		if err := r.Save(p.out); err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.ErrOrStderr(), "results in %s; yokelab report %s makes a page of them\n", p.out, p.out)
+		fmt.Fprintf(cmd.ErrOrStderr(), "results in %s; yokeroute-testbed report %s makes a page of them\n", p.out, p.out)
 	}
 	if p.form == "json" {
 		text, err := r.Bytes()
@@ -135,7 +135,7 @@
 	p := &play{}
 	var variant, trace string
 	cmd := &cobra.Command{Use: "run FILE", Short: "play a scenario", Args: cobra.ExactArgs(1),
-		Example: "  yokelab run examples/days/farm.conf --seeds 3\n  yokelab run examples/days/farm.conf --trace day.trace",
+		Example: "  yokeroute-testbed run examples/days/farm.conf --seeds 3\n  yokeroute-testbed run examples/days/farm.conf --trace day.trace",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := p.check(); err != nil {
 				return err
@@ -172,7 +172,7 @@
 		}}
 	p.flags(cmd, 1)
 	cmd.Flags().StringVar(&variant, "variant", emulator.Ours.Name, "whose decisions: ours, or a baseline")
-	cmd.Flags().StringVar(&trace, "trace", "", "file for a trace of the first day, which yokelab replay checks")
+	cmd.Flags().StringVar(&trace, "trace", "", "file for a trace of the first day, which yokeroute-testbed replay checks")
 	return cmd
 }
 
@@ -193,7 +193,7 @@
 	p := &play{}
 	var names, with []string
 	cmd := &cobra.Command{Use: "compare FILE", Short: "compare variants over the same days", Args: cobra.ExactArgs(1),
-		Example: "  yokelab compare examples/days/farm.conf --seeds 10\n  yokelab compare examples/days/farm.conf --variants ours --with old=earlier/results",
+		Example: "  yokeroute-testbed compare examples/days/farm.conf --seeds 10\n  yokeroute-testbed compare examples/days/farm.conf --variants ours --with old=earlier/results",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := p.check(); err != nil {
 				return err
@@ -242,7 +242,7 @@
 	var names, values []string
 	var over string
 	cmd := &cobra.Command{Use: "sweep FILE", Short: "play a scenario over the values of one option", Args: cobra.ExactArgs(1),
-		Example: "  yokelab sweep examples/days/farm.conf --over 'clients rate' --values 15/s,25/s,35/s,45/s",
+		Example: "  yokeroute-testbed sweep examples/days/farm.conf --over 'clients rate' --values 15/s,25/s,35/s,45/s",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := p.check(); err != nil {
 				return err
@@ -290,7 +290,7 @@
 	h := study.HuntTerms{}
 	var variant, keep string
 	cmd := &cobra.Command{Use: "hunt FILE", Short: "search seeds and overlaps of troubles for the day on which decisions do worst", Args: cobra.ExactArgs(1),
-		Example: "  yokelab hunt examples/days/farm.conf --days 200 --keep worst.conf\n  yokelab hunt examples/days/farm.conf --rules --days 1000",
+		Example: "  yokeroute-testbed hunt examples/days/farm.conf --days 200 --keep worst.conf\n  yokeroute-testbed hunt examples/days/farm.conf --rules --days 1000",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			sc, text, err := scenario(args[0])
 			if err != nil {
@@ -364,7 +364,7 @@
 
 func reportCommand() *cobra.Command {
 	var out string
-	cmd := &cobra.Command{Use: "report FOLDER", Short: "make one page of a folder of results", Args: cobra.ExactArgs(1), Example: "  yokelab report results --out report.html",
+	cmd := &cobra.Command{Use: "report FOLDER", Short: "make one page of a folder of results", Args: cobra.ExactArgs(1), Example: "  yokeroute-testbed report results --out report.html",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			page, err := pageOf(args[0])
 			if err != nil {
@@ -403,7 +403,7 @@
 	var lookup uint64
 	var form string
 	cmd := &cobra.Command{Use: "replay TRACE|FOLDER", Short: "check the rules on a trace, or play a folder's days again and say what differs", Args: cobra.ExactArgs(1),
-		Example: "  yokelab replay day.trace\n  yokelab replay day.trace --lookup 17\n  yokelab replay results",
+		Example: "  yokeroute-testbed replay day.trace\n  yokeroute-testbed replay day.trace --lookup 17\n  yokeroute-testbed replay results",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			info, err := os.Stat(args[0])
 			if err != nil {
@@ -518,7 +518,7 @@
 }
 
 func referenceCommand() *cobra.Command {
-	return &cobra.Command{Use: "reference [fleet]", Short: "print the page about scenario files, or about those of fleets of processes", Args: cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"fleet"}, Example: "  yokelab reference\n  yokelab reference fleet",
+	return &cobra.Command{Use: "reference [fleet]", Short: "print the page about scenario files, or about those of fleets of processes", Args: cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"fleet"}, Example: "  yokeroute-testbed reference\n  yokeroute-testbed reference fleet",
 		Run: func(cmd *cobra.Command, args []string) {
 			if len(args) > 0 {
 				fmt.Fprint(cmd.OutOrStdout(), processes.Reference())
--- a/cmd/yokelab/demo.go
+++ b/cmd/yokeroute-testbed/demo.go
@@ -17,7 +17,7 @@
 	var plain bool
 	var length time.Duration
 	cmd := &cobra.Command{Use: "demo", Short: "show a gatherer at work before stand-in shard servers, on loopback", Args: cobra.NoArgs,
-		Example: "  yokelab demo\n  yokelab demo --plain --for 10s",
+		Example: "  yokeroute-testbed demo\n  yokeroute-testbed demo --plain --for 10s",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if terms.Rate < 0 {
 				return fmt.Errorf("--rate %g: is errNegative", terms.Rate)
--- a/cmd/yokelab/fleet.go
+++ b/cmd/yokeroute-testbed/fleet.go
@@ -18,7 +18,7 @@
 	var plain, race bool
 	var seed uint64
 	cmd := &cobra.Command{Use: "fleet SCENARIO", Short: "play a day of real processes on loopback, with faults between them", Args: cobra.ExactArgs(1),
-		Example: "  yokelab fleet examples/fleets/rough.conf --out results && yokelab report results",
+		Example: "  yokeroute-testbed fleet examples/fleets/rough.conf --out results && yokeroute-testbed report results",
 		Long:    "Starts the scenario's gatherers as processes, with stand-in servers, discovery and a front, and a relay on every way\nbetween them; plays its faults; joins the traces of all processes and checks the six rules.\nStatus 0: every rule kept. 1: one was broken, or a process had a fault. 2: nothing was played.",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			sc, err := processes.Read(args[0], seed)
@@ -28,7 +28,7 @@
 			if sc.Name == "" {
 				sc.Name = filepath.Base(args[0])
 			}
-			if terms.Folder, err = os.MkdirTemp("", "yokelab-fleet-"); err != nil {
+			if terms.Folder, err = os.MkdirTemp("", "yokeroute-testbed-fleet-"); err != nil {
 				return err
 			}
 			defer os.RemoveAll(terms.Folder)
@@ -69,7 +69,7 @@
 				if err := r.Save(out); err != nil {
 					return err
 				}
-				fmt.Fprintf(cmd.ErrOrStderr(), "results in %s; yokelab report %s makes a page of them\n", out, out)
+				fmt.Fprintf(cmd.ErrOrStderr(), "results in %s; yokeroute-testbed report %s makes a page of them\n", out, out)
 			}
 			if !r.Kept() {
 				return errNegative
--- a/cmd/yokelab/loopback.go
+++ b/cmd/yokeroute-testbed/loopback.go
@@ -16,7 +16,7 @@
 	search := study.PhaseSearch{}
 	var form string
 	cmd := &cobra.Command{Use: "phases", Short: "compare lookups in one phase with lookups that may go in two", Args: cobra.NoArgs,
-		Example: "  bin/yokelab phases --days calm --prune 0,0.5,0.95\n  bin/yokelab phases --search 160",
+		Example: "  bin/yokeroute-testbed phases --days calm --prune 0,0.5,0.95\n  bin/yokeroute-testbed phases --search 160",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			terms.Seen = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 			if search.Cases > 0 {
@@ -61,7 +61,7 @@
 	terms := experiment.PlanTerms{}
 	var form string
 	cmd := &cobra.Command{Use: "plans", Short: "compare plain turns with plans on an uneven fleet, through the loss of half a hall", Args: cobra.NoArgs,
-		Example: "  bin/yokelab plans --rounds 3",
+		Example: "  bin/yokeroute-testbed plans --rounds 3",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			terms.Seen = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 			rows, err := experiment.Plans(cmd.Context(), terms)
--- a/cmd/yokelab/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -30,7 +30,7 @@
 	var seconds, lease, limit, within float64
 	var form string
 	cmd := &cobra.Command{Use: "policies", Short: "play changes of policy over an emulated fleet, and check that none ever holds in part", Args: cobra.NoArgs,
-		Example: "  yokelab policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokelab policies --runs 4 --gatherers 3000 --away 0.05",
+		Example: "  yokeroute-testbed policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokeroute-testbed policies --runs 4 --gatherers 3000 --away 0.05",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if count < 1 || terms.Gatherers < 1 || terms.Away < 0 || terms.Away >= 1 {
 				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.Away)
--- a/cmd/yokelab/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -40,7 +40,7 @@
 	var hunt int
 	var good bool
 	cmd := &cobra.Command{Use: "rollouts", Short: "play rollouts of good and bad versions over an emulated fleet, and count what comes of them", Args: cobra.NoArgs,
-		Example: "  yokelab rollouts --runs 1000\n  yokelab rollouts --runs 100 --kinds good,tail --judges ours,plain,at-once --gatherers 60\n  yokelab rollouts --hunt 200",
+		Example: "  yokeroute-testbed rollouts --runs 1000\n  yokeroute-testbed rollouts --runs 100 --kinds good,tail --judges ours,plain,at-once --gatherers 60\n  yokeroute-testbed rollouts --hunt 200",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			all := append([]string{"good"}, slices.Sorted(maps.Keys(emulated.Bad))...)
 			if len(kinds) == 0 {
@@ -120,7 +120,7 @@
 	var kinds, judges []string
 	var seed uint64
 	cmd := &cobra.Command{Use: "live", Short: "play rollouts over real processes on loopback", Args: cobra.NoArgs,
-		Example: "  yokelab rollouts live --gatherers 40 --kinds good,spins --judges ours,plain,at-once",
+		Example: "  yokeroute-testbed rollouts live --gatherers 40 --kinds good,spins --judges ours,plain,at-once",
 		Long:    "Builds the gatherer and one with a fault from the module in the current folder, starts a fleet of them under load, and changes\nit by each judge in turn. Times and losses are of this machine: compare within one run.",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if err := oneOf("kinds", kinds, []string{"good", "dies", "leaks", "spins"}); err != nil {
@@ -137,7 +137,7 @@
 			fmt.Fprintln(w, "version\tjudge\tgatherers\tend\tseconds\tmost new\toperations lost by it\trules\tMB, mean and most\twhy")
 			for _, k := range kinds {
 				for _, j := range judges {
-					folder, err := os.MkdirTemp("", "yokelab-live-")
+					folder, err := os.MkdirTemp("", "yokeroute-testbed-live-")
 					if err != nil {
 						return err
 					}
--- a/cmd/yokelab/scale.go
+++ b/cmd/yokeroute-testbed/scale.go
@@ -68,7 +68,7 @@
 
 func scaleCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "scale", Short: "measure what each role costs at growing sizes, and compare with the design size and its budgets",
-		Example: "  yokelab scale lists --servers 300,3000,9000,28000\n  yokelab scale decisions --servers 3000 --parts 8,64,640 -o json"}
+		Example: "  yokeroute-testbed scale lists --servers 300,3000,9000,28000\n  yokeroute-testbed scale decisions --servers 3000 --parts 8,64,640 -o json"}
 	cmd.AddCommand(scaleDecisionsCommand(), scalePoliciesCommand(), scaleListsCommand(), scaleConnectionsCommand(), scaleReportsCommand())
 	return cmd
 }
@@ -78,7 +78,7 @@
 	var servers, parts []int
 	t := scale.DecisionTerms{}
 	cmd := &cobra.Command{Use: "decisions", Short: "the decision module: processor time a query, longest round, memory", Args: cobra.NoArgs,
-		Example: "  yokelab scale decisions --servers 20,300,3000 --parts 8 --seconds 2\n  yokelab scale decisions --servers 300,3000,9000,28000 --parts 640",
+		Example: "  yokeroute-testbed scale decisions --servers 20,300,3000 --parts 8 --seconds 2\n  yokeroute-testbed scale decisions --servers 300,3000,9000,28000 --parts 640",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			figures, err := scale.DecisionFigures(cmd.Context(), t, servers, parts, out.progress(cmd))
 			if err != nil {
@@ -103,7 +103,7 @@
 	var fault string
 	t := scale.PolicyTerms{}
 	cmd := &cobra.Command{Use: "policies", Short: "stewards as processes and hollow gatherers that follow them: at rest, at a start, in changes with a fault", Args: cobra.NoArgs,
-		Example: "  yokelab scale policies --gatherers 100,200 --changes 2 --rest 1\n  yokelab scale policies --stewards 5 --gatherers 300,900,1800,3600 --changes 100 --fault none",
+		Example: "  yokeroute-testbed scale policies --gatherers 100,200 --changes 2 --rest 1\n  yokeroute-testbed scale policies --stewards 5 --gatherers 300,900,1800,3600 --changes 100 --fault none",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			known := make([]string, 0, len(scale.PolicyFaults))
 			for _, f := range scale.PolicyFaults {
@@ -113,7 +113,7 @@
 				return err
 			}
 			t.Fault, t.Rest = scale.PolicyFault(fault), time.Duration(rest*float64(time.Second))
-			base, err := os.MkdirTemp("", "yokelab-scale-")
+			base, err := os.MkdirTemp("", "yokeroute-testbed-scale-")
 			if err != nil {
 				return err
 			}
@@ -139,7 +139,7 @@
 func sizesCommand(use, short, flag, what string, sizes []int, measure func(context.Context, []int, scale.Progress) ([]scale.Figure, error)) *cobra.Command {
 	var out scaleOutput
 	var at []int
-	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, Example: fmt.Sprintf("  yokelab scale %s --%s 24,48", use, flag),
+	cmd := &cobra.Command{Use: use, Short: short, Args: cobra.NoArgs, Example: fmt.Sprintf("  yokeroute-testbed scale %s --%s 24,48", use, flag),
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			figures, err := measure(cmd.Context(), at, out.progress(cmd))
 			if err != nil {
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -203,7 +203,7 @@
 		}
 		return nil
 	}
-	t := &conf.Table{Name: "scenario file", Intro: "A day for the emulator: `yokelab run FILE`. Halls stand before what is in them, kinds before servers of them. What is left out has the value named here.", Directives: []*conf.Directive{
+	t := &conf.Table{Name: "scenario file", Intro: "A day for the emulator: `yokeroute-testbed run FILE`. Halls stand before what is in them, kinds before servers of them. What is left out has the value named here.", Directives: []*conf.Directive{
 		{Name: "scenario", Once: true, Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Help: "Names the day.", Example: "scenario crash-of-a-third",
 			Take: func(v *conf.Values) error { s.Name = v.Text("name"); return nil }},
 		{Name: "time", Once: true, Options: []conf.Field{{Name: "length", Kind: conf.Span, Least: 1, Most: 86_400_000, Help: "in which clients ask; 40s"}, span("warm-up", "of these, which do not count; 2s"),
--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -123,7 +123,7 @@
 	}
 	n := &Node{Address: free.Addr().String()}
 	free.Close()
-	if n.dir, err = os.MkdirTemp("", "yokelab"); err != nil {
+	if n.dir, err = os.MkdirTemp("", "yokeroute-testbed"); err != nil {
 		return nil, err
 	}
 	own := settings{"balancers": terms.Of, "myNumber": terms.Number, "zone": terms.Hall}
--- a/internal/formats/formats.go
+++ b/internal/formats/formats.go
@@ -26,7 +26,7 @@
 	{"trace", 1, "`record` of a gatherer, traces of the emulator", "first line, `\"trace\"`", "refuses it", "reads every lower number; without `unix` in its header a trace can be checked alone and not joined"},
 	{"report", 1, "`GET /report`", "`\"report\"` in it", "refuses it: the gatherer is not reached, and so neither changed nor judged", "reads every lower number; skips words that it does not know"},
 	{"rollout", 1, "folder of a rollout: journal, status, history", "`f` of each record, `\"rollout\"` of the status", "refuses the folder: the rollout is ended by the version that began it, or by hand", "reads every lower number"},
-	{"results", 1, "folders of results of yokelab", "`\"form\"` in results.json", "refuses them", "reads every lower number"},
+	{"results", 1, "folders of results of yokeroute-testbed", "`\"form\"` in results.json", "refuses them", "reads every lower number"},
 	{"segments", 1, "maps of segments, in files and from an authority", "`epoch` of the map; the words of docs/protocol-owners.md", "refuses words that it does not know, and keeps the map that it has", "reads every map"},
 	{"policy", 1, "between gatherers, operators and stewards: docs/protocol-policy.md", "`\"policy\"` in it", "refuses the document: a gatherer acts within its floor, a steward answers 400", "reads every lower number; skips words that it does not know, but refuses a change with a kind of entry that it does not know"},
 	{"fence", 1, "file `policy` of a state folder", "`\"fence\"` in it", "leaves it alone, says so in the log, and trusts what the stewards tell", "reads every lower number"},
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -87,7 +87,7 @@
 		{Name: "record", Once: true, Args: []conf.Field{{Name: "file", Kind: conf.Text, Help: "written anew at each start"}},
 			Options: []conf.Field{{Name: "most", Kind: conf.Size, Least: 4096, Help: "after which the record ends; 64MB unless told"},
 				{Name: "at-once", Kind: conf.Mark, Help: "each event is handed to the system at once, so that a process that is killed leaves a record that joins with others'"}},
-			Help: "Writes down what is taken, called, heard and answered, for `yokelab replay FILE` to check the six rules on. Some hundred bytes a part call.", Example: "record day.trace most 64MB",
+			Help: "Writes down what is taken, called, heard and answered, for `yokeroute-testbed replay FILE` to check the six rules on. Some hundred bytes a part call.", Example: "record day.trace most 64MB",
 			Take: func(v *conf.Values) error {
 				f.Record, f.RecordMost, f.RecordAtOnce = v.Beside("file"), v.Number("most", 64<<20), v.Has("at-once")
 				return nil
--- a/internal/processes/live.go
+++ b/internal/processes/live.go
@@ -127,7 +127,7 @@
 func (s *screen) View() string {
 	var b strings.Builder
 	t := s.f.Front.Total()
-	fmt.Fprintln(&b, look.Strong.Render("yokelab fleet")+look.Faint.Render(fmt.Sprintf("  %s, %d gatherers, %d servers", s.f.Scenario.Name, len(s.f.Gatherers), len(s.f.Servers))))
+	fmt.Fprintln(&b, look.Strong.Render("yokeroute-testbed fleet")+look.Faint.Render(fmt.Sprintf("  %s, %d gatherers, %d servers", s.f.Scenario.Name, len(s.f.Gatherers), len(s.f.Servers))))
 	fmt.Fprintf(&b, "operations %d   earned %.1f%%   nacked %d   failed or lost %d\n\n", t.Operations, 100*t.Value/max(t.Asked, 1e-9), t.Endings[Nacked], t.Endings[Failed]+t.Endings[Lost])
 	fmt.Fprintln(&b, look.Strong.Render(fmt.Sprintf("  %-6s %-10s %-10s %8s %8s", "name", "hall", "state", "cpu s", "MB")))
 	from := max(min(s.at-s.rows/2, len(s.f.Gatherers)-s.rows), 0)
--- a/internal/processes/scenario.go
+++ b/internal/processes/scenario.go
@@ -96,7 +96,7 @@
 // further are the directives beside the emulator's.
 func (s *Scenario) further() []*conf.Directive {
 	var help strings.Builder
-	help.WriteString("Something is done to processes or links, in a fleet of processes (`yokelab fleet`); several may overlap. Gatherers are g1, g2 and so on, servers s1 and so on, the others front and discovery; a link is FROM:TO, such as front:g1 or g1:s2. The kinds, with what each strikes and takes:\n")
+	help.WriteString("Something is done to processes or links, in a fleet of processes (`yokeroute-testbed fleet`); several may overlap. Gatherers are g1, g2 and so on, servers s1 and so on, the others front and discovery; a link is FROM:TO, such as front:g1 or g1:s2. The kinds, with what each strikes and takes:\n")
 	for _, k := range faultKinds {
 		help.WriteString("\n- `" + k.name + "` (" + k.on + cmp.Or(", "+strings.Join(strings.Fields(k.takes), ", "), "") + "): " + k.help + ".")
 	}
@@ -306,6 +306,6 @@
 
 // Reference is the page about scenario files of fleets: the directives beside the emulator's.
 func Reference() string {
-	t := &conf.Table{Name: "fleet scenario file", Intro: "A day for a fleet of processes: `yokelab fleet FILE`. All that stands in a [scenario file](reference-scenario.md) stands here too, but for troubles, segments and weights; beside it:", Directives: (&Scenario{}).further()}
+	t := &conf.Table{Name: "fleet scenario file", Intro: "A day for a fleet of processes: `yokeroute-testbed fleet FILE`. All that stands in a [scenario file](reference-scenario.md) stands here too, but for troubles, segments and weights; beside it:", Directives: (&Scenario{}).further()}
 	return t.Reference()
 }
--- a/internal/study/hunt.go
+++ b/internal/study/hunt.go
@@ -258,6 +258,6 @@
 
 // keep writes the day as a scenario file, with what it is kept for.
 func (h *HuntTerms) keep(d huntDay, f Found) string {
-	note := fmt.Sprintf("# Found by yokelab hunt --seed %d --days %d, made small: %s.\n", h.Seed, h.Days, f.words())
+	note := fmt.Sprintf("# Found by yokeroute-testbed hunt --seed %d --days %d, made small: %s.\n", h.Seed, h.Days, f.words())
 	return note + strings.TrimRight(h.text(d), "\n") + fmt.Sprintf("\nseed %d\n", d.seed)
 }
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -237,7 +237,7 @@
 func Load(folder string) (*Results, error) {
 	text, err := os.ReadFile(filepath.Join(folder, File))
 	if errors.Is(err, fs.ErrNotExist) {
-		return nil, fmt.Errorf("%s: holds no %s; it is made by yokelab run, compare, sweep or hunt with --out", folder, File)
+		return nil, fmt.Errorf("%s: holds no %s; it is made by yokeroute-testbed run, compare, sweep or hunt with --out", folder, File)
 	}
 	if err != nil {
 		return nil, err
