--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -369,7 +369,7 @@
 	if r.Case != "" {
 		what = "case " + r.Case
 	}
-	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n", what, conf.FormatWhen(r.At),
+	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n", what, conf.FormatTimestamp(r.At),
 		rate(r.Asked), 100*r.Greatest.Float(), rate(r.Crossing), float64(r.Cost)/1000)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "host\thall\tcan\tgets\tuse\twhy")
@@ -400,7 +400,7 @@
 		fmt.Fprintln(w, "\nWhat is left cannot take all that is asked for: hosts are filled evenly beyond what they can do, and lookups will be refused.")
 	}
 	if n := len(f.Plan.Steps); n > 1 && r.Case == "" {
-		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n", n, conf.FormatWhen(f.Plan.Steps[n-1].From))
+		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n", n, conf.FormatTimestamp(f.Plan.Steps[n-1].From))
 	}
 }
 
--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -25,32 +25,32 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Pos is a place in a file; lines and columns (in letters) count from 1.
-type Pos struct {
-	File      string
-	Line, Col int
+// Position is a place in a file; lines and columns (in letters) count from 1.
+type Position struct {
+	File         string
+	Line, Column int
 }
 
-func (p Pos) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Col) }
+func (p Position) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
 
-// Fault is one mistake in a file.
-type Fault struct {
-	Pos
-	Word string // at fault, empty where it is the lack of one
-	Text string // what is wrong and what would be right
+// Error is one mistake in a file.
+type Error struct {
+	Position
+	Token   string // at fault, empty where it is the lack of one
+	Message string // what is wrong and what would be right
 }
 
-func (f *Fault) Error() string {
-	if f.Word == "" {
-		return fmt.Sprintf("%v: %s", f.Pos, f.Text)
+func (f *Error) Error() string {
+	if f.Token == "" {
+		return fmt.Sprintf("%v: %s", f.Position, f.Message)
 	}
-	return fmt.Sprintf("%v: %q: %s", f.Pos, f.Word, f.Text)
+	return fmt.Sprintf("%v: %q: %s", f.Position, f.Token, f.Message)
 }
 
-// Faults are all mistakes of a file and of what it includes, in their order. It is nil where there are none.
-type Faults []*Fault
+// ErrorList are all mistakes of a file and of what it includes, in their order. It is nil where there are none.
+type ErrorList []*Error
 
-func (f Faults) Error() string {
+func (f ErrorList) Error() string {
 	lines := make([]string, len(f))
 	for i, one := range f {
 		lines[i] = one.Error()
@@ -58,23 +58,23 @@
 	return strings.Join(lines, "\n")
 }
 
-// word is one word of a line.
-type word struct {
-	Pos
+// token is one word of a line.
+type token struct {
+	Position
 	text   string
 	quoted bool
 }
 
 // Bounds against a file that is no configuration at all, such as a device or a log.
 const (
-	mostBytes = 16 << 20
-	mostDepth = 16 // of includes
+	maxBytes        = 16 << 20
+	maxIncludeDepth = 16 // of includes
 )
 
-// split takes a line apart.
-func split(file string, number int, line string) ([]word, *Fault) {
-	var words []word
-	fault := func(col int, w, text string) *Fault { return &Fault{Pos{file, number, col}, w, text} }
+// tokenize takes a line apart.
+func tokenize(file string, number int, line string) ([]token, *Error) {
+	var words []token
+	fault := func(col int, w, text string) *Error { return &Error{Position{file, number, col}, w, text} }
 	if !utf8.ValidString(line) {
 		return nil, fault(1, "", "is no UTF-8 text")
 	}
@@ -100,7 +100,7 @@
 			if i++; i < len(letters) && !unicode.IsSpace(letters[i]) && letters[i] != '#' {
 				return nil, fault(i+1, string(letters[i:]), "follows a quote; put a blank between them")
 			}
-			words = append(words, word{Pos{file, number, from + 1}, text.String(), true})
+			words = append(words, token{Position{file, number, from + 1}, text.String(), true})
 		default:
 			from := i
 			for i < len(letters) && !unicode.IsSpace(letters[i]) && letters[i] != '#' && letters[i] != '"' {
@@ -112,30 +112,30 @@
 			if i < len(letters) && letters[i] == '"' {
 				return nil, fault(i+1, string(letters[i:]), "is a quote inside a word; quote the whole word")
 			}
-			words = append(words, word{Pos{file, number, from + 1}, string(letters[from:i]), false})
+			words = append(words, token{Position{file, number, from + 1}, string(letters[from:i]), false})
 		}
 	}
 	return words, nil
 }
 
-// reader goes through a file and what it includes.
-type reader struct {
-	table  *Table
-	open   func(name string) ([]byte, error)
-	glob   func(pattern string) ([]string, error)
-	stack  []string
-	seen   map[string]Pos // directives that may stand only once
-	faults Faults
+// parser goes through a file and what it includes.
+type parser struct {
+	table        *Table
+	readFile     func(name string) ([]byte, error)
+	glob         func(pattern string) ([]string, error)
+	includeStack []string
+	firstUse     map[string]Position // directives that may stand only once
+	errors       ErrorList
 }
 
 // Read reads a file from disk. All its mistakes come as Faults; another error says that it could not be read.
 func (t *Table) Read(name string) error {
-	_, err := t.ReadSummed(name)
+	_, err := t.ReadWithChecksum(name)
 	return err
 }
 
-// ReadSummed reads a file from disk and gives the fingerprint of all that it and what it includes says.
-func (t *Table) ReadSummed(name string) (sum string, err error) {
+// ReadWithChecksum reads a file from disk and gives the fingerprint of all that it and what it includes says.
+func (t *Table) ReadWithChecksum(name string) (sum string, err error) {
 	all := xxhash.New()
 	read := func(name string) ([]byte, error) {
 		f, err := os.Open(name)
@@ -148,9 +148,9 @@
 		} else if info.IsDir() {
 			return nil, &fs.PathError{Op: "read", Path: name, Err: fmt.Errorf("is a directory")}
 		}
-		text, err := io.ReadAll(io.LimitReader(f, mostBytes+1))
-		if err == nil && len(text) > mostBytes {
-			err = &fs.PathError{Op: "read", Path: name, Err: fmt.Errorf("is longer than %d MB", mostBytes>>20)}
+		text, err := io.ReadAll(io.LimitReader(f, maxBytes+1))
+		if err == nil && len(text) > maxBytes {
+			err = &fs.PathError{Op: "read", Path: name, Err: fmt.Errorf("is longer than %d MB", maxBytes>>20)}
 		}
 		all.Write(text)
 		return text, err
@@ -165,12 +165,12 @@
 	if err != nil {
 		return err
 	}
-	r := &reader{table: t, open: read, glob: glob, seen: map[string]Pos{}}
-	r.file(name, text)
-	if len(r.faults) == 0 {
+	r := &parser{table: t, readFile: read, glob: glob, firstUse: map[string]Position{}}
+	r.parseFile(name, text)
+	if len(r.errors) == 0 {
 		return nil
 	}
-	return r.faults
+	return r.errors
 }
 
 // Parse reads a text that includes nothing.
@@ -179,32 +179,32 @@
 		func(string) ([]string, error) { return nil, fmt.Errorf("nothing can be included here") })
 }
 
-func (r *reader) fault(at Pos, w, text string, args ...any) {
-	r.faults = append(r.faults, &Fault{at, w, fmt.Sprintf(text, args...)})
+func (r *parser) errorf(at Position, w, text string, args ...any) {
+	r.errors = append(r.errors, &Error{at, w, fmt.Sprintf(text, args...)})
 }
 
-func (r *reader) file(name string, text []byte) {
-	r.stack = append(r.stack, name)
-	defer func() { r.stack = r.stack[:len(r.stack)-1] }()
+func (r *parser) parseFile(name string, text []byte) {
+	r.includeStack = append(r.includeStack, name)
+	defer func() { r.includeStack = r.includeStack[:len(r.includeStack)-1] }()
 	for i, line := range strings.Split(string(text), "\n") {
-		words, fault := split(name, i+1, strings.TrimSuffix(line, "\r"))
+		words, fault := tokenize(name, i+1, strings.TrimSuffix(line, "\r"))
 		switch {
 		case fault != nil:
-			r.faults = append(r.faults, fault)
+			r.errors = append(r.errors, fault)
 		case len(words) == 0:
 		case words[0].text == "include" && !words[0].quoted:
 			r.include(words)
 		default:
-			r.directive(words)
+			r.parseDirective(words)
 		}
 	}
 }
 
 // include reads further files where the line stands. Their names are relative to the file that includes them; a
 // name with * ? or [ stands for all that match, in the order of their names, and there may be none.
-func (r *reader) include(words []word) {
+func (r *parser) include(words []token) {
 	if len(words) != 2 {
-		r.fault(words[0].Pos, "include", "takes one file name, in quotes if it holds blanks")
+		r.errorf(words[0].Position, "include", "takes one file name, in quotes if it holds blanks")
 		return
 	}
 	w := words[1]
@@ -216,31 +216,31 @@
 	if strings.ContainsAny(w.text, "*?[") {
 		var err error
 		if names, err = r.glob(name); err != nil {
-			r.fault(w.Pos, w.text, "is no pattern of file names: %v", err)
+			r.errorf(w.Position, w.text, "is no pattern of file names: %v", err)
 			return
 		}
 	}
-	if len(r.stack) >= mostDepth {
-		r.fault(w.Pos, w.text, "is included %d files deep; %d is the most", len(r.stack), mostDepth)
+	if len(r.includeStack) >= maxIncludeDepth {
+		r.errorf(w.Position, w.text, "is included %d files deep; %d is the most", len(r.includeStack), maxIncludeDepth)
 		return
 	}
 	for _, name := range names {
 		circle := false
-		for i, above := range r.stack {
+		for i, above := range r.includeStack {
 			if filepath.Clean(above) == filepath.Clean(name) {
-				chain := append(append([]string(nil), r.stack[i:]...), name)
-				r.fault(w.Pos, w.text, "includes itself: %s; take one of these lines out", strings.Join(chain, " > "))
+				chain := append(append([]string(nil), r.includeStack[i:]...), name)
+				r.errorf(w.Position, w.text, "includes itself: %s; take one of these lines out", strings.Join(chain, " > "))
 				circle = true
 			}
 		}
 		if circle {
 			continue
 		}
-		text, err := r.open(name)
+		text, err := r.readFile(name)
 		if err != nil {
-			r.fault(w.Pos, w.text, "cannot be read: %v", err)
+			r.errorf(w.Position, w.text, "cannot be read: %v", err)
 			continue
 		}
-		r.file(name, text)
+		r.parseFile(name, text)
 	}
 }
--- a/internal/conf/conf_test.go
+++ b/internal/conf/conf_test.go
@@ -24,18 +24,18 @@
 				}
 			}
 			if v.Text("name") == "wrong" {
-				return v.Fault("name", "is wrong here")
+				return v.Errorf("name", "is wrong here")
 			}
 			return nil
 		}
 	}
 	return &Table{Name: "sample file", Directives: []*Directive{
-		{Name: "hall", Args: []Field{{Name: "name", Kind: Name}}, Options: []Field{{Name: "most", Kind: Rate, Most: 1e6}, {Name: "spare", Kind: RateOrShare},
-			{Name: "on", Kind: Names}, {Name: "alone", Kind: Mark}}, Example: "hall a most 5/s", Take: keep("name", "most", "spare", "on", "alone")},
-		{Name: "wait", Once: true, Args: []Field{{Name: "time", Kind: Span, Least: 10, Most: 60_000}, {Name: "size", Kind: Size, Optional: true}}, Example: "wait 1s", Take: keep("time", "size")},
-		{Name: "set", Options: []Field{{Name: "share", Kind: Share}, {Name: "count", Kind: Count}, {Name: "number", Kind: Number, Least: -5}, {Name: "when", Kind: When},
+		{Name: "hall", Args: []Field{{Name: "name", Kind: Name}}, Options: []Field{{Name: "most", Kind: Rate, Max: 1e6}, {Name: "spare", Kind: RateOrShare},
+			{Name: "on", Kind: Names}, {Name: "alone", Kind: Flag}}, Example: "hall a most 5/s", Apply: keep("name", "most", "spare", "on", "alone")},
+		{Name: "wait", Once: true, Args: []Field{{Name: "time", Kind: Duration, Min: 10, Max: 60_000}, {Name: "size", Kind: Size, Optional: true}}, Example: "wait 1s", Apply: keep("time", "size")},
+		{Name: "set", Options: []Field{{Name: "share", Kind: Share}, {Name: "count", Kind: Count}, {Name: "number", Kind: Number, Min: -5}, {Name: "when", Kind: Timestamp},
 			{Name: "switch", Kind: Switch}, {Name: "choice", Kind: Choice, Choices: []string{"running", "gone"}}, {Name: "at", Kind: Address}, {Name: "text", Kind: Text},
-			{Name: "rates", Kind: Rates}, {Name: "must", Kind: Name, Required: true}}, Example: "set must x", Take: keep("share", "count", "number", "when", "switch", "choice", "at", "text", "rates")},
+			{Name: "rates", Kind: NamedRates}, {Name: "must", Kind: Name, Required: true}}, Example: "set must x", Apply: keep("share", "count", "number", "when", "switch", "choice", "at", "text", "rates")},
 	}}
 }
 
@@ -103,7 +103,7 @@
 		{"include", `f:1:1: "include": takes one file name`},
 		{"include x", `f:1:9: "x": cannot be read`},
 	} {
-		var faults Faults
+		var faults ErrorList
 		if err := sample(map[string]string{}).ReadFrom("f", func(name string) ([]byte, error) {
 			if name == "f" {
 				return []byte(c.text), nil
@@ -129,7 +129,7 @@
 		"d/circle": "include sub/c", "d/sub/c": "include ../circle", "d/deep": "include deep2", "d/deep2": "include deep3\nhall !"}
 	var order []string
 	table := sample(map[string]string{})
-	table.Directives[0].Take = func(v *Values) error { order = append(order, v.Text("name")); return nil }
+	table.Directives[0].Apply = func(v *Values) error { order = append(order, v.Text("name")); return nil }
 	read := func(name string) ([]byte, error) {
 		text, there := files[name]
 		if !there {
@@ -169,7 +169,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringMatching(`[ -~äß"\\#']{1,12}`).Draw(t, "text")
 		var got string
-		table := &Table{Directives: []*Directive{{Name: "x", Args: []Field{{Name: "t", Kind: Text}}, Take: func(v *Values) error { got = v.Text("t"); return nil }}}}
+		table := &Table{Directives: []*Directive{{Name: "x", Args: []Field{{Name: "t", Kind: Text}}, Apply: func(v *Values) error { got = v.Text("t"); return nil }}}}
 		if err := table.Parse("f", "x "+Quote(text)); err != nil || got != text {
 			t.Fatalf("%q came back as %q: %v", text, got, err)
 		}
@@ -180,12 +180,12 @@
 	f.Add("hall a most 5/s on b c\nwait 1s\ninclude x")
 	f.Add(`set must "m" text 'a\'b' rates x=1/s`)
 	f.Fuzz(func(t *testing.T, text string) {
-		var faults Faults
+		var faults ErrorList
 		if err := sample(map[string]string{}).Parse("f", text); err != nil && !errors.As(err, &faults) {
 			t.Errorf("%v is no mistake with a place", err)
 		}
 		for _, one := range faults {
-			if one.Line < 1 || one.Col < 1 || one.Text == "" {
+			if one.Line < 1 || one.Column < 1 || one.Message == "" {
 				t.Errorf("%+v", one)
 			}
 		}
--- a/internal/conf/kinds.go
+++ b/internal/conf/kinds.go
@@ -23,16 +23,16 @@
 	Number                  // a number
 	Count                   // a whole number
 	Rate                    // a rate, in parts a second
-	Span                    // a time span, in milliseconds
+	Duration                // a time span, in milliseconds
 	Size                    // a size, in bytes
 	Share                   // a share of 1
-	When                    // a moment, in Unix milliseconds
+	Timestamp               // a moment, in Unix milliseconds
 	Switch                  // on or off
 	Choice                  // one of a few words
 	Address                 // host:port
-	Mark                    // an option that stands alone
+	Flag                    // an option that stands alone
 	RateOrShare             // a rate, or a share of 1 where IsShare says so
-	Rates                   // one or more names with a rate each, such as s-01=60/s
+	NamedRates              // one or more names with a rate each, such as s-01=60/s
 	Words                   // one or more words of any text; quote one that is an option's name
 )
 
@@ -42,8 +42,8 @@
 		"on or off", "a word", "an address such as 127.0.0.1:8500", "nothing", "a rate such as 120/s or a share such as 10%", "names with rates such as s-01=60/s", "words"}[k]
 }
 
-// sample is how the field stands in a directive's form.
-func (f *Field) sample() string {
+// placeholder is how the field stands in a directive's form.
+func (f *Field) placeholder() string {
 	switch f.Kind {
 	case Choice:
 		return strings.Join(f.Choices, "|")
@@ -51,17 +51,17 @@
 		return "on|off"
 	case Names, Words:
 		return strings.ToUpper(f.Name) + " ..."
-	case Rates:
+	case NamedRates:
 		return strings.ToUpper(f.Name) + "=RATE ..."
 	case Rate:
 		return "RATE"
-	case Span:
+	case Duration:
 		return "TIME"
 	case Share:
 		return "SHARE"
 	case RateOrShare:
 		return "RATE|SHARE"
-	case When:
+	case Timestamp:
 		return "MOMENT"
 	case Size:
 		return "SIZE"
@@ -75,22 +75,22 @@
 	if f.Kind == Choice {
 		text = strings.Join(f.Choices, " or ")
 	}
-	if f.Least != 0 || f.Most != 0 {
-		text += fmt.Sprintf(", from %s", f.show(f.Least))
-		if f.Most != 0 {
-			text += " to " + f.show(f.Most)
+	if f.Min != 0 || f.Max != 0 {
+		text += fmt.Sprintf(", from %s", f.formatBound(f.Min))
+		if f.Max != 0 {
+			text += " to " + f.formatBound(f.Max)
 		}
 	}
 	return text
 }
 
-// show writes a bound in the unit of the kind.
-func (f *Field) show(n float64) string {
+// formatBound writes a bound in the unit of the kind.
+func (f *Field) formatBound(n float64) string {
 	switch f.Kind {
 	case Rate, RateOrShare:
 		return FormatRate(n)
-	case Span:
-		return FormatSpan(n)
+	case Duration:
+		return FormatDuration(n)
 	case Share:
 		return FormatShare(n)
 	case Size:
@@ -100,20 +100,20 @@
 }
 
 var (
-	plain   = regexp.MustCompile(`^-?[0-9]+(\.[0-9]+)?$`)
-	unitful = regexp.MustCompile(`^(-?[0-9]+(?:\.[0-9]+)?)([^0-9.].*)?$`)
-	name    = regexp.MustCompile(`^[\pL\pN_.:+*@-]+$`)
+	numberPattern   = regexp.MustCompile(`^-?[0-9]+(\.[0-9]+)?$`)
+	quantityPattern = regexp.MustCompile(`^(-?[0-9]+(?:\.[0-9]+)?)([^0-9.].*)?$`)
+	namePattern     = regexp.MustCompile(`^[\pL\pN_.:+*@-]+$`)
 
-	spans = map[string]float64{"us": 0.001, "ms": 1, "s": 1000, "min": 60_000, "h": 3_600_000, "d": 86_400_000}
-	rates = map[string]float64{"/s": 1, "/min": 1.0 / 60, "/h": 1.0 / 3600}
-	sizes = map[string]float64{"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
+	durationUnits = map[string]float64{"us": 0.001, "ms": 1, "s": 1000, "min": 60_000, "h": 3_600_000, "d": 86_400_000}
+	rateUnits     = map[string]float64{"/s": 1, "/min": 1.0 / 60, "/h": 1.0 / 3600}
+	sizeUnits     = map[string]float64{"B": 1, "KB": 1 << 10, "MB": 1 << 20, "GB": 1 << 30}
 )
 
-// read checks a word and gives its number; wrong says what is wrong with it and what would be right.
-func (f *Field) read(text string) (number float64, wrong string) {
+// parse checks a word and gives its number; wrong says what is wrong with it and what would be right.
+func (f *Field) parse(text string) (number float64, wrong string) {
 	switch f.Kind {
 	case Name, Names:
-		if text == "" || !name.MatchString(text) {
+		if text == "" || !namePattern.MatchString(text) {
 			return 0, "is no name; names are made of letters, digits and . : _ + * @ -"
 		}
 		return 0, ""
@@ -143,69 +143,69 @@
 			return 0, "is no address; write host:port, such as 127.0.0.1:8500"
 		}
 		return 0, ""
-	case When:
+	case Timestamp:
 		at, err := time.Parse(time.RFC3339Nano, text)
 		if err != nil {
 			return 0, "is no moment; write it as 2026-12-01T10:00:00Z"
 		}
 		return float64(at.UnixMicro()) / 1000, ""
 	case Number:
-		if !plain.MatchString(text) {
+		if !numberPattern.MatchString(text) {
 			return 0, "is no number; write it as 12 or 0.5"
 		}
-		number = parse(text)
+		number = parseNumber(text)
 	case Count:
-		if !plain.MatchString(text) || strings.Contains(text, ".") {
+		if !numberPattern.MatchString(text) || strings.Contains(text, ".") {
 			return 0, "is no whole number"
 		}
-		number = parse(text)
-	case Rates:
+		number = parseNumber(text)
+	case NamedRates:
 		key, rate, found := strings.Cut(text, "=")
-		if !found || !name.MatchString(key) {
+		if !found || !namePattern.MatchString(key) {
 			return 0, "is no name with a rate; write it as s-01=60/s"
 		}
-		number, wrong = measure(rate, rates, "a rate", key+"=120/s")
+		number, wrong = parseQuantity(rate, rateUnits, "a rate", key+"=120/s")
 	case Rate:
-		number, wrong = measure(text, rates, "a rate", "120/s")
-	case Span:
-		number, wrong = measure(text, spans, "a time", "250ms")
+		number, wrong = parseQuantity(text, rateUnits, "a rate", "120/s")
+	case Duration:
+		number, wrong = parseQuantity(text, durationUnits, "a time", "250ms")
 	case Size:
-		number, wrong = measure(text, sizes, "a size", "64MB")
+		number, wrong = parseQuantity(text, sizeUnits, "a size", "64MB")
 	case Share:
-		number, wrong = share(text)
+		number, wrong = parseShare(text)
 	case RateOrShare:
 		if strings.HasSuffix(text, "%") {
-			return share(text)
+			return parseShare(text)
 		}
-		number, wrong = measure(text, rates, "a rate", "120/s, or a share as 10%")
+		number, wrong = parseQuantity(text, rateUnits, "a rate", "120/s, or a share as 10%")
 	}
 	if wrong != "" {
 		return 0, wrong
 	}
 	switch {
-	case number < 0 && f.Least >= 0:
+	case number < 0 && f.Min >= 0:
 		return 0, "may not be negative"
 	case math.IsInf(number, 0):
 		return 0, "is too large a number"
-	case number < f.Least:
-		return 0, "is less than " + f.show(f.Least) + ", the least that may stand here"
-	case f.Most != 0 && number > f.Most:
-		return 0, "is more than " + f.show(f.Most) + ", the most that may stand here"
+	case number < f.Min:
+		return 0, "is less than " + f.formatBound(f.Min) + ", the least that may stand here"
+	case f.Max != 0 && number > f.Max:
+		return 0, "is more than " + f.formatBound(f.Max) + ", the most that may stand here"
 	}
 	return number, ""
 }
 
-func parse(text string) float64 {
+func parseNumber(text string) float64 {
 	n, _ := strconv.ParseFloat(text, 64) // too large a number comes out as infinite, which is seen above
 	return n
 }
 
-func share(text string) (float64, string) {
+func parseShare(text string) (float64, string) {
 	of, percent := strings.CutSuffix(text, "%")
-	if !plain.MatchString(of) {
+	if !numberPattern.MatchString(of) {
 		return 0, "is no share; write it as 10% or 0.1"
 	}
-	n := parse(of)
+	n := parseNumber(of)
 	if percent {
 		n /= 100
 	}
@@ -215,14 +215,14 @@
 	return n, ""
 }
 
-// measure reads a number with its unit.
-func measure(text string, units map[string]float64, what, example string) (float64, string) {
-	m := unitful.FindStringSubmatch(text)
+// parseQuantity reads a number with its unit.
+func parseQuantity(text string, units map[string]float64, what, example string) (float64, string) {
+	m := quantityPattern.FindStringSubmatch(text)
 	if m == nil {
 		return 0, fmt.Sprintf("is not %s; write it as %s", what, example)
 	}
 	if m[2] == "" {
-		if parse(m[1]) == 0 {
+		if parseNumber(m[1]) == 0 {
 			return 0, ""
 		}
 		return 0, fmt.Sprintf("has no unit; write %s as %s", what, example)
@@ -237,7 +237,7 @@
 		}
 		return 0, fmt.Sprintf("has the unit %q, which is none of %s; write %s as %s", m[2], strings.Join(names, " "), what, example)
 	}
-	return parse(m[1]) * unit, ""
+	return parseNumber(m[1]) * unit, ""
 }
 
 // FormatRate writes a rate as it reads.
@@ -248,10 +248,10 @@
 	return strconv.FormatFloat(math.Round(s*1e9)/1e7, 'f', -1, 64) + "%"
 }
 
-// FormatSpan writes a time span as it reads, in the largest unit that leaves it whole.
-func FormatSpan(ms float64) string {
+// FormatDuration writes a time span as it reads, in the largest unit that leaves it whole.
+func FormatDuration(ms float64) string {
 	for _, unit := range []string{"d", "h", "min", "s"} {
-		if n := ms / spans[unit]; n == math.Trunc(n) && n != 0 {
+		if n := ms / durationUnits[unit]; n == math.Trunc(n) && n != 0 {
 			return strconv.FormatFloat(n, 'f', -1, 64) + unit
 		}
 	}
@@ -261,15 +261,15 @@
 // FormatSize writes a size as it reads, in the largest unit that leaves it whole.
 func FormatSize(bytes float64) string {
 	for _, unit := range []string{"GB", "MB", "KB"} {
-		if n := bytes / sizes[unit]; n == math.Trunc(n) && n != 0 {
+		if n := bytes / sizeUnits[unit]; n == math.Trunc(n) && n != 0 {
 			return strconv.FormatFloat(n, 'f', -1, 64) + unit
 		}
 	}
 	return strconv.FormatFloat(bytes, 'f', -1, 64) + "B"
 }
 
-// FormatWhen writes a moment as it reads.
-func FormatWhen(ms float64) string {
+// FormatTimestamp writes a moment as it reads.
+func FormatTimestamp(ms float64) string {
 	return time.UnixMicro(int64(math.Round(ms * 1000))).UTC().Format(time.RFC3339Nano)
 }
 
--- a/internal/conf/table.go
+++ b/internal/conf/table.go
@@ -24,7 +24,7 @@
 	Once    bool    // it may stand only once
 	Help    string  // what it does, one sentence or two
 	Example string  // a line that reads
-	Take    func(v *Values) error
+	Apply   func(v *Values) error
 }
 
 // Field is an argument or an option.
@@ -34,19 +34,19 @@
 	Choices  []string // of a Choice
 	Optional bool     // of an argument: it may be left out, from the last on. Options always may
 	Required bool     // of an option: it may not
-	Least    float64  // of a number, in the unit of its kind
-	Most     float64  // 0 for no bound
+	Min      float64  // of a number, in the unit of its kind
+	Max      float64  // 0 for no bound
 	Help     string
 }
 
 // Values are the words of one line, read.
 type Values struct {
-	At     Pos // of the directive
-	fields map[string]*value
+	Position Position // of the directive
+	fields   map[string]*value
 }
 
 type value struct {
-	words   []word
+	words   []token
 	numbers []float64
 }
 
@@ -86,8 +86,8 @@
 	return ""
 }
 
-// On reports whether a switch was given as on; otherwise where it was not given.
-func (v *Values) On(name string, otherwise bool) bool {
+// Bool reports whether a switch was given as on; otherwise where it was not given.
+func (v *Values) Bool(name string, otherwise bool) bool {
 	if f := v.fields[name]; f != nil {
 		return f.numbers[0] != 0
 	}
@@ -109,15 +109,15 @@
 
 // Pos is where the field stands, or the i-th word of one that takes several; the directive's place where the field
 // was not given.
-func (v *Values) Pos(name string, i int) Pos {
+func (v *Values) Pos(name string, i int) Position {
 	if f := v.fields[name]; f != nil && i < len(f.words) {
-		return f.words[i].Pos
+		return f.words[i].Position
 	}
-	return v.At
+	return v.Position
 }
 
-// Beside is the name of a file in a field, relative to the folder of the file that names it; empty where none is given.
-func (v *Values) Beside(field string) string {
+// RelativePath is the name of a file in a field, relative to the folder of the file that names it; empty where none is given.
+func (v *Values) RelativePath(field string) string {
 	name := v.Text(field)
 	if name == "" || filepath.IsAbs(name) {
 		return name
@@ -125,11 +125,11 @@
 	return filepath.Join(filepath.Dir(v.Pos(field, 0).File), name)
 }
 
-// Fault is a mistake in a field that only the directive itself can see.
-func (v *Values) Fault(name string, text string, args ...any) *Fault {
-	f := &Fault{Pos: v.Pos(name, 0), Text: fmt.Sprintf(text, args...)}
+// Errorf is a mistake in a field that only the directive itself can see.
+func (v *Values) Errorf(name string, text string, args ...any) *Error {
+	f := &Error{Position: v.Pos(name, 0), Message: fmt.Sprintf(text, args...)}
 	if given := v.fields[name]; given != nil {
-		f.Word = given.words[0].text
+		f.Token = given.words[0].text
 	}
 	return f
 }
@@ -146,7 +146,7 @@
 func (d *Directive) Usage() string {
 	words := []string{d.Name}
 	for _, f := range d.Args {
-		word := f.sample()
+		word := f.placeholder()
 		if f.Optional {
 			word = "[" + word + "]"
 		}
@@ -154,8 +154,8 @@
 	}
 	for _, f := range d.Options {
 		word := f.Name
-		if f.Kind != Mark {
-			word += " " + f.sample()
+		if f.Kind != Flag {
+			word += " " + f.placeholder()
 		}
 		if !f.Required {
 			word = "[" + word + "]"
@@ -165,8 +165,8 @@
 	return strings.Join(words, " ")
 }
 
-// directive reads one line.
-func (r *reader) directive(words []word) {
+// parseDirective reads one line.
+func (r *parser) parseDirective(words []token) {
 	var d *Directive
 	for _, one := range r.table.Directives {
 		if one.Name == words[0].text && !words[0].quoted {
@@ -174,20 +174,20 @@
 		}
 	}
 	if d == nil {
-		r.fault(words[0].Pos, words[0].text, "is no directive of a %s%s", r.table.Name, spell.Hint(words[0].text, r.table.names()))
+		r.errorf(words[0].Position, words[0].text, "is no directive of a %s%s", r.table.Name, spell.Hint(words[0].text, r.table.names()))
 		return
 	}
-	if first, again := r.seen[d.Name]; d.Once && again {
-		r.fault(words[0].Pos, d.Name, "stands already at %v; keep one of them", first)
+	if first, again := r.firstUse[d.Name]; d.Once && again {
+		r.errorf(words[0].Position, d.Name, "stands already at %v; keep one of them", first)
 		return
 	}
-	r.seen[d.Name] = words[0].Pos
-	before := len(r.faults)
-	v := &Values{At: words[0].Pos, fields: map[string]*value{}}
+	r.firstUse[d.Name] = words[0].Position
+	before := len(r.errors)
+	v := &Values{Position: words[0].Position, fields: map[string]*value{}}
 	rest := words[1:]
 	for i := range d.Args {
-		rest = r.take(d, &d.Args[i], v, rest)
-		if len(r.faults) > before {
+		rest = r.parseField(d, &d.Args[i], v, rest)
+		if len(r.errors) > before {
 			return
 		}
 	}
@@ -195,40 +195,40 @@
 		f := d.option(rest[0])
 		switch {
 		case f == nil:
-			r.fault(rest[0].Pos, rest[0].text, "is one word too many or no option; the form is: %s%s", d.Usage(), spell.Hint(rest[0].text, d.optionNames()))
+			r.errorf(rest[0].Position, rest[0].text, "is one word too many or no option; the form is: %s%s", d.Usage(), spell.Hint(rest[0].text, d.optionNames()))
 			return
 		case v.fields[f.Name] != nil:
-			r.fault(rest[0].Pos, rest[0].text, "is given twice on this line")
+			r.errorf(rest[0].Position, rest[0].text, "is given twice on this line")
 			return
-		case f.Kind == Mark:
+		case f.Kind == Flag:
 			v.fields[f.Name] = &value{words: rest[:1], numbers: []float64{1}}
 			rest = rest[1:]
 		default:
 			name := rest[0]
-			if rest = r.take(d, f, v, rest[1:]); v.fields[f.Name] == nil && len(r.faults) == before {
-				r.fault(name.Pos, name.text, "wants %s behind it", f.Kind)
+			if rest = r.parseField(d, f, v, rest[1:]); v.fields[f.Name] == nil && len(r.errors) == before {
+				r.errorf(name.Position, name.text, "wants %s behind it", f.Kind)
 			}
 		}
-		if len(r.faults) > before {
+		if len(r.errors) > before {
 			return
 		}
 	}
 	for _, f := range d.Options {
 		if f.Required && v.fields[f.Name] == nil {
-			r.fault(words[0].Pos, d.Name, "lacks %q; the form is: %s", f.Name, d.Usage())
+			r.errorf(words[0].Position, d.Name, "lacks %q; the form is: %s", f.Name, d.Usage())
 			return
 		}
 	}
-	if err := d.Take(v); err != nil {
-		if f, ok := err.(*Fault); ok {
-			r.faults = append(r.faults, f)
+	if err := d.Apply(v); err != nil {
+		if f, ok := err.(*Error); ok {
+			r.errors = append(r.errors, f)
 			return
 		}
-		r.fault(words[0].Pos, d.Name, "%v", err)
+		r.errorf(words[0].Position, d.Name, "%v", err)
 	}
 }
 
-func (d *Directive) option(w word) *Field {
+func (d *Directive) option(w token) *Field {
 	if !w.quoted {
 		for i := range d.Options {
 			if d.Options[i].Name == w.text {
@@ -247,27 +247,27 @@
 	return names
 }
 
-// take reads a field's word, or words, and gives the rest.
-func (r *reader) take(d *Directive, f *Field, v *Values, rest []word) []word {
+// parseField reads a field's word, or words, and gives the rest.
+func (r *parser) parseField(d *Directive, f *Field, v *Values, rest []token) []token {
 	n := 0
 	if len(rest) > 0 && !f.Optional { // its word even where an option is named so: a hall may be called hall
 		n = 1
 	}
-	for n < len(rest) && d.option(rest[n]) == nil && (n == 0 || f.Kind == Names || f.Kind == Rates || f.Kind == Words) {
+	for n < len(rest) && d.option(rest[n]) == nil && (n == 0 || f.Kind == Names || f.Kind == NamedRates || f.Kind == Words) {
 		n++
 	}
 	if n == 0 {
 		if !f.Optional && slices.ContainsFunc(d.Args, func(a Field) bool { return a.Name == f.Name }) {
-			at := v.At
-			r.fault(at, d.Name, "lacks its %s; the form is: %s", f.Name, d.Usage())
+			at := v.Position
+			r.errorf(at, d.Name, "lacks its %s; the form is: %s", f.Name, d.Usage())
 		}
 		return rest
 	}
 	val := &value{words: rest[:n]}
 	for _, w := range rest[:n] {
-		number, wrong := f.read(w.text)
+		number, wrong := f.parse(w.text)
 		if wrong != "" {
-			r.fault(w.Pos, w.text, "%s", wrong)
+			r.errorf(w.Position, w.text, "%s", wrong)
 			return rest[n:]
 		}
 		val.numbers = append(val.numbers, number)
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -97,16 +97,16 @@
 		help.WriteString("\n- `" + k.name + "` (" + cmp.Or(strings.Join(strings.Fields(k.takes), ", "), "nothing more") + "): " + k.help + ".")
 	}
 	return &conf.Directive{Name: "trouble", Args: []conf.Field{{Name: "kind", Kind: conf.Choice, Choices: Kinds()}},
-		Options: []conf.Field{{Name: "at", Kind: conf.Span, Required: true, Help: "from the day's beginning"}, {Name: "for", Kind: conf.Span, Required: true, Least: 1, Help: "how long"},
+		Options: []conf.Field{{Name: "at", Kind: conf.Duration, Required: true, Help: "from the day's beginning"}, {Name: "for", Kind: conf.Duration, Required: true, Min: 1, Help: "how long"},
 			{Name: "servers", Kind: conf.Number, Help: "how many: a number from 1 on, or under that a share; a fifth"}, {Name: "gatherers", Kind: conf.Number, Help: "the same of gatherers; a half"}, {Name: "hall", Kind: conf.Name, Help: "only there, or from there"}, {Name: "to", Kind: conf.Name, Help: "that hall"},
-			{Name: "share", Kind: conf.Share, Help: "50%"}, {Name: "times", Kind: conf.Number, Least: 0.01, Most: 1000, Help: "4"}, {Name: "index", Kind: conf.Name, Help: "only of it"}, {Name: "waves", Kind: conf.Count, Least: 1, Most: 1000, Help: "4"}},
+			{Name: "share", Kind: conf.Share, Help: "50%"}, {Name: "times", Kind: conf.Number, Min: 0.01, Max: 1000, Help: "4"}, {Name: "index", Kind: conf.Name, Help: "only of it"}, {Name: "waves", Kind: conf.Count, Min: 1, Max: 1000, Help: "4"}},
 		Help: help.String(), Example: "trouble slow at 10s for 8s servers 0.2 times 5",
-		Take: func(v *conf.Values) error {
+		Apply: func(v *conf.Values) error {
 			t := Trouble{Kind: v.Text("kind"), At: v.Number("at", 0), For: v.Number("for", 0), Servers: v.Number("servers", 0.2), Gatherers: v.Number("gatherers", 0.5),
 				Hall: v.Text("hall"), To: v.Text("to"), Share: v.Number("share", 0.5), Times: v.Number("times", 4), Index: v.Text("index"), Waves: int(v.Number("waves", 4)), line: v}
 			for _, option := range []string{"servers", "gatherers", "hall", "to", "share", "times", "index", "waves"} {
 				if v.Has(option) && !Takes(t.Kind, option) {
-					return v.Fault(option, "is nothing that the trouble %s takes; it takes %s", t.Kind, kindOf(t.Kind).takes)
+					return v.Errorf(option, "is nothing that the trouble %s takes; it takes %s", t.Kind, kindOf(t.Kind).takes)
 				}
 			}
 			for _, option := range []string{"hall", "to"} {
@@ -117,7 +117,7 @@
 			needs := map[string][]string{"cut": {"hall", "to"}, "loss": {"hall", "to"}, "hall-lost": {"hall"}, "index-fails": {"index"}}
 			for _, option := range needs[t.Kind] {
 				if !v.Has(option) {
-					return v.Fault("kind", "wants %q", option)
+					return v.Errorf("kind", "wants %q", option)
 				}
 			}
 			names := []string{}
@@ -125,7 +125,7 @@
 				names = append(names, ix.Name)
 			}
 			if t.Index != "" && !slices.Contains(names, t.Index) {
-				return v.Fault("index", "is no index given above%s", spell.Hint(t.Index, names))
+				return v.Errorf("index", "is no index given above%s", spell.Hint(t.Index, names))
 			}
 			s.Troubles = append(s.Troubles, t)
 			return nil
@@ -134,7 +134,7 @@
 
 // Line is the trouble as it stands in a scenario file.
 func (t *Trouble) Line() string {
-	words := []string{"trouble", t.Kind, "at", conf.FormatSpan(t.At), "for", conf.FormatSpan(t.For)}
+	words := []string{"trouble", t.Kind, "at", conf.FormatDuration(t.At), "for", conf.FormatDuration(t.For)}
 	num := func(option string, value float64) {
 		if Takes(t.Kind, option) {
 			words = append(words, option, trim(value))
--- a/internal/placefile/read.go
+++ b/internal/placefile/read.go
@@ -41,45 +41,45 @@
 func hostFields() []conf.Field {
 	return []conf.Field{
 		{Name: "capacity", Kind: conf.Rate, Help: "parts that it can answer when warm"},
-		{Name: "cost", Kind: conf.Number, Most: placement.MostCost / 1000, Help: "price of a part; 0 unless told"},
-		{Name: "holds", Kind: conf.Count, Most: 1e6, Help: "segments that it has room for; any number unless told"},
+		{Name: "cost", Kind: conf.Number, Max: placement.MostCost / 1000, Help: "price of a part; 0 unless told"},
+		{Name: "holds", Kind: conf.Count, Max: 1e6, Help: "segments that it has room for; any number unless told"},
 		{Name: "cold", Kind: conf.Share, Help: "of its capacity that is safe when it has just started; nothing unless told"},
-		{Name: "warms", Kind: conf.Span, Most: 1e9, Help: "time in which that rises evenly to all of it"},
+		{Name: "warms", Kind: conf.Duration, Max: 1e9, Help: "time in which that rises evenly to all of it"},
 	}
 }
 
 func (f *File) table() *conf.Table {
 	keep := func(kind string, v *conf.Values) { f.lines[kind] = append(f.lines[kind], v) }
 	return &conf.Table{Name: "placement file", Intro: "Halls, hosts, segments and demand, for `yokeroute plan`; with weights in it, a plan.", Directives: []*conf.Directive{
-		{Name: "unit", Once: true, Args: []conf.Field{{Name: "rate", Kind: conf.Rate, Least: 1e-6, Most: 1e6, Help: "the rate that is not split further"}},
+		{Name: "unit", Once: true, Args: []conf.Field{{Name: "rate", Kind: conf.Rate, Min: 1e-6, Max: 1e6, Help: "the rate that is not split further"}},
 			Help: "Weights are whole numbers of this rate, and all rates are multiples of it; 1/s unless told.", Example: "unit 0.1/s",
-			Take: func(v *conf.Values) error { f.Model.Unit, f.unit = v.Number("rate", 0), v; return nil }},
-		{Name: "at", Once: true, Args: []conf.Field{{Name: "moment", Kind: conf.When, Help: "from which the plan holds"}},
+			Apply: func(v *conf.Values) error { f.Model.Unit, f.unit = v.Number("rate", 0), v; return nil }},
+		{Name: "at", Once: true, Args: []conf.Field{{Name: "moment", Kind: conf.Timestamp, Help: "from which the plan holds"}},
 			Help: "When the plan begins to hold; the moment of solving unless told.", Example: "at 2026-12-01T10:00:00Z",
-			Take: func(v *conf.Values) error { f.Model.At = v.Number("moment", 0); return nil }},
-		{Name: "clocks", Once: true, Args: []conf.Field{{Name: "time", Kind: conf.Span, Most: 3_600_000, Help: "by which a gatherer's clock may run ahead"}},
+			Apply: func(v *conf.Values) error { f.Model.At = v.Number("moment", 0); return nil }},
+		{Name: "clocks", Once: true, Args: []conf.Field{{Name: "time", Kind: conf.Duration, Max: 3_600_000, Help: "by which a gatherer's clock may run ahead"}},
 			Help: "What a host that warms up is safe to take is reckoned by the slowest clock.", Example: "clocks 500ms",
-			Take: func(v *conf.Values) error { f.Model.Clocks = v.Number("time", 0); return nil }},
-		{Name: "steps", Once: true, Args: []conf.Field{{Name: "number", Kind: conf.Count, Least: 1, Most: 100, Help: "of steps until the last host is warm"}},
+			Apply: func(v *conf.Values) error { f.Model.Clocks = v.Number("time", 0); return nil }},
+		{Name: "steps", Once: true, Args: []conf.Field{{Name: "number", Kind: conf.Count, Min: 1, Max: 100, Help: "of steps until the last host is warm"}},
 			Help: "Into how many steps a plan is cut while hosts warm up; 8 unless told.", Example: "steps 4",
-			Take: func(v *conf.Values) error { f.Model.Steps = int(v.Number("number", 0)); return nil }},
-		{Name: "most-moved", Once: true, Args: []conf.Field{{Name: "replicas", Kind: conf.Count, Most: 1e9, Help: "that may be put where they are not now"}},
+			Apply: func(v *conf.Values) error { f.Model.Steps = int(v.Number("number", 0)); return nil }},
+		{Name: "most-moved", Once: true, Args: []conf.Field{{Name: "replicas", Kind: conf.Count, Max: 1e9, Help: "that may be put where they are not now"}},
 			Help: "Bounds what a new placement may move; any number unless told.", Example: "most-moved 6",
-			Take: func(v *conf.Values) error { f.Model.Copies = int(v.Number("replicas", 0)); return nil }},
+			Apply: func(v *conf.Values) error { f.Model.Copies = int(v.Number("replicas", 0)); return nil }},
 		{Name: "hall", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{
 			{Name: "most", Kind: conf.Rate, Help: "load that its hosts may carry together"},
 			{Name: "spare", Kind: conf.RateOrShare, Help: "capacity of its hosts that has to stay free"}},
 			Help: "A place whose hosts share limits.", Example: "hall ktm-hall most 900/s spare 10%",
-			Take: func(v *conf.Values) error { keep("hall", v); return nil }},
+			Apply: func(v *conf.Values) error { keep("hall", v); return nil }},
 		{Name: "crossing", Args: []conf.Field{{Name: "from", Kind: conf.Name, Help: "hall of the gatherer"}, {Name: "to", Kind: conf.Name, Help: "hall of the host"},
-			{Name: "cost", Kind: conf.Number, Most: placement.MostCost / 1000, Help: "price of a part"}},
+			{Name: "cost", Kind: conf.Number, Max: placement.MostCost / 1000, Help: "price of a part"}},
 			Help: "What a part costs that goes from one hall to another. It holds both ways unless the other way is given too; 1 unless told.", Example: "crossing ktm-hall patan-hall 2.5",
-			Take: func(v *conf.Values) error { keep("crossing", v); return nil }},
+			Apply: func(v *conf.Values) error { keep("crossing", v); return nil }},
 		{Name: "kind", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: hostFields(),
 			Help: "What hosts of one kind have alike; a host's own line goes before it.", Example: "kind m2 capacity 120/s cost 3 cold 18% warms 17s",
-			Take: func(v *conf.Values) error {
+			Apply: func(v *conf.Values) error {
 				if f.kinds[v.Text("name")] != nil {
-					return v.Fault("name", "is given twice; every kind has its own name")
+					return v.Errorf("name", "is given twice; every kind has its own name")
 				}
 				f.kinds[v.Text("name")] = v
 				return nil
@@ -88,19 +88,19 @@
 			{Name: "hall", Kind: conf.Name, Required: true, Help: "where it stands"},
 			{Name: "kind", Kind: conf.Name, Help: "of which it is"},
 			{Name: "state", Kind: conf.Choice, Choices: states, Help: "running unless told; the others get nothing"},
-			{Name: "started", Kind: conf.When, Help: "when it last started, or will; long ago unless told"}}, hostFields()...),
+			{Name: "started", Kind: conf.Timestamp, Help: "when it last started, or will; long ago unless told"}}, hostFields()...),
 			Help: "One machine.", Example: "host s-01 hall ktm-hall capacity 120/s",
-			Take: func(v *conf.Values) error { keep("host", v); return nil }},
+			Apply: func(v *conf.Values) error { keep("host", v); return nil }},
 		{Name: "segment", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{
-			{Name: "group", Kind: conf.Count, Most: 1e6, Help: "of the gatherers' shards that it is"},
-			{Name: "replicas", Kind: conf.Count, Least: 1, Most: 1000, Help: "wanted of a new placement; as many as it has unless told"},
+			{Name: "group", Kind: conf.Count, Max: 1e6, Help: "of the gatherers' shards that it is"},
+			{Name: "replicas", Kind: conf.Count, Min: 1, Max: 1000, Help: "wanted of a new placement; as many as it has unless told"},
 			{Name: "on", Kind: conf.Names, Help: "hosts that hold it"}},
 			Help: "Data that its hosts hold, each all of it.", Example: "segment names-a group 0 replicas 3 on s-01 s-02 s-07",
-			Take: func(v *conf.Values) error { keep("segment", v); return nil }},
+			Apply: func(v *conf.Values) error { keep("segment", v); return nil }},
 		{Name: "demand", Args: []conf.Field{{Name: "segment", Kind: conf.Name, Help: "or * for each segment that has no line of its own"}, {Name: "hall", Kind: conf.Name, Help: "of the gatherers that ask"},
 			{Name: "rate", Kind: conf.Rate, Help: "parts that they ask for"}},
 			Help: "What the gatherers of a hall ask of a segment, all together.", Example: "demand names-a ktm-hall 140/s",
-			Take: func(v *conf.Values) error {
+			Apply: func(v *conf.Values) error {
 				if v.Text("segment") == "*" {
 					f.all = append(f.all, v)
 				} else {
@@ -109,15 +109,15 @@
 				return nil
 			}},
 		{Name: "from-list", Once: true, Help: "Hosts and segments come from discovery's list as it changes: a host's kind, hall and start are the list's, a segment is a group of shards. For `placement` in the operator's file.", Example: "from-list",
-			Take: func(v *conf.Values) error { f.FromList = true; return nil }},
-		{Name: "step", Args: []conf.Field{{Name: "moment", Kind: conf.When, Optional: true, Help: "from which the weights below hold; the beginning unless told"}},
-			Help: "Begins a set of weights. Written by `yokeroute plan solve`.", Example: "step 2026-12-01T10:00:04Z", Take: f.takeStep},
+			Apply: func(v *conf.Values) error { f.FromList = true; return nil }},
+		{Name: "step", Args: []conf.Field{{Name: "moment", Kind: conf.Timestamp, Optional: true, Help: "from which the weights below hold; the beginning unless told"}},
+			Help: "Begins a set of weights. Written by `yokeroute plan solve`.", Example: "step 2026-12-01T10:00:04Z", Apply: f.takeStep},
 		{Name: "case", Args: []conf.Field{{Name: "name", Kind: conf.Text}}, Options: []conf.Field{
 			{Name: "lost", Kind: conf.Names, Required: true, Help: "hosts that are missing"},
 			{Name: "short", Kind: conf.Rate, Help: "demand that does not fit any more"}},
-			Help: "Begins the weights for a loss; rows that it does not give are those of the plan. Written by `yokeroute plan solve`.", Example: `case "hall ktm-hall" lost s-01 s-02 short 40/s`, Take: f.takeCase},
-		{Name: "weights", Args: []conf.Field{{Name: "segment", Kind: conf.Name}, {Name: "hall", Kind: conf.Name, Help: "of the gatherers that go by them"}, {Name: "hosts", Kind: conf.Rates, Help: "what each host gets"}},
-			Help: "One row of weights.", Example: "weights names-a ktm-hall s-01=90/s s-02=50/s", Take: f.takeWeights},
+			Help: "Begins the weights for a loss; rows that it does not give are those of the plan. Written by `yokeroute plan solve`.", Example: `case "hall ktm-hall" lost s-01 s-02 short 40/s`, Apply: f.takeCase},
+		{Name: "weights", Args: []conf.Field{{Name: "segment", Kind: conf.Name}, {Name: "hall", Kind: conf.Name, Help: "of the gatherers that go by them"}, {Name: "hosts", Kind: conf.NamedRates, Help: "what each host gets"}},
+			Help: "One row of weights.", Example: "weights names-a ktm-hall s-01=90/s s-02=50/s", Apply: f.takeWeights},
 	}}
 }
 
@@ -146,9 +146,9 @@
 	if err != nil {
 		return err
 	}
-	var faults conf.Faults
+	var faults conf.ErrorList
 	say := func(err error) {
-		if one, ok := err.(*conf.Fault); ok && one != nil {
+		if one, ok := err.(*conf.Error); ok && one != nil {
 			faults = append(faults, one)
 		}
 	}
@@ -171,7 +171,7 @@
 		h := placement.Host{Name: v.Text("name"), Hall: v.Text("hall"), Started: v.Number("started", 0),
 			State: gather.State(v.Number("state", 0))}
 		if kind := v.Text("kind"); kind != "" && f.kinds[kind] == nil {
-			say(v.Fault("kind", "is no kind of this file%s", spell.Hint(kind, names(f.kinds))))
+			say(v.Errorf("kind", "is no kind of this file%s", spell.Hint(kind, names(f.kinds))))
 		} else {
 			f.fill(&h, v, f.kinds[kind], say)
 		}
@@ -192,7 +192,7 @@
 	}
 	if f.FromList && (len(f.Model.Hosts) > 0 || len(f.Model.Segments) > 0) {
 		at := append(f.lines["host"], f.lines["segment"]...)[0]
-		faults = append(faults, &conf.Fault{Pos: at.At, Text: "from-list takes hosts and segments from the list; take these lines or from-list out"})
+		faults = append(faults, &conf.Error{Position: at.Position, Message: "from-list takes hosts and segments from the list; take these lines or from-list out"})
 	}
 	if len(faults) > 0 {
 		return faults
@@ -231,7 +231,7 @@
 		return own
 	}
 	if v := of("capacity"); !v.Has("capacity") {
-		say(v.Fault("capacity", "host %s lacks its capacity, and no kind gives it; write capacity 120/s", h.Name))
+		say(v.Errorf("capacity", "host %s lacks its capacity, and no kind gives it; write capacity 120/s", h.Name))
 	} else {
 		h.Capacity = f.units(v, "capacity", say)
 	}
@@ -247,9 +247,9 @@
 	whole := math.Round(units)
 	switch {
 	case units > placement.Most:
-		say(v.Fault(name, "is more than %d units of %s; write less, or a larger unit", placement.Most, conf.FormatRate(f.Model.Unit)))
+		say(v.Errorf(name, "is more than %d units of %s; write less, or a larger unit", placement.Most, conf.FormatRate(f.Model.Unit)))
 	case math.Abs(units-whole) > 1e-6:
-		say(v.Fault(name, "is no multiple of the unit, %s; write %s, or a smaller unit", conf.FormatRate(f.Model.Unit), f.rate(int64(whole))))
+		say(v.Errorf(name, "is no multiple of the unit, %s; write %s, or a smaller unit", conf.FormatRate(f.Model.Unit), f.rate(int64(whole))))
 	}
 	return int64(whole)
 }
@@ -257,7 +257,7 @@
 func thousandths(v *conf.Values, say func(error)) int64 {
 	n := v.Number("cost", 0) * 1000
 	if math.Abs(n-math.Round(n)) > 1e-6 {
-		say(v.Fault("cost", "has more than three decimals"))
+		say(v.Errorf("cost", "has more than three decimals"))
 	}
 	return int64(math.Round(n))
 }
@@ -271,14 +271,14 @@
 }
 
 // place finds the word of a model's fault in the file.
-func (f *File) place(fault *placement.Fault) *conf.Fault {
+func (f *File) place(fault *placement.Fault) *conf.Error {
 	lines := f.lines[fault.Kind]
 	if fault.Index >= len(lines) {
-		at := conf.Pos{}
+		at := conf.Position{}
 		if f.unit != nil {
-			at = f.unit.At
+			at = f.unit.Position
 		}
-		return &conf.Fault{Pos: at, Word: fault.Word, Text: fault.Text}
+		return &conf.Error{Position: at, Token: fault.Word, Message: fault.Text}
 	}
 	v := lines[fault.Index]
 	at := 0
@@ -291,7 +291,7 @@
 	if v.Has(fault.Field) && !slices.Contains(v.List(fault.Field), word) {
 		word = v.Text(fault.Field)
 	}
-	return &conf.Fault{Pos: v.Pos(fault.Field, at), Word: word, Text: fault.Text}
+	return &conf.Error{Position: v.Pos(fault.Field, at), Token: word, Message: fault.Text}
 }
 
 func (f *File) takeStep(v *conf.Values) error {
@@ -304,7 +304,7 @@
 	}
 	from := v.Number("moment", f.Model.At)
 	if n := len(*steps); n > 0 && from <= (*steps)[n-1].From {
-		return v.Fault("moment", "is not after the step before it; steps go by time")
+		return v.Errorf("moment", "is not after the step before it; steps go by time")
 	}
 	*steps = append(*steps, placement.Step{From: from})
 	f.step = &(*steps)[len(*steps)-1]
@@ -338,10 +338,10 @@
 	for i, host := range hosts {
 		units := rates[i] / f.Model.Unit
 		if math.Abs(units-math.Round(units)) > 1e-6 || units > placement.Most {
-			return &conf.Fault{Pos: v.Pos("hosts", i), Word: v.List("hosts")[i], Text: "is no whole number of the unit, " + conf.FormatRate(f.Model.Unit)}
+			return &conf.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: "is no whole number of the unit, " + conf.FormatRate(f.Model.Unit)}
 		}
 		if slices.ContainsFunc(r.Weights, func(w placement.Weight) bool { return w.Host == host }) {
-			return &conf.Fault{Pos: v.Pos("hosts", i), Word: v.List("hosts")[i], Text: "names the host twice"}
+			return &conf.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: "names the host twice"}
 		}
 		r.Weights = append(r.Weights, placement.Weight{Host: host, Rate: int64(math.Round(units))})
 	}
@@ -357,10 +357,10 @@
 		return nil
 	}
 	if f.FromList {
-		return conf.Faults{{Pos: f.lines["weights"][0].At, Text: "from-list has no hosts for weights; take these lines or from-list out"}}
+		return conf.ErrorList{{Position: f.lines["weights"][0].Position, Message: "from-list has no hosts for weights; take these lines or from-list out"}}
 	}
 	f.Plan.Model = f.Model.Normal()
-	faults := conf.Faults{}
+	faults := conf.ErrorList{}
 	hosts, asked, on := map[string]bool{}, map[[2]string]bool{}, map[string]map[string]bool{}
 	for _, h := range f.Model.Hosts {
 		hosts[h.Name] = true
@@ -377,24 +377,24 @@
 	for i, v := range f.lines["case"] {
 		for j, host := range f.Plan.Cases[i].Lost {
 			if !hosts[host] {
-				faults = append(faults, &conf.Fault{Pos: v.Pos("lost", j), Word: host, Text: "is no host of this file"})
+				faults = append(faults, &conf.Error{Position: v.Pos("lost", j), Token: host, Message: "is no host of this file"})
 			}
 		}
 	}
 	for _, v := range f.lines["weights"] {
 		segment := v.Text("segment")
 		if on[segment] == nil {
-			faults = append(faults, v.Fault("segment", "is no segment of this file"))
+			faults = append(faults, v.Errorf("segment", "is no segment of this file"))
 			continue
 		}
 		named, _ := v.Rates("hosts")
 		for j, host := range named {
 			if !on[segment][host] {
-				faults = append(faults, &conf.Fault{Pos: v.Pos("hosts", j), Word: host, Text: "does not hold the segment " + segment})
+				faults = append(faults, &conf.Error{Position: v.Pos("hosts", j), Token: host, Message: "does not hold the segment " + segment})
 			}
 		}
 		if !asked[[2]string{segment, v.Text("hall")}] {
-			faults = append(faults, v.Fault("hall", "asks for nothing of segment %s in this file", segment))
+			faults = append(faults, v.Errorf("hall", "asks for nothing of segment %s in this file", segment))
 		}
 	}
 	if len(faults) > 0 {
--- a/internal/policy/file.go
+++ b/internal/policy/file.go
@@ -39,13 +39,13 @@
 		*to = append(*to, policy.Entry{Kind: kind, Of: of, Value: value})
 	}
 	return &conf.Table{Name: "policy file", Intro: "What a fleet of gatherers may do less than the platform's settings allow: `yokeroute policy check | diff | propose FILE`, and the floor of a gatherer that is cut off. An empty file allows all that the platform does.", Directives: []*conf.Directive{
-		{Name: "index", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "once-only", Kind: conf.Mark, Help: "its lookups may have an effect: no call is made that may be a second one"},
-			{Name: "no-copies", Kind: conf.Mark, Help: "no two calls of a part at once"}, {Name: "least", Kind: conf.Share, Least: 0.0001, Most: 1, Help: "share of an answer under which none is given"}},
+		{Name: "index", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "once-only", Kind: conf.Flag, Help: "its lookups may have an effect: no call is made that may be a second one"},
+			{Name: "no-copies", Kind: conf.Flag, Help: "no two calls of a part at once"}, {Name: "least", Kind: conf.Share, Min: 0.0001, Max: 1, Help: "share of an answer under which none is given"}},
 			Help: "What lookups of an index may not.", Example: "index resolve once-only no-copies least 80%",
-			Take: func(v *conf.Values) error {
+			Apply: func(v *conf.Values) error {
 				name := v.Text("name")
 				if !v.Has("once-only") && !v.Has("no-copies") && !v.Has("least") {
-					return v.Fault("name", "wants one at least of once-only, no-copies and least")
+					return v.Errorf("name", "wants one at least of once-only, no-copies and least")
 				}
 				if v.Has("once-only") {
 					put(policy.OnceOnly, name, 0)
@@ -59,12 +59,12 @@
 				return nil
 			}},
 		{Name: "no-copies", Once: true, Help: "No two calls of a part at once, of any index.", Example: "no-copies",
-			Take: func(*conf.Values) error { put(policy.NoCopies, "", 0); return nil }},
-		{Name: "further", Once: true, Options: []conf.Field{{Name: "share", Kind: conf.Share, Help: "of the lookups and parts taken"}, {Name: "free", Kind: conf.Number, Most: 1e6, Help: "and so many more"}},
+			Apply: func(*conf.Values) error { put(policy.NoCopies, "", 0); return nil }},
+		{Name: "further", Once: true, Options: []conf.Field{{Name: "share", Kind: conf.Share, Help: "of the lookups and parts taken"}, {Name: "free", Kind: conf.Number, Max: 1e6, Help: "and so many more"}},
 			Help: "Budget of further part calls, in the platform's window.", Example: "further share 2% free 4",
-			Take: func(v *conf.Values) error {
+			Apply: func(v *conf.Values) error {
 				if !v.Has("share") && !v.Has("free") {
-					return v.Fault("further", "wants share, free or both")
+					return v.Errorf("further", "wants share, free or both")
 				}
 				if v.Has("share") {
 					put(policy.Share, "", v.Number("share", 0))
@@ -75,13 +75,13 @@
 				return nil
 			}},
 		{Name: "cold", Once: true, Args: []conf.Field{{Name: "share", Kind: conf.Share, Help: "of what the platform's rule allows"}}, Help: "What cold servers are sent at most.", Example: "cold 50%",
-			Take: func(v *conf.Values) error { put(policy.Cold, "", v.Number("share", 0)); return nil }},
+			Apply: func(v *conf.Values) error { put(policy.Cold, "", v.Number("share", 0)); return nil }},
 		{Name: "close", Options: []conf.Field{{Name: "zone", Kind: conf.Name, Required: true}, {Name: "host", Kind: conf.Name, Help: "of it; all of the zone unless told"}},
 			Help: "Sends nothing new to a host or to a whole zone.", Example: "close zone north host s-5be2a07c",
-			Take: func(v *conf.Values) error { put(policy.Closed, v.Text("zone")+"/"+v.Text("host"), 0); return nil }},
+			Apply: func(v *conf.Values) error { put(policy.Closed, v.Text("zone")+"/"+v.Text("host"), 0); return nil }},
 		{Name: "turns", Args: []conf.Field{{Name: "host", Kind: conf.Name}, {Name: "share", Kind: conf.Share}},
 			Help: "Part of its plain turns that a host gets. No rule hangs on it: a floor need not have it.", Example: "turns s-5be2a07c 50%",
-			Take: func(v *conf.Values) error { put(policy.Turns, v.Text("host"), v.Number("share", 1)); return nil }},
+			Apply: func(v *conf.Values) error { put(policy.Turns, v.Text("host"), v.Number("share", 1)); return nil }},
 	}}
 }
 
--- a/internal/processes/scenario.go
+++ b/internal/processes/scenario.go
@@ -102,38 +102,38 @@
 	}
 	return []*conf.Directive{
 		{Name: "fault", Args: []conf.Field{{Name: "kind", Kind: conf.Choice, Choices: faultNames()}},
-			Options: []conf.Field{{Name: "on", Kind: conf.Names, Required: true, Help: "names; * stands for any letters"}, {Name: "at", Kind: conf.Span, Required: true, Help: "from the day's beginning"},
-				{Name: "for", Kind: conf.Span, Least: 1, Help: "how long; for good unless told"}, {Name: "times", Kind: conf.Number, Least: 0.01, Most: 1000, Help: "4"}, {Name: "share", Kind: conf.Share, Help: "50%"},
-				{Name: "delay", Kind: conf.Span, Help: "50ms"}, {Name: "rate", Kind: conf.Size, Least: 1, Help: "a second; 16KB"}, {Name: "state", Kind: conf.Choice, Choices: []string{"kept", "stale", "torn", "gone"}, Help: "kept"}},
+			Options: []conf.Field{{Name: "on", Kind: conf.Names, Required: true, Help: "names; * stands for any letters"}, {Name: "at", Kind: conf.Duration, Required: true, Help: "from the day's beginning"},
+				{Name: "for", Kind: conf.Duration, Min: 1, Help: "how long; for good unless told"}, {Name: "times", Kind: conf.Number, Min: 0.01, Max: 1000, Help: "4"}, {Name: "share", Kind: conf.Share, Help: "50%"},
+				{Name: "delay", Kind: conf.Duration, Help: "50ms"}, {Name: "rate", Kind: conf.Size, Min: 1, Help: "a second; 16KB"}, {Name: "state", Kind: conf.Choice, Choices: []string{"kept", "stale", "torn", "gone"}, Help: "kept"}},
 			Help: help.String(), Example: "fault kill on g1 g2 at 3s for 1s state stale",
-			Take: func(v *conf.Values) error {
+			Apply: func(v *conf.Values) error {
 				f := Fault{Kind: v.Text("kind"), On: v.List("on"), At: v.Number("at", 0), For: v.Number("for", 0), Times: v.Number("times", 4), Share: v.Number("share", 0.5), Delay: v.Number("delay", 50),
 					Rate: v.Number("rate", 16<<10), State: cmp.Or(v.Text("state"), "kept"), line: v}
 				for _, option := range []string{"times", "share", "delay", "rate", "state"} {
 					if v.Has(option) && !slices.Contains(strings.Fields(faultKindOf(f.Kind).takes), option) {
-						return v.Fault(option, "is nothing that the fault %s takes%s", f.Kind, may(faultKindOf(f.Kind).takes))
+						return v.Errorf(option, "is nothing that the fault %s takes%s", f.Kind, may(faultKindOf(f.Kind).takes))
 					}
 				}
 				s.Faults = append(s.Faults, f)
 				return nil
 			}},
-		{Name: "faults", Args: []conf.Field{{Name: "count", Kind: conf.Count, Least: 1, Most: 10_000}}, Options: []conf.Field{{Name: "of", Kind: conf.Names, Help: "kinds; all of them unless told"},
-			{Name: "from", Kind: conf.Span, Help: "the day's beginning unless told"}, {Name: "to", Kind: conf.Span, Help: "its end unless told"}, {Name: "least", Kind: conf.Span, Least: 1, Help: "how long; 200ms"}, {Name: "most", Kind: conf.Span, Least: 1, Help: "how long; 2s"}},
+		{Name: "faults", Args: []conf.Field{{Name: "count", Kind: conf.Count, Min: 1, Max: 10_000}}, Options: []conf.Field{{Name: "of", Kind: conf.Names, Help: "kinds; all of them unless told"},
+			{Name: "from", Kind: conf.Duration, Help: "the day's beginning unless told"}, {Name: "to", Kind: conf.Duration, Help: "its end unless told"}, {Name: "least", Kind: conf.Duration, Min: 1, Help: "how long; 200ms"}, {Name: "most", Kind: conf.Duration, Min: 1, Help: "how long; 2s"}},
 			Help: "So many faults, drawn by the seed. Results hold them as `fault` lines.", Example: "faults 12 of kill stop cut silent from 2s to 8s",
-			Take: func(v *conf.Values) error {
+			Apply: func(v *conf.Values) error {
 				for i, kind := range v.List("of") {
 					if faultKindOf(kind) == nil {
-						f := v.Fault("of", "is no kind of faults%s", spell.Hint(kind, faultNames()))
-						f.Pos, f.Word = v.Pos("of", i), kind
+						f := v.Errorf("of", "is no kind of faults%s", spell.Hint(kind, faultNames()))
+						f.Position, f.Token = v.Pos("of", i), kind
 						return f
 					}
 				}
 				d := draw{int(v.Number("count", 0)), v.List("of"), v.Number("from", 0), v.Number("to", math.Inf(1)), v.Number("least", 200), v.Number("most", 2000)}
 				if d.to <= d.from {
-					return v.Fault("to", "is not after the beginning")
+					return v.Errorf("to", "is not after the beginning")
 				}
 				if d.most < d.least {
-					return v.Fault("most", "is less than the least")
+					return v.Errorf("most", "is less than the least")
 				}
 				s.draws = append(s.draws, d)
 				return nil
@@ -178,7 +178,7 @@
 // complete checks what only a fleet of processes asks for, and draws.
 func (s *Scenario) complete(file, text string, seed uint64) error {
 	wrong := func(format string, args ...any) error {
-		return conf.Faults{{Pos: conf.Pos{File: file, Line: 1, Col: 1}, Text: fmt.Sprintf(format, args...)}}
+		return conf.ErrorList{{Position: conf.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(format, args...)}}
 	}
 	switch {
 	case len(s.Troubles) > 0:
@@ -190,7 +190,7 @@
 	}
 	for i := range s.Faults {
 		if err := s.meets(&s.Faults[i]); err != nil {
-			return conf.Faults{err}
+			return conf.ErrorList{err}
 		}
 	}
 	if seed > 0 {
@@ -262,17 +262,17 @@
 }
 
 // meets says what a fault names that there is not.
-func (s *Scenario) meets(f *Fault) *conf.Fault {
+func (s *Scenario) meets(f *Fault) *conf.Error {
 	all := s.names(faultKindOf(f.Kind).on)
 	for i, pattern := range f.On {
 		if len(matching(pattern, all)) == 0 {
-			wrong := f.line.Fault("on", "is none of the %s that the fault %s strikes%s", faultKindOf(f.Kind).on, f.Kind, spell.Hint(pattern, all))
-			wrong.Pos, wrong.Word = f.line.Pos("on", i), pattern
+			wrong := f.line.Errorf("on", "is none of the %s that the fault %s strikes%s", faultKindOf(f.Kind).on, f.Kind, spell.Hint(pattern, all))
+			wrong.Position, wrong.Token = f.line.Pos("on", i), pattern
 			return wrong
 		}
 	}
 	if f.At > s.Length {
-		return f.line.Fault("at", "is after the day's length of %s", conf.FormatSpan(s.Length))
+		return f.line.Errorf("at", "is after the day's length of %s", conf.FormatDuration(s.Length))
 	}
 	return nil
 }
@@ -293,12 +293,12 @@
 	for _, name := range f.On {
 		words = append(words, conf.Quote(name))
 	}
-	words = append(words, "at", conf.FormatSpan(f.At))
+	words = append(words, "at", conf.FormatDuration(f.At))
 	if f.For > 0 {
-		words = append(words, "for", conf.FormatSpan(f.For))
+		words = append(words, "for", conf.FormatDuration(f.For))
 	}
 	for _, option := range strings.Fields(faultKindOf(f.Kind).takes) {
-		value := map[string]string{"times": fmt.Sprint(f.Times), "share": conf.FormatShare(f.Share), "delay": conf.FormatSpan(f.Delay), "rate": conf.FormatSize(f.Rate), "state": f.State}[option]
+		value := map[string]string{"times": fmt.Sprint(f.Times), "share": conf.FormatShare(f.Share), "delay": conf.FormatDuration(f.Delay), "rate": conf.FormatSize(f.Rate), "state": f.State}[option]
 		words = append(words, option, value)
 	}
 	return strings.Join(words, " ")
