--- a/logic/passes_test.go
+++ b/logic/passes_test.go
@@ -16,10 +16,10 @@
 func passesDay(seed uint64) (hash uint64, sends int) {
 	const servers, groups, settingsChanges = 15, 5, 4
 	chance, sum := pcg.New(seed), fnv.New64a()
-	g := New(seed, passesTerms(0))
+	g := New(seed, passesSettings(0))
 	p := &player{to: map[string]uint32{}, sent: map[uint64]int{}}
 	type pending struct {
-		ending gather.Ending
+		ending gather.AttemptResult
 		at     float64
 	}
 	var outs []pending
@@ -27,39 +27,39 @@
 	for now := 1e6; now < 1e6+20000; now += 5 + 10*chance.Float64() {
 		in := gather.Round{Now: now}
 		if round%1000 == 0 {
-			in.Lists = append(in.Lists, passesList(chance, servers, groups))
+			in.EndpointLists = append(in.EndpointLists, passesList(chance, servers, groups))
 		}
 		if round%300 == 50 {
 			in.Weights = passesWeights(chance, servers, groups)
 		}
 		if round%400 == 200 {
-			in.Terms = passesTerms(round / 400 % settingsChanges)
+			in.Settings = passesSettings(round / 400 % settingsChanges)
 		}
 		round++
 		if chance.Uint32()%2 == 0 {
 			k := 2 + int(chance.Uint32()%6)
-			lk := gather.Lookup{ID: id, Number: id, Index: []string{"any", "all", "once"}[chance.Uint32()%3],
-				GiveUpAt: now + 200 + 800*chance.Float64(), Pass: gather.Pass(chance.Uint32() % 3)}
+			lk := gather.Query{ID: id, Number: id, Class: []string{"any", "all", "once"}[chance.Uint32()%3],
+				Deadline: now + 200 + 800*chance.Float64(), Pass: gather.Pass(chance.Uint32() % 3)}
 			switch lk.Pass {
-			case gather.First:
-				lk.Lead = 30 * chance.Float64()
-			case gather.Second:
-				lk.Since, lk.In = now-50, 0.5*chance.Float64()
+			case gather.FirstPass:
+				lk.FullCallExtra = 30 * chance.Float64()
+			case gather.SecondPass:
+				lk.ArrivedAt, lk.ReceivedWeight = now-50, 0.5*chance.Float64()
 			}
-			in.Lookups = append(in.Lookups, lk)
+			in.Queries = append(in.Queries, lk)
 			for i := range k {
-				pt := gather.Part{ID: id + 1 + uint64(i), Number: id, Shard: int(chance.Uint32()%groups) + i,
-					Weight: (1 - lk.In) / float64(k), Cost: 20 * chance.Float64()}
-				if lk.Pass == gather.Second {
-					pt.Again, pt.Later = chance.Uint32()%2 == 0, 5*chance.Float64()
+				pt := gather.ShardRequest{ID: id + 1 + uint64(i), Number: id, Shard: int(chance.Uint32()%groups) + i,
+					Weight: (1 - lk.ReceivedWeight) / float64(k), Cost: 20 * chance.Float64()}
+				if lk.Pass == gather.SecondPass {
+					pt.Retry, pt.OrderPenalty = chance.Uint32()%2 == 0, 5*chance.Float64()
 				}
-				in.Parts = append(in.Parts, pt)
+				in.Requests = append(in.Requests, pt)
 			}
 			if chance.Uint32()%20 == 0 {
-				in.Retired = append(in.Retired, id+1)
+				in.Superseded = append(in.Superseded, id+1)
 			}
 			if chance.Uint32()%20 == 0 {
-				in.Left = append(in.Left, id)
+				in.Abandoned = append(in.Abandoned, id)
 			}
 			id += uint64(k) + 1
 		}
@@ -68,29 +68,29 @@
 			if o.at > now {
 				rest = append(rest, o)
 			} else {
-				in.Endings = append(in.Endings, o.ending)
+				in.Results = append(in.Results, o.ending)
 			}
 		}
 		outs = rest
 		p.wrote = p.wrote[:0]
 		g.Round(&in, p)
 		for _, line := range p.wrote {
-			fmt.Fprintln(sum, now, g.Room(), line)
+			fmt.Fprintln(sum, now, g.RetryBudgetLeft(), line)
 			var part uint64
 			var server uint32
 			if n, _ := fmt.Sscanf(line, "send %d %d", &part, &server); n != 2 {
 				continue
 			}
 			sends++
-			took, outcome := 10+60*chance.Float64()*float64(1+server%3), gather.Answered
+			took, outcome := 10+60*chance.Float64()*float64(1+server%3), gather.Succeeded
 			if chance.Uint32()%12 == 0 {
 				outcome = gather.Outcome(chance.Uint32() % 8)
 			}
 			if chance.Uint32()%25 == 0 {
 				took *= 30
 			}
-			outs = append(outs, pending{gather.Ending{Part: part, Server: server, Call: p.sent[part] - 1, Outcome: outcome,
-				Over: outcome == gather.Answered}, now + took})
+			outs = append(outs, pending{gather.AttemptResult{Request: part, Server: server, Attempt: p.sent[part] - 1, Outcome: outcome,
+				Finished: outcome == gather.Succeeded}, now + took})
 		}
 		for _, v := range g.View() {
 			if round%50 == 0 {
@@ -101,38 +101,41 @@
 	return sum.Sum64(), sends
 }
 
-// passesTerms are the settings of a day, of which an operator changes some.
-func passesTerms(change int) gather.Terms {
-	terms := gather.Terms{"indexes": []string{"any", "all", "once"}, "groups": 5.0, "groups in a row": 1.0,
-		"most calls": 3.0, "call off": change != 2, "second copies": change != 1, "tick": 5.0, "gatherers": 2.0,
-		"own number": 1.0, "longest come back": 800.0, "cold time": 4000.0, "cold share": 0.2, "fall time": 2000.0,
-		"fall multiple": 3.0, "zone": "east", "call cost": float64(change % 2), "parts a call": 8.0}
+// passesSettings are the settings of a day, of which an operator changes some.
+func passesSettings(change int) *gather.Settings {
+	settings := &gather.Settings{
+		ReplicaSets: 5, ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: change != 2, HedgingAllowed: change != 1,
+		Tick: 5, Gatherers: 2, GathererIndex: 1, MaxRetryAfter: 800, WarmupTime: 4000, InitialCapacityShare: 0.2,
+		OverloadWindow: 2000, OverloadMultiple: 3, Zone: "east", CallCost: float64(change % 2), RequestsPerCall: 8,
+	}
 	if change > 1 {
-		terms["budget span"], terms["budget free"], terms["budget share"] = 2000.0, 6.0, 0.1
+		settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 2000, 6, 0.1
 	}
-	for i, index := range terms.Names("indexes") {
-		terms[index+"/soft deadline"], terms[index+"/hard deadline"] = 300.0+50*float64(change), 1500.0
-		terms[index+"/late share"], terms[index+"/partial earns"] = 0.1, 0.9
-		terms[index+"/whole from"], terms[index+"/least share"] = 1.0, 1.0
-		terms[index+"/effect"] = []string{"idempotent", "idempotent", "once-only"}[i]
+	for i, name := range []string{"any", "all", "once"} {
+		settings.Classes = append(settings.Classes, gather.Class{
+			Name: name, LatencyObjective: 300 + 50*float64(change), Deadline: 1500, LateValue: 0.1, PartialValue: 0.9,
+			CompleteShare: 1, MinShare: 1,
+			Effect: []gather.Effect{gather.Idempotent, gather.Idempotent, gather.NonIdempotent}[i],
+		})
 	}
-	terms["any/whole from"], terms["any/least share"] = 0.7, 0.5
-	terms["all/alone"] = float64(change % 2)
-	return terms
+	anyClass := settings.FindClass("any")
+	anyClass.CompleteShare, anyClass.MinShare = 0.7, 0.5
+	settings.FindClass("all").HedgingForbidden = change%2 == 1
+	return settings
 }
 
-func passesList(chance *pcg.Source, servers, groups int) gather.List {
-	list := gather.List{Full: true}
+func passesList(chance *pcg.Source, servers, groups int) gather.EndpointList {
+	list := gather.EndpointList{Full: true}
 	for id := range servers {
-		s := gather.Server{ID: uint32(id), Group: id % groups, Zone: []string{"east", "west"}[id/groups%2],
-			Brief: chance.Uint32()%3 > 0}
+		s := gather.Endpoint{ID: uint32(id), ReplicaSet: id % groups, Zone: []string{"east", "west"}[id/groups%2],
+			AnswersFirstPass: chance.Uint32()%3 > 0}
 		if chance.Uint32()%3 == 0 {
-			s.Holds = []int{id % groups, (id + 1) % groups, groups + 2}
+			s.ReplicaSets = []int{id % groups, (id + 1) % groups, groups + 2}
 		}
 		if chance.Uint32()%6 == 0 {
-			s.Started = 1e6 + 20000*chance.Float64()
+			s.StartedAt = 1e6 + 20000*chance.Float64()
 		}
-		list.Servers = append(list.Servers, s)
+		list.Endpoints = append(list.Endpoints, s)
 	}
 	return list
 }
