--- a/internal/conf/conf.go
+++ b/internal/conf/conf.go
@@ -17,107 +17,17 @@
 	"os"
 	"path"
 	"path/filepath"
-	"slices"
 	"strings"
-	"unicode"
-	"unicode/utf8"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Position is a place in a file; lines and columns (in letters) count from 1.
-type Position struct {
-	File         string
-	Line, Column int
-}
-
-func (p Position) String() string { return fmt.Sprintf("%s:%d:%d", p.File, p.Line, p.Column) }
-
-// Error is one mistake in a file.
-type Error struct {
-	Position
-	Token   string // at fault, empty where it is the lack of one
-	Message string // what is wrong and what would be right
-}
-
-func (f *Error) Error() string {
-	if f.Token == "" {
-		return fmt.Sprintf("%v: %s", f.Position, f.Message)
-	}
-	return fmt.Sprintf("%v: %q: %s", f.Position, f.Token, f.Message)
-}
-
-// ErrorList are all mistakes of a file and of what it includes, in their order. It is nil where there are none.
-type ErrorList []*Error
-
-func (f ErrorList) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
-	}
-	return strings.Join(lines, "\n")
-}
-
-// token is one word of a line.
-type token struct {
-	Position
-	text   string
-	quoted bool
-}
-
 // Bounds against a file that is no configuration at all, such as a device or a log.
 const (
 	maxBytes        = 16 << 20
 	maxIncludeDepth = 16 // of includes
 )
 
-// tokenize takes a line apart.
-func tokenize(file string, number int, line string) ([]token, *Error) {
-	var words []token
-	fault := func(col int, w, text string) *Error { return &Error{Position{file, number, col}, w, text} }
-	if !utf8.ValidString(line) {
-		return nil, fault(1, "", "is no UTF-8 text")
-	}
-	letters := []rune(line)
-	for i := 0; i < len(letters); {
-		switch c := letters[i]; {
-		case c == '#':
-			return words, nil
-		case unicode.IsSpace(c):
-			i++
-		case c == '"' || c == '\'':
-			from := i
-			var text strings.Builder
-			for i++; i < len(letters) && letters[i] != c; i++ {
-				if letters[i] == '\\' && i+1 < len(letters) && (letters[i+1] == c || letters[i+1] == '\\') {
-					i++
-				}
-				text.WriteRune(letters[i])
-			}
-			if i == len(letters) {
-				return nil, fault(from+1, string(letters[from:]), "has no closing quote on this line")
-			}
-			if i++; i < len(letters) && !unicode.IsSpace(letters[i]) && letters[i] != '#' {
-				return nil, fault(i+1, string(letters[i:]), "follows a quote; put a blank between them")
-			}
-			words = append(words, token{Position{file, number, from + 1}, text.String(), true})
-		default:
-			from := i
-			for i < len(letters) && !unicode.IsSpace(letters[i]) && letters[i] != '#' && letters[i] != '"' {
-				i++
-			}
-			if at := slices.IndexFunc(letters[from:i], unicode.IsControl); at >= 0 {
-				return nil, fault(from+at+1, string(letters[from+at]), "is a control character; take it out")
-			}
-			if i < len(letters) && letters[i] == '"' {
-				return nil, fault(i+1, string(letters[i:]), "is a quote inside a word; quote the whole word")
-			}
-			words = append(words, token{Position{file, number, from + 1}, string(letters[from:i]), false})
-		}
-	}
-	return words, nil
-}
-
 // parser goes through a file and what it includes.
 type parser struct {
 	table        *Table
