--- /dev/null
+++ b/internal/front/kept_test.go
@@ -0,0 +1,165 @@
+package front
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/gather"
+	"yokeroute/internal/pick"
+	"yokeroute/logic/owners"
+)
+
+// What changes from run to run, which transcripts hold without its value: the header Date, and the ports in the text
+// that net gives for a body that does not come.
+var (
+	keptDate = regexp.MustCompile(`(?m)^Date: [^\r\n]*`)
+	keptPort = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
+)
+
+// keptAnswers are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
+var keptAnswers = map[string]func(ctx context.Context, lk *pick.Lookup) pick.Verdict{
+	"served-complete": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
+		Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
+	"served-partial": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-escaped": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
+		Hits: []pick.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
+	"served-keys": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
+		Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &owners.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
+	"served-empty": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Empty: []int{3, 9}}),
+	"served-some-empty": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
+		Hits: []pick.Hit{{Shard: 9, Value: []byte("7c01")}}, Empty: []int{3}}),
+	"served-chunked-request": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-below-the-class": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-http-1.0":        keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"rejected":               keptAnswer(pick.Verdict{Kind: pick.Nacked}),
+	"rejected-retry-after":   keptAnswer(pick.Verdict{Kind: pick.Nacked, ComeBack: 412.5}),
+	"failed":                 keptAnswer(pick.Verdict{Kind: pick.Aborted}),
+	"internal-error":         keptAnswer(pick.Verdict{Kind: pick.Broken}),
+	"panicked":               func(context.Context, *pick.Lookup) pick.Verdict { panic("broken") },
+	"abandoned":              keptAnswer(pick.Verdict{Kind: pick.Left}),
+	"deadline-passed": func(ctx context.Context, lk *pick.Lookup) pick.Verdict {
+		time.Sleep(time.Duration(lk.GiveUpAt-1000) * time.Millisecond)
+		return pick.Verdict{Kind: pick.Aborted}
+	},
+	"two-in-a-row":               keptAnswer(pick.Verdict{Kind: pick.Aborted}),
+	"bad-then-served":            keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-while-shutting-down": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+}
+
+func keptAnswer(v pick.Verdict) func(context.Context, *pick.Lookup) pick.Verdict {
+	return func(context.Context, *pick.Lookup) pick.Verdict { return v }
+}
+
+// TestKeptTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
+// comes back with those kept beside it, the value of Date aside.
+func TestKeptTranscripts(t *testing.T) {
+	files, err := filepath.Glob("testdata/kept/*.request")
+	if err != nil || len(files) < 60 {
+		t.Fatalf("%d transcripts, %v", len(files), err)
+	}
+	unused := map[string]bool{}
+	for name := range keptAnswers {
+		unused[name] = true
+	}
+	for _, file := range files {
+		name := strings.TrimSuffix(filepath.Base(file), ".request")
+		delete(unused, name)
+		t.Run(name, func(t *testing.T) {
+			t.Parallel() // some wait for a time-out
+			request, err := os.ReadFile(file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			decide := keptAnswers[name]
+			f := &fake{make(chan *pick.Lookup, 10), decide}
+			got := converse(t, startKept(t, name, f), request)
+			want, err := os.ReadFile(strings.TrimSuffix(file, ".request") + ".response")
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(got, want) {
+				t.Errorf("answered\n%q, kept is\n%q", got, want)
+			}
+			if decide == nil && len(f.took) > 0 {
+				t.Errorf("%d queries reached the picker", len(f.took))
+			}
+		})
+	}
+	if len(unused) > 0 {
+		t.Errorf("answers without a transcript: %v", unused)
+	}
+}
+
+// startKept starts a server in the condition that a transcript's name tells and gives its address.
+func startKept(t *testing.T, name string, f *fake) string {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	const clients = 10
+	ready := func() bool { return !strings.HasSuffix(name, "-while-not-ready") }
+	s := New(f, gather.Terms{"indexes": []string{"find", "mark"}, "mark/effect": "fingerprinted",
+		"customers": []string{"acme"}, "shards": 10.0, "find/hard deadline": 3000.0}, clients, clients, ready, log)
+	switch {
+	case strings.HasSuffix(name, "-while-shutting-down"):
+		s.leaving.Store(true)
+	case strings.HasSuffix(name, "-while-crowded"):
+		for range clients {
+			s.conns.active.PushBack(nil) // in use by others
+		}
+	case name == "repeated-id":
+		s.inHand["a1"] = &holder{client: t.Context(), ended: make(chan struct{})}
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan error, 1)
+	go func() { served <- s.Serve(l) }()
+	t.Cleanup(func() {
+		s.http.Close()
+		<-served
+	})
+	return l.Addr().String()
+}
+
+// converse sends a request and gives every byte that comes back until the server has answered and closed its side.
+func converse(t *testing.T, address string, request []byte) []byte {
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer c.Close()
+	c.SetDeadline(time.Now().Add(10 * time.Second))
+	go c.Write(request) // what is answered before all of it is read may break it off
+	var got bytes.Buffer
+	r := bufio.NewReader(io.TeeReader(c, &got))
+	method, _, _ := strings.Cut(string(request), " ")
+	for range max(bytes.Count(request, []byte(" HTTP/1.")), 1) {
+		resp, err := http.ReadResponse(r, &http.Request{Method: method}) // one to HEAD has no body
+		if err != nil {
+			t.Fatalf("%v after %q", err, got.Bytes())
+		}
+		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
+			t.Fatal(err)
+		}
+		if resp.Close {
+			break
+		}
+	}
+	c.(*net.TCPConn).CloseWrite() // a connection that is kept open ends now; one that is not brings what it still has
+	if _, err := io.Copy(io.Discard, r); err != nil {
+		t.Fatal(err)
+	}
+	return keptPort.ReplaceAll(keptDate.ReplaceAll(got.Bytes(), []byte("Date:")), []byte("127.0.0.1:PORT"))
+}
