--- /dev/null
+++ b/internal/trace/kept_test.go
@@ -0,0 +1,313 @@
+package trace
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"math"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/gather"
+	"yokeroute/internal/pick"
+	"yokeroute/internal/shardcall"
+	"yokeroute/logic/owners"
+	"yokeroute/logic/phases"
+)
+
+// scripted is a decision module that decides what the test has it decide in the next round.
+type scripted struct {
+	next func(in *gather.Round, w gather.Writer)
+}
+
+func (s *scripted) Round(in *gather.Round, w gather.Writer) {
+	if s.next != nil {
+		s.next(in, w)
+	}
+	s.next = nil
+}
+
+func (s *scripted) Room() float64 { return 1000 }
+
+// played is a picker whose module is scripted and whose clock stands until the test moves it.
+type played struct {
+	*pick.Picker
+	module *scripted
+	now    float64
+	ids    map[string]uint64 // of queries at the module; its shard requests' follow it
+	part   []uint64          // of the round's shard requests
+	calls  []*pick.Call      // of the last round
+}
+
+var keptTerms = gather.Terms{"budget span": 2000.0, "budget free": 20.0, "budget share": 0.05, "drain grace": 250.0, "answer slack": 50.0,
+	"groups": 4.0, "tick": 1.0, "indexes": []string{"any", "mark", "once"}, "any/effect": "idempotent", "any/whole from": 0.9, "any/least share": 0.5,
+	"any/soft deadline": 400.0, "mark/effect": "fingerprinted", "mark/window": 5000.0, "mark/whole from": 1.0, "mark/least share": 1.0,
+	"once/effect": "once-only", "once/whole from": 1.0, "once/least share": 1.0}
+
+func newPlayed(terms gather.Terms, observers ...any) *played {
+	p := &played{module: &scripted{}, now: 1_700_000_000_000}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	build := func(uint64, gather.Terms) gather.Module { return p.module }
+	p.Picker = pick.NewPlayed(1, terms, build, func() float64 { return p.now }, log)
+	for _, o := range observers {
+		if t, ok := o.(pick.Tracer); ok {
+			p.Trace(t)
+		}
+		if w, ok := o.(pick.Witness); ok {
+			p.Watch(w)
+		}
+	}
+	return p
+}
+
+// round plays a round 5 ms after the last; the script gets the names of the shard requests that come with it.
+func (p *played) round(script func(w gather.Writer)) {
+	p.now += 5
+	p.module.next = func(in *gather.Round, w gather.Writer) {
+		p.part = p.part[:0]
+		for _, pt := range in.Parts {
+			p.part = append(p.part, pt.ID)
+		}
+		if script != nil {
+			script(w)
+		}
+	}
+	p.calls = p.Play().Calls
+}
+
+// take hands a query in and sends its shard requests to the servers 10, 11 and on, each of which is written.
+func (p *played) take(id, index string, shards ...int) (*pick.Lookup, []*pick.Call) {
+	lk := &pick.Lookup{ID: id, Index: index, GiveUpAt: p.now + 1000.5}
+	for _, shard := range shards {
+		lk.Parts = append(lk.Parts, pick.Part{Shard: shard, Weight: 1 / float64(len(shards))})
+	}
+	p.Take(lk)
+	p.round(func(w gather.Writer) {
+		for i, part := range p.part {
+			w.Send(part, uint32(10+i), 100)
+		}
+	})
+	return lk, p.write()
+}
+
+// write has the calls of the last round written.
+func (p *played) write() []*pick.Call {
+	p.now += 0.25
+	for _, c := range p.calls {
+		if c.Begin() {
+			c.End()
+		}
+	}
+	return p.calls
+}
+
+func sameAsKept(t *testing.T, name string, got []byte) {
+	t.Helper()
+	file := filepath.Join("testdata", "kept", name)
+	want, err := os.ReadFile(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: written\n%s\nkept is\n%s", name, got, want)
+	}
+}
+
+var keptOutcomes = []gather.Outcome{gather.Answered, gather.Erred, gather.Full, gather.TimedOut, gather.Unreached, gather.Cut,
+	gather.CalledOff, gather.Stale, gather.Moved}
+
+// TestKeptDocuments plays queries that go through every outcome of an attempt, every final answer, both passes of a
+// query in two and a call that is never written, and compares the recorded file and what is served at Path with the
+// bytes kept.
+func TestKeptDocuments(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "record")
+	file, err := Create(name, 1<<20, true, keptTerms, 0, 1_700_000_000_000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	recorder := New(20, 1)
+	recorder.Names([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
+	p := newPlayed(keptTerms, file, recorder)
+	p.Phases(map[string]phases.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
+	follow := func(l gather.List) {
+		p.Follow(l)
+		file.Follow(l, p.now)
+		p.round(nil)
+	}
+	running := []gather.Server{{ID: 10, Group: 0}, {ID: 11, Group: 1}, {ID: 12, Group: 2}, {ID: 13, Group: 3}}
+	follow(gather.List{Full: true, Servers: running})
+	follow(gather.List{Servers: []gather.Server{{ID: 14, State: gather.Draining}, {ID: 13, Group: 3, State: gather.Draining}}})
+	follow(gather.List{Servers: []gather.Server{{ID: 14, State: gather.Gone}}})
+	follow(gather.List{Failed: true})
+	follow(gather.List{Full: true, Servers: running[:3]})
+
+	end := func(lk *pick.Lookup, decide func(w gather.Writer)) {
+		p.round(decide)
+		v, ended := lk.Verdict()
+		if !ended {
+			t.Fatalf("%s has no answer", lk.ID)
+		}
+		p.now += 0.125
+		file.Answered(lk, v, p.now)
+	}
+	for i, outcome := range keptOutcomes {
+		lk, calls := p.take(fmt.Sprint("outcome-", outcome), "mark", 0, 1)
+		query := p.part[0] - 1
+		p.now += 10 + 1/3.0
+		p.Report(calls[0], outcome, []byte("5be2"))
+		p.round(nil)
+		end(lk, []func(w gather.Writer){
+			func(w gather.Writer) { w.Answer(query, true) },
+			func(w gather.Writer) { w.Answer(query, false) },
+			func(w gather.Writer) { w.Nack(query, 0) },
+			func(w gather.Writer) { w.Nack(query, 250) },
+			func(w gather.Writer) { w.Abort(query) },
+		}[i%5])
+	}
+
+	lk, _ := p.take("left", "mark", 2)
+	p.Leave(lk)
+	end(lk, nil)
+	lk, _ = p.take("broken", "once", 0)
+	end(lk, func(gather.Writer) { panic("the module fails") })
+
+	lk = &pick.Lookup{ID: "never-written", Index: "once", GiveUpAt: p.now + 300, Parts: []pick.Part{{Shard: 1, Weight: 1}}}
+	p.Take(lk)
+	p.round(func(w gather.Writer) { w.Send(p.part[0], 11, 100) })
+	p.Report(p.calls[0], gather.Stale, nil)
+	query := p.part[0] - 1
+	end(lk, func(w gather.Writer) { w.Abort(query) })
+
+	for _, s := range running {
+		p.Speaks(s.ID, true)
+	}
+	p.round(nil)
+	for _, c := range []struct {
+		id        string
+		summaries []string
+	}{
+		{"two-passes", []string{"none v1", "some 3 0.25 v2", "garbled"}},
+		{"one-pass-enough", []string{"none v1", "none v1", "none v7"}},
+	} {
+		lk, calls := p.take(c.id, "any", 0, 1, 2)
+		for i, call := range calls {
+			p.now++
+			if !call.First() {
+				t.Fatalf("%s goes in one pass", c.id)
+			}
+			p.Report(call, gather.Answered, []byte(c.summaries[i]))
+		}
+		first := p.part[0] - 1
+		p.round(func(w gather.Writer) { w.Answer(first, true) })
+		if v, ended := lk.Verdict(); ended {
+			file.Answered(lk, v, p.now)
+			continue
+		}
+		p.round(func(w gather.Writer) {
+			for _, part := range p.part {
+				w.Send(part, 12, 100)
+			}
+		})
+		for _, call := range p.write() {
+			p.Report(call, gather.Answered, []byte("7c01"))
+		}
+		second := p.part[0] - 1
+		end(lk, func(w gather.Writer) { w.Answer(second, true) })
+	}
+
+	lk, _ = p.take("many-calls", "mark", 3)
+	part := p.part[0]
+	p.round(func(w gather.Writer) {
+		for range mostCalls + 2 {
+			w.Send(part, 77, 100)
+		}
+	})
+	end(lk, func(w gather.Writer) { w.Answer(part-1, true) })
+	p.take("open", "mark", 0)
+	if err := file.Close(p.now); err != nil {
+		t.Error(err)
+	}
+	recorded, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sameAsKept(t, "one-of-each.record", recorded)
+
+	served := func(path string) []byte {
+		w := httptest.NewRecorder()
+		recorder.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
+		return fmt.Appendf(nil, "%d %s\n%s", w.Code, w.Header().Get("Content-Type"), w.Body.Bytes())
+	}
+	sameAsKept(t, "list.answer", served(Path))
+	sameAsKept(t, "unknown.answer", served(Path+"/unknown"))
+	for _, q := range recorder.ring {
+		sameAsKept(t, q.ID+".answer", served(Path+"/"+q.ID))
+	}
+}
+
+// TestKeptDocumentsOfSegments compares a record where a map says who owns which keys with the bytes kept.
+func TestKeptDocumentsOfSegments(t *testing.T) {
+	const most, shards = 16, 4
+	name := filepath.Join(t.TempDir(), "record")
+	file, err := Create(name, 1<<20, false, keptTerms, shards, 1_700_000_000_000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := newPlayed(pick.OwnedTerms(keptTerms, most), file)
+	p.Segments(most, shards)
+	p.Names(map[uint32]string{10: "h0", 11: "h1"})
+	m, err := owners.First(1, []owners.Segment{{Name: "s0", Range: owners.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
+		{Name: "s1", Range: owners.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	p.SetMap(m)
+	p.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 10}, {ID: 11}}})
+	p.round(nil)
+	lk, calls := p.take("a", "once", 1, 2)
+	query := p.part[0] - 3
+	p.Report(calls[0], gather.Answered, []byte("5be2"))
+	p.Report(calls[1], gather.Moved, nil)
+	p.round(nil)
+	p.round(func(w gather.Writer) { w.Answer(query, false) })
+	v, ended := lk.Verdict()
+	if !ended {
+		t.Fatal("no answer")
+	}
+	file.Answered(lk, v, p.now)
+	if err := file.Close(p.now); err != nil {
+		t.Error(err)
+	}
+	recorded, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sameAsKept(t, "segments.record", recorded)
+}
+
+// TestKeptDocumentsOfAFullRecord compares a record that reaches its bytes with those kept.
+func TestKeptDocumentsOfAFullRecord(t *testing.T) {
+	name := filepath.Join(t.TempDir(), "record")
+	file, err := Create(name, 700, true, gather.Terms{"drain grace": 250.0}, 0, 1_700_000_000_000)
+	if err != nil {
+		t.Fatal(err)
+	}
+	p := newPlayed(keptTerms, file)
+	for i := range 5 {
+		p.take(strings.Repeat("a", 40)+fmt.Sprint(i), "mark", 0)
+	}
+	if err := file.Close(p.now); err != nil {
+		t.Error(err)
+	}
+	recorded, err := os.ReadFile(name)
+	if err != nil {
+		t.Fatal(err)
+	}
+	sameAsKept(t, "full.record", recorded)
+}
