--- /dev/null
+++ b/internal/steward/kept_test.go
@@ -0,0 +1,207 @@
+package steward
+
+import (
+	"bytes"
+	"compress/gzip"
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net/http"
+	"net/http/httptest"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	wire "yokeroute/internal/policy"
+)
+
+// keptFolder is a copy of the state folder that a released version wrote: its log, a snapshot of a part of it, and its
+// counts of starts. None of the files that it is made of may be changed.
+func keptFolder(t *testing.T) string {
+	t.Helper()
+	folder := t.TempDir()
+	from := filepath.Join("testdata", "kept", "state-1")
+	if err := os.CopyFS(filepath.Join(folder, "snapshots"), os.DirFS(filepath.Join(from, "snapshots"))); err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range []string{"boots", "log"} {
+		packed, err := os.Open(filepath.Join(from, name+".gz"))
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer packed.Close()
+		r, err := gzip.NewReader(packed)
+		if err != nil {
+			t.Fatal(err)
+		}
+		text, err := io.ReadAll(r)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if err := os.WriteFile(filepath.Join(folder, name), text, 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+	return folder
+}
+
+func keptText(t *testing.T, name string) string {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return string(text)
+}
+
+// TestKeptFolder: a steward that is started in the state folder of an earlier version leads with the record as it was,
+// counts its starts on, and answers each question in the same bytes as before.
+func TestKeptFolder(t *testing.T) {
+	file := filepath.Join(t.TempDir(), "s1.conf")
+	text := "steward s1 in state listen 127.0.0.1:0 raft 127.0.0.1:0\npeer s1 raft 127.0.0.1:1 http 127.0.0.1:1\nlease 1min limit 2min\nbeat 20ms\n"
+	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
+		t.Fatal(err)
+	}
+	terms, err := Read(file)
+	if err != nil {
+		t.Fatal(err)
+	}
+	terms.Folder = keptFolder(t)
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	ctx, stop := context.WithCancel(t.Context())
+	s, err := Open(ctx, terms, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- s.Run(ctx) }()
+	address := s.listen.Addr().String()
+	var status *wire.Status
+	for limit := time.Now().Add(20 * time.Second); status == nil && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
+		a, code, err := wire.Exchange(ctx, http.DefaultClient, http.MethodGet, "http://"+address+"/policy/status", nil)
+		if err == nil && code == http.StatusOK {
+			status = a.Status
+		}
+	}
+	if status == nil {
+		t.Fatal("it does not lead")
+	}
+	if got, err := json.Marshal(status.Record); err != nil || string(got) != strings.TrimSpace(keptText(t, "record.json")) {
+		t.Errorf("the record is %s, %v", got, err)
+	}
+	for _, c := range []struct {
+		name, path string
+		status     int
+	}{
+		{"ask-news", "/policy/ask", 200},          // at once, since what it holds is older
+		{"ask-nothing", "/policy/ask", 200},       // once its wait is over
+		{"ask-unread", "/policy/ask", 400},        //
+		{"ask-refused", "/policy/ask", 200},       // by its floor
+		{"propose-again", "/policy/propose", 200}, // what was proposed before the restart
+		{"propose-second", "/policy/propose", 409},
+		{"propose-unread", "/policy/propose", 400},
+		{"give-up-again", "/policy/give-up", 200},
+		{"give-up-unknown", "/policy/give-up", 409},
+		{"forget-unknown", "/policy/forget", 409},
+		{"forget-unread", "/policy/forget", 400},
+		{"boot-old", "/policy/boot", 200}, // start 3 of one that was started five times
+		{"boot-own", "/policy/boot", 200}, // start 2 of this one
+		{"boot-new", "/policy/boot", 200},
+	} {
+		resp, err := http.Post("http://"+address+c.path, "application/json", strings.NewReader(keptText(t, c.name+".request")))
+		if err != nil {
+			t.Fatal(err)
+		}
+		got, err := io.ReadAll(resp.Body)
+		resp.Body.Close()
+		if want := keptText(t, c.name+".answer"); err != nil || string(got) != want || resp.StatusCode != c.status || resp.Header.Get("Content-Type") != "application/json" {
+			t.Errorf("%s: %s, %s, %v, %v", c.name, resp.Status, got, resp.Header, err)
+		}
+	}
+	stop()
+	if err := <-ended; err != nil {
+		t.Error(err)
+	}
+	counts, err := openBoots(terms.Folder)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer counts.Close()
+	for name, want := range map[string]uint64{"s1": 2, "s7": 5, "s8": 1} {
+		if got := counts.known(name); got != want {
+			t.Errorf("%d starts of %s are known", got, name)
+		}
+	}
+}
+
+// TestKeptSnapshot: a snapshot is read as it was kept, and written again byte for byte.
+func TestKeptSnapshot(t *testing.T) {
+	found, err := filepath.Glob(filepath.Join("testdata", "kept", "state-1", "snapshots", "*", "state.bin"))
+	if err != nil || len(found) != 1 {
+		t.Fatal(found, err)
+	}
+	text, err := os.ReadFile(found[0])
+	if err != nil {
+		t.Fatal(err)
+	}
+	m := newMachine(0)
+	if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
+		t.Fatal(err)
+	}
+	snap, err := m.Snapshot()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var to sink
+	if err := snap.Persist(&to); err != nil || !bytes.Equal(to.Bytes(), text) {
+		t.Errorf("%s, %v", to.String(), err)
+	}
+}
+
+// TestKeptElsewhere: a steward that does not lead says so as before, to whatever it is asked.
+func TestKeptElsewhere(t *testing.T) {
+	s := &Steward{t: &Terms{Name: "s1"}, machine: newMachine(0)}
+	s.prover = newProver(func() bool { return false }, nil)
+	for path, body := range map[string]string{
+		"GET /policy/status":   "",
+		"POST /policy/ask":     keptText(t, "ask-news.request"),
+		"POST /policy/propose": keptText(t, "propose-second.request"),
+		"POST /policy/give-up": keptText(t, "give-up-again.request"),
+		"POST /policy/forget":  keptText(t, "forget-unknown.request"),
+		"POST /policy/steward": `{"policy":1,"name":"s4"}`,
+	} {
+		method, path, _ := strings.Cut(path, " ")
+		w := httptest.NewRecorder()
+		s.handler().ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
+		if want := `{"policy":1,"error":"this steward does not lead"}` + "\n"; w.Code != 421 || w.Body.String() != want {
+			t.Errorf("%s: %d, %s", path, w.Code, w.Body)
+		}
+	}
+}
+
+// TestKeptBoot: a steward tells another of its start in the same bytes as before, and learns what that one knew.
+func TestKeptBoot(t *testing.T) {
+	for answer, want := range map[string]string{
+		`{"policy":1,"boot":5}`:     "5 <nil>",
+		`{"policy":1}`:              "0 <nil>",
+		`{"policy":1,"error":"no"}`: "0 <nil>",
+	} {
+		var got string
+		server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			body, _ := io.ReadAll(r.Body)
+			got = r.Method + " " + r.URL.Path + " " + string(body)
+			io.WriteString(w, answer)
+		}))
+		before, err := tell(t.Context(), strings.TrimPrefix(server.URL, "http://"), wire.Name{Form: wire.Form, Name: "s1", Number: 6})
+		server.Close()
+		if fmt.Sprint(before, err) != want || got != `POST /policy/boot {"policy":1,"number":6,"name":"s1"}` {
+			t.Errorf("%s: %d, %v; sent %s", answer, before, err, got)
+		}
+	}
+}
