--- a/internal/front/kept_test.go
+++ b/internal/front/kept_test.go
@@ -108,8 +108,7 @@
 	log.SetOutput(io.Discard)
 	const clients = 10
 	ready := func() bool { return !strings.HasSuffix(name, "-while-not-ready") }
-	s := New(f, gather.Terms{"indexes": []string{"find", "mark"}, "mark/effect": "fingerprinted",
-		"customers": []string{"acme"}, "shards": 10.0, "find/hard deadline": 3000.0}, clients, clients, ready, log)
+	s := New(f, &gather.Settings{Shards: 10, Classes: []gather.Class{{Name: "find", Deadline: 3000.0}, {Name: "mark", Effect: gather.IdempotencyKeyed}}, Tenants: []gather.Tenant{{Name: "acme"}}}, clients, clients, ready, log)
 	switch {
 	case strings.HasSuffix(name, "-while-shutting-down"):
 		s.leaving.Store(true)
--- a/internal/policy/kept_test.go
+++ b/internal/policy/kept_test.go
@@ -279,7 +279,15 @@
 func TestKeptPolls(t *testing.T) {
 	address, got := standIn(t, "answer-change.json")
 	folder := t.TempDir()
-	terms := gather.Terms{"indexes": []string{"claim", "find", "resolve"}, "find/least share": 0.5, "budget span": 1000.0, "budget share": 0.1, "budget free": 8.0, "fall multiple": 3.0}
+	terms := &gather.Settings{
+		RetryBudgetWindow: 1000.0, RetryBudgetRatio: 0.1, RetryBudgetFloor: 8.0,
+		OverloadMultiple: 3.0,
+		Classes: []gather.Class{
+			{Name: "claim"},
+			{Name: "find", MinShare: 0.5},
+			{Name: "resolve"},
+		},
+	}
 	g := NewGovernor(terms, keptPolicy(), policy.Fence{Epoch: 41, Last: 41}, func() float64 { return 0 }, func() {})
 	log := logrus.New()
 	log.SetOutput(io.Discard)
--- a/internal/report/kept_test.go
+++ b/internal/report/kept_test.go
@@ -67,7 +67,7 @@
 	for kind, sum := range map[string]string{"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12", "segments": "13", "other": ""} {
 		c.InForce(kind, sum)
 	}
-	c.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 1, State: gather.Running}, {ID: 2, State: gather.Running}, {ID: 3, State: gather.Draining}}})
+	c.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, State: gather.Running}, {ID: 2, State: gather.Running}, {ID: 3, State: gather.Draining}}})
 	c.Policy = func() any { return map[string]any{"revision": 7} }
 	c.Ended(lk("any"), pick.Verdict{Kind: pick.Satisfied, Whole: true}, 50)
 	c.Ended(lk("any"), pick.Verdict{Kind: pick.Satisfied, Whole: true}, 150.25)
--- a/internal/trace/kept_test.go
+++ b/internal/trace/kept_test.go
@@ -32,7 +32,7 @@
 	s.next = nil
 }
 
-func (s *scripted) Room() float64 { return 1000 }
+func (s *scripted) RetryBudgetLeft() float64 { return 1000 }
 
 // played is a picker whose module is scripted and whose clock stands until the test moves it.
 type played struct {
@@ -44,16 +44,21 @@
 	calls  []*pick.Call      // of the last round
 }
 
-var keptTerms = gather.Terms{"budget span": 2000.0, "budget free": 20.0, "budget share": 0.05, "drain grace": 250.0, "answer slack": 50.0,
-	"groups": 4.0, "tick": 1.0, "indexes": []string{"any", "mark", "once"}, "any/effect": "idempotent", "any/whole from": 0.9, "any/least share": 0.5,
-	"any/soft deadline": 400.0, "mark/effect": "fingerprinted", "mark/window": 5000.0, "mark/whole from": 1.0, "mark/least share": 1.0,
-	"once/effect": "once-only", "once/whole from": 1.0, "once/least share": 1.0}
+var keptTerms = &gather.Settings{
+	RetryBudgetWindow: 2000.0, RetryBudgetFloor: 20.0, RetryBudgetRatio: 0.05, DrainGrace: 250.0,
+	AnswerSlack: 50.0, ReplicaSets: 4, Tick: 1.0,
+	Classes: []gather.Class{
+		{Name: "any", Effect: gather.Idempotent, CompleteShare: 0.9, MinShare: 0.5, LatencyObjective: 400.0},
+		{Name: "mark", Effect: gather.IdempotencyKeyed, IdempotencyWindow: 5000.0, CompleteShare: 1.0, MinShare: 1.0},
+		{Name: "once", Effect: gather.NonIdempotent, CompleteShare: 1.0, MinShare: 1.0},
+	},
+}
 
-func newPlayed(terms gather.Terms, observers ...any) *played {
+func newPlayed(terms *gather.Settings, observers ...any) *played {
 	p := &played{module: &scripted{}, now: 1_700_000_000_000}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	build := func(uint64, gather.Terms) gather.Module { return p.module }
+	build := func(uint64, *gather.Settings) gather.Module { return p.module }
 	p.Picker = pick.NewPlayed(1, terms, build, func() float64 { return p.now }, log)
 	for _, o := range observers {
 		if t, ok := o.(pick.Tracer); ok {
@@ -71,7 +76,7 @@
 	p.now += 5
 	p.module.next = func(in *gather.Round, w gather.Writer) {
 		p.part = p.part[:0]
-		for _, pt := range in.Parts {
+		for _, pt := range in.Requests {
 			p.part = append(p.part, pt.ID)
 		}
 		if script != nil {
@@ -119,8 +124,8 @@
 	}
 }
 
-var keptOutcomes = []gather.Outcome{gather.Answered, gather.Erred, gather.Full, gather.TimedOut, gather.Unreached, gather.Cut,
-	gather.CalledOff, gather.Stale, gather.Moved}
+var keptOutcomes = []gather.Outcome{gather.Succeeded, gather.Failed, gather.Rejected, gather.TimedOut, gather.ConnectFailed, gather.ConnectionReset,
+	gather.Cancelled, gather.NotSent, gather.NotOwner}
 
 // TestKeptDocuments plays queries that go through every outcome of an attempt, every final answer, both passes of a
 // query in two and a call that is never written, and compares the recorded file and what is served at Path with the
@@ -135,17 +140,17 @@
 	recorder.Names([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newPlayed(keptTerms, file, recorder)
 	p.Phases(map[string]phases.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
-	follow := func(l gather.List) {
+	follow := func(l gather.EndpointList) {
 		p.Follow(l)
 		file.Follow(l, p.now)
 		p.round(nil)
 	}
-	running := []gather.Server{{ID: 10, Group: 0}, {ID: 11, Group: 1}, {ID: 12, Group: 2}, {ID: 13, Group: 3}}
-	follow(gather.List{Full: true, Servers: running})
-	follow(gather.List{Servers: []gather.Server{{ID: 14, State: gather.Draining}, {ID: 13, Group: 3, State: gather.Draining}}})
-	follow(gather.List{Servers: []gather.Server{{ID: 14, State: gather.Gone}}})
-	follow(gather.List{Failed: true})
-	follow(gather.List{Full: true, Servers: running[:3]})
+	running := []gather.Endpoint{{ID: 10, ReplicaSet: 0}, {ID: 11, ReplicaSet: 1}, {ID: 12, ReplicaSet: 2}, {ID: 13, ReplicaSet: 3}}
+	follow(gather.EndpointList{Full: true, Endpoints: running})
+	follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}, {ID: 13, ReplicaSet: 3, State: gather.Draining}}})
+	follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Removed}}})
+	follow(gather.EndpointList{Failed: true})
+	follow(gather.EndpointList{Full: true, Endpoints: running[:3]})
 
 	end := func(lk *pick.Lookup, decide func(w gather.Writer)) {
 		p.round(decide)
@@ -165,9 +170,9 @@
 		end(lk, []func(w gather.Writer){
 			func(w gather.Writer) { w.Answer(query, true) },
 			func(w gather.Writer) { w.Answer(query, false) },
-			func(w gather.Writer) { w.Nack(query, 0) },
-			func(w gather.Writer) { w.Nack(query, 250) },
-			func(w gather.Writer) { w.Abort(query) },
+			func(w gather.Writer) { w.Reject(query, 0) },
+			func(w gather.Writer) { w.Reject(query, 250) },
+			func(w gather.Writer) { w.Fail(query) },
 		}[i%5])
 	}
 
@@ -180,9 +185,9 @@
 	lk = &pick.Lookup{ID: "never-written", Index: "once", GiveUpAt: p.now + 300, Parts: []pick.Part{{Shard: 1, Weight: 1}}}
 	p.Take(lk)
 	p.round(func(w gather.Writer) { w.Send(p.part[0], 11, 100) })
-	p.Report(p.calls[0], gather.Stale, nil)
+	p.Report(p.calls[0], gather.NotSent, nil)
 	query := p.part[0] - 1
-	end(lk, func(w gather.Writer) { w.Abort(query) })
+	end(lk, func(w gather.Writer) { w.Fail(query) })
 
 	for _, s := range running {
 		p.Speaks(s.ID, true)
@@ -201,7 +206,7 @@
 			if !call.First() {
 				t.Fatalf("%s goes in one pass", c.id)
 			}
-			p.Report(call, gather.Answered, []byte(c.summaries[i]))
+			p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
 		}
 		first := p.part[0] - 1
 		p.round(func(w gather.Writer) { w.Answer(first, true) })
@@ -215,7 +220,7 @@
 			}
 		})
 		for _, call := range p.write() {
-			p.Report(call, gather.Answered, []byte("7c01"))
+			p.Report(call, gather.Succeeded, []byte("7c01"))
 		}
 		second := p.part[0] - 1
 		end(lk, func(w gather.Writer) { w.Answer(second, true) })
@@ -268,12 +273,12 @@
 		t.Fatal(err)
 	}
 	p.SetMap(m)
-	p.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 10}, {ID: 11}}})
+	p.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 10}, {ID: 11}}})
 	p.round(nil)
 	lk, calls := p.take("a", "once", 1, 2)
 	query := p.part[0] - 3
-	p.Report(calls[0], gather.Answered, []byte("5be2"))
-	p.Report(calls[1], gather.Moved, nil)
+	p.Report(calls[0], gather.Succeeded, []byte("5be2"))
+	p.Report(calls[1], gather.NotOwner, nil)
 	p.round(nil)
 	p.round(func(w gather.Writer) { w.Answer(query, false) })
 	v, ended := lk.Verdict()
@@ -294,7 +299,7 @@
 // TestKeptDocumentsOfAFullRecord compares a record that reaches its bytes with those kept.
 func TestKeptDocumentsOfAFullRecord(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(name, 700, true, gather.Terms{"drain grace": 250.0}, 0, 1_700_000_000_000)
+	file, err := Create(name, 700, true, &gather.Settings{DrainGrace: 250.0}, 0, 1_700_000_000_000)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/logic/passes_test.go
+++ b/logic/passes_test.go
@@ -104,9 +104,10 @@
 // passesSettings are the settings of a day, of which an operator changes some.
 func passesSettings(change int) *gather.Settings {
 	settings := &gather.Settings{
-		ReplicaSets: 5, ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: change != 2, HedgingAllowed: change != 1,
-		Tick: 5, Gatherers: 2, GathererIndex: 1, MaxRetryAfter: 800, WarmupTime: 4000, InitialCapacityShare: 0.2,
-		OverloadWindow: 2000, OverloadMultiple: 3, Zone: "east", CallCost: float64(change % 2), RequestsPerCall: 8,
+		ReplicaSets: 5, ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: change != 2,
+		HedgingAllowed: change != 1, Tick: 5, Gatherers: 2, GathererIndex: 1, MaxRetryAfter: 800,
+		WarmupTime: 4000, InitialCapacityShare: 0.2, OverloadWindow: 2000, OverloadMultiple: 3,
+		Zone: "east", CallCost: float64(change % 2), RequestsPerCall: 8,
 	}
 	if change > 1 {
 		settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio = 2000, 6, 0.1
