--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/version"
 )
@@ -35,7 +35,7 @@
 	serve := &cobra.Command{Use: "serve", Short: "serve lookups until SIGTERM; SIGHUP rereads the configuration", Args: cobra.NoArgs,
 		Example: "  yokeroute serve --config config.json --operator deploy/yokeroute.conf",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			load := func() (*config.Config, error) { return config.Load(file, os.Getenv) }
+			load := func() (*platform.Config, error) { return platform.Load(file, os.Getenv) }
 			return run(cmd.Context(), load, operators, level, cmd.ErrOrStderr())
 		}}
 	serve.Flags().StringVar(&level, "log-level", "info", "least level that is logged: debug, info, warning, error")
@@ -53,7 +53,7 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: reads well\n", operators)
 				return nil
 			}
-			c, err := config.Load(file, os.Getenv)
+			c, err := platform.Load(file, os.Getenv)
 			if err != nil {
 				return err
 			}
--- a/cmd/yokeroute/serve.go
+++ b/cmd/yokeroute/serve.go
@@ -11,14 +11,14 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/service"
 )
 
 // run serves until SIGTERM and until all that was taken is answered, or until something fails. SIGHUP has the
 // configuration read again.
-func run(ctx context.Context, load func() (*config.Config, error), operators string, level string, out io.Writer) error {
+func run(ctx context.Context, load func() (*platform.Config, error), operators string, level string, out io.Writer) error {
 	// Before all else, against ending on one that comes early: once it listens, what came is owed an answer.
 	terminated, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
--- a/internal/config/config.go
+++ b/internal/config/platform/config.go
@@ -1,6 +1,6 @@
 // Package config is the one place where what the platform tells a gatherer is read, checked and given
 // defaults. Every error names the key at fault.
-package config
+package platform
 
 import (
 	"encoding/json"
--- a/internal/config/config_test.go
+++ b/internal/config/platform/config_test.go
@@ -1,4 +1,4 @@
-package config
+package platform
 
 import (
 	"os"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,7 +18,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/experiment"
 	"yokeroute/internal/operator"
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := config.Parse(text, func(string) string { return "" })
+	c, err := platform.Parse(text, func(string) string { return "" })
 	if err != nil {
 		return nil, err
 	}
--- a/internal/migrate/migrate.go
+++ b/internal/migrate/migrate.go
@@ -13,7 +13,7 @@
 	"slices"
 	"strings"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 )
 
 // A known word tells what a key may hold: a number, a share of 1, a mark, a word, words, numbers, or any of a few.
@@ -117,7 +117,7 @@
 		return nil, err
 	}
 	r.Text = append(r.Text, '\n')
-	if _, err := config.Parse(r.Text, func(string) string { return "" }); err != nil {
+	if _, err := platform.Parse(r.Text, func(string) string { return "" }); err != nil {
 		return nil, fmt.Errorf("%s at %s: %w", file, fleet, err)
 	}
 	return r, nil
--- a/internal/migrate/migrate_test.go
+++ b/internal/migrate/migrate_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 )
 
 const old = `{"name":"n1","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"1f",
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse(r.Text, func(string) string { return "" })
+	c, err := platform.Parse(r.Text, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/processes/worse/main.go
+++ b/internal/processes/worse/main.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/service"
 )
@@ -78,7 +78,7 @@
 	if !known {
 		return fmt.Errorf("built with the fault %q, which is none", fault)
 	}
-	c, err := config.Load(*file, os.Getenv)
+	c, err := platform.Load(*file, os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/rollout/carry.go
+++ b/internal/rollout/carry.go
@@ -14,7 +14,7 @@
 	"syscall"
 	"time"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/proc"
 	"yokeroute/internal/state"
@@ -45,7 +45,7 @@
 				}
 			}
 			if f.Config != "" {
-				if _, err := config.Load(f.Config, func(string) string { return "" }); err != nil {
+				if _, err := platform.Load(f.Config, func(string) string { return "" }); err != nil {
 					all = append(all, fmt.Errorf("gatherer %s: %w", p.Gatherers[g].Name, err))
 				}
 			}
--- a/internal/service/kept_test.go
+++ b/internal/service/kept_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/experiment"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/standin/shards"
@@ -16,11 +16,11 @@
 
 // TestKeptConfigIsRead: a configuration of the platform is read key by key as it was when its format began.
 func TestKeptConfigIsRead(t *testing.T) {
-	c, err := config.Load(filepath.Join("testdata", "kept", "config.json"), func(string) string { return "" })
+	c, err := platform.Load(filepath.Join("testdata", "kept", "config.json"), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "g7" || c.Listen != "127.0.0.1:8001" || c.Discovery != "127.0.0.1:9001" || c.Seed != 0xdeadbeef || c.Limits != (config.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 512}) {
+	if c.Name != "g7" || c.Listen != "127.0.0.1:8001" || c.Discovery != "127.0.0.1:9001" || c.Seed != 0xdeadbeef || c.Limits != (platform.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 512}) {
 		t.Errorf("%+v", c)
 	}
 	if c.Sum != "fcaf128cf5aab831" {
--- a/internal/service/loads_test.go
+++ b/internal/service/loads_test.go
@@ -4,7 +4,7 @@
 	"strings"
 	"testing"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 )
 
 // TestNewShape: a configuration of the shape that the gatherers move to reaches the module whole.
@@ -12,7 +12,7 @@
 	moved := strings.NewReplacer(
 		`"pushed"`, `"on_request"`, `"secondCopies":true`, `"secondCopies":false,"probes":true`,
 		`"tick":5000`, `"tick":5000,"loadInfo":{"how":"pull","fields":["backlog","recent_ms"]}`).Replace(settings)
-	c, err := config.Parse([]byte(text("127.0.0.1:0", "127.0.0.1:1", moved)), func(string) string { return "" })
+	c, err := platform.Parse([]byte(text("127.0.0.1:0", "127.0.0.1:1", moved)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -30,7 +30,7 @@
 		`"hardLimit":1000000`:  {`"hardLimit":-1`, "settings.classes: "},
 	} {
 		wrong := text("127.0.0.1:0", "127.0.0.1:1", strings.Replace(settings, from, want[0], 1))
-		if _, err := config.Parse([]byte(wrong), func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), want[1]) {
+		if _, err := platform.Parse([]byte(wrong), func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), want[1]) {
 			t.Errorf("%s: %v, want %s", want[0], err, want[1])
 		}
 	}
--- a/internal/service/segments_test.go
+++ b/internal/service/segments_test.go
@@ -17,7 +17,7 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/segments"
@@ -91,7 +91,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	c, err := config.Parse([]byte(fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`, l.Addr(), f.directory.Address(), seed, ownedSettings)), func(string) string { return "" })
+	c, err := platform.Parse([]byte(fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`, l.Addr(), f.directory.Address(), seed, ownedSettings)), func(string) string { return "" })
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,7 +18,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/background"
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/front"
 	"yokeroute/internal/operator"
@@ -54,12 +54,12 @@
 	owned     bool // a map says who owns which keys
 
 	mu sync.Mutex
-	c  *config.Config
+	c  *platform.Config
 }
 
 // New makes a gatherer that serves nothing yet. What of the operator's file does not fit is told in the log and left
 // out: a gatherer serves without a plan rather than not at all.
-func New(c *config.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
+func New(c *platform.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
 	settings := c.Settings
 	if own.MostOwned > 0 {
 		if settings.Shards < 1 {
@@ -247,7 +247,7 @@
 }
 
 // Reload takes over what of a new configuration can change under load. A faulty one changes nothing.
-func (s *Service) Reload(load func() (*config.Config, error)) {
+func (s *Service) Reload(load func() (*platform.Config, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.c
@@ -297,7 +297,7 @@
 }
 
 // Limit tells the runtime what the platform allows, against being killed for memory or throttled mid-collection.
-func Limit(l config.Limits) {
+func Limit(l platform.Limits) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(l.Cores)), 1))
 	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * 3 / 4))
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/experiment"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/rules"
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse([]byte(turned(text(l.Addr().String(), fleet.Directory.Address(), settings))), func(string) string { return "" })
+	c, err := platform.Parse([]byte(turned(text(l.Addr().String(), fleet.Directory.Address(), settings))), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 	if info, err := os.Stat(file); err != nil || info.Size() > 10_000 {
 		t.Errorf("%v, %v", info.Size(), err)
 	}
-	c, err := config.Parse([]byte(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","settings":`+settings+`}`), func(string) string { return "" })
+	c, err := platform.Parse([]byte(`{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:1","seed":"1","settings":`+settings+`}`), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -8,7 +8,7 @@
 	"strings"
 	"testing"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/experiment"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/standin/shards"
@@ -127,7 +127,7 @@
 	} {
 		bad := strings.Replace(settings, old, map[string]string{`"effect":"pure"`: `"effect":"odd"`, `"goalTime":300000`: `"goalTime":-1`,
 			`"discovery":"pushed"`: `"discovery":"odd"`, `"cells":2`: `"cells":0`, `"classes":[`: `"classes":[7,`}[old], 1)
-		_, err := config.Parse([]byte(text("127.0.0.1:1", "127.0.0.1:2", bad)), func(string) string { return "" })
+		_, err := platform.Parse([]byte(text("127.0.0.1:1", "127.0.0.1:2", bad)), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), words) {
 			t.Errorf("%s: %v", old, err)
 		}
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -4,7 +4,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/pick"
@@ -20,7 +20,7 @@
 	server  *report.Server
 }
 
-func newTells(c *config.Config, own *operator.File, picker *pick.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
+func newTells(c *platform.Config, own *operator.File, picker *pick.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
 	counter := report.NewCounter(c.Name, c.Settings, picker.Now, pool)
 	counter.Policy = policy
 	server, err := report.Listen(own.Report, counter, ready, log)
