--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/trace"
 )
 
@@ -90,7 +90,7 @@
 
 // tell explains one lookup phase by phase.
 func tell(w io.Writer, t *trace.Lookup) {
-	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", t.ID, t.Index, plural(len(t.Shards), "part", "parts"), conf.FormatTimestamp(t.At), t.Time)
+	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", t.ID, t.Index, plural(len(t.Shards), "part", "parts"), directive.FormatTimestamp(t.At), t.Time)
 	if c := t.Choice; c != nil {
 		way := "one phase"
 		if c.Two {
--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/operator"
 	"yokeroute/internal/placefile"
 	"yokeroute/internal/policy"
@@ -369,7 +369,7 @@
 	if r.Case != "" {
 		what = "case " + r.Case
 	}
-	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n", what, conf.FormatTimestamp(r.At),
+	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n", what, directive.FormatTimestamp(r.At),
 		rate(r.Asked), 100*r.Greatest.Float(), rate(r.Crossing), float64(r.Cost)/1000)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "host\thall\tcan\tgets\tuse\twhy")
@@ -400,7 +400,7 @@
 		fmt.Fprintln(w, "\nWhat is left cannot take all that is asked for: hosts are filled evenly beyond what they can do, and lookups will be refused.")
 	}
 	if n := len(f.Plan.Steps); n > 1 && r.Case == "" {
-		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n", n, conf.FormatTimestamp(f.Plan.Steps[n-1].From))
+		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n", n, directive.FormatTimestamp(f.Plan.Steps[n-1].From))
 	}
 }
 
@@ -419,7 +419,7 @@
 			}
 			if old.Model.Unit != now.Model.Unit {
 				return fmt.Errorf("%s goes by %s and %s by %s: plans of different units cannot be compared", args[0],
-					conf.FormatRate(old.Model.Unit), args[1], conf.FormatRate(now.Model.Unit))
+					directive.FormatRate(old.Model.Unit), args[1], directive.FormatRate(now.Model.Unit))
 			}
 			c := placement.Diff(old.Plan, now.Plan, now.Plan.Steps[0].From)
 			if form == "json" {
--- a/internal/conf/conf.go
+++ b/internal/config/directive/conf.go
@@ -8,7 +8,7 @@
 // word with blanks together; a backslash before a quote or a backslash takes it as it is. What directives there are
 // is told by a Table, which drives reading, checking, help and the reference page alike, so that they cannot drift
 // apart. Each mistake is one message with file, line, column, the word at fault and what would be right.
-package conf
+package directive
 
 import (
 	"fmt"
--- a/internal/conf/error.go
+++ b/internal/config/directive/error.go
@@ -1,4 +1,4 @@
-package conf
+package directive
 
 import (
 	"fmt"
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -11,7 +11,7 @@
 	"sync"
 	"testing"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/rules"
 )
 
@@ -277,7 +277,7 @@
 		_, err := Parse("x.conf", c.text)
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v", c.text, err)
-		} else if faults, ok := err.(conf.ErrorList); !ok || len(faults) != 1 {
+		} else if faults, ok := err.(directive.ErrorList); !ok || len(faults) != 1 {
 			t.Errorf("%q: %d messages", c.text, len(faults))
 		}
 	}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -18,7 +18,7 @@
 	"strings"
 
 	"yokeroute/gather"
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/rules"
 	"yokeroute/internal/spell"
 )
@@ -71,7 +71,7 @@
 	Latency  float64 // one way
 	Jitter   float64 // standard deviation over the mean, lognormal
 	Loss     float64 // share of messages that have to be sent again
-	line     *conf.Values
+	line     *directive.Values
 }
 
 // Kind is a kind of machines.
@@ -92,7 +92,7 @@
 	Count int
 	Kind  string
 	Halls []string // all where none is told
-	line  *conf.Values
+	line  *directive.Values
 }
 
 // Layout is which servers hold which shards.
@@ -133,7 +133,7 @@
 	Prune      float64 // share of parts that hold nothing; below 0 for an index in one phase
 	Brief      float64 // work of a first pass's part over one in full
 	False      float64 // share of empty parts that a summary calls not empty
-	line       *conf.Values
+	line       *directive.Values
 }
 
 // Customer is who asks.
@@ -184,16 +184,20 @@
 			Calls: 3, Copies: true, Cancel: "waiting", CallParts: 16, Connect: 250, Idle: 15_000, ComeBack: 1000}}
 }
 
-func (s *Scenario) table() *conf.Table {
-	span := func(name, help string) conf.Field { return conf.Field{Name: name, Kind: conf.Duration, Help: help} }
-	share := func(name, help string) conf.Field { return conf.Field{Name: name, Kind: conf.Share, Help: help} }
-	times := func(name, help string) conf.Field {
-		return conf.Field{Name: name, Kind: conf.Number, Max: 1000, Help: help}
+func (s *Scenario) table() *directive.Table {
+	span := func(name, help string) directive.Field {
+		return directive.Field{Name: name, Kind: directive.Duration, Help: help}
 	}
-	count := func(name string, least, most float64, help string) conf.Field {
-		return conf.Field{Name: name, Kind: conf.Count, Min: least, Max: most, Help: help}
+	share := func(name, help string) directive.Field {
+		return directive.Field{Name: name, Kind: directive.Share, Help: help}
 	}
-	hall := func(v *conf.Values, field string) error {
+	times := func(name, help string) directive.Field {
+		return directive.Field{Name: name, Kind: directive.Number, Max: 1000, Help: help}
+	}
+	count := func(name string, least, most float64, help string) directive.Field {
+		return directive.Field{Name: name, Kind: directive.Count, Min: least, Max: most, Help: help}
+	}
+	hall := func(v *directive.Values, field string) error {
 		for i, h := range v.List(field) {
 			if !slices.Contains(s.Halls, h) {
 				f := v.Errorf(field, "is no hall given above%s", spell.Hint(h, s.Halls))
@@ -203,40 +207,40 @@
 		}
 		return nil
 	}
-	t := &conf.Table{Name: "scenario file", Intro: "A day for the emulator: `yokeroute-testbed run FILE`. Halls stand before what is in them, kinds before servers of them. What is left out has the value named here.", Directives: []*conf.Directive{
-		{Name: "scenario", Once: true, Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Help: "Names the day.", Example: "scenario crash-of-a-third",
-			Apply: func(v *conf.Values) error { s.Name = v.Text("name"); return nil }},
-		{Name: "time", Once: true, Options: []conf.Field{{Name: "length", Kind: conf.Duration, Min: 1, Max: 86_400_000, Help: "in which clients ask; 40s"}, span("warm-up", "of these, which do not count; 2s"),
-			{Name: "tick", Kind: conf.Duration, Min: 0.1, Max: 1000, Help: "between a gatherer's rounds at least; 5ms"}}, Help: "How long the day is.", Example: "time length 60s warm-up 5s tick 5ms",
-			Apply: func(v *conf.Values) error {
+	t := &directive.Table{Name: "scenario file", Intro: "A day for the emulator: `yokeroute-testbed run FILE`. Halls stand before what is in them, kinds before servers of them. What is left out has the value named here.", Directives: []*directive.Directive{
+		{Name: "scenario", Once: true, Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Help: "Names the day.", Example: "scenario crash-of-a-third",
+			Apply: func(v *directive.Values) error { s.Name = v.Text("name"); return nil }},
+		{Name: "time", Once: true, Options: []directive.Field{{Name: "length", Kind: directive.Duration, Min: 1, Max: 86_400_000, Help: "in which clients ask; 40s"}, span("warm-up", "of these, which do not count; 2s"),
+			{Name: "tick", Kind: directive.Duration, Min: 0.1, Max: 1000, Help: "between a gatherer's rounds at least; 5ms"}}, Help: "How long the day is.", Example: "time length 60s warm-up 5s tick 5ms",
+			Apply: func(v *directive.Values) error {
 				s.Length, s.Warmup, s.Tick = v.Number("length", s.Length), v.Number("warm-up", s.Warmup), v.Number("tick", s.Tick)
 				return nil
 			}},
-		{Name: "hall", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Help: "A place for machines and gatherers.", Example: "hall north",
-			Apply: func(v *conf.Values) error {
+		{Name: "hall", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Help: "A place for machines and gatherers.", Example: "hall north",
+			Apply: func(v *directive.Values) error {
 				if slices.Contains(s.Halls, v.Text("name")) {
 					return v.Errorf("name", "is given twice")
 				}
 				s.Halls = append(s.Halls, v.Text("name"))
 				return nil
 			}},
-		{Name: "local", Once: true, Options: []conf.Field{{Name: "latency", Kind: conf.Duration, Required: true, Help: "one way, inside a hall; 0.1ms"}}, Help: "Paths inside a hall.", Example: "local latency 0.1ms",
-			Apply: func(v *conf.Values) error { s.Local = v.Number("latency", 0); return nil }},
-		{Name: "link", Args: []conf.Field{{Name: "from", Kind: conf.Name}, {Name: "to", Kind: conf.Name}}, Options: []conf.Field{span("latency", "one way; 0.5ms"),
-			{Name: "jitter", Kind: conf.Number, Max: 10, Help: "its standard deviation over the mean; 0.2"}, share("loss", "of messages that have to be sent again; none")},
+		{Name: "local", Once: true, Options: []directive.Field{{Name: "latency", Kind: directive.Duration, Required: true, Help: "one way, inside a hall; 0.1ms"}}, Help: "Paths inside a hall.", Example: "local latency 0.1ms",
+			Apply: func(v *directive.Values) error { s.Local = v.Number("latency", 0); return nil }},
+		{Name: "link", Args: []directive.Field{{Name: "from", Kind: directive.Name}, {Name: "to", Kind: directive.Name}}, Options: []directive.Field{span("latency", "one way; 0.5ms"),
+			{Name: "jitter", Kind: directive.Number, Max: 10, Help: "its standard deviation over the mean; 0.2"}, share("loss", "of messages that have to be sent again; none")},
 			Help: "The path between two halls, both ways.", Example: "link north south latency 0.6ms jitter 0.2 loss 0.1%",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if err := errors.Join(hall(v, "from"), hall(v, "to")); err != nil {
 					return first(err)
 				}
 				s.Links = append(s.Links, Link{v.Text("from"), v.Text("to"), v.Number("latency", 0.5), v.Number("jitter", 0.2), v.Number("loss", 0), v})
 				return nil
 			}},
-		{Name: "kind", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{count("cores", 1, 1024, "4"), {Name: "speed", Kind: conf.Number, Min: 0.01, Max: 100, Help: "of a core; 1"},
+		{Name: "kind", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{count("cores", 1, 1024, "4"), {Name: "speed", Kind: directive.Number, Min: 0.01, Max: 100, Help: "of a core; 1"},
 			count("queue", 1, 1e6, "parts that wait; 200"), count("connections", 0, 1e6, "held at once; any number"), span("setup", "work of a new connection; 1ms"), span("call", "work of a call beside its parts'; 0"),
-			{Name: "crowding", Kind: conf.Number, Max: 10, Help: "by so much slower for each time that its cores' number of parts waits; 0"}, {Name: "old", Kind: conf.Flag, Help: "knows no first passes"}},
+			{Name: "crowding", Kind: directive.Number, Max: 10, Help: "by so much slower for each time that its cores' number of parts waits; 0"}, {Name: "old", Kind: directive.Flag, Help: "knows no first passes"}},
 			Help: "A kind of machines.", Example: "kind big cores 4 speed 1 queue 200 call 2ms",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == v.Text("name") }) {
 					return v.Errorf("name", "is given twice")
 				}
@@ -244,9 +248,9 @@
 					v.Number("setup", 1), v.Number("call", 0), v.Number("crowding", 0), !v.Has("old")})
 				return nil
 			}},
-		{Name: "servers", Args: []conf.Field{count("count", 1, 1e5, "")}, Options: []conf.Field{{Name: "kind", Kind: conf.Name, Required: true}, {Name: "in", Kind: conf.Names, Help: "halls; all, in turns"}},
+		{Name: "servers", Args: []directive.Field{count("count", 1, 1e5, "")}, Options: []directive.Field{{Name: "kind", Kind: directive.Name, Required: true}, {Name: "in", Kind: directive.Names, Help: "halls; all, in turns"}},
 			Help: "So many machines, dealt out over the sets and halls in turns.", Example: "servers 12 kind big in north south",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if !slices.ContainsFunc(s.Kinds, func(k Kind) bool { return k.Name == v.Text("kind") }) {
 					return v.Errorf("kind", "is no kind given above")
 				}
@@ -256,28 +260,28 @@
 				s.Groups = append(s.Groups, Group{int(v.Number("count", 0)), v.Text("kind"), v.List("in"), v})
 				return nil
 			}},
-		{Name: "layout", Once: true, Options: []conf.Field{count("sets", 1, 1e5, "whose servers hold the same shards; 1"), count("row", 1, 100, "sets in a row that hold a shard; 1"), count("shards", 1, 1e6, "six a set")},
+		{Name: "layout", Once: true, Options: []directive.Field{count("sets", 1, 1e5, "whose servers hold the same shards; 1"), count("row", 1, 100, "sets in a row that hold a shard; 1"), count("shards", 1, 1e6, "six a set")},
 			Help: "Which servers hold which shards: shard s is held by the sets from s modulo their number on.", Example: "layout sets 3 shards 18",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				s.Layout = Layout{int(v.Number("sets", 1)), int(v.Number("row", 1)), int(v.Number("shards", 0))}
 				return nil
 			}},
-		{Name: "gatherers", Once: true, Args: []conf.Field{count("count", 1, 10_000, "")}, Options: []conf.Field{{Name: "skew", Kind: conf.Number, Min: 1, Max: 100, Help: "the busiest has so many times the mean's load; 1"},
+		{Name: "gatherers", Once: true, Args: []directive.Field{count("count", 1, 10_000, "")}, Options: []directive.Field{{Name: "skew", Kind: directive.Number, Min: 1, Max: 100, Help: "the busiest has so many times the mean's load; 1"},
 			span("clock", "by which their clocks are off, either way; 0"), count("held", 1, 1e7, "lookups and parts that one may hold; any number"), span("lag", "from a decision to its bytes; 0")},
 			Help: "The gatherers, dealt out over the halls in turns.", Example: "gatherers 5 skew 2 clock 20ms",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				s.Gatherers = Gatherers{int(v.Number("count", 0)), v.Number("skew", 1), v.Number("clock", 0), int(v.Number("held", 0)), v.Number("lag", 0)}
 				return nil
 			}},
-		{Name: "index", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{share("share", "of the lookups; all that is left, evenly"), count("parts", 1, 10_000, "4"), count("to", 1, 10_000, "parts at most; as many as at least"),
-			span("work", "of a part, of one core at speed 1; 20ms"), times("spread", "of work among parts, standard deviation over the mean; 0.4"), {Name: "exponential", Kind: conf.Flag, Help: "work is distributed so, whatever the spread"}, share("tail", "of parts with a Pareto tail (exponent 1.5); none"), times("tail-times", "its least over the mean; 4"),
-			times("hint", "by how much hints of cost are off, standard deviation over the mean; 0.3"), {Name: "no-hint", Kind: conf.Flag, Help: "parts tell no cost"},
+		{Name: "index", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{share("share", "of the lookups; all that is left, evenly"), count("parts", 1, 10_000, "4"), count("to", 1, 10_000, "parts at most; as many as at least"),
+			span("work", "of a part, of one core at speed 1; 20ms"), times("spread", "of work among parts, standard deviation over the mean; 0.4"), {Name: "exponential", Kind: directive.Flag, Help: "work is distributed so, whatever the spread"}, share("tail", "of parts with a Pareto tail (exponent 1.5); none"), times("tail-times", "its least over the mean; 4"),
+			times("hint", "by how much hints of cost are off, standard deviation over the mean; 0.3"), {Name: "no-hint", Kind: directive.Flag, Help: "parts tell no cost"},
 			share("need", "of the weight that makes a whole answer; 100%"), share("least", "under which no answer is given; as needed"), span("soft", "soft deadline; 400ms"), span("hard", "hard deadline; 2s"),
 			share("late", "of the gain that a late answer earns; 10%"), share("partial", "of the gain that an answer in part earns, for what is in of what is needed; 0%"), times("gain", "of a lookup; 1"),
-			{Name: "effect", Kind: conf.Choice, Choices: []string{"idempotent", "fingerprinted", "once-only"}, Help: "idempotent"}, span("window", "of fingerprints; 1s"),
+			{Name: "effect", Kind: directive.Choice, Choices: []string{"idempotent", "fingerprinted", "once-only"}, Help: "idempotent"}, span("window", "of fingerprints; 1s"),
 			share("prune", "of parts that hold nothing, for lookups that may go in two phases"), share("brief", "work of a first pass's part over one in full; 10%"), share("false", "of empty parts that a summary calls not empty; 1%")},
 			Help: "An index of lookups.", Example: "index find parts 4 to 7 work 80ms spread 0.4 soft 1.2s hard 2.5s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				ix := Index{Name: v.Text("name"), Share: v.Number("share", -1), Parts: int(v.Number("parts", 4)), Work: v.Number("work", 20), Spread: v.Number("spread", 0.4),
 					Tail: v.Number("tail", 0), TailTimes: v.Number("tail-times", 4), Hint: v.Number("hint", 0.3), Need: v.Number("need", 1), Soft: v.Number("soft", 400), Hard: v.Number("hard", 2000),
 					Late: v.Number("late", 0.1), Partial: v.Number("partial", 0), Gain: v.Number("gain", 1), Effect: "idempotent", Window: v.Number("window", 1000), Prune: v.Number("prune", -1),
@@ -296,9 +300,9 @@
 				case ix.To < ix.Parts:
 					return v.Errorf("to", "is less than the %d parts that a lookup has at least", ix.Parts)
 				case ix.Least > ix.Need:
-					return v.Errorf("least", "is more than the %s that make a whole answer", conf.FormatShare(ix.Need))
+					return v.Errorf("least", "is more than the %s that make a whole answer", directive.FormatShare(ix.Need))
 				case ix.Soft > ix.Hard:
-					return v.Errorf("soft", "is later than the hard deadline of %s", conf.FormatDuration(ix.Hard))
+					return v.Errorf("soft", "is later than the hard deadline of %s", directive.FormatDuration(ix.Hard))
 				case !(ix.Work > 0):
 					return v.Errorf("work", "is no work at all")
 				case ix.Prune >= 0 && ix.Effect != "idempotent":
@@ -307,50 +311,50 @@
 				s.Indexes = append(s.Indexes, ix)
 				return nil
 			}},
-		{Name: "customer", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "share", Kind: conf.Share, Required: true, Help: "of the lookups"}}, Help: "Who asks. Without any, one customer does.", Example: "customer mainline share 70%",
-			Apply: func(v *conf.Values) error {
+		{Name: "customer", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "share", Kind: directive.Share, Required: true, Help: "of the lookups"}}, Help: "Who asks. Without any, one customer does.", Example: "customer mainline share 70%",
+			Apply: func(v *directive.Values) error {
 				s.Customers = append(s.Customers, Customer{v.Text("name"), v.Number("share", 0)})
 				return nil
 			}},
-		{Name: "clients", Once: true, Options: []conf.Field{{Name: "rate", Kind: conf.Rate, Min: 0.001, Max: 1e6, Help: "lookups a second, all together; 20/s"}, count("retries", 0, 100, "2"), span("wait", "before a retry that has no advice; 200ms"),
+		{Name: "clients", Once: true, Options: []directive.Field{{Name: "rate", Kind: directive.Rate, Min: 0.001, Max: 1e6, Help: "lookups a second, all together; 20/s"}, count("retries", 0, 100, "2"), span("wait", "before a retry that has no advice; 200ms"),
 			share("impatient", "that come again at once, whatever the advice; none"), share("patience", "of the hard deadline after which a try is given up, at least; 80%"), count("keys", 1, 1e7, "distinct; 10000"),
-			{Name: "zipf", Kind: conf.Number, Max: 5, Help: "exponent of their popularity; 0, all alike"}, {Name: "scattered", Kind: conf.Flag, Help: "a lookup's shards are no neighbours"},
+			{Name: "zipf", Kind: directive.Number, Max: 5, Help: "exponent of their popularity; 0, all alike"}, {Name: "scattered", Kind: directive.Flag, Help: "a lookup's shards are no neighbours"},
 			span("latency", "one way to a gatherer; 0.2ms"), span("notice", "after which a client notices that its gatherer has died; 1s")},
 			Help: "How clients ask: at random times, whether or not earlier lookups are answered.", Example: "clients rate 40/s retries 2 wait 100ms impatient 10% zipf 0.8",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				c := &s.Clients
 				c.Rate, c.Retries, c.Wait, c.Impatient, c.Patience = v.Number("rate", c.Rate), int(v.Number("retries", float64(c.Retries))), v.Number("wait", c.Wait), v.Number("impatient", 0), v.Number("patience", c.Patience)
 				c.Keys, c.Zipf, c.Neighbors, c.Latency, c.Notice = int(v.Number("keys", float64(c.Keys))), v.Number("zipf", 0), !v.Has("scattered"), v.Number("latency", c.Latency), v.Number("notice", c.Notice)
 				return nil
 			}},
-		{Name: "discovery", Once: true, Options: []conf.Field{{Name: "lag", Kind: conf.Duration, Required: true, Help: "until a gatherer hears of a change; 500ms"}, span("to", "at most; 1.5s")}, Help: "How late the list of servers is.", Example: "discovery lag 500ms to 2s",
-			Apply: func(v *conf.Values) error {
+		{Name: "discovery", Once: true, Options: []directive.Field{{Name: "lag", Kind: directive.Duration, Required: true, Help: "until a gatherer hears of a change; 500ms"}, span("to", "at most; 1.5s")}, Help: "How late the list of servers is.", Example: "discovery lag 500ms to 2s",
+			Apply: func(v *directive.Values) error {
 				s.Discovery = Discovery{v.Number("lag", 0), v.Number("to", v.Number("lag", 0))}
 				if s.Discovery.To < s.Discovery.Lag {
 					return v.Errorf("to", "is less than the least lag")
 				}
 				return nil
 			}},
-		{Name: "budget", Once: true, Options: []conf.Field{{Name: "free", Kind: conf.Number, Required: true, Max: 1e6, Help: "part calls beyond each part's first"}, {Name: "share", Kind: conf.Share, Required: true, Help: "more of them, of the lookups and parts taken"}, {Name: "in", Kind: conf.Duration, Min: 1, Required: true, Help: "any window of this length"}},
+		{Name: "budget", Once: true, Options: []directive.Field{{Name: "free", Kind: directive.Number, Required: true, Max: 1e6, Help: "part calls beyond each part's first"}, {Name: "share", Kind: directive.Share, Required: true, Help: "more of them, of the lookups and parts taken"}, {Name: "in", Kind: directive.Duration, Min: 1, Required: true, Help: "any window of this length"}},
 			Help: "Rule 6. Without it 10 and 5% in 2s.", Example: "budget free 10 share 5% in 2s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				s.Rules.Free, s.Rules.Share, s.Rules.Span = v.Number("free", 0), v.Number("share", 0), v.Number("in", 0)
 				return nil
 			}},
-		{Name: "cold", Once: true, Options: []conf.Field{share("from", "of its capacity that a server has when it starts; 20%"), {Name: "warms", Kind: conf.Duration, Min: 1, Help: "to all of it, evenly, in; 15s"},
-			{Name: "falls", Kind: conf.Number, Min: 1, Max: 100, Help: "over when it is sent so many times what it can do; 3"}, {Name: "in", Kind: conf.Duration, Min: 1, Help: "a window of; 2s"}, span("back", "after having fallen over in; never")},
+		{Name: "cold", Once: true, Options: []directive.Field{share("from", "of its capacity that a server has when it starts; 20%"), {Name: "warms", Kind: directive.Duration, Min: 1, Help: "to all of it, evenly, in; 15s"},
+			{Name: "falls", Kind: directive.Number, Min: 1, Max: 100, Help: "over when it is sent so many times what it can do; 3"}, {Name: "in", Kind: directive.Duration, Min: 1, Help: "a window of; 2s"}, span("back", "after having fallen over in; never")},
 			Help: "Rule 4: how servers start.", Example: "cold from 18% warms 17s falls 3 in 2s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				r := &s.Rules
 				r.ColdFrom, r.ColdTime, r.FallTimes, r.FallSpan, r.Restart = v.Number("from", r.ColdFrom), v.Number("warms", r.ColdTime), v.Number("falls", r.FallTimes), v.Number("in", r.FallSpan), v.Number("back", 0)
 				return nil
 			}},
-		{Name: "drain", Once: true, Options: []conf.Field{{Name: "grace", Kind: conf.Duration, Required: true, Help: "after being told, in which something may still go to a server; 250ms"}}, Help: "Rule 3.", Example: "drain grace 250ms",
-			Apply: func(v *conf.Values) error { s.Rules.Grace = v.Number("grace", 0); return nil }},
-		{Name: "calls", Once: true, Options: []conf.Field{count("most", 1, 100, "of a part; 3"), {Name: "copies", Kind: conf.Switch, Help: "a second one while the first is out; on"}, {Name: "cancel", Kind: conf.Choice, Choices: []string{"running", "waiting", "nothing"}, Help: "what a part given up stops; waiting"},
-			count("together", 1, 1000, "parts of a call; 16"), {Name: "connect", Kind: conf.Duration, Min: 1, Help: "time for a new connection; 250ms"}, {Name: "idle", Kind: conf.Duration, Min: 1, Help: "after which a connection closes; 15s"}, span("come-back", "advice to a nacked client, at most; 1s")},
+		{Name: "drain", Once: true, Options: []directive.Field{{Name: "grace", Kind: directive.Duration, Required: true, Help: "after being told, in which something may still go to a server; 250ms"}}, Help: "Rule 3.", Example: "drain grace 250ms",
+			Apply: func(v *directive.Values) error { s.Rules.Grace = v.Number("grace", 0); return nil }},
+		{Name: "calls", Once: true, Options: []directive.Field{count("most", 1, 100, "of a part; 3"), {Name: "copies", Kind: directive.Switch, Help: "a second one while the first is out; on"}, {Name: "cancel", Kind: directive.Choice, Choices: []string{"running", "waiting", "nothing"}, Help: "what a part given up stops; waiting"},
+			count("together", 1, 1000, "parts of a call; 16"), {Name: "connect", Kind: directive.Duration, Min: 1, Help: "time for a new connection; 250ms"}, {Name: "idle", Kind: directive.Duration, Min: 1, Help: "after which a connection closes; 15s"}, span("come-back", "advice to a nacked client, at most; 1s")},
 			Help: "What part calls may do.", Example: "calls most 3 copies on cancel waiting together 16",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				r := &s.Rules
 				r.Calls, r.Copies, r.CallParts = int(v.Number("most", float64(r.Calls))), v.Bool("copies", r.Copies), int(v.Number("together", float64(r.CallParts)))
 				r.Connect, r.Idle, r.ComeBack = v.Number("connect", r.Connect), v.Number("idle", r.Idle), v.Number("come-back", r.ComeBack)
@@ -359,24 +363,24 @@
 				}
 				return nil
 			}},
-		{Name: "segments", Once: true, Args: []conf.Field{count("count", 1, 1e5, "at first, as many keys each")}, Options: []conf.Field{count("most", 1, 1e5, "at any time; twice as many"), count("owners", 1, 100, "of each; 2"),
+		{Name: "segments", Once: true, Args: []directive.Field{count("count", 1, 1e5, "at first, as many keys each")}, Options: []directive.Field{count("most", 1, 1e5, "at any time; twice as many"), count("owners", 1, 100, "of each; 2"),
 			span("every", "between two hand-overs; none"), span("takes", "a step of one; 20ms"), share("undone", "of hand-overs that are taken back before they are published; none")},
 			Help: "Segments of keys with owners of their own, split, merged and moved while lookups run. The layout's sets say nothing then.", Example: "segments 24 owners 2 every 500ms takes 20ms undone 10%",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				n := int(v.Number("count", 0))
 				s.Owned = Owned{n, int(v.Number("most", 2*float64(n))), int(v.Number("owners", 2)), v.Number("every", 0), v.Number("takes", 20), v.Number("undone", 0)}
 				return nil
 			}},
-		{Name: "seed", Once: true, Args: []conf.Field{count("seed", 0, 1<<53, "")}, Help: "The seed of a day that is kept; 1.", Example: "seed 17",
-			Apply: func(v *conf.Values) error { s.Seed = uint64(v.Number("seed", 1)); return nil }},
-		{Name: "expect", Args: []conf.Field{{Name: "what", Kind: conf.Choice, Choices: Figures()}}, Options: []conf.Field{{Name: "least", Kind: conf.Share, Required: true}},
+		{Name: "seed", Once: true, Args: []directive.Field{count("seed", 0, 1<<53, "")}, Help: "The seed of a day that is kept; 1.", Example: "seed 17",
+			Apply: func(v *directive.Values) error { s.Seed = uint64(v.Number("seed", 1)); return nil }},
+		{Name: "expect", Args: []directive.Field{{Name: "what", Kind: directive.Choice, Choices: Figures()}}, Options: []directive.Field{{Name: "least", Kind: directive.Share, Required: true}},
 			Help: "What a day that is kept has to come to, with ours; that every rule is kept goes without saying.", Example: "expect gain least 90%",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				s.Expect = append(s.Expect, Expect{v.Text("what"), v.Number("least", 0)})
 				return nil
 			}},
-		{Name: "weights", Once: true, Args: []conf.Field{{Name: "on", Kind: conf.Switch}}, Help: "Gatherers follow weights worked out from capacities and demand, as by `yokeroute plan`.", Example: "weights on",
-			Apply: func(v *conf.Values) error { s.Planned = v.Bool("on", false); return nil }},
+		{Name: "weights", Once: true, Args: []directive.Field{{Name: "on", Kind: directive.Switch}}, Help: "Gatherers follow weights worked out from capacities and demand, as by `yokeroute plan`.", Example: "weights on",
+			Apply: func(v *directive.Values) error { s.Planned = v.Bool("on", false); return nil }},
 	}}
 	t.Directives = append(t.Directives, s.troubleTable(hall))
 	return t
@@ -384,7 +388,7 @@
 
 // first is the first of joined errors, since a directive has one.
 func first(err error) error {
-	var f *conf.Error
+	var f *directive.Error
 	if errors.As(err, &f) {
 		return f
 	}
@@ -395,7 +399,7 @@
 func Reference() string { return newScenario().table().Reference() }
 
 // Directives are the table of scenario files, for tests of its examples.
-func Directives() *conf.Table { return newScenario().table() }
+func Directives() *directive.Table { return newScenario().table() }
 
 // Read reads a scenario file and checks that it can be met.
 func Read(file string) (*Scenario, error) {
@@ -441,7 +445,7 @@
 
 // ReadWith reads a scenario file in which further directives may stand, for who plays it otherwise than in virtual
 // time. What they take is read before the scenario is checked.
-func ReadWith(file string, further func(s *Scenario) []*conf.Directive) (*Scenario, error) {
+func ReadWith(file string, further func(s *Scenario) []*directive.Directive) (*Scenario, error) {
 	s := newScenario()
 	t := s.table()
 	t.Directives = append(t.Directives, further(s)...)
@@ -452,7 +456,7 @@
 }
 
 // ParseWith is ReadWith for a text.
-func ParseWith(name, text string, further func(s *Scenario) []*conf.Directive) (*Scenario, error) {
+func ParseWith(name, text string, further func(s *Scenario) []*directive.Directive) (*Scenario, error) {
 	s := newScenario()
 	t := s.table()
 	t.Directives = append(t.Directives, further(s)...)
@@ -473,12 +477,12 @@
 
 // check completes what is left out and says what can't be met, before anything is run.
 func (s *Scenario) check(file string) error {
-	at := func(v *conf.Values, text string, args ...any) error {
-		f := &conf.Error{Position: conf.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(text, args...)}
+	at := func(v *directive.Values, text string, args ...any) error {
+		f := &directive.Error{Position: directive.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(text, args...)}
 		if v != nil {
 			f.Position = v.Position
 		}
-		return conf.ErrorList{f}
+		return directive.ErrorList{f}
 	}
 	if len(s.Halls) == 0 {
 		s.Halls = []string{"hall"}
@@ -489,7 +493,7 @@
 	case len(s.Indexes) == 0:
 		return at(nil, "has no index; write index NAME")
 	case s.Warmup >= s.Length:
-		return at(nil, "its warm-up of %s leaves nothing of its length of %s", conf.FormatDuration(s.Warmup), conf.FormatDuration(s.Length))
+		return at(nil, "its warm-up of %s leaves nothing of its length of %s", directive.FormatDuration(s.Warmup), directive.FormatDuration(s.Length))
 	}
 	if s.Layout.Shards == 0 {
 		s.Layout.Shards = 6 * s.Layout.Sets
@@ -525,7 +529,7 @@
 		}
 	}
 	if left < -1e-9 || open == 0 && math.Abs(left) > 1e-9 {
-		return at(s.Indexes[0].line, "the shares of the indexes add up to %s", conf.FormatShare(1-left))
+		return at(s.Indexes[0].line, "the shares of the indexes add up to %s", directive.FormatShare(1-left))
 	}
 	for i := range s.Indexes {
 		if s.Indexes[i].Share < 0 {
@@ -540,11 +544,11 @@
 		sum += c.Share
 	}
 	if math.Abs(sum-1) > 1e-9 {
-		return at(nil, "the shares of the customers add up to %s", conf.FormatShare(sum))
+		return at(nil, "the shares of the customers add up to %s", directive.FormatShare(sum))
 	}
 	for _, t := range s.Troubles {
 		if t.At > s.Length {
-			return at(t.line, "trouble %s begins after the day's length of %s", t.Kind, conf.FormatDuration(s.Length))
+			return at(t.line, "trouble %s begins after the day's length of %s", t.Kind, directive.FormatDuration(s.Length))
 		}
 	}
 	return nil
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strings"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/spell"
 )
@@ -22,7 +22,7 @@
 	Times     float64
 	Index     string
 	Waves     int
-	line      *conf.Values
+	line      *directive.Values
 }
 
 // end is when it is over.
@@ -90,18 +90,18 @@
 	return k != nil && slices.Contains(strings.Fields(k.takes), option)
 }
 
-func (s *Scenario) troubleTable(hall func(v *conf.Values, field string) error) *conf.Directive {
+func (s *Scenario) troubleTable(hall func(v *directive.Values, field string) error) *directive.Directive {
 	var help strings.Builder
 	help.WriteString("Something goes wrong for a time; several may overlap. The kinds, with what each takes:\n")
 	for _, k := range troubleKinds {
 		help.WriteString("\n- `" + k.name + "` (" + cmp.Or(strings.Join(strings.Fields(k.takes), ", "), "nothing more") + "): " + k.help + ".")
 	}
-	return &conf.Directive{Name: "trouble", Args: []conf.Field{{Name: "kind", Kind: conf.Choice, Choices: Kinds()}},
-		Options: []conf.Field{{Name: "at", Kind: conf.Duration, Required: true, Help: "from the day's beginning"}, {Name: "for", Kind: conf.Duration, Required: true, Min: 1, Help: "how long"},
-			{Name: "servers", Kind: conf.Number, Help: "how many: a number from 1 on, or under that a share; a fifth"}, {Name: "gatherers", Kind: conf.Number, Help: "the same of gatherers; a half"}, {Name: "hall", Kind: conf.Name, Help: "only there, or from there"}, {Name: "to", Kind: conf.Name, Help: "that hall"},
-			{Name: "share", Kind: conf.Share, Help: "50%"}, {Name: "times", Kind: conf.Number, Min: 0.01, Max: 1000, Help: "4"}, {Name: "index", Kind: conf.Name, Help: "only of it"}, {Name: "waves", Kind: conf.Count, Min: 1, Max: 1000, Help: "4"}},
+	return &directive.Directive{Name: "trouble", Args: []directive.Field{{Name: "kind", Kind: directive.Choice, Choices: Kinds()}},
+		Options: []directive.Field{{Name: "at", Kind: directive.Duration, Required: true, Help: "from the day's beginning"}, {Name: "for", Kind: directive.Duration, Required: true, Min: 1, Help: "how long"},
+			{Name: "servers", Kind: directive.Number, Help: "how many: a number from 1 on, or under that a share; a fifth"}, {Name: "gatherers", Kind: directive.Number, Help: "the same of gatherers; a half"}, {Name: "hall", Kind: directive.Name, Help: "only there, or from there"}, {Name: "to", Kind: directive.Name, Help: "that hall"},
+			{Name: "share", Kind: directive.Share, Help: "50%"}, {Name: "times", Kind: directive.Number, Min: 0.01, Max: 1000, Help: "4"}, {Name: "index", Kind: directive.Name, Help: "only of it"}, {Name: "waves", Kind: directive.Count, Min: 1, Max: 1000, Help: "4"}},
 		Help: help.String(), Example: "trouble slow at 10s for 8s servers 0.2 times 5",
-		Apply: func(v *conf.Values) error {
+		Apply: func(v *directive.Values) error {
 			t := Trouble{Kind: v.Text("kind"), At: v.Number("at", 0), For: v.Number("for", 0), Servers: v.Number("servers", 0.2), Gatherers: v.Number("gatherers", 0.5),
 				Hall: v.Text("hall"), To: v.Text("to"), Share: v.Number("share", 0.5), Times: v.Number("times", 4), Index: v.Text("index"), Waves: int(v.Number("waves", 4)), line: v}
 			for _, option := range []string{"servers", "gatherers", "hall", "to", "share", "times", "index", "waves"} {
@@ -134,7 +134,7 @@
 
 // Line is the trouble as it stands in a scenario file.
 func (t *Trouble) Line() string {
-	words := []string{"trouble", t.Kind, "at", conf.FormatDuration(t.At), "for", conf.FormatDuration(t.For)}
+	words := []string{"trouble", t.Kind, "at", directive.FormatDuration(t.At), "for", directive.FormatDuration(t.For)}
 	num := func(option string, value float64) {
 		if Takes(t.Kind, option) {
 			words = append(words, option, trim(value))
@@ -150,7 +150,7 @@
 	text("hall", t.Hall)
 	text("to", t.To)
 	if Takes(t.Kind, "share") {
-		words = append(words, "share", conf.FormatShare(t.Share))
+		words = append(words, "share", directive.FormatShare(t.Share))
 	}
 	num("times", t.Times)
 	text("index", t.Index)
--- a/internal/placefile/list.go
+++ b/internal/placefile/list.go
@@ -6,7 +6,7 @@
 	"slices"
 
 	"yokeroute/gather"
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/spell"
 	"yokeroute/logic/placement"
 )
@@ -71,7 +71,7 @@
 	}
 	if faults := m.Check(); len(faults) > 0 {
 		// A fault of a line is told with its place; one of the list has none.
-		if at := f.place(faults[0]); at.Position != (conf.Position{}) && faults[0].Kind != "host" && faults[0].Kind != "segment" {
+		if at := f.place(faults[0]); at.Position != (directive.Position{}) && faults[0].Kind != "host" && faults[0].Kind != "segment" {
 			return nil, at
 		}
 		return nil, faults[0]
--- a/internal/placefile/placefile_test.go
+++ b/internal/placefile/placefile_test.go
@@ -8,7 +8,7 @@
 	"testing"
 
 	"yokeroute/gather"
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/logic/balance"
 )
 
@@ -108,7 +108,7 @@
 		if text == good {
 			t.Fatalf("%q is not there", c.old)
 		}
-		var faults conf.ErrorList
+		var faults directive.ErrorList
 		if _, err := Parse("f", text, 0); !errors.As(err, &faults) || len(faults) != 1 || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%q: %v\nwant one message with %s", c.new, err, c.want)
 		}
--- a/internal/placefile/read.go
+++ b/internal/placefile/read.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"yokeroute/gather"
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/spell"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
@@ -27,10 +27,10 @@
 	Model    placement.Model
 	Plan     *placement.Plan // nil where it holds no weights
 	FromList bool            // hosts and segments come from discovery's list
-	kinds    map[string]*conf.Values
-	lines    map[string][]*conf.Values // of each kind of entry, in the model's order
-	all      []*conf.Values            // demands on all segments
-	unit     *conf.Values
+	kinds    map[string]*directive.Values
+	lines    map[string][]*directive.Values // of each kind of entry, in the model's order
+	all      []*directive.Values            // demands on all segments
+	unit     *directive.Values
 	step     *placement.Step
 	inCase   bool
 }
@@ -38,69 +38,69 @@
 var states = []string{"running", "draining", "gone"}
 
 // hostFields are what hosts and kinds of hosts have alike.
-func hostFields() []conf.Field {
-	return []conf.Field{
-		{Name: "capacity", Kind: conf.Rate, Help: "parts that it can answer when warm"},
-		{Name: "cost", Kind: conf.Number, Max: placement.MostCost / 1000, Help: "price of a part; 0 unless told"},
-		{Name: "holds", Kind: conf.Count, Max: 1e6, Help: "segments that it has room for; any number unless told"},
-		{Name: "cold", Kind: conf.Share, Help: "of its capacity that is safe when it has just started; nothing unless told"},
-		{Name: "warms", Kind: conf.Duration, Max: 1e9, Help: "time in which that rises evenly to all of it"},
+func hostFields() []directive.Field {
+	return []directive.Field{
+		{Name: "capacity", Kind: directive.Rate, Help: "parts that it can answer when warm"},
+		{Name: "cost", Kind: directive.Number, Max: placement.MostCost / 1000, Help: "price of a part; 0 unless told"},
+		{Name: "holds", Kind: directive.Count, Max: 1e6, Help: "segments that it has room for; any number unless told"},
+		{Name: "cold", Kind: directive.Share, Help: "of its capacity that is safe when it has just started; nothing unless told"},
+		{Name: "warms", Kind: directive.Duration, Max: 1e9, Help: "time in which that rises evenly to all of it"},
 	}
 }
 
-func (f *File) table() *conf.Table {
-	keep := func(kind string, v *conf.Values) { f.lines[kind] = append(f.lines[kind], v) }
-	return &conf.Table{Name: "placement file", Intro: "Halls, hosts, segments and demand, for `yokeroute plan`; with weights in it, a plan.", Directives: []*conf.Directive{
-		{Name: "unit", Once: true, Args: []conf.Field{{Name: "rate", Kind: conf.Rate, Min: 1e-6, Max: 1e6, Help: "the rate that is not split further"}},
+func (f *File) table() *directive.Table {
+	keep := func(kind string, v *directive.Values) { f.lines[kind] = append(f.lines[kind], v) }
+	return &directive.Table{Name: "placement file", Intro: "Halls, hosts, segments and demand, for `yokeroute plan`; with weights in it, a plan.", Directives: []*directive.Directive{
+		{Name: "unit", Once: true, Args: []directive.Field{{Name: "rate", Kind: directive.Rate, Min: 1e-6, Max: 1e6, Help: "the rate that is not split further"}},
 			Help: "Weights are whole numbers of this rate, and all rates are multiples of it; 1/s unless told.", Example: "unit 0.1/s",
-			Apply: func(v *conf.Values) error { f.Model.Unit, f.unit = v.Number("rate", 0), v; return nil }},
-		{Name: "at", Once: true, Args: []conf.Field{{Name: "moment", Kind: conf.Timestamp, Help: "from which the plan holds"}},
+			Apply: func(v *directive.Values) error { f.Model.Unit, f.unit = v.Number("rate", 0), v; return nil }},
+		{Name: "at", Once: true, Args: []directive.Field{{Name: "moment", Kind: directive.Timestamp, Help: "from which the plan holds"}},
 			Help: "When the plan begins to hold; the moment of solving unless told.", Example: "at 2026-12-01T10:00:00Z",
-			Apply: func(v *conf.Values) error { f.Model.At = v.Number("moment", 0); return nil }},
-		{Name: "clocks", Once: true, Args: []conf.Field{{Name: "time", Kind: conf.Duration, Max: 3_600_000, Help: "by which a gatherer's clock may run ahead"}},
+			Apply: func(v *directive.Values) error { f.Model.At = v.Number("moment", 0); return nil }},
+		{Name: "clocks", Once: true, Args: []directive.Field{{Name: "time", Kind: directive.Duration, Max: 3_600_000, Help: "by which a gatherer's clock may run ahead"}},
 			Help: "What a host that warms up is safe to take is reckoned by the slowest clock.", Example: "clocks 500ms",
-			Apply: func(v *conf.Values) error { f.Model.Clocks = v.Number("time", 0); return nil }},
-		{Name: "steps", Once: true, Args: []conf.Field{{Name: "number", Kind: conf.Count, Min: 1, Max: 100, Help: "of steps until the last host is warm"}},
+			Apply: func(v *directive.Values) error { f.Model.Clocks = v.Number("time", 0); return nil }},
+		{Name: "steps", Once: true, Args: []directive.Field{{Name: "number", Kind: directive.Count, Min: 1, Max: 100, Help: "of steps until the last host is warm"}},
 			Help: "Into how many steps a plan is cut while hosts warm up; 8 unless told.", Example: "steps 4",
-			Apply: func(v *conf.Values) error { f.Model.Steps = int(v.Number("number", 0)); return nil }},
-		{Name: "most-moved", Once: true, Args: []conf.Field{{Name: "replicas", Kind: conf.Count, Max: 1e9, Help: "that may be put where they are not now"}},
+			Apply: func(v *directive.Values) error { f.Model.Steps = int(v.Number("number", 0)); return nil }},
+		{Name: "most-moved", Once: true, Args: []directive.Field{{Name: "replicas", Kind: directive.Count, Max: 1e9, Help: "that may be put where they are not now"}},
 			Help: "Bounds what a new placement may move; any number unless told.", Example: "most-moved 6",
-			Apply: func(v *conf.Values) error { f.Model.Copies = int(v.Number("replicas", 0)); return nil }},
-		{Name: "hall", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{
-			{Name: "most", Kind: conf.Rate, Help: "load that its hosts may carry together"},
-			{Name: "spare", Kind: conf.RateOrShare, Help: "capacity of its hosts that has to stay free"}},
+			Apply: func(v *directive.Values) error { f.Model.Copies = int(v.Number("replicas", 0)); return nil }},
+		{Name: "hall", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{
+			{Name: "most", Kind: directive.Rate, Help: "load that its hosts may carry together"},
+			{Name: "spare", Kind: directive.RateOrShare, Help: "capacity of its hosts that has to stay free"}},
 			Help: "A place whose hosts share limits.", Example: "hall ktm-hall most 900/s spare 10%",
-			Apply: func(v *conf.Values) error { keep("hall", v); return nil }},
-		{Name: "crossing", Args: []conf.Field{{Name: "from", Kind: conf.Name, Help: "hall of the gatherer"}, {Name: "to", Kind: conf.Name, Help: "hall of the host"},
-			{Name: "cost", Kind: conf.Number, Max: placement.MostCost / 1000, Help: "price of a part"}},
+			Apply: func(v *directive.Values) error { keep("hall", v); return nil }},
+		{Name: "crossing", Args: []directive.Field{{Name: "from", Kind: directive.Name, Help: "hall of the gatherer"}, {Name: "to", Kind: directive.Name, Help: "hall of the host"},
+			{Name: "cost", Kind: directive.Number, Max: placement.MostCost / 1000, Help: "price of a part"}},
 			Help: "What a part costs that goes from one hall to another. It holds both ways unless the other way is given too; 1 unless told.", Example: "crossing ktm-hall patan-hall 2.5",
-			Apply: func(v *conf.Values) error { keep("crossing", v); return nil }},
-		{Name: "kind", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: hostFields(),
+			Apply: func(v *directive.Values) error { keep("crossing", v); return nil }},
+		{Name: "kind", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: hostFields(),
 			Help: "What hosts of one kind have alike; a host's own line goes before it.", Example: "kind m2 capacity 120/s cost 3 cold 18% warms 17s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if f.kinds[v.Text("name")] != nil {
 					return v.Errorf("name", "is given twice; every kind has its own name")
 				}
 				f.kinds[v.Text("name")] = v
 				return nil
 			}},
-		{Name: "host", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: append([]conf.Field{
-			{Name: "hall", Kind: conf.Name, Required: true, Help: "where it stands"},
-			{Name: "kind", Kind: conf.Name, Help: "of which it is"},
-			{Name: "state", Kind: conf.Choice, Choices: states, Help: "running unless told; the others get nothing"},
-			{Name: "started", Kind: conf.Timestamp, Help: "when it last started, or will; long ago unless told"}}, hostFields()...),
+		{Name: "host", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: append([]directive.Field{
+			{Name: "hall", Kind: directive.Name, Required: true, Help: "where it stands"},
+			{Name: "kind", Kind: directive.Name, Help: "of which it is"},
+			{Name: "state", Kind: directive.Choice, Choices: states, Help: "running unless told; the others get nothing"},
+			{Name: "started", Kind: directive.Timestamp, Help: "when it last started, or will; long ago unless told"}}, hostFields()...),
 			Help: "One machine.", Example: "host s-01 hall ktm-hall capacity 120/s",
-			Apply: func(v *conf.Values) error { keep("host", v); return nil }},
-		{Name: "segment", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{
-			{Name: "group", Kind: conf.Count, Max: 1e6, Help: "of the gatherers' shards that it is"},
-			{Name: "replicas", Kind: conf.Count, Min: 1, Max: 1000, Help: "wanted of a new placement; as many as it has unless told"},
-			{Name: "on", Kind: conf.Names, Help: "hosts that hold it"}},
+			Apply: func(v *directive.Values) error { keep("host", v); return nil }},
+		{Name: "segment", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{
+			{Name: "group", Kind: directive.Count, Max: 1e6, Help: "of the gatherers' shards that it is"},
+			{Name: "replicas", Kind: directive.Count, Min: 1, Max: 1000, Help: "wanted of a new placement; as many as it has unless told"},
+			{Name: "on", Kind: directive.Names, Help: "hosts that hold it"}},
 			Help: "Data that its hosts hold, each all of it.", Example: "segment names-a group 0 replicas 3 on s-01 s-02 s-07",
-			Apply: func(v *conf.Values) error { keep("segment", v); return nil }},
-		{Name: "demand", Args: []conf.Field{{Name: "segment", Kind: conf.Name, Help: "or * for each segment that has no line of its own"}, {Name: "hall", Kind: conf.Name, Help: "of the gatherers that ask"},
-			{Name: "rate", Kind: conf.Rate, Help: "parts that they ask for"}},
+			Apply: func(v *directive.Values) error { keep("segment", v); return nil }},
+		{Name: "demand", Args: []directive.Field{{Name: "segment", Kind: directive.Name, Help: "or * for each segment that has no line of its own"}, {Name: "hall", Kind: directive.Name, Help: "of the gatherers that ask"},
+			{Name: "rate", Kind: directive.Rate, Help: "parts that they ask for"}},
 			Help: "What the gatherers of a hall ask of a segment, all together.", Example: "demand names-a ktm-hall 140/s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if v.Text("segment") == "*" {
 					f.all = append(f.all, v)
 				} else {
@@ -109,14 +109,14 @@
 				return nil
 			}},
 		{Name: "from-list", Once: true, Help: "Hosts and segments come from discovery's list as it changes: a host's kind, hall and start are the list's, a segment is a group of shards. For `placement` in the operator's file.", Example: "from-list",
-			Apply: func(v *conf.Values) error { f.FromList = true; return nil }},
-		{Name: "step", Args: []conf.Field{{Name: "moment", Kind: conf.Timestamp, Optional: true, Help: "from which the weights below hold; the beginning unless told"}},
+			Apply: func(v *directive.Values) error { f.FromList = true; return nil }},
+		{Name: "step", Args: []directive.Field{{Name: "moment", Kind: directive.Timestamp, Optional: true, Help: "from which the weights below hold; the beginning unless told"}},
 			Help: "Begins a set of weights. Written by `yokeroute plan solve`.", Example: "step 2026-12-01T10:00:04Z", Apply: f.takeStep},
-		{Name: "case", Args: []conf.Field{{Name: "name", Kind: conf.Text}}, Options: []conf.Field{
-			{Name: "lost", Kind: conf.Names, Required: true, Help: "hosts that are missing"},
-			{Name: "short", Kind: conf.Rate, Help: "demand that does not fit any more"}},
+		{Name: "case", Args: []directive.Field{{Name: "name", Kind: directive.Text}}, Options: []directive.Field{
+			{Name: "lost", Kind: directive.Names, Required: true, Help: "hosts that are missing"},
+			{Name: "short", Kind: directive.Rate, Help: "demand that does not fit any more"}},
 			Help: "Begins the weights for a loss; rows that it does not give are those of the plan. Written by `yokeroute plan solve`.", Example: `case "hall ktm-hall" lost s-01 s-02 short 40/s`, Apply: f.takeCase},
-		{Name: "weights", Args: []conf.Field{{Name: "segment", Kind: conf.Name}, {Name: "hall", Kind: conf.Name, Help: "of the gatherers that go by them"}, {Name: "hosts", Kind: conf.NamedRates, Help: "what each host gets"}},
+		{Name: "weights", Args: []directive.Field{{Name: "segment", Kind: directive.Name}, {Name: "hall", Kind: directive.Name, Help: "of the gatherers that go by them"}, {Name: "hosts", Kind: directive.NamedRates, Help: "what each host gets"}},
 			Help: "One row of weights.", Example: "weights names-a ktm-hall s-01=90/s s-02=50/s", Apply: f.takeWeights},
 	}}
 }
@@ -125,7 +125,7 @@
 func Reference() string { return newFile(0).table().Reference() }
 
 func newFile(now float64) *File {
-	return &File{kinds: map[string]*conf.Values{}, lines: map[string][]*conf.Values{},
+	return &File{kinds: map[string]*directive.Values{}, lines: map[string][]*directive.Values{},
 		Model: placement.Model{Unit: defaultUnit, At: now, Steps: defaultSteps, Copies: -1}}
 }
 
@@ -146,9 +146,9 @@
 	if err != nil {
 		return err
 	}
-	var faults conf.ErrorList
+	var faults directive.ErrorList
 	say := func(err error) {
-		if one, ok := err.(*conf.Error); ok && one != nil {
+		if one, ok := err.(*directive.Error); ok && one != nil {
 			faults = append(faults, one)
 		}
 	}
@@ -192,7 +192,7 @@
 	}
 	if f.FromList && (len(f.Model.Hosts) > 0 || len(f.Model.Segments) > 0) {
 		at := append(f.lines["host"], f.lines["segment"]...)[0]
-		faults = append(faults, &conf.Error{Position: at.Position, Message: "from-list takes hosts and segments from the list; take these lines or from-list out"})
+		faults = append(faults, &directive.Error{Position: at.Position, Message: "from-list takes hosts and segments from the list; take these lines or from-list out"})
 	}
 	if len(faults) > 0 {
 		return faults
@@ -213,7 +213,7 @@
 	}
 }
 
-func names(kinds map[string]*conf.Values) []string {
+func names(kinds map[string]*directive.Values) []string {
 	var list []string
 	for name := range kinds {
 		list = append(list, name)
@@ -223,8 +223,8 @@
 }
 
 // fill takes a host's figures from its own line or else from its kind's.
-func (f *File) fill(h *placement.Host, own, kind *conf.Values, say func(error)) {
-	of := func(name string) *conf.Values {
+func (f *File) fill(h *placement.Host, own, kind *directive.Values, say func(error)) {
+	of := func(name string) *directive.Values {
 		if kind != nil && (own == nil || !own.Has(name)) {
 			return kind
 		}
@@ -241,20 +241,20 @@
 }
 
 // units turns a rate into whole units.
-func (f *File) units(v *conf.Values, name string, say func(error)) int64 {
+func (f *File) units(v *directive.Values, name string, say func(error)) int64 {
 	rate := v.Number(name, 0)
 	units := rate / f.Model.Unit
 	whole := math.Round(units)
 	switch {
 	case units > placement.Most:
-		say(v.Errorf(name, "is more than %d units of %s; write less, or a larger unit", placement.Most, conf.FormatRate(f.Model.Unit)))
+		say(v.Errorf(name, "is more than %d units of %s; write less, or a larger unit", placement.Most, directive.FormatRate(f.Model.Unit)))
 	case math.Abs(units-whole) > 1e-6:
-		say(v.Errorf(name, "is no multiple of the unit, %s; write %s, or a smaller unit", conf.FormatRate(f.Model.Unit), f.rate(int64(whole))))
+		say(v.Errorf(name, "is no multiple of the unit, %s; write %s, or a smaller unit", directive.FormatRate(f.Model.Unit), f.rate(int64(whole))))
 	}
 	return int64(whole)
 }
 
-func thousandths(v *conf.Values, say func(error)) int64 {
+func thousandths(v *directive.Values, say func(error)) int64 {
 	n := v.Number("cost", 0) * 1000
 	if math.Abs(n-math.Round(n)) > 1e-6 {
 		say(v.Errorf("cost", "has more than three decimals"))
@@ -267,18 +267,18 @@
 
 // FormatUnits writes so many units as a rate.
 func FormatUnits(unit float64, units int64) string {
-	return conf.FormatRate(math.Round(float64(units)*unit*1e9) / 1e9)
+	return directive.FormatRate(math.Round(float64(units)*unit*1e9) / 1e9)
 }
 
 // place finds the word of a model's fault in the file.
-func (f *File) place(fault *placement.Fault) *conf.Error {
+func (f *File) place(fault *placement.Fault) *directive.Error {
 	lines := f.lines[fault.Kind]
 	if fault.Index >= len(lines) {
-		at := conf.Position{}
+		at := directive.Position{}
 		if f.unit != nil {
 			at = f.unit.Position
 		}
-		return &conf.Error{Position: at, Token: fault.Word, Message: fault.Text}
+		return &directive.Error{Position: at, Token: fault.Word, Message: fault.Text}
 	}
 	v := lines[fault.Index]
 	at := 0
@@ -291,10 +291,10 @@
 	if v.Has(fault.Field) && !slices.Contains(v.List(fault.Field), word) {
 		word = v.Text(fault.Field)
 	}
-	return &conf.Error{Position: v.Pos(fault.Field, at), Token: word, Message: fault.Text}
+	return &directive.Error{Position: v.Pos(fault.Field, at), Token: word, Message: fault.Text}
 }
 
-func (f *File) takeStep(v *conf.Values) error {
+func (f *File) takeStep(v *directive.Values) error {
 	if f.Plan == nil {
 		f.Plan = &placement.Plan{}
 	}
@@ -311,7 +311,7 @@
 	return nil
 }
 
-func (f *File) takeCase(v *conf.Values) error {
+func (f *File) takeCase(v *directive.Values) error {
 	if f.Plan == nil || len(f.Plan.Steps) == 0 {
 		return fmt.Errorf("stands before the plan's own step")
 	}
@@ -329,7 +329,7 @@
 	return nil
 }
 
-func (f *File) takeWeights(v *conf.Values) error {
+func (f *File) takeWeights(v *directive.Values) error {
 	if f.step == nil {
 		return fmt.Errorf("stands before any step; write step first")
 	}
@@ -338,10 +338,10 @@
 	for i, host := range hosts {
 		units := rates[i] / f.Model.Unit
 		if math.Abs(units-math.Round(units)) > 1e-6 || units > placement.Most {
-			return &conf.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: "is no whole number of the unit, " + conf.FormatRate(f.Model.Unit)}
+			return &directive.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: "is no whole number of the unit, " + directive.FormatRate(f.Model.Unit)}
 		}
 		if slices.ContainsFunc(r.Weights, func(w placement.Weight) bool { return w.Host == host }) {
-			return &conf.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: "names the host twice"}
+			return &directive.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: "names the host twice"}
 		}
 		r.Weights = append(r.Weights, placement.Weight{Host: host, Rate: int64(math.Round(units))})
 	}
@@ -357,10 +357,10 @@
 		return nil
 	}
 	if f.FromList {
-		return conf.ErrorList{{Position: f.lines["weights"][0].Position, Message: "from-list has no hosts for weights; take these lines or from-list out"}}
+		return directive.ErrorList{{Position: f.lines["weights"][0].Position, Message: "from-list has no hosts for weights; take these lines or from-list out"}}
 	}
 	f.Plan.Model = f.Model.Normal()
-	faults := conf.ErrorList{}
+	faults := directive.ErrorList{}
 	hosts, asked, on := map[string]bool{}, map[[2]string]bool{}, map[string]map[string]bool{}
 	for _, h := range f.Model.Hosts {
 		hosts[h.Name] = true
@@ -377,7 +377,7 @@
 	for i, v := range f.lines["case"] {
 		for j, host := range f.Plan.Cases[i].Lost {
 			if !hosts[host] {
-				faults = append(faults, &conf.Error{Position: v.Pos("lost", j), Token: host, Message: "is no host of this file"})
+				faults = append(faults, &directive.Error{Position: v.Pos("lost", j), Token: host, Message: "is no host of this file"})
 			}
 		}
 	}
@@ -390,7 +390,7 @@
 		named, _ := v.Rates("hosts")
 		for j, host := range named {
 			if !on[segment][host] {
-				faults = append(faults, &conf.Error{Position: v.Pos("hosts", j), Token: host, Message: "does not hold the segment " + segment})
+				faults = append(faults, &directive.Error{Position: v.Pos("hosts", j), Token: host, Message: "does not hold the segment " + segment})
 			}
 		}
 		if !asked[[2]string{segment, v.Text("hall")}] {
--- a/internal/placefile/write.go
+++ b/internal/placefile/write.go
@@ -7,7 +7,7 @@
 	"strconv"
 
 	"yokeroute/gather"
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/logic/placement"
 )
 
@@ -27,12 +27,12 @@
 	writeModel(w, m)
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		fmt.Fprintf(w, "\n# greatest utilisation %s, cost %s a second\nstep %s\n", percent(s.Greatest), thousandth(s.Cost), conf.FormatTimestamp(s.From))
+		fmt.Fprintf(w, "\n# greatest utilisation %s, cost %s a second\nstep %s\n", percent(s.Greatest), thousandth(s.Cost), directive.FormatTimestamp(s.From))
 		writeRows(w, m, s.Rows)
 	}
 	for i := range p.Cases {
 		c := &p.Cases[i]
-		fmt.Fprintf(w, "\ncase %s lost", conf.Quote(c.Name))
+		fmt.Fprintf(w, "\ncase %s lost", directive.Quote(c.Name))
 		for _, h := range c.Lost {
 			fmt.Fprintf(w, " %s", h)
 		}
@@ -42,7 +42,7 @@
 		fmt.Fprintln(w)
 		for j := range c.Steps {
 			s := &c.Steps[j]
-			fmt.Fprintf(w, "# greatest utilisation %s\nstep %s\n", percent(s.Greatest), conf.FormatTimestamp(s.From))
+			fmt.Fprintf(w, "# greatest utilisation %s\nstep %s\n", percent(s.Greatest), directive.FormatTimestamp(s.From))
 			writeRows(w, m, s.Rows)
 		}
 	}
@@ -59,9 +59,9 @@
 }
 
 func writeModel(w *bufio.Writer, m *placement.Model) {
-	fmt.Fprintf(w, "unit %s\nat %s\n", conf.FormatRate(m.Unit), conf.FormatTimestamp(m.At))
+	fmt.Fprintf(w, "unit %s\nat %s\n", directive.FormatRate(m.Unit), directive.FormatTimestamp(m.At))
 	if m.Clocks > 0 {
-		fmt.Fprintf(w, "clocks %s\n", conf.FormatDuration(m.Clocks))
+		fmt.Fprintf(w, "clocks %s\n", directive.FormatDuration(m.Clocks))
 	}
 	if m.Steps > 0 {
 		fmt.Fprintf(w, "steps %d\n", m.Steps)
@@ -79,7 +79,7 @@
 			fmt.Fprintf(w, " spare %s", rate(h.Spare))
 		}
 		if h.SpareShare > 0 {
-			fmt.Fprintf(w, " spare %s", conf.FormatShare(h.SpareShare))
+			fmt.Fprintf(w, " spare %s", directive.FormatShare(h.SpareShare))
 		}
 		fmt.Fprintln(w)
 	}
@@ -98,10 +98,10 @@
 			fmt.Fprintf(w, " state %s", states[h.State])
 		}
 		if h.Started != 0 {
-			fmt.Fprintf(w, " started %s", conf.FormatTimestamp(h.Started))
+			fmt.Fprintf(w, " started %s", directive.FormatTimestamp(h.Started))
 		}
 		if h.Warming > 0 {
-			fmt.Fprintf(w, " cold %s warms %s", conf.FormatShare(h.ColdShare), conf.FormatDuration(h.Warming))
+			fmt.Fprintf(w, " cold %s warms %s", directive.FormatShare(h.ColdShare), directive.FormatDuration(h.Warming))
 		}
 		fmt.Fprintln(w)
 	}
--- a/internal/policy/file.go
+++ b/internal/policy/file.go
@@ -7,21 +7,21 @@
 	"fmt"
 	"strings"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/logic/policy"
 )
 
 // Read reads a policy file.
 func Read(file string) (policy.Policy, error) {
-	return from(file, func(t *conf.Table) error { return t.Read(file) })
+	return from(file, func(t *directive.Table) error { return t.Read(file) })
 }
 
 // Parse reads a policy's text; name stands in messages.
 func Parse(name, text string) (policy.Policy, error) {
-	return from(name, func(t *conf.Table) error { return t.Parse(name, text) })
+	return from(name, func(t *directive.Table) error { return t.Parse(name, text) })
 }
 
-func from(name string, read func(t *conf.Table) error) (policy.Policy, error) {
+func from(name string, read func(t *directive.Table) error) (policy.Policy, error) {
 	var entries []policy.Entry
 	if err := read(Directives(&entries)); err != nil {
 		return nil, err
@@ -34,15 +34,15 @@
 }
 
 // Directives are a policy file's, for reading and for the reference page.
-func Directives(to *[]policy.Entry) *conf.Table {
+func Directives(to *[]policy.Entry) *directive.Table {
 	put := func(kind policy.Kind, of string, value float64) {
 		*to = append(*to, policy.Entry{Kind: kind, Of: of, Value: value})
 	}
-	return &conf.Table{Name: "policy file", Intro: "What a fleet of gatherers may do less than the platform's settings allow: `yokeroute policy check | diff | propose FILE`, and the floor of a gatherer that is cut off. An empty file allows all that the platform does.", Directives: []*conf.Directive{
-		{Name: "index", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "once-only", Kind: conf.Flag, Help: "its lookups may have an effect: no call is made that may be a second one"},
-			{Name: "no-copies", Kind: conf.Flag, Help: "no two calls of a part at once"}, {Name: "least", Kind: conf.Share, Min: 0.0001, Max: 1, Help: "share of an answer under which none is given"}},
+	return &directive.Table{Name: "policy file", Intro: "What a fleet of gatherers may do less than the platform's settings allow: `yokeroute policy check | diff | propose FILE`, and the floor of a gatherer that is cut off. An empty file allows all that the platform does.", Directives: []*directive.Directive{
+		{Name: "index", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "once-only", Kind: directive.Flag, Help: "its lookups may have an effect: no call is made that may be a second one"},
+			{Name: "no-copies", Kind: directive.Flag, Help: "no two calls of a part at once"}, {Name: "least", Kind: directive.Share, Min: 0.0001, Max: 1, Help: "share of an answer under which none is given"}},
 			Help: "What lookups of an index may not.", Example: "index resolve once-only no-copies least 80%",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				name := v.Text("name")
 				if !v.Has("once-only") && !v.Has("no-copies") && !v.Has("least") {
 					return v.Errorf("name", "wants one at least of once-only, no-copies and least")
@@ -59,10 +59,10 @@
 				return nil
 			}},
 		{Name: "no-copies", Once: true, Help: "No two calls of a part at once, of any index.", Example: "no-copies",
-			Apply: func(*conf.Values) error { put(policy.NoCopies, "", 0); return nil }},
-		{Name: "further", Once: true, Options: []conf.Field{{Name: "share", Kind: conf.Share, Help: "of the lookups and parts taken"}, {Name: "free", Kind: conf.Number, Max: 1e6, Help: "and so many more"}},
+			Apply: func(*directive.Values) error { put(policy.NoCopies, "", 0); return nil }},
+		{Name: "further", Once: true, Options: []directive.Field{{Name: "share", Kind: directive.Share, Help: "of the lookups and parts taken"}, {Name: "free", Kind: directive.Number, Max: 1e6, Help: "and so many more"}},
 			Help: "Budget of further part calls, in the platform's window.", Example: "further share 2% free 4",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if !v.Has("share") && !v.Has("free") {
 					return v.Errorf("further", "wants share, free or both")
 				}
@@ -74,14 +74,14 @@
 				}
 				return nil
 			}},
-		{Name: "cold", Once: true, Args: []conf.Field{{Name: "share", Kind: conf.Share, Help: "of what the platform's rule allows"}}, Help: "What cold servers are sent at most.", Example: "cold 50%",
-			Apply: func(v *conf.Values) error { put(policy.Cold, "", v.Number("share", 0)); return nil }},
-		{Name: "close", Options: []conf.Field{{Name: "zone", Kind: conf.Name, Required: true}, {Name: "host", Kind: conf.Name, Help: "of it; all of the zone unless told"}},
+		{Name: "cold", Once: true, Args: []directive.Field{{Name: "share", Kind: directive.Share, Help: "of what the platform's rule allows"}}, Help: "What cold servers are sent at most.", Example: "cold 50%",
+			Apply: func(v *directive.Values) error { put(policy.Cold, "", v.Number("share", 0)); return nil }},
+		{Name: "close", Options: []directive.Field{{Name: "zone", Kind: directive.Name, Required: true}, {Name: "host", Kind: directive.Name, Help: "of it; all of the zone unless told"}},
 			Help: "Sends nothing new to a host or to a whole zone.", Example: "close zone north host s-5be2a07c",
-			Apply: func(v *conf.Values) error { put(policy.Closed, v.Text("zone")+"/"+v.Text("host"), 0); return nil }},
-		{Name: "turns", Args: []conf.Field{{Name: "host", Kind: conf.Name}, {Name: "share", Kind: conf.Share}},
+			Apply: func(v *directive.Values) error { put(policy.Closed, v.Text("zone")+"/"+v.Text("host"), 0); return nil }},
+		{Name: "turns", Args: []directive.Field{{Name: "host", Kind: directive.Name}, {Name: "share", Kind: directive.Share}},
 			Help: "Part of its plain turns that a host gets. No rule hangs on it: a floor need not have it.", Example: "turns s-5be2a07c 50%",
-			Apply: func(v *conf.Values) error { put(policy.Turns, v.Text("host"), v.Number("share", 1)); return nil }},
+			Apply: func(v *directive.Values) error { put(policy.Turns, v.Text("host"), v.Number("share", 1)); return nil }},
 	}}
 }
 
@@ -91,17 +91,17 @@
 	for _, e := range p {
 		switch e.Kind {
 		case policy.OnceOnly:
-			fmt.Fprintf(&b, "index %s once-only\n", conf.Quote(e.Of))
+			fmt.Fprintf(&b, "index %s once-only\n", directive.Quote(e.Of))
 		case policy.NoCopies:
 			if e.Of == "" {
 				b.WriteString("no-copies\n")
 			} else {
-				fmt.Fprintf(&b, "index %s no-copies\n", conf.Quote(e.Of))
+				fmt.Fprintf(&b, "index %s no-copies\n", directive.Quote(e.Of))
 			}
 		case policy.Least:
-			fmt.Fprintf(&b, "index %s least %s\n", conf.Quote(e.Of), conf.FormatShare(e.Value))
+			fmt.Fprintf(&b, "index %s least %s\n", directive.Quote(e.Of), directive.FormatShare(e.Value))
 		case policy.Share:
-			fmt.Fprintf(&b, "further share %s", conf.FormatShare(e.Value))
+			fmt.Fprintf(&b, "further share %s", directive.FormatShare(e.Value))
 			if p.Has(policy.Free, "") {
 				fmt.Fprintf(&b, " free %g", p.Value(policy.Free, "", 0))
 			}
@@ -111,16 +111,16 @@
 				fmt.Fprintf(&b, "further free %g\n", e.Value)
 			}
 		case policy.Cold:
-			fmt.Fprintf(&b, "cold %s\n", conf.FormatShare(e.Value))
+			fmt.Fprintf(&b, "cold %s\n", directive.FormatShare(e.Value))
 		case policy.Closed:
 			zone, host, _ := strings.Cut(e.Of, "/")
-			fmt.Fprintf(&b, "close zone %s", conf.Quote(zone))
+			fmt.Fprintf(&b, "close zone %s", directive.Quote(zone))
 			if host != "" {
-				fmt.Fprintf(&b, " host %s", conf.Quote(host))
+				fmt.Fprintf(&b, " host %s", directive.Quote(host))
 			}
 			b.WriteByte('\n')
 		case policy.Turns:
-			fmt.Fprintf(&b, "turns %s %s\n", conf.Quote(e.Of), conf.FormatShare(e.Value))
+			fmt.Fprintf(&b, "turns %s %s\n", directive.Quote(e.Of), directive.FormatShare(e.Value))
 		default:
 			fmt.Fprintf(&b, "# %s, of a kind that is not known here\n", e)
 		}
--- a/internal/processes/scenario.go
+++ b/internal/processes/scenario.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strings"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/spell"
@@ -32,7 +32,7 @@
 	Delay   float64
 	Rate    float64 // bytes a second
 	State   string  // kept, stale, torn or gone, of a process that starts anew
-	line    *conf.Values
+	line    *directive.Values
 }
 
 // draw is faults that the seed draws.
@@ -94,19 +94,19 @@
 }
 
 // further are the directives beside the emulator's.
-func (s *Scenario) further() []*conf.Directive {
+func (s *Scenario) further() []*directive.Directive {
 	var help strings.Builder
 	help.WriteString("Something is done to processes or links, in a fleet of processes (`yokeroute-testbed fleet`); several may overlap. Gatherers are g1, g2 and so on, servers s1 and so on, the others front and discovery; a link is FROM:TO, such as front:g1 or g1:s2. The kinds, with what each strikes and takes:\n")
 	for _, k := range faultKinds {
 		help.WriteString("\n- `" + k.name + "` (" + k.on + cmp.Or(", "+strings.Join(strings.Fields(k.takes), ", "), "") + "): " + k.help + ".")
 	}
-	return []*conf.Directive{
-		{Name: "fault", Args: []conf.Field{{Name: "kind", Kind: conf.Choice, Choices: faultNames()}},
-			Options: []conf.Field{{Name: "on", Kind: conf.Names, Required: true, Help: "names; * stands for any letters"}, {Name: "at", Kind: conf.Duration, Required: true, Help: "from the day's beginning"},
-				{Name: "for", Kind: conf.Duration, Min: 1, Help: "how long; for good unless told"}, {Name: "times", Kind: conf.Number, Min: 0.01, Max: 1000, Help: "4"}, {Name: "share", Kind: conf.Share, Help: "50%"},
-				{Name: "delay", Kind: conf.Duration, Help: "50ms"}, {Name: "rate", Kind: conf.Size, Min: 1, Help: "a second; 16KB"}, {Name: "state", Kind: conf.Choice, Choices: []string{"kept", "stale", "torn", "gone"}, Help: "kept"}},
+	return []*directive.Directive{
+		{Name: "fault", Args: []directive.Field{{Name: "kind", Kind: directive.Choice, Choices: faultNames()}},
+			Options: []directive.Field{{Name: "on", Kind: directive.Names, Required: true, Help: "names; * stands for any letters"}, {Name: "at", Kind: directive.Duration, Required: true, Help: "from the day's beginning"},
+				{Name: "for", Kind: directive.Duration, Min: 1, Help: "how long; for good unless told"}, {Name: "times", Kind: directive.Number, Min: 0.01, Max: 1000, Help: "4"}, {Name: "share", Kind: directive.Share, Help: "50%"},
+				{Name: "delay", Kind: directive.Duration, Help: "50ms"}, {Name: "rate", Kind: directive.Size, Min: 1, Help: "a second; 16KB"}, {Name: "state", Kind: directive.Choice, Choices: []string{"kept", "stale", "torn", "gone"}, Help: "kept"}},
 			Help: help.String(), Example: "fault kill on g1 g2 at 3s for 1s state stale",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				f := Fault{Kind: v.Text("kind"), On: v.List("on"), At: v.Number("at", 0), For: v.Number("for", 0), Times: v.Number("times", 4), Share: v.Number("share", 0.5), Delay: v.Number("delay", 50),
 					Rate: v.Number("rate", 16<<10), State: cmp.Or(v.Text("state"), "kept"), line: v}
 				for _, option := range []string{"times", "share", "delay", "rate", "state"} {
@@ -117,10 +117,10 @@
 				s.Faults = append(s.Faults, f)
 				return nil
 			}},
-		{Name: "faults", Args: []conf.Field{{Name: "count", Kind: conf.Count, Min: 1, Max: 10_000}}, Options: []conf.Field{{Name: "of", Kind: conf.Names, Help: "kinds; all of them unless told"},
-			{Name: "from", Kind: conf.Duration, Help: "the day's beginning unless told"}, {Name: "to", Kind: conf.Duration, Help: "its end unless told"}, {Name: "least", Kind: conf.Duration, Min: 1, Help: "how long; 200ms"}, {Name: "most", Kind: conf.Duration, Min: 1, Help: "how long; 2s"}},
+		{Name: "faults", Args: []directive.Field{{Name: "count", Kind: directive.Count, Min: 1, Max: 10_000}}, Options: []directive.Field{{Name: "of", Kind: directive.Names, Help: "kinds; all of them unless told"},
+			{Name: "from", Kind: directive.Duration, Help: "the day's beginning unless told"}, {Name: "to", Kind: directive.Duration, Help: "its end unless told"}, {Name: "least", Kind: directive.Duration, Min: 1, Help: "how long; 200ms"}, {Name: "most", Kind: directive.Duration, Min: 1, Help: "how long; 2s"}},
 			Help: "So many faults, drawn by the seed. Results hold them as `fault` lines.", Example: "faults 12 of kill stop cut silent from 2s to 8s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				for i, kind := range v.List("of") {
 					if faultKindOf(kind) == nil {
 						f := v.Errorf("of", "is no kind of faults%s", spell.Hint(kind, faultNames()))
@@ -152,7 +152,7 @@
 func Read(file string, seed uint64) (*Scenario, error) {
 	s := &Scenario{}
 	var err error
-	if s.Scenario, err = emulator.ReadWith(file, func(*emulator.Scenario) []*conf.Directive { return s.further() }); err != nil {
+	if s.Scenario, err = emulator.ReadWith(file, func(*emulator.Scenario) []*directive.Directive { return s.further() }); err != nil {
 		return nil, err
 	}
 	text, err := emulator.Text(file)
@@ -166,7 +166,7 @@
 func Parse(name, text string, seed uint64) (*Scenario, error) {
 	s := &Scenario{}
 	var err error
-	if s.Scenario, err = emulator.ParseWith(name, text, func(*emulator.Scenario) []*conf.Directive { return s.further() }); err != nil {
+	if s.Scenario, err = emulator.ParseWith(name, text, func(*emulator.Scenario) []*directive.Directive { return s.further() }); err != nil {
 		return nil, err
 	}
 	return s, s.complete(name, text, seed)
@@ -178,7 +178,7 @@
 // complete checks what only a fleet of processes asks for, and draws.
 func (s *Scenario) complete(file, text string, seed uint64) error {
 	wrong := func(format string, args ...any) error {
-		return conf.ErrorList{{Position: conf.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(format, args...)}}
+		return directive.ErrorList{{Position: directive.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(format, args...)}}
 	}
 	switch {
 	case len(s.Troubles) > 0:
@@ -190,7 +190,7 @@
 	}
 	for i := range s.Faults {
 		if err := s.meets(&s.Faults[i]); err != nil {
-			return conf.ErrorList{err}
+			return directive.ErrorList{err}
 		}
 	}
 	if seed > 0 {
@@ -262,7 +262,7 @@
 }
 
 // meets says what a fault names that there is not.
-func (s *Scenario) meets(f *Fault) *conf.Error {
+func (s *Scenario) meets(f *Fault) *directive.Error {
 	all := s.names(faultKindOf(f.Kind).on)
 	for i, pattern := range f.On {
 		if len(matching(pattern, all)) == 0 {
@@ -272,7 +272,7 @@
 		}
 	}
 	if f.At > s.Length {
-		return f.line.Errorf("at", "is after the day's length of %s", conf.FormatDuration(s.Length))
+		return f.line.Errorf("at", "is after the day's length of %s", directive.FormatDuration(s.Length))
 	}
 	return nil
 }
@@ -291,14 +291,14 @@
 func (f *Fault) Line() string {
 	words := []string{"fault", f.Kind, "on"}
 	for _, name := range f.On {
-		words = append(words, conf.Quote(name))
+		words = append(words, directive.Quote(name))
 	}
-	words = append(words, "at", conf.FormatDuration(f.At))
+	words = append(words, "at", directive.FormatDuration(f.At))
 	if f.For > 0 {
-		words = append(words, "for", conf.FormatDuration(f.For))
+		words = append(words, "for", directive.FormatDuration(f.For))
 	}
 	for _, option := range strings.Fields(faultKindOf(f.Kind).takes) {
-		value := map[string]string{"times": fmt.Sprint(f.Times), "share": conf.FormatShare(f.Share), "delay": conf.FormatDuration(f.Delay), "rate": conf.FormatSize(f.Rate), "state": f.State}[option]
+		value := map[string]string{"times": fmt.Sprint(f.Times), "share": directive.FormatShare(f.Share), "delay": directive.FormatDuration(f.Delay), "rate": directive.FormatSize(f.Rate), "state": f.State}[option]
 		words = append(words, option, value)
 	}
 	return strings.Join(words, " ")
@@ -306,6 +306,6 @@
 
 // Reference is the page about scenario files of fleets: the directives beside the emulator's.
 func Reference() string {
-	t := &conf.Table{Name: "fleet scenario file", Intro: "A day for a fleet of processes: `yokeroute-testbed fleet FILE`. All that stands in a [scenario file](reference-scenario.md) stands here too, but for troubles, segments and weights; beside it:", Directives: (&Scenario{}).further()}
+	t := &directive.Table{Name: "fleet scenario file", Intro: "A day for a fleet of processes: `yokeroute-testbed fleet FILE`. All that stands in a [scenario file](reference-scenario.md) stands here too, but for troubles, segments and weights; beside it:", Directives: (&Scenario{}).further()}
 	return t.Reference()
 }
--- a/internal/rollout/plan.go
+++ b/internal/rollout/plan.go
@@ -10,7 +10,7 @@
 	"slices"
 	"strings"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/version"
 	"yokeroute/logic/rollout"
 )
@@ -40,11 +40,11 @@
 	Old, New   Side
 	Steps      map[rollout.Kind]Command // empty for the built-in runner
 	Hangup     bool                     // the built-in runner changes files and sends SIGHUP, and starts nothing anew
-	lines      map[string][]*conf.Values
+	lines      map[string][]*directive.Values
 }
 
-func (p *Plan) table() *conf.Table {
-	beside := func(v *conf.Values, field string) string {
+func (p *Plan) table() *directive.Table {
+	beside := func(v *directive.Values, field string) string {
 		name := v.RelativePath(field)
 		if name == "" || filepath.IsAbs(name) {
 			return name
@@ -54,20 +54,20 @@
 		}
 		return name
 	}
-	span := func(name, help string) conf.Field {
-		return conf.Field{Name: name, Kind: conf.Duration, Min: 1, Help: help}
+	span := func(name, help string) directive.Field {
+		return directive.Field{Name: name, Kind: directive.Duration, Min: 1, Help: help}
 	}
-	share := func(name string, help string) conf.Field {
-		return conf.Field{Name: name, Kind: conf.Share, Min: 0.0001, Help: help}
+	share := func(name string, help string) directive.Field {
+		return directive.Field{Name: name, Kind: directive.Share, Min: 0.0001, Help: help}
 	}
-	kept := func(take func(v *conf.Values) error, name string) func(v *conf.Values) error {
-		return func(v *conf.Values) error {
+	kept := func(take func(v *directive.Values) error, name string) func(v *directive.Values) error {
+		return func(v *directive.Values) error {
 			p.lines[name] = append(p.lines[name], v)
 			return take(v)
 		}
 	}
-	side := func(to *Side) func(v *conf.Values) error {
-		return func(v *conf.Values) error {
+	side := func(to *Side) func(v *directive.Values) error {
+		return func(v *directive.Values) error {
 			*to = Side{beside(v, "program"), beside(v, "config"), beside(v, "operator"), v.Text("version")}
 			if *to == (Side{}) {
 				return v.Errorf("program", "wants a program, a version, a config or an operator's file by which its gatherers are told")
@@ -75,85 +75,85 @@
 			return nil
 		}
 	}
-	sideFields := []conf.Field{{Name: "program", Kind: conf.Text, Help: "file of the program"}, {Name: "config", Kind: conf.Text, Help: "file of the platform's configuration"},
-		{Name: "operator", Kind: conf.Text, Help: "operator's file"}, {Name: "version", Kind: conf.Text, Help: "as `yokeroute version` has it"}}
-	step := func(kind rollout.Kind) func(v *conf.Values) error {
-		return func(v *conf.Values) error {
+	sideFields := []directive.Field{{Name: "program", Kind: directive.Text, Help: "file of the program"}, {Name: "config", Kind: directive.Text, Help: "file of the platform's configuration"},
+		{Name: "operator", Kind: directive.Text, Help: "operator's file"}, {Name: "version", Kind: directive.Text, Help: "as `yokeroute version` has it"}}
+	step := func(kind rollout.Kind) func(v *directive.Values) error {
+		return func(v *directive.Values) error {
 			p.Steps[kind] = Command{v.List("command"), v.Number("limit", 60_000)}
 			return nil
 		}
 	}
-	return &conf.Table{Name: "rollout plan", Intro: "How a fleet of gatherers goes from an old version or old settings to new ones in stages: `yokeroute rollout run FILE`. In names of files and in commands {name} and {zone} stand for a gatherer's; names of files are relative to the plan.", Directives: []*conf.Directive{
-		{Name: "rollout", Once: true, Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "in", Kind: conf.Text, Required: true, Help: "folder of its journal; one rollout has one"}, {Name: "every", Kind: conf.Duration, Min: 50, Max: 600_000, Help: "gatherers are asked; 5s"}},
+	return &directive.Table{Name: "rollout plan", Intro: "How a fleet of gatherers goes from an old version or old settings to new ones in stages: `yokeroute rollout run FILE`. In names of files and in commands {name} and {zone} stand for a gatherer's; names of files are relative to the plan.", Directives: []*directive.Directive{
+		{Name: "rollout", Once: true, Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "in", Kind: directive.Text, Required: true, Help: "folder of its journal; one rollout has one"}, {Name: "every", Kind: directive.Duration, Min: 50, Max: 600_000, Help: "gatherers are asked; 5s"}},
 			Help: "Names the rollout.", Example: "rollout release-42 in rollout-42 every 5s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				p.Name, p.Folder, p.Every = v.Text("name"), beside(v, "in"), v.Number("every", 5000)
 				return nil
 			}},
-		{Name: "gatherer", Args: []conf.Field{{Name: "name", Kind: conf.Name, Help: "as the gatherer tells it"}}, Options: []conf.Field{{Name: "zone", Kind: conf.Name, Help: "none unless told"}, {Name: "report", Kind: conf.Address, Required: true, Help: "where it tells of itself"},
-			{Name: "config", Kind: conf.Text, Help: "file that its process reads, for the built-in runner"}, {Name: "operator", Kind: conf.Text, Help: "the same, of the operator's file"}},
+		{Name: "gatherer", Args: []directive.Field{{Name: "name", Kind: directive.Name, Help: "as the gatherer tells it"}}, Options: []directive.Field{{Name: "zone", Kind: directive.Name, Help: "none unless told"}, {Name: "report", Kind: directive.Address, Required: true, Help: "where it tells of itself"},
+			{Name: "config", Kind: directive.Text, Help: "file that its process reads, for the built-in runner"}, {Name: "operator", Kind: directive.Text, Help: "the same, of the operator's file"}},
 			Help: "A gatherer of the fleet. All of it stands in the plan.", Example: "gatherer g1 zone north report 127.0.0.1:8101 config run/g1.json operator run/g1.conf",
-			Apply: kept(func(v *conf.Values) error {
+			Apply: kept(func(v *directive.Values) error {
 				p.Gatherers = append(p.Gatherers, rollout.Gatherer{Name: v.Text("name"), Zone: v.Text("zone")})
 				p.Machines = append(p.Machines, Machine{v.Text("report"), beside(v, "config"), beside(v, "operator")})
 				return nil
 			}, "gatherer")},
-		{Name: "stage", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "count", Kind: conf.Count, Min: 1, Help: "gatherers that are new then"}, share("share", "of the gatherers"), {Name: "zone", Kind: conf.Name, Help: "all gatherers of it, and those before"}, span("least", "for which it is watched once all of it serve; 60s")},
+		{Name: "stage", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new then"}, share("share", "of the gatherers"), {Name: "zone", Kind: directive.Name, Help: "all gatherers of it, and those before"}, span("least", "for which it is watched once all of it serve; 60s")},
 			Help: "A stage: one of count, share and zone. Each holds those before it.", Example: "stage few share 10% least 2min",
-			Apply: kept(func(v *conf.Values) error {
+			Apply: kept(func(v *directive.Values) error {
 				p.Stages = append(p.Stages, rollout.Stage{Name: v.Text("name"), Count: int(v.Number("count", 0)), Share: v.Number("share", 0), Zone: v.Text("zone"), Least: v.Number("least", 0)})
 				return nil
 			}, "stage")},
-		{Name: "out", Once: true, Args: []conf.Field{{Name: "most", Kind: conf.Count, Min: 1, Help: "of all"}}, Options: []conf.Field{{Name: "zone", Kind: conf.Count, Min: 1, Help: "of a zone; as of all"}},
+		{Name: "out", Once: true, Args: []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of all"}}, Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; as of all"}},
 			Help: "How many gatherers may be out at once, those counted that died by themselves or can't be reached. One unless told.", Example: "out 2 zone 1",
-			Apply: kept(func(v *conf.Values) error {
+			Apply: kept(func(v *directive.Values) error {
 				p.MostOut, p.MostOutZone = int(v.Number("most", 0)), int(v.Number("zone", 0))
 				return nil
 			}, "out")},
-		{Name: "watch", Once: true, Options: []conf.Field{span("baseline", "before the first change; 30s"), span("fresh", "after its start for which a gatherer is judged apart; 15s"), span("settle", "within which a changed one has to serve as what it was made; 30s")},
+		{Name: "watch", Once: true, Options: []directive.Field{span("baseline", "before the first change; 30s"), span("fresh", "after its start for which a gatherer is judged apart; 15s"), span("settle", "within which a changed one has to serve as what it was made; 30s")},
 			Help: "How gatherers are watched.", Example: "watch baseline 1min fresh 15s settle 30s",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				p.Baseline, p.Fresh, p.Settle = v.Number("baseline", 0), v.Number("fresh", 0), v.Number("settle", 0)
 				return nil
 			}},
-		{Name: "limit", Once: true, Args: []conf.Field{{Name: "stage", Kind: conf.Duration, Min: 1, Help: "that a stage may last"}}, Options: []conf.Field{{Name: "then", Kind: conf.Choice, Choices: []string{"back", "stop"}, Help: "back"}, span("rough", "that the old may do worse since a stage began, before it is taken for the new's doing; 2min")},
+		{Name: "limit", Once: true, Args: []directive.Field{{Name: "stage", Kind: directive.Duration, Min: 1, Help: "that a stage may last"}}, Options: []directive.Field{{Name: "then", Kind: directive.Choice, Choices: []string{"back", "stop"}, Help: "back"}, span("rough", "that the old may do worse since a stage began, before it is taken for the new's doing; 2min")},
 			Help: "How long is waited. 30min unless told.", Example: "limit 30min then back rough 2min",
-			Apply: kept(func(v *conf.Values) error {
+			Apply: kept(func(v *directive.Values) error {
 				p.Limit, p.Rough = v.Number("stage", 0), v.Number("rough", 0)
 				if v.Text("then") == "stop" {
 					p.AtLimit = rollout.Stop
 				}
 				return nil
 			}, "limit")},
-		{Name: "harm", Once: true, Args: []conf.Field{{Name: "value", Kind: conf.Share, Min: 0.001, Help: "of what lookups could earn, lost more than by the old"}}, Options: []conf.Field{share("fresh", "the same of gatherers that have just started; 30%"), share("cost", "part calls, connections or memory more than the old ones'; 25%")},
+		{Name: "harm", Once: true, Args: []directive.Field{{Name: "value", Kind: directive.Share, Min: 0.001, Help: "of what lookups could earn, lost more than by the old"}}, Options: []directive.Field{share("fresh", "the same of gatherers that have just started; 30%"), share("cost", "part calls, connections or memory more than the old ones'; 25%")},
 			Help: "What has to be found. 5% unless told; a quarter of it is borne.", Example: "harm 5% fresh 30% cost 25%",
-			Apply: kept(func(v *conf.Values) error {
+			Apply: kept(func(v *directive.Values) error {
 				p.Harm, p.FreshHarm, p.Cost = v.Number("value", 0), v.Number("fresh", 0), v.Number("cost", 0)
 				return nil
 			}, "harm")},
-		{Name: "chance", Once: true, Options: []conf.Field{share("stop", "that a rollout of a version as good as the old is stopped; 1%"), share("pass", "that a stage passes one that does the harm; 5%")},
+		{Name: "chance", Once: true, Options: []directive.Field{share("stop", "that a rollout of a version as good as the old is stopped; 1%"), share("pass", "that a stage passes one that does the harm; 5%")},
 			Help: "What chance may do.", Example: "chance stop 1% pass 5%",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				p.WrongStop, p.WrongPass = v.Number("stop", 0), v.Number("pass", 0)
 				return nil
 			}},
-		{Name: "evidence", Once: true, Args: []conf.Field{{Name: "lookups", Kind: conf.Count, Min: 1, Help: "of each index at new gatherers, in a stage"}}, Options: []conf.Field{share("judged", "of the lookups from which an index is judged by itself; 2%"), {Name: "tries", Kind: conf.Count, Min: 1, Max: 100, Help: "to change a gatherer; 2"}},
+		{Name: "evidence", Once: true, Args: []directive.Field{{Name: "lookups", Kind: directive.Count, Min: 1, Help: "of each index at new gatherers, in a stage"}}, Options: []directive.Field{share("judged", "of the lookups from which an index is judged by itself; 2%"), {Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "to change a gatherer; 2"}},
 			Help: "The least that a stage passes on. 100 unless told.", Example: "evidence 200 judged 2% tries 2",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				p.Evidence, p.Judged, p.Tries = v.Number("lookups", 0), v.Number("judged", 0), int(v.Number("tries", 0))
 				return nil
 			}},
-		{Name: "seed", Once: true, Args: []conf.Field{{Name: "seed", Kind: conf.Count, Max: 1 << 53}}, Help: "Of the order in which gatherers are changed; 0 unless told.", Example: "seed 7",
-			Apply: func(v *conf.Values) error { p.Seed = uint64(v.Number("seed", 0)); return nil }},
+		{Name: "seed", Once: true, Args: []directive.Field{{Name: "seed", Kind: directive.Count, Max: 1 << 53}}, Help: "Of the order in which gatherers are changed; 0 unless told.", Example: "seed 7",
+			Apply: func(v *directive.Values) error { p.Seed = uint64(v.Number("seed", 0)); return nil }},
 		{Name: "old", Once: true, Options: sideFields, Help: "What gatherers serve as before. What stands here is what they are told by.", Example: "old program releases/41/yokeroute", Apply: kept(side(&p.Old), "old")},
 		{Name: "new", Once: true, Options: sideFields, Help: "What they are to serve as.", Example: "new program releases/42/yokeroute operator new.conf", Apply: kept(side(&p.New), "new")},
-		{Name: "step-new", Once: true, Args: []conf.Field{{Name: "command", Kind: conf.Words, Help: "and its words; {to} is new, {fence} a number that grows"}}, Options: []conf.Field{span("limit", "after which it is ended and has failed; 1min")},
+		{Name: "step-new", Once: true, Args: []directive.Field{{Name: "command", Kind: directive.Words, Help: "and its words; {to} is new, {fence} a number that grows"}}, Options: []directive.Field{span("limit", "after which it is ended and has failed; 1min")},
 			Help: "A command that makes a gatherer new, run in the plan's folder. Status 0 says that it did what it could; what the gatherer is it tells itself. It may run twice for one gatherer. Without it the built-in runner does it, for processes on this machine.", Example: `step-new ./deploy.sh "{name}" "{to}" limit 30s`, Apply: kept(step(rollout.New), "step-new")},
-		{Name: "step-old", Once: true, Args: []conf.Field{{Name: "command", Kind: conf.Words, Help: "and its words"}}, Options: []conf.Field{span("limit", "after which it is ended and has failed; 1min")},
+		{Name: "step-old", Once: true, Args: []directive.Field{{Name: "command", Kind: directive.Words, Help: "and its words"}}, Options: []directive.Field{span("limit", "after which it is ended and has failed; 1min")},
 			Help: "The same for making it old again.", Example: `step-old ./deploy.sh "{name}" "{to}" limit 30s`, Apply: kept(step(rollout.Old), "step-old")},
-		{Name: "runner", Once: true, Args: []conf.Field{{Name: "how", Kind: conf.Choice, Choices: []string{"restart", "hangup"}}},
+		{Name: "runner", Once: true, Args: []directive.Field{{Name: "how", Kind: directive.Choice, Choices: []string{"restart", "hangup"}}},
 			Help: "How the built-in runner changes a gatherer: its files are replaced, then its process is ended by SIGTERM and started anew, or told by SIGHUP. restart unless told.", Example: "runner hangup",
-			Apply: kept(func(v *conf.Values) error { p.Hangup = v.Text("how") == "hangup"; return nil }, "runner")},
+			Apply: kept(func(v *directive.Values) error { p.Hangup = v.Text("how") == "hangup"; return nil }, "runner")},
 	}}
 }
 
@@ -161,10 +161,10 @@
 func Reference() string { return newPlan().table().Reference() }
 
 // Directives are the table of plans, for tests of its examples.
-func Directives() *conf.Table { return newPlan().table() }
+func Directives() *directive.Table { return newPlan().table() }
 
 func newPlan() *Plan {
-	return &Plan{Steps: map[rollout.Kind]Command{}, lines: map[string][]*conf.Values{}}
+	return &Plan{Steps: map[rollout.Kind]Command{}, lines: map[string][]*directive.Values{}}
 }
 
 // ReadPlan reads and checks a plan. Nothing of the fleet is asked.
@@ -180,9 +180,9 @@
 
 // complete fills in defaults and says what can't be meant, with its place.
 func (p *Plan) complete(file string) error {
-	var faults conf.ErrorList
+	var faults directive.ErrorList
 	at := func(what string, place int, format string, args ...any) {
-		f := &conf.Error{Position: conf.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(format, args...)}
+		f := &directive.Error{Position: directive.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(format, args...)}
 		if lines := p.lines[what]; place >= 0 && place < len(lines) {
 			f.Position = lines[place].Position
 		} else if len(lines) > 0 {
@@ -238,7 +238,7 @@
 		}
 	}
 	if len(faults) > 0 {
-		slices.SortStableFunc(faults, func(a, b *conf.Error) int { return a.Line - b.Line })
+		slices.SortStableFunc(faults, func(a, b *directive.Error) int { return a.Line - b.Line })
 		return faults
 	}
 	return nil
@@ -288,10 +288,10 @@
 		if len(names) > 12 {
 			names = append(names[:12], fmt.Sprintf("and %d more", len(in)-before-12))
 		}
-		fmt.Fprintf(&b, "stage %s: %d new, watched for %s: %s\n", s.Name, len(in), conf.FormatDuration(s.Least), strings.Join(names, " "))
+		fmt.Fprintf(&b, "stage %s: %d new, watched for %s: %s\n", s.Name, len(in), directive.FormatDuration(s.Least), strings.Join(names, " "))
 		before = len(in)
 	}
-	fmt.Fprintf(&b, "stopped where the new lose %s more of the value than the old, with a chance of %s for a version that does not\n", conf.FormatShare(p.Harm), conf.FormatShare(p.WrongStop))
+	fmt.Fprintf(&b, "stopped where the new lose %s more of the value than the old, with a chance of %s for a version that does not\n", directive.FormatShare(p.Harm), directive.FormatShare(p.WrongStop))
 	_, err := io.WriteString(w, b.String())
 	return err
 }
--- a/internal/segments/file.go
+++ b/internal/segments/file.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"strings"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/logic/owners"
 )
 
@@ -13,20 +13,20 @@
 	epoch    uint64
 	shards   int
 	segments []owners.Segment
-	at       []*conf.Values
+	at       []*directive.Values
 }
 
-func (f *file) table() *conf.Table {
-	return &conf.Table{Name: "map file", Intro: "Which hosts own which keys, for `segments FILE` in the operator's file and for `yokeroute segments`.", Directives: []*conf.Directive{
-		{Name: "epoch", Once: true, Args: []conf.Field{{Name: "epoch", Kind: conf.Count, Min: 1, Max: 1 << 53, Help: "more than that of any map told before"}}, Help: "Which epoch it is.", Example: "epoch 7",
-			Apply: func(v *conf.Values) error { f.epoch = uint64(v.Number("epoch", 0)); return nil }},
-		{Name: "shards", Once: true, Args: []conf.Field{{Name: "shards", Kind: conf.Count, Min: 1, Max: 1 << 20, Help: "as clients number them"}},
+func (f *file) table() *directive.Table {
+	return &directive.Table{Name: "map file", Intro: "Which hosts own which keys, for `segments FILE` in the operator's file and for `yokeroute segments`.", Directives: []*directive.Directive{
+		{Name: "epoch", Once: true, Args: []directive.Field{{Name: "epoch", Kind: directive.Count, Min: 1, Max: 1 << 53, Help: "more than that of any map told before"}}, Help: "Which epoch it is.", Example: "epoch 7",
+			Apply: func(v *directive.Values) error { f.epoch = uint64(v.Number("epoch", 0)); return nil }},
+		{Name: "shards", Once: true, Args: []directive.Field{{Name: "shards", Kind: directive.Count, Min: 1, Max: 1 << 20, Help: "as clients number them"}},
 			Help: "Into how many shards clients part the keys, evenly; the settings' number unless told. For showing alone.", Example: "shards 18",
-			Apply: func(v *conf.Values) error { f.shards = int(v.Number("shards", 0)); return nil }},
-		{Name: "segment", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "keys", Kind: conf.Text, Required: true, Help: "the first and the last, in sixteen hex digits each"},
-			{Name: "on", Kind: conf.Names, Help: "hosts that own it; the first is its writer. Without any its keys are unowned"}, {Name: "since", Kind: conf.Count, Max: 1 << 53, Help: "the epoch from which they do; this one unless told"}},
+			Apply: func(v *directive.Values) error { f.shards = int(v.Number("shards", 0)); return nil }},
+		{Name: "segment", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "keys", Kind: directive.Text, Required: true, Help: "the first and the last, in sixteen hex digits each"},
+			{Name: "on", Kind: directive.Names, Help: "hosts that own it; the first is its writer. Without any its keys are unowned"}, {Name: "since", Kind: directive.Count, Max: 1 << 53, Help: "the epoch from which they do; this one unless told"}},
 			Help: "A range of keys and who owns it.", Example: "segment a keys 0000000000000000-7fffffffffffffff on h-01 h-02",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				r, err := owners.ParseRange(v.Text("keys"))
 				if err != nil {
 					return v.Errorf("keys", "%v", err)
@@ -60,9 +60,9 @@
 }
 
 func (f *file) finish(name string) (*owners.Map, int, error) {
-	top := conf.Position{File: name, Line: 1, Column: 1}
+	top := directive.Position{File: name, Line: 1, Column: 1}
 	if f.epoch == 0 {
-		return nil, 0, conf.ErrorList{{Position: top, Message: "lacks its epoch; write epoch NUMBER"}}
+		return nil, 0, directive.ErrorList{{Position: top, Message: "lacks its epoch; write epoch NUMBER"}}
 	}
 	m, err := owners.First(f.epoch, f.segments)
 	if err == nil {
@@ -75,7 +75,7 @@
 			at = f.at[i].Position
 		}
 	}
-	return nil, 0, conf.ErrorList{{Position: at, Message: err.Error()}}
+	return nil, 0, directive.ErrorList{{Position: at, Message: err.Error()}}
 }
 
 // WriteMap writes a map as a file.
--- a/internal/steward/terms.go
+++ b/internal/steward/terms.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"slices"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 )
 
 // Peer is a steward as this one reaches it.
@@ -28,38 +28,38 @@
 }
 
 // Directives are the file's, for reading and for the reference page.
-func (t *Terms) Directives() *conf.Table {
-	return &conf.Table{Name: "steward's file", Intro: "What one steward of a fleet's policies needs to know: `yokeroute steward FILE`. Each has a file of its own; three stewards bear the loss of one, five of two.", Directives: []*conf.Directive{
-		{Name: "steward", Once: true, Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "in", Kind: conf.Text, Required: true, Help: "folder on a lasting disk"},
-			{Name: "listen", Kind: conf.Address, Required: true, Help: "for gatherers and operators; whoever reaches it may change policies"}, {Name: "raft", Kind: conf.Address, Required: true, Help: "for the other stewards"}},
+func (t *Terms) Directives() *directive.Table {
+	return &directive.Table{Name: "steward's file", Intro: "What one steward of a fleet's policies needs to know: `yokeroute steward FILE`. Each has a file of its own; three stewards bear the loss of one, five of two.", Directives: []*directive.Directive{
+		{Name: "steward", Once: true, Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "in", Kind: directive.Text, Required: true, Help: "folder on a lasting disk"},
+			{Name: "listen", Kind: directive.Address, Required: true, Help: "for gatherers and operators; whoever reaches it may change policies"}, {Name: "raft", Kind: directive.Address, Required: true, Help: "for the other stewards"}},
 			Help: "Names the steward.", Example: "steward s1 in steward-s1 listen 127.0.0.1:8700 raft 127.0.0.1:8701",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				t.Name, t.Folder, t.Listen, t.Raft = v.Text("name"), v.RelativePath("in"), v.Text("listen"), v.Text("raft")
 				return nil
 			}},
-		{Name: "peer", Args: []conf.Field{{Name: "name", Kind: conf.Name}}, Options: []conf.Field{{Name: "raft", Kind: conf.Address, Required: true, Help: "where this steward reaches it"}, {Name: "http", Kind: conf.Address, Required: true, Help: "the same, for what stewards ask each other beside their log"}},
+		{Name: "peer", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "raft", Kind: directive.Address, Required: true, Help: "where this steward reaches it"}, {Name: "http", Kind: directive.Address, Required: true, Help: "the same, for what stewards ask each other beside their log"}},
 			Help: "A steward of the fleet. All of them stand in each file, this one as well; who they are is settled at the first start.", Example: "peer s2 raft 127.0.0.1:8711 http 127.0.0.1:8710",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				if slices.ContainsFunc(t.Peers, func(p Peer) bool { return p.Name == v.Text("name") }) {
 					return v.Errorf("name", "is given twice; keep one of these lines")
 				}
 				t.Peers = append(t.Peers, Peer{v.Text("name"), v.Text("raft"), v.Text("http")})
 				return nil
 			}},
-		{Name: "lease", Once: true, Args: []conf.Field{{Name: "time", Kind: conf.Duration, Min: 200, Max: 600_000}}, Options: []conf.Field{{Name: "limit", Kind: conf.Duration, Min: 200, Help: "after which a change that not all have prepared is given up; 60s"}},
+		{Name: "lease", Once: true, Args: []directive.Field{{Name: "time", Kind: directive.Duration, Min: 200, Max: 600_000}}, Options: []directive.Field{{Name: "limit", Kind: directive.Duration, Min: 200, Help: "after which a change that not all have prepared is given up; 60s"}},
 			Help: "For how long a gatherer goes by what it has heard, 10s unless told: one that is cut off acts within its floor after it, and a change waits for one that is away as long.", Example: "lease 10s limit 1min",
-			Apply: func(v *conf.Values) error {
+			Apply: func(v *directive.Values) error {
 				t.Lease, t.Limit = v.Number("time", 10_000), v.Number("limit", 60_000)
 				return nil
 			}},
-		{Name: "beat", Once: true, Args: []conf.Field{{Name: "time", Kind: conf.Duration, Min: 5, Max: 10_000}},
+		{Name: "beat", Once: true, Args: []directive.Field{{Name: "time", Kind: directive.Duration, Min: 5, Max: 10_000}},
 			Help: "Between two heartbeats of the steward that leads, 100ms unless told; after ten of them unheard another is elected.", Example: "beat 100ms",
-			Apply: func(v *conf.Values) error { t.Beat = v.Number("time", 100); return nil }},
+			Apply: func(v *directive.Values) error { t.Beat = v.Number("time", 100); return nil }},
 		{Name: "joins", Once: true, Help: "This steward is new among others that run: it begins no log, and waits until `yokeroute policy steward add` takes it in.", Example: "joins",
-			Apply: func(*conf.Values) error { t.Joins = true; return nil }},
-		{Name: "begins", Once: true, Args: []conf.Field{{Name: "number", Kind: conf.Count}},
+			Apply: func(*directive.Values) error { t.Joins = true; return nil }},
+		{Name: "begins", Once: true, Args: []directive.Field{{Name: "number", Kind: directive.Count}},
 			Help: "Number before the first change of a record that is made anew because the old one is lost: above every number that a gatherer has heard, since none goes back.", Example: "begins 1000",
-			Apply: func(v *conf.Values) error { t.Begins = uint64(v.Number("number", 0)); return nil }},
+			Apply: func(v *directive.Values) error { t.Begins = uint64(v.Number("number", 0)); return nil }},
 	}}
 }
 
--- a/internal/study/hunt.go
+++ b/internal/study/hunt.go
@@ -6,7 +6,7 @@
 	"math"
 	"strings"
 
-	"yokeroute/internal/conf"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/pcg"
 )
@@ -233,7 +233,7 @@
 			switch option, value := words[j], words[j+1]; option {
 			case "for":
 				if ms := span(value); ms > 1000 {
-					change(conf.FormatDuration(max(math.Round(ms/2/100)*100, 1000)))
+					change(directive.FormatDuration(max(math.Round(ms/2/100)*100, 1000)))
 				}
 			case "servers", "gatherers":
 				if _, err := fmt.Sscan(value, &n); err == nil && n > 0.1 && n < 1 {
