--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/version"
 )
 
--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/operator"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/placefile"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/rollout"
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,10 +18,10 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/pick"
 	"yokeroute/internal/service"
 	"yokeroute/internal/standin/shards"
--- a/internal/formats/formats_test.go
+++ b/internal/formats/formats_test.go
@@ -7,9 +7,9 @@
 	"strings"
 	"testing"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/formats"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/placefile"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/report"
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -15,7 +15,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/background"
-	"yokeroute/internal/operator"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/shardcall"
 )
 
--- a/internal/policy/follow.go
+++ b/internal/policy/follow.go
@@ -10,7 +10,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/operator"
+	"yokeroute/internal/config/operator"
 	"yokeroute/logic/policy"
 )
 
--- a/internal/policy/kept_test.go
+++ b/internal/policy/kept_test.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/operator"
+	"yokeroute/internal/config/operator"
 	"yokeroute/logic/policy"
 )
 
--- a/internal/processes/worse/main.go
+++ b/internal/processes/worse/main.go
@@ -16,8 +16,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/service"
 )
 
--- a/internal/rollout/carry.go
+++ b/internal/rollout/carry.go
@@ -14,8 +14,8 @@
 	"syscall"
 	"time"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/proc"
 	"yokeroute/internal/state"
 	"yokeroute/logic/rollout"
--- a/internal/scale/policies.go
+++ b/internal/scale/policies.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/operator"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/order"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/proc"
--- a/internal/service/governed.go
+++ b/internal/service/governed.go
@@ -7,8 +7,8 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/pick"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/proc"
--- a/internal/service/kept_test.go
+++ b/internal/service/kept_test.go
@@ -8,9 +8,9 @@
 	"testing"
 	"time"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/standin/shards"
 )
 
--- a/internal/service/segments_test.go
+++ b/internal/service/segments_test.go
@@ -17,8 +17,8 @@
 	"github.com/anishathalye/porcupine"
 	"github.com/sirupsen/logrus"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/segments"
 	"yokeroute/internal/standin/directory"
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,10 +18,10 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/background"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/front"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/pick"
 	"yokeroute/internal/plans"
 	"yokeroute/internal/segments"
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/sirupsen/logrus"
 
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/rules"
 	"yokeroute/internal/standin/shards"
 )
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -4,9 +4,9 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
-	"yokeroute/internal/operator"
 	"yokeroute/internal/pick"
 	"yokeroute/internal/report"
 	"yokeroute/internal/shardcall"
