--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -15,7 +15,7 @@
 
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/placefile"
+	"yokeroute/internal/config/placementfile"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/rollout"
 	"yokeroute/internal/segments"
@@ -33,7 +33,7 @@
 		if name == "" {
 			continue
 		}
-		f, err := placefile.Read(name, unixMilli())
+		f, err := placementfile.Read(name, unixMilli())
 		switch {
 		case err != nil:
 			return err
@@ -122,7 +122,7 @@
 					return fmt.Errorf("%s: %w", args[0], err)
 				}
 			}
-			rate := func(units int64) string { return placefile.FormatUnits(model.Unit, units) }
+			rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
 			switch {
 			case answer.Misfit != nil:
 				answer.Fits, answer.Why = false, answer.Misfit.Words(rate)
@@ -130,7 +130,7 @@
 				answer.Fits, answer.Why = false, answer.Clash.Words(rate)
 			}
 			if out != "" && answer.Plan != nil {
-				if err := replace(out, func(w io.Writer) error { return placefile.WritePlan(w, answer.Plan) }); err != nil {
+				if err := replace(out, func(w io.Writer) error { return placementfile.WritePlan(w, answer.Plan) }); err != nil {
 					return err
 				}
 			}
@@ -144,7 +144,7 @@
 				fmt.Fprintf(w, "Nothing fits. %s\n", answer.Why)
 			default:
 				if out == "" {
-					if err := placefile.WritePlan(w, answer.Plan); err != nil {
+					if err := placementfile.WritePlan(w, answer.Plan); err != nil {
 						return err
 					}
 					w = cmd.ErrOrStderr()
@@ -242,15 +242,15 @@
 	return put(f.Name(), name)
 }
 
-func readModel(name string) (*placefile.File, error) {
-	f, err := placefile.Read(name, unixMilli())
+func readModel(name string) (*placementfile.File, error) {
+	f, err := placementfile.Read(name, unixMilli())
 	if err == nil && f.FromList {
 		err = fmt.Errorf("%s: from-list takes its hosts from discovery's list; it is for serve, named by placement in the operator's file", name)
 	}
 	return f, err
 }
 
-func readPlan(name string) (*placefile.File, error) {
+func readPlan(name string) (*placementfile.File, error) {
 	f, err := readModel(name)
 	if err == nil && f.Plan == nil {
 		err = fmt.Errorf("%s: holds no weights; make them by yokeroute plan solve", name)
@@ -273,12 +273,12 @@
 			var all []checked
 			bad := false
 			for _, name := range args {
-				f, err := placefile.Read(name, unixMilli())
+				f, err := placementfile.Read(name, unixMilli())
 				if err != nil {
 					return err
 				}
 				c := checked{File: name, Kind: "placement file", Fits: true}
-				switch rate := func(units int64) string { return placefile.FormatUnits(f.Model.Unit, units) }; {
+				switch rate := func(units int64) string { return placementfile.FormatUnits(f.Model.Unit, units) }; {
 				case f.FromList:
 					c.Kind = "placement file for discovery's list"
 				case f.Plan != nil:
@@ -363,8 +363,8 @@
 	return cmd
 }
 
-func explain(w io.Writer, f *placefile.File, r *balance.Report) {
-	rate := func(units int64) string { return placefile.FormatUnits(f.Model.Unit, units) }
+func explain(w io.Writer, f *placementfile.File, r *balance.Report) {
+	rate := func(units int64) string { return placementfile.FormatUnits(f.Model.Unit, units) }
 	what := "weights"
 	if r.Case != "" {
 		what = "case " + r.Case
@@ -425,7 +425,7 @@
 			if form == "json" {
 				return writeJSON(cmd.OutOrStdout(), c)
 			}
-			lines := c.Words(func(units int64) string { return placefile.FormatUnits(now.Model.Unit, units) })
+			lines := c.Words(func(units int64) string { return placementfile.FormatUnits(now.Model.Unit, units) })
 			if len(lines) == 0 {
 				lines = []string{"no difference in meaning"}
 			}
@@ -440,7 +440,7 @@
 
 // referenceCommand prints the pages about the operators' files, from the tables that read them.
 func referenceCommand() *cobra.Command {
-	pages := map[string]func() string{"operator": operator.Reference, "placement": placefile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policy.Reference, "steward": steward.Reference}
+	pages := map[string]func() string{"operator": operator.Reference, "placement": placementfile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policy.Reference, "steward": steward.Reference}
 	return &cobra.Command{Use: "reference operator|placement|segments|rollout|policy|steward", Short: "print the page about a kind of file", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute reference placement", ValidArgs: []string{"operator", "placement", "segments", "rollout", "policy", "steward"},
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/internal/placefile/placefile_test.go
+++ b/internal/config/placementfile/placefile_test.go
@@ -1,4 +1,4 @@
-package placefile
+package placementfile
 
 import (
 	"errors"
@@ -142,7 +142,7 @@
 
 // TestReferences wants the pages in docs to be those that the tables give.
 func TestReferences(t *testing.T) {
-	page := filepath.Join("..", "..", "docs", "operate", "reference-placement.md")
+	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-placement.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
 		t.Errorf("%s is not what yokeroute reference placement prints: %v", page, err)
 	}
--- a/internal/placefile/read.go
+++ b/internal/config/placementfile/read.go
@@ -1,7 +1,7 @@
 // Package placefile reads and writes placement files: what an operator says of halls, hosts, segments and demand,
 // and the plan that was worked out for it. A plan is a placement file with weights in it, so that it can be read,
 // checked and solved again by itself.
-package placefile
+package placementfile
 
 import (
 	"fmt"
--- a/internal/placefile/write.go
+++ b/internal/config/placementfile/write.go
@@ -1,4 +1,4 @@
-package placefile
+package placementfile
 
 import (
 	"bufio"
--- a/internal/experiment/plans.go
+++ b/internal/experiment/plans.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"yokeroute/gather"
-	"yokeroute/internal/placefile"
+	"yokeroute/internal/config/placementfile"
 	"yokeroute/internal/standin/shards"
 	"yokeroute/logic/balance"
 )
@@ -164,13 +164,13 @@
 // planFor solves a from-list file for a fleet, as yokeroute plan solve would its own hosts.
 func planFor(fleet *Fleet, text string) (string, error) {
 	now := float64(time.Now().UnixMilli())
-	f, err := placefile.Parse("halls.conf", text, now)
+	f, err := placementfile.Parse("halls.conf", text, now)
 	if err != nil {
 		return "", err
 	}
-	var list []placefile.Listed
+	var list []placementfile.Listed
 	for i, m := range fleet.Machines {
-		l := placefile.Listed{Name: m.Name}
+		l := placementfile.Listed{Name: m.Name}
 		l.ID, l.ReplicaSet, l.Zone, l.Kind = uint32(i), m.Group, m.Hall, m.Kind
 		list = append(list, l)
 	}
@@ -186,7 +186,7 @@
 		return "", fmt.Errorf("nothing fits: %s", clash.Words(func(n int64) string { return fmt.Sprint(n) }))
 	}
 	var b strings.Builder
-	err = placefile.WritePlan(&b, plan)
+	err = placementfile.WritePlan(&b, plan)
 	return b.String(), err
 }
 
--- a/internal/formats/formats_test.go
+++ b/internal/formats/formats_test.go
@@ -8,9 +8,9 @@
 	"testing"
 
 	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/placementfile"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/formats"
-	"yokeroute/internal/placefile"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/report"
 	"yokeroute/internal/rollout"
@@ -70,7 +70,7 @@
 	if own, err := operator.Read(kept("operator-1.conf")); err != nil || own.Keep == 0 || own.Report == "" || len(own.TwoPhase) != 1 {
 		t.Errorf("operator's file 1: %v, %+v", err, own)
 	}
-	if _, err := placefile.Read(kept("placement-1.conf"), 0); err != nil {
+	if _, err := placementfile.Read(kept("placement-1.conf"), 0); err != nil {
 		t.Errorf("placement file 1: %v", err)
 	}
 	if m, _, err := segments.ReadMap(kept("segments-1.conf")); err != nil || m.Epoch == 0 {
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -16,7 +16,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/placefile"
+	"yokeroute/internal/config/placementfile"
 	"yokeroute/internal/shardcall"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/jobs"
@@ -38,8 +38,8 @@
 
 	mu      sync.Mutex
 	force   placement.Force
-	file    *placefile.File // to solve from, nil for none
-	listed  map[uint32]placefile.Listed
+	file    *placementfile.File // to solve from, nil for none
+	listed  map[uint32]placementfile.Listed
 	order   []uint32
 	numbers map[string]uint32
 	handed  [][]gather.Weight
@@ -49,7 +49,7 @@
 
 // New makes a keeper without a plan, which hands down nothing.
 func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
-	return &Keeper{picker: picker, settings: settings, jobs: jobs, log: log, listed: map[uint32]placefile.Listed{}, numbers: map[string]uint32{}}
+	return &Keeper{picker: picker, settings: settings, jobs: jobs, log: log, listed: map[uint32]placementfile.Listed{}, numbers: map[string]uint32{}}
 }
 
 // Configure takes over what the operator's file says of plans. What cannot be read changes nothing: the plan in
@@ -57,9 +57,9 @@
 func (k *Keeper) Configure(f *operator.File) error {
 	now := k.picker.Now()
 	var plan *placement.Plan
-	var file *placefile.File
+	var file *placementfile.File
 	if f.Plan != "" {
-		read, err := placefile.Read(f.Plan, now)
+		read, err := placementfile.Read(f.Plan, now)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 		}
 	}
 	if f.Placement != "" {
-		read, err := placefile.Read(f.Placement, now)
+		read, err := placementfile.Read(f.Placement, now)
 		if err != nil {
 			return err
 		}
@@ -112,9 +112,9 @@
 		figures[s.ID] = s
 	}
 	before := k.listed
-	k.listed, k.numbers, k.order = map[uint32]placefile.Listed{}, map[string]uint32{}, k.order[:0]
+	k.listed, k.numbers, k.order = map[uint32]placementfile.Listed{}, map[string]uint32{}, k.order[:0]
 	for _, a := range all {
-		k.listed[a.ID] = placefile.Listed{Name: a.Name, Endpoint: figures[a.ID]}
+		k.listed[a.ID] = placementfile.Listed{Name: a.Name, Endpoint: figures[a.ID]}
 		k.numbers[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
@@ -136,7 +136,7 @@
 	k.jobs.Submit(jobName, jobs.Normal, func(pause func() error) error {
 		k.mu.Lock()
 		file, before := k.file, k.force.Plan
-		var list []placefile.Listed
+		var list []placementfile.Listed
 		for _, id := range k.order {
 			list = append(list, k.listed[id])
 		}
@@ -161,7 +161,7 @@
 		case err != nil:
 			return err
 		case clash != nil:
-			rate := func(units int64) string { return placefile.FormatUnits(model.Unit, units) }
+			rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
 			k.log.WithField("hosts", len(model.Hosts)).Warnf("no weights fit, the plan in force stays: %s", clash.Words(rate))
 			return nil
 		}
