--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -11,8 +11,8 @@
 	"strconv"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/settings"
 	"yokeroute/internal/discovery"
-	"yokeroute/internal/terms"
 	"yokeroute/internal/version"
 )
 
@@ -100,7 +100,7 @@
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Settings, err = terms.Read(file.Settings); err != nil {
+	if c.Settings, err = settings.Read(file.Settings); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/terms/terms.go
+++ b/internal/config/settings/terms.go
@@ -1,5 +1,5 @@
 // Package terms puts the settings, as simulator and platform word them, into the project's words.
-package terms
+package settings
 
 import (
 	"encoding/json"
--- a/internal/pick/pick_test.go
+++ b/internal/pick/pick_test.go
@@ -13,8 +13,8 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/settings"
 	"yokeroute/internal/simwire"
-	"yokeroute/internal/terms"
 )
 
 const settings = `{"balancers":2,"tick":5000,"classes":[{"name":"any","effect":"pure","goalTime":1000000,"hardLimit":3000000,` +
@@ -23,7 +23,7 @@
 	`"limits":{"attemptsCap":3,"cancel":true,"secondCopies":true,"maxRetryAfter":1000000,"retryAfter":true}}`
 
 func newPicker(t *testing.T, change func(s *gather.Settings)) *Picker {
-	of, err := terms.Read([]byte(settings))
+	of, err := settings.Read([]byte(settings))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -12,7 +12,7 @@
 	"strconv"
 
 	"yokeroute/gather"
-	"yokeroute/internal/terms"
+	"yokeroute/internal/config/settings"
 	"yokeroute/logic"
 )
 
@@ -170,7 +170,7 @@
 	in := h.instances[id]
 	switch m.Cmd {
 	case "Hello":
-		t, err := terms.Read(m.Info)
+		t, err := settings.Read(m.Info)
 		if err != nil {
 			return err
 		}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,7 +1,7 @@
 // Package logic is the decision module of yokeroute: all decisions, tables and tuned values are here.
 //
 // One Gatherer shares nothing with others. Call New once with seed and terms, Round with what came at one
-// moment; decisions go into the writer passed with it (terms: internal/terms). The same calls decide alike:
+// moment; decisions go into the writer passed with it (terms: internal/config/settings). The same calls decide alike:
 // time is the round's, chance the seed's, no map's order counts. Why each piece is so: docs/design.md.
 package logic
 
