--- a/cmd/yokeroute/migrate.go
+++ b/cmd/yokeroute/migrate.go
@@ -8,7 +8,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/migrate"
+	"yokeroute/internal/config/migrate"
 )
 
 func migrateCommand() *cobra.Command {
--- a/internal/migrate/migrate_test.go
+++ b/internal/config/migrate/migrate_test.go
@@ -17,7 +17,7 @@
  "limits":{"cancel":true,"connectTimeout":250000,"attemptsCap":3,"secondCopies":true,"streamsPerConn":64},
  "rules":{"budgetShare":0.05,"extraFloor":6,"resendSpan":1000000,"drainGrace":250000}}}`
 
-const fleet = "../../examples/fleets/probed.json"
+const fleet = "../../../examples/fleets/probed.json"
 
 func file(t *testing.T, text string) string {
 	name := filepath.Join(t.TempDir(), "f.json")
--- a/internal/service/migrated_test.go
+++ b/internal/service/migrated_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"yokeroute/internal/config/migrate"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/migrate"
 	"yokeroute/internal/standin/shards"
 )
 
