--- a/internal/experiment/fleet.go
+++ b/internal/experiment/fleet.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 	"yokeroute/internal/standin/directory"
 	"yokeroute/internal/standin/shards"
 )
@@ -95,7 +95,7 @@
 
 // Node is a gatherer in a process of its own.
 type Node struct {
-	*proc.Process
+	*process.Process
 	Address string
 	dir     string
 }
@@ -149,12 +149,12 @@
 			return nil, err
 		}
 	}
-	if n.Process, err = proc.Start(terms.Name, binary, args, nil); err != nil {
+	if n.Process, err = process.Start(terms.Name, binary, args, nil); err != nil {
 		return nil, err
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	err = proc.Until(ctx, terms.Name+" is ready", func() bool { return !n.Alive() || Answers(n.Address) })
+	err = process.Until(ctx, terms.Name+" is ready", func() bool { return !n.Alive() || Answers(n.Address) })
 	if err == nil && !n.Alive() {
 		err = fmt.Errorf("gatherer %s ended at its start: %v", terms.Name, n.Err())
 	}
--- a/internal/proc/proc.go
+++ b/internal/process/proc.go
@@ -1,5 +1,5 @@
 // Package proc starts processes that end with this one, and reads what the system tells of a process.
-package proc
+package process
 
 import (
 	"fmt"
--- a/internal/proc/process.go
+++ b/internal/process/process.go
@@ -1,4 +1,4 @@
-package proc
+package process
 
 import (
 	"bytes"
--- a/internal/processes/fleet.go
+++ b/internal/processes/fleet.go
@@ -26,7 +26,7 @@
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/experiment"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
 	"yokeroute/internal/standin/directory"
 	"yokeroute/internal/standin/shards"
@@ -77,10 +77,10 @@
 
 	fleet     *Fleet
 	mu        sync.Mutex
-	process   *proc.Process
+	process   *process.Process
 	started   int
 	traces    []*tape
-	processes []*proc.Process
+	processes []*process.Process
 	agent     net.Listener
 	taken     net.Listener // something else on its port
 	backup    string       // its state folder as it was at its process' own start
@@ -292,7 +292,7 @@
 	f.mu.Lock()
 	all := slices.Clone(f.faults)
 	f.mu.Unlock()
-	var processes []*proc.Process
+	var processes []*process.Process
 	for _, g := range f.Gatherers {
 		g.mu.Lock()
 		processes = append(processes, g.processes...)
@@ -397,7 +397,7 @@
 }
 
 // end ends a process as in a planned restart, and by force where it does not heed that.
-func (f *Fleet) end(p *proc.Process) {
+func (f *Fleet) end(p *process.Process) {
 	if p == nil || !p.Alive() {
 		return
 	}
@@ -419,7 +419,7 @@
 }
 
 // Process is its newest process, nil before the first.
-func (g *Gatherer) Process() *proc.Process {
+func (g *Gatherer) Process() *process.Process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.process
@@ -490,7 +490,7 @@
 }
 
 // Launch starts a process of it and does not wait.
-func (g *Gatherer) Launch() (*proc.Process, error) {
+func (g *Gatherer) Launch() (*process.Process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.started++
@@ -505,7 +505,7 @@
 		return nil, err
 	}
 	defer end.Close() // the process has its own
-	p, err := proc.Start(fmt.Sprintf("%s.%d", g.Name, g.started), g.Binary, []string{"serve", "--config", g.ConfigFile(), "--operator", g.OperatorFile()}, nil, end)
+	p, err := process.Start(fmt.Sprintf("%s.%d", g.Name, g.started), g.Binary, []string{"serve", "--config", g.ConfigFile(), "--operator", g.OperatorFile()}, nil, end)
 	if err != nil {
 		return nil, err
 	}
@@ -514,10 +514,10 @@
 }
 
 // Ready waits until a process of it takes lookups.
-func (g *Gatherer) Ready(ctx context.Context, p *proc.Process) error {
+func (g *Gatherer) Ready(ctx context.Context, p *process.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, 120*time.Second)
 	defer cancel()
-	err := proc.Until(ctx, g.Name+" is ready", func() bool { return !p.Alive() || g.answers() })
+	err := process.Until(ctx, g.Name+" is ready", func() bool { return !p.Alive() || g.answers() })
 	if err == nil && !p.Alive() && !p.Expected() { // another fault may have ended it meanwhile
 		err = fmt.Errorf("%s ended at its start: %v: %.2000s", p.Name, p.Err(), p.Log())
 	}
--- a/internal/processes/fleet_test.go
+++ b/internal/processes/fleet_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
 )
 
@@ -182,8 +182,8 @@
 	if err := p.Stop(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if proc.State(p.PID()) != 'T' || !p.Alive() {
-		t.Errorf("stopped: state %c", proc.State(p.PID()))
+	if process.State(p.PID()) != 'T' || !p.Alive() {
+		t.Errorf("stopped: state %c", process.State(p.PID()))
 	}
 	resp, err := (&http.Client{Timeout: 200 * time.Millisecond}).Get("http://" + g.Address + "/-/healthy")
 	if err == nil {
@@ -193,7 +193,7 @@
 	if err := p.Continue(); err != nil {
 		t.Fatal(err)
 	}
-	if err := proc.Until(ctx, "it goes on", g.answers); err != nil {
+	if err := process.Until(ctx, "it goes on", g.answers); err != nil {
 		t.Fatal(err)
 	}
 	// A state folder that refuses writes: a once-only lookup whose call can't be written down is not sent.
@@ -310,7 +310,7 @@
 // TestNoneOutlives: processes end with the one that started them, also where that is killed and can end nothing.
 func TestNoneOutlives(t *testing.T) {
 	if os.Getenv("PROCESSES_PARENT") != "" { // this is the one that is killed
-		p, err := proc.Start("sleeper", "sleep", []string{"1000"}, nil)
+		p, err := process.Start("sleeper", "sleep", []string{"1000"}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -325,7 +325,7 @@
 		t.Fatal(err)
 	}
 	var pid string
-	err := proc.Until(soon(t), "the child has started", func() bool {
+	err := process.Until(soon(t), "the child has started", func() bool {
 		text, _ := os.ReadFile(file)
 		pid = string(text)
 		return pid != ""
@@ -339,7 +339,7 @@
 		text, err := os.ReadFile(filepath.Join("/proc", pid, "stat"))
 		return err != nil || strings.Contains(string(text), ") Z ")
 	}
-	if err := proc.Until(soon(t), "the child has ended", gone); err != nil {
+	if err := process.Until(soon(t), "the child has ended", gone); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/processes/live.go
+++ b/internal/processes/live.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"yokeroute/internal/look"
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 
 	tea "github.com/charmbracelet/bubbletea"
 )
@@ -132,7 +132,7 @@
 	fmt.Fprintln(&b, look.Strong.Render(fmt.Sprintf("  %-6s %-10s %-10s %8s %8s", "name", "hall", "state", "cpu s", "MB")))
 	from := max(min(s.at-s.rows/2, len(s.f.Gatherers)-s.rows), 0)
 	for i, g := range s.f.Gatherers[from:min(from+s.rows, len(s.f.Gatherers))] {
-		p, state, use := g.Process(), "serves", proc.Use{}
+		p, state, use := g.Process(), "serves", process.Use{}
 		switch {
 		case p == nil || !p.Alive():
 			state = "ended"
--- a/internal/processes/relay_test.go
+++ b/internal/processes/relay_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 )
 
 func TestMain(m *testing.M) {
@@ -263,7 +263,7 @@
 					time.Sleep(time.Millisecond) // less than a socket's buffer at a time
 				}
 			}
-			if err := proc.Until(soon(t), "all have come", func() bool { return d.Passed().Bytes[There] == 490 }); err != nil {
+			if err := process.Until(soon(t), "all have come", func() bool { return d.Passed().Bytes[There] == 490 }); err != nil {
 				t.Fatal(err, d.Passed())
 			}
 			d.Mend()
--- a/internal/processes/stewards.go
+++ b/internal/processes/stewards.go
@@ -14,7 +14,7 @@
 
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/policy"
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
 )
 
@@ -38,8 +38,8 @@
 
 	fleet     *Fleet
 	mu        sync.Mutex
-	process   *proc.Process
-	processes []*proc.Process
+	process   *process.Process
+	processes []*process.Process
 	started   int
 }
 
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Second)
 	defer cancel()
 	var last error
-	err := proc.Until(ctx, "a steward leads", func() bool {
+	err := process.Until(ctx, "a steward leads", func() bool {
 		one, end := context.WithTimeout(ctx, 2*time.Second)
 		defer end()
 		_, last = f.Policies().Status(one)
@@ -144,7 +144,7 @@
 	if err := os.WriteFile(file, []byte(w.file()), 0o644); err != nil {
 		return err
 	}
-	p, err := proc.Start(fmt.Sprintf("%s.%d", w.Name, w.started), w.Binary, []string{"steward", file}, nil)
+	p, err := process.Start(fmt.Sprintf("%s.%d", w.Name, w.started), w.Binary, []string{"steward", file}, nil)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 }
 
 // Process is its newest process.
-func (w *Steward) Process() *proc.Process {
+func (w *Steward) Process() *process.Process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.process
--- a/internal/rollout/processes_test.go
+++ b/internal/rollout/processes_test.go
@@ -14,7 +14,7 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
 	"yokeroute/internal/report"
 	"yokeroute/internal/rollout"
@@ -167,10 +167,10 @@
 `
 
 // control starts a controller.
-func (s *scene) control(args ...string) *proc.Process {
+func (s *scene) control(args ...string) *process.Process {
 	s.Helper()
 	s.n++
-	p, err := proc.Start(fmt.Sprint("controller.", s.n), s.new, append([]string{"rollout"}, args...), nil)
+	p, err := process.Start(fmt.Sprint("controller.", s.n), s.new, append([]string{"rollout"}, args...), nil)
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -183,9 +183,9 @@
 }
 
 // until waits for something that a controller is to bring about.
-func (s *scene) until(c *proc.Process, what string, holds func() bool) {
+func (s *scene) until(c *process.Process, what string, holds func() bool) {
 	s.Helper()
-	if err := proc.Until(s.ctx, what, func() bool { return holds() || !c.Alive() }); err != nil {
+	if err := process.Until(s.ctx, what, func() bool { return holds() || !c.Alive() }); err != nil {
 		s.Fatal(err, c.Log())
 	}
 	if !c.Alive() && !holds() {
@@ -194,7 +194,7 @@
 }
 
 // ended waits for a controller's end and gives its status, and what it printed last.
-func (s *scene) ended(c *proc.Process) (code int, last rollout.Status) {
+func (s *scene) ended(c *process.Process) (code int, last rollout.Status) {
 	s.Helper()
 	if err := c.Wait(s.ctx); err != nil {
 		s.Fatal(err, c.Log())
@@ -207,7 +207,7 @@
 	return status(c), last
 }
 
-func status(p *proc.Process) int {
+func status(p *process.Process) int {
 	if err, is := p.Err().(interface{ ExitCode() int }); is {
 		return err.ExitCode()
 	}
@@ -451,7 +451,7 @@
 	s := begin(t, 4, 40, "")
 	file := s.plan("killed", programs)
 	var mu sync.Mutex
-	var c *proc.Process
+	var c *process.Process
 	orders, kills := map[string]int{}, 0
 	tear := func(order processes.Step) error {
 		mu.Lock()
@@ -628,7 +628,7 @@
 }
 
 // controlBy starts a controller of a given program.
-func (s *scene) controlBy(program string, args ...string) *proc.Process {
+func (s *scene) controlBy(program string, args ...string) *process.Process {
 	s.Helper()
 	was := s.new
 	s.new = program
@@ -647,7 +647,7 @@
 		return err == nil && strings.Contains(string(text), `"s1"`)
 	}
 	s.f.Tell("terminating", "s1")
-	if err := proc.Until(s.ctx, "the drain is written down", heard); err != nil {
+	if err := process.Until(s.ctx, "the drain is written down", heard); err != nil {
 		t.Fatal(err)
 	}
 	s.stop()
@@ -720,7 +720,7 @@
 		write(name+".conf", fmt.Sprintf("rollout %s in %s every 250ms\n%s%s%s", name, name, lines, sides, stages))
 		return filepath.Join(s.folder, name+".conf")
 	}
-	run := func(name, sides string, want int) (*proc.Process, rollout.Status) {
+	run := func(name, sides string, want int) (*process.Process, rollout.Status) {
 		t.Helper()
 		c := s.control("run", plan(name, sides), "--output", "json")
 		code, last := s.ended(c)
--- a/internal/scale/policies.go
+++ b/internal/scale/policies.go
@@ -17,7 +17,7 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/order"
 	"yokeroute/internal/policy"
-	"yokeroute/internal/proc"
+	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
 	decisions "yokeroute/logic/policy"
 )
@@ -82,7 +82,7 @@
 type policyFleet struct {
 	terms    PolicyTerms
 	ctx      context.Context
-	stewards []*proc.Process
+	stewards []*process.Process
 	names    []operator.Steward
 	client   *policy.Client
 	hollow   []*hollowGatherer
@@ -131,7 +131,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			return f, err
 		}
-		p, err := proc.Start(s.Name, t.Binary, []string{"steward", "--log-level", "error", file}, nil)
+		p, err := process.Start(s.Name, t.Binary, []string{"steward", "--log-level", "error", file}, nil)
 		if err != nil {
 			return f, err
 		}
@@ -142,7 +142,7 @@
 	}
 	waiting, cancel := context.WithTimeout(ctx, longestStart)
 	defer cancel()
-	return f, proc.Until(waiting, "a steward leads", func() bool {
+	return f, process.Until(waiting, "a steward leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
 		defer end()
 		_, err := f.client.Status(one)
@@ -183,7 +183,7 @@
 }
 
 // leader is the process of the steward that leads.
-func (f *policyFleet) leader() (*proc.Process, error) {
+func (f *policyFleet) leader() (*process.Process, error) {
 	s, err := f.client.Status(f.ctx)
 	if err != nil {
 		return nil, err
@@ -271,7 +271,7 @@
 		return nil, err
 	}
 	defer undo()
-	err = proc.Until(waiting, "the change is in force everywhere", func() bool {
+	err = process.Until(waiting, "the change is in force everywhere", func() bool {
 		for _, h := range f.near() {
 			if _, there := h.reached(change.Number); !there {
 				return false
@@ -375,7 +375,7 @@
 func (f *policyFleet) awaitLeases() error {
 	waiting, cancel := context.WithTimeout(f.ctx, longestStart)
 	defer cancel()
-	return proc.Until(waiting, "all gatherers go by the stewards' word", func() bool {
+	return process.Until(waiting, "all gatherers go by the stewards' word", func() bool {
 		for _, h := range f.hollow {
 			if !h.leased() {
 				return false
