--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -8,8 +8,8 @@
 	"github.com/spf13/cobra"
 
 	"yokeroute/internal/order"
+	"yokeroute/internal/parallel"
 	"yokeroute/internal/policy/emulated"
-	"yokeroute/internal/runs"
 )
 
 // policyRow is many histories of one fleet.
@@ -78,7 +78,7 @@
 
 // manyPolicies plays histories with the seeds from one on.
 func manyPolicies(t emulated.Terms, count, workers int, within float64) policyRow {
-	outs := runs.Each(count, workers, func(i int) emulated.Outcome {
+	outs := parallel.Each(count, workers, func(i int) emulated.Outcome {
 		one := t
 		one.Seed += uint64(i)
 		return emulated.Play(one)
--- a/internal/runs/runs.go
+++ b/internal/parallel/runs.go
@@ -1,5 +1,5 @@
 // Package runs plays many runs side by side that know nothing of each other.
-package runs
+package parallel
 
 import (
 	"runtime"
