--- a/internal/config/directive/kinds.go
+++ b/internal/config/directive/kinds.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // Kind is what a word has to be.
@@ -128,7 +128,7 @@
 				return float64(i), ""
 			}
 		}
-		return 0, fmt.Sprintf("is not %s%s", strings.Join(f.Choices, " or "), spell.Hint(text, f.Choices))
+		return 0, fmt.Sprintf("is not %s%s", strings.Join(f.Choices, " or "), suggest.Hint(text, f.Choices))
 	case Switch:
 		if text != "on" && text != "off" {
 			return 0, "is neither on nor off"
--- a/internal/config/directive/parse.go
+++ b/internal/config/directive/parse.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // parseDirective reads one line.
@@ -15,7 +15,7 @@
 		}
 	}
 	if d == nil {
-		r.errorf(words[0].Position, words[0].text, "is no directive of a %s%s", r.table.Name, spell.Hint(words[0].text, r.table.names()))
+		r.errorf(words[0].Position, words[0].text, "is no directive of a %s%s", r.table.Name, suggest.Hint(words[0].text, r.table.names()))
 		return
 	}
 	if first, again := r.firstUse[d.Name]; d.Once && again {
@@ -36,7 +36,7 @@
 		f := d.option(rest[0])
 		switch {
 		case f == nil:
-			r.errorf(rest[0].Position, rest[0].text, "is one word too many or no option; the form is: %s%s", d.Usage(), spell.Hint(rest[0].text, d.optionNames()))
+			r.errorf(rest[0].Position, rest[0].text, "is one word too many or no option; the form is: %s%s", d.Usage(), suggest.Hint(rest[0].text, d.optionNames()))
 			return
 		case v.fields[f.Name] != nil:
 			r.errorf(rest[0].Position, rest[0].text, "is given twice on this line")
--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -8,7 +8,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 	"yokeroute/logic/phases"
 )
 
@@ -153,7 +153,7 @@
 		name := ph.Index
 		switch effect := settings.Class(name).Effect; {
 		case !slices.Contains(settings.ClassNames(), name):
-			faults = append(faults, ph.line.Errorf("index", "is no index of the settings%s", spell.Hint(name, settings.ClassNames())))
+			faults = append(faults, ph.line.Errorf("index", "is no index of the settings%s", suggest.Hint(name, settings.ClassNames())))
 		case effect != gather.Idempotent:
 			faults = append(faults, ph.line.Errorf("index", "is %s: its parts may not run twice, which two phases may make them", effect))
 		case settings.Class(name).FollowUpRequests > 0:
--- a/internal/config/placementfile/list.go
+++ b/internal/config/placementfile/list.go
@@ -7,7 +7,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 	"yokeroute/logic/placement"
 )
 
@@ -29,7 +29,7 @@
 	for _, l := range list {
 		kind := f.kinds[l.Kind]
 		if kind == nil {
-			return nil, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s", l.Name, l.Kind, spell.Hint(l.Kind, names(f.kinds)))
+			return nil, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s", l.Name, l.Kind, suggest.Hint(l.Kind, names(f.kinds)))
 		}
 		h := placement.Host{Name: l.Name, Hall: l.Zone, State: l.State, Started: l.StartedAt}
 		var wrong error
--- a/internal/config/placementfile/read.go
+++ b/internal/config/placementfile/read.go
@@ -11,7 +11,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
 )
@@ -171,7 +171,7 @@
 		h := placement.Host{Name: v.Text("name"), Hall: v.Text("hall"), Started: v.Number("started", 0),
 			State: gather.State(v.Number("state", 0))}
 		if kind := v.Text("kind"); kind != "" && f.kinds[kind] == nil {
-			say(v.Errorf("kind", "is no kind of this file%s", spell.Hint(kind, names(f.kinds))))
+			say(v.Errorf("kind", "is no kind of this file%s", suggest.Hint(kind, names(f.kinds))))
 		} else {
 			f.fill(&h, v, f.kinds[kind], say)
 		}
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -20,7 +20,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/rules"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // Scenario is a day to be played. Times are milliseconds, rates a second.
@@ -200,7 +200,7 @@
 	hall := func(v *directive.Values, field string) error {
 		for i, h := range v.List(field) {
 			if !slices.Contains(s.Halls, h) {
-				f := v.Errorf(field, "is no hall given above%s", spell.Hint(h, s.Halls))
+				f := v.Errorf(field, "is no hall given above%s", suggest.Hint(h, s.Halls))
 				f.Position, f.Token = v.Pos(field, i), h
 				return f
 			}
--- a/internal/emulator/trouble.go
+++ b/internal/emulator/trouble.go
@@ -8,7 +8,7 @@
 
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // Trouble is something that goes wrong for a time. Several may overlap.
@@ -125,7 +125,7 @@
 				names = append(names, ix.Name)
 			}
 			if t.Index != "" && !slices.Contains(names, t.Index) {
-				return v.Errorf("index", "is no index given above%s", spell.Hint(t.Index, names))
+				return v.Errorf("index", "is no index given above%s", suggest.Hint(t.Index, names))
 			}
 			s.Troubles = append(s.Troubles, t)
 			return nil
--- a/internal/emulator/variants.go
+++ b/internal/emulator/variants.go
@@ -6,7 +6,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 	"yokeroute/logic/baselines"
 )
 
@@ -50,5 +50,5 @@
 		}
 		names = append(names, v.Name)
 	}
-	return Variant{}, fmt.Errorf("%q is no variant%s; there are %v", name, spell.Hint(name, names), names)
+	return Variant{}, fmt.Errorf("%q is no variant%s; there are %v", name, suggest.Hint(name, names), names)
 }
--- a/internal/processes/scenario.go
+++ b/internal/processes/scenario.go
@@ -11,7 +11,7 @@
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // Scenario is a day of real processes: a fleet as the emulator's scenario files tell it, and faults.
@@ -123,7 +123,7 @@
 			Apply: func(v *directive.Values) error {
 				for i, kind := range v.List("of") {
 					if faultKindOf(kind) == nil {
-						f := v.Errorf("of", "is no kind of faults%s", spell.Hint(kind, faultNames()))
+						f := v.Errorf("of", "is no kind of faults%s", suggest.Hint(kind, faultNames()))
 						f.Position, f.Token = v.Pos("of", i), kind
 						return f
 					}
@@ -266,7 +266,7 @@
 	all := s.names(faultKindOf(f.Kind).on)
 	for i, pattern := range f.On {
 		if len(matching(pattern, all)) == 0 {
-			wrong := f.line.Errorf("on", "is none of the %s that the fault %s strikes%s", faultKindOf(f.Kind).on, f.Kind, spell.Hint(pattern, all))
+			wrong := f.line.Errorf("on", "is none of the %s that the fault %s strikes%s", faultKindOf(f.Kind).on, f.Kind, suggest.Hint(pattern, all))
 			wrong.Position, wrong.Token = f.line.Pos("on", i), pattern
 			return wrong
 		}
--- a/internal/spell/spell.go
+++ b/internal/suggest/spell.go
@@ -1,5 +1,5 @@
 // Package spell finds what may have been meant by a word that is unknown, and puts words in a row.
-package spell
+package suggest
 
 import (
 	"fmt"
--- a/logic/owners/map.go
+++ b/logic/owners/map.go
@@ -20,7 +20,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // Range is the keys from Lo up to Hi, both within it, so that all keys make one range.
@@ -182,7 +182,7 @@
 		for _, name := range c.Out {
 			if m.Find(name) < 0 {
 				return nil, fmt.Errorf("epoch %d takes out %q, which is no segment%s", c.Epoch, name,
-					spell.Hint(name, m.names()))
+					suggest.Hint(name, m.names()))
 			}
 		}
 		return nil, fmt.Errorf("epoch %d takes a segment out twice", c.Epoch)
@@ -227,7 +227,7 @@
 	if i := m.Find(name); i >= 0 {
 		return &m.Segments[i], nil
 	}
-	return nil, fmt.Errorf("%q is no segment%s", name, spell.Hint(name, m.names()))
+	return nil, fmt.Errorf("%q is no segment%s", name, suggest.Hint(name, m.names()))
 }
 
 // Move hands a segment to other owners, the first of whom is its writer. With none, its keys are unowned.
--- a/logic/placement/model.go
+++ b/logic/placement/model.go
@@ -16,7 +16,7 @@
 	"slices"
 
 	"yokeroute/gather"
-	"yokeroute/internal/spell"
+	"yokeroute/internal/suggest"
 )
 
 // Most bounds every rate and the sum of all demand, in units, so that products of two of them are exact.
@@ -202,7 +202,7 @@
 // near names what may have been meant by an unknown name.
 func near(name string, known map[string]bool) string {
 	// Of equals it takes the first by name, not by order.
-	return spell.Hint(name, slices.Collect(maps.Keys(known)))
+	return suggest.Hint(name, slices.Collect(maps.Keys(known)))
 }
 
 // Safe is what a host may carry at a moment, in units: nothing unless it runs and is there, and of a cold one
