--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/order"
 	"yokeroute/internal/parallel"
 	"yokeroute/internal/policy/emulated"
+	"yokeroute/internal/stats"
 )
 
 // policyRow is many histories of one fleet.
@@ -102,6 +102,6 @@
 			row.InTime += 1 / float64(len(all))
 		}
 	}
-	row.DecideP50, row.DecideP99, row.AllP50, row.AllP99 = order.Quantile(decide, 0.5), order.Quantile(decide, 0.99), order.Quantile(all, 0.5), order.Quantile(all, 0.99)
+	row.DecideP50, row.DecideP99, row.AllP50, row.AllP99 = stats.Quantile(decide, 0.5), stats.Quantile(decide, 0.99), stats.Quantile(all, 0.5), stats.Quantile(all, 0.99)
 	return row
 }
--- a/internal/scale/decisions.go
+++ b/internal/scale/decisions.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"yokeroute/gather"
-	"yokeroute/internal/order"
 	"yokeroute/internal/pcg"
+	"yokeroute/internal/stats"
 	"yokeroute/logic"
 )
 
@@ -227,5 +227,5 @@
 	n := float64(q.queries)
 	return DecisionCost{Queries: q.queries, Sent: q.sent, Processor: used.Processor / time.Duration(q.queries),
 		Allocated: float64(used.Allocations) / n, Longest: q.longest,
-		Late: time.Duration(order.Quantile(q.landing, 0.99) * 1e9), Live: used.Live}, nil
+		Late: time.Duration(stats.Quantile(q.landing, 0.99) * 1e9), Live: used.Live}, nil
 }
--- a/internal/scale/policies.go
+++ b/internal/scale/policies.go
@@ -15,10 +15,10 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/order"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
+	"yokeroute/internal/stats"
 	decisions "yokeroute/logic/policy"
 )
 
@@ -478,7 +478,7 @@
 		seconds = append(seconds, t.Seconds())
 	}
 	at := func(share float64) time.Duration {
-		return time.Duration(order.Quantile(seconds, share) * float64(time.Second))
+		return time.Duration(stats.Quantile(seconds, share) * float64(time.Second))
 	}
 	c.InForce, c.P50, c.P99 = append(c.InForce, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
 }
--- a/internal/scale/slope.go
+++ b/internal/scale/slope.go
@@ -6,7 +6,7 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"yokeroute/internal/order"
+	"yokeroute/internal/stats"
 )
 
 // Sample is one measurement at one size.
@@ -45,7 +45,7 @@
 	}
 	if len(sizes) < 2 || slices.Min(sizes) == slices.Max(sizes) {
 		if len(values) > 0 {
-			f.AtDesign, f.Extrapolated = order.Quantile(values, 0.5), len(there) == 0
+			f.AtDesign, f.Extrapolated = stats.Quantile(values, 0.5), len(there) == 0
 		}
 		return
 	}
@@ -55,7 +55,7 @@
 		f.AtDesign = base + slope*f.Design
 		return
 	}
-	f.AtDesign = order.Quantile(there, 0.5)
+	f.AtDesign = stats.Quantile(there, 0.5)
 }
 
 // Factor is how often the budget goes into the value at the design size; 0 where there is no budget.
--- a/internal/order/order.go
+++ b/internal/stats/order.go
@@ -1,5 +1,5 @@
 // Package order finds values by their rank.
-package order
+package stats
 
 import "slices"
 
--- a/internal/order/order_test.go
+++ b/internal/stats/order_test.go
@@ -1,4 +1,4 @@
-package order
+package stats
 
 import (
 	"slices"
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -11,8 +11,8 @@
 	"slices"
 
 	"yokeroute/gather"
-	"yokeroute/internal/order"
 	"yokeroute/internal/pcg"
+	"yokeroute/internal/stats"
 	"yokeroute/logic/records"
 	"yokeroute/logic/slowstart"
 	"yokeroute/logic/turns"
@@ -405,7 +405,7 @@
 	}
 	g.slow.Earn(g.now, g.elapsed, g.normal, g.carried, g.runs)
 	g.unknown = g.normal
-	g.usual, g.normal, g.carried, g.scratch = order.Median(calls, 0), g.records.Median(g.soft/10), 0, calls
+	g.usual, g.normal, g.carried, g.scratch = stats.Median(calls, 0), g.records.Median(g.soft/10), 0, calls
 }
 
 // figure works out what a server's records and its calls that are out say of it.
--- a/logic/records/multiset_test.go
+++ b/logic/records/multiset_test.go
@@ -4,8 +4,8 @@
 	"slices"
 	"testing"
 
-	"yokeroute/internal/order"
 	"yokeroute/internal/pcg"
+	"yokeroute/internal/stats"
 )
 
 // TestMultiset compares with sorting, through thousands of values that go in and out, with many and few alike.
@@ -31,7 +31,7 @@
 			if step%97 > 0 {
 				continue
 			}
-			if got, want := m.Median(-1), order.Median(slices.Clone(held), -1); got != want {
+			if got, want := m.Median(-1), stats.Median(slices.Clone(held), -1); got != want {
 				t.Fatalf("step %d: %v, want %v", step, got, want)
 			}
 		}
--- a/logic/records/records_test.go
+++ b/logic/records/records_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	"yokeroute/internal/order"
+	"yokeroute/internal/stats"
 )
 
 // reference adds up all records of all servers in every round, as the module did before.
@@ -78,7 +78,7 @@
 					t.Fatalf("at %v server %d: %+v of %d records, want %+v of %d", now, of, got, table.Len(of), want, len(ref.servers[of]))
 				}
 			}
-			if got, want := table.Median(-1), order.Median(slices.Clone(window), -1); got != want {
+			if got, want := table.Median(-1), stats.Median(slices.Clone(window), -1); got != want {
 				t.Fatalf("at %v: the median is %v, want %v of %v", now, got, want, window)
 			}
 			got := table.Answered(now-recent, nil)
