--- a/internal/page/page.go
+++ b/internal/htmlreport/page.go
@@ -1,7 +1,7 @@
 // Package page is the look of the pages that commands make: one file that stands alone, for a screen, a phone or paper,
 // with tables and charts drawn as SVG by hand. Package study draws its own charts with a plotting library, which is too
 // heavy for the gatherer's program; style and inks are from here.
-package page
+package htmlreport
 
 import (
 	"fmt"
--- a/internal/processes/result.go
+++ b/internal/processes/result.go
@@ -11,7 +11,7 @@
 	"path/filepath"
 	"slices"
 
-	"yokeroute/internal/page"
+	"yokeroute/internal/htmlreport"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
 	"yokeroute/internal/state"
@@ -129,11 +129,11 @@
 
 // Page is the results as one page that stands alone.
 func (r *Result) Page() ([]byte, error) {
-	chart := page.Chart{X: "seconds", Y: "earned of what was asked", High: 1, Lines: []page.Line{{Name: "all indexes"}}}
+	chart := htmlreport.Chart{X: "seconds", Y: "earned of what was asked", High: 1, Lines: []htmlreport.Line{{Name: "all indexes"}}}
 	if r.Series != nil {
 		for s := range r.Series.Asked {
 			if r.Series.Asked[s] > 0 {
-				chart.Lines[0].Points = append(chart.Lines[0].Points, page.Point{X: float64(s), Y: r.Series.Earned[s] / r.Series.Asked[s]})
+				chart.Lines[0].Points = append(chart.Lines[0].Points, htmlreport.Point{X: float64(s), Y: r.Series.Earned[s] / r.Series.Asked[s]})
 			}
 		}
 	}
@@ -142,6 +142,6 @@
 		return nil, err
 	}
 	var out bytes.Buffer
-	err = t.Execute(&out, map[string]any{"Result": r, "Style": page.Style, "Chart": chart.SVG(), "Lines": r.Lines(), "Kept": r.Kept()})
+	err = t.Execute(&out, map[string]any{"Result": r, "Style": htmlreport.Style, "Chart": chart.SVG(), "Lines": r.Lines(), "Kept": r.Kept()})
 	return out.Bytes(), err
 }
--- a/internal/rollout/page.go
+++ b/internal/rollout/page.go
@@ -10,7 +10,7 @@
 	"slices"
 	"time"
 
-	"yokeroute/internal/page"
+	"yokeroute/internal/htmlreport"
 )
 
 //go:embed page.html
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := pageView{Status: s, Style: page.Style, When: time.UnixMilli(int64(s.At)).UTC().Format(time.RFC3339)}
+	v := pageView{Status: s, Style: htmlreport.Style, When: time.UnixMilli(int64(s.At)).UTC().Format(time.RFC3339)}
 	if v.Log, err = Log(folder); err != nil {
 		return nil, err
 	}
@@ -58,7 +58,7 @@
 
 func charts(moments []Moment) (all []pageChart) {
 	minutes := func(m *Moment) float64 { return (m.At - moments[0].At) / 60_000 }
-	var marks []page.Mark
+	var marks []htmlreport.Mark
 	stage := ""
 	for i := range moments {
 		m := &moments[i]
@@ -67,16 +67,16 @@
 			if m.Phase == "going back" {
 				name = "back"
 			}
-			marks = append(marks, page.Mark{X: minutes(m), Name: name})
+			marks = append(marks, htmlreport.Mark{X: minutes(m), Name: name})
 			stage = now
 		}
 	}
-	count := page.Chart{X: "minutes", Y: "gatherers", Marks: marks, Lines: []page.Line{{Name: "old"}, {Name: "new"}, {Name: "not reached"}}}
+	count := htmlreport.Chart{X: "minutes", Y: "gatherers", Marks: marks, Lines: []htmlreport.Line{{Name: "old"}, {Name: "new"}, {Name: "not reached"}}}
 	indexes := map[string]bool{}
 	for i := range moments {
 		m := &moments[i]
 		for l, n := range []int{m.Old, m.New, m.Away} {
-			count.Lines[l].Points = append(count.Lines[l].Points, page.Point{X: minutes(m), Y: float64(n)})
+			count.Lines[l].Points = append(count.Lines[l].Points, htmlreport.Point{X: minutes(m), Y: float64(n)})
 		}
 		for name := range m.Indexes {
 			indexes[name] = true
@@ -89,7 +89,7 @@
 			share        func(s Sum) float64
 		}{{"Value", "What lookups earned of what they could, old and new side by side.", func(s Sum) float64 { return s.Value / s.Lookups }},
 			{"Nacked", "Share of lookups that were nacked.", func(s Sum) float64 { return s.Nacked / s.Lookups }}} {
-			c := page.Chart{X: "minutes", Y: "share of lookups", High: 1, Marks: marks, Lines: []page.Line{{Name: "old"}, {Name: "new"}}}
+			c := htmlreport.Chart{X: "minutes", Y: "share of lookups", High: 1, Marks: marks, Lines: []htmlreport.Line{{Name: "old"}, {Name: "new"}}}
 			for i := range moments {
 				m := &moments[i]
 				for side := range 2 {
@@ -97,7 +97,7 @@
 					if s := m.Indexes[index][side]; s.Lookups > 0 {
 						y = what.share(s)
 					}
-					c.Lines[side].Points = append(c.Lines[side].Points, page.Point{X: minutes(m), Y: y})
+					c.Lines[side].Points = append(c.Lines[side].Points, htmlreport.Point{X: minutes(m), Y: y})
 				}
 			}
 			all = append(all, pageChart{what.title + ", index " + index, what.words, c.SVG()})
--- a/internal/study/charts.go
+++ b/internal/study/charts.go
@@ -14,7 +14,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 
 	"yokeroute/internal/emulator"
-	"yokeroute/internal/page"
+	"yokeroute/internal/htmlreport"
 )
 
 // Chart is a picture with the words that belong to it.
@@ -103,7 +103,7 @@
 	if err != nil {
 		return err
 	}
-	ink := page.Inks[i%len(page.Inks)]
+	ink := htmlreport.Inks[i%len(htmlreport.Inks)]
 	l.Color, l.Width = ink.Color, vg.Points(1.4)
 	for _, length := range ink.Dashes {
 		l.Dashes = append(l.Dashes, vg.Points(length))
@@ -229,7 +229,7 @@
 		if err != nil {
 			return nil, err
 		}
-		bars.Color, bars.LineStyle.Width = page.Inks[i%len(page.Inks)].Color, 0
+		bars.Color, bars.LineStyle.Width = htmlreport.Inks[i%len(htmlreport.Inks)].Color, 0
 		if below != nil {
 			bars.StackOn(below)
 		}
@@ -267,7 +267,7 @@
 		if err != nil {
 			return nil, err
 		}
-		errs.Color = page.Inks[i%len(page.Inks)].Color
+		errs.Color = htmlreport.Inks[i%len(htmlreport.Inks)].Color
 		p.Add(errs)
 	}
 	p.NominalX(values...)
--- a/internal/study/report.go
+++ b/internal/study/report.go
@@ -7,7 +7,7 @@
 	"regexp"
 	"strings"
 
-	"yokeroute/internal/page"
+	"yokeroute/internal/htmlreport"
 )
 
 //go:embed report.html
@@ -38,7 +38,7 @@
 	if err != nil {
 		return nil, err
 	}
-	v := view{Results: r, Style: page.Style}
+	v := view{Results: r, Style: htmlreport.Style}
 	for _, c := range charts {
 		svg := head.ReplaceAllString(string(c.SVG), "$1")
 		v.Charts = append(v.Charts, chartView{c.Title, c.Words, template.HTML(svg)})
