--- a/internal/processes/live.go
+++ b/internal/processes/live.go
@@ -7,8 +7,8 @@
 	"strings"
 	"time"
 
-	"yokeroute/internal/look"
 	"yokeroute/internal/process"
+	"yokeroute/internal/termstyle"
 
 	tea "github.com/charmbracelet/bubbletea"
 )
@@ -127,9 +127,9 @@
 func (s *screen) View() string {
 	var b strings.Builder
 	t := s.f.Front.Total()
-	fmt.Fprintln(&b, look.Strong.Render("yokeroute-testbed fleet")+look.Faint.Render(fmt.Sprintf("  %s, %d gatherers, %d servers", s.f.Scenario.Name, len(s.f.Gatherers), len(s.f.Servers))))
+	fmt.Fprintln(&b, termstyle.Strong.Render("yokeroute-testbed fleet")+termstyle.Faint.Render(fmt.Sprintf("  %s, %d gatherers, %d servers", s.f.Scenario.Name, len(s.f.Gatherers), len(s.f.Servers))))
 	fmt.Fprintf(&b, "operations %d   earned %.1f%%   nacked %d   failed or lost %d\n\n", t.Operations, 100*t.Value/max(t.Asked, 1e-9), t.Endings[Nacked], t.Endings[Failed]+t.Endings[Lost])
-	fmt.Fprintln(&b, look.Strong.Render(fmt.Sprintf("  %-6s %-10s %-10s %8s %8s", "name", "hall", "state", "cpu s", "MB")))
+	fmt.Fprintln(&b, termstyle.Strong.Render(fmt.Sprintf("  %-6s %-10s %-10s %8s %8s", "name", "hall", "state", "cpu s", "MB")))
 	from := max(min(s.at-s.rows/2, len(s.f.Gatherers)-s.rows), 0)
 	for i, g := range s.f.Gatherers[from:min(from+s.rows, len(s.f.Gatherers))] {
 		p, state, use := g.Process(), "serves", process.Use{}
@@ -145,21 +145,21 @@
 		line := fmt.Sprintf("  %-6s %-10s %-10s %8.1f %8.0f", g.Name, g.Hall, state, use.CPU, use.Memory)
 		switch {
 		case from+i == s.at:
-			line = look.Chosen.Render(line)
+			line = termstyle.Chosen.Render(line)
 		case state != "serves":
-			line = look.Alarm.Render(line)
+			line = termstyle.Alarm.Render(line)
 		}
 		fmt.Fprintln(&b, line)
 	}
 	fmt.Fprintln(&b)
 	said := s.f.Said()
 	for _, line := range said[max(len(said)-5, 0):] {
-		fmt.Fprintln(&b, look.Faint.Render(line))
+		fmt.Fprintln(&b, termstyle.Faint.Render(line))
 	}
 	var help []string
 	for _, k := range keys {
 		help = append(help, k.key+" "+k.help)
 	}
-	fmt.Fprintln(&b, "\n"+look.Faint.Render("up/down choose   "+strings.Join(help, "   ")+"   q quit"))
+	fmt.Fprintln(&b, "\n"+termstyle.Faint.Render("up/down choose   "+strings.Join(help, "   ")+"   q quit"))
 	return b.String()
 }
--- a/internal/look/look.go
+++ b/internal/termstyle/look.go
@@ -1,5 +1,5 @@
 // Package look is how the screens of commands mark what they show, alike in all of them.
-package look
+package termstyle
 
 import "github.com/charmbracelet/lipgloss"
 
