--- a/internal/report/count.go
+++ b/internal/report/count.go
@@ -10,9 +10,9 @@
 	"syscall"
 
 	"yokeroute/gather"
-	"yokeroute/internal/formats"
 	"yokeroute/internal/pick"
 	"yokeroute/internal/process"
+	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/version"
 	"yokeroute/logic/phases"
 	"yokeroute/logic/rollout"
--- a/internal/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -10,7 +10,6 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
 	"yokeroute/internal/emulator"
-	"yokeroute/internal/formats"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/report"
 	"yokeroute/internal/rollout"
@@ -18,11 +17,12 @@
 	"yokeroute/internal/segments"
 	"yokeroute/internal/state"
 	"yokeroute/internal/steward"
+	"yokeroute/internal/storage/formats"
 )
 
 // TestPage wants the table in docs to be the one here.
 func TestPage(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("..", "..", "docs", "operate", "versions.md"))
+	text, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "operate", "versions.md"))
 	if err != nil || !strings.Contains(string(text), formats.Table()) {
 		t.Errorf("docs/operate/versions.md lacks the table as it is: %v\n%s", err, formats.Table())
 	}
