--- a/internal/policy/fence.go
+++ b/internal/policy/fence.go
@@ -8,7 +8,7 @@
 	"os"
 	"path/filepath"
 
-	"yokeroute/internal/state"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/policy"
 )
 
@@ -59,5 +59,5 @@
 	if err != nil {
 		return err
 	}
-	return state.Replace(filepath.Join(folder, fenceName), text)
+	return statedir.Replace(filepath.Join(folder, fenceName), text)
 }
--- a/internal/rollout/control.go
+++ b/internal/rollout/control.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/state"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
 
@@ -84,7 +84,7 @@
 	carrier carrier
 	decider rollout.Judge
 	means   Means
-	own     *state.Run
+	own     *statedir.Run
 	fence   uint64
 	run     string // by which gatherers know this rollout
 	word    string // the operator's last one that was heeded
@@ -124,7 +124,7 @@
 func (c *Controller) open(ctx context.Context, over bool) error {
 	p := c.p
 	var err error
-	if c.own, err = state.OpenRun(p.Folder, over); errors.Is(err, state.ErrHeld) {
+	if c.own, err = statedir.OpenRun(p.Folder, over); errors.Is(err, statedir.ErrHeld) {
 		holder := "unknown"
 		if s, err := ReadStatus(p.Folder); err == nil {
 			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.At)/1000)
@@ -202,7 +202,7 @@
 		all = append(all, rec)
 		return nil
 	})
-	if errors.Is(err, state.ErrDamaged) {
+	if errors.Is(err, statedir.ErrDamaged) {
 		err = fmt.Errorf("%w; docs/operate/rollout.md tells how to go back by hand", err)
 	}
 	if err != nil {
@@ -370,7 +370,7 @@
 }
 
 // Say leaves an operator's word (stop, back or resume) for the controller, that of now or the next one.
-func Say(folder, word string) error { return state.Say(folder, word, time.Now().UnixNano()) }
+func Say(folder, word string) error { return statedir.Say(folder, word, time.Now().UnixNano()) }
 
 func (c *Controller) status(o *rollout.Observation, d rollout.Decision) *Status {
 	s := &Status{Form: statusForm, Name: c.p.Name, Plan: c.p.File, At: o.Now, Fence: c.fence, PID: os.Getpid(), Phase: d.Phase, Stage: c.p.Stages[min(d.Stage, len(c.p.Stages)-1)].Name, Verdict: d.Verdict.String(), Why: d.Why, Indexes: map[string][2]Sum{}}
@@ -472,7 +472,7 @@
 
 // Log is what the journals of a rollout tell, in words.
 func Log(folder string) (lines []string, err error) {
-	err = state.ReadRun(folder, func(text []byte) error {
+	err = statedir.ReadRun(folder, func(text []byte) error {
 		var rec rollout.Record
 		if err := json.Unmarshal(text, &rec); err != nil || rec.Form != rollout.RecordForm {
 			return fmt.Errorf("a record of another form: %.80q", text)
--- a/internal/rollout/kept_test.go
+++ b/internal/rollout/kept_test.go
@@ -15,7 +15,7 @@
 
 	"yokeroute/internal/process"
 	"yokeroute/internal/report"
-	"yokeroute/internal/state"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
 
@@ -89,7 +89,7 @@
 // writeFolder has a controller with a clock that stands write a rollout's folder.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
-	own, err := state.OpenRun(folder, false)
+	own, err := statedir.OpenRun(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := state.Say(folder, "stop", 1796168075012746801); err != nil {
+	if err := statedir.Say(folder, "stop", 1796168075012746801); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -182,7 +182,7 @@
 			t.Errorf("record %d reads %q, want %q", i, line, keptLines[i])
 		}
 	}
-	own, err := state.OpenRun(folder, false)
+	own, err := statedir.OpenRun(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -26,7 +26,7 @@
 	"yokeroute/internal/plans"
 	"yokeroute/internal/segments"
 	"yokeroute/internal/shardcall"
-	"yokeroute/internal/state"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/internal/trace"
 	"yokeroute/logic/owners"
 )
@@ -46,7 +46,7 @@
 	server    *front.Server
 	traces    *trace.Recorder
 	record    *trace.File
-	ledger    *state.Gatherer
+	ledger    *statedir.Gatherer
 	tells     *tells // nil where it tells nothing of itself
 	handover  *handover
 	governed  *governed // nil where no policy is followed
@@ -73,7 +73,7 @@
 	}
 	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: pick.New(c.Seed, settings, log)}
 	if own.Keep > 0 {
-		ledger, found, err := state.OpenGatherer(own.State, int64(own.StateMost), own.Keep, s.Picker.Now())
+		ledger, found, err := statedir.OpenGatherer(own.State, int64(own.StateMost), own.Keep, s.Picker.Now())
 		if err != nil {
 			return nil, err
 		}
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -10,7 +10,7 @@
 	"yokeroute/internal/pick"
 	"yokeroute/internal/report"
 	"yokeroute/internal/shardcall"
-	"yokeroute/internal/state"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/internal/version"
 )
 
@@ -73,12 +73,12 @@
 
 // handover wires what a gatherer leaves to its successor. A nil one leaves nothing.
 type handover struct {
-	*state.Handover
+	*statedir.Handover
 	log *logrus.Logger
 }
 
 func openHandover(folder string, log *logrus.Logger) (*handover, error) {
-	h, err := state.OpenHandover(folder)
+	h, err := statedir.OpenHandover(folder)
 	if h == nil {
 		return nil, err
 	}
--- a/internal/state/claims.go
+++ b/internal/storage/statedir/claims.go
@@ -1,4 +1,4 @@
-package state
+package statedir
 
 import (
 	"cmp"
--- a/internal/state/journal.go
+++ b/internal/storage/statedir/journal.go
@@ -2,7 +2,7 @@
 // checksums and, now and then, a snapshot in place of all before it. What Append has returned from is there after a
 // crash; what a crash tore, at any byte, is not, and is told from what was damaged before. Size and time to recover
 // are bounded by the snapshot and one journal behind it.
-package state
+package statedir
 
 import (
 	"bufio"
