--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -22,7 +22,7 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/service"
 	"yokeroute/internal/standin/shards"
 	"yokeroute/logic/phases"
@@ -232,9 +232,9 @@
 // counter counts what is decided; it is a pick.Tracer.
 type counter struct{ d *Demo }
 
-func (c counter) Opened(*pick.Lookup, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
+func (c counter) Opened(*dispatch.Lookup, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
 
-func (c counter) Sent(call *pick.Call, _ float64) {
+func (c counter) Sent(call *dispatch.Call, _ float64) {
 	n := &c.d.Counts
 	n.Calls.Add(1)
 	switch lk := call.Lookup(); {
@@ -245,7 +245,7 @@
 	}
 }
 
-func (c counter) Heard(_ *pick.Call, outcome gather.Outcome, _ float64, _ *phases.Summary) {
+func (c counter) Heard(_ *dispatch.Call, outcome gather.Outcome, _ float64, _ *phases.Summary) {
 	switch outcome {
 	case gather.Succeeded:
 		c.d.Counts.Answered.Add(1)
@@ -256,18 +256,18 @@
 	}
 }
 
-func (c counter) Closed(*pick.Lookup, *phases.Next, float64) {}
+func (c counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
-func (c counter) Ended(_ *pick.Lookup, v pick.Verdict, _ float64) {
+func (c counter) Ended(_ *dispatch.Lookup, v dispatch.Verdict, _ float64) {
 	n := &c.d.Counts
 	switch {
-	case v.Kind == pick.Satisfied && v.Whole:
+	case v.Kind == dispatch.Satisfied && v.Whole:
 		n.Satisfied.Add(1)
-	case v.Kind == pick.Satisfied:
+	case v.Kind == dispatch.Satisfied:
 		n.Partial.Add(1)
-	case v.Kind == pick.Nacked:
+	case v.Kind == dispatch.Nacked:
 		n.Nacked.Add(1)
-	case v.Kind == pick.Left:
+	case v.Kind == dispatch.Left:
 		n.Left.Add(1)
 	default:
 		n.Aborted.Add(1)
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -4,8 +4,8 @@
 	"fmt"
 	"slices"
 
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/pick"
 	"yokeroute/internal/rules"
 	"yokeroute/logic/owners"
 )
@@ -52,7 +52,7 @@
 	number uint64
 	ask    *ask
 	g      *gatherer
-	pick   *pick.Lookup
+	pick   *dispatch.Lookup
 	over   bool // its gatherer has answered it or died
 	gone   bool // its client has given it up
 }
@@ -224,10 +224,10 @@
 // take hands a lookup to its gatherer.
 func (w *World) take(g *gatherer, lk *lookup, until float64) {
 	k := lk.ask
-	p := &pick.Lookup{ID: fmt.Sprint(lk.number), Index: k.ix.Name, Customer: k.customer.Name, GiveUpAt: w.begin + until + g.offset, Retry: k.tried > 1, Tag: lk}
+	p := &dispatch.Lookup{ID: fmt.Sprint(lk.number), Index: k.ix.Name, Customer: k.customer.Name, GiveUpAt: w.begin + until + g.offset, Retry: k.tried > 1, Tag: lk}
 	parts := make([]rules.Part, 0, len(k.parts))
 	for _, pt := range k.parts {
-		p.Parts = append(p.Parts, pick.Part{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
+		p.Parts = append(p.Parts, dispatch.Part{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
 		p.Cost += pt.hint
 		part := rules.Part{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
@@ -241,7 +241,7 @@
 	g.taken++
 	if !g.picker.Take(p) { // more than a gatherer may hold
 		lk.over = true
-		w.answered(g, lk, pick.Verdict{Kind: pick.Nacked})
+		w.answered(g, lk, dispatch.Verdict{Kind: dispatch.Nacked})
 		return
 	}
 	g.held[lk] = true
@@ -259,12 +259,12 @@
 }
 
 // answered carries a lookup's final answer to its client.
-func (w *World) answered(g *gatherer, lk *lookup, v pick.Verdict) {
+func (w *World) answered(g *gatherer, lk *lookup, v dispatch.Verdict) {
 	e := rules.Event{Gatherer: g.number, Lookup: lk.number}
 	switch v.Kind {
-	case pick.Left:
+	case dispatch.Left:
 		e.Kind = rules.Left
-	case pick.Satisfied:
+	case dispatch.Satisfied:
 		e.Kind, e.Whole = rules.Answered, v.Whole
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
@@ -275,17 +275,17 @@
 			}
 		}
 		e.In = append(e.In, v.Empty...)
-	case pick.Nacked:
+	case dispatch.Nacked:
 		e.Kind = rules.Nacked
 	default:
 		e.Kind = rules.Aborted
 	}
-	if v.Kind == pick.Broken {
+	if v.Kind == dispatch.Broken {
 		w.broken++
 	}
 	w.see(e)
 	w.verdicts[v.Kind]++
-	if v.Kind == pick.Left {
+	if v.Kind == dispatch.Left {
 		return
 	}
 	w.in(w.sc.Clients.Latency, func() {
@@ -295,9 +295,9 @@
 		lk.gone = true
 		k := lk.ask
 		switch v.Kind {
-		case pick.Satisfied:
+		case dispatch.Satisfied:
 			w.earn(k, &v)
-		case pick.Nacked:
+		case dispatch.Nacked:
 			wait := v.ComeBack
 			if wait == 0 {
 				wait = w.sc.Clients.Wait
@@ -310,7 +310,7 @@
 }
 
 // earn books a satisfied lookup.
-func (w *World) earn(k *ask, v *pick.Verdict) {
+func (w *World) earn(k *ask, v *dispatch.Verdict) {
 	if k.ended {
 		return
 	}
--- a/internal/emulator/gatherer.go
+++ b/internal/emulator/gatherer.go
@@ -7,8 +7,8 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/pick"
 	"yokeroute/internal/rules"
 	"yokeroute/logic/owners"
 	"yokeroute/logic/phases"
@@ -20,7 +20,7 @@
 	hall     int
 	seed     uint64
 	offset   float64 // of its clock
-	picker   *pick.Picker
+	picker   *dispatch.Picker
 	alive    bool
 	down     int
 	epoch    int // of its process
@@ -47,7 +47,7 @@
 	g        *gatherer
 	epoch    int // of the gatherer's process
 	lk       *lookup
-	call     *pick.Call
+	call     *dispatch.Call
 	conn     *conn
 	task     *task
 	work     float64
@@ -73,9 +73,9 @@
 	log := w.log
 	settings := g.settings
 	if w.owned != nil {
-		settings = pick.OwnedTerms(settings, w.sc.Owned.Most)
+		settings = dispatch.OwnedTerms(settings, w.sc.Owned.Most)
 	}
-	g.picker = pick.NewPlayed(g.seed+uint64(g.epoch), settings, w.variant.module(w, g), func() float64 { return w.clock(g) }, log)
+	g.picker = dispatch.NewPlayed(g.seed+uint64(g.epoch), settings, w.variant.module(w, g), func() float64 { return w.clock(g) }, log)
 	if marked := w.marked(); len(marked) > 0 && w.variant.Phases {
 		g.picker.Phases(marked)
 	}
@@ -177,7 +177,7 @@
 	w.round(g)
 }
 
-func (w *World) orders(g *gatherer, o pick.Orders) {
+func (w *World) orders(g *gatherer, o dispatch.Orders) {
 	for _, c := range o.Stop {
 		if a, out := c.Tag.(*attempt); out && !a.written {
 			w.ends(a, gather.NotSent, nil)
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/rules"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
@@ -71,7 +71,7 @@
 	result  *Result
 
 	rounds, tries, sent, crossed, fallen, broken, gaveUp, aborted int
-	verdicts                                                      map[pick.Kind]int
+	verdicts                                                      map[dispatch.Kind]int
 	ended                                                         map[gather.Outcome]int
 	causes                                                        [causeKinds]int
 }
@@ -98,7 +98,7 @@
 // begin sets a day up.
 func begin(sc *Scenario, o Options) (*World, error) {
 	w := &World{sc: sc, seed: o.Seed, variant: &o.Variant, begin: dayBegins, log: quietLog(), byID: map[uint32]*server{}, listLag: 1, number: 1,
-		header: sc.Header(), result: newResult(sc, o), verdicts: map[pick.Kind]int{}, ended: map[gather.Outcome]int{}}
+		header: sc.Header(), result: newResult(sc, o), verdicts: map[dispatch.Kind]int{}, ended: map[gather.Outcome]int{}}
 	w.build()
 	if sc.Owned.Segments > 0 {
 		if err := w.settleSegments(); err != nil {
@@ -212,7 +212,7 @@
 		g.offset = (2*clocks.Float64() - 1) * sc.Gatherers.Clock
 		g.settings = sc.Settings(n, sc.Halls[g.hall])
 		g.silence = math.Inf(1)
-		if s := pick.Silence(g.settings); s < 1e9 {
+		if s := dispatch.Silence(g.settings); s < 1e9 {
 			g.silence = s
 		}
 		for i, s := range w.servers {
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -5,26 +5,26 @@
 	"net/http"
 	"strconv"
 
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 )
 
 // answer writes a verdict. The values go out as the shard servers gave them.
-func answer(w http.ResponseWriter, v pick.Verdict) {
+func answer(w http.ResponseWriter, v dispatch.Verdict) {
 	h := w.Header()
 	switch v.Kind {
-	case pick.Satisfied:
+	case dispatch.Satisfied:
 		text := body200(v)
 		h.Set("Content-Type", "application/json")
 		h.Set("Content-Length", strconv.Itoa(len(text)))
 		w.Write(text) // an error here is a client that has gone; the server notices it as well
-	case pick.Nacked:
+	case dispatch.Nacked:
 		if v.ComeBack > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(v.ComeBack/1000, 'f', 3, 64))
 		}
 		refuse(w, http.StatusServiceUnavailable, "nacked")
-	case pick.Aborted:
+	case dispatch.Aborted:
 		refuse(w, http.StatusGatewayTimeout, "aborted")
-	case pick.Left: // as good as nobody reads it; without a word net/http would say that all is well
+	case dispatch.Left: // as good as nobody reads it; without a word net/http would say that all is well
 		refuse(w, http.StatusGatewayTimeout, "left")
 	default:
 		refuse(w, http.StatusInternalServerError, "failed")
@@ -40,7 +40,7 @@
 }
 
 // body200 is the body of an answer.
-func body200(v pick.Verdict) []byte {
+func body200(v dispatch.Verdict) []byte {
 	text := append([]byte(nil), `{"complete":`...)
 	text = strconv.AppendBool(text, v.Whole)
 	text = append(text, `,"hits":[`...)
--- a/internal/front/crossings_test.go
+++ b/internal/front/crossings_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 )
 
 // What comes between two lines of a shutdown, of a close and of a client that goes: each crossing is forced by the
@@ -75,7 +75,9 @@
 	}
 }
 
-func aborted(context.Context, *pick.Lookup) pick.Verdict { return pick.Verdict{Kind: pick.Aborted} }
+func aborted(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	return dispatch.Verdict{Kind: dispatch.Aborted}
+}
 
 // resting is a connection on which one request has been answered.
 func resting(t *testing.T, s *Server, address string) (*net.TCPConn, *bufio.Reader) {
@@ -162,9 +164,9 @@
 	text := post("/find", headers, parts)
 	for _, cut := range []int{1, 20, len(text) - 1, len(text)} {
 		gate := make(chan struct{}, 2)
-		f, s, address := start(t, 10, func(context.Context, *pick.Lookup) pick.Verdict {
+		f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
 			<-gate
-			return pick.Verdict{Kind: pick.Aborted}
+			return dispatch.Verdict{Kind: dispatch.Aborted}
 		})
 		c := dial(t, address)
 		r := bufio.NewReader(c)
@@ -289,9 +291,9 @@
 // The close over unread bytes reset the connection under the answer; it has to end.
 func TestAnswerCrossed(t *testing.T) {
 	more := make(chan struct{})
-	f, s, address := start(t, 10, func(ctx context.Context, _ *pick.Lookup) pick.Verdict {
+	f, s, address := start(t, 10, func(ctx context.Context, _ *dispatch.Lookup) dispatch.Verdict {
 		<-more
-		return pick.Verdict{Kind: pick.Aborted}
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	})
 	c := dial(t, address)
 	io.WriteString(c, post("/find", headers, parts))
@@ -346,10 +348,10 @@
 			"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		} {
 			noticed := make(chan struct{}, 1)
-			f, _, address := start(t, 10, func(ctx context.Context, _ *pick.Lookup) pick.Verdict {
+			f, _, address := start(t, 10, func(ctx context.Context, _ *dispatch.Lookup) dispatch.Verdict {
 				<-ctx.Done()
 				noticed <- struct{}{}
-				return pick.Verdict{Kind: pick.Left}
+				return dispatch.Verdict{Kind: dispatch.Left}
 			})
 			c := dial(t, address)
 			io.WriteString(c, post("/find", headers, parts))
@@ -393,8 +395,8 @@
 	f, s, _ := start(t, 10, aborted)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	v, err := s.decide(ctx, &pick.Lookup{ID: "a"}, nil)
-	if v.Kind != pick.Left || err != nil || len(f.took) > 0 {
+	v, err := s.decide(ctx, &dispatch.Lookup{ID: "a"}, nil)
+	if v.Kind != dispatch.Left || err != nil || len(f.took) > 0 {
 		t.Errorf("verdict %+v, %v, %d taken", v, err, len(f.took))
 	}
 }
@@ -403,9 +405,9 @@
 // the bytes came, and the connection ends with the answer where it is more than is kept.
 func TestBehindBytesServed(t *testing.T) {
 	gate := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *pick.Lookup) pick.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
 		<-gate
-		return pick.Verdict{Kind: pick.Aborted}
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	})
 	c := dial(t, address)
 	r := bufio.NewReader(c)
@@ -444,9 +446,9 @@
 // its connection ends.
 func TestTooMuchBehind(t *testing.T) {
 	gate := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *pick.Lookup) pick.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
 		<-gate
-		return pick.Verdict{Kind: pick.Aborted}
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	})
 	c := dial(t, address)
 	io.WriteString(c, post("/find", headers, parts))
@@ -481,9 +483,9 @@
 // ends with that answer; it stayed open, and a next request there was answered by an empty 200.
 func TestTooMuchBehindRefused(t *testing.T) {
 	gate := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *pick.Lookup) pick.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
 		<-gate
-		return pick.Verdict{Kind: pick.Aborted}
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	})
 	defer close(gate)
 	io.WriteString(dial(t, address), post("/find", headers, parts))
--- a/internal/front/kept_test.go
+++ b/internal/front/kept_test.go
@@ -17,7 +17,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/logic/owners"
 )
 
@@ -29,37 +29,37 @@
 )
 
 // keptAnswers are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
-var keptAnswers = map[string]func(ctx context.Context, lk *pick.Lookup) pick.Verdict{
-	"served-complete": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
-		Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
-	"served-partial": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-escaped": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
-		Hits: []pick.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
-	"served-keys": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
-		Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &owners.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
-	"served-empty": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Empty: []int{3, 9}}),
-	"served-some-empty": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true,
-		Hits: []pick.Hit{{Shard: 9, Value: []byte("7c01")}}, Empty: []int{3}}),
-	"served-chunked-request": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-below-the-class": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-http-1.0":        keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"rejected":               keptAnswer(pick.Verdict{Kind: pick.Nacked}),
-	"rejected-retry-after":   keptAnswer(pick.Verdict{Kind: pick.Nacked, ComeBack: 412.5}),
-	"failed":                 keptAnswer(pick.Verdict{Kind: pick.Aborted}),
-	"internal-error":         keptAnswer(pick.Verdict{Kind: pick.Broken}),
-	"panicked":               func(context.Context, *pick.Lookup) pick.Verdict { panic("broken") },
-	"abandoned":              keptAnswer(pick.Verdict{Kind: pick.Left}),
-	"deadline-passed": func(ctx context.Context, lk *pick.Lookup) pick.Verdict {
+var keptAnswers = map[string]func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict{
+	"served-complete": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
+	"served-partial": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-escaped": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
+	"served-keys": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &owners.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
+	"served-empty": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Empty: []int{3, 9}}),
+	"served-some-empty": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+		Hits: []dispatch.Hit{{Shard: 9, Value: []byte("7c01")}}, Empty: []int{3}}),
+	"served-chunked-request": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-below-the-class": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-http-1.0":        keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"rejected":               keptAnswer(dispatch.Verdict{Kind: dispatch.Nacked}),
+	"rejected-retry-after":   keptAnswer(dispatch.Verdict{Kind: dispatch.Nacked, ComeBack: 412.5}),
+	"failed":                 keptAnswer(dispatch.Verdict{Kind: dispatch.Aborted}),
+	"internal-error":         keptAnswer(dispatch.Verdict{Kind: dispatch.Broken}),
+	"panicked":               func(context.Context, *dispatch.Lookup) dispatch.Verdict { panic("broken") },
+	"abandoned":              keptAnswer(dispatch.Verdict{Kind: dispatch.Left}),
+	"deadline-passed": func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict {
 		time.Sleep(time.Duration(lk.GiveUpAt-1000) * time.Millisecond)
-		return pick.Verdict{Kind: pick.Aborted}
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	},
-	"two-in-a-row":               keptAnswer(pick.Verdict{Kind: pick.Aborted}),
-	"bad-then-served":            keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-while-shutting-down": keptAnswer(pick.Verdict{Kind: pick.Satisfied, Whole: true, Hits: []pick.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"two-in-a-row":               keptAnswer(dispatch.Verdict{Kind: dispatch.Aborted}),
+	"bad-then-served":            keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-while-shutting-down": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
 }
 
-func keptAnswer(v pick.Verdict) func(context.Context, *pick.Lookup) pick.Verdict {
-	return func(context.Context, *pick.Lookup) pick.Verdict { return v }
+func keptAnswer(v dispatch.Verdict) func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	return func(context.Context, *dispatch.Lookup) dispatch.Verdict { return v }
 }
 
 // TestKeptTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
@@ -83,7 +83,7 @@
 				t.Fatal(err)
 			}
 			decide := keptAnswers[name]
-			f := &fake{make(chan *pick.Lookup, 10), decide}
+			f := &fake{make(chan *dispatch.Lookup, 10), decide}
 			got := converse(t, startKept(t, name, f), request)
 			want, err := os.ReadFile(strings.TrimSuffix(file, ".request") + ".response")
 			if err != nil {
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"strings"
 
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 )
 
 const (
@@ -46,7 +46,7 @@
 }
 
 // readHead takes from a request what stands before its body; its time counts from when it was sent.
-func (s *Server) readHead(r *http.Request, sent float64) (*pick.Lookup, error) {
+func (s *Server) readHead(r *http.Request, sent float64) (*dispatch.Lookup, error) {
 	index, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
 	case !s.indexes[index]:
@@ -58,7 +58,7 @@
 		return nil, &fault{http.StatusNotImplemented, "fingerprinted lookups cannot be passed on yet"}
 	}
 	h := r.Header
-	lk := &pick.Lookup{ID: h.Get("X-Request-ID"), Index: index, Customer: h.Get("X-Tenant-Id"),
+	lk := &dispatch.Lookup{ID: h.Get("X-Request-ID"), Index: index, Customer: h.Get("X-Tenant-Id"),
 		Key: h.Get("X-Route-Key"), Retry: h.Get("X-Retried") == "1"}
 	if len(h["X-Request-Id"]) != 1 || lk.ID == "" || len(lk.ID) > longestID ||
 		strings.ContainsFunc(lk.ID, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
@@ -76,7 +76,7 @@
 }
 
 // readBody takes the parts from a body.
-func (s *Server) readBody(lk *pick.Lookup, text []byte) error {
+func (s *Server) readBody(lk *dispatch.Lookup, text []byte) error {
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
 		return bad("body: %v", err)
@@ -103,7 +103,7 @@
 		seen[*p.Shard] = true
 		sum += *p.Weight
 		cost := p.Cost / 1000 // from microseconds
-		lk.Parts = append(lk.Parts, pick.Part{Shard: *p.Shard, Weight: *p.Weight, Cost: cost, Key: p.Key})
+		lk.Parts = append(lk.Parts, dispatch.Part{Shard: *p.Shard, Weight: *p.Weight, Cost: cost, Key: p.Key})
 		lk.Cost += cost
 	}
 	if math.Abs(sum-1) > rounding {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -16,12 +16,12 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 )
 
 // Picker decides about lookups; package pick has it.
 type Picker interface {
-	Pick(ctx context.Context, lk *pick.Lookup) pick.Verdict
+	Pick(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict
 	Now() float64
 }
 
@@ -223,7 +223,7 @@
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) error {
 	if s.conns.crowded() {
 		w.Header().Set("Connection", "close")
-		answer(w, pick.Verdict{Kind: pick.Nacked})
+		answer(w, dispatch.Verdict{Kind: dispatch.Nacked})
 		return nil
 	}
 	now := s.picker.Now()
@@ -266,7 +266,7 @@
 }
 
 // decide waits for a lookup's verdict, or until its client has gone.
-func (s *Server) decide(ctx context.Context, lk *pick.Lookup, conn *clientConn) (pick.Verdict, error) {
+func (s *Server) decide(ctx context.Context, lk *dispatch.Lookup, conn *clientConn) (dispatch.Verdict, error) {
 	ctx, gone := context.WithCancel(ctx)
 	defer gone()
 	if conn != nil {
@@ -275,11 +275,11 @@
 	}
 	h, err := s.hold(ctx, lk.ID)
 	if err != nil {
-		return pick.Verdict{}, err
+		return dispatch.Verdict{}, err
 	}
 	defer s.letGo(lk.ID, h)
 	if ctx.Err() != nil { // gone before anything is decided
-		return pick.Verdict{Kind: pick.Left}, nil
+		return dispatch.Verdict{Kind: dispatch.Left}, nil
 	}
 	return s.picker.Pick(ctx, lk), nil
 }
--- a/internal/pick/owned.go
+++ b/internal/gatherer/dispatch/owned.go
@@ -1,4 +1,4 @@
-package pick
+package dispatch
 
 import (
 	"slices"
--- a/internal/pick/pick.go
+++ b/internal/gatherer/dispatch/pick.go
@@ -3,7 +3,7 @@
 // Pick hands a lookup in and blocks until its final answer is decided. Tick blocks until a round is due,
 // runs it and gives back the part calls that it decided on. Report tells how a part call ended. One
 // goroutine, the one that calls Tick, owns the module; the others only leave what they have to say for it.
-package pick
+package dispatch
 
 import (
 	"context"
--- a/internal/policy/govern.go
+++ b/internal/policy/govern.go
@@ -8,7 +8,7 @@
 	"sync"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/shardcall"
 	"yokeroute/logic/policy"
 )
@@ -60,7 +60,7 @@
 	return nil
 }
 
-var _ pick.Governor = (*Governor)(nil)
+var _ dispatch.Governor = (*Governor)(nil)
 
 // refresh works out what follows from what is acted by, where that has changed. The lock is held.
 func (g *Governor) refresh(now float64) {
@@ -142,7 +142,7 @@
 
 // May reports whether a call may go now: not to a closed server, and where its lookup was decided by what does not
 // hold any more, not what is forbidden by now.
-func (g *Governor) May(a pick.Act, now float64) bool {
+func (g *Governor) May(a dispatch.Act, now float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
@@ -164,15 +164,15 @@
 
 // Answer gives the verdict that may be given now: one that was decided by what does not hold any more is an abort where
 // it would answer under the least share, or nack what may have run.
-func (g *Governor) Answer(a pick.Act, v pick.Verdict, share float64, ran bool, now float64) pick.Verdict {
+func (g *Governor) Answer(a dispatch.Act, v dispatch.Verdict, share float64, ran bool, now float64) dispatch.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
 	const rounding = 1e-4 // weights come rounded
 	switch {
 	case g.h.May(a.Way, now):
-	case v.Kind == pick.Satisfied && share < g.acts.Value(policy.Least, a.Index, 0)-rounding, v.Kind == pick.Nacked && ran && g.tightened(a.Index):
-		return pick.Verdict{Kind: pick.Aborted}
+	case v.Kind == dispatch.Satisfied && share < g.acts.Value(policy.Least, a.Index, 0)-rounding, v.Kind == dispatch.Nacked && ran && g.tightened(a.Index):
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	}
 	return v
 }
--- a/internal/policy/wire_test.go
+++ b/internal/policy/wire_test.go
@@ -12,7 +12,7 @@
 	"pgregory.net/rapid"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/shardcall"
 	"yokeroute/logic/policy"
 )
@@ -195,27 +195,27 @@
 		g.base.OverloadMultiple != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
 		t.Errorf("%v; %v", settings, g.closed)
 	}
-	call := pick.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
-	v := pick.Verdict{Kind: pick.Satisfied}
-	if !g.May(call, 500) || g.May(pick.Act{Way: way, Index: "any", Server: 2}, 500) || g.Answer(call, v, 0.6, true, 500).Kind != pick.Satisfied {
+	call := dispatch.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
+	v := dispatch.Verdict{Kind: dispatch.Satisfied}
+	if !g.May(call, 500) || g.May(dispatch.Act{Way: way, Index: "any", Server: 2}, 500) || g.Answer(call, v, 0.6, true, 500).Kind != dispatch.Satisfied {
 		t.Error("under the lease")
 	}
 	*now = 1000
-	for _, a := range []pick.Act{{Copy: true}, {Again: true}, {Further: true}} {
+	for _, a := range []dispatch.Act{{Copy: true}, {Again: true}, {Further: true}} {
 		a.Way, a.Index, a.Server = way, "any", 9
 		if g.May(a, 1000) {
 			t.Errorf("%+v goes after the lease", a)
 		}
 	}
-	if !g.May(pick.Act{Way: way, Index: "any", Server: 9}, 1000) || g.May(pick.Act{Way: way, Index: "any", Server: 1}, 1000) {
+	if !g.May(dispatch.Act{Way: way, Index: "any", Server: 9}, 1000) || g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1000) {
 		t.Error("a first call goes, but not to a host that the floor closes")
 	}
 	for _, c := range []struct {
-		v     pick.Verdict
+		v     dispatch.Verdict
 		share float64
 		ran   bool
-		want  pick.Kind
-	}{{v, 0.6, true, pick.Aborted}, {v, 0.95, true, pick.Satisfied}, {pick.Verdict{Kind: pick.Nacked}, 0, true, pick.Aborted}, {pick.Verdict{Kind: pick.Nacked}, 0, false, pick.Nacked}} {
+		want  dispatch.Kind
+	}{{v, 0.6, true, dispatch.Aborted}, {v, 0.95, true, dispatch.Satisfied}, {dispatch.Verdict{Kind: dispatch.Nacked}, 0, true, dispatch.Aborted}, {dispatch.Verdict{Kind: dispatch.Nacked}, 0, false, dispatch.Nacked}} {
 		if got := g.Answer(call, c.v, c.share, c.ran, 1000).Kind; got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
@@ -244,6 +244,6 @@
 	g.hear(0, policy.Word{Epoch: 1, Last: 1, Lease: 1e9})
 	way, _ := g.Acts(0)
 	for b.Loop() {
-		g.May(pick.Act{Way: way, Index: "any", Server: 1}, 1)
+		g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1)
 	}
 }
--- a/internal/report/count.go
+++ b/internal/report/count.go
@@ -10,7 +10,7 @@
 	"syscall"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/process"
 	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/version"
@@ -108,19 +108,19 @@
 }
 
 // Opened is counted by its end.
-func (c *Counter) Opened(*pick.Lookup, *phases.Choice, float64) {}
+func (c *Counter) Opened(*dispatch.Lookup, *phases.Choice, float64) {}
 
 // Sent is a decision; Written tells what went.
-func (c *Counter) Sent(*pick.Call, float64) {}
+func (c *Counter) Sent(*dispatch.Call, float64) {}
 
 // Closed is no end.
-func (c *Counter) Closed(*pick.Lookup, *phases.Next, float64) {}
+func (c *Counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
 // Answered is counted by Ended.
-func (c *Counter) Answered(*pick.Lookup, pick.Verdict, float64) {}
+func (c *Counter) Answered(*dispatch.Lookup, dispatch.Verdict, float64) {}
 
 // Written counts a part call whose bytes go.
-func (c *Counter) Written(call *pick.Call, _ float64) {
+func (c *Counter) Written(call *dispatch.Call, _ float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[call.Lookup().Index]
@@ -134,7 +134,7 @@
 }
 
 // Heard counts the end of a part call.
-func (c *Counter) Heard(call *pick.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
+func (c *Counter) Heard(call *dispatch.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[call.Lookup().Index]
@@ -146,7 +146,7 @@
 }
 
 // Ended counts a lookup.
-func (c *Counter) Ended(lk *pick.Lookup, v pick.Verdict, at float64) {
+func (c *Counter) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[lk.Index]
@@ -158,7 +158,7 @@
 	ix.Parts += int64(len(lk.Parts))
 	took := at - lk.Landed()
 	switch v.Kind {
-	case pick.Satisfied:
+	case dispatch.Satisfied:
 		value := 1.0
 		if v.Whole {
 			ix.Satisfied++
@@ -173,11 +173,11 @@
 		}
 		ix.Value += min(value, 1)
 		ix.Took.Add(took)
-	case pick.Nacked:
+	case dispatch.Nacked:
 		ix.Nacked++
-	case pick.Aborted:
+	case dispatch.Aborted:
 		ix.Aborted++
-	case pick.Left:
+	case dispatch.Left:
 		ix.Left++
 	default:
 		ix.Broken++
@@ -185,9 +185,9 @@
 }
 
 // weight is what is in of an answer in part.
-func weight(lk *pick.Lookup, v *pick.Verdict) (in float64) {
+func weight(lk *dispatch.Lookup, v *dispatch.Verdict) (in float64) {
 	for _, pt := range lk.Parts {
-		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h pick.Hit) bool { return h.Shard == pt.Shard }) {
+		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h dispatch.Hit) bool { return h.Shard == pt.Shard }) {
 			in += pt.Weight
 		}
 	}
--- a/internal/scale/connections.go
+++ b/internal/scale/connections.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/shardcall"
 )
 
@@ -125,14 +125,14 @@
 			{Name: "find", LatencyObjective: 30_000.0, Deadline: 60_000.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
 		},
 	}
-	picker := pick.New(1, settings, log)
+	picker := dispatch.New(1, settings, log)
 	pool := shardcall.New(settings, count, picker, log)
 	list, addresses := gather.EndpointList{Full: true}, make([]shardcall.Address, count)
-	lk := &pick.Lookup{ID: "scale", Index: "find", GiveUpAt: picker.Now() + 60_000, Text: []byte("q")}
+	lk := &dispatch.Lookup{ID: "scale", Index: "find", GiveUpAt: picker.Now() + 60_000, Text: []byte("q")}
 	for i := range count {
 		addresses[i] = shardcall.Address{ID: uint32(i), Name: fmt.Sprint("s", i), HostPort: address}
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), ReplicaSet: i})
-		lk.Parts = append(lk.Parts, pick.Part{Shard: i, Weight: 1 / float64(count)})
+		lk.Parts = append(lk.Parts, dispatch.Part{Shard: i, Weight: 1 / float64(count)})
 	}
 	pool.Follow(addresses)
 	picker.Follow(list)
@@ -147,7 +147,7 @@
 			pool.Carry(orders)
 		}
 	}()
-	if v := picker.Pick(ctx, lk); v.Kind != pick.Satisfied {
+	if v := picker.Pick(ctx, lk); v.Kind != dispatch.Satisfied {
 		return nil, fmt.Errorf("connections: the lookup over %d servers ended as %d", count, v.Kind)
 	}
 	return pool, nil
--- a/internal/service/governed.go
+++ b/internal/service/governed.go
@@ -9,7 +9,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/process"
 	"yokeroute/internal/shardcall"
@@ -26,7 +26,7 @@
 
 // govern makes it. A floor or a file that does not fit the platform's settings ends the start: without one the gatherer
 // would do what the rest of the fleet counts on it not to.
-func govern(c *platform.Config, own *operator.File, settings *gather.Settings, picker *pick.Picker, log *logrus.Logger) (*governed, error) {
+func govern(c *platform.Config, own *operator.File, settings *gather.Settings, picker *dispatch.Picker, log *logrus.Logger) (*governed, error) {
 	if own.Floor+own.Policy == "" {
 		return nil, nil
 	}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -22,7 +22,7 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/front"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/plans"
 	"yokeroute/internal/segments"
 	"yokeroute/internal/shardcall"
@@ -37,7 +37,7 @@
 
 // Service is one gatherer.
 type Service struct {
-	Picker *pick.Picker
+	Picker *dispatch.Picker
 
 	log       *logrus.Logger
 	pool      *shardcall.Pool
@@ -65,13 +65,13 @@
 		if settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		settings = pick.OwnedTerms(settings, own.MostOwned)
+		settings = dispatch.OwnedTerms(settings, own.MostOwned)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("plans and two phases go by groups of shards and are left out where segments have owners of their own")
 			own.Plan, own.Placement, own.TwoPhase = "", "", nil
 		}
 	}
-	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: pick.New(c.Seed, settings, log)}
+	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: dispatch.New(c.Seed, settings, log)}
 	if own.Keep > 0 {
 		ledger, found, err := statedir.OpenGatherer(own.State, int64(own.StateMost), own.Keep, s.Picker.Now())
 		if err != nil {
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -7,7 +7,7 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/report"
 	"yokeroute/internal/shardcall"
 	"yokeroute/internal/storage/statedir"
@@ -20,7 +20,7 @@
 	server  *report.Server
 }
 
-func newTells(c *platform.Config, own *operator.File, picker *pick.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
+func newTells(c *platform.Config, own *operator.File, picker *dispatch.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
 	counter := report.NewCounter(c.Name, c.Settings, picker.Now, pool)
 	counter.Policy = policy
 	server, err := report.Listen(own.Report, counter, ready, log)
--- a/internal/shardcall/pool.go
+++ b/internal/shardcall/pool.go
@@ -15,12 +15,12 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 )
 
 // Reporter hears how part calls ended and what came of probes; it must not block.
 type Reporter interface {
-	Report(c *pick.Call, outcome gather.Outcome, value []byte)
+	Report(c *dispatch.Call, outcome gather.Outcome, value []byte)
 	Sample(s gather.HealthCheckResult)
 }
 
@@ -56,7 +56,7 @@
 	agreeing chan struct{}
 	again    time.Duration // after which a server that could not be reached is asked again
 	servers  map[uint32]*server
-	attempts map[*pick.Call]*attempt
+	attempts map[*dispatch.Call]*attempt
 }
 
 // server is one shard server and the connections to it that may take calls.
@@ -82,7 +82,7 @@
 
 // attempt is a part call between its decision and its end.
 type attempt struct {
-	call    *pick.Call
+	call    *dispatch.Call
 	id      string
 	srv     *server
 	on      *conn
@@ -100,7 +100,7 @@
 	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(settings.ConnectTimeout),
 		grace: span(settings.DrainGrace), copies: settings.HedgingAllowed, perFrame: max(settings.RequestsPerCall, 1), perConn: settings.StreamsPerConnection,
-		servers: map[uint32]*server{}, attempts: map[*pick.Call]*attempt{}}
+		servers: map[uint32]*server{}, attempts: map[*dispatch.Call]*attempt{}}
 	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTime) }
 	if p.connectTime == 0 {
 		p.connectTime = defaultConnect
@@ -116,7 +116,7 @@
 	}
 	// On a machine that vanished, and where a connection has fallen silent, only a new one shows what is there.
 	p.silence = math.MaxInt64
-	if ms := pick.Silence(settings); ms < 1e9 {
+	if ms := dispatch.Silence(settings); ms < 1e9 {
 		p.silence = time.Duration(ms * 1e6)
 	}
 	for i := range settings.Classes {
@@ -170,7 +170,7 @@
 }
 
 // Carry does what a round has ordered. It does not wait for the network.
-func (p *Pool) Carry(o pick.Orders) {
+func (p *Pool) Carry(o dispatch.Orders) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// What ends goes first, against giving up a part of the same name that is only now asked for.
@@ -251,7 +251,7 @@
 
 // stop keeps a call from being written. One that is being written to a server that has stopped reading would
 // hold up its lookup's answer: it gets no more time, which breaks off nothing that the kernel still takes.
-func (p *Pool) stop(call *pick.Call) {
+func (p *Pool) stop(call *dispatch.Call) {
 	a := p.attempts[call]
 	switch {
 	case a == nil || a.written:
@@ -262,14 +262,14 @@
 	}
 }
 
-func (p *Pool) abandon(call *pick.Call, stage Stage, err error) {
+func (p *Pool) abandon(call *dispatch.Call, stage Stage, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.abandonLocked(call, stage, err)
 }
 
 // abandonLocked gives up a call that is still out; one whose bytes have not begun to go was never sent.
-func (p *Pool) abandonLocked(call *pick.Call, stage Stage, err error) {
+func (p *Pool) abandonLocked(call *dispatch.Call, stage Stage, err error) {
 	a := p.attempts[call]
 	if a == nil {
 		return
--- a/internal/shardcall/pool_test.go
+++ b/internal/shardcall/pool_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/standin"
 )
 
@@ -22,7 +22,7 @@
 // index with replicas by group; with one server the decisions are plain.
 type desk struct {
 	*Pool
-	picker  *pick.Picker
+	picker  *dispatch.Picker
 	reports chan report
 	samples chan gather.HealthCheckResult
 }
@@ -33,7 +33,7 @@
 	value   string
 }
 
-func (d *desk) Report(c *pick.Call, outcome gather.Outcome, value []byte) {
+func (d *desk) Report(c *dispatch.Call, outcome gather.Outcome, value []byte) {
 	d.reports <- report{c.ID(), outcome, string(value)}
 	d.picker.Report(c, outcome, value)
 }
@@ -61,7 +61,7 @@
 	if change != nil {
 		change(settings)
 	}
-	d := &desk{picker: pick.New(1, settings, quiet()), reports: make(chan report, 100), samples: make(chan gather.HealthCheckResult, 100)}
+	d := &desk{picker: dispatch.New(1, settings, quiet()), reports: make(chan report, 100), samples: make(chan gather.HealthCheckResult, 100)}
 	d.Pool = New(settings, 100, d, quiet())
 	d.list(address, gather.Running)
 	ctx, stop := context.WithCancel(t.Context())
@@ -90,12 +90,12 @@
 }
 
 // ask sends a lookup of so many parts on its way and gives back how it will end.
-func (d *desk) ask(ctx context.Context, id string, parts int, wait float64) <-chan pick.Verdict {
-	lk := &pick.Lookup{ID: id, Index: "i", GiveUpAt: d.picker.Now() + wait, Text: []byte("text of " + id)}
+func (d *desk) ask(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Verdict {
+	lk := &dispatch.Lookup{ID: id, Index: "i", GiveUpAt: d.picker.Now() + wait, Text: []byte("text of " + id)}
 	for shard := range parts {
-		lk.Parts = append(lk.Parts, pick.Part{Shard: shard, Weight: 1 / float64(parts)})
+		lk.Parts = append(lk.Parts, dispatch.Part{Shard: shard, Weight: 1 / float64(parts)})
 	}
-	done := make(chan pick.Verdict, 1)
+	done := make(chan dispatch.Verdict, 1)
 	go func() { done <- d.picker.Pick(ctx, lk) }()
 	return done
 }
@@ -148,10 +148,10 @@
 			c.act(conn, "a.0")
 			d.want(t, "a.0", c.want)
 			v := <-done
-			if (v.Kind == pick.Satisfied) != (c.want == gather.Succeeded) {
+			if (v.Kind == dispatch.Satisfied) != (c.want == gather.Succeeded) {
 				t.Errorf("verdict %+v", v)
 			}
-			if v.Kind == pick.Nacked && !c.want.NeverExecuted() {
+			if v.Kind == dispatch.Nacked && !c.want.NeverExecuted() {
 				t.Error("nacked, though it may have run")
 			}
 			if c.broken {
@@ -162,7 +162,7 @@
 				t.Errorf("the connection was not used again: %+v", f)
 			}
 			conn.Answer("b.0", "ok", "w")
-			if v := <-done; v.Kind != pick.Satisfied || string(v.Hits[0].Value) != "w" {
+			if v := <-done; v.Kind != dispatch.Satisfied || string(v.Hits[0].Value) != "w" {
 				t.Errorf("verdict %+v", v)
 			}
 		})
@@ -179,7 +179,7 @@
 		conn := shard.Take()
 		conn.Read()
 		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+more) // in one write
-		if v := <-done; v.Kind != pick.Satisfied {
+		if v := <-done; v.Kind != dispatch.Satisfied {
 			t.Errorf("verdict %+v", v)
 		}
 		done = d.ask(t.Context(), "b", 1, 2000)
@@ -188,7 +188,7 @@
 			t.Errorf("frame %+v on the next connection", f)
 		}
 		next.Answer("b.0", "ok", "w")
-		if v := <-done; v.Kind != pick.Satisfied {
+		if v := <-done; v.Kind != dispatch.Satisfied {
 			t.Errorf("verdict %+v", v)
 		}
 		if f := conn.Read(); f.Letter != 0 {
@@ -210,7 +210,7 @@
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	conn.Answer("b.0", "ok", "w")
-	if v := <-done; v.Kind != pick.Satisfied || string(v.Hits[0].Value) != "w" {
+	if v := <-done; v.Kind != dispatch.Satisfied || string(v.Hits[0].Value) != "w" {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -246,7 +246,7 @@
 	d := newDesk(t, shard.Address(), nil)
 	done := d.ask(t.Context(), "a", 1, 2000)
 	d.want(t, "a.0", gather.ConnectFailed)
-	if v := <-done; v.Kind != pick.Nacked {
+	if v := <-done; v.Kind != dispatch.Nacked {
 		t.Errorf("verdict %+v: it never ran, so that the client may come again", v)
 	}
 }
@@ -335,7 +335,7 @@
 			seen[p.ID] = true
 		}
 	}
-	if v := <-done; len(seen) != 6 || v.Kind != pick.Satisfied || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
+	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Satisfied || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
 		t.Errorf("asked %v, verdict %+v", seen, v)
 	}
 	if n := d.sockets(); n != 2 {
@@ -396,7 +396,7 @@
 	conn := shard.Take()
 	conn.Read()
 	leave()
-	if v := <-done; v.Kind != pick.Left {
+	if v := <-done; v.Kind != dispatch.Left {
 		t.Errorf("verdict %+v", v)
 	}
 	d.want(t, "a.0", gather.Cancelled)
@@ -423,7 +423,7 @@
 	})
 	done := d.ask(t.Context(), "a", 1, 60)
 	shard.Take().Read()
-	if v := <-done; v.Kind != pick.Aborted {
+	if v := <-done; v.Kind != dispatch.Aborted {
 		t.Errorf("verdict %+v: it may have run", v)
 	}
 	d.ask(t.Context(), "b", 1, 2000)
@@ -503,7 +503,7 @@
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.0", "ok", "v")
-	if v := <-done; v.Kind != pick.Satisfied {
+	if v := <-done; v.Kind != dispatch.Satisfied {
 		t.Errorf("verdict %+v: what was out may still be answered", v)
 	}
 	if f := conn.Read(); f.Letter != 0 {
--- a/internal/shardcall/probe_test.go
+++ b/internal/shardcall/probe_test.go
@@ -4,13 +4,13 @@
 	"testing"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/standin"
 )
 
 // load asks for a load and gives back what came of it.
 func (d *desk) load() gather.HealthCheckResult {
-	d.Carry(pick.Orders{Probes: []uint32{7}})
+	d.Carry(dispatch.Orders{Probes: []uint32{7}})
 	return <-d.samples
 }
 
@@ -56,7 +56,7 @@
 		t.Errorf("silent: %+v", s)
 	}
 	conn := <-conns
-	d.Carry(pick.Orders{Probes: []uint32{7}})
+	d.Carry(dispatch.Orders{Probes: []uint32{7}})
 	for range 2 {
 		if f := conn.Read(); f.Letter != 'L' {
 			t.Fatalf("frame %+v", f)
@@ -67,7 +67,7 @@
 	if s := <-d.samples; s.Succeeded && s.QueueLength != 2 {
 		t.Errorf("an answer that was too late counts for the next: %+v", s)
 	}
-	d.Carry(pick.Orders{Probes: []uint32{7}})
+	d.Carry(dispatch.Orders{Probes: []uint32{7}})
 	conn.Read()
 	conn.Close()
 	if s := <-d.samples; s.Succeeded {
--- a/internal/trace/kept_test.go
+++ b/internal/trace/kept_test.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/shardcall"
 	"yokeroute/logic/owners"
 	"yokeroute/logic/phases"
@@ -36,12 +36,12 @@
 
 // played is a picker whose module is scripted and whose clock stands until the test moves it.
 type played struct {
-	*pick.Picker
+	*dispatch.Picker
 	module *scripted
 	now    float64
 	ids    map[string]uint64 // of queries at the module; its shard requests' follow it
 	part   []uint64          // of the round's shard requests
-	calls  []*pick.Call      // of the last round
+	calls  []*dispatch.Call  // of the last round
 }
 
 var keptTerms = &gather.Settings{
@@ -59,12 +59,12 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	build := func(uint64, *gather.Settings) gather.Module { return p.module }
-	p.Picker = pick.NewPlayed(1, terms, build, func() float64 { return p.now }, log)
+	p.Picker = dispatch.NewPlayed(1, terms, build, func() float64 { return p.now }, log)
 	for _, o := range observers {
-		if t, ok := o.(pick.Tracer); ok {
+		if t, ok := o.(dispatch.Tracer); ok {
 			p.Trace(t)
 		}
-		if w, ok := o.(pick.Witness); ok {
+		if w, ok := o.(dispatch.Witness); ok {
 			p.Watch(w)
 		}
 	}
@@ -87,10 +87,10 @@
 }
 
 // take hands a query in and sends its shard requests to the servers 10, 11 and on, each of which is written.
-func (p *played) take(id, index string, shards ...int) (*pick.Lookup, []*pick.Call) {
-	lk := &pick.Lookup{ID: id, Index: index, GiveUpAt: p.now + 1000.5}
+func (p *played) take(id, index string, shards ...int) (*dispatch.Lookup, []*dispatch.Call) {
+	lk := &dispatch.Lookup{ID: id, Index: index, GiveUpAt: p.now + 1000.5}
 	for _, shard := range shards {
-		lk.Parts = append(lk.Parts, pick.Part{Shard: shard, Weight: 1 / float64(len(shards))})
+		lk.Parts = append(lk.Parts, dispatch.Part{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
 	p.Take(lk)
 	p.round(func(w gather.Writer) {
@@ -102,7 +102,7 @@
 }
 
 // write has the calls of the last round written.
-func (p *played) write() []*pick.Call {
+func (p *played) write() []*dispatch.Call {
 	p.now += 0.25
 	for _, c := range p.calls {
 		if c.Begin() {
@@ -152,7 +152,7 @@
 	follow(gather.EndpointList{Failed: true})
 	follow(gather.EndpointList{Full: true, Endpoints: running[:3]})
 
-	end := func(lk *pick.Lookup, decide func(w gather.Writer)) {
+	end := func(lk *dispatch.Lookup, decide func(w gather.Writer)) {
 		p.round(decide)
 		v, ended := lk.Verdict()
 		if !ended {
@@ -182,7 +182,7 @@
 	lk, _ = p.take("broken", "once", 0)
 	end(lk, func(gather.Writer) { panic("the module fails") })
 
-	lk = &pick.Lookup{ID: "never-written", Index: "once", GiveUpAt: p.now + 300, Parts: []pick.Part{{Shard: 1, Weight: 1}}}
+	lk = &dispatch.Lookup{ID: "never-written", Index: "once", GiveUpAt: p.now + 300, Parts: []dispatch.Part{{Shard: 1, Weight: 1}}}
 	p.Take(lk)
 	p.round(func(w gather.Writer) { w.Send(p.part[0], 11, 100) })
 	p.Report(p.calls[0], gather.NotSent, nil)
@@ -264,7 +264,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPlayed(pick.OwnedTerms(keptTerms, most), file)
+	p := newPlayed(dispatch.OwnedTerms(keptTerms, most), file)
 	p.Segments(most, shards)
 	p.Names(map[uint32]string{10: "h0", 11: "h1"})
 	m, err := owners.First(1, []owners.Segment{{Name: "s0", Range: owners.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
--- a/internal/trace/record.go
+++ b/internal/trace/record.go
@@ -7,7 +7,7 @@
 	"sync"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/rules"
 	"yokeroute/logic/owners"
 	"yokeroute/logic/phases"
@@ -27,7 +27,7 @@
 	last   float64
 	why    string // it has ended, and why
 	next   uint64
-	open   map[*pick.Lookup]uint64
+	open   map[*dispatch.Lookup]uint64
 	states map[uint32]gather.State
 }
 
@@ -45,7 +45,7 @@
 	for _, name := range settings.ClassNames() {
 		h.Indexes[name] = rules.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
 	}
-	return &File{f: f, w: rules.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*pick.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
+	return &File{f: f, w: rules.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
 }
 
 // see writes an event, unless the record has ended. The lock is held.
@@ -113,7 +113,7 @@
 }
 
 // Opened begins a lookup.
-func (r *File) Opened(lk *pick.Lookup, _ *phases.Choice, at float64) {
+func (r *File) Opened(lk *dispatch.Lookup, _ *phases.Choice, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = r.next
@@ -130,10 +130,10 @@
 }
 
 // Sent is a decision, which the wire may never see; Written tells.
-func (r *File) Sent(*pick.Call, float64) {}
+func (r *File) Sent(*dispatch.Call, float64) {}
 
 // Written records a call whose first byte is about to go.
-func (r *File) Written(c *pick.Call, at float64) {
+func (r *File) Written(c *dispatch.Call, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if number, open := r.open[c.Lookup()]; open {
@@ -144,7 +144,7 @@
 func keys(r owners.Range) *rules.Keys { return &rules.Keys{Lo: r.Lo, Hi: r.Hi} }
 
 // keysOf are the keys that a call asks for, nil where no map says who owns what.
-func keysOf(c *pick.Call) *rules.Keys {
+func keysOf(c *dispatch.Call) *rules.Keys {
 	r, _, _, owned := c.Keys()
 	if !owned {
 		return nil
@@ -153,7 +153,7 @@
 }
 
 // Heard records how a call ended.
-func (r *File) Heard(c *pick.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
+func (r *File) Heard(c *dispatch.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[c.Lookup()]
@@ -165,13 +165,13 @@
 }
 
 // Closed is of no interest to the rules.
-func (r *File) Closed(*pick.Lookup, *phases.Next, float64) {}
+func (r *File) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
 // Ended is a decision as well; Answered tells when nothing can go any more.
-func (r *File) Ended(*pick.Lookup, pick.Verdict, float64) {}
+func (r *File) Ended(*dispatch.Lookup, dispatch.Verdict, float64) {}
 
 // Answered records a final answer.
-func (r *File) Answered(lk *pick.Lookup, v pick.Verdict, at float64) {
+func (r *File) Answered(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[lk]
@@ -181,7 +181,7 @@
 	delete(r.open, lk)
 	e := rules.Event{Lookup: number, Whole: v.Whole}
 	switch v.Kind {
-	case pick.Satisfied:
+	case dispatch.Satisfied:
 		e.Kind = rules.Answered
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
@@ -195,9 +195,9 @@
 			e.InKeys = nil
 		}
 		e.In = append(e.In, v.Empty...)
-	case pick.Nacked:
+	case dispatch.Nacked:
 		e.Kind = rules.Nacked
-	case pick.Left:
+	case dispatch.Left:
 		e.Kind = rules.Left
 	default:
 		e.Kind = rules.Aborted
--- a/internal/trace/trace.go
+++ b/internal/trace/trace.go
@@ -12,7 +12,7 @@
 	"sync"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/shardcall"
 	"yokeroute/logic/phases"
 )
@@ -65,7 +65,7 @@
 	Hits    int     `json:"hits"`
 	Empty   []int   `json:"empty,omitempty"`
 
-	at map[*pick.Call]int
+	at map[*dispatch.Call]int
 }
 
 // mostCalls bounds the calls kept of one lookup.
@@ -79,14 +79,14 @@
 	mu    sync.Mutex
 	ring  []*Lookup
 	next  int
-	open  map[*pick.Lookup]*Lookup
+	open  map[*dispatch.Lookup]*Lookup
 	byID  map[string]*Lookup
 	names map[uint32]string
 }
 
 // New makes a recorder that keeps so many lookups, and of all that come a share, drawn by their names.
 func New(keep int, share float64) *Recorder {
-	return &Recorder{keep: keep, share: share, open: map[*pick.Lookup]*Lookup{}, byID: map[string]*Lookup{}, names: map[uint32]string{}}
+	return &Recorder{keep: keep, share: share, open: map[*dispatch.Lookup]*Lookup{}, byID: map[string]*Lookup{}, names: map[uint32]string{}}
 }
 
 // Names takes over the names of the servers that are listed.
@@ -114,11 +114,11 @@
 }
 
 // Opened begins a lookup.
-func (r *Recorder) Opened(lk *pick.Lookup, c *phases.Choice, at float64) {
+func (r *Recorder) Opened(lk *dispatch.Lookup, c *phases.Choice, at float64) {
 	if !r.drawn(lk.ID) {
 		return
 	}
-	t := &Lookup{ID: lk.ID, Index: lk.Index, At: at, Time: lk.GiveUpAt - at, at: map[*pick.Call]int{}}
+	t := &Lookup{ID: lk.ID, Index: lk.Index, At: at, Time: lk.GiveUpAt - at, at: map[*dispatch.Call]int{}}
 	for _, pt := range lk.Parts {
 		t.Shards = append(t.Shards, pt.Shard)
 	}
@@ -143,7 +143,7 @@
 var passes = map[gather.Pass]string{gather.SinglePass: "only", gather.FirstPass: "first", gather.SecondPass: "second"}
 
 // Sent adds a call.
-func (r *Recorder) Sent(c *pick.Call, at float64) {
+func (r *Recorder) Sent(c *dispatch.Call, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[c.Lookup()]
@@ -161,7 +161,7 @@
 	gather.ConnectFailed: "not reached", gather.ConnectionReset: "cut off", gather.Cancelled: "given up", gather.NotSent: "never sent", gather.NotOwner: "not owned there"}
 
 // Heard ends a call.
-func (r *Recorder) Heard(c *pick.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
+func (r *Recorder) Heard(c *dispatch.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[c.Lookup()]
@@ -184,7 +184,7 @@
 }
 
 // Closed ends a first pass.
-func (r *Recorder) Closed(lk *pick.Lookup, n *phases.Next, at float64) {
+func (r *Recorder) Closed(lk *dispatch.Lookup, n *phases.Next, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[lk]
@@ -203,10 +203,10 @@
 	}
 }
 
-var verdicts = map[pick.Kind]string{pick.Satisfied: "satisfied", pick.Nacked: "nacked", pick.Aborted: "aborted", pick.Broken: "failed", pick.Left: "its client left"}
+var verdicts = map[dispatch.Kind]string{dispatch.Satisfied: "satisfied", dispatch.Nacked: "nacked", dispatch.Aborted: "aborted", dispatch.Broken: "failed", dispatch.Left: "its client left"}
 
 // Ended ends a lookup.
-func (r *Recorder) Ended(lk *pick.Lookup, v pick.Verdict, at float64) {
+func (r *Recorder) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[lk]
@@ -215,7 +215,7 @@
 	}
 	delete(r.open, lk) // calls that are still out end unseen, which bounds what is open
 	t.Verdict, t.Took, t.Hits, t.Empty = verdicts[v.Kind], round(at-t.At), len(v.Hits), v.Empty
-	if v.Kind == pick.Satisfied && !v.Whole {
+	if v.Kind == dispatch.Satisfied && !v.Whole {
 		t.Verdict = "satisfied in part"
 	}
 	for i := range t.Calls {
