--- a/internal/front/server.go
+++ b/internal/gatherer/frontend/server.go
@@ -1,5 +1,5 @@
 // Package front takes lookups from clients over HTTP and answers them.
-package front
+package frontend
 
 import (
 	"context"
--- a/internal/front/server_test.go
+++ b/internal/gatherer/frontend/server_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -21,8 +21,8 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
-	"yokeroute/internal/front"
 	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/frontend"
 	"yokeroute/internal/plans"
 	"yokeroute/internal/segments"
 	"yokeroute/internal/shardcall"
@@ -43,7 +43,7 @@
 	pool      *shardcall.Pool
 	follower  *discovery.Follower
 	keeper    *plans.Keeper
-	server    *front.Server
+	server    *frontend.Server
 	traces    *trace.Recorder
 	record    *trace.File
 	ledger    *statedir.Gatherer
@@ -184,7 +184,7 @@
 		s.handover.apply(c.Known)
 		s.follower.Take(c.Known)
 	}
-	s.server = front.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
+	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
 	if s.traces != nil {
 		s.server.Admin(trace.Path, s.traces)
 	}
