--- a/internal/discovery/crossings_test.go
+++ b/internal/discovery/crossings_test.go
@@ -18,7 +18,7 @@
 	logtest "github.com/sirupsen/logrus/hooks/test"
 
 	"yokeroute/gather"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/backoff"
 )
 
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/backoff"
 )
 
--- a/internal/discovery/follow_test.go
+++ b/internal/discovery/follow_test.go
@@ -15,7 +15,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 )
 
 const (
--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -17,7 +17,7 @@
 	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/jobs"
 	"yokeroute/logic/placement"
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -16,7 +16,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 )
 
 // hand is a picker that keeps what it is handed.
--- a/internal/policy/wire_test.go
+++ b/internal/policy/wire_test.go
@@ -13,7 +13,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/policy"
 )
 
--- a/internal/scale/lists.go
+++ b/internal/scale/lists.go
@@ -13,7 +13,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/discovery"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/standin/directory"
 )
 
--- a/internal/service/governed.go
+++ b/internal/service/governed.go
@@ -10,9 +10,9 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/process"
-	"yokeroute/internal/shardcall"
 	"yokeroute/internal/version"
 	logic "yokeroute/logic/policy"
 )
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -8,8 +8,8 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/discovery"
 	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/report"
-	"yokeroute/internal/shardcall"
 	"yokeroute/internal/storage/statedir"
 	"yokeroute/internal/version"
 )
--- a/internal/trace/kept_test.go
+++ b/internal/trace/kept_test.go
@@ -15,7 +15,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/owners"
 	"yokeroute/logic/phases"
 )
