--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -12,7 +12,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/settings"
-	"yokeroute/internal/discovery"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/version"
 )
 
--- a/internal/processes/fleet.go
+++ b/internal/processes/fleet.go
@@ -23,8 +23,8 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/discovery"
 	"yokeroute/internal/experiment"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
--- a/internal/processes/stewards.go
+++ b/internal/processes/stewards.go
@@ -12,7 +12,7 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/discovery"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
--- a/internal/scale/lists.go
+++ b/internal/scale/lists.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/discovery"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/standin/directory"
 )
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -20,7 +20,7 @@
 	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/discovery"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/frontend"
 	"yokeroute/internal/gatherer/shardcall"
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -6,7 +6,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/discovery"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/report"
