--- a/internal/rollout/ask.go
+++ b/internal/rollout/ask.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/report"
+	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
--- a/internal/rollout/ask_test.go
+++ b/internal/rollout/ask_test.go
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/report"
+	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
--- a/internal/rollout/kept_test.go
+++ b/internal/rollout/kept_test.go
@@ -13,8 +13,8 @@
 	"testing"
 	"time"
 
+	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/process"
-	"yokeroute/internal/report"
 	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
--- a/internal/rollout/processes_test.go
+++ b/internal/rollout/processes_test.go
@@ -14,9 +14,9 @@
 	"testing"
 	"time"
 
+	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
-	"yokeroute/internal/report"
 	"yokeroute/internal/rollout"
 	"yokeroute/internal/rules"
 	logic "yokeroute/logic/rollout"
--- a/internal/scale/reports.go
+++ b/internal/scale/reports.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/report"
+	"yokeroute/internal/gatherer/report"
 )
 
 // ReportCost is what asking many gatherers for their reports costs, once each.
--- a/internal/service/tells.go
+++ b/internal/service/tells.go
@@ -8,8 +8,8 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/gatherer/shardcall"
-	"yokeroute/internal/report"
 	"yokeroute/internal/storage/statedir"
 	"yokeroute/internal/version"
 )
