--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/trace"
+	"yokeroute/internal/gatherer/trace"
 )
 
 func explainCommand() *cobra.Command {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -24,10 +24,10 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/frontend"
 	"yokeroute/internal/gatherer/shardcall"
+	"yokeroute/internal/gatherer/trace"
 	"yokeroute/internal/plans"
 	"yokeroute/internal/segments"
 	"yokeroute/internal/storage/statedir"
-	"yokeroute/internal/trace"
 	"yokeroute/logic/owners"
 )
 
