--- a/internal/plans/plans.go
+++ b/internal/plans/plans.go
@@ -14,9 +14,9 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
+	"yokeroute/internal/gatherer/background"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/jobs"
--- a/internal/plans/plans_test.go
+++ b/internal/plans/plans_test.go
@@ -14,8 +14,8 @@
 	"github.com/sirupsen/logrus/hooks/test"
 
 	"yokeroute/gather"
-	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
+	"yokeroute/internal/gatherer/background"
 	"yokeroute/internal/gatherer/shardcall"
 )
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -17,9 +17,9 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/background"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
+	"yokeroute/internal/gatherer/background"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/frontend"
