--- a/cmd/yokeroute/serve.go
+++ b/cmd/yokeroute/serve.go
@@ -13,7 +13,7 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/service"
+	"yokeroute/internal/gatherer/service"
 )
 
 // run serves until SIGTERM and until all that was taken is answered, or until something fails. SIGHUP has the
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -23,7 +23,7 @@
 	"yokeroute/internal/experiment"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/service"
+	"yokeroute/internal/gatherer/service"
 	"yokeroute/internal/standin/shards"
 	"yokeroute/logic/phases"
 )
--- a/internal/service/migrated_test.go
+++ b/internal/gatherer/service/migrated_test.go
@@ -25,7 +25,7 @@
 		if err := os.WriteFile(old, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		moved, err := migrate.Move(old, "../../examples/fleets/probed.json")
+		moved, err := migrate.Move(old, "../../../examples/fleets/probed.json")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/processes/worse/main.go
+++ b/internal/processes/worse/main.go
@@ -18,7 +18,7 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/service"
+	"yokeroute/internal/gatherer/service"
 )
 
 // fault is one of faults.
