--- a/cmd/yokeroute/steward.go
+++ b/cmd/yokeroute/steward.go
@@ -9,7 +9,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/steward"
+	"yokeroute/internal/control/policyserver"
 )
 
 func stewardCommand() *cobra.Command {
@@ -18,7 +18,7 @@
 	cmd := &cobra.Command{Use: "steward FILE", Short: "serve the policies of a fleet, with a few others that agree on them", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute steward s1.conf\n  yokeroute steward --check s1.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			t, err := steward.Read(args[0])
+			t, err := policyserver.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -32,7 +32,7 @@
 			}
 			ctx, stop := signal.NotifyContext(cmd.Context(), syscall.SIGTERM, syscall.SIGINT)
 			defer stop()
-			s, err := steward.Open(ctx, t, log)
+			s, err := policyserver.Open(ctx, t, log)
 			if errors.Is(err, context.Canceled) {
 				return nil
 			}
--- a/internal/steward/http.go
+++ b/internal/control/policyserver/http.go
@@ -1,4 +1,4 @@
-package steward
+package policyserver
 
 import (
 	"encoding/json"
--- a/internal/steward/log_test.go
+++ b/internal/control/policyserver/log_test.go
@@ -1,4 +1,4 @@
-package steward
+package policyserver
 
 import (
 	"bytes"
@@ -105,7 +105,7 @@
 			t.Errorf("%q: %v", want, err)
 		}
 	}
-	page := filepath.Join("..", "..", "docs", "operate", "reference-steward.md")
+	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-steward.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
 		t.Errorf("%s is not what yokeroute reference steward prints: %v", page, err)
 	}
--- a/internal/steward/terms.go
+++ b/internal/control/policyserver/terms.go
@@ -1,7 +1,7 @@
 // Package steward is one of the few processes that agree on the policies of a fleet. What they agree on is a log, by
 // hashicorp/raft over bbolt; what is done with it is decided by logic/policy; gatherers and operators ask over HTTP. A
 // gatherer votes on nothing, and none waits for a steward to answer a lookup.
-package steward
+package policyserver
 
 import (
 	"fmt"
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -9,13 +9,13 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
+	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/policy"
 	"yokeroute/internal/rollout"
 	"yokeroute/internal/rules"
 	"yokeroute/internal/segments"
-	"yokeroute/internal/steward"
 	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/storage/statedir"
 )
@@ -96,7 +96,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := steward.ReadSnapshot(record); err != nil || r.Epoch != 1 || len(r.History) != 2 || len(r.Members) != 1 || r.History[1].Word == "" {
+	if r, err := policyserver.ReadSnapshot(record); err != nil || r.Epoch != 1 || len(r.History) != 2 || len(r.Members) != 1 || r.History[1].Word == "" {
 		t.Errorf("policies 1: %v, %+v", err, r)
 	}
 	if _, err := emulator.Read(kept("scenario-1.conf")); err != nil {
