--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -7,8 +7,8 @@
 
 	"github.com/spf13/cobra"
 
+	"yokeroute/internal/control/policyclient/emulated"
 	"yokeroute/internal/parallel"
-	"yokeroute/internal/policy/emulated"
 	"yokeroute/internal/stats"
 )
 
--- a/cmd/yokeroute/policy.go
+++ b/cmd/yokeroute/policy.go
@@ -14,13 +14,13 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/policy"
+	"yokeroute/internal/control/policyclient"
 	logic "yokeroute/logic/policy"
 )
 
 func policyCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "policy", Short: "change what a whole fleet may do, everywhere or nowhere"}
-	client := &policy.Client{}
+	client := &policyclient.Client{}
 	var form, why string
 	var wait bool
 	var limit time.Duration
@@ -68,7 +68,7 @@
 	check := &cobra.Command{Use: "check FILE", Short: "read a policy file and say what is wrong with it", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute policy check policy.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := policy.Read(args[0])
+			p, err := policyclient.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -78,13 +78,13 @@
 	diff := &cobra.Command{Use: "diff FILE [FILE]", Short: "say what a change means: from what is in force, or from the first file to the second", Args: cobra.RangeArgs(1, 2),
 		Example: "  yokeroute policy diff --steward 127.0.0.1:8700 policy.conf\n  yokeroute policy diff old.conf new.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			to, err := policy.Read(args[len(args)-1])
+			to, err := policyclient.Read(args[len(args)-1])
 			if err != nil {
 				return err
 			}
 			var from logic.Policy
 			if len(args) == 2 {
-				if from, err = policy.Read(args[0]); err != nil {
+				if from, err = policyclient.Read(args[0]); err != nil {
 					return err
 				}
 			} else {
@@ -106,7 +106,7 @@
 	put := &cobra.Command{Use: "propose FILE", Short: "put a policy forward; it takes hold everywhere or nowhere", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute policy propose --steward 127.0.0.1:8700 --wait --why \"host s7 is being repaired\" policy.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := policy.Read(args[0])
+			p, err := policyclient.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -214,7 +214,7 @@
 }
 
 // tellPolicy prints a status.
-func tellPolicy(w io.Writer, s *policy.Status, form string) error {
+func tellPolicy(w io.Writer, s *policyclient.Status, form string) error {
 	if form == "json" {
 		return json.NewEncoder(w).Encode(s)
 	}
--- a/internal/policy/apply.go
+++ b/internal/control/policyclient/apply.go
@@ -1,4 +1,4 @@
-package policy
+package policyclient
 
 import (
 	"fmt"
--- a/internal/policy/emulated/fleet.go
+++ b/internal/control/policyclient/emulated/fleet.go
@@ -14,8 +14,8 @@
 	"fmt"
 	"math"
 
+	wire "yokeroute/internal/control/policyclient"
 	"yokeroute/internal/pcg"
-	wire "yokeroute/internal/policy"
 	"yokeroute/logic/policy"
 )
 
--- a/internal/policy/file.go
+++ b/internal/control/policyclient/file.go
@@ -1,7 +1,7 @@
 // Package policy carries out what logic/policy decides for a gatherer: it reads policy files, asks the stewards, keeps
 // what must outlast the process, hands what is acted by into the decisions' terms at a round's beginning, and checks
 // each part call at its first byte. It decides nothing.
-package policy
+package policyclient
 
 import (
 	"fmt"
--- a/internal/policy/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -1,4 +1,4 @@
-package policy_test
+package policyclient_test
 
 import (
 	"bytes"
@@ -17,7 +17,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"yokeroute/internal/policy"
+	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
 	logic "yokeroute/logic/policy"
@@ -79,14 +79,14 @@
 	t.Cleanup(s.f.Close)
 	s.stop = s.f.Load(ctx)
 	t.Cleanup(s.stop)
-	s.until("all gatherers hold", func(st *policy.Status) bool { return st.Everywhere && len(st.Standings) == gatherers })
+	s.until("all gatherers hold", func(st *policyclient.Status) bool { return st.Everywhere && len(st.Standings) == gatherers })
 	return s
 }
 
 // three stewards, with times that a machine full of other tests can keep.
 var three = processes.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
 
-func (s *scene) status() *policy.Status {
+func (s *scene) status() *policyclient.Status {
 	ctx, cancel := context.WithTimeout(s.ctx, 10*time.Second)
 	defer cancel()
 	st, err := s.f.Policies().Status(ctx)
@@ -97,9 +97,9 @@
 }
 
 // until waits for something that the steward that leads tells.
-func (s *scene) until(what string, holds func(st *policy.Status) bool) {
+func (s *scene) until(what string, holds func(st *policyclient.Status) bool) {
 	s.Helper()
-	var last *policy.Status
+	var last *policyclient.Status
 	err := process.Until(s.ctx, what, func() bool {
 		last = s.status()
 		return last != nil && holds(last)
@@ -112,7 +112,7 @@
 // parse reads a policy.
 func (s *scene) parse(text string) logic.Policy {
 	s.Helper()
-	p, err := policy.Parse(s.Name(), text)
+	p, err := policyclient.Parse(s.Name(), text)
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -227,7 +227,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.until("all hold the second change", func(st *policy.Status) bool {
+	s.until("all hold the second change", func(st *policyclient.Status) bool {
 		holding := 0
 		for _, one := range st.Standings {
 			if one.State == logic.Holding && one.Holds.Epoch == second.Number {
@@ -297,7 +297,7 @@
 		t.Fatal(err)
 	}
 	s.f.Gatherers[3].Process().Continue()
-	s.until("all hold what was there before", func(now *policy.Status) bool {
+	s.until("all hold what was there before", func(now *policyclient.Status) bool {
 		return now.Everywhere && now.Record.Epoch == st.Record.Epoch && now.Record.Last == made[0].Number && len(now.Standings) == 4 && now.Standings[3].State == logic.Holding
 	})
 	s.end()
@@ -396,18 +396,18 @@
 	t.Parallel()
 	s := begin(t, 2, 20, three)
 	leader := s.f.Leader(s.ctx)
-	ask := func() *policy.Answer {
+	ask := func() *policyclient.Answer {
 		hello := logic.Hello{Member: logic.Member{Name: "old", Floor: s.parse(floorText), Knows: []logic.Kind{logic.Closed, logic.NoCopies}}, Process: "1"}
-		text, err := json.Marshal(policy.Ask{Form: policy.Form, Hello: hello})
+		text, err := json.Marshal(policyclient.Ask{Form: policyclient.Form, Hello: hello})
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.Post("http://"+leader.HTTP+policy.AskPath, "application/json", bytes.NewReader(text))
+		resp, err := http.Post("http://"+leader.HTTP+policyclient.AskPath, "application/json", bytes.NewReader(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		a, err := policy.ReadAnswer(resp.Body)
+		a, err := policyclient.ReadAnswer(resp.Body)
 		if err != nil || a.Word == nil {
 			t.Fatalf("%v, %+v", err, a)
 		}
@@ -534,7 +534,7 @@
 	if err := s.f.MendStewards(); err != nil {
 		t.Fatal(err)
 	}
-	s.until("all hold the second change", func(st *policy.Status) bool {
+	s.until("all hold the second change", func(st *policyclient.Status) bool {
 		for _, one := range st.Standings {
 			if one.State != logic.Holding || one.Holds.Epoch != second.Number {
 				return false
--- a/internal/policy/wire_test.go
+++ b/internal/control/policyclient/wire_test.go
@@ -1,4 +1,4 @@
-package policy
+package policyclient
 
 import (
 	"bytes"
@@ -154,7 +154,7 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	page := filepath.Join("..", "..", "docs", "operate", "reference-policy.md")
+	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-policy.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
 		t.Errorf("%s is not what yokeroute reference policy prints: %v", page, err)
 	}
--- a/internal/control/policyserver/boots.go
+++ b/internal/control/policyserver/boots.go
@@ -12,7 +12,7 @@
 	"github.com/sirupsen/logrus"
 	"go.etcd.io/bbolt"
 
-	wire "yokeroute/internal/policy"
+	wire "yokeroute/internal/control/policyclient"
 )
 
 // boots counts the starts of each steward, its own and those it was told of by the others. One whose own count is behind
--- a/internal/control/policyserver/http.go
+++ b/internal/control/policyserver/http.go
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/raft"
 
-	wire "yokeroute/internal/policy"
+	wire "yokeroute/internal/control/policyclient"
 	"yokeroute/logic/policy"
 )
 
--- a/internal/control/policyserver/kept_test.go
+++ b/internal/control/policyserver/kept_test.go
@@ -17,7 +17,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	wire "yokeroute/internal/policy"
+	wire "yokeroute/internal/control/policyclient"
 )
 
 // keptFolder is a copy of the state folder that a released version wrote: its log, a snapshot of a part of it, and its
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -9,9 +9,9 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
+	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
-	"yokeroute/internal/policy"
 	"yokeroute/internal/process"
 	"yokeroute/internal/version"
 	logic "yokeroute/logic/policy"
@@ -19,9 +19,9 @@
 
 // governed wires the operators' policies into a gatherer. A nil one leaves all decisions to the platform's settings.
 type governed struct {
-	governor *policy.Governor
-	follower *policy.Follower // nil where the policy is the gatherer's own file
-	number   uint64           // of the own file's readings
+	governor *policyclient.Governor
+	follower *policyclient.Follower // nil where the policy is the gatherer's own file
+	number   uint64                 // of the own file's readings
 }
 
 // govern makes it. A floor or a file that does not fit the platform's settings ends the start: without one the gatherer
@@ -31,27 +31,27 @@
 		return nil, nil
 	}
 	if own.Floor == "" {
-		g := &governed{governor: policy.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Stir)}
+		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Stir)}
 		if err := g.reread(own); err != nil {
 			return nil, err
 		}
 		picker.Govern(g.governor)
 		return g, nil
 	}
-	floor, err := policy.Read(own.Floor)
+	floor, err := policyclient.Read(own.Floor)
 	if err == nil {
-		err = policy.Fit(settings, floor)
+		err = policyclient.Fit(settings, floor)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("policy floor: %w", err)
 	}
-	fence, err := policy.OpenFence(own.State)
+	fence, err := policyclient.OpenFence(own.State)
 	if err != nil {
 		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
 	}
-	g := &governed{governor: policy.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
+	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
 	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: process.Name(picker.Now()), Version: version.Name()}
-	g.follower = policy.NewFollower(g.governor, own.Stewards, me, own.State, log)
+	g.follower = policyclient.NewFollower(g.governor, own.Stewards, me, own.State, log)
 	picker.Govern(g.governor)
 	return g, nil
 }
@@ -61,7 +61,7 @@
 	if g == nil || own.Policy == "" || g.follower != nil {
 		return nil
 	}
-	p, err := policy.Read(own.Policy)
+	p, err := policyclient.Read(own.Policy)
 	if err != nil {
 		return err
 	}
--- a/internal/processes/stewards.go
+++ b/internal/processes/stewards.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
+	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/gatherer/discovery"
-	"yokeroute/internal/policy"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rules"
 )
@@ -98,8 +98,8 @@
 }
 
 // Policies asks whichever steward leads.
-func (f *Fleet) Policies() *policy.Client {
-	c := &policy.Client{}
+func (f *Fleet) Policies() *policyclient.Client {
+	c := &policyclient.Client{}
 	for _, w := range f.Stewards {
 		c.Stewards = append(c.Stewards, w.HTTP)
 	}
--- a/internal/scale/policies.go
+++ b/internal/scale/policies.go
@@ -15,7 +15,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/policy"
+	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
 	"yokeroute/internal/stats"
@@ -84,7 +84,7 @@
 	ctx      context.Context
 	stewards []*process.Process
 	names    []operator.Steward
-	client   *policy.Client
+	client   *policyclient.Client
 	hollow   []*hollowGatherer
 	relays   []*processes.Link  // of the region that is cut off, one to each steward
 	far      []operator.Steward // the stewards as that region reaches them
@@ -95,7 +95,7 @@
 
 // hollowGatherer is the control side of a gatherer without clients: the real governor and the real follower.
 type hollowGatherer struct {
-	governor *policy.Governor
+	governor *policyclient.Governor
 	far      bool // it stands in the region that is cut off
 	stop     context.CancelFunc
 	ended    chan struct{}
@@ -115,7 +115,7 @@
 func startPolicyFleet(ctx context.Context, t PolicyTerms) (*policyFleet, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &policyFleet{terms: t, ctx: ctx, client: &policy.Client{}, log: log}
+	f := &policyFleet{terms: t, ctx: ctx, client: &policyclient.Client{}, log: log}
 	var peers strings.Builder
 	for i := range t.Stewards {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
@@ -208,10 +208,10 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policy.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
+	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
 	me := decisions.Hello{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Floor: hollowFloor},
 		Process: fmt.Sprintf("%d-%d", number, start.UnixNano())}
-	follower := policy.NewFollower(h.governor, stewards, me, "", f.log)
+	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
 	go func() {
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -9,10 +9,10 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
+	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/gatherer/report"
-	"yokeroute/internal/policy"
 	"yokeroute/internal/rollout"
 	"yokeroute/internal/rules"
 	"yokeroute/internal/segments"
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer answer.Close()
-	if a, err := policy.ReadAnswer(answer); err != nil || a.Word.Change.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
+	if a, err := policyclient.ReadAnswer(answer); err != nil || a.Word.Change.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
 		t.Errorf("policy 1: %v, %+v", err, a)
 	}
 	fence, err := os.ReadFile(kept("fence-1"))
@@ -89,7 +89,7 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(folder, "policy"), fence, 0o644)
-	if f, err := policy.OpenFence(folder); err != nil || f.Epoch != 41 || f.Last != 43 || f.Change != 44 {
+	if f, err := policyclient.OpenFence(folder); err != nil || f.Epoch != 41 || f.Last != 43 || f.Change != 44 {
 		t.Errorf("fence 1: %v, %+v", err, f)
 	}
 	record, err := os.Open(kept("policies-1.json"))
