--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
+	"yokeroute/internal/control/rollout/emulated"
+	"yokeroute/internal/control/rollout/live"
 	"yokeroute/internal/processes"
-	"yokeroute/internal/rollout/emulated"
-	"yokeroute/internal/rollout/live"
 	"yokeroute/logic/rollout"
 )
 
--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -18,7 +18,7 @@
 	"yokeroute/internal/config/placementfile"
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/control/policyserver"
-	"yokeroute/internal/rollout"
+	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/segments"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
--- a/cmd/yokeroute/rollout.go
+++ b/cmd/yokeroute/rollout.go
@@ -15,7 +15,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/rollout"
+	"yokeroute/internal/control/rollout"
 	logic "yokeroute/logic/rollout"
 )
 
--- a/internal/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
+	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/processes"
-	"yokeroute/internal/rollout"
 	logic "yokeroute/logic/rollout"
 )
 
--- a/internal/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -14,10 +14,10 @@
 	"testing"
 	"time"
 
+	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
-	"yokeroute/internal/rollout"
 	"yokeroute/internal/rules"
 	logic "yokeroute/logic/rollout"
 )
@@ -781,7 +781,7 @@
 	if _, err := os.Stat(filepath.Join(folder, "r")); err == nil {
 		t.Error("a folder was begun")
 	}
-	page := filepath.Join("..", "..", "docs", "operate", "reference-rollout.md")
+	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-rollout.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != rollout.Reference() {
 		t.Errorf("%s is not what yokeroute reference rollout prints: %v", page, err)
 	}
