--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -19,7 +19,7 @@
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/control/rollout"
-	"yokeroute/internal/segments"
+	"yokeroute/internal/control/segments"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
 	"yokeroute/logic/placing"
--- a/cmd/yokeroute/segments.go
+++ b/cmd/yokeroute/segments.go
@@ -13,7 +13,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/segments"
+	"yokeroute/internal/control/segments"
 	"yokeroute/logic/owners"
 )
 
--- a/internal/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("%q: %v", c.text, err)
 		}
 	}
-	page := filepath.Join("..", "..", "docs", "operate", "reference-segments.md")
+	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-segments.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != MapReference() {
 		t.Errorf("%s is not what yokeroute reference segments prints: %v", page, err)
 	}
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -19,8 +19,8 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
+	"yokeroute/internal/control/segments"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/segments"
 	"yokeroute/internal/standin/directory"
 	standin "yokeroute/internal/standin/owners"
 	"yokeroute/logic/owners"
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -19,6 +19,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
+	"yokeroute/internal/control/segments"
 	"yokeroute/internal/gatherer/background"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
@@ -26,7 +27,6 @@
 	"yokeroute/internal/gatherer/plans"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/gatherer/trace"
-	"yokeroute/internal/segments"
 	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/owners"
 )
--- a/internal/standin/owners/owners.go
+++ b/internal/standin/owners/owners.go
@@ -17,7 +17,7 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/segments"
+	"yokeroute/internal/control/segments"
 	"yokeroute/internal/standin/shards"
 	"yokeroute/logic/owners"
 )
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -12,10 +12,10 @@
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/control/rollout"
+	"yokeroute/internal/control/segments"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/rules"
-	"yokeroute/internal/segments"
 	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/storage/statedir"
 )
