--- a/cmd/yokeroute-testbed/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -17,7 +17,7 @@
 
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/processes"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/study"
 )
 
@@ -182,8 +182,8 @@
 	if err != nil {
 		return err
 	}
-	_, err = emulator.Run(sc, emulator.Options{Seed: seed, Variant: v, Unruled: true, Trace: func(h rules.Header) (func(rules.Event), func(float64, string) error) {
-		w := rules.NewWriter(f, h)
+	_, err = emulator.Run(sc, emulator.Options{Seed: seed, Variant: v, Unruled: true, Trace: func(h rulecheck.Header) (func(rulecheck.Event), func(float64, string) error) {
+		w := rulecheck.NewWriter(f, h)
 		return w.See, w.End
 	}})
 	return errors.Join(err, f.Close())
@@ -433,7 +433,7 @@
 			if lookup > 0 {
 				return story(cmd, text, lookup)
 			}
-			report, err := rules.Check(bytes.NewReader(text))
+			report, err := rulecheck.Check(bytes.NewReader(text))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -455,9 +455,9 @@
 }
 
 // verdict says in words what a check has found.
-func verdict(cmd *cobra.Command, r *rules.Report) {
+func verdict(cmd *cobra.Command, r *rulecheck.Report) {
 	out := cmd.OutOrStdout()
-	fmt.Fprintf(out, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Lookups, r.Calls, r.Finals[rules.Answered], r.Finals[rules.Nacked], r.Finals[rules.Aborted])
+	fmt.Fprintf(out, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Lookups, r.Calls, r.Finals[rulecheck.Answered], r.Finals[rulecheck.Nacked], r.Finals[rulecheck.Aborted])
 	for rule := 1; rule <= 6; rule++ {
 		switch {
 		case r.Counts[rule] > 0:
@@ -481,7 +481,7 @@
 // story tells what became of one lookup of a trace.
 func story(cmd *cobra.Command, text []byte, number uint64) error {
 	out, begin, seen := cmd.OutOrStdout(), 0.0, false
-	err := rules.Read(bytes.NewReader(text), func(rules.Header) error { return nil }, func(e rules.Event) {
+	err := rulecheck.Read(bytes.NewReader(text), func(rulecheck.Header) error { return nil }, func(e rulecheck.Event) {
 		if e.Lookup != number {
 			return
 		}
@@ -494,21 +494,21 @@
 			pass = ", first pass"
 		}
 		switch e.Kind {
-		case rules.Taken:
+		case rulecheck.Taken:
 			fmt.Fprintf(out, "%9.3f ms  taken by gatherer %d: %s, %d parts, %.0f ms\n", at, e.Gatherer, e.Index, len(e.Parts), e.Until-e.At)
-		case rules.Sent:
+		case rulecheck.Sent:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d to server %d%s\n", at, e.Shard, e.Call+1, e.Server, pass)
-		case rules.Ran:
+		case rulecheck.Ran:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: server %d begins its work%s\n", at, e.Shard, e.Server, pass)
-		case rules.Ended:
+		case rulecheck.Ended:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d: %s%s\n", at, e.Shard, e.Call+1, e.Outcome, pass)
-		case rules.Answered:
+		case rulecheck.Answered:
 			fmt.Fprintf(out, "%9.3f ms  answered, whole %t, shards %v\n", at, e.Whole, e.In)
 		default:
 			fmt.Fprintf(out, "%9.3f ms  %s\n", at, e.Kind)
 		}
 	})
-	if err != nil && !errors.Is(err, rules.ErrCut) {
+	if err != nil && !errors.Is(err, rulecheck.ErrCut) {
 		return err
 	}
 	if !seen {
--- a/internal/control/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -18,7 +18,7 @@
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/process"
 	"yokeroute/internal/processes"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	logic "yokeroute/logic/rollout"
 )
 
@@ -235,7 +235,7 @@
 }
 
 // end ends the load and the fleet, and checks that all processes together kept the rules.
-func (s *scene) end() *rules.Joint {
+func (s *scene) end() *rulecheck.Joint {
 	s.Helper()
 	s.stop()
 	j, err := s.f.Verdict()
@@ -294,7 +294,7 @@
 	if err != nil || !strings.Contains(string(page), "<svg") || !strings.Contains(string(page), "making g") {
 		t.Errorf("%v: %.300s", err, page)
 	}
-	if j := s.end(); j.Lookups < 500 || j.Finals[rules.Answered] < 400 {
+	if j := s.end(); j.Lookups < 500 || j.Finals[rulecheck.Answered] < 400 {
 		t.Errorf("%d lookups, %v", j.Lookups, j.Finals)
 	}
 }
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -6,7 +6,7 @@
 
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/owners"
 )
 
@@ -225,19 +225,19 @@
 func (w *World) take(g *gatherer, lk *lookup, until float64) {
 	k := lk.ask
 	p := &dispatch.Lookup{ID: fmt.Sprint(lk.number), Index: k.ix.Name, Customer: k.customer.Name, GiveUpAt: w.begin + until + g.offset, Retry: k.tried > 1, Tag: lk}
-	parts := make([]rules.Part, 0, len(k.parts))
+	parts := make([]rulecheck.Part, 0, len(k.parts))
 	for _, pt := range k.parts {
 		p.Parts = append(p.Parts, dispatch.Part{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
 		p.Cost += pt.hint
-		part := rules.Part{Shard: pt.shard, Weight: pt.weight}
+		part := rulecheck.Part{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
 			all := owners.Slot(pt.shard, w.sc.Layout.Shards)
-			part.Keys = &rules.Keys{Lo: all.Lo, Hi: all.Hi}
+			part.Keys = &rulecheck.Keys{Lo: all.Lo, Hi: all.Hi}
 		}
 		parts = append(parts, part)
 	}
 	lk.pick = p
-	w.see(rules.Event{Kind: rules.Taken, Gatherer: g.number, Lookup: lk.number, Index: k.ix.Name, Until: until, Parts: parts})
+	w.see(rulecheck.Event{Kind: rulecheck.Taken, Gatherer: g.number, Lookup: lk.number, Index: k.ix.Name, Until: until, Parts: parts})
 	g.taken++
 	if !g.picker.Take(p) { // more than a gatherer may hold
 		lk.over = true
@@ -260,25 +260,25 @@
 
 // answered carries a lookup's final answer to its client.
 func (w *World) answered(g *gatherer, lk *lookup, v dispatch.Verdict) {
-	e := rules.Event{Gatherer: g.number, Lookup: lk.number}
+	e := rulecheck.Event{Gatherer: g.number, Lookup: lk.number}
 	switch v.Kind {
 	case dispatch.Left:
-		e.Kind = rules.Left
+		e.Kind = rulecheck.Left
 	case dispatch.Satisfied:
-		e.Kind, e.Whole = rules.Answered, v.Whole
+		e.Kind, e.Whole = rulecheck.Answered, v.Whole
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
 			if h.Keys != nil {
-				e.InKeys = append(e.InKeys, &rules.Keys{Lo: h.Keys.Lo, Hi: h.Keys.Hi})
+				e.InKeys = append(e.InKeys, &rulecheck.Keys{Lo: h.Keys.Lo, Hi: h.Keys.Hi})
 			} else if w.owned != nil {
 				e.InKeys = append(e.InKeys, nil)
 			}
 		}
 		e.In = append(e.In, v.Empty...)
 	case dispatch.Nacked:
-		e.Kind = rules.Nacked
+		e.Kind = rulecheck.Nacked
 	default:
-		e.Kind = rules.Aborted
+		e.Kind = rulecheck.Aborted
 	}
 	if v.Kind == dispatch.Broken {
 		w.broken++
--- a/internal/emulator/emulator_test.go
+++ b/internal/emulator/emulator_test.go
@@ -12,7 +12,7 @@
 	"testing"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 )
 
 const farm = `
@@ -54,8 +54,8 @@
 // bytesOf plays a day and gives its result and its trace as bytes.
 func bytesOf(t testing.TB, sc *Scenario, o Options) []byte {
 	var out bytes.Buffer
-	o.Trace = func(h rules.Header) (func(rules.Event), func(float64, string) error) {
-		w := rules.NewWriter(&out, h)
+	o.Trace = func(h rulecheck.Header) (func(rulecheck.Event), func(float64, string) error) {
+		w := rulecheck.NewWriter(&out, h)
 		return w.See, w.End
 	}
 	r := play(t, sc, o)
--- a/internal/emulator/gatherer.go
+++ b/internal/emulator/gatherer.go
@@ -9,7 +9,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/owners"
 	"yokeroute/logic/phases"
 )
@@ -51,9 +51,9 @@
 	conn     *conn
 	task     *task
 	work     float64
-	keys     *rules.Keys // nil for all of the shard's
-	empty    bool        // the part holds nothing,
-	mistaken bool        // and its summary does not say so
+	keys     *rulecheck.Keys // nil for all of the shard's
+	empty    bool            // the part holds nothing,
+	mistaken bool            // and its summary does not say so
 	written  bool
 	came     bool
 	ran      bool
@@ -115,7 +115,7 @@
 	}
 	g.alive = false
 	g.epoch++
-	w.see(rules.Event{Kind: rules.Died, Gatherer: g.number})
+	w.see(rulecheck.Event{Kind: rulecheck.Died, Gatherer: g.number})
 	for _, c := range g.conns {
 		if c != nil {
 			w.close(c)
@@ -200,7 +200,7 @@
 		a := &attempt{g: g, epoch: g.epoch, lk: lk, call: c, work: p.work, empty: p.empty, mistaken: p.mistaken}
 		if w.owned != nil {
 			keys, _, _, _ := c.Keys()
-			a.keys = &rules.Keys{Lo: keys.Lo, Hi: keys.Hi}
+			a.keys = &rulecheck.Keys{Lo: keys.Lo, Hi: keys.Hi}
 			a.work *= keys.Size() / owners.Slot(c.Shard(), w.sc.Layout.Shards).Size()
 		}
 		if c.First() {
@@ -262,7 +262,7 @@
 		a.conn.out = slices.Delete(a.conn.out, i, i+1)
 	}
 	if a.written {
-		w.see(rules.Event{Kind: rules.Ended, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(),
+		w.see(rulecheck.Event{Kind: rulecheck.Ended, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(),
 			Outcome: outcome.String(), Keys: a.keys, Empty: a.call.First() && outcome == gather.Succeeded && a.empty && !a.mistaken})
 	}
 	w.ended[outcome]++
@@ -271,7 +271,7 @@
 }
 
 func (w *World) sentEvent(a *attempt) {
-	w.see(rules.Event{Kind: rules.Sent, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(), Keys: a.keys})
+	w.see(rulecheck.Event{Kind: rulecheck.Sent, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(), Keys: a.keys})
 	if a.g.hall != a.conn.s.hall {
 		w.crossed++
 	}
@@ -306,7 +306,7 @@
 func (w *World) hear(g *gatherer, s *server, entry gather.Endpoint) {
 	g.known[s.number] = entry
 	state := map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}[entry.State]
-	w.see(rules.Event{Kind: rules.Told, Gatherer: g.number, Server: s.id, State: state})
+	w.see(rulecheck.Event{Kind: rulecheck.Told, Gatherer: g.number, Server: s.id, State: state})
 	g.picker.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{entry}})
 	w.round(g)
 }
--- a/internal/emulator/result.go
+++ b/internal/emulator/result.go
@@ -10,7 +10,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 )
 
 // Result is what a day came to. Shares are of lookups that clients asked for after the warm-up, with all their tries.
@@ -46,7 +46,7 @@
 	Refused  int                `json:"refused,omitempty"` // calls that came to who did not own their keys
 	Rounds   int                `json:"rounds"`            // of all gatherers
 	Faults   int                `json:"faults"`            // lookups lost to a panic of the module
-	Rules    *rules.Report      `json:"rules,omitempty"`
+	Rules    *rulecheck.Report  `json:"rules,omitempty"`
 
 	hist    *hdrhistogram.Histogram
 	indexes map[string]*Share
--- a/internal/emulator/scenario.go
+++ b/internal/emulator/scenario.go
@@ -19,7 +19,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/suggest"
 )
 
@@ -587,12 +587,12 @@
 }
 
 // Header is that of a trace of the day; servers are added as they are dealt out.
-func (s *Scenario) Header() rules.Header {
-	h := rules.Header{Source: "emulator, " + s.Name, Truth: true, Grace: s.Rules.Grace, Slack: s.Rules.Slack, Indexes: map[string]rules.Index{}, Servers: map[uint32]rules.Server{},
-		Budget: &rules.Budget{Span: s.Rules.Span, Free: s.Rules.Free, Share: s.Rules.Share},
-		Cold:   &rules.Cold{Share: s.Rules.ColdFrom, Time: s.Rules.ColdTime, Span: s.Rules.FallSpan, Multiple: s.Rules.FallTimes}}
+func (s *Scenario) Header() rulecheck.Header {
+	h := rulecheck.Header{Source: "emulator, " + s.Name, Truth: true, Grace: s.Rules.Grace, Slack: s.Rules.Slack, Indexes: map[string]rulecheck.Index{}, Servers: map[uint32]rulecheck.Server{},
+		Budget: &rulecheck.Budget{Span: s.Rules.Span, Free: s.Rules.Free, Share: s.Rules.Share},
+		Cold:   &rulecheck.Cold{Share: s.Rules.ColdFrom, Time: s.Rules.ColdTime, Span: s.Rules.FallSpan, Multiple: s.Rules.FallTimes}}
 	for _, ix := range s.Indexes {
-		h.Indexes[ix.Name] = rules.Index{Effect: ix.Effect, Window: ix.Window, Whole: ix.Need, Least: ix.Least}
+		h.Indexes[ix.Name] = rulecheck.Index{Effect: ix.Effect, Window: ix.Window, Whole: ix.Need, Least: ix.Least}
 	}
 	return h
 }
--- a/internal/emulator/world.go
+++ b/internal/emulator/world.go
@@ -10,7 +10,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
 )
@@ -39,9 +39,9 @@
 type Options struct {
 	Seed    uint64
 	Variant Variant
-	Trace   func(rules.Header) (see func(rules.Event), end func(at float64, why string) error) // nil for none
-	Unruled bool                                                                               // rules are not checked
-	Stop    func() bool                                                                        // asked now and then; true ends the run
+	Trace   func(rulecheck.Header) (see func(rulecheck.Event), end func(at float64, why string) error) // nil for none
+	Unruled bool                                                                                       // rules are not checked
+	Stop    func() bool                                                                                // asked now and then; true ends the run
 }
 
 // World is a day that is played.
@@ -65,9 +65,9 @@
 	owned     *ownership // nil where the layout says who holds what
 	number    uint64     // of the next lookup
 
-	header  rules.Header
-	checker *rules.Checker
-	trace   func(rules.Event)
+	header  rulecheck.Header
+	checker *rulecheck.Checker
+	trace   func(rulecheck.Event)
 	result  *Result
 
 	rounds, tries, sent, crossed, fallen, broken, gaveUp, aborted int
@@ -112,7 +112,7 @@
 	}
 	if !o.Unruled {
 		var err error
-		if w.checker, err = rules.New(w.header); err != nil {
+		if w.checker, err = rulecheck.New(w.header); err != nil {
 			return nil, err
 		}
 	}
@@ -153,7 +153,7 @@
 	for _, k := range w.asks {
 		w.settle(k)
 	}
-	w.see(rules.Event{Kind: rules.Over})
+	w.see(rulecheck.Event{Kind: rulecheck.Over})
 	if end != nil {
 		return end(w.now, "")
 	}
@@ -168,12 +168,12 @@
 }
 
 // see tells the checker and the trace.
-func (w *World) see(e rules.Event) {
+func (w *World) see(e rulecheck.Event) {
 	e.At = w.now
 	if w.checker != nil {
 		w.checker.See(e)
 	}
-	if w.trace != nil && e.Kind != rules.Over {
+	if w.trace != nil && e.Kind != rulecheck.Over {
 		w.trace(e)
 	}
 }
@@ -203,7 +203,7 @@
 		s := &server{number: n, id: id, set: m.Set, hall: m.Hall, kind: m.Kind, slow: 1, setup: 1, chance: w.stream("server", uint64(n))}
 		w.servers = append(w.servers, s)
 		w.byID[id] = s
-		w.header.Servers[id] = rules.Server{Capacity: s.capacity()}
+		w.header.Servers[id] = rulecheck.Server{Capacity: s.capacity()}
 	}
 	clocks := w.stream("clocks", 0)
 	for n := range sc.Gatherers.Count {
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -16,7 +16,7 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/standin/shards"
 )
 
@@ -121,7 +121,7 @@
 	if !r.Kept() {
 		t.Errorf("%v %s", r.Breaks, r.Incomplete)
 	}
-	if r.Lookups < all.Sent*9/10 || r.Calls < 2*all.Sent || r.Finals[rules.Answered] == 0 {
+	if r.Lookups < all.Sent*9/10 || r.Calls < 2*all.Sent || r.Finals[rulecheck.Answered] == 0 {
 		t.Errorf("%d lookups sent, %d recorded with %d calls, %v", all.Sent, r.Lookups, r.Calls, r.Finals)
 	}
 	if len(r.Unchecked) != 1 || r.Unchecked[4] == "" {
@@ -149,14 +149,14 @@
 	}
 }
 
-func checkFile(t *testing.T, file string) *rules.Report {
+func checkFile(t *testing.T, file string) *rulecheck.Report {
 	t.Helper()
 	f, err := os.Open(file)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer f.Close()
-	r, err := rules.Check(f)
+	r, err := rulecheck.Check(f)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -8,7 +8,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/owners"
 	"yokeroute/logic/phases"
 )
@@ -19,7 +19,7 @@
 type File struct {
 	mu     sync.Mutex
 	f      *os.File
-	w      *rules.Writer
+	w      *rulecheck.Writer
 	most   int64
 	at     bool // each event is handed to the system at once
 	shards int  // into which clients part the keys, where a map says who owns them; 0 where none does
@@ -38,18 +38,18 @@
 	if err != nil {
 		return nil, err
 	}
-	h := rules.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: settings.DrainGrace, Slack: settings.AnswerSlack, Indexes: map[string]rules.Index{}}
+	h := rulecheck.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: settings.DrainGrace, Slack: settings.AnswerSlack, Indexes: map[string]rulecheck.Index{}}
 	if settings.RetryBudgetWindow > 0 {
-		h.Budget = &rules.Budget{Span: settings.RetryBudgetWindow, Free: settings.RetryBudgetFloor, Share: settings.RetryBudgetRatio}
+		h.Budget = &rulecheck.Budget{Span: settings.RetryBudgetWindow, Free: settings.RetryBudgetFloor, Share: settings.RetryBudgetRatio}
 	}
 	for _, name := range settings.ClassNames() {
-		h.Indexes[name] = rules.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
+		h.Indexes[name] = rulecheck.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
 	}
-	return &File{f: f, w: rules.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
+	return &File{f: f, w: rulecheck.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
 }
 
 // see writes an event, unless the record has ended. The lock is held.
-func (r *File) see(at float64, e rules.Event) {
+func (r *File) see(at float64, e rulecheck.Event) {
 	if r.why != "" {
 		return
 	}
@@ -101,12 +101,12 @@
 		listed[s.ID] = true
 		if was, known := r.states[s.ID]; !known || was != s.State {
 			r.states[s.ID] = s.State
-			r.see(at, rules.Event{Kind: rules.Told, Server: s.ID, State: states[s.State]})
+			r.see(at, rulecheck.Event{Kind: rulecheck.Told, Server: s.ID, State: states[s.State]})
 		}
 	}
 	for id := range r.states {
 		if l.Full && !listed[id] {
-			r.see(at, rules.Event{Kind: rules.Told, Server: id, State: "gone"})
+			r.see(at, rulecheck.Event{Kind: rulecheck.Told, Server: id, State: "gone"})
 			delete(r.states, id)
 		}
 	}
@@ -117,9 +117,9 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = r.next
-	e := rules.Event{Kind: rules.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Index, Until: lk.GiveUpAt - r.begin}
+	e := rulecheck.Event{Kind: rulecheck.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Index, Until: lk.GiveUpAt - r.begin}
 	for _, p := range lk.Parts {
-		part := rules.Part{Shard: p.Shard, Weight: p.Weight}
+		part := rulecheck.Part{Shard: p.Shard, Weight: p.Weight}
 		if r.shards > 0 {
 			part.Keys = keys(owners.Slot(p.Shard, r.shards))
 		}
@@ -137,14 +137,14 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if number, open := r.open[c.Lookup()]; open {
-		r.see(at, rules.Event{Kind: rules.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Keys: keysOf(c)})
+		r.see(at, rulecheck.Event{Kind: rulecheck.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Keys: keysOf(c)})
 	}
 }
 
-func keys(r owners.Range) *rules.Keys { return &rules.Keys{Lo: r.Lo, Hi: r.Hi} }
+func keys(r owners.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
 
 // keysOf are the keys that a call asks for, nil where no map says who owns what.
-func keysOf(c *dispatch.Call) *rules.Keys {
+func keysOf(c *dispatch.Call) *rulecheck.Keys {
 	r, _, _, owned := c.Keys()
 	if !owned {
 		return nil
@@ -160,7 +160,7 @@
 	if !open || !c.Begun() {
 		return
 	}
-	r.see(c.At()+waited, rules.Event{Kind: rules.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Outcome: outcome.String(),
+	r.see(c.At()+waited, rulecheck.Event{Kind: rulecheck.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Outcome: outcome.String(),
 		Empty: c.First() && outcome == gather.Succeeded && s.Empty, Keys: keysOf(c)})
 }
 
@@ -179,10 +179,10 @@
 		return
 	}
 	delete(r.open, lk)
-	e := rules.Event{Lookup: number, Whole: v.Whole}
+	e := rulecheck.Event{Lookup: number, Whole: v.Whole}
 	switch v.Kind {
 	case dispatch.Satisfied:
-		e.Kind = rules.Answered
+		e.Kind = rulecheck.Answered
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
 			if h.Keys != nil {
@@ -196,11 +196,11 @@
 		}
 		e.In = append(e.In, v.Empty...)
 	case dispatch.Nacked:
-		e.Kind = rules.Nacked
+		e.Kind = rulecheck.Nacked
 	case dispatch.Left:
-		e.Kind = rules.Left
+		e.Kind = rulecheck.Left
 	default:
-		e.Kind = rules.Aborted
+		e.Kind = rulecheck.Aborted
 	}
 	r.see(at, e)
 }
--- a/internal/processes/fleet.go
+++ b/internal/processes/fleet.go
@@ -27,7 +27,7 @@
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/process"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/standin/directory"
 	"yokeroute/internal/standin/shards"
 )
@@ -58,7 +58,7 @@
 	mu     sync.Mutex
 	links  map[string]*Link
 	order  []string
-	truth  rules.Truth
+	truth  rulecheck.Truth
 	faults []error
 	said   []string
 	began  time.Time
@@ -138,14 +138,14 @@
 	if f.base, f.guard, err = addresses(); err != nil {
 		return nil, err
 	}
-	f.truth = rules.Truth{Servers: map[uint32]rules.Server{}, Cold: sc.Header().Cold}
+	f.truth = rulecheck.Truth{Servers: map[uint32]rulecheck.Server{}, Cold: sc.Header().Cold}
 	var machines []experiment.Machine
 	for i, m := range sc.Machines() {
 		name := fmt.Sprint("s", i+1)
 		machines = append(machines, experiment.Machine{Name: name, Hall: sc.Halls[m.Hall], Kind: m.Kind.Name, Group: m.Set,
 			Terms: shards.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
 				Brief: sc.Indexes[0].Work * 0.1, Keeps: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
-		f.truth.Servers[discovery.Number(name)] = rules.Server{Capacity: float64(m.Kind.Cores)}
+		f.truth.Servers[discovery.Number(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
 	}
 	if f.Fleet, err = experiment.StartFleet(machines); err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 
 // see takes what a server tells of a part.
 func (f *Fleet) see(id uint32, seen shards.Seen) {
-	e := rules.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rules.Kind(seen.What), Server: id, Shard: seen.Shard, First: seen.Brief, Work: seen.Work}
+	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.Kind(seen.What), Server: id, Shard: seen.Shard, First: seen.Brief, Work: seen.Work}
 	e.Name = strings.TrimSuffix(seen.ID, "~")
 	if dot := strings.LastIndexByte(e.Name, '.'); dot >= 0 {
 		e.Name = e.Name[:dot]
@@ -339,7 +339,7 @@
 // Check joins the traces of all processes with what the servers ran, and checks the rules. Processes that still serve
 // have to be ended before, by Close. That answers come in time is not judged: a process that was stopped gives none,
 // and under the race detector on few cores none is sure to.
-func (f *Fleet) Check() (*rules.Joint, error) {
+func (f *Fleet) Check() (*rulecheck.Joint, error) {
 	sources, done, err := f.sources()
 	defer done()
 	if err != nil {
@@ -349,11 +349,11 @@
 	truth := f.truth
 	truth.Events = slices.Clone(f.truth.Events)
 	f.mu.Unlock()
-	return rules.Join(sources, &truth, rules.JoinTerms{Operation: Operation, Slack: 60_000})
+	return rulecheck.Join(sources, &truth, rulecheck.JoinTerms{Operation: Operation, Slack: 60_000})
 }
 
 // sources are the traces of all processes, once they are whole; done closes them.
-func (f *Fleet) sources() (all []rules.Source, done func(), err error) {
+func (f *Fleet) sources() (all []rulecheck.Source, done func(), err error) {
 	done = func() {
 		for _, s := range all {
 			s.From.(*os.File).Close()
@@ -369,14 +369,14 @@
 			if err != nil {
 				return all, done, err
 			}
-			all = append(all, rules.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, From: file})
+			all = append(all, rulecheck.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, From: file})
 		}
 	}
 	return all, done, nil
 }
 
 // Verdict ends a fleet and says what went wrong: faults of its processes, and rules that they broke together.
-func (f *Fleet) Verdict() (*rules.Joint, error) {
+func (f *Fleet) Verdict() (*rulecheck.Joint, error) {
 	f.Close()
 	j, err := f.Check()
 	if err == nil && !j.Kept() {
--- a/internal/processes/fleet_test.go
+++ b/internal/processes/fleet_test.go
@@ -12,7 +12,7 @@
 	"time"
 
 	"yokeroute/internal/process"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 )
 
 // small is a fleet for tests: two halls, two sets of three machines.
@@ -62,7 +62,7 @@
 }
 
 // end ends a fleet and checks that every rule was kept by all of its processes together, and that none had a fault.
-func end(t testing.TB, f *Fleet) *rules.Joint {
+func end(t testing.TB, f *Fleet) *rulecheck.Joint {
 	t.Helper()
 	f.Close()
 	if err := f.Faults(); err != nil {
@@ -301,7 +301,7 @@
 			t.Fatal(err)
 		}
 		defer file.Close()
-		if alone, err := rules.Check(file); err != nil || len(alone.Counts) > 0 || alone.Incomplete != "" {
+		if alone, err := rulecheck.Check(file); err != nil || len(alone.Counts) > 0 || alone.Incomplete != "" {
 			t.Errorf("%s alone: %v, %+v", g.Name, err, alone)
 		}
 	}
--- a/internal/processes/result.go
+++ b/internal/processes/result.go
@@ -13,7 +13,7 @@
 
 	"yokeroute/internal/htmlreport"
 	"yokeroute/internal/process"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/storage/statedir"
 )
 
@@ -34,7 +34,7 @@
 	P99     map[string]int64       `json:"p99"` // microseconds of satisfied tries, by index
 	Series  *Series                `json:"series"`
 	Uses    map[string]process.Use `json:"uses"`
-	Rules   *rules.Joint           `json:"rules"`
+	Rules   *rulecheck.Joint       `json:"rules"`
 	Faults  string                 `json:"faults,omitempty"` // of processes and of the rig
 }
 
--- a/internal/processes/stewards.go
+++ b/internal/processes/stewards.go
@@ -15,7 +15,7 @@
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/process"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 )
 
 // StewardTerms are the stewards of a fleet, none where Count is 0.
@@ -243,23 +243,23 @@
 			lookup uint64
 			shard  int
 		}
-		taken, ran := map[uint64]rules.Event{}, map[part]int{} // calls of parts that may have run
-		err := rules.Read(source.From, func(h rules.Header) error { unix = h.Unix; return nil }, func(e rules.Event) {
+		taken, ran := map[uint64]rulecheck.Event{}, map[part]int{} // calls of parts that may have run
+		err := rulecheck.Read(source.From, func(h rulecheck.Header) error { unix = h.Unix; return nil }, func(e rulecheck.Event) {
 			at := part{e.Lookup, e.Shard}
 			switch e.Kind {
-			case rules.Taken:
+			case rulecheck.Taken:
 				taken[e.Lookup] = e
-			case rules.Sent:
+			case rulecheck.Sent:
 				lk := taken[e.Lookup]
 				all = append(all, Send{unix + e.At, gatherer, names[e.Server], lk.Index, unix + lk.At, ran[at] > 0})
 				ran[at]++
-			case rules.Ended:
-				if rules.Unrun(e.Outcome) {
+			case rulecheck.Ended:
+				if rulecheck.Unrun(e.Outcome) {
 					ran[at]--
 				}
 			}
 		})
-		if err != nil && !errors.Is(err, rules.ErrCut) {
+		if err != nil && !errors.Is(err, rulecheck.ErrCut) {
 			return nil, fmt.Errorf("%s: %w", source.Name, err)
 		}
 	}
--- a/internal/rules/join_test.go
+++ b/internal/rulecheck/join_test.go
@@ -1,4 +1,4 @@
-package rules
+package rulecheck
 
 import (
 	"bytes"
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -15,7 +15,7 @@
 	"yokeroute/internal/control/segments"
 	"yokeroute/internal/emulator"
 	"yokeroute/internal/gatherer/report"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/storage/statedir"
 )
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer trace.Close()
-	if r, err := rules.Check(trace); err != nil || !r.Kept() || r.Lookups < 5 {
+	if r, err := rulecheck.Check(trace); err != nil || !r.Kept() || r.Lookups < 5 {
 		t.Errorf("trace 1: %v, %+v", err, r)
 	}
 	told, err := os.Open(kept("report-1.json"))
--- a/internal/study/lawless_test.go
+++ b/internal/study/lawless_test.go
@@ -3,11 +3,11 @@
 import (
 	"yokeroute/gather"
 	"yokeroute/internal/emulator"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/baselines"
 )
 
-var breakOf6 = rules.Break{Rule: 6, Words: "seven part calls too many"}
+var breakOf6 = rulecheck.Break{Rule: 6, Words: "seven part calls too many"}
 
 // lawless takes once-only indexes for idempotent ones: it breaks rule 2 wherever a call is cut.
 var lawless = emulator.Variant{Name: "lawless", Module: func(seed uint64, settings *gather.Settings, _ emulator.Look) gather.Module {
