--- a/cmd/yokeroute-testbed/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -15,10 +15,10 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/processes"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/study"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // play is what the commands that play days have in common.
--- a/internal/processes/scenario.go
+++ b/internal/processes/scenario.go
@@ -9,9 +9,9 @@
 	"strings"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/suggest"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // Scenario is a day of real processes: a fleet as the emulator's scenario files tell it, and faults.
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -13,11 +13,11 @@
 	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/control/segments"
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // TestPage wants the table in docs to be the one here.
--- a/internal/study/charts.go
+++ b/internal/study/charts.go
@@ -13,8 +13,8 @@
 	"gonum.org/v1/plot/vg/draw"
 	"gonum.org/v1/plot/vg/vgsvg"
 
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/htmlreport"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // Chart is a picture with the words that belong to it.
--- a/internal/study/compare.go
+++ b/internal/study/compare.go
@@ -11,7 +11,7 @@
 	"gonum.org/v1/gonum/stat"
 	"gonum.org/v1/gonum/stat/distuv"
 
-	"yokeroute/internal/emulator"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // Pair is how a variant differs from the first one over the same days and seeds.
--- a/internal/study/hunt.go
+++ b/internal/study/hunt.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/pcg"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // HuntTerms are those of a search for the day on which decisions do worst.
--- a/internal/study/lawless_test.go
+++ b/internal/study/lawless_test.go
@@ -2,8 +2,8 @@
 
 import (
 	"yokeroute/gather"
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/rulecheck"
+	"yokeroute/internal/testbed/emulator"
 	"yokeroute/logic/baselines"
 )
 
--- a/internal/study/phases.go
+++ b/internal/study/phases.go
@@ -9,8 +9,8 @@
 	"slices"
 	"text/tabwriter"
 
-	"yokeroute/internal/emulator"
 	"yokeroute/internal/pcg"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // PhaseSearch is a search for the day on which lookups that may go in two phases are served worse than in one.
--- a/internal/study/study.go
+++ b/internal/study/study.go
@@ -21,7 +21,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"yokeroute/internal/emulator"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // Form is the first word of a results file.
--- a/internal/study/study_test.go
+++ b/internal/study/study_test.go
@@ -11,7 +11,7 @@
 	"strings"
 	"testing"
 
-	"yokeroute/internal/emulator"
+	"yokeroute/internal/testbed/emulator"
 )
 
 const day = `scenario small
