--- a/cmd/yokeroute-testbed/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -17,8 +17,8 @@
 
 	"yokeroute/internal/processes"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/internal/study"
 	"yokeroute/internal/testbed/emulator"
+	"yokeroute/internal/testbed/study"
 )
 
 // play is what the commands that play days have in common.
--- a/cmd/yokeroute-testbed/loopback.go
+++ b/cmd/yokeroute-testbed/loopback.go
@@ -8,7 +8,7 @@
 	"github.com/spf13/cobra"
 
 	"yokeroute/internal/experiment"
-	"yokeroute/internal/study"
+	"yokeroute/internal/testbed/study"
 )
 
 func phasesCommand() *cobra.Command {
