--- a/cmd/yokeroute-testbed/loopback.go
+++ b/cmd/yokeroute-testbed/loopback.go
@@ -7,7 +7,7 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/experiment"
+	"yokeroute/internal/testbed/experiment"
 	"yokeroute/internal/testbed/study"
 )
 
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,11 +20,11 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/experiment"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/service"
 	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/experiment"
 	"yokeroute/logic/phases"
 )
 
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -10,8 +10,8 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/experiment"
 	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/experiment"
 )
 
 // TestKeptConfigIsRead: a configuration of the platform is read key by key as it was when its format began.
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -15,9 +15,9 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/experiment"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/experiment"
 )
 
 const settings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
--- a/internal/processes/fleet.go
+++ b/internal/processes/fleet.go
@@ -23,13 +23,13 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/experiment"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/standin/directory"
 	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/experiment"
 )
 
 // Terms are what a fleet is started with beside its scenario.
--- a/internal/processes/front.go
+++ b/internal/processes/front.go
@@ -19,9 +19,9 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yokeroute/internal/experiment"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/testbed/emulator"
+	"yokeroute/internal/testbed/experiment"
 )
 
 // Front stands in for the platform's: it deals lookups out over the gatherers of a client's hall, goes on sending to a
