--- a/cmd/yokeroute-testbed/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -15,9 +15,9 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/processes"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/testbed/emulator"
+	"yokeroute/internal/testbed/processtest"
 	"yokeroute/internal/testbed/study"
 )
 
@@ -385,8 +385,8 @@
 
 // pageOf makes the page of a folder: of days of the emulator, or of a day of processes.
 func pageOf(folder string) ([]byte, error) {
-	if _, err := os.Stat(filepath.Join(folder, processes.ResultFile)); err == nil {
-		r, err := processes.LoadResult(folder)
+	if _, err := os.Stat(filepath.Join(folder, processtest.ResultFile)); err == nil {
+		r, err := processtest.LoadResult(folder)
 		if err != nil {
 			return nil, err
 		}
@@ -521,7 +521,7 @@
 	return &cobra.Command{Use: "reference [fleet]", Short: "print the page about scenario files, or about those of fleets of processes", Args: cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"fleet"}, Example: "  yokeroute-testbed reference\n  yokeroute-testbed reference fleet",
 		Run: func(cmd *cobra.Command, args []string) {
 			if len(args) > 0 {
-				fmt.Fprint(cmd.OutOrStdout(), processes.Reference())
+				fmt.Fprint(cmd.OutOrStdout(), processtest.Reference())
 				return
 			}
 			fmt.Fprint(cmd.OutOrStdout(), emulator.Reference())
--- a/cmd/yokeroute-testbed/fleet.go
+++ b/cmd/yokeroute-testbed/fleet.go
@@ -9,11 +9,11 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/processes"
+	"yokeroute/internal/testbed/processtest"
 )
 
 func fleetCommand() *cobra.Command {
-	terms := processes.Terms{}
+	terms := processtest.Terms{}
 	var out string
 	var plain, race bool
 	var seed uint64
@@ -21,7 +21,7 @@
 		Example: "  yokeroute-testbed fleet examples/fleets/rough.conf --out results && yokeroute-testbed report results",
 		Long:    "Starts the scenario's gatherers as processes, with stand-in servers, discovery and a front, and a relay on every way\nbetween them; plays its faults; joins the traces of all processes and checks the six rules.\nStatus 0: every rule kept. 1: one was broken, or a process had a fault. 2: nothing was played.",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			sc, err := processes.Read(args[0], seed)
+			sc, err := processtest.Read(args[0], seed)
 			if err != nil {
 				return err
 			}
@@ -33,13 +33,13 @@
 			}
 			defer os.RemoveAll(terms.Folder)
 			if race {
-				if terms.Binary, err = processes.Build("yokeroute"); err != nil {
+				if terms.Binary, err = processtest.Build("yokeroute"); err != nil {
 					return err
 				}
-				defer processes.Unbuild()
+				defer processtest.Unbuild()
 			}
 			ctx := cmd.Context()
-			f, err := processes.StartFleet(ctx, sc, terms)
+			f, err := processtest.StartFleet(ctx, sc, terms)
 			if err != nil {
 				return err
 			}
--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -14,7 +14,7 @@
 
 	"yokeroute/internal/control/rollout/emulated"
 	"yokeroute/internal/control/rollout/live"
-	"yokeroute/internal/processes"
+	"yokeroute/internal/testbed/processtest"
 	"yokeroute/logic/rollout"
 )
 
@@ -132,7 +132,7 @@
 			if err := oneOf("judges", judges, judgeNames); err != nil {
 				return err
 			}
-			defer processes.Unbuild()
+			defer processtest.Unbuild()
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "version\tjudge\tgatherers\tend\tseconds\tmost new\toperations lost by it\trules\tMB, mean and most\twhy")
 			for _, k := range kinds {
--- a/cmd/yokeroute/crossings_test.go
+++ b/cmd/yokeroute/crossings_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/processes"
 	"yokeroute/internal/standin"
+	"yokeroute/internal/testbed/processtest"
 )
 
 // The whole program as a process of its own: signals at every moment, descriptors that run out, many starts at once.
@@ -95,7 +95,7 @@
 
 func build(t *testing.T) string {
 	t.Helper()
-	binary, err := processes.BuildPlain("yokeroute")
+	binary, err := processtest.BuildPlain("yokeroute")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/policyclient/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -19,13 +19,13 @@
 
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
-	"yokeroute/internal/processes"
+	"yokeroute/internal/testbed/processtest"
 	logic "yokeroute/logic/policy"
 )
 
 func TestMain(m *testing.M) {
 	status := m.Run()
-	processes.Unbuild()
+	processtest.Unbuild()
 	os.Exit(status)
 }
 
@@ -51,29 +51,29 @@
 // scene is a fleet of processes with stewards, under load.
 type scene struct {
 	*testing.T
-	f    *processes.Fleet
+	f    *processtest.Fleet
 	ctx  context.Context
 	stop func()
 	from float64 // since when policies are checked against each other, Unix milliseconds
 }
 
-func begin(t *testing.T, gatherers, rate int, terms processes.StewardTerms) *scene {
+func begin(t *testing.T, gatherers, rate int, terms processtest.StewardTerms) *scene {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 280*time.Second)
 	t.Cleanup(cancel)
 	s := &scene{T: t, ctx: ctx}
-	binary, err := processes.Build("yokeroute")
+	binary, err := processtest.Build("yokeroute")
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc, err := processes.Parse(t.Name(), fmt.Sprintf(fleetText, rate, gatherers), 0)
+	sc, err := processtest.Parse(t.Name(), fmt.Sprintf(fleetText, rate, gatherers), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if terms.Floor == "" {
 		terms.Floor = floorText
 	}
-	if s.f, err = processes.StartFleet(ctx, sc, processes.Terms{Binary: binary, Folder: filepath.Join(t.TempDir(), "fleet"), State: true, Stewards: terms}); err != nil {
+	if s.f, err = processtest.StartFleet(ctx, sc, processtest.Terms{Binary: binary, Folder: filepath.Join(t.TempDir(), "fleet"), State: true, Stewards: terms}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.f.Close)
@@ -84,7 +84,7 @@
 }
 
 // three stewards, with times that a machine full of other tests can keep.
-var three = processes.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
+var three = processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
 
 func (s *scene) status() *policyclient.Status {
 	ctx, cancel := context.WithTimeout(s.ctx, 10*time.Second)
@@ -146,8 +146,8 @@
 // served waits until so many more lookups were answered.
 func (s *scene) served(n int) {
 	s.Helper()
-	at := s.f.Front.Total().Endings[processes.Satisfied]
-	if err := process.Until(s.ctx, "lookups are answered", func() bool { return s.f.Front.Total().Endings[processes.Satisfied] >= at+n }); err != nil {
+	at := s.f.Front.Total().Endings[processtest.Satisfied]
+	if err := process.Until(s.ctx, "lookups are answered", func() bool { return s.f.Front.Total().Endings[processtest.Satisfied] >= at+n }); err != nil {
 		s.Fatal(err)
 	}
 }
@@ -165,13 +165,13 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	sends = slices.DeleteFunc(sends, func(e processes.Send) bool { return e.At < s.from })
+	sends = slices.DeleteFunc(sends, func(e processtest.Send) bool { return e.At < s.from })
 	counts := map[string]int{}
 	for _, e := range sends {
 		counts[e.Server]++
 	}
 	for _, pair := range pairs {
-		var before, after processes.Send
+		var before, after processtest.Send
 		for _, e := range sends {
 			if e.Server == pair[0] {
 				before = e
@@ -205,7 +205,7 @@
 		t.Fatal(err)
 	}
 	for _, k := range s.f.Links("g5:w*") {
-		k.Change(func(w *processes.Weather) { w.Silent = [2]bool{true, true} })
+		k.Change(func(w *processtest.Weather) { w.Silent = [2]bool{true, true} })
 	}
 	g[7].Kill()
 	second := s.propose("close zone south host s3\n") // the other way round
@@ -445,7 +445,7 @@
 		t.Fatal(err)
 	}
 	second := s.propose("close zone south host s3\n")
-	var others []*processes.Steward
+	var others []*processtest.Steward
 	for _, one := range w {
 		if one != leader {
 			others = append(others, one)
@@ -521,7 +521,7 @@
 		for i, g := range s.f.Gatherers {
 			if (w == leader) != (i < 2) {
 				k := s.f.Link(g.Name + ":" + w.Name)
-				k.Change(func(w *processes.Weather) { w.Silent = [2]bool{i%2 == 0, true} }) // some hear, and are not heard
+				k.Change(func(w *processtest.Weather) { w.Silent = [2]bool{i%2 == 0, true} }) // some hear, and are not heard
 			}
 		}
 	}
@@ -550,7 +550,7 @@
 // cut off, is as if it had happened one after the other.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
-	s := begin(t, 2, 10, processes.StewardTerms{Count: 3, Lease: 3000, Limit: 5000, Beat: 50})
+	s := begin(t, 2, 10, processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 5000, Beat: 50})
 	type input struct {
 		read bool
 		base uint64
--- a/internal/control/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/internal/control/rollout"
-	"yokeroute/internal/processes"
+	"yokeroute/internal/testbed/processtest"
 	logic "yokeroute/logic/rollout"
 )
 
@@ -82,24 +82,24 @@
 // Play plays one. Programs are built from the module in the current folder, without the race detector.
 func Play(ctx context.Context, t Terms) (out Outcome, err error) {
 	out = Outcome{Kind: t.Kind, Gatherers: t.Gatherers}
-	old, err := processes.BuildPlain("yokeroute", "yokeroute/internal/version.Set=1")
+	old, err := processtest.BuildPlain("yokeroute", "yokeroute/internal/version.Set=1")
 	if err != nil {
 		return out, err
 	}
 	newer := ""
 	if t.Kind == "good" {
-		newer, err = processes.BuildPlain("yokeroute", "yokeroute/internal/version.Set=2")
+		newer, err = processtest.BuildPlain("yokeroute", "yokeroute/internal/version.Set=2")
 	} else {
-		newer, err = processes.BuildWorse(t.Kind, "2", false)
+		newer, err = processtest.BuildWorse(t.Kind, "2", false)
 	}
 	if err != nil {
 		return out, err
 	}
-	sc, err := processes.Parse("live", fmt.Sprintf(fleetText, t.Rate, t.Gatherers, t.Seed), 0)
+	sc, err := processtest.Parse("live", fmt.Sprintf(fleetText, t.Rate, t.Gatherers, t.Seed), 0)
 	if err != nil {
 		return out, err
 	}
-	f, err := processes.StartFleet(ctx, sc, processes.Terms{Binary: old, Folder: filepath.Join(t.Folder, "fleet"), State: true, Report: true, MemoryMB: 32})
+	f, err := processtest.StartFleet(ctx, sc, processtest.Terms{Binary: old, Folder: filepath.Join(t.Folder, "fleet"), State: true, Report: true, MemoryMB: 32})
 	if err != nil {
 		return out, err
 	}
@@ -140,7 +140,7 @@
 }
 
 // control carries the rollout out in this process.
-func (t *Terms) control(ctx context.Context, f *processes.Fleet, old, newer string, out *Outcome) error {
+func (t *Terms) control(ctx context.Context, f *processtest.Fleet, old, newer string, out *Outcome) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, planText, filepath.Join(t.Folder, "run"), max(t.Gatherers/10, 1), max(t.Gatherers/20, 1), t.Seed)
 	for _, g := range f.Gatherers {
@@ -200,7 +200,7 @@
 }
 
 // supervise starts gatherers again that have ended by themselves, as a platform does.
-func supervise(ctx context.Context, f *processes.Fleet) {
+func supervise(ctx context.Context, f *processtest.Fleet) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for _, g := range f.Gatherers {
--- a/internal/control/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -17,30 +17,30 @@
 	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/process"
-	"yokeroute/internal/processes"
 	"yokeroute/internal/rulecheck"
+	"yokeroute/internal/testbed/processtest"
 	logic "yokeroute/logic/rollout"
 )
 
 func TestMain(m *testing.M) {
 	if len(os.Args) == 6 && os.Args[1] == "order" { // this is a plan's command
-		os.Exit(processes.Order(os.Args[2], os.Args[3], os.Args[4], os.Args[5]))
+		os.Exit(processtest.Order(os.Args[2], os.Args[3], os.Args[4], os.Args[5]))
 	}
 	status := m.Run()
-	processes.Unbuild()
+	processtest.Unbuild()
 	os.Exit(status)
 }
 
 // scene is a fleet of processes, the versions it may serve, and a plan.
 type scene struct {
 	*testing.T
-	f        *processes.Fleet
-	steps    *processes.Steps
+	f        *processtest.Fleet
+	steps    *processtest.Steps
 	folder   string
 	old, new string // programs
 	newFile  string // text of the new operator's file; the old one has none of it
 	ctx      context.Context
-	tear     atomic.Pointer[func(s processes.Step) error] // before a step
+	tear     atomic.Pointer[func(s processtest.Step) error] // before a step
 	stop     func()
 	n        int
 	making   sync.Map               // locks by gatherer
@@ -71,19 +71,19 @@
 	t.Cleanup(cancel)
 	s := &scene{T: t, folder: t.TempDir(), newFile: newFile, ctx: ctx}
 	var err error
-	if s.old, err = processes.Build("yokeroute", "yokeroute/internal/version.Set=1"); err == nil {
-		s.new, err = processes.Build("yokeroute", "yokeroute/internal/version.Set=2")
+	if s.old, err = processtest.Build("yokeroute", "yokeroute/internal/version.Set=1"); err == nil {
+		s.new, err = processtest.Build("yokeroute", "yokeroute/internal/version.Set=2")
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
 	text := strings.NewReplacer("5%", "5%%", "65%", "65%%", "75%", "75%%", "30%", "30%%").Replace(strings.ReplaceAll(fleetText, "%%", "%"))
 	text = fmt.Sprintf(strings.NewReplacer("0% ", "0%% ", "20% ", "20%% ").Replace(text), rate, gatherers)
-	sc, err := processes.Parse(t.Name(), text, 0)
+	sc, err := processtest.Parse(t.Name(), text, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s.f, err = processes.StartFleet(ctx, sc, processes.Terms{Binary: s.old, Folder: filepath.Join(s.folder, "fleet"), State: true, Report: true}); err != nil {
+	if s.f, err = processtest.StartFleet(ctx, sc, processtest.Terms{Binary: s.old, Folder: filepath.Join(s.folder, "fleet"), State: true, Report: true}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.f.Close)
@@ -96,7 +96,7 @@
 	return s
 }
 
-func (s *scene) step(ctx context.Context, order processes.Step) error {
+func (s *scene) step(ctx context.Context, order processtest.Step) error {
 	if tear := s.tear.Load(); tear != nil {
 		if err := (*tear)(order); err != nil {
 			return err
@@ -268,7 +268,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	link.Change(func(w *processes.Weather) { w.Silent = [2]bool{true, true} })
+	link.Change(func(w *processtest.Weather) { w.Silent = [2]bool{true, true} })
 	if p := g.Process(); p.Alive() && g.Serves() {
 		p.Kill()
 		if err := g.Start(s.ctx); err != nil && g.Process().Alive() {
@@ -396,7 +396,7 @@
 func TestWorsePrograms(t *testing.T) {
 	t.Parallel()
 	for fault, words := range map[string]string{"dies": "processes end by themselves more often", "leaks": "takes more memory"} {
-		worse, err := processes.BuildWorse(fault, "2", true)
+		worse, err := processtest.BuildWorse(fault, "2", true)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -424,7 +424,7 @@
 }
 
 // supervise starts a gatherer again where it has died by itself as the new program.
-func (s *scene) supervise(ctx context.Context, g *processes.Gatherer) {
+func (s *scene) supervise(ctx context.Context, g *processtest.Gatherer) {
 	for ctx.Err() == nil {
 		p := g.Process()
 		select {
@@ -453,7 +453,7 @@
 	var mu sync.Mutex
 	var c *process.Process
 	orders, kills := map[string]int{}, 0
-	tear := func(order processes.Step) error {
+	tear := func(order processtest.Step) error {
 		mu.Lock()
 		defer mu.Unlock()
 		orders[order.Gatherer]++
@@ -596,14 +596,14 @@
 func TestNeverUp(t *testing.T) {
 	t.Parallel()
 	s := begin(t, 4, 40, "")
-	for name, fails := range map[string]func(order processes.Step) error{
-		"fails":    func(order processes.Step) error { return fmt.Errorf("no such image") },
+	for name, fails := range map[string]func(order processtest.Step) error{
+		"fails":    func(order processtest.Step) error { return fmt.Errorf("no such image") },
 		"the same": nil,
 	} {
 		s.new = s.old
 		s.tear.Store(nil)
 		if fails != nil {
-			tear := func(order processes.Step) error {
+			tear := func(order processtest.Step) error {
 				if order.To == "new" {
 					return fails(order)
 				}
@@ -688,7 +688,7 @@
 func TestRunner(t *testing.T) {
 	t.Parallel()
 	s := begin(t, 4, 60, "")
-	sweep, err := processes.Sweep(s.folder)
+	sweep, err := processtest.Sweep(s.folder)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/policies.go
+++ b/internal/scale/policies.go
@@ -17,8 +17,8 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
-	"yokeroute/internal/processes"
 	"yokeroute/internal/stats"
+	"yokeroute/internal/testbed/processtest"
 	decisions "yokeroute/logic/policy"
 )
 
@@ -86,8 +86,8 @@
 	names    []operator.Steward
 	client   *policyclient.Client
 	hollow   []*hollowGatherer
-	relays   []*processes.Link  // of the region that is cut off, one to each steward
-	far      []operator.Steward // the stewards as that region reaches them
+	relays   []*processtest.Link // of the region that is cut off, one to each steward
+	far      []operator.Steward  // the stewards as that region reaches them
 	cut      bool
 	returned []time.Duration // of the region
 	log      *logrus.Logger
@@ -156,7 +156,7 @@
 		return nil
 	}
 	for i, s := range f.names {
-		relay, err := processes.NewLink("region", s.Name, "127.0.0.1", s.Address, uint64(i))
+		relay, err := processtest.NewLink("region", s.Name, "127.0.0.1", s.Address, uint64(i))
 		if err != nil {
 			return err
 		}
--- a/internal/scale/scale_test.go
+++ b/internal/scale/scale_test.go
@@ -7,12 +7,12 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/processes"
+	"yokeroute/internal/testbed/processtest"
 )
 
 func TestMain(m *testing.M) {
 	status := m.Run()
-	processes.Unbuild()
+	processtest.Unbuild()
 	os.Exit(status)
 }
 
@@ -87,7 +87,7 @@
 		measured(t, figures, err)
 	})
 	t.Run("policies", func(t *testing.T) {
-		binary, err := processes.Build("yokeroute")
+		binary, err := processtest.Build("yokeroute")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/processes/build.go
+++ b/internal/testbed/processtest/build.go
@@ -1,4 +1,4 @@
-package processes
+package processtest
 
 import (
 	"fmt"
@@ -25,7 +25,7 @@
 
 // BuildWorse builds the gatherer with a fault of its own (package worse names them) and a version.
 func BuildWorse(fault, version string, race bool) (string, error) {
-	return build("./internal/processes/worse", race, []string{"main.fault=" + fault, "yokeroute/internal/version.Set=" + version})
+	return build("./internal/testbed/processtest/worse", race, []string{"main.fault=" + fault, "yokeroute/internal/version.Set=" + version})
 }
 
 // BuildPlain builds a program of this module without the race detector, for figures.
--- a/internal/processes/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -6,7 +6,7 @@
 // What it cannot do: a link that is silent takes new connections, where a machine that is cut off would never answer
 // their first packet; clocks are one machine's; and processes share its cores, so that times are measured here as
 // ratios within one run alone.
-package processes
+package processtest
 
 import (
 	"cmp"
--- a/internal/processes/live.go
+++ b/internal/testbed/processtest/live.go
@@ -1,4 +1,4 @@
-package processes
+package processtest
 
 import (
 	"context"
