--- a/cmd/yokeroute-testbed/scale.go
+++ b/cmd/yokeroute-testbed/scale.go
@@ -12,7 +12,7 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/scale"
+	"yokeroute/internal/testbed/scale"
 )
 
 // scaleOutput is where and how the figures of a scale test go.
