--- a/cmd/yokeroute/crossings_test.go
+++ b/cmd/yokeroute/crossings_test.go
@@ -18,8 +18,8 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/standin"
 	"yokeroute/internal/testbed/processtest"
+	"yokeroute/internal/testbed/standin"
 )
 
 // The whole program as a process of its own: signals at every moment, descriptors that run out, many starts at once.
--- a/cmd/yokeroute/main_test.go
+++ b/cmd/yokeroute/main_test.go
@@ -19,9 +19,9 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/standin"
-	"yokeroute/internal/standin/directory"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin"
+	"yokeroute/internal/testbed/standin/directory"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 func configure(t *testing.T, listen, discovery string) string {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -23,8 +23,8 @@
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/service"
-	"yokeroute/internal/standin/shards"
 	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 	"yokeroute/logic/phases"
 )
 
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -10,8 +10,8 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/standin/shards"
 	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // TestKeptConfigIsRead: a configuration of the platform is read key by key as it was when its format began.
--- a/internal/gatherer/service/migrated_test.go
+++ b/internal/gatherer/service/migrated_test.go
@@ -9,8 +9,8 @@
 
 	"yokeroute/internal/config/migrate"
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/standin/shards"
 	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // TestMigrated moves a configuration to a fleet whose servers tell their load only when asked, whose list is asked
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -21,8 +21,8 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/control/segments"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/standin/directory"
-	standin "yokeroute/internal/standin/owners"
+	"yokeroute/internal/testbed/standin/directory"
+	standin "yokeroute/internal/testbed/standin/owners"
 	"yokeroute/logic/owners"
 )
 
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -16,8 +16,8 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/internal/standin/shards"
 	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 const settings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
--- a/internal/gatherer/service/settings_test.go
+++ b/internal/gatherer/service/settings_test.go
@@ -10,8 +10,8 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/standin/shards"
 	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // sites are settings of three shapes of deployment: lists pushed with customers, lists asked for without second copies,
--- a/internal/gatherer/shardcall/agree_test.go
+++ b/internal/gatherer/shardcall/agree_test.go
@@ -6,8 +6,8 @@
 	"time"
 
 	"yokeroute/gather"
-	"yokeroute/internal/standin"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // TestAgree wants each process of a server asked once, on a connection of its own, and again when it has started
--- a/internal/gatherer/shardcall/crossings_test.go
+++ b/internal/gatherer/shardcall/crossings_test.go
@@ -14,7 +14,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/standin"
+	"yokeroute/internal/testbed/standin"
 )
 
 // What comes between the decision on a part call and its bytes: each forced by a server that reads no further, or by a
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -15,7 +15,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/standin"
+	"yokeroute/internal/testbed/standin"
 )
 
 // desk is a pool with a facade before it, whose reports a test can read. The module behind it has one
--- a/internal/gatherer/shardcall/probe_test.go
+++ b/internal/gatherer/shardcall/probe_test.go
@@ -5,7 +5,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/internal/standin"
+	"yokeroute/internal/testbed/standin"
 )
 
 // load asks for a load and gives back what came of it.
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"yokeroute/internal/process"
-	"yokeroute/internal/standin/directory"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin/directory"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // Machine is one shard server of a fleet.
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // Sample is what a fleet and its gatherers came to under a load.
--- a/internal/testbed/experiment/phases.go
+++ b/internal/testbed/experiment/phases.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // PhaseTerms are those of a comparison of lookups in one phase with lookups that may go in two.
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -10,7 +10,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/placementfile"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin/shards"
 	"yokeroute/logic/balance"
 )
 
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -27,9 +27,9 @@
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/internal/standin/directory"
-	"yokeroute/internal/standin/shards"
 	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/directory"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // Terms are what a fleet is started with beside its scenario.
--- a/internal/testbed/scale/lists.go
+++ b/internal/testbed/scale/lists.go
@@ -14,7 +14,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/shardcall"
-	"yokeroute/internal/standin/directory"
+	"yokeroute/internal/testbed/standin/directory"
 )
 
 // ListCost is what the list of shard servers costs one gatherer, over HTTP from a stand-in for discovery.
--- a/internal/standin/owners/owners.go
+++ b/internal/testbed/standin/owners/owners.go
@@ -18,7 +18,7 @@
 	"time"
 
 	"yokeroute/internal/control/segments"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin/shards"
 	"yokeroute/logic/owners"
 )
 
