--- a/cmd/yokeroute-testbed/demo.go
+++ b/cmd/yokeroute-testbed/demo.go
@@ -9,7 +9,7 @@
 	"github.com/mattn/go-isatty"
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/demo"
+	"yokeroute/internal/testbed/demo"
 )
 
 func demoCommand() *cobra.Command {
