--- a/logic/logic.go
+++ b/logic/logic.go
@@ -14,8 +14,8 @@
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/stats"
 	"yokeroute/logic/records"
+	"yokeroute/logic/roundrobin"
 	"yokeroute/logic/slowstart"
-	"yokeroute/logic/turns"
 )
 
 const (
@@ -137,7 +137,7 @@
 	doubtAt    []uint64
 	rounds     uint64
 	turns      []turn
-	plan       turns.Weighted // for groups of which an operator handed weights down
+	plan       roundrobin.Weighted // for groups of which an operator handed weights down
 
 	soft, normal        float64   // the shortest soft deadline; the median of what the window answered
 	unknown             float64   // latency of a server without records: the median as the last round found it
--- a/logic/turns/turns.go
+++ b/logic/roundrobin/turns.go
@@ -1,6 +1,6 @@
 // Package turns decides whose turn it is among a group's replicas where an operator has handed weights
 // down; the module goes by plain turns elsewhere. Why and how: docs/design/placement.md.
-package turns
+package roundrobin
 
 import (
 	"math"
