--- a/logic/records/records.go
+++ b/logic/callstats/records.go
@@ -5,7 +5,7 @@
 //
 // It decides nothing. The sums of a server are added up anew, in the order of its records, whenever one came
 // or went, so that they are the same to the last bit as if all were added up in every round.
-package records
+package callstats
 
 import "math"
 
--- a/logic/records/records_test.go
+++ b/logic/callstats/records_test.go
@@ -1,4 +1,4 @@
-package records
+package callstats
 
 import (
 	"fmt"
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -13,7 +13,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/stats"
-	"yokeroute/logic/records"
+	"yokeroute/logic/callstats"
 	"yokeroute/logic/roundrobin"
 	"yokeroute/logic/slowstart"
 )
@@ -122,7 +122,7 @@
 	polled, told  []float64 // when it was asked for its load, 0 where no answer is due; when it last told one
 	queue, work   []float64 // parts waiting there and their latency without the waiting, as it told
 	way           []float64 // what the probe took
-	records       *records.Table
+	records       *callstats.Table
 	slow          slowstart.Table
 	out           [][]*call
 	busy          []int // servers with calls out, in no order that counts
@@ -159,7 +159,7 @@
 func New(seed uint64, settings *gather.Settings) *Gatherer {
 	g := &Gatherer{settings: settings, chance: pcg.New(seed), dense: map[uint32]int{}, indexes: map[string]*index{},
 		parts: map[uint64]*part{}, byNumber: map[uint64]*lookup{}, soft: math.Inf(1),
-		records: records.New(records.Limits{Span: span, Enough: enough, Memory: memory})}
+		records: callstats.New(callstats.Limits{Span: span, Enough: enough, Memory: memory})}
 	g.slow.Take(settings)
 	g.asks = settings.HealthChecksAllowed && settings.LoadReports == "pull"
 	for _, name := range settings.ClassNames() {
@@ -333,7 +333,7 @@
 	g.out[c.shd] = slices.DeleteFunc(g.out[c.shd], func(o *call) bool { return o == c })
 	g.records.Touch(c.shd)
 	waited, limit, passed := g.now-c.at, overS*g.yard(c), e.Outcome == gather.Succeeded
-	rec := records.Record{At: g.now, Latency: waited, Extra: waited - limit/overS, Weight: c.cost,
+	rec := callstats.Record{At: g.now, Latency: waited, Extra: waited - limit/overS, Weight: c.cost,
 		Passed: passed, Failed: !passed || waited > limit}
 	if passed {
 		p.in = true
