--- a/internal/gatherer/dispatch/pick_test.go
+++ b/internal/gatherer/dispatch/pick_test.go
@@ -17,13 +17,13 @@
 	"yokeroute/internal/simwire"
 )
 
-const settings = `{"balancers":2,"tick":5000,"classes":[{"name":"any","effect":"pure","goalTime":1000000,"hardLimit":3000000,` +
+const settingsText = `{"balancers":2,"tick":5000,"classes":[{"name":"any","effect":"pure","goalTime":1000000,"hardLimit":3000000,` +
 	`"lateValue":0.1},{"name":"all","effect":"side_effect","goalTime":1000000,"hardLimit":3000000}],` +
 	`"domain":{"cells":2,"inARow":1,"call":27000,"partsACall":16,"classFloor":[0.5,1],"completeFrom":[0.5,1]},` +
 	`"limits":{"attemptsCap":3,"cancel":true,"secondCopies":true,"maxRetryAfter":1000000,"retryAfter":true}}`
 
 func newPicker(t *testing.T, change func(s *gather.Settings)) *Picker {
-	of, err := settings.Read([]byte(settings))
+	of, err := settings.Read([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,7 +73,7 @@
 		var batch strings.Builder
 		fmt.Fprintf(&batch, `{"cmd":"BeginBatch","now":%.0f,"batch":1}`+"\n", now*1000)
 		if step == 0 {
-			batch.WriteString(`{"cmd":"Hello","gathererId":0,"initSeed":5,"info":` + settings + "}\n" + `{"cmd":"DefineList","sheet":0,"members":[`)
+			batch.WriteString(`{"cmd":"Hello","gathererId":0,"initSeed":5,"info":` + settingsText + "}\n" + `{"cmd":"DefineList","sheet":0,"members":[`)
 			for i := range 6 {
 				fmt.Fprintf(&batch, `%.*s{"setNo":%d,"server":%d,"condition":"Running"}`, min(i, 1), ",", i%2, 10+i)
 			}
