--- a/internal/testbed/emulator/owned.go
+++ b/internal/testbed/emulator/owned.go
@@ -8,8 +8,8 @@
 	"yokeroute/logic/owners"
 )
 
-// ownership is who owns which keys in truth: the authority's map, what each server believes, and the logs.
-type ownership struct {
+// segmentOwners is who owns which keys in truth: the authority's map, what each server believes, and the logs.
+type segmentOwners struct {
 	m       *owners.Map
 	hosts   []owners.Host // by server
 	logs    map[string]*owners.Log
@@ -27,7 +27,7 @@
 // settleSegments deals the first segments out.
 func (w *World) settleSegments() error {
 	sc := w.sc
-	o := &ownership{hosts: make([]owners.Host, len(w.servers)), logs: map[string]*owners.Log{}, names: map[uint32]string{}, byName: map[string]*server{}, chance: w.stream("hand-overs", 0)}
+	o := &segmentOwners{hosts: make([]owners.Host, len(w.servers)), logs: map[string]*owners.Log{}, names: map[uint32]string{}, byName: map[string]*server{}, chance: w.stream("hand-overs", 0)}
 	w.owned = o
 	for _, s := range w.servers {
 		name := fmt.Sprint("h", s.number)
@@ -56,7 +56,7 @@
 }
 
 // accept has a segment's owners own it; it reports whether its writer could be reached.
-func (o *ownership) accept(s owners.Segment) bool {
+func (o *segmentOwners) accept(s owners.Segment) bool {
 	reached := true
 	for i, name := range s.Owners {
 		srv := o.byName[name]
@@ -70,7 +70,7 @@
 }
 
 // asks has a server decide about a call.
-func (o *ownership) asks(s *server, a *attempt) owners.Answer {
+func (o *segmentOwners) asks(s *server, a *attempt) owners.Answer {
 	keys, segment, since, _ := a.call.Keys()
 	answer := o.hosts[s.number].Ask(owners.Call{Segment: segment, Since: since, Range: keys, OnceOnly: a.call.OnceOnly()})
 	if answer == owners.Moved {
@@ -80,7 +80,7 @@
 }
 
 // takes reports whether a once-only call's log takes what it is about to do.
-func (o *ownership) takes(a *attempt) bool {
+func (o *segmentOwners) takes(a *attempt) bool {
 	_, segment, since, _ := a.call.Keys()
 	log := o.logs[segment]
 	if log == nil || !log.Append(since) {
@@ -200,7 +200,7 @@
 	w.in(w.sc.Owned.Takes, func() { w.step(h, undo, tried) })
 }
 
-func (o *ownership) raise(c owners.Change) {
+func (o *segmentOwners) raise(c owners.Change) {
 	for _, name := range c.Out {
 		if log := o.logs[name]; log != nil {
 			log.Raise(c.Epoch)
--- a/internal/testbed/emulator/world.go
+++ b/internal/testbed/emulator/world.go
@@ -62,8 +62,8 @@
 	listLag   float64
 	weights   [][][]gather.Weight // by hall, nil for none
 	asks      []*ask
-	owned     *ownership // nil where the layout says who holds what
-	number    uint64     // of the next lookup
+	owned     *segmentOwners // nil where the layout says who holds what
+	number    uint64         // of the next lookup
 
 	header  rulecheck.Header
 	checker *rulecheck.Checker
