--- a/cmd/yokeroute/segments.go
+++ b/cmd/yokeroute/segments.go
@@ -14,7 +14,7 @@
 	"github.com/spf13/cobra"
 
 	"yokeroute/internal/control/segments"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 func segmentsCommand() *cobra.Command {
@@ -24,7 +24,7 @@
 }
 
 // withShards reads a map file; shards are those of the flag, of the file, or none.
-func withShards(file string, flag int) (*owners.Map, int, error) {
+func withShards(file string, flag int) (*ownership.Map, int, error) {
 	m, shards, err := segments.ReadMap(file)
 	if flag > 0 {
 		shards = flag
@@ -33,13 +33,13 @@
 }
 
 // shardsOf says which shards have keys in a range.
-func shardsOf(r owners.Range, shards int) string {
+func shardsOf(r ownership.Range, shards int) string {
 	if shards == 0 {
 		return "-"
 	}
 	first, last := -1, -1
 	for s := range shards {
-		if owners.Slot(s, shards).Overlaps(r) {
+		if ownership.Slot(s, shards).Overlaps(r) {
 			if first < 0 {
 				first = s
 			}
@@ -75,7 +75,7 @@
 	return cmd
 }
 
-func showMap(w io.Writer, m *owners.Map, shards int, host string) {
+func showMap(w io.Writer, m *ownership.Map, shards int, host string) {
 	fmt.Fprintf(w, "epoch %d, %d segments\n\n", m.Epoch, len(m.Segments))
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "segment\tkeys\tof all\tshards\tsince\twriter\tother owners")
@@ -139,7 +139,7 @@
 
 // follows gives why one map can't follow another: a segment that is owned otherwise than before bears an epoch of
 // before, under which its old owner would go on.
-func follows(m, next *owners.Map) (wrong []string) {
+func follows(m, next *ownership.Map) (wrong []string) {
 	for _, s := range next.Segments {
 		i := m.Find(s.Name)
 		if i < 0 {
@@ -161,7 +161,7 @@
 }
 
 // difference says what a later map changes.
-func difference(m, next *owners.Map) (lines []string) {
+func difference(m, next *ownership.Map) (lines []string) {
 	moved := 0.0
 	for _, s := range next.Segments {
 		for _, p := range m.Pieces(s.Range) {
@@ -197,7 +197,7 @@
 				return err
 			}
 			names := strings.Split(into, ",")
-			var c owners.Change
+			var c ownership.Change
 			ways := 0
 			for _, given := range []bool{len(to) > 0, split != "", merge != ""} {
 				if given {
@@ -236,7 +236,7 @@
 			for _, line := range difference(m, next) {
 				fmt.Fprintln(w, line)
 			}
-			h := owners.Begin(m, c)
+			h := ownership.Begin(m, c)
 			fmt.Fprintf(w, "\nsteps:\n")
 			for i, line := range steps(&h, shards) {
 				fmt.Fprintf(w, "  %d. %s\n", i+1, line)
@@ -260,7 +260,7 @@
 }
 
 // steps says what a hand-over does, step by step, and what lookups see of it.
-func steps(h *owners.Handover, shards int) []string {
+func steps(h *ownership.Handover, shards int) []string {
 	var olds, news []string
 	touched := ""
 	for _, s := range h.Was {
--- a/internal/control/segments/file.go
+++ b/internal/control/segments/file.go
@@ -5,14 +5,14 @@
 	"strings"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // file is a map file being read.
 type file struct {
 	epoch    uint64
 	shards   int
-	segments []owners.Segment
+	segments []ownership.Segment
 	at       []*directive.Values
 }
 
@@ -27,11 +27,11 @@
 			{Name: "on", Kind: directive.Names, Help: "hosts that own it; the first is its writer. Without any its keys are unowned"}, {Name: "since", Kind: directive.Count, Max: 1 << 53, Help: "the epoch from which they do; this one unless told"}},
 			Help: "A range of keys and who owns it.", Example: "segment a keys 0000000000000000-7fffffffffffffff on h-01 h-02",
 			Apply: func(v *directive.Values) error {
-				r, err := owners.ParseRange(v.Text("keys"))
+				r, err := ownership.ParseRange(v.Text("keys"))
 				if err != nil {
 					return v.Errorf("keys", "%v", err)
 				}
-				f.segments = append(f.segments, owners.Segment{Name: v.Text("name"), Range: r, Owners: v.List("on"), Since: uint64(v.Number("since", 0))})
+				f.segments = append(f.segments, ownership.Segment{Name: v.Text("name"), Range: r, Owners: v.List("on"), Since: uint64(v.Number("since", 0))})
 				f.at = append(f.at, v)
 				return nil
 			}},
@@ -42,7 +42,7 @@
 func MapReference() string { return (&file{}).table().Reference() }
 
 // ReadMap reads a map file; shards is 0 where it does not tell them.
-func ReadMap(name string) (m *owners.Map, shards int, err error) {
+func ReadMap(name string) (m *ownership.Map, shards int, err error) {
 	f := &file{}
 	if err := f.table().Read(name); err != nil {
 		return nil, 0, err
@@ -51,7 +51,7 @@
 }
 
 // ParseMap reads the text of a map file.
-func ParseMap(name, text string) (m *owners.Map, shards int, err error) {
+func ParseMap(name, text string) (m *ownership.Map, shards int, err error) {
 	f := &file{}
 	if err := f.table().Parse(name, text); err != nil {
 		return nil, 0, err
@@ -59,12 +59,12 @@
 	return f.finish(name)
 }
 
-func (f *file) finish(name string) (*owners.Map, int, error) {
+func (f *file) finish(name string) (*ownership.Map, int, error) {
 	top := directive.Position{File: name, Line: 1, Column: 1}
 	if f.epoch == 0 {
 		return nil, 0, directive.ErrorList{{Position: top, Message: "lacks its epoch; write epoch NUMBER"}}
 	}
-	m, err := owners.First(f.epoch, f.segments)
+	m, err := ownership.First(f.epoch, f.segments)
 	if err == nil {
 		return m, f.shards, nil
 	}
@@ -79,7 +79,7 @@
 }
 
 // WriteMap writes a map as a file.
-func WriteMap(m *owners.Map, shards int) string {
+func WriteMap(m *ownership.Map, shards int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "epoch %d\n", m.Epoch)
 	if shards > 0 {
--- a/internal/control/segments/follow.go
+++ b/internal/control/segments/follow.go
@@ -9,13 +9,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Picker takes news of the map; package pick has it.
 type Picker interface {
-	ChangeMap(c owners.Change)
-	SetMap(m *owners.Map)
+	ChangeMap(c ownership.Change)
+	SetMap(m *ownership.Map)
 	Behind() <-chan struct{}
 }
 
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -16,7 +16,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 const good = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
@@ -61,7 +61,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Reply{Whole: m, Changes: []owners.Change{split}}
+	r := &Reply{Whole: m, Changes: []ownership.Change{split}}
 	again, err := Parse(r.Text())
 	if err != nil || !reflect.DeepEqual(again, r) {
 		t.Fatalf("%+v, %v", again, err)
@@ -95,9 +95,9 @@
 	p.mu.Unlock()
 	p.told <- true
 }
-func (p *picker) ChangeMap(c owners.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
-func (p *picker) SetMap(m *owners.Map)      { p.add(fmt.Sprint("map ", m.Epoch)) }
-func (p *picker) Behind() <-chan struct{}   { return p.behind }
+func (p *picker) ChangeMap(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
+func (p *picker) SetMap(m *ownership.Map)      { p.add(fmt.Sprint("map ", m.Epoch)) }
+func (p *picker) Behind() <-chan struct{}      { return p.behind }
 
 // TestFollows: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
 // a watch waits; through an authority that fails and one that sends what can't be read.
@@ -125,7 +125,7 @@
 		default:
 			select {
 			case <-release:
-				w.Write((&Reply{Changes: []owners.Change{next}}).Text())
+				w.Write((&Reply{Changes: []ownership.Change{next}}).Text())
 			case <-r.Context().Done():
 			}
 		}
@@ -165,7 +165,7 @@
 func FuzzParse(f *testing.F) {
 	m, _, _ := ParseMap("m.conf", good)
 	split, _ := m.Split("a", 5, "c", "d")
-	f.Add((&Reply{Whole: m, Changes: []owners.Change{split}}).Text())
+	f.Add((&Reply{Whole: m, Changes: []ownership.Change{split}}).Text())
 	f.Add([]byte(`{"whole":{"epoch":1,"sum":"0000000000000000","segments":[{"name":"a","keys":"0000000000000000-ffffffffffffffff"}]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		r, err := Parse(text)
@@ -176,7 +176,7 @@
 		if err != nil || again.Whole != nil && (again.Whole.Epoch != r.Whole.Epoch || len(again.Whole.Segments) != len(r.Whole.Segments)) || len(again.Changes) != len(r.Changes) {
 			t.Fatalf("%v: %+v, then %+v", err, r, again)
 		}
-		follower := owners.Follower{}
+		follower := ownership.Follower{}
 		follower.Reset(m)
 		if r.Whole != nil {
 			follower.Reset(r.Whole)
--- a/internal/control/segments/wire.go
+++ b/internal/control/segments/wire.go
@@ -1,5 +1,5 @@
 // Package segments is where maps of segments are learnt: from a file of the operator's, or from an authority that
-// tells of changes over HTTP. It reads, checks and hands on; what news is believed is decided by logic/owners.
+// tells of changes over HTTP. It reads, checks and hands on; what news is believed is decided by logic/ownership.
 package segments
 
 import (
@@ -7,7 +7,7 @@
 	"fmt"
 	"strconv"
 
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // segment is a segment as the authority words it.
@@ -20,8 +20,8 @@
 
 // Reply is what the authority tells: a whole map, or changes that follow what was known.
 type Reply struct {
-	Whole   *owners.Map
-	Changes []owners.Change
+	Whole   *ownership.Map
+	Changes []ownership.Change
 }
 
 type wireMap struct {
@@ -47,18 +47,18 @@
 // mostChanges bounds the changes of one reply; who is further behind gets the whole map.
 const mostChanges = 1024
 
-func wire(s owners.Segment) segment { return segment{s.Name, s.Range.Text(), s.Owners, s.Since} }
+func wire(s ownership.Segment) segment { return segment{s.Name, s.Range.Text(), s.Owners, s.Since} }
 
-func unwire(where string, list []segment) (segments []owners.Segment, err error) {
+func unwire(where string, list []segment) (segments []ownership.Segment, err error) {
 	for i, s := range list {
-		r, err := owners.ParseRange(s.Keys)
+		r, err := ownership.ParseRange(s.Keys)
 		if err != nil {
 			return nil, fmt.Errorf("%s[%d].keys: %w", where, i, err)
 		}
 		if s.Name == "" {
 			return nil, fmt.Errorf("%s[%d].name: is empty", where, i)
 		}
-		segments = append(segments, owners.Segment{Name: s.Name, Range: r, Owners: s.Owners, Since: s.Since})
+		segments = append(segments, ownership.Segment{Name: s.Name, Range: r, Owners: s.Owners, Since: s.Since})
 	}
 	return segments, nil
 }
@@ -100,15 +100,15 @@
 	r := &Reply{}
 	var err error
 	if w.Whole != nil {
-		m := &owners.Map{Epoch: w.Whole.Epoch}
+		m := &ownership.Map{Epoch: w.Whole.Epoch}
 		if m.Sum, err = sumOf("whole.sum", w.Whole.Sum); err != nil {
 			return nil, err
 		}
 		if m.Segments, err = unwire("whole.segments", w.Whole.Segments); err != nil {
 			return nil, err
 		}
-		if len(m.Segments) > owners.Most {
-			return nil, fmt.Errorf("whole.segments: %d, at most %d can be", len(m.Segments), owners.Most)
+		if len(m.Segments) > ownership.Most {
+			return nil, fmt.Errorf("whole.segments: %d, at most %d can be", len(m.Segments), ownership.Most)
 		}
 		r.Whole = m
 	}
@@ -117,7 +117,7 @@
 	}
 	for i, c := range w.Changes {
 		where := fmt.Sprintf("changes[%d]", i)
-		one := owners.Change{Epoch: c.Epoch, Why: c.Why, Out: c.Out}
+		one := ownership.Change{Epoch: c.Epoch, Why: c.Why, Out: c.Out}
 		if one.Was, err = sumOf(where+".was", c.Was); err != nil {
 			return nil, err
 		}
--- a/internal/gatherer/dispatch/ledger.go
+++ b/internal/gatherer/dispatch/ledger.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Ledger outlasts the process: it knows which once-only lookups may have run, and the newest map. Package state has
@@ -12,7 +12,7 @@
 	MayHaveRun(name string, repeat bool, now float64) bool
 	Sent(names []string, now float64) error
 	Unrun(name string) error
-	SetMap(m *owners.Map) error
+	SetMap(m *ownership.Map) error
 }
 
 // Keep has once-only lookups written into a ledger before any byte of them goes. It has to be called before the first
--- a/internal/gatherer/dispatch/lookup.go
+++ b/internal/gatherer/dispatch/lookup.go
@@ -7,7 +7,7 @@
 	"sync/atomic"
 
 	"yokeroute/gather"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Part is one part of a lookup, at one shard.
@@ -121,7 +121,7 @@
 type Hit struct {
 	Shard int
 	Value []byte
-	Keys  *owners.Range // of the shard's keys, where it is not for all of them
+	Keys  *ownership.Range // of the shard's keys, where it is not for all of them
 }
 
 // Verdict is the final answer, if it is decided. It is for who plays rounds; others wait in Pick.
@@ -149,9 +149,9 @@
 	further  bool // it is one beyond its part's first: by its number, or as a first pass's call of the part was lost
 	at       float64
 	p        *Picker
-	keys     owners.Range // of a piece,
-	segment  string       // by whom they were owned
-	owned    bool         // it is of a piece
+	keys     ownership.Range // of a piece,
+	segment  string          // by whom they were owned
+	owned    bool            // it is of a piece
 	shard    int
 	since    uint64
 	onceOnly bool
--- a/internal/gatherer/dispatch/owned.go
+++ b/internal/gatherer/dispatch/owned.go
@@ -4,20 +4,20 @@
 	"slices"
 
 	"yokeroute/gather"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // piece is what the module holds in the place of a part where a map says who owns which keys: the part, or some of
 // its keys.
 type piece struct {
-	owners.Held
+	ownership.Held
 	gone bool // others have taken its place
 }
 
 // owned is what the facade knows of who owns which keys.
 type owned struct {
-	owners.Follower
-	index  *owners.Index
+	ownership.Follower
+	index  *ownership.Index
 	shards int
 	hosts  map[uint32]string // names of servers
 	holds  map[string][]int
@@ -28,14 +28,14 @@
 // Segments has lookups sent to who owns their keys, by maps that are handed in: of so many segments at most, shards
 // being so many. The terms of the module have to be those of OwnedTerms. It has to be called before the first Tick.
 func (p *Picker) Segments(most, shards int) {
-	p.owned = &owned{index: owners.NewIndex(most), shards: shards, hosts: map[uint32]string{}, behind: make(chan struct{}, 1)}
+	p.owned = &owned{index: ownership.NewIndex(most), shards: shards, hosts: map[uint32]string{}, behind: make(chan struct{}, 1)}
 }
 
 // OwnedTerms are a module's terms where so many segments can be owned: each is a group of its own, and its writer
 // another one.
 func OwnedTerms(settings *gather.Settings, most int) *gather.Settings {
 	t := settings.Clone()
-	t.ReplicaSets, t.ReplicaSetsPerShard = owners.NewIndex(most).Nowhere()+1, 1
+	t.ReplicaSets, t.ReplicaSetsPerShard = ownership.NewIndex(most).Nowhere()+1, 1
 	return t
 }
 
@@ -44,17 +44,17 @@
 
 // news of the map: a change, or a whole one.
 type mapNews struct {
-	change owners.Change
-	whole  *owners.Map
+	change ownership.Change
+	whole  *ownership.Map
 }
 
 // ChangeMap hands in a change of the map.
-func (p *Picker) ChangeMap(c owners.Change) {
+func (p *Picker) ChangeMap(c ownership.Change) {
 	p.tell(func(in *inbox) { in.maps = append(in.maps, mapNews{change: c}) })
 }
 
 // SetMap hands in a whole map.
-func (p *Picker) SetMap(m *owners.Map) {
+func (p *Picker) SetMap(m *ownership.Map) {
 	p.tell(func(in *inbox) { in.maps = append(in.maps, mapNews{whole: m}) })
 }
 
@@ -65,7 +65,7 @@
 
 // Map is the newest map known and whether sources contradict each other. It is for tests and for who looks on, on the
 // goroutine that calls Tick.
-func (p *Picker) Map() (m *owners.Map, doubt bool) { return p.owned.Map, p.owned.Doubt > 0 }
+func (p *Picker) Map() (m *ownership.Map, doubt bool) { return p.owned.Map, p.owned.Doubt > 0 }
 
 func (o *owned) ask() {
 	select {
@@ -79,7 +79,7 @@
 	o := p.owned
 	news := false
 	for _, n := range in.maps {
-		verdict, err := owners.Verdict(""), error(nil)
+		verdict, err := ownership.Verdict(""), error(nil)
 		if n.whole != nil {
 			verdict, err = o.Reset(n.whole)
 		} else {
@@ -87,7 +87,7 @@
 		}
 		log := p.log.WithField("verdict", string(verdict))
 		switch verdict {
-		case owners.Applied:
+		case ownership.Applied:
 			news = true
 			log.WithField("epoch", o.Follower.Map.Epoch).Info("map of segments: a new epoch")
 			if p.ledger != nil {
@@ -95,14 +95,14 @@
 					p.log.WithError(err).Error("the map of segments could not be written down")
 				}
 			}
-		case owners.Contradicts:
+		case ownership.Contradicts:
 			news = true
 			log.WithError(err).Error("map of segments: sources contradict each other; once-only lookups wait for a later map")
 			o.ask()
-		case owners.Garbled:
+		case ownership.Garbled:
 			log.WithError(err).Warn("map of segments: news that makes no sense; the map is asked for whole")
 			o.ask()
-		case owners.Skipped:
+		case ownership.Skipped:
 			log.Debug("map of segments: asked for whole")
 			o.ask()
 		}
@@ -146,13 +146,13 @@
 // cut parts a lookup into pieces and hands it to the module.
 func (p *Picker) cut(in *gather.Round, lk *Lookup) {
 	o := p.owned
-	ranges, weights := make([]owners.Range, len(lk.Parts)), make([]float64, len(lk.Parts))
+	ranges, weights := make([]ownership.Range, len(lk.Parts)), make([]float64, len(lk.Parts))
 	for i, pt := range lk.Parts {
-		ranges[i], weights[i] = owners.Slot(pt.Shard, o.shards), pt.Weight
+		ranges[i], weights[i] = ownership.Slot(pt.Shard, o.shards), pt.Weight
 	}
 	m := o.Follower.Map
 	if m == nil {
-		m = &owners.Map{} // nobody owns anything that we know of
+		m = &ownership.Map{} // nobody owns anything that we know of
 	}
 	lk.pieces = make([]piece, 0, len(lk.Parts))
 	lk.values, lk.calls = lk.values[:0], lk.calls[:0]
@@ -166,9 +166,9 @@
 }
 
 // add hands one piece to the module.
-func (p *Picker) add(in *gather.Round, lk *Lookup, f owners.Fresh) {
+func (p *Picker) add(in *gather.Round, lk *Lookup, f ownership.Fresh) {
 	o := p.owned
-	h := owners.Held{Part: f.Part, Range: f.Range, Weight: f.Weight, Called: f.Again, Parked: f.Parked}
+	h := ownership.Held{Part: f.Part, Range: f.Range, Weight: f.Weight, Called: f.Again, Parked: f.Parked}
 	group := o.index.Nowhere()
 	if o.Follower.Map != nil {
 		h.Since = o.Follower.Map.Epoch
@@ -209,7 +209,7 @@
 	o.parked = 0
 	for _, ref := range refs {
 		lk := p.lookups[ref]
-		held := make([]owners.Held, 0, len(lk.pieces))
+		held := make([]ownership.Held, 0, len(lk.pieces))
 		for i := range lk.pieces {
 			if !lk.pieces[i].gone {
 				held = append(held, lk.pieces[i].Held)
@@ -256,7 +256,7 @@
 
 // Keys are the keys that a call asks for, the segment that has them and since which epoch; ok is false where no map
 // says who owns what.
-func (c *Call) Keys() (keys owners.Range, segment string, since uint64, ok bool) {
+func (c *Call) Keys() (keys ownership.Range, segment string, since uint64, ok bool) {
 	return c.keys, c.segment, c.since, c.owned
 }
 
--- a/internal/gatherer/dispatch/owned_test.go
+++ b/internal/gatherer/dispatch/owned_test.go
@@ -8,11 +8,11 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the rest.
-func newOwned(t *testing.T, change func(s *gather.Settings)) (*Picker, *owners.Map) {
+func newOwned(t *testing.T, change func(s *gather.Settings)) (*Picker, *ownership.Map) {
 	p := newPicker(t, func(s *gather.Settings) {
 		for _, name := range []string{"any", "all"} {
 			class := s.FindClass(name)
@@ -33,8 +33,8 @@
 	}
 	p.Names(names)
 	half := uint64(1) << 63
-	m, err := owners.First(1, []owners.Segment{{Name: "s0", Range: owners.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
-		{Name: "s1", Range: owners.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
+	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
+		{Name: "s1", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -51,7 +51,7 @@
 	return lk, p.round(now).Calls
 }
 
-func must(t *testing.T, c owners.Change, err error) owners.Change {
+func must(t *testing.T, c ownership.Change, err error) ownership.Change {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 }
 
 // follow applies a change to a map and hands it in.
-func follow(t *testing.T, p *Picker, m *owners.Map, c owners.Change, err error) *owners.Map {
+func follow(t *testing.T, p *Picker, m *ownership.Map, c ownership.Change, err error) *ownership.Map {
 	t.Helper()
 	next, wrong := m.Apply(must(t, c, err))
 	if wrong != nil {
@@ -73,24 +73,24 @@
 // covered reports whether hits cover all keys of a lookup's parts, none twice.
 func covered(lk *Lookup, hits []Hit) error {
 	for _, pt := range lk.Parts {
-		var got []owners.Range
+		var got []ownership.Range
 		for _, h := range hits {
 			if h.Shard != pt.Shard {
 				continue
 			}
-			r := owners.Slot(pt.Shard, 4)
+			r := ownership.Slot(pt.Shard, 4)
 			if h.Keys != nil {
 				r = *h.Keys
 			}
 			got = append(got, r)
 		}
-		slices.SortFunc(got, func(a, b owners.Range) int {
+		slices.SortFunc(got, func(a, b ownership.Range) int {
 			if a.Lo < b.Lo {
 				return -1
 			}
 			return 1
 		})
-		want := owners.Slot(pt.Shard, 4)
+		want := ownership.Slot(pt.Shard, 4)
 		from := want.Lo
 		for i, r := range got {
 			if r.Lo != from {
@@ -187,7 +187,7 @@
 		lk := lookup("any", 2, 3000)
 		lk.ID = "a"
 		p.admit(lk)
-		at := owners.Slot(0, 4).Lo + owners.Slot(0, 4).Hi/4
+		at := ownership.Slot(0, 4).Lo + ownership.Slot(0, 4).Hi/4
 		split, err := m.Split("s0", at, "l", "r")
 		var calls []*Call
 		if when == "before sending" {
@@ -279,7 +279,7 @@
 		s.FindClass("any").CompleteShare = 0.75
 		s.FindClass("any").MinShare = 0.75
 	})
-	split, err := m.Split("s0", owners.Slot(1, 4).Lo, "l", "r")
+	split, err := m.Split("s0", ownership.Slot(1, 4).Lo, "l", "r")
 	m = follow(t, p, m, split, err)
 	p.round(1005)
 	lk, calls := take(p, 1010, "any", "a", 4)
@@ -434,13 +434,13 @@
 			at float64
 		}
 		type asked struct {
-			keys   owners.Range
+			keys   ownership.Range
 			mayRun bool
 		}
 		var outs []out
 		held := map[*Lookup][]*asked{}
 		truth := m // what hosts go by
-		var told1 []owners.Change
+		var told1 []ownership.Change
 		landed, ends, whole, moves, name := 0, 0, 0, 0, 0
 		for now := 1010.0; now < 13000; now += 5 {
 			if chance.Float64() < 0.12 && now < 11000 {
@@ -451,7 +451,7 @@
 					}
 				}
 				s := truth.Segments[i]
-				var c owners.Change
+				var c ownership.Change
 				err := errors.New("none")
 				name++
 				kind := draw(4)
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -18,7 +18,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // What changes from run to run, which transcripts hold without its value: the header Date, and the ports in the text
@@ -36,7 +36,7 @@
 	"served-escaped": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
 	"served-keys": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
-		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &owners.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
+		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &ownership.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
 	"served-empty": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Empty: []int{3, 9}}),
 	"served-some-empty": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
 		Hits: []dispatch.Hit{{Shard: 9, Value: []byte("7c01")}}, Empty: []int{3}}),
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -23,7 +23,7 @@
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/testbed/standin/directory"
 	standin "yokeroute/internal/testbed/standin/owners"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // moving is how long segments move under load; CI's few seconds are enough for some dozens of hand-overs.
@@ -62,11 +62,11 @@
 		f.hosts = append(f.hosts, h)
 		members = append(members, directory.Member{ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1})
 	}
-	var list []owners.Segment
+	var list []ownership.Segment
 	for i := range 4 {
-		list = append(list, owners.Segment{Name: fmt.Sprint("s", i), Range: owners.Slot(i, 4), Owners: []string{f.hosts[i%hosts].Name, f.hosts[(i+1)%hosts].Name}})
+		list = append(list, ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.Slot(i, 4), Owners: []string{f.hosts[i%hosts].Name, f.hosts[(i+1)%hosts].Name}})
 	}
-	first, err := owners.First(1, list)
+	first, err := ownership.First(1, list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -171,22 +171,22 @@
 
 // reads checks that a whole answer covers all keys of its shards, each once, as its documents tell.
 func (a *answer) reads(shards []int) error {
-	var got []owners.Range
+	var got []ownership.Range
 	for _, h := range a.Hits {
-		r, err := owners.ParseRange(strings.Fields(h.Doc)[0])
+		r, err := ownership.ParseRange(strings.Fields(h.Doc)[0])
 		if err != nil {
 			return err
 		}
 		got = append(got, r)
 	}
-	slices.SortFunc(got, func(x, y owners.Range) int {
+	slices.SortFunc(got, func(x, y ownership.Range) int {
 		if x.Lo < y.Lo {
 			return -1
 		}
 		return 1
 	})
 	for i, s := range shards {
-		want := owners.Slot(s, 4)
+		want := ownership.Slot(s, 4)
 		for from := want.Lo; ; {
 			if len(got) == 0 || got[0].Lo != from || got[0].Hi > want.Hi {
 				return fmt.Errorf("shard %d of %d: what was read is not all of %s, once", s, i, want.Text())
@@ -264,7 +264,7 @@
 // claim makes one claim and records it.
 func claim(address, id string, key uint64, began time.Time) porcupine.Operation {
 	shard := 0
-	for owners.Slot(shard, 4).Hi < key {
+	for ownership.Slot(shard, 4).Hi < key {
 		shard++
 	}
 	op := porcupine.Operation{Input: claimInput{key, id}, Call: time.Since(began).Nanoseconds()}
@@ -359,7 +359,7 @@
 		i := draw(len(m.Segments))
 		s := m.Segments[i]
 		name++
-		var c owners.Change
+		var c ownership.Change
 		var err error
 		switch kind := draw(3); {
 		case kind == 0 && len(m.Segments) < 12:
@@ -395,18 +395,18 @@
 		case 2:
 			f.hosts[draw(len(f.hosts))].Lose(1 + draw(3))
 		}
-		h := owners.Begin(m, c)
-		for step := owners.Fence; step <= owners.Done; step++ { // a step at a time, with calls in between
+		h := ownership.Begin(m, c)
+		for step := ownership.Fence; step <= ownership.Done; step++ { // a step at a time, with calls in between
 			if err = f.authority.Carry(&h, step); err != nil {
 				break
 			}
 			time.Sleep(time.Duration(1+draw(8)) * time.Millisecond)
-			if step == owners.Publish && draw(5) == 0 { // before it is published
+			if step == ownership.Publish && draw(5) == 0 { // before it is published
 				err = errUndo
 				break
 			}
 		}
-		if err != nil && h.Step <= owners.Publish {
+		if err != nil && h.Step <= ownership.Publish {
 			for f.authority.Undo(&h) != nil { // until those who had the segments can be reached again
 				if cut != nil {
 					cut.Cut(false)
@@ -493,8 +493,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := owners.Begin(m, c)
-		if err := f.authority.Carry(&h, owners.Done); err != nil {
+		h := ownership.Begin(m, c)
+		if err := f.authority.Carry(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
@@ -535,8 +535,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := owners.Begin(m, c)
-		if err := f.authority.Carry(&h, owners.Done); err != nil {
+		h := ownership.Begin(m, c)
+		if err := f.authority.Carry(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -593,12 +593,12 @@
 	}
 	nonsense := lie
 	nonsense.Sum++
-	tell := func(c owners.Change) { // in place of the changes that there are; a whole map is told as it is
+	tell := func(c ownership.Change) { // in place of the changes that there are; a whole map is told as it is
 		f.authority.Twist(func(r *segments.Reply) *segments.Reply {
 			if r.Whole != nil {
 				return r
 			}
-			return &segments.Reply{Changes: []owners.Change{c}}
+			return &segments.Reply{Changes: []ownership.Change{c}}
 		})
 	}
 	tell(nonsense)
@@ -609,13 +609,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := owners.Begin(m, c)
-	if err := f.authority.Carry(&h, owners.Done); err != nil {
+	h := ownership.Begin(m, c)
+	if err := f.authority.Carry(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
 	f.authority.Twist(nil)
 	try(1, "never") // refused, and so the map is asked for whole
-	other := owners.Slot(1, 4).Lo
+	other := ownership.Slot(1, 4).Lo
 	try(other, "never") // of a segment of which no lie was told
 	if a := ask(f.addresses[0], "find", "r", []int{1}, "read"); a.status != http.StatusOK || !a.Complete {
 		t.Errorf("reads: %+v", a)
@@ -624,8 +624,8 @@
 	if c, err = next.Move("s3", []string{"h0"}); err != nil {
 		t.Fatal(err)
 	}
-	h = owners.Begin(next, c)
-	if err := f.authority.Carry(&h, owners.Done); err != nil {
+	h = ownership.Begin(next, c)
+	if err := f.authority.Carry(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
 	try(other, "given")
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -28,7 +28,7 @@
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/gatherer/trace"
 	"yokeroute/internal/storage/statedir"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // ownSockets are descriptors besides connections of lookups: standard streams, listener, poller, the runtime's own,
@@ -277,7 +277,7 @@
 	if err == nil && s.owned {
 		own.Plan, own.Placement = "", ""
 		if own.Segments != "" {
-			var m *owners.Map
+			var m *ownership.Map
 			if m, _, err = segments.ReadMap(own.Segments); err == nil {
 				s.Picker.SetMap(m) // an older one changes nothing, another one of the same epoch is a contradiction
 			}
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -16,7 +16,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 	"yokeroute/logic/phases"
 )
 
@@ -267,8 +267,8 @@
 	p := newPlayed(dispatch.OwnedTerms(keptTerms, most), file)
 	p.Segments(most, shards)
 	p.Names(map[uint32]string{10: "h0", 11: "h1"})
-	m, err := owners.First(1, []owners.Segment{{Name: "s0", Range: owners.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
-		{Name: "s1", Range: owners.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
+	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
+		{Name: "s1", Range: ownership.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -9,7 +9,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 	"yokeroute/logic/phases"
 )
 
@@ -121,7 +121,7 @@
 	for _, p := range lk.Parts {
 		part := rulecheck.Part{Shard: p.Shard, Weight: p.Weight}
 		if r.shards > 0 {
-			part.Keys = keys(owners.Slot(p.Shard, r.shards))
+			part.Keys = keys(ownership.Slot(p.Shard, r.shards))
 		}
 		e.Parts = append(e.Parts, part)
 	}
@@ -141,7 +141,7 @@
 	}
 }
 
-func keys(r owners.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
+func keys(r ownership.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
 
 // keysOf are the keys that a call asks for, nil where no map says who owns what.
 func keysOf(c *dispatch.Call) *rulecheck.Keys {
--- a/internal/storage/statedir/claims.go
+++ b/internal/storage/statedir/claims.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Gatherer is what a gatherer has to know after a crash: the newest map of segments that it had heard of, and the
@@ -17,7 +17,7 @@
 	keep    float64  // milliseconds for which a name is kept
 	names   map[string]float64
 	order   []claim // by time
-	epoch   *owners.Map
+	epoch   *ownership.Map
 	blind   float64 // until then names of before the start may be unknown
 }
 
@@ -35,9 +35,9 @@
 }
 
 type mapRecord struct {
-	Epoch    uint64           `json:"epoch"`
-	Sum      string           `json:"sum"`
-	Segments []owners.Segment `json:"segments"`
+	Epoch    uint64              `json:"epoch"`
+	Sum      string              `json:"sum"`
+	Segments []ownership.Segment `json:"segments"`
 }
 
 // Recovered says what was found, and how long it took.
@@ -72,7 +72,7 @@
 		case rec.Unrun != "":
 			delete(g.names, rec.Unrun)
 		case rec.Map != nil:
-			m := &owners.Map{Epoch: rec.Map.Epoch, Segments: rec.Map.Segments}
+			m := &ownership.Map{Epoch: rec.Map.Epoch, Segments: rec.Map.Segments}
 			fmt.Sscanf(rec.Map.Sum, "%x", &m.Sum)
 			if g.epoch == nil || m.Epoch > g.epoch.Epoch {
 				g.epoch = m
@@ -99,7 +99,7 @@
 }
 
 // Map is the newest map that was known, nil for none.
-func (g *Gatherer) Map() *owners.Map { return g.epoch }
+func (g *Gatherer) Map() *ownership.Map { return g.epoch }
 
 func (g *Gatherer) forget(now float64) {
 	n := 0
@@ -153,7 +153,7 @@
 }
 
 // SetMap notes a newer map.
-func (g *Gatherer) SetMap(m *owners.Map) error {
+func (g *Gatherer) SetMap(m *ownership.Map) error {
 	if g.epoch != nil && m.Epoch <= g.epoch.Epoch {
 		return nil
 	}
@@ -166,7 +166,7 @@
 	return text
 }
 
-func encodeMap(m *owners.Map) []byte {
+func encodeMap(m *ownership.Map) []byte {
 	return encode(record{Map: &mapRecord{m.Epoch, fmt.Sprintf("%016x", m.Sum), m.Segments}})
 }
 
--- a/internal/storage/statedir/claims_test.go
+++ b/internal/storage/statedir/claims_test.go
@@ -5,7 +5,7 @@
 	"os"
 	"testing"
 
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 func open(t *testing.T, dir string, now float64) (*Gatherer, Recovered) {
@@ -25,7 +25,7 @@
 	if !r.Fresh || r.Blind > 0 {
 		t.Errorf("%+v", r)
 	}
-	m, err := owners.First(3, []owners.Segment{{Name: "s", Range: owners.All, Owners: []string{"a"}}})
+	m, err := ownership.First(3, []ownership.Segment{{Name: "s", Range: ownership.All, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -7,7 +7,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // ask is what a client wants, with all of its tries. It is drawn ahead of the day, whatever the decisions.
@@ -231,7 +231,7 @@
 		p.Cost += pt.hint
 		part := rulecheck.Part{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
-			all := owners.Slot(pt.shard, w.sc.Layout.Shards)
+			all := ownership.Slot(pt.shard, w.sc.Layout.Shards)
 			part.Keys = &rulecheck.Keys{Lo: all.Lo, Hi: all.Hi}
 		}
 		parts = append(parts, part)
@@ -321,7 +321,7 @@
 		for _, h := range v.Hits {
 			share := 1.0
 			if h.Keys != nil {
-				share = h.Keys.Size() / owners.Slot(h.Shard, w.sc.Layout.Shards).Size()
+				share = h.Keys.Size() / ownership.Slot(h.Shard, w.sc.Layout.Shards).Size()
 			}
 			in += k.part(h.Shard).weight * share
 		}
--- a/internal/testbed/emulator/gatherer.go
+++ b/internal/testbed/emulator/gatherer.go
@@ -10,7 +10,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 	"yokeroute/logic/phases"
 )
 
@@ -35,7 +35,7 @@
 	known    []gather.Endpoint
 	heard    []float64 // when it will have heard the newest of each server, against news that overtake each other
 	conns    []*conn
-	ownedBy  *owners.Map // who owns what, as it was last told
+	ownedBy  *ownership.Map // who owns what, as it was last told
 	held     map[*lookup]bool
 	order    []*lookup // held, in the order of their coming; those over are skipped
 	opened   int
@@ -201,7 +201,7 @@
 		if w.owned != nil {
 			keys, _, _, _ := c.Keys()
 			a.keys = &rulecheck.Keys{Lo: keys.Lo, Hi: keys.Hi}
-			a.work *= keys.Size() / owners.Slot(c.Shard(), w.sc.Layout.Shards).Size()
+			a.work *= keys.Size() / ownership.Slot(c.Shard(), w.sc.Layout.Shards).Size()
 		}
 		if c.First() {
 			a.work *= lk.ask.ix.Brief
--- a/internal/testbed/emulator/owned.go
+++ b/internal/testbed/emulator/owned.go
@@ -5,20 +5,20 @@
 	"slices"
 
 	"yokeroute/internal/pcg"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // segmentOwners is who owns which keys in truth: the authority's map, what each server believes, and the logs.
 type segmentOwners struct {
-	m       *owners.Map
-	hosts   []owners.Host // by server
-	logs    map[string]*owners.Log
+	m       *ownership.Map
+	hosts   []ownership.Host // by server
+	logs    map[string]*ownership.Log
 	names   map[uint32]string
 	byName  map[string]*server
 	chance  *pcg.Source
 	next    int
 	busy    bool // a hand-over is under way
-	changes []owners.Change
+	changes []ownership.Change
 	done    int // hand-overs that were carried out,
 	undone  int // and taken back
 	refused int // calls
@@ -27,26 +27,26 @@
 // settleSegments deals the first segments out.
 func (w *World) settleSegments() error {
 	sc := w.sc
-	o := &segmentOwners{hosts: make([]owners.Host, len(w.servers)), logs: map[string]*owners.Log{}, names: map[uint32]string{}, byName: map[string]*server{}, chance: w.stream("hand-overs", 0)}
+	o := &segmentOwners{hosts: make([]ownership.Host, len(w.servers)), logs: map[string]*ownership.Log{}, names: map[uint32]string{}, byName: map[string]*server{}, chance: w.stream("hand-overs", 0)}
 	w.owned = o
 	for _, s := range w.servers {
 		name := fmt.Sprint("h", s.number)
 		o.names[s.id], o.byName[name] = name, s
 	}
-	var list []owners.Segment
+	var list []ownership.Segment
 	for i := range sc.Owned.Segments {
-		s := owners.Segment{Name: fmt.Sprint("s", i), Range: owners.Slot(i, sc.Owned.Segments)}
+		s := ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.Slot(i, sc.Owned.Segments)}
 		for k := range min(sc.Owned.Owners, len(w.servers)) {
 			s.Owners = append(s.Owners, fmt.Sprint("h", (i+k*(len(w.servers)/max(sc.Owned.Owners, 1)+1))%len(w.servers)))
 		}
 		list = append(list, s)
 	}
 	var err error
-	if o.m, err = owners.First(1, list); err != nil {
+	if o.m, err = ownership.First(1, list); err != nil {
 		return err
 	}
 	for _, s := range o.m.Segments {
-		o.logs[s.Name] = &owners.Log{Fence: 1}
+		o.logs[s.Name] = &ownership.Log{Fence: 1}
 		o.accept(s)
 	}
 	for _, g := range w.gatherers {
@@ -56,7 +56,7 @@
 }
 
 // accept has a segment's owners own it; it reports whether its writer could be reached.
-func (o *segmentOwners) accept(s owners.Segment) bool {
+func (o *segmentOwners) accept(s ownership.Segment) bool {
 	reached := true
 	for i, name := range s.Owners {
 		srv := o.byName[name]
@@ -64,16 +64,16 @@
 			reached = reached && i > 0
 			continue
 		}
-		o.hosts[srv.number].Take(owners.Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: i == 0})
+		o.hosts[srv.number].Take(ownership.Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: i == 0})
 	}
 	return reached
 }
 
 // asks has a server decide about a call.
-func (o *segmentOwners) asks(s *server, a *attempt) owners.Answer {
+func (o *segmentOwners) asks(s *server, a *attempt) ownership.Answer {
 	keys, segment, since, _ := a.call.Keys()
-	answer := o.hosts[s.number].Ask(owners.Call{Segment: segment, Since: since, Range: keys, OnceOnly: a.call.OnceOnly()})
-	if answer == owners.Moved {
+	answer := o.hosts[s.number].Ask(ownership.Call{Segment: segment, Since: since, Range: keys, OnceOnly: a.call.OnceOnly()})
+	if answer == ownership.Moved {
 		o.refused++
 	}
 	return answer
@@ -104,7 +104,7 @@
 	i := draw(len(o.m.Segments))
 	s := o.m.Segments[i]
 	o.next++
-	var c owners.Change
+	var c ownership.Change
 	var err error
 	to := func() (hosts []string) {
 		for len(hosts) < min(w.sc.Owned.Owners, len(w.servers)) {
@@ -125,20 +125,20 @@
 	if err != nil {
 		return
 	}
-	h := owners.Begin(o.m, c)
+	h := ownership.Begin(o.m, c)
 	o.busy = true
 	w.step(&h, o.chance.Float64() < w.sc.Owned.Undone, 0)
 }
 
 // step takes the next step of a hand-over. One is carried out at a time. New owners that can't be reached are tried
 // some times; then it is taken back.
-func (w *World) step(h *owners.Handover, undo bool, tried int) {
+func (w *World) step(h *ownership.Handover, undo bool, tried int) {
 	const most = 10
 	o := w.owned
-	if h.Step == owners.Accept && tried > most {
-		h.Step, undo = owners.Publish, true
+	if h.Step == ownership.Accept && tried > most {
+		h.Step, undo = ownership.Publish, true
 	}
-	reached := func(hosts []string, do func(*owners.Host)) bool {
+	reached := func(hosts []string, do func(*ownership.Host)) bool {
 		all := true
 		for _, name := range hosts {
 			if s := o.byName[name]; s.down == 0 {
@@ -151,17 +151,17 @@
 	}
 	old, new := true, true
 	switch h.Step {
-	case owners.Seal:
+	case ownership.Seal:
 		for _, s := range h.Was {
-			old = reached(s.Owners, func(host *owners.Host) { host.Seal(s.Name) }) && old
+			old = reached(s.Owners, func(host *ownership.Host) { host.Seal(s.Name) }) && old
 		}
-	case owners.Fence:
+	case ownership.Fence:
 		o.raise(h.Change)
-	case owners.Accept:
+	case ownership.Accept:
 		for _, s := range h.In {
 			new = o.accept(s) && new
 		}
-	case owners.Publish:
+	case ownership.Publish:
 		if undo {
 			changes, err := h.Undone(o.m)
 			if err != nil {
@@ -180,10 +180,10 @@
 		}
 		w.publish(h.Change)
 		o.done++
-	case owners.Release:
+	case ownership.Release:
 		for _, s := range h.Was {
-			reached(s.Owners, func(host *owners.Host) {
-				host.Owns = slices.DeleteFunc(host.Owns, func(has owners.Owned) bool { return has.Name == s.Name && has.Since == s.Since })
+			reached(s.Owners, func(host *ownership.Host) {
+				host.Owns = slices.DeleteFunc(host.Owns, func(has ownership.Owned) bool { return has.Name == s.Name && has.Since == s.Since })
 			})
 		}
 	}
@@ -193,14 +193,14 @@
 	} else {
 		tried++
 	}
-	if h.Step == owners.Done {
+	if h.Step == ownership.Done {
 		o.busy = false
 		return
 	}
 	w.in(w.sc.Owned.Takes, func() { w.step(h, undo, tried) })
 }
 
-func (o *segmentOwners) raise(c owners.Change) {
+func (o *segmentOwners) raise(c ownership.Change) {
 	for _, name := range c.Out {
 		if log := o.logs[name]; log != nil {
 			log.Raise(c.Epoch)
@@ -210,7 +210,7 @@
 	for _, s := range c.In {
 		log := o.logs[s.Name]
 		if log == nil {
-			log = &owners.Log{}
+			log = &ownership.Log{}
 			o.logs[s.Name] = log
 		}
 		log.Raise(c.Epoch)
@@ -219,7 +219,7 @@
 }
 
 // publish tells all gatherers of a change, each as late as it hears of anything.
-func (w *World) publish(c owners.Change) {
+func (w *World) publish(c ownership.Change) {
 	o := w.owned
 	next, err := o.m.Apply(c)
 	if err != nil {
--- a/internal/testbed/emulator/server.go
+++ b/internal/testbed/emulator/server.go
@@ -4,7 +4,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // server is one shard server.
@@ -122,7 +122,7 @@
 			return
 		}
 		outcome := gather.Succeeded
-		if w.owned != nil && w.owned.asks(s, a) == owners.Moved {
+		if w.owned != nil && w.owned.asks(s, a) == ownership.Moved {
 			w.reply(c, a, gather.NotOwner, nil)
 			continue
 		}
--- a/internal/testbed/standin/owners/owners.go
+++ b/internal/testbed/standin/owners/owners.go
@@ -19,7 +19,7 @@
 
 	"yokeroute/internal/control/segments"
 	"yokeroute/internal/testbed/standin/shards"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Ran is one claim that ran.
@@ -36,7 +36,7 @@
 	Unfenced bool // records of any epoch are taken, as if there were no fence: for showing that it is needed
 
 	mu   sync.Mutex
-	logs map[string]*owners.Log
+	logs map[string]*ownership.Log
 	held map[uint64]string // who has a key
 	ran  []Ran
 }
@@ -67,7 +67,7 @@
 	return slices.Clone(l.ran)
 }
 
-func (l *Logs) raise(c owners.Change) {
+func (l *Logs) raise(c ownership.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range c.Out {
@@ -79,7 +79,7 @@
 	for _, s := range c.In {
 		log := l.logs[s.Name]
 		if log == nil {
-			log = &owners.Log{}
+			log = &ownership.Log{}
 			l.logs[s.Name] = log
 		}
 		log.Raise(c.Epoch)
@@ -98,7 +98,7 @@
 	l        net.Listener
 	address  string
 	conns    map[net.Conn]bool
-	own      owners.Host
+	own      ownership.Host
 	draining bool
 	cut      bool // the authority can't reach it
 	noLogs   bool // it can't reach the logs
@@ -192,7 +192,7 @@
 }
 
 // Owns is what it believes to own.
-func (h *Host) Owns() []owners.Owned {
+func (h *Host) Owns() []ownership.Owned {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return slices.Clone(h.own.Owns)
@@ -201,7 +201,7 @@
 var errCut = errors.New("the host can't be reached")
 
 // order has the authority tell a host something.
-func (h *Host) order(do func(own *owners.Host)) error {
+func (h *Host) order(do func(own *ownership.Host)) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.cut || h.l == nil {
@@ -217,7 +217,7 @@
 // part is one piece of a call as it came.
 type part struct {
 	shards.Part
-	owners.Call
+	ownership.Call
 }
 
 // parse takes a call's body apart: the platform's lines with keys in their lists.
@@ -241,7 +241,7 @@
 			case "e":
 				p.Since, err = strconv.ParseUint(value, 10, 64)
 			case "k":
-				p.Range, err = owners.ParseRange(value)
+				p.Range, err = ownership.ParseRange(value)
 			case "once":
 				p.OnceOnly = true
 			}
@@ -307,7 +307,7 @@
 	answer := h.own.Ask(p.Call)
 	end, value := "ok", ""
 	switch {
-	case answer == owners.Moved:
+	case answer == ownership.Moved:
 		h.moved++
 		end = "moved"
 	case h.draining:
@@ -368,26 +368,26 @@
 	hosts map[string]*Host
 
 	mu      sync.Mutex
-	m       *owners.Map
-	changes []owners.Change
+	m       *ownership.Map
+	changes []ownership.Change
 	news    chan struct{}
 	silent  bool
 	twist   func(r *segments.Reply) *segments.Reply // what is told in place of the truth, nil for the truth
 }
 
 // Start starts an authority over hosts, with a first map, which the hosts are told.
-func Start(first *owners.Map, hosts []*Host, logs *Logs) (*Authority, error) {
+func Start(first *ownership.Map, hosts []*Host, logs *Logs) (*Authority, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	logs.logs, logs.held = map[string]*owners.Log{}, map[uint64]string{}
+	logs.logs, logs.held = map[string]*ownership.Log{}, map[uint64]string{}
 	a := &Authority{Logs: logs, l: l, hosts: map[string]*Host{}, m: first, news: make(chan struct{})}
 	for _, h := range hosts {
 		a.hosts[h.Name] = h
 	}
 	for _, s := range first.Segments {
-		logs.logs[s.Name] = &owners.Log{Fence: s.Since}
+		logs.logs[s.Name] = &ownership.Log{Fence: s.Since}
 		a.accept(s)
 	}
 	a.http = &http.Server{Handler: http.HandlerFunc(a.handle)}
@@ -396,15 +396,15 @@
 }
 
 // accept has the owners of a segment own it.
-func (a *Authority) accept(s owners.Segment) error {
+func (a *Authority) accept(s ownership.Segment) error {
 	var errs []error
 	for i, name := range s.Owners {
 		h := a.hosts[name]
 		if h == nil {
 			return fmt.Errorf("no host %q", name)
 		}
-		errs = append(errs, h.order(func(own *owners.Host) {
-			own.Take(owners.Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: i == 0})
+		errs = append(errs, h.order(func(own *ownership.Host) {
+			own.Take(ownership.Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: i == 0})
 		}))
 	}
 	return errors.Join(errs...)
@@ -417,7 +417,7 @@
 func (a *Authority) Close() { a.http.Close() }
 
 // Map is the map as it is told.
-func (a *Authority) Map() *owners.Map {
+func (a *Authority) Map() *ownership.Map {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.m
@@ -441,32 +441,32 @@
 
 // Carry takes the steps of a hand-over up to one and not that. Old hosts that can't be reached are passed by where
 // that is safe; an error says which step could not be taken, and it can be tried again or undone.
-func (a *Authority) Carry(h *owners.Handover, until owners.Step) error {
+func (a *Authority) Carry(h *ownership.Handover, until ownership.Step) error {
 	for h.Step < until {
 		var old, new error
 		switch h.Step {
-		case owners.Seal:
+		case ownership.Seal:
 			for _, s := range h.Was {
 				for _, name := range s.Owners {
-					old = errors.Join(old, a.hosts[name].order(func(own *owners.Host) { own.Seal(s.Name) }))
+					old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Seal(s.Name) }))
 				}
 			}
-		case owners.Fence:
+		case ownership.Fence:
 			a.Logs.raise(h.Change)
-		case owners.Accept:
+		case ownership.Accept:
 			for _, s := range h.In {
 				new = errors.Join(new, a.accept(s))
 			}
-		case owners.Publish:
+		case ownership.Publish:
 			if err := a.Publish(h.Change); err != nil {
 				return err
 			}
-		case owners.Release:
+		case ownership.Release:
 			next := a.Map()
 			for _, s := range h.Was {
 				for _, name := range s.Owners {
 					if i := next.Find(s.Name); i < 0 || !slices.Contains(next.Segments[i].Owners, name) {
-						old = errors.Join(old, a.hosts[name].order(func(own *owners.Host) { own.Leave(s.Name) }))
+						old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Leave(s.Name) }))
 					}
 				}
 			}
@@ -480,15 +480,15 @@
 }
 
 // Undo takes back a hand-over that was not published.
-func (a *Authority) Undo(h *owners.Handover) error {
+func (a *Authority) Undo(h *ownership.Handover) error {
 	changes, err := h.Undone(a.Map())
 	if err != nil {
 		return err
 	}
 	for _, c := range changes {
-		one := owners.Begin(a.Map(), c)
-		one.Step = owners.Fence
-		if err := a.Carry(&one, owners.Done); err != nil {
+		one := ownership.Begin(a.Map(), c)
+		one.Step = ownership.Fence
+		if err := a.Carry(&one, ownership.Done); err != nil {
 			return err
 		}
 	}
@@ -496,7 +496,7 @@
 }
 
 // Publish tells a change.
-func (a *Authority) Publish(c owners.Change) error {
+func (a *Authority) Publish(c ownership.Change) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	next, err := a.m.Apply(c)
--- a/logic/owners/map.go
+++ b/logic/ownership/map.go
@@ -9,7 +9,7 @@
 // host of an older epoch. It keeps rule 5 by keys: a piece counts for the keys that it covers, once, and
 // keys that nobody owns count for nothing. It never resends a once-only piece of which an earlier call, to
 // whichever owner, may have run. Options weighed: docs/design/owners.md.
-package owners
+package ownership
 
 import (
 	"cmp"
--- a/logic/owners/model_test.go
+++ b/logic/ownership/model_test.go
@@ -1,4 +1,4 @@
-package owners
+package ownership
 
 import (
 	"fmt"
