--- a/internal/gatherer/frontend/request.go
+++ b/internal/gatherer/frontend/request.go
@@ -79,7 +79,7 @@
 func (s *Server) readBody(lk *dispatch.Lookup, text []byte) error {
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
-		return bad("body: %v", err)
+		return bad("body: %s", bodyError(err))
 	}
 	if len(b.Shards) == 0 {
 		return bad("body: no shards")
@@ -112,6 +112,12 @@
 	return nil
 }
 
+// bodyError is the text for a body that does not have the form of the protocol. encoding/json names the Go type of the
+// outermost value, and clients see the text: the name that they know stays.
+func bodyError(err error) string {
+	return strings.Replace(err.Error(), "frontend.body", "front.body", 1)
+}
+
 // textOf is the query's text: the bytes between the quotes as they came, or what its escapes stand for.
 func textOf(raw json.RawMessage) ([]byte, error) {
 	if len(raw) < 2 || raw[0] != '"' {
