--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -150,7 +150,7 @@
 	follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}, {ID: 13, ReplicaSet: 3, State: gather.Draining}}})
 	follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Removed}}})
 	follow(gather.EndpointList{Failed: true})
-	follow(gather.EndpointList{Full: true, Endpoints: running[:3]})
+	follow(gather.EndpointList{Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed})})
 
 	end := func(lk *dispatch.Lookup, decide func(w gather.Writer)) {
 		p.round(decide)
