--- a/internal/control/policyclient/govern.go
+++ b/internal/control/policyclient/govern.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-var _ dispatch.Governor = (*Governor)(nil)
+var _ dispatch.PolicyGate = (*Governor)(nil)
 
 // refresh works out what follows from what is acted by, where that has changed. The lock is held.
 func (g *Governor) refresh(now float64) {
@@ -111,50 +111,50 @@
 	g.close()
 }
 
-// Acts is the way and the terms of lookups that land now.
-func (g *Governor) Acts(now float64) (uint64, *gather.Settings) {
+// Effective is the way and the terms of lookups that land now.
+func (g *Governor) Effective(now float64) (uint64, *gather.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
 	return g.way, g.settings
 }
 
-// News counts changes of what is closed.
-func (g *Governor) News() uint64 {
+// BlockedRevision counts changes of what is closed.
+func (g *Governor) BlockedRevision() uint64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.news
 }
 
-// Closed reports whether nothing new may go to a server.
-func (g *Governor) Closed(server uint32) bool {
+// Blocked reports whether nothing new may go to a server.
+func (g *Governor) Blocked(server uint32) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.closed[server]
 }
 
-// Turns is the part of its plain turns that a server gets.
-func (g *Governor) Turns(server uint32) float64 {
+// Weight is the part of its plain turns that a server gets.
+func (g *Governor) Weight(server uint32) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.acts.Value(policy.Turns, g.places[server].host, 1)
 }
 
-// May reports whether a call may go now: not to a closed server, and where its lookup was decided by what does not
+// Permits reports whether a call may go now: not to a closed server, and where its lookup was decided by what does not
 // hold any more, not what is forbidden by now.
-func (g *Governor) May(a dispatch.Act, now float64) bool {
+func (g *Governor) Permits(a dispatch.PolicyCheck, now float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
 	switch {
 	case g.closed[a.Server]:
 		return false
-	case g.h.May(a.Way, now):
+	case g.h.May(a.Generation, now):
 		return true
-	case a.Copy && g.acts.Has(policy.NoCopies, a.Index), a.Again && g.tightened(a.Index):
+	case a.Hedge && g.acts.Has(policy.NoCopies, a.Class), a.Repeated && g.tightened(a.Class):
 		return false
 	}
-	return !a.Further || !g.acts.Has(policy.Share, "") && !g.acts.Has(policy.Free, "")
+	return !a.UsesRetryBudget || !g.acts.Has(policy.Share, "") && !g.acts.Has(policy.Free, "")
 }
 
 // tightened reports whether an index is once-only by policy alone. The lock is held.
@@ -162,23 +162,23 @@
 	return g.acts.Has(policy.OnceOnly, index) && g.base.Class(index).Effect != gather.NonIdempotent
 }
 
-// Answer gives the verdict that may be given now: one that was decided by what does not hold any more is an abort where
+// ReviewResult gives the verdict that may be given now: one that was decided by what does not hold any more is an abort where
 // it would answer under the least share, or nack what may have run.
-func (g *Governor) Answer(a dispatch.Act, v dispatch.Verdict, share float64, ran bool, now float64) dispatch.Verdict {
+func (g *Governor) ReviewResult(a dispatch.PolicyCheck, v dispatch.Result, share float64, ran bool, now float64) dispatch.Result {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
 	const rounding = 1e-4 // weights come rounded
 	switch {
-	case g.h.May(a.Way, now):
-	case v.Kind == dispatch.Satisfied && share < g.acts.Value(policy.Least, a.Index, 0)-rounding, v.Kind == dispatch.Nacked && ran && g.tightened(a.Index):
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+	case g.h.May(a.Generation, now):
+	case v.Kind == dispatch.Served && share < g.acts.Value(policy.Least, a.Class, 0)-rounding, v.Kind == dispatch.Rejected && ran && g.tightened(a.Class):
+		return dispatch.Result{Kind: dispatch.Failed}
 	}
 	return v
 }
 
-// Settle tells that nothing is in hand from before a way.
-func (g *Governor) Settle(way uint64) {
+// MarkDrained tells that nothing is in hand from before a way.
+func (g *Governor) MarkDrained(way uint64) {
 	g.mu.Lock()
 	was := g.h.Settled()
 	g.h.Settle(way)
@@ -192,8 +192,8 @@
 	}
 }
 
-// Settled reports whether all in hand is by what is acted by now.
-func (g *Governor) Settled() bool {
+// Drained reports whether all in hand is by what is acted by now.
+func (g *Governor) Drained() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.h.Settled()
--- a/internal/control/policyclient/wire_test.go
+++ b/internal/control/policyclient/wire_test.go
@@ -190,33 +190,33 @@
 func TestGovern(t *testing.T) {
 	floor := "no-copies\nindex any once-only least 90%\nfurther share 1% free 1\ncold 10%\nclose zone north\nclose zone south host s2\n"
 	g, now := governed(t, floor, "index any least 60%\nfurther free 4\ncold 50%\nclose zone south host s2\nturns s1 50%\n")
-	way, settings := g.Acts(1)
+	way, settings := g.Effective(1)
 	if settings.Class("any").MinShare != 0.6 || settings.Class("any").CompleteShare != 0.75 || settings.RetryBudgetFloor != 4 || settings.RetryBudgetRatio != 0.1 || settings.OverloadMultiple != 1.5 || !settings.HedgingAllowed ||
-		g.base.OverloadMultiple != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
+		g.base.OverloadMultiple != 3 || g.Weight(1) != 0.5 || g.Weight(2) != 1 || g.Blocked(1) || !g.Blocked(2) {
 		t.Errorf("%v; %v", settings, g.closed)
 	}
-	call := dispatch.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
-	v := dispatch.Verdict{Kind: dispatch.Satisfied}
-	if !g.May(call, 500) || g.May(dispatch.Act{Way: way, Index: "any", Server: 2}, 500) || g.Answer(call, v, 0.6, true, 500).Kind != dispatch.Satisfied {
+	call := dispatch.PolicyCheck{Generation: way, Class: "any", Server: 1, Repeated: true, Hedge: true, UsesRetryBudget: true}
+	v := dispatch.Result{Kind: dispatch.Served}
+	if !g.Permits(call, 500) || g.Permits(dispatch.PolicyCheck{Generation: way, Class: "any", Server: 2}, 500) || g.ReviewResult(call, v, 0.6, true, 500).Kind != dispatch.Served {
 		t.Error("under the lease")
 	}
 	*now = 1000
-	for _, a := range []dispatch.Act{{Copy: true}, {Again: true}, {Further: true}} {
-		a.Way, a.Index, a.Server = way, "any", 9
-		if g.May(a, 1000) {
+	for _, a := range []dispatch.PolicyCheck{{Hedge: true}, {Repeated: true}, {UsesRetryBudget: true}} {
+		a.Generation, a.Class, a.Server = way, "any", 9
+		if g.Permits(a, 1000) {
 			t.Errorf("%+v goes after the lease", a)
 		}
 	}
-	if !g.May(dispatch.Act{Way: way, Index: "any", Server: 9}, 1000) || g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1000) {
+	if !g.Permits(dispatch.PolicyCheck{Generation: way, Class: "any", Server: 9}, 1000) || g.Permits(dispatch.PolicyCheck{Generation: way, Class: "any", Server: 1}, 1000) {
 		t.Error("a first call goes, but not to a host that the floor closes")
 	}
 	for _, c := range []struct {
-		v     dispatch.Verdict
+		v     dispatch.Result
 		share float64
 		ran   bool
-		want  dispatch.Kind
-	}{{v, 0.6, true, dispatch.Aborted}, {v, 0.95, true, dispatch.Satisfied}, {dispatch.Verdict{Kind: dispatch.Nacked}, 0, true, dispatch.Aborted}, {dispatch.Verdict{Kind: dispatch.Nacked}, 0, false, dispatch.Nacked}} {
-		if got := g.Answer(call, c.v, c.share, c.ran, 1000).Kind; got != c.want {
+		want  dispatch.ResultKind
+	}{{v, 0.6, true, dispatch.Failed}, {v, 0.95, true, dispatch.Served}, {dispatch.Result{Kind: dispatch.Rejected}, 0, true, dispatch.Failed}, {dispatch.Result{Kind: dispatch.Rejected}, 0, false, dispatch.Rejected}} {
+		if got := g.ReviewResult(call, c.v, c.share, c.ran, 1000).Kind; got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -224,7 +224,7 @@
 		t.Errorf("%+v", s)
 	}
 	own, _ := governed(t, "", "")
-	if err := own.Hold(policy.Policy{{Kind: policy.Closed, Of: "north/"}}, 2); err != nil || !own.Closed(1) || own.Closed(2) || own.h.Until() != math.Inf(1) {
+	if err := own.Hold(policy.Policy{{Kind: policy.Closed, Of: "north/"}}, 2); err != nil || !own.Blocked(1) || own.Blocked(2) || own.h.Until() != math.Inf(1) {
 		t.Errorf("%v, %v", err, own.closed)
 	}
 	for text, want := range map[string]string{"index nowhere no-copies\n": "there is no index nowhere", "index any least 40%\n": "the platform's least share is 0.5", "further share 20%\n": "budget share is 0.1", "further free 9\n": "8 free further calls", "close zone north host s2\n": "s2 stands in south"} {
@@ -242,8 +242,8 @@
 func BenchmarkMay(b *testing.B) {
 	g := NewGovernor(&gather.Settings{Classes: []gather.Class{{Name: "any"}}}, nil, policy.Fence{}, func() float64 { return 0 }, func() {})
 	g.hear(0, policy.Word{Epoch: 1, Last: 1, Lease: 1e9})
-	way, _ := g.Acts(0)
+	way, _ := g.Effective(0)
 	for b.Loop() {
-		g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1)
+		g.Permits(dispatch.PolicyCheck{Generation: way, Class: "any", Server: 1}, 1)
 	}
 }
--- a/internal/control/segments/follow.go
+++ b/internal/control/segments/follow.go
@@ -14,9 +14,9 @@
 
 // Picker takes news of the map; package pick has it.
 type Picker interface {
-	ChangeMap(c ownership.Change)
+	ApplyMapChange(c ownership.Change)
 	SetMap(m *ownership.Map)
-	Behind() <-chan struct{}
+	MapRequested() <-chan struct{}
 }
 
 const (
@@ -56,7 +56,7 @@
 		behind := make(chan bool, 1)
 		go func() { // breaks off a watch that waits
 			select {
-			case <-f.picker.Behind():
+			case <-f.picker.MapRequested():
 				behind <- true
 				stop()
 			case <-asking.Done():
@@ -80,7 +80,7 @@
 			f.log.WithError(err).Log(level, "the authority of segments does not answer; the last map stays in force")
 			select {
 			case <-ctx.Done():
-			case <-f.picker.Behind():
+			case <-f.picker.MapRequested():
 				f.epoch = 0
 			case <-time.After(pause):
 			}
@@ -96,7 +96,7 @@
 			f.epoch = reply.Whole.Epoch
 		}
 		for _, c := range reply.Changes {
-			f.picker.ChangeMap(c)
+			f.picker.ApplyMapChange(c)
 			f.epoch = c.Epoch
 		}
 	}
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -95,9 +95,9 @@
 	p.mu.Unlock()
 	p.told <- true
 }
-func (p *picker) ChangeMap(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
-func (p *picker) SetMap(m *ownership.Map)      { p.add(fmt.Sprint("map ", m.Epoch)) }
-func (p *picker) Behind() <-chan struct{}      { return p.behind }
+func (p *picker) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
+func (p *picker) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
+func (p *picker) MapRequested() <-chan struct{}     { return p.behind }
 
 // TestFollows: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
 // a watch waits; through an authority that fails and one that sends what can't be read.
--- a/internal/gatherer/dispatch/crossings_test.go
+++ b/internal/gatherer/dispatch/crossings_test.go
@@ -15,9 +15,9 @@
 	for _, further := range []bool{false, true} {
 		p := newPicker(t, nil)
 		p.clock = func() float64 { return now }
-		p.Play()
+		p.RunRoundNow()
 		ctx, leave := context.WithCancel(t.Context())
-		done := make(chan Verdict, 1)
+		done := make(chan Result, 1)
 		lk := lookup("all", 1, now+1000)
 		go func() { done <- p.Pick(ctx, lk) }()
 		for taken := 0; taken == 0; runtime.Gosched() {
@@ -26,24 +26,24 @@
 			p.mu.Unlock()
 		}
 		now += 5
-		calls := p.Play().Calls
+		calls := p.RunRoundNow().Send
 		if len(calls) != 1 {
 			t.Fatalf("%d calls", len(calls))
 		}
 		if further { // it is turned away, so that its part is called again
-			calls[0].Begin()
-			calls[0].End()
+			calls[0].BeginWrite()
+			calls[0].EndWrite()
 			p.Report(calls[0], gather.Rejected, nil)
 			now += 5
-			if calls = p.Play().Calls; len(calls) != 1 || !calls[0].Further() {
+			if calls = p.RunRoundNow().Send; len(calls) != 1 || !calls[0].UsesRetryBudget() {
 				t.Fatalf("%d calls after one was turned away", len(calls))
 			}
 		}
 		leave()
-		if v := <-done; v.Kind != Left {
+		if v := <-done; v.Kind != Abandoned {
 			t.Errorf("verdict %+v", v)
 		}
-		if calls[0].Begin() {
+		if calls[0].BeginWrite() {
 			t.Errorf("further %v: a call begins for a client that has gone", further)
 		}
 	}
@@ -70,24 +70,24 @@
 			s.FindClass("all").IdempotencyWindow = 100.0
 		})
 		p.clock = func() float64 { return now }
-		p.Play()
+		p.RunRoundNow()
 		lk := lookup("all", 1, now+1000)
-		p.Take(lk)
+		p.Submit(lk)
 		now += 5
-		first := p.Play().Calls
-		if len(first) != 1 || !first[0].Begin() {
+		first := p.RunRoundNow().Send
+		if len(first) != 1 || !first[0].BeginWrite() {
 			t.Fatalf("%s: %d calls", c.name, len(first))
 		}
-		first[0].End()
+		first[0].EndWrite()
 		at := now
 		p.Report(first[0], c.first, nil)
 		now += 10
-		second := p.Play().Calls
+		second := p.RunRoundNow().Send
 		if len(second) != 1 {
 			t.Fatalf("%s: %d calls after the first ended", c.name, len(second))
 		}
 		now = at + c.late
-		if got := second[0].Begin(); got != c.want {
+		if got := second[0].BeginWrite(); got != c.want {
 			t.Errorf("%s: begins %v", c.name, got)
 		}
 	}
--- a/internal/gatherer/dispatch/govern.go
+++ b/internal/gatherer/dispatch/govern.go
@@ -6,45 +6,45 @@
 	"yokeroute/gather"
 )
 
-// Act is a part call about to be written, or an answer about to be given, as a policy sees it.
-type Act struct {
-	Way     uint64 // in which its lookup was decided
-	Index   string
-	Server  uint32
-	Again   bool // its part was called before
-	Copy    bool // another call of its part is out
-	Further bool // the budget counts it
+// PolicyCheck is a part call about to be written, or an answer about to be given, as a policy sees it.
+type PolicyCheck struct {
+	Generation      uint64 // in which its lookup was decided
+	Class           string
+	Server          uint32
+	Repeated        bool // its part was called before
+	Hedge           bool // another call of its part is out
+	UsesRetryBudget bool // the budget counts it
 }
 
-// Governor says by what lookups are decided while the operators' policy changes under the fleet; package policy has
+// PolicyGate says by what lookups are decided while the operators' policy changes under the fleet; package policy has
 // one. Its ways are numbered: what is decided in one is decided by one set of terms.
-type Governor interface {
-	// Acts is asked at each round's beginning: the way and its terms, which stay the same for as long as the way does.
-	Acts(now float64) (way uint64, settings *gather.Settings)
-	// Closed reports whether nothing new may go to a server; News tells when that may have changed without a way's.
-	Closed(server uint32) bool
-	News() uint64
-	// Turns is the part of its plain turns that a server gets.
-	Turns(server uint32) float64
-	// May is asked at a call's first byte, from the goroutine that writes it.
-	May(a Act, now float64) bool
-	// Answer is asked before a verdict is given: whether what was decided in an earlier way may still be said.
-	Answer(a Act, v Verdict, share float64, ran bool, now float64) Verdict
-	// Settle tells that no lookup is in hand that was decided before a way; Settled whether that was told of the newest.
-	Settle(way uint64)
-	Settled() bool
+type PolicyGate interface {
+	// Effective is asked at each round's beginning: the way and its terms, which stay the same for as long as the way does.
+	Effective(now float64) (way uint64, settings *gather.Settings)
+	// Blocked reports whether nothing new may go to a server; News tells when that may have changed without a way's.
+	Blocked(server uint32) bool
+	BlockedRevision() uint64
+	// Weight is the part of its plain turns that a server gets.
+	Weight(server uint32) float64
+	// Permits is asked at a call's first byte, from the goroutine that writes it.
+	Permits(a PolicyCheck, now float64) bool
+	// ReviewResult is asked before a verdict is given: whether what was decided in an earlier way may still be said.
+	ReviewResult(a PolicyCheck, v Result, share float64, ran bool, now float64) Result
+	// MarkDrained tells that no lookup is in hand that was decided before a way; Settled whether that was told of the newest.
+	MarkDrained(way uint64)
+	Drained() bool
 }
 
-// Govern has lookups decided by what a governor says. It has to be called before the first Tick.
-func (p *Picker) Govern(g Governor) { p.governor = g }
+// SetPolicyGate has lookups decided by what a governor says. It has to be called before the first Tick.
+func (p *Picker) SetPolicyGate(g PolicyGate) { p.governor = g }
 
-// Stir has a round run soon, for a governor that has news while no lookup comes.
-func (p *Picker) Stir() { p.tell(func(*inbox) {}) }
+// Wake has a round run soon, for a governor that has news while no lookup comes.
+func (p *Picker) Wake() { p.tell(func(*inbox) {}) }
 
 // govern takes over, at a round's beginning, what is acted by: terms, servers that are closed, turns.
 func (p *Picker) govern(in *gather.Round, now float64) {
-	way, settings := p.governor.Acts(now)
-	news := p.governor.News()
+	way, settings := p.governor.Effective(now)
+	news := p.governor.BlockedRevision()
 	switch {
 	case way != p.way:
 		p.way = way
@@ -69,7 +69,7 @@
 	for i := range lists {
 		copied := false
 		for j, e := range lists[i].Endpoints {
-			if e.State == gather.Running && p.governor.Closed(e.ID) {
+			if e.State == gather.Running && p.governor.Blocked(e.ID) {
 				if !copied { // the list belongs to who told it
 					lists[i].Endpoints, copied = slices.Clone(lists[i].Endpoints), true
 				}
@@ -89,7 +89,7 @@
 		if e.ReplicaSet < 0 || e.ReplicaSet >= groups {
 			continue
 		}
-		share := p.governor.Turns(id)
+		share := p.governor.Weight(id)
 		some = some || share != 1
 		weights[e.ReplicaSet] = append(weights[e.ReplicaSet], gather.Weight{Server: id, Share: share})
 	}
@@ -105,7 +105,7 @@
 
 // settle tells the governor how far the lookups in hand have come.
 func (p *Picker) settle() {
-	if p.governor.Settled() {
+	if p.governor.Drained() {
 		return
 	}
 	oldest := p.way
@@ -115,25 +115,25 @@
 	for _, lk := range p.twice.roots {
 		oldest = min(oldest, lk.way)
 	}
-	p.governor.Settle(oldest)
+	p.governor.MarkDrained(oldest)
 }
 
 // allows asks the governor about a call at its first byte.
-func (c *Call) allows(now float64) bool {
+func (c *Attempt) allows(now float64) bool {
 	g := c.p.governor
-	return g == nil || g.May(Act{Way: c.lk.root().way, Index: c.lk.Index, Server: c.Server, Again: c.number > 0, Copy: !c.alone, Further: c.further}, now)
+	return g == nil || g.Permits(PolicyCheck{Generation: c.lk.root().way, Class: c.lk.Class, Server: c.Server, Repeated: c.number > 0, Hedge: !c.alone, UsesRetryBudget: c.further}, now)
 }
 
 // said asks the governor about a verdict before it is given.
-func (p *Picker) said(lk *Lookup, v Verdict) Verdict {
-	if p.governor == nil || v.Kind != Satisfied && v.Kind != Nacked {
+func (p *Picker) said(lk *Query, v Result) Result {
+	if p.governor == nil || v.Kind != Served && v.Kind != Rejected {
 		return v
 	}
 	share := 0.0
-	for _, pt := range lk.Parts {
-		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h Hit) bool { return h.Shard == pt.Shard }) {
+	for _, pt := range lk.ShardRequests {
+		if slices.Contains(v.EmptyShards, pt.Shard) || slices.ContainsFunc(v.Hits, func(h Hit) bool { return h.Shard == pt.Shard }) {
 			share += pt.Weight
 		}
 	}
-	return p.governor.Answer(Act{Way: lk.way, Index: lk.Index}, v, share, lk.ran.Load(), p.Now())
+	return p.governor.ReviewResult(PolicyCheck{Generation: lk.way, Class: lk.Class}, v, share, lk.ran.Load(), p.Now())
 }
--- a/internal/gatherer/dispatch/ledger.go
+++ b/internal/gatherer/dispatch/ledger.go
@@ -6,29 +6,29 @@
 	"yokeroute/logic/ownership"
 )
 
-// Ledger outlasts the process: it knows which once-only lookups may have run, and the newest map. Package state has
+// NonIdempotentStore outlasts the process: it knows which once-only lookups may have run, and the newest map. Package state has
 // one. All of it is called on the goroutine that calls Tick.
-type Ledger interface {
+type NonIdempotentStore interface {
 	MayHaveRun(name string, repeat bool, now float64) bool
-	Sent(names []string, now float64) error
-	Unrun(name string) error
-	SetMap(m *ownership.Map) error
+	RecordSent(names []string, now float64) error
+	RecordNotRun(name string) error
+	SaveMap(m *ownership.Map) error
 }
 
-// Keep has once-only lookups written into a ledger before any byte of them goes. It has to be called before the first
+// SetNonIdempotentStore has once-only lookups written into a ledger before any byte of them goes. It has to be called before the first
 // Tick.
-func (p *Picker) Keep(l Ledger) { p.ledger = l }
+func (p *Picker) SetNonIdempotentStore(l NonIdempotentStore) { p.ledger = l }
 
 // refuseRun answers a once-only lookup of whose name an earlier part call may have run: aborted, at once. It reports
 // whether it did.
-func (p *Picker) refuseRun(lk *Lookup, now float64) bool {
-	if p.ledger == nil || !p.onceOnly(lk) || !p.ledger.MayHaveRun(lk.ID, lk.Retry, now) {
+func (p *Picker) refuseRun(lk *Query, now float64) bool {
+	if p.ledger == nil || !p.onceOnly(lk) || !p.ledger.MayHaveRun(lk.ID, lk.Retried, now) {
 		return false
 	}
 	p.log.WithField("lookup", lk.ID).Warn("a once-only lookup of this name may have run: aborted")
 	p.ended = append(p.ended, lk)
 	lk.known = true
-	p.answer(lk, Verdict{Kind: Aborted})
+	p.answer(lk, Result{Kind: Failed})
 	return true
 }
 
@@ -39,8 +39,8 @@
 		return
 	}
 	var names []string
-	var fresh []*Lookup
-	for _, c := range p.orders.Calls {
+	var fresh []*Query
+	for _, c := range p.orders.Send {
 		if lk := c.lk.root(); c.onceOnly && !lk.known {
 			lk.known = true
 			names, fresh = append(names, lk.ID), append(fresh, lk)
@@ -49,9 +49,9 @@
 	if len(names) == 0 {
 		return
 	}
-	if err := p.ledger.Sent(names, now); err != nil {
+	if err := p.ledger.RecordSent(names, now); err != nil {
 		p.log.WithError(err).Error("once-only calls could not be written down, and are not sent")
-		for _, c := range p.orders.Calls {
+		for _, c := range p.orders.Send {
 			if slices.Contains(fresh, c.lk.root()) {
 				c.off.Store(true)
 			}
@@ -63,11 +63,11 @@
 }
 
 // unrun notes that a lookup ended and nothing of it ran.
-func (p *Picker) unrun(lk *Lookup, v Verdict) {
-	if p.ledger == nil || !p.onceOnly(lk) || v.Kind != Nacked {
+func (p *Picker) unrun(lk *Query, v Result) {
+	if p.ledger == nil || !p.onceOnly(lk) || v.Kind != Rejected {
 		return
 	}
-	if err := p.ledger.Unrun(lk.ID); err != nil {
+	if err := p.ledger.RecordNotRun(lk.ID); err != nil {
 		p.log.WithError(err).Error("that a once-only lookup did not run could not be written down; its name stays known")
 	}
 }
--- a/internal/gatherer/dispatch/lookup.go
+++ b/internal/gatherer/dispatch/lookup.go
@@ -10,29 +10,29 @@
 	"yokeroute/logic/ownership"
 )
 
-// Part is one part of a lookup, at one shard.
-type Part struct {
+// ShardRequest is one part of a lookup, at one shard.
+type ShardRequest struct {
 	Shard        int
 	Weight, Cost float64
 	Key          string
 }
 
-// Lookup is one lookup as its client asked for it.
-type Lookup struct {
-	ID                   string // the client's name for it, from which its parts are named
-	Index, Customer, Key string
-	Cost                 float64
-	GiveUpAt             float64 // by the clock of Now
-	Retry                bool
-	Parts                []Part
-	Text                 []byte // what each part carries, as it came
-	Tag                  any    // the caller's own
-
-	ref    uint64    // its parts' refs follow it
-	values [][]byte  // by part, or by piece where there are pieces
-	calls  [][]*Call // the same
-	pieces []piece   // where a map says who owns which keys
-	done   chan Verdict
+// Query is one lookup as its client asked for it.
+type Query struct {
+	ID                      string // the client's name for it, from which its parts are named
+	Class, Tenant, RouteKey string
+	Cost                    float64
+	Deadline                float64 // by the clock of Now
+	Retried                 bool
+	ShardRequests           []ShardRequest
+	Payload                 []byte // what each part carries, as it came
+	Tag                     any    // the caller's own
+
+	ref    uint64       // its parts' refs follow it
+	values [][]byte     // by part, or by piece where there are pieces
+	calls  [][]*Attempt // the same
+	pieces []piece      // where a map says who owns which keys
+	done   chan Result
 	pass           // of a lookup in two phases: what the module holds in its place
 	phased *phased // of one in two phases: where it stands
 	landed float64
@@ -46,12 +46,12 @@
 }
 
 // hits adds the values that are in to others.
-func (lk *Lookup) hits(to []Hit) []Hit {
+func (lk *Query) hits(to []Hit) []Hit {
 	for i, value := range lk.values {
 		if value == nil {
 			continue
 		}
-		h := Hit{Shard: lk.Parts[lk.partOf(i)].Shard, Value: value}
+		h := Hit{Shard: lk.ShardRequests[lk.partOf(i)].Shard, Value: value}
 		if lk.pieces != nil && !lk.wholePart(i) {
 			keys := lk.pieces[i].Range
 			h.Keys = &keys
@@ -62,7 +62,7 @@
 }
 
 // partOf is the part that a piece is of; without pieces it is the part itself.
-func (lk *Lookup) partOf(i int) int {
+func (lk *Query) partOf(i int) int {
 	if lk.pieces != nil {
 		return lk.pieces[i].Part
 	}
@@ -70,7 +70,7 @@
 }
 
 // wholePart reports whether a piece is all of its part.
-func (lk *Lookup) wholePart(i int) bool {
+func (lk *Query) wholePart(i int) bool {
 	for j := range lk.pieces {
 		if j != i && !lk.pieces[j].gone && lk.pieces[j].Part == lk.pieces[i].Part {
 			return false
@@ -80,41 +80,41 @@
 }
 
 // refOf is the module's number of a part, or of a piece.
-func (lk *Lookup) refOf(i int) uint64 {
+func (lk *Query) refOf(i int) uint64 {
 	if lk.pieces != nil {
 		return lk.pieces[i].ID
 	}
 	return lk.ref + 1 + uint64(i)
 }
 
-// Landed is when it was taken, by the picker's clock; 0 where its answer was known at once.
-func (lk *Lookup) Landed() float64 { return lk.landed }
+// AdmittedAt is when it was taken, by the picker's clock; 0 where its answer was known at once.
+func (lk *Query) AdmittedAt() float64 { return lk.landed }
 
 // seal waits for calls that are being written and lets none begin after it.
-func (lk *Lookup) seal() {
+func (lk *Query) seal() {
 	lk.gate.Lock()
 	lk.sealed = true
 	lk.gate.Unlock()
 }
 
-// Kind is how a lookup ended.
-type Kind int
+// ResultKind is how a lookup ended.
+type ResultKind int
 
 const (
-	Satisfied Kind = iota
-	Nacked
-	Aborted
-	Broken // the module failed while it held the lookup
-	Left   // its client has gone
+	Served ResultKind = iota
+	Rejected
+	Failed
+	InternalError // the module failed while it held the lookup
+	Abandoned     // its client has gone
 )
 
-// Verdict is a lookup's final answer.
-type Verdict struct {
-	Kind     Kind
-	Whole    bool
-	Hits     []Hit   // of the parts that were in at the decision
-	Empty    []int   // shards whose parts are in since they proved to hold nothing
-	ComeBack float64 // milliseconds after which a nacked client may come again, 0 for no advice
+// Result is a lookup's final answer.
+type Result struct {
+	Kind        ResultKind
+	Complete    bool
+	Hits        []Hit   // of the parts that were in at the decision
+	EmptyShards []int   // shards whose parts are in since they proved to hold nothing
+	RetryAfter  float64 // milliseconds after which a nacked client may come again, 0 for no advice
 }
 
 // Hit is what a shard server gave for a part.
@@ -124,24 +124,24 @@
 	Keys  *ownership.Range // of the shard's keys, where it is not for all of them
 }
 
-// Verdict is the final answer, if it is decided. It is for who plays rounds; others wait in Pick.
-func (lk *Lookup) Verdict() (Verdict, bool) {
+// Result is the final answer, if it is decided. It is for who plays rounds; others wait in Pick.
+func (lk *Query) Result() (Result, bool) {
 	select {
 	case v := <-lk.done:
 		lk.seal()
 		return v, true
 	default:
-		return Verdict{}, false
+		return Result{}, false
 	}
 }
 
-// Call is one part call that the module has decided on.
-type Call struct {
+// Attempt is one part call that the module has decided on.
+type Attempt struct {
 	Server  uint32
 	Timeout float64 // milliseconds from the decision
 	Tag     any     // the carrier's own
 
-	lk       *Lookup
+	lk       *Query
 	part     int // or piece
 	number   int
 	place    int
@@ -155,8 +155,8 @@
 	shard    int
 	since    uint64
 	onceOnly bool
-	ref      uint64  // of its part, by which the module knows it
-	before   []*Call // earlier calls of a fingerprinted part, and how long the mark of one that ran is known
+	ref      uint64     // of its part, by which the module knows it
+	before   []*Attempt // earlier calls of a fingerprinted part, and how long the mark of one that ran is known
 	window   float64
 	off      atomic.Bool
 	told     atomic.Bool
@@ -166,54 +166,54 @@
 
 // ID names the part on the wire; a second copy bears the same name. In a first pass a mark follows, so that an
 // answer can't be taken for the other pass's.
-func (c *Call) ID() string {
+func (c *Attempt) ID() string {
 	id := c.lk.ID + "." + strconv.Itoa(c.Shard())
 	if c.owned { // several pieces of a part may be out at one server
 		id += "." + strconv.Itoa(c.part)
 	}
-	if c.First() {
+	if c.FirstPass() {
 		id += "~"
 	}
 	return id
 }
 
-// Lookup is the lookup that the call is for, as its client asked for it.
-func (c *Call) Lookup() *Lookup { return c.lk.root() }
+// Query is the lookup that the call is for, as its client asked for it.
+func (c *Attempt) Query() *Query { return c.lk.root() }
 
 // Pass is the pass that the call belongs to.
-func (c *Call) Pass() gather.Pass { return c.lk.kind }
+func (c *Attempt) Pass() gather.Pass { return c.lk.kind }
 
-// First reports whether the call asks for no more than a summary.
-func (c *Call) First() bool { return c.lk.kind == gather.FirstPass }
+// FirstPass reports whether the call asks for no more than a summary.
+func (c *Attempt) FirstPass() bool { return c.lk.kind == gather.FirstPass }
 
 // Number counts the calls of its part, in its pass, from 0.
-func (c *Call) Number() int { return c.number }
+func (c *Attempt) Number() int { return c.number }
 
-// Left is how many milliseconds of its time are left: less than at the decision, where it has waited for a connection.
-func (c *Call) Left() float64 { return c.at + c.Timeout - c.p.Now() }
+// Remaining is how many milliseconds of its time are left: less than at the decision, where it has waited for a connection.
+func (c *Attempt) Remaining() float64 { return c.at + c.Timeout - c.p.Now() }
 
-// At is when it was decided on, by the picker's clock.
-func (c *Call) At() float64 { return c.at }
+// DecidedAt is when it was decided on, by the picker's clock.
+func (c *Attempt) DecidedAt() float64 { return c.at }
 
-// Further reports whether it is one beyond its part's first, which the budget counts.
-func (c *Call) Further() bool { return c.further }
+// UsesRetryBudget reports whether it is one beyond its part's first, which the budget counts.
+func (c *Attempt) UsesRetryBudget() bool { return c.further }
 
-// Alone reports whether no other call of its part was out when it was decided on.
-func (c *Call) Alone() bool { return c.alone }
+// OnlyInFlight reports whether no other call of its part was out when it was decided on.
+func (c *Attempt) OnlyInFlight() bool { return c.alone }
 
-// Place counts the parts of its lookup that were called by then, this one among them.
-func (c *Call) Place() int { return c.place }
+// ShardsAttempted counts the parts of its lookup that were called by then, this one among them.
+func (c *Attempt) ShardsAttempted() int { return c.place }
 
 // Shard is the shard asked.
-func (c *Call) Shard() int { return c.shard }
+func (c *Attempt) Shard() int { return c.shard }
 
-// Text is what the part carries.
-func (c *Call) Text() []byte { return c.lk.Text }
+// Payload is what the part carries.
+func (c *Attempt) Payload() []byte { return c.lk.Payload }
 
-// Begin reports whether the call may still be written, against one that waited for a connection while its
+// BeginWrite reports whether the call may still be written, against one that waited for a connection while its
 // lookup was answered or the budget of further calls ran out. Each Begin that allowed it wants an End once its bytes are out. It never waits: a
 // lookup that is being sealed is as good as answered, and writers that waited could wait for each other.
-func (c *Call) Begin() bool {
+func (c *Attempt) BeginWrite() bool {
 	lk := c.lk.root()
 	if c.off.Load() || !lk.gate.TryRLock() {
 		return false
@@ -226,14 +226,14 @@
 	c.begun.Store(true)
 	lk.ran.Store(true)
 	for _, w := range c.p.witnesses {
-		w.Written(c, now)
+		w.AttemptWritten(c, now)
 	}
 	return true
 }
 
 // known reports whether a fingerprinted part's mark is still known where an earlier call of it may have run: the window
 // may end while the call waits for its connection or behind other frames.
-func (c *Call) known(now float64) bool {
+func (c *Attempt) known(now float64) bool {
 	for _, b := range c.before {
 		if !b.unrun.Load() && now > b.at+c.window-rounding {
 			return false
@@ -242,19 +242,19 @@
 	return true
 }
 
-// Begun reports whether its bytes have begun to go.
-func (c *Call) Begun() bool { return c.begun.Load() }
+// WriteBegun reports whether its bytes have begun to go.
+func (c *Attempt) WriteBegun() bool { return c.begun.Load() }
 
-// End closes what Begin opened.
-func (c *Call) End() { c.lk.root().gate.RUnlock() }
+// EndWrite closes what Begin opened.
+func (c *Attempt) EndWrite() { c.lk.root().gate.RUnlock() }
 
-// Orders are what the network has to carry out after a round, in this order.
-type Orders struct {
-	Stop  []*Call // their lookup is over: what is not written whole by now must not be
-	Off   []*Call // given up; the shard server is told
-	Calls []*Call // new ones; those to one server are one turn and share frames
+// Actions are what the network has to carry out after a round, in this order.
+type Actions struct {
+	StopWriting []*Attempt // their lookup is over: what is not written whole by now must not be
+	Cancel      []*Attempt // given up; the shard server is told
+	Send        []*Attempt // new ones; those to one server are one turn and share frames
 
-	Probes []uint32 // servers to ask for their load
+	CheckHealth []uint32 // servers to ask for their load
 }
 
 // writer puts the decisions of one round into the facade's form; it is the module's gather.Writer.
@@ -265,7 +265,7 @@
 	if !known {
 		return
 	}
-	c := &Call{Server: server, Timeout: timeout, lk: s.lk, part: s.part, number: len(s.lk.calls[s.part]), at: w.p.ranAt, p: w.p, ref: ref, shard: s.lk.Parts[s.lk.partOf(s.part)].Shard, owned: s.lk.pieces != nil}
+	c := &Attempt{Server: server, Timeout: timeout, lk: s.lk, part: s.part, number: len(s.lk.calls[s.part]), at: w.p.ranAt, p: w.p, ref: ref, shard: s.lk.ShardRequests[s.lk.partOf(s.part)].Shard, owned: s.lk.pieces != nil}
 	c.alone, c.further = true, c.number > 0 || s.lk.asks != nil && s.lk.asks[s.part].Again
 	c.onceOnly = w.p.onceOnly(s.lk)
 	if s.lk.pieces != nil {
@@ -273,7 +273,7 @@
 		c.keys, c.segment, c.since, c.further = pc.Range, pc.Segment, pc.Since, c.further || pc.Called && len(s.lk.calls[s.part]) == 0
 		pc.Out++
 	}
-	if index := s.lk.root().Index; w.p.settings.Class(index).Effect == gather.IdempotencyKeyed {
+	if index := s.lk.root().Class; w.p.settings.Class(index).Effect == gather.IdempotencyKeyed {
 		c.before, c.window = slices.Clone(s.lk.calls[s.part]), w.p.settings.Class(index).IdempotencyWindow
 	}
 	for _, before := range s.lk.calls[s.part] {
@@ -283,7 +283,7 @@
 	for _, calls := range s.lk.calls {
 		c.place += min(len(calls), 1)
 	}
-	w.p.orders.Calls = append(w.p.orders.Calls, c)
+	w.p.orders.Send = append(w.p.orders.Send, c)
 	w.p.sent(c)
 }
 
@@ -295,15 +295,15 @@
 
 func (w writer) Answer(ref uint64, whole bool) {
 	if lk := w.p.lookups[ref]; lk != nil {
-		w.p.end(lk, Verdict{Kind: Satisfied, Whole: whole, Hits: lk.hits(nil)})
+		w.p.end(lk, Result{Kind: Served, Complete: whole, Hits: lk.hits(nil)})
 	}
 }
 
 func (w writer) Reject(ref uint64, comeBack float64) {
-	w.p.end(w.p.lookups[ref], Verdict{Kind: Nacked, ComeBack: comeBack})
+	w.p.end(w.p.lookups[ref], Result{Kind: Rejected, RetryAfter: comeBack})
 }
 
-func (w writer) Fail(ref uint64) { w.p.end(w.p.lookups[ref], Verdict{Kind: Aborted}) }
+func (w writer) Fail(ref uint64) { w.p.end(w.p.lookups[ref], Result{Kind: Failed}) }
 
 func (w writer) Wake(after float64) { w.p.wakeAt = min(w.p.wakeAt, w.p.ranAt+after) }
 
@@ -315,6 +315,8 @@
 }
 
 // CheckHealth asks a server for its load.
-func (w writer) CheckHealth(server uint32) { w.p.orders.Probes = append(w.p.orders.Probes, server) }
+func (w writer) CheckHealth(server uint32) {
+	w.p.orders.CheckHealth = append(w.p.orders.CheckHealth, server)
+}
 
 var _ gather.Writer = writer{}
--- a/internal/gatherer/dispatch/owned.go
+++ b/internal/gatherer/dispatch/owned.go
@@ -25,22 +25,22 @@
 	parked int           // pieces put aside, in lookups that are held
 }
 
-// Segments has lookups sent to who owns their keys, by maps that are handed in: of so many segments at most, shards
+// EnableOwnership has lookups sent to who owns their keys, by maps that are handed in: of so many segments at most, shards
 // being so many. The terms of the module have to be those of OwnedTerms. It has to be called before the first Tick.
-func (p *Picker) Segments(most, shards int) {
+func (p *Picker) EnableOwnership(most, shards int) {
 	p.owned = &owned{index: ownership.NewIndex(most), shards: shards, hosts: map[uint32]string{}, behind: make(chan struct{}, 1)}
 }
 
-// OwnedTerms are a module's terms where so many segments can be owned: each is a group of its own, and its writer
+// OwnershipSettings are a module's terms where so many segments can be owned: each is a group of its own, and its writer
 // another one.
-func OwnedTerms(settings *gather.Settings, most int) *gather.Settings {
+func OwnershipSettings(settings *gather.Settings, most int) *gather.Settings {
 	t := settings.Clone()
 	t.ReplicaSets, t.ReplicaSetsPerShard = ownership.NewIndex(most).Nowhere()+1, 1
 	return t
 }
 
-// Behind tells when the newest map has to be asked for.
-func (p *Picker) Behind() <-chan struct{} { return p.owned.behind }
+// MapRequested tells when the newest map has to be asked for.
+func (p *Picker) MapRequested() <-chan struct{} { return p.owned.behind }
 
 // news of the map: a change, or a whole one.
 type mapNews struct {
@@ -48,8 +48,8 @@
 	whole  *ownership.Map
 }
 
-// ChangeMap hands in a change of the map.
-func (p *Picker) ChangeMap(c ownership.Change) {
+// ApplyMapChange hands in a change of the map.
+func (p *Picker) ApplyMapChange(c ownership.Change) {
 	p.tell(func(in *inbox) { in.maps = append(in.maps, mapNews{change: c}) })
 }
 
@@ -58,8 +58,8 @@
 	p.tell(func(in *inbox) { in.maps = append(in.maps, mapNews{whole: m}) })
 }
 
-// Names hands in the names of the servers on the list, by which maps know them.
-func (p *Picker) Names(names map[uint32]string) {
+// SetServerNames hands in the names of the servers on the list, by which maps know them.
+func (p *Picker) SetServerNames(names map[uint32]string) {
 	p.tell(func(in *inbox) { in.names = names })
 }
 
@@ -91,7 +91,7 @@
 			news = true
 			log.WithField("epoch", o.Follower.Map.Epoch).Info("map of segments: a new epoch")
 			if p.ledger != nil {
-				if err := p.ledger.SetMap(o.Follower.Map); err != nil {
+				if err := p.ledger.SaveMap(o.Follower.Map); err != nil {
 					p.log.WithError(err).Error("the map of segments could not be written down")
 				}
 			}
@@ -144,29 +144,29 @@
 }
 
 // cut parts a lookup into pieces and hands it to the module.
-func (p *Picker) cut(in *gather.Round, lk *Lookup) {
+func (p *Picker) cut(in *gather.Round, lk *Query) {
 	o := p.owned
-	ranges, weights := make([]ownership.Range, len(lk.Parts)), make([]float64, len(lk.Parts))
-	for i, pt := range lk.Parts {
+	ranges, weights := make([]ownership.Range, len(lk.ShardRequests)), make([]float64, len(lk.ShardRequests))
+	for i, pt := range lk.ShardRequests {
 		ranges[i], weights[i] = ownership.Slot(pt.Shard, o.shards), pt.Weight
 	}
 	m := o.Follower.Map
 	if m == nil {
 		m = &ownership.Map{} // nobody owns anything that we know of
 	}
-	lk.pieces = make([]piece, 0, len(lk.Parts))
+	lk.pieces = make([]piece, 0, len(lk.ShardRequests))
 	lk.values, lk.calls = lk.values[:0], lk.calls[:0]
 	for _, f := range m.Begin(ranges, weights, p.onceOnly(lk) && o.Doubt > 0) {
 		p.add(in, lk, f)
 	}
 }
 
-func (p *Picker) onceOnly(lk *Lookup) bool {
-	return p.settings.Class(lk.Index).Effect == gather.NonIdempotent
+func (p *Picker) onceOnly(lk *Query) bool {
+	return p.settings.Class(lk.Class).Effect == gather.NonIdempotent
 }
 
 // add hands one piece to the module.
-func (p *Picker) add(in *gather.Round, lk *Lookup, f ownership.Fresh) {
+func (p *Picker) add(in *gather.Round, lk *Query, f ownership.Fresh) {
 	o := p.owned
 	h := ownership.Held{Part: f.Part, Range: f.Range, Weight: f.Weight, Called: f.Again, Parked: f.Parked}
 	group := o.index.Nowhere()
@@ -177,7 +177,7 @@
 		s := &o.Follower.Map.Segments[f.Segment]
 		h.Segment, h.Since = s.Name, s.Since
 		all, writer := o.index.Groups(s.Name)
-		if group = all; p.settings.Class(lk.Index).Effect != gather.Idempotent {
+		if group = all; p.settings.Class(lk.Class).Effect != gather.Idempotent {
 			group = writer
 		}
 	}
@@ -188,7 +188,7 @@
 	p.parts[h.ID] = place{lk, len(lk.pieces)}
 	lk.pieces = append(lk.pieces, piece{Held: h})
 	lk.values, lk.calls = append(lk.values, nil), append(lk.calls, nil)
-	pt := &lk.Parts[f.Part]
+	pt := &lk.ShardRequests[f.Part]
 	share := f.Weight / max(pt.Weight, 1e-9)
 	in.Requests = append(in.Requests, gather.ShardRequest{ID: h.ID, Number: lk.ref, Shard: group, Weight: f.Weight, Cost: pt.Cost * share, Key: pt.Key, Retry: f.Again})
 }
@@ -249,16 +249,16 @@
 	case !e.outcome.NeverExecuted():
 		pc.MayRun = true
 	}
-	if e.call.Begun() {
+	if e.call.WriteBegun() {
 		pc.Called = true
 	}
 }
 
-// Keys are the keys that a call asks for, the segment that has them and since which epoch; ok is false where no map
+// Ownership are the keys that a call asks for, the segment that has them and since which epoch; ok is false where no map
 // says who owns what.
-func (c *Call) Keys() (keys ownership.Range, segment string, since uint64, ok bool) {
+func (c *Attempt) Ownership() (keys ownership.Range, segment string, since uint64, ok bool) {
 	return c.keys, c.segment, c.since, c.owned
 }
 
-// OnceOnly reports whether the call may never run twice.
-func (c *Call) OnceOnly() bool { return c.onceOnly }
+// NonIdempotent reports whether the call may never run twice.
+func (c *Attempt) NonIdempotent() bool { return c.onceOnly }
--- a/internal/gatherer/dispatch/owned_test.go
+++ b/internal/gatherer/dispatch/owned_test.go
@@ -22,16 +22,16 @@
 		if change != nil {
 			change(s)
 		}
-		*s = *OwnedTerms(s, 16)
+		*s = *OwnershipSettings(s, 16)
 	})
-	p.Segments(16, 4)
+	p.EnableOwnership(16, 4)
 	p.module = p.build(5, p.settings)
 	p.clock = func() float64 { return p.ranAt + 4 }
 	names := map[uint32]string{}
 	for i := range uint32(6) {
 		names[10+i] = fmt.Sprint("h", i)
 	}
-	p.Names(names)
+	p.SetServerNames(names)
 	half := uint64(1) << 63
 	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
 		{Name: "s1", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
@@ -44,11 +44,11 @@
 }
 
 // take hands a lookup in and gives it with its first calls.
-func take(p *Picker, now float64, index, id string, parts int) (*Lookup, []*Call) {
+func take(p *Picker, now float64, index, id string, parts int) (*Query, []*Attempt) {
 	lk := lookup(index, parts, now+2000)
 	lk.ID = id
 	p.admit(lk)
-	return lk, p.round(now).Calls
+	return lk, p.round(now).Send
 }
 
 func must(t *testing.T, c ownership.Change, err error) ownership.Change {
@@ -66,13 +66,13 @@
 	if wrong != nil {
 		t.Fatal(wrong)
 	}
-	p.ChangeMap(c)
+	p.ApplyMapChange(c)
 	return next
 }
 
 // covered reports whether hits cover all keys of a lookup's parts, none twice.
-func covered(lk *Lookup, hits []Hit) error {
-	for _, pt := range lk.Parts {
+func covered(lk *Query, hits []Hit) error {
+	for _, pt := range lk.ShardRequests {
 		var got []ownership.Range
 		for _, h := range hits {
 			if h.Shard != pt.Shard {
@@ -107,7 +107,7 @@
 	return nil
 }
 
-func answerAll(p *Picker, calls []*Call) {
+func answerAll(p *Picker, calls []*Attempt) {
 	for _, c := range calls {
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
@@ -128,7 +128,7 @@
 		answerAll(p, calls)
 		_, calls = take(p, 1015+10*float64(i), "all", fmt.Sprint("o", i), 4)
 		for _, c := range calls {
-			if want := uint32(10 + c.Shard()/2*2); c.Server != want || !c.OnceOnly() {
+			if want := uint32(10 + c.Shard()/2*2); c.Server != want || !c.NonIdempotent() {
 				t.Errorf("a once-only part of shard %d goes to server %d", c.Shard(), c.Server)
 			}
 		}
@@ -148,11 +148,11 @@
 		if len(calls) != 1 || calls[0].Server != 10 {
 			t.Fatalf("calls %v", calls)
 		}
-		calls[0].Begin()
-		calls[0].End()
+		calls[0].BeginWrite()
+		calls[0].EndWrite()
 		c, err := m.Move("s0", []string{"h4"})
 		follow(t, p, m, c, err)
-		if o := p.round(1015); len(o.Calls) > 0 {
+		if o := p.round(1015); len(o.Send) > 0 {
 			t.Fatal("sent again while a call is out")
 		}
 		if refused {
@@ -160,9 +160,9 @@
 		} else {
 			p.Report(calls[0], gather.ConnectionReset, nil)
 		}
-		var again []*Call
+		var again []*Attempt
 		for now := 1020.0; now < 1600; now += 5 {
-			again = append(again, p.round(now).Calls...)
+			again = append(again, p.round(now).Send...)
 			if refused && len(again) == 1 {
 				answerAll(p, again)
 			}
@@ -171,9 +171,9 @@
 		switch {
 		case !done:
 			t.Errorf("refused %t: no answer", refused)
-		case refused && (len(again) != 1 || again[0].Server != 14 || v.Kind != Satisfied):
+		case refused && (len(again) != 1 || again[0].Server != 14 || v.Kind != Served):
 			t.Errorf("refused: %d calls more, %+v", len(again), v)
-		case !refused && (len(again) != 0 || v.Kind != Aborted):
+		case !refused && (len(again) != 0 || v.Kind != Failed):
 			t.Errorf("lost: %d calls more, %+v", len(again), v)
 		}
 	}
@@ -189,21 +189,21 @@
 		p.admit(lk)
 		at := ownership.Slot(0, 4).Lo + ownership.Slot(0, 4).Hi/4
 		split, err := m.Split("s0", at, "l", "r")
-		var calls []*Call
+		var calls []*Attempt
 		if when == "before sending" {
 			m = follow(t, p, m, split, err)
 			c, err := m.Move("r", []string{"h5"})
 			follow(t, p, m, c, err)
-			calls = p.round(1010).Calls
+			calls = p.round(1010).Send
 			if len(calls) != 3 {
 				t.Fatalf("%d calls of two parts, one of which is split", len(calls))
 			}
 		} else {
-			calls = p.round(1010).Calls
+			calls = p.round(1010).Send
 			m = follow(t, p, m, split, err)
 			c, err := m.Move("r", []string{"h5"})
 			follow(t, p, m, c, err)
-			if more := p.round(1015).Calls; len(more) > 0 {
+			if more := p.round(1015).Send; len(more) > 0 {
 				t.Fatal("sent again while calls are out")
 			}
 		}
@@ -215,15 +215,15 @@
 			}
 		}
 		for now := 1020.0; now < 1100; now += 5 {
-			for _, c := range p.round(now).Calls {
-				if keys, segment, since, _ := c.Keys(); segment == "s0" || since != 2 && since != 3 {
+			for _, c := range p.round(now).Send {
+				if keys, segment, since, _ := c.Ownership(); segment == "s0" || since != 2 && since != 3 {
 					t.Errorf("%s: %s of %s since %d", when, keys.Text(), segment, since)
 				}
 				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 		v, done := told(lk)
-		if !done || v.Kind != Satisfied || !v.Whole {
+		if !done || v.Kind != Served || !v.Complete {
 			t.Fatalf("%s: %+v, %t", when, v, done)
 		}
 		if err := covered(lk, v.Hits); err != nil {
@@ -253,10 +253,10 @@
 			follow(t, p, m, c, err)
 		}
 		for now := 1025.0; now < 1600; now += 5 {
-			answerAll(p, p.round(now).Calls)
+			answerAll(p, p.round(now).Send)
 		}
 		v, done := told(lk)
-		if !done || v.Kind != Satisfied || v.Whole != back || len(v.Hits) != 2+2*map[bool]int{true: 1}[back] {
+		if !done || v.Kind != Served || v.Complete != back || len(v.Hits) != 2+2*map[bool]int{true: 1}[back] {
 			t.Errorf("owned again %t: %+v, %t", back, v, done)
 		}
 	}
@@ -268,7 +268,7 @@
 	for now := 1015.0; now < 1600; now += 5 {
 		p.round(now)
 	}
-	if v, done := told(lk); !done || v.Kind == Satisfied {
+	if v, done := told(lk); !done || v.Kind == Served {
 		t.Errorf("a lookup that needs all parts: %+v, %t", v, done)
 	}
 }
@@ -297,10 +297,10 @@
 		}
 	}
 	for now := 1020.0; now < 1200; now += 5 {
-		answerAll(p, p.round(now).Calls)
+		answerAll(p, p.round(now).Send)
 	}
 	v, done := told(lk)
-	if !done || v.Kind != Satisfied || !v.Whole || len(v.Hits) < 3 {
+	if !done || v.Kind != Served || !v.Complete || len(v.Hits) < 3 {
 		t.Fatalf("%+v, %t", v, done)
 	}
 	seen := map[int]bool{}
@@ -318,12 +318,12 @@
 		s.RetryBudgetFloor = 3.0
 		s.RetryBudgetRatio = 0.0
 	})
-	var lks []*Lookup
-	var calls []*Call
+	var lks []*Query
+	var calls []*Attempt
 	for i := range 6 {
 		lk, some := take(p, 1010+5*float64(i), "any", fmt.Sprint("a", i), 1)
-		some[0].Begin()
-		some[0].End()
+		some[0].BeginWrite()
+		some[0].EndWrite()
 		lks, calls = append(lks, lk), append(calls, some...)
 	}
 	c, err := m.Move("s0", []string{"h4"})
@@ -333,10 +333,10 @@
 	}
 	further := 0
 	for now := 1045.0; now < 1400; now += 5 {
-		for _, c := range p.round(now).Calls {
-			if c.Begin() {
+		for _, c := range p.round(now).Send {
+			if c.BeginWrite() {
 				further++
-				c.End()
+				c.EndWrite()
 				p.Report(c, gather.Succeeded, []byte("x"))
 			} else {
 				p.Report(c, gather.NotSent, nil)
@@ -348,7 +348,7 @@
 	}
 	satisfied := 0
 	for _, lk := range lks {
-		if v, done := told(lk); done && v.Kind == Satisfied {
+		if v, done := told(lk); done && v.Kind == Served {
 			satisfied++
 		}
 	}
@@ -362,24 +362,24 @@
 func TestDrainInHandover(t *testing.T) {
 	p, m := newOwned(t, nil)
 	lk, calls := take(p, 1010, "any", "a", 1)
-	p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}}})
+	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}}})
 	c, err := m.Move("s0", []string{"h4"})
 	m = follow(t, p, m, c, err)
 	p.Report(calls[0], gather.NotOwner, nil)
 	for now := 1015.0; now < 1100; now += 5 {
-		if o := p.round(now); len(o.Calls) > 0 {
-			t.Fatalf("a call to server %d, which drains", o.Calls[0].Server)
+		if o := p.round(now); len(o.Send) > 0 {
+			t.Fatalf("a call to server %d, which drains", o.Send[0].Server)
 		}
 	}
 	c, err = m.Move("s0", []string{"h5"})
 	follow(t, p, m, c, err)
-	again := p.round(1105).Calls
+	again := p.round(1105).Send
 	if len(again) != 1 || again[0].Server != 15 {
 		t.Fatalf("calls %v", again)
 	}
 	answerAll(p, again)
 	p.round(1110)
-	if v, done := told(lk); !done || !v.Whole {
+	if v, done := told(lk); !done || !v.Complete {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
@@ -394,7 +394,7 @@
 	follow(t, p, m, other, err)
 	p.round(1005)
 	select {
-	case <-p.Behind():
+	case <-p.MapRequested():
 	default:
 		t.Error("the whole map is not asked for")
 	}
@@ -410,13 +410,13 @@
 	c, err := next.Move("s1", []string{"h2"})
 	after, _ := next.Apply(must(t, c, err))
 	p.SetMap(after)
-	calls = p.round(1100).Calls
+	calls = p.round(1100).Send
 	if len(calls) != 1 || calls[0].Server != 14 {
 		t.Fatalf("with a later map: %v", calls)
 	}
 	answerAll(p, calls)
 	p.round(1105)
-	if v, done := told(once); !done || v.Kind != Satisfied {
+	if v, done := told(once); !done || v.Kind != Served {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
@@ -430,7 +430,7 @@
 		chance := pcg.New(seed)
 		draw := func(n int) int { return int(chance.Uint32() % uint32(n)) }
 		type out struct {
-			c  *Call
+			c  *Attempt
 			at float64
 		}
 		type asked struct {
@@ -438,7 +438,7 @@
 			mayRun bool
 		}
 		var outs []out
-		held := map[*Lookup][]*asked{}
+		held := map[*Query][]*asked{}
 		truth := m // what hosts go by
 		var told1 []ownership.Change
 		landed, ends, whole, moves, name := 0, 0, 0, 0, 0
@@ -482,9 +482,9 @@
 			}
 			if chance.Float64() < 0.3 || now > 11000 { // news comes late, one at a time, sometimes twice
 				if len(told1) > 0 {
-					p.ChangeMap(told1[0])
+					p.ApplyMapChange(told1[0])
 					if chance.Float64() < 0.2 {
-						p.ChangeMap(told1[0])
+						p.ApplyMapChange(told1[0])
 					}
 					told1 = told1[1:]
 				}
@@ -502,9 +502,9 @@
 					rest = append(rest, o)
 					continue
 				}
-				keys, segment, since, _ := o.c.Keys()
+				keys, segment, since, _ := o.c.Ownership()
 				a := func() *asked {
-					for _, a := range held[o.c.Lookup()] {
+					for _, a := range held[o.c.Query()] {
 						if a.keys == keys && a.mayRun {
 							return a
 						}
@@ -528,23 +528,23 @@
 			}
 			outs = rest
 			o := p.round(now)
-			for _, c := range o.Off {
+			for _, c := range o.Cancel {
 				p.Report(c, gather.Cancelled, nil)
 			}
-			for _, c := range o.Calls {
-				if !c.Begin() {
+			for _, c := range o.Send {
+				if !c.BeginWrite() {
 					p.Report(c, gather.NotSent, nil)
 					continue
 				}
-				c.End()
-				lk := c.Lookup()
+				c.EndWrite()
+				lk := c.Query()
 				past, isHeld := held[lk]
 				if !isHeld {
 					t.Fatalf("seed %d at %g: a call after the answer", seed, now)
 				}
-				keys, _, _, _ := c.Keys()
+				keys, _, _, _ := c.Ownership()
 				for _, a := range past {
-					if lk.Index == "all" && a.mayRun && a.keys.Overlaps(keys) {
+					if lk.Class == "all" && a.mayRun && a.keys.Overlaps(keys) {
 						t.Fatalf("seed %d at %g: once-only keys %s are asked for again, %s may have run", seed, now, keys.Text(), a.keys.Text())
 					}
 				}
@@ -558,18 +558,18 @@
 				}
 				ends++
 				delete(held, lk)
-				if v.Kind == Satisfied && v.Whole {
+				if v.Kind == Served && v.Complete {
 					whole++
 					if err := covered(lk, v.Hits); err != nil {
 						t.Fatalf("seed %d at %g: %s: %v", seed, now, lk.ID, err)
 					}
 				}
 				for _, a := range past {
-					if v.Kind == Nacked && lk.Index == "all" && a.mayRun {
+					if v.Kind == Rejected && lk.Class == "all" && a.mayRun {
 						t.Fatalf("seed %d at %g: a once-only lookup is nacked and may have run", seed, now)
 					}
 				}
-				if now > lk.GiveUpAt+20 {
+				if now > lk.Deadline+20 {
 					t.Errorf("seed %d: answered late", seed)
 				}
 			}
--- a/internal/gatherer/dispatch/pick.go
+++ b/internal/gatherer/dispatch/pick.go
@@ -44,36 +44,36 @@
 	build     func(seed uint64, settings *gather.Settings) gather.Module
 	ranAt     float64
 	wakeAt    float64
-	lookups   map[uint64]*Lookup
+	lookups   map[uint64]*Query
 	parts     map[uint64]place
-	ended     []*Lookup
-	orders    Orders
-	weights   [][]gather.Weight // in force, for a module that has to start anew
-	twice     twice             // lookups in two phases
-	ledger    Ledger            // nil where nothing outlasts the process
-	owned     *owned            // nil where no map says who owns which keys
-	refused   []uint64          // pieces refused since the last round
-	governor  Governor          // nil where no policy is followed
-	way       uint64            // in which lookups are decided now
-	governed  uint64            // the governor's news that were taken over
-	turned    bool              // it has some servers get fewer turns
+	ended     []*Query
+	orders    Actions
+	weights   [][]gather.Weight  // in force, for a module that has to start anew
+	twice     twice              // lookups in two phases
+	ledger    NonIdempotentStore // nil where nothing outlasts the process
+	owned     *owned             // nil where no map says who owns which keys
+	refused   []uint64           // pieces refused since the last round
+	governor  PolicyGate         // nil where no policy is followed
+	way       uint64             // in which lookups are decided now
+	governed  uint64             // the governor's news that were taken over
+	turned    bool               // it has some servers get fewer turns
 	retries   *retryBudget
-	traces    []Tracer
-	witnesses []Witness
+	traces    []DecisionObserver
+	witnesses []WireObserver
 	servers   map[uint32]gather.Endpoint
 	ids       []uint32 // of servers, in the order in which they were first told
 }
 
 // place is a part's lookup and its place in it.
 type place struct {
-	lk   *Lookup
+	lk   *Query
 	part int
 }
 
 // inbox is what has come in since the last round.
 type inbox struct {
 	gather.Round
-	taken   []*Lookup
+	taken   []*Query
 	ends    []ended
 	speak   map[uint32]bool // servers that were found to answer first passes or not to
 	views   []chan<- []gather.EndpointView
@@ -84,7 +84,7 @@
 
 // ended is a call that has ended, with the value that came.
 type ended struct {
-	call    *Call
+	call    *Attempt
 	outcome gather.Outcome
 	waited  float64
 	text    []byte
@@ -98,13 +98,13 @@
 	start := time.Now()
 	return &Picker{build: build, retries: newRetryBudget(settings), settings: settings, tick: max(settings.Tick, 1), most: settings.MaxOpenRequests, start: start,
 		unix: float64(start.UnixNano()) / 1e6, log: log, asked: make(chan struct{}, 1), news: make(chan struct{}, 1),
-		seed: seed, module: build(seed, settings), wakeAt: math.Inf(1), lookups: map[uint64]*Lookup{},
+		seed: seed, module: build(seed, settings), wakeAt: math.Inf(1), lookups: map[uint64]*Query{},
 		parts: map[uint64]place{}, servers: map[uint32]gather.Endpoint{}}
 }
 
-// Silence is for how long nothing may be heard on a connection with calls out before the next call gets another,
+// SilenceTimeout is for how long nothing may be heard on a connection with calls out before the next call gets another,
 // in milliseconds: a decision, and so the module's.
-func Silence(settings *gather.Settings) float64 {
+func SilenceTimeout(settings *gather.Settings) float64 {
 	shortest := math.Inf(1)
 	for _, index := range settings.ClassNames() {
 		shortest = min(shortest, settings.Class(index).LatencyObjective)
@@ -121,8 +121,8 @@
 	return p.unix + float64(time.Since(p.start))/1e6
 }
 
-// Asked tells when the module asks for the list.
-func (p *Picker) Asked() <-chan struct{} { return p.asked }
+// EndpointListRequested tells when the module asks for the list.
+func (p *Picker) EndpointListRequested() <-chan struct{} { return p.asked }
 
 // tell leaves something for the next round.
 func (p *Picker) tell(put func(in *inbox)) {
@@ -136,25 +136,25 @@
 	}
 }
 
-// Follow hands in news of the list.
-func (p *Picker) Follow(list gather.EndpointList) {
+// UpdateEndpoints hands in news of the list.
+func (p *Picker) UpdateEndpoints(list gather.EndpointList) {
 	p.tell(func(in *inbox) { in.EndpointLists = append(in.EndpointLists, list) })
 }
 
-// Weigh hands in weights of turns by group; empty ones for plain turns. They belong to the module from then on.
-func (p *Picker) Weigh(weights [][]gather.Weight) {
+// SetWeights hands in weights of turns by group; empty ones for plain turns. They belong to the module from then on.
+func (p *Picker) SetWeights(weights [][]gather.Weight) {
 	p.tell(func(in *inbox) { in.Weights = weights })
 }
 
 // Report tells how a part call ended, with the value that came. Only the first report of a call counts: one
 // that was given up may still be answered.
-func (p *Picker) Report(c *Call, outcome gather.Outcome, text []byte) {
+func (p *Picker) Report(c *Attempt, outcome gather.Outcome, text []byte) {
 	if !c.told.CompareAndSwap(false, true) {
 		return
 	}
 	c.unrun.Store(outcome.NeverExecuted())
 	e := ended{call: c, outcome: outcome, waited: p.Now() - c.at, text: text}
-	if c.First() && outcome == gather.Succeeded {
+	if c.FirstPass() && outcome == gather.Succeeded {
 		var err error
 		if e.summary, err = phases.ParseSummary(text); err != nil {
 			p.log.WithError(err).WithField("server", c.Server).Warn("first pass: an answer that proves nothing")
@@ -172,37 +172,37 @@
 	})
 }
 
-// Sample tells what came of a probe.
-func (p *Picker) Sample(s gather.HealthCheckResult) {
+// ReportHealthCheck tells what came of a probe.
+func (p *Picker) ReportHealthCheck(s gather.HealthCheckResult) {
 	p.tell(func(in *inbox) { in.HealthChecks = append(in.HealthChecks, s) })
 }
 
 // Pick hands a lookup in and blocks until its final answer is decided, or until ctx ends because its client
 // has gone. When it returns, no part call of the lookup is being written or will be.
-func (p *Picker) Pick(ctx context.Context, lk *Lookup) Verdict {
+func (p *Picker) Pick(ctx context.Context, lk *Query) Result {
 	if !p.admit(lk) { // the platform's own limit, which the simulator keeps in front of the module
-		return Verdict{Kind: Nacked}
+		return Result{Kind: Rejected}
 	}
-	v := Verdict{Kind: Broken} // where the request panics here, it is answered as failed
+	v := Result{Kind: InternalError} // where the request panics here, it is answered as failed
 	defer func() {
 		lk.seal()
 		for _, w := range p.witnesses {
-			w.Answered(lk, v, p.Now())
+			w.QueryAnswered(lk, v, p.Now())
 		}
 	}()
 	select {
 	case v = <-lk.done:
 		v = p.said(lk, v)
 	case <-ctx.Done():
-		v.Kind = Left
+		v.Kind = Abandoned
 		p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
 	}
 	return v
 }
 
 // admit leaves a lookup for the next round, unless too much is held already.
-func (p *Picker) admit(lk *Lookup) bool {
-	size := 1 + len(lk.Parts)
+func (p *Picker) admit(lk *Query) bool {
+	size := 1 + len(lk.ShardRequests)
 	p.mu.Lock()
 	full := p.most > 0 && p.held+size > p.most
 	if !full {
@@ -213,29 +213,29 @@
 	if full {
 		return false
 	}
-	lk.done = make(chan Verdict, 1)
+	lk.done = make(chan Result, 1)
 	p.retries.take(p.Now(), size)
 	p.tell(func(in *inbox) { in.taken = append(in.taken, lk) })
 	return true
 }
 
 // name gives a lookup its ref, and its parts theirs behind it.
-func (lk *Lookup) name(next *uint64) {
+func (lk *Query) name(next *uint64) {
 	lk.ref = *next
-	*next += uint64(1 + len(lk.Parts))
-	lk.values, lk.calls = make([][]byte, len(lk.Parts)), make([][]*Call, len(lk.Parts))
+	*next += uint64(1 + len(lk.ShardRequests))
+	lk.values, lk.calls = make([][]byte, len(lk.ShardRequests)), make([][]*Attempt, len(lk.ShardRequests))
 }
 
 // hand gives a lookup, or a pass of one, to the module with the round.
-func (p *Picker) hand(in *gather.Round, lk *Lookup) {
+func (p *Picker) hand(in *gather.Round, lk *Query) {
 	p.lookups[lk.ref] = lk
-	in.Queries = append(in.Queries, gather.Query{ID: lk.ref, Number: lk.ref, Class: lk.Index, Tenant: lk.Customer,
-		Cost: lk.Cost, Key: lk.Key, Deadline: lk.GiveUpAt, Retry: lk.Retry, Pass: lk.kind, ArrivedAt: lk.since, ReceivedWeight: lk.in, FullCallExtra: lk.lead})
+	in.Queries = append(in.Queries, gather.Query{ID: lk.ref, Number: lk.ref, Class: lk.Class, Tenant: lk.Tenant,
+		Cost: lk.Cost, Key: lk.RouteKey, Deadline: lk.Deadline, Retry: lk.Retried, Pass: lk.kind, ArrivedAt: lk.since, ReceivedWeight: lk.in, FullCallExtra: lk.lead})
 	if p.owned != nil {
 		p.cut(in, lk)
 		return
 	}
-	for i, pt := range lk.Parts {
+	for i, pt := range lk.ShardRequests {
 		ref := lk.ref + 1 + uint64(i)
 		p.parts[ref] = place{lk, i}
 		part := gather.ShardRequest{ID: ref, Number: lk.ref, Shard: pt.Shard, Weight: pt.Weight, Cost: pt.Cost, Key: pt.Key}
@@ -246,9 +246,9 @@
 	}
 }
 
-// Tick blocks until a round is due, runs it and gives its orders. Rounds are a tick apart at least, as the
+// RunRound blocks until a round is due, runs it and gives its orders. Rounds are a tick apart at least, as the
 // module's terms have it; all that came in meanwhile goes into one.
-func (p *Picker) Tick(ctx context.Context) (Orders, error) {
+func (p *Picker) RunRound(ctx context.Context) (Actions, error) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
@@ -270,7 +270,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return Orders{}, ctx.Err()
+			return Actions{}, ctx.Err()
 		case <-p.news:
 		case <-due:
 		}
@@ -278,12 +278,12 @@
 }
 
 // round runs the module once on all that waits.
-func (p *Picker) round(now float64) Orders {
+func (p *Picker) round(now float64) Actions {
 	p.mu.Lock()
 	in := p.inbox
 	p.inbox = p.spare
 	p.mu.Unlock()
-	p.ranAt, p.orders = now, Orders{}
+	p.ranAt, p.orders = now, Actions{}
 	if p.wakeAt <= now {
 		p.wakeAt = math.Inf(1)
 	}
@@ -326,7 +326,7 @@
 		close(to)
 	}
 	for _, ref := range in.Abandoned {
-		p.end(p.lookups[ref], Verdict{Kind: Left})
+		p.end(p.lookups[ref], Result{Kind: Abandoned})
 	}
 	p.forget()
 	r := in.Round
@@ -343,9 +343,9 @@
 	defer func() {
 		if fault := recover(); fault != nil {
 			p.log.WithField("stack", string(debug.Stack())).Errorf("decision module: %v; starting it anew", fault)
-			p.orders = Orders{}
+			p.orders = Actions{}
 			for _, lk := range p.lookups {
-				p.end(lk, Verdict{Kind: Broken})
+				p.end(lk, Result{Kind: InternalError})
 				for _, calls := range lk.calls {
 					for _, c := range calls {
 						p.giveUp(c)
@@ -354,9 +354,9 @@
 			}
 			p.seed++
 			p.module, p.wakeAt = p.build(p.seed, p.settings), math.Inf(1)
-			p.Follow(p.whole())
+			p.UpdateEndpoints(p.whole())
 			if p.weights != nil {
-				p.Weigh(p.weights)
+				p.SetWeights(p.weights)
 			}
 		}
 	}()
@@ -394,15 +394,15 @@
 	return all
 }
 
-func (p *Picker) giveUp(c *Call) {
+func (p *Picker) giveUp(c *Attempt) {
 	c.off.Store(true)
 	if !c.told.Load() {
-		p.orders.Off = append(p.orders.Off, c)
+		p.orders.Cancel = append(p.orders.Cancel, c)
 	}
 }
 
 // end hands a lookup its verdict, once.
-func (p *Picker) end(lk *Lookup, v Verdict) {
+func (p *Picker) end(lk *Query, v Result) {
 	if lk == nil || p.lookups[lk.ref] == nil {
 		return
 	}
@@ -411,7 +411,7 @@
 	for _, calls := range lk.calls {
 		for _, c := range calls {
 			if !c.told.Load() {
-				p.orders.Stop = append(p.orders.Stop, c)
+				p.orders.StopWriting = append(p.orders.StopWriting, c)
 			}
 		}
 	}
@@ -423,10 +423,10 @@
 }
 
 // answer hands a client its verdict.
-func (p *Picker) answer(lk *Lookup, v Verdict) {
+func (p *Picker) answer(lk *Query, v Result) {
 	p.unrun(lk, v)
 	for _, t := range p.traces {
-		t.Ended(lk, v, p.ranAt)
+		t.QueryDecided(lk, v, p.ranAt)
 	}
 	lk.done <- v
 }
@@ -439,7 +439,7 @@
 			delete(p.parts, lk.refOf(i))
 		}
 		if lk.of == nil { // a pass is held in the place of its lookup
-			freed += 1 + len(lk.Parts)
+			freed += 1 + len(lk.ShardRequests)
 		}
 	}
 	clear(p.ended)
--- a/internal/gatherer/dispatch/pick_test.go
+++ b/internal/gatherer/dispatch/pick_test.go
@@ -37,14 +37,14 @@
 	for i := range uint32(6) {
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: 10 + i, ReplicaSet: int(i % 2)})
 	}
-	p.Follow(list)
+	p.UpdateEndpoints(list)
 	return p
 }
 
-func lookup(index string, parts int, giveUpAt float64) *Lookup {
-	lk := &Lookup{ID: "a", Index: index, GiveUpAt: giveUpAt}
+func lookup(index string, parts int, giveUpAt float64) *Query {
+	lk := &Query{ID: "a", Class: index, Deadline: giveUpAt}
 	for shard := range parts {
-		lk.Parts = append(lk.Parts, Part{Shard: shard, Weight: 1 / float64(parts)})
+		lk.ShardRequests = append(lk.ShardRequests, ShardRequest{Shard: shard, Weight: 1 / float64(parts)})
 	}
 	return lk
 }
@@ -60,13 +60,13 @@
 	reply := bufio.NewScanner(out)
 	type answer struct {
 		at      float64
-		c       *Call
+		c       *Attempt
 		outcome gather.Outcome
 	}
 	verdicts := map[gather.Outcome]string{gather.Succeeded: "pass", gather.Failed: "fault", gather.Cancelled: "undone"}
 	var waiting []answer
-	held := map[*Lookup]bool{}
-	var last *Lookup
+	held := map[*Query]bool{}
+	var last *Query
 	sent, off, ends := 0, 0, 0
 	for step := range 400 {
 		now := 1000 + 5*float64(step)
@@ -91,9 +91,9 @@
 			lk := lookup([]string{"any", "all"}[step/4%2], 2+step%5, now+2500)
 			p.admit(lk)
 			held[lk], last = true, lk
-			for i := range 1 + len(lk.Parts) {
+			for i := range 1 + len(lk.ShardRequests) {
 				fmt.Fprintf(&batch, `{"cmd":"Accept","gathererId":0,"ref":%d,"cls":%q,"query":%d,"shard":%d,"amount":%v,"giveUpAt":%.0f}`+"\n",
-					lk.ref+uint64(i), lk.Index, lk.ref, i-1, 1/float64(len(lk.Parts)), lk.GiveUpAt*1000)
+					lk.ref+uint64(i), lk.Class, lk.ref, i-1, 1/float64(len(lk.ShardRequests)), lk.Deadline*1000)
 			}
 		}
 		if step%12 == 3 && held[last] { // its client goes away
@@ -112,7 +112,7 @@
 			}
 		}
 		orders := p.round(now)
-		for _, c := range orders.Calls {
+		for _, c := range orders.Send {
 			facade = append(facade, fmt.Sprintf(`{"cmd":"PassOn","gathererId":0,"ref":%d,"server":%d,"cap":%.0f}`,
 				c.lk.ref+1+uint64(c.part), c.Server, c.Timeout*1000))
 			switch c.Server {
@@ -123,7 +123,7 @@
 				waiting = append(waiting, answer{now + 20 + float64(c.Server), c, gather.Succeeded})
 			}
 		}
-		for _, c := range orders.Off {
+		for _, c := range orders.Cancel {
 			facade = append(facade, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`, c.lk.ref+1+uint64(c.part), c.number))
 			waiting = append(waiting, answer{now + 5, c, gather.Cancelled})
 		}
@@ -133,17 +133,17 @@
 				delete(held, lk)
 				ends++
 				switch v.Kind {
-				case Satisfied:
-					facade = append(facade, fmt.Sprintf(`{"cmd":"SettleQuery","gathererId":0,"ref":%d,"complete":%t}`, lk.ref, v.Whole))
-				case Nacked:
-					facade = append(facade, fmt.Sprintf(`{"cmd":"PushBack","gathererId":0,"ref":%d,"pause":%.0f}`, lk.ref, v.ComeBack*1000))
-				case Aborted:
+				case Served:
+					facade = append(facade, fmt.Sprintf(`{"cmd":"SettleQuery","gathererId":0,"ref":%d,"complete":%t}`, lk.ref, v.Complete))
+				case Rejected:
+					facade = append(facade, fmt.Sprintf(`{"cmd":"PushBack","gathererId":0,"ref":%d,"pause":%.0f}`, lk.ref, v.RetryAfter*1000))
+				case Failed:
 					facade = append(facade, fmt.Sprintf(`{"cmd":"EndFailed","gathererId":0,"ref":%d}`, lk.ref))
 				}
 			default:
 			}
 		}
-		sent, off = sent+len(orders.Calls), off+len(orders.Off)
+		sent, off = sent+len(orders.Send), off+len(orders.Cancel)
 		slices.Sort(wire)
 		slices.Sort(facade)
 		if !slices.Equal(wire, facade) {
@@ -156,19 +156,19 @@
 }
 
 // tick runs one round and fails where none comes due.
-func tick(t *testing.T, p *Picker) Orders {
+func tick(t *testing.T, p *Picker) Actions {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
-	o, err := p.Tick(ctx)
+	o, err := p.RunRound(ctx)
 	if err != nil {
 		t.Fatal("no round came due")
 	}
 	return o
 }
 
-func pickOf(ctx context.Context, p *Picker, lk *Lookup) <-chan Verdict {
-	done := make(chan Verdict, 1)
+func pickOf(ctx context.Context, p *Picker, lk *Query) <-chan Result {
+	done := make(chan Result, 1)
 	go func() { done <- p.Pick(ctx, lk) }()
 	return done
 }
@@ -181,26 +181,26 @@
 	ctx, leave := context.WithCancel(t.Context())
 	done := pickOf(ctx, p, lookup("all", 2, p.Now()+2000))
 	o := tick(t, p)
-	if len(o.Calls) != 2 || !o.Calls[0].Begin() {
+	if len(o.Send) != 2 || !o.Send[0].BeginWrite() {
 		t.Fatalf("orders %+v", o)
 	}
 	leave()
-	for o.Calls[1].Begin() { // until the lookup is being sealed
-		o.Calls[1].End()
+	for o.Send[1].BeginWrite() { // until the lookup is being sealed
+		o.Send[1].EndWrite()
 	}
 	select {
 	case <-done:
 		t.Error("Pick returned while a call was being written")
 	default:
 	}
-	o.Calls[0].End()
-	if v := <-done; v.Kind != Left {
+	o.Send[0].EndWrite()
+	if v := <-done; v.Kind != Abandoned {
 		t.Errorf("verdict %+v", v)
 	}
-	if o.Calls[0].Begin() {
+	if o.Send[0].BeginWrite() {
 		t.Error("a call began after the end")
 	}
-	if off := tick(t, p).Off; len(off) != 2 {
+	if off := tick(t, p).Cancel; len(off) != 2 {
 		t.Errorf("%d calls given up", len(off))
 	}
 }
@@ -210,12 +210,12 @@
 	p := newPicker(t, nil)
 	tick(t, p)
 	done := pickOf(t.Context(), p, lookup("all", 2, p.Now()+2000))
-	calls := tick(t, p).Calls
+	calls := tick(t, p).Send
 	bad := lookup("all", 1, p.Now()+2000)
-	bad.Parts[0].Shard = -1 // the front turns such a shard away; the module does not expect it
+	bad.ShardRequests[0].Shard = -1 // the front turns such a shard away; the module does not expect it
 	worse := pickOf(t.Context(), p, bad)
-	off := tick(t, p).Off
-	if a, b := <-done, <-worse; a.Kind != Broken || b.Kind != Broken {
+	off := tick(t, p).Cancel
+	if a, b := <-done, <-worse; a.Kind != InternalError || b.Kind != InternalError {
 		t.Errorf("verdicts %+v, %+v", a, b)
 	}
 	if len(off) != len(calls) {
@@ -226,11 +226,11 @@
 	}
 	tick(t, p)
 	done = pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
-	c := tick(t, p).Calls[0]
+	c := tick(t, p).Send[0]
 	p.Report(c, gather.Succeeded, []byte("v"))
 	p.Report(c, gather.ConnectionReset, nil) // only the first counts
 	tick(t, p)
-	if v := <-done; v.Kind != Satisfied || len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
+	if v := <-done; v.Kind != Served || len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -240,10 +240,10 @@
 	p := newPicker(t, nil)
 	tick(t, p)
 	shares := [][]gather.Weight{{{Server: 12, Share: 1}, {Server: 10}, {Server: 14}}}
-	p.Weigh(shares)
+	p.SetWeights(shares)
 	to := func() uint32 {
 		pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
-		c := tick(t, p).Calls[0]
+		c := tick(t, p).Send[0]
 		p.Report(c, gather.Succeeded, []byte("v"))
 		tick(t, p)
 		return c.Server
@@ -254,7 +254,7 @@
 		}
 	}
 	bad := lookup("all", 1, p.Now()+2000)
-	bad.Parts[0].Shard = -1
+	bad.ShardRequests[0].Shard = -1
 	done := pickOf(t.Context(), p, bad)
 	tick(t, p)
 	<-done
@@ -263,7 +263,7 @@
 			t.Errorf("after a panic, sent to %d", s)
 		}
 	}
-	p.Weigh([][]gather.Weight{})
+	p.SetWeights([][]gather.Weight{})
 	seen := map[uint32]bool{}
 	for range 6 {
 		seen[to()] = true
@@ -285,8 +285,8 @@
 		defer func() { recover() }()
 		p.Pick(brokenContext{}, lk)
 	}()
-	for _, c := range tick(t, p).Calls {
-		if c.Begin() {
+	for _, c := range tick(t, p).Send {
+		if c.BeginWrite() {
 			t.Error("a call began")
 		}
 	}
@@ -299,14 +299,14 @@
 	ctx, leave := context.WithCancel(t.Context())
 	done := pickOf(ctx, p, lookup("all", 3, p.Now()+2000))
 	tick(t, p)
-	if v := p.Pick(t.Context(), lookup("all", 1, p.Now()+2000)); v.Kind != Nacked || v.ComeBack != 0 {
+	if v := p.Pick(t.Context(), lookup("all", 1, p.Now()+2000)); v.Kind != Rejected || v.RetryAfter != 0 {
 		t.Errorf("verdict %+v", v)
 	}
 	leave()
 	<-done
 	tick(t, p)
 	pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
-	if o := tick(t, p); len(o.Calls) != 1 {
+	if o := tick(t, p); len(o.Send) != 1 {
 		t.Errorf("orders %+v", o)
 	}
 }
@@ -317,14 +317,14 @@
 	tick(t, p)
 	go func() {
 		for {
-			if _, err := p.Tick(t.Context()); err != nil {
+			if _, err := p.RunRound(t.Context()); err != nil {
 				return
 			}
 		}
 	}()
 	start := time.Now()
 	v := p.Pick(t.Context(), lookup("all", 1, p.Now()+120))
-	if late := time.Since(start) - 120*time.Millisecond; v.Kind != Aborted || late > 5*time.Second {
+	if late := time.Since(start) - 120*time.Millisecond; v.Kind != Failed || late > 5*time.Second {
 		t.Errorf("verdict %+v, %v late", v, late)
 	}
 }
@@ -334,10 +334,10 @@
 	p := newPicker(t, nil)
 	p.round(1000)
 	for i := range uint32(2000) {
-		p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
+		p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
 		lk := lookup("any", 2, 1000+float64(i)*5+1000)
 		p.admit(lk)
-		for _, c := range p.round(1000 + float64(i)*5).Calls {
+		for _, c := range p.round(1000 + float64(i)*5).Send {
 			p.Report(c, gather.Succeeded, []byte("v"))
 		}
 	}
--- a/internal/gatherer/dispatch/twice.go
+++ b/internal/gatherer/dispatch/twice.go
@@ -8,7 +8,7 @@
 
 // pass is what makes a lookup a pass of another one.
 type pass struct {
-	of    *Lookup // nil where it is none
+	of    *Query // nil where it is none
 	kind  gather.Pass
 	since float64
 	in    float64
@@ -18,7 +18,7 @@
 }
 
 // root is the lookup as its client asked for it.
-func (lk *Lookup) root() *Lookup {
+func (lk *Query) root() *Query {
 	if lk.of != nil {
 		return lk.of
 	}
@@ -28,7 +28,7 @@
 // phased is where a lookup in two phases stands.
 type phased struct {
 	choice phases.Choice
-	now    *Lookup // the pass that the module holds, or is about to be handed
+	now    *Query // the pass that the module holds, or is about to be handed
 	parts  []phases.Part
 }
 
@@ -36,42 +36,42 @@
 type twice struct {
 	phases *phases.Phases // nil where no index is marked
 	brief  map[uint32]bool
-	roots  map[uint64]*Lookup // lookups in two phases
-	wait   []*Lookup          // second passes for the next round
-	spoken []bool             // groups of which some replica answers first passes
-	count  int                // servers that run
+	roots  map[uint64]*Query // lookups in two phases
+	wait   []*Query          // second passes for the next round
+	spoken []bool            // groups of which some replica answers first passes
+	count  int               // servers that run
 }
 
-// Tracer hears what becomes of lookups, on the goroutine that calls Tick; it must not block.
-type Tracer interface {
-	Opened(lk *Lookup, choice *phases.Choice, at float64) // choice is nil for indexes in one phase
-	Sent(c *Call, at float64)
-	Heard(c *Call, outcome gather.Outcome, waited float64, summary *phases.Summary)
-	Closed(lk *Lookup, next *phases.Next, at float64)
-	Ended(lk *Lookup, v Verdict, at float64)
+// DecisionObserver hears what becomes of lookups, on the goroutine that calls Tick; it must not block.
+type DecisionObserver interface {
+	QueryAdmitted(lk *Query, choice *phases.Choice, at float64) // choice is nil for indexes in one phase
+	AttemptDecided(c *Attempt, at float64)
+	AttemptEnded(c *Attempt, outcome gather.Outcome, waited float64, summary *phases.Summary)
+	FirstPassEnded(lk *Query, next *phases.Next, at float64)
+	QueryDecided(lk *Query, v Result, at float64)
 }
 
-// Witness hears what goes over the wire, at the moment at which it does: on the goroutines that write calls and that
+// WireObserver hears what goes over the wire, at the moment at which it does: on the goroutines that write calls and that
 // answer clients.
-type Witness interface {
-	Written(c *Call, at float64)                // its first byte is about to go
-	Answered(lk *Lookup, v Verdict, at float64) // no byte of a call of it goes any more
+type WireObserver interface {
+	AttemptWritten(c *Attempt, at float64)         // its first byte is about to go
+	QueryAnswered(lk *Query, v Result, at float64) // no byte of a call of it goes any more
 }
 
-// Watch has one more witness hear what goes over the wire. It has to be called before the first Tick.
-func (p *Picker) Watch(w Witness) { p.witnesses = append(p.witnesses, w) }
+// ObserveWire has one more witness hear what goes over the wire. It has to be called before the first Tick.
+func (p *Picker) ObserveWire(w WireObserver) { p.witnesses = append(p.witnesses, w) }
 
-// Phases lets lookups of marked indexes go in two phases. It has to be called before the first Tick.
-func (p *Picker) Phases(marked map[string]phases.Terms) {
+// EnableTwoPass lets lookups of marked indexes go in two phases. It has to be called before the first Tick.
+func (p *Picker) EnableTwoPass(marked map[string]phases.Terms) {
 	p.twice.phases = phases.New(p.seed+1, marked)
-	p.twice.brief, p.twice.roots = map[uint32]bool{}, map[uint64]*Lookup{}
+	p.twice.brief, p.twice.roots = map[uint32]bool{}, map[uint64]*Query{}
 }
 
-// Trace has one more tracer hear what becomes of lookups. It has to be called before the first Tick.
-func (p *Picker) Trace(t Tracer) { p.traces = append(p.traces, t) }
+// ObserveDecisions has one more tracer hear what becomes of lookups. It has to be called before the first Tick.
+func (p *Picker) ObserveDecisions(t DecisionObserver) { p.traces = append(p.traces, t) }
 
-// Speaks tells whether a server was found to answer first passes.
-func (p *Picker) Speaks(server uint32, yes bool) {
+// SetSummarySupport tells whether a server was found to answer first passes.
+func (p *Picker) SetSummarySupport(server uint32, yes bool) {
 	p.tell(func(in *inbox) {
 		if in.speak == nil {
 			in.speak = map[uint32]bool{}
@@ -125,43 +125,43 @@
 }
 
 // open hands a lookup to the module, or its first pass.
-func (p *Picker) open(in *gather.Round, lk *Lookup, now float64) {
+func (p *Picker) open(in *gather.Round, lk *Query, now float64) {
 	t := &p.twice
 	lk.landed, lk.way = now, p.way
 	if p.refuseRun(lk, now) {
 		return
 	}
-	if t.phases == nil || p.owned != nil || !t.phases.Marked(lk.Index) { // pieces go in one phase
+	if t.phases == nil || p.owned != nil || !t.phases.Marked(lk.Class) { // pieces go in one phase
 		for _, t := range p.traces {
-			t.Opened(lk, nil, now)
+			t.QueryAdmitted(lk, nil, now)
 		}
 		p.hand(in, lk)
 		return
 	}
-	first := &Lookup{ID: lk.ID, Index: lk.Index, Customer: lk.Customer, Key: lk.Key, Retry: lk.Retry, Text: lk.Text,
+	first := &Query{ID: lk.ID, Class: lk.Class, Tenant: lk.Tenant, RouteKey: lk.RouteKey, Retried: lk.Retried, Payload: lk.Payload,
 		pass: pass{of: lk, kind: gather.FirstPass}}
-	for i, pt := range lk.Parts {
+	for i, pt := range lk.ShardRequests {
 		if len(t.spoken) > 0 && t.spoken[pt.Shard%len(t.spoken)] {
-			first.Parts = append(first.Parts, pt)
+			first.ShardRequests = append(first.ShardRequests, pt)
 			first.parts = append(first.parts, i)
 		} else {
 			first.in += pt.Weight // as if it were in: the first pass does not wait for it
 		}
 	}
-	choice := t.phases.Open(now, phases.Lookup{Index: lk.Index, Parts: len(lk.Parts), Spoken: len(first.Parts), GiveUpAt: lk.GiveUpAt,
+	choice := t.phases.Open(now, phases.Lookup{Index: lk.Class, Parts: len(lk.ShardRequests), Spoken: len(first.ShardRequests), GiveUpAt: lk.Deadline,
 		Servers: t.count, Room: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
 	for _, t := range p.traces {
-		t.Opened(lk, &choice, now)
+		t.QueryAdmitted(lk, &choice, now)
 	}
 	if !choice.Two {
 		p.hand(in, lk)
 		return
 	}
-	lk.phased = &phased{choice: choice, now: first, parts: make([]phases.Part, len(lk.Parts))}
-	for i, pt := range lk.Parts {
+	lk.phased = &phased{choice: choice, now: first, parts: make([]phases.Part, len(lk.ShardRequests))}
+	for i, pt := range lk.ShardRequests {
 		lk.phased.parts[i].Weight = pt.Weight
 	}
-	first.GiveUpAt = min(choice.Until+3*p.tick, lk.GiveUpAt) // the module ends what it holds three ticks before its time
+	first.Deadline = min(choice.Until+3*p.tick, lk.Deadline) // the module ends what it holds three ticks before its time
 	first.lead = choice.Lead
 	p.admitPass(first)
 	t.roots[lk.ref] = lk
@@ -182,7 +182,7 @@
 	return n
 }
 
-func (p *Picker) admitPass(lk *Lookup) {
+func (p *Picker) admitPass(lk *Query) {
 	p.mu.Lock()
 	lk.name(&p.ref)
 	p.mu.Unlock()
@@ -198,12 +198,12 @@
 }
 
 // sent notes a call that the module has decided on.
-func (p *Picker) sent(c *Call) {
+func (p *Picker) sent(c *Attempt) {
 	if p.twice.phases != nil {
-		p.twice.phases.Sent(p.ranAt, c.First())
+		p.twice.phases.Sent(p.ranAt, c.FirstPass())
 	}
 	for _, t := range p.traces {
-		t.Sent(c, p.ranAt)
+		t.AttemptDecided(c, p.ranAt)
 	}
 }
 
@@ -211,17 +211,17 @@
 func (p *Picker) heard(now float64, e *ended) {
 	lk, answered := e.call.lk, e.outcome == gather.Succeeded
 	if p.twice.phases != nil {
-		p.twice.phases.Ended(now, lk.Index, e.call.First(), answered, e.summary.Empty, e.waited)
+		p.twice.phases.Ended(now, lk.Class, e.call.FirstPass(), answered, e.summary.Empty, e.waited)
 	}
 	for _, t := range p.traces {
-		t.Heard(e.call, e.outcome, e.waited, &e.summary)
+		t.AttemptEnded(e.call, e.outcome, e.waited, &e.summary)
 	}
 	if lk.pieces != nil {
 		p.heardPiece(e)
 	}
 	switch {
 	case !answered:
-	case e.call.First():
+	case e.call.FirstPass():
 		if root := lk.of; root.phased.now == lk { // what comes later proves nothing any more
 			pt := &root.phased.parts[lk.pass.parts[e.call.part]]
 			pt.Heard, pt.Empty, pt.Likely = true, e.summary.Empty, e.summary.Likely
@@ -232,10 +232,10 @@
 }
 
 // passed goes on after a pass has ended.
-func (p *Picker) passed(lk *Lookup, v Verdict) {
+func (p *Picker) passed(lk *Query, v Result) {
 	root, t := lk.of, &p.twice
-	if v.Kind == Broken || v.Kind == Left || lk.kind == gather.SecondPass {
-		v.Empty = root.empty()
+	if v.Kind == InternalError || v.Kind == Abandoned || lk.kind == gather.SecondPass {
+		v.EmptyShards = root.empty()
 		p.over(root, v)
 		return
 	}
@@ -243,20 +243,20 @@
 	for i, place := range lk.pass.parts {
 		ph.parts[place].Called = len(lk.calls[i]) > 0
 	}
-	next := t.phases.Close(root.Index, ph.parts)
+	next := t.phases.Close(root.Class, ph.parts)
 	for _, t := range p.traces {
-		t.Closed(root, &next, p.ranAt)
+		t.FirstPassEnded(root, &next, p.ranAt)
 	}
 	if next.Done {
-		p.over(root, Verdict{Kind: Satisfied, Whole: next.Whole, Empty: root.empty()})
+		p.over(root, Result{Kind: Served, Complete: next.Whole, EmptyShards: root.empty()})
 		return
 	}
-	second := &Lookup{ID: root.ID, Index: root.Index, Customer: root.Customer, Key: root.Key, Retry: root.Retry, Text: root.Text,
-		GiveUpAt: root.GiveUpAt, pass: pass{of: root, kind: gather.SecondPass, since: root.landed, in: next.In, asks: next.Ask}}
+	second := &Query{ID: root.ID, Class: root.Class, Tenant: root.Tenant, RouteKey: root.RouteKey, Retried: root.Retried, Payload: root.Payload,
+		Deadline: root.Deadline, pass: pass{of: root, kind: gather.SecondPass, since: root.landed, in: next.In, asks: next.Ask}}
 	for _, a := range next.Ask {
-		second.Parts = append(second.Parts, root.Parts[a.Part])
+		second.ShardRequests = append(second.ShardRequests, root.ShardRequests[a.Part])
 		second.pass.parts = append(second.pass.parts, a.Part)
-		second.Cost += root.Parts[a.Part].Cost
+		second.Cost += root.ShardRequests[a.Part].Cost
 	}
 	p.admitPass(second)
 	ph.now = second
@@ -265,17 +265,17 @@
 }
 
 // empty are the shards whose parts proved to hold nothing.
-func (lk *Lookup) empty() (shards []int) {
+func (lk *Query) empty() (shards []int) {
 	for i, pt := range lk.phased.parts {
 		if pt.Heard && pt.Empty {
-			shards = append(shards, lk.Parts[i].Shard)
+			shards = append(shards, lk.ShardRequests[i].Shard)
 		}
 	}
 	return shards
 }
 
 // over ends a lookup in two phases.
-func (p *Picker) over(root *Lookup, v Verdict) {
+func (p *Picker) over(root *Query, v Result) {
 	delete(p.twice.roots, root.ref)
 	root.phased.now = nil
 	p.ended = append(p.ended, root)
--- a/internal/gatherer/dispatch/twice_test.go
+++ b/internal/gatherer/dispatch/twice_test.go
@@ -23,36 +23,36 @@
 		}
 	})
 	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
-	p.Phases(map[string]phases.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
+	p.EnableTwoPass(map[string]phases.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
 	p.clock = func() float64 { return p.ranAt + 4 } // what is reported before a round came just before it
 	p.round(1000)
 	for id := uint32(10); id < 16; id++ {
-		p.Speaks(id, true)
+		p.SetSummarySupport(id, true)
 	}
 	p.round(1005)
 	return p
 }
 
 // land hands a lookup in and gives it with its first calls.
-func land(p *Picker, now float64, id string, parts int) (*Lookup, Orders) {
+func land(p *Picker, now float64, id string, parts int) (*Query, Actions) {
 	lk := lookup("any", parts, now+2000)
 	lk.ID = id
 	p.admit(lk)
 	return lk, p.round(now)
 }
 
-func told(lk *Lookup) (Verdict, bool) {
+func told(lk *Query) (Result, bool) {
 	select {
 	case v := <-lk.done:
 		return v, true
 	default:
-		return Verdict{}, false
+		return Result{}, false
 	}
 }
 
-func firsts(o Orders) (n int) {
-	for _, c := range o.Calls {
-		if c.First() {
+func firsts(o Actions) (n int) {
+	for _, c := range o.Send {
+		if c.FirstPass() {
 			n++
 		}
 	}
@@ -75,33 +75,33 @@
 		t.Run(name, func(t *testing.T) {
 			p := newTwice(t, nil)
 			lk, o := land(p, 1010, "a", 4)
-			if firsts(o) != 4 || len(o.Calls) != 4 {
-				t.Fatalf("%d calls, %d of a first pass", len(o.Calls), firsts(o))
+			if firsts(o) != 4 || len(o.Send) != 4 {
+				t.Fatalf("%d calls, %d of a first pass", len(o.Send), firsts(o))
 			}
-			if id := o.Calls[0].ID(); !strings.HasSuffix(id, "~") {
+			if id := o.Send[0].ID(); !strings.HasSuffix(id, "~") {
 				t.Errorf("a first pass's part is called %s", id)
 			}
-			for i, call := range o.Calls {
+			for i, call := range o.Send {
 				p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
 			}
-			now, calls := 1015.0, []*Call(nil)
+			now, calls := 1015.0, []*Attempt(nil)
 			for ; now < 1400 && len(calls) == 0; now += 5 {
 				calls = nil
-				for _, call := range p.round(now).Calls {
-					if call.First() { // sent again elsewhere, within the first pass
+				for _, call := range p.round(now).Send {
+					if call.FirstPass() { // sent again elsewhere, within the first pass
 						p.Report(call, gather.Succeeded, []byte("garbled again"))
 					} else {
 						calls = append(calls, call)
 					}
 				}
 				if v, done := told(lk); done {
-					if c.second > 0 || v.Kind != Satisfied || !v.Whole || len(v.Hits) != 0 || len(v.Empty) != c.empty {
+					if c.second > 0 || v.Kind != Served || !v.Complete || len(v.Hits) != 0 || len(v.EmptyShards) != c.empty {
 						t.Errorf("%+v", v)
 					}
 					return
 				}
 			}
-			if len(calls) != c.second || slices.ContainsFunc(calls, (*Call).First) {
+			if len(calls) != c.second || slices.ContainsFunc(calls, (*Attempt).FirstPass) {
 				t.Fatalf("%d calls in the second pass", len(calls))
 			}
 			for _, call := range calls {
@@ -112,12 +112,12 @@
 			}
 			p.round(now)
 			v, done := told(lk)
-			if !done || v.Kind != Satisfied || !v.Whole || len(v.Hits) != c.second || len(v.Empty) != c.empty {
+			if !done || v.Kind != Served || !v.Complete || len(v.Hits) != c.second || len(v.EmptyShards) != c.empty {
 				t.Errorf("%+v, %t", v, done)
 			}
 			for _, h := range v.Hits {
-				if slices.Contains(v.Empty, h.Shard) || string(h.Value) != fmt.Sprint(h.Shard) {
-					t.Errorf("hit %+v, empty %v", h, v.Empty)
+				if slices.Contains(v.EmptyShards, h.Shard) || string(h.Value) != fmt.Sprint(h.Shard) {
+					t.Errorf("hit %+v, empty %v", h, v.EmptyShards)
 				}
 			}
 			if p.held != 0 || len(p.lookups)+len(p.parts)+len(p.twice.roots) != 0 {
@@ -132,14 +132,14 @@
 func TestLate(t *testing.T) {
 	p := newTwice(t, nil)
 	lk, o := land(p, 1010, "a", 4)
-	p.Report(o.Calls[0], gather.Succeeded, []byte("none v1"))
-	late := o.Calls[1:]
+	p.Report(o.Send[0], gather.Succeeded, []byte("none v1"))
+	late := o.Send[1:]
 	now, off := 1015.0, 0
-	var second []*Call
+	var second []*Attempt
 	for ; len(second) == 0; now += 5 {
 		o := p.round(now)
-		off += len(o.Off)
-		second = o.Calls
+		off += len(o.Cancel)
+		second = o.Send
 		if now > 1010+0.3*400+30 {
 			t.Fatal("the first pass took more than its share")
 		}
@@ -148,7 +148,7 @@
 		t.Fatalf("%d calls in full, %d given up", len(second), off)
 	}
 	for _, c := range late {
-		if c.Begin() {
+		if c.BeginWrite() {
 			t.Error("a call of the first pass may still be written")
 		}
 		p.Report(c, gather.Succeeded, []byte("none v1"))
@@ -161,7 +161,7 @@
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 	p.round(now + 5)
-	if v, done := told(lk); !done || len(v.Hits) != 3 || len(v.Empty) != 1 {
+	if v, done := told(lk); !done || len(v.Hits) != 3 || len(v.EmptyShards) != 1 {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
@@ -172,37 +172,37 @@
 	for when := range 3 {
 		p := newTwice(t, nil)
 		lk, o := land(p, 1010, "a", 4)
-		calls, now := o.Calls, 1015.0
+		calls, now := o.Send, 1015.0
 		if when > 0 {
-			for _, c := range o.Calls {
+			for _, c := range o.Send {
 				p.Report(c, gather.Succeeded, []byte("some 1 1 v1"))
 			}
 			calls = nil
-			if o := p.round(now); len(o.Calls) > 0 {
+			if o := p.round(now); len(o.Send) > 0 {
 				t.Fatal("the second pass begins in the round that ends the first")
 			}
 			now += 5
 		}
 		if when > 1 {
-			calls = p.round(now).Calls
+			calls = p.round(now).Send
 			now += 5
 		}
 		p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
 		lk.seal() // as Pick does
 		o = p.round(now)
-		if v, done := told(lk); !done || v.Kind != Left {
+		if v, done := told(lk); !done || v.Kind != Abandoned {
 			t.Errorf("%d: %+v, %t", when, v, done)
 		}
-		for _, c := range append(calls, o.Calls...) {
-			if c.Begin() {
+		for _, c := range append(calls, o.Send...) {
+			if c.BeginWrite() {
 				t.Errorf("%d: a call may still be written", when)
 			}
 		}
 		for _, c := range calls {
 			p.Report(c, gather.Cancelled, nil)
 		}
-		if o := p.round(now + 5); len(o.Calls) > 0 || len(p.lookups)+len(p.twice.roots)+p.held != 0 {
-			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Calls), len(p.lookups))
+		if o := p.round(now + 5); len(o.Send) > 0 || len(p.lookups)+len(p.twice.roots)+p.held != 0 {
+			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Send), len(p.lookups))
 		}
 	}
 }
@@ -212,31 +212,31 @@
 func TestOldBuilds(t *testing.T) {
 	p := newTwice(t, nil)
 	for _, id := range []uint32{11, 13, 15} { // the second group
-		p.Speaks(id, false)
+		p.SetSummarySupport(id, false)
 	}
 	p.round(1008)
 	_, o := land(p, 1013, "a", 4)
-	if firsts(o) != 2 || len(o.Calls) != 2 {
-		t.Fatalf("%d calls, %d of a first pass", len(o.Calls), firsts(o))
+	if firsts(o) != 2 || len(o.Send) != 2 {
+		t.Fatalf("%d calls, %d of a first pass", len(o.Send), firsts(o))
 	}
-	for _, c := range o.Calls {
+	for _, c := range o.Send {
 		if c.Server%2 == 1 {
 			t.Errorf("a first pass asks server %d", c.Server)
 		}
 		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
 	p.round(1018)
-	if o := p.round(1023); len(o.Calls) != 2 || firsts(o) != 0 || o.Calls[0].Server%2 == 0 {
-		t.Errorf("second pass %+v", o.Calls)
+	if o := p.round(1023); len(o.Send) != 2 || firsts(o) != 0 || o.Send[0].Server%2 == 0 {
+		t.Errorf("second pass %+v", o.Send)
 	}
 	var again gather.EndpointList
 	for id := uint32(10); id < 16; id += 2 {
 		again.Endpoints = append(again.Endpoints, gather.Endpoint{ID: id, ReplicaSet: 0, StartedAt: 1020})
 	}
-	p.Follow(again)
+	p.UpdateEndpoints(again)
 	p.round(1028)
-	if _, o := land(p, 1033, "b", 4); firsts(o) != 0 || len(o.Calls) != 4 {
-		t.Errorf("%d calls, %d of a first pass, of processes that were never asked", len(o.Calls), firsts(o))
+	if _, o := land(p, 1033, "b", 4); firsts(o) != 0 || len(o.Send) != 4 {
+		t.Errorf("%d calls, %d of a first pass, of processes that were never asked", len(o.Send), firsts(o))
 	}
 }
 
@@ -245,23 +245,23 @@
 func TestDrainsBetween(t *testing.T) {
 	p := newTwice(t, nil)
 	lk, o := land(p, 1010, "a", 2)
-	p.Report(o.Calls[0], gather.Succeeded, []byte("some 1 1 v1"))
-	p.Report(o.Calls[1], gather.ConnectionReset, nil)
+	p.Report(o.Send[0], gather.Succeeded, []byte("some 1 1 v1"))
+	p.Report(o.Send[1], gather.ConnectionReset, nil)
 	p.round(1015)
-	p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: o.Calls[0].Server, ReplicaSet: int(o.Calls[0].Server % 2), State: gather.Draining}}})
+	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: o.Send[0].Server, ReplicaSet: int(o.Send[0].Server % 2), State: gather.Draining}}})
 	for now := 1020.0; now < 1200; now += 5 {
-		for _, c := range p.round(now).Calls {
-			if c.Server == o.Calls[0].Server {
-				t.Errorf("a call to the server that drains, of the first pass %t", c.First())
+		for _, c := range p.round(now).Send {
+			if c.Server == o.Send[0].Server {
+				t.Errorf("a call to the server that drains, of the first pass %t", c.FirstPass())
 			}
-			if c.First() {
+			if c.FirstPass() {
 				p.Report(c, gather.ConnectionReset, nil) // sent again elsewhere within the first pass, and lost again
 			} else {
 				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 	}
-	if v, done := told(lk); !done || v.Kind != Satisfied || len(v.Hits) != 2 {
+	if v, done := told(lk); !done || v.Kind != Served || len(v.Hits) != 2 {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
@@ -274,19 +274,19 @@
 		p := newTwice(t, func(s *gather.Settings) { s.RetryBudgetFloor = 6.0 })
 		chance := pcg.New(seed)
 		type out struct {
-			c    *Call
+			c    *Attempt
 			at   float64
 			lost bool
 		}
 		type key struct {
-			lk    *Lookup
+			lk    *Query
 			shard int
 			first bool
 		}
 		var outs []out
 		var takenAt, furtherAt []float64
 		calls, answered := map[key]int{}, map[key]bool{}
-		held := map[*Lookup]bool{}
+		held := map[*Query]bool{}
 		landed, ends, further, two := 0, 0, 0, 0
 		for now := 1010.0; now < 20000; now += 5 {
 			troubled := math.Mod(now, 6000) < 2000
@@ -296,7 +296,7 @@
 				landed++
 				p.admit(lk)
 				held[lk] = true
-				for range 1 + len(lk.Parts) {
+				for range 1 + len(lk.ShardRequests) {
 					takenAt = append(takenAt, now)
 				}
 			}
@@ -307,25 +307,25 @@
 					rest = append(rest, o)
 				case o.lost:
 					p.Report(o.c, gather.TimedOut, nil)
-				case o.c.First():
+				case o.c.FirstPass():
 					p.Report(o.c, gather.Succeeded, []byte([]string{"none v1", "some 1 1 v1", "some"}[chance.Uint32()%3]))
-					answered[key{o.c.Lookup(), o.c.Shard(), true}] = true
+					answered[key{o.c.Query(), o.c.Shard(), true}] = true
 				default:
 					p.Report(o.c, gather.Succeeded, []byte("x"))
 				}
 			}
 			outs = rest
 			o := p.round(now)
-			for _, c := range o.Off {
+			for _, c := range o.Cancel {
 				p.Report(c, gather.Cancelled, nil)
 			}
-			for _, c := range o.Calls {
-				lk := c.Lookup()
+			for _, c := range o.Send {
+				lk := c.Query()
 				if !held[lk] {
 					t.Fatalf("seed %d at %g: a call after the final answer", seed, now)
 				}
-				k, other := key{lk, c.Shard(), c.First()}, key{lk, c.Shard(), true}
-				if calls[k] > 0 || !c.First() && calls[other] > 0 && !answered[other] {
+				k, other := key{lk, c.Shard(), c.FirstPass()}, key{lk, c.Shard(), true}
+				if calls[k] > 0 || !c.FirstPass() && calls[other] > 0 && !answered[other] {
 					further++
 					furtherAt = append(furtherAt, now)
 					in, taken := 0, 0
@@ -345,10 +345,10 @@
 				}
 				calls[k]++
 				took, lost := 5+20*chance.Float64(), chance.Float64() < 0.02
-				if c.First() {
+				if c.FirstPass() {
 					took /= 5
 				}
-				if troubled && c.First() {
+				if troubled && c.FirstPass() {
 					lost = chance.Float64() < 0.6
 				}
 				if lost {
@@ -363,11 +363,11 @@
 					if lk.phased != nil {
 						two++
 					}
-					if v.Kind == Satisfied && v.Whole && len(v.Hits)+len(v.Empty) != len(lk.Parts) {
-						t.Fatalf("seed %d: whole with %d hits and %d empty of %d parts", seed, len(v.Hits), len(v.Empty), len(lk.Parts))
+					if v.Kind == Served && v.Complete && len(v.Hits)+len(v.EmptyShards) != len(lk.ShardRequests) {
+						t.Fatalf("seed %d: whole with %d hits and %d empty of %d parts", seed, len(v.Hits), len(v.EmptyShards), len(lk.ShardRequests))
 					}
-					if now > lk.GiveUpAt+20 {
-						t.Errorf("seed %d: answered %g ms after its time", seed, now-lk.GiveUpAt)
+					if now > lk.Deadline+20 {
+						t.Errorf("seed %d: answered %g ms after its time", seed, now-lk.Deadline)
 					}
 				}
 			}
@@ -391,7 +391,7 @@
 	if n := firsts(o); n < 6 {
 		t.Fatalf("%d parts of the first pass", n)
 	}
-	for i, c := range o.Calls {
+	for i, c := range o.Send {
 		if i < 4 {
 			p.Report(c, gather.Succeeded, []byte("none v1"))
 		} else {
@@ -399,7 +399,7 @@
 		}
 	}
 	p.round(1015)
-	second := p.round(1020).Calls
+	second := p.round(1020).Send
 	if len(second) != 2 {
 		t.Fatalf("%d calls in full, of 8 parts 4 are proved empty and 6 make a whole answer", len(second))
 	}
@@ -407,7 +407,7 @@
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 	p.round(1025)
-	if v, done := told(lk); !done || !v.Whole || len(v.Hits) != 2 || len(v.Empty) != 4 {
+	if v, done := told(lk); !done || !v.Complete || len(v.Hits) != 2 || len(v.EmptyShards) != 4 {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
--- a/internal/gatherer/frontend/answer.go
+++ b/internal/gatherer/frontend/answer.go
@@ -9,22 +9,22 @@
 )
 
 // answer writes a verdict. The values go out as the shard servers gave them.
-func answer(w http.ResponseWriter, v dispatch.Verdict) {
+func answer(w http.ResponseWriter, v dispatch.Result) {
 	h := w.Header()
 	switch v.Kind {
-	case dispatch.Satisfied:
+	case dispatch.Served:
 		text := body200(v)
 		h.Set("Content-Type", "application/json")
 		h.Set("Content-Length", strconv.Itoa(len(text)))
 		w.Write(text) // an error here is a client that has gone; the server notices it as well
-	case dispatch.Nacked:
-		if v.ComeBack > 0 {
-			h.Set("Retry-After", strconv.FormatFloat(v.ComeBack/1000, 'f', 3, 64))
+	case dispatch.Rejected:
+		if v.RetryAfter > 0 {
+			h.Set("Retry-After", strconv.FormatFloat(v.RetryAfter/1000, 'f', 3, 64))
 		}
 		refuse(w, http.StatusServiceUnavailable, "nacked")
-	case dispatch.Aborted:
+	case dispatch.Failed:
 		refuse(w, http.StatusGatewayTimeout, "aborted")
-	case dispatch.Left: // as good as nobody reads it; without a word net/http would say that all is well
+	case dispatch.Abandoned: // as good as nobody reads it; without a word net/http would say that all is well
 		refuse(w, http.StatusGatewayTimeout, "left")
 	default:
 		refuse(w, http.StatusInternalServerError, "failed")
@@ -40,9 +40,9 @@
 }
 
 // body200 is the body of an answer.
-func body200(v dispatch.Verdict) []byte {
+func body200(v dispatch.Result) []byte {
 	text := append([]byte(nil), `{"complete":`...)
-	text = strconv.AppendBool(text, v.Whole)
+	text = strconv.AppendBool(text, v.Complete)
 	text = append(text, `,"hits":[`...)
 	for i, hit := range v.Hits {
 		if i > 0 {
@@ -59,9 +59,9 @@
 		text = append(text, '}')
 	}
 	text = append(text, ']')
-	if len(v.Empty) > 0 { // parts of a first pass that are in though they have no value
+	if len(v.EmptyShards) > 0 { // parts of a first pass that are in though they have no value
 		text = append(text, `,"empty":[`...)
-		for i, shard := range v.Empty {
+		for i, shard := range v.EmptyShards {
 			if i > 0 {
 				text = append(text, ',')
 			}
--- a/internal/gatherer/frontend/crossings_test.go
+++ b/internal/gatherer/frontend/crossings_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-func aborted(context.Context, *dispatch.Lookup) dispatch.Verdict {
-	return dispatch.Verdict{Kind: dispatch.Aborted}
+func aborted(context.Context, *dispatch.Query) dispatch.Result {
+	return dispatch.Result{Kind: dispatch.Failed}
 }
 
 // resting is a connection on which one request has been answered.
@@ -164,9 +164,9 @@
 	text := post("/find", headers, parts)
 	for _, cut := range []int{1, 20, len(text) - 1, len(text)} {
 		gate := make(chan struct{}, 2)
-		f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+		f, s, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 			<-gate
-			return dispatch.Verdict{Kind: dispatch.Aborted}
+			return dispatch.Result{Kind: dispatch.Failed}
 		})
 		c := dial(t, address)
 		r := bufio.NewReader(c)
@@ -279,8 +279,8 @@
 	}
 	c.Close()
 	lk := <-f.took
-	if end := f.Now() + float64(killTime.Milliseconds()); lk.GiveUpAt > end {
-		t.Errorf("may take until %v, the process ends at %v", lk.GiveUpAt, end)
+	if end := f.Now() + float64(killTime.Milliseconds()); lk.Deadline > end {
+		t.Errorf("may take until %v, the process ends at %v", lk.Deadline, end)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
@@ -291,9 +291,9 @@
 // The close over unread bytes reset the connection under the answer; it has to end.
 func TestAnswerCrossed(t *testing.T) {
 	more := make(chan struct{})
-	f, s, address := start(t, 10, func(ctx context.Context, _ *dispatch.Lookup) dispatch.Verdict {
+	f, s, address := start(t, 10, func(ctx context.Context, _ *dispatch.Query) dispatch.Result {
 		<-more
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	c := dial(t, address)
 	io.WriteString(c, post("/find", headers, parts))
@@ -348,10 +348,10 @@
 			"reset":      func(c *net.TCPConn) { c.SetLinger(0); c.Close() },
 		} {
 			noticed := make(chan struct{}, 1)
-			f, _, address := start(t, 10, func(ctx context.Context, _ *dispatch.Lookup) dispatch.Verdict {
+			f, _, address := start(t, 10, func(ctx context.Context, _ *dispatch.Query) dispatch.Result {
 				<-ctx.Done()
 				noticed <- struct{}{}
-				return dispatch.Verdict{Kind: dispatch.Left}
+				return dispatch.Result{Kind: dispatch.Abandoned}
 			})
 			c := dial(t, address)
 			io.WriteString(c, post("/find", headers, parts))
@@ -395,8 +395,8 @@
 	f, s, _ := start(t, 10, aborted)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
-	v, err := s.decide(ctx, &dispatch.Lookup{ID: "a"}, nil)
-	if v.Kind != dispatch.Left || err != nil || len(f.took) > 0 {
+	v, err := s.decide(ctx, &dispatch.Query{ID: "a"}, nil)
+	if v.Kind != dispatch.Abandoned || err != nil || len(f.took) > 0 {
 		t.Errorf("verdict %+v, %v, %d taken", v, err, len(f.took))
 	}
 }
@@ -405,9 +405,9 @@
 // the bytes came, and the connection ends with the answer where it is more than is kept.
 func TestBehindBytesServed(t *testing.T) {
 	gate := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-gate
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	c := dial(t, address)
 	r := bufio.NewReader(c)
@@ -446,9 +446,9 @@
 // its connection ends.
 func TestTooMuchBehind(t *testing.T) {
 	gate := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-gate
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	c := dial(t, address)
 	io.WriteString(c, post("/find", headers, parts))
@@ -483,9 +483,9 @@
 // ends with that answer; it stayed open, and a next request there was answered by an empty 200.
 func TestTooMuchBehindRefused(t *testing.T) {
 	gate := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-gate
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	defer close(gate)
 	io.WriteString(dial(t, address), post("/find", headers, parts))
@@ -531,8 +531,8 @@
 	io.WriteString(c, text[:20])
 	until(t, "it waits for the rest", func() bool { return conn.arriving() >= waited })
 	io.WriteString(c, text[20:])
-	if lk, most := <-f.took, f.Now()+480-float64(waited.Milliseconds()); lk.GiveUpAt > most {
-		t.Errorf("given up at %v, the client at %v or before", lk.GiveUpAt, most)
+	if lk, most := <-f.took, f.Now()+480-float64(waited.Milliseconds()); lk.Deadline > most {
+		t.Errorf("given up at %v, the client at %v or before", lk.Deadline, most)
 	}
 }
 
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -29,37 +29,37 @@
 )
 
 // keptAnswers are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
-var keptAnswers = map[string]func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict{
-	"served-complete": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+var keptAnswers = map[string]func(ctx context.Context, lk *dispatch.Query) dispatch.Result{
+	"served-complete": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
-	"served-partial": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-escaped": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+	"served-partial": keptAnswer(dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-escaped": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
-	"served-keys": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
+	"served-keys": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &ownership.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
-	"served-empty": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Empty: []int{3, 9}}),
-	"served-some-empty": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true,
-		Hits: []dispatch.Hit{{Shard: 9, Value: []byte("7c01")}}, Empty: []int{3}}),
-	"served-chunked-request": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-below-the-class": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-http-1.0":        keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"rejected":               keptAnswer(dispatch.Verdict{Kind: dispatch.Nacked}),
-	"rejected-retry-after":   keptAnswer(dispatch.Verdict{Kind: dispatch.Nacked, ComeBack: 412.5}),
-	"failed":                 keptAnswer(dispatch.Verdict{Kind: dispatch.Aborted}),
-	"internal-error":         keptAnswer(dispatch.Verdict{Kind: dispatch.Broken}),
-	"panicked":               func(context.Context, *dispatch.Lookup) dispatch.Verdict { panic("broken") },
-	"abandoned":              keptAnswer(dispatch.Verdict{Kind: dispatch.Left}),
-	"deadline-passed": func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict {
-		time.Sleep(time.Duration(lk.GiveUpAt-1000) * time.Millisecond)
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+	"served-empty": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, EmptyShards: []int{3, 9}}),
+	"served-some-empty": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+		Hits: []dispatch.Hit{{Shard: 9, Value: []byte("7c01")}}, EmptyShards: []int{3}}),
+	"served-chunked-request": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-below-the-class": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-http-1.0":        keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"rejected":               keptAnswer(dispatch.Result{Kind: dispatch.Rejected}),
+	"rejected-retry-after":   keptAnswer(dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}),
+	"failed":                 keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
+	"internal-error":         keptAnswer(dispatch.Result{Kind: dispatch.InternalError}),
+	"panicked":               func(context.Context, *dispatch.Query) dispatch.Result { panic("broken") },
+	"abandoned":              keptAnswer(dispatch.Result{Kind: dispatch.Abandoned}),
+	"deadline-passed": func(ctx context.Context, lk *dispatch.Query) dispatch.Result {
+		time.Sleep(time.Duration(lk.Deadline-1000) * time.Millisecond)
+		return dispatch.Result{Kind: dispatch.Failed}
 	},
-	"two-in-a-row":               keptAnswer(dispatch.Verdict{Kind: dispatch.Aborted}),
-	"bad-then-served":            keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-while-shutting-down": keptAnswer(dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"two-in-a-row":               keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
+	"bad-then-served":            keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-while-shutting-down": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
 }
 
-func keptAnswer(v dispatch.Verdict) func(context.Context, *dispatch.Lookup) dispatch.Verdict {
-	return func(context.Context, *dispatch.Lookup) dispatch.Verdict { return v }
+func keptAnswer(v dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
+	return func(context.Context, *dispatch.Query) dispatch.Result { return v }
 }
 
 // TestKeptTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
@@ -83,7 +83,7 @@
 				t.Fatal(err)
 			}
 			decide := keptAnswers[name]
-			f := &fake{make(chan *dispatch.Lookup, 10), decide}
+			f := &fake{make(chan *dispatch.Query, 10), decide}
 			got := converse(t, startKept(t, name, f), request)
 			want, err := os.ReadFile(strings.TrimSuffix(file, ".request") + ".response")
 			if err != nil {
--- a/internal/gatherer/frontend/request.go
+++ b/internal/gatherer/frontend/request.go
@@ -46,7 +46,7 @@
 }
 
 // readHead takes from a request what stands before its body; its time counts from when it was sent.
-func (s *Server) readHead(r *http.Request, sent float64) (*dispatch.Lookup, error) {
+func (s *Server) readHead(r *http.Request, sent float64) (*dispatch.Query, error) {
 	index, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
 	case !s.indexes[index]:
@@ -58,25 +58,25 @@
 		return nil, &fault{http.StatusNotImplemented, "fingerprinted lookups cannot be passed on yet"}
 	}
 	h := r.Header
-	lk := &dispatch.Lookup{ID: h.Get("X-Request-ID"), Index: index, Customer: h.Get("X-Tenant-Id"),
-		Key: h.Get("X-Route-Key"), Retry: h.Get("X-Retried") == "1"}
+	lk := &dispatch.Query{ID: h.Get("X-Request-ID"), Class: index, Tenant: h.Get("X-Tenant-Id"),
+		RouteKey: h.Get("X-Route-Key"), Retried: h.Get("X-Retried") == "1"}
 	if len(h["X-Request-Id"]) != 1 || lk.ID == "" || len(lk.ID) > longestID ||
 		strings.ContainsFunc(lk.ID, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
 		return nil, bad("X-Request-ID: %.40q", lk.ID)
 	}
-	if len(s.customers) > 0 && !s.customers[lk.Customer] {
-		return nil, bad("X-Tenant-Id: no customer %.40q", lk.Customer)
+	if len(s.customers) > 0 && !s.customers[lk.Tenant] {
+		return nil, bad("X-Tenant-Id: no customer %.40q", lk.Tenant)
 	}
 	wait, err := strconv.ParseUint(h.Get("X-Timeout-Ms"), 10, 64) // digits only: it is told in whole milliseconds
 	if err != nil || len(h["X-Timeout-Ms"]) != 1 || wait == 0 || wait > longestWait {
 		return nil, bad("X-Timeout-Ms: %.40q", h.Get("X-Timeout-Ms"))
 	}
-	lk.GiveUpAt = sent + float64(wait)
+	lk.Deadline = sent + float64(wait)
 	return lk, nil
 }
 
 // readBody takes the parts from a body.
-func (s *Server) readBody(lk *dispatch.Lookup, text []byte) error {
+func (s *Server) readBody(lk *dispatch.Query, text []byte) error {
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
 		return bad("body: %s", bodyError(err))
@@ -85,7 +85,7 @@
 		return bad("body: no shards")
 	}
 	var err error
-	if lk.Text, err = textOf(b.Text); err != nil {
+	if lk.Payload, err = textOf(b.Text); err != nil {
 		return err
 	}
 	seen, sum := make(map[int]bool, len(b.Shards)), 0.0
@@ -103,7 +103,7 @@
 		seen[*p.Shard] = true
 		sum += *p.Weight
 		cost := p.Cost / 1000 // from microseconds
-		lk.Parts = append(lk.Parts, dispatch.Part{Shard: *p.Shard, Weight: *p.Weight, Cost: cost, Key: p.Key})
+		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: *p.Shard, Weight: *p.Weight, Cost: cost, Key: p.Key})
 		lk.Cost += cost
 	}
 	if math.Abs(sum-1) > rounding {
--- a/internal/gatherer/frontend/server.go
+++ b/internal/gatherer/frontend/server.go
@@ -21,7 +21,7 @@
 
 // Picker decides about lookups; package pick has it.
 type Picker interface {
-	Pick(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict
+	Pick(ctx context.Context, lk *dispatch.Query) dispatch.Result
 	Now() float64
 }
 
@@ -223,7 +223,7 @@
 func (s *Server) lookup(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) error {
 	if s.conns.crowded() {
 		w.Header().Set("Connection", "close")
-		answer(w, dispatch.Verdict{Kind: dispatch.Nacked})
+		answer(w, dispatch.Result{Kind: dispatch.Rejected})
 		return nil
 	}
 	now := s.picker.Now()
@@ -236,10 +236,10 @@
 		return err
 	}
 	if l := s.late.Load(); l != nil && time.Now().After(l.from) {
-		lk.GiveUpAt = min(lk.GiveUpAt, now+float64(time.Until(l.end)-lastAnswers)/1e6)
+		lk.Deadline = min(lk.Deadline, now+float64(time.Until(l.end)-lastAnswers)/1e6)
 	}
 	// A client that sends or reads slowly holds its connection no longer than its own time.
-	until := time.Now().Add(time.Duration((lk.GiveUpAt - now) * 1e6))
+	until := time.Now().Add(time.Duration((lk.Deadline - now) * 1e6))
 	if left := time.Until(until); left < readBodyTimeout {
 		rc.SetReadDeadline(until)
 	}
@@ -266,7 +266,7 @@
 }
 
 // decide waits for a lookup's verdict, or until its client has gone.
-func (s *Server) decide(ctx context.Context, lk *dispatch.Lookup, conn *clientConn) (dispatch.Verdict, error) {
+func (s *Server) decide(ctx context.Context, lk *dispatch.Query, conn *clientConn) (dispatch.Result, error) {
 	ctx, gone := context.WithCancel(ctx)
 	defer gone()
 	if conn != nil {
@@ -275,11 +275,11 @@
 	}
 	h, err := s.hold(ctx, lk.ID)
 	if err != nil {
-		return dispatch.Verdict{}, err
+		return dispatch.Result{}, err
 	}
 	defer s.letGo(lk.ID, h)
 	if ctx.Err() != nil { // gone before anything is decided
-		return dispatch.Verdict{Kind: dispatch.Left}, nil
+		return dispatch.Result{Kind: dispatch.Abandoned}, nil
 	}
 	return s.picker.Pick(ctx, lk), nil
 }
--- a/internal/gatherer/frontend/server_test.go
+++ b/internal/gatherer/frontend/server_test.go
@@ -20,21 +20,21 @@
 
 // fake decides what a test tells it to.
 type fake struct {
-	took   chan *dispatch.Lookup
-	decide func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict
+	took   chan *dispatch.Query
+	decide func(ctx context.Context, lk *dispatch.Query) dispatch.Result
 }
 
 func (f *fake) Now() float64 { return 1000 }
 
-func (f *fake) Pick(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict {
+func (f *fake) Pick(ctx context.Context, lk *dispatch.Query) dispatch.Result {
 	f.took <- lk
 	return f.decide(ctx, lk)
 }
 
-func start(t *testing.T, clients int, decide func(context.Context, *dispatch.Lookup) dispatch.Verdict) (*fake, *Server, string) {
+func start(t *testing.T, clients int, decide func(context.Context, *dispatch.Query) dispatch.Result) (*fake, *Server, string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &fake{make(chan *dispatch.Lookup, 10), decide}
+	f := &fake{make(chan *dispatch.Query, 10), decide}
 	s := New(f, &gather.Settings{Shards: 10, Classes: []gather.Class{{Name: "find", Deadline: 3000.0}, {Name: "mark", Effect: gather.IdempotencyKeyed}}, Tenants: []gather.Tenant{{Name: "acme"}}}, clients, clients, func() bool { return true }, log)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -137,7 +137,7 @@
 		})
 	}
 	// What was rounded by the client is no mistake of it.
-	lk := &dispatch.Lookup{}
+	lk := &dispatch.Query{}
 	if err := (&Server{}).readBody(lk, []byte(`{"shards":[{"shard":1,"weight":0.333333},{"shard":2,"weight":0.666666}],"q":"x"}`)); err != nil {
 		t.Error(err)
 	}
@@ -153,19 +153,19 @@
 func TestAnswers(t *testing.T) {
 	hits := []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("a\"\n")}}
 	for _, c := range []struct {
-		verdict     dispatch.Verdict
+		verdict     dispatch.Result
 		status      int
 		body, after string
 	}{
-		{dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: hits[:1]}, 200, `{"complete":true,"hits":[{"shard":3,"doc":"5be2"}]}`, ""},
-		{dispatch.Verdict{Kind: dispatch.Satisfied, Hits: hits}, 200,
+		{dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: hits[:1]}, 200, `{"complete":true,"hits":[{"shard":3,"doc":"5be2"}]}`, ""},
+		{dispatch.Result{Kind: dispatch.Served, Hits: hits}, 200,
 			`{"complete":false,"hits":[{"shard":3,"doc":"5be2"},{"shard":9,"doc":"a\"\n"}]}`, ""},
-		{dispatch.Verdict{Kind: dispatch.Nacked, ComeBack: 412.5}, 503, "nacked\n", "0.412"},
-		{dispatch.Verdict{Kind: dispatch.Nacked}, 503, "nacked\n", ""},
-		{dispatch.Verdict{Kind: dispatch.Aborted}, 504, "aborted\n", ""},
-		{dispatch.Verdict{Kind: dispatch.Broken}, 500, "failed\n", ""},
+		{dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}, 503, "nacked\n", "0.412"},
+		{dispatch.Result{Kind: dispatch.Rejected}, 503, "nacked\n", ""},
+		{dispatch.Result{Kind: dispatch.Failed}, 504, "aborted\n", ""},
+		{dispatch.Result{Kind: dispatch.InternalError}, 500, "failed\n", ""},
 	} {
-		f, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict { return c.verdict })
+		f, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result { return c.verdict })
 		chunked := "POST /find/x HTTP/1.1\r\n" + headers + "X-Route-Key: rk\r\nX-Retried: 1\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			fmt.Sprintf("5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", parts[:5], len(parts)-5, parts[5:])
 		sent := time.Now()
@@ -174,11 +174,11 @@
 			t.Errorf("%+v: %v %s %v", c.verdict, status, body, head)
 		}
 		lk, passed := <-f.took, float64(time.Since(sent))/1e6
-		if lk.GiveUpAt > 1480 || lk.GiveUpAt < 1480-passed { // its time counts from its first byte
-			t.Errorf("given up at %v, %v ms after it was sent", lk.GiveUpAt, passed)
+		if lk.Deadline > 1480 || lk.Deadline < 1480-passed { // its time counts from its first byte
+			t.Errorf("given up at %v, %v ms after it was sent", lk.Deadline, passed)
 		}
-		if lk.ID != "a1" || lk.Index != "find" || lk.Customer != "acme" || lk.Key != "rk" || !lk.Retry ||
-			string(lk.Text) != "c41e" || len(lk.Parts) != 2 || lk.Parts[0] != (dispatch.Part{Shard: 3, Weight: 0.5, Cost: 9, Key: "k"}) {
+		if lk.ID != "a1" || lk.Class != "find" || lk.Tenant != "acme" || lk.RouteKey != "rk" || !lk.Retried ||
+			string(lk.Payload) != "c41e" || len(lk.ShardRequests) != 2 || lk.ShardRequests[0] != (dispatch.ShardRequest{Shard: 3, Weight: 0.5, Cost: 9, Key: "k"}) {
 			t.Errorf("took %+v", lk)
 		}
 	}
@@ -194,12 +194,12 @@
 // TestPanic wants a request that breaks its handler answered as failed, and the next one served.
 func TestPanic(t *testing.T) {
 	first := true
-	_, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	_, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		if first {
 			first = false
 			panic("broken")
 		}
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	status, _, _ := talk(t, address, post("/find", headers, parts)+post("/find", headers, parts), 2)
 	if status[0] != 500 || status[1] != 504 {
@@ -211,13 +211,13 @@
 // under its request sends that once more: the second must wait for the end of the first, not be turned away.
 func TestGone(t *testing.T) {
 	over := make(chan struct{}, 2)
-	f, _, address := start(t, 10, func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict {
-		if lk.Key == "again" {
-			return dispatch.Verdict{Kind: dispatch.Aborted}
+	f, _, address := start(t, 10, func(ctx context.Context, lk *dispatch.Query) dispatch.Result {
+		if lk.RouteKey == "again" {
+			return dispatch.Result{Kind: dispatch.Failed}
 		}
 		<-ctx.Done()
 		<-over
-		return dispatch.Verdict{Kind: dispatch.Left}
+		return dispatch.Result{Kind: dispatch.Abandoned}
 	})
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -253,9 +253,9 @@
 // TestOpenName guards against serving a client that comes with the name of another's open lookup.
 func TestOpenName(t *testing.T) {
 	hold := make(chan struct{})
-	f, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-hold
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	first := make(chan []int, 1)
 	go func() {
@@ -304,8 +304,8 @@
 // TestTwoLengths guards against a request that hides in the body of one that bears both lengths: nothing on that
 // connection is served from there on. A body of either kind alone is fine, and so is what comes in pieces.
 func TestTwoLengths(t *testing.T) {
-	f, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+	f, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	hidden := post("/find", headers, parts)
 	for _, both := range []string{"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "transfer-encoding: chunked\r\nCONTENT-LENGTH: 4\r\n",
@@ -489,9 +489,9 @@
 // TestCrowded wants a client that comes while all others are busy nacked and sent away, not left waiting.
 func TestCrowded(t *testing.T) {
 	hold := make(chan struct{})
-	f, _, address := start(t, 1, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, _, address := start(t, 1, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-hold
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	first := make(chan []int, 1)
 	go func() {
@@ -512,9 +512,9 @@
 // and clients are asked to go.
 func TestShutdown(t *testing.T) {
 	hold := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-hold
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	early := make(chan http.Header, 1)
 	go func() {
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -25,7 +25,7 @@
 
 // Picker takes weights and has the module's time; package pick has it.
 type Picker interface {
-	Weigh(weights [][]gather.Weight)
+	SetWeights(weights [][]gather.Weight)
 	Now() float64
 }
 
@@ -194,7 +194,7 @@
 	}
 	k.told = s
 	if (len(weights) != 0 || len(k.handed) != 0) && !reflect.DeepEqual(weights, k.handed) {
-		k.picker.Weigh(weights)
+		k.picker.SetWeights(weights)
 		k.handed = weights
 	}
 	if k.timer != nil {
--- a/internal/gatherer/plans/plans_test.go
+++ b/internal/gatherer/plans/plans_test.go
@@ -26,7 +26,7 @@
 	handed chan [][]gather.Weight
 }
 
-func (h *hand) Weigh(w [][]gather.Weight) { h.handed <- w }
+func (h *hand) SetWeights(w [][]gather.Weight) { h.handed <- w }
 
 func (h *hand) Now() float64 {
 	h.mu.Lock()
--- a/internal/gatherer/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -107,37 +107,37 @@
 	}
 }
 
-// Opened is counted by its end.
-func (c *Counter) Opened(*dispatch.Lookup, *phases.Choice, float64) {}
+// QueryAdmitted is counted by its end.
+func (c *Counter) QueryAdmitted(*dispatch.Query, *phases.Choice, float64) {}
 
-// Sent is a decision; Written tells what went.
-func (c *Counter) Sent(*dispatch.Call, float64) {}
+// AttemptDecided is a decision; Written tells what went.
+func (c *Counter) AttemptDecided(*dispatch.Attempt, float64) {}
 
-// Closed is no end.
-func (c *Counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
+// FirstPassEnded is no end.
+func (c *Counter) FirstPassEnded(*dispatch.Query, *phases.Next, float64) {}
 
-// Answered is counted by Ended.
-func (c *Counter) Answered(*dispatch.Lookup, dispatch.Verdict, float64) {}
+// QueryAnswered is counted by Ended.
+func (c *Counter) QueryAnswered(*dispatch.Query, dispatch.Result, float64) {}
 
-// Written counts a part call whose bytes go.
-func (c *Counter) Written(call *dispatch.Call, _ float64) {
+// AttemptWritten counts a part call whose bytes go.
+func (c *Counter) AttemptWritten(call *dispatch.Attempt, _ float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ix := c.indexes[call.Lookup().Index]
+	ix := c.indexes[call.Query().Class]
 	if ix == nil {
 		return
 	}
 	ix.Calls++
-	if call.Further() {
+	if call.UsesRetryBudget() {
 		ix.Further++
 	}
 }
 
-// Heard counts the end of a part call.
-func (c *Counter) Heard(call *dispatch.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
+// AttemptEnded counts the end of a part call.
+func (c *Counter) AttemptEnded(call *dispatch.Attempt, outcome gather.Outcome, waited float64, _ *phases.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ix := c.indexes[call.Lookup().Index]
+	ix := c.indexes[call.Query().Class]
 	if ix == nil {
 		return
 	}
@@ -145,22 +145,22 @@
 	ix.Waited += max(waited, 0)
 }
 
-// Ended counts a lookup.
-func (c *Counter) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
+// QueryDecided counts a lookup.
+func (c *Counter) QueryDecided(lk *dispatch.Query, v dispatch.Result, at float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ix := c.indexes[lk.Index]
+	ix := c.indexes[lk.Class]
 	if ix == nil {
 		return
 	}
-	of := c.limits[lk.Index]
+	of := c.limits[lk.Class]
 	ix.Ended++
-	ix.Parts += int64(len(lk.Parts))
-	took := at - lk.Landed()
+	ix.Parts += int64(len(lk.ShardRequests))
+	took := at - lk.AdmittedAt()
 	switch v.Kind {
-	case dispatch.Satisfied:
+	case dispatch.Served:
 		value := 1.0
-		if v.Whole {
+		if v.Complete {
 			ix.Satisfied++
 		} else {
 			ix.Partial++
@@ -173,11 +173,11 @@
 		}
 		ix.Value += min(value, 1)
 		ix.Took.Add(took)
-	case dispatch.Nacked:
+	case dispatch.Rejected:
 		ix.Nacked++
-	case dispatch.Aborted:
+	case dispatch.Failed:
 		ix.Aborted++
-	case dispatch.Left:
+	case dispatch.Abandoned:
 		ix.Left++
 	default:
 		ix.Broken++
@@ -185,9 +185,9 @@
 }
 
 // weight is what is in of an answer in part.
-func weight(lk *dispatch.Lookup, v *dispatch.Verdict) (in float64) {
-	for _, pt := range lk.Parts {
-		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h dispatch.Hit) bool { return h.Shard == pt.Shard }) {
+func weight(lk *dispatch.Query, v *dispatch.Result) (in float64) {
+	for _, pt := range lk.ShardRequests {
+		if slices.Contains(v.EmptyShards, pt.Shard) || slices.ContainsFunc(v.Hits, func(h dispatch.Hit) bool { return h.Shard == pt.Shard }) {
 			in += pt.Weight
 		}
 	}
--- a/internal/gatherer/report/count_test.go
+++ b/internal/gatherer/report/count_test.go
@@ -35,26 +35,26 @@
 	return NewCounter("g", terms(), func() float64 { return *now }, pool{})
 }
 
-var halves = []dispatch.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
+var halves = []dispatch.ShardRequest{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
 
 // TestCounts: each ending counts where it belongs, with the value that it earned; a report since a mark has what came
 // after it, and one since a mark that is not known has all, and says so.
 func TestCounts(t *testing.T) {
 	now := 1000.0
 	c := counter(&now)
-	lk := func(index string) *dispatch.Lookup { return &dispatch.Lookup{Index: index, Parts: halves} }
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150) // late
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
+	lk := func(index string) *dispatch.Query { return &dispatch.Query{Class: index, ShardRequests: halves} }
+	c.QueryDecided(lk("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
+	c.QueryDecided(lk("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 150) // late
+	c.QueryDecided(lk("any"), dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
 	first := c.Document("", true)
 	ix := first.Indexes["any"]
 	if want := 1 + 0.1 + 0.5*0.5/0.75; ix.Ended != 3 || ix.Satisfied != 2 || ix.Partial != 1 || ix.InAim != 2 || ix.Value < want-1e-9 || ix.Value > want+1e-9 || ix.Took.TotalCount() != 3 || ix.Parts != 6 {
 		t.Errorf("%+v, value %g", ix, ix.Value)
 	}
-	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
-		c.Ended(lk("once"), dispatch.Verdict{Kind: kind}, 10)
+	for _, kind := range []dispatch.ResultKind{dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned} {
+		c.QueryDecided(lk("once"), dispatch.Result{Kind: kind}, 10)
 	}
-	c.Ended(lk("none such"), dispatch.Verdict{}, 10)
+	c.QueryDecided(lk("none such"), dispatch.Result{}, 10)
 	now = 3000
 	next := c.Document(first.Mark, true)
 	if o := next.Indexes["once"]; o.Ended != 4 || o.Nacked != 1 || o.Aborted != 1 || o.Broken != 1 || o.Left != 1 || o.Value != 0 {
@@ -77,7 +77,7 @@
 	now := 1000.0
 	c := counter(&now)
 	c.InForce("operator", "abc")
-	c.Ended(&dispatch.Lookup{Index: "any", Parts: halves}, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	c.QueryDecided(&dispatch.Query{Class: "any", ShardRequests: halves}, dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s, err := Listen("127.0.0.1:0", c, func() bool { return true }, log)
@@ -157,11 +157,11 @@
 func BenchmarkLookup(b *testing.B) {
 	now := 0.0
 	c := counter(&now)
-	lk := &dispatch.Lookup{Index: "any", Parts: halves}
-	v := dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}
+	lk := &dispatch.Query{Class: "any", ShardRequests: halves}
+	v := dispatch.Result{Kind: dispatch.Served, Complete: true}
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Ended(lk, v, 50)
+		c.QueryDecided(lk, v, 50)
 	}
 }
 
@@ -169,11 +169,11 @@
 func BenchmarkDocument(b *testing.B) {
 	now := 0.0
 	c := counter(&now)
-	lk := &dispatch.Lookup{Index: "any", Parts: halves}
+	lk := &dispatch.Query{Class: "any", ShardRequests: halves}
 	mark := ""
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Ended(lk, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+		c.QueryDecided(lk, dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 		now += 1000
 		mark = c.Document(mark, true).Mark
 	}
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -63,17 +63,17 @@
 
 // filled counts something of each kind.
 func filled(c *Counter, now *float64) {
-	lk := func(index string) *dispatch.Lookup { return &dispatch.Lookup{Index: index, Parts: halves} }
+	lk := func(index string) *dispatch.Query { return &dispatch.Query{Class: index, ShardRequests: halves} }
 	for kind, sum := range map[string]string{"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12", "segments": "13", "other": ""} {
 		c.InForce(kind, sum)
 	}
 	c.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, State: gather.Running}, {ID: 2, State: gather.Running}, {ID: 3, State: gather.Draining}}})
 	c.Policy = func() any { return map[string]any{"revision": 7} }
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150.25)
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
-	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
-		c.Ended(lk("once"), dispatch.Verdict{Kind: kind}, 10)
+	c.QueryDecided(lk("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
+	c.QueryDecided(lk("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 150.25)
+	c.QueryDecided(lk("any"), dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
+	for _, kind := range []dispatch.ResultKind{dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned} {
+		c.QueryDecided(lk("once"), dispatch.Result{Kind: kind}, 10)
 	}
 	ix := c.indexes["any"]
 	ix.Calls, ix.Further, ix.Waited = 9, 2, 146.817
@@ -92,7 +92,7 @@
 	now = 2500
 	reports := map[string]*Document{"empty.json": nil, "full.json": c.Peek(true), "marked.json": c.Document("", true)}
 	now = 4000
-	c.Ended(&dispatch.Lookup{Index: "any", Parts: halves}, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 75)
+	c.QueryDecided(&dispatch.Query{Class: "any", ShardRequests: halves}, dispatch.Result{Kind: dispatch.Served, Complete: true}, 75)
 	c.indexes["any"].Calls += 3
 	c.indexes["any"].Outcomes[gather.Outcome(0).String()] += 3
 	c.Leave()
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -31,11 +31,11 @@
 		return nil, nil
 	}
 	if own.Floor == "" {
-		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Stir)}
+		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Wake)}
 		if err := g.reread(own); err != nil {
 			return nil, err
 		}
-		picker.Govern(g.governor)
+		picker.SetPolicyGate(g.governor)
 		return g, nil
 	}
 	floor, err := policyclient.Read(own.Floor)
@@ -49,10 +49,10 @@
 	if err != nil {
 		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
 	}
-	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
+	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Wake)}
 	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: process.Name(picker.Now()), Version: version.Name()}
 	g.follower = policyclient.NewFollower(g.governor, own.Stewards, me, own.State, log)
-	picker.Govern(g.governor)
+	picker.SetPolicyGate(g.governor)
 	return g, nil
 }
 
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -65,7 +65,7 @@
 		if settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		settings = dispatch.OwnedTerms(settings, own.MostOwned)
+		settings = dispatch.OwnershipSettings(settings, own.MostOwned)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("plans and two phases go by groups of shards and are left out where segments have owners of their own")
 			own.Plan, own.Placement, own.TwoPhase = "", "", nil
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 		s.ledger = ledger
-		s.Picker.Keep(ledger)
+		s.Picker.SetNonIdempotentStore(ledger)
 		tell := log.WithFields(logrus.Fields{"folder": own.State, "names": found.Names, "epoch": found.Epoch, "records": found.Records, "bytes": found.Bytes, "torn": found.Torn, "took": found.Took})
 		if found.Blind > 0 {
 			tell.Warn("state: what ran before may be unknown; once-only lookups that are marked as repeats are aborted for a while")
@@ -93,7 +93,7 @@
 		}
 	}
 	if own.MostOwned > 0 {
-		s.Picker.Segments(own.MostOwned, settings.Shards)
+		s.Picker.EnableOwnership(own.MostOwned, settings.Shards)
 		if s.ledger != nil && s.ledger.Map() != nil {
 			s.Picker.SetMap(s.ledger.Map())
 		}
@@ -120,12 +120,12 @@
 		log.WithError(err).Error("two phases refused for these indexes: one phase")
 	}
 	if len(marked) > 0 {
-		s.Picker.Phases(marked)
-		s.pool.Agree(s.Picker.Speaks)
+		s.Picker.EnableTwoPass(marked)
+		s.pool.Agree(s.Picker.SetSummarySupport)
 	}
 	if own.Traces > 0 {
 		s.traces = trace.New(own.Traces, own.KeepShare)
-		s.Picker.Trace(s.traces)
+		s.Picker.ObserveDecisions(s.traces)
 	}
 	governed, err := govern(c, own, settings, s.Picker, log)
 	if err != nil {
@@ -140,8 +140,8 @@
 		if s.record, err = trace.Create(own.Record, own.RecordMost, own.RecordAtOnce, c.Settings, shards, s.Picker.Now()); err != nil {
 			return nil, fmt.Errorf("record: %w", err)
 		}
-		s.Picker.Trace(s.record)
-		s.Picker.Watch(s.record)
+		s.Picker.ObserveDecisions(s.record)
+		s.Picker.ObserveWire(s.record)
 	}
 	s.keeper = plans.New(s.Picker, c.Settings, background.New(own.Background, log), log)
 	if err := s.keeper.Configure(own); err != nil { // against not serving for want of a plan
@@ -161,9 +161,9 @@
 			for _, a := range all {
 				names[a.ID] = a.Name
 			}
-			s.Picker.Names(names)
+			s.Picker.SetServerNames(names)
 		}
-		s.Picker.Follow(list)
+		s.Picker.UpdateEndpoints(list)
 		s.keeper.Follow(list, all)
 		s.tells.follow(list)
 		s.handover.follow(list, all)
@@ -176,7 +176,7 @@
 		if len(all) > 0 {
 			listed.Store(true)
 		}
-	}, s.Picker.Asked(), log)
+	}, s.Picker.EndpointListRequested(), log)
 	if settings.EndpointsOnRequest {
 		s.follower.Shared()
 	}
@@ -209,7 +209,7 @@
 	}
 	wait.Go(func() {
 		for {
-			orders, err := s.Picker.Tick(serving)
+			orders, err := s.Picker.RunRound(serving)
 			if err != nil {
 				return
 			}
--- a/internal/gatherer/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -27,8 +27,8 @@
 	if err != nil {
 		return nil, err
 	}
-	picker.Trace(counter)
-	picker.Watch(counter)
+	picker.ObserveDecisions(counter)
+	picker.ObserveWire(counter)
 	t := &tells{counter, server}
 	t.inForce("config", c.Sum)
 	t.files(own)
--- a/internal/gatherer/shardcall/agree.go
+++ b/internal/gatherer/shardcall/agree.go
@@ -96,7 +96,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, a := range c.out {
-		if a.call.First() && p.speaks != nil {
+		if a.call.FirstPass() && p.speaks != nil {
 			p.speaks(c.srv.ID, false)
 			c.srv.agreed = nil
 			p.agree(c.srv)
--- a/internal/gatherer/shardcall/conn.go
+++ b/internal/gatherer/shardcall/conn.go
@@ -268,7 +268,7 @@
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	for _, a := range live {
-		a.call.End()
+		a.call.EndWrite()
 		switch {
 		case err != nil && n < len(buf):
 			c.pool.end(a, &Error{Writing, err}, nil)
@@ -293,13 +293,13 @@
 		if c.pool.attempts[a.call] != a {
 			continue
 		}
-		if a.call.Left() < leastLeft {
+		if a.call.Remaining() < leastLeft {
 			c.pool.end(a, &Error{NotSent, errTime}, nil)
 			continue
 		}
 		// A server that was told to drain while the call waited gets nothing new, grace or not. Where one was
 		// that has moved, another may be by now.
-		if c.closed || c.spoilt || c.srv.State != gather.Running || c.srv.HostPort != c.address || c.out[a.id] != nil || !a.call.Begin() {
+		if c.closed || c.spoilt || c.srv.State != gather.Running || c.srv.HostPort != c.address || c.out[a.id] != nil || !a.call.BeginWrite() {
 			c.pool.end(a, &Error{NotSent, errForbidden}, nil)
 			continue
 		}
@@ -308,7 +308,7 @@
 		}
 		c.out[a.id] = a
 		live = append(live, a)
-		longest = max(longest, time.Duration(a.call.Left()*1e6))
+		longest = max(longest, time.Duration(a.call.Remaining()*1e6))
 	}
 	if len(live) > 0 {
 		c.until = time.Now().Add(longest)
@@ -387,7 +387,7 @@
 	case "busy":
 		c.pool.end(a, &Error{TurnedAway, errBusy}, nil)
 	case "moved":
-		if _, _, _, owned := a.call.Keys(); !owned {
+		if _, _, _, owned := a.call.Ownership(); !owned {
 			return errors.New("answer that ends in moved to a call that bore no keys")
 		}
 		c.pool.end(a, &Error{NotOwned, errMoved}, nil)
--- a/internal/gatherer/shardcall/crossings_test.go
+++ b/internal/gatherer/shardcall/crossings_test.go
@@ -77,7 +77,7 @@
 	d.list("127.0.0.1:1", gather.Draining)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)-1))
 	(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
-	if v := <-done; v.Kind != dispatch.Satisfied {
+	if v := <-done; v.Kind != dispatch.Served {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -231,7 +231,7 @@
 		}
 		theirs.Close()
 		d.want(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset, false: gather.ConnectFailed}[n == length])
-		if v := <-done; v.Kind == dispatch.Satisfied {
+		if v := <-done; v.Kind == dispatch.Served {
 			t.Errorf("after %d bytes: %+v", n, v)
 		}
 	}
@@ -258,7 +258,7 @@
 			}
 		}
 	}()
-	if v := <-done; v.Kind != dispatch.Aborted {
+	if v := <-done; v.Kind != dispatch.Failed {
 		t.Errorf("verdict %+v", v)
 	}
 	done = d.ask(t.Context(), "b", 1, 5000)
@@ -267,7 +267,7 @@
 		t.Errorf("frame %+v", f)
 	}
 	next.Answer("b.0", "ok", "w")
-	if v := <-done; v.Kind != dispatch.Satisfied {
+	if v := <-done; v.Kind != dispatch.Served {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -298,7 +298,7 @@
 	d.reports = make(chan report, 2*many)
 	gate, theirs := d.gated()
 	ctx, leave := context.WithCancel(t.Context())
-	var done []<-chan dispatch.Verdict
+	var done []<-chan dispatch.Result
 	for i := range many {
 		done = append(done, d.ask(ctx, fmt.Sprint("l", i), 2, 60000))
 	}
@@ -309,7 +309,7 @@
 	}
 	leave()
 	for _, verdict := range done {
-		if v := <-verdict; v.Kind != dispatch.Left {
+		if v := <-verdict; v.Kind != dispatch.Abandoned {
 			t.Errorf("verdict %+v", v)
 		}
 	}
@@ -340,7 +340,7 @@
 		d.mu.Unlock()
 	}
 	leave()
-	if v := <-done; v.Kind != dispatch.Left {
+	if v := <-done; v.Kind != dispatch.Abandoned {
 		t.Errorf("verdict %+v", v)
 	}
 	d.want(t, "b.0", gather.NotSent)
--- a/internal/gatherer/shardcall/frame.go
+++ b/internal/gatherer/shardcall/frame.go
@@ -43,10 +43,10 @@
 // time now: a call may have waited for its connection, or behind other frames.
 func appendCall(buf []byte, calls []*attempt) []byte {
 	from, letter := len(buf), byte('Q')
-	if calls[0].call.First() {
+	if calls[0].call.FirstPass() {
 		letter = 'S'
 	}
-	_, _, _, owned := calls[0].call.Keys()
+	_, _, _, owned := calls[0].call.Ownership()
 	if owned {
 		letter = 'O'
 	}
@@ -56,25 +56,25 @@
 		buf = append(buf, ' ')
 		buf = strconv.AppendInt(buf, int64(a.call.Shard()), 10)
 		buf = append(buf, " d="...)
-		buf = strconv.AppendInt(buf, int64(a.call.Left()), 10)
+		buf = strconv.AppendInt(buf, int64(a.call.Remaining()), 10)
 		if owned {
 			buf = appendKeys(buf, a)
 		}
 		buf = append(buf, ' ')
-		buf = strconv.AppendInt(buf, int64(len(a.call.Text())), 10)
+		buf = strconv.AppendInt(buf, int64(len(a.call.Payload())), 10)
 		buf = append(buf, '\n')
-		buf = append(buf, a.call.Text()...)
+		buf = append(buf, a.call.Payload()...)
 	}
 	return finish(buf, from)
 }
 
 // appendKeys writes which keys are asked for, of whose segment, under which epoch (docs/protocol-owners.md).
 func appendKeys(buf []byte, a *attempt) []byte {
-	keys, segment, since, _ := a.call.Keys()
+	keys, segment, since, _ := a.call.Ownership()
 	buf = append(append(buf, ",s="...), segment...)
 	buf = strconv.AppendUint(append(buf, ",e="...), since, 10)
 	buf = append(append(buf, ",k="...), keys.Text()...)
-	if a.call.OnceOnly() {
+	if a.call.NonIdempotent() {
 		buf = append(buf, ",once"...)
 	}
 	return buf
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -20,8 +20,8 @@
 
 // Reporter hears how part calls ended and what came of probes; it must not block.
 type Reporter interface {
-	Report(c *dispatch.Call, outcome gather.Outcome, value []byte)
-	Sample(s gather.HealthCheckResult)
+	Report(c *dispatch.Attempt, outcome gather.Outcome, value []byte)
+	ReportHealthCheck(s gather.HealthCheckResult)
 }
 
 // Address is where a server of the list is reached.
@@ -56,7 +56,7 @@
 	agreeing chan struct{}
 	again    time.Duration // after which a server that could not be reached is asked again
 	servers  map[uint32]*server
-	attempts map[*dispatch.Call]*attempt
+	attempts map[*dispatch.Attempt]*attempt
 }
 
 // server is one shard server and the connections to it that may take calls.
@@ -82,7 +82,7 @@
 
 // attempt is a part call between its decision and its end.
 type attempt struct {
-	call    *dispatch.Call
+	call    *dispatch.Attempt
 	id      string
 	srv     *server
 	on      *conn
@@ -100,7 +100,7 @@
 	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
 	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(settings.ConnectTimeout),
 		grace: span(settings.DrainGrace), copies: settings.HedgingAllowed, perFrame: max(settings.RequestsPerCall, 1), perConn: settings.StreamsPerConnection,
-		servers: map[uint32]*server{}, attempts: map[*dispatch.Call]*attempt{}}
+		servers: map[uint32]*server{}, attempts: map[*dispatch.Attempt]*attempt{}}
 	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTime) }
 	if p.connectTime == 0 {
 		p.connectTime = defaultConnect
@@ -116,7 +116,7 @@
 	}
 	// On a machine that vanished, and where a connection has fallen silent, only a new one shows what is there.
 	p.silence = math.MaxInt64
-	if ms := dispatch.Silence(settings); ms < 1e9 {
+	if ms := dispatch.SilenceTimeout(settings); ms < 1e9 {
 		p.silence = time.Duration(ms * 1e6)
 	}
 	for i := range settings.Classes {
@@ -170,17 +170,17 @@
 }
 
 // Carry does what a round has ordered. It does not wait for the network.
-func (p *Pool) Carry(o dispatch.Orders) {
+func (p *Pool) Carry(o dispatch.Actions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// What ends goes first, against giving up a part of the same name that is only now asked for.
-	for _, call := range o.Stop {
+	for _, call := range o.StopWriting {
 		p.stop(call)
 	}
-	for _, call := range o.Off {
+	for _, call := range o.Cancel {
 		p.abandonLocked(call, GivenUp, errGivenUp)
 	}
-	for _, id := range o.Probes {
+	for _, id := range o.CheckHealth {
 		p.inquire(id)
 	}
 	type turn struct { // calls of a first pass travel in frames of their own
@@ -189,7 +189,7 @@
 	}
 	var order []turn
 	turns := map[turn][]*attempt{}
-	for _, call := range o.Calls {
+	for _, call := range o.Send {
 		a := &attempt{call: call, id: call.ID(), srv: p.servers[call.Server]}
 		p.attempts[call] = a
 		if a.srv == nil {
@@ -197,7 +197,7 @@
 			continue
 		}
 		a.timer = time.AfterFunc(time.Duration(call.Timeout*1e6), func() { p.abandon(call, OutOfTime, errTime) })
-		t := turn{a.srv, call.First()}
+		t := turn{a.srv, call.FirstPass()}
 		if turns[t] == nil {
 			order = append(order, t)
 		}
@@ -251,7 +251,7 @@
 
 // stop keeps a call from being written. One that is being written to a server that has stopped reading would
 // hold up its lookup's answer: it gets no more time, which breaks off nothing that the kernel still takes.
-func (p *Pool) stop(call *dispatch.Call) {
+func (p *Pool) stop(call *dispatch.Attempt) {
 	a := p.attempts[call]
 	switch {
 	case a == nil || a.written:
@@ -262,14 +262,14 @@
 	}
 }
 
-func (p *Pool) abandon(call *dispatch.Call, stage Stage, err error) {
+func (p *Pool) abandon(call *dispatch.Attempt, stage Stage, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.abandonLocked(call, stage, err)
 }
 
 // abandonLocked gives up a call that is still out; one whose bytes have not begun to go was never sent.
-func (p *Pool) abandonLocked(call *dispatch.Call, stage Stage, err error) {
+func (p *Pool) abandonLocked(call *dispatch.Attempt, stage Stage, err error) {
 	a := p.attempts[call]
 	if a == nil {
 		return
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -33,14 +33,14 @@
 	value   string
 }
 
-func (d *desk) Report(c *dispatch.Call, outcome gather.Outcome, value []byte) {
+func (d *desk) Report(c *dispatch.Attempt, outcome gather.Outcome, value []byte) {
 	d.reports <- report{c.ID(), outcome, string(value)}
 	d.picker.Report(c, outcome, value)
 }
 
-func (d *desk) Sample(s gather.HealthCheckResult) {
+func (d *desk) ReportHealthCheck(s gather.HealthCheckResult) {
 	d.samples <- s
-	d.picker.Sample(s)
+	d.picker.ReportHealthCheck(s)
 }
 
 func quiet() *logrus.Logger {
@@ -68,7 +68,7 @@
 	t.Cleanup(stop)
 	go func() {
 		for {
-			orders, err := d.picker.Tick(ctx)
+			orders, err := d.picker.RunRound(ctx)
 			if err != nil {
 				return
 			}
@@ -80,7 +80,7 @@
 
 func (d *desk) list(address string, state gather.State) {
 	d.Follow([]Address{{ID: 7, HostPort: address, State: state}})
-	d.picker.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: state}}})
+	d.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: state}}})
 }
 
 func (d *desk) sockets() int {
@@ -90,12 +90,12 @@
 }
 
 // ask sends a lookup of so many parts on its way and gives back how it will end.
-func (d *desk) ask(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Verdict {
-	lk := &dispatch.Lookup{ID: id, Index: "i", GiveUpAt: d.picker.Now() + wait, Text: []byte("text of " + id)}
+func (d *desk) ask(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Result {
+	lk := &dispatch.Query{ID: id, Class: "i", Deadline: d.picker.Now() + wait, Payload: []byte("text of " + id)}
 	for shard := range parts {
-		lk.Parts = append(lk.Parts, dispatch.Part{Shard: shard, Weight: 1 / float64(parts)})
+		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(parts)})
 	}
-	done := make(chan dispatch.Verdict, 1)
+	done := make(chan dispatch.Result, 1)
 	go func() { done <- d.picker.Pick(ctx, lk) }()
 	return done
 }
@@ -148,10 +148,10 @@
 			c.act(conn, "a.0")
 			d.want(t, "a.0", c.want)
 			v := <-done
-			if (v.Kind == dispatch.Satisfied) != (c.want == gather.Succeeded) {
+			if (v.Kind == dispatch.Served) != (c.want == gather.Succeeded) {
 				t.Errorf("verdict %+v", v)
 			}
-			if v.Kind == dispatch.Nacked && !c.want.NeverExecuted() {
+			if v.Kind == dispatch.Rejected && !c.want.NeverExecuted() {
 				t.Error("nacked, though it may have run")
 			}
 			if c.broken {
@@ -162,7 +162,7 @@
 				t.Errorf("the connection was not used again: %+v", f)
 			}
 			conn.Answer("b.0", "ok", "w")
-			if v := <-done; v.Kind != dispatch.Satisfied || string(v.Hits[0].Value) != "w" {
+			if v := <-done; v.Kind != dispatch.Served || string(v.Hits[0].Value) != "w" {
 				t.Errorf("verdict %+v", v)
 			}
 		})
@@ -179,7 +179,7 @@
 		conn := shard.Take()
 		conn.Read()
 		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+more) // in one write
-		if v := <-done; v.Kind != dispatch.Satisfied {
+		if v := <-done; v.Kind != dispatch.Served {
 			t.Errorf("verdict %+v", v)
 		}
 		done = d.ask(t.Context(), "b", 1, 2000)
@@ -188,7 +188,7 @@
 			t.Errorf("frame %+v on the next connection", f)
 		}
 		next.Answer("b.0", "ok", "w")
-		if v := <-done; v.Kind != dispatch.Satisfied {
+		if v := <-done; v.Kind != dispatch.Served {
 			t.Errorf("verdict %+v", v)
 		}
 		if f := conn.Read(); f.Letter != 0 {
@@ -210,7 +210,7 @@
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	conn.Answer("b.0", "ok", "w")
-	if v := <-done; v.Kind != dispatch.Satisfied || string(v.Hits[0].Value) != "w" {
+	if v := <-done; v.Kind != dispatch.Served || string(v.Hits[0].Value) != "w" {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -246,7 +246,7 @@
 	d := newDesk(t, shard.Address(), nil)
 	done := d.ask(t.Context(), "a", 1, 2000)
 	d.want(t, "a.0", gather.ConnectFailed)
-	if v := <-done; v.Kind != dispatch.Nacked {
+	if v := <-done; v.Kind != dispatch.Rejected {
 		t.Errorf("verdict %+v: it never ran, so that the client may come again", v)
 	}
 }
@@ -335,7 +335,7 @@
 			seen[p.ID] = true
 		}
 	}
-	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Satisfied || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
+	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Served || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
 		t.Errorf("asked %v, verdict %+v", seen, v)
 	}
 	if n := d.sockets(); n != 2 {
@@ -396,7 +396,7 @@
 	conn := shard.Take()
 	conn.Read()
 	leave()
-	if v := <-done; v.Kind != dispatch.Left {
+	if v := <-done; v.Kind != dispatch.Abandoned {
 		t.Errorf("verdict %+v", v)
 	}
 	d.want(t, "a.0", gather.Cancelled)
@@ -423,7 +423,7 @@
 	})
 	done := d.ask(t.Context(), "a", 1, 60)
 	shard.Take().Read()
-	if v := <-done; v.Kind != dispatch.Aborted {
+	if v := <-done; v.Kind != dispatch.Failed {
 		t.Errorf("verdict %+v: it may have run", v)
 	}
 	d.ask(t.Context(), "b", 1, 2000)
@@ -479,7 +479,7 @@
 	conn.Answer("a.0", "ok", "v")
 	<-done
 	d.Follow([]Address{{ID: 7, HostPort: one.Address()}, {ID: 8, HostPort: two.Address()}})
-	d.picker.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
+	d.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
 	d.ask(t.Context(), "b", 1, 2000)
 	two.Take().Read()
 	if n := d.sockets(); n != 1 {
@@ -503,7 +503,7 @@
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.0", "ok", "v")
-	if v := <-done; v.Kind != dispatch.Satisfied {
+	if v := <-done; v.Kind != dispatch.Served {
 		t.Errorf("verdict %+v: what was out may still be answered", v)
 	}
 	if f := conn.Read(); f.Letter != 0 {
--- a/internal/gatherer/shardcall/probe.go
+++ b/internal/gatherer/shardcall/probe.go
@@ -68,7 +68,7 @@
 			smp.Latency = v
 		}
 	}
-	p.reporter.Sample(smp)
+	p.reporter.ReportHealthCheck(smp)
 }
 
 // question writes a probe that still waits for its answer; false where there is nothing to write.
--- a/internal/gatherer/shardcall/probe_test.go
+++ b/internal/gatherer/shardcall/probe_test.go
@@ -10,7 +10,7 @@
 
 // load asks for a load and gives back what came of it.
 func (d *desk) load() gather.HealthCheckResult {
-	d.Carry(dispatch.Orders{Probes: []uint32{7}})
+	d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
 	return <-d.samples
 }
 
@@ -56,7 +56,7 @@
 		t.Errorf("silent: %+v", s)
 	}
 	conn := <-conns
-	d.Carry(dispatch.Orders{Probes: []uint32{7}})
+	d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
 	for range 2 {
 		if f := conn.Read(); f.Letter != 'L' {
 			t.Fatalf("frame %+v", f)
@@ -67,7 +67,7 @@
 	if s := <-d.samples; s.Succeeded && s.QueueLength != 2 {
 		t.Errorf("an answer that was too late counts for the next: %+v", s)
 	}
-	d.Carry(dispatch.Orders{Probes: []uint32{7}})
+	d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
 	conn.Read()
 	conn.Close()
 	if s := <-d.samples; s.Succeeded {
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -39,9 +39,9 @@
 	*dispatch.Picker
 	module *scripted
 	now    float64
-	ids    map[string]uint64 // of queries at the module; its shard requests' follow it
-	part   []uint64          // of the round's shard requests
-	calls  []*dispatch.Call  // of the last round
+	ids    map[string]uint64   // of queries at the module; its shard requests' follow it
+	part   []uint64            // of the round's shard requests
+	calls  []*dispatch.Attempt // of the last round
 }
 
 var keptTerms = &gather.Settings{
@@ -59,13 +59,13 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	build := func(uint64, *gather.Settings) gather.Module { return p.module }
-	p.Picker = dispatch.NewPlayed(1, terms, build, func() float64 { return p.now }, log)
+	p.Picker = dispatch.NewStepped(1, terms, build, func() float64 { return p.now }, log)
 	for _, o := range observers {
-		if t, ok := o.(dispatch.Tracer); ok {
-			p.Trace(t)
+		if t, ok := o.(dispatch.DecisionObserver); ok {
+			p.ObserveDecisions(t)
 		}
-		if w, ok := o.(dispatch.Witness); ok {
-			p.Watch(w)
+		if w, ok := o.(dispatch.WireObserver); ok {
+			p.ObserveWire(w)
 		}
 	}
 	return p
@@ -83,16 +83,16 @@
 			script(w)
 		}
 	}
-	p.calls = p.Play().Calls
+	p.calls = p.RunRoundNow().Send
 }
 
 // take hands a query in and sends its shard requests to the servers 10, 11 and on, each of which is written.
-func (p *played) take(id, index string, shards ...int) (*dispatch.Lookup, []*dispatch.Call) {
-	lk := &dispatch.Lookup{ID: id, Index: index, GiveUpAt: p.now + 1000.5}
+func (p *played) take(id, index string, shards ...int) (*dispatch.Query, []*dispatch.Attempt) {
+	lk := &dispatch.Query{ID: id, Class: index, Deadline: p.now + 1000.5}
 	for _, shard := range shards {
-		lk.Parts = append(lk.Parts, dispatch.Part{Shard: shard, Weight: 1 / float64(len(shards))})
+		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
-	p.Take(lk)
+	p.Submit(lk)
 	p.round(func(w gather.Writer) {
 		for i, part := range p.part {
 			w.Send(part, uint32(10+i), 100)
@@ -102,11 +102,11 @@
 }
 
 // write has the calls of the last round written.
-func (p *played) write() []*dispatch.Call {
+func (p *played) write() []*dispatch.Attempt {
 	p.now += 0.25
 	for _, c := range p.calls {
-		if c.Begin() {
-			c.End()
+		if c.BeginWrite() {
+			c.EndWrite()
 		}
 	}
 	return p.calls
@@ -139,9 +139,9 @@
 	recorder := New(20, 1)
 	recorder.Names([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newPlayed(keptTerms, file, recorder)
-	p.Phases(map[string]phases.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
+	p.EnableTwoPass(map[string]phases.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
 	follow := func(l gather.EndpointList) {
-		p.Follow(l)
+		p.UpdateEndpoints(l)
 		file.Follow(l, p.now)
 		p.round(nil)
 	}
@@ -152,14 +152,14 @@
 	follow(gather.EndpointList{Failed: true})
 	follow(gather.EndpointList{Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed})})
 
-	end := func(lk *dispatch.Lookup, decide func(w gather.Writer)) {
+	end := func(lk *dispatch.Query, decide func(w gather.Writer)) {
 		p.round(decide)
-		v, ended := lk.Verdict()
+		v, ended := lk.Result()
 		if !ended {
 			t.Fatalf("%s has no answer", lk.ID)
 		}
 		p.now += 0.125
-		file.Answered(lk, v, p.now)
+		file.QueryAnswered(lk, v, p.now)
 	}
 	for i, outcome := range keptOutcomes {
 		lk, calls := p.take(fmt.Sprint("outcome-", outcome), "mark", 0, 1)
@@ -177,20 +177,20 @@
 	}
 
 	lk, _ := p.take("left", "mark", 2)
-	p.Leave(lk)
+	p.Abandon(lk)
 	end(lk, nil)
 	lk, _ = p.take("broken", "once", 0)
 	end(lk, func(gather.Writer) { panic("the module fails") })
 
-	lk = &dispatch.Lookup{ID: "never-written", Index: "once", GiveUpAt: p.now + 300, Parts: []dispatch.Part{{Shard: 1, Weight: 1}}}
-	p.Take(lk)
+	lk = &dispatch.Query{ID: "never-written", Class: "once", Deadline: p.now + 300, ShardRequests: []dispatch.ShardRequest{{Shard: 1, Weight: 1}}}
+	p.Submit(lk)
 	p.round(func(w gather.Writer) { w.Send(p.part[0], 11, 100) })
 	p.Report(p.calls[0], gather.NotSent, nil)
 	query := p.part[0] - 1
 	end(lk, func(w gather.Writer) { w.Fail(query) })
 
 	for _, s := range running {
-		p.Speaks(s.ID, true)
+		p.SetSummarySupport(s.ID, true)
 	}
 	p.round(nil)
 	for _, c := range []struct {
@@ -203,15 +203,15 @@
 		lk, calls := p.take(c.id, "any", 0, 1, 2)
 		for i, call := range calls {
 			p.now++
-			if !call.First() {
+			if !call.FirstPass() {
 				t.Fatalf("%s goes in one pass", c.id)
 			}
 			p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
 		}
 		first := p.part[0] - 1
 		p.round(func(w gather.Writer) { w.Answer(first, true) })
-		if v, ended := lk.Verdict(); ended {
-			file.Answered(lk, v, p.now)
+		if v, ended := lk.Result(); ended {
+			file.QueryAnswered(lk, v, p.now)
 			continue
 		}
 		p.round(func(w gather.Writer) {
@@ -264,16 +264,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPlayed(dispatch.OwnedTerms(keptTerms, most), file)
-	p.Segments(most, shards)
-	p.Names(map[uint32]string{10: "h0", 11: "h1"})
+	p := newPlayed(dispatch.OwnershipSettings(keptTerms, most), file)
+	p.EnableOwnership(most, shards)
+	p.SetServerNames(map[uint32]string{10: "h0", 11: "h1"})
 	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
 		{Name: "s1", Range: ownership.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p.SetMap(m)
-	p.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 10}, {ID: 11}}})
+	p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 10}, {ID: 11}}})
 	p.round(nil)
 	lk, calls := p.take("a", "once", 1, 2)
 	query := p.part[0] - 3
@@ -281,11 +281,11 @@
 	p.Report(calls[1], gather.NotOwner, nil)
 	p.round(nil)
 	p.round(func(w gather.Writer) { w.Answer(query, false) })
-	v, ended := lk.Verdict()
+	v, ended := lk.Result()
 	if !ended {
 		t.Fatal("no answer")
 	}
-	file.Answered(lk, v, p.now)
+	file.QueryAnswered(lk, v, p.now)
 	if err := file.Close(p.now); err != nil {
 		t.Error(err)
 	}
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -27,7 +27,7 @@
 	last   float64
 	why    string // it has ended, and why
 	next   uint64
-	open   map[*dispatch.Lookup]uint64
+	open   map[*dispatch.Query]uint64
 	states map[uint32]gather.State
 }
 
@@ -45,7 +45,7 @@
 	for _, name := range settings.ClassNames() {
 		h.Indexes[name] = rulecheck.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
 	}
-	return &File{f: f, w: rulecheck.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
+	return &File{f: f, w: rulecheck.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Query]uint64{}, states: map[uint32]gather.State{}}, nil
 }
 
 // see writes an event, unless the record has ended. The lock is held.
@@ -112,13 +112,13 @@
 	}
 }
 
-// Opened begins a lookup.
-func (r *File) Opened(lk *dispatch.Lookup, _ *phases.Choice, at float64) {
+// QueryAdmitted begins a lookup.
+func (r *File) QueryAdmitted(lk *dispatch.Query, _ *phases.Choice, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = r.next
-	e := rulecheck.Event{Kind: rulecheck.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Index, Until: lk.GiveUpAt - r.begin}
-	for _, p := range lk.Parts {
+	e := rulecheck.Event{Kind: rulecheck.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Class, Until: lk.Deadline - r.begin}
+	for _, p := range lk.ShardRequests {
 		part := rulecheck.Part{Shard: p.Shard, Weight: p.Weight}
 		if r.shards > 0 {
 			part.Keys = keys(ownership.Slot(p.Shard, r.shards))
@@ -129,49 +129,49 @@
 	r.see(at, e)
 }
 
-// Sent is a decision, which the wire may never see; Written tells.
-func (r *File) Sent(*dispatch.Call, float64) {}
+// AttemptDecided is a decision, which the wire may never see; Written tells.
+func (r *File) AttemptDecided(*dispatch.Attempt, float64) {}
 
-// Written records a call whose first byte is about to go.
-func (r *File) Written(c *dispatch.Call, at float64) {
+// AttemptWritten records a call whose first byte is about to go.
+func (r *File) AttemptWritten(c *dispatch.Attempt, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if number, open := r.open[c.Lookup()]; open {
-		r.see(at, rulecheck.Event{Kind: rulecheck.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Keys: keysOf(c)})
+	if number, open := r.open[c.Query()]; open {
+		r.see(at, rulecheck.Event{Kind: rulecheck.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.FirstPass(), Keys: keysOf(c)})
 	}
 }
 
 func keys(r ownership.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
 
 // keysOf are the keys that a call asks for, nil where no map says who owns what.
-func keysOf(c *dispatch.Call) *rulecheck.Keys {
-	r, _, _, owned := c.Keys()
+func keysOf(c *dispatch.Attempt) *rulecheck.Keys {
+	r, _, _, owned := c.Ownership()
 	if !owned {
 		return nil
 	}
 	return keys(r)
 }
 
-// Heard records how a call ended.
-func (r *File) Heard(c *dispatch.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
+// AttemptEnded records how a call ended.
+func (r *File) AttemptEnded(c *dispatch.Attempt, outcome gather.Outcome, waited float64, s *phases.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	number, open := r.open[c.Lookup()]
-	if !open || !c.Begun() {
+	number, open := r.open[c.Query()]
+	if !open || !c.WriteBegun() {
 		return
 	}
-	r.see(c.At()+waited, rulecheck.Event{Kind: rulecheck.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Outcome: outcome.String(),
-		Empty: c.First() && outcome == gather.Succeeded && s.Empty, Keys: keysOf(c)})
+	r.see(c.DecidedAt()+waited, rulecheck.Event{Kind: rulecheck.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.FirstPass(), Outcome: outcome.String(),
+		Empty: c.FirstPass() && outcome == gather.Succeeded && s.Empty, Keys: keysOf(c)})
 }
 
-// Closed is of no interest to the rules.
-func (r *File) Closed(*dispatch.Lookup, *phases.Next, float64) {}
+// FirstPassEnded is of no interest to the rules.
+func (r *File) FirstPassEnded(*dispatch.Query, *phases.Next, float64) {}
 
-// Ended is a decision as well; Answered tells when nothing can go any more.
-func (r *File) Ended(*dispatch.Lookup, dispatch.Verdict, float64) {}
+// QueryDecided is a decision as well; Answered tells when nothing can go any more.
+func (r *File) QueryDecided(*dispatch.Query, dispatch.Result, float64) {}
 
-// Answered records a final answer.
-func (r *File) Answered(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
+// QueryAnswered records a final answer.
+func (r *File) QueryAnswered(lk *dispatch.Query, v dispatch.Result, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[lk]
@@ -179,9 +179,9 @@
 		return
 	}
 	delete(r.open, lk)
-	e := rulecheck.Event{Lookup: number, Whole: v.Whole}
+	e := rulecheck.Event{Lookup: number, Whole: v.Complete}
 	switch v.Kind {
-	case dispatch.Satisfied:
+	case dispatch.Served:
 		e.Kind = rulecheck.Answered
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
@@ -194,10 +194,10 @@
 		if r.shards == 0 {
 			e.InKeys = nil
 		}
-		e.In = append(e.In, v.Empty...)
-	case dispatch.Nacked:
+		e.In = append(e.In, v.EmptyShards...)
+	case dispatch.Rejected:
 		e.Kind = rulecheck.Nacked
-	case dispatch.Left:
+	case dispatch.Abandoned:
 		e.Kind = rulecheck.Left
 	default:
 		e.Kind = rulecheck.Aborted
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -65,7 +65,7 @@
 	Hits    int     `json:"hits"`
 	Empty   []int   `json:"empty,omitempty"`
 
-	at map[*dispatch.Call]int
+	at map[*dispatch.Attempt]int
 }
 
 // mostCalls bounds the calls kept of one lookup.
@@ -79,14 +79,14 @@
 	mu    sync.Mutex
 	ring  []*Lookup
 	next  int
-	open  map[*dispatch.Lookup]*Lookup
+	open  map[*dispatch.Query]*Lookup
 	byID  map[string]*Lookup
 	names map[uint32]string
 }
 
 // New makes a recorder that keeps so many lookups, and of all that come a share, drawn by their names.
 func New(keep int, share float64) *Recorder {
-	return &Recorder{keep: keep, share: share, open: map[*dispatch.Lookup]*Lookup{}, byID: map[string]*Lookup{}, names: map[uint32]string{}}
+	return &Recorder{keep: keep, share: share, open: map[*dispatch.Query]*Lookup{}, byID: map[string]*Lookup{}, names: map[uint32]string{}}
 }
 
 // Names takes over the names of the servers that are listed.
@@ -113,13 +113,13 @@
 	return float64(h.Sum32()) < r.share*(1<<32)
 }
 
-// Opened begins a lookup.
-func (r *Recorder) Opened(lk *dispatch.Lookup, c *phases.Choice, at float64) {
+// QueryAdmitted begins a lookup.
+func (r *Recorder) QueryAdmitted(lk *dispatch.Query, c *phases.Choice, at float64) {
 	if !r.drawn(lk.ID) {
 		return
 	}
-	t := &Lookup{ID: lk.ID, Index: lk.Index, At: at, Time: lk.GiveUpAt - at, at: map[*dispatch.Call]int{}}
-	for _, pt := range lk.Parts {
+	t := &Lookup{ID: lk.ID, Index: lk.Class, At: at, Time: lk.Deadline - at, at: map[*dispatch.Attempt]int{}}
+	for _, pt := range lk.ShardRequests {
 		t.Shards = append(t.Shards, pt.Shard)
 	}
 	if c != nil {
@@ -142,11 +142,11 @@
 
 var passes = map[gather.Pass]string{gather.SinglePass: "only", gather.FirstPass: "first", gather.SecondPass: "second"}
 
-// Sent adds a call.
-func (r *Recorder) Sent(c *dispatch.Call, at float64) {
+// AttemptDecided adds a call.
+func (r *Recorder) AttemptDecided(c *dispatch.Attempt, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.open[c.Lookup()]
+	t := r.open[c.Query()]
 	switch {
 	case t == nil:
 	case len(t.Calls) >= mostCalls:
@@ -160,11 +160,11 @@
 var ends = map[gather.Outcome]string{gather.Succeeded: "answered", gather.Failed: "failed", gather.Rejected: "turned away", gather.TimedOut: "out of time",
 	gather.ConnectFailed: "not reached", gather.ConnectionReset: "cut off", gather.Cancelled: "given up", gather.NotSent: "never sent", gather.NotOwner: "not owned there"}
 
-// Heard ends a call.
-func (r *Recorder) Heard(c *dispatch.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
+// AttemptEnded ends a call.
+func (r *Recorder) AttemptEnded(c *dispatch.Attempt, outcome gather.Outcome, waited float64, s *phases.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.open[c.Lookup()]
+	t := r.open[c.Query()]
 	if t == nil {
 		return
 	}
@@ -175,7 +175,7 @@
 	call := &t.Calls[i]
 	call.End, call.Took = ends[outcome], round(waited)
 	switch {
-	case !c.First() || outcome != gather.Succeeded:
+	case !c.FirstPass() || outcome != gather.Succeeded:
 	case s.Empty:
 		call.Summary = "nothing, at version " + s.Version
 	default:
@@ -183,8 +183,8 @@
 	}
 }
 
-// Closed ends a first pass.
-func (r *Recorder) Closed(lk *dispatch.Lookup, n *phases.Next, at float64) {
+// FirstPassEnded ends a first pass.
+func (r *Recorder) FirstPassEnded(lk *dispatch.Query, n *phases.Next, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[lk]
@@ -193,20 +193,20 @@
 	}
 	t.First = &Closed{At: round(at - t.At), Proved: n.In, Whole: n.Whole}
 	for _, a := range n.Ask {
-		t.First.Asked = append(t.First.Asked, lk.Parts[a.Part].Shard)
+		t.First.Asked = append(t.First.Asked, lk.ShardRequests[a.Part].Shard)
 		if a.Again {
-			t.First.Again = append(t.First.Again, lk.Parts[a.Part].Shard)
+			t.First.Again = append(t.First.Again, lk.ShardRequests[a.Part].Shard)
 		}
 	}
 	for _, i := range n.Left {
-		t.First.Left = append(t.First.Left, lk.Parts[i].Shard)
+		t.First.Left = append(t.First.Left, lk.ShardRequests[i].Shard)
 	}
 }
 
-var verdicts = map[dispatch.Kind]string{dispatch.Satisfied: "satisfied", dispatch.Nacked: "nacked", dispatch.Aborted: "aborted", dispatch.Broken: "failed", dispatch.Left: "its client left"}
+var verdicts = map[dispatch.ResultKind]string{dispatch.Served: "satisfied", dispatch.Rejected: "nacked", dispatch.Failed: "aborted", dispatch.InternalError: "failed", dispatch.Abandoned: "its client left"}
 
-// Ended ends a lookup.
-func (r *Recorder) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
+// QueryDecided ends a lookup.
+func (r *Recorder) QueryDecided(lk *dispatch.Query, v dispatch.Result, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[lk]
@@ -214,8 +214,8 @@
 		return
 	}
 	delete(r.open, lk) // calls that are still out end unseen, which bounds what is open
-	t.Verdict, t.Took, t.Hits, t.Empty = verdicts[v.Kind], round(at-t.At), len(v.Hits), v.Empty
-	if v.Kind == dispatch.Satisfied && !v.Whole {
+	t.Verdict, t.Took, t.Hits, t.Empty = verdicts[v.Kind], round(at-t.At), len(v.Hits), v.EmptyShards
+	if v.Kind == dispatch.Served && !v.Complete {
 		t.Verdict = "satisfied in part"
 	}
 	for i := range t.Calls {
--- a/internal/storage/statedir/claims.go
+++ b/internal/storage/statedir/claims.go
@@ -119,9 +119,9 @@
 	return known || repeat && now < g.blind
 }
 
-// Sent notes, before any byte of theirs goes, that part calls of once-only lookups are about to go. With a disk it
+// RecordSent notes, before any byte of theirs goes, that part calls of once-only lookups are about to go. With a disk it
 // returns once that is written; an error means that it may not be, and that the calls must not go.
-func (g *Gatherer) Sent(names []string, now float64) error {
+func (g *Gatherer) RecordSent(names []string, now float64) error {
 	g.forget(now)
 	var records [][]byte
 	from := len(g.order)
@@ -143,8 +143,8 @@
 	return err
 }
 
-// Unrun notes that no part call of a lookup ran after all, so that its client may ask again.
-func (g *Gatherer) Unrun(name string) error {
+// RecordNotRun notes that no part call of a lookup ran after all, so that its client may ask again.
+func (g *Gatherer) RecordNotRun(name string) error {
 	if _, known := g.names[name]; !known {
 		return nil
 	}
@@ -152,8 +152,8 @@
 	return g.write([][]byte{encode(record{Unrun: name})})
 }
 
-// SetMap notes a newer map.
-func (g *Gatherer) SetMap(m *ownership.Map) error {
+// SaveMap notes a newer map.
+func (g *Gatherer) SaveMap(m *ownership.Map) error {
 	if g.epoch != nil && m.Epoch <= g.epoch.Epoch {
 		return nil
 	}
--- a/internal/storage/statedir/claims_test.go
+++ b/internal/storage/statedir/claims_test.go
@@ -29,15 +29,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := g.SetMap(m); err != nil {
+	if err := g.SaveMap(m); err != nil {
 		t.Fatal(err)
 	}
 	for i := range 200 { // past several snapshots
-		if err := g.Sent([]string{fmt.Sprint("a", i), fmt.Sprint("b", i)}, float64(i)); err != nil {
+		if err := g.RecordSent([]string{fmt.Sprint("a", i), fmt.Sprint("b", i)}, float64(i)); err != nil {
 			t.Fatal(err)
 		}
 		if i%3 == 0 {
-			if err := g.Unrun(fmt.Sprint("b", i)); err != nil {
+			if err := g.RecordNotRun(fmt.Sprint("b", i)); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -76,13 +76,13 @@
 			t.Errorf("%+v: %t", c, got)
 		}
 	}
-	if err := g.Sent([]string{"x"}, 6000); err != nil || !g.MayHaveRun("x", false, 6001) {
+	if err := g.RecordSent([]string{"x"}, 6000); err != nil || !g.MayHaveRun("x", false, 6001) {
 		t.Errorf("a name sent by this process: %v", err)
 	}
 	dir := t.TempDir()
 	d, _ := open(t, dir, 0)
 	for i := range 10 {
-		d.Sent([]string{fmt.Sprint(i)}, 0)
+		d.RecordSent([]string{fmt.Sprint(i)}, 0)
 	}
 	d.Close()
 	path := only(t, dir, journalName)
@@ -112,12 +112,12 @@
 // either.
 func TestUnwritten(t *testing.T) {
 	g, _ := open(t, t.TempDir(), 0)
-	if err := g.Sent([]string{"a"}, 1); err != nil {
+	if err := g.RecordSent([]string{"a"}, 1); err != nil {
 		t.Fatal(err)
 	}
 	g.journal.sync = func(*os.File) error { return os.ErrPermission }
 	for i := range 3 {
-		if err := g.Sent([]string{"a", "b"}, float64(2+i)); err == nil {
+		if err := g.RecordSent([]string{"a", "b"}, float64(2+i)); err == nil {
 			t.Error("a name that is not on the disk counts as written")
 		}
 	}
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/statedir/journal_test.go
@@ -315,7 +315,7 @@
 			chance := pcg.New(1)
 			for i := range claims {
 				name := fmt.Sprintf("%08x%08x", chance.Uint32(), chance.Uint32())
-				if err := g.Sent([]string{name}, 1_000_000+float64(i)/1000); err != nil {
+				if err := g.RecordSent([]string{name}, 1_000_000+float64(i)/1000); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -352,7 +352,7 @@
 				for k := range together {
 					names = append(names, fmt.Sprint(i, "-", k))
 				}
-				if err := g.Sent(names, float64(i)); err != nil {
+				if err := g.RecordSent(names, float64(i)); err != nil {
 					b.Fatal(err)
 				}
 			}
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -111,7 +111,7 @@
 	if d.service, err = service.New(c, &operator.File{Traces: 200, KeepShare: 1, Background: 0.05}, log); err != nil {
 		return nil, err
 	}
-	d.service.Picker.Trace(counter{d})
+	d.service.Picker.ObserveDecisions(counter{d})
 	for _, m := range machines {
 		id := discovery.Number(m.Name)
 		d.names[id] = m.Name
@@ -157,7 +157,7 @@
 // Machines are all machines; those that the gatherer does not list have no figures.
 func (d *Demo) Machines(ctx context.Context) []Machine {
 	views := map[uint32]gather.EndpointView{}
-	for _, v := range d.service.Picker.View(ctx) {
+	for _, v := range d.service.Picker.EndpointViews(ctx) {
 		views[v.Server] = v
 	}
 	d.mu.Lock()
@@ -232,20 +232,20 @@
 // counter counts what is decided; it is a pick.Tracer.
 type counter struct{ d *Demo }
 
-func (c counter) Opened(*dispatch.Lookup, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
+func (c counter) QueryAdmitted(*dispatch.Query, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
 
-func (c counter) Sent(call *dispatch.Call, _ float64) {
+func (c counter) AttemptDecided(call *dispatch.Attempt, _ float64) {
 	n := &c.d.Counts
 	n.Calls.Add(1)
-	switch lk := call.Lookup(); {
+	switch lk := call.Query(); {
 	case call.Number() > 0:
 		n.Further.Add(1)
-	case lk.Index == "search" && 4*call.Place() > 3*len(lk.Parts):
+	case lk.Class == "search" && 4*call.ShardsAttempted() > 3*len(lk.ShardRequests):
 		n.Beyond.Add(1)
 	}
 }
 
-func (c counter) Heard(_ *dispatch.Call, outcome gather.Outcome, _ float64, _ *phases.Summary) {
+func (c counter) AttemptEnded(_ *dispatch.Attempt, outcome gather.Outcome, _ float64, _ *phases.Summary) {
 	switch outcome {
 	case gather.Succeeded:
 		c.d.Counts.Answered.Add(1)
@@ -256,18 +256,18 @@
 	}
 }
 
-func (c counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
+func (c counter) FirstPassEnded(*dispatch.Query, *phases.Next, float64) {}
 
-func (c counter) Ended(_ *dispatch.Lookup, v dispatch.Verdict, _ float64) {
+func (c counter) QueryDecided(_ *dispatch.Query, v dispatch.Result, _ float64) {
 	n := &c.d.Counts
 	switch {
-	case v.Kind == dispatch.Satisfied && v.Whole:
+	case v.Kind == dispatch.Served && v.Complete:
 		n.Satisfied.Add(1)
-	case v.Kind == dispatch.Satisfied:
+	case v.Kind == dispatch.Served:
 		n.Partial.Add(1)
-	case v.Kind == dispatch.Nacked:
+	case v.Kind == dispatch.Rejected:
 		n.Nacked.Add(1)
-	case v.Kind == dispatch.Left:
+	case v.Kind == dispatch.Abandoned:
 		n.Left.Add(1)
 	default:
 		n.Aborted.Add(1)
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -52,7 +52,7 @@
 	number uint64
 	ask    *ask
 	g      *gatherer
-	pick   *dispatch.Lookup
+	pick   *dispatch.Query
 	over   bool // its gatherer has answered it or died
 	gone   bool // its client has given it up
 }
@@ -224,10 +224,10 @@
 // take hands a lookup to its gatherer.
 func (w *World) take(g *gatherer, lk *lookup, until float64) {
 	k := lk.ask
-	p := &dispatch.Lookup{ID: fmt.Sprint(lk.number), Index: k.ix.Name, Customer: k.customer.Name, GiveUpAt: w.begin + until + g.offset, Retry: k.tried > 1, Tag: lk}
+	p := &dispatch.Query{ID: fmt.Sprint(lk.number), Class: k.ix.Name, Tenant: k.customer.Name, Deadline: w.begin + until + g.offset, Retried: k.tried > 1, Tag: lk}
 	parts := make([]rulecheck.Part, 0, len(k.parts))
 	for _, pt := range k.parts {
-		p.Parts = append(p.Parts, dispatch.Part{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
+		p.ShardRequests = append(p.ShardRequests, dispatch.ShardRequest{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
 		p.Cost += pt.hint
 		part := rulecheck.Part{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
@@ -239,9 +239,9 @@
 	lk.pick = p
 	w.see(rulecheck.Event{Kind: rulecheck.Taken, Gatherer: g.number, Lookup: lk.number, Index: k.ix.Name, Until: until, Parts: parts})
 	g.taken++
-	if !g.picker.Take(p) { // more than a gatherer may hold
+	if !g.picker.Submit(p) { // more than a gatherer may hold
 		lk.over = true
-		w.answered(g, lk, dispatch.Verdict{Kind: dispatch.Nacked})
+		w.answered(g, lk, dispatch.Result{Kind: dispatch.Rejected})
 		return
 	}
 	g.held[lk] = true
@@ -254,18 +254,18 @@
 	if lk.over || !lk.g.alive || !lk.g.held[lk] {
 		return
 	}
-	lk.g.picker.Leave(lk.pick)
+	lk.g.picker.Abandon(lk.pick)
 	w.round(lk.g)
 }
 
 // answered carries a lookup's final answer to its client.
-func (w *World) answered(g *gatherer, lk *lookup, v dispatch.Verdict) {
+func (w *World) answered(g *gatherer, lk *lookup, v dispatch.Result) {
 	e := rulecheck.Event{Gatherer: g.number, Lookup: lk.number}
 	switch v.Kind {
-	case dispatch.Left:
+	case dispatch.Abandoned:
 		e.Kind = rulecheck.Left
-	case dispatch.Satisfied:
-		e.Kind, e.Whole = rulecheck.Answered, v.Whole
+	case dispatch.Served:
+		e.Kind, e.Whole = rulecheck.Answered, v.Complete
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
 			if h.Keys != nil {
@@ -274,18 +274,18 @@
 				e.InKeys = append(e.InKeys, nil)
 			}
 		}
-		e.In = append(e.In, v.Empty...)
-	case dispatch.Nacked:
+		e.In = append(e.In, v.EmptyShards...)
+	case dispatch.Rejected:
 		e.Kind = rulecheck.Nacked
 	default:
 		e.Kind = rulecheck.Aborted
 	}
-	if v.Kind == dispatch.Broken {
+	if v.Kind == dispatch.InternalError {
 		w.broken++
 	}
 	w.see(e)
 	w.verdicts[v.Kind]++
-	if v.Kind == dispatch.Left {
+	if v.Kind == dispatch.Abandoned {
 		return
 	}
 	w.in(w.sc.Clients.Latency, func() {
@@ -295,10 +295,10 @@
 		lk.gone = true
 		k := lk.ask
 		switch v.Kind {
-		case dispatch.Satisfied:
+		case dispatch.Served:
 			w.earn(k, &v)
-		case dispatch.Nacked:
-			wait := v.ComeBack
+		case dispatch.Rejected:
+			wait := v.RetryAfter
 			if wait == 0 {
 				wait = w.sc.Clients.Wait
 			}
@@ -310,13 +310,13 @@
 }
 
 // earn books a satisfied lookup.
-func (w *World) earn(k *ask, v *dispatch.Verdict) {
+func (w *World) earn(k *ask, v *dispatch.Result) {
 	if k.ended {
 		return
 	}
-	k.ended, k.took, k.whole = true, w.now-k.at, v.Whole
+	k.ended, k.took, k.whole = true, w.now-k.at, v.Complete
 	k.earned = k.ix.Gain
-	if !v.Whole {
+	if !v.Complete {
 		in := 0.0
 		for _, h := range v.Hits {
 			share := 1.0
@@ -325,7 +325,7 @@
 			}
 			in += k.part(h.Shard).weight * share
 		}
-		for _, shard := range v.Empty {
+		for _, shard := range v.EmptyShards {
 			in += k.part(shard).weight
 		}
 		k.earned *= k.ix.Partial * min(in/k.ix.Need, 1)
--- a/internal/testbed/emulator/gatherer.go
+++ b/internal/testbed/emulator/gatherer.go
@@ -47,7 +47,7 @@
 	g        *gatherer
 	epoch    int // of the gatherer's process
 	lk       *lookup
-	call     *dispatch.Call
+	call     *dispatch.Attempt
 	conn     *conn
 	task     *task
 	work     float64
@@ -73,25 +73,25 @@
 	log := w.log
 	settings := g.settings
 	if w.owned != nil {
-		settings = dispatch.OwnedTerms(settings, w.sc.Owned.Most)
+		settings = dispatch.OwnershipSettings(settings, w.sc.Owned.Most)
 	}
-	g.picker = dispatch.NewPlayed(g.seed+uint64(g.epoch), settings, w.variant.module(w, g), func() float64 { return w.clock(g) }, log)
+	g.picker = dispatch.NewStepped(g.seed+uint64(g.epoch), settings, w.variant.module(w, g), func() float64 { return w.clock(g) }, log)
 	if marked := w.marked(); len(marked) > 0 && w.variant.Phases {
-		g.picker.Phases(marked)
+		g.picker.EnableTwoPass(marked)
 	}
 	if w.owned != nil {
-		g.picker.Segments(w.sc.Owned.Most, w.sc.Layout.Shards)
-		g.picker.Names(w.owned.names)
+		g.picker.EnableOwnership(w.sc.Owned.Most, w.sc.Layout.Shards)
+		g.picker.SetServerNames(w.owned.names)
 		g.picker.SetMap(g.ownedBy)
 	}
-	g.picker.Follow(gather.EndpointList{Full: true, Endpoints: slices.Clone(g.known)})
+	g.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: slices.Clone(g.known)})
 	for _, s := range w.servers {
 		if s.kind.Brief && w.variant.Phases {
-			g.picker.Speaks(s.id, true)
+			g.picker.SetSummarySupport(s.id, true)
 		}
 	}
 	if w.weights != nil {
-		g.picker.Weigh(w.weights[g.hall])
+		g.picker.SetWeights(w.weights[g.hall])
 	}
 	w.round(g)
 }
@@ -142,7 +142,7 @@
 
 // round has a gatherer's next round played when it is due.
 func (w *World) round(g *gatherer) {
-	due := g.picker.Due() - w.begin - g.offset
+	due := g.picker.NextRoundAt() - w.begin - g.offset
 	if math.IsInf(due, 1) || due >= g.roundAt && g.roundAt > w.now {
 		return
 	}
@@ -162,7 +162,7 @@
 func (w *World) play(g *gatherer) {
 	g.rounds++
 	w.rounds++
-	o := g.picker.Play()
+	o := g.picker.RunRoundNow()
 	w.behind(g)
 	epoch := g.epoch
 	if w.sc.Gatherers.Lag > 0 {
@@ -177,13 +177,13 @@
 	w.round(g)
 }
 
-func (w *World) orders(g *gatherer, o dispatch.Orders) {
-	for _, c := range o.Stop {
+func (w *World) orders(g *gatherer, o dispatch.Actions) {
+	for _, c := range o.StopWriting {
 		if a, out := c.Tag.(*attempt); out && !a.written {
 			w.ends(a, gather.NotSent, nil)
 		}
 	}
-	for _, c := range o.Off {
+	for _, c := range o.Cancel {
 		if a, out := c.Tag.(*attempt); out {
 			w.abandon(a, gather.Cancelled)
 		}
@@ -194,25 +194,25 @@
 		calls  []*attempt
 	}
 	var turns []turn
-	for _, c := range o.Calls {
-		lk := c.Lookup().Tag.(*lookup)
+	for _, c := range o.Send {
+		lk := c.Query().Tag.(*lookup)
 		p := lk.ask.part(c.Shard())
 		a := &attempt{g: g, epoch: g.epoch, lk: lk, call: c, work: p.work, empty: p.empty, mistaken: p.mistaken}
 		if w.owned != nil {
-			keys, _, _, _ := c.Keys()
+			keys, _, _, _ := c.Ownership()
 			a.keys = &rulecheck.Keys{Lo: keys.Lo, Hi: keys.Hi}
 			a.work *= keys.Size() / ownership.Slot(c.Shard(), w.sc.Layout.Shards).Size()
 		}
-		if c.First() {
+		if c.FirstPass() {
 			a.work *= lk.ask.ix.Brief
 		}
 		c.Tag = a
 		w.count(a)
 		s := w.byID[c.Server]
-		at := slices.IndexFunc(turns, func(t turn) bool { return t.server == s && t.first == c.First() })
+		at := slices.IndexFunc(turns, func(t turn) bool { return t.server == s && t.first == c.FirstPass() })
 		if at < 0 {
 			at = len(turns)
-			turns = append(turns, turn{server: s, first: c.First()})
+			turns = append(turns, turn{server: s, first: c.FirstPass()})
 		}
 		turns[at].calls = append(turns[at].calls, a)
 		w.in(c.Timeout, func() { w.abandon(a, gather.TimedOut) })
@@ -225,7 +225,7 @@
 		if lk.over {
 			continue
 		}
-		if v, decided := lk.pick.Verdict(); decided {
+		if v, decided := lk.pick.Result(); decided {
 			lk.over = true
 			delete(g.held, lk)
 			w.answered(g, lk, v)
@@ -262,8 +262,8 @@
 		a.conn.out = slices.Delete(a.conn.out, i, i+1)
 	}
 	if a.written {
-		w.see(rulecheck.Event{Kind: rulecheck.Ended, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(),
-			Outcome: outcome.String(), Keys: a.keys, Empty: a.call.First() && outcome == gather.Succeeded && a.empty && !a.mistaken})
+		w.see(rulecheck.Event{Kind: rulecheck.Ended, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.FirstPass(),
+			Outcome: outcome.String(), Keys: a.keys, Empty: a.call.FirstPass() && outcome == gather.Succeeded && a.empty && !a.mistaken})
 	}
 	w.ended[outcome]++
 	a.g.picker.Report(a.call, outcome, text)
@@ -271,7 +271,7 @@
 }
 
 func (w *World) sentEvent(a *attempt) {
-	w.see(rulecheck.Event{Kind: rulecheck.Sent, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.First(), Keys: a.keys})
+	w.see(rulecheck.Event{Kind: rulecheck.Sent, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.FirstPass(), Keys: a.keys})
 	if a.g.hall != a.conn.s.hall {
 		w.crossed++
 	}
@@ -307,7 +307,7 @@
 	g.known[s.number] = entry
 	state := map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}[entry.State]
 	w.see(rulecheck.Event{Kind: rulecheck.Told, Gatherer: g.number, Server: s.id, State: state})
-	g.picker.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{entry}})
+	g.picker.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{entry}})
 	w.round(g)
 }
 
--- a/internal/testbed/emulator/net.go
+++ b/internal/testbed/emulator/net.go
@@ -201,11 +201,11 @@
 		if a.ended {
 			continue
 		}
-		if c.g.known[c.s.number].State != gather.Running || !a.call.Begin() {
+		if c.g.known[c.s.number].State != gather.Running || !a.call.BeginWrite() {
 			w.ends(a, gather.NotSent, nil)
 			continue
 		}
-		a.call.End()
+		a.call.EndWrite()
 		a.written = true
 		w.sentEvent(a)
 		written = append(written, a)
--- a/internal/testbed/emulator/owned.go
+++ b/internal/testbed/emulator/owned.go
@@ -71,8 +71,8 @@
 
 // asks has a server decide about a call.
 func (o *segmentOwners) asks(s *server, a *attempt) ownership.Answer {
-	keys, segment, since, _ := a.call.Keys()
-	answer := o.hosts[s.number].Ask(ownership.Call{Segment: segment, Since: since, Range: keys, OnceOnly: a.call.OnceOnly()})
+	keys, segment, since, _ := a.call.Ownership()
+	answer := o.hosts[s.number].Ask(ownership.Call{Segment: segment, Since: since, Range: keys, OnceOnly: a.call.NonIdempotent()})
 	if answer == ownership.Moved {
 		o.refused++
 	}
@@ -81,7 +81,7 @@
 
 // takes reports whether a once-only call's log takes what it is about to do.
 func (o *segmentOwners) takes(a *attempt) bool {
-	_, segment, since, _ := a.call.Keys()
+	_, segment, since, _ := a.call.Ownership()
 	log := o.logs[segment]
 	if log == nil || !log.Append(since) {
 		o.refused++
@@ -234,7 +234,7 @@
 				g.ownedBy = next
 			}
 			if g.alive {
-				g.picker.ChangeMap(c)
+				g.picker.ApplyMapChange(c)
 				w.round(g)
 			}
 		})
@@ -247,7 +247,7 @@
 		return
 	}
 	select {
-	case <-g.picker.Behind():
+	case <-g.picker.MapRequested():
 		m := w.owned.m
 		w.in(2, func() { // asking the authority takes a moment
 			if m.Epoch > g.ownedBy.Epoch {
--- a/internal/testbed/emulator/result.go
+++ b/internal/testbed/emulator/result.go
@@ -151,7 +151,7 @@
 	n := max(float64(r.Lookups), 1)
 	r.Gain = r.earned / max(r.asked, 1e-9)
 	r.InAim, r.Satisfied, r.Whole, r.Tries = float64(r.inAim)/n, float64(r.served)/n, float64(r.whole)/n, float64(r.tried)/n
-	r.Nacked, r.Aborted = float64(w.verdicts[dispatch.Nacked])/n, float64(w.verdicts[dispatch.Aborted])/n
+	r.Nacked, r.Aborted = float64(w.verdicts[dispatch.Rejected])/n, float64(w.verdicts[dispatch.Failed])/n
 	r.WorstTen = r.Gain
 	from := int(math.Ceil(w.sc.Warmup / 1000))
 	for i := from; i+10 <= len(r.Seconds); i++ {
--- a/internal/testbed/emulator/server.go
+++ b/internal/testbed/emulator/server.go
@@ -151,7 +151,7 @@
 }
 
 func (w *World) ran(s *server, a *attempt) {
-	w.see(rulecheck.Event{Kind: rulecheck.Ran, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: s.id, First: a.call.First(), Keys: a.keys})
+	w.see(rulecheck.Event{Kind: rulecheck.Ran, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: s.id, First: a.call.FirstPass(), Keys: a.keys})
 }
 
 // pushes notes work sent to a server and reports whether it falls over for it.
@@ -196,7 +196,7 @@
 		if t.off {
 			continue
 		}
-		if t.a != nil && w.owned != nil && t.a.call.OnceOnly() && !w.owned.takes(t.a) { // its log is another's by now
+		if t.a != nil && w.owned != nil && t.a.call.NonIdempotent() && !w.owned.takes(t.a) { // its log is another's by now
 			w.reply(t.a.conn, t.a, gather.NotOwner, nil)
 			continue
 		}
@@ -237,9 +237,9 @@
 	a := t.a
 	text := value
 	switch {
-	case a.call.First() && a.empty && !a.mistaken:
+	case a.call.FirstPass() && a.empty && !a.mistaken:
 		text = holdsNone
-	case a.call.First():
+	case a.call.FirstPass():
 		text = mayHold
 	}
 	w.reply(a.conn, a, gather.Succeeded, text)
--- a/internal/testbed/emulator/world.go
+++ b/internal/testbed/emulator/world.go
@@ -71,7 +71,7 @@
 	result  *Result
 
 	rounds, tries, sent, crossed, fallen, broken, gaveUp, aborted int
-	verdicts                                                      map[dispatch.Kind]int
+	verdicts                                                      map[dispatch.ResultKind]int
 	ended                                                         map[gather.Outcome]int
 	causes                                                        [causeKinds]int
 }
@@ -98,7 +98,7 @@
 // begin sets a day up.
 func begin(sc *Scenario, o Options) (*World, error) {
 	w := &World{sc: sc, seed: o.Seed, variant: &o.Variant, begin: dayBegins, log: quietLog(), byID: map[uint32]*server{}, listLag: 1, number: 1,
-		header: sc.Header(), result: newResult(sc, o), verdicts: map[dispatch.Kind]int{}, ended: map[gather.Outcome]int{}}
+		header: sc.Header(), result: newResult(sc, o), verdicts: map[dispatch.ResultKind]int{}, ended: map[gather.Outcome]int{}}
 	w.build()
 	if sc.Owned.Segments > 0 {
 		if err := w.settleSegments(); err != nil {
@@ -212,7 +212,7 @@
 		g.offset = (2*clocks.Float64() - 1) * sc.Gatherers.Clock
 		g.settings = sc.Settings(n, sc.Halls[g.hall])
 		g.silence = math.Inf(1)
-		if s := dispatch.Silence(g.settings); s < 1e9 {
+		if s := dispatch.SilenceTimeout(g.settings); s < 1e9 {
 			g.silence = s
 		}
 		for i, s := range w.servers {
@@ -302,13 +302,13 @@
 		return
 	}
 	switch {
-	case a.call.First():
+	case a.call.FirstPass():
 		w.causes[causeSummary]++
-	case a.call.Number() > 0 && a.call.Alone():
+	case a.call.Number() > 0 && a.call.OnlyInFlight():
 		w.causes[causeAgain]++
 	case a.call.Number() > 0:
 		w.causes[causeCopy]++
-	case a.call.Place() > a.lk.needs():
+	case a.call.ShardsAttempted() > a.lk.needs():
 		w.causes[causeExtra]++
 	default:
 		w.causes[causeFirst]++
--- a/internal/testbed/scale/connections.go
+++ b/internal/testbed/scale/connections.go
@@ -128,26 +128,26 @@
 	picker := dispatch.New(1, settings, log)
 	pool := shardcall.New(settings, count, picker, log)
 	list, addresses := gather.EndpointList{Full: true}, make([]shardcall.Address, count)
-	lk := &dispatch.Lookup{ID: "scale", Index: "find", GiveUpAt: picker.Now() + 60_000, Text: []byte("q")}
+	lk := &dispatch.Query{ID: "scale", Class: "find", Deadline: picker.Now() + 60_000, Payload: []byte("q")}
 	for i := range count {
 		addresses[i] = shardcall.Address{ID: uint32(i), Name: fmt.Sprint("s", i), HostPort: address}
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), ReplicaSet: i})
-		lk.Parts = append(lk.Parts, dispatch.Part{Shard: i, Weight: 1 / float64(count)})
+		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: i, Weight: 1 / float64(count)})
 	}
 	pool.Follow(addresses)
-	picker.Follow(list)
+	picker.UpdateEndpoints(list)
 	ctx, stop := context.WithTimeout(ctx, connectionWait)
 	defer stop()
 	go func() {
 		for {
-			orders, err := picker.Tick(ctx)
+			orders, err := picker.RunRound(ctx)
 			if err != nil {
 				return
 			}
 			pool.Carry(orders)
 		}
 	}()
-	if v := picker.Pick(ctx, lk); v.Kind != dispatch.Satisfied {
+	if v := picker.Pick(ctx, lk); v.Kind != dispatch.Served {
 		return nil, fmt.Errorf("connections: the lookup over %d servers ended as %d", count, v.Kind)
 	}
 	return pool, nil
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -223,8 +223,8 @@
 
 // changed notes how far the gatherer has come, and settles: it has no lookups in hand.
 func (h *hollowGatherer) changed(now float64) {
-	way, _ := h.governor.Acts(now)
-	h.governor.Settle(way)
+	way, _ := h.governor.Effective(now)
+	h.governor.MarkDrained(way)
 	state := h.governor.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
