--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -9,7 +9,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/suggest"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // Phase is what an operator sets of an index that may go in two phases.
@@ -146,8 +146,8 @@
 
 // Fit gives what of the file does not fit the platform's settings: unknown indexes, and those whose parts may not
 // run twice, for two phases. Phases are the marked indexes that do fit.
-func (f *File) Fit(settings *gather.Settings) (marked map[string]phases.Terms, err error) {
-	marked = map[string]phases.Terms{}
+func (f *File) Fit(settings *gather.Settings) (marked map[string]twopass.Terms, err error) {
+	marked = map[string]twopass.Terms{}
 	var faults directive.ErrorList
 	for _, ph := range f.TwoPhase {
 		name := ph.Index
@@ -159,7 +159,7 @@
 		case settings.Class(name).FollowUpRequests > 0:
 			faults = append(faults, ph.line.Errorf("index", "has a second step of its own"))
 		default:
-			marked[name] = phases.Terms{Soft: settings.Class(name).LatencyObjective, Whole: settings.Class(name).CompleteShare,
+			marked[name] = twopass.Terms{Soft: settings.Class(name).LatencyObjective, Whole: settings.Class(name).CompleteShare,
 				Least: settings.Class(name).MinShare, First: ph.First, Likely: ph.Likely, Partial: ph.Partial, Trials: ph.Trials}
 		}
 	}
--- a/internal/gatherer/dispatch/pick.go
+++ b/internal/gatherer/dispatch/pick.go
@@ -17,7 +17,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/logic"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // Picker stands between the network and one decision module.
@@ -88,7 +88,7 @@
 	outcome gather.Outcome
 	waited  float64
 	text    []byte
-	summary phases.Summary
+	summary twopass.Summary
 }
 
 func build(seed uint64, settings *gather.Settings) gather.Module { return logic.New(seed, settings) }
@@ -156,7 +156,7 @@
 	e := ended{call: c, outcome: outcome, waited: p.Now() - c.at, text: text}
 	if c.FirstPass() && outcome == gather.Succeeded {
 		var err error
-		if e.summary, err = phases.ParseSummary(text); err != nil {
+		if e.summary, err = twopass.ParseSummary(text); err != nil {
 			p.log.WithError(err).WithField("server", c.Server).Warn("first pass: an answer that proves nothing")
 			e.outcome = gather.Failed
 		}
--- a/internal/gatherer/dispatch/twice.go
+++ b/internal/gatherer/dispatch/twice.go
@@ -3,7 +3,7 @@
 import (
 	"yokeroute/gather"
 	"yokeroute/logic"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // pass is what makes a lookup a pass of another one.
@@ -13,8 +13,8 @@
 	since float64
 	in    float64
 	lead  float64
-	parts []int        // of the lookup that it is a pass of, by their places there
-	asks  []phases.Ask // of a second pass
+	parts []int         // of the lookup that it is a pass of, by their places there
+	asks  []twopass.Ask // of a second pass
 }
 
 // root is the lookup as its client asked for it.
@@ -27,14 +27,14 @@
 
 // phased is where a lookup in two phases stands.
 type phased struct {
-	choice phases.Choice
+	choice twopass.Choice
 	now    *Query // the pass that the module holds, or is about to be handed
-	parts  []phases.Part
+	parts  []twopass.Part
 }
 
 // twice is what the facade knows of lookups in two phases.
 type twice struct {
-	phases *phases.Phases // nil where no index is marked
+	phases *twopass.Phases // nil where no index is marked
 	brief  map[uint32]bool
 	roots  map[uint64]*Query // lookups in two phases
 	wait   []*Query          // second passes for the next round
@@ -44,10 +44,10 @@
 
 // DecisionObserver hears what becomes of lookups, on the goroutine that calls Tick; it must not block.
 type DecisionObserver interface {
-	QueryAdmitted(lk *Query, choice *phases.Choice, at float64) // choice is nil for indexes in one phase
+	QueryAdmitted(lk *Query, choice *twopass.Choice, at float64) // choice is nil for indexes in one phase
 	AttemptDecided(c *Attempt, at float64)
-	AttemptEnded(c *Attempt, outcome gather.Outcome, waited float64, summary *phases.Summary)
-	FirstPassEnded(lk *Query, next *phases.Next, at float64)
+	AttemptEnded(c *Attempt, outcome gather.Outcome, waited float64, summary *twopass.Summary)
+	FirstPassEnded(lk *Query, next *twopass.Next, at float64)
 	QueryDecided(lk *Query, v Result, at float64)
 }
 
@@ -62,8 +62,8 @@
 func (p *Picker) ObserveWire(w WireObserver) { p.witnesses = append(p.witnesses, w) }
 
 // EnableTwoPass lets lookups of marked indexes go in two phases. It has to be called before the first Tick.
-func (p *Picker) EnableTwoPass(marked map[string]phases.Terms) {
-	p.twice.phases = phases.New(p.seed+1, marked)
+func (p *Picker) EnableTwoPass(marked map[string]twopass.Terms) {
+	p.twice.phases = twopass.New(p.seed+1, marked)
 	p.twice.brief, p.twice.roots = map[uint32]bool{}, map[uint64]*Query{}
 }
 
@@ -148,7 +148,7 @@
 			first.in += pt.Weight // as if it were in: the first pass does not wait for it
 		}
 	}
-	choice := t.phases.Open(now, phases.Lookup{Index: lk.Class, Parts: len(lk.ShardRequests), Spoken: len(first.ShardRequests), GiveUpAt: lk.Deadline,
+	choice := t.phases.Open(now, twopass.Lookup{Index: lk.Class, Parts: len(lk.ShardRequests), Spoken: len(first.ShardRequests), GiveUpAt: lk.Deadline,
 		Servers: t.count, Room: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
 	for _, t := range p.traces {
 		t.QueryAdmitted(lk, &choice, now)
@@ -157,7 +157,7 @@
 		p.hand(in, lk)
 		return
 	}
-	lk.phased = &phased{choice: choice, now: first, parts: make([]phases.Part, len(lk.ShardRequests))}
+	lk.phased = &phased{choice: choice, now: first, parts: make([]twopass.Part, len(lk.ShardRequests))}
 	for i, pt := range lk.ShardRequests {
 		lk.phased.parts[i].Weight = pt.Weight
 	}
--- a/internal/gatherer/dispatch/twice_test.go
+++ b/internal/gatherer/dispatch/twice_test.go
@@ -9,7 +9,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // newTwice is a picker whose index any may go in two phases, and always does as far as time and budget allow.
@@ -23,7 +23,7 @@
 		}
 	})
 	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
-	p.EnableTwoPass(map[string]phases.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
+	p.EnableTwoPass(map[string]twopass.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
 	p.clock = func() float64 { return p.ranAt + 4 } // what is reported before a round came just before it
 	p.round(1000)
 	for id := uint32(10); id < 16; id++ {
--- a/internal/gatherer/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -14,8 +14,8 @@
 	"yokeroute/internal/process"
 	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/version"
-	"yokeroute/logic/phases"
 	"yokeroute/logic/rollout"
+	"yokeroute/logic/twopass"
 )
 
 // marks are how many a gatherer keeps; one more and the oldest is forgotten, and who asks with it gets all since the
@@ -108,13 +108,13 @@
 }
 
 // QueryAdmitted is counted by its end.
-func (c *Counter) QueryAdmitted(*dispatch.Query, *phases.Choice, float64) {}
+func (c *Counter) QueryAdmitted(*dispatch.Query, *twopass.Choice, float64) {}
 
 // AttemptDecided is a decision; Written tells what went.
 func (c *Counter) AttemptDecided(*dispatch.Attempt, float64) {}
 
 // FirstPassEnded is no end.
-func (c *Counter) FirstPassEnded(*dispatch.Query, *phases.Next, float64) {}
+func (c *Counter) FirstPassEnded(*dispatch.Query, *twopass.Next, float64) {}
 
 // QueryAnswered is counted by Ended.
 func (c *Counter) QueryAnswered(*dispatch.Query, dispatch.Result, float64) {}
@@ -134,7 +134,7 @@
 }
 
 // AttemptEnded counts the end of a part call.
-func (c *Counter) AttemptEnded(call *dispatch.Attempt, outcome gather.Outcome, waited float64, _ *phases.Summary) {
+func (c *Counter) AttemptEnded(call *dispatch.Attempt, outcome gather.Outcome, waited float64, _ *twopass.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[call.Query().Class]
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -17,7 +17,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/ownership"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // scripted is a decision module that decides what the test has it decide in the next round.
@@ -139,7 +139,7 @@
 	recorder := New(20, 1)
 	recorder.Names([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newPlayed(keptTerms, file, recorder)
-	p.EnableTwoPass(map[string]phases.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
+	p.EnableTwoPass(map[string]twopass.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
 	follow := func(l gather.EndpointList) {
 		p.UpdateEndpoints(l)
 		file.Follow(l, p.now)
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -10,7 +10,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/ownership"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // File records what a gatherer takes, calls, hears and answers, in the form on which package rules checks the six
@@ -113,7 +113,7 @@
 }
 
 // QueryAdmitted begins a lookup.
-func (r *File) QueryAdmitted(lk *dispatch.Query, _ *phases.Choice, at float64) {
+func (r *File) QueryAdmitted(lk *dispatch.Query, _ *twopass.Choice, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = r.next
@@ -153,7 +153,7 @@
 }
 
 // AttemptEnded records how a call ended.
-func (r *File) AttemptEnded(c *dispatch.Attempt, outcome gather.Outcome, waited float64, s *phases.Summary) {
+func (r *File) AttemptEnded(c *dispatch.Attempt, outcome gather.Outcome, waited float64, s *twopass.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[c.Query()]
@@ -165,7 +165,7 @@
 }
 
 // FirstPassEnded is of no interest to the rules.
-func (r *File) FirstPassEnded(*dispatch.Query, *phases.Next, float64) {}
+func (r *File) FirstPassEnded(*dispatch.Query, *twopass.Next, float64) {}
 
 // QueryDecided is a decision as well; Answered tells when nothing can go any more.
 func (r *File) QueryDecided(*dispatch.Query, dispatch.Result, float64) {}
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -14,7 +14,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // Call is one part call.
@@ -114,7 +114,7 @@
 }
 
 // QueryAdmitted begins a lookup.
-func (r *Recorder) QueryAdmitted(lk *dispatch.Query, c *phases.Choice, at float64) {
+func (r *Recorder) QueryAdmitted(lk *dispatch.Query, c *twopass.Choice, at float64) {
 	if !r.drawn(lk.ID) {
 		return
 	}
@@ -161,7 +161,7 @@
 	gather.ConnectFailed: "not reached", gather.ConnectionReset: "cut off", gather.Cancelled: "given up", gather.NotSent: "never sent", gather.NotOwner: "not owned there"}
 
 // AttemptEnded ends a call.
-func (r *Recorder) AttemptEnded(c *dispatch.Attempt, outcome gather.Outcome, waited float64, s *phases.Summary) {
+func (r *Recorder) AttemptEnded(c *dispatch.Attempt, outcome gather.Outcome, waited float64, s *twopass.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[c.Query()]
@@ -184,7 +184,7 @@
 }
 
 // FirstPassEnded ends a first pass.
-func (r *Recorder) FirstPassEnded(lk *dispatch.Query, n *phases.Next, at float64) {
+func (r *Recorder) FirstPassEnded(lk *dispatch.Query, n *twopass.Next, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[lk]
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -25,7 +25,7 @@
 	"yokeroute/internal/gatherer/service"
 	"yokeroute/internal/testbed/experiment"
 	"yokeroute/internal/testbed/standin/shards"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // Terms are what a demonstration is like.
@@ -232,7 +232,7 @@
 // counter counts what is decided; it is a pick.Tracer.
 type counter struct{ d *Demo }
 
-func (c counter) QueryAdmitted(*dispatch.Query, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
+func (c counter) QueryAdmitted(*dispatch.Query, *twopass.Choice, float64) { c.d.Counts.Lookups.Add(1) }
 
 func (c counter) AttemptDecided(call *dispatch.Attempt, _ float64) {
 	n := &c.d.Counts
@@ -245,7 +245,7 @@
 	}
 }
 
-func (c counter) AttemptEnded(_ *dispatch.Attempt, outcome gather.Outcome, _ float64, _ *phases.Summary) {
+func (c counter) AttemptEnded(_ *dispatch.Attempt, outcome gather.Outcome, _ float64, _ *twopass.Summary) {
 	switch outcome {
 	case gather.Succeeded:
 		c.d.Counts.Answered.Add(1)
@@ -256,7 +256,7 @@
 	}
 }
 
-func (c counter) FirstPassEnded(*dispatch.Query, *phases.Next, float64) {}
+func (c counter) FirstPassEnded(*dispatch.Query, *twopass.Next, float64) {}
 
 func (c counter) QueryDecided(_ *dispatch.Query, v dispatch.Result, _ float64) {
 	n := &c.d.Counts
--- a/internal/testbed/emulator/gatherer.go
+++ b/internal/testbed/emulator/gatherer.go
@@ -11,7 +11,7 @@
 	"yokeroute/internal/pcg"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/logic/ownership"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // gatherer is one gatherer: the facade that service has, over the decisions of a variant.
@@ -97,11 +97,11 @@
 }
 
 // marked are the indexes that may go in two phases.
-func (w *World) marked() map[string]phases.Terms {
-	marked := map[string]phases.Terms{}
+func (w *World) marked() map[string]twopass.Terms {
+	marked := map[string]twopass.Terms{}
 	for _, ix := range w.sc.Indexes {
 		if ix.Prune >= 0 {
-			marked[ix.Name] = phases.Terms{Soft: ix.Soft, Whole: ix.Need, Least: ix.Least, First: 0.3, Trials: 0.02}
+			marked[ix.Name] = twopass.Terms{Soft: ix.Soft, Whole: ix.Need, Least: ix.Least, First: 0.3, Trials: 0.02}
 		}
 	}
 	return marked
--- a/logic/phases/phases.go
+++ b/logic/twopass/phases.go
@@ -8,7 +8,7 @@
 // from the ends of calls. It may never count a part as in that did not prove that it holds nothing (rule
 // 5), nor begin a first pass whose calls, were they all lost, could not be made up for within the budget
 // of further part calls (rule 6). Why this way: docs/design/phases.md.
-package phases
+package twopass
 
 import (
 	"cmp"
--- a/logic/phases/summary.go
+++ b/logic/twopass/summary.go
@@ -1,4 +1,4 @@
-package phases
+package twopass
 
 import (
 	"bytes"
