--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -146,8 +146,8 @@
 
 // Fit gives what of the file does not fit the platform's settings: unknown indexes, and those whose parts may not
 // run twice, for two phases. Phases are the marked indexes that do fit.
-func (f *File) Fit(settings *gather.Settings) (marked map[string]twopass.Terms, err error) {
-	marked = map[string]twopass.Terms{}
+func (f *File) Fit(settings *gather.Settings) (marked map[string]twopass.Settings, err error) {
+	marked = map[string]twopass.Settings{}
 	var faults directive.ErrorList
 	for _, ph := range f.TwoPhase {
 		name := ph.Index
@@ -159,8 +159,8 @@
 		case settings.Class(name).FollowUpRequests > 0:
 			faults = append(faults, ph.line.Errorf("index", "has a second step of its own"))
 		default:
-			marked[name] = twopass.Terms{Soft: settings.Class(name).LatencyObjective, Whole: settings.Class(name).CompleteShare,
-				Least: settings.Class(name).MinShare, First: ph.First, Likely: ph.Likely, Partial: ph.Partial, Trials: ph.Trials}
+			marked[name] = twopass.Settings{LatencyObjective: settings.Class(name).LatencyObjective, CompleteShare: settings.Class(name).CompleteShare,
+				MinShare: settings.Class(name).MinShare, FirstPassShare: ph.First, MinLikelihood: ph.Likely, AllowPartial: ph.Partial, TrialShare: ph.Trials}
 		}
 	}
 	if len(faults) > 0 {
--- a/internal/gatherer/dispatch/lookup.go
+++ b/internal/gatherer/dispatch/lookup.go
@@ -266,7 +266,7 @@
 		return
 	}
 	c := &Attempt{Server: server, Timeout: timeout, lk: s.lk, part: s.part, number: len(s.lk.calls[s.part]), at: w.p.ranAt, p: w.p, ref: ref, shard: s.lk.ShardRequests[s.lk.partOf(s.part)].Shard, owned: s.lk.pieces != nil}
-	c.alone, c.further = true, c.number > 0 || s.lk.asks != nil && s.lk.asks[s.part].Again
+	c.alone, c.further = true, c.number > 0 || s.lk.asks != nil && s.lk.asks[s.part].Retry
 	c.onceOnly = w.p.onceOnly(s.lk)
 	if s.lk.pieces != nil {
 		pc := &s.lk.pieces[s.part]
--- a/internal/gatherer/dispatch/pick.go
+++ b/internal/gatherer/dispatch/pick.go
@@ -240,7 +240,7 @@
 		p.parts[ref] = place{lk, i}
 		part := gather.ShardRequest{ID: ref, Number: lk.ref, Shard: pt.Shard, Weight: pt.Weight, Cost: pt.Cost, Key: pt.Key}
 		if lk.asks != nil {
-			part.Retry, part.OrderPenalty = lk.asks[i].Again, lk.asks[i].Later
+			part.Retry, part.OrderPenalty = lk.asks[i].Retry, lk.asks[i].OrderPenalty
 		}
 		in.Requests = append(in.Requests, part)
 	}
--- a/internal/gatherer/dispatch/twice.go
+++ b/internal/gatherer/dispatch/twice.go
@@ -13,8 +13,8 @@
 	since float64
 	in    float64
 	lead  float64
-	parts []int         // of the lookup that it is a pass of, by their places there
-	asks  []twopass.Ask // of a second pass
+	parts []int                    // of the lookup that it is a pass of, by their places there
+	asks  []twopass.PlannedRequest // of a second pass
 }
 
 // root is the lookup as its client asked for it.
@@ -27,14 +27,14 @@
 
 // phased is where a lookup in two phases stands.
 type phased struct {
-	choice twopass.Choice
+	choice twopass.Decision
 	now    *Query // the pass that the module holds, or is about to be handed
-	parts  []twopass.Part
+	parts  []twopass.FirstPassOutcome
 }
 
 // twice is what the facade knows of lookups in two phases.
 type twice struct {
-	phases *twopass.Phases // nil where no index is marked
+	phases *twopass.Decider // nil where no index is marked
 	brief  map[uint32]bool
 	roots  map[uint64]*Query // lookups in two phases
 	wait   []*Query          // second passes for the next round
@@ -44,10 +44,10 @@
 
 // DecisionObserver hears what becomes of lookups, on the goroutine that calls Tick; it must not block.
 type DecisionObserver interface {
-	QueryAdmitted(lk *Query, choice *twopass.Choice, at float64) // choice is nil for indexes in one phase
+	QueryAdmitted(lk *Query, choice *twopass.Decision, at float64) // choice is nil for indexes in one phase
 	AttemptDecided(c *Attempt, at float64)
 	AttemptEnded(c *Attempt, outcome gather.Outcome, waited float64, summary *twopass.Summary)
-	FirstPassEnded(lk *Query, next *twopass.Next, at float64)
+	FirstPassEnded(lk *Query, next *twopass.Plan, at float64)
 	QueryDecided(lk *Query, v Result, at float64)
 }
 
@@ -62,7 +62,7 @@
 func (p *Picker) ObserveWire(w WireObserver) { p.witnesses = append(p.witnesses, w) }
 
 // EnableTwoPass lets lookups of marked indexes go in two phases. It has to be called before the first Tick.
-func (p *Picker) EnableTwoPass(marked map[string]twopass.Terms) {
+func (p *Picker) EnableTwoPass(marked map[string]twopass.Settings) {
 	p.twice.phases = twopass.New(p.seed+1, marked)
 	p.twice.brief, p.twice.roots = map[uint32]bool{}, map[uint64]*Query{}
 }
@@ -70,8 +70,8 @@
 // ObserveDecisions has one more tracer hear what becomes of lookups. It has to be called before the first Tick.
 func (p *Picker) ObserveDecisions(t DecisionObserver) { p.traces = append(p.traces, t) }
 
-// SetSummarySupport tells whether a server was found to answer first passes.
-func (p *Picker) SetSummarySupport(server uint32, yes bool) {
+// SetAnswersFirstPass tells whether a server was found to answer first passes.
+func (p *Picker) SetAnswersFirstPass(server uint32, yes bool) {
 	p.tell(func(in *inbox) {
 		if in.speak == nil {
 			in.speak = map[uint32]bool{}
@@ -131,7 +131,7 @@
 	if p.refuseRun(lk, now) {
 		return
 	}
-	if t.phases == nil || p.owned != nil || !t.phases.Marked(lk.Class) { // pieces go in one phase
+	if t.phases == nil || p.owned != nil || !t.phases.Enabled(lk.Class) { // pieces go in one phase
 		for _, t := range p.traces {
 			t.QueryAdmitted(lk, nil, now)
 		}
@@ -148,21 +148,21 @@
 			first.in += pt.Weight // as if it were in: the first pass does not wait for it
 		}
 	}
-	choice := t.phases.Open(now, twopass.Lookup{Index: lk.Class, Parts: len(lk.ShardRequests), Spoken: len(first.ShardRequests), GiveUpAt: lk.Deadline,
-		Servers: t.count, Room: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
+	choice := t.phases.Decide(now, twopass.Query{Class: lk.Class, ShardRequests: len(lk.ShardRequests), FirstPassRequests: len(first.ShardRequests), Deadline: lk.Deadline,
+		RunningServers: t.count, RetryBudgetLeft: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
 	for _, t := range p.traces {
 		t.QueryAdmitted(lk, &choice, now)
 	}
-	if !choice.Two {
+	if !choice.TwoPass {
 		p.hand(in, lk)
 		return
 	}
-	lk.phased = &phased{choice: choice, now: first, parts: make([]twopass.Part, len(lk.ShardRequests))}
+	lk.phased = &phased{choice: choice, now: first, parts: make([]twopass.FirstPassOutcome, len(lk.ShardRequests))}
 	for i, pt := range lk.ShardRequests {
 		lk.phased.parts[i].Weight = pt.Weight
 	}
-	first.Deadline = min(choice.Until+3*p.tick, lk.Deadline) // the module ends what it holds three ticks before its time
-	first.lead = choice.Lead
+	first.Deadline = min(choice.FirstPassDeadline+3*p.tick, lk.Deadline) // the module ends what it holds three ticks before its time
+	first.lead = choice.FullCallExtra
 	p.admitPass(first)
 	t.roots[lk.ref] = lk
 	p.hand(in, first)
@@ -200,7 +200,7 @@
 // sent notes a call that the module has decided on.
 func (p *Picker) sent(c *Attempt) {
 	if p.twice.phases != nil {
-		p.twice.phases.Sent(p.ranAt, c.FirstPass())
+		p.twice.phases.RecordSent(p.ranAt, c.FirstPass())
 	}
 	for _, t := range p.traces {
 		t.AttemptDecided(c, p.ranAt)
@@ -211,7 +211,7 @@
 func (p *Picker) heard(now float64, e *ended) {
 	lk, answered := e.call.lk, e.outcome == gather.Succeeded
 	if p.twice.phases != nil {
-		p.twice.phases.Ended(now, lk.Class, e.call.FirstPass(), answered, e.summary.Empty, e.waited)
+		p.twice.phases.RecordEnded(now, lk.Class, e.call.FirstPass(), answered, e.summary.Empty, e.waited)
 	}
 	for _, t := range p.traces {
 		t.AttemptEnded(e.call, e.outcome, e.waited, &e.summary)
@@ -224,7 +224,7 @@
 	case e.call.FirstPass():
 		if root := lk.of; root.phased.now == lk { // what comes later proves nothing any more
 			pt := &root.phased.parts[lk.pass.parts[e.call.part]]
-			pt.Heard, pt.Empty, pt.Likely = true, e.summary.Empty, e.summary.Likely
+			pt.Answered, pt.ProvedEmpty, pt.Likelihood = true, e.summary.Empty, e.summary.Likelihood
 		}
 	default:
 		lk.values[e.call.part] = e.text
@@ -241,22 +241,22 @@
 	}
 	ph := root.phased
 	for i, place := range lk.pass.parts {
-		ph.parts[place].Called = len(lk.calls[i]) > 0
+		ph.parts[place].Attempted = len(lk.calls[i]) > 0
 	}
-	next := t.phases.Close(root.Class, ph.parts)
+	next := t.phases.PlanSecondPass(root.Class, ph.parts)
 	for _, t := range p.traces {
 		t.FirstPassEnded(root, &next, p.ranAt)
 	}
 	if next.Done {
-		p.over(root, Result{Kind: Served, Complete: next.Whole, EmptyShards: root.empty()})
+		p.over(root, Result{Kind: Served, Complete: next.Complete, EmptyShards: root.empty()})
 		return
 	}
 	second := &Query{ID: root.ID, Class: root.Class, Tenant: root.Tenant, RouteKey: root.RouteKey, Retried: root.Retried, Payload: root.Payload,
-		Deadline: root.Deadline, pass: pass{of: root, kind: gather.SecondPass, since: root.landed, in: next.In, asks: next.Ask}}
-	for _, a := range next.Ask {
-		second.ShardRequests = append(second.ShardRequests, root.ShardRequests[a.Part])
-		second.pass.parts = append(second.pass.parts, a.Part)
-		second.Cost += root.ShardRequests[a.Part].Cost
+		Deadline: root.Deadline, pass: pass{of: root, kind: gather.SecondPass, since: root.landed, in: next.ProvedWeight, asks: next.Requests}}
+	for _, a := range next.Requests {
+		second.ShardRequests = append(second.ShardRequests, root.ShardRequests[a.Index])
+		second.pass.parts = append(second.pass.parts, a.Index)
+		second.Cost += root.ShardRequests[a.Index].Cost
 	}
 	p.admitPass(second)
 	ph.now = second
@@ -267,7 +267,7 @@
 // empty are the shards whose parts proved to hold nothing.
 func (lk *Query) empty() (shards []int) {
 	for i, pt := range lk.phased.parts {
-		if pt.Heard && pt.Empty {
+		if pt.Answered && pt.ProvedEmpty {
 			shards = append(shards, lk.ShardRequests[i].Shard)
 		}
 	}
--- a/internal/gatherer/dispatch/twice_test.go
+++ b/internal/gatherer/dispatch/twice_test.go
@@ -23,11 +23,11 @@
 		}
 	})
 	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
-	p.EnableTwoPass(map[string]twopass.Terms{"any": {Soft: 400, Whole: whole, Least: least, First: 0.3, Trials: 0.5}})
+	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: whole, MinShare: least, FirstPassShare: 0.3, TrialShare: 0.5}})
 	p.clock = func() float64 { return p.ranAt + 4 } // what is reported before a round came just before it
 	p.round(1000)
 	for id := uint32(10); id < 16; id++ {
-		p.SetSummarySupport(id, true)
+		p.SetAnswersFirstPass(id, true)
 	}
 	p.round(1005)
 	return p
@@ -212,7 +212,7 @@
 func TestOldBuilds(t *testing.T) {
 	p := newTwice(t, nil)
 	for _, id := range []uint32{11, 13, 15} { // the second group
-		p.SetSummarySupport(id, false)
+		p.SetAnswersFirstPass(id, false)
 	}
 	p.round(1008)
 	_, o := land(p, 1013, "a", 4)
--- a/internal/gatherer/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -108,13 +108,13 @@
 }
 
 // QueryAdmitted is counted by its end.
-func (c *Counter) QueryAdmitted(*dispatch.Query, *twopass.Choice, float64) {}
+func (c *Counter) QueryAdmitted(*dispatch.Query, *twopass.Decision, float64) {}
 
 // AttemptDecided is a decision; Written tells what went.
 func (c *Counter) AttemptDecided(*dispatch.Attempt, float64) {}
 
 // FirstPassEnded is no end.
-func (c *Counter) FirstPassEnded(*dispatch.Query, *twopass.Next, float64) {}
+func (c *Counter) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
 // QueryAnswered is counted by Ended.
 func (c *Counter) QueryAnswered(*dispatch.Query, dispatch.Result, float64) {}
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -121,7 +121,7 @@
 	}
 	if len(marked) > 0 {
 		s.Picker.EnableTwoPass(marked)
-		s.pool.Agree(s.Picker.SetSummarySupport)
+		s.pool.Agree(s.Picker.SetAnswersFirstPass)
 	}
 	if own.Traces > 0 {
 		s.traces = trace.New(own.Traces, own.KeepShare)
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -139,7 +139,7 @@
 	recorder := New(20, 1)
 	recorder.Names([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newPlayed(keptTerms, file, recorder)
-	p.EnableTwoPass(map[string]twopass.Terms{"any": {Soft: 400, Whole: 0.9, Least: 0.5, First: 0.3, Trials: 0.5}})
+	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: 0.9, MinShare: 0.5, FirstPassShare: 0.3, TrialShare: 0.5}})
 	follow := func(l gather.EndpointList) {
 		p.UpdateEndpoints(l)
 		file.Follow(l, p.now)
@@ -190,7 +190,7 @@
 	end(lk, func(w gather.Writer) { w.Fail(query) })
 
 	for _, s := range running {
-		p.SetSummarySupport(s.ID, true)
+		p.SetAnswersFirstPass(s.ID, true)
 	}
 	p.round(nil)
 	for _, c := range []struct {
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -113,7 +113,7 @@
 }
 
 // QueryAdmitted begins a lookup.
-func (r *File) QueryAdmitted(lk *dispatch.Query, _ *twopass.Choice, at float64) {
+func (r *File) QueryAdmitted(lk *dispatch.Query, _ *twopass.Decision, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = r.next
@@ -165,7 +165,7 @@
 }
 
 // FirstPassEnded is of no interest to the rules.
-func (r *File) FirstPassEnded(*dispatch.Query, *twopass.Next, float64) {}
+func (r *File) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
 // QueryDecided is a decision as well; Answered tells when nothing can go any more.
 func (r *File) QueryDecided(*dispatch.Query, dispatch.Result, float64) {}
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -114,7 +114,7 @@
 }
 
 // QueryAdmitted begins a lookup.
-func (r *Recorder) QueryAdmitted(lk *dispatch.Query, c *twopass.Choice, at float64) {
+func (r *Recorder) QueryAdmitted(lk *dispatch.Query, c *twopass.Decision, at float64) {
 	if !r.drawn(lk.ID) {
 		return
 	}
@@ -123,7 +123,7 @@
 		t.Shards = append(t.Shards, pt.Shard)
 	}
 	if c != nil {
-		t.Choice = &Choice{c.Two, string(c.Why), c.Prune, c.Own, c.Saved, c.Spent, c.Until - at}
+		t.Choice = &Choice{c.TwoPass, string(c.Reason), c.EmptyShare, c.OwnGain, c.SavedElsewhere, c.FirstPassCost, c.FirstPassDeadline - at}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,26 +179,26 @@
 	case s.Empty:
 		call.Summary = "nothing, at version " + s.Version
 	default:
-		call.Summary = fmt.Sprintf("up to %d hits, likely %g, at version %s", s.Count, s.Likely, s.Version)
+		call.Summary = fmt.Sprintf("up to %d hits, likely %g, at version %s", s.MaxHits, s.Likelihood, s.Version)
 	}
 }
 
 // FirstPassEnded ends a first pass.
-func (r *Recorder) FirstPassEnded(lk *dispatch.Query, n *twopass.Next, at float64) {
+func (r *Recorder) FirstPassEnded(lk *dispatch.Query, n *twopass.Plan, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.open[lk]
 	if t == nil {
 		return
 	}
-	t.First = &Closed{At: round(at - t.At), Proved: n.In, Whole: n.Whole}
-	for _, a := range n.Ask {
-		t.First.Asked = append(t.First.Asked, lk.ShardRequests[a.Part].Shard)
-		if a.Again {
-			t.First.Again = append(t.First.Again, lk.ShardRequests[a.Part].Shard)
+	t.First = &Closed{At: round(at - t.At), Proved: n.ProvedWeight, Whole: n.Complete}
+	for _, a := range n.Requests {
+		t.First.Asked = append(t.First.Asked, lk.ShardRequests[a.Index].Shard)
+		if a.Retry {
+			t.First.Again = append(t.First.Again, lk.ShardRequests[a.Index].Shard)
 		}
 	}
-	for _, i := range n.Left {
+	for _, i := range n.LeftOut {
 		t.First.Left = append(t.First.Left, lk.ShardRequests[i].Shard)
 	}
 }
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -232,7 +232,9 @@
 // counter counts what is decided; it is a pick.Tracer.
 type counter struct{ d *Demo }
 
-func (c counter) QueryAdmitted(*dispatch.Query, *twopass.Choice, float64) { c.d.Counts.Lookups.Add(1) }
+func (c counter) QueryAdmitted(*dispatch.Query, *twopass.Decision, float64) {
+	c.d.Counts.Lookups.Add(1)
+}
 
 func (c counter) AttemptDecided(call *dispatch.Attempt, _ float64) {
 	n := &c.d.Counts
@@ -256,7 +258,7 @@
 	}
 }
 
-func (c counter) FirstPassEnded(*dispatch.Query, *twopass.Next, float64) {}
+func (c counter) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
 func (c counter) QueryDecided(_ *dispatch.Query, v dispatch.Result, _ float64) {
 	n := &c.d.Counts
--- a/internal/testbed/emulator/gatherer.go
+++ b/internal/testbed/emulator/gatherer.go
@@ -87,7 +87,7 @@
 	g.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: slices.Clone(g.known)})
 	for _, s := range w.servers {
 		if s.kind.Brief && w.variant.Phases {
-			g.picker.SetSummarySupport(s.id, true)
+			g.picker.SetAnswersFirstPass(s.id, true)
 		}
 	}
 	if w.weights != nil {
@@ -97,11 +97,11 @@
 }
 
 // marked are the indexes that may go in two phases.
-func (w *World) marked() map[string]twopass.Terms {
-	marked := map[string]twopass.Terms{}
+func (w *World) marked() map[string]twopass.Settings {
+	marked := map[string]twopass.Settings{}
 	for _, ix := range w.sc.Indexes {
 		if ix.Prune >= 0 {
-			marked[ix.Name] = twopass.Terms{Soft: ix.Soft, Whole: ix.Need, Least: ix.Least, First: 0.3, Trials: 0.02}
+			marked[ix.Name] = twopass.Settings{LatencyObjective: ix.Soft, CompleteShare: ix.Need, MinShare: ix.Least, FirstPassShare: 0.3, TrialShare: 0.02}
 		}
 	}
 	return marked
--- a/logic/twopass/phases_test.go
+++ b/logic/twopass/phases_test.go
@@ -14,11 +14,11 @@
 
 func init() { flag.Set("rapid.seed", "20261201") } // the same verdict always
 
-var common = Terms{Soft: 400, Whole: 1, Least: 1, First: 0.3, Trials: 0.02}
+var common = Settings{LatencyObjective: 400, CompleteShare: 1, MinShare: 1, FirstPassShare: 0.3, TrialShare: 0.02}
 
 // world is servers as an index sees them: a call waits, then is worked on.
 type world struct {
-	p      *Phases
+	p      *Decider
 	chance *pcg.Source
 	now    float64
 	prune  float64 // share of parts that hold nothing
@@ -27,8 +27,8 @@
 	loss   float64 // share of first calls that are lost
 }
 
-func newWorld(t Terms, seed uint64) *world {
-	return &world{p: New(seed, map[string]Terms{"i": t}), chance: pcg.New(seed + 9), prune: 0.5, brief: 2}
+func newWorld(t Settings, seed uint64) *world {
+	return &world{p: New(seed, map[string]Settings{"i": t}), chance: pcg.New(seed + 9), prune: 0.5, brief: 2}
 }
 
 func (w *world) call(first bool) {
@@ -36,16 +36,16 @@
 	if first {
 		work = w.brief
 	}
-	w.p.Sent(w.now, first)
+	w.p.RecordSent(w.now, first)
 	answered := !first || w.chance.Float64() >= w.loss
-	w.p.Ended(w.now, "i", first, answered, first && answered && w.chance.Float64() < w.prune, w.wait+work*(0.7+0.6*w.chance.Float64()))
+	w.p.RecordEnded(w.now, "i", first, answered, first && answered && w.chance.Float64() < w.prune, w.wait+work*(0.7+0.6*w.chance.Float64()))
 }
 
 // lookup plays one of eight parts and gives how it went.
-func (w *world) lookup() Choice {
-	c := w.p.Open(w.now, Lookup{Index: "i", Parts: 8, Spoken: 8, GiveUpAt: w.now + 2000, Servers: 12, Room: 100})
+func (w *world) lookup() Decision {
+	c := w.p.Decide(w.now, Query{Class: "i", ShardRequests: 8, FirstPassRequests: 8, Deadline: w.now + 2000, RunningServers: 12, RetryBudgetLeft: 100})
 	rest := 8.0
-	if c.Two {
+	if c.TwoPass {
 		for range 8 {
 			w.call(true)
 		}
@@ -60,9 +60,9 @@
 
 func (w *world) play(n int) (two, trials float64) {
 	for range n {
-		if c := w.lookup(); c.Two {
+		if c := w.lookup(); c.TwoPass {
 			two++
-			if c.Why == Trial {
+			if c.Reason == Trial {
 				trials++
 			}
 		}
@@ -122,24 +122,24 @@
 func TestBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := common
-		terms.First = rapid.Float64Range(0.01, 0.9).Draw(t, "first")
-		terms.Trials = 0.5
+		terms.FirstPassShare = rapid.Float64Range(0.01, 0.9).Draw(t, "first")
+		terms.TrialShare = 0.5
 		w := newWorld(terms, rapid.Uint64().Draw(t, "seed"))
 		w.prune, w.wait = rapid.Float64Range(0, 1).Draw(t, "prune"), rapid.Float64Range(0, 200).Draw(t, "wait")
 		w.loss = rapid.Float64Range(0, 1).Draw(t, "loss")
 		w.play(rapid.IntRange(0, 150).Draw(t, "learnt"))
-		lk := Lookup{Index: "i", Parts: 8, Spoken: rapid.IntRange(0, 8).Draw(t, "spoken"), GiveUpAt: w.now + rapid.Float64Range(1, 3000).Draw(t, "left"),
-			Servers: 12, Room: float64(rapid.IntRange(-3, 12).Draw(t, "room"))}
-		c := w.p.Open(w.now, lk)
-		if !c.Two {
+		lk := Query{Class: "i", ShardRequests: 8, FirstPassRequests: rapid.IntRange(0, 8).Draw(t, "spoken"), Deadline: w.now + rapid.Float64Range(1, 3000).Draw(t, "left"),
+			RunningServers: 12, RetryBudgetLeft: float64(rapid.IntRange(-3, 12).Draw(t, "room"))}
+		c := w.p.Decide(w.now, lk)
+		if !c.TwoPass {
 			return
 		}
-		left := min(terms.Soft, lk.GiveUpAt-w.now)
-		if took := c.Until - w.now; took <= 0 || took > terms.First*left+1e-9 {
-			t.Fatalf("%g of %g ms for the first pass, at most %g", took, left, terms.First)
+		left := min(terms.LatencyObjective, lk.Deadline-w.now)
+		if took := c.FirstPassDeadline - w.now; took <= 0 || took > terms.FirstPassShare*left+1e-9 {
+			t.Fatalf("%g of %g ms for the first pass, at most %g", took, left, terms.FirstPassShare)
 		}
-		if lost := max(1-w.p.indexes["i"].answered, 0.25); lk.Spoken == 0 || lk.Room < float64(lk.Spoken)*lost {
-			t.Fatalf("begun with %d parts to be asked, %g of them lost and room for %g", lk.Spoken, lost, lk.Room)
+		if lost := max(1-w.p.classes["i"].answeredShare, 0.25); lk.FirstPassRequests == 0 || lk.RetryBudgetLeft < float64(lk.FirstPassRequests)*lost {
+			t.Fatalf("begun with %d parts to be asked, %g of them lost and room for %g", lk.FirstPassRequests, lost, lk.RetryBudgetLeft)
 		}
 	})
 }
@@ -157,15 +157,15 @@
 				w.wait = max(recent-4, 0) * 4 // the fleet is near its limit with all calls in full
 				c := w.lookup()
 				calls := 8.0
-				if c.Two {
+				if c.TwoPass {
 					calls = 8*w.brief/20 + 8*(1-prune)
 				}
 				recent += (calls - recent) / 50
-				if c.Why != Trial && i > 300 {
-					if c.Two != last[j] {
+				if c.Reason != Trial && i > 300 {
+					if c.TwoPass != last[j] {
 						flips[j]++
 					}
-					last[j] = c.Two
+					last[j] = c.TwoPass
 				}
 			}
 		}
@@ -180,56 +180,56 @@
 func TestClose(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		terms := common
-		terms.Whole = rapid.SampledFrom([]float64{1, 0.75, 0.5}).Draw(t, "whole")
-		terms.Least = terms.Whole * rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "least")
-		terms.Likely = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "likely")
-		terms.Partial = rapid.Bool().Draw(t, "partial")
-		p := New(1, map[string]Terms{"i": terms})
+		terms.CompleteShare = rapid.SampledFrom([]float64{1, 0.75, 0.5}).Draw(t, "whole")
+		terms.MinShare = terms.CompleteShare * rapid.SampledFrom([]float64{1, 0.5}).Draw(t, "least")
+		terms.MinLikelihood = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "likely")
+		terms.AllowPartial = rapid.Bool().Draw(t, "partial")
+		p := New(1, map[string]Settings{"i": terms})
 		k := rapid.IntRange(1, 12).Draw(t, "k")
-		parts := make([]Part, k)
+		parts := make([]FirstPassOutcome, k)
 		sum := 0.0
 		for i := range parts {
 			called := rapid.Bool().Draw(t, "called")
 			heard := called && rapid.Bool().Draw(t, "heard")
-			parts[i] = Part{Weight: rapid.Float64Range(0.1, 1).Draw(t, "weight"), Called: called, Heard: heard, Empty: rapid.Bool().Draw(t, "empty"),
-				Likely: rapid.Float64Range(0, 1).Draw(t, "chance")}
+			parts[i] = FirstPassOutcome{Weight: rapid.Float64Range(0.1, 1).Draw(t, "weight"), Attempted: called, Answered: heard, ProvedEmpty: rapid.Bool().Draw(t, "empty"),
+				Likelihood: rapid.Float64Range(0, 1).Draw(t, "chance")}
 			sum += parts[i].Weight
 		}
 		in, possible := 0.0, 0.0
 		for i := range parts {
 			parts[i].Weight /= sum
-			if parts[i].Heard && parts[i].Empty {
+			if parts[i].Answered && parts[i].ProvedEmpty {
 				in += parts[i].Weight
 			}
 		}
-		n := p.Close("i", parts)
-		if math.Abs(n.In-in) > 1e-9 || n.Whole != (in >= terms.Whole-eps) {
-			t.Fatalf("in %g, whole %t; proved %g", n.In, n.Whole, in)
+		n := p.PlanSecondPass("i", parts)
+		if math.Abs(n.ProvedWeight-in) > 1e-9 || n.Complete != (in >= terms.CompleteShare-weightTolerance) {
+			t.Fatalf("in %g, whole %t; proved %g", n.ProvedWeight, n.Complete, in)
 		}
-		if n.Done && in < terms.Least-eps || n.Whole && !n.Done || !n.Done && len(n.Ask) == 0 {
+		if n.Done && in < terms.MinShare-weightTolerance || n.Complete && !n.Done || !n.Done && len(n.Requests) == 0 {
 			t.Fatalf("%+v with %g proved", n, in)
 		}
 		seen := map[int]bool{}
 		possible = in
-		for _, a := range n.Ask {
-			pt := parts[a.Part]
-			if seen[a.Part] || pt.Heard && pt.Empty || a.Again != (pt.Called && !pt.Heard) {
+		for _, a := range n.Requests {
+			pt := parts[a.Index]
+			if seen[a.Index] || pt.Answered && pt.ProvedEmpty || a.Retry != (pt.Attempted && !pt.Answered) {
 				t.Fatalf("asks %+v for %+v", a, pt)
 			}
-			seen[a.Part] = true
+			seen[a.Index] = true
 			possible += pt.Weight
 		}
-		for _, i := range n.Left {
-			if seen[i] || !parts[i].Heard || parts[i].Empty || parts[i].Likely >= terms.Likely {
+		for _, i := range n.LeftOut {
+			if seen[i] || !parts[i].Answered || parts[i].ProvedEmpty || parts[i].Likelihood >= terms.MinLikelihood {
 				t.Fatalf("left out %+v", parts[i])
 			}
 			seen[i] = true
 		}
-		keep := terms.Whole
-		if terms.Partial {
-			keep = terms.Least
+		keep := terms.CompleteShare
+		if terms.AllowPartial {
+			keep = terms.MinShare
 		}
-		if len(n.Left) > 0 && possible < keep-1e-3 {
+		if len(n.LeftOut) > 0 && possible < keep-1e-3 {
 			t.Fatalf("%g of the weight can come, %g is kept", possible, keep)
 		}
 	})
@@ -270,7 +270,7 @@
 	f.Add([]byte("some 12 0.5 v3"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		s, err := ParseSummary(text)
-		if err == nil && (!s.Empty && (s.Count < 1 || !(s.Likely >= 0 && s.Likely <= 1)) || s.Version == "") {
+		if err == nil && (!s.Empty && (s.MaxHits < 1 || !(s.Likelihood >= 0 && s.Likelihood <= 1)) || s.Version == "") {
 			t.Errorf("%q reads as %+v", text, s)
 		}
 		if err == nil && s.Empty != strings.HasPrefix(string(text), "none ") {
@@ -283,13 +283,13 @@
 	w := newWorld(common, 1)
 	w.prune = 0.6
 	w.play(500)
-	lk := Lookup{Index: "i", Parts: 12, Spoken: 12, GiveUpAt: w.now + 2000, Servers: 100, Room: 100}
+	lk := Query{Class: "i", ShardRequests: 12, FirstPassRequests: 12, Deadline: w.now + 2000, RunningServers: 100, RetryBudgetLeft: 100}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.p.Open(w.now, lk)
+		w.p.Decide(w.now, lk)
 		for range 4 {
-			w.p.Sent(w.now, false)
-			w.p.Ended(w.now, "i", false, true, false, 20)
+			w.p.RecordSent(w.now, false)
+			w.p.RecordEnded(w.now, "i", false, true, false, 20)
 		}
 	}
 }
@@ -298,15 +298,15 @@
 	for _, k := range []int{4, 12, 64} {
 		b.Run(fmt.Sprint(k), func(b *testing.B) {
 			terms := common
-			terms.Likely = 0.2
-			p := New(1, map[string]Terms{"i": terms})
-			parts := make([]Part, k)
+			terms.MinLikelihood = 0.2
+			p := New(1, map[string]Settings{"i": terms})
+			parts := make([]FirstPassOutcome, k)
 			for i := range parts {
-				parts[i] = Part{Weight: 1 / float64(k), Called: true, Heard: i%5 > 0, Empty: i%2 == 0, Likely: float64(i) / float64(k)}
+				parts[i] = FirstPassOutcome{Weight: 1 / float64(k), Attempted: true, Answered: i%5 > 0, ProvedEmpty: i%2 == 0, Likelihood: float64(i) / float64(k)}
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Close("i", parts)
+				p.PlanSecondPass("i", parts)
 			}
 		})
 	}
