--- a/internal/gatherer/frontend/answer.go
+++ b/internal/gatherer/frontend/answer.go
@@ -8,12 +8,12 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// answer writes a verdict. The values go out as the shard servers gave them.
-func answer(w http.ResponseWriter, v dispatch.Result) {
+// writeResult writes a verdict. The values go out as the shard servers gave them.
+func writeResult(w http.ResponseWriter, v dispatch.Result) {
 	h := w.Header()
 	switch v.Kind {
 	case dispatch.Served:
-		text := body200(v)
+		text := resultBody(v)
 		h.Set("Content-Type", "application/json")
 		h.Set("Content-Length", strconv.Itoa(len(text)))
 		w.Write(text) // an error here is a client that has gone; the server notices it as well
@@ -21,17 +21,17 @@
 		if v.RetryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(v.RetryAfter/1000, 'f', 3, 64))
 		}
-		refuse(w, http.StatusServiceUnavailable, "nacked")
+		writeText(w, http.StatusServiceUnavailable, "nacked")
 	case dispatch.Failed:
-		refuse(w, http.StatusGatewayTimeout, "aborted")
+		writeText(w, http.StatusGatewayTimeout, "aborted")
 	case dispatch.Abandoned: // as good as nobody reads it; without a word net/http would say that all is well
-		refuse(w, http.StatusGatewayTimeout, "left")
+		writeText(w, http.StatusGatewayTimeout, "left")
 	default:
-		refuse(w, http.StatusInternalServerError, "failed")
+		writeText(w, http.StatusInternalServerError, "failed")
 	}
 }
 
-func refuse(w http.ResponseWriter, status int, text string) {
+func writeText(w http.ResponseWriter, status int, text string) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)+1))
@@ -39,8 +39,8 @@
 	w.Write([]byte(text + "\n"))
 }
 
-// body200 is the body of an answer.
-func body200(v dispatch.Result) []byte {
+// resultBody is the body of an answer.
+func resultBody(v dispatch.Result) []byte {
 	text := append([]byte(nil), `{"complete":`...)
 	text = strconv.AppendBool(text, v.Complete)
 	text = append(text, `,"hits":[`...)
@@ -55,7 +55,7 @@
 			text = append(append(text, hit.Keys.Text()...), '"')
 		}
 		text = append(text, `,"doc":`...)
-		text = appendText(text, hit.Value)
+		text = appendJSONString(text, hit.Value)
 		text = append(text, '}')
 	}
 	text = append(text, ']')
@@ -72,8 +72,8 @@
 	return append(text, '}')
 }
 
-// appendText writes a value as text. Its bytes go out as they came unless JSON has to have them escaped.
-func appendText(text, value []byte) []byte {
+// appendJSONString writes a value as text. Its bytes go out as they came unless JSON has to have them escaped.
+func appendJSONString(text, value []byte) []byte {
 	for _, b := range value {
 		if b < ' ' || b == '"' || b == '\\' {
 			quoted, _ := json.Marshal(string(value)) // a string always marshals
--- a/internal/gatherer/frontend/clientconn.go
+++ b/internal/gatherer/frontend/clientconn.go
@@ -21,76 +21,76 @@
 //     read of them, and closes over unread bytes, which resets the connection under the last answer.
 type clientConn struct {
 	*net.TCPConn
-	twoLengths atomic.Bool // for good: nothing that comes after may be served
+	conflictingLengths atomic.Bool // for good: nothing that comes after may be served
 
-	mu     sync.Mutex
-	inHand bool      // a request is being served; until it is answered the connection is not ours to end
-	whole  bool      // and all of it has been read
-	since  time.Time // a request has begun to arrive that is not whole yet, or one behind that in hand; else zero
-	shut   bool      // ended by us: whatever is still read is nobody's request
-	linger time.Duration
-	conns  *conns // told when it lets go of its descriptor; nil in tests
-	ahead  []byte // read while a request was in hand, for net/http
-	over   bool   // more came behind a request in hand than is kept: nothing that follows can be served
-	gone   func() // tells who serves that the client has gone; nil while nobody asks
-	reader chan struct{}
-	behind bool // net/http has read its one byte behind a request that is not watched yet, and reads no further
+	mu             sync.Mutex
+	serving        bool      // a request is being served; until it is answered the connection is not ours to end
+	requestRead    bool      // and all of it has been read
+	arrivingSince  time.Time // a request has begun to arrive that is not whole yet, or one behind that in hand; else zero
+	closedByServer bool      // ended by us: whatever is still read is nobody's request
+	lingerFor      time.Duration
+	tracker        *connTracker // told when it lets go of its descriptor; nil in tests
+	buffered       []byte       // read while a request was in hand, for net/http
+	overflow       bool         // more came behind a request in hand than is kept: nothing that follows can be served
+	onClientGone   func()       // tells who serves that the client has gone; nil while nobody asks
+	readerDone     chan struct{}
+	byteBehind     bool // net/http has read its one byte behind a request that is not watched yet, and reads no further
 
 	// The rest belongs to whoever reads; net/http reads from one goroutine at a time.
-	line           []byte // the beginning of the line that is being read
-	length, coding bool   // which headers have stood since the last empty line
+	line                 []byte // the beginning of the line that is being read
+	sawLength, sawCoding bool   // which headers have stood since the last empty line
 }
 
 const (
 	// The answer's last bytes and a client's next ones may cross: for this time a connection that is being ended is
 	// read, and what comes is dropped, before its descriptor is let go. net/http waits as long where it waits at all.
-	lingerTime = 500 * time.Millisecond
+	lingerTimeout = 500 * time.Millisecond
 	// What may come behind a request in hand and is kept for net/http. Clients send one request at a time, so that
 	// only bad ones send more; the connection of one that sends more than this ends with its answer.
-	mostAhead = 16 << 10
+	maxBuffered = 16 << 10
 )
 
-type connKey struct{}
+type connContextKey struct{}
 
 var (
 	lengthHeader = []byte("content-length")
 	codingHeader = []byte("transfer-encoding")
 )
 
-// listener hands out connections as clientConn.
-type listener struct {
+// trackingListener hands out connections as clientConn.
+type trackingListener struct {
 	net.Listener
-	conns *conns
+	conns *connTracker
 }
 
-func (l listener) Accept() (net.Conn, error) {
+func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		return &clientConn{TCPConn: tcp, linger: lingerTime, conns: l.conns}, nil
+		return &clientConn{TCPConn: tcp, lingerFor: lingerTimeout, tracker: l.conns}, nil
 	}
 	return c, nil
 }
 
-// connOf is the connection that a request came on, or nil where it is another kind.
-func connOf(ctx context.Context) *clientConn {
-	t, _ := ctx.Value(connKey{}).(*clientConn)
+// clientConnOf is the connection that a request came on, or nil where it is another kind.
+func clientConnOf(ctx context.Context) *clientConn {
+	t, _ := ctx.Value(connContextKey{}).(*clientConn)
 	return t
 }
 
 func (t *clientConn) Read(p []byte) (int, error) {
 	t.mu.Lock()
-	if n := copy(p, t.ahead); n > 0 {
-		t.ahead = t.ahead[n:]
+	if n := copy(p, t.buffered); n > 0 {
+		t.buffered = t.buffered[n:]
 		t.mu.Unlock()
-		t.look(p[:n])
+		t.scanHeaders(p[:n])
 		return n, nil
 	}
 	t.mu.Unlock()
 	n, err := t.receive(p)
-	t.look(p[:n])
+	t.scanHeaders(p[:n])
 	return n, err
 }
 
@@ -104,7 +104,7 @@
 	failed := raw.Read(func(fd uintptr) bool {
 		t.mu.Lock()
 		defer t.mu.Unlock()
-		if t.shut { // it was ended while this waited: nothing of it may be served
+		if t.closedByServer { // it was ended while this waited: nothing of it may be served
 			n, err = 0, net.ErrClosed // n is -1 since the read before, which had to wait
 			return true
 		}
@@ -118,11 +118,11 @@
 		case n == 0 && len(p) > 0:
 			err = io.EOF
 		default:
-			if t.since.IsZero() {
-				t.since = time.Now()
+			if t.arrivingSince.IsZero() {
+				t.arrivingSince = time.Now()
 			}
-			t.behind = len(p) == 1 && t.gone == nil // it reads one byte only behind a request in hand
-			if t.gone != nil && t.reader == nil {   // net/http reads no further while it serves
+			t.byteBehind = len(p) == 1 && t.onClientGone == nil // it reads one byte only behind a request in hand
+			if t.onClientGone != nil && t.readerDone == nil {   // net/http reads no further while it serves
 				t.startReader()
 			}
 		}
@@ -134,43 +134,43 @@
 	return n, err
 }
 
-// begin takes the connection for a request; false where it has been ended already, and nothing of the request may be
+// beginRequest takes the connection for a request; false where it has been ended already, and nothing of the request may be
 // sent on.
-func (t *clientConn) begin() bool {
+func (t *clientConn) beginRequest() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.shut || t.over {
+	if t.closedByServer || t.overflow {
 		return false
 	}
-	t.inHand = true
+	t.serving = true
 	return true
 }
 
-// watch notes that all of the request in hand has been read. From here on until unwatch, gone is called once the
+// watchClient notes that all of the request in hand has been read. From here on until unwatch, gone is called once the
 // client has closed its connection, whatever it sent before.
-func (t *clientConn) watch(gone func()) {
+func (t *clientConn) watchClient(gone func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.whole, t.since, t.gone = true, time.Time{}, gone
-	if t.behind {
-		t.behind = false
+	t.requestRead, t.arrivingSince, t.onClientGone = true, time.Time{}, gone
+	if t.byteBehind {
+		t.byteBehind = false
 		t.startReader()
 	}
 }
 
 // startReader begins to read ahead; the lock is held, and net/http has no read open.
 func (t *clientConn) startReader() {
-	t.reader = make(chan struct{})
-	go t.readAhead(t.gone, t.reader)
+	t.readerDone = make(chan struct{})
+	go t.readAhead(t.onClientGone, t.readerDone)
 }
 
-// unwatch ends watch before the answer is written, so that what a client sends on having its answer is left to
+// stopWatching ends watch before the answer is written, so that what a client sends on having its answer is left to
 // net/http.
-func (t *clientConn) unwatch() {
+func (t *clientConn) stopWatching() {
 	t.mu.Lock()
-	t.gone = nil
-	reader := t.reader
-	t.reader = nil
+	t.onClientGone = nil
+	reader := t.readerDone
+	t.readerDone = nil
 	t.mu.Unlock()
 	if reader != nil {
 		t.SetReadDeadline(time.Unix(1, 0)) // net/http sets its own before it reads on
@@ -178,21 +178,21 @@
 	}
 }
 
-// overrun reports whether more came behind a request in hand than is kept, so that no next request can be served.
-func (t *clientConn) overrun() bool {
+// overflowed reports whether more came behind a request in hand than is kept, so that no next request can be served.
+func (t *clientConn) overflowed() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.over
+	return t.overflow
 }
 
-// arriving is for how long a request that is not whole yet has been arriving.
-func (t *clientConn) arriving() time.Duration {
+// arrivingFor is for how long a request that is not whole yet has been arriving.
+func (t *clientConn) arrivingFor() time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.since.IsZero() {
+	if t.arrivingSince.IsZero() {
 		return 0
 	}
-	return time.Since(t.since)
+	return time.Since(t.arrivingSince)
 }
 
 // readAhead reads behind a request in hand until the client has gone or the request is answered.
@@ -202,11 +202,11 @@
 	for {
 		n, err := t.TCPConn.Read(buf)
 		t.mu.Lock()
-		if len(t.ahead)+n > mostAhead {
-			t.over = true
+		if len(t.buffered)+n > maxBuffered {
+			t.overflow = true
 		}
-		if !t.over {
-			t.ahead = append(t.ahead, buf[:n]...)
+		if !t.overflow {
+			t.buffered = append(t.buffered, buf[:n]...)
 		}
 		t.mu.Unlock()
 		if err != nil {
@@ -218,34 +218,34 @@
 	}
 }
 
-// rest gives the connection back after an answer.
-func (t *clientConn) rest() {
+// markIdle gives the connection back after an answer.
+func (t *clientConn) markIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.whole { // answered without having been read to its end
-		t.since = time.Time{}
+	if !t.requestRead { // answered without having been read to its end
+		t.arrivingSince = time.Time{}
 	}
-	t.inHand, t.whole, t.behind = false, false, false
+	t.serving, t.requestRead, t.byteBehind = false, false, false
 }
 
-// endResting ends the connection if nothing is asked on it: no request is in hand, and no byte of one has been read or
+// closeIfIdle ends the connection if nothing is asked on it: no request is in hand, and no byte of one has been read or
 // waits to be. A request that comes after is read by nobody, and its client sends it again elsewhere.
-func (t *clientConn) endResting() bool {
+func (t *clientConn) closeIfIdle() bool {
 	t.mu.Lock()
-	ends := !t.inHand && t.since.IsZero() && len(t.ahead) == 0 && !asked(t.TCPConn)
-	return t.end(ends)
+	ends := !t.serving && t.arrivingSince.IsZero() && len(t.buffered) == 0 && !hasUnreadBytes(t.TCPConn)
+	return t.closeIf(ends)
 }
 
-// endSlow ends the connection if a request has been arriving on it since before a time and is not whole: nobody has
+// closeIfSlow ends the connection if a request has been arriving on it since before a time and is not whole: nobody has
 // taken it yet.
-func (t *clientConn) endSlow(before time.Time) bool {
+func (t *clientConn) closeIfSlow(before time.Time) bool {
 	t.mu.Lock()
-	return t.end(!t.whole && !t.since.IsZero() && t.since.Before(before))
+	return t.closeIf(!t.requestRead && !t.arrivingSince.IsZero() && t.arrivingSince.Before(before))
 }
 
-// end lets go of the lock, and of the connection where it ends.
-func (t *clientConn) end(ends bool) bool {
-	t.shut = t.shut || ends
+// closeIf lets go of the lock, and of the connection where it ends.
+func (t *clientConn) closeIf(ends bool) bool {
+	t.closedByServer = t.closedByServer || ends
 	t.mu.Unlock()
 	if ends {
 		t.Close()
@@ -257,9 +257,9 @@
 // after the time to linger: a close over unread bytes would reset the connection under the answer.
 func (t *clientConn) Close() error {
 	t.mu.Lock()
-	t.shut = true
-	wait := t.linger
-	t.linger = 0 // once
+	t.closedByServer = true
+	wait := t.lingerFor
+	t.lingerFor = 0 // once
 	t.mu.Unlock()
 	if wait == 0 {
 		return nil
@@ -268,7 +268,7 @@
 		return t.TCPConn.Close()
 	}
 	t.SetReadDeadline(time.Unix(1, 0)) // wakes who reads; it is told that the connection is closed
-	t.conns.lingers(t)
+	t.tracker.addLingering(t)
 	go func() {
 		t.SetReadDeadline(time.Now().Add(wait))
 		buf := make([]byte, 4<<10)
@@ -278,14 +278,14 @@
 			}
 		}
 		t.TCPConn.Close()
-		t.conns.let(t)
+		t.tracker.removeLingering(t)
 	}()
 	return nil
 }
 
-// look goes through the bytes line by line. It need not know where a body ends: header lines begin lines in
+// scanHeaders goes through the bytes line by line. It need not know where a body ends: header lines begin lines in
 // any head, and a body that holds such lines is none of a lookup.
-func (t *clientConn) look(p []byte) {
+func (t *clientConn) scanHeaders(p []byte) {
 	for len(p) > 0 {
 		at := bytes.IndexByte(p, '\n')
 		end := at
@@ -298,23 +298,23 @@
 		if at < 0 {
 			return
 		}
-		t.endLine()
+		t.scanLine()
 		p = p[at+1:]
 	}
 }
 
-func (t *clientConn) endLine() {
+func (t *clientConn) scanLine() {
 	name, _, found := bytes.Cut(t.line, []byte{':'})
 	switch {
 	case len(bytes.TrimRight(t.line, "\r")) == 0:
-		t.length, t.coding = false, false
+		t.sawLength, t.sawCoding = false, false
 	case found && bytes.EqualFold(name, lengthHeader):
-		t.length = true
+		t.sawLength = true
 	case found && bytes.EqualFold(name, codingHeader):
-		t.coding = true
+		t.sawCoding = true
 	}
-	if t.length && t.coding {
-		t.twoLengths.Store(true)
+	if t.sawLength && t.sawCoding {
+		t.conflictingLengths.Store(true)
 	}
 	t.line = t.line[:0]
 }
--- a/internal/gatherer/frontend/crossings_test.go
+++ b/internal/gatherer/frontend/crossings_test.go
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { accepted.Close() })
-	return &clientConn{TCPConn: accepted.(*net.TCPConn), linger: lingerTime}, far
+	return &clientConn{TCPConn: accepted.(*net.TCPConn), lingerFor: lingerTimeout}, far
 }
 
 // read reads one answer; nothing may follow it where its connection ends.
@@ -101,7 +101,7 @@
 	t.Helper()
 	s.conns.mu.Lock()
 	defer s.conns.mu.Unlock()
-	for conn := range s.conns.at {
+	for conn := range s.conns.entries {
 		return conn.(*clientConn)
 	}
 	t.Fatal("no connection rests")
@@ -118,11 +118,11 @@
 	until(t, "half a line is read", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return !conn.since.IsZero()
+		return !conn.arrivingSince.IsZero()
 	})
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	until(t, "leaving", func() bool { return s.leaving.Load() })
+	until(t, "leaving", func() bool { return s.shuttingDown.Load() })
 	io.WriteString(c, text[20:])
 	if resp := read(t, r); resp.StatusCode != 504 || !resp.Close {
 		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
@@ -180,7 +180,7 @@
 		io.WriteString(c, text[:cut])
 		done := make(chan error, 1)
 		go func() { done <- s.Shutdown(t.Context()) }()
-		until(t, "leaving", func() bool { return s.leaving.Load() })
+		until(t, "leaving", func() bool { return s.shuttingDown.Load() })
 		s.conns.mu.Unlock()
 		gate <- struct{}{}
 		io.WriteString(c, text[cut:])
@@ -198,26 +198,26 @@
 // the request is in hand and the connection stays, or the connection is ended and the request is not served.
 func TestReadThenEnded(t *testing.T) {
 	conn, far := pair(t)
-	if !conn.begin() || conn.endResting() {
+	if !conn.beginRequest() || conn.closeIfIdle() {
 		t.Error("ended under a request in hand")
 	}
-	conn.rest()
+	conn.markIdle()
 	io.WriteString(far, "P")
-	until(t, "a byte waits", func() bool { return asked(conn.TCPConn) })
-	if conn.endResting() {
+	until(t, "a byte waits", func() bool { return hasUnreadBytes(conn.TCPConn) })
+	if conn.closeIfIdle() {
 		t.Error("ended over a byte that waits")
 	}
 	if n, err := conn.Read(make([]byte, 9)); n != 1 || err != nil {
 		t.Error(n, err)
 	}
-	if conn.endResting() {
+	if conn.closeIfIdle() {
 		t.Error("ended though a request has begun")
 	}
-	if !conn.begin() {
+	if !conn.beginRequest() {
 		t.Error("not served")
 	}
-	conn.rest()
-	if !conn.endResting() || conn.begin() {
+	conn.markIdle()
+	if !conn.closeIfIdle() || conn.beginRequest() {
 		t.Error("not ended, or served after it")
 	}
 	io.WriteString(far, "POST")
@@ -251,7 +251,7 @@
 		return false
 	})
 	conn.mu.Lock()
-	conn.shut = true
+	conn.closedByServer = true
 	conn.mu.Unlock()
 	io.WriteString(far, "P")
 	if r := <-got; r.n != 0 || r.err != net.ErrClosed {
@@ -263,7 +263,7 @@
 // was read and dropped without a word; it has to be answered, within the time that is left of the shutdown.
 func TestShutdownNew(t *testing.T) {
 	f, s, address := start(t, 10, aborted)
-	s.longest = time.Hour // whatever the settings say, the process may be killed after 3 s
+	s.maxDeadline = time.Hour // whatever the settings say, the process may be killed after 3 s
 	c := dial(t, address)
 	until(t, "accepted", func() bool {
 		s.conns.mu.Lock()
@@ -272,14 +272,14 @@
 	})
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	<-s.served
+	<-s.serveDone
 	io.WriteString(c, post("/find", strings.Replace(headers, "480", "3600000", 1), parts))
 	if resp := read(t, bufio.NewReader(c)); resp.StatusCode != 504 || !resp.Close {
 		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
 	}
 	c.Close()
 	lk := <-f.took
-	if end := f.Now() + float64(killTime.Milliseconds()); lk.Deadline > end {
+	if end := f.Now() + float64(killTimeout.Milliseconds()); lk.Deadline > end {
 		t.Errorf("may take until %v, the process ends at %v", lk.Deadline, end)
 	}
 	if err := <-done; err != nil {
@@ -300,7 +300,7 @@
 	<-f.took
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	until(t, "leaving", func() bool { return s.leaving.Load() })
+	until(t, "leaving", func() bool { return s.shuttingDown.Load() })
 	for range 4 { // in pieces, so that some come after the answer is decided
 		io.WriteString(c, post("/find", headers, parts))
 	}
@@ -322,7 +322,7 @@
 func TestCloseOverUnread(t *testing.T) {
 	conn, far := pair(t)
 	io.WriteString(far, "more")
-	until(t, "bytes wait", func() bool { return asked(conn.TCPConn) })
+	until(t, "bytes wait", func() bool { return hasUnreadBytes(conn.TCPConn) })
 	io.WriteString(conn, "answer")
 	conn.Close()
 	if got, err := io.ReadAll(far); string(got) != "answer" || err != nil {
@@ -377,16 +377,16 @@
 		t.Fatalf("read %d, %v", n, err)
 	}
 	gone := make(chan struct{})
-	conn.watch(func() { close(gone) })
+	conn.watchClient(func() { close(gone) })
 	far.Close()
 	select {
 	case <-gone:
 	case <-time.After(5 * time.Second):
 		t.Error("not noticed")
 	}
-	conn.unwatch()
-	if string(conn.ahead) != "ehind" {
-		t.Errorf("%q is kept", conn.ahead)
+	conn.stopWatching()
+	if string(conn.buffered) != "ehind" {
+		t.Errorf("%q is kept", conn.buffered)
 	}
 }
 
@@ -418,13 +418,13 @@
 		c.Write([]byte{b})
 	}
 	s.mu.Lock()
-	client := s.inHand["a1"].client
+	client := s.activeQueries["a1"].clientContext
 	s.mu.Unlock()
-	conn := connOf(client)
+	conn := clientConnOf(client)
 	until(t, "bytes behind are read", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return len(conn.ahead) == 99 // net/http has the first
+		return len(conn.buffered) == 99 // net/http has the first
 	})
 	close(gate)
 	if resp := read(t, r); resp.StatusCode != 504 || resp.Close {
@@ -437,8 +437,8 @@
 	if lk := <-f.took; lk.ID != "a2" {
 		t.Errorf("the second is %q", lk.ID)
 	}
-	if !bytes.Equal(conn.ahead, nil) {
-		t.Errorf("%d bytes left over", len(conn.ahead))
+	if !bytes.Equal(conn.buffered, nil) {
+		t.Errorf("%d bytes left over", len(conn.buffered))
 	}
 }
 
@@ -454,7 +454,7 @@
 	io.WriteString(c, post("/find", headers, parts))
 	<-f.took
 	s.mu.Lock()
-	conn := connOf(s.inHand["a1"].client)
+	conn := clientConnOf(s.activeQueries["a1"].clientContext)
 	s.mu.Unlock()
 	go func() {
 		io.WriteString(c, strings.Repeat(post("/find", headers, parts), 1000))
@@ -462,11 +462,11 @@
 	until(t, "more than is kept", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
-		return conn.over
+		return conn.overflow
 	})
 	conn.mu.Lock()
-	if len(conn.ahead) > mostAhead {
-		t.Errorf("%d bytes are held", len(conn.ahead))
+	if len(conn.buffered) > maxBuffered {
+		t.Errorf("%d bytes are held", len(conn.buffered))
 	}
 	conn.mu.Unlock()
 	close(gate)
@@ -500,8 +500,8 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.inHand) != 1 {
-		t.Errorf("%d names are held", len(s.inHand))
+	if len(s.activeQueries) != 1 {
+		t.Errorf("%d names are held", len(s.activeQueries))
 	}
 }
 
@@ -510,14 +510,14 @@
 func TestEndedBeforeServed(t *testing.T) {
 	_, s, _ := start(t, 10, aborted)
 	conn, _ := pair(t)
-	conn.over = true
+	conn.overflow = true
 	defer func() {
 		if fault := recover(); fault != http.ErrAbortHandler {
 			t.Errorf("handled as %v", fault)
 		}
 	}()
-	r := httptest.NewRequestWithContext(context.WithValue(t.Context(), connKey{}, conn), "POST", "/find", strings.NewReader(parts))
-	s.handle(httptest.NewRecorder(), r)
+	r := httptest.NewRequestWithContext(context.WithValue(t.Context(), connContextKey{}, conn), "POST", "/find", strings.NewReader(parts))
+	s.serveRequest(httptest.NewRecorder(), r)
 	t.Error("the request was answered")
 }
 
@@ -529,7 +529,7 @@
 	<-f.took
 	conn, text := held(t, s), post("/find", headers, parts)
 	io.WriteString(c, text[:20])
-	until(t, "it waits for the rest", func() bool { return conn.arriving() >= waited })
+	until(t, "it waits for the rest", func() bool { return conn.arrivingFor() >= waited })
 	io.WriteString(c, text[20:])
 	if lk, most := <-f.took, f.Now()+480-float64(waited.Milliseconds()); lk.Deadline > most {
 		t.Errorf("given up at %v, the client at %v or before", lk.Deadline, most)
@@ -544,10 +544,10 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := newConns(8, 8)
-	taps := listener{l, c}
+	c := newConnTracker(8, 8)
+	taps := trackingListener{l, c}
 	var far []*net.TCPConn
-	for range c.spare + 3 {
+	for range c.maxLingering + 3 {
 		far = append(far, dial(t, l.Addr().String()))
 		near, err := taps.Accept()
 		if err != nil {
@@ -555,13 +555,13 @@
 		}
 		near.Close()
 	}
-	c.lingering.Lock()
-	if len(c.ending) != c.spare {
-		t.Errorf("%d hold their descriptors, %d may", len(c.ending), c.spare)
+	c.lingerMu.Lock()
+	if len(c.lingering) != c.maxLingering {
+		t.Errorf("%d hold their descriptors, %d may", len(c.lingering), c.maxLingering)
 	}
-	c.lingering.Unlock()
+	c.lingerMu.Unlock()
 	for _, f := range far {
 		f.Close()
 	}
-	<-c.lingered()
+	<-c.lingeringDone()
 }
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -111,13 +111,13 @@
 	s := New(f, &gather.Settings{Shards: 10, Classes: []gather.Class{{Name: "find", Deadline: 3000.0}, {Name: "mark", Effect: gather.IdempotencyKeyed}}, Tenants: []gather.Tenant{{Name: "acme"}}}, clients, clients, ready, log)
 	switch {
 	case strings.HasSuffix(name, "-while-shutting-down"):
-		s.leaving.Store(true)
+		s.shuttingDown.Store(true)
 	case strings.HasSuffix(name, "-while-crowded"):
 		for range clients {
 			s.conns.active.PushBack(nil) // in use by others
 		}
 	case name == "repeated-id":
-		s.inHand["a1"] = &holder{client: t.Context(), ended: make(chan struct{})}
+		s.activeQueries["a1"] = &activeQuery{clientContext: t.Context(), ended: make(chan struct{})}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/gatherer/frontend/server.go
+++ b/internal/gatherer/frontend/server.go
@@ -27,10 +27,10 @@
 
 const (
 	// After the platform says that the end comes, new connections go on coming for less than this.
-	lameDuck = 600 * time.Millisecond
+	lameDuckPeriod = 600 * time.Millisecond
 	// After the end is told the process is killed in this time and the lame-duck one, or later; sooner by the settings
 	// where no lookup takes so long. What came before the lame-duck time was over may be found unanswered by that.
-	killTime = 3 * time.Second
+	killTimeout = 3 * time.Second
 	// A client that asks nothing, or takes longer than this for the head of a request, is cut off. What can't
 	// be read is owed an error or a close within 3 s of connecting, so that a body has what is left of them.
 	readHeaderTimeout = 1800 * time.Millisecond
@@ -38,65 +38,65 @@
 	// A connection on which nothing is asked any more may be closed after this.
 	idleTimeout = 2 * time.Second
 	// Before the end of a shutdown by which its last lookups are given up on, for their answers to be written.
-	lastAnswers = 100 * time.Millisecond
+	answerMargin = 100 * time.Millisecond
 	// An answer that is not read is broken off this long after its lookup's own time.
 	writeTimeout = 5 * time.Second
 )
 
 // Server takes lookups.
 type Server struct {
-	picker    Picker
-	log       *logrus.Logger
-	http      *http.Server
-	ready     func() bool
-	indexes   map[string]bool
-	customers map[string]bool
-	shards    int
-	longest   time.Duration   // that a lookup may take
-	marked    map[string]bool // indexes whose lookups carry a mark that the protocol cannot pass on
-	conns     *conns
-	leaving   atomic.Bool
-	late      atomic.Pointer[late]    // once leaving
-	admin     map[string]http.Handler // by path, for operators
+	picker        Picker
+	log           *logrus.Logger
+	http          *http.Server
+	ready         func() bool
+	classes       map[string]bool
+	tenants       map[string]bool
+	shards        int
+	maxDeadline   time.Duration   // that a lookup may take
+	keyedClasses  map[string]bool // indexes whose lookups carry a mark that the protocol cannot pass on
+	conns         *connTracker
+	shuttingDown  atomic.Bool
+	late          atomic.Pointer[lateWindow] // once leaving
+	adminHandlers map[string]http.Handler    // by path, for operators
 
-	served   chan struct{} // closed once Serve has returned
-	mu       sync.Mutex
-	listener net.Listener
-	inHand   map[string]*holder // names of the lookups held, against two that could not be told apart
+	serveDone     chan struct{} // closed once Serve has returned
+	mu            sync.Mutex
+	listener      net.Listener
+	activeQueries map[string]*activeQuery // names of the lookups held, against two that could not be told apart
 }
 
-// late is from when on requests come too late in a shutdown to be given their own time, and by when they are answered.
-type late struct{ from, end time.Time }
+// lateWindow is from when on requests come too late in a shutdown to be given their own time, and by when they are answered.
+type lateWindow struct{ from, end time.Time }
 
-// holder is the request that holds a name.
-type holder struct {
-	client context.Context
-	ended  chan struct{}
-	left   bool // its client had gone when it ended
+// activeQuery is the request that holds a name.
+type activeQuery struct {
+	clientContext context.Context
+	ended         chan struct{}
+	abandoned     bool // its client had gone when it ended
 }
 
 // New makes a server that holds so many client connections at most, and so many that have asked; ready says whether lookups can be served.
 func New(picker Picker, settings *gather.Settings, clients, kept int, ready func() bool, log *logrus.Logger) *Server {
-	s := &Server{picker: picker, log: log, ready: ready, conns: newConns(clients, kept), shards: settings.Shards,
-		indexes: set(settings.ClassNames()), customers: set(settings.TenantNames()), marked: map[string]bool{},
-		inHand: map[string]*holder{}, served: make(chan struct{})}
-	for name := range s.indexes {
-		s.longest = max(s.longest, time.Duration(settings.Class(name).Deadline*1e6))
+	s := &Server{picker: picker, log: log, ready: ready, conns: newConnTracker(clients, kept), shards: settings.Shards,
+		classes: setOf(settings.ClassNames()), tenants: setOf(settings.TenantNames()), keyedClasses: map[string]bool{},
+		activeQueries: map[string]*activeQuery{}, serveDone: make(chan struct{})}
+	for name := range s.classes {
+		s.maxDeadline = max(s.maxDeadline, time.Duration(settings.Class(name).Deadline*1e6))
 		if settings.Class(name).Effect == gather.IdempotencyKeyed {
-			s.marked[name] = true
+			s.keyedClasses[name] = true
 			log.WithField("index", name).Warn("fingerprinted: its lookups are turned away, their mark cannot be passed on")
 		}
 	}
-	if s.longest == 0 { // none is told
-		s.longest = killTime
+	if s.maxDeadline == 0 { // none is told
+		s.maxDeadline = killTimeout
 	}
 	errorLog := log.WriterLevel(logrus.WarnLevel) // what net/http has to say is of its listener
-	s.http = &http.Server{Handler: http.HandlerFunc(s.handle), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: mostHeaders,
+	s.http = &http.Server{Handler: http.HandlerFunc(s.serveRequest), ReadHeaderTimeout: readHeaderTimeout, MaxHeaderBytes: maxHeaderBytes,
 		IdleTimeout: idleTimeout,
-		ConnState:   s.conns.state,
+		ConnState:   s.conns.onStateChange,
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context {
 			if t, ok := c.(*clientConn); ok {
-				return context.WithValue(ctx, connKey{}, t)
+				return context.WithValue(ctx, connContextKey{}, t)
 			}
 			return ctx
 		},
@@ -104,7 +104,7 @@
 	return s
 }
 
-func set(names []string) map[string]bool {
+func setOf(names []string) map[string]bool {
 	m := make(map[string]bool, len(names))
 	for _, name := range names {
 		m[name] = true
@@ -112,12 +112,12 @@
 	return m
 }
 
-// Admin answers requests at a path, and below it, by a handler. It has to be called before Serve.
-func (s *Server) Admin(path string, handler http.Handler) {
-	if s.admin == nil {
-		s.admin = map[string]http.Handler{}
+// Handle answers requests at a path, and below it, by a handler. It has to be called before Serve.
+func (s *Server) Handle(path string, handler http.Handler) {
+	if s.adminHandlers == nil {
+		s.adminHandlers = map[string]http.Handler{}
 	}
-	s.admin[path] = handler
+	s.adminHandlers[path] = handler
 }
 
 // Serve takes connections until Shutdown has ended.
@@ -125,9 +125,9 @@
 	s.mu.Lock()
 	s.listener = l
 	s.mu.Unlock()
-	defer close(s.served)
-	err := s.http.Serve(listener{l, s.conns})
-	if s.leaving.Load() { // the listener was closed by Shutdown
+	defer close(s.serveDone)
+	err := s.http.Serve(trackingListener{l, s.conns})
+	if s.shuttingDown.Load() { // the listener was closed by Shutdown
 		return nil
 	}
 	return err
@@ -139,129 +139,129 @@
 // It does not use net/http's own: from its Shutdown on that reads requests and drops them unanswered, and what it takes
 // for idle it closes also while a request is being read from it, which is then served to nobody.
 func (s *Server) Shutdown(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, lameDuck+s.longest)
+	ctx, cancel := context.WithTimeout(ctx, lameDuckPeriod+s.maxDeadline)
 	defer cancel()
-	s.late.Store(&late{from: time.Now().Add(lameDuck), end: time.Now().Add(lameDuck + min(s.longest, killTime))})
-	s.leaving.Store(true)
-	s.conns.quit() // those that rest; each other one is told with its answer
+	s.late.Store(&lateWindow{from: time.Now().Add(lameDuckPeriod), end: time.Now().Add(lameDuckPeriod + min(s.maxDeadline, killTimeout))})
+	s.shuttingDown.Store(true)
+	s.conns.shutDown() // those that rest; each other one is told with its answer
 	select {
 	case <-ctx.Done():
-	case <-time.After(lameDuck):
+	case <-time.After(lameDuckPeriod):
 	}
 	s.mu.Lock()
 	l := s.listener
 	s.mu.Unlock()
 	if l != nil {
 		l.Close()
-		<-s.served // none is accepted any more, and all that were are counted
+		<-s.serveDone // none is accepted any more, and all that were are counted
 	}
 	select {
 	case <-ctx.Done(): // some client holds a connection on which it asks nothing
-	case <-s.conns.quit():
+	case <-s.conns.shutDown():
 		select {
 		case <-ctx.Done():
-		case <-s.conns.lingered():
+		case <-s.conns.lingeringDone():
 		}
 	}
 	s.http.Close()
 	return nil
 }
 
-func (s *Server) handle(w http.ResponseWriter, r *http.Request) {
-	conn := connOf(r.Context())
-	if conn != nil && !conn.begin() {
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnOf(r.Context())
+	if conn != nil && !conn.beginRequest() {
 		panic(http.ErrAbortHandler) // ended while this request was on its way: its client sends it again elsewhere
 	}
 	defer func() {
 		if fault := recover(); fault != nil {
 			s.log.WithField("stack", string(debug.Stack())).Errorf("request: %v", fault)
-			refuse(w, http.StatusInternalServerError, "failed")
+			writeText(w, http.StatusInternalServerError, "failed")
 		}
 	}()
 	rc := http.NewResponseController(w)
 	rc.SetReadDeadline(time.Now().Add(readBodyTimeout))
 	rc.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if conn != nil && conn.twoLengths.Load() {
+	if conn != nil && conn.conflictingLengths.Load() {
 		w.Header().Set("Connection", "close") // what follows may be a request that the body hides
-		refuse(w, http.StatusBadRequest, "Content-Length and Transfer-Encoding")
+		writeText(w, http.StatusBadRequest, "Content-Length and Transfer-Encoding")
 		return
 	}
-	s.closing(w, conn)
+	s.closeAfterAnswer(w, conn)
 	switch r.URL.Path {
 	case "/-/ready":
-		if s.leaving.Load() || !s.ready() {
-			refuse(w, http.StatusServiceUnavailable, "not ready")
+		if s.shuttingDown.Load() || !s.ready() {
+			writeText(w, http.StatusServiceUnavailable, "not ready")
 			return
 		}
-		refuse(w, http.StatusOK, "ready")
+		writeText(w, http.StatusOK, "ready")
 	case "/-/healthy":
-		refuse(w, http.StatusOK, "healthy")
+		writeText(w, http.StatusOK, "healthy")
 	default:
-		for path, handler := range s.admin {
+		for path, handler := range s.adminHandlers {
 			if r.URL.Path == path || strings.HasPrefix(r.URL.Path, path+"/") {
 				handler.ServeHTTP(w, r)
 				return
 			}
 		}
-		if err := s.lookup(w, r, rc, conn); err != nil {
+		if err := s.serveQuery(w, r, rc, conn); err != nil {
 			s.log.WithError(err).Debug("request not taken")
-			s.closing(w, conn)
-			refuse(w, statusOf(err), err.Error())
+			s.closeAfterAnswer(w, conn)
+			writeText(w, statusOf(err), err.Error())
 		}
 	}
 }
 
-// closing has an answer end its connection where nothing that a client sends there afterwards could be served: the
+// closeAfterAnswer has an answer end its connection where nothing that a client sends there afterwards could be served: the
 // server is leaving, or more came behind the request than is kept.
-func (s *Server) closing(w http.ResponseWriter, conn *clientConn) {
-	if s.leaving.Load() || conn != nil && conn.overrun() {
+func (s *Server) closeAfterAnswer(w http.ResponseWriter, conn *clientConn) {
+	if s.shuttingDown.Load() || conn != nil && conn.overflowed() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// lookup takes one lookup from its first byte to its answer.
-func (s *Server) lookup(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) error {
-	if s.conns.crowded() {
+// serveQuery takes one lookup from its first byte to its answer.
+func (s *Server) serveQuery(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) error {
+	if s.conns.overloaded() {
 		w.Header().Set("Connection", "close")
-		answer(w, dispatch.Result{Kind: dispatch.Rejected})
+		writeResult(w, dispatch.Result{Kind: dispatch.Rejected})
 		return nil
 	}
 	now := s.picker.Now()
 	sent := now // the client's time counts from when it sent the request, which may arrive slowly
 	if conn != nil {
-		sent -= float64(conn.arriving()) / 1e6
+		sent -= float64(conn.arrivingFor()) / 1e6
 	}
-	lk, err := s.readHead(r, sent)
+	lk, err := s.parseHead(r, sent)
 	if err != nil {
 		return err
 	}
 	if l := s.late.Load(); l != nil && time.Now().After(l.from) {
-		lk.Deadline = min(lk.Deadline, now+float64(time.Until(l.end)-lastAnswers)/1e6)
+		lk.Deadline = min(lk.Deadline, now+float64(time.Until(l.end)-answerMargin)/1e6)
 	}
 	// A client that sends or reads slowly holds its connection no longer than its own time.
 	until := time.Now().Add(time.Duration((lk.Deadline - now) * 1e6))
 	if left := time.Until(until); left < readBodyTimeout {
 		rc.SetReadDeadline(until)
 	}
-	if r.ContentLength > mostBody { // before any of it is read
+	if r.ContentLength > maxBodyBytes { // before any of it is read
 		w.Header().Set("Connection", "close")
-		return &http.MaxBytesError{Limit: mostBody}
+		return &http.MaxBytesError{Limit: maxBodyBytes}
 	}
-	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, mostBody))
+	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		return err
 	}
 	rc.SetReadDeadline(time.Time{})
-	if err := s.readBody(lk, text); err != nil {
+	if err := s.parseBody(lk, text); err != nil {
 		return err
 	}
 	v, err := s.decide(r.Context(), lk, conn)
 	if err != nil {
 		return err
 	}
-	s.closing(w, conn)
+	s.closeAfterAnswer(w, conn)
 	rc.SetWriteDeadline(until.Add(writeTimeout))
-	answer(w, v)
+	writeResult(w, v)
 	return nil
 }
 
@@ -270,40 +270,40 @@
 	ctx, gone := context.WithCancel(ctx)
 	defer gone()
 	if conn != nil {
-		conn.watch(gone)
-		defer conn.unwatch()
+		conn.watchClient(gone)
+		defer conn.stopWatching()
 	}
-	h, err := s.hold(ctx, lk.ID)
+	h, err := s.acquireID(ctx, lk.ID)
 	if err != nil {
 		return dispatch.Result{}, err
 	}
-	defer s.letGo(lk.ID, h)
+	defer s.releaseID(lk.ID, h)
 	if ctx.Err() != nil { // gone before anything is decided
 		return dispatch.Result{Kind: dispatch.Abandoned}, nil
 	}
 	return s.picker.Pick(ctx, lk), nil
 }
 
-// hold takes a name. A client whose connection was closed under its request sends it once more and may be here
+// acquireID takes a name. A client whose connection was closed under its request sends it once more and may be here
 // before the first has ended; it waits for that. Where the first is answered, its client is another one that
 // is still there, and this one has no right to its name.
-func (s *Server) hold(ctx context.Context, id string) (*holder, error) {
+func (s *Server) acquireID(ctx context.Context, id string) (*activeQuery, error) {
 	limit := time.NewTimer(readBodyTimeout)
 	defer limit.Stop()
-	taken := &fault{http.StatusConflict, "a lookup of this X-Request-ID is in hand"}
+	taken := &requestError{http.StatusConflict, "a lookup of this X-Request-ID is in hand"}
 	for {
 		s.mu.Lock()
-		first := s.inHand[id]
+		first := s.activeQueries[id]
 		if first == nil {
-			h := &holder{client: ctx, ended: make(chan struct{})}
-			s.inHand[id] = h
+			h := &activeQuery{clientContext: ctx, ended: make(chan struct{})}
+			s.activeQueries[id] = h
 			s.mu.Unlock()
 			return h, nil
 		}
 		s.mu.Unlock()
 		select {
 		case <-first.ended:
-			if !first.left {
+			if !first.abandoned {
 				return nil, taken
 			}
 		case <-limit.C:
@@ -314,10 +314,10 @@
 	}
 }
 
-func (s *Server) letGo(id string, h *holder) {
+func (s *Server) releaseID(id string, h *activeQuery) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	h.left = h.client.Err() != nil
+	h.abandoned = h.clientContext.Err() != nil
 	close(h.ended)
-	delete(s.inHand, id)
+	delete(s.activeQueries, id)
 }
--- a/internal/gatherer/frontend/server_test.go
+++ b/internal/gatherer/frontend/server_test.go
@@ -127,8 +127,8 @@
 		{"weights that go over", body("0.5", "0.75"), 400},
 		{"cost negative", body("9000", "-1"), 400},
 		{"body too large, none of it sent", "POST /find HTTP/1.1\r\n" + headers + "Content-Length: 60000000\r\n\r\n", 413},
-		{"body too large", post("/find", headers, strings.Repeat(" ", mostBody)+parts), 413},
-		{"headers too large", change("acme", strings.Repeat("a", 2*mostHeaders)), 431},
+		{"body too large", post("/find", headers, strings.Repeat(" ", maxBodyBytes)+parts), 413},
+		{"headers too large", change("acme", strings.Repeat("a", 2*maxHeaderBytes)), 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if status, body, _ := talk(t, address, c.text, 1); status[0] != c.want {
@@ -138,7 +138,7 @@
 	}
 	// What was rounded by the client is no mistake of it.
 	lk := &dispatch.Query{}
-	if err := (&Server{}).readBody(lk, []byte(`{"shards":[{"shard":1,"weight":0.333333},{"shard":2,"weight":0.666666}],"q":"x"}`)); err != nil {
+	if err := (&Server{}).parseBody(lk, []byte(`{"shards":[{"shard":1,"weight":0.333333},{"shard":2,"weight":0.666666}],"q":"x"}`)); err != nil {
 		t.Error(err)
 	}
 	if status, _, _ := talk(t, address, change("480", "0")+change("480", "-1"), 2); status[1] != 400 {
@@ -185,7 +185,7 @@
 }
 
 func TestTextOfEscapes(t *testing.T) {
-	got, err := textOf([]byte(`"a\u0041\""`))
+	got, err := queryText([]byte(`"a\u0041\""`))
 	if err != nil || string(got) != `aA"` {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -277,23 +277,23 @@
 func TestNameAfterWait(t *testing.T) {
 	for _, left := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &Server{inHand: map[string]*holder{}}
+			s := &Server{activeQueries: map[string]*activeQuery{}}
 			client, leave := context.WithCancel(t.Context())
 			defer leave()
-			first, err := s.hold(client, "a")
+			first, err := s.acquireID(client, "a")
 			if err != nil {
 				t.Fatal(err)
 			}
 			second := make(chan error)
 			go func() {
-				_, err := s.hold(t.Context(), "a")
+				_, err := s.acquireID(t.Context(), "a")
 				second <- err
 			}()
 			synctest.Wait()
 			if left {
 				leave()
 			}
-			s.letGo("a", first)
+			s.releaseID("a", first)
 			if err := <-second; (err == nil) != left {
 				t.Errorf("left %v: the second gets %v", left, err)
 			}
@@ -372,7 +372,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := newConns(3, 9)
+	c := newConnTracker(3, 9)
 	open := func(text string) (near, far net.Conn) {
 		far, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -384,70 +384,70 @@
 		}
 		t.Cleanup(func() { far.Close(); near.Close() })
 		io.WriteString(far, text)
-		for text != "" && !asked(near) {
+		for text != "" && !hasUnreadBytes(near) {
 			time.Sleep(time.Millisecond)
 		}
 		return near, far
 	}
 	usual, _ := open("")
-	c.state(usual, http.StateNew)
-	c.state(usual, http.StateActive)
-	c.state(usual, http.StateIdle)
+	c.onStateChange(usual, http.StateNew)
+	c.onStateChange(usual, http.StateActive)
+	c.onStateChange(usual, http.StateIdle)
 	asking, _ := open("POST ")
-	c.state(asking, http.StateNew)
+	c.onStateChange(asking, http.StateNew)
 	silent, far := open("")
-	c.state(silent, http.StateNew)
+	c.onStateChange(silent, http.StateNew)
 	for _, conn := range []net.Conn{asking, silent} {
-		p := c.at[conn]
-		p.from = p.from.Add(-firstByteTimeout)
-		c.at[conn] = p
+		p := c.entries[conn]
+		p.since = p.since.Add(-firstByteTimeout)
+		c.entries[conn] = p
 	}
 	last, _ := open("")
-	c.state(last, http.StateNew)
+	c.onStateChange(last, http.StateNew)
 	far.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the silent one is still open: %v", err)
 	}
 	for name, conn := range map[string]net.Conn{"idle": usual, "asking": asking, "last": last} {
-		if c.closed[conn] {
+		if c.uncounted[conn] {
 			t.Errorf("the %s one was closed", name)
 		}
 	}
 	// Nothing is silent for long now. A client that has just come is about to ask: closed then, its request
 	// fails, where one between two requests just comes again.
 	next, _ := open("")
-	c.state(next, http.StateNew)
-	if !c.closed[usual] || c.closed[last] || c.closed[next] {
-		t.Errorf("idle closed: %v, new ones: %v and %v", c.closed[usual], c.closed[last], c.closed[next])
+	c.onStateChange(next, http.StateNew)
+	if !c.uncounted[usual] || c.uncounted[last] || c.uncounted[next] {
+		t.Errorf("idle closed: %v, new ones: %v and %v", c.uncounted[usual], c.uncounted[last], c.uncounted[next])
 	}
-	c.state(next, http.StateActive)
-	c.state(last, http.StateActive)
-	c.state(asking, http.StateActive)
+	c.onStateChange(next, http.StateActive)
+	c.onStateChange(last, http.StateActive)
+	c.onStateChange(asking, http.StateActive)
 	var more []net.Conn // all in use: a few more may come, for an answer that says so, and then none
 	for range 3 {
 		near, _ := open("POST ")
-		c.state(near, http.StateNew)
-		c.state(near, http.StateActive)
+		c.onStateChange(near, http.StateNew)
+		c.onStateChange(near, http.StateActive)
 		more = append(more, near)
 	}
-	if c.closed[more[0]] || !c.closed[more[1]] || !c.closed[more[2]] {
-		t.Errorf("of three too many %v were closed", c.closed)
+	if c.uncounted[more[0]] || !c.uncounted[more[1]] || !c.uncounted[more[2]] {
+		t.Errorf("of three too many %v were closed", c.uncounted)
 	}
 }
 
 // TestKept guards against clients that ask once and hold their connection: the share of descriptors that clients
 // get was full of idle ones, and a fifth of all lookups found no way in.
 func TestKept(t *testing.T) {
-	c := newConns(100, 10)
+	c := newConnTracker(100, 10)
 	var all []net.Conn
 	for range 50 {
 		near, _ := net.Pipe()
-		c.state(near, http.StateNew)
-		c.state(near, http.StateActive)
-		c.state(near, http.StateIdle)
+		c.onStateChange(near, http.StateNew)
+		c.onStateChange(near, http.StateActive)
+		c.onStateChange(near, http.StateIdle)
 		all = append(all, near)
 	}
-	if c.open != 10 || c.idle.Len() != 10 || !c.closed[all[39]] || c.closed[all[40]] {
+	if c.open != 10 || c.idle.Len() != 10 || !c.uncounted[all[39]] || c.uncounted[all[40]] {
 		t.Errorf("%d open, %d idle", c.open, c.idle.Len())
 	}
 }
@@ -455,33 +455,33 @@
 // TestCrowd wants the connection idle longest closed at the bound and no longer counted from then on, before its
 // own goroutine has noticed: counted on, it had new clients nacked.
 func TestCrowd(t *testing.T) {
-	c := newConns(2, 2)
+	c := newConnTracker(2, 2)
 	var far []net.Conn
 	open := func() net.Conn {
 		near, other := net.Pipe()
 		far = append(far, other)
-		c.state(near, http.StateNew)
-		c.state(near, http.StateActive)
+		c.onStateChange(near, http.StateNew)
+		c.onStateChange(near, http.StateActive)
 		return near
 	}
 	a, b := open(), open()
-	c.state(a, http.StateIdle)
-	c.state(b, http.StateIdle)
+	c.onStateChange(a, http.StateIdle)
+	c.onStateChange(b, http.StateIdle)
 	d := open()
 	if _, err := far[0].Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the one idle longest is not closed: %v", err)
 	}
-	if c.crowded() {
+	if c.overloaded() {
 		t.Error("crowded, though one was closed")
 	}
-	c.state(a, http.StateClosed)
-	c.state(b, http.StateActive)
+	c.onStateChange(a, http.StateClosed)
+	c.onStateChange(b, http.StateActive)
 	open()
-	if !c.crowded() {
+	if !c.overloaded() {
 		t.Error("three in use are not above two")
 	}
-	c.state(d, http.StateIdle)
-	if c.crowded() || len(c.closed) != 1 {
+	c.onStateChange(d, http.StateIdle)
+	if c.overloaded() || len(c.uncounted) != 1 {
 		t.Error("one that fell idle was not closed")
 	}
 }
@@ -524,7 +524,7 @@
 	<-f.took
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	for !s.leaving.Load() {
+	for !s.shuttingDown.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _, _ := talk(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n", 1); status[0] != 503 {
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -186,7 +186,7 @@
 	}
 	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
 	if s.traces != nil {
-		s.server.Admin(trace.Path, s.traces)
+		s.server.Handle(trace.Path, s.traces)
 	}
 	return s, nil
 }
