--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -50,7 +50,7 @@
 			case len(args) == 0:
 				return list(w, text)
 			}
-			var t trace.Lookup
+			var t trace.Query
 			if err := json.Unmarshal(text, &t); err != nil {
 				return fmt.Errorf("%s: %w", gatherer, err)
 			}
@@ -89,24 +89,24 @@
 }
 
 // tell explains one lookup phase by phase.
-func tell(w io.Writer, t *trace.Lookup) {
-	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", t.ID, t.Index, plural(len(t.Shards), "part", "parts"), directive.FormatTimestamp(t.At), t.Time)
-	if c := t.Choice; c != nil {
+func tell(w io.Writer, t *trace.Query) {
+	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", t.ID, t.Class, plural(len(t.Shards), "part", "parts"), directive.FormatTimestamp(t.AdmittedAt), t.Timeout)
+	if c := t.Decision; c != nil {
 		way := "one phase"
-		if c.Two {
+		if c.TwoPass {
 			way = "two phases"
 		}
-		fmt.Fprintf(w, "%s: %s\n", way, c.Why)
+		fmt.Fprintf(w, "%s: %s\n", way, c.Reason)
 		fmt.Fprintf(w, "  estimate: %.0f%% of the parts hold nothing; latency of its own %+.1f ms, of others saved %.1f ms, spent %.1f ms: net gain %+.1f ms\n",
-			100*c.Prune, c.Own, c.Saved, c.Spent, c.Own+c.Saved-c.Spent)
-		if c.Two {
-			fmt.Fprintf(w, "  the first pass might take %.1f ms\n", c.Time)
+			100*c.EmptyShare, c.OwnGain, c.SavedElsewhere, c.FirstPassCost, c.OwnGain+c.SavedElsewhere-c.FirstPassCost)
+		if c.TwoPass {
+			fmt.Fprintf(w, "  the first pass might take %.1f ms\n", c.FirstPassTime)
 		}
 	}
 	calls := func(pass string) {
 		tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 		seen := map[int]int{}
-		for _, c := range t.Calls {
+		for _, c := range t.Attempts {
 			if c.Pass != pass {
 				continue
 			}
@@ -115,41 +115,41 @@
 			if n := seen[c.Shard]; n > 1 {
 				note = fmt.Sprintf("call %d of the part %s", n, note)
 			}
-			fmt.Fprintf(tab, "  at %.1f ms\tshard %d\t%s\t%s after %.1f ms\t%s\n", c.At, c.Shard, c.Server, c.End, c.Took, note)
+			fmt.Fprintf(tab, "  at %.1f ms\tshard %d\t%s\t%s after %.1f ms\t%s\n", c.DecidedAt, c.Shard, c.Server, c.Outcome, c.Duration, note)
 		}
 		tab.Flush()
 	}
-	if f := t.First; f != nil {
+	if f := t.FirstPass; f != nil {
 		fmt.Fprintln(w, "first pass:")
 		calls("first")
-		fmt.Fprintf(w, "after %.1f ms: %.0f%% of the weight proved to hold nothing\n", f.At, 100*f.Proved)
-		if len(f.Left) > 0 {
-			fmt.Fprintf(w, "  left out as unlikely: shards %s\n", numbers(f.Left))
+		fmt.Fprintf(w, "after %.1f ms: %.0f%% of the weight proved to hold nothing\n", f.EndedAt, 100*f.ProvedWeight)
+		if len(f.LeftOut) > 0 {
+			fmt.Fprintf(w, "  left out as unlikely: shards %s\n", numbers(f.LeftOut))
 		}
-		if len(f.Again) > 0 {
-			fmt.Fprintf(w, "  the first call was lost, so that the call in full counts against the budget: shards %s\n", numbers(f.Again))
+		if len(f.Retried) > 0 {
+			fmt.Fprintf(w, "  the first call was lost, so that the call in full counts against the budget: shards %s\n", numbers(f.Retried))
 		}
-		if len(f.Asked) == 0 {
+		if len(f.SecondPass) == 0 {
 			fmt.Fprintln(w, "nothing is left to ask")
 		} else {
-			fmt.Fprintf(w, "second pass, %s:\n", plural(len(f.Asked), "part", "parts"))
+			fmt.Fprintf(w, "second pass, %s:\n", plural(len(f.SecondPass), "part", "parts"))
 			calls("second")
 		}
 	} else {
 		calls("only")
 		calls("first")
 	}
-	if t.More > 0 {
-		fmt.Fprintf(w, "and %s that the trace has no room for\n", plural(t.More, "call", "calls"))
+	if t.OmittedAttempts > 0 {
+		fmt.Fprintf(w, "and %s that the trace has no room for\n", plural(t.OmittedAttempts, "call", "calls"))
 	}
-	if t.Verdict == "" {
+	if t.Result == "" {
 		fmt.Fprintln(w, "still held")
 		return
 	}
-	fmt.Fprintf(w, "%s after %.1f ms, %s", t.Verdict, t.Took, plural(t.Hits, "part with a value", "parts with a value"))
-	if len(t.Empty) > 0 {
-		slices.Sort(t.Empty)
-		fmt.Fprintf(w, ", %d proved to hold nothing", len(t.Empty))
+	fmt.Fprintf(w, "%s after %.1f ms, %s", t.Result, t.Duration, plural(t.Hits, "part with a value", "parts with a value"))
+	if len(t.EmptyShards) > 0 {
+		slices.Sort(t.EmptyShards)
+		fmt.Fprintf(w, ", %d proved to hold nothing", len(t.EmptyShards))
 	}
 	fmt.Fprintln(w)
 }
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -168,10 +168,10 @@
 		s.tells.follow(list)
 		s.handover.follow(list, all)
 		if s.traces != nil {
-			s.traces.Names(all)
+			s.traces.SetServerNames(all)
 		}
 		if s.record != nil {
-			s.record.Follow(list, s.Picker.Now())
+			s.record.UpdateEndpoints(list, s.Picker.Now())
 		}
 		if len(all) > 0 {
 			listed.Store(true)
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -137,12 +137,12 @@
 		t.Fatal(err)
 	}
 	recorder := New(20, 1)
-	recorder.Names([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
+	recorder.SetServerNames([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newPlayed(keptTerms, file, recorder)
 	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: 0.9, MinShare: 0.5, FirstPassShare: 0.3, TrialShare: 0.5}})
 	follow := func(l gather.EndpointList) {
 		p.UpdateEndpoints(l)
-		file.Follow(l, p.now)
+		file.UpdateEndpoints(l, p.now)
 		p.round(nil)
 	}
 	running := []gather.Endpoint{{ID: 10, ReplicaSet: 0}, {ID: 11, ReplicaSet: 1}, {ID: 12, ReplicaSet: 2}, {ID: 13, ReplicaSet: 3}}
@@ -229,7 +229,7 @@
 	lk, _ = p.take("many-calls", "mark", 3)
 	part := p.part[0]
 	p.round(func(w gather.Writer) {
-		for range mostCalls + 2 {
+		for range maxAttempts + 2 {
 			w.Send(part, 77, 100)
 		}
 	})
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -17,18 +17,18 @@
 // rules. It is a pick.Tracer and a pick.Witness: a call counts from its first byte, an answer from when no byte of a
 // call can go any more, and what was decided on and never written is not there.
 type File struct {
-	mu     sync.Mutex
-	f      *os.File
-	w      *rulecheck.Writer
-	most   int64
-	at     bool // each event is handed to the system at once
-	shards int  // into which clients part the keys, where a map says who owns them; 0 where none does
-	begin  float64
-	last   float64
-	why    string // it has ended, and why
-	next   uint64
-	open   map[*dispatch.Query]uint64
-	states map[uint32]gather.State
+	mu          sync.Mutex
+	f           *os.File
+	w           *rulecheck.Writer
+	maxBytes    int64
+	flushEach   bool // each event is handed to the system at once
+	shards      int  // into which clients part the keys, where a map says who owns them; 0 where none does
+	startedAt   float64
+	lastEventAt float64
+	endReason   string // it has ended, and why
+	nextNumber  uint64
+	open        map[*dispatch.Query]uint64
+	states      map[uint32]gather.State
 }
 
 // Create begins a record by a gatherer's terms, at its time. Shards is 0 where no map says who owns their keys. With
@@ -45,32 +45,32 @@
 	for _, name := range settings.ClassNames() {
 		h.Indexes[name] = rulecheck.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
 	}
-	return &File{f: f, w: rulecheck.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Query]uint64{}, states: map[uint32]gather.State{}}, nil
+	return &File{f: f, w: rulecheck.NewWriter(f, h), maxBytes: int64(most), flushEach: atOnce, shards: shards, startedAt: now, nextNumber: 1, open: map[*dispatch.Query]uint64{}, states: map[uint32]gather.State{}}, nil
 }
 
-// see writes an event, unless the record has ended. The lock is held.
-func (r *File) see(at float64, e rulecheck.Event) {
-	if r.why != "" {
+// write writes an event, unless the record has ended. The lock is held.
+func (r *File) write(at float64, e rulecheck.Event) {
+	if r.endReason != "" {
 		return
 	}
-	r.last = max(at-r.begin, r.last) // two goroutines may come here in another order than their clocks were read
-	e.At = r.last
+	r.lastEventAt = max(at-r.startedAt, r.lastEventAt) // two goroutines may come here in another order than their clocks were read
+	e.At = r.lastEventAt
 	r.w.See(e)
-	if r.at {
+	if r.flushEach {
 		r.w.Flush()
 	}
-	if r.w.Bytes() > r.most {
-		r.end(at, fmt.Sprintf("the record reached its %d bytes with %d lookups open", r.most, len(r.open)))
+	if r.w.Bytes() > r.maxBytes {
+		r.finish(at, fmt.Sprintf("the record reached its %d bytes with %d lookups open", r.maxBytes, len(r.open)))
 	}
 }
 
-func (r *File) end(at float64, why string) {
-	r.why = why
+func (r *File) finish(at float64, why string) {
+	r.endReason = why
 	if why == "" {
-		r.why = "closed"
+		r.endReason = "closed"
 	}
-	if err := errors.Join(r.w.End(max(at-r.begin, r.last), why), r.f.Close()); err != nil {
-		r.why = err.Error()
+	if err := errors.Join(r.w.End(max(at-r.startedAt, r.lastEventAt), why), r.f.Close()); err != nil {
+		r.endReason = err.Error()
 	}
 }
 
@@ -78,19 +78,19 @@
 func (r *File) Close(at float64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.why == "" {
-		r.end(at, "")
-		if r.why != "closed" {
-			return errors.New(r.why)
+	if r.endReason == "" {
+		r.finish(at, "")
+		if r.endReason != "closed" {
+			return errors.New(r.endReason)
 		}
 	}
 	return nil
 }
 
-var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}
+var stateTexts = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}
 
-// Follow records what the gatherer was told of servers.
-func (r *File) Follow(l gather.EndpointList, at float64) {
+// UpdateEndpoints records what the gatherer was told of servers.
+func (r *File) UpdateEndpoints(l gather.EndpointList, at float64) {
 	if l.Failed {
 		return
 	}
@@ -101,12 +101,12 @@
 		listed[s.ID] = true
 		if was, known := r.states[s.ID]; !known || was != s.State {
 			r.states[s.ID] = s.State
-			r.see(at, rulecheck.Event{Kind: rulecheck.Told, Server: s.ID, State: states[s.State]})
+			r.write(at, rulecheck.Event{Kind: rulecheck.Told, Server: s.ID, State: stateTexts[s.State]})
 		}
 	}
 	for id := range r.states {
 		if l.Full && !listed[id] {
-			r.see(at, rulecheck.Event{Kind: rulecheck.Told, Server: id, State: "gone"})
+			r.write(at, rulecheck.Event{Kind: rulecheck.Told, Server: id, State: "gone"})
 			delete(r.states, id)
 		}
 	}
@@ -116,17 +116,17 @@
 func (r *File) QueryAdmitted(lk *dispatch.Query, _ *twopass.Decision, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.open[lk] = r.next
-	e := rulecheck.Event{Kind: rulecheck.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Class, Until: lk.Deadline - r.begin}
+	r.open[lk] = r.nextNumber
+	e := rulecheck.Event{Kind: rulecheck.Taken, Lookup: r.nextNumber, Name: lk.ID, Index: lk.Class, Until: lk.Deadline - r.startedAt}
 	for _, p := range lk.ShardRequests {
 		part := rulecheck.Part{Shard: p.Shard, Weight: p.Weight}
 		if r.shards > 0 {
-			part.Keys = keys(ownership.Slot(p.Shard, r.shards))
+			part.Keys = ruleKeys(ownership.Slot(p.Shard, r.shards))
 		}
 		e.Parts = append(e.Parts, part)
 	}
-	r.next++
-	r.see(at, e)
+	r.nextNumber++
+	r.write(at, e)
 }
 
 // AttemptDecided is a decision, which the wire may never see; Written tells.
@@ -137,19 +137,19 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if number, open := r.open[c.Query()]; open {
-		r.see(at, rulecheck.Event{Kind: rulecheck.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.FirstPass(), Keys: keysOf(c)})
+		r.write(at, rulecheck.Event{Kind: rulecheck.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.FirstPass(), Keys: attemptKeys(c)})
 	}
 }
 
-func keys(r ownership.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
+func ruleKeys(r ownership.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
 
-// keysOf are the keys that a call asks for, nil where no map says who owns what.
-func keysOf(c *dispatch.Attempt) *rulecheck.Keys {
+// attemptKeys are the keys that a call asks for, nil where no map says who owns what.
+func attemptKeys(c *dispatch.Attempt) *rulecheck.Keys {
 	r, _, _, owned := c.Ownership()
 	if !owned {
 		return nil
 	}
-	return keys(r)
+	return ruleKeys(r)
 }
 
 // AttemptEnded records how a call ended.
@@ -160,8 +160,8 @@
 	if !open || !c.WriteBegun() {
 		return
 	}
-	r.see(c.DecidedAt()+waited, rulecheck.Event{Kind: rulecheck.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.FirstPass(), Outcome: outcome.String(),
-		Empty: c.FirstPass() && outcome == gather.Succeeded && s.Empty, Keys: keysOf(c)})
+	r.write(c.DecidedAt()+waited, rulecheck.Event{Kind: rulecheck.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.FirstPass(), Outcome: outcome.String(),
+		Empty: c.FirstPass() && outcome == gather.Succeeded && s.Empty, Keys: attemptKeys(c)})
 }
 
 // FirstPassEnded is of no interest to the rules.
@@ -186,7 +186,7 @@
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
 			if h.Keys != nil {
-				e.InKeys = append(e.InKeys, keys(*h.Keys))
+				e.InKeys = append(e.InKeys, ruleKeys(*h.Keys))
 			} else {
 				e.InKeys = append(e.InKeys, nil)
 			}
@@ -202,5 +202,5 @@
 	default:
 		e.Kind = rulecheck.Aborted
 	}
-	r.see(at, e)
+	r.write(at, e)
 }
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -17,130 +17,130 @@
 	"yokeroute/logic/twopass"
 )
 
-// Call is one part call.
-type Call struct {
-	Pass    string  `json:"pass"` // only, first or second
-	Shard   int     `json:"shard"`
-	Server  string  `json:"server"`
-	At      float64 `json:"at"`             // milliseconds after the lookup landed
-	Took    float64 `json:"took,omitempty"` // milliseconds, of one that has ended
-	End     string  `json:"end,omitempty"`
-	Summary string  `json:"summary,omitempty"`
+// Attempt is one part call.
+type Attempt struct {
+	Pass      string  `json:"pass"` // only, first or second
+	Shard     int     `json:"shard"`
+	Server    string  `json:"server"`
+	DecidedAt float64 `json:"at"`             // milliseconds after the lookup landed
+	Duration  float64 `json:"took,omitempty"` // milliseconds, of one that has ended
+	Outcome   string  `json:"end,omitempty"`
+	Summary   string  `json:"summary,omitempty"`
 }
 
-// Choice is why a lookup went the way it went; times are milliseconds.
-type Choice struct {
-	Two   bool    `json:"two"`
-	Why   string  `json:"why"`
-	Prune float64 `json:"prune"`
-	Own   float64 `json:"own"`
-	Saved float64 `json:"saved"`
-	Spent float64 `json:"spent"`
-	Time  float64 `json:"time"` // that the first pass might take
+// Decision is why a lookup went the way it went; times are milliseconds.
+type Decision struct {
+	TwoPass        bool    `json:"two"`
+	Reason         string  `json:"why"`
+	EmptyShare     float64 `json:"prune"`
+	OwnGain        float64 `json:"own"`
+	SavedElsewhere float64 `json:"saved"`
+	FirstPassCost  float64 `json:"spent"`
+	FirstPassTime  float64 `json:"time"` // that the first pass might take
 }
 
-// Closed is what came after a first pass.
-type Closed struct {
-	At     float64 `json:"at"`
-	Proved float64 `json:"proved"` // weight that is in since it proved to hold nothing
-	Asked  []int   `json:"asked"`  // shards of the second pass
-	Left   []int   `json:"left"`   // shards left out as unlikely
-	Again  []int   `json:"again"`  // of those asked, whose first call was lost
-	Whole  bool    `json:"whole"`
+// FirstPassResult is what came after a first pass.
+type FirstPassResult struct {
+	EndedAt      float64 `json:"at"`
+	ProvedWeight float64 `json:"proved"` // weight that is in since it proved to hold nothing
+	SecondPass   []int   `json:"asked"`  // shards of the second pass
+	LeftOut      []int   `json:"left"`   // shards left out as unlikely
+	Retried      []int   `json:"again"`  // of those asked, whose first call was lost
+	Complete     bool    `json:"whole"`
 }
 
-// Lookup is what became of a lookup.
-type Lookup struct {
-	ID      string  `json:"id"`
-	Index   string  `json:"index"`
-	At      float64 `json:"at"` // Unix milliseconds
-	Time    float64 `json:"time"`
-	Shards  []int   `json:"shards"`
-	Choice  *Choice `json:"choice,omitempty"`
-	Calls   []Call  `json:"calls"`
-	More    int     `json:"more,omitempty"` // calls beyond those kept
-	First   *Closed `json:"first,omitempty"`
-	Verdict string  `json:"verdict,omitempty"`
-	Took    float64 `json:"took,omitempty"`
-	Hits    int     `json:"hits"`
-	Empty   []int   `json:"empty,omitempty"`
+// Query is what became of a lookup.
+type Query struct {
+	ID              string           `json:"id"`
+	Class           string           `json:"index"`
+	AdmittedAt      float64          `json:"at"` // Unix milliseconds
+	Timeout         float64          `json:"time"`
+	Shards          []int            `json:"shards"`
+	Decision        *Decision        `json:"choice,omitempty"`
+	Attempts        []Attempt        `json:"calls"`
+	OmittedAttempts int              `json:"more,omitempty"` // calls beyond those kept
+	FirstPass       *FirstPassResult `json:"first,omitempty"`
+	Result          string           `json:"verdict,omitempty"`
+	Duration        float64          `json:"took,omitempty"`
+	Hits            int              `json:"hits"`
+	EmptyShards     []int            `json:"empty,omitempty"`
 
-	at map[*dispatch.Attempt]int
+	attemptIndex map[*dispatch.Attempt]int
 }
 
-// mostCalls bounds the calls kept of one lookup.
-const mostCalls = 256
+// maxAttempts bounds the calls kept of one lookup.
+const maxAttempts = 256
 
 // Recorder keeps lookups; it is a pick.Tracer.
 type Recorder struct {
-	keep  int
-	share float64
+	capacity    int
+	sampleShare float64
 
-	mu    sync.Mutex
-	ring  []*Lookup
-	next  int
-	open  map[*dispatch.Query]*Lookup
-	byID  map[string]*Lookup
-	names map[uint32]string
+	mu          sync.Mutex
+	ring        []*Query
+	next        int
+	open        map[*dispatch.Query]*Query
+	byID        map[string]*Query
+	serverNames map[uint32]string
 }
 
 // New makes a recorder that keeps so many lookups, and of all that come a share, drawn by their names.
 func New(keep int, share float64) *Recorder {
-	return &Recorder{keep: keep, share: share, open: map[*dispatch.Query]*Lookup{}, byID: map[string]*Lookup{}, names: map[uint32]string{}}
+	return &Recorder{capacity: keep, sampleShare: share, open: map[*dispatch.Query]*Query{}, byID: map[string]*Query{}, serverNames: map[uint32]string{}}
 }
 
-// Names takes over the names of the servers that are listed.
-func (r *Recorder) Names(all []shardcall.Address) {
+// SetServerNames takes over the names of the servers that are listed.
+func (r *Recorder) SetServerNames(all []shardcall.Address) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	clear(r.names)
+	clear(r.serverNames)
 	for _, a := range all {
-		r.names[a.ID] = a.Name
+		r.serverNames[a.ID] = a.Name
 	}
 }
 
-func (r *Recorder) name(server uint32) string {
-	if name := r.names[server]; name != "" {
+func (r *Recorder) serverName(server uint32) string {
+	if name := r.serverNames[server]; name != "" {
 		return name
 	}
 	return fmt.Sprint(server)
 }
 
-// drawn decides by a lookup's name alone, so that all gatherers that see it keep it or none does.
-func (r *Recorder) drawn(id string) bool {
+// sampled decides by a lookup's name alone, so that all gatherers that see it keep it or none does.
+func (r *Recorder) sampled(id string) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
-	return float64(h.Sum32()) < r.share*(1<<32)
+	return float64(h.Sum32()) < r.sampleShare*(1<<32)
 }
 
 // QueryAdmitted begins a lookup.
 func (r *Recorder) QueryAdmitted(lk *dispatch.Query, c *twopass.Decision, at float64) {
-	if !r.drawn(lk.ID) {
+	if !r.sampled(lk.ID) {
 		return
 	}
-	t := &Lookup{ID: lk.ID, Index: lk.Class, At: at, Time: lk.Deadline - at, at: map[*dispatch.Attempt]int{}}
+	t := &Query{ID: lk.ID, Class: lk.Class, AdmittedAt: at, Timeout: lk.Deadline - at, attemptIndex: map[*dispatch.Attempt]int{}}
 	for _, pt := range lk.ShardRequests {
 		t.Shards = append(t.Shards, pt.Shard)
 	}
 	if c != nil {
-		t.Choice = &Choice{c.TwoPass, string(c.Reason), c.EmptyShare, c.OwnGain, c.SavedElsewhere, c.FirstPassCost, c.FirstPassDeadline - at}
+		t.Decision = &Decision{c.TwoPass, string(c.Reason), c.EmptyShare, c.OwnGain, c.SavedElsewhere, c.FirstPassCost, c.FirstPassDeadline - at}
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = t
-	if len(r.ring) < r.keep {
+	if len(r.ring) < r.capacity {
 		r.ring = append(r.ring, t)
 	} else {
 		if old := r.ring[r.next]; r.byID[old.ID] == old {
 			delete(r.byID, old.ID)
 		}
 		r.ring[r.next] = t
-		r.next = (r.next + 1) % r.keep
+		r.next = (r.next + 1) % r.capacity
 	}
 	r.byID[t.ID] = t
 }
 
-var passes = map[gather.Pass]string{gather.SinglePass: "only", gather.FirstPass: "first", gather.SecondPass: "second"}
+var passTexts = map[gather.Pass]string{gather.SinglePass: "only", gather.FirstPass: "first", gather.SecondPass: "second"}
 
 // AttemptDecided adds a call.
 func (r *Recorder) AttemptDecided(c *dispatch.Attempt, at float64) {
@@ -149,15 +149,15 @@
 	t := r.open[c.Query()]
 	switch {
 	case t == nil:
-	case len(t.Calls) >= mostCalls:
-		t.More++
+	case len(t.Attempts) >= maxAttempts:
+		t.OmittedAttempts++
 	default:
-		t.at[c] = len(t.Calls)
-		t.Calls = append(t.Calls, Call{Pass: passes[c.Pass()], Shard: c.Shard(), Server: r.name(c.Server), At: round(at - t.At)})
+		t.attemptIndex[c] = len(t.Attempts)
+		t.Attempts = append(t.Attempts, Attempt{Pass: passTexts[c.Pass()], Shard: c.Shard(), Server: r.serverName(c.Server), DecidedAt: round(at - t.AdmittedAt)})
 	}
 }
 
-var ends = map[gather.Outcome]string{gather.Succeeded: "answered", gather.Failed: "failed", gather.Rejected: "turned away", gather.TimedOut: "out of time",
+var outcomeTexts = map[gather.Outcome]string{gather.Succeeded: "answered", gather.Failed: "failed", gather.Rejected: "turned away", gather.TimedOut: "out of time",
 	gather.ConnectFailed: "not reached", gather.ConnectionReset: "cut off", gather.Cancelled: "given up", gather.NotSent: "never sent", gather.NotOwner: "not owned there"}
 
 // AttemptEnded ends a call.
@@ -168,12 +168,12 @@
 	if t == nil {
 		return
 	}
-	i, kept := t.at[c]
+	i, kept := t.attemptIndex[c]
 	if !kept {
 		return
 	}
-	call := &t.Calls[i]
-	call.End, call.Took = ends[outcome], round(waited)
+	call := &t.Attempts[i]
+	call.Outcome, call.Duration = outcomeTexts[outcome], round(waited)
 	switch {
 	case !c.FirstPass() || outcome != gather.Succeeded:
 	case s.Empty:
@@ -191,19 +191,19 @@
 	if t == nil {
 		return
 	}
-	t.First = &Closed{At: round(at - t.At), Proved: n.ProvedWeight, Whole: n.Complete}
+	t.FirstPass = &FirstPassResult{EndedAt: round(at - t.AdmittedAt), ProvedWeight: n.ProvedWeight, Complete: n.Complete}
 	for _, a := range n.Requests {
-		t.First.Asked = append(t.First.Asked, lk.ShardRequests[a.Index].Shard)
+		t.FirstPass.SecondPass = append(t.FirstPass.SecondPass, lk.ShardRequests[a.Index].Shard)
 		if a.Retry {
-			t.First.Again = append(t.First.Again, lk.ShardRequests[a.Index].Shard)
+			t.FirstPass.Retried = append(t.FirstPass.Retried, lk.ShardRequests[a.Index].Shard)
 		}
 	}
 	for _, i := range n.LeftOut {
-		t.First.Left = append(t.First.Left, lk.ShardRequests[i].Shard)
+		t.FirstPass.LeftOut = append(t.FirstPass.LeftOut, lk.ShardRequests[i].Shard)
 	}
 }
 
-var verdicts = map[dispatch.ResultKind]string{dispatch.Served: "satisfied", dispatch.Rejected: "nacked", dispatch.Failed: "aborted", dispatch.InternalError: "failed", dispatch.Abandoned: "its client left"}
+var resultTexts = map[dispatch.ResultKind]string{dispatch.Served: "satisfied", dispatch.Rejected: "nacked", dispatch.Failed: "aborted", dispatch.InternalError: "failed", dispatch.Abandoned: "its client left"}
 
 // QueryDecided ends a lookup.
 func (r *Recorder) QueryDecided(lk *dispatch.Query, v dispatch.Result, at float64) {
@@ -214,16 +214,16 @@
 		return
 	}
 	delete(r.open, lk) // calls that are still out end unseen, which bounds what is open
-	t.Verdict, t.Took, t.Hits, t.Empty = verdicts[v.Kind], round(at-t.At), len(v.Hits), v.EmptyShards
+	t.Result, t.Duration, t.Hits, t.EmptyShards = resultTexts[v.Kind], round(at-t.AdmittedAt), len(v.Hits), v.EmptyShards
 	if v.Kind == dispatch.Served && !v.Complete {
-		t.Verdict = "satisfied in part"
+		t.Result = "satisfied in part"
 	}
-	for i := range t.Calls {
-		if t.Calls[i].End == "" {
-			t.Calls[i].End = "out when the lookup ended"
+	for i := range t.Attempts {
+		if t.Attempts[i].Outcome == "" {
+			t.Attempts[i].Outcome = "out when the lookup ended"
 		}
 	}
-	t.at = nil
+	t.attemptIndex = nil
 }
 
 func round(ms float64) float64 { return math.Round(ms*1000) / 1000 }
@@ -245,7 +245,7 @@
 		list := []line{}
 		for i := range r.ring {
 			t := r.ring[(r.next+i)%len(r.ring)]
-			list = append(list, line{t.ID, t.Index, t.Verdict, t.Took, t.Choice != nil && t.Choice.Two})
+			list = append(list, line{t.ID, t.Class, t.Result, t.Duration, t.Decision != nil && t.Decision.TwoPass})
 		}
 		answer = list
 	} else if t := r.byID[id]; t != nil {
