--- a/internal/gatherer/dispatch/crossings_test.go
+++ b/internal/gatherer/dispatch/crossings_test.go
@@ -22,7 +22,7 @@
 		go func() { done <- p.Pick(ctx, lk) }()
 		for taken := 0; taken == 0; runtime.Gosched() {
 			p.mu.Lock()
-			taken = len(p.inbox.taken)
+			taken = len(p.inbox.admitted)
 			p.mu.Unlock()
 		}
 		now += 5
--- a/internal/gatherer/dispatch/govern.go
+++ b/internal/gatherer/dispatch/govern.go
@@ -36,40 +36,40 @@
 }
 
 // SetPolicyGate has lookups decided by what a governor says. It has to be called before the first Tick.
-func (p *Picker) SetPolicyGate(g PolicyGate) { p.governor = g }
+func (p *Picker) SetPolicyGate(g PolicyGate) { p.gate = g }
 
 // Wake has a round run soon, for a governor that has news while no lookup comes.
-func (p *Picker) Wake() { p.tell(func(*inbox) {}) }
+func (p *Picker) Wake() { p.enqueue(func(*inbox) {}) }
 
-// govern takes over, at a round's beginning, what is acted by: terms, servers that are closed, turns.
-func (p *Picker) govern(in *gather.Round, now float64) {
-	way, settings := p.governor.Effective(now)
-	news := p.governor.BlockedRevision()
+// applyPolicy takes over, at a round's beginning, what is acted by: terms, servers that are closed, turns.
+func (p *Picker) applyPolicy(in *gather.Round, now float64) {
+	way, settings := p.gate.Effective(now)
+	news := p.gate.BlockedRevision()
 	switch {
-	case way != p.way:
-		p.way = way
+	case way != p.generation:
+		p.generation = way
 		p.settings, in.Settings = settings, settings
-		p.retries.set(settings)
-	case news != p.governed:
+		p.retryBudget.update(settings)
+	case news != p.blockedRevision:
 	default:
-		p.shut(in.EndpointLists)
+		p.drainBlocked(in.EndpointLists)
 		return
 	}
-	p.governed = news
+	p.blockedRevision = news
 	// All servers are told anew, as they are to be taken from now on.
-	if all := p.whole(); len(all.Endpoints) > 0 {
+	if all := p.fullEndpointList(); len(all.Endpoints) > 0 {
 		in.EndpointLists = append(in.EndpointLists, all)
 	}
-	p.shut(in.EndpointLists)
-	p.turn(in)
+	p.drainBlocked(in.EndpointLists)
+	p.applyWeights(in)
 }
 
-// shut has servers that are closed look as if they drained: nothing new is sent there, what is out is waited for.
-func (p *Picker) shut(lists []gather.EndpointList) {
+// drainBlocked has servers that are closed look as if they drained: nothing new is sent there, what is out is waited for.
+func (p *Picker) drainBlocked(lists []gather.EndpointList) {
 	for i := range lists {
 		copied := false
 		for j, e := range lists[i].Endpoints {
-			if e.State == gather.Running && p.governor.Blocked(e.ID) {
+			if e.State == gather.Running && p.gate.Blocked(e.ID) {
 				if !copied { // the list belongs to who told it
 					lists[i].Endpoints, copied = slices.Clone(lists[i].Endpoints), true
 				}
@@ -79,22 +79,22 @@
 	}
 }
 
-// turn hands in weights for groups in which a server gets fewer turns than the others.
-func (p *Picker) turn(in *gather.Round) {
+// applyWeights hands in weights for groups in which a server gets fewer turns than the others.
+func (p *Picker) applyWeights(in *gather.Round) {
 	groups := max(p.settings.ReplicaSets, 1)
 	weights := make([][]gather.Weight, groups)
 	some := false
-	for _, id := range p.ids {
-		e := p.servers[id]
+	for _, id := range p.endpointOrder {
+		e := p.endpoints[id]
 		if e.ReplicaSet < 0 || e.ReplicaSet >= groups {
 			continue
 		}
-		share := p.governor.Weight(id)
+		share := p.gate.Weight(id)
 		some = some || share != 1
 		weights[e.ReplicaSet] = append(weights[e.ReplicaSet], gather.Weight{Server: id, Share: share})
 	}
-	if some || p.turned {
-		p.turned = some
+	if some || p.weighted {
+		p.weighted = some
 		if !some {
 			weights = make([][]gather.Weight, groups)
 		}
@@ -103,30 +103,30 @@
 	}
 }
 
-// settle tells the governor how far the lookups in hand have come.
-func (p *Picker) settle() {
-	if p.governor.Drained() {
+// reportDrained tells the governor how far the lookups in hand have come.
+func (p *Picker) reportDrained() {
+	if p.gate.Drained() {
 		return
 	}
-	oldest := p.way
-	for _, lk := range p.lookups { // the least of all, in whatever order
-		oldest = min(oldest, lk.root().way)
+	oldest := p.generation
+	for _, lk := range p.queries { // the least of all, in whatever order
+		oldest = min(oldest, lk.root().generation)
 	}
-	for _, lk := range p.twice.roots {
-		oldest = min(oldest, lk.way)
+	for _, lk := range p.twoPass.queries {
+		oldest = min(oldest, lk.generation)
 	}
-	p.governor.MarkDrained(oldest)
+	p.gate.MarkDrained(oldest)
 }
 
-// allows asks the governor about a call at its first byte.
-func (c *Attempt) allows(now float64) bool {
-	g := c.p.governor
-	return g == nil || g.Permits(PolicyCheck{Generation: c.lk.root().way, Class: c.lk.Class, Server: c.Server, Repeated: c.number > 0, Hedge: !c.alone, UsesRetryBudget: c.further}, now)
+// permitted asks the governor about a call at its first byte.
+func (c *Attempt) permitted(now float64) bool {
+	g := c.picker.gate
+	return g == nil || g.Permits(PolicyCheck{Generation: c.query.root().generation, Class: c.query.Class, Server: c.Server, Repeated: c.number > 0, Hedge: !c.onlyInFlight, UsesRetryBudget: c.usesRetryBudget}, now)
 }
 
-// said asks the governor about a verdict before it is given.
-func (p *Picker) said(lk *Query, v Result) Result {
-	if p.governor == nil || v.Kind != Served && v.Kind != Rejected {
+// reviewResult asks the governor about a verdict before it is given.
+func (p *Picker) reviewResult(lk *Query, v Result) Result {
+	if p.gate == nil || v.Kind != Served && v.Kind != Rejected {
 		return v
 	}
 	share := 0.0
@@ -135,5 +135,5 @@
 			share += pt.Weight
 		}
 	}
-	return p.governor.ReviewResult(PolicyCheck{Generation: lk.way, Class: lk.Class}, v, share, lk.ran.Load(), p.Now())
+	return p.gate.ReviewResult(PolicyCheck{Generation: lk.generation, Class: lk.Class}, v, share, lk.mayHaveRun.Load(), p.Now())
 }
--- a/internal/gatherer/dispatch/ledger.go
+++ b/internal/gatherer/dispatch/ledger.go
@@ -17,57 +17,57 @@
 
 // SetNonIdempotentStore has once-only lookups written into a ledger before any byte of them goes. It has to be called before the first
 // Tick.
-func (p *Picker) SetNonIdempotentStore(l NonIdempotentStore) { p.ledger = l }
+func (p *Picker) SetNonIdempotentStore(l NonIdempotentStore) { p.store = l }
 
-// refuseRun answers a once-only lookup of whose name an earlier part call may have run: aborted, at once. It reports
+// failIfMayHaveRun answers a once-only lookup of whose name an earlier part call may have run: aborted, at once. It reports
 // whether it did.
-func (p *Picker) refuseRun(lk *Query, now float64) bool {
-	if p.ledger == nil || !p.onceOnly(lk) || !p.ledger.MayHaveRun(lk.ID, lk.Retried, now) {
+func (p *Picker) failIfMayHaveRun(lk *Query, now float64) bool {
+	if p.store == nil || !p.nonIdempotent(lk) || !p.store.MayHaveRun(lk.ID, lk.Retried, now) {
 		return false
 	}
 	p.log.WithField("lookup", lk.ID).Warn("a once-only lookup of this name may have run: aborted")
-	p.ended = append(p.ended, lk)
-	lk.known = true
-	p.answer(lk, Result{Kind: Failed})
+	p.finished = append(p.finished, lk)
+	lk.recorded = true
+	p.deliver(lk, Result{Kind: Failed})
 	return true
 }
 
-// write has the ledger know of the round's once-only calls before they are carried out. What it can't write is not
+// recordNonIdempotent has the ledger know of the round's once-only calls before they are carried out. What it can't write is not
 // sent: whether it ran could not be told after a crash.
-func (p *Picker) write(now float64) {
-	if p.ledger == nil {
+func (p *Picker) recordNonIdempotent(now float64) {
+	if p.store == nil {
 		return
 	}
 	var names []string
 	var fresh []*Query
-	for _, c := range p.orders.Send {
-		if lk := c.lk.root(); c.onceOnly && !lk.known {
-			lk.known = true
+	for _, c := range p.actions.Send {
+		if lk := c.query.root(); c.nonIdempotent && !lk.recorded {
+			lk.recorded = true
 			names, fresh = append(names, lk.ID), append(fresh, lk)
 		}
 	}
 	if len(names) == 0 {
 		return
 	}
-	if err := p.ledger.RecordSent(names, now); err != nil {
+	if err := p.store.RecordSent(names, now); err != nil {
 		p.log.WithError(err).Error("once-only calls could not be written down, and are not sent")
-		for _, c := range p.orders.Send {
-			if slices.Contains(fresh, c.lk.root()) {
-				c.off.Store(true)
+		for _, c := range p.actions.Send {
+			if slices.Contains(fresh, c.query.root()) {
+				c.cancelled.Store(true)
 			}
 		}
 		for _, lk := range fresh { // against its next call going as if its name were written
-			lk.known = false
+			lk.recorded = false
 		}
 	}
 }
 
-// unrun notes that a lookup ended and nothing of it ran.
-func (p *Picker) unrun(lk *Query, v Result) {
-	if p.ledger == nil || !p.onceOnly(lk) || v.Kind != Rejected {
+// recordNotRun notes that a lookup ended and nothing of it ran.
+func (p *Picker) recordNotRun(lk *Query, v Result) {
+	if p.store == nil || !p.nonIdempotent(lk) || v.Kind != Rejected {
 		return
 	}
-	if err := p.ledger.RecordNotRun(lk.ID); err != nil {
+	if err := p.store.RecordNotRun(lk.ID); err != nil {
 		p.log.WithError(err).Error("that a once-only lookup did not run could not be written down; its name stays known")
 	}
 }
--- a/internal/gatherer/dispatch/lookup.go
+++ b/internal/gatherer/dispatch/lookup.go
@@ -28,31 +28,31 @@
 	Payload                 []byte // what each part carries, as it came
 	Tag                     any    // the caller's own
 
-	ref    uint64       // its parts' refs follow it
-	values [][]byte     // by part, or by piece where there are pieces
-	calls  [][]*Attempt // the same
-	pieces []piece      // where a map says who owns which keys
-	done   chan Result
-	pass           // of a lookup in two phases: what the module holds in its place
-	phased *phased // of one in two phases: where it stands
-	landed float64
-	known  bool        // the ledger knows its name
-	way    uint64      // in which it was decided
-	ran    atomic.Bool // bytes of a call of it have begun to go
-
-	// gate is held for reading while a part call is being written, so that no byte of one follows the answer.
-	gate   sync.RWMutex
-	sealed bool
+	id         uint64       // its parts' refs follow it
+	values     [][]byte     // by part, or by piece where there are pieces
+	attempts   [][]*Attempt // the same
+	pieces     []piece      // where a map says who owns which keys
+	result     chan Result
+	pass                     // of a lookup in two phases: what the module holds in its place
+	twoPass    *passProgress // of one in two phases: where it stands
+	admittedAt float64
+	recorded   bool        // the ledger knows its name
+	generation uint64      // in which it was decided
+	mayHaveRun atomic.Bool // bytes of a call of it have begun to go
+
+	// writeGate is held for reading while a part call is being written, so that no byte of one follows the answer.
+	writeGate sync.RWMutex
+	sealed    bool
 }
 
-// hits adds the values that are in to others.
-func (lk *Query) hits(to []Hit) []Hit {
+// appendHits adds the values that are in to others.
+func (lk *Query) appendHits(to []Hit) []Hit {
 	for i, value := range lk.values {
 		if value == nil {
 			continue
 		}
-		h := Hit{Shard: lk.ShardRequests[lk.partOf(i)].Shard, Value: value}
-		if lk.pieces != nil && !lk.wholePart(i) {
+		h := Hit{Shard: lk.ShardRequests[lk.shardRequestOf(i)].Shard, Value: value}
+		if lk.pieces != nil && !lk.coversShardRequest(i) {
 			keys := lk.pieces[i].Range
 			h.Keys = &keys
 		}
@@ -61,40 +61,40 @@
 	return to
 }
 
-// partOf is the part that a piece is of; without pieces it is the part itself.
-func (lk *Query) partOf(i int) int {
+// shardRequestOf is the part that a piece is of; without pieces it is the part itself.
+func (lk *Query) shardRequestOf(i int) int {
 	if lk.pieces != nil {
 		return lk.pieces[i].Part
 	}
 	return i
 }
 
-// wholePart reports whether a piece is all of its part.
-func (lk *Query) wholePart(i int) bool {
+// coversShardRequest reports whether a piece is all of its part.
+func (lk *Query) coversShardRequest(i int) bool {
 	for j := range lk.pieces {
-		if j != i && !lk.pieces[j].gone && lk.pieces[j].Part == lk.pieces[i].Part {
+		if j != i && !lk.pieces[j].replaced && lk.pieces[j].Part == lk.pieces[i].Part {
 			return false
 		}
 	}
 	return true
 }
 
-// refOf is the module's number of a part, or of a piece.
-func (lk *Query) refOf(i int) uint64 {
+// moduleID is the module's number of a part, or of a piece.
+func (lk *Query) moduleID(i int) uint64 {
 	if lk.pieces != nil {
 		return lk.pieces[i].ID
 	}
-	return lk.ref + 1 + uint64(i)
+	return lk.id + 1 + uint64(i)
 }
 
 // AdmittedAt is when it was taken, by the picker's clock; 0 where its answer was known at once.
-func (lk *Query) AdmittedAt() float64 { return lk.landed }
+func (lk *Query) AdmittedAt() float64 { return lk.admittedAt }
 
 // seal waits for calls that are being written and lets none begin after it.
 func (lk *Query) seal() {
-	lk.gate.Lock()
+	lk.writeGate.Lock()
 	lk.sealed = true
-	lk.gate.Unlock()
+	lk.writeGate.Unlock()
 }
 
 // ResultKind is how a lookup ended.
@@ -127,7 +127,7 @@
 // Result is the final answer, if it is decided. It is for who plays rounds; others wait in Pick.
 func (lk *Query) Result() (Result, bool) {
 	select {
-	case v := <-lk.done:
+	case v := <-lk.result:
 		lk.seal()
 		return v, true
 	default:
@@ -141,35 +141,35 @@
 	Timeout float64 // milliseconds from the decision
 	Tag     any     // the carrier's own
 
-	lk       *Query
-	part     int // or piece
-	number   int
-	place    int
-	alone    bool
-	further  bool // it is one beyond its part's first: by its number, or as a first pass's call of the part was lost
-	at       float64
-	p        *Picker
-	keys     ownership.Range // of a piece,
-	segment  string          // by whom they were owned
-	owned    bool            // it is of a piece
-	shard    int
-	since    uint64
-	onceOnly bool
-	ref      uint64     // of its part, by which the module knows it
-	before   []*Attempt // earlier calls of a fingerprinted part, and how long the mark of one that ran is known
-	window   float64
-	off      atomic.Bool
-	told     atomic.Bool
-	unrun    atomic.Bool // once told: it is proved that it never ran
-	begun    atomic.Bool
+	query           *Query
+	index           int // or piece
+	number          int
+	shardsAttempted int
+	onlyInFlight    bool
+	usesRetryBudget bool // it is one beyond its part's first: by its number, or as a first pass's call of the part was lost
+	decidedAt       float64
+	picker          *Picker
+	keys            ownership.Range // of a piece,
+	segment         string          // by whom they were owned
+	owned           bool            // it is of a piece
+	shard           int
+	ownedSince      uint64
+	nonIdempotent   bool
+	moduleID        uint64     // of its part, by which the module knows it
+	earlier         []*Attempt // earlier calls of a fingerprinted part, and how long the mark of one that ran is known
+	window          float64
+	cancelled       atomic.Bool
+	ended           atomic.Bool
+	provedNotRun    atomic.Bool // once told: it is proved that it never ran
+	writeBegun      atomic.Bool
 }
 
 // ID names the part on the wire; a second copy bears the same name. In a first pass a mark follows, so that an
 // answer can't be taken for the other pass's.
 func (c *Attempt) ID() string {
-	id := c.lk.ID + "." + strconv.Itoa(c.Shard())
+	id := c.query.ID + "." + strconv.Itoa(c.Shard())
 	if c.owned { // several pieces of a part may be out at one server
-		id += "." + strconv.Itoa(c.part)
+		id += "." + strconv.Itoa(c.index)
 	}
 	if c.FirstPass() {
 		id += "~"
@@ -178,64 +178,64 @@
 }
 
 // Query is the lookup that the call is for, as its client asked for it.
-func (c *Attempt) Query() *Query { return c.lk.root() }
+func (c *Attempt) Query() *Query { return c.query.root() }
 
 // Pass is the pass that the call belongs to.
-func (c *Attempt) Pass() gather.Pass { return c.lk.kind }
+func (c *Attempt) Pass() gather.Pass { return c.query.kind }
 
 // FirstPass reports whether the call asks for no more than a summary.
-func (c *Attempt) FirstPass() bool { return c.lk.kind == gather.FirstPass }
+func (c *Attempt) FirstPass() bool { return c.query.kind == gather.FirstPass }
 
 // Number counts the calls of its part, in its pass, from 0.
 func (c *Attempt) Number() int { return c.number }
 
 // Remaining is how many milliseconds of its time are left: less than at the decision, where it has waited for a connection.
-func (c *Attempt) Remaining() float64 { return c.at + c.Timeout - c.p.Now() }
+func (c *Attempt) Remaining() float64 { return c.decidedAt + c.Timeout - c.picker.Now() }
 
 // DecidedAt is when it was decided on, by the picker's clock.
-func (c *Attempt) DecidedAt() float64 { return c.at }
+func (c *Attempt) DecidedAt() float64 { return c.decidedAt }
 
 // UsesRetryBudget reports whether it is one beyond its part's first, which the budget counts.
-func (c *Attempt) UsesRetryBudget() bool { return c.further }
+func (c *Attempt) UsesRetryBudget() bool { return c.usesRetryBudget }
 
 // OnlyInFlight reports whether no other call of its part was out when it was decided on.
-func (c *Attempt) OnlyInFlight() bool { return c.alone }
+func (c *Attempt) OnlyInFlight() bool { return c.onlyInFlight }
 
 // ShardsAttempted counts the parts of its lookup that were called by then, this one among them.
-func (c *Attempt) ShardsAttempted() int { return c.place }
+func (c *Attempt) ShardsAttempted() int { return c.shardsAttempted }
 
 // Shard is the shard asked.
 func (c *Attempt) Shard() int { return c.shard }
 
 // Payload is what the part carries.
-func (c *Attempt) Payload() []byte { return c.lk.Payload }
+func (c *Attempt) Payload() []byte { return c.query.Payload }
 
 // BeginWrite reports whether the call may still be written, against one that waited for a connection while its
 // lookup was answered or the budget of further calls ran out. Each Begin that allowed it wants an End once its bytes are out. It never waits: a
 // lookup that is being sealed is as good as answered, and writers that waited could wait for each other.
 func (c *Attempt) BeginWrite() bool {
-	lk := c.lk.root()
-	if c.off.Load() || !lk.gate.TryRLock() {
+	lk := c.query.root()
+	if c.cancelled.Load() || !lk.writeGate.TryRLock() {
 		return false
 	}
-	now := c.p.Now()
-	if lk.sealed || c.off.Load() || !c.known(now) || !c.allows(now) || c.further && !c.p.retries.pass(now) {
-		lk.gate.RUnlock()
+	now := c.picker.Now()
+	if lk.sealed || c.cancelled.Load() || !c.withinWindow(now) || !c.permitted(now) || c.usesRetryBudget && !c.picker.retryBudget.charge(now) {
+		lk.writeGate.RUnlock()
 		return false
 	}
-	c.begun.Store(true)
-	lk.ran.Store(true)
-	for _, w := range c.p.witnesses {
+	c.writeBegun.Store(true)
+	lk.mayHaveRun.Store(true)
+	for _, w := range c.picker.wireObservers {
 		w.AttemptWritten(c, now)
 	}
 	return true
 }
 
-// known reports whether a fingerprinted part's mark is still known where an earlier call of it may have run: the window
+// withinWindow reports whether a fingerprinted part's mark is still known where an earlier call of it may have run: the window
 // may end while the call waits for its connection or behind other frames.
-func (c *Attempt) known(now float64) bool {
-	for _, b := range c.before {
-		if !b.unrun.Load() && now > b.at+c.window-rounding {
+func (c *Attempt) withinWindow(now float64) bool {
+	for _, b := range c.earlier {
+		if !b.provedNotRun.Load() && now > b.decidedAt+c.window-clockTolerance {
 			return false
 		}
 	}
@@ -243,10 +243,10 @@
 }
 
 // WriteBegun reports whether its bytes have begun to go.
-func (c *Attempt) WriteBegun() bool { return c.begun.Load() }
+func (c *Attempt) WriteBegun() bool { return c.writeBegun.Load() }
 
 // EndWrite closes what Begin opened.
-func (c *Attempt) EndWrite() { c.lk.root().gate.RUnlock() }
+func (c *Attempt) EndWrite() { c.query.root().writeGate.RUnlock() }
 
 // Actions are what the network has to carry out after a round, in this order.
 type Actions struct {
@@ -261,62 +261,62 @@
 type writer struct{ p *Picker }
 
 func (w writer) Send(ref uint64, server uint32, timeout float64) {
-	s, known := w.p.parts[ref]
+	s, known := w.p.shardRequests[ref]
 	if !known {
 		return
 	}
-	c := &Attempt{Server: server, Timeout: timeout, lk: s.lk, part: s.part, number: len(s.lk.calls[s.part]), at: w.p.ranAt, p: w.p, ref: ref, shard: s.lk.ShardRequests[s.lk.partOf(s.part)].Shard, owned: s.lk.pieces != nil}
-	c.alone, c.further = true, c.number > 0 || s.lk.asks != nil && s.lk.asks[s.part].Retry
-	c.onceOnly = w.p.onceOnly(s.lk)
-	if s.lk.pieces != nil {
-		pc := &s.lk.pieces[s.part]
-		c.keys, c.segment, c.since, c.further = pc.Range, pc.Segment, pc.Since, c.further || pc.Called && len(s.lk.calls[s.part]) == 0
+	c := &Attempt{Server: server, Timeout: timeout, query: s.query, index: s.index, number: len(s.query.attempts[s.index]), decidedAt: w.p.lastRoundAt, picker: w.p, moduleID: ref, shard: s.query.ShardRequests[s.query.shardRequestOf(s.index)].Shard, owned: s.query.pieces != nil}
+	c.onlyInFlight, c.usesRetryBudget = true, c.number > 0 || s.query.requests != nil && s.query.requests[s.index].Retry
+	c.nonIdempotent = w.p.nonIdempotent(s.query)
+	if s.query.pieces != nil {
+		pc := &s.query.pieces[s.index]
+		c.keys, c.segment, c.ownedSince, c.usesRetryBudget = pc.Range, pc.Segment, pc.Since, c.usesRetryBudget || pc.Called && len(s.query.attempts[s.index]) == 0
 		pc.Out++
 	}
-	if index := s.lk.root().Class; w.p.settings.Class(index).Effect == gather.IdempotencyKeyed {
-		c.before, c.window = slices.Clone(s.lk.calls[s.part]), w.p.settings.Class(index).IdempotencyWindow
+	if index := s.query.root().Class; w.p.settings.Class(index).Effect == gather.IdempotencyKeyed {
+		c.earlier, c.window = slices.Clone(s.query.attempts[s.index]), w.p.settings.Class(index).IdempotencyWindow
 	}
-	for _, before := range s.lk.calls[s.part] {
-		c.alone = c.alone && before.told.Load()
+	for _, before := range s.query.attempts[s.index] {
+		c.onlyInFlight = c.onlyInFlight && before.ended.Load()
 	}
-	s.lk.calls[s.part] = append(s.lk.calls[s.part], c)
-	for _, calls := range s.lk.calls {
-		c.place += min(len(calls), 1)
+	s.query.attempts[s.index] = append(s.query.attempts[s.index], c)
+	for _, calls := range s.query.attempts {
+		c.shardsAttempted += min(len(calls), 1)
 	}
-	w.p.orders.Send = append(w.p.orders.Send, c)
-	w.p.sent(c)
+	w.p.actions.Send = append(w.p.actions.Send, c)
+	w.p.recordDecided(c)
 }
 
 func (w writer) Cancel(ref uint64, number int) {
-	if s, known := w.p.parts[ref]; known && number < len(s.lk.calls[s.part]) {
-		w.p.giveUp(s.lk.calls[s.part][number])
+	if s, known := w.p.shardRequests[ref]; known && number < len(s.query.attempts[s.index]) {
+		w.p.cancelAttempt(s.query.attempts[s.index][number])
 	}
 }
 
 func (w writer) Answer(ref uint64, whole bool) {
-	if lk := w.p.lookups[ref]; lk != nil {
-		w.p.end(lk, Result{Kind: Served, Complete: whole, Hits: lk.hits(nil)})
+	if lk := w.p.queries[ref]; lk != nil {
+		w.p.finish(lk, Result{Kind: Served, Complete: whole, Hits: lk.appendHits(nil)})
 	}
 }
 
 func (w writer) Reject(ref uint64, comeBack float64) {
-	w.p.end(w.p.lookups[ref], Result{Kind: Rejected, RetryAfter: comeBack})
+	w.p.finish(w.p.queries[ref], Result{Kind: Rejected, RetryAfter: comeBack})
 }
 
-func (w writer) Fail(ref uint64) { w.p.end(w.p.lookups[ref], Result{Kind: Failed}) }
+func (w writer) Fail(ref uint64) { w.p.finish(w.p.queries[ref], Result{Kind: Failed}) }
 
-func (w writer) Wake(after float64) { w.p.wakeAt = min(w.p.wakeAt, w.p.ranAt+after) }
+func (w writer) Wake(after float64) { w.p.wakeAt = min(w.p.wakeAt, w.p.lastRoundAt+after) }
 
 func (w writer) Subscribe() {
 	select {
-	case w.p.asked <- struct{}{}:
+	case w.p.listRequested <- struct{}{}:
 	default: // asked for already
 	}
 }
 
 // CheckHealth asks a server for its load.
 func (w writer) CheckHealth(server uint32) {
-	w.p.orders.CheckHealth = append(w.p.orders.CheckHealth, server)
+	w.p.actions.CheckHealth = append(w.p.actions.CheckHealth, server)
 }
 
 var _ gather.Writer = writer{}
--- a/internal/gatherer/dispatch/owned_test.go
+++ b/internal/gatherer/dispatch/owned_test.go
@@ -25,8 +25,8 @@
 		*s = *OwnershipSettings(s, 16)
 	})
 	p.EnableOwnership(16, 4)
-	p.module = p.build(5, p.settings)
-	p.clock = func() float64 { return p.ranAt + 4 }
+	p.module = p.newModule(5, p.settings)
+	p.clock = func() float64 { return p.lastRoundAt + 4 }
 	names := map[uint32]string{}
 	for i := range uint32(6) {
 		names[10+i] = fmt.Sprint("h", i)
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	p.SetMap(m)
-	p.round(1000)
+	p.runRound(1000)
 	return p, m
 }
 
@@ -48,7 +48,7 @@
 	lk := lookup(index, parts, now+2000)
 	lk.ID = id
 	p.admit(lk)
-	return lk, p.round(now).Send
+	return lk, p.runRound(now).Send
 }
 
 func must(t *testing.T, c ownership.Change, err error) ownership.Change {
@@ -152,7 +152,7 @@
 		calls[0].EndWrite()
 		c, err := m.Move("s0", []string{"h4"})
 		follow(t, p, m, c, err)
-		if o := p.round(1015); len(o.Send) > 0 {
+		if o := p.runRound(1015); len(o.Send) > 0 {
 			t.Fatal("sent again while a call is out")
 		}
 		if refused {
@@ -162,7 +162,7 @@
 		}
 		var again []*Attempt
 		for now := 1020.0; now < 1600; now += 5 {
-			again = append(again, p.round(now).Send...)
+			again = append(again, p.runRound(now).Send...)
 			if refused && len(again) == 1 {
 				answerAll(p, again)
 			}
@@ -194,16 +194,16 @@
 			m = follow(t, p, m, split, err)
 			c, err := m.Move("r", []string{"h5"})
 			follow(t, p, m, c, err)
-			calls = p.round(1010).Send
+			calls = p.runRound(1010).Send
 			if len(calls) != 3 {
 				t.Fatalf("%d calls of two parts, one of which is split", len(calls))
 			}
 		} else {
-			calls = p.round(1010).Send
+			calls = p.runRound(1010).Send
 			m = follow(t, p, m, split, err)
 			c, err := m.Move("r", []string{"h5"})
 			follow(t, p, m, c, err)
-			if more := p.round(1015).Send; len(more) > 0 {
+			if more := p.runRound(1015).Send; len(more) > 0 {
 				t.Fatal("sent again while calls are out")
 			}
 		}
@@ -215,7 +215,7 @@
 			}
 		}
 		for now := 1020.0; now < 1100; now += 5 {
-			for _, c := range p.round(now).Send {
+			for _, c := range p.runRound(now).Send {
 				if keys, segment, since, _ := c.Ownership(); segment == "s0" || since != 2 && since != 3 {
 					t.Errorf("%s: %s of %s since %d", when, keys.Text(), segment, since)
 				}
@@ -248,12 +248,12 @@
 		}
 		answerAll(p, calls)
 		if back {
-			p.round(1020)
+			p.runRound(1020)
 			c, err := m.Move("s1", []string{"h4"})
 			follow(t, p, m, c, err)
 		}
 		for now := 1025.0; now < 1600; now += 5 {
-			answerAll(p, p.round(now).Send)
+			answerAll(p, p.runRound(now).Send)
 		}
 		v, done := told(lk)
 		if !done || v.Kind != Served || v.Complete != back || len(v.Hits) != 2+2*map[bool]int{true: 1}[back] {
@@ -266,7 +266,7 @@
 	lk, calls := take(p, 1010, "any", "a", 4)
 	answerAll(p, calls)
 	for now := 1015.0; now < 1600; now += 5 {
-		p.round(now)
+		p.runRound(now)
 	}
 	if v, done := told(lk); !done || v.Kind == Served {
 		t.Errorf("a lookup that needs all parts: %+v, %t", v, done)
@@ -281,14 +281,14 @@
 	})
 	split, err := m.Split("s0", ownership.Slot(1, 4).Lo, "l", "r")
 	m = follow(t, p, m, split, err)
-	p.round(1005)
+	p.runRound(1005)
 	lk, calls := take(p, 1010, "any", "a", 4)
 	if len(calls) < 3 {
 		t.Fatalf("%d calls", len(calls))
 	}
 	merge, err := m.Merge("l", "r", "s2")
 	follow(t, p, m, merge, err)
-	p.round(1015)
+	p.runRound(1015)
 	for i, c := range calls {
 		if i == 0 {
 			p.Report(c, gather.NotOwner, nil) // its host has merged already
@@ -297,7 +297,7 @@
 		}
 	}
 	for now := 1020.0; now < 1200; now += 5 {
-		answerAll(p, p.round(now).Send)
+		answerAll(p, p.runRound(now).Send)
 	}
 	v, done := told(lk)
 	if !done || v.Kind != Served || !v.Complete || len(v.Hits) < 3 {
@@ -333,7 +333,7 @@
 	}
 	further := 0
 	for now := 1045.0; now < 1400; now += 5 {
-		for _, c := range p.round(now).Send {
+		for _, c := range p.runRound(now).Send {
 			if c.BeginWrite() {
 				further++
 				c.EndWrite()
@@ -367,18 +367,18 @@
 	m = follow(t, p, m, c, err)
 	p.Report(calls[0], gather.NotOwner, nil)
 	for now := 1015.0; now < 1100; now += 5 {
-		if o := p.round(now); len(o.Send) > 0 {
+		if o := p.runRound(now); len(o.Send) > 0 {
 			t.Fatalf("a call to server %d, which drains", o.Send[0].Server)
 		}
 	}
 	c, err = m.Move("s0", []string{"h5"})
 	follow(t, p, m, c, err)
-	again := p.round(1105).Send
+	again := p.runRound(1105).Send
 	if len(again) != 1 || again[0].Server != 15 {
 		t.Fatalf("calls %v", again)
 	}
 	answerAll(p, again)
-	p.round(1110)
+	p.runRound(1110)
 	if v, done := told(lk); !done || !v.Complete {
 		t.Errorf("%+v, %t", v, done)
 	}
@@ -392,7 +392,7 @@
 	other, err := m.Move("s0", []string{"h5"})
 	next := follow(t, p, m, one, nil)
 	follow(t, p, m, other, err)
-	p.round(1005)
+	p.runRound(1005)
 	select {
 	case <-p.MapRequested():
 	default:
@@ -410,12 +410,12 @@
 	c, err := next.Move("s1", []string{"h2"})
 	after, _ := next.Apply(must(t, c, err))
 	p.SetMap(after)
-	calls = p.round(1100).Send
+	calls = p.runRound(1100).Send
 	if len(calls) != 1 || calls[0].Server != 14 {
 		t.Fatalf("with a later map: %v", calls)
 	}
 	answerAll(p, calls)
-	p.round(1105)
+	p.runRound(1105)
 	if v, done := told(once); !done || v.Kind != Served {
 		t.Errorf("%+v, %t", v, done)
 	}
@@ -527,7 +527,7 @@
 				}
 			}
 			outs = rest
-			o := p.round(now)
+			o := p.runRound(now)
 			for _, c := range o.Cancel {
 				p.Report(c, gather.Cancelled, nil)
 			}
@@ -577,8 +577,8 @@
 		if ends != landed || landed < 400 || whole < landed/3 || moves < 80 {
 			t.Errorf("seed %d: %d of %d lookups answered, %d whole, %d moves", seed, ends, landed, whole, moves)
 		}
-		if p.held != 0 || len(p.lookups)+len(p.parts) != 0 {
-			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.held, len(p.lookups), len(p.parts))
+		if p.held != 0 || len(p.queries)+len(p.shardRequests) != 0 {
+			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.held, len(p.queries), len(p.shardRequests))
 		}
 	}
 }
--- a/internal/gatherer/dispatch/pick_test.go
+++ b/internal/gatherer/dispatch/pick_test.go
@@ -80,10 +80,10 @@
 			batch.WriteString("]}\n" + `{"cmd":"RosterChange","gathererId":0,"form":"F","sheet":0,"index":1}` + "\n")
 		}
 		waiting = slices.DeleteFunc(waiting, func(a answer) bool {
-			if a.at <= now && !a.c.told.Load() {
+			if a.at <= now && !a.c.ended.Load() {
 				p.Report(a.c, a.outcome, []byte("v"))
 				fmt.Fprintf(&batch, `{"cmd":"ClosedAttempt","gathererId":0,"ref":%d,"server":%d,"verdict":%q,"sendNo":%d,"closed":%t}`+"\n",
-					a.c.lk.ref+1+uint64(a.c.part), a.c.Server, verdicts[a.outcome], a.c.number, a.outcome == gather.Succeeded)
+					a.c.query.id+1+uint64(a.c.index), a.c.Server, verdicts[a.outcome], a.c.number, a.outcome == gather.Succeeded)
 			}
 			return a.at <= now
 		})
@@ -93,13 +93,13 @@
 			held[lk], last = true, lk
 			for i := range 1 + len(lk.ShardRequests) {
 				fmt.Fprintf(&batch, `{"cmd":"Accept","gathererId":0,"ref":%d,"cls":%q,"query":%d,"shard":%d,"amount":%v,"giveUpAt":%.0f}`+"\n",
-					lk.ref+uint64(i), lk.Class, lk.ref, i-1, 1/float64(len(lk.ShardRequests)), lk.Deadline*1000)
+					lk.id+uint64(i), lk.Class, lk.id, i-1, 1/float64(len(lk.ShardRequests)), lk.Deadline*1000)
 			}
 		}
 		if step%12 == 3 && held[last] { // its client goes away
 			delete(held, last)
-			p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.ref) })
-			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", last.ref)
+			p.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.id) })
+			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", last.id)
 		}
 		fmt.Fprintln(&batch, `{"cmd":"DeadlineHit","gathererId":0}`+"\n"+`{"cmd":"YourTurn"}`)
 		if _, err := io.WriteString(in, batch.String()); err != nil {
@@ -111,10 +111,10 @@
 				wire = append(wire, reply.Text())
 			}
 		}
-		orders := p.round(now)
+		orders := p.runRound(now)
 		for _, c := range orders.Send {
 			facade = append(facade, fmt.Sprintf(`{"cmd":"PassOn","gathererId":0,"ref":%d,"server":%d,"cap":%.0f}`,
-				c.lk.ref+1+uint64(c.part), c.Server, c.Timeout*1000))
+				c.query.id+1+uint64(c.index), c.Server, c.Timeout*1000))
 			switch c.Server {
 			case 12: // says nothing
 			case 13:
@@ -124,21 +124,21 @@
 			}
 		}
 		for _, c := range orders.Cancel {
-			facade = append(facade, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`, c.lk.ref+1+uint64(c.part), c.number))
+			facade = append(facade, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`, c.query.id+1+uint64(c.index), c.number))
 			waiting = append(waiting, answer{now + 5, c, gather.Cancelled})
 		}
 		for lk := range held {
 			select {
-			case v := <-lk.done:
+			case v := <-lk.result:
 				delete(held, lk)
 				ends++
 				switch v.Kind {
 				case Served:
-					facade = append(facade, fmt.Sprintf(`{"cmd":"SettleQuery","gathererId":0,"ref":%d,"complete":%t}`, lk.ref, v.Complete))
+					facade = append(facade, fmt.Sprintf(`{"cmd":"SettleQuery","gathererId":0,"ref":%d,"complete":%t}`, lk.id, v.Complete))
 				case Rejected:
-					facade = append(facade, fmt.Sprintf(`{"cmd":"PushBack","gathererId":0,"ref":%d,"pause":%.0f}`, lk.ref, v.RetryAfter*1000))
+					facade = append(facade, fmt.Sprintf(`{"cmd":"PushBack","gathererId":0,"ref":%d,"pause":%.0f}`, lk.id, v.RetryAfter*1000))
 				case Failed:
-					facade = append(facade, fmt.Sprintf(`{"cmd":"EndFailed","gathererId":0,"ref":%d}`, lk.ref))
+					facade = append(facade, fmt.Sprintf(`{"cmd":"EndFailed","gathererId":0,"ref":%d}`, lk.id))
 				}
 			default:
 			}
@@ -332,17 +332,17 @@
 // TestBounds replaces servers and ends lookups by the thousand, and wants nothing kept of them.
 func TestBounds(t *testing.T) {
 	p := newPicker(t, nil)
-	p.round(1000)
+	p.runRound(1000)
 	for i := range uint32(2000) {
 		p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
 		lk := lookup("any", 2, 1000+float64(i)*5+1000)
 		p.admit(lk)
-		for _, c := range p.round(1000 + float64(i)*5).Send {
+		for _, c := range p.runRound(1000 + float64(i)*5).Send {
 			p.Report(c, gather.Succeeded, []byte("v"))
 		}
 	}
-	p.round(1000 + 2001*5)
-	if len(p.servers) != 7 || len(p.ids) != 7 || len(p.lookups) > 1 || len(p.parts) > 2 || p.held > 3 {
-		t.Errorf("%d servers, %d ids, %d lookups, %d parts, %d held", len(p.servers), len(p.ids), len(p.lookups), len(p.parts), p.held)
+	p.runRound(1000 + 2001*5)
+	if len(p.endpoints) != 7 || len(p.endpointOrder) != 7 || len(p.queries) > 1 || len(p.shardRequests) > 2 || p.held > 3 {
+		t.Errorf("%d servers, %d ids, %d lookups, %d parts, %d held", len(p.endpoints), len(p.endpointOrder), len(p.queries), len(p.shardRequests), p.held)
 	}
 }
--- a/internal/gatherer/dispatch/played.go
+++ b/internal/gatherer/dispatch/played.go
@@ -15,7 +15,7 @@
 	p := New(seed, settings, log)
 	p.clock = clock
 	if build != nil {
-		p.build = build
+		p.newModule = build
 		p.module = build(seed, settings)
 	}
 	return p
@@ -28,24 +28,24 @@
 	if p.inbox.waiting {
 		at = 0
 	}
-	return max(at, p.ranAt+p.tick)
+	return max(at, p.lastRoundAt+p.roundInterval)
 }
 
 // RunRoundNow runs a round now.
-func (p *Picker) RunRoundNow() Actions { return p.round(p.Now()) }
+func (p *Picker) RunRoundNow() Actions { return p.runRound(p.Now()) }
 
 // Submit hands a lookup in for the next round; false where too much is held already.
 func (p *Picker) Submit(lk *Query) bool { return p.admit(lk) }
 
 // Abandon tells that a lookup's client has gone. Its verdict is there after the next round.
 func (p *Picker) Abandon(lk *Query) {
-	p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
+	p.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.id) })
 }
 
 // EndpointViews is what the module knows of the servers, after one more round; nil where ctx ends before that.
 func (p *Picker) EndpointViews(ctx context.Context) []gather.EndpointView {
 	to := make(chan []gather.EndpointView, 1)
-	p.tell(func(in *inbox) { in.views = append(in.views, to) })
+	p.enqueue(func(in *inbox) { in.viewRequests = append(in.viewRequests, to) })
 	select {
 	case v := <-to:
 		return v
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -11,25 +11,25 @@
 // it; the rule counts it when its bytes go, which is later by what a new connection takes. Calls that waited
 // together would come together, in a window in which less was taken than when they were decided on.
 type retryBudget struct {
-	span, free, share float64
+	window, free, share float64
 
-	mu             sync.Mutex
-	taken, further []float64
+	mu                sync.Mutex
+	admitted, charged []float64
 }
 
-// rounding is by how many milliseconds others may see a moment otherwise than we do.
-const rounding = 1.0
+// clockTolerance is by how many milliseconds others may see a moment otherwise than we do.
+const clockTolerance = 1.0
 
 // newRetryBudget is nil where the terms tell no budget: the module keeps one of its own then, which is no rule.
 func newRetryBudget(settings *gather.Settings) *retryBudget {
 	if settings.RetryBudgetWindow == 0 {
 		return nil
 	}
-	return &retryBudget{span: settings.RetryBudgetWindow, free: settings.RetryBudgetFloor, share: settings.RetryBudgetRatio}
+	return &retryBudget{window: settings.RetryBudgetWindow, free: settings.RetryBudgetFloor, share: settings.RetryBudgetRatio}
 }
 
-// set takes over other figures; what was booked stays booked.
-func (g *retryBudget) set(settings *gather.Settings) {
+// update takes over other figures; what was booked stays booked.
+func (g *retryBudget) update(settings *gather.Settings) {
 	if g == nil {
 		return
 	}
@@ -38,30 +38,30 @@
 	g.free, g.share = settings.RetryBudgetFloor, settings.RetryBudgetRatio
 }
 
-// take notes a lookup taken, with its parts.
-func (g *retryBudget) take(now float64, n int) {
+// admit notes a lookup taken, with its parts.
+func (g *retryBudget) admit(now float64, n int) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.taken = stats.From(g.taken, now-g.span)
+	g.admitted = stats.From(g.admitted, now-g.window)
 	for range n {
-		g.taken = append(g.taken, now)
+		g.admitted = append(g.admitted, now)
 	}
 }
 
-// pass reports whether one more further call may go now, and books it if so.
-func (g *retryBudget) pass(now float64) bool {
+// charge reports whether one more further call may go now, and books it if so.
+func (g *retryBudget) charge(now float64) bool {
 	if g == nil {
 		return true
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.further = stats.From(g.further, now-g.span-rounding)
-	if float64(len(g.further)+1) > g.free+g.share*float64(len(stats.From(g.taken, now-g.span+rounding))) {
+	g.charged = stats.From(g.charged, now-g.window-clockTolerance)
+	if float64(len(g.charged)+1) > g.free+g.share*float64(len(stats.From(g.admitted, now-g.window+clockTolerance))) {
 		return false
 	}
-	g.further = append(g.further, now)
+	g.charged = append(g.charged, now)
 	return true
 }
--- a/internal/gatherer/dispatch/twice.go
+++ b/internal/gatherer/dispatch/twice.go
@@ -8,38 +8,38 @@
 
 // pass is what makes a lookup a pass of another one.
 type pass struct {
-	of    *Query // nil where it is none
-	kind  gather.Pass
-	since float64
-	in    float64
-	lead  float64
-	parts []int                    // of the lookup that it is a pass of, by their places there
-	asks  []twopass.PlannedRequest // of a second pass
+	parent           *Query // nil where it is none
+	kind             gather.Pass
+	parentAdmittedAt float64
+	completedWeight  float64
+	lead             float64
+	parentIndexes    []int                    // of the lookup that it is a pass of, by their places there
+	requests         []twopass.PlannedRequest // of a second pass
 }
 
 // root is the lookup as its client asked for it.
 func (lk *Query) root() *Query {
-	if lk.of != nil {
-		return lk.of
+	if lk.parent != nil {
+		return lk.parent
 	}
 	return lk
 }
 
-// phased is where a lookup in two phases stands.
-type phased struct {
-	choice twopass.Decision
-	now    *Query // the pass that the module holds, or is about to be handed
-	parts  []twopass.FirstPassOutcome
+// passProgress is where a lookup in two phases stands.
+type passProgress struct {
+	choice   twopass.Decision
+	current  *Query // the pass that the module holds, or is about to be handed
+	outcomes []twopass.FirstPassOutcome
 }
 
-// twice is what the facade knows of lookups in two phases.
-type twice struct {
-	phases *twopass.Decider // nil where no index is marked
-	brief  map[uint32]bool
-	roots  map[uint64]*Query // lookups in two phases
-	wait   []*Query          // second passes for the next round
-	spoken []bool            // groups of which some replica answers first passes
-	count  int               // servers that run
+// twoPassState is what the facade knows of lookups in two phases.
+type twoPassState struct {
+	decider          *twopass.Decider // nil where no index is marked
+	answersFirstPass map[uint32]bool
+	queries          map[uint64]*Query // lookups in two phases
+	pending          []*Query          // second passes for the next round
+	firstPassShards  []bool            // groups of which some replica answers first passes
+	running          int               // servers that run
 }
 
 // DecisionObserver hears what becomes of lookups, on the goroutine that calls Tick; it must not block.
@@ -59,38 +59,40 @@
 }
 
 // ObserveWire has one more witness hear what goes over the wire. It has to be called before the first Tick.
-func (p *Picker) ObserveWire(w WireObserver) { p.witnesses = append(p.witnesses, w) }
+func (p *Picker) ObserveWire(w WireObserver) { p.wireObservers = append(p.wireObservers, w) }
 
 // EnableTwoPass lets lookups of marked indexes go in two phases. It has to be called before the first Tick.
 func (p *Picker) EnableTwoPass(marked map[string]twopass.Settings) {
-	p.twice.phases = twopass.New(p.seed+1, marked)
-	p.twice.brief, p.twice.roots = map[uint32]bool{}, map[uint64]*Query{}
+	p.twoPass.decider = twopass.New(p.seed+1, marked)
+	p.twoPass.answersFirstPass, p.twoPass.queries = map[uint32]bool{}, map[uint64]*Query{}
 }
 
 // ObserveDecisions has one more tracer hear what becomes of lookups. It has to be called before the first Tick.
-func (p *Picker) ObserveDecisions(t DecisionObserver) { p.traces = append(p.traces, t) }
+func (p *Picker) ObserveDecisions(t DecisionObserver) {
+	p.decisionObservers = append(p.decisionObservers, t)
+}
 
 // SetAnswersFirstPass tells whether a server was found to answer first passes.
 func (p *Picker) SetAnswersFirstPass(server uint32, yes bool) {
-	p.tell(func(in *inbox) {
-		if in.speak == nil {
-			in.speak = map[uint32]bool{}
+	p.enqueue(func(in *inbox) {
+		if in.answersFirstPass == nil {
+			in.answersFirstPass = map[uint32]bool{}
 		}
-		in.speak[server] = yes
+		in.answersFirstPass[server] = yes
 	})
 }
 
-// listen puts into the lists which servers answer first passes. One that has started anew has to be found again.
-func (p *Picker) listen(in *inbox) {
-	t := &p.twice
-	if t.phases == nil || len(in.EndpointLists) == 0 && len(in.speak) == 0 {
+// applyFirstPassServers puts into the lists which servers answer first passes. One that has started anew has to be found again.
+func (p *Picker) applyFirstPassServers(in *inbox) {
+	t := &p.twoPass
+	if t.decider == nil || len(in.EndpointLists) == 0 && len(in.answersFirstPass) == 0 {
 		return
 	}
 	var news gather.EndpointList
-	for _, id := range p.ids { // in their order, not the map's
-		if yes, found := in.speak[id]; found && yes != t.brief[id] {
-			t.brief[id] = yes
-			news.Endpoints = append(news.Endpoints, p.servers[id])
+	for _, id := range p.endpointOrder { // in their order, not the map's
+		if yes, found := in.answersFirstPass[id]; found && yes != t.answersFirstPass[id] {
+			t.answersFirstPass[id] = yes
+			news.Endpoints = append(news.Endpoints, p.endpoints[id])
 		}
 	}
 	if len(news.Endpoints) > 0 {
@@ -100,76 +102,76 @@
 		l := &in.EndpointLists[i]
 		servers := make([]gather.Endpoint, len(l.Endpoints)) // a list may be another's as well
 		for j, s := range l.Endpoints {
-			s.AnswersFirstPass = t.brief[s.ID]
+			s.AnswersFirstPass = t.answersFirstPass[s.ID]
 			servers[j] = s
 		}
 		l.Endpoints = servers
 	}
 	groups, row := max(p.settings.ReplicaSets, 1), max(p.settings.ReplicaSetsPerShard, 1)
-	for id := range t.brief {
-		if _, listed := p.servers[id]; !listed {
-			delete(t.brief, id)
+	for id := range t.answersFirstPass {
+		if _, listed := p.endpoints[id]; !listed {
+			delete(t.answersFirstPass, id)
 		}
 	}
-	t.spoken, t.count = make([]bool, groups), 0
-	for _, id := range p.ids {
-		s := p.servers[id]
+	t.firstPassShards, t.running = make([]bool, groups), 0
+	for _, id := range p.endpointOrder {
+		s := p.endpoints[id]
 		if s.State != gather.Running {
 			continue
 		}
-		t.count++
-		for j := 0; j < row && t.brief[id] && s.ReplicaSet >= 0 && s.ReplicaSet < groups; j++ {
-			t.spoken[((s.ReplicaSet-j)%groups+groups)%groups] = true
+		t.running++
+		for j := 0; j < row && t.answersFirstPass[id] && s.ReplicaSet >= 0 && s.ReplicaSet < groups; j++ {
+			t.firstPassShards[((s.ReplicaSet-j)%groups+groups)%groups] = true
 		}
 	}
 }
 
-// open hands a lookup to the module, or its first pass.
-func (p *Picker) open(in *gather.Round, lk *Query, now float64) {
-	t := &p.twice
-	lk.landed, lk.way = now, p.way
-	if p.refuseRun(lk, now) {
+// startQuery hands a lookup to the module, or its first pass.
+func (p *Picker) startQuery(in *gather.Round, lk *Query, now float64) {
+	t := &p.twoPass
+	lk.admittedAt, lk.generation = now, p.generation
+	if p.failIfMayHaveRun(lk, now) {
 		return
 	}
-	if t.phases == nil || p.owned != nil || !t.phases.Enabled(lk.Class) { // pieces go in one phase
-		for _, t := range p.traces {
+	if t.decider == nil || p.ownership != nil || !t.decider.Enabled(lk.Class) { // pieces go in one phase
+		for _, t := range p.decisionObservers {
 			t.QueryAdmitted(lk, nil, now)
 		}
-		p.hand(in, lk)
+		p.addToRound(in, lk)
 		return
 	}
 	first := &Query{ID: lk.ID, Class: lk.Class, Tenant: lk.Tenant, RouteKey: lk.RouteKey, Retried: lk.Retried, Payload: lk.Payload,
-		pass: pass{of: lk, kind: gather.FirstPass}}
+		pass: pass{parent: lk, kind: gather.FirstPass}}
 	for i, pt := range lk.ShardRequests {
-		if len(t.spoken) > 0 && t.spoken[pt.Shard%len(t.spoken)] {
+		if len(t.firstPassShards) > 0 && t.firstPassShards[pt.Shard%len(t.firstPassShards)] {
 			first.ShardRequests = append(first.ShardRequests, pt)
-			first.parts = append(first.parts, i)
+			first.parentIndexes = append(first.parentIndexes, i)
 		} else {
-			first.in += pt.Weight // as if it were in: the first pass does not wait for it
+			first.completedWeight += pt.Weight // as if it were in: the first pass does not wait for it
 		}
 	}
-	choice := t.phases.Decide(now, twopass.Query{Class: lk.Class, ShardRequests: len(lk.ShardRequests), FirstPassRequests: len(first.ShardRequests), Deadline: lk.Deadline,
-		RunningServers: t.count, RetryBudgetLeft: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
-	for _, t := range p.traces {
+	choice := t.decider.Decide(now, twopass.Query{Class: lk.Class, ShardRequests: len(lk.ShardRequests), FirstPassRequests: len(first.ShardRequests), Deadline: lk.Deadline,
+		RunningServers: t.running, RetryBudgetLeft: p.module.RetryBudgetLeft() - logic.Reserve*newFirstPassRequests(in)})
+	for _, t := range p.decisionObservers {
 		t.QueryAdmitted(lk, &choice, now)
 	}
 	if !choice.TwoPass {
-		p.hand(in, lk)
+		p.addToRound(in, lk)
 		return
 	}
-	lk.phased = &phased{choice: choice, now: first, parts: make([]twopass.FirstPassOutcome, len(lk.ShardRequests))}
+	lk.twoPass = &passProgress{choice: choice, current: first, outcomes: make([]twopass.FirstPassOutcome, len(lk.ShardRequests))}
 	for i, pt := range lk.ShardRequests {
-		lk.phased.parts[i].Weight = pt.Weight
+		lk.twoPass.outcomes[i].Weight = pt.Weight
 	}
-	first.Deadline = min(choice.FirstPassDeadline+3*p.tick, lk.Deadline) // the module ends what it holds three ticks before its time
+	first.Deadline = min(choice.FirstPassDeadline+3*p.roundInterval, lk.Deadline) // the module ends what it holds three ticks before its time
 	first.lead = choice.FullCallExtra
 	p.admitPass(first)
-	t.roots[lk.ref] = lk
-	p.hand(in, first)
+	t.queries[lk.id] = lk
+	p.addToRound(in, first)
 }
 
-// begun counts the parts of first passes that this round hands in, which the module's room does not know yet.
-func begun(in *gather.Round) (n float64) {
+// newFirstPassRequests counts the parts of first passes that this round hands in, which the module's room does not know yet.
+func newFirstPassRequests(in *gather.Round) (n float64) {
 	first := map[uint64]bool{}
 	for _, lk := range in.Queries {
 		first[lk.Number] = lk.Pass == gather.FirstPass
@@ -184,89 +186,89 @@
 
 func (p *Picker) admitPass(lk *Query) {
 	p.mu.Lock()
-	lk.name(&p.ref)
+	lk.assignIDs(&p.nextID)
 	p.mu.Unlock()
 }
 
-// passes hands in the second passes that wait.
-func (p *Picker) passes(in *gather.Round) {
-	for _, lk := range p.twice.wait {
-		p.hand(in, lk)
+// addSecondPasses hands in the second passes that wait.
+func (p *Picker) addSecondPasses(in *gather.Round) {
+	for _, lk := range p.twoPass.pending {
+		p.addToRound(in, lk)
 	}
-	clear(p.twice.wait)
-	p.twice.wait = p.twice.wait[:0]
+	clear(p.twoPass.pending)
+	p.twoPass.pending = p.twoPass.pending[:0]
 }
 
-// sent notes a call that the module has decided on.
-func (p *Picker) sent(c *Attempt) {
-	if p.twice.phases != nil {
-		p.twice.phases.RecordSent(p.ranAt, c.FirstPass())
+// recordDecided notes a call that the module has decided on.
+func (p *Picker) recordDecided(c *Attempt) {
+	if p.twoPass.decider != nil {
+		p.twoPass.decider.RecordSent(p.lastRoundAt, c.FirstPass())
 	}
-	for _, t := range p.traces {
-		t.AttemptDecided(c, p.ranAt)
+	for _, t := range p.decisionObservers {
+		t.AttemptDecided(c, p.lastRoundAt)
 	}
 }
 
-// heard keeps what a call brought.
-func (p *Picker) heard(now float64, e *ended) {
-	lk, answered := e.call.lk, e.outcome == gather.Succeeded
-	if p.twice.phases != nil {
-		p.twice.phases.RecordEnded(now, lk.Class, e.call.FirstPass(), answered, e.summary.Empty, e.waited)
+// recordEnd keeps what a call brought.
+func (p *Picker) recordEnd(now float64, e *attemptEnd) {
+	lk, answered := e.attempt.query, e.outcome == gather.Succeeded
+	if p.twoPass.decider != nil {
+		p.twoPass.decider.RecordEnded(now, lk.Class, e.attempt.FirstPass(), answered, e.summary.Empty, e.waited)
 	}
-	for _, t := range p.traces {
-		t.AttemptEnded(e.call, e.outcome, e.waited, &e.summary)
+	for _, t := range p.decisionObservers {
+		t.AttemptEnded(e.attempt, e.outcome, e.waited, &e.summary)
 	}
 	if lk.pieces != nil {
-		p.heardPiece(e)
+		p.recordPieceEnd(e)
 	}
 	switch {
 	case !answered:
-	case e.call.FirstPass():
-		if root := lk.of; root.phased.now == lk { // what comes later proves nothing any more
-			pt := &root.phased.parts[lk.pass.parts[e.call.part]]
+	case e.attempt.FirstPass():
+		if root := lk.parent; root.twoPass.current == lk { // what comes later proves nothing any more
+			pt := &root.twoPass.outcomes[lk.pass.parentIndexes[e.attempt.index]]
 			pt.Answered, pt.ProvedEmpty, pt.Likelihood = true, e.summary.Empty, e.summary.Likelihood
 		}
 	default:
-		lk.values[e.call.part] = e.text
+		lk.values[e.attempt.index] = e.value
 	}
 }
 
-// passed goes on after a pass has ended.
-func (p *Picker) passed(lk *Query, v Result) {
-	root, t := lk.of, &p.twice
+// finishPass goes on after a pass has ended.
+func (p *Picker) finishPass(lk *Query, v Result) {
+	root, t := lk.parent, &p.twoPass
 	if v.Kind == InternalError || v.Kind == Abandoned || lk.kind == gather.SecondPass {
-		v.EmptyShards = root.empty()
-		p.over(root, v)
+		v.EmptyShards = root.emptyShards()
+		p.finishTwoPass(root, v)
 		return
 	}
-	ph := root.phased
-	for i, place := range lk.pass.parts {
-		ph.parts[place].Attempted = len(lk.calls[i]) > 0
+	ph := root.twoPass
+	for i, place := range lk.pass.parentIndexes {
+		ph.outcomes[place].Attempted = len(lk.attempts[i]) > 0
 	}
-	next := t.phases.PlanSecondPass(root.Class, ph.parts)
-	for _, t := range p.traces {
-		t.FirstPassEnded(root, &next, p.ranAt)
+	next := t.decider.PlanSecondPass(root.Class, ph.outcomes)
+	for _, t := range p.decisionObservers {
+		t.FirstPassEnded(root, &next, p.lastRoundAt)
 	}
 	if next.Done {
-		p.over(root, Result{Kind: Served, Complete: next.Complete, EmptyShards: root.empty()})
+		p.finishTwoPass(root, Result{Kind: Served, Complete: next.Complete, EmptyShards: root.emptyShards()})
 		return
 	}
 	second := &Query{ID: root.ID, Class: root.Class, Tenant: root.Tenant, RouteKey: root.RouteKey, Retried: root.Retried, Payload: root.Payload,
-		Deadline: root.Deadline, pass: pass{of: root, kind: gather.SecondPass, since: root.landed, in: next.ProvedWeight, asks: next.Requests}}
+		Deadline: root.Deadline, pass: pass{parent: root, kind: gather.SecondPass, parentAdmittedAt: root.admittedAt, completedWeight: next.ProvedWeight, requests: next.Requests}}
 	for _, a := range next.Requests {
 		second.ShardRequests = append(second.ShardRequests, root.ShardRequests[a.Index])
-		second.pass.parts = append(second.pass.parts, a.Index)
+		second.pass.parentIndexes = append(second.pass.parentIndexes, a.Index)
 		second.Cost += root.ShardRequests[a.Index].Cost
 	}
 	p.admitPass(second)
-	ph.now = second
-	t.wait = append(t.wait, second)
-	p.tell(func(*inbox) {}) // the next round is due
+	ph.current = second
+	t.pending = append(t.pending, second)
+	p.enqueue(func(*inbox) {}) // the next round is due
 }
 
-// empty are the shards whose parts proved to hold nothing.
-func (lk *Query) empty() (shards []int) {
-	for i, pt := range lk.phased.parts {
+// emptyShards are the shards whose parts proved to hold nothing.
+func (lk *Query) emptyShards() (shards []int) {
+	for i, pt := range lk.twoPass.outcomes {
 		if pt.Answered && pt.ProvedEmpty {
 			shards = append(shards, lk.ShardRequests[i].Shard)
 		}
@@ -274,10 +276,10 @@
 	return shards
 }
 
-// over ends a lookup in two phases.
-func (p *Picker) over(root *Query, v Result) {
-	delete(p.twice.roots, root.ref)
-	root.phased.now = nil
-	p.ended = append(p.ended, root)
-	p.answer(root, v)
+// finishTwoPass ends a lookup in two phases.
+func (p *Picker) finishTwoPass(root *Query, v Result) {
+	delete(p.twoPass.queries, root.id)
+	root.twoPass.current = nil
+	p.finished = append(p.finished, root)
+	p.deliver(root, v)
 }
--- a/internal/gatherer/dispatch/twice_test.go
+++ b/internal/gatherer/dispatch/twice_test.go
@@ -24,12 +24,12 @@
 	})
 	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
 	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: whole, MinShare: least, FirstPassShare: 0.3, TrialShare: 0.5}})
-	p.clock = func() float64 { return p.ranAt + 4 } // what is reported before a round came just before it
-	p.round(1000)
+	p.clock = func() float64 { return p.lastRoundAt + 4 } // what is reported before a round came just before it
+	p.runRound(1000)
 	for id := uint32(10); id < 16; id++ {
 		p.SetAnswersFirstPass(id, true)
 	}
-	p.round(1005)
+	p.runRound(1005)
 	return p
 }
 
@@ -38,12 +38,12 @@
 	lk := lookup("any", parts, now+2000)
 	lk.ID = id
 	p.admit(lk)
-	return lk, p.round(now)
+	return lk, p.runRound(now)
 }
 
 func told(lk *Query) (Result, bool) {
 	select {
-	case v := <-lk.done:
+	case v := <-lk.result:
 		return v, true
 	default:
 		return Result{}, false
@@ -87,7 +87,7 @@
 			now, calls := 1015.0, []*Attempt(nil)
 			for ; now < 1400 && len(calls) == 0; now += 5 {
 				calls = nil
-				for _, call := range p.round(now).Send {
+				for _, call := range p.runRound(now).Send {
 					if call.FirstPass() { // sent again elsewhere, within the first pass
 						p.Report(call, gather.Succeeded, []byte("garbled again"))
 					} else {
@@ -110,7 +110,7 @@
 				}
 				p.Report(call, gather.Succeeded, fmt.Append(nil, call.Shard()))
 			}
-			p.round(now)
+			p.runRound(now)
 			v, done := told(lk)
 			if !done || v.Kind != Served || !v.Complete || len(v.Hits) != c.second || len(v.EmptyShards) != c.empty {
 				t.Errorf("%+v, %t", v, done)
@@ -120,8 +120,8 @@
 					t.Errorf("hit %+v, empty %v", h, v.EmptyShards)
 				}
 			}
-			if p.held != 0 || len(p.lookups)+len(p.parts)+len(p.twice.roots) != 0 {
-				t.Errorf("%d held, %d lookups, %d parts, %d in two phases", p.held, len(p.lookups), len(p.parts), len(p.twice.roots))
+			if p.held != 0 || len(p.queries)+len(p.shardRequests)+len(p.twoPass.queries) != 0 {
+				t.Errorf("%d held, %d lookups, %d parts, %d in two phases", p.held, len(p.queries), len(p.shardRequests), len(p.twoPass.queries))
 			}
 		})
 	}
@@ -137,7 +137,7 @@
 	now, off := 1015.0, 0
 	var second []*Attempt
 	for ; len(second) == 0; now += 5 {
-		o := p.round(now)
+		o := p.runRound(now)
 		off += len(o.Cancel)
 		second = o.Send
 		if now > 1010+0.3*400+30 {
@@ -153,14 +153,14 @@
 		}
 		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
-	p.round(now)
+	p.runRound(now)
 	if _, done := told(lk); done {
 		t.Error("answered by a proof that came too late")
 	}
 	for _, c := range second {
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
-	p.round(now + 5)
+	p.runRound(now + 5)
 	if v, done := told(lk); !done || len(v.Hits) != 3 || len(v.EmptyShards) != 1 {
 		t.Errorf("%+v, %t", v, done)
 	}
@@ -178,18 +178,18 @@
 				p.Report(c, gather.Succeeded, []byte("some 1 1 v1"))
 			}
 			calls = nil
-			if o := p.round(now); len(o.Send) > 0 {
+			if o := p.runRound(now); len(o.Send) > 0 {
 				t.Fatal("the second pass begins in the round that ends the first")
 			}
 			now += 5
 		}
 		if when > 1 {
-			calls = p.round(now).Send
+			calls = p.runRound(now).Send
 			now += 5
 		}
-		p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.ref) })
+		p.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.id) })
 		lk.seal() // as Pick does
-		o = p.round(now)
+		o = p.runRound(now)
 		if v, done := told(lk); !done || v.Kind != Abandoned {
 			t.Errorf("%d: %+v, %t", when, v, done)
 		}
@@ -201,8 +201,8 @@
 		for _, c := range calls {
 			p.Report(c, gather.Cancelled, nil)
 		}
-		if o := p.round(now + 5); len(o.Send) > 0 || len(p.lookups)+len(p.twice.roots)+p.held != 0 {
-			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Send), len(p.lookups))
+		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries)+len(p.twoPass.queries)+p.held != 0 {
+			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Send), len(p.queries))
 		}
 	}
 }
@@ -214,7 +214,7 @@
 	for _, id := range []uint32{11, 13, 15} { // the second group
 		p.SetAnswersFirstPass(id, false)
 	}
-	p.round(1008)
+	p.runRound(1008)
 	_, o := land(p, 1013, "a", 4)
 	if firsts(o) != 2 || len(o.Send) != 2 {
 		t.Fatalf("%d calls, %d of a first pass", len(o.Send), firsts(o))
@@ -225,8 +225,8 @@
 		}
 		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
-	p.round(1018)
-	if o := p.round(1023); len(o.Send) != 2 || firsts(o) != 0 || o.Send[0].Server%2 == 0 {
+	p.runRound(1018)
+	if o := p.runRound(1023); len(o.Send) != 2 || firsts(o) != 0 || o.Send[0].Server%2 == 0 {
 		t.Errorf("second pass %+v", o.Send)
 	}
 	var again gather.EndpointList
@@ -234,7 +234,7 @@
 		again.Endpoints = append(again.Endpoints, gather.Endpoint{ID: id, ReplicaSet: 0, StartedAt: 1020})
 	}
 	p.UpdateEndpoints(again)
-	p.round(1028)
+	p.runRound(1028)
 	if _, o := land(p, 1033, "b", 4); firsts(o) != 0 || len(o.Send) != 4 {
 		t.Errorf("%d calls, %d of a first pass, of processes that were never asked", len(o.Send), firsts(o))
 	}
@@ -247,10 +247,10 @@
 	lk, o := land(p, 1010, "a", 2)
 	p.Report(o.Send[0], gather.Succeeded, []byte("some 1 1 v1"))
 	p.Report(o.Send[1], gather.ConnectionReset, nil)
-	p.round(1015)
+	p.runRound(1015)
 	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: o.Send[0].Server, ReplicaSet: int(o.Send[0].Server % 2), State: gather.Draining}}})
 	for now := 1020.0; now < 1200; now += 5 {
-		for _, c := range p.round(now).Send {
+		for _, c := range p.runRound(now).Send {
 			if c.Server == o.Send[0].Server {
 				t.Errorf("a call to the server that drains, of the first pass %t", c.FirstPass())
 			}
@@ -315,7 +315,7 @@
 				}
 			}
 			outs = rest
-			o := p.round(now)
+			o := p.runRound(now)
 			for _, c := range o.Cancel {
 				p.Report(c, gather.Cancelled, nil)
 			}
@@ -360,7 +360,7 @@
 				if v, done := told(lk); done {
 					ends++
 					delete(held, lk)
-					if lk.phased != nil {
+					if lk.twoPass != nil {
 						two++
 					}
 					if v.Kind == Served && v.Complete && len(v.Hits)+len(v.EmptyShards) != len(lk.ShardRequests) {
@@ -375,8 +375,8 @@
 		if ends != landed || landed < 500 || two < 100 || further < 10 {
 			t.Errorf("seed %d: %d of %d lookups answered, %d in two phases, %d further calls", seed, ends, landed, two, further)
 		}
-		if p.held != 0 || len(p.lookups)+len(p.parts)+len(p.twice.roots) != 0 {
-			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.held, len(p.lookups), len(p.parts))
+		if p.held != 0 || len(p.queries)+len(p.shardRequests)+len(p.twoPass.queries) != 0 {
+			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.held, len(p.queries), len(p.shardRequests))
 		}
 	}
 }
@@ -398,15 +398,15 @@
 			p.Report(c, gather.Succeeded, []byte("some 1 1 v1"))
 		}
 	}
-	p.round(1015)
-	second := p.round(1020).Send
+	p.runRound(1015)
+	second := p.runRound(1020).Send
 	if len(second) != 2 {
 		t.Fatalf("%d calls in full, of 8 parts 4 are proved empty and 6 make a whole answer", len(second))
 	}
 	for _, c := range second {
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
-	p.round(1025)
+	p.runRound(1025)
 	if v, done := told(lk); !done || !v.Complete || len(v.Hits) != 2 || len(v.EmptyShards) != 4 {
 		t.Errorf("%+v, %t", v, done)
 	}
