--- a/internal/config/directive/error.go
+++ b/internal/config/directive/error.go
@@ -20,20 +20,20 @@
 	Message string // what is wrong and what would be right
 }
 
-func (f *Error) Error() string {
-	if f.Token == "" {
-		return fmt.Sprintf("%v: %s", f.Position, f.Message)
+func (e *Error) Error() string {
+	if e.Token == "" {
+		return fmt.Sprintf("%v: %s", e.Position, e.Message)
 	}
-	return fmt.Sprintf("%v: %q: %s", f.Position, f.Token, f.Message)
+	return fmt.Sprintf("%v: %q: %s", e.Position, e.Token, e.Message)
 }
 
-// ErrorList are all mistakes of a file and of what it includes, in their order. It is nil where there are none.
+// ErrorList holds all mistakes of a file and of what it includes, in their order. It is nil where there are none.
 type ErrorList []*Error
 
-func (f ErrorList) Error() string {
-	lines := make([]string, len(f))
-	for i, one := range f {
-		lines[i] = one.Error()
+func (l ErrorList) Error() string {
+	lines := make([]string, len(l))
+	for i, e := range l {
+		lines[i] = e.Error()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/config/directive/parse.go
+++ b/internal/config/directive/parse.go
@@ -1,72 +1,92 @@
 package directive
 
 import (
+	"errors"
 	"slices"
 
 	"yokeroute/internal/suggest"
 )
 
 // parseDirective reads one line.
-func (r *parser) parseDirective(words []token) {
-	var d *Directive
-	for _, one := range r.table.Directives {
-		if one.Name == words[0].text && !words[0].quoted {
-			d = one
-		}
-	}
+func (p *parser) parseDirective(line []token) {
+	name := line[0]
+	d := p.table.find(name)
 	if d == nil {
-		r.errorf(words[0].Position, words[0].text, "is no directive of a %s%s", r.table.Name, suggest.Hint(words[0].text, r.table.names()))
+		p.errorf(name.Position, name.text, "is no directive of a %s%s", p.table.Name,
+			suggest.Hint(name.text, p.table.names()))
 		return
 	}
-	if first, again := r.firstUse[d.Name]; d.Once && again {
-		r.errorf(words[0].Position, d.Name, "stands already at %v; keep one of them", first)
+	if first, again := p.firstUse[d.Name]; d.Once && again {
+		p.errorf(name.Position, d.Name, "stands already at %v; keep one of them", first)
 		return
 	}
-	r.firstUse[d.Name] = words[0].Position
-	before := len(r.errors)
-	v := &Values{Position: words[0].Position, fields: map[string]*value{}}
-	rest := words[1:]
-	for i := range d.Args {
-		rest = r.parseField(d, &d.Args[i], v, rest)
-		if len(r.errors) > before {
+	p.firstUse[d.Name] = name.Position
+	v := &Values{Position: name.Position, fields: map[string]*value{}}
+	rest, ok := p.parseArguments(d, v, line[1:])
+	if !ok || !p.parseOptions(d, v, rest) {
+		return
+	}
+	for _, f := range d.Options {
+		if f.Required && v.fields[f.Name] == nil {
+			p.errorf(name.Position, d.Name, "lacks %q; the form is: %s", f.Name, d.Usage())
 			return
 		}
 	}
+	p.apply(d, v)
+}
+
+// parseArguments reads the arguments of a directive and returns the rest of its line.
+func (p *parser) parseArguments(d *Directive, v *Values, rest []token) ([]token, bool) {
+	before := len(p.errors)
+	for i := range d.Args {
+		rest = p.parseField(d, &d.Args[i], v, rest)
+		if len(p.errors) > before {
+			return nil, false
+		}
+	}
+	return rest, true
+}
+
+// parseOptions reads the options of a directive, in any order.
+func (p *parser) parseOptions(d *Directive, v *Values, rest []token) bool {
+	before := len(p.errors)
 	for len(rest) > 0 {
-		f := d.option(rest[0])
+		name := rest[0]
+		f := d.option(name)
 		switch {
 		case f == nil:
-			r.errorf(rest[0].Position, rest[0].text, "is one word too many or no option; the form is: %s%s", d.Usage(), suggest.Hint(rest[0].text, d.optionNames()))
-			return
+			p.errorf(name.Position, name.text, "is one word too many or no option; the form is: %s%s", d.Usage(),
+				suggest.Hint(name.text, d.optionNames()))
 		case v.fields[f.Name] != nil:
-			r.errorf(rest[0].Position, rest[0].text, "is given twice on this line")
-			return
+			p.errorf(name.Position, name.text, "is given twice on this line")
 		case f.Kind == Flag:
 			v.fields[f.Name] = &value{words: rest[:1], numbers: []float64{1}}
 			rest = rest[1:]
 		default:
-			name := rest[0]
-			if rest = r.parseField(d, f, v, rest[1:]); v.fields[f.Name] == nil && len(r.errors) == before {
-				r.errorf(name.Position, name.text, "wants %s behind it", f.Kind)
+			rest = p.parseField(d, f, v, rest[1:])
+			if v.fields[f.Name] == nil && len(p.errors) == before {
+				p.errorf(name.Position, name.text, "wants %s behind it", f.Kind)
 			}
 		}
-		if len(r.errors) > before {
-			return
+		if len(p.errors) > before {
+			return false
 		}
 	}
-	for _, f := range d.Options {
-		if f.Required && v.fields[f.Name] == nil {
-			r.errorf(words[0].Position, d.Name, "lacks %q; the form is: %s", f.Name, d.Usage())
-			return
-		}
+	return true
+}
+
+// apply hands the values of a line to its directive.
+func (p *parser) apply(d *Directive, v *Values) {
+	err := d.Apply(v)
+	if err == nil {
+		return
 	}
-	if err := d.Apply(v); err != nil {
-		if f, ok := err.(*Error); ok {
-			r.errors = append(r.errors, f)
-			return
-		}
-		r.errorf(words[0].Position, d.Name, "%v", err)
+	var located *Error
+	if errors.As(err, &located) {
+		p.errors = append(p.errors, located)
+		return
 	}
+	p.errorf(v.Position, d.Name, "%v", err)
 }
 
 func (d *Directive) option(w token) *Field {
@@ -89,7 +109,7 @@
 }
 
 // parseField reads a field's word, or words, and gives the rest.
-func (r *parser) parseField(d *Directive, f *Field, v *Values, rest []token) []token {
+func (p *parser) parseField(d *Directive, f *Field, v *Values, rest []token) []token {
 	n := 0
 	if len(rest) > 0 && !f.Optional { // its word even where an option is named so: a hall may be called hall
 		n = 1
@@ -99,20 +119,19 @@
 	}
 	if n == 0 {
 		if !f.Optional && slices.ContainsFunc(d.Args, func(a Field) bool { return a.Name == f.Name }) {
-			at := v.Position
-			r.errorf(at, d.Name, "lacks its %s; the form is: %s", f.Name, d.Usage())
+			p.errorf(v.Position, d.Name, "lacks its %s; the form is: %s", f.Name, d.Usage())
 		}
 		return rest
 	}
-	val := &value{words: rest[:n]}
+	read := &value{words: rest[:n]}
 	for _, w := range rest[:n] {
 		number, wrong := f.parse(w.text)
 		if wrong != "" {
-			r.errorf(w.Position, w.text, "%s", wrong)
+			p.errorf(w.Position, w.text, "%s", wrong)
 			return rest[n:]
 		}
-		val.numbers = append(val.numbers, number)
+		read.numbers = append(read.numbers, number)
 	}
-	v.fields[f.Name] = val
+	v.fields[f.Name] = read
 	return rest[n:]
 }
--- a/internal/config/directive/conf.go
+++ b/internal/config/directive/parser.go
@@ -1,4 +1,4 @@
-// Package conf reads the operator's own files: one directive a line, in the manner of classic daemons.
+// Package directive reads the operator's own files: one directive a line, in the manner of classic daemons.
 //
 //	# a comment
 //	hall ktm-hall most 900/s spare 10%
@@ -17,15 +17,16 @@
 	"os"
 	"path"
 	"path/filepath"
+	"slices"
 	"strings"
 
 	"github.com/cespare/xxhash/v2"
 )
 
-// Bounds against a file that is no configuration at all, such as a device or a log.
+// Limits that keep a file which is no configuration, such as a device or a log, from being read without end.
 const (
 	maxBytes        = 16 << 20
-	maxIncludeDepth = 16 // of includes
+	maxIncludeDepth = 16
 )
 
 // parser goes through a file and what it includes.
@@ -38,15 +39,16 @@
 	errors       ErrorList
 }
 
-// Read reads a file from disk. All its mistakes come as Faults; another error says that it could not be read.
+// Read reads a file from disk. Mistakes in it are returned as an ErrorList; any other error says that the
+// file could not be read.
 func (t *Table) Read(name string) error {
 	_, err := t.ReadWithChecksum(name)
 	return err
 }
 
-// ReadWithChecksum reads a file from disk and gives the fingerprint of all that it and what it includes says.
+// ReadWithChecksum reads a file from disk and returns a checksum of it and of all that it includes.
 func (t *Table) ReadWithChecksum(name string) (sum string, err error) {
-	all := xxhash.New()
+	hash := xxhash.New()
 	read := func(name string) ([]byte, error) {
 		f, err := os.Open(name)
 		if err != nil {
@@ -62,25 +64,25 @@
 		if err == nil && len(text) > maxBytes {
 			err = &fs.PathError{Op: "read", Path: name, Err: fmt.Errorf("is longer than %d MB", maxBytes>>20)}
 		}
-		all.Write(text)
+		_, _ = hash.Write(text) // it never fails
 		return text, err
 	}
 	err = t.ReadFrom(name, read, filepath.Glob)
-	return fmt.Sprintf("%016x", all.Sum64()), err
+	return fmt.Sprintf("%016x", hash.Sum64()), err
 }
 
-// ReadFrom reads a file by way of read and glob, which a test or another source of files may give.
+// ReadFrom reads a file through read and glob, so that files may come from elsewhere than the disk.
 func (t *Table) ReadFrom(name string, read func(string) ([]byte, error), glob func(string) ([]string, error)) error {
 	text, err := read(name)
 	if err != nil {
 		return err
 	}
-	r := &parser{table: t, readFile: read, glob: glob, firstUse: map[string]Position{}}
-	r.parseFile(name, text)
-	if len(r.errors) == 0 {
+	p := &parser{table: t, readFile: read, glob: glob, firstUse: map[string]Position{}}
+	p.parseFile(name, text)
+	if len(p.errors) == 0 {
 		return nil
 	}
-	return r.errors
+	return p.errors
 }
 
 // Parse reads a text that includes nothing.
@@ -89,32 +91,32 @@
 		func(string) ([]string, error) { return nil, fmt.Errorf("nothing can be included here") })
 }
 
-func (r *parser) errorf(at Position, w, text string, args ...any) {
-	r.errors = append(r.errors, &Error{at, w, fmt.Sprintf(text, args...)})
+func (p *parser) errorf(at Position, w, text string, args ...any) {
+	p.errors = append(p.errors, &Error{at, w, fmt.Sprintf(text, args...)})
 }
 
-func (r *parser) parseFile(name string, text []byte) {
-	r.includeStack = append(r.includeStack, name)
-	defer func() { r.includeStack = r.includeStack[:len(r.includeStack)-1] }()
+func (p *parser) parseFile(name string, text []byte) {
+	p.includeStack = append(p.includeStack, name)
+	defer func() { p.includeStack = p.includeStack[:len(p.includeStack)-1] }()
 	for i, line := range strings.Split(string(text), "\n") {
-		words, fault := tokenize(name, i+1, strings.TrimSuffix(line, "\r"))
+		tokens, err := tokenize(name, i+1, strings.TrimSuffix(line, "\r"))
 		switch {
-		case fault != nil:
-			r.errors = append(r.errors, fault)
-		case len(words) == 0:
-		case words[0].text == "include" && !words[0].quoted:
-			r.include(words)
+		case err != nil:
+			p.errors = append(p.errors, err)
+		case len(tokens) == 0:
+		case tokens[0].text == "include" && !tokens[0].quoted:
+			p.include(tokens)
 		default:
-			r.parseDirective(words)
+			p.parseDirective(tokens)
 		}
 	}
 }
 
 // include reads further files where the line stands. Their names are relative to the file that includes them; a
 // name with * ? or [ stands for all that match, in the order of their names, and there may be none.
-func (r *parser) include(words []token) {
+func (p *parser) include(words []token) {
 	if len(words) != 2 {
-		r.errorf(words[0].Position, "include", "takes one file name, in quotes if it holds blanks")
+		p.errorf(words[0].Position, "include", "takes one file name, in quotes if it holds blanks")
 		return
 	}
 	w := words[1]
@@ -125,32 +127,35 @@
 	names := []string{name}
 	if strings.ContainsAny(w.text, "*?[") {
 		var err error
-		if names, err = r.glob(name); err != nil {
-			r.errorf(w.Position, w.text, "is no pattern of file names: %v", err)
+		if names, err = p.glob(name); err != nil {
+			p.errorf(w.Position, w.text, "is no pattern of file names: %v", err)
 			return
 		}
 	}
-	if len(r.includeStack) >= maxIncludeDepth {
-		r.errorf(w.Position, w.text, "is included %d files deep; %d is the most", len(r.includeStack), maxIncludeDepth)
+	if len(p.includeStack) >= maxIncludeDepth {
+		p.errorf(w.Position, w.text, "is included %d files deep; %d is the most", len(p.includeStack), maxIncludeDepth)
 		return
 	}
 	for _, name := range names {
-		circle := false
-		for i, above := range r.includeStack {
-			if filepath.Clean(above) == filepath.Clean(name) {
-				chain := append(append([]string(nil), r.includeStack[i:]...), name)
-				r.errorf(w.Position, w.text, "includes itself: %s; take one of these lines out", strings.Join(chain, " > "))
-				circle = true
-			}
-		}
-		if circle {
+		if cycle := p.cycle(name); cycle != nil {
+			p.errorf(w.Position, w.text, "includes itself: %s; take one of these lines out", strings.Join(cycle, " > "))
 			continue
 		}
-		text, err := r.readFile(name)
+		text, err := p.readFile(name)
 		if err != nil {
-			r.errorf(w.Position, w.text, "cannot be read: %v", err)
+			p.errorf(w.Position, w.text, "cannot be read: %v", err)
 			continue
 		}
-		r.parseFile(name, text)
+		p.parseFile(name, text)
+	}
+}
+
+// cycle returns the chain of files by which a file includes itself, nil where it does not.
+func (p *parser) cycle(name string) []string {
+	for i, above := range p.includeStack {
+		if filepath.Clean(above) == filepath.Clean(name) {
+			return append(slices.Clone(p.includeStack[i:]), name)
+		}
 	}
+	return nil
 }
--- a/internal/config/directive/table.go
+++ b/internal/config/directive/table.go
@@ -131,6 +131,19 @@
 	return f
 }
 
+// find returns the directive that a line begins with, nil where there is none.
+func (t *Table) find(name token) *Directive {
+	if name.quoted {
+		return nil
+	}
+	for _, d := range t.Directives {
+		if d.Name == name.text {
+			return d
+		}
+	}
+	return nil
+}
+
 func (t *Table) names() []string {
 	names := []string{"include"}
 	for _, d := range t.Directives {
