--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -57,7 +57,7 @@
 			if err != nil {
 				return err
 			}
-			if _, err := own.Fit(c.Settings); err != nil {
+			if _, err := own.TwoPhaseSettings(c.Settings); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: listens on %s, discovery at %s, %d indexes\n", c.Name, c.Listen,
--- a/internal/config/migrate/migrate_test.go
+++ b/internal/config/migrate/migrate_test.go
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Settings.GathererIndex != 1 || c.Settings.StreamsPerConnection != 64 ||
+	if c.Name != "n1" || c.Seed != 0x1f || c.KnownEndpoints != nil || c.Settings.GathererIndex != 1 || c.Settings.StreamsPerConnection != 64 ||
 		c.Settings.ReplicaSetsPerShard != 3 || c.Settings.HedgingAllowed || c.Settings.LoadReports != "pull" ||
 		c.Settings.RetryBudgetWindow != 0 || !c.Settings.EndpointsOnRequest || c.Settings.Class("every").LatencyObjective != 1000 {
 		t.Errorf("%+v", c)
--- a/internal/config/operator/operator_test.go
+++ b/internal/config/operator/operator_test.go
@@ -13,7 +13,7 @@
 		t.Errorf("%s is not what yokeroute reference operator prints: %v", page, err)
 	}
 	f, err := Read(filepath.Join("..", "..", "..", "deploy", "yokeroute.conf"))
-	if err != nil || f.Plan != "" || f.Placement != "" || len(f.TwoPhase) > 0 || f.Traces > 0 || f.Keep > 0 || f.Authority+f.Segments != "" {
+	if err != nil || f.Plan != "" || f.Placement != "" || len(f.TwoPhase) > 0 || f.TracesKept > 0 || f.NameRetention > 0 || f.SegmentAuthority+f.Segments != "" {
 		t.Errorf("%+v, %v", f, err)
 	}
 }
--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -28,14 +28,14 @@
 
 // Config is all that a gatherer is told at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Seed      uint64
-	Limits    Limits
-	Known     *discovery.Reply // nil where nothing was known
-	Settings  *gather.Settings
-	Sum       string // fingerprint of the text that was read
+	Name           string
+	Listen         string
+	Discovery      string
+	Seed           uint64
+	Limits         Limits
+	KnownEndpoints *discovery.Reply // nil where nothing was known
+	Settings       *gather.Settings
+	Checksum       string // fingerprint of the text that was read
 }
 
 // Load reads the file; name and addresses that it lacks come from the environment.
@@ -72,7 +72,7 @@
 		}
 		return nil, err
 	}
-	c := &Config{Sum: version.OfText(text), Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
+	c := &Config{Checksum: version.OfText(text), Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
@@ -88,14 +88,14 @@
 		return nil, fmt.Errorf("limits.cores: %v is not above 0", l.Cores)
 	case !(l.MemoryMB > 0):
 		return nil, fmt.Errorf("limits.memory_mb: %v is not above 0", l.MemoryMB)
-	case l.Sockets < leastSockets:
-		return nil, fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, leastSockets)
+	case l.Sockets < minSockets:
+		return nil, fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, minSockets)
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.Known, err = discovery.Parse(file.Known); err != nil {
+		if c.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.Known.Whole = true // it is the list as this gatherer last held it
+		c.KnownEndpoints.Whole = true // it is the list as this gatherer last held it
 	}
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
@@ -106,5 +106,5 @@
 	return c, nil
 }
 
-// leastSockets leaves a few for clients beside what the process itself holds open.
-const leastSockets = 32
+// minSockets leaves a few for clients beside what the process itself holds open.
+const minSockets = 32
--- a/internal/control/policyclient/follow.go
+++ b/internal/control/policyclient/follow.go
@@ -26,7 +26,7 @@
 // Follower asks the stewards, one question after the other, and has the governor hear what they say.
 type Follower struct {
 	g        *Governor
-	stewards []operator.Steward
+	stewards []operator.PolicyServer
 	me       policy.Hello
 	folder   string // where the fence is kept, empty for nowhere
 	http     *http.Client
@@ -34,7 +34,7 @@
 }
 
 // NewFollower makes one. Me are the gatherer's name, zone, floor and version and what names its process.
-func NewFollower(g *Governor, stewards []operator.Steward, me policy.Hello, folder string, log *logrus.Logger) *Follower {
+func NewFollower(g *Governor, stewards []operator.PolicyServer, me policy.Hello, folder string, log *logrus.Logger) *Follower {
 	me.Knows = policy.Kinds()
 	return &Follower{g: g, stewards: stewards, me: me, folder: folder, log: log,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: askWait + patience, DisableCompression: true}}}
@@ -63,7 +63,7 @@
 		case ctx.Err() != nil:
 			return
 		case errors.As(err, &elsewhere) && elsewhere.leader != "":
-			if i := slices.IndexFunc(f.stewards, func(s operator.Steward) bool { return s.Name == elsewhere.leader }); i >= 0 && i != at {
+			if i := slices.IndexFunc(f.stewards, func(s operator.PolicyServer) bool { return s.Name == elsewhere.leader }); i >= 0 && i != at {
 				at = i
 				f.rest(ctx, pauseFirst)
 				continue
@@ -121,7 +121,7 @@
 var errSettled = errors.New("there is news to tell")
 
 // ask puts one question. It is broken off where the gatherer has news for the steward, that all in hand is settled.
-func (f *Follower) ask(ctx context.Context, s operator.Steward) (asked float64, w policy.Word, err error) {
+func (f *Follower) ask(ctx context.Context, s operator.PolicyServer) (asked float64, w policy.Word, err error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, askWait+patience, fmt.Errorf("no answer within %s", askWait+patience))
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -292,7 +292,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	me := policy.Hello{Member: policy.Member{Name: "g1", Zone: "north", Floor: keptPolicy()}, Process: "123-456", Version: "1.2"}
-	f := NewFollower(g, []operator.Steward{{Name: "s1", Address: address}}, me, folder, log)
+	f := NewFollower(g, []operator.PolicyServer{{Name: "s1", Address: address}}, me, folder, log)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
--- a/internal/control/rollout/carry.go
+++ b/internal/control/rollout/carry.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return "", err
 	}
-	return own.Sum, nil
+	return own.Checksum, nil
 }
 
 // CheckFiles reads all files of a side as gatherers would, before any is changed.
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -83,7 +83,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if plan != nil || file == nil { // one that was solved goes on until the next is there
-		k.force = placement.Force{Plan: plan, MostAge: f.PlanAge}
+		k.force = placement.Force{Plan: plan, MostAge: f.PlanMaxAge}
 	}
 	if k.file = file; file == nil {
 		k.jobs.Cancel(jobName)
--- a/internal/gatherer/plans/plans_test.go
+++ b/internal/gatherer/plans/plans_test.go
@@ -110,7 +110,7 @@
 func TestFile(t *testing.T) {
 	k, h, hook := newKeeper(t, "north")
 	path := write(t, "plan.conf", planText)
-	if err := k.Configure(&operator.File{Plan: path, PlanAge: 300}); err != nil {
+	if err := k.Configure(&operator.File{Plan: path, PlanMaxAge: 300}); err != nil {
 		t.Fatal(err)
 	}
 	<-h.handed // nobody is listed yet
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -27,10 +27,10 @@
 // govern makes it. A floor or a file that does not fit the platform's settings ends the start: without one the gatherer
 // would do what the rest of the fleet counts on it not to.
 func govern(c *platform.Config, own *operator.File, settings *gather.Settings, picker *dispatch.Picker, log *logrus.Logger) (*governed, error) {
-	if own.Floor+own.Policy == "" {
+	if own.FallbackPolicy+own.Policy == "" {
 		return nil, nil
 	}
-	if own.Floor == "" {
+	if own.FallbackPolicy == "" {
 		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Stir)}
 		if err := g.reread(own); err != nil {
 			return nil, err
@@ -38,7 +38,7 @@
 		picker.Govern(g.governor)
 		return g, nil
 	}
-	floor, err := policyclient.Read(own.Floor)
+	floor, err := policyclient.Read(own.FallbackPolicy)
 	if err == nil {
 		err = policyclient.Fit(settings, floor)
 	}
@@ -51,7 +51,7 @@
 	}
 	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
 	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: process.Name(picker.Now()), Version: version.Name()}
-	g.follower = policyclient.NewFollower(g.governor, own.Stewards, me, own.State, log)
+	g.follower = policyclient.NewFollower(g.governor, own.PolicyServers, me, own.State, log)
 	picker.Govern(g.governor)
 	return g, nil
 }
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -23,20 +23,20 @@
 	if c.Name != "g7" || c.Listen != "127.0.0.1:8001" || c.Discovery != "127.0.0.1:9001" || c.Seed != 0xdeadbeef || c.Limits != (platform.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 512}) {
 		t.Errorf("%+v", c)
 	}
-	if c.Sum != "fcaf128cf5aab831" {
-		t.Errorf("fingerprint %s", c.Sum)
+	if c.Checksum != "fcaf128cf5aab831" {
+		t.Errorf("fingerprint %s", c.Checksum)
 	}
-	if c.Known == nil || c.Known.Revision != 12 {
-		t.Fatalf("known: %+v", c.Known)
+	if c.KnownEndpoints == nil || c.KnownEndpoints.Revision != 12 {
+		t.Fatalf("known: %+v", c.KnownEndpoints)
 	}
-	if marked := c.Known.Drain(map[string]float64{"s1": 1796168000000, "s2": 1796168000000, "s3": 0}); marked != 1 {
+	if marked := c.KnownEndpoints.Drain(map[string]float64{"s1": 1796168000000, "s2": 1796168000000, "s3": 0}); marked != 1 {
 		t.Errorf("%d of the known servers were marked as draining, one of them was in service", marked)
 	}
 }
 
 // TestAdminPathsKeepTheirBytes: what a gatherer says on its own paths is what it was.
 func TestAdminPathsKeepTheirBytes(t *testing.T) {
-	_, address, end := start(t, &operator.File{Background: 0.05, Traces: 4, KeepShare: 1}, func(i int) experiment.Machine {
+	_, address, end := start(t, &operator.File{BackgroundShare: 0.05, TracesKept: 4, TraceShare: 1}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{Cores: 2, Work: 2, Queue: 40, Seed: uint64(i)}}
 	}, func(text string) string { return text })
 	defer end()
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -97,9 +97,9 @@
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &operator.File{Background: 0.05, MostOwned: 256, Authority: f.authority.Address()}
+	own := &operator.File{BackgroundShare: 0.05, MaxSegments: 256, SegmentAuthority: f.authority.Address()}
 	if state != "" {
-		own.State, own.Keep, own.StateMost = state, 60_000, 1<<20
+		own.State, own.NameRetention, own.JournalMaxBytes = state, 60_000, 1<<20
 	}
 	s, err := New(c, own, log)
 	if err != nil {
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -61,19 +61,19 @@
 // out: a gatherer serves without a plan rather than not at all.
 func New(c *platform.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
 	settings := c.Settings
-	if own.MostOwned > 0 {
+	if own.MaxSegments > 0 {
 		if settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		settings = dispatch.OwnedTerms(settings, own.MostOwned)
+		settings = dispatch.OwnedTerms(settings, own.MaxSegments)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("plans and two phases go by groups of shards and are left out where segments have owners of their own")
 			own.Plan, own.Placement, own.TwoPhase = "", "", nil
 		}
 	}
-	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: dispatch.New(c.Seed, settings, log)}
-	if own.Keep > 0 {
-		ledger, found, err := statedir.OpenGatherer(own.State, int64(own.StateMost), own.Keep, s.Picker.Now())
+	s := &Service{c: c, log: log, owned: own.MaxSegments > 0, Picker: dispatch.New(c.Seed, settings, log)}
+	if own.NameRetention > 0 {
+		ledger, found, err := statedir.OpenGatherer(own.State, int64(own.JournalMaxBytes), own.NameRetention, s.Picker.Now())
 		if err != nil {
 			return nil, err
 		}
@@ -92,8 +92,8 @@
 			return nil, err
 		}
 	}
-	if own.MostOwned > 0 {
-		s.Picker.Segments(own.MostOwned, settings.Shards)
+	if own.MaxSegments > 0 {
+		s.Picker.Segments(own.MaxSegments, settings.Shards)
 		if s.ledger != nil && s.ledger.Map() != nil {
 			s.Picker.SetMap(s.ledger.Map())
 		}
@@ -104,8 +104,8 @@
 			}
 			s.Picker.SetMap(m)
 		}
-		if own.Authority != "" {
-			s.authority = segments.NewFollower(own.Authority, s.Picker, log)
+		if own.SegmentAuthority != "" {
+			s.authority = segments.NewFollower(own.SegmentAuthority, s.Picker, log)
 		}
 	}
 	// One connection to a shard server carries many parts, one from a client a single lookup: of what the process
@@ -115,7 +115,7 @@
 	rest := c.Limits.Sockets - ownSockets
 	clients := (rest - rest/4 - 2) * 8 / 10
 	s.pool = shardcall.New(c.Settings, rest/4, s.Picker, log)
-	marked, err := own.Fit(c.Settings)
+	marked, err := own.TwoPhaseSettings(c.Settings)
 	if err != nil {
 		log.WithError(err).Error("two phases refused for these indexes: one phase")
 	}
@@ -123,8 +123,8 @@
 		s.Picker.Phases(marked)
 		s.pool.Agree(s.Picker.Speaks)
 	}
-	if own.Traces > 0 {
-		s.traces = trace.New(own.Traces, own.KeepShare)
+	if own.TracesKept > 0 {
+		s.traces = trace.New(own.TracesKept, own.TraceShare)
 		s.Picker.Trace(s.traces)
 	}
 	governed, err := govern(c, own, settings, s.Picker, log)
@@ -133,22 +133,22 @@
 	}
 	s.governed = governed
 	shards := 0
-	if own.MostOwned > 0 {
+	if own.MaxSegments > 0 {
 		shards = settings.Shards
 	}
 	if own.Record != "" {
-		if s.record, err = trace.Create(own.Record, own.RecordMost, own.RecordAtOnce, c.Settings, shards, s.Picker.Now()); err != nil {
+		if s.record, err = trace.Create(own.Record, own.RecordMaxBytes, own.RecordUnbuffered, c.Settings, shards, s.Picker.Now()); err != nil {
 			return nil, fmt.Errorf("record: %w", err)
 		}
 		s.Picker.Trace(s.record)
 		s.Picker.Watch(s.record)
 	}
-	s.keeper = plans.New(s.Picker, c.Settings, background.New(own.Background, log), log)
+	s.keeper = plans.New(s.Picker, c.Settings, background.New(own.BackgroundShare, log), log)
 	if err := s.keeper.Configure(own); err != nil { // against not serving for want of a plan
 		log.WithError(err).Error("plan refused: plain turns")
 	}
 	var listed atomic.Bool
-	if own.Report != "" {
+	if own.ReportAddress != "" {
 		if s.tells, err = newTells(c, own, s.Picker, s.pool, s.governed.tells(), listed.Load, log); err != nil {
 			return nil, err
 		}
@@ -156,7 +156,7 @@
 	s.follower = discovery.New(c.Discovery, func(list gather.EndpointList, all []shardcall.Address) {
 		s.governed.follow(list, all)
 		s.pool.Follow(all) // first, so that the module names no server whose address is not known
-		if own.MostOwned > 0 {
+		if own.MaxSegments > 0 {
 			names := make(map[uint32]string, len(all))
 			for _, a := range all {
 				names[a.ID] = a.Name
@@ -180,9 +180,9 @@
 	if settings.EndpointsOnRequest {
 		s.follower.Shared()
 	}
-	if c.Known != nil {
-		s.handover.apply(c.Known)
-		s.follower.Take(c.Known)
+	if c.KnownEndpoints != nil {
+		s.handover.apply(c.KnownEndpoints)
+		s.follower.Take(c.KnownEndpoints)
 	}
 	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
 	if s.traces != nil {
@@ -257,7 +257,7 @@
 		return
 	}
 	s.c = c
-	s.tells.inForce("config", c.Sum)
+	s.tells.inForce("config", c.Checksum)
 	s.follower.Move(c.Discovery)
 	if c.Limits != old.Limits {
 		Limit(c.Limits)
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -98,7 +98,7 @@
 // rule that it can show is kept; what it cannot show is said.
 func TestRecord(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
-	own := &operator.File{Record: file, RecordMost: 64 << 20, Background: 0.05, TwoPhase: []operator.Phase{{Index: "any", First: 0.3, Trials: 0.5}}}
+	own := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05, TwoPhase: []operator.TwoPhaseClass{{Class: "any", FirstPassShare: 0.3, TrialShare: 0.5}}}
 	all := serve(t, own, func(f *experiment.Fleet) {
 		wait := func() { time.Sleep(250 * time.Millisecond) } // what happens in between is load, not a condition waited for
 		wait()
@@ -133,7 +133,7 @@
 // before anything is served.
 func TestRecordEnds(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
-	serve(t, &operator.File{Record: file, RecordMost: 8192, Background: 0.05}, func(*experiment.Fleet) {})
+	serve(t, &operator.File{Record: file, RecordMaxBytes: 8192, BackgroundShare: 0.05}, func(*experiment.Fleet) {})
 	if r := checkFile(t, file); r.Kept() || !strings.Contains(r.Incomplete, "8192 bytes") {
 		t.Errorf("%+v", r)
 	}
--- a/internal/gatherer/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -23,14 +23,14 @@
 func newTells(c *platform.Config, own *operator.File, picker *dispatch.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
 	counter := report.NewCounter(c.Name, c.Settings, picker.Now, pool)
 	counter.Policy = policy
-	server, err := report.Listen(own.Report, counter, ready, log)
+	server, err := report.Listen(own.ReportAddress, counter, ready, log)
 	if err != nil {
 		return nil, err
 	}
 	picker.Trace(counter)
 	picker.Watch(counter)
 	t := &tells{counter, server}
-	t.inForce("config", c.Sum)
+	t.inForce("config", c.Checksum)
 	t.files(own)
 	return t, nil
 }
@@ -46,7 +46,7 @@
 	if t == nil {
 		return
 	}
-	t.inForce("operator", own.Sum)
+	t.inForce("operator", own.Checksum)
 	for kind, name := range map[string]string{"plan": own.Plan, "placement": own.Placement, "segments": own.Segments} {
 		sum := ""
 		if name != "" {
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -67,7 +67,7 @@
 	if lines, err := rollout.Log(kept("rollout-1")); err != nil || len(lines) < 10 {
 		t.Errorf("journal of a rollout 1: %v, %v", err, lines)
 	}
-	if own, err := operator.Read(kept("operator-1.conf")); err != nil || own.Keep == 0 || own.Report == "" || len(own.TwoPhase) != 1 {
+	if own, err := operator.Read(kept("operator-1.conf")); err != nil || own.NameRetention == 0 || own.ReportAddress == "" || len(own.TwoPhase) != 1 {
 		t.Errorf("operator's file 1: %v, %+v", err, own)
 	}
 	if _, err := placementfile.Read(kept("placement-1.conf"), 0); err != nil {
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -108,7 +108,7 @@
 	log := logrus.New()
 	log.SetOutput(d.log)
 	log.SetFormatter(&logrus.TextFormatter{DisableTimestamp: true, DisableColors: true})
-	if d.service, err = service.New(c, &operator.File{Traces: 200, KeepShare: 1, Background: 0.05}, log); err != nil {
+	if d.service, err = service.New(c, &operator.File{TracesKept: 200, TraceShare: 1, BackgroundShare: 0.05}, log); err != nil {
 		return nil, err
 	}
 	d.service.Picker.Trace(counter{d})
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -83,11 +83,11 @@
 	terms    PolicyTerms
 	ctx      context.Context
 	stewards []*process.Process
-	names    []operator.Steward
+	names    []operator.PolicyServer
 	client   *policyclient.Client
 	hollow   []*hollowGatherer
-	relays   []*processtest.Link // of the region that is cut off, one to each steward
-	far      []operator.Steward  // the stewards as that region reaches them
+	relays   []*processtest.Link     // of the region that is cut off, one to each steward
+	far      []operator.PolicyServer // the stewards as that region reaches them
 	cut      bool
 	returned []time.Duration // of the region
 	log      *logrus.Logger
@@ -120,7 +120,7 @@
 	for i := range t.Stewards {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
 		address := fmt.Sprintf("%s:%d", host, stewardPort)
-		f.names = append(f.names, operator.Steward{Name: name, Address: address})
+		f.names = append(f.names, operator.PolicyServer{Name: name, Address: address})
 		f.client.Stewards = append(f.client.Stewards, address)
 		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, stewardLogPort, address)
 	}
@@ -161,7 +161,7 @@
 			return err
 		}
 		f.relays = append(f.relays, relay)
-		f.far = append(f.far, operator.Steward{Name: s.Name, Address: relay.Address()})
+		f.far = append(f.far, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
 	}
 	return nil
 }
