--- a/internal/rollout/kept_test.go
+++ b/internal/rollout/kept_test.go
@@ -200,6 +200,21 @@
 	}
 }
 
+// TestPageKeepsItsBytes: the page of the kept rollout is what it was, in UTC.
+func TestPageKeepsItsBytes(t *testing.T) {
+	local := time.Local
+	time.Local = time.UTC
+	defer func() { time.Local = local }()
+	got, err := Page(filepath.Join(kept, "rollout-1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join(kept, "report.html"))
+	if err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%v: written\n%s\nkept\n%s", err, got, want)
+	}
+}
+
 // TestKeptNotesOfProcesses: who a gatherer's process and the command of its step are is written and read as it was.
 func TestKeptNotesOfProcesses(t *testing.T) {
 	p := keptPlan(t.TempDir())
