--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -78,7 +78,7 @@
 
 // manyPolicies plays histories with the seeds from one on.
 func manyPolicies(t emulated.Terms, count, workers int, within float64) policyRow {
-	outs := parallel.Each(count, workers, func(i int) emulated.Outcome {
+	outs := parallel.Map(count, workers, func(i int) emulated.Outcome {
 		one := t
 		one.Seed += uint64(i)
 		return emulated.Play(one)
--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -72,7 +72,7 @@
 		}
 		return nil, err
 	}
-	c := &Config{Checksum: version.OfText(text), Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
+	c := &Config{Checksum: version.Checksum(text), Name: file.Name, Listen: file.Listen, Discovery: file.Discovery, Limits: file.Limits}
 	if _, _, err := net.SplitHostPort(c.Listen); err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
 	}
--- a/internal/control/policyclient/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -100,7 +100,7 @@
 func (s *scene) until(what string, holds func(st *policyclient.Status) bool) {
 	s.Helper()
 	var last *policyclient.Status
-	err := process.Until(s.ctx, what, func() bool {
+	err := process.WaitUntil(s.ctx, what, func() bool {
 		last = s.status()
 		return last != nil && holds(last)
 	})
@@ -147,7 +147,7 @@
 func (s *scene) served(n int) {
 	s.Helper()
 	at := s.f.Front.Total().Endings[processtest.Satisfied]
-	if err := process.Until(s.ctx, "lookups are answered", func() bool { return s.f.Front.Total().Endings[processtest.Satisfied] >= at+n }); err != nil {
+	if err := process.WaitUntil(s.ctx, "lookups are answered", func() bool { return s.f.Front.Total().Endings[processtest.Satisfied] >= at+n }); err != nil {
 		s.Fatal(err)
 	}
 }
@@ -494,7 +494,7 @@
 		t.Fatal(err)
 	}
 	p := others[0].Process()
-	p.Expect()
+	p.ExpectExit()
 	if err := p.Wait(s.ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -525,7 +525,7 @@
 			}
 		}
 	}
-	if err := process.Until(s.ctx, "another leads", func() bool { now := s.f.Leader(s.ctx); return now != nil && now != leader }); err != nil {
+	if err := process.WaitUntil(s.ctx, "another leads", func() bool { now := s.f.Leader(s.ctx); return now != nil && now != leader }); err != nil {
 		t.Fatal(err)
 	}
 	second := s.propose("close zone south host s3\n")
@@ -631,7 +631,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := process.Until(s.ctx, "the others go on", func() bool { return count() >= at+12 }); err != nil {
+		if err := process.WaitUntil(s.ctx, "the others go on", func() bool { return count() >= at+12 }); err != nil {
 			t.Fatal(err)
 		}
 		switch i % 3 {
@@ -660,7 +660,7 @@
 		}
 		return n
 	}
-	if err := process.Until(s.ctx, "some changes were made", func() bool { return made() >= 4 }); err != nil {
+	if err := process.WaitUntil(s.ctx, "some changes were made", func() bool { return made() >= 4 }); err != nil {
 		t.Fatal(err)
 	}
 	enough()
--- a/internal/control/rollout/carry.go
+++ b/internal/control/rollout/carry.go
@@ -118,7 +118,7 @@
 	if err := os.MkdirAll(filepath.Dir(c.noteFile(g)), 0o755); err != nil {
 		return err
 	}
-	return statedir.Replace(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.Started(pid)))
+	return statedir.Replace(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.StartTicks(pid)))
 }
 
 // alone waits until the command that a controller before this one has started for the gatherer has ended, since two at
@@ -137,7 +137,7 @@
 	defer force.Stop()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for process.Started(pid) == began {
+	for process.StartTicks(pid) == began {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -173,7 +173,7 @@
 	if err == nil {
 		var pid int
 		var began string
-		if n, _ := fmt.Sscan(string(text), &pid, &began); n == 2 && process.Started(pid) == began {
+		if n, _ := fmt.Sscan(string(text), &pid, &began); n == 2 && process.StartTicks(pid) == began {
 			return pid
 		}
 	}
@@ -199,7 +199,7 @@
 		words := strings.Split(strings.TrimRight(string(text), "\x00"), "\x00")
 		serves := len(words) > 1 && words[1] == "serve"
 		for i, w := range words {
-			if serves && (w == "--config" && i+1 < len(words) && words[i+1] == config || w == "--config="+config) && process.Started(pid) != "" {
+			if serves && (w == "--config" && i+1 < len(words) && words[i+1] == config || w == "--config="+config) && process.StartTicks(pid) != "" {
 				return pid
 			}
 		}
@@ -209,7 +209,7 @@
 
 // adopt tells the runner of a process that serves already.
 func (r runner) adopt(g, pid int) error {
-	began := process.Started(pid)
+	began := process.StartTicks(pid)
 	if began == "" {
 		return fmt.Errorf("gatherer %s: no process %d", r.p.Gatherers[g].Name, pid)
 	}
--- a/internal/control/rollout/emulated/play.go
+++ b/internal/control/rollout/emulated/play.go
@@ -95,7 +95,7 @@
 
 // Many plays so many rollouts of a kind, on several cores, with the seeds from one on.
 func Many(t Terms, name string, judge func(p rollout.Plan) rollout.Judge, n, workers int) Row {
-	outs := parallel.Each(n, workers, func(i int) Outcome {
+	outs := parallel.Map(n, workers, func(i int) Outcome {
 		one := t
 		one.Seed = t.Seed + uint64(i)
 		return Play(one, judge)
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -225,7 +225,7 @@
 	if err := (commands{p}).note(1, pid); err != nil {
 		t.Fatal(err)
 	}
-	want := fmt.Sprintf("%d %s\n", pid, process.Started(pid))
+	want := fmt.Sprintf("%d %s\n", pid, process.StartTicks(pid))
 	for name, text := range folderFiles(t, p.Folder) {
 		if name != "run/g1.pid" && name != "run/g2.step" || string(text) != want {
 			t.Errorf("%s: %q, want %q", name, text, want)
--- a/internal/control/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -126,7 +126,7 @@
 	out.Lost = (total.Asked - total.Value) - (calm.Asked - calm.Value)
 	out.Before = (calm.Asked - calm.Value) / max(calm.Asked, 1e-9) * (total.Asked - calm.Asked)
 	for _, g := range f.Gatherers {
-		use := g.Process().Use()
+		use := g.Process().Usage()
 		out.Memory[0] += use.Memory / float64(len(f.Gatherers))
 		out.Memory[1] = max(out.Memory[1], use.Memory)
 	}
@@ -161,9 +161,9 @@
 	step := func(ctx context.Context, name string, to logic.Kind) error {
 		g := f.Gatherer(name)
 		p := g.Process()
-		p.Expect()
+		p.ExpectExit()
 		if p.Alive() {
-			if err := p.Term(ctx); err != nil {
+			if err := p.Terminate(ctx); err != nil {
 				return err
 			}
 		}
@@ -210,7 +210,7 @@
 				select {
 				case <-ctx.Done():
 					return
-				case <-p.Ended():
+				case <-p.Exited():
 				}
 				// One that was ended by a step has its successor by then.
 				select {
@@ -220,7 +220,7 @@
 				}
 				if g.Process() == p && p.Err() != nil {
 					if next, err := g.Launch(); err == nil {
-						next.Expect()
+						next.ExpectExit()
 					}
 				}
 			}
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -265,7 +265,7 @@
 		if to == &m.Operator { // with all that it includes
 			*to, err = operatorSum(file)
 		} else {
-			*to, err = version.OfFile(file)
+			*to, err = version.FileChecksum(file)
 		}
 		if err != nil {
 			return m, fmt.Errorf("gatherer %s: %w", p.Gatherers[g].Name, err)
--- a/internal/control/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -111,7 +111,7 @@
 	defer one.(*sync.Mutex).Unlock()
 	ctx = context.WithoutCancel(ctx)
 	if p := g.Process(); p.Alive() {
-		if err := p.Term(ctx); err != nil {
+		if err := p.Terminate(ctx); err != nil {
 			return err
 		}
 	}
@@ -174,7 +174,7 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	p.Expect()
+	p.ExpectExit()
 	s.Cleanup(func() {
 		p.Signal(syscall.SIGCONT)
 		p.Kill()
@@ -185,7 +185,7 @@
 // until waits for something that a controller is to bring about.
 func (s *scene) until(c *process.Process, what string, holds func() bool) {
 	s.Helper()
-	if err := process.Until(s.ctx, what, func() bool { return holds() || !c.Alive() }); err != nil {
+	if err := process.WaitUntil(s.ctx, what, func() bool { return holds() || !c.Alive() }); err != nil {
 		s.Fatal(err, c.Log())
 	}
 	if !c.Alive() && !holds() {
@@ -430,7 +430,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.Ended():
+		case <-p.Exited():
 		}
 		one, _ := s.making.LoadOrStore(g.Name, &sync.Mutex{})
 		one.(*sync.Mutex).Lock() // a step that has ended it starts its successor itself
@@ -647,7 +647,7 @@
 		return err == nil && strings.Contains(string(text), `"s1"`)
 	}
 	s.f.Tell("terminating", "s1")
-	if err := process.Until(s.ctx, "the drain is written down", heard); err != nil {
+	if err := process.WaitUntil(s.ctx, "the drain is written down", heard); err != nil {
 		t.Fatal(err)
 	}
 	s.stop()
@@ -660,7 +660,7 @@
 	if err := link.Cut(true); err != nil {
 		t.Fatal(err)
 	}
-	if err := g.Process().Term(s.ctx); err != nil {
+	if err := g.Process().Terminate(s.ctx); err != nil {
 		t.Fatal(err)
 	}
 	if err := g.Start(s.ctx); err != nil {
@@ -713,7 +713,7 @@
 		write(g.Name+"-newest.conf", text+"\ntrace keep 50\n")
 		write(g.Name+"-faulty.conf", text+"\ntrace keep many\n")
 		lines += fmt.Sprintf("gatherer %s zone %s report %s config %q operator %q\n", g.Name, g.Hall, g.Reports, g.ConfigFile(), g.OperatorFile())
-		g.Process().Expect()
+		g.Process().ExpectExit()
 	}
 	plan := func(name, sides string) string {
 		stages := strings.NewReplacer("old version 1\n", "", "new version 2\n", "").Replace(programs)
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -45,7 +45,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.taken = stats.From(g.taken, now-g.span)
+	g.taken = stats.SortedFrom(g.taken, now-g.span)
 	for range n {
 		g.taken = append(g.taken, now)
 	}
@@ -58,8 +58,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.further = stats.From(g.further, now-g.span-rounding)
-	if float64(len(g.further)+1) > g.free+g.share*float64(len(stats.From(g.taken, now-g.span+rounding))) {
+	g.further = stats.SortedFrom(g.further, now-g.span-rounding)
+	if float64(len(g.further)+1) > g.free+g.share*float64(len(stats.SortedFrom(g.taken, now-g.span+rounding))) {
 		return false
 	}
 	g.further = append(g.further, now)
--- a/internal/gatherer/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -67,7 +67,7 @@
 		c.limits[ix] = limits{settings.Class(ix).LatencyObjective, settings.Class(ix).LateValue, settings.Class(ix).CompleteShare, settings.Class(ix).PartialValue}
 	}
 	at := now()
-	c.process = process.Name(at)
+	c.process = process.Identity(at)
 	c.head = Document{Form: Form, Name: name, Zone: settings.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
 	return c
 }
@@ -242,7 +242,7 @@
 func (c *Counter) document(since string, ready, mark bool) *Document {
 	d := c.head
 	open, opened := c.pool.Connections()
-	d.At, d.Ready, d.Memory, d.Goroutines, d.Connections = c.now(), ready, process.Of(os.Getpid()).Memory*(1<<20), runtime.NumGoroutine(), open
+	d.At, d.Ready, d.Memory, d.Goroutines, d.Connections = c.now(), ready, process.UsageOf(os.Getpid()).Memory*(1<<20), runtime.NumGoroutine(), open
 	cpu := cpuUsed()
 	if c.Policy != nil {
 		d.Policy = c.Policy()
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -50,7 +50,7 @@
 		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
 	}
 	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
-	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: process.Name(picker.Now()), Version: version.Name()}
+	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: process.Identity(picker.Now()), Version: version.Name()}
 	g.follower = policyclient.NewFollower(g.governor, own.PolicyServers, me, own.State, log)
 	picker.Govern(g.governor)
 	return g, nil
--- a/internal/gatherer/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -51,7 +51,7 @@
 		sum := ""
 		if name != "" {
 			var err error
-			if sum, err = version.OfFile(name); err != nil { // it has been read a moment ago
+			if sum, err = version.FileChecksum(name); err != nil { // it has been read a moment ago
 				sum = "unknown"
 			}
 		}
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -16,19 +16,19 @@
 	"golang.org/x/sys/unix"
 )
 
-// Process is one process of the program, or of another, from its start to its end.
+// Process is a child process, from its start to its end.
 type Process struct {
 	Name string
 
-	cmd   *exec.Cmd
-	began time.Time
-	ended chan struct{}
+	cmd       *exec.Cmd
+	startedAt time.Time
+	exited    chan struct{}
 
-	mu      sync.Mutex
-	log     bytes.Buffer
-	err     error // of its end
-	expect  bool  // its end was asked for
-	stopped bool
+	mu           sync.Mutex
+	log          bytes.Buffer
+	err          error // of its end
+	exitExpected bool  // its end was asked for
+	stopped      bool
 }
 
 // spawner starts all processes on one thread that lives as long as this process: the kernel kills a child whose
@@ -44,14 +44,13 @@
 	return work
 })
 
-// Start starts a program. Its output is kept; it dies with this process, however that ends, and what it starts itself
-// is ended with it. A race that the race detector finds in it ends it at once.
-// Files are handed on as descriptors from 3 on.
+// Start starts a program and keeps its output. The kernel kills it when this process ends, and Kill ends what it started
+// itself with it. A data race found by the race detector ends it at once. Files become its descriptors from 3 on.
 func Start(name, binary string, args, env []string, files ...*os.File) (*Process, error) {
-	p := &Process{Name: name, ended: make(chan struct{}), began: time.Now()}
+	p := &Process{Name: name, exited: make(chan struct{}), startedAt: time.Now()}
 	p.cmd = exec.Command(binary, args...)
 	p.cmd.Env = append(append(os.Environ(), "GORACE=halt_on_error=1 exitcode=66 atexit_sleep_ms=0"), env...)
-	p.cmd.Stdout, p.cmd.Stderr = logged{p}, logged{p}
+	p.cmd.Stdout, p.cmd.Stderr = logWriter{p}, logWriter{p}
 	p.cmd.ExtraFiles = files
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	started := make(chan error)
@@ -64,59 +63,59 @@
 		p.mu.Lock()
 		p.err = err
 		p.mu.Unlock()
-		close(p.ended)
+		close(p.exited)
 	}()
 	return p, nil
 }
 
-// logged takes what a process writes.
-type logged struct{ p *Process }
+// logWriter keeps what a process writes.
+type logWriter struct{ p *Process }
 
-// mostLog bounds what is kept of one process, against a loop that fills the memory.
-const mostLog = 4 << 20
+// maxLogBytes keeps a process that writes without end from filling the memory.
+const maxLogBytes = 4 << 20
 
-func (l logged) Write(b []byte) (int, error) {
+func (l logWriter) Write(b []byte) (int, error) {
 	l.p.mu.Lock()
 	defer l.p.mu.Unlock()
-	if l.p.log.Len() < mostLog {
+	if l.p.log.Len() < maxLogBytes {
 		l.p.log.Write(b)
 	}
 	return len(b), nil
 }
 
-// Log is what it wrote so far.
+// Log returns what it has written so far.
 func (p *Process) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// PID is its number.
+// PID returns its number.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Ended is closed at its end.
-func (p *Process) Ended() <-chan struct{} { return p.ended }
+// Exited is closed when it has ended.
+func (p *Process) Exited() <-chan struct{} { return p.exited }
 
 // Alive reports whether it has not ended.
 func (p *Process) Alive() bool {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return false
 	default:
 		return true
 	}
 }
 
-// Err is how it ended; nil for status 0, and while it runs.
+// Err returns how it ended, nil for status 0 and while it runs.
 func (p *Process) Err() error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.err
 }
 
-// Fault says what went wrong with it beside what was done to it: a race, a panic, an end that nobody asked for. It is
-// nil where nothing did.
-func (p *Process) Fault() error {
+// Failure returns what went wrong in it by itself: a data race, a panic, an exit that was not expected. It is nil where
+// nothing did.
+func (p *Process) Failure() error {
 	log := p.Log()
 	for _, mark := range []string{"WARNING: DATA RACE", "panic: ", "fatal error: ", "decision module: "} {
 		if at := strings.Index(log, mark); at >= 0 {
@@ -126,8 +125,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	select {
-	case <-p.ended:
-		if !p.expect {
+	case <-p.exited:
+		if !p.exitExpected {
 			return fmt.Errorf("%s ended by itself: %v: %.2000s", p.Name, p.err, log)
 		}
 	default:
@@ -135,12 +134,12 @@
 	return nil
 }
 
-// Signal sends a signal. An end that follows from it is expected.
+// Signal sends a signal. An exit that follows from it is expected.
 func (p *Process) Signal(sig syscall.Signal) error {
 	p.mu.Lock()
 	switch sig {
 	case syscall.SIGKILL, syscall.SIGTERM, syscall.SIGINT:
-		p.expect = true
+		p.exitExpected = true
 	case syscall.SIGSTOP:
 		p.stopped = true
 	case syscall.SIGCONT:
@@ -160,38 +159,41 @@
 	return p.stopped
 }
 
-// Stop stops it and waits until the kernel has: what it sends after that was sent before.
+// Stop sends SIGSTOP and waits until the kernel has stopped the process.
 func (p *Process) Stop(ctx context.Context) error {
 	if err := p.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
-	return Until(ctx, p.Name+" stands still", func() bool { return State(p.PID()) == 'T' || !p.Alive() })
+	return WaitUntil(ctx, p.Name+" stands still", func() bool { return State(p.PID()) == 'T' || !p.Alive() })
 }
 
-// Continue lets it go on.
+// Continue sends SIGCONT.
 func (p *Process) Continue() error { return p.Signal(syscall.SIGCONT) }
 
-// Kill ends it with no warning, and all that it started.
+// Kill ends it and all that it started, and waits for its end.
 func (p *Process) Kill() {
-	p.Signal(syscall.SIGKILL)
-	syscall.Kill(-p.PID(), syscall.SIGKILL)
-	<-p.ended
+	// Both fail where the process or its group has ended, which is what is wanted.
+	_ = p.Signal(syscall.SIGKILL)
+	_ = syscall.Kill(-p.PID(), syscall.SIGKILL)
+	<-p.exited
 }
 
 // Wait waits for its end.
 func (p *Process) Wait(ctx context.Context) error {
 	select {
-	case <-p.ended:
+	case <-p.exited:
 		return nil
 	case <-ctx.Done():
 		return fmt.Errorf("%s has not ended: %w", p.Name, ctx.Err())
 	}
 }
 
-// Term asks it to end, as a planned restart does, and waits for that.
-func (p *Process) Term(ctx context.Context) error {
+// Terminate sends SIGTERM and waits for the process's end.
+func (p *Process) Terminate(ctx context.Context) error {
 	if p.Stopped() {
-		p.Continue()
+		if err := p.Continue(); err != nil && !errors.Is(err, os.ErrProcessDone) {
+			return err
+		}
 	}
 	if err := p.Signal(syscall.SIGTERM); err != nil && !errors.Is(err, os.ErrProcessDone) {
 		return err
@@ -199,25 +201,25 @@
 	return p.Wait(ctx)
 }
 
-// Use is what it has used; nothing once it has ended.
-func (p *Process) Use() Use { return Of(p.PID()) }
+// Usage returns what it has used, the zero Usage once it has ended.
+func (p *Process) Usage() Usage { return UsageOf(p.PID()) }
 
-// Expect tells that the process may end by itself.
-func (p *Process) Expect() {
+// ExpectExit notes that the process may end by itself.
+func (p *Process) ExpectExit() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.expect = true
+	p.exitExpected = true
 }
 
-// Expected reports whether its end, should it come, was asked for.
-func (p *Process) Expected() bool {
+// ExitExpected reports whether its end would be expected.
+func (p *Process) ExitExpected() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.expect
+	return p.exitExpected
 }
 
-// RefuseWrites lets no file of the process grow any more, or lets all grow again: what it appends fails, what is there
-// stays readable. Its output goes on, which is no file.
+// RefuseWrites keeps the files of the process from growing, or lets them grow again. Its output goes to pipes and is not
+// affected.
 func (p *Process) RefuseWrites(on bool) error {
 	limit := unix.Rlimit{Cur: unix.RLIM_INFINITY, Max: unix.RLIM_INFINITY}
 	if on {
@@ -226,9 +228,12 @@
 	return unix.Prlimit(p.PID(), unix.RLIMIT_FSIZE, &limit, nil)
 }
 
-// Until waits for a condition, looking every few milliseconds. The error says which one did not come.
-func Until(ctx context.Context, what string, holds func() bool) error {
-	tick := time.NewTicker(5 * time.Millisecond)
+// pollInterval is how often WaitUntil looks.
+const pollInterval = 5 * time.Millisecond
+
+// WaitUntil polls a condition until it holds. The error names the condition that never did.
+func WaitUntil(ctx context.Context, what string, holds func() bool) error {
+	tick := time.NewTicker(pollInterval)
 	defer tick.Stop()
 	for !holds() {
 		select {
--- a/internal/stats/order_test.go
+++ b/internal/stats/stats_test.go
@@ -28,7 +28,7 @@
 		if got := Median(slices.Clone(values), 7); got != sorted[len(sorted)/2] {
 			t.Fatalf("the median of %v is %v", sorted, got)
 		}
-		if got := kth(values, k); got != sorted[k] {
+		if got := selectRank(values, k); got != sorted[k] {
 			t.Fatalf("number %d of %v is %v", k, sorted, got)
 		}
 	}
--- a/internal/testbed/demo/screen.go
+++ b/internal/testbed/demo/screen.go
@@ -88,42 +88,42 @@
 // View draws the screen.
 func (s *screen) View() string {
 	var b strings.Builder
-	fmt.Fprintln(&b, termstyle.Strong.Render("yokeroute demo")+termstyle.Faint.Render("  a gatherer on http://"+s.d.Address+" before six stand-in shard servers"))
-	fmt.Fprintln(&b, termstyle.Faint.Render("ask it yourself:"))
+	fmt.Fprintln(&b, termstyle.Title.Render("yokeroute demo")+termstyle.Muted.Render("  a gatherer on http://"+s.d.Address+" before six stand-in shard servers"))
+	fmt.Fprintln(&b, termstyle.Muted.Render("ask it yourself:"))
 	fmt.Fprintln(&b, lipgloss.NewStyle().Width(max(s.width-2, 40)).Render(s.d.Curl()))
 	fmt.Fprintln(&b)
-	fmt.Fprintln(&b, termstyle.Strong.Render(fmt.Sprintf("  %-10s %-3s %-12s %9s %6s %9s %7s %5s %6s  %s", "server", "set", "list", "s ms", "f", "r ms", "q", "calls", "warm", "done to it")))
+	fmt.Fprintln(&b, termstyle.Title.Render(fmt.Sprintf("  %-10s %-3s %-12s %9s %6s %9s %7s %5s %6s  %s", "server", "set", "list", "s ms", "f", "r ms", "q", "calls", "warm", "done to it")))
 	for i, m := range s.machines {
 		line := fmt.Sprintf("  %-10s %-3d %-12s %9.1f %6.2f %9.1f %7d %5.0f %5.0f%%  %s", m.Name, m.Set, states[m.State], m.Latency, m.FailureShare, m.ExtraLatency, m.InFlight, m.Rate, 100*m.CapacityShare, m.Doing)
 		switch {
 		case i == s.at:
-			line = termstyle.Chosen.Render(line)
+			line = termstyle.Selected.Render(line)
 		case m.FailureShare > 0.2 || m.State != gather.Running:
-			line = termstyle.Alarm.Render(line)
+			line = termstyle.Alert.Render(line)
 		}
 		fmt.Fprintln(&b, line)
 	}
 	c := &s.d.Counts
-	fmt.Fprintf(&b, "\n  %s %8.1f/s   satisfied %d   in part %d   %s   %s\n", termstyle.Strong.Render("lookups"), s.rates[0], c.Satisfied.Load(), c.Partial.Load(), flagged("nacked", c.Nacked.Load()), flagged("aborted", c.Aborted.Load()))
-	fmt.Fprintf(&b, "  %s   %6.1f/s   further %.1f/s   beyond n %d   answered %d   failed %d   given up %d\n\n", termstyle.Strong.Render("calls"), s.rates[1], s.rates[2], c.Beyond.Load(), c.Answered.Load(), c.Failed.Load(), c.GivenUp.Load())
+	fmt.Fprintf(&b, "\n  %s %8.1f/s   satisfied %d   in part %d   %s   %s\n", termstyle.Title.Render("lookups"), s.rates[0], c.Satisfied.Load(), c.Partial.Load(), flagged("nacked", c.Nacked.Load()), flagged("aborted", c.Aborted.Load()))
+	fmt.Fprintf(&b, "  %s   %6.1f/s   further %.1f/s   beyond n %d   answered %d   failed %d   given up %d\n\n", termstyle.Title.Render("calls"), s.rates[1], s.rates[2], c.Beyond.Load(), c.Answered.Load(), c.Failed.Load(), c.GivenUp.Load())
 	for _, line := range s.d.Lines(4) {
 		if len(line) > s.width-4 && s.width > 10 {
 			line = line[:s.width-5] + "…"
 		}
-		fmt.Fprintln(&b, termstyle.Faint.Render("  "+line))
+		fmt.Fprintln(&b, termstyle.Muted.Render("  "+line))
 	}
 	var keys []string
 	for _, t := range Troubles {
 		keys = append(keys, t.Key+" "+t.Help)
 	}
-	fmt.Fprintln(&b, "\n"+termstyle.Faint.Render("  up/down choose a server   "+strings.Join(keys, "   ")+"   q quit"))
+	fmt.Fprintln(&b, "\n"+termstyle.Muted.Render("  up/down choose a server   "+strings.Join(keys, "   ")+"   q quit"))
 	return b.String()
 }
 
 func flagged(what string, n int64) string {
 	text := fmt.Sprintf("%s %d", what, n)
 	if n > 0 {
-		return termstyle.Alarm.Render(text)
+		return termstyle.Alert.Render(text)
 	}
 	return text
 }
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -154,7 +154,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	err = process.Until(ctx, terms.Name+" is ready", func() bool { return !n.Alive() || Answers(n.Address) })
+	err = process.WaitUntil(ctx, terms.Name+" is ready", func() bool { return !n.Alive() || Answers(n.Address) })
 	if err == nil && !n.Alive() {
 		err = fmt.Errorf("gatherer %s ended at its start: %v", terms.Name, n.Err())
 	}
@@ -182,7 +182,7 @@
 func (n *Node) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	if n.Term(ctx) != nil {
+	if n.Terminate(ctx) != nil {
 		n.Kill()
 	}
 	os.RemoveAll(n.dir)
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -38,7 +38,7 @@
 	}
 	used := 0.0
 	for _, n := range nodes {
-		used -= n.Use().CPU
+		used -= n.Usage().CPU
 	}
 	outs := make([]*Outcome, len(loads))
 	var wait sync.WaitGroup
@@ -82,7 +82,7 @@
 	s.Parts, s.Briefs, s.Work = float64(parts)/sent, float64(briefs)/sent, worked/sent
 	s.Wasted = float64(wasted) / max(float64(wasted+answered), 1)
 	for _, n := range nodes {
-		use := n.Use()
+		use := n.Usage()
 		used += use.CPU
 		s.MemoryMB = max(s.MemoryMB, use.Memory)
 	}
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -304,7 +304,7 @@
 		w.mu.Unlock()
 	}
 	for _, p := range processes {
-		if err := p.Fault(); err != nil {
+		if err := p.Failure(); err != nil {
 			all = append(all, err)
 		}
 	}
@@ -403,7 +403,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if err := p.Term(ctx); err != nil {
+	if err := p.Terminate(ctx); err != nil {
 		f.fault(err)
 		p.Kill()
 	}
@@ -485,7 +485,7 @@
 	if err != nil {
 		return err
 	}
-	p.Expect()
+	p.ExpectExit()
 	return g.Ready(ctx, p)
 }
 
@@ -517,8 +517,8 @@
 func (g *Gatherer) Ready(ctx context.Context, p *process.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, 120*time.Second)
 	defer cancel()
-	err := process.Until(ctx, g.Name+" is ready", func() bool { return !p.Alive() || g.answers() })
-	if err == nil && !p.Alive() && !p.Expected() { // another fault may have ended it meanwhile
+	err := process.WaitUntil(ctx, g.Name+" is ready", func() bool { return !p.Alive() || g.answers() })
+	if err == nil && !p.Alive() && !p.ExitExpected() { // another fault may have ended it meanwhile
 		err = fmt.Errorf("%s ended at its start: %v: %.2000s", p.Name, p.Err(), p.Log())
 	}
 	return err
--- a/internal/testbed/processtest/fleet_test.go
+++ b/internal/testbed/processtest/fleet_test.go
@@ -193,7 +193,7 @@
 	if err := p.Continue(); err != nil {
 		t.Fatal(err)
 	}
-	if err := process.Until(ctx, "it goes on", g.answers); err != nil {
+	if err := process.WaitUntil(ctx, "it goes on", g.answers); err != nil {
 		t.Fatal(err)
 	}
 	// A state folder that refuses writes: a once-only lookup whose call can't be written down is not sent.
@@ -239,7 +239,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	q.Expect()
+	q.ExpectExit()
 	if err := q.Wait(ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -251,7 +251,7 @@
 		t.Fatal(err)
 	}
 	p = g.Process()
-	if err := p.Term(ctx); err != nil || p.Err() != nil {
+	if err := p.Terminate(ctx); err != nil || p.Err() != nil {
 		t.Errorf("%v, %v", err, p.Err())
 	}
 	if err := f.Faults(); err != nil {
@@ -325,7 +325,7 @@
 		t.Fatal(err)
 	}
 	var pid string
-	err := process.Until(soon(t), "the child has started", func() bool {
+	err := process.WaitUntil(soon(t), "the child has started", func() bool {
 		text, _ := os.ReadFile(file)
 		pid = string(text)
 		return pid != ""
@@ -339,7 +339,7 @@
 		text, err := os.ReadFile(filepath.Join("/proc", pid, "stat"))
 		return err != nil || strings.Contains(string(text), ") Z ")
 	}
-	if err := process.Until(soon(t), "the child has ended", gone); err != nil {
+	if err := process.WaitUntil(soon(t), "the child has ended", gone); err != nil {
 		t.Fatal(err)
 	}
 }
--- a/internal/testbed/processtest/live.go
+++ b/internal/testbed/processtest/live.go
@@ -28,7 +28,7 @@
 	case "g":
 		p.Continue()
 	case "t":
-		f.fault(p.Term(ctx))
+		f.fault(p.Terminate(ctx))
 	case "r":
 		if !p.Alive() {
 			f.fault(g.Start(ctx))
@@ -127,12 +127,12 @@
 func (s *screen) View() string {
 	var b strings.Builder
 	t := s.f.Front.Total()
-	fmt.Fprintln(&b, termstyle.Strong.Render("yokeroute-testbed fleet")+termstyle.Faint.Render(fmt.Sprintf("  %s, %d gatherers, %d servers", s.f.Scenario.Name, len(s.f.Gatherers), len(s.f.Servers))))
+	fmt.Fprintln(&b, termstyle.Title.Render("yokeroute-testbed fleet")+termstyle.Muted.Render(fmt.Sprintf("  %s, %d gatherers, %d servers", s.f.Scenario.Name, len(s.f.Gatherers), len(s.f.Servers))))
 	fmt.Fprintf(&b, "operations %d   earned %.1f%%   nacked %d   failed or lost %d\n\n", t.Operations, 100*t.Value/max(t.Asked, 1e-9), t.Endings[Nacked], t.Endings[Failed]+t.Endings[Lost])
-	fmt.Fprintln(&b, termstyle.Strong.Render(fmt.Sprintf("  %-6s %-10s %-10s %8s %8s", "name", "hall", "state", "cpu s", "MB")))
+	fmt.Fprintln(&b, termstyle.Title.Render(fmt.Sprintf("  %-6s %-10s %-10s %8s %8s", "name", "hall", "state", "cpu s", "MB")))
 	from := max(min(s.at-s.rows/2, len(s.f.Gatherers)-s.rows), 0)
 	for i, g := range s.f.Gatherers[from:min(from+s.rows, len(s.f.Gatherers))] {
-		p, state, use := g.Process(), "serves", process.Use{}
+		p, state, use := g.Process(), "serves", process.Usage{}
 		switch {
 		case p == nil || !p.Alive():
 			state = "ended"
@@ -140,26 +140,26 @@
 			state = "stopped"
 		}
 		if p != nil {
-			use = p.Use()
+			use = p.Usage()
 		}
 		line := fmt.Sprintf("  %-6s %-10s %-10s %8.1f %8.0f", g.Name, g.Hall, state, use.CPU, use.Memory)
 		switch {
 		case from+i == s.at:
-			line = termstyle.Chosen.Render(line)
+			line = termstyle.Selected.Render(line)
 		case state != "serves":
-			line = termstyle.Alarm.Render(line)
+			line = termstyle.Alert.Render(line)
 		}
 		fmt.Fprintln(&b, line)
 	}
 	fmt.Fprintln(&b)
 	said := s.f.Said()
 	for _, line := range said[max(len(said)-5, 0):] {
-		fmt.Fprintln(&b, termstyle.Faint.Render(line))
+		fmt.Fprintln(&b, termstyle.Muted.Render(line))
 	}
 	var help []string
 	for _, k := range keys {
 		help = append(help, k.key+" "+k.help)
 	}
-	fmt.Fprintln(&b, "\n"+termstyle.Faint.Render("up/down choose   "+strings.Join(help, "   ")+"   q quit"))
+	fmt.Fprintln(&b, "\n"+termstyle.Muted.Render("up/down choose   "+strings.Join(help, "   ")+"   q quit"))
 	return b.String()
 }
--- a/internal/testbed/processtest/relay_test.go
+++ b/internal/testbed/processtest/relay_test.go
@@ -263,7 +263,7 @@
 					time.Sleep(time.Millisecond) // less than a socket's buffer at a time
 				}
 			}
-			if err := process.Until(soon(t), "all have come", func() bool { return d.Passed().Bytes[There] == 490 }); err != nil {
+			if err := process.WaitUntil(soon(t), "all have come", func() bool { return d.Passed().Bytes[There] == 490 }); err != nil {
 				t.Fatal(err, d.Passed())
 			}
 			d.Mend()
--- a/internal/testbed/processtest/result.go
+++ b/internal/testbed/processtest/result.go
@@ -25,17 +25,17 @@
 
 // Result is what a day of processes came to.
 type Result struct {
-	Form    string                 `json:"form"`
-	Name    string                 `json:"name"`
-	Seed    uint64                 `json:"seed"`
-	Text    string                 `json:"scenario"` // with its faults, so that the day can be told again
-	Said    []string               `json:"said"`
-	Indexes Tallies                `json:"indexes"`
-	P99     map[string]int64       `json:"p99"` // microseconds of satisfied tries, by index
-	Series  *Series                `json:"series"`
-	Uses    map[string]process.Use `json:"uses"`
-	Rules   *rulecheck.Joint       `json:"rules"`
-	Faults  string                 `json:"faults,omitempty"` // of processes and of the rig
+	Form    string                   `json:"form"`
+	Name    string                   `json:"name"`
+	Seed    uint64                   `json:"seed"`
+	Text    string                   `json:"scenario"` // with its faults, so that the day can be told again
+	Said    []string                 `json:"said"`
+	Indexes Tallies                  `json:"indexes"`
+	P99     map[string]int64         `json:"p99"` // microseconds of satisfied tries, by index
+	Series  *Series                  `json:"series"`
+	Uses    map[string]process.Usage `json:"uses"`
+	Rules   *rulecheck.Joint         `json:"rules"`
+	Faults  string                   `json:"faults,omitempty"` // of processes and of the rig
 }
 
 // Kept reports whether every rule was kept and no process had a fault.
@@ -43,10 +43,10 @@
 
 // Finish ends a fleet and gives what its day came to.
 func (f *Fleet) Finish() (*Result, error) {
-	r := &Result{Form: ResultForm, Name: f.Scenario.Name, Seed: f.Scenario.Seed, Text: f.Scenario.Text, Uses: map[string]process.Use{}, P99: map[string]int64{}}
+	r := &Result{Form: ResultForm, Name: f.Scenario.Name, Seed: f.Scenario.Seed, Text: f.Scenario.Text, Uses: map[string]process.Usage{}, P99: map[string]int64{}}
 	for _, g := range f.Gatherers {
 		if p := g.Process(); p != nil {
-			r.Uses[g.Name] = p.Use()
+			r.Uses[g.Name] = p.Usage()
 		}
 	}
 	f.Close()
--- a/internal/testbed/processtest/stewards.go
+++ b/internal/testbed/processtest/stewards.go
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Second)
 	defer cancel()
 	var last error
-	err := process.Until(ctx, "a steward leads", func() bool {
+	err := process.WaitUntil(ctx, "a steward leads", func() bool {
 		one, end := context.WithTimeout(ctx, 2*time.Second)
 		defer end()
 		_, last = f.Policies().Status(one)
--- a/internal/testbed/processtest/timeline.go
+++ b/internal/testbed/processtest/timeline.go
@@ -193,7 +193,7 @@
 		return again()
 	case ft.Kind == "term" && !end:
 		if p.Alive() {
-			return p.Term(ctx)
+			return p.Terminate(ctx)
 		}
 	case ft.Kind == "term":
 		if err := p.Wait(ctx); err != nil {
@@ -221,7 +221,7 @@
 		if err != nil {
 			return err
 		}
-		q.Expect() // to end at once
+		q.ExpectExit() // to end at once
 		return q.Wait(ctx)
 	case ft.Kind == "port-taken":
 		g.Free()
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -142,7 +142,7 @@
 	}
 	waiting, cancel := context.WithTimeout(ctx, longestStart)
 	defer cancel()
-	return f, process.Until(waiting, "a steward leads", func() bool {
+	return f, process.WaitUntil(waiting, "a steward leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
 		defer end()
 		_, err := f.client.Status(one)
@@ -271,7 +271,7 @@
 		return nil, err
 	}
 	defer undo()
-	err = process.Until(waiting, "the change is in force everywhere", func() bool {
+	err = process.WaitUntil(waiting, "the change is in force everywhere", func() bool {
 		for _, h := range f.near() {
 			if _, there := h.reached(change.Number); !there {
 				return false
@@ -375,7 +375,7 @@
 func (f *policyFleet) awaitLeases() error {
 	waiting, cancel := context.WithTimeout(f.ctx, longestStart)
 	defer cancel()
-	return process.Until(waiting, "all gatherers go by the stewards' word", func() bool {
+	return process.WaitUntil(waiting, "all gatherers go by the stewards' word", func() bool {
 		for _, h := range f.hollow {
 			if !h.leased() {
 				return false
@@ -422,14 +422,14 @@
 		return err
 	}
 	n := float64(len(f.hollow))
-	used, own, bytes, began := leader.Use(), processorTime(), transferred(), time.Now()
+	used, own, bytes, began := leader.Usage(), processorTime(), transferred(), time.Now()
 	select {
 	case <-f.ctx.Done():
 		return f.ctx.Err()
 	case <-time.After(f.terms.Rest):
 	}
 	seconds := time.Since(began).Seconds()
-	after := leader.Use()
+	after := leader.Usage()
 	c.RestLeader, c.LeaderMB = (after.CPU-used.CPU)/seconds, after.Memory
 	c.RestEach = (processorTime() - own).Seconds() / seconds / n
 	c.RestBytes = (transferred() - bytes) / seconds / n
@@ -447,7 +447,7 @@
 		return err
 	}
 	defer func() { c.Returned = f.returned }()
-	used, began := leader.Use(), time.Now()
+	used, began := leader.Usage(), time.Now()
 	for number := range f.terms.Changes {
 		times, err := f.change(number)
 		if f.ctx.Err() != nil {
@@ -466,7 +466,7 @@
 		}
 	}
 	if leader.Alive() && !leader.Stopped() {
-		c.ChangeCores = (leader.Use().CPU - used.CPU) / time.Since(began).Seconds()
+		c.ChangeCores = (leader.Usage().CPU - used.CPU) / time.Since(began).Seconds()
 	}
 	return nil
 }
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version names this program: by what it was released as, and by its own bytes.
+// Package version identifies this program, by its release and by a checksum of its file.
 package version
 
 import (
@@ -15,7 +15,7 @@
 // build's own record stands in.
 var Set string
 
-// Name is what the program was released as.
+// Name returns the release of the program.
 func Name() string {
 	if Set != "" {
 		return Set
@@ -26,18 +26,17 @@
 	return "unknown"
 }
 
-// Program is the fingerprint of the running program's file. Two builds of one version may differ; their fingerprints
-// tell them apart.
+// Program returns the checksum of the running program's file, which tells two builds of one version apart.
 var Program = sync.OnceValue(func() string {
-	sum, err := OfFile("/proc/self/exe")
+	sum, err := FileChecksum("/proc/self/exe")
 	if err != nil {
 		return "unknown"
 	}
 	return sum
 })
 
-// OfFile is the fingerprint of a file as it stands.
-func OfFile(name string) (string, error) {
+// FileChecksum returns the checksum of a file's contents.
+func FileChecksum(name string) (string, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return "", err
@@ -50,5 +49,5 @@
 	return fmt.Sprintf("%016x", h.Sum64()), nil
 }
 
-// OfText is the fingerprint of a text.
-func OfText(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
+// Checksum returns the checksum of a text.
+func Checksum(text []byte) string { return fmt.Sprintf("%016x", xxhash.Sum64(text)) }
--- a/logic/policy/leader.go
+++ b/logic/policy/leader.go
@@ -111,11 +111,11 @@
 	case now > d.noticed+d.Limit:
 		word := "the stewards' lead went from one to another too often"
 		if len(missing) > 0 {
-			word = fmt.Sprintf("not prepared within %.0f s: %s", d.Limit/1000, suggest.List(slices.Compact(missing)))
+			word = fmt.Sprintf("not prepared within %.0f s: %s", d.Limit/1000, suggest.Join(slices.Compact(missing)))
 		}
 		return &Command{GiveUp: change.Number, Word: word}, ""
 	case len(missing) > 0:
-		return nil, "not prepared yet: " + suggest.List(slices.Compact(missing))
+		return nil, "not prepared yet: " + suggest.Join(slices.Compact(missing))
 	}
 	return nil, fmt.Sprintf("a steward that has just begun to lead waits for %.0f s, "+
 		"since who asked the one before it may act by its word", math.Ceil((d.began+d.Wait()-now)/1000))
--- a/logic/rollout/decide.go
+++ b/logic/rollout/decide.go
@@ -227,7 +227,7 @@
 	if len(notOld) > 0 && !d.resumed {
 		d.at.Phase = Stopped
 		d.at.Why = "before the first change some gatherers do not serve as the plan's old ones: " +
-			suggest.List(notOld)
+			suggest.Join(notOld)
 		return d.say(Stop, nil, "%s", d.at.Why)
 	}
 	d.base.see(&d.p, d.zones, o)
@@ -298,7 +298,7 @@
 		if last && short > 0 && short == d.beyond(o, missing) {
 			d.at.Phase = Ended
 			return d.say(Done, nil, "all that can be reached and come up are new; not these: %s",
-				suggest.List(d.gathererNames(missing)))
+				suggest.Join(d.gathererNames(missing)))
 		}
 		if d.p.AtLimit == Stop {
 			d.at.Phase, d.at.Why = Stopped, why
@@ -310,7 +310,7 @@
 	if short > 0 {
 		d.whole, d.at.Phase = 0, Changing
 		if len(steps) > 0 {
-			return d.say(Go, steps, "stage %s: changing %s", name, suggest.List(d.stepNames(steps)))
+			return d.say(Go, steps, "stage %s: changing %s", name, suggest.Join(d.stepNames(steps)))
 		}
 		return d.say(Wait, nil, "stage %s: %s", name, d.lacks(o, missing))
 	}
@@ -452,7 +452,7 @@
 	}
 	// One machine may be broken, and of many one in twenty.
 	if len(names) >= max(2, int(math.Ceil(0.05*float64(tried)))) || len(names) == 1 && len(d.p.Gatherers) < 3 {
-		return fmt.Sprintf("the new does not come up: %s, each after %d tries", suggest.List(names), d.p.Tries)
+		return fmt.Sprintf("the new does not come up: %s, each after %d tries", suggest.Join(names), d.p.Tries)
 	}
 	return ""
 }
@@ -467,7 +467,7 @@
 	slices.Reverse(all)
 	steps, missing := d.steps(o, all, Old, false)
 	if len(steps) > 0 {
-		return d.say(Back, steps, "making %s old again: %s", suggest.List(d.stepNames(steps)), d.at.Why)
+		return d.say(Back, steps, "making %s old again: %s", suggest.Join(d.stepNames(steps)), d.at.Why)
 	}
 	if len(missing) == 0 {
 		d.at.Phase = Restored
@@ -476,7 +476,7 @@
 	if o.Now-d.since > d.p.Limit {
 		d.at.Phase = Stopped
 		d.at.Why = fmt.Sprintf("going back is not finished after %.0f s, still not old: %s; it began since %s",
-			d.p.Limit/1000, suggest.List(d.gathererNames(missing)), d.at.Why)
+			d.p.Limit/1000, suggest.Join(d.gathererNames(missing)), d.at.Why)
 		return d.say(Stop, nil, "%s", d.at.Why)
 	}
 	return d.say(Wait, nil, "going back, %s: %s", d.lacks(o, missing), d.at.Why)
@@ -522,7 +522,7 @@
 	var words []string
 	add := func(what string, names []string) {
 		if len(names) > 0 {
-			words = append(words, what+suggest.List(names))
+			words = append(words, what+suggest.Join(names))
 		}
 	}
 	add("under way: ", underWay)
