--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -246,7 +246,7 @@
 		}
 		asked = append(asked, r.Method+" "+r.URL.RequestURI()+" "+string(body))
 		if r.Method == http.MethodGet {
-			text, err := os.ReadFile(filepath.Join("..", "report", "testdata", "kept", "marked.json"))
+			text, err := os.ReadFile(filepath.Join("..", "..", "gatherer", "report", "testdata", "kept", "marked.json"))
 			if err != nil {
 				t.Error(err)
 			}
