--- a/cmd/yokeroute/policy.go
+++ b/cmd/yokeroute/policy.go
@@ -38,8 +38,8 @@
 			return errNegative
 		case err != nil:
 			return err
-		case end.End != logic.Decided:
-			fmt.Fprintf(cmd.OutOrStdout(), "change %d was given up: %s\n", end.Number, end.Word)
+		case end.Outcome != logic.Committed:
+			fmt.Fprintf(cmd.OutOrStdout(), "change %d was given up: %s\n", end.Number, end.OutcomeReason)
 			return errNegative
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "change %d holds everywhere\n", end.Number)
@@ -55,9 +55,9 @@
 			fmt.Fprintln(cmd.ErrOrStderr(), mark(line))
 		}
 		c, err := client.Propose(cmd.Context(), "", s.Record.Epoch, p, why)
-		var refusal logic.Refusal
+		var refusal logic.RejectedError
 		if errors.As(err, &refusal) {
-			fmt.Fprintf(cmd.OutOrStdout(), "refused: %s\n", refusal.Text)
+			fmt.Fprintf(cmd.OutOrStdout(), "refused: %s\n", refusal.Reason)
 			return errNegative
 		}
 		if err != nil {
@@ -123,21 +123,21 @@
 			if err != nil {
 				return err
 			}
-			if c := s.Record.Change; c != nil && c.Number == number {
+			if c := s.Record.Pending; c != nil && c.Number == number {
 				if err := client.GiveUp(cmd.Context(), number, "reverted while it was being prepared"); err != nil {
 					return err
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "change %d was given up\n", number)
 				return nil
 			}
-			at := slices.IndexFunc(s.Record.History, func(c logic.Change) bool { return c.Number == number && c.End == logic.Decided })
+			at := slices.IndexFunc(s.Record.History, func(c logic.Change) bool { return c.Number == number && c.Outcome == logic.Committed })
 			if at < 0 {
 				return fmt.Errorf("change %d was never decided, or so long ago that its policy is not kept", number)
 			}
 			var before logic.Policy
-			found := s.Record.Earlier == 0
+			found := s.Record.TrimmedChanges == 0
 			for _, c := range s.Record.History[:at] {
-				if c.End == logic.Decided {
+				if c.Outcome == logic.Committed {
 					before, found = c.Policy, true
 				}
 			}
@@ -165,10 +165,10 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "change\tproposed\tend\twhy\tword")
 			for _, c := range slices.Backward(s.Record.History) {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Number, time.UnixMilli(int64(c.At)).Format(time.DateTime), c.End, c.Why, c.Word)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Number, time.UnixMilli(int64(c.ProposedAt)).Format(time.DateTime), c.Outcome, c.Reason, c.OutcomeReason)
 			}
-			if s.Record.Earlier > 0 {
-				fmt.Fprintf(w, "and %d before these\n", s.Record.Earlier)
+			if s.Record.TrimmedChanges > 0 {
+				fmt.Fprintf(w, "and %d before these\n", s.Record.TrimmedChanges)
 			}
 			return w.Flush()
 		}}
@@ -206,7 +206,7 @@
 	return cmd
 }
 
-func mark(l logic.Line) string {
+func mark(l logic.Difference) string {
 	if l.Tightens {
 		return "tighter  " + l.Text
 	}
@@ -222,7 +222,7 @@
 	for _, e := range s.Record.Policy {
 		fmt.Fprintf(w, "  %s\n", e)
 	}
-	if c := s.Record.Change; c != nil {
+	if c := s.Record.Pending; c != nil {
 		fmt.Fprintf(w, "change %d is being prepared: %s\n", c.Number, s.Waits)
 		for _, line := range logic.Diff(s.Record.Policy, c.Policy) {
 			fmt.Fprintf(w, "  %s\n", mark(line))
@@ -234,10 +234,10 @@
 	fmt.Fprintln(t, "gatherer\tzone\tstate\tepoch\theard\tversion\t")
 	for _, g := range s.Standings {
 		heard := "never by this steward"
-		if g.Since >= 0 {
-			heard = fmt.Sprintf("%.1f s ago", g.Since/1000)
+		if g.SinceLastPoll >= 0 {
+			heard = fmt.Sprintf("%.1f s ago", g.SinceLastPoll/1000)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Zone, g.State, g.Holds.Epoch, heard, g.Version, g.Word)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Zone, g.State, g.Applied.Epoch, heard, g.Version, g.Detail)
 	}
 	return t.Flush()
 }
--- a/internal/control/policyclient/apply.go
+++ b/internal/control/policyclient/apply.go
@@ -12,19 +12,19 @@
 func Fit(settings *gather.Settings, p policy.Policy) error {
 	for _, e := range p {
 		switch e.Kind {
-		case policy.OnceOnly, policy.NoCopies, policy.Least:
-			if e.Of != "" && !slices.Contains(settings.ClassNames(), e.Of) {
-				return fmt.Errorf("%s: there is no index %s", e, e.Of)
+		case policy.NonIdempotent, policy.NoHedging, policy.MinShare:
+			if e.Subject != "" && !slices.Contains(settings.ClassNames(), e.Subject) {
+				return fmt.Errorf("%s: there is no index %s", e, e.Subject)
 			}
 		}
 		switch {
-		case e.Kind == policy.Least && e.Value < settings.Class(e.Of).MinShare-1e-9:
-			return fmt.Errorf("%s: the platform's least share is %g; a policy can't allow more", e, settings.Class(e.Of).MinShare)
-		case e.Kind == policy.Share && settings.RetryBudgetWindow > 0 && e.Value > settings.RetryBudgetRatio+1e-9:
+		case e.Kind == policy.MinShare && e.Value < settings.Class(e.Subject).MinShare-1e-9:
+			return fmt.Errorf("%s: the platform's least share is %g; a policy can't allow more", e, settings.Class(e.Subject).MinShare)
+		case e.Kind == policy.RetryShare && settings.RetryBudgetWindow > 0 && e.Value > settings.RetryBudgetRatio+1e-9:
 			return fmt.Errorf("%s: the platform's budget share is %g; a policy can't allow more", e, settings.RetryBudgetRatio)
-		case e.Kind == policy.Free && settings.RetryBudgetWindow > 0 && e.Value > settings.RetryBudgetFloor+1e-9:
+		case e.Kind == policy.RetryAllowance && settings.RetryBudgetWindow > 0 && e.Value > settings.RetryBudgetFloor+1e-9:
 			return fmt.Errorf("%s: the platform has %g free further calls; a policy can't allow more", e, settings.RetryBudgetFloor)
-		case (e.Kind == policy.Share || e.Kind == policy.Free) && settings.RetryBudgetWindow == 0:
+		case (e.Kind == policy.RetryShare || e.Kind == policy.RetryAllowance) && settings.RetryBudgetWindow == 0:
 			return fmt.Errorf("%s: the platform has no budget of further calls, and so no window for it", e)
 		}
 	}
@@ -40,27 +40,27 @@
 	t := settings.Clone()
 	for _, e := range p {
 		switch e.Kind {
-		case policy.OnceOnly:
-			if c := t.FindClass(e.Of); c != nil {
+		case policy.NonIdempotent:
+			if c := t.FindClass(e.Subject); c != nil {
 				c.Effect = gather.NonIdempotent
 			}
-		case policy.NoCopies:
-			if e.Of == "" {
+		case policy.NoHedging:
+			if e.Subject == "" {
 				t.HedgingAllowed = false
-			} else if c := t.FindClass(e.Of); c != nil {
+			} else if c := t.FindClass(e.Subject); c != nil {
 				c.HedgingForbidden = true
 			}
-		case policy.Least:
+		case policy.MinShare:
 			// What is whole is still whole: a least share above it would leave nothing to answer.
-			if c := t.FindClass(e.Of); c != nil {
-				c.MinShare = max(e.Value, settings.Class(e.Of).MinShare)
-				c.CompleteShare = max(e.Value, settings.Class(e.Of).CompleteShare)
+			if c := t.FindClass(e.Subject); c != nil {
+				c.MinShare = max(e.Value, settings.Class(e.Subject).MinShare)
+				c.CompleteShare = max(e.Value, settings.Class(e.Subject).CompleteShare)
 			}
-		case policy.Share:
+		case policy.RetryShare:
 			t.RetryBudgetRatio = min(e.Value, settings.RetryBudgetRatio)
-		case policy.Free:
+		case policy.RetryAllowance:
 			t.RetryBudgetFloor = min(e.Value, settings.RetryBudgetFloor)
-		case policy.Cold:
+		case policy.WarmUpShare:
 			t.OverloadMultiple = e.Value * settings.OverloadMultiple
 		}
 	}
--- a/internal/control/policyclient/client.go
+++ b/internal/control/policyclient/client.go
@@ -31,7 +31,7 @@
 			case status == http.StatusOK:
 				return a, nil
 			case status == http.StatusConflict:
-				return nil, policy.Refusal{Text: a.Error}
+				return nil, policy.RejectedError{Reason: a.Error}
 			case status == http.StatusBadRequest:
 				return nil, errors.New(a.Error)
 			default:
@@ -103,7 +103,7 @@
 		rand.Read(b[:])
 		id = hex.EncodeToString(b[:])
 	}
-	a, err := c.do(ctx, http.MethodPost, ProposePath, Proposal{Form, policy.Change{ID: id, Base: base, Policy: p, Why: why}})
+	a, err := c.do(ctx, http.MethodPost, ProposePath, Proposal{Form, policy.Change{ID: id, Base: base, Policy: p, Reason: why}})
 	if err != nil {
 		return nil, err
 	}
@@ -140,9 +140,9 @@
 		switch {
 		case err != nil:
 			line = err.Error()
-		case s.Record.Change != nil && s.Record.Change.Number == number:
+		case s.Record.Pending != nil && s.Record.Pending.Number == number:
 			line = s.Waits
-		case s.Record.Last >= number:
+		case s.Record.LastEnded >= number:
 			var end *policy.Change
 			for i := range s.Record.History {
 				if s.Record.History[i].Number == number {
@@ -152,7 +152,7 @@
 			if end == nil {
 				return nil, fmt.Errorf("change %d ended long ago", number)
 			}
-			if end.End != policy.Decided || s.Everywhere {
+			if end.Outcome != policy.Committed || s.Everywhere {
 				return end, nil
 			}
 			line = "decided; not yet heard by " + strings.Join(s.Missing, ", ")
--- a/internal/control/policyclient/emulated/fleet.go
+++ b/internal/control/policyclient/emulated/fleet.go
@@ -62,7 +62,7 @@
 func floor() policy.Policy {
 	var p policy.Policy
 	for i := range indexes {
-		p = append(p, policy.Entry{Kind: policy.NoCopies, Of: name(i)})
+		p = append(p, policy.Entry{Kind: policy.NoHedging, Subject: name(i)})
 	}
 	return p
 }
@@ -79,8 +79,8 @@
 type gatherer struct {
 	name     string
 	floor    policy.Policy
-	h        *policy.Holder
-	disk     policy.Fence
+	h        *policy.LeaseHolder
+	disk     policy.Revision
 	process  int
 	rate     float64 // of its clock
 	offset   float64
@@ -121,7 +121,7 @@
 type waiting struct {
 	g      *gatherer
 	number int
-	hello  policy.Hello
+	hello  policy.Heartbeat
 	lease  float64
 
 	process int
@@ -158,11 +158,11 @@
 		t.Limit = 60_000
 	}
 	f := &fleet{t: t, chance: pcg.New(t.Seed*104_729 + 7), record: &policy.Record{}}
-	f.leader = policy.Open(f.record, t.Lease, t.Limit, -2*t.Lease)
+	f.leader = policy.NewLeader(f.record, t.Lease, t.Limit, -2*t.Lease)
 	for i := range t.Gatherers {
 		g := &gatherer{name: fmt.Sprintf("g%04d", i), floor: floor(), rate: 1 + 0.008*(2*f.chance.Float64()-1), offset: 1e6 * f.chance.Float64(), cut: [2]float64{}}
 		f.all = append(f.all, g)
-		f.start(g, policy.Fence{})
+		f.start(g, policy.Revision{})
 		f.troubles(g, i)
 		if t.Lookups > 0 {
 			f.in(f.gap(1000/t.Lookups), func() { f.land(g) })
@@ -224,10 +224,10 @@
 }
 
 // start starts a process of a gatherer.
-func (f *fleet) start(g *gatherer, disk policy.Fence) {
+func (f *fleet) start(g *gatherer, disk policy.Revision) {
 	g.process++
 	g.up, g.stopped, g.held, g.disk = true, 0, nil, disk
-	g.h = policy.NewHolder(g.floor, disk, nil)
+	g.h = policy.NewLeaseHolder(g.floor, disk, nil)
 	f.in(f.gap(20), func() { f.ask(g, g.process) })
 }
 
@@ -255,7 +255,7 @@
 				}
 				g.up = false
 				g.process++
-				disk := policy.Fence{}
+				disk := policy.Revision{}
 				if f.chance.Uint32()%3 == 0 {
 					disk = g.disk
 				}
@@ -324,10 +324,10 @@
 	f.whenUp(g, func() {
 		g.question++
 		number, asked := g.question, g.clock(f.now)
-		hello := g.h.Hello(asked)
-		hello.Name, hello.Process, hello.Floor, hello.Knows = g.name, fmt.Sprint(process), g.floor, policy.Kinds()
+		hello := g.h.Heartbeat(asked)
+		hello.Name, hello.Incarnation, hello.Fallback, hello.KnownKinds = g.name, fmt.Sprint(process), g.floor, policy.Kinds()
 		if f.t.Variant == "no settle" {
-			hello.Settled = true
+			hello.Drained = true
 		}
 		if after, comes := f.way(g, 0); comes {
 			f.in(after, func() { f.hear(g, number, asked, hello) })
@@ -341,18 +341,18 @@
 }
 
 // hear has a question come to the stewards.
-func (f *fleet) hear(g *gatherer, number int, asked float64, hello policy.Hello) {
+func (f *fleet) hear(g *gatherer, number int, asked float64, hello policy.Heartbeat) {
 	if f.leader == nil {
 		return
 	}
-	if !f.record.Known(hello.Member) {
+	if !f.record.Registered(hello.Member) {
 		f.commit(policy.Command{Register: &hello.Member})
 	}
 	f.count(hello)
 	w := &waiting{g: g, number: number, hello: hello, process: g.process, asked: asked}
-	w.lease = f.leader.Hear(f.now, hello).Lease
+	w.lease = f.leader.Handle(f.now, hello).Lease
 	f.decide()
-	if told := f.record.Word(); told.News(hello) {
+	if told := f.record.Update(); told.IsNewTo(hello) {
 		f.answer(w)
 		return
 	}
@@ -369,7 +369,7 @@
 }
 
 // count books a message.
-func (f *fleet) count(hello policy.Hello) {
+func (f *fleet) count(hello policy.Heartbeat) {
 	i := 0
 	if f.number > 0 {
 		i = 1
@@ -383,7 +383,7 @@
 
 // answer has the stewards' word go back.
 func (f *fleet) answer(w *waiting) {
-	g, word := w.g, f.record.Word()
+	g, word := w.g, f.record.Update()
 	word.Lease = w.lease
 	after, comes := f.way(g, 1)
 	if !comes {
@@ -397,7 +397,7 @@
 			if g.question != w.number { // given up meanwhile
 				return
 			}
-			fence, _, taken := g.h.Hear(w.asked, g.clock(f.now), word)
+			fence, _, taken := g.h.Handle(w.asked, g.clock(f.now), word)
 			if taken {
 				g.disk = fence
 			}
@@ -409,15 +409,15 @@
 
 // settle tells how far lookups in hand have come; a gatherer that has just settled tells the stewards at once.
 func (f *fleet) settle(g *gatherer) {
-	if g.h.Settled() {
+	if g.h.Drained() {
 		return
 	}
-	_, oldest := g.h.Acts(g.clock(f.now))
+	_, oldest := g.h.Effective(g.clock(f.now))
 	for _, l := range g.held {
 		oldest = min(oldest, l.way)
 	}
-	g.h.Settle(oldest)
-	if g.h.Settled() {
+	g.h.MarkDrained(oldest)
+	if g.h.Drained() {
 		process := g.process
 		f.in(0, func() { f.ask(g, process) })
 	}
@@ -429,7 +429,7 @@
 	if !g.up || f.now < g.stopped {
 		return
 	}
-	acts, way := g.h.Acts(g.clock(f.now))
+	acts, way := g.h.Effective(g.clock(f.now))
 	l := &lookup{way: way, by: acts, index: name(int(f.chance.Uint32()) % indexes), ends: f.now + 50 + 1450*f.chance.Float64()*f.chance.Float64()}
 	g.held = append(g.held, l)
 	process := g.process
@@ -458,17 +458,17 @@
 
 // copy makes a second copy where it may be made, as the check at the wire has it, and checks that it may.
 func (f *fleet) copy(g *gatherer, l *lookup) {
-	if l.by.Has(policy.NoCopies, l.index) {
+	if l.by.Has(policy.NoHedging, l.index) {
 		return
 	}
 	now := g.clock(f.now)
-	acts, _ := g.h.Acts(now)
-	if f.t.Variant != "no wire" && !g.h.May(l.way, now) && acts.Has(policy.NoCopies, l.index) {
+	acts, _ := g.h.Effective(now)
+	if f.t.Variant != "no wire" && !g.h.Permits(l.way, now) && acts.Has(policy.NoHedging, l.index) {
 		f.out.Forbidden++
 		return
 	}
 	f.out.Copies++
-	if f.record.Policy.Has(policy.NoCopies, l.index) {
+	if f.record.Policy.Has(policy.NoHedging, l.index) {
 		f.out.Wrong = fmt.Sprintf("at %.1f s %s made a copy for %s, which epoch %d forbids", f.now/1000, g.name, l.index, f.record.Epoch)
 	}
 }
@@ -505,7 +505,7 @@
 	var p policy.Policy
 	for i := range indexes {
 		if f.chance.Float64() < 0.5 {
-			p = append(p, policy.Entry{Kind: policy.NoCopies, Of: name(i)})
+			p = append(p, policy.Entry{Kind: policy.NoHedging, Subject: name(i)})
 		}
 	}
 	c := f.commit(policy.Command{Propose: &policy.Change{Base: f.record.Epoch, ID: fmt.Sprint(f.now), Policy: p}})
@@ -529,7 +529,7 @@
 
 // decide has the stewards decide, where they lead.
 func (f *fleet) decide() {
-	if f.leader == nil || f.record.Change == nil {
+	if f.leader == nil || f.record.Pending == nil {
 		return
 	}
 	f.leader.Record = f.record
@@ -539,7 +539,7 @@
 		return
 	}
 	f.commit(*c)
-	if c.Decide > 0 {
+	if c.Commit > 0 {
 		f.out.Decided++
 		f.decided = f.now
 		f.out.ToDecide = append(f.out.ToDecide, f.now-f.proposed)
@@ -562,7 +562,7 @@
 		if !g.up || f.now < g.stopped || f.now < g.cut[0] || f.now < g.cut[1] || f.now < g.late {
 			continue
 		}
-		if o := g.h.Hello(g.clock(f.now)); o.Holds.Epoch != f.number && o.Holds != (policy.Fence{}) {
+		if o := g.h.Heartbeat(g.clock(f.now)); o.Applied.Epoch != f.number && o.Applied != (policy.Revision{}) {
 			return
 		}
 	}
@@ -580,7 +580,7 @@
 			began = -1e9
 		}
 		if f.leader == nil {
-			f.leader = policy.Open(f.record, f.t.Lease, f.t.Limit, began)
+			f.leader = policy.NewLeader(f.record, f.t.Lease, f.t.Limit, began)
 		}
 	})
 }
--- a/internal/control/policyclient/fence.go
+++ b/internal/control/policyclient/fence.go
@@ -19,20 +19,20 @@
 )
 
 type keptFence struct {
-	Form  string       `json:"fence"`
-	Fence policy.Fence `json:"at"`
+	Form  string          `json:"fence"`
+	Fence policy.Revision `json:"at"`
 }
 
 // OpenFence reads how far an earlier process has come. No file is a beginning; a torn one is told, and is a beginning
 // too: a gatherer that has no lease acts within its floor, for which it needs no fence.
-func OpenFence(folder string) (policy.Fence, error) {
+func OpenFence(folder string) (policy.Revision, error) {
 	if folder == "" {
-		return policy.Fence{}, nil
+		return policy.Revision{}, nil
 	}
 	file := filepath.Join(folder, fenceName)
 	text, err := os.ReadFile(file)
 	if errors.Is(err, fs.ErrNotExist) {
-		return policy.Fence{}, nil
+		return policy.Revision{}, nil
 	}
 	var kept keptFence
 	if err == nil {
@@ -41,17 +41,17 @@
 	if err == nil && kept.Form != fenceForm {
 		err = fmt.Errorf("the form is %.40q, this reader knows %q", kept.Form, fenceForm)
 	}
-	if err == nil && kept.Fence.Last < kept.Fence.Epoch {
-		err = fmt.Errorf("it says that %d has ended and %d is in force", kept.Fence.Last, kept.Fence.Epoch)
+	if err == nil && kept.Fence.LastEnded < kept.Fence.Epoch {
+		err = fmt.Errorf("it says that %d has ended and %d is in force", kept.Fence.LastEnded, kept.Fence.Epoch)
 	}
 	if err != nil {
-		return policy.Fence{}, fmt.Errorf("%s: %w", file, err)
+		return policy.Revision{}, fmt.Errorf("%s: %w", file, err)
 	}
 	return kept.Fence, nil
 }
 
 // keepFence puts it down.
-func keepFence(folder string, f policy.Fence) error {
+func keepFence(folder string, f policy.Revision) error {
 	if folder == "" {
 		return nil
 	}
--- a/internal/control/policyclient/follow.go
+++ b/internal/control/policyclient/follow.go
@@ -27,15 +27,15 @@
 type Follower struct {
 	g        *Governor
 	stewards []operator.Steward
-	me       policy.Hello
+	me       policy.Heartbeat
 	folder   string // where the fence is kept, empty for nowhere
 	http     *http.Client
 	log      *logrus.Logger
 }
 
 // NewFollower makes one. Me are the gatherer's name, zone, floor and version and what names its process.
-func NewFollower(g *Governor, stewards []operator.Steward, me policy.Hello, folder string, log *logrus.Logger) *Follower {
-	me.Knows = policy.Kinds()
+func NewFollower(g *Governor, stewards []operator.Steward, me policy.Heartbeat, folder string, log *logrus.Logger) *Follower {
+	me.KnownKinds = policy.Kinds()
 	return &Follower{g: g, stewards: stewards, me: me, folder: folder, log: log,
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: askWait + patience, DisableCompression: true}}}
 }
@@ -90,17 +90,17 @@
 }
 
 // hear has the governor take a word in, and keeps the fence. It reports whether the word was taken.
-func (f *Follower) hear(asked float64, w policy.Word) bool {
+func (f *Follower) hear(asked float64, w policy.Update) bool {
 	fence, moved, taken := f.g.hear(asked, w)
-	fields := logrus.Fields{"epoch": w.Epoch, "last": w.Last}
-	if w.Change != nil {
-		fields["change"] = w.Change.Number
+	fields := logrus.Fields{"epoch": w.Epoch, "last": w.LastEnded}
+	if w.Pending != nil {
+		fields["change"] = w.Pending.Number
 	}
 	switch {
 	case !taken:
 		f.log.WithFields(fields).Error("policy: a word that can't be gone by: it would go back, or contradicts the platform's settings")
 	case w.Lease == 0:
-		f.log.WithFields(fields).WithField("why", w.Refused).Error("policy: the stewards do not take this gatherer in; it acts within its floor")
+		f.log.WithFields(fields).WithField("why", w.RefusalReason).Error("policy: the stewards do not take this gatherer in; it acts within its floor")
 	case moved:
 		f.log.WithFields(fields).Info("policy: heard")
 		if err := keepFence(f.folder, fence); err != nil {
@@ -121,7 +121,7 @@
 var errSettled = errors.New("there is news to tell")
 
 // ask puts one question. It is broken off where the gatherer has news for the steward, that all in hand is settled.
-func (f *Follower) ask(ctx context.Context, s operator.Steward) (asked float64, w policy.Word, err error) {
+func (f *Follower) ask(ctx context.Context, s operator.Steward) (asked float64, w policy.Update, err error) {
 	ctx, cancel := context.WithTimeoutCause(ctx, askWait+patience, fmt.Errorf("no answer within %s", askWait+patience))
 	defer cancel()
 	ctx, stop := context.WithCancelCause(ctx)
@@ -131,7 +131,7 @@
 	default:
 	}
 	hello := f.g.hello()
-	hello.Member, hello.Process, hello.Version = f.me.Member, f.me.Process, f.me.Version
+	hello.Member, hello.Incarnation, hello.Version = f.me.Member, f.me.Incarnation, f.me.Version
 	answered := make(chan struct{})
 	defer close(answered)
 	go func() {
--- a/internal/control/policyclient/govern.go
+++ b/internal/control/policyclient/govern.go
@@ -24,7 +24,7 @@
 	stir    func()        // has a round run, where nothing else would
 
 	mu       sync.Mutex
-	h        *policy.Holder
+	h        *policy.LeaseHolder
 	way      uint64 // for which the rest was worked out
 	acts     policy.Policy
 	settings *gather.Settings
@@ -34,9 +34,9 @@
 }
 
 // NewGovernor begins within a floor, at the fence that an earlier process left. Clock and stir are the picker's.
-func NewGovernor(base *gather.Settings, floor policy.Policy, fence policy.Fence, clock func() float64, stir func()) *Governor {
+func NewGovernor(base *gather.Settings, floor policy.Policy, fence policy.Revision, clock func() float64, stir func()) *Governor {
 	g := &Governor{base: base, clock: clock, stir: stir, settled: make(chan struct{}, 1), places: map[uint32]place{}, closed: map[uint32]bool{}}
-	g.h = policy.NewHolder(floor, fence, g.fit)
+	g.h = policy.NewLeaseHolder(floor, fence, g.fit)
 	return g
 }
 
@@ -47,7 +47,7 @@
 		return err
 	}
 	for _, e := range p {
-		zone, host, _ := strings.Cut(e.Of, "/")
+		zone, host, _ := strings.Cut(e.Subject, "/")
 		if e.Kind != policy.Closed || host == "" {
 			continue
 		}
@@ -64,7 +64,7 @@
 
 // refresh works out what follows from what is acted by, where that has changed. The lock is held.
 func (g *Governor) refresh(now float64) {
-	acts, way := g.h.Acts(now)
+	acts, way := g.h.Effective(now)
 	if way == g.way {
 		return
 	}
@@ -137,7 +137,7 @@
 func (g *Governor) Turns(server uint32) float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.acts.Value(policy.Turns, g.places[server].host, 1)
+	return g.acts.Value(policy.HostWeight, g.places[server].host, 1)
 }
 
 // May reports whether a call may go now: not to a closed server, and where its lookup was decided by what does not
@@ -149,17 +149,17 @@
 	switch {
 	case g.closed[a.Server]:
 		return false
-	case g.h.May(a.Way, now):
+	case g.h.Permits(a.Way, now):
 		return true
-	case a.Copy && g.acts.Has(policy.NoCopies, a.Index), a.Again && g.tightened(a.Index):
+	case a.Copy && g.acts.Has(policy.NoHedging, a.Index), a.Again && g.tightened(a.Index):
 		return false
 	}
-	return !a.Further || !g.acts.Has(policy.Share, "") && !g.acts.Has(policy.Free, "")
+	return !a.Further || !g.acts.Has(policy.RetryShare, "") && !g.acts.Has(policy.RetryAllowance, "")
 }
 
 // tightened reports whether an index is once-only by policy alone. The lock is held.
 func (g *Governor) tightened(index string) bool {
-	return g.acts.Has(policy.OnceOnly, index) && g.base.Class(index).Effect != gather.NonIdempotent
+	return g.acts.Has(policy.NonIdempotent, index) && g.base.Class(index).Effect != gather.NonIdempotent
 }
 
 // Answer gives the verdict that may be given now: one that was decided by what does not hold any more is an abort where
@@ -170,8 +170,8 @@
 	g.refresh(now)
 	const rounding = 1e-4 // weights come rounded
 	switch {
-	case g.h.May(a.Way, now):
-	case v.Kind == dispatch.Satisfied && share < g.acts.Value(policy.Least, a.Index, 0)-rounding, v.Kind == dispatch.Nacked && ran && g.tightened(a.Index):
+	case g.h.Permits(a.Way, now):
+	case v.Kind == dispatch.Satisfied && share < g.acts.Value(policy.MinShare, a.Index, 0)-rounding, v.Kind == dispatch.Nacked && ran && g.tightened(a.Index):
 		return dispatch.Verdict{Kind: dispatch.Aborted}
 	}
 	return v
@@ -180,9 +180,9 @@
 // Settle tells that nothing is in hand from before a way.
 func (g *Governor) Settle(way uint64) {
 	g.mu.Lock()
-	was := g.h.Settled()
-	g.h.Settle(way)
-	is := g.h.Settled()
+	was := g.h.Drained()
+	g.h.MarkDrained(way)
+	is := g.h.Drained()
 	g.mu.Unlock()
 	if is && !was {
 		select {
@@ -196,21 +196,21 @@
 func (g *Governor) Settled() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.h.Settled()
+	return g.h.Drained()
 }
 
 // hello is what to tell a steward now.
-func (g *Governor) hello() policy.Hello {
+func (g *Governor) hello() policy.Heartbeat {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.h.Hello(g.clock())
+	return g.h.Heartbeat(g.clock())
 }
 
 // hear takes a steward's word in; it gives the fence where that has moved.
-func (g *Governor) hear(asked float64, w policy.Word) (fence policy.Fence, moved, taken bool) {
+func (g *Governor) hear(asked float64, w policy.Update) (fence policy.Revision, moved, taken bool) {
 	g.mu.Lock()
 	now, way := g.clock(), g.way
-	fence, moved, taken = g.h.Hear(asked, now, w)
+	fence, moved, taken = g.h.Handle(asked, now, w)
 	g.refresh(now)
 	news := g.way != way
 	g.mu.Unlock()
@@ -222,7 +222,7 @@
 
 // State is what a gatherer tells of itself.
 type State struct {
-	policy.Hello
+	policy.Heartbeat
 	Until float64 `json:"until"` // of the lease, by the gatherer's clock; 0 for none
 	Acts  string  `json:"acts"`  // as a policy file has it
 }
@@ -233,7 +233,7 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	g.refresh(now)
-	return State{g.h.Hello(now), g.h.Until(), Text(g.acts)}
+	return State{g.h.Heartbeat(now), g.h.ExpiresAt(), Text(g.acts)}
 }
 
 // Hold has a policy of the gatherer's own file acted by from now on, without stewards: each gatherer for itself, and
@@ -245,6 +245,6 @@
 	if err != nil {
 		return err
 	}
-	g.hear(g.clock(), policy.Word{Epoch: number, Last: number, Policy: p, Lease: math.Inf(1)})
+	g.hear(g.clock(), policy.Update{Epoch: number, LastEnded: number, Policy: p, Lease: math.Inf(1)})
 	return nil
 }
--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -33,40 +33,40 @@
 
 func keptPolicy() policy.Policy {
 	return policy.Policy{
-		{Kind: policy.Free, Value: 4},
-		{Kind: policy.Share, Value: 0.02},
-		{Kind: policy.Closed, Of: "north/s1"},
-		{Kind: policy.Closed, Of: "south/"},
-		{Kind: policy.Cold, Value: 0.5},
-		{Kind: policy.Least, Of: "find", Value: 0.8},
-		{Kind: policy.NoCopies},
-		{Kind: policy.NoCopies, Of: "resolve"},
-		{Kind: policy.OnceOnly, Of: "claim"},
-		{Kind: policy.Turns, Of: "s9", Value: 0.5},
+		{Kind: policy.RetryAllowance, Value: 4},
+		{Kind: policy.RetryShare, Value: 0.02},
+		{Kind: policy.Closed, Subject: "north/s1"},
+		{Kind: policy.Closed, Subject: "south/"},
+		{Kind: policy.WarmUpShare, Value: 0.5},
+		{Kind: policy.MinShare, Subject: "find", Value: 0.8},
+		{Kind: policy.NoHedging},
+		{Kind: policy.NoHedging, Subject: "resolve"},
+		{Kind: policy.NonIdempotent, Subject: "claim"},
+		{Kind: policy.HostWeight, Subject: "s9", Value: 0.5},
 	}
 }
 
 func keptMember() policy.Member {
-	return policy.Member{Name: "g1", Zone: "north", Floor: keptPolicy(), Knows: policy.Kinds()}
+	return policy.Member{Name: "g1", Zone: "north", Fallback: keptPolicy(), KnownKinds: policy.Kinds()}
 }
 
 func keptChange() policy.Change {
-	return policy.Change{Number: 44, Base: 41, ID: "0123456789abcdef01234567", Policy: keptPolicy(), Why: "host s9 <is> \"repaired\"", At: 1.7648e12}
+	return policy.Change{Number: 44, Base: 41, ID: "0123456789abcdef01234567", Policy: keptPolicy(), Reason: "host s9 <is> \"repaired\"", ProposedAt: 1.7648e12}
 }
 
 func keptRecord() policy.Record {
 	change := keptChange()
 	decided, givenUp := keptChange(), keptChange()
-	decided.Number, decided.Base, decided.ID, decided.End = 41, 12, "a", policy.Decided
-	givenUp.Number, givenUp.ID, givenUp.End, givenUp.Word = 43, "b", policy.GivenUp, "g2 refuses it: no index find"
+	decided.Number, decided.Base, decided.ID, decided.Outcome = 41, 12, "a", policy.Committed
+	givenUp.Number, givenUp.ID, givenUp.Outcome, givenUp.OutcomeReason = 43, "b", policy.Abandoned, "g2 refuses it: no index find"
 	return policy.Record{
-		Epoch:   41,
-		Policy:  keptPolicy(),
-		Last:    43,
-		Change:  &change,
-		History: []policy.Change{decided, givenUp},
-		Earlier: 39,
-		Members: []policy.Member{keptMember(), {Name: "g2"}},
+		Epoch:          41,
+		Policy:         keptPolicy(),
+		LastEnded:      43,
+		Pending:        &change,
+		History:        []policy.Change{decided, givenUp},
+		TrimmedChanges: 39,
+		Members:        []policy.Member{keptMember(), {Name: "g2"}},
 	}
 }
 
@@ -74,13 +74,13 @@
 	return &Status{
 		Steward: "s1",
 		Record:  keptRecord(),
-		Standings: []policy.Standing{
-			{Name: "g1", Zone: "north", Holds: policy.Fence{Epoch: 41, Last: 43, Change: 44}, State: policy.Prepared, Since: 250.5, Version: "1.2"},
-			{Name: "g2", Holds: policy.Fence{Epoch: 41, Last: 41}, State: policy.Behind, Since: 3},
-			{Name: "g3", State: policy.Alone, Since: -1},
-			{Name: "g4", State: policy.Refusing, Word: "no index find"},
-			{Name: "g5", State: policy.Outside, Word: "its floor allows what is forbidden, or it does not know a kind"},
-			{Name: "g6", State: policy.Holding},
+		Standings: []policy.MemberStatus{
+			{Name: "g1", Zone: "north", Applied: policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}, State: policy.StatePrepared, SinceLastPoll: 250.5, Version: "1.2"},
+			{Name: "g2", Applied: policy.Revision{Epoch: 41, LastEnded: 41}, State: policy.StateStale, SinceLastPoll: 3},
+			{Name: "g3", State: policy.StateDetached, SinceLastPoll: -1},
+			{Name: "g4", State: policy.StateRefusing, Detail: "no index find"},
+			{Name: "g5", State: policy.StateNotAdmitted, Detail: "its floor allows what is forbidden, or it does not know a kind"},
+			{Name: "g6", State: policy.StateApplied},
 		},
 		Missing: []string{"g2"},
 		Waits:   "not prepared yet: g2",
@@ -90,24 +90,24 @@
 // TestKeptDocuments: each document of the protocol is read as the values that it was written from, and these are
 // written again byte for byte.
 func TestKeptDocuments(t *testing.T) {
-	hello := policy.Hello{
-		Member:   keptMember(),
-		Process:  "123-456",
-		Holds:    policy.Fence{Epoch: 41, Last: 43, Change: 44},
-		Settled:  true,
-		Refuses:  44,
-		Why:      "no index find",
-		Version:  "1.2",
-		Lapses:   7,
-		Rejected: 3,
+	hello := policy.Heartbeat{
+		Member:          keptMember(),
+		Incarnation:     "123-456",
+		Applied:         policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44},
+		Drained:         true,
+		RefusedChange:   44,
+		RefusalReason:   "no index find",
+		Version:         "1.2",
+		ExpiredLeases:   7,
+		RejectedUpdates: 3,
 	}
 	change := keptChange()
 	for name, want := range map[string]any{
 		"ask.json":               &Ask{Form, hello, 2000},
-		"ask-first.json":         &Ask{Form, policy.Hello{Member: policy.Member{Name: "g1"}, Process: "1"}, 0},
-		"answer-word.json":       &Answer{Form: Form, Word: &policy.Word{Epoch: 41, Policy: keptPolicy(), Last: 43, Lease: 10_000}},
-		"answer-change.json":     &Answer{Form: Form, Word: &policy.Word{Epoch: 41, Policy: keptPolicy(), Last: 43, Change: &change, Lease: 10_000}},
-		"answer-refused.json":    &Answer{Form: Form, Word: &policy.Word{Epoch: 41, Last: 43, Refused: "it does not know the kind turns; it is of an older version"}},
+		"ask-first.json":         &Ask{Form, policy.Heartbeat{Member: policy.Member{Name: "g1"}, Incarnation: "1"}, 0},
+		"answer-word.json":       &Answer{Form: Form, Word: &policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Lease: 10_000}},
+		"answer-change.json":     &Answer{Form: Form, Word: &policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Pending: &change, Lease: 10_000}},
+		"answer-refused.json":    &Answer{Form: Form, Word: &policy.Update{Epoch: 41, LastEnded: 43, RefusalReason: "it does not know the kind turns; it is of an older version"}},
 		"answer-proposed.json":   &Answer{Form: Form, Change: &change},
 		"answer-status.json":     &Answer{Form: Form, Status: keptStatus()},
 		"answer-everywhere.json": &Answer{Form: Form, Status: &Status{Steward: "s1", Everywhere: true}},
@@ -115,7 +115,7 @@
 		"answer-empty.json":      &Answer{Form: Form},
 		"answer-elsewhere.json":  &Answer{Form: Form, Leader: "s2", Error: "this steward does not lead"},
 		"answer-no-leader.json":  &Answer{Form: Form, Error: "this steward does not lead"},
-		"proposal.json":          &Proposal{Form, policy.Change{ID: "0123456789abcdef01234567", Base: 41, Policy: keptPolicy(), Why: "host s9 <is> \"repaired\""}},
+		"proposal.json":          &Proposal{Form, policy.Change{ID: "0123456789abcdef01234567", Base: 41, Policy: keptPolicy(), Reason: "host s9 <is> \"repaired\""}},
 		"proposal-empty.json":    &Proposal{Form, policy.Change{ID: "x"}},
 		"give-up.json":           &Name{Form: Form, Number: 44, Why: "reverted"},
 		"forget.json":            &Name{Form: Form, Name: "g7"},
@@ -152,8 +152,8 @@
 	change, member := keptChange(), keptMember()
 	for name, want := range map[string]policy.Command{
 		"log-propose.json":  {Propose: &change},
-		"log-decide.json":   {Decide: 44},
-		"log-give-up.json":  {GiveUp: 44, Word: "g2 refuses it: no index find"},
+		"log-decide.json":   {Commit: 44},
+		"log-give-up.json":  {Abandon: 44, Reason: "g2 refuses it: no index find"},
 		"log-register.json": {Register: &member},
 		"log-forget.json":   {Forget: "g7"},
 	} {
@@ -172,7 +172,7 @@
 // byte for byte.
 func TestKeptFence(t *testing.T) {
 	folder := t.TempDir()
-	want := policy.Fence{Epoch: 41, Last: 43, Change: 44}
+	want := policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}
 	text := kept(t, "fence")
 	file := filepath.Join(folder, "policy")
 	if err := os.WriteFile(file, text, 0o644); err != nil {
@@ -288,10 +288,10 @@
 			{Name: "resolve"},
 		},
 	}
-	g := NewGovernor(terms, keptPolicy(), policy.Fence{Epoch: 41, Last: 41}, func() float64 { return 0 }, func() {})
+	g := NewGovernor(terms, keptPolicy(), policy.Revision{Epoch: 41, LastEnded: 41}, func() float64 { return 0 }, func() {})
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	me := policy.Hello{Member: policy.Member{Name: "g1", Zone: "north", Floor: keptPolicy()}, Process: "123-456", Version: "1.2"}
+	me := policy.Heartbeat{Member: policy.Member{Name: "g1", Zone: "north", Fallback: keptPolicy()}, Incarnation: "123-456", Version: "1.2"}
 	f := NewFollower(g, []operator.Steward{{Name: "s1", Address: address}}, me, folder, log)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
--- a/internal/control/policyclient/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -138,7 +138,7 @@
 func (s *scene) everywhere(c *logic.Change) {
 	s.Helper()
 	end, err := s.f.Policies().Await(s.ctx, c.Number, func(line string) { s.Logf("change %d: %s", c.Number, line) })
-	if err != nil || end.End != logic.Decided {
+	if err != nil || end.Outcome != logic.Committed {
 		s.Fatalf("%+v, %v", end, err)
 	}
 }
@@ -230,7 +230,7 @@
 	s.until("all hold the second change", func(st *policyclient.Status) bool {
 		holding := 0
 		for _, one := range st.Standings {
-			if one.State == logic.Holding && one.Holds.Epoch == second.Number {
+			if one.State == logic.StateApplied && one.Applied.Epoch == second.Number {
 				holding++
 			}
 		}
@@ -257,7 +257,7 @@
 		switch {
 		case err != nil:
 			t.Fatal(err)
-		case word == "" && end.End != logic.Decided, word != "" && (end.End != logic.GivenUp || !strings.Contains(end.Word, word) || !strings.HasPrefix(end.Word, "g")):
+		case word == "" && end.Outcome != logic.Committed, word != "" && (end.Outcome != logic.Abandoned || !strings.Contains(end.OutcomeReason, word) || !strings.HasPrefix(end.OutcomeReason, "g")):
 			t.Errorf("%q: %+v", text, end)
 		}
 	}
@@ -298,7 +298,7 @@
 	}
 	s.f.Gatherers[3].Process().Continue()
 	s.until("all hold what was there before", func(now *policyclient.Status) bool {
-		return now.Everywhere && now.Record.Epoch == st.Record.Epoch && now.Record.Last == made[0].Number && len(now.Standings) == 4 && now.Standings[3].State == logic.Holding
+		return now.Everywhere && now.Record.Epoch == st.Record.Epoch && now.Record.LastEnded == made[0].Number && len(now.Standings) == 4 && now.Standings[3].State == logic.StateApplied
 	})
 	s.end()
 }
@@ -397,7 +397,7 @@
 	s := begin(t, 2, 20, three)
 	leader := s.f.Leader(s.ctx)
 	ask := func() *policyclient.Answer {
-		hello := logic.Hello{Member: logic.Member{Name: "old", Floor: s.parse(floorText), Knows: []logic.Kind{logic.Closed, logic.NoCopies}}, Process: "1"}
+		hello := logic.Heartbeat{Member: logic.Member{Name: "old", Fallback: s.parse(floorText), KnownKinds: []logic.Kind{logic.Closed, logic.NoHedging}}, Incarnation: "1"}
 		text, err := json.Marshal(policyclient.Ask{Form: policyclient.Form, Hello: hello})
 		if err != nil {
 			t.Fatal(err)
@@ -424,7 +424,7 @@
 		t.Fatal(err)
 	}
 	s.everywhere(s.propose(text))
-	if a := ask(); a.Word.Lease != 0 || !strings.Contains(a.Word.Refused, "does not know the kind turns") {
+	if a := ask(); a.Word.Lease != 0 || !strings.Contains(a.Word.RefusalReason, "does not know the kind turns") {
 		t.Errorf("%+v", a.Word)
 	}
 	s.served(20)
@@ -536,7 +536,7 @@
 	}
 	s.until("all hold the second change", func(st *policyclient.Status) bool {
 		for _, one := range st.Standings {
-			if one.State != logic.Holding || one.Holds.Epoch != second.Number {
+			if one.State != logic.StateApplied || one.Applied.Epoch != second.Number {
 				return false
 			}
 		}
@@ -574,8 +574,8 @@
 				st, err := s.f.Policies().Status(ctx)
 				if in.read {
 					if err == nil {
-						out.last = st.Record.Last
-						if st.Record.Change != nil {
+						out.last = st.Record.LastEnded
+						if st.Record.Pending != nil {
 							out.last++
 						}
 					} else {
@@ -584,10 +584,10 @@
 				} else if err == nil {
 					call = time.Since(began).Nanoseconds()
 					in.base = st.Record.Epoch
-					p := logic.Policy{{Kind: logic.Turns, Of: in.id, Value: 0.5}}
+					p := logic.Policy{{Kind: logic.HostWeight, Subject: in.id, Value: 0.5}}
 					var c *logic.Change
 					c, err = s.f.Policies().Propose(ctx, in.id, in.base, p, "")
-					var refusal logic.Refusal
+					var refusal logic.RejectedError
 					switch {
 					case err == nil:
 						out.last = c.Number
--- a/internal/control/policyclient/wire.go
+++ b/internal/control/policyclient/wire.go
@@ -33,15 +33,15 @@
 
 // Ask is a gatherer's question.
 type Ask struct {
-	Form  int          `json:"policy"`
-	Hello policy.Hello `json:"hello"`
-	Wait  float64      `json:"wait"` // milliseconds that the answer may take where nothing is new
+	Form  int              `json:"policy"`
+	Hello policy.Heartbeat `json:"hello"`
+	Wait  float64          `json:"wait"` // milliseconds that the answer may take where nothing is new
 }
 
 // Answer is a steward's to whatever it is asked; what does not apply is empty.
 type Answer struct {
 	Form   int            `json:"policy"`
-	Word   *policy.Word   `json:"word,omitempty"`
+	Word   *policy.Update `json:"word,omitempty"`
 	Leader string         `json:"leader,omitempty"` // who leads, where the one asked does not
 	Error  string         `json:"error,omitempty"`
 	Change *policy.Change `json:"change,omitempty"`
@@ -51,12 +51,12 @@
 
 // Status is what a steward that leads knows.
 type Status struct {
-	Steward    string            `json:"steward"`
-	Record     policy.Record     `json:"record"`
-	Standings  []policy.Standing `json:"standings"`
-	Everywhere bool              `json:"everywhere"`
-	Missing    []string          `json:"missing,omitempty"`
-	Waits      string            `json:"waits,omitempty"` // for what the change that is being prepared waits
+	Steward    string                `json:"steward"`
+	Record     policy.Record         `json:"record"`
+	Standings  []policy.MemberStatus `json:"standings"`
+	Everywhere bool                  `json:"everywhere"`
+	Missing    []string              `json:"missing,omitempty"`
+	Waits      string                `json:"waits,omitempty"` // for what the change that is being prepared waits
 }
 
 // Proposal is an operator's.
@@ -100,7 +100,7 @@
 	if len(p) > mostEntries {
 		return fmt.Errorf("%s: %d entries, at most %d can be", where, len(p), mostEntries)
 	}
-	ordered, err := policy.Order(p)
+	ordered, err := policy.New(p)
 	if err != nil {
 		return fmt.Errorf("%s: %w", where, err)
 	}
@@ -119,14 +119,14 @@
 	switch h := &a.Hello; {
 	case h.Name == "" || len(h.Name) > 200:
 		return nil, fmt.Errorf("hello.name: wants 1 to 200 bytes")
-	case h.Process == "" || len(h.Process) > 200:
+	case h.Incarnation == "" || len(h.Incarnation) > 200:
 		return nil, fmt.Errorf("hello.process: wants 1 to 200 bytes")
-	case len(h.Knows) > 100 || len(h.Why) > 2000 || len(h.Version) > 200 || len(h.Zone) > 200:
+	case len(h.KnownKinds) > 100 || len(h.RefusalReason) > 2000 || len(h.Version) > 200 || len(h.Zone) > 200:
 		return nil, fmt.Errorf("hello: a text or list is too long")
 	case !(a.Wait >= 0 && a.Wait <= 60_000):
 		return nil, fmt.Errorf("wait: %g ms, 0 to 60000 can be", a.Wait)
 	}
-	return a, whole("hello.floor", a.Hello.Floor)
+	return a, whole("hello.floor", a.Hello.Fallback)
 }
 
 // ReadAnswer reads a steward's answer.
@@ -143,12 +143,12 @@
 			return nil, fmt.Errorf("word.lease: %g ms, at most an hour can be", w.Lease)
 		}
 		switch {
-		case w.Last < w.Epoch:
-			return nil, fmt.Errorf("word.last: %d is before epoch %d", w.Last, w.Epoch)
-		case w.Change != nil && w.Change.Number != w.Last+1:
-			return nil, fmt.Errorf("word.change: %d does not follow %d", w.Change.Number, w.Last)
-		case w.Change != nil:
-			return a, whole("word.change", w.Change.Policy)
+		case w.LastEnded < w.Epoch:
+			return nil, fmt.Errorf("word.last: %d is before epoch %d", w.LastEnded, w.Epoch)
+		case w.Pending != nil && w.Pending.Number != w.LastEnded+1:
+			return nil, fmt.Errorf("word.change: %d does not follow %d", w.Pending.Number, w.LastEnded)
+		case w.Pending != nil:
+			return a, whole("word.change", w.Pending.Policy)
 		}
 	}
 	return a, nil
@@ -160,7 +160,7 @@
 	if err := decode(from, p); err != nil {
 		return nil, err
 	}
-	if p.Change.ID == "" || len(p.Change.ID) > 200 || len(p.Change.Why) > 2000 {
+	if p.Change.ID == "" || len(p.Change.ID) > 200 || len(p.Change.Reason) > 2000 {
 		return nil, fmt.Errorf("change: wants an id, and no text over 2000 bytes")
 	}
 	return p, whole("change.policy", p.Change.Policy)
--- a/internal/control/policyclient/wire_test.go
+++ b/internal/control/policyclient/wire_test.go
@@ -62,11 +62,11 @@
 		if err != nil || a.Word == nil {
 			return
 		}
-		h := policy.NewHolder(policy.Policy{{Kind: policy.NoCopies}}, policy.Fence{Epoch: 1, Last: 1}, nil)
-		_, _, taken := h.Hear(0, 1, *a.Word)
-		acts, _ := h.Acts(1)
-		if taken && a.Word.Lease > 1 && len(a.Word.Policy.Unknown()) == 0 {
-			if wrong := policy.Within(acts, a.Word.Policy); len(wrong) > 0 {
+		h := policy.NewLeaseHolder(policy.Policy{{Kind: policy.NoHedging}}, policy.Revision{Epoch: 1, LastEnded: 1}, nil)
+		_, _, taken := h.Handle(0, 1, *a.Word)
+		acts, _ := h.Effective(1)
+		if taken && a.Word.Lease > 1 && len(a.Word.Policy.UnknownKinds()) == 0 {
+			if wrong := policy.Violations(acts, a.Word.Policy); len(wrong) > 0 {
 				t.Fatalf("acts by %v, told %v", acts, a.Word.Policy)
 			}
 		}
@@ -80,8 +80,8 @@
 // it is told, and is a beginning.
 func TestFence(t *testing.T) {
 	folder := t.TempDir()
-	want := policy.Fence{Epoch: 41, Last: 43, Change: 44}
-	if got, err := OpenFence(folder); got != (policy.Fence{}) || err != nil {
+	want := policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}
+	if got, err := OpenFence(folder); got != (policy.Revision{}) || err != nil {
 		t.Errorf("%+v, %v", got, err)
 	}
 	if err := keepFence(folder, want); err != nil {
@@ -99,7 +99,7 @@
 		if err := os.WriteFile(file, text[:n], 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := OpenFence(folder); err == nil || got != (policy.Fence{}) {
+		if got, err := OpenFence(folder); err == nil || got != (policy.Revision{}) {
 			t.Fatalf("torn after %d bytes: %+v, %v", n, got, err)
 		}
 	}
@@ -107,7 +107,7 @@
 		if err := os.WriteFile(file, []byte(bad), 0o644); err != nil {
 			t.Fatal(err)
 		}
-		if got, err := OpenFence(folder); err == nil || got != (policy.Fence{}) {
+		if got, err := OpenFence(folder); err == nil || got != (policy.Revision{}) {
 			t.Errorf("%s: %+v, %v", bad, got, err)
 		}
 	}
@@ -126,13 +126,13 @@
 		var entries []policy.Entry
 		some := func(n int) bool { return rapid.IntRange(0, n).Draw(t, "some") == 0 }
 		share := func() float64 { return float64(rapid.IntRange(1, 20).Draw(t, "share")) / 20 }
-		for _, e := range []policy.Entry{{Kind: policy.OnceOnly, Of: "a"}, {Kind: policy.NoCopies}, {Kind: policy.NoCopies, Of: "b"}, {Kind: policy.Least, Of: "a", Value: share()}, {Kind: policy.Share, Value: share()}, {Kind: policy.Free, Value: 7},
-			{Kind: policy.Cold, Value: share()}, {Kind: policy.Closed, Of: "north/"}, {Kind: policy.Closed, Of: "south/s-1"}, {Kind: policy.Turns, Of: "s-2", Value: share()}} {
+		for _, e := range []policy.Entry{{Kind: policy.NonIdempotent, Subject: "a"}, {Kind: policy.NoHedging}, {Kind: policy.NoHedging, Subject: "b"}, {Kind: policy.MinShare, Subject: "a", Value: share()}, {Kind: policy.RetryShare, Value: share()}, {Kind: policy.RetryAllowance, Value: 7},
+			{Kind: policy.WarmUpShare, Value: share()}, {Kind: policy.Closed, Subject: "north/"}, {Kind: policy.Closed, Subject: "south/s-1"}, {Kind: policy.HostWeight, Subject: "s-2", Value: share()}} {
 			if some(1) {
 				entries = append(entries, e)
 			}
 		}
-		p, err := policy.Order(entries)
+		p, err := policy.New(entries)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -179,9 +179,9 @@
 		}
 		return p
 	}
-	g := NewGovernor(settings, parse(floor), policy.Fence{}, func() float64 { return now }, func() {})
+	g := NewGovernor(settings, parse(floor), policy.Revision{}, func() float64 { return now }, func() {})
 	g.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, Zone: "north"}, {ID: 2, Zone: "south"}}}, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
-	g.hear(0, policy.Word{Epoch: 1, Last: 1, Policy: parse(p), Lease: 1000})
+	g.hear(0, policy.Update{Epoch: 1, LastEnded: 1, Policy: parse(p), Lease: 1000})
 	return g, &now
 }
 
@@ -220,11 +220,11 @@
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
-	if s := g.State(); s.Until != 0 || s.Lapses != 1 || !strings.Contains(s.Acts, "close zone north\n") {
+	if s := g.State(); s.Until != 0 || s.ExpiredLeases != 1 || !strings.Contains(s.Acts, "close zone north\n") {
 		t.Errorf("%+v", s)
 	}
 	own, _ := governed(t, "", "")
-	if err := own.Hold(policy.Policy{{Kind: policy.Closed, Of: "north/"}}, 2); err != nil || !own.Closed(1) || own.Closed(2) || own.h.Until() != math.Inf(1) {
+	if err := own.Hold(policy.Policy{{Kind: policy.Closed, Subject: "north/"}}, 2); err != nil || !own.Closed(1) || own.Closed(2) || own.h.ExpiresAt() != math.Inf(1) {
 		t.Errorf("%v, %v", err, own.closed)
 	}
 	for text, want := range map[string]string{"index nowhere no-copies\n": "there is no index nowhere", "index any least 40%\n": "the platform's least share is 0.5", "further share 20%\n": "budget share is 0.1", "further free 9\n": "8 free further calls", "close zone north host s2\n": "s2 stands in south"} {
@@ -240,8 +240,8 @@
 
 // BenchmarkMay is what a part call's first byte costs more where a policy is followed.
 func BenchmarkMay(b *testing.B) {
-	g := NewGovernor(&gather.Settings{Classes: []gather.Class{{Name: "any"}}}, nil, policy.Fence{}, func() float64 { return 0 }, func() {})
-	g.hear(0, policy.Word{Epoch: 1, Last: 1, Lease: 1e9})
+	g := NewGovernor(&gather.Settings{Classes: []gather.Class{{Name: "any"}}}, nil, policy.Revision{}, func() float64 { return 0 }, func() {})
+	g.hear(0, policy.Update{Epoch: 1, LastEnded: 1, Lease: 1e9})
 	way, _ := g.Acts(0)
 	for b.Loop() {
 		g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1)
--- a/internal/control/policyserver/http.go
+++ b/internal/control/policyserver/http.go
@@ -35,10 +35,10 @@
 
 // fail answers with an error: what the record refuses is the asker's fault, what the stewards can't do now is not.
 func (s *Steward) fail(w http.ResponseWriter, err error) {
-	var refusal policy.Refusal
+	var refusal policy.RejectedError
 	switch {
 	case errors.As(err, &refusal):
-		answer(w, http.StatusConflict, wire.Answer{Error: refusal.Text})
+		answer(w, http.StatusConflict, wire.Answer{Error: refusal.Reason})
 	case errors.Is(err, raft.ErrNotLeader), errors.Is(err, raft.ErrLeadershipLost), errors.Is(err, raft.ErrRaftShutdown), errors.Is(err, raft.ErrLeadershipTransferInProgress):
 		s.elsewhere(w)
 	default:
@@ -97,9 +97,9 @@
 	defer wait.Stop()
 	for {
 		rec, news := s.machine.now()
-		word = rec.Word()
-		word.Lease, word.Refused = lease, refused
-		if word.News(a.Hello) || lease == 0 {
+		word = rec.Update()
+		word.Lease, word.RefusalReason = lease, refused
+		if word.IsNewTo(a.Hello) || lease == 0 {
 			break
 		}
 		select {
@@ -118,7 +118,7 @@
 // not put into the log: a gatherer that asks again and again would fill it.
 func (s *Steward) register(m policy.Member) (refused string, err error) {
 	rec, _ := s.machine.now()
-	if rec.Known(m) {
+	if rec.Registered(m) {
 		return "", nil
 	}
 	c := policy.Command{Register: &m}
@@ -126,22 +126,22 @@
 	if _, err = tried.Apply(c); err == nil {
 		_, err = s.apply(c)
 	}
-	var refusal policy.Refusal
+	var refusal policy.RejectedError
 	if errors.As(err, &refusal) {
-		return refusal.Text, nil
+		return refusal.Reason, nil
 	}
 	return "", err
 }
 
 // hear takes a question in, where this steward leads.
-func (s *Steward) hear(h policy.Hello) (policy.Word, bool) {
+func (s *Steward) hear(h policy.Heartbeat) (policy.Update, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.leader == nil {
-		return policy.Word{}, false
+		return policy.Update{}, false
 	}
 	s.leader.Record, _ = s.machine.now()
-	return s.leader.Hear(s.now(), h), true
+	return s.leader.Handle(s.now(), h), true
 }
 
 // status tells operators how far everybody is.
@@ -158,9 +158,9 @@
 	}
 	now := s.now()
 	s.leader.Record, _ = s.machine.now()
-	st := &wire.Status{Steward: s.t.Name, Record: *s.leader.Record, Standings: s.leader.Standings(now)}
+	st := &wire.Status{Steward: s.t.Name, Record: *s.leader.Record, Standings: s.leader.MemberStatuses(now)}
 	_, st.Waits = s.leader.Decide(now)
-	st.Everywhere, st.Missing = s.leader.Everywhere(now, st.Standings)
+	st.Everywhere, st.Missing = s.leader.AppliedEverywhere(now, st.Standings)
 	s.mu.Unlock()
 	answer(w, http.StatusOK, wire.Answer{Status: st})
 }
@@ -170,13 +170,13 @@
 	if !ok {
 		return
 	}
-	p.Change.At = float64(time.Now().UnixMilli())
+	p.Change.ProposedAt = float64(time.Now().UnixMilli())
 	s.carry(w, policy.Command{Propose: &p.Change})
 }
 
 func (s *Steward) giveUp(w http.ResponseWriter, r *http.Request) {
 	if n, ok := read(w, r, wire.ReadName); ok {
-		s.carry(w, policy.Command{GiveUp: n.Number, Word: n.Why})
+		s.carry(w, policy.Command{Abandon: n.Number, Reason: n.Why})
 	}
 }
 
--- a/internal/control/policyserver/log.go
+++ b/internal/control/policyserver/log.go
@@ -22,7 +22,7 @@
 }
 
 func newMachine(begins uint64) *machine {
-	return &machine{record: &policy.Record{Epoch: begins, Last: begins}, news: make(chan struct{})}
+	return &machine{record: &policy.Record{Epoch: begins, LastEnded: begins}, news: make(chan struct{})}
 }
 
 // result is what a command came to.
@@ -35,7 +35,7 @@
 func (m *machine) Apply(l *raft.Log) any {
 	var c policy.Command
 	if err := json.Unmarshal(l.Data, &c); err != nil {
-		return result{err: policy.Refusal{Text: "the log holds what is no command: " + err.Error()}}
+		return result{err: policy.RejectedError{Reason: "the log holds what is no command: " + err.Error()}}
 	}
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/control/policyserver/log_test.go
+++ b/internal/control/policyserver/log_test.go
@@ -39,11 +39,11 @@
 	m := newMachine(7)
 	first, news := m.now()
 	for n := range uint64(100_000) {
-		p := policy.Policy{{Kind: policy.Cold, Value: float64(n%2) / 2}}
+		p := policy.Policy{{Kind: policy.WarmUpShare, Value: float64(n%2) / 2}}
 		if r := apply(t, m, policy.Command{Propose: &policy.Change{Base: 7 + n, ID: fmt.Sprint(n), Policy: p}}); r.err != nil {
 			t.Fatal(n, r.err)
 		}
-		if r := apply(t, m, policy.Command{Decide: 8 + n}); r.err != nil {
+		if r := apply(t, m, policy.Command{Commit: 8 + n}); r.err != nil {
 			t.Fatal(n, r.err)
 		}
 	}
@@ -56,8 +56,8 @@
 		t.Error("half a command was taken")
 	}
 	record, _ := m.now()
-	if first.Epoch != 7 || len(first.History) != 0 || record.Epoch != 100_007 || len(record.History) < 1000 || len(record.History) > 1250 || record.Earlier+uint64(len(record.History)) != 100_000 {
-		t.Errorf("%+v; epoch %d, %d kept, %d before", first, record.Epoch, len(record.History), record.Earlier)
+	if first.Epoch != 7 || len(first.History) != 0 || record.Epoch != 100_007 || len(record.History) < 1000 || len(record.History) > 1250 || record.TrimmedChanges+uint64(len(record.History)) != 100_000 {
+		t.Errorf("%+v; epoch %d, %d kept, %d before", first, record.Epoch, len(record.History), record.TrimmedChanges)
 	}
 	snap, err := m.Snapshot()
 	if err != nil {
@@ -135,8 +135,8 @@
 // again and again would fill; this steward has none.
 func TestRefusedIsNotLogged(t *testing.T) {
 	s := &Steward{machine: newMachine(0)}
-	s.machine.record.Policy = policy.Policy{{Kind: policy.NoCopies}}
-	refused, err := s.register(policy.Member{Name: "g1", Knows: policy.Kinds()})
+	s.machine.record.Policy = policy.Policy{{Kind: policy.NoHedging}}
+	refused, err := s.register(policy.Member{Name: "g1", KnownKinds: policy.Kinds()})
 	if err != nil || !strings.Contains(refused, "its floor allows what is forbidden: no-copies") {
 		t.Errorf("%q, %v", refused, err)
 	}
--- a/internal/control/policyserver/steward.go
+++ b/internal/control/policyserver/steward.go
@@ -175,7 +175,7 @@
 	defer s.mu.Unlock()
 	if s.leader = nil; is {
 		r, _ := s.machine.now()
-		s.leader = policy.Open(r, s.t.Lease, s.t.Limit, s.now())
+		s.leader = policy.NewLeader(r, s.t.Lease, s.t.Limit, s.now())
 	}
 	s.log.WithField("leads", is).Info("policies: the lead has moved")
 }
@@ -205,7 +205,7 @@
 		s.log.WithError(err).Warn("policies: the end of a change could not be put into the log")
 		return
 	}
-	s.log.WithFields(logrus.Fields{"change": change.Number, "word": change.Word}).Infof("policies: %s", change.End)
+	s.log.WithFields(logrus.Fields{"change": change.Number, "word": change.OutcomeReason}).Infof("policies: %s", change.Outcome)
 }
 
 // apply puts a command into the log. A policy.Refusal is the log's own word; any other error leaves open whether it
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -31,7 +31,7 @@
 		return nil, nil
 	}
 	if own.Floor == "" {
-		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Fence{}, picker.Now, picker.Stir)}
+		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Revision{}, picker.Now, picker.Stir)}
 		if err := g.reread(own); err != nil {
 			return nil, err
 		}
@@ -50,7 +50,7 @@
 		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
 	}
 	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
-	me := logic.Hello{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Floor: floor}, Process: process.Name(picker.Now()), Version: version.Name()}
+	me := logic.Heartbeat{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Fallback: floor}, Incarnation: process.Name(picker.Now()), Version: version.Name()}
 	g.follower = policyclient.NewFollower(g.governor, own.Stewards, me, own.State, log)
 	picker.Govern(g.governor)
 	return g, nil
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer answer.Close()
-	if a, err := policyclient.ReadAnswer(answer); err != nil || a.Word.Change.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
+	if a, err := policyclient.ReadAnswer(answer); err != nil || a.Word.Pending.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
 		t.Errorf("policy 1: %v, %+v", err, a)
 	}
 	fence, err := os.ReadFile(kept("fence-1"))
@@ -89,14 +89,14 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(folder, "policy"), fence, 0o644)
-	if f, err := policyclient.OpenFence(folder); err != nil || f.Epoch != 41 || f.Last != 43 || f.Change != 44 {
+	if f, err := policyclient.OpenFence(folder); err != nil || f.Epoch != 41 || f.LastEnded != 43 || f.Pending != 44 {
 		t.Errorf("fence 1: %v, %+v", err, f)
 	}
 	record, err := os.Open(kept("policies-1.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := policyserver.ReadSnapshot(record); err != nil || r.Epoch != 1 || len(r.History) != 2 || len(r.Members) != 1 || r.History[1].Word == "" {
+	if r, err := policyserver.ReadSnapshot(record); err != nil || r.Epoch != 1 || len(r.History) != 2 || len(r.Members) != 1 || r.History[1].OutcomeReason == "" {
 		t.Errorf("policies 1: %v, %+v", err, r)
 	}
 	if _, err := emulator.Read(kept("scenario-1.conf")); err != nil {
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -197,7 +197,7 @@
 }
 
 // hollowFloor forbids what the policies of a scale test may.
-var hollowFloor = decisions.Policy{{Kind: decisions.NoCopies}}
+var hollowFloor = decisions.Policy{{Kind: decisions.NoHedging}}
 
 // startHollow starts one gatherer's control side.
 func (f *policyFleet) startHollow(number int) *hollowGatherer {
@@ -208,9 +208,9 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
-	me := decisions.Hello{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Floor: hollowFloor},
-		Process: fmt.Sprintf("%d-%d", number, start.UnixNano())}
+	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Revision{}, clock, func() { h.changed(clock()) })
+	me := decisions.Heartbeat{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Fallback: hollowFloor},
+		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano())}
 	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
@@ -228,8 +228,8 @@
 	state := h.governor.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if state.Holds.Epoch > h.epoch && state.Holds.Change == 0 {
-		h.epoch, h.at = state.Holds.Epoch, time.Now()
+	if state.Applied.Epoch > h.epoch && state.Applied.Pending == 0 {
+		h.epoch, h.at = state.Applied.Epoch, time.Now()
 	}
 }
 
--- a/logic/policy/model_test.go
+++ b/logic/policy/model_test.go
@@ -19,9 +19,9 @@
 
 // Two policies of which neither is looser: the old one closes the north, the new one the south.
 var (
-	oldPolicy = Policy{{Kind: Closed, Of: "north/"}}
-	newPolicy = Policy{{Kind: Closed, Of: "south/"}}
-	bothShut  = Policy{{Kind: Closed, Of: "north/"}, {Kind: Closed, Of: "south/"}}
+	oldPolicy = Policy{{Kind: Closed, Subject: "north/"}}
+	newPolicy = Policy{{Kind: Closed, Subject: "south/"}}
+	bothShut  = Policy{{Kind: Closed, Subject: "north/"}, {Kind: Closed, Subject: "south/"}}
 
 	nodeNames = []string{"g0", "g1", "g2"}
 	processes = []string{"0", "1", "2", "3"}
@@ -29,12 +29,12 @@
 
 // node is a gatherer of the model.
 type node struct {
-	h       Holder
+	h       LeaseHolder
 	process int
 	stopped bool
 	asked   float64 // of the question under way, -1 for none
-	hello   Hello
-	word    *Word    // its answer under way
+	hello   Heartbeat
+	word    *Update  // its answer under way
 	older   []Policy // by which lookups may be in hand that were decided before what is acted by now,
 	lost    []Policy // and such as have lost their right
 }
@@ -55,11 +55,11 @@
 
 func (w *world) clone() *world {
 	c := *w
-	c.leader.heard = slices.Clone(w.leader.heard)
+	c.leader.instances = slices.Clone(w.leader.instances)
 	c.nodes = slices.Clone(w.nodes)
 	if w.stale != nil {
 		s := *w.stale
-		s.heard = slices.Clone(s.heard)
+		s.instances = slices.Clone(s.instances)
 		c.stale = &s
 	}
 	return &c
@@ -87,7 +87,7 @@
 	switch {
 	case len(p) != 1:
 		return byte(len(p))
-	case p[0].Of == "north/":
+	case p[0].Subject == "north/":
 		return 3
 	}
 	return 4
@@ -96,14 +96,14 @@
 // key tells states apart.
 func (w *world) key() string {
 	ago := func(t, most float64) byte { return byte(min(max(w.now-t, -1), most) + 1) }
-	fence := func(f Fence) []byte { return []byte{byte(f.Epoch), byte(f.Last), byte(f.Change)} }
+	fence := func(f Revision) []byte { return []byte{byte(f.Epoch), byte(f.LastEnded), byte(f.Pending)} }
 	var each [][]byte
 	for i := range w.nodes {
 		n := &w.nodes[i]
-		b := fence(n.h.fence)
-		b = append(b, bit(n.stopped), short(n.h.acts), bit(n.h.leased), bit(n.h.Settled()))
+		b := fence(n.h.revision)
+		b = append(b, bit(n.stopped), short(n.h.effective), bit(n.h.leased), bit(n.h.Drained()))
 		if n.h.leased {
-			b = append(b, ago(n.h.until, 1))
+			b = append(b, ago(n.h.expiresAt, 1))
 		}
 		seen := [2][5]bool{}
 		for _, p := range n.older {
@@ -118,45 +118,45 @@
 			}
 		}
 		if n.asked >= 0 {
-			b = append(append(b, '?', ago(n.asked, 2)), fence(n.hello.Holds)...)
-			b = append(b, bit(n.hello.Settled))
+			b = append(append(b, '?', ago(n.asked, 2)), fence(n.hello.Applied)...)
+			b = append(b, bit(n.hello.Drained))
 		}
 		if n.word != nil {
 			c := byte(0)
-			if n.word.Change != nil {
-				c = byte(n.word.Change.Number)
+			if n.word.Pending != nil {
+				c = byte(n.word.Pending.Number)
 			}
-			b = append(b, '!', byte(n.word.Epoch), byte(n.word.Last), c)
+			b = append(b, '!', byte(n.word.Epoch), byte(n.word.LastEnded), c)
 		}
 		for _, d := range []*Leader{&w.leader, w.stale} {
 			if d == nil {
 				continue
 			}
 			b = append(b, '/')
-			for _, in := range d.heard {
-				if in.name == nodeNames[i] && w.now <= in.at+d.Wait() {
-					b = append(append(b, bit(in.process == processes[n.process]), ago(in.at, 2), byte(in.begun), bit(in.hello.Settled)), fence(in.hello.Holds)...)
+			for _, in := range d.instances {
+				if in.name == nodeNames[i] && w.now <= in.polledAt+d.MaxLeaseAge() {
+					b = append(append(b, bit(in.incarnation == processes[n.process]), ago(in.polledAt, 2), byte(in.startedDuring), bit(in.heartbeat.Drained)), fence(in.heartbeat.Applied)...)
 				}
 			}
 		}
 		each = append(each, b)
 	}
 	slices.SortFunc(each, bytes.Compare)
-	b := []byte{byte(w.rec.Epoch), byte(w.rec.Last), bit(w.rec.Change != nil), ago(w.leader.began, 2), byte(w.leader.number), ago(w.leader.noticed, w.leader.Limit+1),
+	b := []byte{byte(w.rec.Epoch), byte(w.rec.LastEnded), bit(w.rec.Pending != nil), ago(w.leader.electedAt, 2), byte(w.leader.pendingNumber), ago(w.leader.pendingSince, w.leader.ChangeTimeout+1),
 		byte(w.crashes), byte(w.stops), byte(w.losses), byte(w.moves), bit(w.proposed)}
 	if w.stale != nil {
-		b = append(b, byte(w.stale.Record.Epoch), bit(w.stale.Record.Change != nil))
+		b = append(b, byte(w.stale.Record.Epoch), bit(w.stale.Record.Pending != nil))
 	}
 	return string(append(b, bytes.Join(each, []byte{0xff})...))
 }
 
 // notice keeps what lookups in hand were decided by, as a gatherer goes from one way to another.
 func (n *node) notice(now float64, before Policy, way uint64) {
-	if _, ways := n.h.Acts(now); ways == way {
+	if _, ways := n.h.Effective(now); ways == way {
 		return
 	}
 	n.older = append(slices.Clone(n.older), before)
-	if n.h.Settled() { // all that was in hand has lost its right
+	if n.h.Drained() { // all that was in hand has lost its right
 		n.lost, n.older = append(slices.Clone(n.lost), n.older...), nil
 	}
 }
@@ -172,7 +172,7 @@
 		c.now++
 		for i := range c.nodes {
 			n := &c.nodes[i]
-			before, way := n.h.acts, n.h.ways
+			before, way := n.h.effective, n.h.generation
 			if !n.stopped { // what stands still learns of it later
 				n.notice(c.now, before, way)
 			}
@@ -184,15 +184,15 @@
 			c.commit(Command{Propose: &Change{Base: c.rec.Epoch, ID: "new", Policy: newPolicy}})
 		})
 	}
-	if w.rec.Change != nil {
+	if w.rec.Pending != nil {
 		then(func(c *world) {
 			if v.noSettle {
-				for i := range c.leader.heard {
-					c.leader.heard[i].hello.Settled = true
+				for i := range c.leader.instances {
+					c.leader.instances[i].heartbeat.Drained = true
 				}
 			}
 			if v.noWait {
-				c.leader.began = math.Inf(-1)
+				c.leader.electedAt = math.Inf(-1)
 			}
 			if cmd, _ := c.leader.Decide(c.now); cmd != nil {
 				c.commit(*cmd)
@@ -203,18 +203,18 @@
 		then(func(c *world) {
 			c.moves--
 			before := c.leader
-			before.heard = slices.Clone(before.heard)
+			before.instances = slices.Clone(before.instances)
 			if v.noProof {
 				c.stale = &before
 			}
-			c.leader = *Open(c.rec, c.leader.Lease, c.leader.Limit, c.now)
+			c.leader = *NewLeader(c.rec, c.leader.Lease, c.leader.ChangeTimeout, c.now)
 		})
 	}
 	for i := range w.nodes {
 		n := &w.nodes[i]
 		if n.asked >= 0 && n.word == nil { // a question that is late comes to the steward
 			then(func(c *world) {
-				word := c.leader.Hear(c.now, c.nodes[i].hello)
+				word := c.leader.Handle(c.now, c.nodes[i].hello)
 				c.nodes[i].word = &word
 			})
 		}
@@ -222,10 +222,10 @@
 			then(func(c *world) { c.losses--; c.nodes[i].asked, c.nodes[i].word = -1, nil })
 		}
 		if w.crashes > 0 {
-			for _, disk := range []Fence{n.h.fence, {}} { // kept, or gone
+			for _, disk := range []Revision{n.h.revision, {}} { // kept, or gone
 				then(func(c *world) {
 					c.crashes--
-					c.nodes[i] = node{h: *NewHolder(bothShut, disk, nil), process: c.nodes[i].process + 1, asked: -1}
+					c.nodes[i] = node{h: *NewLeaseHolder(bothShut, disk, nil), process: c.nodes[i].process + 1, asked: -1}
 				})
 			}
 		}
@@ -233,7 +233,7 @@
 			then(func(c *world) {
 				m := &c.nodes[i]
 				m.stopped = false
-				before, way := m.h.acts, m.h.ways
+				before, way := m.h.effective, m.h.generation
 				m.notice(c.now, before, way)
 			})
 			continue
@@ -244,14 +244,14 @@
 		if n.asked < 0 {
 			ask := func(c *world) *node {
 				m := &c.nodes[i]
-				m.hello = m.h.Hello(c.now)
-				m.hello.Name, m.hello.Process, m.hello.Floor, m.hello.Knows = nodeNames[i], processes[m.process], bothShut, Kinds()
+				m.hello = m.h.Heartbeat(c.now)
+				m.hello.Name, m.hello.Incarnation, m.hello.Fallback, m.hello.KnownKinds = nodeNames[i], processes[m.process], bothShut, Kinds()
 				m.asked = c.now
 				return m
 			}
 			then(func(c *world) {
 				m := ask(c)
-				word := c.leader.Hear(c.now, m.hello)
+				word := c.leader.Handle(c.now, m.hello)
 				m.word = &word
 			})
 			if w.losses > 0 {
@@ -260,7 +260,7 @@
 			if v.noProof && w.stale != nil {
 				then(func(c *world) {
 					m := ask(c)
-					word := c.stale.Hear(c.now, m.hello)
+					word := c.stale.Handle(c.now, m.hello)
 					m.word = &word
 				})
 			}
@@ -268,23 +268,23 @@
 		if n.word != nil {
 			then(func(c *world) {
 				m := &c.nodes[i]
-				before, way := m.h.acts, m.h.ways
-				m.h.Hear(m.asked, c.now, *m.word)
-				if v.noIntersection && m.word.Change != nil && m.h.leased {
-					m.h.acts = m.word.Change.Policy
+				before, way := m.h.effective, m.h.generation
+				m.h.Handle(m.asked, c.now, *m.word)
+				if v.noIntersection && m.word.Pending != nil && m.h.leased {
+					m.h.effective = m.word.Pending.Policy
 				}
 				if v.noFloor && m.h.leased {
-					m.h.until = math.Inf(1)
+					m.h.expiresAt = math.Inf(1)
 				}
 				m.notice(c.now, before, way)
 				m.asked, m.word = -1, nil
 			})
 		}
-		if len(n.older) > 0 || !n.h.Settled() { // lookups in hand come to their end
+		if len(n.older) > 0 || !n.h.Drained() { // lookups in hand come to their end
 			then(func(c *world) {
 				m := &c.nodes[i]
-				_, way := m.h.Acts(c.now)
-				m.h.Settle(way)
+				_, way := m.h.Effective(c.now)
+				m.h.MarkDrained(way)
 				m.older = nil
 			})
 		}
@@ -301,7 +301,7 @@
 			continue
 		}
 		h := n.h
-		acts, _ := h.Acts(w.now)
+		acts, _ := h.Effective(w.now)
 		could := append([]Policy{acts}, n.older...)
 		if v.noWire {
 			could = append(could, n.lost...)
@@ -331,16 +331,16 @@
 // explore plays all orders and gives how many states there were, in how many the new policy held everywhere, and what was
 // wrong in the first that was.
 func explore(v variant, gatherers int, faults [4]int, limit int) (states, through int, wrong string) {
-	rec := &Record{Epoch: 1, Last: 1, Policy: oldPolicy}
+	rec := &Record{Epoch: 1, LastEnded: 1, Policy: oldPolicy}
 	first := &world{rec: rec, crashes: faults[0], stops: faults[1], losses: faults[2], moves: faults[3]}
-	first.leader = *Open(rec, 1, 2, -10)
+	first.leader = *NewLeader(rec, 1, 2, -10)
 	for i := range gatherers {
-		m := Member{Name: nodeNames[i], Floor: bothShut, Knows: Kinds()}
+		m := Member{Name: nodeNames[i], Fallback: bothShut, KnownKinds: Kinds()}
 		first.commit(Command{Register: &m})
-		n := node{h: *NewHolder(bothShut, Fence{}, nil), asked: -1}
-		hello := n.h.Hello(0)
-		hello.Member, hello.Process = m, "0"
-		n.h.Hear(0, 0, first.leader.Hear(0, hello)) // all begin with a lease and the old policy
+		n := node{h: *NewLeaseHolder(bothShut, Revision{}, nil), asked: -1}
+		hello := n.h.Heartbeat(0)
+		hello.Member, hello.Incarnation = m, "0"
+		n.h.Handle(0, 0, first.leader.Handle(0, hello)) // all begin with a lease and the old policy
 		first.nodes = append(first.nodes, n)
 	}
 	seen := map[string]bool{first.key(): true}
@@ -352,7 +352,7 @@
 		if bad := w.wrong(v); bad != "" {
 			return states, through, bad
 		}
-		if w.rec.Epoch == 2 && !slices.ContainsFunc(w.nodes, func(n node) bool { return short(n.h.acts) != 4 }) {
+		if w.rec.Epoch == 2 && !slices.ContainsFunc(w.nodes, func(n node) bool { return short(n.h.effective) != 4 }) {
 			through++
 		}
 		if states == limit {
--- a/logic/policy/policy.go
+++ b/logic/policy/policy.go
@@ -25,84 +25,88 @@
 
 // The kinds. What a gatherer does not know it refuses, and a change with it is given up.
 const (
-	OnceOnly Kind = "once-only"    // lookups of an index may have an effect: no call that may have run again
-	NoCopies Kind = "no-copies"    // no two calls of a part at once, of an index or of all
-	Least    Kind = "least"        // least share of an index, under which nothing is answered
-	Share    Kind = "budget-share" // further part calls, of the lookups and parts taken
-	Free     Kind = "budget-free"  // and so many more
-	Cold     Kind = "cold"         // part of what the rule allows that cold servers are sent
-	Closed   Kind = "closed"       // ZONE/ or ZONE/HOST: nothing new is sent there
-	Turns    Kind = "turns"        // HOST: part of its plain turns that it gets
+	NonIdempotent  Kind = "once-only"    // lookups of an index may have an effect: no call that may have run again
+	NoHedging      Kind = "no-copies"    // no two calls of a part at once, of an index or of all
+	MinShare       Kind = "least"        // least share of an index, under which nothing is answered
+	RetryShare     Kind = "budget-share" // further part calls, of the lookups and parts taken
+	RetryAllowance Kind = "budget-free"  // and so many more
+	WarmUpShare    Kind = "cold"         // part of what the rule allows that cold servers are sent
+	Closed         Kind = "closed"       // ZONE/ or ZONE/HOST: nothing new is sent there
+	HostWeight     Kind = "turns"        // HOST: part of its plain turns that it gets
 )
 
-// trait is what is known of a kind.
-type trait struct {
-	subject  string // what Of names, for people: index, place, host, or nothing
-	mark     bool   // it has no value: that it is there is all
-	greater  bool   // a greater value is tighter
-	soft     bool   // no rule hangs on it: a floor need not have it
-	most     float64
-	tighten  string // words of a change that tightens, one that loosens and one that takes it away
-	loosen   string
-	noLonger string
+// kindTraits is what is known of a kind.
+type kindTraits struct {
+	subject         string // what Of names, for people: index, place, host, or nothing
+	flag            bool   // it has no value: that it is there is all
+	higherIsTighter bool   // a greater value is tighter
+	advisory        bool   // no rule hangs on it: a floor need not have it
+	maxValue        float64
+	tightenText     string // words of a change that tightens, one that loosens and one that takes it away
+	loosenText      string
+	removeText      string
 }
 
-var traits = map[Kind]trait{
-	OnceOnly: {subject: "index", mark: true, tighten: "is once-only now", noLonger: "is as the platform " +
+var traits = map[Kind]kindTraits{
+	NonIdempotent: {subject: "index", flag: true, tightenText: "is once-only now", removeText: "is as the platform " +
 		"has it again"},
-	NoCopies: {subject: "index", mark: true, tighten: "second copies no longer allowed",
-		noLonger: "second copies allowed again as the platform has it"},
-	Least: {subject: "index", greater: true, most: 1, tighten: "least share raised",
-		loosen: "least share lowered", noLonger: "least share is the platform's again"},
-	Share: {most: 1, tighten: "budget of further calls lowered", loosen: "budget of further calls raised",
-		noLonger: "budget of further calls is the platform's again"},
-	Free: {most: 1e6, tighten: "free further calls lowered", loosen: "free further calls raised",
-		noLonger: "free further calls are the platform's again"},
-	Cold: {most: 1, tighten: "cold servers are sent less", loosen: "cold servers are sent more",
-		noLonger: "cold servers are sent what the rule allows again"},
-	Closed: {subject: "place", mark: true, tighten: "closed", noLonger: "open again"},
-	Turns: {subject: "host", soft: true, most: 1, tighten: "gets fewer turns", loosen: "gets more turns",
-		noLonger: "gets its plain turns again"},
+	NoHedging: {subject: "index", flag: true, tightenText: "second copies no longer allowed",
+		removeText: "second copies allowed again as the platform has it"},
+	MinShare: {subject: "index", higherIsTighter: true, maxValue: 1, tightenText: "least share raised",
+		loosenText: "least share lowered", removeText: "least share is the platform's again"},
+	RetryShare: {maxValue: 1, tightenText: "budget of further calls lowered", loosenText: "budget of further calls raised",
+		removeText: "budget of further calls is the platform's again"},
+	RetryAllowance: {maxValue: 1e6, tightenText: "free further calls lowered", loosenText: "free further calls raised",
+		removeText: "free further calls are the platform's again"},
+	WarmUpShare: {maxValue: 1, tightenText: "cold servers are sent less", loosenText: "cold servers are sent more",
+		removeText: "cold servers are sent what the rule allows again"},
+	Closed: {subject: "place", flag: true, tightenText: "closed", removeText: "open again"},
+	HostWeight: {subject: "host", advisory: true, maxValue: 1, tightenText: "gets fewer turns", loosenText: "gets more turns",
+		removeText: "gets its plain turns again"},
 }
 
 // Kinds are those that this text knows, in order.
-func Kinds() []Kind { return []Kind{Closed, Cold, Free, Least, NoCopies, OnceOnly, Share, Turns} }
+func Kinds() []Kind {
+	return []Kind{Closed, WarmUpShare, RetryAllowance, MinShare, NoHedging, NonIdempotent, RetryShare, HostWeight}
+}
 
 // Entry is one line of a policy.
 type Entry struct {
-	Kind  Kind    `json:"kind"`
-	Of    string  `json:"of,omitempty"`
-	Value float64 `json:"value,omitempty"`
+	Kind    Kind    `json:"kind"`
+	Subject string  `json:"of,omitempty"`
+	Value   float64 `json:"value,omitempty"`
 }
 
 // Policy is what an operator allows less than the platform does, in the order of kind and subject, each
 // once. The empty one allows what the platform does.
 type Policy []Entry
 
-// compare is a policy's order.
-func compare(a, b Entry) int { return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Of, b.Of)) }
+// compareEntries is a policy's order.
+func compareEntries(a, b Entry) int {
+	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
+}
 
-// Order puts entries into a policy's order. Two of one kind and subject are an error, and so is what no
+// New puts entries into a policy's order. Two of one kind and subject are an error, and so is what no
 // gatherer could keep; unknown kinds are left in: others may know them.
-func Order(entries []Entry) (Policy, error) {
+func New(entries []Entry) (Policy, error) {
 	p := Policy(slices.Clone(entries))
-	slices.SortFunc(p, compare)
+	slices.SortFunc(p, compareEntries)
 	for i, e := range p {
-		if i > 0 && p[i-1].Kind == e.Kind && p[i-1].Of == e.Of {
+		if i > 0 && p[i-1].Kind == e.Kind && p[i-1].Subject == e.Subject {
 			return nil, fmt.Errorf("%s is said twice", e)
 		}
 		t, known := traits[e.Kind]
-		switch zone, _, slash := strings.Cut(e.Of, "/"); {
+		switch zone, _, slash := strings.Cut(e.Subject, "/"); {
 		case !known:
-		case t.subject == "" && e.Of != "":
-			return nil, fmt.Errorf("%s is of all, not of %q", e.Kind, e.Of)
-		case t.subject != "" && e.Of == "" && e.Kind != NoCopies:
+		case t.subject == "" && e.Subject != "":
+			return nil, fmt.Errorf("%s is of all, not of %q", e.Kind, e.Subject)
+		case t.subject != "" && e.Subject == "" && e.Kind != NoHedging:
 			return nil, fmt.Errorf("%s lacks its %s", e.Kind, t.subject)
 		case e.Kind == Closed && (!slash || zone == ""):
 			return nil, fmt.Errorf("%s wants a zone and maybe a host: ZONE/ or ZONE/HOST", e)
-		case !t.mark && !(e.Value >= 0 && e.Value <= t.most): // NaN as well
-			return nil, fmt.Errorf("%s is not within 0 and %g", e, t.most)
-		case t.mark && e.Value != 0:
+		case !t.flag && !(e.Value >= 0 && e.Value <= t.maxValue): // NaN as well
+			return nil, fmt.Errorf("%s is not within 0 and %g", e, t.maxValue)
+		case t.flag && e.Value != 0:
 			return nil, fmt.Errorf("%s has no value", e)
 		}
 	}
@@ -112,10 +116,10 @@
 // String is an entry as people read it.
 func (e Entry) String() string {
 	words := string(e.Kind)
-	if e.Of != "" {
-		words += " " + e.Of
+	if e.Subject != "" {
+		words += " " + e.Subject
 	}
-	if !traits[e.Kind].mark {
+	if !traits[e.Kind].flag {
 		words += fmt.Sprintf(" %g", e.Value)
 	}
 	return words
@@ -123,7 +127,7 @@
 
 // find is the entry of a kind and subject.
 func (p Policy) find(kind Kind, of string) (Entry, bool) {
-	i, found := slices.BinarySearchFunc(p, Entry{Kind: kind, Of: of}, compare)
+	i, found := slices.BinarySearchFunc(p, Entry{Kind: kind, Subject: of}, compareEntries)
 	if !found {
 		return Entry{}, false
 	}
@@ -133,7 +137,7 @@
 // Has reports whether a mark is set of a subject, or of all.
 func (p Policy) Has(kind Kind, of string) bool {
 	_, found := p.find(kind, of)
-	if !found && kind == NoCopies && of != "" {
+	if !found && kind == NoHedging && of != "" {
 		_, found = p.find(kind, "")
 	}
 	return found
@@ -152,8 +156,8 @@
 	return len(p) > 0 && (p.Has(Closed, zone+"/") || p.Has(Closed, zone+"/"+host))
 }
 
-// Unknown are the kinds that this text does not know.
-func (p Policy) Unknown() (kinds []Kind) {
+// UnknownKinds are the kinds that this text does not know.
+func (p Policy) UnknownKinds() (kinds []Kind) {
 	for _, e := range p {
 		if _, known := traits[e.Kind]; !known && !slices.Contains(kinds, e.Kind) {
 			kinds = append(kinds, e.Kind)
@@ -164,7 +168,7 @@
 
 // tighter is the tighter of two values of a kind.
 func tighter(kind Kind, a, b float64) float64 {
-	if traits[kind].greater {
+	if traits[kind].higherIsTighter {
 		return max(a, b)
 	}
 	return min(a, b)
@@ -180,7 +184,7 @@
 		case i == len(p):
 			order = 1
 		case j < len(q):
-			order = compare(p[i], q[j])
+			order = compareEntries(p[i], q[j])
 		}
 		switch {
 		case order < 0:
@@ -199,68 +203,68 @@
 	return both
 }
 
-// Within gives what p does that q forbids, nothing where all that p allows q allows as well. Soft kinds
+// Violations gives what p does that q forbids, nothing where all that p allows q allows as well. Soft kinds
 // are left out, since no rule hangs on them.
-func Within(p, q Policy) (wrong []Entry) {
+func Violations(p, q Policy) (wrong []Entry) {
 	for _, e := range q {
-		if traits[e.Kind].soft {
+		if traits[e.Kind].advisory {
 			continue
 		}
-		own, found := p.find(e.Kind, e.Of)
-		switch zone, _, _ := strings.Cut(e.Of, "/"); {
-		case e.Kind == Closed && p.Has(Closed, zone+"/"), e.Kind == NoCopies && p.Has(NoCopies, ""):
-		case !found, !traits[e.Kind].mark && tighter(e.Kind, own.Value, e.Value) != own.Value:
+		own, found := p.find(e.Kind, e.Subject)
+		switch zone, _, _ := strings.Cut(e.Subject, "/"); {
+		case e.Kind == Closed && p.Has(Closed, zone+"/"), e.Kind == NoHedging && p.Has(NoHedging, ""):
+		case !found, !traits[e.Kind].flag && tighter(e.Kind, own.Value, e.Value) != own.Value:
 			wrong = append(wrong, e)
 		}
 	}
 	return wrong
 }
 
-// Line is one difference of two policies in words.
-type Line struct {
+// Difference is one difference of two policies in words.
+type Difference struct {
 	Tightens bool
 	Text     string
 }
 
 // Diff says what a change from one policy to another means.
-func Diff(from, to Policy) (lines []Line) {
+func Diff(from, to Policy) (lines []Difference) {
 	say := func(e Entry, tightens bool, text string) {
 		subject := ""
 		switch traits[e.Kind].subject {
 		case "index":
-			if subject = "all indexes"; e.Of != "" {
-				subject = "index " + e.Of
+			if subject = "all indexes"; e.Subject != "" {
+				subject = "index " + e.Subject
 			}
 			subject += ": "
 		case "place":
-			if subject = "host " + e.Of + ": "; strings.HasSuffix(e.Of, "/") {
-				subject = "zone " + strings.TrimSuffix(e.Of, "/") + ": "
+			if subject = "host " + e.Subject + ": "; strings.HasSuffix(e.Subject, "/") {
+				subject = "zone " + strings.TrimSuffix(e.Subject, "/") + ": "
 			}
 		case "host":
-			subject = "host " + e.Of + ": "
+			subject = "host " + e.Subject + ": "
 		}
-		lines = append(lines, Line{tightens, subject + text})
+		lines = append(lines, Difference{tightens, subject + text})
 	}
 	for _, e := range Intersect(from, to) { // each kind and subject that either has, once
 		t := traits[e.Kind]
-		old, had := from.find(e.Kind, e.Of)
-		now, has := to.find(e.Kind, e.Of)
+		old, had := from.find(e.Kind, e.Subject)
+		now, has := to.find(e.Kind, e.Subject)
 		value := ""
-		if !t.mark {
+		if !t.flag {
 			value = fmt.Sprintf(" to %g", now.Value)
 		}
 		switch {
-		case t.tighten == "" && (had != has || old.Value != now.Value):
+		case t.tightenText == "" && (had != has || old.Value != now.Value):
 			say(e, true, fmt.Sprintf("%s: of a kind that is not known here", e))
 		case had && !has:
-			say(e, false, t.noLonger)
+			say(e, false, t.removeText)
 		case !had:
-			say(e, true, t.tighten+value)
+			say(e, true, t.tightenText+value)
 		case old.Value == now.Value:
 		case tighter(e.Kind, old.Value, now.Value) == now.Value:
-			say(e, true, fmt.Sprintf("%s from %g%s", t.tighten, old.Value, value))
+			say(e, true, fmt.Sprintf("%s from %g%s", t.tightenText, old.Value, value))
 		default:
-			say(e, false, fmt.Sprintf("%s from %g%s", t.loosen, old.Value, value))
+			say(e, false, fmt.Sprintf("%s from %g%s", t.loosenText, old.Value, value))
 		}
 	}
 	return lines
--- a/logic/policy/policy_test.go
+++ b/logic/policy/policy_test.go
@@ -11,7 +11,7 @@
 )
 
 func must(t interface{ Fatal(...any) }, entries ...Entry) Policy {
-	p, err := Order(entries)
+	p, err := New(entries)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -24,9 +24,9 @@
 		tr := traits[k]
 		for _, of := range map[string][]string{"": {""}, "index": {"find", "claim"}, "place": {"north/", "north/s1", "south/s2"}, "host": {"s1", "s2"}}[tr.subject] {
 			if rapid.IntRange(0, 2).Draw(t, name) == 0 {
-				e := Entry{Kind: k, Of: of}
-				if !tr.mark {
-					e.Value = tr.most * float64(rapid.IntRange(0, 4).Draw(t, name)) / 4
+				e := Entry{Kind: k, Subject: of}
+				if !tr.flag {
+					e.Value = tr.maxValue * float64(rapid.IntRange(0, 4).Draw(t, name)) / 4
 				}
 				entries = append(entries, e)
 			}
@@ -43,13 +43,13 @@
 		if !reflect.DeepEqual(m, Intersect(q, p)) || !reflect.DeepEqual(append(Policy{}, p...), append(Policy{}, Intersect(p, p)...)) {
 			t.Fatalf("%v, %v: %v", p, q, m)
 		}
-		if ordered, err := Order(m); err != nil || !reflect.DeepEqual(append(Policy{}, ordered...), append(Policy{}, m...)) {
+		if ordered, err := New(m); err != nil || !reflect.DeepEqual(append(Policy{}, ordered...), append(Policy{}, m...)) {
 			t.Fatalf("%v is out of order: %v", m, err)
 		}
-		if w := append(Within(m, p), Within(m, q)...); len(w) > 0 {
+		if w := append(Violations(m, p), Violations(m, q)...); len(w) > 0 {
 			t.Fatalf("the intersection of %v and %v does what one forbids: %v", p, q, w)
 		}
-		if len(Within(r, p))+len(Within(r, q)) == 0 && len(Within(r, m)) > 0 {
+		if len(Violations(r, p))+len(Violations(r, q)) == 0 && len(Violations(r, m)) > 0 {
 			t.Fatalf("%v is within both and not within their intersection %v", r, m)
 		}
 		if !reflect.DeepEqual(Intersect(Intersect(p, q), r), Intersect(p, Intersect(q, r))) {
@@ -70,9 +70,9 @@
 
 // TestDiff tells what operators read of a change.
 func TestDiff(t *testing.T) {
-	from := must(t, Entry{Kind: Least, Of: "find", Value: 0.5}, Entry{Kind: Share, Value: 0.04}, Entry{Kind: Closed, Of: "north/s1"}, Entry{Kind: Turns, Of: "s9", Value: 1})
-	to := must(t, Entry{Kind: Least, Of: "find", Value: 0.8}, Entry{Kind: Share, Value: 0.05}, Entry{Kind: Closed, Of: "south/"}, Entry{Kind: NoCopies, Of: "resolve"}, Entry{Kind: OnceOnly, Of: "claim"},
-		Entry{Kind: Turns, Of: "s9", Value: 0.5}, Entry{Kind: "newer", Of: "x"})
+	from := must(t, Entry{Kind: MinShare, Subject: "find", Value: 0.5}, Entry{Kind: RetryShare, Value: 0.04}, Entry{Kind: Closed, Subject: "north/s1"}, Entry{Kind: HostWeight, Subject: "s9", Value: 1})
+	to := must(t, Entry{Kind: MinShare, Subject: "find", Value: 0.8}, Entry{Kind: RetryShare, Value: 0.05}, Entry{Kind: Closed, Subject: "south/"}, Entry{Kind: NoHedging, Subject: "resolve"}, Entry{Kind: NonIdempotent, Subject: "claim"},
+		Entry{Kind: HostWeight, Subject: "s9", Value: 0.5}, Entry{Kind: "newer", Subject: "x"})
 	var got []string
 	for _, l := range Diff(from, to) {
 		got = append(got, fmt.Sprintf("%v %s", l.Tightens, l.Text))
@@ -89,16 +89,16 @@
 // TestBad: what no gatherer could keep is no policy, and is told with its entry.
 func TestBad(t *testing.T) {
 	for want, entries := range map[string][]Entry{
-		"said twice":              {{Kind: OnceOnly, Of: "a"}, {Kind: OnceOnly, Of: "a"}},
-		"lacks its index":         {{Kind: OnceOnly}},
-		"is of all":               {{Kind: Share, Of: "a", Value: 0.1}},
-		"not within 0 and 1":      {{Kind: Least, Of: "a", Value: 1.5}},
-		"wants a zone":            {{Kind: Closed, Of: "s1"}},
-		"has no value":            {{Kind: Closed, Of: "north/", Value: 1}},
-		"least a -1 is not":       {{Kind: Least, Of: "a", Value: -1}},
-		"wants a zone and maybe ": {{Kind: Closed, Of: "/s1"}},
+		"said twice":              {{Kind: NonIdempotent, Subject: "a"}, {Kind: NonIdempotent, Subject: "a"}},
+		"lacks its index":         {{Kind: NonIdempotent}},
+		"is of all":               {{Kind: RetryShare, Subject: "a", Value: 0.1}},
+		"not within 0 and 1":      {{Kind: MinShare, Subject: "a", Value: 1.5}},
+		"wants a zone":            {{Kind: Closed, Subject: "s1"}},
+		"has no value":            {{Kind: Closed, Subject: "north/", Value: 1}},
+		"least a -1 is not":       {{Kind: MinShare, Subject: "a", Value: -1}},
+		"wants a zone and maybe ": {{Kind: Closed, Subject: "/s1"}},
 	} {
-		if _, err := Order(entries); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := New(entries); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
 		}
 	}
@@ -107,7 +107,7 @@
 // TestRecord tells a record's story: what is refused and why, and that a command sent twice counts once.
 func TestRecord(t *testing.T) {
 	r := &Record{}
-	floor := must(t, Entry{Kind: Closed, Of: "south/"}, Entry{Kind: NoCopies})
+	floor := must(t, Entry{Kind: Closed, Subject: "south/"}, Entry{Kind: NoHedging})
 	do := func(c Command, want string) *Change {
 		t.Helper()
 		before := fmt.Sprintf("%+v", *r)
@@ -123,42 +123,42 @@
 	propose := func(base uint64, id string, entries ...Entry) Command {
 		return Command{Propose: &Change{Base: base, ID: id, Policy: must(t, entries...)}}
 	}
-	do(Command{Register: &Member{Name: "g2", Floor: floor, Knows: Kinds()}}, "")
-	do(Command{Register: &Member{Name: "g1", Floor: floor, Knows: []Kind{Closed, NoCopies}}}, "")
-	do(propose(0, "a", Entry{Kind: Closed, Of: "north/s1"}), "g1, cut off, would do what this forbids: closed north/s1")
-	do(propose(0, "a", Entry{Kind: OnceOnly, Of: "x"}), "g1, cut off, would do")
+	do(Command{Register: &Member{Name: "g2", Fallback: floor, KnownKinds: Kinds()}}, "")
+	do(Command{Register: &Member{Name: "g1", Fallback: floor, KnownKinds: []Kind{Closed, NoHedging}}}, "")
+	do(propose(0, "a", Entry{Kind: Closed, Subject: "north/s1"}), "g1, cut off, would do what this forbids: closed north/s1")
+	do(propose(0, "a", Entry{Kind: NonIdempotent, Subject: "x"}), "g1, cut off, would do")
 	do(propose(0, "a"), "changes nothing")
-	one := do(propose(0, "a", Entry{Kind: Closed, Of: "south/s1"}, Entry{Kind: NoCopies, Of: "find"}), "")
-	if again := do(propose(0, "a", Entry{Kind: Closed, Of: "south/s1"}, Entry{Kind: NoCopies, Of: "find"}), ""); again != one || one.Number != 1 {
+	one := do(propose(0, "a", Entry{Kind: Closed, Subject: "south/s1"}, Entry{Kind: NoHedging, Subject: "find"}), "")
+	if again := do(propose(0, "a", Entry{Kind: Closed, Subject: "south/s1"}, Entry{Kind: NoHedging, Subject: "find"}), ""); again != one || one.Number != 1 {
 		t.Errorf("%+v, %+v", one, again)
 	}
-	do(propose(0, "b", Entry{Kind: NoCopies}), "change 1 is being prepared")
-	do(Command{Register: &Member{Name: "g3", Knows: Kinds()}}, "its floor allows what is forbidden: closed south/s1")
-	do(Command{Decide: 2}, "change 2 is not being prepared")
-	do(Command{Decide: 1}, "")
-	do(Command{Decide: 1}, "")
-	do(Command{GiveUp: 1}, "change 1 is not being prepared")
-	do(propose(0, "c", Entry{Kind: NoCopies}), "epoch 1 is in force")
-	do(propose(1, "c", Entry{Kind: Turns, Of: "s1", Value: 0.5}, Entry{Kind: NoCopies}), "g1 does not know the kind turns")
+	do(propose(0, "b", Entry{Kind: NoHedging}), "change 1 is being prepared")
+	do(Command{Register: &Member{Name: "g3", KnownKinds: Kinds()}}, "its floor allows what is forbidden: closed south/s1")
+	do(Command{Commit: 2}, "change 2 is not being prepared")
+	do(Command{Commit: 1}, "")
+	do(Command{Commit: 1}, "")
+	do(Command{Abandon: 1}, "change 1 is not being prepared")
+	do(propose(0, "c", Entry{Kind: NoHedging}), "epoch 1 is in force")
+	do(propose(1, "c", Entry{Kind: HostWeight, Subject: "s1", Value: 0.5}, Entry{Kind: NoHedging}), "g1 does not know the kind turns")
 	do(Command{Forget: "g1"}, "")
 	do(Command{Forget: "g1"}, "no gatherer g1")
-	do(propose(1, "c", Entry{Kind: Turns, Of: "s1", Value: 0.5}, Entry{Kind: NoCopies}), "")
-	do(Command{Register: &Member{Name: "g1", Floor: floor, Knows: []Kind{Closed, NoCopies}}}, "does not know the kind turns")
-	do(Command{GiveUp: 2, Word: "g2 refuses it"}, "")
+	do(propose(1, "c", Entry{Kind: HostWeight, Subject: "s1", Value: 0.5}, Entry{Kind: NoHedging}), "")
+	do(Command{Register: &Member{Name: "g1", Fallback: floor, KnownKinds: []Kind{Closed, NoHedging}}}, "does not know the kind turns")
+	do(Command{Abandon: 2, Reason: "g2 refuses it"}, "")
 	do(Command{}, "an empty command")
-	if r.Epoch != 1 || r.Last != 2 || len(r.History) != 2 || r.History[1].End != GivenUp || r.History[1].Word == "" || len(r.Members) != 1 {
+	if r.Epoch != 1 || r.LastEnded != 2 || len(r.History) != 2 || r.History[1].Outcome != Abandoned || r.History[1].OutcomeReason == "" || len(r.Members) != 1 {
 		t.Errorf("%+v", r)
 	}
-	for n := range uint64(2*kept + 50) {
-		do(propose(r.Epoch, fmt.Sprint("n", n), Entry{Kind: Cold, Value: float64(n%2+1) / 2}), map[bool]string{true: "", false: "would do"}[len(r.Members) == 0])
+	for n := range uint64(2*maxHistory + 50) {
+		do(propose(r.Epoch, fmt.Sprint("n", n), Entry{Kind: WarmUpShare, Value: float64(n%2+1) / 2}), map[bool]string{true: "", false: "would do"}[len(r.Members) == 0])
 		if n == 0 {
 			do(Command{Forget: "g2"}, "")
-			do(propose(r.Epoch, "n0", Entry{Kind: Cold, Value: 0.5}), "")
+			do(propose(r.Epoch, "n0", Entry{Kind: WarmUpShare, Value: 0.5}), "")
 		}
-		do(Command{Decide: r.Last + 1}, "")
+		do(Command{Commit: r.LastEnded + 1}, "")
 	}
-	if len(r.History) < kept || len(r.History) > kept*5/4 || r.Earlier+uint64(len(r.History)) != 2*kept+52 || r.Find("n2049") == nil || r.Find("a") != nil {
-		t.Errorf("%d kept, %d before", len(r.History), r.Earlier)
+	if len(r.History) < maxHistory || len(r.History) > maxHistory*5/4 || r.TrimmedChanges+uint64(len(r.History)) != 2*maxHistory+52 || r.Find("n2049") == nil || r.Find("a") != nil {
+		t.Errorf("%d kept, %d before", len(r.History), r.TrimmedChanges)
 	}
 }
 
@@ -167,118 +167,118 @@
 func TestHolder(t *testing.T) {
 	floor, old, next := bothShut, oldPolicy, newPolicy
 	fit := func(p Policy) error {
-		if p.Has(OnceOnly, "nowhere") {
+		if p.Has(NonIdempotent, "nowhere") {
 			return fmt.Errorf("no index nowhere")
 		}
 		return nil
 	}
-	h := NewHolder(floor, Fence{Epoch: 3, Last: 3}, fit)
+	h := NewLeaseHolder(floor, Revision{Epoch: 3, LastEnded: 3}, fit)
 	acts := func(now float64, want Policy, leased bool) uint64 {
 		t.Helper()
-		p, way := h.Acts(now)
-		if !slices.Equal(p, want) || (h.Until() > 0) != leased {
-			t.Errorf("at %g: acts by %v, lease until %g", now, p, h.Until())
+		p, way := h.Effective(now)
+		if !slices.Equal(p, want) || (h.ExpiresAt() > 0) != leased {
+			t.Errorf("at %g: acts by %v, lease until %g", now, p, h.ExpiresAt())
 		}
 		return way
 	}
 	acts(0, floor, false)
-	if _, _, taken := h.Hear(0, 1, Word{Epoch: 2, Last: 2, Policy: old, Lease: 100}); taken {
+	if _, _, taken := h.Handle(0, 1, Update{Epoch: 2, LastEnded: 2, Policy: old, Lease: 100}); taken {
 		t.Error("went back behind what an earlier process had heard")
 	}
-	h.Hear(1, 5, Word{Epoch: 3, Last: 3, Policy: old, Lease: 100})
+	h.Handle(1, 5, Update{Epoch: 3, LastEnded: 3, Policy: old, Lease: 100})
 	first := acts(5, old, true)
-	h.Hear(10, 20, Word{Epoch: 3, Last: 3, Policy: old, Change: &Change{Number: 4, Policy: next}, Lease: 100})
+	h.Handle(10, 20, Update{Epoch: 3, LastEnded: 3, Policy: old, Pending: &Change{Number: 4, Policy: next}, Lease: 100})
 	acts(20, bothShut, true)
-	if o := h.Hello(20); o.Settled || o.Holds.Change != 4 || !h.May(first, 20) {
+	if o := h.Heartbeat(20); o.Drained || o.Applied.Pending != 4 || !h.Permits(first, 20) {
 		t.Errorf("%+v: lookups in hand may go on", o)
 	}
-	if _, _, taken := h.Hear(15, 21, Word{Epoch: 3, Last: 3, Policy: old, Lease: 100}); taken {
+	if _, _, taken := h.Handle(15, 21, Update{Epoch: 3, LastEnded: 3, Policy: old, Lease: 100}); taken {
 		t.Error("a word without the change came later and was taken")
 	}
-	_, now := h.Acts(22)
-	h.Settle(now)
-	if o := h.Hello(22); !o.Settled || h.May(first, 22) {
+	_, now := h.Effective(22)
+	h.MarkDrained(now)
+	if o := h.Heartbeat(22); !o.Drained || h.Permits(first, 22) {
 		t.Errorf("%+v", o)
 	}
 	acts(109, bothShut, true)
 	acts(110, floor, false) // the lease counts from the question
-	if o := h.Hello(111); o.Holds != (Fence{}) || o.Lapses != 1 || !o.Settled {
+	if o := h.Heartbeat(111); o.Applied != (Revision{}) || o.ExpiredLeases != 1 || !o.Drained {
 		t.Errorf("%+v", o)
 	}
-	h.Hear(50, 200, Word{Epoch: 4, Last: 4, Policy: next, Lease: 100}) // an answer that was long under way
+	h.Handle(50, 200, Update{Epoch: 4, LastEnded: 4, Policy: next, Lease: 100}) // an answer that was long under way
 	acts(200, floor, false)
-	h.Hear(200, 201, Word{Epoch: 4, Last: 4, Policy: next, Lease: 100})
+	h.Handle(200, 201, Update{Epoch: 4, LastEnded: 4, Policy: next, Lease: 100})
 	last := acts(201, next, true)
-	h.Hear(202, 203, Word{Epoch: 4, Last: 4, Policy: next, Change: &Change{Number: 5, Policy: must(t, Entry{Kind: OnceOnly, Of: "nowhere"})}, Lease: 100})
+	h.Handle(202, 203, Update{Epoch: 4, LastEnded: 4, Policy: next, Pending: &Change{Number: 5, Policy: must(t, Entry{Kind: NonIdempotent, Subject: "nowhere"})}, Lease: 100})
 	acts(203, next, true) // what is refused is not acted by
-	if o := h.Hello(204); o.Refuses != 5 || o.Holds.Change != 0 || !strings.Contains(o.Why, "no index nowhere") || !h.May(last, 204) {
+	if o := h.Heartbeat(204); o.RefusedChange != 5 || o.Applied.Pending != 0 || !strings.Contains(o.RefusalReason, "no index nowhere") || !h.Permits(last, 204) {
 		t.Errorf("%+v", o)
 	}
-	h.Hear(205, 206, Word{Epoch: 4, Last: 4, Policy: next, Change: &Change{Number: 5, Policy: Policy{{Kind: "newer"}}}, Lease: 100})
-	if o := h.Hello(207); o.Refuses != 5 || !strings.Contains(o.Why, "newer is not known") {
+	h.Handle(205, 206, Update{Epoch: 4, LastEnded: 4, Policy: next, Pending: &Change{Number: 5, Policy: Policy{{Kind: "newer"}}}, Lease: 100})
+	if o := h.Heartbeat(207); o.RefusedChange != 5 || !strings.Contains(o.RefusalReason, "newer is not known") {
 		t.Errorf("%+v", o)
 	}
-	h.Hear(208, 209, Word{Epoch: 4, Last: 5, Policy: next, Lease: 100})
+	h.Handle(208, 209, Update{Epoch: 4, LastEnded: 5, Policy: next, Lease: 100})
 	acts(209, next, true)
-	h.Hear(210, 211, Word{Epoch: 6, Last: 6, Policy: old, Lease: 100}) // decided, and never prepared here
+	h.Handle(210, 211, Update{Epoch: 6, LastEnded: 6, Policy: old, Lease: 100}) // decided, and never prepared here
 	acts(211, old, true)
-	if h.May(last, 211) || h.lapses != 2 {
-		t.Errorf("what was decided before a change that was never prepared here may still go; %d lapses", h.lapses)
+	if h.Permits(last, 211) || h.expiredLeases != 2 {
+		t.Errorf("what was decided before a change that was never prepared here may still go; %d lapses", h.expiredLeases)
 	}
-	h.Hear(212, 213, Word{Epoch: 7, Last: 7, Policy: must(t, Entry{Kind: OnceOnly, Of: "nowhere"}), Lease: 100})
+	h.Handle(212, 213, Update{Epoch: 7, LastEnded: 7, Policy: must(t, Entry{Kind: NonIdempotent, Subject: "nowhere"}), Lease: 100})
 	acts(213, floor, false)
 }
 
 // TestDesk tells what a steward decides: it waits for all that may act by a lease, gives up for one that refuses, and
 // names who lacks.
 func TestDesk(t *testing.T) {
-	r := &Record{Epoch: 1, Last: 1, Policy: oldPolicy}
+	r := &Record{Epoch: 1, LastEnded: 1, Policy: oldPolicy}
 	for _, name := range []string{"g1", "g2", "g3"} {
-		if err := r.register(Member{Name: name, Floor: bothShut, Knows: Kinds()}); err != nil {
+		if err := r.register(Member{Name: name, Fallback: bothShut, KnownKinds: Kinds()}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	d := Open(r, 1000, 5000, 0)
-	say := func(now float64, name, process string, holds Fence, settled bool, refuses uint64) Word {
-		return d.Hear(now, Hello{Member: Member{Name: name, Floor: bothShut, Knows: Kinds()}, Process: process, Holds: holds, Settled: settled, Refuses: refuses, Why: "no such index"})
+	d := NewLeader(r, 1000, 5000, 0)
+	say := func(now float64, name, process string, holds Revision, settled bool, refuses uint64) Update {
+		return d.Handle(now, Heartbeat{Member: Member{Name: name, Fallback: bothShut, KnownKinds: Kinds()}, Incarnation: process, Applied: holds, Drained: settled, RefusedChange: refuses, RefusalReason: "no such index"})
 	}
 	decide := func(now float64, decided, givenUp uint64, words string) {
 		t.Helper()
 		c, waits := d.Decide(now)
 		got := Command{}
 		if c != nil {
-			got, waits = *c, waits+c.Word
+			got, waits = *c, waits+c.Reason
 		}
-		if got.Decide != decided || got.GiveUp != givenUp || !strings.Contains(waits, words) {
+		if got.Commit != decided || got.Abandon != givenUp || !strings.Contains(waits, words) {
 			t.Errorf("at %g: %+v, %q", now, got, waits)
 		}
 	}
 	decide(0, 0, 0, "")
-	held := Fence{Epoch: 1, Last: 1}
+	held := Revision{Epoch: 1, LastEnded: 1}
 	for _, g := range []string{"g1", "g2", "g3"} {
 		if w := say(10, g, "a", held, true, 0); w.Lease != 1000 {
 			t.Errorf("%+v", w)
 		}
 	}
-	if w := d.Hear(10, Hello{Member: Member{Name: "stranger", Knows: Kinds()}, Process: "a"}); w.Lease != 0 {
+	if w := d.Handle(10, Heartbeat{Member: Member{Name: "stranger", KnownKinds: Kinds()}, Incarnation: "a"}); w.Lease != 0 {
 		t.Errorf("a lease for one that is not known: %+v", w)
 	}
 	if _, err := r.Apply(Command{Propose: &Change{Base: 1, ID: "x", Policy: newPolicy}}); err != nil {
 		t.Fatal(err)
 	}
-	number := r.Change.Number
-	both := Fence{Epoch: 1, Last: 1, Change: number}
+	number := r.Pending.Number
+	both := Revision{Epoch: 1, LastEnded: 1, Pending: number}
 	decide(20, 0, 0, "not prepared yet: g1, g2, g3, stranger")
 	say(30, "g1", "a", both, true, 0)
 	say(30, "g2", "a", both, false, 0)
 	decide(40, 0, 0, "not prepared yet: g2, g3, stranger")
 	say(50, "g2", "a", both, true, 0)
-	say(50, "g3", "b", Fence{}, true, 0) // a new process, that has heard nothing but the change; the one before may still act
+	say(50, "g3", "b", Revision{}, true, 0) // a new process, that has heard nothing but the change; the one before may still act
 	decide(60, 0, 0, "not prepared yet: g3, stranger")
 	decide(1025, 0, 0, "not prepared yet: g3") // a clock may run fast
 	say(1026, "g1", "a", both, true, 0)
 	decide(1031, number, 0, "")
-	if got := d.Standings(1031); len(got) != 3 || got[0].State != Prepared || got[2].State != Prepared {
+	if got := d.MemberStatuses(1031); len(got) != 3 || got[0].State != StatePrepared || got[2].State != StatePrepared {
 		t.Errorf("%+v", got)
 	}
 	say(1040, "g1", "a", both, true, number)
@@ -287,25 +287,25 @@
 	decide(5019, number, 0, "") // all are alone by then
 	say(5019, "g1", "a", held, true, 0)
 	decide(5021, 0, number, "not prepared within 5 s: g1")
-	if _, err := r.Apply(Command{GiveUp: number}); err != nil {
+	if _, err := r.Apply(Command{Abandon: number}); err != nil {
 		t.Fatal(err)
 	}
-	if all, missing := d.Everywhere(5022, d.Standings(5022)); all || len(missing) != 1 {
+	if all, missing := d.AppliedEverywhere(5022, d.MemberStatuses(5022)); all || len(missing) != 1 {
 		t.Errorf("%v, %v", all, missing)
 	}
-	say(5023, "g1", "a", Fence{Epoch: 1, Last: number}, true, 0)
-	if all, missing := d.Everywhere(5024, d.Standings(5024)); !all {
+	say(5023, "g1", "a", Revision{Epoch: 1, LastEnded: number}, true, 0)
+	if all, missing := d.AppliedEverywhere(5024, d.MemberStatuses(5024)); !all {
 		t.Errorf("%v", missing)
 	}
-	if got := d.Standings(5024); got[0].State != Holding || got[1].State != Alone || got[1].Since < 4900 {
+	if got := d.MemberStatuses(5024); got[0].State != StateApplied || got[1].State != StateDetached || got[1].SinceLastPoll < 4900 {
 		t.Errorf("%+v", got)
 	}
-	say(5030, "g2", "c", Fence{}, true, 0) // one that starts anew each second lacks nowhere
-	if all, missing := d.Everywhere(5031, d.Standings(5031)); !all {
+	say(5030, "g2", "c", Revision{}, true, 0) // one that starts anew each second lacks nowhere
+	if all, missing := d.AppliedEverywhere(5031, d.MemberStatuses(5031)); !all {
 		t.Errorf("%v", missing)
 	}
-	later := Open(r, 1000, 5000, 6000)
-	if all, missing := later.Everywhere(6500, later.Standings(6500)); all || !strings.Contains(fmt.Sprint(missing), "steward that led before") {
+	later := NewLeader(r, 1000, 5000, 6000)
+	if all, missing := later.AppliedEverywhere(6500, later.MemberStatuses(6500)); all || !strings.Contains(fmt.Sprint(missing), "steward that led before") {
 		t.Errorf("%v, %v", all, missing)
 	}
 }
@@ -314,8 +314,8 @@
 func BenchmarkMeet(b *testing.B) {
 	var p, q Policy
 	for i := range 40 {
-		p = append(p, Entry{Kind: Closed, Of: fmt.Sprintf("north/s%02d", i)})
-		q = append(q, Entry{Kind: Closed, Of: fmt.Sprintf("north/s%02d", i+20)})
+		p = append(p, Entry{Kind: Closed, Subject: fmt.Sprintf("north/s%02d", i)})
+		q = append(q, Entry{Kind: Closed, Subject: fmt.Sprintf("north/s%02d", i+20)})
 	}
 	for b.Loop() {
 		Intersect(p, q)
@@ -325,11 +325,11 @@
 // BenchmarkDesk is a steward's look at 3,000 gatherers while a change is prepared.
 func BenchmarkDesk(b *testing.B) {
 	r := &Record{}
-	d := Open(r, 10_000, 60_000, 0)
+	d := NewLeader(r, 10_000, 60_000, 0)
 	for i := range 3000 {
-		m := Member{Name: fmt.Sprintf("g%04d", i), Floor: bothShut, Knows: Kinds()}
+		m := Member{Name: fmt.Sprintf("g%04d", i), Fallback: bothShut, KnownKinds: Kinds()}
 		r.Members = append(r.Members, m)
-		d.Hear(1, Hello{Member: m, Process: "a"})
+		d.Handle(1, Heartbeat{Member: m, Incarnation: "a"})
 	}
 	r.Apply(Command{Propose: &Change{Policy: newPolicy}})
 	for b.Loop() {
@@ -342,20 +342,20 @@
 func TestNews(t *testing.T) {
 	change := &Change{Number: 8}
 	for name, c := range map[string]struct {
-		word  Word
-		hello Hello
+		word  Update
+		hello Heartbeat
 		want  bool
 	}{
-		"nothing":            {Word{Epoch: 7, Last: 7}, Hello{Holds: Fence{Epoch: 7, Last: 7}}, false},
-		"proposed":           {Word{Epoch: 7, Last: 7, Change: change}, Hello{Holds: Fence{Epoch: 7, Last: 7}}, true},
-		"prepared":           {Word{Epoch: 7, Last: 7, Change: change}, Hello{Holds: Fence{Epoch: 7, Last: 7, Change: 8}}, false},
-		"decided":            {Word{Epoch: 8, Last: 8}, Hello{Holds: Fence{Epoch: 7, Last: 7, Change: 8}}, true},
-		"given up":           {Word{Epoch: 7, Last: 8}, Hello{Holds: Fence{Epoch: 7, Last: 7, Change: 8}}, true},
-		"refused":            {Word{Epoch: 7, Last: 7, Change: change}, Hello{Holds: Fence{Epoch: 7, Last: 7}, Refuses: 8}, false},
-		"decided for others": {Word{Epoch: 8, Last: 8}, Hello{Holds: Fence{Epoch: 7, Last: 7}, Refuses: 8}, true},
-		"given up, refused":  {Word{Epoch: 7, Last: 8}, Hello{Holds: Fence{Epoch: 7, Last: 7}, Refuses: 8}, true},
+		"nothing":            {Update{Epoch: 7, LastEnded: 7}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7}}, false},
+		"proposed":           {Update{Epoch: 7, LastEnded: 7, Pending: change}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7}}, true},
+		"prepared":           {Update{Epoch: 7, LastEnded: 7, Pending: change}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7, Pending: 8}}, false},
+		"decided":            {Update{Epoch: 8, LastEnded: 8}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7, Pending: 8}}, true},
+		"given up":           {Update{Epoch: 7, LastEnded: 8}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7, Pending: 8}}, true},
+		"refused":            {Update{Epoch: 7, LastEnded: 7, Pending: change}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7}, RefusedChange: 8}, false},
+		"decided for others": {Update{Epoch: 8, LastEnded: 8}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7}, RefusedChange: 8}, true},
+		"given up, refused":  {Update{Epoch: 7, LastEnded: 8}, Heartbeat{Applied: Revision{Epoch: 7, LastEnded: 7}, RefusedChange: 8}, true},
 	} {
-		if c.word.News(c.hello) != c.want {
+		if c.word.IsNewTo(c.hello) != c.want {
 			t.Errorf("%s: news %v", name, !c.want)
 		}
 	}
