--- /dev/null
+++ b/logic/policy/kinds.go
@@ -0,0 +1,110 @@
+package policy
+
+// Kind says what an entry of a policy restricts. Its texts are those of the protocol.
+type Kind string
+
+// The kinds of entries. A gatherer refuses a change that holds a kind it does not know, and the change is
+// abandoned.
+const (
+	// NonIdempotent makes queries of a class non-idempotent: no shard request that may have run is sent
+	// again.
+	NonIdempotent Kind = "once-only"
+	// NoHedging forbids two requests for one shard at the same time, for a class or for all.
+	NoHedging Kind = "no-copies"
+	// MinShare is the min share of a class, below which no answer is given.
+	MinShare Kind = "least"
+	// RetryShare bounds retries and hedges, as a share of the admitted queries and shard requests.
+	RetryShare Kind = "budget-share"
+	// RetryAllowance is the number of retries and hedges that are permitted beyond that share.
+	RetryAllowance Kind = "budget-free"
+	// WarmUpShare is the share of their usual traffic that servers which are warming up are sent.
+	WarmUpShare Kind = "cold"
+	// Closed stops new requests to a zone (subject ZONE/) or to a host (subject ZONE/HOST).
+	Closed Kind = "closed"
+	// HostWeight is the share of its usual traffic that a host is sent.
+	HostWeight Kind = "turns"
+)
+
+// Kinds returns the kinds that this version knows, ordered by name.
+func Kinds() []Kind {
+	return []Kind{Closed, WarmUpShare, RetryAllowance, MinShare, NoHedging, NonIdempotent, RetryShare, HostWeight}
+}
+
+// subjectKind says what the subject of an entry names.
+type subjectKind string
+
+const (
+	noSubject    subjectKind = ""
+	classSubject subjectKind = "index"
+	placeSubject subjectKind = "place" // a zone, or a host in it
+	hostSubject  subjectKind = "host"
+)
+
+// kindTraits describe a kind of entry.
+type kindTraits struct {
+	subject         subjectKind
+	flag            bool // the entry has no value
+	higherIsTighter bool // of two values; otherwise the lower one is tighter
+	advisory        bool // no rule depends on it, so a fallback policy need not have it
+	maxValue        float64
+	tightenText     string // says that a change tightens the entry
+	loosenText      string // says that a change loosens it
+	removeText      string // says that a change removes it
+}
+
+const maxRetryAllowance = 1e6
+
+var traits = map[Kind]kindTraits{
+	NonIdempotent: {
+		subject:     classSubject,
+		flag:        true,
+		tightenText: "is once-only now",
+		removeText:  "is as the platform has it again",
+	},
+	NoHedging: {
+		subject:     classSubject,
+		flag:        true,
+		tightenText: "second copies no longer allowed",
+		removeText:  "second copies allowed again as the platform has it",
+	},
+	MinShare: {
+		subject:         classSubject,
+		higherIsTighter: true,
+		maxValue:        1,
+		tightenText:     "least share raised",
+		loosenText:      "least share lowered",
+		removeText:      "least share is the platform's again",
+	},
+	RetryShare: {
+		maxValue:    1,
+		tightenText: "budget of further calls lowered",
+		loosenText:  "budget of further calls raised",
+		removeText:  "budget of further calls is the platform's again",
+	},
+	RetryAllowance: {
+		maxValue:    maxRetryAllowance,
+		tightenText: "free further calls lowered",
+		loosenText:  "free further calls raised",
+		removeText:  "free further calls are the platform's again",
+	},
+	WarmUpShare: {
+		maxValue:    1,
+		tightenText: "cold servers are sent less",
+		loosenText:  "cold servers are sent more",
+		removeText:  "cold servers are sent what the rule allows again",
+	},
+	Closed: {
+		subject:     placeSubject,
+		flag:        true,
+		tightenText: "closed",
+		removeText:  "open again",
+	},
+	HostWeight: {
+		subject:     hostSubject,
+		advisory:    true,
+		maxValue:    1,
+		tightenText: "gets fewer turns",
+		loosenText:  "gets more turns",
+		removeText:  "gets its plain turns again",
+	},
+}
--- a/logic/policy/policy_test.go
+++ b/logic/policy/policy_test.go
@@ -22,7 +22,7 @@
 	var entries []Entry
 	for _, k := range Kinds() {
 		tr := traits[k]
-		for _, of := range map[string][]string{"": {""}, "index": {"find", "claim"}, "place": {"north/", "north/s1", "south/s2"}, "host": {"s1", "s2"}}[tr.subject] {
+		for _, of := range map[subjectKind][]string{"": {""}, "index": {"find", "claim"}, "place": {"north/", "north/s1", "south/s2"}, "host": {"s1", "s2"}}[tr.subject] {
 			if rapid.IntRange(0, 2).Draw(t, name) == 0 {
 				e := Entry{Kind: k, Subject: of}
 				if !tr.flag {
