--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -45,7 +45,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.admitted = stats.From(g.admitted, now-g.window)
+	g.admitted = stats.SortedFrom(g.admitted, now-g.window)
 	for range n {
 		g.admitted = append(g.admitted, now)
 	}
@@ -58,8 +58,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.charged = stats.From(g.charged, now-g.window-clockTolerance)
-	if float64(len(g.charged)+1) > g.free+g.share*float64(len(stats.From(g.admitted, now-g.window+clockTolerance))) {
+	g.charged = stats.SortedFrom(g.charged, now-g.window-clockTolerance)
+	if float64(len(g.charged)+1) > g.free+g.share*float64(len(stats.SortedFrom(g.admitted, now-g.window+clockTolerance))) {
 		return false
 	}
 	g.charged = append(g.charged, now)
