--- a/internal/gatherer/dispatch/crossings_test.go
+++ b/internal/gatherer/dispatch/crossings_test.go
@@ -14,16 +14,16 @@
 	now := 1000.0
 	for _, further := range []bool{false, true} {
 		p := newPicker(t, nil)
-		p.clock = func() float64 { return now }
+		p.clock.override = func() float64 { return now }
 		p.RunRoundNow()
 		ctx, leave := context.WithCancel(t.Context())
 		done := make(chan Result, 1)
 		lk := lookup("all", 1, now+1000)
 		go func() { done <- p.Pick(ctx, lk) }()
 		for taken := 0; taken == 0; runtime.Gosched() {
-			p.mu.Lock()
-			taken = len(p.inbox.admitted)
-			p.mu.Unlock()
+			p.intake.mu.Lock()
+			taken = len(p.intake.inbox.admitted)
+			p.intake.mu.Unlock()
 		}
 		now += 5
 		calls := p.RunRoundNow().Send
@@ -69,7 +69,7 @@
 			s.FindClass("all").Effect = gather.IdempotencyKeyed
 			s.FindClass("all").IdempotencyWindow = 100.0
 		})
-		p.clock = func() float64 { return now }
+		p.clock.override = func() float64 { return now }
 		p.RunRoundNow()
 		lk := lookup("all", 1, now+1000)
 		p.Submit(lk)
--- a/internal/gatherer/dispatch/owned_test.go
+++ b/internal/gatherer/dispatch/owned_test.go
@@ -25,8 +25,8 @@
 		*s = *OwnershipSettings(s, 16)
 	})
 	p.EnableOwnership(16, 4)
-	p.module = p.newModule(5, p.settings)
-	p.clock = func() float64 { return p.lastRoundAt + 4 }
+	p.module.Module = p.module.build(5, p.settings)
+	p.clock.override = func() float64 { return p.schedule.lastAt + 4 }
 	names := map[uint32]string{}
 	for i := range uint32(6) {
 		names[10+i] = fmt.Sprint("h", i)
@@ -47,7 +47,7 @@
 func take(p *Picker, now float64, index, id string, parts int) (*Query, []*Attempt) {
 	lk := lookup(index, parts, now+2000)
 	lk.ID = id
-	p.admit(lk)
+	p.submit(lk)
 	return lk, p.runRound(now).Send
 }
 
@@ -186,7 +186,7 @@
 		p, m := newOwned(t, nil)
 		lk := lookup("any", 2, 3000)
 		lk.ID = "a"
-		p.admit(lk)
+		p.submit(lk)
 		at := ownership.Slot(0, 4).Lo + ownership.Slot(0, 4).Hi/4
 		split, err := m.Split("s0", at, "l", "r")
 		var calls []*Attempt
@@ -493,7 +493,7 @@
 				lk := lookup([]string{"any", "all"}[draw(2)], 1+draw(4), now+900)
 				lk.ID = fmt.Sprint("l", landed)
 				landed++
-				p.admit(lk)
+				p.submit(lk)
 				held[lk] = nil
 			}
 			rest := outs[:0]
@@ -577,8 +577,8 @@
 		if ends != landed || landed < 400 || whole < landed/3 || moves < 80 {
 			t.Errorf("seed %d: %d of %d lookups answered, %d whole, %d moves", seed, ends, landed, whole, moves)
 		}
-		if p.held != 0 || len(p.queries)+len(p.shardRequests) != 0 {
-			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.held, len(p.queries), len(p.shardRequests))
+		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
+			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
--- /dev/null
+++ b/internal/gatherer/dispatch/ownership.go
@@ -0,0 +1,310 @@
+package dispatch
+
+import (
+	"slices"
+
+	"yokeroute/gather"
+	"yokeroute/logic/ownership"
+)
+
+// minPieceShare keeps a piece's share of its shard request finite where the weight is tiny.
+const minPieceShare = 1e-9
+
+// piece is what the module decides on in place of a shard request where a map says who owns which keys: the request,
+// or some of its keys.
+type piece struct {
+	ownership.Held
+	replaced bool // others stand for its keys
+}
+
+// send notes an attempt at the piece.
+func (pc *piece) send(a *Attempt) {
+	a.owned = true
+	a.keys = pc.Range
+	a.segment = pc.Segment
+	a.ownedSince = pc.Since
+	a.usesRetryBudget = a.usesRetryBudget || pc.Called && a.number == 0
+	pc.Out++
+}
+
+// coversShardRequest reports whether a piece stands for all of its shard request.
+func (q *Query) coversShardRequest(i int) bool {
+	for j := range q.pieces {
+		if j != i && !q.pieces[j].replaced && q.pieces[j].Part == q.pieces[i].Part {
+			return false
+		}
+	}
+	return true
+}
+
+// ownershipState is what the picker knows of who owns which keys.
+type ownershipState struct {
+	ownership.Follower
+	index         *ownership.Index
+	shards        int // that the keys are divided into
+	serverNames   map[uint32]string
+	ownedSets     map[string][]int // replica sets of the segments that a server owns, by its name
+	mapRequested  chan struct{}    // has a value while the map that is known is not the newest
+	parked        int              // pieces that wait for a map
+	refusedPieces int              // by servers that do not own them, since the last round
+}
+
+// EnableOwnership has queries sent to the owners of their keys, by the maps that are handed in, of maxSegments at most.
+// The module's settings must be those of OwnershipSettings.
+func (p *Picker) EnableOwnership(maxSegments, shards int) {
+	p.ownership = &ownershipState{
+		index:        ownership.NewIndex(maxSegments),
+		shards:       shards,
+		serverNames:  map[uint32]string{},
+		mapRequested: make(chan struct{}, 1),
+	}
+}
+
+// OwnershipSettings are a module's settings where so many segments can be owned: each segment is a replica set, and its
+// writer another one.
+func OwnershipSettings(settings *gather.Settings, maxSegments int) *gather.Settings {
+	s := settings.Clone()
+	s.ReplicaSets = ownership.NewIndex(maxSegments).Nowhere() + 1
+	s.ReplicaSetsPerShard = 1
+	return s
+}
+
+// MapRequested returns a channel that has a value when the newest map is needed.
+func (p *Picker) MapRequested() <-chan struct{} { return p.ownership.mapRequested }
+
+// mapUpdate is a change of the map, or a full one.
+type mapUpdate struct {
+	change ownership.Change
+	full   *ownership.Map
+}
+
+// ApplyMapChange hands in a change of the map.
+func (p *Picker) ApplyMapChange(c ownership.Change) {
+	p.intake.enqueue(func(in *inbox) { in.mapUpdates = append(in.mapUpdates, mapUpdate{change: c}) })
+}
+
+// SetMap hands in a full map.
+func (p *Picker) SetMap(m *ownership.Map) {
+	p.intake.enqueue(func(in *inbox) { in.mapUpdates = append(in.mapUpdates, mapUpdate{full: m}) })
+}
+
+// SetServerNames hands in the names of the listed servers, by which maps know them.
+func (p *Picker) SetServerNames(names map[uint32]string) {
+	p.intake.enqueue(func(in *inbox) { in.serverNames = names })
+}
+
+// Map is the newest map known, and whether sources contradict each other. It must be called on the goroutine that runs
+// rounds.
+func (p *Picker) Map() (m *ownership.Map, contradicted bool) {
+	return p.ownership.Map, p.ownership.Doubt > 0
+}
+
+func (o *ownershipState) requestMap() {
+	select {
+	case o.mapRequested <- struct{}{}:
+	default: // requested already
+	}
+}
+
+// applyMapUpdates takes over updates of the map and puts into the endpoint lists which segments each server owns. It
+// reports whether the map, or the trust in it, has changed.
+func (p *Picker) applyMapUpdates(in *inbox) bool {
+	o := p.ownership
+	changed := false
+	for i := range in.mapUpdates {
+		if p.applyMapUpdate(&in.mapUpdates[i]) {
+			changed = true
+		}
+	}
+	if changed && o.Doubt > 0 && o.Follower.Map != nil && o.Follower.Map.Epoch > o.Doubt {
+		o.requestMap() // as a full one, this map ends the doubt
+	}
+	if in.serverNames != nil {
+		o.serverNames = in.serverNames
+	}
+	if o.Follower.Map == nil {
+		return false
+	}
+	if changed {
+		if o.index.Take(o.Follower.Map) {
+			p.log.Error("map of segments: more segments than were reckoned with; the last ones are asked by nobody")
+		}
+		o.ownedSets = o.index.Holds(o.Follower.Map)
+	}
+	if changed || in.serverNames != nil {
+		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: p.endpoints.all()})
+	}
+	rewriteEndpoints(in.EndpointLists, func(e *gather.Endpoint) {
+		e.ReplicaSets = o.ownedSets[o.serverNames[e.ID]]
+		if e.ReplicaSets == nil { // nil would stand for its own
+			e.ReplicaSets = []int{}
+		}
+	})
+	return changed
+}
+
+// applyMapUpdate takes over one update. It reports whether the map, or the trust in it, has changed.
+func (p *Picker) applyMapUpdate(update *mapUpdate) bool {
+	o := p.ownership
+	var verdict ownership.Verdict
+	var err error
+	if update.full != nil {
+		verdict, err = o.Reset(update.full)
+	} else {
+		verdict, err = o.Take(update.change)
+	}
+	log := p.log.WithField("verdict", string(verdict))
+	switch verdict {
+	case ownership.Applied:
+		log.WithField("epoch", o.Follower.Map.Epoch).Info("map of segments: a new epoch")
+		if p.store != nil {
+			if err := p.store.SaveMap(o.Follower.Map); err != nil {
+				p.log.WithError(err).Error("the map of segments could not be written down")
+			}
+		}
+		return true
+	case ownership.Contradicts:
+		log.WithError(err).Error("map of segments: sources contradict each other; once-only lookups wait for a later map")
+		o.requestMap()
+		return true
+	case ownership.Garbled:
+		log.WithError(err).Warn("map of segments: news that makes no sense; the map is asked for whole")
+		o.requestMap()
+	case ownership.Skipped:
+		log.Debug("map of segments: asked for whole")
+		o.requestMap()
+	}
+	return false
+}
+
+// splitByOwner divides a query's shard requests into pieces by owner and hands them to the module.
+func (p *Picker) splitByOwner(in *gather.Round, query *Query) {
+	o := p.ownership
+	ranges := make([]ownership.Range, len(query.ShardRequests))
+	weights := make([]float64, len(query.ShardRequests))
+	for i, r := range query.ShardRequests {
+		ranges[i] = ownership.Slot(r.Shard, o.shards)
+		weights[i] = r.Weight
+	}
+	m := o.Follower.Map
+	if m == nil {
+		m = &ownership.Map{} // no owner is known
+	}
+	query.pieces = make([]piece, 0, len(query.ShardRequests))
+	query.values = query.values[:0]
+	query.attempts = query.attempts[:0]
+	for _, fresh := range m.Begin(ranges, weights, p.nonIdempotent(query) && o.Doubt > 0) {
+		p.addPiece(in, query, fresh)
+	}
+}
+
+// addPiece hands one piece to the module.
+func (p *Picker) addPiece(in *gather.Round, query *Query, fresh ownership.Fresh) {
+	held := ownership.Held{
+		ID:     p.intake.allocate(1),
+		Part:   fresh.Part,
+		Range:  fresh.Range,
+		Weight: fresh.Weight,
+		Called: fresh.Again,
+		Parked: fresh.Parked,
+	}
+	replicaSet := p.ownership.assignSegment(&held, fresh.Segment, p.settings.Class(query.Class).Effect)
+	p.queries.requests[held.ID] = requestRef{query, len(query.pieces)}
+	query.pieces = append(query.pieces, piece{Held: held})
+	query.values = append(query.values, nil)
+	query.attempts = append(query.attempts, nil)
+	request := &query.ShardRequests[fresh.Part]
+	share := fresh.Weight / max(request.Weight, minPieceShare)
+	in.Requests = append(in.Requests, gather.ShardRequest{
+		ID:     held.ID,
+		Number: query.id,
+		Shard:  replicaSet,
+		Weight: fresh.Weight,
+		Cost:   request.Cost * share,
+		Key:    request.Key,
+		Retry:  fresh.Again,
+	})
+}
+
+// assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set that
+// stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds them.
+func (o *ownershipState) assignSegment(held *ownership.Held, segment int, effect gather.Effect) (replicaSet int) {
+	if o.Follower.Map != nil {
+		held.Since = o.Follower.Map.Epoch
+	}
+	if segment < 0 {
+		return o.index.Nowhere()
+	}
+	s := &o.Follower.Map.Segments[segment]
+	held.Segment = s.Name
+	held.Since = s.Since
+	all, writer := o.index.Groups(s.Name)
+	if effect == gather.Idempotent {
+		return all
+	}
+	return writer
+}
+
+// reassignPieces gives the pieces of open queries to their present owners, where the map has changed or pieces are
+// parked or were refused.
+func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
+	o := p.ownership
+	if o.Follower.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
+		return
+	}
+	ids := make([]uint64, 0, len(p.queries.byID))
+	for id := range p.queries.byID {
+		ids = append(ids, id)
+	}
+	slices.Sort(ids) // the module must not depend on a map's order
+	o.parked = 0
+	for _, id := range ids {
+		p.reassignPiecesOf(in, p.queries.byID[id], now)
+	}
+	if o.refusedPieces > 0 {
+		o.requestMap()
+		o.refusedPieces = 0
+	}
+}
+
+func (p *Picker) reassignPiecesOf(in *gather.Round, query *Query, now float64) {
+	o := p.ownership
+	held := make([]ownership.Held, 0, len(query.pieces))
+	for i := range query.pieces {
+		if !query.pieces[i].replaced {
+			held = append(held, query.pieces[i].Held)
+		}
+	}
+	replaced, fresh := o.Follower.Map.Rehome(held, p.nonIdempotent(query), o.Doubt == 0, now)
+	for _, id := range replaced {
+		query.pieces[p.queries.requests[id].index].replaced = true
+		delete(p.queries.requests, id)
+	}
+	in.Superseded = append(in.Superseded, replaced...)
+	for _, f := range fresh {
+		p.addPiece(in, query, f)
+	}
+	for i := range query.pieces {
+		if pc := &query.pieces[i]; !pc.replaced && pc.Parked > 0 {
+			o.parked++
+		}
+	}
+}
+
+// recordPieceEnd notes the end of an attempt at a piece.
+func (p *Picker) recordPieceEnd(end *attemptEnd) {
+	pc := &end.attempt.query.pieces[end.attempt.index]
+	pc.Out--
+	switch {
+	case end.outcome == gather.Succeeded:
+		pc.In = true
+	case end.outcome == gather.NotOwner:
+		pc.Refused = true
+		p.ownership.refusedPieces++
+	case !end.outcome.NeverExecuted():
+		pc.MayRun = true
+	}
+	if end.attempt.WriteBegun() {
+		pc.Called = true
+	}
+}
--- a/internal/gatherer/dispatch/pick_test.go
+++ b/internal/gatherer/dispatch/pick_test.go
@@ -89,7 +89,7 @@
 		})
 		if step%4 == 1 && step < 300 {
 			lk := lookup([]string{"any", "all"}[step/4%2], 2+step%5, now+2500)
-			p.admit(lk)
+			p.submit(lk)
 			held[lk], last = true, lk
 			for i := range 1 + len(lk.ShardRequests) {
 				fmt.Fprintf(&batch, `{"cmd":"Accept","gathererId":0,"ref":%d,"cls":%q,"query":%d,"shard":%d,"amount":%v,"giveUpAt":%.0f}`+"\n",
@@ -98,7 +98,7 @@
 		}
 		if step%12 == 3 && held[last] { // its client goes away
 			delete(held, last)
-			p.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.id) })
+			p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.id) })
 			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", last.id)
 		}
 		fmt.Fprintln(&batch, `{"cmd":"DeadlineHit","gathererId":0}`+"\n"+`{"cmd":"YourTurn"}`)
@@ -336,13 +336,13 @@
 	for i := range uint32(2000) {
 		p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
 		lk := lookup("any", 2, 1000+float64(i)*5+1000)
-		p.admit(lk)
+		p.submit(lk)
 		for _, c := range p.runRound(1000 + float64(i)*5).Send {
 			p.Report(c, gather.Succeeded, []byte("v"))
 		}
 	}
 	p.runRound(1000 + 2001*5)
-	if len(p.endpoints) != 7 || len(p.endpointOrder) != 7 || len(p.queries) > 1 || len(p.shardRequests) > 2 || p.held > 3 {
-		t.Errorf("%d servers, %d ids, %d lookups, %d parts, %d held", len(p.endpoints), len(p.endpointOrder), len(p.queries), len(p.shardRequests), p.held)
+	if len(p.endpoints.byID) != 7 || len(p.endpoints.order) != 7 || len(p.queries.byID) > 1 || len(p.queries.requests) > 2 || p.intake.held > 3 {
+		t.Errorf("%d servers, %d ids, %d lookups, %d parts, %d held", len(p.endpoints.byID), len(p.endpoints.order), len(p.queries.byID), len(p.queries.requests), p.intake.held)
 	}
 }
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -7,61 +7,72 @@
 	"yokeroute/internal/stats"
 )
 
-// retryBudget keeps the budget of further part calls at the moment that counts. The module counts a call when it decides on
-// it; the rule counts it when its bytes go, which is later by what a new connection takes. Calls that waited
-// together would come together, in a window in which less was taken than when they were decided on.
+// clockTolerance is by how many milliseconds others may time an event differently.
+const clockTolerance = 1.0
+
+// retryBudget counts retries and hedged requests when their first byte is written. The module counts them when it
+// decides on them, which is earlier by what a new connection takes: attempts that waited together would go together, in
+// a window in which fewer requests were admitted than when they were decided on.
+//
+// A nil retryBudget allows everything.
 type retryBudget struct {
-	window, free, share float64
+	window float64 // milliseconds
 
-	mu                sync.Mutex
-	admitted, charged []float64
+	mu       sync.Mutex
+	floor    float64   // retries that are always allowed in a window
+	ratio    float64   // more of them for each request admitted in it
+	admitted []float64 // times of queries and shard requests, in the window
+	charged  []float64 // times of retries, likewise
 }
 
-// clockTolerance is by how many milliseconds others may see a moment otherwise than we do.
-const clockTolerance = 1.0
-
-// newRetryBudget is nil where the terms tell no budget: the module keeps one of its own then, which is no rule.
+// newRetryBudget returns nil where the settings have no budget: the module keeps one of its own, which is no rule.
 func newRetryBudget(settings *gather.Settings) *retryBudget {
 	if settings.RetryBudgetWindow == 0 {
 		return nil
 	}
-	return &retryBudget{window: settings.RetryBudgetWindow, free: settings.RetryBudgetFloor, share: settings.RetryBudgetRatio}
+	return &retryBudget{
+		window: settings.RetryBudgetWindow,
+		floor:  settings.RetryBudgetFloor,
+		ratio:  settings.RetryBudgetRatio,
+	}
 }
 
-// update takes over other figures; what was booked stays booked.
-func (g *retryBudget) update(settings *gather.Settings) {
-	if g == nil {
+// update takes over a new floor and ratio; what has been counted stays counted.
+func (b *retryBudget) update(settings *gather.Settings) {
+	if b == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.free, g.share = settings.RetryBudgetFloor, settings.RetryBudgetRatio
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.floor = settings.RetryBudgetFloor
+	b.ratio = settings.RetryBudgetRatio
 }
 
-// admit notes a lookup taken, with its parts.
-func (g *retryBudget) admit(now float64, n int) {
-	if g == nil {
+// admit counts a query with its shard requests.
+func (b *retryBudget) admit(now float64, size int) {
+	if b == nil {
 		return
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.admitted = stats.SortedFrom(g.admitted, now-g.window)
-	for range n {
-		g.admitted = append(g.admitted, now)
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.admitted = stats.SortedFrom(b.admitted, now-b.window)
+	for range size {
+		b.admitted = append(b.admitted, now)
 	}
 }
 
-// charge reports whether one more further call may go now, and books it if so.
-func (g *retryBudget) charge(now float64) bool {
-	if g == nil {
+// charge reports whether one more retry may be written now, and counts it if so.
+func (b *retryBudget) charge(now float64) bool {
+	if b == nil {
 		return true
 	}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	g.charged = stats.SortedFrom(g.charged, now-g.window-clockTolerance)
-	if float64(len(g.charged)+1) > g.free+g.share*float64(len(stats.SortedFrom(g.admitted, now-g.window+clockTolerance))) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.charged = stats.SortedFrom(b.charged, now-b.window-clockTolerance)
+	admitted := stats.SortedFrom(b.admitted, now-b.window+clockTolerance)
+	if float64(len(b.charged)+1) > b.floor+b.ratio*float64(len(admitted)) {
 		return false
 	}
-	g.charged = append(g.charged, now)
+	b.charged = append(b.charged, now)
 	return true
 }
--- a/internal/gatherer/dispatch/twice_test.go
+++ b/internal/gatherer/dispatch/twice_test.go
@@ -24,7 +24,7 @@
 	})
 	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
 	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: whole, MinShare: least, FirstPassShare: 0.3, TrialShare: 0.5}})
-	p.clock = func() float64 { return p.lastRoundAt + 4 } // what is reported before a round came just before it
+	p.clock.override = func() float64 { return p.schedule.lastAt + 4 } // what is reported before a round came just before it
 	p.runRound(1000)
 	for id := uint32(10); id < 16; id++ {
 		p.SetAnswersFirstPass(id, true)
@@ -37,7 +37,7 @@
 func land(p *Picker, now float64, id string, parts int) (*Query, Actions) {
 	lk := lookup("any", parts, now+2000)
 	lk.ID = id
-	p.admit(lk)
+	p.submit(lk)
 	return lk, p.runRound(now)
 }
 
@@ -120,8 +120,8 @@
 					t.Errorf("hit %+v, empty %v", h, v.EmptyShards)
 				}
 			}
-			if p.held != 0 || len(p.queries)+len(p.shardRequests)+len(p.twoPass.queries) != 0 {
-				t.Errorf("%d held, %d lookups, %d parts, %d in two phases", p.held, len(p.queries), len(p.shardRequests), len(p.twoPass.queries))
+			if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
+				t.Errorf("%d held, %d lookups, %d parts, %d in two phases", p.intake.held, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
 			}
 		})
 	}
@@ -187,7 +187,7 @@
 			calls = p.runRound(now).Send
 			now += 5
 		}
-		p.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.id) })
+		p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.id) })
 		lk.seal() // as Pick does
 		o = p.runRound(now)
 		if v, done := told(lk); !done || v.Kind != Abandoned {
@@ -201,8 +201,8 @@
 		for _, c := range calls {
 			p.Report(c, gather.Cancelled, nil)
 		}
-		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries)+len(p.twoPass.queries)+p.held != 0 {
-			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Send), len(p.queries))
+		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries.byID)+len(p.twoPass.queries)+p.intake.held != 0 {
+			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Send), len(p.queries.byID))
 		}
 	}
 }
@@ -294,7 +294,7 @@
 				lk := lookup("any", 1+int(chance.Uint32()%6), now+300+500*chance.Float64())
 				lk.ID = fmt.Sprint("l", landed)
 				landed++
-				p.admit(lk)
+				p.submit(lk)
 				held[lk] = true
 				for range 1 + len(lk.ShardRequests) {
 					takenAt = append(takenAt, now)
@@ -375,8 +375,8 @@
 		if ends != landed || landed < 500 || two < 100 || further < 10 {
 			t.Errorf("seed %d: %d of %d lookups answered, %d in two phases, %d further calls", seed, ends, landed, two, further)
 		}
-		if p.held != 0 || len(p.queries)+len(p.shardRequests)+len(p.twoPass.queries) != 0 {
-			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.held, len(p.queries), len(p.shardRequests))
+		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
+			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
