--- a/internal/gatherer/dispatch/attempt.go
+++ b/internal/gatherer/dispatch/attempt.go
@@ -151,7 +151,7 @@
 	if a.FirstPass() && outcome == gather.Succeeded {
 		var err error
 		if end.summary, err = twopass.ParseSummary(value); err != nil {
-			p.log.WithError(err).WithField("server", a.Server).Warn("first pass: an answer that proves nothing")
+			p.log.WithError(err).WithField("server", a.Server).Warn("first pass: unreadable summary")
 			end.outcome = gather.Failed
 		}
 	}
--- a/internal/gatherer/dispatch/module.go
+++ b/internal/gatherer/dispatch/module.go
@@ -48,7 +48,8 @@
 func (p *Picker) runModule(in *gather.Round) {
 	defer func() {
 		if cause := recover(); cause != nil {
-			p.log.WithField("stack", string(debug.Stack())).Errorf("decision module: %v; starting it anew", cause)
+			log := p.log.WithField("panic", cause).WithField("stack", string(debug.Stack()))
+			log.Error("decision module: panicked, restarting")
 			p.restartModule()
 		}
 	}()
--- a/internal/gatherer/dispatch/nonidempotent.go
+++ b/internal/gatherer/dispatch/nonidempotent.go
@@ -33,7 +33,7 @@
 	if p.store == nil || !p.nonIdempotent(query) || !p.store.MayHaveRun(query.ID, query.Retried, now) {
 		return false
 	}
-	p.log.WithField("lookup", query.ID).Warn("a once-only lookup of this name may have run: aborted")
+	p.log.WithField("query", query.ID).Warn("non-idempotent query: may have run before, failed")
 	p.queries.finished = append(p.queries.finished, query)
 	query.recorded = true
 	p.deliver(query, Result{Kind: Failed})
@@ -64,7 +64,7 @@
 	if err == nil {
 		return
 	}
-	p.log.WithError(err).Error("once-only calls could not be written down, and are not sent")
+	p.log.WithError(err).Error("non-idempotent queries: not recorded, not sent")
 	for _, a := range p.actions.Send {
 		if slices.Contains(unrecorded, a.query.root()) {
 			a.cancelled.Store(true)
@@ -81,6 +81,6 @@
 		return
 	}
 	if err := p.store.RecordNotRun(query.ID); err != nil {
-		p.log.WithError(err).Error("that a once-only lookup did not run could not be written down; its name stays known")
+		p.log.WithError(err).Error("non-idempotent query: rejection not recorded, its ID stays in use")
 	}
 }
--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -127,7 +127,7 @@
 	}
 	if changed {
 		if o.index.Take(o.Follower.Map) {
-			p.log.Error("map of segments: more segments than were reckoned with; the last ones are asked by nobody")
+			p.log.Error("segment map: too many segments, the last ones are not served")
 		}
 		o.ownedSets = o.index.Holds(o.Follower.Map)
 	}
@@ -156,22 +156,22 @@
 	log := p.log.WithField("verdict", string(verdict))
 	switch verdict {
 	case ownership.Applied:
-		log.WithField("epoch", o.Follower.Map.Epoch).Info("map of segments: a new epoch")
+		log.WithField("epoch", o.Follower.Map.Epoch).Info("segment map: new epoch")
 		if p.store != nil {
 			if err := p.store.SaveMap(o.Follower.Map); err != nil {
-				p.log.WithError(err).Error("the map of segments could not be written down")
+				p.log.WithError(err).Error("segment map: not saved")
 			}
 		}
 		return true
 	case ownership.Contradicts:
-		log.WithError(err).Error("map of segments: sources contradict each other; once-only lookups wait for a later map")
+		log.WithError(err).Error("segment map: contradicting sources, non-idempotent queries wait for a later epoch")
 		o.requestMap()
 		return true
 	case ownership.Garbled:
-		log.WithError(err).Warn("map of segments: news that makes no sense; the map is asked for whole")
+		log.WithError(err).Warn("segment map: invalid update, requesting the full map")
 		o.requestMap()
 	case ownership.Skipped:
-		log.Debug("map of segments: asked for whole")
+		log.Debug("segment map: epochs missed, requesting the full map")
 		o.requestMap()
 	}
 	return false
