--- a/internal/gatherer/dispatch/crossings_test.go
+++ b/internal/gatherer/dispatch/attempt_test.go
@@ -8,9 +8,9 @@
 	"yokeroute/gather"
 )
 
-// TestGoneBeforeWritten: a client goes between the decision on a part call and its first byte: of its first call, of
-// its retry, of a second copy. None begins.
-func TestGoneBeforeWritten(t *testing.T) {
+// TestAbandonedAttemptIsNotWritten has a client go between the decision on an attempt and its first byte: of the
+// first attempt, of a retry. None begins.
+func TestAbandonedAttemptIsNotWritten(t *testing.T) {
 	now := 1000.0
 	for _, further := range []bool{false, true} {
 		p := newPicker(t, nil)
@@ -18,40 +18,41 @@
 		p.RunRoundNow()
 		ctx, leave := context.WithCancel(t.Context())
 		done := make(chan Result, 1)
-		lk := lookup("all", 1, now+1000)
-		go func() { done <- p.Pick(ctx, lk) }()
+		query := newQuery("all", 1, now+1000)
+		go func() { done <- p.Pick(ctx, query) }()
 		for taken := 0; taken == 0; runtime.Gosched() {
 			p.intake.mu.Lock()
 			taken = len(p.intake.inbox.admitted)
 			p.intake.mu.Unlock()
 		}
 		now += 5
-		calls := p.RunRoundNow().Send
-		if len(calls) != 1 {
-			t.Fatalf("%d calls", len(calls))
+		attempts := p.RunRoundNow().Send
+		if len(attempts) != 1 {
+			t.Fatalf("%d attempts", len(attempts))
 		}
 		if further { // it is turned away, so that its part is called again
-			calls[0].BeginWrite()
-			calls[0].EndWrite()
-			p.Report(calls[0], gather.Rejected, nil)
+			attempts[0].BeginWrite()
+			attempts[0].EndWrite()
+			p.Report(attempts[0], gather.Rejected, nil)
 			now += 5
-			if calls = p.RunRoundNow().Send; len(calls) != 1 || !calls[0].UsesRetryBudget() {
-				t.Fatalf("%d calls after one was turned away", len(calls))
+			if attempts = p.RunRoundNow().Send; len(attempts) != 1 || !attempts[0].UsesRetryBudget() {
+				t.Fatalf("%d attempts after one was turned away", len(attempts))
 			}
 		}
 		leave()
 		if v := <-done; v.Kind != Abandoned {
-			t.Errorf("verdict %+v", v)
+			t.Errorf("result %+v", v)
 		}
-		if calls[0].BeginWrite() {
-			t.Errorf("further %v: a call begins for a client that has gone", further)
+		if attempts[0].BeginWrite() {
+			t.Errorf("further %v: an attempt begins for a client that has gone", further)
 		}
 	}
 }
 
-// TestWindowEnds: a fingerprinted part's window ends between the decision to send it again and the first byte. It goes
-// only while the mark of each call that may have run is known; one that never ran counts for nothing.
-func TestWindowEnds(t *testing.T) {
+// TestRetryOutsideIdempotencyWindowIsNotWritten ends the idempotency window between the decision on a retry and
+// its first byte. The retry goes only while the key of each earlier attempt that may have run is known; one that
+// never ran does not count.
+func TestRetryOutsideIdempotencyWindowIsNotWritten(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		first gather.Outcome
@@ -71,12 +72,12 @@
 		})
 		p.clock.override = func() float64 { return now }
 		p.RunRoundNow()
-		lk := lookup("all", 1, now+1000)
-		p.Submit(lk)
+		query := newQuery("all", 1, now+1000)
+		p.Submit(query)
 		now += 5
 		first := p.RunRoundNow().Send
 		if len(first) != 1 || !first[0].BeginWrite() {
-			t.Fatalf("%s: %d calls", c.name, len(first))
+			t.Fatalf("%s: %d attempts", c.name, len(first))
 		}
 		first[0].EndWrite()
 		at := now
@@ -84,7 +85,7 @@
 		now += 10
 		second := p.RunRoundNow().Send
 		if len(second) != 1 {
-			t.Fatalf("%s: %d calls after the first ended", c.name, len(second))
+			t.Fatalf("%s: %d attempts after the first ended", c.name, len(second))
 		}
 		now = at + c.late
 		if got := second[0].BeginWrite(); got != c.want {
--- a/internal/gatherer/dispatch/twice_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -9,59 +9,11 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
-	"yokeroute/logic/twopass"
 )
 
-// newTwice is a picker whose index any may go in two phases, and always does as far as time and budget allow.
-func newTwice(t *testing.T, change func(s *gather.Settings)) *Picker {
-	p := newPicker(t, func(s *gather.Settings) {
-		anyClass := s.FindClass("any")
-		anyClass.CompleteShare, anyClass.MinShare, anyClass.LatencyObjective = 1, 1, 400
-		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio, s.CancelAllowed = 2000, 20, 0.05, true
-		if change != nil {
-			change(s)
-		}
-	})
-	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
-	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: whole, MinShare: least, FirstPassShare: 0.3, TrialShare: 0.5}})
-	p.clock.override = func() float64 { return p.schedule.lastAt + 4 } // what is reported before a round came just before it
-	p.runRound(1000)
-	for id := uint32(10); id < 16; id++ {
-		p.SetAnswersFirstPass(id, true)
-	}
-	p.runRound(1005)
-	return p
-}
-
-// land hands a lookup in and gives it with its first calls.
-func land(p *Picker, now float64, id string, parts int) (*Query, Actions) {
-	lk := lookup("any", parts, now+2000)
-	lk.ID = id
-	p.submit(lk)
-	return lk, p.runRound(now)
-}
-
-func told(lk *Query) (Result, bool) {
-	select {
-	case v := <-lk.result:
-		return v, true
-	default:
-		return Result{}, false
-	}
-}
-
-func firsts(o Actions) (n int) {
-	for _, c := range o.Send {
-		if c.FirstPass() {
-			n++
-		}
-	}
-	return n
-}
-
-// TestTwoPasses goes through what a first pass can bring: everything proved empty, nothing, some, and answers that
-// cannot be read.
-func TestTwoPasses(t *testing.T) {
+// TestFirstPassDecidesSecondPass goes through what a first pass can bring: all shards proved empty, none, some,
+// and summaries that cannot be read.
+func TestFirstPassDecidesSecondPass(t *testing.T) {
 	for name, c := range map[string]struct {
 		summaries []string
 		second    int
@@ -73,10 +25,10 @@
 		"garbled":           {[]string{"none v1", "none", "some -4 1 v1", "none v1"}, 2, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newTwice(t, nil)
-			lk, o := land(p, 1010, "a", 4)
-			if firsts(o) != 4 || len(o.Send) != 4 {
-				t.Fatalf("%d calls, %d of a first pass", len(o.Send), firsts(o))
+			p := newTwoPassPicker(t, nil)
+			query, o := submitTwoPass(p, 1010, "a", 4)
+			if countFirstPass(o) != 4 || len(o.Send) != 4 {
+				t.Fatalf("%d attempts, %d of a first pass", len(o.Send), countFirstPass(o))
 			}
 			if id := o.Send[0].ID(); !strings.HasSuffix(id, "~") {
 				t.Errorf("a first pass's part is called %s", id)
@@ -84,34 +36,34 @@
 			for i, call := range o.Send {
 				p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
 			}
-			now, calls := 1015.0, []*Attempt(nil)
-			for ; now < 1400 && len(calls) == 0; now += 5 {
-				calls = nil
+			now, attempts := 1015.0, []*Attempt(nil)
+			for ; now < 1400 && len(attempts) == 0; now += 5 {
+				attempts = nil
 				for _, call := range p.runRound(now).Send {
 					if call.FirstPass() { // sent again elsewhere, within the first pass
 						p.Report(call, gather.Succeeded, []byte("garbled again"))
 					} else {
-						calls = append(calls, call)
+						attempts = append(attempts, call)
 					}
 				}
-				if v, done := told(lk); done {
+				if v, done := takeResult(query); done {
 					if c.second > 0 || v.Kind != Served || !v.Complete || len(v.Hits) != 0 || len(v.EmptyShards) != c.empty {
 						t.Errorf("%+v", v)
 					}
 					return
 				}
 			}
-			if len(calls) != c.second || slices.ContainsFunc(calls, (*Attempt).FirstPass) {
-				t.Fatalf("%d calls in the second pass", len(calls))
+			if len(attempts) != c.second || slices.ContainsFunc(attempts, (*Attempt).FirstPass) {
+				t.Fatalf("%d attempts in the second pass", len(attempts))
 			}
-			for _, call := range calls {
+			for _, call := range attempts {
 				if call.ID() != fmt.Sprint("a.", call.Shard()) {
 					t.Errorf("a part in full is called %s", call.ID())
 				}
 				p.Report(call, gather.Succeeded, fmt.Append(nil, call.Shard()))
 			}
 			p.runRound(now)
-			v, done := told(lk)
+			v, done := takeResult(query)
 			if !done || v.Kind != Served || !v.Complete || len(v.Hits) != c.second || len(v.EmptyShards) != c.empty {
 				t.Errorf("%+v, %t", v, done)
 			}
@@ -121,17 +73,17 @@
 				}
 			}
 			if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
-				t.Errorf("%d held, %d lookups, %d parts, %d in two phases", p.intake.held, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
+				t.Errorf("%d held, %d queries, %d parts, %d in two passes", p.intake.held, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
 			}
 		})
 	}
 }
 
-// TestLate: a first pass that runs long ends in its time, what has not answered is given up and asked in full, and
-// what it says after that proves nothing.
-func TestLate(t *testing.T) {
-	p := newTwice(t, nil)
-	lk, o := land(p, 1010, "a", 4)
+// TestFirstPassEndsInItsTime has a first pass run long. What has not answered is cancelled and requested in full,
+// and what it says afterwards proves nothing.
+func TestFirstPassEndsInItsTime(t *testing.T) {
+	p := newTwoPassPicker(t, nil)
+	query, o := submitTwoPass(p, 1010, "a", 4)
 	p.Report(o.Send[0], gather.Succeeded, []byte("none v1"))
 	late := o.Send[1:]
 	now, off := 1015.0, 0
@@ -145,79 +97,79 @@
 		}
 	}
 	if len(second) != 3 || off != 3 {
-		t.Fatalf("%d calls in full, %d given up", len(second), off)
+		t.Fatalf("%d attempts in full, %d cancelled", len(second), off)
 	}
 	for _, c := range late {
 		if c.BeginWrite() {
-			t.Error("a call of the first pass may still be written")
+			t.Error("an attempt of the first pass may still be written")
 		}
 		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
 	p.runRound(now)
-	if _, done := told(lk); done {
+	if _, done := takeResult(query); done {
 		t.Error("answered by a proof that came too late")
 	}
 	for _, c := range second {
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 	p.runRound(now + 5)
-	if v, done := told(lk); !done || len(v.Hits) != 3 || len(v.EmptyShards) != 1 {
+	if v, done := takeResult(query); !done || len(v.Hits) != 3 || len(v.EmptyShards) != 1 {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
 
-// TestLeaves: a client that leaves in the first pass, between the passes or in the second ends both, and nothing of
-// its lookup may be written any more.
-func TestLeaves(t *testing.T) {
+// TestAbandonedTwoPassQueryEndsBothPasses has a client go in the first pass, between the passes and in the second.
+// Nothing of its query may be written any more.
+func TestAbandonedTwoPassQueryEndsBothPasses(t *testing.T) {
 	for when := range 3 {
-		p := newTwice(t, nil)
-		lk, o := land(p, 1010, "a", 4)
-		calls, now := o.Send, 1015.0
+		p := newTwoPassPicker(t, nil)
+		query, o := submitTwoPass(p, 1010, "a", 4)
+		attempts, now := o.Send, 1015.0
 		if when > 0 {
 			for _, c := range o.Send {
 				p.Report(c, gather.Succeeded, []byte("some 1 1 v1"))
 			}
-			calls = nil
+			attempts = nil
 			if o := p.runRound(now); len(o.Send) > 0 {
 				t.Fatal("the second pass begins in the round that ends the first")
 			}
 			now += 5
 		}
 		if when > 1 {
-			calls = p.runRound(now).Send
+			attempts = p.runRound(now).Send
 			now += 5
 		}
-		p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, lk.id) })
-		lk.seal() // as Pick does
+		p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, query.id) })
+		query.seal() // as Pick does
 		o = p.runRound(now)
-		if v, done := told(lk); !done || v.Kind != Abandoned {
+		if v, done := takeResult(query); !done || v.Kind != Abandoned {
 			t.Errorf("%d: %+v, %t", when, v, done)
 		}
-		for _, c := range append(calls, o.Send...) {
+		for _, c := range append(attempts, o.Send...) {
 			if c.BeginWrite() {
-				t.Errorf("%d: a call may still be written", when)
+				t.Errorf("%d: an attempt may still be written", when)
 			}
 		}
-		for _, c := range calls {
+		for _, c := range attempts {
 			p.Report(c, gather.Cancelled, nil)
 		}
 		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries.byID)+len(p.twoPass.queries)+p.intake.held != 0 {
-			t.Errorf("%d: %d calls after the end, %d lookups held", when, len(o.Send), len(p.queries.byID))
+			t.Errorf("%d: %d attempts after the end, %d queries held", when, len(o.Send), len(p.queries.byID))
 		}
 	}
 }
 
-// TestOldBuilds: parts none of whose servers answer first passes are asked in full at once, by one phase where
-// none does; a server that has started anew has to be found again.
-func TestOldBuilds(t *testing.T) {
-	p := newTwice(t, nil)
+// TestServersWithoutFirstPassAreAskedInFull requests shards in full at once where no server answers first passes,
+// in one pass where none does at all; a server that has restarted has to be found again.
+func TestServersWithoutFirstPassAreAskedInFull(t *testing.T) {
+	p := newTwoPassPicker(t, nil)
 	for _, id := range []uint32{11, 13, 15} { // the second group
 		p.SetAnswersFirstPass(id, false)
 	}
 	p.runRound(1008)
-	_, o := land(p, 1013, "a", 4)
-	if firsts(o) != 2 || len(o.Send) != 2 {
-		t.Fatalf("%d calls, %d of a first pass", len(o.Send), firsts(o))
+	_, o := submitTwoPass(p, 1013, "a", 4)
+	if countFirstPass(o) != 2 || len(o.Send) != 2 {
+		t.Fatalf("%d attempts, %d of a first pass", len(o.Send), countFirstPass(o))
 	}
 	for _, c := range o.Send {
 		if c.Server%2 == 1 {
@@ -226,7 +178,7 @@
 		p.Report(c, gather.Succeeded, []byte("none v1"))
 	}
 	p.runRound(1018)
-	if o := p.runRound(1023); len(o.Send) != 2 || firsts(o) != 0 || o.Send[0].Server%2 == 0 {
+	if o := p.runRound(1023); len(o.Send) != 2 || countFirstPass(o) != 0 || o.Send[0].Server%2 == 0 {
 		t.Errorf("second pass %+v", o.Send)
 	}
 	var again gather.EndpointList
@@ -235,16 +187,16 @@
 	}
 	p.UpdateEndpoints(again)
 	p.runRound(1028)
-	if _, o := land(p, 1033, "b", 4); firsts(o) != 0 || len(o.Send) != 4 {
-		t.Errorf("%d calls, %d of a first pass, of processes that were never asked", len(o.Send), firsts(o))
+	if _, o := submitTwoPass(p, 1033, "b", 4); countFirstPass(o) != 0 || len(o.Send) != 4 {
+		t.Errorf("%d attempts, %d of a first pass, of processes that were never asked", len(o.Send), countFirstPass(o))
 	}
 }
 
-// TestDrainsBetween: a server that drains between the passes gets nothing of the second, and one that has gone in
+// TestDrainBetweenPasses has a server drain between the passes: it gets nothing of the second. One that is lost in
 // the first pass proves nothing.
-func TestDrainsBetween(t *testing.T) {
-	p := newTwice(t, nil)
-	lk, o := land(p, 1010, "a", 2)
+func TestDrainBetweenPasses(t *testing.T) {
+	p := newTwoPassPicker(t, nil)
+	query, o := submitTwoPass(p, 1010, "a", 2)
 	p.Report(o.Send[0], gather.Succeeded, []byte("some 1 1 v1"))
 	p.Report(o.Send[1], gather.ConnectionReset, nil)
 	p.runRound(1015)
@@ -252,7 +204,7 @@
 	for now := 1020.0; now < 1200; now += 5 {
 		for _, c := range p.runRound(now).Send {
 			if c.Server == o.Send[0].Server {
-				t.Errorf("a call to the server that drains, of the first pass %t", c.FirstPass())
+				t.Errorf("an attempt to the server that drains, of the first pass %t", c.FirstPass())
 			}
 			if c.FirstPass() {
 				p.Report(c, gather.ConnectionReset, nil) // sent again elsewhere within the first pass, and lost again
@@ -261,17 +213,18 @@
 			}
 		}
 	}
-	if v, done := told(lk); !done || v.Kind != Served || len(v.Hits) != 2 {
+	if v, done := takeResult(query); !done || v.Kind != Served || len(v.Hits) != 2 {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
 
-// TestBudgetOfPasses plays a day on which first passes are lost by the dozen and counts, at each call, the calls
-// beyond each part's first by the words of rule 6: an answered first pass and the call in full that follows it are
-// two firsts, one that heard nothing makes the next a further one. Each lookup has one answer, and no call after it.
-func TestBudgetOfPasses(t *testing.T) {
+// TestRetryBudgetCountsAcrossPasses plays days on which first passes are lost by the dozen and counts, at each
+// attempt, the attempts beyond each shard request's first by the words of rule 6: an answered first pass and the
+// attempt in full that follows it are two firsts; one that was lost makes the next a retry. Each query has one
+// result, and no attempt after it.
+func TestRetryBudgetCountsAcrossPasses(t *testing.T) {
 	for seed := range uint64(6) {
-		p := newTwice(t, func(s *gather.Settings) { s.RetryBudgetFloor = 6.0 })
+		p := newTwoPassPicker(t, func(s *gather.Settings) { s.RetryBudgetFloor = 6.0 })
 		chance := pcg.New(seed)
 		type out struct {
 			c    *Attempt
@@ -279,24 +232,24 @@
 			lost bool
 		}
 		type key struct {
-			lk    *Query
+			query *Query
 			shard int
 			first bool
 		}
 		var outs []out
 		var takenAt, furtherAt []float64
-		calls, answered := map[key]int{}, map[key]bool{}
+		attempts, answered := map[key]int{}, map[key]bool{}
 		held := map[*Query]bool{}
-		landed, ends, further, two := 0, 0, 0, 0
+		admitted, ends, further, two := 0, 0, 0, 0
 		for now := 1010.0; now < 20000; now += 5 {
 			troubled := math.Mod(now, 6000) < 2000
 			if chance.Float64() < 0.25 && now < 17000 {
-				lk := lookup("any", 1+int(chance.Uint32()%6), now+300+500*chance.Float64())
-				lk.ID = fmt.Sprint("l", landed)
-				landed++
-				p.submit(lk)
-				held[lk] = true
-				for range 1 + len(lk.ShardRequests) {
+				query := newQuery("any", 1+int(chance.Uint32()%6), now+300+500*chance.Float64())
+				query.ID = fmt.Sprint("l", admitted)
+				admitted++
+				p.submit(query)
+				held[query] = true
+				for range 1 + len(query.ShardRequests) {
 					takenAt = append(takenAt, now)
 				}
 			}
@@ -320,12 +273,12 @@
 				p.Report(c, gather.Cancelled, nil)
 			}
 			for _, c := range o.Send {
-				lk := c.Query()
-				if !held[lk] {
-					t.Fatalf("seed %d at %g: a call after the final answer", seed, now)
+				query := c.Query()
+				if !held[query] {
+					t.Fatalf("seed %d at %g: an attempt after the final answer", seed, now)
 				}
-				k, other := key{lk, c.Shard(), c.FirstPass()}, key{lk, c.Shard(), true}
-				if calls[k] > 0 || !c.FirstPass() && calls[other] > 0 && !answered[other] {
+				k, other := key{query, c.Shard(), c.FirstPass()}, key{query, c.Shard(), true}
+				if attempts[k] > 0 || !c.FirstPass() && attempts[other] > 0 && !answered[other] {
 					further++
 					furtherAt = append(furtherAt, now)
 					in, taken := 0, 0
@@ -340,10 +293,10 @@
 						}
 					}
 					if most := 6 + 0.05*float64(taken); float64(in) > most {
-						t.Fatalf("seed %d at %g: %d further calls in 2 s, %g allowed", seed, now, in, most)
+						t.Fatalf("seed %d at %g: %d further attempts in 2 s, %g allowed", seed, now, in, most)
 					}
 				}
-				calls[k]++
+				attempts[k]++
 				took, lost := 5+20*chance.Float64(), chance.Float64() < 0.02
 				if c.FirstPass() {
 					took /= 5
@@ -356,39 +309,40 @@
 				}
 				outs = append(outs, out{c, now + took, lost})
 			}
-			for lk := range held {
-				if v, done := told(lk); done {
+			for query := range held {
+				if v, done := takeResult(query); done {
 					ends++
-					delete(held, lk)
-					if lk.twoPass != nil {
+					delete(held, query)
+					if query.twoPass != nil {
 						two++
 					}
-					if v.Kind == Served && v.Complete && len(v.Hits)+len(v.EmptyShards) != len(lk.ShardRequests) {
-						t.Fatalf("seed %d: whole with %d hits and %d empty of %d parts", seed, len(v.Hits), len(v.EmptyShards), len(lk.ShardRequests))
+					if v.Kind == Served && v.Complete && len(v.Hits)+len(v.EmptyShards) != len(query.ShardRequests) {
+						t.Fatalf("seed %d: whole with %d hits and %d empty of %d parts", seed, len(v.Hits), len(v.EmptyShards), len(query.ShardRequests))
 					}
-					if now > lk.Deadline+20 {
-						t.Errorf("seed %d: answered %g ms after its time", seed, now-lk.Deadline)
+					if now > query.Deadline+20 {
+						t.Errorf("seed %d: answered %g ms after its time", seed, now-query.Deadline)
 					}
 				}
 			}
 		}
-		if ends != landed || landed < 500 || two < 100 || further < 10 {
-			t.Errorf("seed %d: %d of %d lookups answered, %d in two phases, %d further calls", seed, ends, landed, two, further)
+		if ends != admitted || admitted < 500 || two < 100 || further < 10 {
+			t.Errorf("seed %d: %d of %d queries answered, %d in two passes, %d retries", seed, ends, admitted, two, further)
 		}
 		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
-			t.Errorf("seed %d: %d held, %d lookups, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
+			t.Errorf("seed %d: %d held, %d queries, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
 
-// TestAnyN: n is of all parts, by weight: those proved empty count towards it.
-func TestAnyN(t *testing.T) {
-	p := newTwice(t, func(s *gather.Settings) {
+// TestProvedEmptyShardsCountTowardsCompleteShare has a class that is complete with a share of the weight: shards
+// proved empty count towards it.
+func TestProvedEmptyShardsCountTowardsCompleteShare(t *testing.T) {
+	p := newTwoPassPicker(t, func(s *gather.Settings) {
 		s.FindClass("any").CompleteShare = 0.75
 		s.FindClass("any").MinShare = 0.75
 	})
-	lk, o := land(p, 1010, "a", 8)
-	if n := firsts(o); n < 6 {
+	query, o := submitTwoPass(p, 1010, "a", 8)
+	if n := countFirstPass(o); n < 6 {
 		t.Fatalf("%d parts of the first pass", n)
 	}
 	for i, c := range o.Send {
@@ -401,13 +355,13 @@
 	p.runRound(1015)
 	second := p.runRound(1020).Send
 	if len(second) != 2 {
-		t.Fatalf("%d calls in full, of 8 parts 4 are proved empty and 6 make a whole answer", len(second))
+		t.Fatalf("%d attempts in full, of 8 parts 4 are proved empty and 6 make a whole answer", len(second))
 	}
 	for _, c := range second {
 		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 	p.runRound(1025)
-	if v, done := told(lk); !done || !v.Complete || len(v.Hits) != 2 || len(v.EmptyShards) != 4 {
+	if v, done := takeResult(query); !done || !v.Complete || len(v.Hits) != 2 || len(v.EmptyShards) != 4 {
 		t.Errorf("%+v, %t", v, done)
 	}
 }
