--- a/internal/gatherer/frontend/clientconn.go
+++ b/internal/gatherer/frontend/clientconn.go
@@ -1,7 +1,6 @@
 package frontend
 
 import (
-	"bytes"
 	"context"
 	"io"
 	"net"
@@ -12,309 +11,234 @@
 	"time"
 )
 
-// clientConn is a client's connection. It stands between net/http and the socket for what net/http does not see to:
+// clientConn is a client's connection. It stands between net/http and the socket for what net/http does not do:
 //
-//   - It takes Content-Length out of a head that has Transfer-Encoding too, and what a body of two lengths hides would
-//     then be passed on: only the raw head tells of both.
-//   - It reads one byte behind a request in hand and no more, and so misses that a client goes which has sent more.
-//   - It closes what it takes for idle while bytes of the next request are on their way to it, goes on with what it has
-//     read of them, and closes over unread bytes, which resets the connection under the last answer.
+//   - net/http takes Content-Length out of a head that has Transfer-Encoding too, and would pass on what a body of two
+//     lengths hides: only the raw head shows both (headerscan.go).
+//   - net/http reads one byte behind a request being served and no more, and so does not notice that a client which
+//     has sent more closes its connection (readahead.go).
+//   - net/http closes a connection that it takes for idle while bytes of the next request are on their way to it, goes
+//     on with what it has read of them, and closes over unread bytes, which resets the connection under the last
+//     response (Close).
 type clientConn struct {
 	*net.TCPConn
-	conflictingLengths atomic.Bool // for good: nothing that comes after may be served
+	lingering *lingeringConns // nil in tests
+
+	conflictingLengths atomic.Bool // for good: nothing that follows may be served
 
 	mu             sync.Mutex
-	serving        bool      // a request is being served; until it is answered the connection is not ours to end
+	serving        bool      // a request is being served; until its response the connection is not ours to close
 	requestRead    bool      // and all of it has been read
-	arrivingSince  time.Time // a request has begun to arrive that is not whole yet, or one behind that in hand; else zero
-	closedByServer bool      // ended by us: whatever is still read is nobody's request
+	arrivingSince  time.Time // since when an incomplete request arrives, or one behind that being served; else zero
+	closedByServer bool      // whatever is still read belongs to no request
 	lingerFor      time.Duration
-	tracker        *connTracker // told when it lets go of its descriptor; nil in tests
-	buffered       []byte       // read while a request was in hand, for net/http
-	overflow       bool         // more came behind a request in hand than is kept: nothing that follows can be served
-	onClientGone   func()       // tells who serves that the client has gone; nil while nobody asks
-	readerDone     chan struct{}
-	byteBehind     bool // net/http has read its one byte behind a request that is not watched yet, and reads no further
+	ahead          readAhead
 
-	// The rest belongs to whoever reads; net/http reads from one goroutine at a time.
-	line                 []byte // the beginning of the line that is being read
-	sawLength, sawCoding bool   // which headers have stood since the last empty line
+	scanner headerScanner // belongs to the reader; net/http reads from one goroutine at a time
 }
 
-const (
-	// The answer's last bytes and a client's next ones may cross: for this time a connection that is being ended is
-	// read, and what comes is dropped, before its descriptor is let go. net/http waits as long where it waits at all.
-	lingerTimeout = 500 * time.Millisecond
-	// What may come behind a request in hand and is kept for net/http. Clients send one request at a time, so that
-	// only bad ones send more; the connection of one that sends more than this ends with its answer.
-	maxBuffered = 16 << 10
-)
-
 type connContextKey struct{}
 
-var (
-	lengthHeader = []byte("content-length")
-	codingHeader = []byte("transfer-encoding")
-)
+// withClientConn is the http.Server's ConnContext hook.
+func withClientConn(ctx context.Context, c net.Conn) context.Context {
+	if conn, ok := c.(*clientConn); ok {
+		return context.WithValue(ctx, connContextKey{}, conn)
+	}
+	return ctx
+}
 
-// trackingListener hands out connections as clientConn.
+// clientConnOf returns the connection that a request came on, or nil where it is not a clientConn.
+func clientConnOf(ctx context.Context) *clientConn {
+	conn, _ := ctx.Value(connContextKey{}).(*clientConn)
+	return conn
+}
+
+// trackingListener returns each accepted connection as a clientConn.
 type trackingListener struct {
 	net.Listener
-	conns *connTracker
+	tracker *connTracker
 }
 
+// Accept implements net.Listener.
 func (l trackingListener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
 	if tcp, ok := c.(*net.TCPConn); ok {
-		return &clientConn{TCPConn: tcp, lingerFor: lingerTimeout, tracker: l.conns}, nil
+		return &clientConn{TCPConn: tcp, lingerFor: lingerTimeout, lingering: &l.tracker.lingering}, nil
 	}
 	return c, nil
 }
 
-// clientConnOf is the connection that a request came on, or nil where it is another kind.
-func clientConnOf(ctx context.Context) *clientConn {
-	t, _ := ctx.Value(connContextKey{}).(*clientConn)
-	return t
-}
-
-func (t *clientConn) Read(p []byte) (int, error) {
-	t.mu.Lock()
-	if n := copy(p, t.buffered); n > 0 {
-		t.buffered = t.buffered[n:]
-		t.mu.Unlock()
-		t.scanHeaders(p[:n])
+// Read implements net.Conn.
+func (c *clientConn) Read(p []byte) (int, error) {
+	c.mu.Lock()
+	n := c.ahead.take(p)
+	c.mu.Unlock()
+	if n > 0 {
+		c.scan(p[:n])
 		return n, nil
 	}
-	t.mu.Unlock()
-	n, err := t.receive(p)
-	t.scanHeaders(p[:n])
+	n, err := c.receive(p)
+	c.scan(p[:n])
 	return n, err
 }
 
-// receive takes what has come. That it has is noted in the same step: between a read and its note the connection would
-// look as if nothing were asked on it, and be ended.
-func (t *clientConn) receive(p []byte) (n int, err error) {
-	raw, err := t.SyscallConn()
+func (c *clientConn) scan(p []byte) {
+	if c.scanner.scan(p) {
+		c.conflictingLengths.Store(true)
+	}
+}
+
+// receive reads from the socket and notes in the same step, under the lock, that a request arrives: between a read
+// and its note the connection would look idle and be closed.
+func (c *clientConn) receive(p []byte) (n int, err error) {
+	raw, err := c.SyscallConn()
 	if err != nil {
 		return 0, err
 	}
-	failed := raw.Read(func(fd uintptr) bool {
-		t.mu.Lock()
-		defer t.mu.Unlock()
-		if t.closedByServer { // it was ended while this waited: nothing of it may be served
-			n, err = 0, net.ErrClosed // n is -1 since the read before, which had to wait
+	waitErr := raw.Read(func(fd uintptr) (done bool) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		if c.closedByServer { // while this read waited; n may be -1 from the attempt before
+			n = 0
+			err = net.ErrClosed
 			return true
 		}
-		for n, err = syscall.Read(int(fd), p); err == syscall.EINTR; n, err = syscall.Read(int(fd), p) {
+		for {
+			n, err = syscall.Read(int(fd), p)
+			if err != syscall.EINTR {
+				break
+			}
 		}
-		switch {
-		case err == syscall.EAGAIN:
+		if err == syscall.EAGAIN {
 			return false
-		case err != nil:
-			n, err = 0, &net.OpError{Op: "read", Net: "tcp", Source: t.LocalAddr(), Addr: t.RemoteAddr(), Err: os.NewSyscallError("read", err)}
-		case n == 0 && len(p) > 0:
-			err = io.EOF
-		default:
-			if t.arrivingSince.IsZero() {
-				t.arrivingSince = time.Now()
-			}
-			t.byteBehind = len(p) == 1 && t.onClientGone == nil // it reads one byte only behind a request in hand
-			if t.onClientGone != nil && t.readerDone == nil {   // net/http reads no further while it serves
-				t.startReader()
-			}
 		}
+		n, err = c.received(n, len(p), err)
 		return true
 	})
-	if failed != nil {
-		return 0, failed
+	if waitErr != nil {
+		return 0, waitErr
 	}
 	return n, err
 }
 
-// beginRequest takes the connection for a request; false where it has been ended already, and nothing of the request may be
-// sent on.
-func (t *clientConn) beginRequest() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.closedByServer || t.overflow {
-		return false
+// received turns what a system call returned into what Read returns, and notes that a request arrives. The lock is
+// held.
+func (c *clientConn) received(n, size int, err error) (int, error) {
+	switch {
+	case err != nil:
+		return 0, &net.OpError{Op: "read", Net: "tcp", Source: c.LocalAddr(), Addr: c.RemoteAddr(),
+			Err: os.NewSyscallError("read", err)}
+	case n == 0 && size > 0:
+		return 0, io.EOF
 	}
-	t.serving = true
-	return true
-}
-
-// watchClient notes that all of the request in hand has been read. From here on until unwatch, gone is called once the
-// client has closed its connection, whatever it sent before.
-func (t *clientConn) watchClient(gone func()) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.requestRead, t.arrivingSince, t.onClientGone = true, time.Time{}, gone
-	if t.byteBehind {
-		t.byteBehind = false
-		t.startReader()
+	if c.arrivingSince.IsZero() {
+		c.arrivingSince = time.Now()
 	}
-}
-
-// startReader begins to read ahead; the lock is held, and net/http has no read open.
-func (t *clientConn) startReader() {
-	t.readerDone = make(chan struct{})
-	go t.readAhead(t.onClientGone, t.readerDone)
-}
-
-// stopWatching ends watch before the answer is written, so that what a client sends on having its answer is left to
-// net/http.
-func (t *clientConn) stopWatching() {
-	t.mu.Lock()
-	t.onClientGone = nil
-	reader := t.readerDone
-	t.readerDone = nil
-	t.mu.Unlock()
-	if reader != nil {
-		t.SetReadDeadline(time.Unix(1, 0)) // net/http sets its own before it reads on
-		<-reader
+	// net/http reads a single byte only behind a request being served, and no further while it serves.
+	c.ahead.byteTaken = size == 1 && c.ahead.onClientGone == nil
+	if c.ahead.onClientGone != nil && c.ahead.done == nil {
+		c.startReadAhead()
 	}
+	return n, nil
 }
 
-// overflowed reports whether more came behind a request in hand than is kept, so that no next request can be served.
-func (t *clientConn) overflowed() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.overflow
-}
-
-// arrivingFor is for how long a request that is not whole yet has been arriving.
-func (t *clientConn) arrivingFor() time.Duration {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.arrivingSince.IsZero() {
-		return 0
+// beginRequest takes the connection for a request. It reports false where the connection is closed already: nothing
+// of the request may be forwarded then.
+func (c *clientConn) beginRequest() bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.closedByServer || c.ahead.overflow {
+		return false
 	}
-	return time.Since(t.arrivingSince)
+	c.serving = true
+	return true
 }
 
-// readAhead reads behind a request in hand until the client has gone or the request is answered.
-func (t *clientConn) readAhead(gone func(), done chan struct{}) {
-	defer close(done)
-	buf := make([]byte, 2<<10)
-	for {
-		n, err := t.TCPConn.Read(buf)
-		t.mu.Lock()
-		if len(t.buffered)+n > maxBuffered {
-			t.overflow = true
-		}
-		if !t.overflow {
-			t.buffered = append(t.buffered, buf[:n]...)
-		}
-		t.mu.Unlock()
-		if err != nil {
-			if e, ok := err.(net.Error); !ok || !e.Timeout() {
-				gone()
-			}
-			return
-		}
+// arrivingFor is how long an incomplete request has been arriving.
+func (c *clientConn) arrivingFor() time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.arrivingSince.IsZero() {
+		return 0
 	}
+	return time.Since(c.arrivingSince)
 }
 
-// markIdle gives the connection back after an answer.
-func (t *clientConn) markIdle() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if !t.requestRead { // answered without having been read to its end
-		t.arrivingSince = time.Time{}
+// markIdle ends a request after its response.
+func (c *clientConn) markIdle() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.requestRead { // answered before all of it was read
+		c.arrivingSince = time.Time{}
 	}
-	t.serving, t.requestRead, t.byteBehind = false, false, false
+	c.serving = false
+	c.requestRead = false
+	c.ahead.byteTaken = false
 }
 
-// closeIfIdle ends the connection if nothing is asked on it: no request is in hand, and no byte of one has been read or
-// waits to be. A request that comes after is read by nobody, and its client sends it again elsewhere.
-func (t *clientConn) closeIfIdle() bool {
-	t.mu.Lock()
-	ends := !t.serving && t.arrivingSince.IsZero() && len(t.buffered) == 0 && !hasUnreadBytes(t.TCPConn)
-	return t.closeIf(ends)
+// closeIfIdle closes the connection if no request is served on it and no byte of one has been read or waits to be. A
+// request that comes afterwards is read by nobody, and its client repeats it elsewhere.
+func (c *clientConn) closeIfIdle() bool {
+	c.mu.Lock()
+	idle := !c.serving && c.arrivingSince.IsZero() && len(c.ahead.buffered) == 0 && !hasUnreadBytes(c.TCPConn)
+	return c.unlockAndCloseIf(idle)
 }
 
-// closeIfSlow ends the connection if a request has been arriving on it since before a time and is not whole: nobody has
-// taken it yet.
-func (t *clientConn) closeIfSlow(before time.Time) bool {
-	t.mu.Lock()
-	return t.closeIf(!t.requestRead && !t.arrivingSince.IsZero() && t.arrivingSince.Before(before))
+// closeIfSlow closes the connection if a request has been arriving on it since before a time and is not complete:
+// nobody serves it yet.
+func (c *clientConn) closeIfSlow(before time.Time) bool {
+	c.mu.Lock()
+	slow := !c.requestRead && !c.arrivingSince.IsZero() && c.arrivingSince.Before(before)
+	return c.unlockAndCloseIf(slow)
 }
 
-// closeIf lets go of the lock, and of the connection where it ends.
-func (t *clientConn) closeIf(ends bool) bool {
-	t.closedByServer = t.closedByServer || ends
-	t.mu.Unlock()
-	if ends {
-		t.Close()
+func (c *clientConn) unlockAndCloseIf(closing bool) bool {
+	c.closedByServer = c.closedByServer || closing
+	c.mu.Unlock()
+	if closing {
+		c.Close()
 	}
-	return ends
+	return closing
 }
 
-// Close ends the connection. It says so to the client first and lets go of the descriptor once that has closed too, or
-// after the time to linger: a close over unread bytes would reset the connection under the answer.
-func (t *clientConn) Close() error {
-	t.mu.Lock()
-	t.closedByServer = true
-	wait := t.lingerFor
-	t.lingerFor = 0 // once
-	t.mu.Unlock()
+// Close closes the connection for writing and releases its descriptor once the client has closed it too, or after the
+// linger time: a close over unread bytes would reset the connection under the response.
+func (c *clientConn) Close() error {
+	c.mu.Lock()
+	c.closedByServer = true
+	wait := c.lingerFor
+	c.lingerFor = 0 // the first call closes
+	c.mu.Unlock()
 	if wait == 0 {
 		return nil
 	}
-	if t.CloseWrite() != nil { // reset, or closed already
-		return t.TCPConn.Close()
+	if c.CloseWrite() != nil { // reset, or closed already
+		return c.TCPConn.Close()
 	}
-	t.SetReadDeadline(time.Unix(1, 0)) // wakes who reads; it is told that the connection is closed
-	t.tracker.addLingering(t)
-	go func() {
-		t.SetReadDeadline(time.Now().Add(wait))
-		buf := make([]byte, 4<<10)
-		for {
-			if _, err := t.TCPConn.Read(buf); err != nil {
-				break
-			}
-		}
-		t.TCPConn.Close()
-		t.tracker.removeLingering(t)
-	}()
+	c.SetReadDeadline(longAgo) // wakes a pending read, which returns that the connection is closed
+	c.lingering.add(c)
+	go c.discardUntilClosed(wait)
 	return nil
 }
 
-// scanHeaders goes through the bytes line by line. It need not know where a body ends: header lines begin lines in
-// any head, and a body that holds such lines is none of a lookup.
-func (t *clientConn) scanHeaders(p []byte) {
-	for len(p) > 0 {
-		at := bytes.IndexByte(p, '\n')
-		end := at
-		if at < 0 {
-			end = len(p)
-		}
-		if room := len(codingHeader) + 1 - len(t.line); room > 0 {
-			t.line = append(t.line, p[:min(end, room)]...)
-		}
-		if at < 0 {
-			return
+// discardUntilClosed reads and drops what the client still sends, and releases the descriptor. lingeringConns waits
+// for its end.
+func (c *clientConn) discardUntilClosed(wait time.Duration) {
+	c.SetReadDeadline(time.Now().Add(wait))
+	buf := make([]byte, discardBufferBytes)
+	for {
+		if _, err := c.TCPConn.Read(buf); err != nil {
+			break
 		}
-		t.scanLine()
-		p = p[at+1:]
 	}
+	c.TCPConn.Close()
+	c.lingering.remove(c)
 }
 
-func (t *clientConn) scanLine() {
-	name, _, found := bytes.Cut(t.line, []byte{':'})
-	switch {
-	case len(bytes.TrimRight(t.line, "\r")) == 0:
-		t.sawLength, t.sawCoding = false, false
-	case found && bytes.EqualFold(name, lengthHeader):
-		t.sawLength = true
-	case found && bytes.EqualFold(name, codingHeader):
-		t.sawCoding = true
-	}
-	if t.sawLength && t.sawCoding {
-		t.conflictingLengths.Store(true)
-	}
-	t.line = t.line[:0]
-}
+const discardBufferBytes = 4 << 10
+
+// longAgo is a deadline that has passed.
+var longAgo = time.Unix(1, 0)
--- /dev/null
+++ b/internal/gatherer/frontend/handler.go
@@ -0,0 +1,140 @@
+package frontend
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"runtime/debug"
+	"strings"
+	"time"
+
+	"yokeroute/internal/gatherer/dispatch"
+)
+
+// serveRequest is the server's http.Handler.
+func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
+	conn := clientConnOf(r.Context())
+	if conn != nil && !conn.beginRequest() {
+		panic(http.ErrAbortHandler) // the connection was closed first: the client repeats the request elsewhere
+	}
+	defer func() {
+		if cause := recover(); cause != nil {
+			s.log.WithField("stack", string(debug.Stack())).Errorf("request: %v", cause)
+			writeText(w, http.StatusInternalServerError, textInternalError)
+		}
+	}()
+	rc := http.NewResponseController(w)
+	rc.SetReadDeadline(time.Now().Add(readBodyTimeout))
+	rc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	if conn != nil && conn.conflictingLengths.Load() {
+		w.Header().Set("Connection", "close") // the body may hide another request
+		writeText(w, http.StatusBadRequest, "Content-Length and Transfer-Encoding")
+		return
+	}
+	s.closeAfterResponse(w, conn)
+	s.route(w, r, rc, conn)
+}
+
+// route serves health, an admin handler's path, or a query.
+func (s *Server) route(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) {
+	switch r.URL.Path {
+	case "/-/ready":
+		if s.shutdown.begun.Load() || !s.ready() {
+			writeText(w, http.StatusServiceUnavailable, "not ready")
+			return
+		}
+		writeText(w, http.StatusOK, "ready")
+		return
+	case "/-/healthy":
+		writeText(w, http.StatusOK, "healthy")
+		return
+	}
+	for path, handler := range s.admin {
+		if r.URL.Path == path || strings.HasPrefix(r.URL.Path, path+"/") {
+			handler.ServeHTTP(w, r)
+			return
+		}
+	}
+	if err := s.serveQuery(w, r, rc, conn); err != nil {
+		s.log.WithError(err).Debug("request not taken")
+		s.closeAfterResponse(w, conn)
+		writeText(w, statusOf(err), err.Error())
+	}
+}
+
+// serveQuery serves one query, from the head of its request to its response.
+func (s *Server) serveQuery(
+	w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn,
+) error {
+	if s.conns.overloaded() {
+		w.Header().Set("Connection", "close")
+		writeResult(w, dispatch.Result{Kind: dispatch.Rejected})
+		return nil
+	}
+	now := s.picker.Now()
+	sentAt := now // the client's timeout runs from its first byte, and a request may arrive slowly
+	if conn != nil {
+		sentAt -= float64(conn.arrivingFor()) / float64(time.Millisecond)
+	}
+	query, err := s.limits.parseHead(r, sentAt)
+	if err != nil {
+		return err
+	}
+	if late := s.shutdown.late.Load(); late != nil && time.Now().After(late.from) {
+		remaining := time.Until(late.end) - answerMargin
+		query.Deadline = min(query.Deadline, now+float64(remaining)/float64(time.Millisecond))
+	}
+	deadline := time.Now().Add(time.Duration((query.Deadline - now) * float64(time.Millisecond)))
+	payload, err := readBody(w, r, rc, deadline)
+	if err != nil {
+		return err
+	}
+	if err := s.limits.parseBody(query, payload); err != nil {
+		return err
+	}
+	result, err := s.decide(r.Context(), query, conn)
+	if err != nil {
+		return err
+	}
+	s.closeAfterResponse(w, conn)
+	rc.SetWriteDeadline(deadline.Add(writeTimeout))
+	writeResult(w, result)
+	return nil
+}
+
+// readBody reads a request's body. A client that sends it slowly holds its connection until the query's deadline at
+// the longest.
+func readBody(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, deadline time.Time) ([]byte, error) {
+	if time.Until(deadline) < readBodyTimeout {
+		rc.SetReadDeadline(deadline)
+	}
+	if r.ContentLength > maxBodyBytes { // rejected before any of it is read
+		w.Header().Set("Connection", "close")
+		return nil, &http.MaxBytesError{Limit: maxBodyBytes}
+	}
+	body, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxBodyBytes))
+	if err != nil {
+		return nil, err
+	}
+	rc.SetReadDeadline(time.Time{})
+	return body, nil
+}
+
+// decide waits for the query's result, or until its client has gone.
+func (s *Server) decide(ctx context.Context, query *dispatch.Query, conn *clientConn) (dispatch.Result, error) {
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	if conn != nil {
+		conn.watchClient(cancel)
+		defer conn.stopWatching()
+	}
+	active, err := s.active.acquire(ctx, query.ID)
+	if err != nil {
+		return dispatch.Result{}, err
+	}
+	defer s.active.release(query.ID, active)
+	if ctx.Err() != nil {
+		return dispatch.Result{Kind: dispatch.Abandoned}, nil
+	}
+	return s.picker.Pick(ctx, query), nil
+}
--- /dev/null
+++ b/internal/gatherer/frontend/harness_test.go
@@ -0,0 +1,190 @@
+package frontend
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/gather"
+	"yokeroute/internal/gatherer/dispatch"
+)
+
+// fakePicker decides what a test tells it to.
+type fakePicker struct {
+	picked chan *dispatch.Query
+	decide func(ctx context.Context, query *dispatch.Query) dispatch.Result
+}
+
+func (f *fakePicker) Now() float64 { return 1000 }
+
+func (f *fakePicker) Pick(ctx context.Context, query *dispatch.Query) dispatch.Result {
+	f.picked <- query
+	return f.decide(ctx, query)
+}
+
+// newTestServer is a server of the classes find and mark, of which mark is idempotency-keyed.
+func newTestServer(picker Picker, maxConns int, ready func() bool) *Server {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return New(Config{
+		Picker: picker,
+		Settings: &gather.Settings{
+			Shards:  10,
+			Classes: []gather.Class{{Name: "find", Deadline: 3000}, {Name: "mark", Effect: gather.IdempotencyKeyed}},
+			Tenants: []gather.Tenant{{Name: "acme"}},
+		},
+		MaxConns:     maxConns,
+		MaxUsedConns: maxConns,
+		Ready:        ready,
+		Log:          log,
+	})
+}
+
+func startServer(t *testing.T, maxConns int, decide func(context.Context, *dispatch.Query) dispatch.Result) (*fakePicker, *Server, string) {
+	f := &fakePicker{make(chan *dispatch.Query, 10), decide}
+	s := newTestServer(f, maxConns, func() bool { return true })
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	go s.Serve(l)
+	t.Cleanup(func() { s.http.Close() })
+	return f, s, l.Addr().String()
+}
+
+const (
+	headers    = "Host: h\r\nX-Request-ID: a1\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: 480\r\n"
+	shardsBody = `{"shards":[{"shard":3,"weight":0.5,"cost":9000,"key":"k"},{"shard":9,"weight":0.5}],"q":"c41e"}`
+)
+
+func post(path, head, body string) string {
+	return fmt.Sprintf("POST %s HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", path, head, len(body), body)
+}
+
+// exchange sends the text and reads so many answers.
+func exchange(t *testing.T, address, text string, answers int) (status []int, last string, head http.Header) {
+	status = make([]int, answers)
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Error(err)
+		return status, "", nil
+	}
+	defer c.Close()
+	io.WriteString(c, text)
+	r := bufio.NewReader(c)
+	for i := range status {
+		resp, err := http.ReadResponse(r, nil)
+		if err != nil {
+			t.Error(err)
+			return status, "", nil
+		}
+		body, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		if resp.Close { // the client takes the word out of the headers
+			resp.Header.Set("Connection", "close")
+		}
+		status[i], last, head = resp.StatusCode, string(body), resp.Header
+	}
+	return status, last, head
+}
+
+// What comes between two lines of a shutdown, of a close and of a client that goes: each crossing is forced by the
+// other side or by a gate, as docs/design/crossings.md lists them.
+
+func dial(t *testing.T, address string) *net.TCPConn {
+	t.Helper()
+	c, err := net.Dial("tcp", address)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.SetDeadline(time.Now().Add(20 * time.Second)) // against a test that hangs
+	return c.(*net.TCPConn)
+}
+
+// connPair is a client's connection by itself, and the client's end of it.
+func connPair(t *testing.T) (conn *clientConn, far *net.TCPConn) {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	far = dial(t, l.Addr().String())
+	accepted, err := l.Accept()
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { accepted.Close() })
+	return &clientConn{TCPConn: accepted.(*net.TCPConn), lingerFor: lingerTimeout}, far
+}
+
+// readResponse reads one answer; nothing may follow it where its connection ends.
+func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
+	t.Helper()
+	resp, err := http.ReadResponse(r, nil)
+	if err != nil {
+		t.Fatalf("no answer: %v", err)
+	}
+	if _, err := io.ReadAll(resp.Body); err != nil {
+		t.Errorf("answer cut: %v", err)
+	}
+	if resp.Close {
+		if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
+			t.Errorf("behind the last answer: %q, %v", rest, err)
+		}
+	}
+	return resp
+}
+
+// waitUntil waits for a condition that the other side brings about.
+func waitUntil(t *testing.T, what string, holds func() bool) {
+	t.Helper()
+	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
+		if time.Now().After(end) {
+			t.Fatal("never: ", what)
+		}
+	}
+}
+
+func failed(context.Context, *dispatch.Query) dispatch.Result {
+	return dispatch.Result{Kind: dispatch.Failed}
+}
+
+// idleConn is a connection on which one request has been answered.
+func idleConn(t *testing.T, s *Server, address string) (*net.TCPConn, *bufio.Reader) {
+	t.Helper()
+	c := dial(t, address)
+	r := bufio.NewReader(c)
+	io.WriteString(c, post("/find", headers, shardsBody))
+	if resp := readResponse(t, r); resp.StatusCode != 504 || resp.Close {
+		t.Fatalf("answered %d, close %v", resp.StatusCode, resp.Close)
+	}
+	waitUntil(t, "the server has it for idle", func() bool {
+		s.conns.mu.Lock()
+		defer s.conns.mu.Unlock()
+		return s.conns.idle.Len() > 0
+	})
+	return c, r
+}
+
+// serverConn is the server's end of its only connection.
+func serverConn(t *testing.T, s *Server) *clientConn {
+	t.Helper()
+	s.conns.mu.Lock()
+	defer s.conns.mu.Unlock()
+	for conn := range s.conns.entries {
+		return conn.(*clientConn)
+	}
+	t.Fatal("no connection rests")
+	return nil
+}
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -14,9 +14,6 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
-	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/logic/ownership"
 )
@@ -29,7 +26,7 @@
 )
 
 // keptAnswers are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
-var keptAnswers = map[string]func(ctx context.Context, lk *dispatch.Query) dispatch.Result{
+var keptAnswers = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
 	"served-complete": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
 	"served-partial": keptAnswer(dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
@@ -49,8 +46,8 @@
 	"internal-error":         keptAnswer(dispatch.Result{Kind: dispatch.InternalError}),
 	"panicked":               func(context.Context, *dispatch.Query) dispatch.Result { panic("broken") },
 	"abandoned":              keptAnswer(dispatch.Result{Kind: dispatch.Abandoned}),
-	"deadline-passed": func(ctx context.Context, lk *dispatch.Query) dispatch.Result {
-		time.Sleep(time.Duration(lk.Deadline-1000) * time.Millisecond)
+	"deadline-passed": func(ctx context.Context, query *dispatch.Query) dispatch.Result {
+		time.Sleep(time.Duration(query.Deadline-1000) * time.Millisecond)
 		return dispatch.Result{Kind: dispatch.Failed}
 	},
 	"two-in-a-row":               keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
@@ -83,7 +80,7 @@
 				t.Fatal(err)
 			}
 			decide := keptAnswers[name]
-			f := &fake{make(chan *dispatch.Query, 10), decide}
+			f := &fakePicker{make(chan *dispatch.Query, 10), decide}
 			got := converse(t, startKept(t, name, f), request)
 			want, err := os.ReadFile(strings.TrimSuffix(file, ".request") + ".response")
 			if err != nil {
@@ -92,8 +89,8 @@
 			if !bytes.Equal(got, want) {
 				t.Errorf("answered\n%q, kept is\n%q", got, want)
 			}
-			if decide == nil && len(f.took) > 0 {
-				t.Errorf("%d queries reached the picker", len(f.took))
+			if decide == nil && len(f.picked) > 0 {
+				t.Errorf("%d queries reached the picker", len(f.picked))
 			}
 		})
 	}
@@ -103,21 +100,18 @@
 }
 
 // startKept starts a server in the condition that a transcript's name tells and gives its address.
-func startKept(t *testing.T, name string, f *fake) string {
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+func startKept(t *testing.T, name string, f *fakePicker) string {
 	const clients = 10
-	ready := func() bool { return !strings.HasSuffix(name, "-while-not-ready") }
-	s := New(f, &gather.Settings{Shards: 10, Classes: []gather.Class{{Name: "find", Deadline: 3000.0}, {Name: "mark", Effect: gather.IdempotencyKeyed}}, Tenants: []gather.Tenant{{Name: "acme"}}}, clients, clients, ready, log)
+	s := newTestServer(f, clients, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
 	switch {
 	case strings.HasSuffix(name, "-while-shutting-down"):
-		s.shuttingDown.Store(true)
+		s.shutdown.begun.Store(true)
 	case strings.HasSuffix(name, "-while-crowded"):
 		for range clients {
 			s.conns.active.PushBack(nil) // in use by others
 		}
 	case name == "repeated-id":
-		s.activeQueries["a1"] = &activeQuery{clientContext: t.Context(), ended: make(chan struct{})}
+		s.active.byID["a1"] = &activeQuery{client: t.Context(), done: make(chan struct{})}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/gatherer/frontend/request.go
+++ b/internal/gatherer/frontend/request.go
@@ -10,73 +10,129 @@
 	"os"
 	"strconv"
 	"strings"
+	"time"
 
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
 )
 
 const (
-	maxBodyBytes     = 64 << 10  // what the protocol lets a body hold
-	maxHeaderBytes   = 16 << 10  // of a request
-	maxTimeoutMillis = 3_600_000 // milliseconds that a client may ask for; a longer time is a mistake
-	maxIDBytes       = 128       // bytes of a client's name for its lookup
-	weightTolerance  = 0.01      // by which weights may miss adding up to 1
+	maxBodyBytes   = 64 << 10 // what the protocol lets a body hold
+	maxHeaderBytes = 16 << 10
+
+	maxTimeoutMillis = 3_600_000 // of X-Timeout-Ms; a longer one is a client's mistake
+	maxIDBytes       = 128       // of X-Request-ID
+
+	weightTolerance = 0.01 // clients round weights: by this they may miss adding up to 1
+
+	microsPerMilli = 1000
 )
 
-// requestError is a request that cannot be taken, with the status that says so.
+// requestError is a request that is not served, with the status and the text of the response.
 type requestError struct {
 	status int
 	text   string
 }
 
-func (f *requestError) Error() string { return f.text }
+func (e *requestError) Error() string { return e.text }
 
 func badRequest(format string, args ...any) error {
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// body is what is needed of a lookup's body; the rest stays bytes.
+// queryLimits are the settings that requests are validated by.
+type queryLimits struct {
+	classes      map[string]bool
+	keyedClasses map[string]bool // of idempotency-keyed queries
+	tenants      map[string]bool // empty for any
+	shards       int             // 0 for any
+	maxDeadline  time.Duration   // the longest deadline of a class
+}
+
+func newQueryLimits(settings *gather.Settings, log *logrus.Logger) queryLimits {
+	l := queryLimits{
+		classes:      setOf(settings.ClassNames()),
+		keyedClasses: map[string]bool{},
+		tenants:      setOf(settings.TenantNames()),
+		shards:       settings.Shards,
+	}
+	for _, class := range settings.Classes {
+		l.maxDeadline = max(l.maxDeadline, time.Duration(class.Deadline*float64(time.Millisecond)))
+		if class.Effect == gather.IdempotencyKeyed {
+			l.keyedClasses[class.Name] = true
+			log.WithField("index", class.Name).Warn("fingerprinted: its lookups are turned away, their mark cannot be passed on")
+		}
+	}
+	if l.maxDeadline == 0 {
+		l.maxDeadline = killTimeout
+	}
+	return l
+}
+
+func setOf(names []string) map[string]bool {
+	set := make(map[string]bool, len(names))
+	for _, name := range names {
+		set[name] = true
+	}
+	return set
+}
+
+// body is the JSON of a query's body. Its name and the anonymous type are part of the responses to a body of other
+// types: encoding/json names both in its errors.
 type body struct {
 	Shards []struct {
 		Shard  *int     `json:"shard"`
 		Weight *float64 `json:"weight"`
-		Cost   float64  `json:"cost"`
+		Cost   float64  `json:"cost"` // microseconds
 		Key    string   `json:"key"`
 	} `json:"shards"`
 	Text json.RawMessage `json:"q"`
 }
 
-// parseHead takes from a request what stands before its body; its time counts from when it was sent.
-func (s *Server) parseHead(r *http.Request, sent float64) (*dispatch.Query, error) {
-	index, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+// parseHead returns the query that a request's path and headers describe. Its timeout runs from sentAt.
+func (l *queryLimits) parseHead(r *http.Request, sentAt float64) (*dispatch.Query, error) {
+	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
-	case !s.classes[index]:
-		return nil, &requestError{http.StatusNotFound, fmt.Sprintf("no index %q", index)}
+	case !l.classes[class]:
+		return nil, &requestError{http.StatusNotFound, fmt.Sprintf("no index %q", class)}
 	case r.Method != http.MethodPost:
 		return nil, &requestError{http.StatusMethodNotAllowed, "a lookup is a POST"}
-	case s.keyedClasses[index]:
-		// Without its mark a repeat would run twice, and the protocol's pages do not say how it travels.
+	case l.keyedClasses[class]:
+		// Without its key a retry would run twice, and the protocol does not say how the key travels.
 		return nil, &requestError{http.StatusNotImplemented, "fingerprinted lookups cannot be passed on yet"}
 	}
 	h := r.Header
-	lk := &dispatch.Query{ID: h.Get("X-Request-ID"), Class: index, Tenant: h.Get("X-Tenant-Id"),
-		RouteKey: h.Get("X-Route-Key"), Retried: h.Get("X-Retried") == "1"}
-	if len(h["X-Request-Id"]) != 1 || lk.ID == "" || len(lk.ID) > maxIDBytes ||
-		strings.ContainsFunc(lk.ID, func(c rune) bool { return c <= ' ' || c >= 0x7f }) {
-		return nil, badRequest("X-Request-ID: %.40q", lk.ID)
+	query := &dispatch.Query{
+		ID:       h.Get("X-Request-ID"),
+		Class:    class,
+		Tenant:   h.Get("X-Tenant-Id"),
+		RouteKey: h.Get("X-Route-Key"),
+		Retried:  h.Get("X-Retried") == "1",
+	}
+	if len(h["X-Request-Id"]) != 1 || !validID(query.ID) {
+		return nil, badRequest("X-Request-ID: %.40q", query.ID)
 	}
-	if len(s.tenants) > 0 && !s.tenants[lk.Tenant] {
-		return nil, badRequest("X-Tenant-Id: no customer %.40q", lk.Tenant)
+	if len(l.tenants) > 0 && !l.tenants[query.Tenant] {
+		return nil, badRequest("X-Tenant-Id: no customer %.40q", query.Tenant)
 	}
-	wait, err := strconv.ParseUint(h.Get("X-Timeout-Ms"), 10, 64) // digits only: it is told in whole milliseconds
-	if err != nil || len(h["X-Timeout-Ms"]) != 1 || wait == 0 || wait > maxTimeoutMillis {
+	timeout, err := strconv.ParseUint(h.Get("X-Timeout-Ms"), 10, 64)
+	if err != nil || len(h["X-Timeout-Ms"]) != 1 || timeout == 0 || timeout > maxTimeoutMillis {
 		return nil, badRequest("X-Timeout-Ms: %.40q", h.Get("X-Timeout-Ms"))
 	}
-	lk.Deadline = sent + float64(wait)
-	return lk, nil
+	query.Deadline = sentAt + float64(timeout)
+	return query, nil
+}
+
+// validID reports whether an ID is printable ASCII without blanks, and not too long.
+func validID(id string) bool {
+	unprintable := func(c rune) bool { return c <= ' ' || c >= 0x7f }
+	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, unprintable)
 }
 
-// parseBody takes the parts from a body.
-func (s *Server) parseBody(lk *dispatch.Query, text []byte) error {
+// parseBody adds to a query the shard requests and the payload that its body holds.
+func (l *queryLimits) parseBody(query *dispatch.Query, text []byte) error {
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
 		return badRequest("body: %s", bodyError(err))
@@ -85,40 +141,42 @@
 		return badRequest("body: no shards")
 	}
 	var err error
-	if lk.Payload, err = queryText(b.Text); err != nil {
+	if query.Payload, err = queryText(b.Text); err != nil {
 		return err
 	}
-	seen, sum := make(map[int]bool, len(b.Shards)), 0.0
-	for i, p := range b.Shards {
+	requested := make(map[int]bool, len(b.Shards))
+	weights := 0.0
+	for i, s := range b.Shards {
 		switch {
-		case p.Shard == nil || *p.Shard < 0 || s.shards > 0 && *p.Shard >= s.shards:
+		case s.Shard == nil || *s.Shard < 0 || l.shards > 0 && *s.Shard >= l.shards:
 			return badRequest("body: shards[%d]: no such shard", i)
-		case seen[*p.Shard]:
-			return badRequest("body: shards[%d]: shard %d twice", i, *p.Shard)
-		case p.Weight == nil || !(*p.Weight > 0) || *p.Weight > 1+weightTolerance:
+		case requested[*s.Shard]:
+			return badRequest("body: shards[%d]: shard %d twice", i, *s.Shard)
+		case s.Weight == nil || !(*s.Weight > 0) || *s.Weight > 1+weightTolerance:
 			return badRequest("body: shards[%d]: weight", i)
-		case p.Cost < 0:
+		case s.Cost < 0:
 			return badRequest("body: shards[%d]: cost", i)
 		}
-		seen[*p.Shard] = true
-		sum += *p.Weight
-		cost := p.Cost / 1000 // from microseconds
-		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: *p.Shard, Weight: *p.Weight, Cost: cost, Key: p.Key})
-		lk.Cost += cost
+		requested[*s.Shard] = true
+		weights += *s.Weight
+		cost := s.Cost / microsPerMilli
+		query.Cost += cost
+		query.ShardRequests = append(query.ShardRequests,
+			dispatch.ShardRequest{Shard: *s.Shard, Weight: *s.Weight, Cost: cost, Key: s.Key})
 	}
-	if math.Abs(sum-1) > weightTolerance {
-		return badRequest("body: weights add up to %v, not 1", sum)
+	if math.Abs(weights-1) > weightTolerance {
+		return badRequest("body: weights add up to %v, not 1", weights)
 	}
 	return nil
 }
 
-// bodyError is the text for a body that does not have the form of the protocol. encoding/json names the Go type of the
-// outermost value, and clients see the text: the name that they know stays.
+// bodyError is the text for a body that does not have the form of the protocol. encoding/json names the Go type of
+// the outermost value by its package's first name, front, and clients see the text: it stays.
 func bodyError(err error) string {
 	return strings.Replace(err.Error(), "frontend.body", "front.body", 1)
 }
 
-// queryText is the query's text: the bytes between the quotes as they came, or what its escapes stand for.
+// queryText is the text of a JSON string: its bytes as they came, or what its escapes stand for.
 func queryText(raw json.RawMessage) ([]byte, error) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return nil, badRequest("body: q is no text")
@@ -133,14 +191,14 @@
 	return []byte(text), nil
 }
 
-// statusOf is the status for a request that could not be read.
+// statusOf is the status of the response to a request that is not served.
 func statusOf(err error) int {
-	var f *requestError
-	var large *http.MaxBytesError
+	var invalid *requestError
+	var tooLarge *http.MaxBytesError
 	switch {
-	case errors.As(err, &f):
-		return f.status
-	case errors.As(err, &large):
+	case errors.As(err, &invalid):
+		return invalid.status
+	case errors.As(err, &tooLarge):
 		return http.StatusRequestEntityTooLarge
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		return http.StatusRequestTimeout
--- /dev/null
+++ b/internal/gatherer/frontend/shutdown.go
@@ -0,0 +1,75 @@
+package frontend
+
+import (
+	"context"
+	"net/http"
+	"time"
+)
+
+const (
+	// lameDuckPeriod is how long new connections are still accepted after a shutdown begins: the balancer in front of
+	// the gatherer notices that late.
+	lameDuckPeriod = 600 * time.Millisecond
+
+	// killTimeout is the least time between the end of the lame-duck period and the platform's kill. With settings
+	// that allow no query so much time the kill may come sooner.
+	killTimeout = 3 * time.Second
+
+	// answerMargin is the part of the remaining time in which the last responses are written.
+	answerMargin = 100 * time.Millisecond
+)
+
+// lateWindow is the time in a shutdown in which queries no longer get their own deadline.
+type lateWindow struct {
+	from time.Time
+	end  time.Time // by which they have to be answered
+}
+
+// Shutdown drains the server: it serves what still comes within the lame-duck period, has each response end its
+// connection, and returns once every request is answered, or once the longest deadline of a query has passed.
+//
+// It replaces http.Server.Shutdown, which reads requests and drops them unanswered, and closes a connection that it
+// takes for idle while a request is being read from it.
+func (s *Server) Shutdown(ctx context.Context) error {
+	ctx, cancel := context.WithTimeout(ctx, lameDuckPeriod+s.limits.maxDeadline)
+	defer cancel()
+	lateFrom := time.Now().Add(lameDuckPeriod)
+	s.shutdown.late.Store(&lateWindow{from: lateFrom, end: lateFrom.Add(min(s.limits.maxDeadline, killTimeout))})
+	s.shutdown.begun.Store(true)
+	s.conns.shutDown() // idle connections; each other one ends with its response
+	select {
+	case <-ctx.Done():
+	case <-time.After(lameDuckPeriod):
+	}
+	s.closeListener()
+	select {
+	case <-ctx.Done(): // some client holds a connection on which it sends nothing
+	case <-s.conns.shutDown():
+		select {
+		case <-ctx.Done():
+		case <-s.conns.lingering.released():
+		}
+	}
+	s.http.Close()
+	return s.errorLog.Close()
+}
+
+// closeListener ends Serve and waits for it, so that every connection accepted is counted.
+func (s *Server) closeListener() {
+	s.mu.Lock()
+	l := s.listener
+	s.mu.Unlock()
+	if l == nil {
+		return
+	}
+	l.Close()
+	<-s.serveDone
+}
+
+// closeAfterResponse has the response end its connection where no later request on it could be served: the server
+// shuts down, or the client has sent more behind the request than is buffered.
+func (s *Server) closeAfterResponse(w http.ResponseWriter, conn *clientConn) {
+	if s.shutdown.begun.Load() || conn != nil && conn.overflowed() {
+		w.Header().Set("Connection", "close")
+	}
+}
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -184,7 +184,7 @@
 		s.handover.apply(c.KnownEndpoints)
 		s.follower.Take(c.KnownEndpoints)
 	}
-	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
+	s.server = frontend.New(frontend.Config{Picker: s.Picker, Settings: c.Settings, MaxConns: clients, MaxUsedConns: c.Limits.Sockets / 4, Ready: listed.Load, Log: log})
 	if s.traces != nil {
 		s.server.Handle(trace.Path, s.traces)
 	}
