--- a/internal/gatherer/frontend/handler.go
+++ b/internal/gatherer/frontend/handler.go
@@ -19,7 +19,8 @@
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
-			s.log.WithField("stack", string(debug.Stack())).Errorf("request: %v", cause)
+			log := s.log.WithField("panic", cause).WithField("stack", string(debug.Stack()))
+			log.Error("front end: request handler panicked")
 			writeText(w, http.StatusInternalServerError, textInternalError)
 		}
 	}()
@@ -56,7 +57,7 @@
 		}
 	}
 	if err := s.serveQuery(w, r, rc, conn); err != nil {
-		s.log.WithError(err).Debug("request not taken")
+		s.log.WithError(err).Debug("front end: request rejected")
 		s.closeAfterResponse(w, conn)
 		writeText(w, statusOf(err), err.Error())
 	}
--- a/internal/gatherer/frontend/request.go
+++ b/internal/gatherer/frontend/request.go
@@ -62,7 +62,7 @@
 		l.maxDeadline = max(l.maxDeadline, time.Duration(class.Deadline*float64(time.Millisecond)))
 		if class.Effect == gather.IdempotencyKeyed {
 			l.keyedClasses[class.Name] = true
-			log.WithField("index", class.Name).Warn("fingerprinted: its lookups are turned away, their mark cannot be passed on")
+			log.WithField("class", class.Name).Warn("front end: idempotency-keyed class, its queries are rejected")
 		}
 	}
 	if l.maxDeadline == 0 {
