--- a/logic/callstats/multiset.go
+++ b/logic/callstats/multiset.go
@@ -2,55 +2,54 @@
 
 import "slices"
 
-// mostInBlock bounds the values of one block, and with it what an insertion or a removal moves.
-const mostInBlock = 512
+// maxBlock bounds the values of a block, and so what an insertion or removal moves.
+const maxBlock = 512
 
-// Multiset keeps values in their order, some of them alike, so that one goes in or out and the middle one is
-// found without looking at all: where the values of a window change one by one, selecting among all of them
-// each time takes time by the window and not by what changed.
+// Multiset is an ordered multiset of values. Adding, removing and finding the median take time by its
+// number of blocks, where selecting among all values would take time by their number.
 type Multiset struct {
-	blocks [][]float64 // each in its order, none empty, the values of one not above those of the next
+	blocks [][]float64 // sorted, none empty, the values of one not above those of the next
 	count  int
 }
 
-// Len is how many values there are.
+// Len is the number of values.
 func (m *Multiset) Len() int { return m.count }
 
-// Add puts a value in.
+// Add adds a value.
 func (m *Multiset) Add(value float64) {
 	m.count++
 	if len(m.blocks) == 0 {
-		m.blocks = append(m.blocks, append(make([]float64, 0, mostInBlock), value))
+		m.blocks = append(m.blocks, append(make([]float64, 0, maxBlock), value))
 		return
 	}
-	at := min(m.block(value), len(m.blocks)-1)
-	i, _ := slices.BinarySearch(m.blocks[at], value)
-	m.blocks[at] = slices.Insert(m.blocks[at], i, value)
-	if len(m.blocks[at]) >= mostInBlock {
-		m.split(at)
+	b := min(m.findBlock(value), len(m.blocks)-1)
+	i, _ := slices.BinarySearch(m.blocks[b], value)
+	m.blocks[b] = slices.Insert(m.blocks[b], i, value)
+	if len(m.blocks[b]) >= maxBlock {
+		m.split(b)
 	}
 }
 
-// Remove takes one value out that equals the one given, and reports whether there was one.
+// Remove removes one of the values that equal the one given, and reports whether there was any.
 func (m *Multiset) Remove(value float64) bool {
-	at := m.block(value)
-	if at == len(m.blocks) {
+	b := m.findBlock(value)
+	if b == len(m.blocks) {
 		return false
 	}
-	i, found := slices.BinarySearch(m.blocks[at], value)
+	i, found := slices.BinarySearch(m.blocks[b], value)
 	if !found {
 		return false
 	}
 	m.count--
-	m.blocks[at] = slices.Delete(m.blocks[at], i, i+1)
-	if len(m.blocks[at]) == 0 {
-		m.blocks = slices.Delete(m.blocks, at, at+1)
+	m.blocks[b] = slices.Delete(m.blocks[b], i, i+1)
+	if len(m.blocks[b]) == 0 {
+		m.blocks = slices.Delete(m.blocks, b, b+1)
 	}
 	return true
 }
 
-// Median is the middle value, the upper one of two, or the other where there is none: as order.Median has it.
-func (m *Multiset) Median(otherwise float64) float64 {
+// Median is the middle value, the upper one of two, or the default where there is none.
+func (m *Multiset) Median(defaultValue float64) float64 {
 	rank := m.count / 2
 	for _, block := range m.blocks {
 		if rank < len(block) {
@@ -58,24 +57,24 @@
 		}
 		rank -= len(block)
 	}
-	return otherwise
+	return defaultValue
 }
 
-// block is the first block whose greatest value is not below the one given, or how many blocks there are.
-func (m *Multiset) block(value float64) int {
-	at, _ := slices.BinarySearchFunc(m.blocks, value, func(block []float64, value float64) int {
+// findBlock is the first block whose greatest value is not below the one given, or the number of blocks.
+func (m *Multiset) findBlock(value float64) int {
+	b, _ := slices.BinarySearchFunc(m.blocks, value, func(block []float64, value float64) int {
 		if block[len(block)-1] < value {
 			return -1
 		}
 		return 1
 	})
-	return at
+	return b
 }
 
-// split parts a block in two.
-func (m *Multiset) split(at int) {
-	half := len(m.blocks[at]) / 2
-	upper := append(make([]float64, 0, mostInBlock), m.blocks[at][half:]...)
-	m.blocks[at] = m.blocks[at][:half]
-	m.blocks = slices.Insert(m.blocks, at+1, upper)
+// split divides a block into halves.
+func (m *Multiset) split(b int) {
+	half := len(m.blocks[b]) / 2
+	upper := append(make([]float64, 0, maxBlock), m.blocks[b][half:]...)
+	m.blocks[b] = m.blocks[b][:half]
+	m.blocks = slices.Insert(m.blocks, b+1, upper)
 }
--- a/logic/callstats/multiset_test.go
+++ b/logic/callstats/multiset_test.go
@@ -8,7 +8,7 @@
 	"yokeroute/internal/stats"
 )
 
-// TestMultiset compares with sorting, through thousands of values that go in and out, with many and few alike.
+// TestMultiset compares a multiset with sorting, through thousands of values that go in and out, with many and few alike.
 func TestMultiset(t *testing.T) {
 	for _, kinds := range []uint32{3, 50, 1 << 20} {
 		chance, m, held := pcg.New(uint64(kinds)), &Multiset{}, []float64(nil)
--- /dev/null
+++ b/logic/callstats/queue.go
@@ -0,0 +1,74 @@
+package callstats
+
+// entry is a record in the order of time of all servers' records.
+type entry struct {
+	endedAt    float64
+	latency    float64
+	server     int32
+	generation uint32
+	succeeded  bool
+}
+
+// blockLength is how many entries of a queue lie together, so that a long one never moves as a whole when
+// it grows.
+const blockLength = 1024
+
+// queue holds entries by time. Only the last of its blocks may have room.
+type queue struct {
+	blocks [][]entry
+	start  int     // place of the oldest entry in the first block
+	spare  []entry // an emptied block, used again
+	count  int
+}
+
+func (q *queue) empty() bool { return q.count == 0 }
+
+func (q *queue) oldest() *entry { return &q.blocks[0][q.start] }
+
+func (q *queue) push(e entry) {
+	last := len(q.blocks) - 1
+	if last < 0 || len(q.blocks[last]) == blockLength {
+		q.addBlock()
+		last++
+	}
+	q.blocks[last] = append(q.blocks[last], e)
+	q.count++
+}
+
+func (q *queue) addBlock() {
+	if q.spare == nil {
+		q.spare = make([]entry, 0, blockLength)
+	}
+	q.blocks = append(q.blocks, q.spare)
+	q.spare = nil
+}
+
+// pop removes the oldest entry.
+func (q *queue) pop() entry {
+	e := q.blocks[0][q.start]
+	q.start++
+	q.count--
+	if q.start == len(q.blocks[0]) {
+		q.spare = q.blocks[0][:0]
+		q.blocks = q.blocks[1:]
+		q.start = 0
+	}
+	return e
+}
+
+// newestFirst iterates over all entries.
+func (q *queue) newestFirst() func(yield func(*entry) bool) {
+	return func(yield func(*entry) bool) {
+		for b := len(q.blocks) - 1; b >= 0; b-- {
+			oldest := 0
+			if b == 0 {
+				oldest = q.start
+			}
+			for i := len(q.blocks[b]) - 1; i >= oldest; i-- {
+				if !yield(&q.blocks[b][i]) {
+					return
+				}
+			}
+		}
+	}
+}
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -159,7 +159,7 @@
 func New(seed uint64, settings *gather.Settings) *Gatherer {
 	g := &Gatherer{settings: settings, chance: pcg.New(seed), dense: map[uint32]int{}, indexes: map[string]*index{},
 		parts: map[uint64]*part{}, byNumber: map[uint64]*lookup{}, soft: math.Inf(1),
-		records: callstats.New(callstats.Limits{Span: span, Enough: enough, Memory: memory})}
+		records: callstats.New(callstats.Limits{Window: span, MinRecords: enough, MaxAge: memory})}
 	g.slow.Take(settings)
 	g.asks = settings.HealthChecksAllowed && settings.LoadReports == "pull"
 	for _, name := range settings.ClassNames() {
@@ -284,7 +284,7 @@
 				g.ids, g.holds, g.state = append(g.ids, 0), append(g.holds, nil), append(g.state, 0)
 				g.out, g.last = append(g.out, nil), append(g.last, nil)
 				g.brief, g.away, g.isBusy = append(g.brief, false), append(g.away, false), append(g.isBusy, false)
-				g.records.Grow()
+				g.records.AddServer()
 				g.slow.Grow()
 				for _, figures := range []*[]float64{&g.rate, &g.s, &g.f, &g.r, &g.doubt, &g.sound, &g.trust,
 					&g.polled, &g.told, &g.queue, &g.work, &g.way} {
@@ -294,7 +294,7 @@
 			g.dense[e.ID], g.ids[shd] = shd, e.ID
 		}
 		if !known || e.StartedAt != g.slow.Started(shd) { // against judging a process by the one before it
-			g.records.Forget(shd)
+			g.records.Reset(shd)
 			g.last[shd], g.rate[shd] = nil, 0
 			g.polled[shd], g.told[shd] = 0, math.Inf(-1)
 			g.slow.Start(shd, e.ID, e.StartedAt)
@@ -331,17 +331,17 @@
 	p.out--
 	p.over = p.over || e.Finished
 	g.out[c.shd] = slices.DeleteFunc(g.out[c.shd], func(o *call) bool { return o == c })
-	g.records.Touch(c.shd)
+	g.records.MarkChanged(c.shd)
 	waited, limit, passed := g.now-c.at, overS*g.yard(c), e.Outcome == gather.Succeeded
-	rec := callstats.Record{At: g.now, Latency: waited, Extra: waited - limit/overS, Weight: c.cost,
-		Passed: passed, Failed: !passed || waited > limit}
+	rec := callstats.Record{EndedAt: g.now, Latency: waited, ExtraLatency: waited - limit/overS, Weight: c.cost,
+		Succeeded: passed, Failed: !passed || waited > limit}
 	if passed {
 		p.in = true
 		if g.slow.Share(c.shd, g.now) == 1 {
 			g.carried++
 		}
 	} else {
-		rec.Extra, rec.Lost = rec.Extra+limit, !c.unrun // its next call takes its time as well
+		rec.ExtraLatency, rec.Lost = rec.ExtraLatency+limit, !c.unrun // its next call takes its time as well
 	}
 	// What we ended ourselves before it could be called slow says nothing of the server.
 	if passed || e.Outcome != gather.NotSent && (e.Outcome != gather.Cancelled || waited > limit) {
@@ -387,7 +387,7 @@
 		g.rate[shd] *= fade
 	}
 	changed := g.records.Advance(g.now)
-	calls := g.records.Answered(g.now-g.soft, g.scratch[:0])
+	calls := g.records.AppendLatencies(g.now-g.soft, g.scratch[:0])
 	g.busy = slices.DeleteFunc(g.busy, func(shd int) bool {
 		g.isBusy[shd] = len(g.out[shd]) > 0
 		return !g.isBusy[shd]
@@ -411,7 +411,7 @@
 // figure works out what a server's records and its calls that are out say of it.
 func (g *Gatherer) figure(shd int) {
 	sums := g.records.Sums(shd)
-	n, failed, extra := sums.Number, sums.Failed, sums.Extra
+	n, failed, extra := sums.Count, sums.Failed, sums.ExtraLatency
 	// A part out over twice s has failed by the design's own word: against learning of silence at its end only.
 	for _, c := range g.out[shd] {
 		if late := g.now - c.at - overS*g.yard(c); late > 0 {
@@ -421,9 +421,9 @@
 		}
 	}
 	g.s[shd], g.f[shd], g.r[shd], g.doubt[shd] = -1, failed/max(n, 1), g.soft/2, failed/(n+2)
-	g.sound[shd], g.trust[shd] = (sums.Passed+unsound)/(n+unsound), sums.Trust
-	if sums.Passed > 0 {
-		g.s[shd] = sums.Latency / sums.Passed
+	g.sound[shd], g.trust[shd] = (sums.Succeeded+unsound)/(n+unsound), sums.SuccessesSinceLoss
+	if sums.Succeeded > 0 {
+		g.s[shd] = sums.Latency / sums.Succeeded
 	}
 	if failed > 0 {
 		g.r[shd] = extra / failed
@@ -728,7 +728,7 @@
 func (g *Gatherer) skipped(shd int, p *part) bool {
 	c := g.last[shd]
 	out := c != nil && !c.ended
-	return out && (g.now-c.at > overS*g.latency(shd) || !g.asks && g.records.Len(shd) == 0) ||
+	return out && (g.now-c.at > overS*g.latency(shd) || !g.asks && g.records.Count(shd) == 0) ||
 		g.standsOut(shd, p) || p.lk.ix.effect == gather.NonIdempotent && g.trust[shd] < regained
 }
 
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -303,7 +303,7 @@
 		now++
 		round(gather.Round{Now: now, Results: []gather.AttemptResult{{Request: id + 1, Outcome: gather.Succeeded, Finished: true}}})
 	}
-	if n := g.records.Len(0) + g.records.Len(1); n < 1900 {
+	if n := g.records.Count(0) + g.records.Count(1); n < 1900 {
 		t.Fatalf("%d records are too few to tell", n)
 	}
 	if n := testing.AllocsPerRun(20, func() { now++; round(gather.Round{Now: now}) }); n > 2 {
