--- a/logic/logic.go
+++ b/logic/logic.go
@@ -170,7 +170,7 @@
 	for range g.holders { // by chance, against all gatherers starting at one replica
 		g.turns = append(g.turns, turn{next: int(g.chance.Uint32() >> 8), at: -1})
 	}
-	g.plan.Lay(g.holders, g.ids, g.chance)
+	g.plan.SetReplicas(g.holders, func(shd int) uint32 { return g.ids[shd] }, g.chance)
 	return g
 }
 
@@ -191,8 +191,8 @@
 		g.follow(&in.EndpointLists[i])
 	}
 	if in.Weights != nil {
-		g.plan.Weights = in.Weights
-		g.plan.Lay(g.holders, g.ids, g.chance)
+		g.plan.SetWeights(in.Weights)
+		g.plan.SetReplicas(g.holders, func(shd int) uint32 { return g.ids[shd] }, g.chance)
 	}
 	askList := g.settings.EndpointsOnRequest && !g.subscribed
 	if askList && g.now >= g.askAt { // against deciding by a list long out of date
@@ -314,7 +314,7 @@
 			}
 		}
 	}
-	g.plan.Lay(g.holders, g.ids, g.chance)
+	g.plan.SetReplicas(g.holders, func(shd int) uint32 { return g.ids[shd] }, g.chance)
 	g.slow.Muster(g.now, g.runs)
 }
 
@@ -739,7 +739,7 @@
 	if tn := &g.turns[base]; tn.at == g.now && tn.left > 0 && free(tn.shd) {
 		return tn.shd
 	}
-	if shd := g.plan.Due(base, func(shd int) int { return len(g.out[shd]) }, free); shd >= 0 {
+	if shd := g.plan.Next(base, func(shd int) int { return len(g.out[shd]) }, free); shd >= 0 {
 		return shd
 	}
 	best, far, least, emptiest, quickest := -1, 0, math.Inf(1), math.Inf(1), math.Inf(1)
@@ -786,7 +786,7 @@
 		return false
 	}
 	base := p.Shard % len(g.turns)
-	g.plan.Book(base, shd)
+	g.plan.Take(base, shd)
 	if tn := &g.turns[base]; tn.at == g.now && tn.shd == shd {
 		tn.left--
 	} else {
