--- a/logic/logic.go
+++ b/logic/logic.go
@@ -160,7 +160,7 @@
 	g := &Gatherer{settings: settings, chance: pcg.New(seed), dense: map[uint32]int{}, indexes: map[string]*index{},
 		parts: map[uint64]*part{}, byNumber: map[uint64]*lookup{}, soft: math.Inf(1),
 		records: callstats.New(callstats.Limits{Window: span, MinRecords: enough, MaxAge: memory})}
-	g.slow.Take(settings)
+	g.slow.Configure(settings)
 	g.asks = settings.HealthChecksAllowed && settings.LoadReports == "pull"
 	for _, name := range settings.ClassNames() {
 		g.soft = min(g.soft, g.index(name).soft)
@@ -184,8 +184,8 @@
 	g.now, g.w, g.rounds = in.Now, w, g.rounds+1
 	if in.Settings != nil { // an operator's policy: what lands from now on goes by it
 		g.settings, g.indexes = in.Settings, map[string]*index{}
-		g.slow.Take(g.settings)
-		g.slow.Muster(g.now, g.runs)
+		g.slow.Configure(g.settings)
+		g.slow.FindWarming(g.now, g.runs)
 	}
 	for i := range in.EndpointLists {
 		g.follow(&in.EndpointLists[i])
@@ -285,7 +285,7 @@
 				g.out, g.last = append(g.out, nil), append(g.last, nil)
 				g.brief, g.away, g.isBusy = append(g.brief, false), append(g.away, false), append(g.isBusy, false)
 				g.records.AddServer()
-				g.slow.Grow()
+				g.slow.AddServer()
 				for _, figures := range []*[]float64{&g.rate, &g.s, &g.f, &g.r, &g.doubt, &g.sound, &g.trust,
 					&g.polled, &g.told, &g.queue, &g.work, &g.way} {
 					*figures = append(*figures, 0)
@@ -293,7 +293,7 @@
 			}
 			g.dense[e.ID], g.ids[shd] = shd, e.ID
 		}
-		if !known || e.StartedAt != g.slow.Started(shd) { // against judging a process by the one before it
+		if !known || e.StartedAt != g.slow.StartedAt(shd) { // against judging a process by the one before it
 			g.records.Reset(shd)
 			g.last[shd], g.rate[shd] = nil, 0
 			g.polled[shd], g.told[shd] = 0, math.Inf(-1)
@@ -315,7 +315,7 @@
 		}
 	}
 	g.plan.SetReplicas(g.holders, func(shd int) uint32 { return g.ids[shd] }, g.chance)
-	g.slow.Muster(g.now, g.runs)
+	g.slow.FindWarming(g.now, g.runs)
 }
 
 func (g *Gatherer) runs(shd int) bool { return g.state[shd] == gather.Running }
@@ -403,7 +403,8 @@
 			g.figure(shd)
 		}
 	}
-	g.slow.Earn(g.now, g.elapsed, g.normal, g.carried, g.runs)
+	g.slow.Earn(slowstart.Round{Now: g.now, Elapsed: g.elapsed, MedianLatency: g.normal,
+		SucceededAtWarm: g.carried}, g.runs)
 	g.unknown = g.normal
 	g.usual, g.normal, g.carried, g.scratch = stats.Median(calls, 0), g.records.Median(g.soft/10), 0, calls
 }
@@ -707,7 +708,7 @@
 	seen := slices.ContainsFunc(p.calls, func(c *call) bool {
 		return c.shd == shd && (!c.unrun || len(g.holders[p.Shard%len(g.holders)]) > len(p.calls))
 	})
-	return !seen && g.slow.May(shd, g.now)
+	return !seen && g.slow.MaySend(shd, g.now)
 }
 
 // standsOut reports whether a server's failures stand out among the replicas of the part's group, not the
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -1,10 +1,13 @@
-// Package slowstart decides how much each gatherer may send a shard server that has started lately: a cold
-// server bears a share of its capacity that grows, and falls over where all gatherers together send it more
-// than a multiple of that.
+// Package slowstart decides how much a gatherer may send a shard server that is warming up. Such a server
+// bears a share of its capacity that grows with time, and fails if all gatherers together send it more than
+// a multiple of that for a while.
 //
-// It has to keep the rule on cold servers without a word from other gatherers: each earns credit by its own
-// part of what warm servers are seen to answer. Its cost follows the servers that are cold, not all that
-// there are.
+// The rule has to be kept without communication between gatherers. Each one earns credit for a warming
+// server by the attempts that it sees warm servers answer: over all gatherers, that is a part of what the
+// rule allows, however uneven their traffic is. The cost of a round follows the number of warming servers,
+// not of all.
+//
+// Servers have a dense index. Times are milliseconds.
 package slowstart
 
 import (
@@ -15,89 +18,114 @@
 )
 
 const (
-	push  = 0.6 // part of what the rule allows that cold servers are sent where warm ones are full
-	hoard = 2.0 // most parts that a cold server may be owed, against a burst of many gatherers
+	safetyShare = 0.6 // of what the rule allows, sent to warming servers where warm ones are fully loaded
+	maxCredit   = 2.0 // requests, so that many gatherers cannot send a burst at once
+	idleDivisor = 4   // of the rule for a server of one core, which is earned where no attempt is answered
 )
 
-// limits are the rule's, as the terms tell them.
+// limits are the settings of the rule.
 type limits struct {
-	time, share            float64 // for which a server is cold, and its share of its capacity at the start
-	fallTime, fallMultiple float64
-	gatherers, own         float64
+	warmupTime       float64
+	initialShare     float64 // of its capacity that a server bears at its start
+	overloadWindow   float64 // 0 where there is no such rule
+	overloadMultiple float64
+	gatherers        float64
+	gathererIndex    float64
 }
 
-// Table is what is known of all servers, by a dense index.
+// Table holds the servers' start times and credits.
 type Table struct {
-	limits  limits
-	started []float64
-	credit  []float64 // parts that a cold server may still be sent
-	cold    []int
-	running float64
-	warm    float64 // servers at the last Earn
+	limits    limits
+	startedAt []float64 // 0 for long ago
+	credit    []float64 // requests that a warming server may still be sent
+	warming   []int
+	running   float64 // servers, as of FindWarming
+	warm      float64 // running servers that are warm, as of the last Earn
 }
 
-// Take takes the terms over, at the start or in place of others; Muster has to follow.
-func (t *Table) Take(settings *gather.Settings) {
-	t.limits = limits{settings.WarmupTime, settings.InitialCapacityShare, settings.OverloadWindow,
-		settings.OverloadMultiple, float64(max(settings.Gatherers, 1)), float64(settings.GathererIndex)}
+// Configure takes the settings over. FindWarming has to follow unless the table is empty.
+func (t *Table) Configure(settings *gather.Settings) {
+	t.limits = limits{
+		warmupTime:       settings.WarmupTime,
+		initialShare:     settings.InitialCapacityShare,
+		overloadWindow:   settings.OverloadWindow,
+		overloadMultiple: settings.OverloadMultiple,
+		gatherers:        max(float64(settings.Gatherers), 1),
+		gathererIndex:    float64(settings.GathererIndex),
+	}
 }
 
-// Grow adds a server behind the last one.
-func (t *Table) Grow() { t.started, t.credit = append(t.started, 0), append(t.credit, 0) }
+// AddServer adds a server behind the last one.
+func (t *Table) AddServer() {
+	t.startedAt = append(t.startedAt, 0)
+	t.credit = append(t.credit, 0)
+}
 
-// Started is when a server's process started, 0 for long ago.
-func (t *Table) Started(of int) float64 { return t.started[of] }
+// StartedAt is when a server's process started, 0 for long ago.
+func (t *Table) StartedAt(server int) float64 { return t.startedAt[server] }
 
-// Start notes that another process of a server has started. Its first credit is spread over the gatherers,
-// against all sending their first part at once.
-func (t *Table) Start(of int, id uint32, at float64) {
-	t.started[of] = at
-	t.credit[of] = math.Mod(t.limits.own+float64(id%1024), t.limits.gatherers) / t.limits.gatherers
+// Start notes that a new process of a server has started. The gatherers' first credits differ, so that they
+// do not all send their first request at once.
+func (t *Table) Start(server int, id uint32, startedAt float64) {
+	t.startedAt[server] = startedAt
+	place := math.Mod(t.limits.gathererIndex+float64(id%1024), t.limits.gatherers)
+	t.credit[server] = place / t.limits.gatherers
 }
 
-// Muster finds the servers that are cold, after a change of the list or of the terms; runs reports whether
-// one takes parts.
-func (t *Table) Muster(now float64, runs func(of int) bool) {
-	t.running, t.cold = 0, t.cold[:0]
-	for of := range t.started {
-		if runs(of) {
+// FindWarming finds the servers that are warming up. It has to be called after a change of the endpoint
+// list or of the settings; running reports whether a server takes requests.
+func (t *Table) FindWarming(now float64, running func(server int) bool) {
+	t.running = 0
+	t.warming = t.warming[:0]
+	for server := range t.startedAt {
+		if running(server) {
 			t.running++
 		}
-		if t.Share(of, now) < 1 {
-			t.cold = append(t.cold, of)
+		if t.Share(server, now) < 1 {
+			t.warming = append(t.warming, server)
 		}
 	}
 }
 
-// Share is the least share of its capacity that a server can have by now, 1 for one that is warm.
-func (t *Table) Share(of int, now float64) float64 {
-	age := now - t.started[of]
-	if t.started[of] == 0 || age >= t.limits.time || t.limits.fallTime == 0 {
+// Share is the least share of its capacity that a server may have reached, 1 for a warm one.
+func (t *Table) Share(server int, now float64) float64 {
+	age := now - t.startedAt[server]
+	if t.startedAt[server] == 0 || age >= t.limits.warmupTime || t.limits.overloadWindow == 0 {
 		return 1
 	}
-	return t.limits.share + (1-t.limits.share)*max(age, 0)/t.limits.time
+	return t.limits.initialShare + (1-t.limits.initialShare)*max(age, 0)/t.limits.warmupTime
 }
 
-// Earn lets the cold servers that run be sent their share of what a warm one is seen to answer: over all
-// gatherers, however uneven, a part of the rule. Where nothing is warm, a quarter of it for one core is
-// shared out evenly. Carried are the parts that warm servers answered since the last time, elapsed the time
-// since, normal a part's usual latency.
-func (t *Table) Earn(now, elapsed, normal, carried float64, runs func(of int) bool) {
-	least := elapsed / max(normal, 1) / 4 / t.limits.gatherers
-	seen, warm := max(push*carried/max(t.warm, 1), least), t.running
-	t.cold = slices.DeleteFunc(t.cold, func(of int) bool {
-		share := t.Share(of, now)
-		if share < 1 && runs(of) {
+// Round is what a gatherer observed since the last round.
+type Round struct {
+	Now             float64
+	Elapsed         float64
+	MedianLatency   float64 // of an attempt
+	SucceededAtWarm float64 // attempts at warm servers
+}
+
+// Earn adds to the credit of the running servers that are warming up, by what the average warm server
+// answered. Where nothing is warm it adds a part of what the rule allows a server of one core, divided
+// among the gatherers.
+func (t *Table) Earn(in Round, running func(server int) bool) {
+	idle := in.Elapsed / max(in.MedianLatency, 1) / idleDivisor / t.limits.gatherers
+	perServer := max(safetyShare*in.SucceededAtWarm/max(t.warm, 1), idle)
+	warm := t.running
+	t.warming = slices.DeleteFunc(t.warming, func(server int) bool {
+		share := t.Share(server, in.Now)
+		if share < 1 && running(server) {
 			warm--
-			t.credit[of] = min(t.credit[of]+t.limits.fallMultiple*share*seen, hoard)
+			t.credit[server] = min(t.credit[server]+t.limits.overloadMultiple*share*perServer, maxCredit)
 		}
 		return share == 1
 	})
 	t.warm = warm
 }
 
-// May reports whether a server may be sent a part now.
-func (t *Table) May(of int, now float64) bool { return t.credit[of] >= 1 || t.Share(of, now) == 1 }
+// MaySend reports whether a server may be sent a request now.
+func (t *Table) MaySend(server int, now float64) bool {
+	return t.credit[server] >= 1 || t.Share(server, now) == 1
+}
 
-// Spend takes a part's work, in parts, off a server's credit: a cold server bears work, not parts.
-func (t *Table) Spend(of int, work float64) { t.credit[of] -= work }
+// Spend takes a request's work, in requests of mean cost, off a server's credit.
+func (t *Table) Spend(server int, work float64) { t.credit[server] -= work }
--- a/logic/slowstart/slowstart_test.go
+++ b/logic/slowstart/slowstart_test.go
@@ -8,8 +8,50 @@
 	"yokeroute/gather"
 )
 
-// TestAgainstAll compares with looking at all servers each time, as the module did before: through starts, ends and time
-// that passes, also by just the length of the cold time, shares and credits are the same to the last bit.
+// reference looks at all servers in every round.
+type reference struct {
+	table   *Table // whose shares it uses
+	running []bool
+	credit  []float64
+	warm    float64
+}
+
+func (f *reference) isRunning(server int) bool { return f.running[server] }
+
+func (f *reference) earn(in Round) {
+	idle, warm := in.Elapsed/max(20, 1)/4/3, 0.0
+	for server := range f.running {
+		if !f.running[server] {
+			continue
+		}
+		share := f.table.Share(server, in.Now)
+		if share == 1 {
+			warm++
+			continue
+		}
+		perServer := max(safetyShare*in.SucceededAtWarm/max(f.warm, 1), idle)
+		f.credit[server] = min(f.credit[server]+3*share*perServer, maxCredit)
+	}
+	f.warm = warm
+}
+
+// changeServer adds a server or starts one anew.
+func (f *reference) changeServer(t *rapid.T, now float64) {
+	server := rapid.IntRange(0, len(f.running)).Draw(t, "server")
+	if server == len(f.running) {
+		f.table.AddServer()
+		f.running = append(f.running, true)
+		f.credit = append(f.credit, 0)
+	}
+	f.running[server] = rapid.IntRange(0, 3).Draw(t, "running") > 0
+	startedAt := rapid.SampledFrom([]float64{0, now, now - 1000, now + 50}).Draw(t, "started at")
+	f.table.Start(server, uint32(server), startedAt)
+	f.credit[server] = f.table.credit[server]
+	f.table.FindWarming(now, f.isRunning)
+}
+
+// TestAgainstAll compares with looking at all servers each time: through starts, ends and time that passes,
+// also by just the warm-up time, shares and credits are the same to the last bit.
 func TestAgainstAll(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := &gather.Settings{
@@ -19,48 +61,28 @@
 		if rapid.IntRange(0, 9).Draw(t, "no rule") == 0 {
 			settings.OverloadWindow = 0
 		}
-		var table Table
-		table.Take(settings)
-		var running []bool
-		var started, credit []float64
-		warmBefore, now := 0.0, 10_000.0
-		runs := func(of int) bool { return running[of] }
+		table := &Table{}
+		table.Configure(settings)
+		ref := &reference{table: table}
+		now := 10_000.0
 		for range rapid.IntRange(1, 60).Draw(t, "rounds") {
 			gap := rapid.SampledFrom([]float64{0, 5, 100, 500, 1000}).Draw(t, "gap")
 			now += gap
 			for range rapid.IntRange(0, 2).Draw(t, "changes") {
-				of := rapid.IntRange(0, len(running)).Draw(t, "server")
-				if of == len(running) {
-					table.Grow()
-					running, started, credit = append(running, true), append(started, 0), append(credit, 0)
-				}
-				running[of] = rapid.IntRange(0, 3).Draw(t, "runs") > 0
-				started[of] = rapid.SampledFrom([]float64{0, now, now - 1000, now + 50}).Draw(t, "started")
-				table.Start(of, uint32(of), started[of])
-				credit[of] = table.credit[of]
-				table.Muster(now, runs)
-			}
-			carried := float64(rapid.IntRange(0, 50).Draw(t, "carried"))
-			least, warm := gap/max(20, 1)/4/3, 0.0
-			for of := range running {
-				if !running[of] {
-					continue
-				}
-				if table.Share(of, now) == 1 {
-					warm++
-					continue
-				}
-				credit[of] = min(credit[of]+3*table.Share(of, now)*max(push*carried/max(warmBefore, 1), least), hoard)
+				ref.changeServer(t, now)
 			}
-			warmBefore = warm
-			table.Earn(now, gap, 20, carried, runs)
-			for of := range running {
-				if table.credit[of] != credit[of] || table.May(of, now) != (table.Share(of, now) == 1 || credit[of] >= 1) {
-					t.Fatalf("at %v server %d: credit %v, want %v", now, of, table.credit[of], credit[of])
+			succeeded := float64(rapid.IntRange(0, 50).Draw(t, "succeeded"))
+			in := Round{Now: now, Elapsed: gap, MedianLatency: 20, SucceededAtWarm: succeeded}
+			ref.earn(in)
+			table.Earn(in, ref.isRunning)
+			for server, want := range ref.credit {
+				maySend := table.Share(server, now) == 1 || want >= 1
+				if table.credit[server] != want || table.MaySend(server, now) != maySend {
+					t.Fatalf("at %v server %d: credit %v, want %v", now, server, table.credit[server], want)
 				}
 			}
-			if table.warm != warm {
-				t.Fatalf("at %v: %v are warm, want %v", now, table.warm, warm)
+			if table.warm != ref.warm {
+				t.Fatalf("at %v: %v are warm, want %v", now, table.warm, ref.warm)
 			}
 		}
 	})
