--- a/internal/gatherer/dispatch/pick.go
+++ b/internal/gatherer/dispatch/pick.go
@@ -109,7 +109,7 @@
 	for _, index := range settings.ClassNames() {
 		shortest = min(shortest, settings.Class(index).LatencyObjective)
 	}
-	return logic.Silence * shortest
+	return logic.ConnectionSilenceShare * shortest
 }
 
 // Now is the module's time: Unix milliseconds, so that it compares with the times of discovery, moved on by
--- a/internal/gatherer/dispatch/twice.go
+++ b/internal/gatherer/dispatch/twice.go
@@ -149,7 +149,7 @@
 		}
 	}
 	choice := t.phases.Open(now, phases.Lookup{Index: lk.Index, Parts: len(lk.Parts), Spoken: len(first.Parts), GiveUpAt: lk.GiveUpAt,
-		Servers: t.count, Room: p.module.RetryBudgetLeft() - logic.Reserve*begun(in)})
+		Servers: t.count, Room: p.module.RetryBudgetLeft() - logic.FirstPassRetryReserve*begun(in)})
 	for _, t := range p.traces {
 		t.Opened(lk, &choice, now)
 	}
--- /dev/null
+++ b/logic/advance.go
@@ -0,0 +1,151 @@
+package logic
+
+import (
+	"slices"
+
+	"yokeroute/gather"
+)
+
+// progress is how far a query has come. Weights are shares of the complete answer.
+type progress struct {
+	needed   float64 // for a complete answer
+	received float64
+	possible float64 // received, or may still be
+	expected float64 // received, or expected to be without a further attempt
+
+	succeeded     int // requests
+	inFlight      int // attempts
+	objectiveLeft float64
+	timeUp        bool // it has to end now
+}
+
+func (g *Gatherer) progressOf(q *query) progress {
+	p := progress{
+		needed:        q.class.CompleteShare,
+		received:      q.ReceivedWeight,
+		possible:      q.ReceivedWeight,
+		expected:      q.ReceivedWeight,
+		objectiveLeft: q.arrivedAt + q.class.LatencyObjective - g.now,
+		timeUp:        q.Deadline-g.now <= 3*g.tick(),
+	}
+	if q.secondStep {
+		p.needed = 1
+	}
+	for _, r := range q.requests {
+		p.inFlight += r.inFlight
+		if r.succeeded {
+			p.received += r.Weight
+			p.succeeded++
+		}
+		if r.succeeded || r.inFlight > 0 || len(r.attempts) == 0 || g.mayRepeat(r) {
+			p.possible += r.Weight
+		}
+		if g.responseExpected(r) {
+			p.expected += r.Weight
+		}
+	}
+	return p
+}
+
+// complete reports whether the answer received is complete. A request may weigh less than the tolerance:
+// where all are needed they are counted.
+func (p *progress) complete(q *query) bool {
+	return p.received >= p.needed-shareTolerance &&
+		(p.needed < 1-shareTolerance || p.succeeded == len(q.requests))
+}
+
+// partialAnswerDue reports whether a partial answer is given now: nothing more can be received, the time is
+// up, or the latency objective is and the answer is worth more now than a complete one later.
+func (p *progress) partialAnswerDue(q *query, tick float64) bool {
+	if p.received <= 0 || p.received < q.class.MinShare-shareTolerance {
+		return false
+	}
+	worthMoreNow := q.class.PartialValue*p.received/p.needed > q.class.LateValue
+	if p.timeUp || p.objectiveLeft <= 2*tick && worthMoreNow {
+		return true
+	}
+	return p.possible < p.needed-shareTolerance && p.received >= p.possible-shareTolerance
+}
+
+// hopeless reports whether the query can earn nothing any more, or found no server before its latency
+// objective.
+func (p *progress) hopeless(q *query) bool {
+	if p.timeUp || p.possible < q.class.MinShare-shareTolerance {
+		return true
+	}
+	return p.objectiveLeft <= 0 && (q.class.LateValue == 0 || p.inFlight == 0)
+}
+
+// advance takes a query as far as it can go in this round: it ends it, or sends what it needs.
+func (g *Gatherer) advance(q *query) {
+	if q.finished || !q.modeChosen && !g.begin(q) {
+		return
+	}
+	p := g.progressOf(q)
+	complete := p.complete(q)
+	switch {
+	case len(q.requests) == 0 && !p.timeUp:
+		// The requests of its second step come with the next round.
+	case complete, p.partialAnswerDue(q, g.tick()):
+		g.answer(q, complete && (!q.secondStep || q.firstComplete))
+	case p.hopeless(q):
+		g.rejectOrFail(q)
+	default:
+		g.sendWanted(q, &p)
+		g.retryLostRequests(q, &p)
+	}
+}
+
+// begin chooses the mode of a query that has arrived. It reports whether the query goes on in this round:
+// it may wait for load reports, or be shed. A first pass is never shed: its second pass soon is where that
+// is needed.
+func (g *Gatherer) begin(q *query) bool {
+	if g.loads.request(q, g.now, g.writer) {
+		return false
+	}
+	g.chooseMode(q)
+	if q.Pass != gather.FirstPass && g.overloaded(q) {
+		g.rejectOrFail(q)
+		return false
+	}
+	return true
+}
+
+// sendWanted sends the first attempts. Requests that were not wanted make up for lost and late ones: a
+// first attempt costs no retry budget.
+func (g *Gatherer) sendWanted(q *query, p *progress) {
+	for _, r := range q.requests {
+		if !r.wanted && p.expected < p.needed-shareTolerance {
+			r.wanted = true
+			r.extra = false
+			p.expected += r.Weight
+		}
+		if r.wanted && len(r.attempts) == 0 && (!r.Retry || g.retries.allows()) {
+			g.sendFirstAttempt(r)
+		}
+	}
+}
+
+// retryLostRequests sends a further attempt of requests whose response is not expected any more, as far as
+// the query needs them.
+func (g *Gatherer) retryLostRequests(q *query, p *progress) {
+	missing := (p.needed - p.received) / p.needed
+	for _, r := range q.requests {
+		if p.expected >= p.needed-shareTolerance {
+			return
+		}
+		if !g.responseExpected(r) && g.retryNow(r, missing) && g.sendRetry(r) {
+			p.expected += r.Weight
+		}
+	}
+}
+
+// responseExpected reports whether a request needs no further attempt.
+func (g *Gatherer) responseExpected(r *shardRequest) bool {
+	if r.succeeded || r.wanted && len(r.attempts) == 0 {
+		return true
+	}
+	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
+		return !a.ended && g.now-a.startedAt <= lateAfterMultiple*g.latencies.attemptLatency(a)
+	})
+}
--- /dev/null
+++ b/logic/estimates.go
@@ -0,0 +1,180 @@
+package logic
+
+import (
+	"yokeroute/gather"
+	"yokeroute/internal/stats"
+	"yokeroute/logic/callstats"
+	"yokeroute/logic/slowstart"
+)
+
+const (
+	measuringWindowMS = 5000.0 // the paper's
+	// Where a server has fewer records in the window, older ones count: a small gatherer sends each server
+	// little.
+	minRecords     = 4
+	recordMemoryMS = 25000.0
+
+	lateMultiple        = 2.0  // of its usual latency, beyond which an attempt counts as failed; the paper's
+	maxUtilization      = 0.9  // at which the paper's L·s is clamped
+	ageFactor           = 1.5  // from the mean age of attempts in flight to their expected latency
+	addedSuccesses      = 2    // added to the cautious failure share: one failure proves little
+	successFloor        = 0.02 // added to the success share: no server is ruled out for good
+	startLatencyDivisor = 10   // of the shortest objective: the latency before there is any record
+	startExtraDivisor   = 2    // of the shortest objective: the paper's r before an attempt has failed
+	unknown             = -1.0
+)
+
+// estimate is what a server's records and attempts in flight say of it.
+type estimate struct {
+	latency              float64 // the paper's s: mean of those that succeeded; unknown without any
+	failureShare         float64 // the paper's f
+	extraLatency         float64 // the paper's r
+	cautiousFailureShare float64 // f with successes added, so that one failure proves little
+	successShare         float64 // late attempts count as successful here
+	successesSinceLoss   float64 // since an attempt failed that may have executed
+}
+
+// latencyEstimator keeps the servers' estimates up to date by the attempts that have ended or are in
+// flight.
+type latencyEstimator struct {
+	servers   *serverTable
+	slowStart *slowstart.Table
+	records   *callstats.Table
+
+	shortestObjective float64 // of all classes
+	medianLatency     float64 // of the attempts that succeeded in the window
+	unknownLatency    float64 // of a server without records: the median of the round before
+	usualAttempt      float64 // median latency of attempts in flight and of those that succeeded of late
+	succeededAtWarm   float64 // attempts since the last round, at servers that are warmed up
+	attemptLatencies  []float64
+}
+
+func newLatencyEstimator(
+	servers *serverTable, slow *slowstart.Table, shortestObjective float64,
+) latencyEstimator {
+	limits := callstats.Limits{Window: measuringWindowMS, MinRecords: minRecords, MaxAge: recordMemoryMS}
+	return latencyEstimator{
+		servers:           servers,
+		slowStart:         slow,
+		shortestObjective: shortestObjective,
+		medianLatency:     shortestObjective / startLatencyDivisor,
+		records:           callstats.New(limits),
+	}
+}
+
+// startLatency is the latency assumed before there is any record.
+func (e *latencyEstimator) startLatency() float64 { return e.shortestObjective / startLatencyDivisor }
+
+// learnt reports whether the median rests on attempts.
+func (e *latencyEstimator) learnt() bool { return e.medianLatency != e.startLatency() }
+
+// latency is the paper's s. A server without records is taken for a usual one.
+func (e *latencyEstimator) latency(server int) float64 {
+	if s := e.servers.servers[server].estimate.latency; s >= 0 {
+		return s
+	}
+	return e.unknownLatency
+}
+
+// attemptLatency is what an attempt should take. The median of all servers bounds it, since a server that
+// slows down steadily never takes twice its own s; a request of a high cost may take longer.
+func (e *latencyEstimator) attemptLatency(a *attempt) float64 {
+	return min(e.latency(a.server), e.medianLatency) * a.request.relativeCost()
+}
+
+// record notes an attempt that has ended. One that this side ended before it was late says nothing of the
+// server.
+func (e *latencyEstimator) record(a *attempt, outcome gather.Outcome, now float64) {
+	e.records.MarkChanged(a.server)
+	succeeded := outcome == gather.Succeeded
+	latency := now - a.startedAt
+	limit := lateMultiple * e.attemptLatency(a)
+	late := latency > limit
+	r := callstats.Record{
+		EndedAt:      now,
+		Latency:      latency,
+		ExtraLatency: latency - limit/lateMultiple,
+		Weight:       a.weight,
+		Succeeded:    succeeded,
+		Failed:       !succeeded || late,
+	}
+	if !succeeded {
+		r.ExtraLatency += limit // its retry takes its time as well
+		r.Lost = !a.neverExecuted
+	}
+	if succeeded && e.slowStart.Share(a.server, now) == 1 {
+		e.succeededAtWarm++
+	}
+	if outcome == gather.NotSent || outcome == gather.Cancelled && !late {
+		return
+	}
+	e.records.Add(a.server, r)
+}
+
+// update brings all estimates up to the round. Only servers with attempts in flight, and those whose
+// records changed, are looked at.
+func (e *latencyEstimator) update(now, elapsed, decay float64) {
+	e.servers.decayAttemptCounts(decay)
+	changed := e.records.Advance(now)
+	latencies := e.records.AppendLatencies(now-e.shortestObjective, e.attemptLatencies[:0])
+	e.servers.removeIdle()
+	for _, server := range e.servers.busy {
+		for _, a := range e.servers.servers[server].inFlight {
+			latencies = append(latencies, max(e.latency(server), ageFactor*(now-a.startedAt)))
+		}
+		e.estimate(server, now)
+	}
+	for _, server := range changed {
+		if e.servers.inFlight(server) == 0 {
+			e.estimate(server, now)
+		}
+	}
+	e.slowStart.Earn(slowstart.Round{
+		Now:             now,
+		Elapsed:         elapsed,
+		MedianLatency:   e.medianLatency,
+		SucceededAtWarm: e.succeededAtWarm,
+	}, e.servers.running)
+	e.succeededAtWarm = 0
+	e.attemptLatencies = latencies
+	e.usualAttempt = stats.Median(latencies, 0)
+	e.unknownLatency = e.medianLatency
+	e.medianLatency = e.records.Median(e.startLatency())
+}
+
+// estimate works out a server's estimate. An attempt in flight that is late counts as failed, so that a
+// silent server is noticed before its attempts end.
+func (e *latencyEstimator) estimate(server int, now float64) {
+	sums := e.records.Sums(server)
+	count, failed, extra := sums.Count, sums.Failed, sums.ExtraLatency
+	s := &e.servers.servers[server]
+	for _, a := range s.inFlight {
+		if late := now - a.startedAt - lateMultiple*e.attemptLatency(a); late > 0 {
+			count++
+			failed++
+			extra += late
+		}
+	}
+	s.estimate = estimate{
+		latency:              unknown,
+		failureShare:         failed / max(count, 1),
+		extraLatency:         e.shortestObjective / startExtraDivisor,
+		cautiousFailureShare: failed / (count + addedSuccesses),
+		successShare:         (sums.Succeeded + successFloor) / (count + successFloor),
+		successesSinceLoss:   sums.SuccessesSinceLoss,
+	}
+	if sums.Succeeded > 0 {
+		s.estimate.latency = sums.Latency / sums.Succeeded
+	}
+	if failed > 0 {
+		s.estimate.extraLatency = extra / failed
+	}
+}
+
+// affected is the paper's E: the attempts that a request sent now would delay, itself among them (section
+// III-C).
+func (e *latencyEstimator) affected(server int) float64 {
+	utilization := min(e.servers.attemptCounts[server]/measuringWindowMS*e.latency(server), maxUtilization)
+	queue := float64(e.servers.inFlight(server) + 1)
+	return utilization * queue / (1 - utilization)
+}
--- /dev/null
+++ b/logic/mode.go
@@ -0,0 +1,88 @@
+package logic
+
+import (
+	"cmp"
+	"slices"
+)
+
+// minExtraCount keeps the share of dropped requests defined before there are any.
+const minExtraCount = 5e-5
+
+// extraRequests counts the extra requests of the assisted mode that were sent, and those that were dropped
+// unsent, decaying over the measuring window.
+type extraRequests struct {
+	sent    float64
+	dropped float64
+}
+
+func (e *extraRequests) decay(factor float64) {
+	e.sent *= factor
+	e.dropped *= factor
+}
+
+// droppedShare is the paper's c: the share of extra requests that never reach a server.
+func (e *extraRequests) droppedShare() float64 {
+	return e.dropped / max(e.dropped+e.sent, minExtraCount)
+}
+
+// modeCandidate is a request with the replica that is next for it.
+type modeCandidate struct {
+	request      *shardRequest
+	failureShare float64 // of the replica, 1 where there is none
+	cost         float64 // with a random fraction, so that equal costs are ordered at random
+}
+
+// chooseMode decides which requests of a query are sent. In normal mode these are the n with the lowest f
+// that make a complete answer; in the paper's system-assisted mode all k are, and the answer is made of the
+// first n. The mode is assisted if the net gain is positive (section III, equations 1 and 4): the sum of
+// E·(f·r + c·s) over the n normal requests, less the sum of E·(1-c)·s over the extra ones.
+func (g *Gatherer) chooseMode(q *query) {
+	q.modeChosen = true
+	droppedShare := g.extras.droppedShare()
+	weight := q.ReceivedWeight
+	netGain := 0.0
+	mayFail := false
+	for _, candidate := range g.modeCandidates(q) {
+		r := candidate.request
+		r.extra = weight >= q.class.CompleteShare-shareTolerance
+		r.wanted = !r.extra
+		weight += r.Weight
+		if r.replica == noReplica {
+			continue
+		}
+		affected := g.latencies.affected(r.replica)
+		latency := g.latencies.latency(r.replica)
+		if r.extra {
+			netGain -= affected * (1 - droppedShare) * latency
+			continue
+		}
+		estimate := &g.servers.servers[r.replica].estimate
+		netGain += affected * (estimate.failureShare*estimate.extraLatency + droppedShare*latency)
+		mayFail = mayFail || estimate.failureShare > 0
+	}
+	if netGain > 0 && mayFail {
+		for _, r := range q.requests {
+			r.wanted = true
+		}
+	}
+}
+
+// modeCandidates are a query's requests in the order in which they are needed: by f, then by cost.
+func (g *Gatherer) modeCandidates(q *query) []modeCandidate {
+	candidates := make([]modeCandidate, len(q.requests))
+	for i, r := range q.requests {
+		r.replica = g.replicas.next(r, g.now)
+		candidates[i] = modeCandidate{
+			request:      r,
+			failureShare: 1,
+			cost:         r.Cost + r.OrderPenalty + g.random.Float64(),
+		}
+		if r.replica != noReplica {
+			candidates[i].failureShare = g.servers.servers[r.replica].estimate.failureShare
+		}
+	}
+	slices.SortStableFunc(candidates, func(a, b modeCandidate) int {
+		return cmp.Or(cmp.Compare(a.failureShare, b.failureShare), cmp.Compare(a.cost, b.cost))
+	})
+	return candidates
+}
--- /dev/null
+++ b/logic/replica.go
@@ -0,0 +1,260 @@
+package logic
+
+import (
+	"math"
+	"slices"
+
+	"yokeroute/gather"
+	"yokeroute/internal/pcg"
+	"yokeroute/logic/roundrobin"
+	"yokeroute/logic/slowstart"
+)
+
+const (
+	outlierMargin   = 0.25 // of failure share over the least in its set, from which a server is an outlier
+	trustedAfter    = 10   // successes since a loss, before which non-idempotent requests avoid a server
+	maxInFlightLead = 1.0  // attempts in flight over the fewest of its set, above which one is passed over
+	slowMultiple    = 2.0  // of the least expected latency, above which a replica is passed over
+	requestsPerSlot = 4    // requests of a round that share a call where it has a cost; more would queue up
+	noReplica       = -1
+)
+
+// replicaPicker chooses the replica for each attempt: round robin, or weighted round robin where an
+// operator has set weights, over the replicas that nothing speaks against.
+type replicaPicker struct {
+	servers   *serverTable
+	latencies *latencyEstimator
+	slowStart *slowstart.Table
+	random    *pcg.Source
+
+	// loadsReported is set where servers' load reports stand in for the attempts in flight of this
+	// gatherer.
+	loadsReported bool
+
+	slots    []slot // by replica set
+	weighted roundrobin.Weighted
+
+	// leastFailure is the least cautious failure share of each replica set, as of a round.
+	leastFailure      []float64
+	leastFailureRound []uint64
+	round             uint64
+}
+
+// slot is the state of the plain round robin of a replica set.
+type slot struct {
+	next      int // place of the replica that comes next
+	server    int // that had the last slot,
+	takenAt   float64
+	remaining int // and requests of the same round that may still share it
+}
+
+// newReplicaPicker starts each replica set at a random replica, so that not all gatherers start at the same
+// one.
+func newReplicaPicker(
+	servers *serverTable, latencies *latencyEstimator, slow *slowstart.Table, random *pcg.Source,
+	loadsReported bool,
+) replicaPicker {
+	sets := len(servers.replicas)
+	p := replicaPicker{
+		servers:           servers,
+		latencies:         latencies,
+		slowStart:         slow,
+		random:            random,
+		loadsReported:     loadsReported,
+		slots:             make([]slot, sets),
+		leastFailure:      make([]float64, sets),
+		leastFailureRound: make([]uint64, sets),
+	}
+	for i := range p.slots {
+		p.slots[i] = slot{next: int(random.Uint32() >> 8), takenAt: -1}
+	}
+	p.endpointsChanged()
+	return p
+}
+
+func (p *replicaPicker) startRound() { p.round++ }
+
+func (p *replicaPicker) setWeights(weights [][]gather.Weight) {
+	p.weighted.SetWeights(weights)
+	p.endpointsChanged()
+}
+
+func (p *replicaPicker) endpointsChanged() {
+	p.weighted.SetReplicas(p.servers.replicas, p.servers.id, p.random)
+}
+
+// next is the replica for a request's next attempt, or noReplica. Where each has something against it, it
+// is the one that is expected to answer first.
+func (p *replicaPicker) next(r *shardRequest, now float64) int {
+	set := p.servers.replicaSet(r.Shard)
+	acceptable := func(server int) bool { return p.usable(server, r, now) && !p.passedOver(server, r, now) }
+	if s := &p.slots[set]; s.takenAt == now && s.remaining > 0 && acceptable(s.server) {
+		return s.server
+	}
+	if server := p.weighted.Next(set, p.servers.inFlight, acceptable); server >= 0 {
+		return server
+	}
+	return p.nextInTurn(set, r, now)
+}
+
+// nextInTurn goes through the replicas in turn: first those that are warming up and may be sent a request,
+// which would stay idle behind the others, then all. A replica in another zone is taken where none is
+// acceptable in this one.
+func (p *replicaPicker) nextInTurn(set int, r *shardRequest, now float64) int {
+	replicas := p.servers.replicas[set]
+	scan := p.newScan(set, r, now)
+	for i := range replicas {
+		server := replicas[(p.slots[set].next+i)%len(replicas)]
+		if !p.usable(server, r, now) || p.slowStart.Share(server, now) == 1 {
+			continue
+		}
+		if scan.consider(server, math.Inf(1)) {
+			return server
+		}
+	}
+	maxLatency := slowMultiple * p.leastLatency(set, r, now)
+	for i := range replicas {
+		server := replicas[(p.slots[set].next+i)%len(replicas)]
+		if p.usable(server, r, now) && scan.consider(server, maxLatency) {
+			return server
+		}
+	}
+	if scan.otherZone != noReplica {
+		return scan.otherZone
+	}
+	return scan.leastBad
+}
+
+// replicaScan is one look through the replicas of a set.
+type replicaScan struct {
+	picker         *replicaPicker
+	request        *shardRequest
+	now            float64
+	fewestInFlight float64 // at an acceptable replica
+	otherZone      int     // the first acceptable replica in another zone
+	leastBad       int     // of all usable replicas,
+	leastCost      float64 // by the time that it is expected to take
+}
+
+func (p *replicaPicker) newScan(set int, r *shardRequest, now float64) replicaScan {
+	scan := replicaScan{
+		picker:         p,
+		request:        r,
+		now:            now,
+		fewestInFlight: math.Inf(1),
+		otherZone:      noReplica,
+		leastBad:       noReplica,
+		leastCost:      math.Inf(1),
+	}
+	for _, server := range p.servers.replicas[set] {
+		if scan.fewestInFlight <= 0 {
+			break
+		}
+		if p.usable(server, r, now) && !p.passedOver(server, r, now) {
+			scan.fewestInFlight = min(scan.fewestInFlight, float64(p.servers.inFlight(server)))
+		}
+	}
+	return scan
+}
+
+// consider reports whether a usable server is acceptable and in this zone. Otherwise it notes what it is
+// good for.
+func (s *replicaScan) consider(server int, maxLatency float64) bool {
+	p := s.picker
+	latency := p.latencies.expectedLatency(server, s.now)
+	inFlight := float64(p.servers.inFlight(server))
+	crowded := !p.loadsReported && inFlight > s.fewestInFlight+maxInFlightLead
+	if latency <= maxLatency && !crowded && !p.passedOver(server, s.request, s.now) {
+		if !p.servers.servers[server].inOtherZone {
+			return true
+		}
+		if s.otherZone == noReplica {
+			s.otherZone = server
+		}
+	}
+	// A server that rejects at once has a low s and nothing in flight: its success share keeps requests
+	// from herding.
+	cost := latency * (inFlight + 1) / p.servers.servers[server].estimate.successShare
+	if cost < s.leastCost {
+		s.leastBad = server
+		s.leastCost = cost
+	}
+	return false
+}
+
+// leastLatency is the least expected latency of the replicas that a request may be sent to.
+func (p *replicaPicker) leastLatency(set int, r *shardRequest, now float64) float64 {
+	least := math.Inf(1)
+	for _, server := range p.servers.replicas[set] {
+		if p.usable(server, r, now) {
+			least = min(least, p.latencies.expectedLatency(server, now))
+		}
+	}
+	return least
+}
+
+// usable reports whether a request may be sent to a server at all. One that has seen it would only give the
+// same result again; one that rejected it is tried again once all replicas have seen it.
+func (p *replicaPicker) usable(server int, r *shardRequest, now float64) bool {
+	if r.query.Pass == gather.FirstPass && !p.servers.servers[server].answersFirstPass {
+		return false
+	}
+	for _, a := range r.attempts {
+		if a.server == server && (!a.neverExecuted || p.hasUnseenReplica(r)) {
+			return false
+		}
+	}
+	return p.slowStart.MaySend(server, now)
+}
+
+func (p *replicaPicker) hasUnseenReplica(r *shardRequest) bool {
+	return len(p.servers.replicas[p.servers.replicaSet(r.Shard)]) > len(r.attempts)
+}
+
+// passedOver reports whether something speaks against a server: its last attempt is late, or the first one
+// that it was ever sent is in flight; it is an outlier; or it lost an attempt of late, for a request that
+// cannot be sent again.
+func (p *replicaPicker) passedOver(server int, r *shardRequest, now float64) bool {
+	if last := p.servers.servers[server].lastAttempt; last != nil && !last.ended {
+		late := now-last.startedAt > lateMultiple*p.latencies.latency(server)
+		if late || !p.loadsReported && p.latencies.records.Count(server) == 0 {
+			return true
+		}
+	}
+	if p.outlier(server, r) {
+		return true
+	}
+	estimate := &p.servers.servers[server].estimate
+	return r.query.class.Effect == gather.NonIdempotent && estimate.successesSinceLoss < trustedAfter
+}
+
+// outlier reports whether a server's failures stand out in its replica set. It is compared to its set and
+// not to the fleet: half of the fleet may fail this gatherer alone, and under overload all servers fail.
+func (p *replicaPicker) outlier(server int, r *shardRequest) bool {
+	set := p.servers.replicaSet(r.Shard)
+	if p.leastFailureRound[set] != p.round { // it does not change within a round
+		p.leastFailureRound[set] = p.round
+		p.leastFailure[set] = math.Inf(1)
+		for _, other := range p.servers.replicas[set] {
+			share := p.servers.servers[other].estimate.cautiousFailureShare
+			p.leastFailure[set] = min(p.leastFailure[set], share)
+		}
+	}
+	return p.servers.servers[server].estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
+}
+
+// take notes that a replica was chosen. Where a call has a cost, requests of one round share its slot and
+// so its call.
+func (p *replicaPicker) take(set, server int, now float64, settings *gather.Settings) {
+	p.weighted.Take(set, server)
+	s := &p.slots[set]
+	if s.takenAt == now && s.server == server {
+		s.remaining--
+		return
+	}
+	replicas := p.servers.replicas[set]
+	*s = slot{next: (slices.Index(replicas, server) + 1) % len(replicas), server: server, takenAt: now}
+	if settings.CallCost > 0 {
+		s.remaining = min(requestsPerSlot, settings.RequestsPerCall) - 1
+	}
+}
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -303,7 +303,7 @@
 		now++
 		round(gather.Round{Now: now, Results: []gather.AttemptResult{{Request: id + 1, Outcome: gather.Succeeded, Finished: true}}})
 	}
-	if n := g.records.Count(0) + g.records.Count(1); n < 1900 {
+	if n := g.latencies.records.Count(0) + g.latencies.records.Count(1); n < 1900 {
 		t.Fatalf("%d records are too few to tell", n)
 	}
 	if n := testing.AllocsPerRun(20, func() { now++; round(gather.Round{Now: now}) }); n > 2 {
@@ -318,7 +318,7 @@
 	for i := range uint32(1000) {
 		g.Round(&gather.Round{Now: 1000 + float64(i), EndpointLists: []gather.EndpointList{{Endpoints: []gather.Endpoint{{ID: i, State: gather.Removed}, {ID: i + 1}}}}}, p)
 	}
-	if len(g.ids) > 3 || len(g.dense) > 3 || len(g.out) > 3 {
-		t.Errorf("%d ids, %d in the map, %d rows of calls", len(g.ids), len(g.dense), len(g.out))
+	if table := &g.servers; len(table.servers) > 3 || len(table.indexOf) > 3 || len(table.attemptCounts) > 3 {
+		t.Errorf("%d servers, %d in the map, %d counts", len(table.servers), len(table.indexOf), len(table.attemptCounts))
 	}
 }
--- a/logic/view.go
+++ b/logic/view.go
@@ -2,20 +2,29 @@
 
 import "yokeroute/gather"
 
-// View is what the gatherer knows of the servers on its list, for people who look on. It decides nothing.
+// View is what the gatherer knows of the listed servers, for display.
 func (g *Gatherer) View() []gather.EndpointView {
 	var views []gather.EndpointView
-	for shd, id := range g.ids {
-		if g.state[shd] == gather.Removed {
+	for i := range g.servers.servers {
+		s := &g.servers.servers[i]
+		if s.state == gather.Removed {
 			continue
 		}
-		group := -1
-		if len(g.holds[shd]) > 0 {
-			group = g.holds[shd][0]
+		view := gather.EndpointView{
+			Server:        s.id,
+			ReplicaSet:    -1,
+			State:         s.state,
+			Latency:       g.latencies.latency(i),
+			FailureShare:  s.estimate.failureShare,
+			ExtraLatency:  s.estimate.extraLatency,
+			Rate:          g.servers.attemptCounts[i] / measuringWindowMS * 1000,
+			InFlight:      len(s.inFlight),
+			CapacityShare: g.slowStart.Share(i, g.now),
 		}
-		views = append(views, gather.EndpointView{Server: id, ReplicaSet: group, State: g.state[shd], Latency: g.latency(shd),
-			FailureShare: g.f[shd], ExtraLatency: g.r[shd], Rate: g.rate[shd] / span * 1000, InFlight: len(g.out[shd]),
-			CapacityShare: g.slow.Share(shd, g.now)})
+		if len(s.replicaSets) > 0 {
+			view.ReplicaSet = s.replicaSets[0]
+		}
+		views = append(views, view)
 	}
 	return views
 }
