--- /dev/null
+++ b/logic/decisions_test.go
@@ -0,0 +1,152 @@
+package logic
+
+import (
+	"fmt"
+	"hash/fnv"
+	"runtime"
+	"testing"
+
+	"yokeroute/gather"
+)
+
+const (
+	trafficServers     = 18
+	trafficReplicaSets = 6
+	trafficLengthMS    = 30_000
+)
+
+// trafficSettings have all classes and effects, a retry budget, warming servers and a price of calls.
+func trafficSettings() *gather.Settings {
+	class := gather.Class{LatencyObjective: 400, LateValue: 0.1, CompleteShare: 1, MinShare: 1}
+	anyClass, all, once, keyed := class, class, class, class
+	anyClass.Name, anyClass.Effect = "any", gather.Idempotent
+	anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.5
+	all.Name, all.Effect = "all", gather.Idempotent
+	once.Name, once.Effect = "non-idempotent", gather.NonIdempotent
+	keyed.Name, keyed.Effect = "keyed", gather.IdempotencyKeyed
+	keyed.IdempotencyWindow = 900
+	return &gather.Settings{
+		ReplicaSets: trafficReplicaSets, ReplicaSetsPerShard: 2, MaxAttempts: 3, CancelAllowed: true,
+		HedgingAllowed: true, Tick: 5, Gatherers: 3, GathererIndex: 1, MaxRetryAfter: 1000,
+		WarmupTime: 8000, InitialCapacityShare: 0.2, OverloadWindow: 2000, OverloadMultiple: 3,
+		RetryBudgetWindow: 2000, RetryBudgetFloor: 10, RetryBudgetRatio: 0.05,
+		RequestsPerCall: 16, CallCost: 1, Classes: []gather.Class{anyClass, all, once, keyed},
+	}
+}
+
+// traffic plays a seeded day of queries, results of all outcomes, clients that disconnect, and servers that
+// drain, go and start again. It returns a hash of what was written and the number of attempts. The first
+// round may be changed.
+func traffic(seed uint64, changeFirst func(in *gather.Round)) (hash uint64, attempts int) {
+	d := newDay(trafficSettings(), seed, seed+1)
+	end := d.now + trafficLengthMS
+	for first := true; d.now < end; first = false {
+		in := gather.Round{Now: d.now}
+		if first {
+			in.EndpointLists = append(in.EndpointLists, trafficList())
+			changeFirst(&in)
+		}
+		for range int(d.random.Float64() * 2.2) {
+			d.addTrafficQuery(&in)
+		}
+		d.addDueResults(&in)
+		if d.oneIn(150) {
+			in.EndpointLists = append(in.EndpointLists, d.trafficChange())
+		}
+		d.run(&in, d.trafficOutcome, func() []any { return []any{d.now} })
+		d.now += 5 + 5*d.random.Float64()
+	}
+	return d.hash.Sum64(), d.attempts
+}
+
+func trafficList() gather.EndpointList {
+	list := gather.EndpointList{Full: true}
+	for id := range uint32(trafficServers) {
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: id, ReplicaSet: int(id % trafficReplicaSets)})
+	}
+	return list
+}
+
+// trafficChange lets one server drain, go or start again.
+func (d *day) trafficChange() gather.EndpointList {
+	id := d.random.Uint32() % trafficServers
+	return gather.EndpointList{Endpoints: []gather.Endpoint{{
+		ID:         id,
+		ReplicaSet: int(id % trafficReplicaSets),
+		State:      gather.State(d.random.Uint32() % 3),
+		StartedAt:  d.now,
+	}}}
+}
+
+func (d *day) addTrafficQuery(in *gather.Round) {
+	count := 1 + int(d.random.Uint32()%6)
+	classes := trafficSettings().ClassNames()
+	q := gather.Query{ID: d.nextID, Number: d.nextID}
+	q.Class = classes[d.random.Uint32()%4]
+	q.Deadline = d.now + 300 + 900*d.random.Float64()
+	q.Retry = d.oneIn(5)
+	in.Queries = append(in.Queries, q)
+	for i := range count {
+		r := gather.ShardRequest{ID: q.ID + 1 + uint64(i), Number: q.Number, Weight: 1 / float64(count)}
+		r.Shard = int(d.random.Uint32()%7) + i
+		r.Cost = 20 * d.random.Float64()
+		in.Requests = append(in.Requests, r)
+	}
+	if d.oneIn(40) {
+		in.Abandoned = append(in.Abandoned, q.ID)
+	}
+	d.nextID += uint64(count) + 1
+}
+
+func (d *day) trafficOutcome(server uint32) (after float64, outcome gather.Outcome) {
+	after = 10 + 60*d.random.Float64()*d.random.Float64()*float64(1+server%4)
+	outcome = gather.Succeeded
+	switch d.random.Uint32() % 30 {
+	case 0:
+		outcome = gather.Outcome(1 + d.random.Uint32()%7)
+	case 1:
+		after = 2000
+	}
+	return after, outcome
+}
+
+// requireRecordedArchitecture skips a test of recorded hashes where the compiler may fuse multiplications.
+func requireRecordedArchitecture(t *testing.T) {
+	t.Helper()
+	if runtime.GOARCH != "amd64" {
+		t.Skip("other architectures may fuse multiplications, and the hashes were recorded without")
+	}
+}
+
+// TestTrafficDecisionsAsRecorded wants the recorded decisions, byte for byte, where there are no weights, and
+// the same where the weights are empty. A change that is meant to decide otherwise takes over the hashes that
+// it comes to.
+func TestTrafficDecisionsAsRecorded(t *testing.T) {
+	requireRecordedArchitecture(t)
+	for seed, want := range []uint64{0x395035e96001ca12, 0x7b81cca1e023f91c, 0xff6dba7d26ec98de} {
+		got, attempts := traffic(uint64(seed), func(*gather.Round) {})
+		if attempts < 1500 {
+			t.Errorf("seed %d: %d attempts are too few to tell", seed, attempts)
+		}
+		if got != want {
+			t.Errorf("seed %d: hash %#x, recorded was %#x", seed, got, want)
+		}
+		emptyWeights := func(in *gather.Round) { in.Weights = [][]gather.Weight{} }
+		if again, _ := traffic(uint64(seed), emptyWeights); again != got {
+			t.Errorf("seed %d: weights that are empty change the decisions", seed)
+		}
+	}
+}
+
+// TestManyTrafficDecisionsAsRecorded covers more seeds.
+func TestManyTrafficDecisionsAsRecorded(t *testing.T) {
+	requireRecordedArchitecture(t)
+	sum := fnv.New64a()
+	for seed := range uint64(60) {
+		hash, _ := traffic(1000+seed, func(*gather.Round) {})
+		fmt.Fprintln(sum, hash)
+	}
+	if got, want := sum.Sum64(), uint64(0x64fc84e982a8d873); got != want {
+		t.Errorf("hash %#x, recorded was %#x", got, want)
+	}
+}
