--- a/internal/simwire/day_test.go
+++ b/internal/simwire/day_test.go
@@ -81,7 +81,6 @@
 	queries     map[uint64]*simulatedQuery // by the id of the query
 	parts       map[uint64]*simulatedPart
 	queryNumber int
-	lines       []string // of the batch that is being put together
 }
 
 type simulatedQuery struct {
@@ -210,7 +209,9 @@
 	for d.now < dayStart+dayLength {
 		d.runBatch()
 	}
-	inWrite.Close()
+	if err := inWrite.Close(); err != nil {
+		d.t.Fatal(err)
+	}
 	if err := <-served; err != nil {
 		d.t.Fatal(err)
 	}
@@ -502,14 +503,12 @@
 func (d *simulatedDay) send(in *simulatedInstance, p *simulatedPart, server uint32, timeout int64) {
 	number := len(p.attempts)
 	p.attempts = append(p.attempts, &simulatedAttempt{server: server, sentAt: d.now})
-	after, verdict := d.exponential(8000)+dayTick, "pass"
+	after := d.exponential(8000) + dayTick
+	verdict := d.rareVerdict(number >= attemptsCap || p.passed)
 	switch s := d.server(server); {
-	case number >= attemptsCap || p.passed || d.chance(0.004):
-		verdict = "stale_send"
-	case d.chance(0.004):
-		verdict = "fault"
-	case d.chance(0.004):
-		after, verdict = d.exponential(30_000), "cut"
+	case verdict == "cut":
+		after = d.exponential(30_000)
+	case verdict != "pass":
 	case s == nil || s.behaviour == "unreachable" || s.condition == "Deleted":
 		after, verdict = 250_000, "no_route"
 	case s.behaviour == "full" || s.condition == "Stopping":
@@ -543,6 +542,21 @@
 	d.schedule(in, after, func() { d.end(in, p, number, verdict) })
 }
 
+// rareVerdict is the verdict of an attempt unless its server decides.
+func (d *simulatedDay) rareVerdict(tooLate bool) string {
+	const share = 0.004 // of each
+	if tooLate || d.chance(share) {
+		return "stale_send"
+	}
+	if d.chance(share) {
+		return "fault"
+	}
+	if d.chance(share) {
+		return "cut"
+	}
+	return "pass"
+}
+
 // end tells how an attempt ended, once.
 func (d *simulatedDay) end(in *simulatedInstance, p *simulatedPart, number int, verdict string) {
 	a := p.attempts[number]
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -1,54 +1,74 @@
 package simwire
 
 import (
+	"bufio"
 	"encoding/json"
+	"fmt"
 	"math"
 	"strconv"
 )
 
-// The methods below are gather.Writer: each writes one message of the instance that is speaking.
+// roundWriter writes the decisions of one instance's round, one message each. It is a gather.Writer.
+// Messages are put together by hand, which costs little of the CPU that an instance is charged for.
+type roundWriter struct {
+	out      *bufio.Writer
+	instance int64
+}
 
-func (h *host) say(words ...string) {
-	for _, w := range words {
-		h.out.WriteString(w) // an error stays with the buffer and comes out of its Flush
-	}
+// write writes a message; fields are alternating texts, each starting with its comma and name, and values.
+func (w *roundWriter) write(command string, fields ...string) {
+	writeTexts(w.out, `{"cmd":"`, command, `","gathererId":`, strconv.FormatInt(w.instance, 10))
+	writeTexts(w.out, fields...)
+	writeTexts(w.out, "}\n")
 }
 
-func (h *host) act(cmd string, fields ...string) {
-	h.say(`{"cmd":"`, cmd, `","gathererId":`, strconv.FormatInt(h.speaking, 10))
-	h.say(fields...)
-	h.say("}\n")
+// writeBatchEnd ends the reply to a batch.
+func writeBatchEnd(out *bufio.Writer, batch int64) {
+	writeTexts(out, `{"cmd":"`, cmdReplyEnd, `","batch":`, strconv.FormatInt(batch, 10), "}\n")
 }
 
-func (h *host) text(cmd, line string) {
-	quoted, _ := json.Marshal(line) // a string always marshals
-	h.act(cmd, `,"line":`, string(quoted))
+func writeTexts(out *bufio.Writer, texts ...string) {
+	for _, text := range texts {
+		_, _ = out.WriteString(text) // a failure stays with the buffer and is returned by Flush
+	}
 }
 
-func us(ms float64) string { return strconv.FormatInt(int64(math.Round(ms*1000)), 10) }
+func microseconds(milliseconds float64) string {
+	return strconv.FormatInt(int64(math.Round(milliseconds*1000)), 10)
+}
 
-func num(n uint64) string { return strconv.FormatUint(n, 10) }
+func decimal(n uint64) string { return strconv.FormatUint(n, 10) }
 
-func (h *host) Send(part uint64, server uint32, timeout float64) {
-	h.act("PassOn", `,"ref":`, num(part), `,"server":`, num(uint64(server)), `,"cap":`, us(timeout))
+func (w *roundWriter) Send(request uint64, server uint32, timeout float64) {
+	w.write(cmdSend, `,"ref":`, decimal(request), `,"server":`, decimal(uint64(server)), `,"cap":`, microseconds(timeout))
 }
 
-func (h *host) Cancel(part uint64, call int) {
-	h.act("UndoSend", `,"ref":`, num(part), `,"sendNo":`, strconv.Itoa(call))
+func (w *roundWriter) Cancel(request uint64, attempt int) {
+	w.write(cmdCancel, `,"ref":`, decimal(request), `,"sendNo":`, strconv.Itoa(attempt))
 }
 
-func (h *host) Answer(lookup uint64, whole bool) {
-	h.act("SettleQuery", `,"ref":`, num(lookup), `,"complete":`, strconv.FormatBool(whole))
+func (w *roundWriter) Answer(query uint64, complete bool) {
+	w.write(cmdAnswer, `,"ref":`, decimal(query), `,"complete":`, strconv.FormatBool(complete))
 }
 
-func (h *host) Reject(lookup uint64, comeBack float64) {
-	h.act("PushBack", `,"ref":`, num(lookup), `,"pause":`, us(comeBack))
+func (w *roundWriter) Reject(query uint64, retryAfter float64) {
+	w.write(cmdReject, `,"ref":`, decimal(query), `,"pause":`, microseconds(retryAfter))
 }
 
-func (h *host) Fail(lookup uint64) { h.act("EndFailed", `,"ref":`, num(lookup)) }
+func (w *roundWriter) Fail(query uint64) { w.write(cmdFail, `,"ref":`, decimal(query)) }
 
-func (h *host) Wake(after float64) { h.act("Schedule", `,"sleepFor":`, us(after), `,"ctx":"round"`) }
+func (w *roundWriter) Wake(after float64) {
+	w.write(cmdWake, `,"sleepFor":`, microseconds(after), `,"ctx":"`+timerContext+`"`)
+}
+
+func (w *roundWriter) Subscribe() { w.write(cmdSubscribe, `,"complete":true`) }
 
-func (h *host) Subscribe() { h.act("Follow", `,"complete":true`) }
+func (w *roundWriter) CheckHealth(server uint32) {
+	w.write(cmdCheckHealth, `,"server":`, decimal(uint64(server)))
+}
 
-func (h *host) CheckHealth(server uint32) { h.act("Inspect", `,"server":`, num(uint64(server))) }
+// panicked tells the simulator that the module panicked.
+func (w *roundWriter) panicked(cause any) {
+	text, _ := json.Marshal(fmt.Sprint(cause)) // a string always marshals
+	w.write(cmdPanicked, `,"line":`, string(text))
+}
