--- a/internal/testbed/emulator/careless_test.go
+++ b/internal/testbed/emulator/careless_test.go
@@ -14,5 +14,5 @@
 func newCareless(seed uint64, settings *gather.Settings) gather.Module {
 	blind := settings.Clone()
 	blind.WarmupTime = 0
-	return baselines.New(seed, blind, baselines.Ideas[1])
+	return baselines.New(seed, blind, baselines.Strategies[1])
 }
--- a/internal/testbed/emulator/variants.go
+++ b/internal/testbed/emulator/variants.go
@@ -17,9 +17,9 @@
 // servers and is no policy but a bound that some policy might come near.
 func Variants() []Variant {
 	all := []Variant{Ours, {Name: "one-phase"}}
-	for _, idea := range baselines.Ideas {
-		all = append(all, Variant{Name: idea.Name, Module: func(seed uint64, settings *gather.Settings, _ Look) gather.Module {
-			return baselines.New(seed, settings, idea)
+	for _, strategy := range baselines.Strategies {
+		all = append(all, Variant{Name: strategy.Name, Module: func(seed uint64, settings *gather.Settings, _ Look) gather.Module {
+			return baselines.New(seed, settings, strategy)
 		}})
 	}
 	return append(all, Clairvoyant)
@@ -27,7 +27,7 @@
 
 // Clairvoyant picks the replica that would be through with a part first, which no gatherer can know.
 var Clairvoyant = Variant{Name: "clairvoyant", Module: func(seed uint64, settings *gather.Settings, look Look) gather.Module {
-	return baselines.New(seed, settings, baselines.Idea{Name: "clairvoyant", Choose: func(chance *pcg.Source, _ *int, servers []uint32, out []int) int {
+	return baselines.New(seed, settings, baselines.Strategy{Name: "clairvoyant", Choose: func(chance *pcg.Source, _ *int, servers []uint32, out []int) int {
 		best, least := -1, math.Inf(1)
 		for i, id := range servers {
 			if wait := look(id) + 1e-3*float64(out[i]); wait < least {
--- a/internal/testbed/study/lawless_test.go
+++ b/internal/testbed/study/lawless_test.go
@@ -17,5 +17,5 @@
 			blind.Classes[i].Effect = gather.Idempotent
 		}
 	}
-	return baselines.New(seed, blind, baselines.Ideas[1])
+	return baselines.New(seed, blind, baselines.Strategies[1])
 }}
--- a/logic/baselines/baselines_test.go
+++ b/logic/baselines/baselines_test.go
@@ -105,11 +105,11 @@
 	return list
 }
 
-func playDay(seed uint64, idea Idea) *fleet {
+func playDay(seed uint64, strategy Strategy) *fleet {
 	f := &fleet{random: pcg.New(seed + 77), hash: fnv.New64a(), number: map[uint64]int{}}
 	module := New(seed, &gather.Settings{ReplicaSets: testReplicaSets, ReplicaSetsPerShard: 2, MaxAttempts: 3,
 		CancelAllowed: true, HedgingAllowed: true, Tick: 5, Gatherers: 2, MaxRetryAfter: 1000, WarmupTime: 3000,
-		RetryBudgetWindow: 2000, RetryBudgetFloor: 10, RetryBudgetRatio: 0.1, Classes: testClasses}, idea)
+		RetryBudgetWindow: 2000, RetryBudgetFloor: 10, RetryBudgetRatio: 0.1, Classes: testClasses}, strategy)
 	id := uint64(1)
 	for round := range 3000 {
 		f.now = 1e6 + float64(round)*7
@@ -139,13 +139,13 @@
 		"two-choices": 0x342c346fc0420285,
 		"hedge-95":    0x6c274c343384bd28,
 	}
-	for _, idea := range Ideas {
-		t.Run(idea.Name, func(t *testing.T) {
-			f := playDay(5, idea)
+	for _, strategy := range Strategies {
+		t.Run(strategy.Name, func(t *testing.T) {
+			f := playDay(5, strategy)
 			if f.sends < 3000 {
 				t.Errorf("%d attempts are too few to tell", f.sends)
 			}
-			if got, want := f.hash.Sum64(), recorded[idea.Name]; got != want {
+			if got, want := f.hash.Sum64(), recorded[strategy.Name]; got != want {
 				t.Errorf("hash %#x, recorded was %#x", got, want)
 			}
 		})
