--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -200,6 +200,21 @@
 	}
 }
 
+// TestPageKeepsItsBytes: the page of the kept rollout is what it was, in UTC.
+func TestPageKeepsItsBytes(t *testing.T) {
+	local := time.Local
+	time.Local = time.UTC
+	defer func() { time.Local = local }()
+	got, err := Page(filepath.Join(kept, "rollout-1"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want, err := os.ReadFile(filepath.Join(kept, "report.html"))
+	if err != nil || !bytes.Equal(got, want) {
+		t.Errorf("%v: written\n%s\nkept\n%s", err, got, want)
+	}
+}
+
 // TestKeptNotesOfProcesses: who a gatherer's process and the command of its step are is written and read as it was.
 func TestKeptNotesOfProcesses(t *testing.T) {
 	p := keptPlan(t.TempDir())
@@ -210,7 +225,7 @@
 	if err := (commands{p}).note(1, pid); err != nil {
 		t.Fatal(err)
 	}
-	want := fmt.Sprintf("%d %s\n", pid, process.Started(pid))
+	want := fmt.Sprintf("%d %s\n", pid, process.StartTicks(pid))
 	for name, text := range folderFiles(t, p.Folder) {
 		if name != "run/g1.pid" && name != "run/g2.step" || string(text) != want {
 			t.Errorf("%s: %q, want %q", name, text, want)
@@ -231,7 +246,7 @@
 		}
 		asked = append(asked, r.Method+" "+r.URL.RequestURI()+" "+string(body))
 		if r.Method == http.MethodGet {
-			text, err := os.ReadFile(filepath.Join("..", "report", "testdata", "kept", "marked.json"))
+			text, err := os.ReadFile(filepath.Join("..", "..", "gatherer", "report", "testdata", "kept", "marked.json"))
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -83,11 +83,11 @@
 	terms    PolicyTerms
 	ctx      context.Context
 	stewards []*process.Process
-	names    []operator.Steward
+	names    []operator.PolicyServer
 	client   *policyclient.Client
 	hollow   []*hollowGatherer
-	relays   []*processtest.Link // of the region that is cut off, one to each steward
-	far      []operator.Steward  // the stewards as that region reaches them
+	relays   []*processtest.Link     // of the region that is cut off, one to each steward
+	far      []operator.PolicyServer // the stewards as that region reaches them
 	cut      bool
 	returned []time.Duration // of the region
 	log      *logrus.Logger
@@ -120,7 +120,7 @@
 	for i := range t.Stewards {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
 		address := fmt.Sprintf("%s:%d", host, stewardPort)
-		f.names = append(f.names, operator.Steward{Name: name, Address: address})
+		f.names = append(f.names, operator.PolicyServer{Name: name, Address: address})
 		f.client.Stewards = append(f.client.Stewards, address)
 		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, stewardLogPort, address)
 	}
@@ -142,7 +142,7 @@
 	}
 	waiting, cancel := context.WithTimeout(ctx, longestStart)
 	defer cancel()
-	return f, process.Until(waiting, "a steward leads", func() bool {
+	return f, process.WaitUntil(waiting, "a steward leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
 		defer end()
 		_, err := f.client.Status(one)
@@ -161,7 +161,7 @@
 			return err
 		}
 		f.relays = append(f.relays, relay)
-		f.far = append(f.far, operator.Steward{Name: s.Name, Address: relay.Address()})
+		f.far = append(f.far, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 }
 
 // hollowFloor forbids what the policies of a scale test may.
-var hollowFloor = decisions.Policy{{Kind: decisions.NoCopies}}
+var hollowFloor = decisions.Policy{{Kind: decisions.NoHedging}}
 
 // startHollow starts one gatherer's control side.
 func (f *policyFleet) startHollow(number int) *hollowGatherer {
@@ -208,9 +208,9 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
-	me := decisions.Hello{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Floor: hollowFloor},
-		Process: fmt.Sprintf("%d-%d", number, start.UnixNano())}
+	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Revision{}, clock, func() { h.changed(clock()) })
+	me := decisions.Heartbeat{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Fallback: hollowFloor},
+		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano())}
 	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
@@ -228,8 +228,8 @@
 	state := h.governor.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if state.Holds.Epoch > h.epoch && state.Holds.Change == 0 {
-		h.epoch, h.at = state.Holds.Epoch, time.Now()
+	if state.Applied.Epoch > h.epoch && state.Applied.Pending == 0 {
+		h.epoch, h.at = state.Applied.Epoch, time.Now()
 	}
 }
 
@@ -271,7 +271,7 @@
 		return nil, err
 	}
 	defer undo()
-	err = process.Until(waiting, "the change is in force everywhere", func() bool {
+	err = process.WaitUntil(waiting, "the change is in force everywhere", func() bool {
 		for _, h := range f.near() {
 			if _, there := h.reached(change.Number); !there {
 				return false
@@ -375,7 +375,7 @@
 func (f *policyFleet) awaitLeases() error {
 	waiting, cancel := context.WithTimeout(f.ctx, longestStart)
 	defer cancel()
-	return process.Until(waiting, "all gatherers go by the stewards' word", func() bool {
+	return process.WaitUntil(waiting, "all gatherers go by the stewards' word", func() bool {
 		for _, h := range f.hollow {
 			if !h.leased() {
 				return false
@@ -422,14 +422,14 @@
 		return err
 	}
 	n := float64(len(f.hollow))
-	used, own, bytes, began := leader.Use(), processorTime(), transferred(), time.Now()
+	used, own, bytes, began := leader.Usage(), processorTime(), transferred(), time.Now()
 	select {
 	case <-f.ctx.Done():
 		return f.ctx.Err()
 	case <-time.After(f.terms.Rest):
 	}
 	seconds := time.Since(began).Seconds()
-	after := leader.Use()
+	after := leader.Usage()
 	c.RestLeader, c.LeaderMB = (after.CPU-used.CPU)/seconds, after.Memory
 	c.RestEach = (processorTime() - own).Seconds() / seconds / n
 	c.RestBytes = (transferred() - bytes) / seconds / n
@@ -447,7 +447,7 @@
 		return err
 	}
 	defer func() { c.Returned = f.returned }()
-	used, began := leader.Use(), time.Now()
+	used, began := leader.Usage(), time.Now()
 	for number := range f.terms.Changes {
 		times, err := f.change(number)
 		if f.ctx.Err() != nil {
@@ -466,7 +466,7 @@
 		}
 	}
 	if leader.Alive() && !leader.Stopped() {
-		c.ChangeCores = (leader.Use().CPU - used.CPU) / time.Since(began).Seconds()
+		c.ChangeCores = (leader.Usage().CPU - used.CPU) / time.Since(began).Seconds()
 	}
 	return nil
 }
--- a/logic/baselines/attempt.go
+++ b/logic/baselines/attempt.go
@@ -57,8 +57,8 @@
 // more.
 func (m *Module) updateRetryBudget() {
 	window := m.settings.RetryBudgetWindow
-	m.arrivals = stats.From(m.arrivals, m.now-(window-m.tick()))
-	m.retries = stats.From(m.retries, m.now-(window+m.tick()))
+	m.arrivals = stats.SortedFrom(m.arrivals, m.now-(window-m.tick()))
+	m.retries = stats.SortedFrom(m.retries, m.now-(window+m.tick()))
 }
 
 // mayRepeat reports whether a further attempt cannot cause a second effect that the request's class
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -56,8 +56,8 @@
 			ratio *= cancelledMultiple
 		}
 	}
-	b.arrivals = stats.From(b.arrivals, now-(window-tick))
-	b.retries = stats.From(b.retries, now-(window+tick))
+	b.arrivals = stats.SortedFrom(b.arrivals, now-(window-tick))
+	b.retries = stats.SortedFrom(b.retries, now-(window+tick))
 	b.limit = floor + ratio*float64(len(b.arrivals))
 }
 
