--- a/internal/gatherer/dispatch/picker.go
+++ b/internal/gatherer/dispatch/picker.go
@@ -65,7 +65,7 @@
 	for _, class := range settings.ClassNames() {
 		shortest = min(shortest, settings.Class(class).LatencyObjective)
 	}
-	return logic.Silence * shortest
+	return logic.ConnectionSilenceShare * shortest
 }
 
 // Now is the module's clock, in milliseconds.
--- a/internal/gatherer/dispatch/twopass.go
+++ b/internal/gatherer/dispatch/twopass.go
@@ -154,7 +154,7 @@
 		FirstPassRequests: len(first.ShardRequests),
 		Deadline:          query.Deadline,
 		RunningServers:    t.runningServers,
-		RetryBudgetLeft:   p.module.RetryBudgetLeft() - logic.Reserve*firstPassRequestsIn(in),
+		RetryBudgetLeft:   p.module.RetryBudgetLeft() - logic.FirstPassRetryReserve*firstPassRequestsIn(in),
 	})
 	p.observeAdmitted(query, &decision, now)
 	if !decision.TwoPass {
