--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -16,7 +16,7 @@
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
-	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/config/policyfile"
 	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/control/segments"
@@ -440,7 +440,7 @@
 
 // referenceCommand prints the pages about the operators' files, from the tables that read them.
 func referenceCommand() *cobra.Command {
-	pages := map[string]func() string{"operator": operator.Reference, "placement": placementfile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policyclient.Reference, "steward": policyserver.Reference}
+	pages := map[string]func() string{"operator": operator.Reference, "placement": placementfile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policyfile.Reference, "steward": policyserver.Reference}
 	return &cobra.Command{Use: "reference operator|placement|segments|rollout|policy|steward", Short: "print the page about a kind of file", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute reference placement", ValidArgs: []string{"operator", "placement", "segments", "rollout", "policy", "steward"},
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/yokeroute/policy.go
+++ b/cmd/yokeroute/policy.go
@@ -14,6 +14,7 @@
 
 	"github.com/spf13/cobra"
 
+	"yokeroute/internal/config/policyfile"
 	"yokeroute/internal/control/policyclient"
 	logic "yokeroute/logic/policy"
 )
@@ -68,7 +69,7 @@
 	check := &cobra.Command{Use: "check FILE", Short: "read a policy file and say what is wrong with it", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute policy check policy.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := policyclient.Read(args[0])
+			p, err := policyfile.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -78,13 +79,13 @@
 	diff := &cobra.Command{Use: "diff FILE [FILE]", Short: "say what a change means: from what is in force, or from the first file to the second", Args: cobra.RangeArgs(1, 2),
 		Example: "  yokeroute policy diff --steward 127.0.0.1:8700 policy.conf\n  yokeroute policy diff old.conf new.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			to, err := policyclient.Read(args[len(args)-1])
+			to, err := policyfile.Read(args[len(args)-1])
 			if err != nil {
 				return err
 			}
 			var from logic.Policy
 			if len(args) == 2 {
-				if from, err = policyclient.Read(args[0]); err != nil {
+				if from, err = policyfile.Read(args[0]); err != nil {
 					return err
 				}
 			} else {
@@ -106,7 +107,7 @@
 	put := &cobra.Command{Use: "propose FILE", Short: "put a policy forward; it takes hold everywhere or nowhere", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute policy propose --steward 127.0.0.1:8700 --wait --why \"host s7 is being repaired\" policy.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := policyclient.Read(args[0])
+			p, err := policyfile.Read(args[0])
 			if err != nil {
 				return err
 			}
--- a/internal/control/policyclient/govern.go
+++ b/internal/control/policyclient/govern.go
@@ -1,3 +1,5 @@
+// Package policyclient carries out what logic/policy decides for a gatherer: it asks the policy servers, keeps what must
+// outlast the process, and checks each shard request before its first byte. It decides nothing.
 package policyclient
 
 import (
@@ -8,6 +10,7 @@
 	"sync"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/policyfile"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/policy"
@@ -233,7 +236,7 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	g.refresh(now)
-	return State{g.h.Heartbeat(now), g.h.ExpiresAt(), Text(g.acts)}
+	return State{g.h.Heartbeat(now), g.h.ExpiresAt(), policyfile.Format(g.acts)}
 }
 
 // Hold has a policy of the gatherer's own file acted by from now on, without stewards: each gatherer for itself, and
--- a/internal/control/policyclient/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -17,6 +17,7 @@
 
 	"github.com/anishathalye/porcupine"
 
+	"yokeroute/internal/config/policyfile"
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
 	"yokeroute/internal/testbed/processtest"
@@ -112,7 +113,7 @@
 // parse reads a policy.
 func (s *scene) parse(text string) logic.Policy {
 	s.Helper()
-	p, err := policyclient.Parse(s.Name(), text)
+	p, err := policyfile.Parse(s.Name(), text)
 	if err != nil {
 		s.Fatal(err)
 	}
--- a/internal/control/policyclient/wire_test.go
+++ b/internal/control/policyclient/wire_test.go
@@ -9,9 +9,8 @@
 	"strings"
 	"testing"
 
-	"pgregory.net/rapid"
-
 	"yokeroute/gather"
+	"yokeroute/internal/config/policyfile"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/policy"
@@ -119,47 +118,6 @@
 	}
 }
 
-// TestFile: a policy is read as it was written, whatever is in it; bad lines are told with their place; the pages in docs
-// are those that the tables give.
-func TestFile(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		var entries []policy.Entry
-		some := func(n int) bool { return rapid.IntRange(0, n).Draw(t, "some") == 0 }
-		share := func() float64 { return float64(rapid.IntRange(1, 20).Draw(t, "share")) / 20 }
-		for _, e := range []policy.Entry{{Kind: policy.NonIdempotent, Subject: "a"}, {Kind: policy.NoHedging}, {Kind: policy.NoHedging, Subject: "b"}, {Kind: policy.MinShare, Subject: "a", Value: share()}, {Kind: policy.RetryShare, Value: share()}, {Kind: policy.RetryAllowance, Value: 7},
-			{Kind: policy.WarmUpShare, Value: share()}, {Kind: policy.Closed, Subject: "north/"}, {Kind: policy.Closed, Subject: "south/s-1"}, {Kind: policy.HostWeight, Subject: "s-2", Value: share()}} {
-			if some(1) {
-				entries = append(entries, e)
-			}
-		}
-		p, err := policy.New(entries)
-		if err != nil {
-			t.Fatal(err)
-		}
-		again, err := Parse("p", Text(p))
-		if err != nil || len(policy.Diff(p, again)) > 0 {
-			t.Fatalf("%v, %v: %v", p, again, err)
-		}
-	})
-	for text, want := range map[string]string{
-		"index a\n":                            "p:1:7: \"a\": wants one at least",
-		"no-copies\nno-copies\n":               "p:2:1",
-		"further\n":                            "wants share, free or both",
-		"cold 150%\n":                          "150%",
-		"close host s1\n":                      "zone",
-		"index a once-only\nindex a once-only": "once-only a is said twice",
-		"indx a once-only\n":                   "did you mean index?",
-	} {
-		if _, err := Parse("p", text); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
-		}
-	}
-	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-policy.md")
-	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
-		t.Errorf("%s is not what yokeroute reference policy prints: %v", page, err)
-	}
-}
-
 // governed is a governor that has heard a policy, and its settings.
 func governed(t *testing.T, floor, p string) (*Governor, *float64) {
 	t.Helper()
@@ -173,7 +131,7 @@
 	}
 	now := 0.0
 	parse := func(text string) policy.Policy {
-		p, err := Parse("p", text)
+		p, err := policyfile.Parse("p", text)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -228,7 +186,7 @@
 		t.Errorf("%v, %v", err, own.closed)
 	}
 	for text, want := range map[string]string{"index nowhere no-copies\n": "there is no index nowhere", "index any least 40%\n": "the platform's least share is 0.5", "further share 20%\n": "budget share is 0.1", "further free 9\n": "8 free further calls", "close zone north host s2\n": "s2 stands in south"} {
-		p, err := Parse("p", text)
+		p, err := policyfile.Parse("p", text)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -9,6 +9,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
+	"yokeroute/internal/config/policyfile"
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
@@ -38,7 +39,7 @@
 		picker.Govern(g.governor)
 		return g, nil
 	}
-	floor, err := policyclient.Read(own.FallbackPolicy)
+	floor, err := policyfile.Read(own.FallbackPolicy)
 	if err == nil {
 		err = policyclient.Fit(settings, floor)
 	}
@@ -61,7 +62,7 @@
 	if g == nil || own.Policy == "" || g.follower != nil {
 		return nil
 	}
-	p, err := policyclient.Read(own.Policy)
+	p, err := policyfile.Read(own.Policy)
 	if err != nil {
 		return err
 	}
