--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -4,7 +4,9 @@
 	"bytes"
 	"context"
 	"encoding/json"
+	"errors"
 	"io"
+	"io/fs"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -25,6 +27,9 @@
 func kept(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
+	if errors.Is(err, fs.ErrNotExist) {
+		text, err = os.ReadFile(filepath.Join("..", "policyapi", "testdata", "kept", name))
+	}
 	if err != nil {
 		t.Fatal(err)
 	}
