--- a/internal/control/policyserver/kept_test.go
+++ b/internal/control/policyserver/kept_test.go
@@ -15,13 +15,11 @@
 	"testing"
 	"time"
 
-	"github.com/sirupsen/logrus"
-
-	wire "yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policyapi"
 )
 
-// keptFolder is a copy of the state folder that a released version wrote: its log, a snapshot of a part of it, and its
-// counts of starts. None of the files that it is made of may be changed.
+// keptFolder returns a copy of the state folder that a released version wrote: its log, a snapshot of a part of it, and
+// its incarnations. None of the files that it is made of may be changed.
 func keptFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -59,34 +57,33 @@
 	return string(text)
 }
 
-// TestKeptFolder: a steward that is started in the state folder of an earlier version leads with the record as it was,
-// counts its starts on, and answers each question in the same bytes as before.
+// TestKeptFolder: a server that is started in the state folder of a released version leads with the record as it was,
+// continues its incarnations, and answers each request in the same bytes as that version.
 func TestKeptFolder(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "s1.conf")
 	text := "steward s1 in state listen 127.0.0.1:0 raft 127.0.0.1:0\npeer s1 raft 127.0.0.1:1 http 127.0.0.1:1\nlease 1min limit 2min\nbeat 20ms\n"
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	terms, err := Read(file)
+	config, err := Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	terms.Folder = keptFolder(t)
-	log := logrus.New()
-	log.SetOutput(io.Discard)
+	config.Folder = keptFolder(t)
 	ctx, stop := context.WithCancel(t.Context())
-	s, err := Open(ctx, terms, log)
+	s, err := Open(ctx, config, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
-	address := s.listen.Addr().String()
-	var status *wire.Status
+	address := s.http.listener.Addr().String()
+	var status *policyapi.Status
 	for limit := time.Now().Add(20 * time.Second); status == nil && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
-		a, code, err := wire.Exchange(ctx, http.DefaultClient, http.MethodGet, "http://"+address+"/policy/status", nil)
-		if err == nil && code == http.StatusOK {
-			status = a.Status
+		e := policyapi.Endpoint{Method: http.MethodGet, Address: address, Path: "/policy/status"}
+		r, err := policyapi.Call(ctx, http.DefaultClient, e, nil, policyapi.Read[policyapi.StatusResponse])
+		if err == nil {
+			status = r.Status
 		}
 	}
 	if status == nil {
@@ -128,19 +125,19 @@
 	if err := <-ended; err != nil {
 		t.Error(err)
 	}
-	counts, err := openBoots(terms.Folder)
+	counts, err := openIncarnations(config.Folder)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer counts.Close()
 	for name, want := range map[string]uint64{"s1": 2, "s7": 5, "s8": 1} {
-		if got := counts.known(name); got != want {
-			t.Errorf("%d starts of %s are known", got, name)
+		if got, err := counts.latest(name); got != want || err != nil {
+			t.Errorf("incarnation %d of %s is known, %v", got, name, err)
 		}
 	}
 }
 
-// TestKeptSnapshot: a snapshot is read as it was kept, and written again byte for byte.
+// TestKeptSnapshot: a snapshot of a released version is read, and written again byte for byte.
 func TestKeptSnapshot(t *testing.T) {
 	found, err := filepath.Glob(filepath.Join("testdata", "kept", "state-1", "snapshots", "*", "state.bin"))
 	if err != nil || len(found) != 1 {
@@ -150,7 +147,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := newMachine(0)
+	m := newStateMachine(0)
 	if err := m.Restore(io.NopCloser(bytes.NewReader(text))); err != nil {
 		t.Fatal(err)
 	}
@@ -158,16 +155,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var to sink
+	var to snapshotBuffer
 	if err := snap.Persist(&to); err != nil || !bytes.Equal(to.Bytes(), text) {
 		t.Errorf("%s, %v", to.String(), err)
 	}
 }
 
-// TestKeptElsewhere: a steward that does not lead says so as before, to whatever it is asked.
-func TestKeptElsewhere(t *testing.T) {
-	s := &Steward{t: &Terms{Name: "s1"}, machine: newMachine(0)}
-	s.prover = newProver(func() bool { return false }, nil)
+// TestKeptNotLeader: a server that is not the leader answers every request in the same bytes as a released version.
+func TestKeptNotLeader(t *testing.T) {
+	s := newServer(&Config{Name: "s1"}, quietLog())
 	for path, body := range map[string]string{
 		"GET /policy/status":   "",
 		"POST /policy/ask":     keptText(t, "ask-news.request"),
@@ -185,8 +181,8 @@
 	}
 }
 
-// TestKeptBoot: a steward tells another of its start in the same bytes as before, and learns what that one knew.
-func TestKeptBoot(t *testing.T) {
+// TestKeptAnnouncement: an incarnation is announced in the same bytes as by a released version, and the answer is read.
+func TestKeptAnnouncement(t *testing.T) {
 	for answer, want := range map[string]string{
 		`{"policy":1,"boot":5}`:     "5 <nil>",
 		`{"policy":1}`:              "0 <nil>",
@@ -198,7 +194,7 @@
 			got = r.Method + " " + r.URL.Path + " " + string(body)
 			io.WriteString(w, answer)
 		}))
-		before, err := tell(t.Context(), strings.TrimPrefix(server.URL, "http://"), wire.Name{Form: wire.Form, Name: "s1", Number: 6})
+		before, err := announce(t.Context(), strings.TrimPrefix(server.URL, "http://"), "s1", 6)
 		server.Close()
 		if fmt.Sprint(before, err) != want || got != `POST /policy/boot {"policy":1,"number":6,"name":"s1"}` {
 			t.Errorf("%s: %d, %v; sent %s", answer, before, err, got)
--- /dev/null
+++ b/internal/control/policyserver/replica.go
@@ -0,0 +1,165 @@
+package policyserver
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"path/filepath"
+	"time"
+
+	"github.com/hashicorp/go-hclog"
+	"github.com/hashicorp/raft"
+	boltdb "github.com/hashicorp/raft-boltdb/v2"
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/logic/policy"
+)
+
+// Times of raft, as multiples of the heartbeat interval.
+const (
+	electionHeartbeats    = 10
+	leaderLeaseHeartbeats = 5
+	transportHeartbeats   = 20
+	barrierHeartbeats     = 20
+	applyHeartbeats       = 30
+	membershipHeartbeats  = 50
+
+	maxCommitTimeout = 50 * time.Millisecond
+)
+
+// Bounds of the log.
+const (
+	logFile           = "log" // in the state folder
+	keptSnapshots     = 2
+	snapshotThreshold = 2000 // entries
+	trailingLogs      = 500  // entries that are kept behind a snapshot
+	snapshotInterval  = 10 * time.Second
+	pooledConnections = 3 // to each peer
+)
+
+// replica is this server's part in the replicated log.
+type replica struct {
+	*raft.Raft
+	heartbeat time.Duration
+	store     *boltdb.BoltStore
+	transport *raft.NetworkTransport
+	logWriter io.Closer
+}
+
+// openReplica opens the log and the snapshots in the state folder, and takes part in the quorum. A server that finds
+// none creates a log, unless it joins an existing quorum.
+func openReplica(c *Config, fsm raft.FSM, log *logrus.Logger) (_ *replica, err error) {
+	r := &replica{heartbeat: c.Heartbeat}
+	defer func() {
+		if err != nil {
+			err = errors.Join(err, r.Close())
+		}
+	}()
+	if r.store, err = boltdb.New(boltdb.Options{Path: filepath.Join(c.Folder, logFile)}); err != nil {
+		return nil, fmt.Errorf("log of policies: %w", err)
+	}
+	writer := log.WriterLevel(logrus.WarnLevel)
+	r.logWriter = writer
+	raftLog := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: writer, DisableTime: true})
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, keptSnapshots, raftLog)
+	if err != nil {
+		return nil, fmt.Errorf("snapshots of policies: %w", err)
+	}
+	listener, err := net.Listen("tcp", c.RaftListen)
+	if err != nil {
+		return nil, err
+	}
+	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
+		Stream:  newNamedStreams(c, listener),
+		MaxPool: pooledConnections,
+		Timeout: transportHeartbeats * c.Heartbeat,
+		Logger:  raftLog,
+	})
+	config := raftConfig(c, raftLog)
+	if err := r.bootstrap(c, config, snapshots); err != nil {
+		return nil, fmt.Errorf("log of policies: %w", err)
+	}
+	if r.Raft, err = raft.NewRaft(config, fsm, r.store, r.store, snapshots, r.transport); err != nil {
+		return nil, fmt.Errorf("log of policies: %w", err)
+	}
+	return r, nil
+}
+
+func raftConfig(c *Config, log hclog.Logger) *raft.Config {
+	config := raft.DefaultConfig()
+	config.LocalID = raft.ServerID(c.Name)
+	config.Logger = log
+	config.HeartbeatTimeout = electionHeartbeats * c.Heartbeat
+	config.ElectionTimeout = electionHeartbeats * c.Heartbeat
+	config.LeaderLeaseTimeout = leaderLeaseHeartbeats * c.Heartbeat
+	config.CommitTimeout = min(c.Heartbeat, maxCommitTimeout)
+	config.SnapshotThreshold = snapshotThreshold
+	config.SnapshotInterval = snapshotInterval
+	config.TrailingLogs = trailingLogs
+	config.ShutdownOnRemove = false
+	return config
+}
+
+// bootstrap creates a log where there is none and this server does not join an existing quorum.
+func (r *replica) bootstrap(c *Config, config *raft.Config, snapshots raft.SnapshotStore) error {
+	exists, err := raft.HasExistingState(r.store, r.store, snapshots)
+	if err != nil || exists || c.Joins {
+		return err
+	}
+	var servers []raft.Server
+	for _, p := range c.Peers {
+		servers = append(servers, raft.Server{ID: raft.ServerID(p.Name), Address: raft.ServerAddress(p.Name)})
+	}
+	return raft.BootstrapCluster(config, r.store, r.store, snapshots, r.transport, raft.Configuration{Servers: servers})
+}
+
+// Close leaves the quorum and closes what the replica has opened.
+func (r *replica) Close() error {
+	var errs []error
+	if r.Raft != nil {
+		errs = append(errs, r.Raft.Shutdown().Error())
+	}
+	if r.transport != nil {
+		errs = append(errs, r.transport.Close())
+	}
+	if r.store != nil {
+		errs = append(errs, r.store.Close())
+	}
+	if r.logWriter != nil {
+		errs = append(errs, r.logWriter.Close())
+	}
+	return errors.Join(errs...)
+}
+
+// execute replicates a command and returns the result of applying it. After a policy.RejectedError the command has had
+// no effect; after another error it is not known whether it has, or will have.
+func (r *replica) execute(c policy.Command) (*policy.Change, error) {
+	text, err := json.Marshal(c)
+	if err != nil {
+		return nil, err
+	}
+	future := r.Raft.Apply(text, applyHeartbeats*r.heartbeat)
+	if err := future.Error(); err != nil {
+		return nil, err
+	}
+	result := future.Response().(applyResult)
+	return result.change, result.err
+}
+
+// awaitApplied waits until all entries that were committed before are applied here.
+func (r *replica) awaitApplied() error {
+	return r.Raft.Barrier(barrierHeartbeats * r.heartbeat).Error()
+}
+
+// addServer adds a server to the quorum. Raft changes one server at a time.
+func (r *replica) addServer(name string) error {
+	timeout := membershipHeartbeats * r.heartbeat
+	return r.Raft.AddVoter(raft.ServerID(name), raft.ServerAddress(name), 0, timeout).Error()
+}
+
+// removeServer removes a server from the quorum.
+func (r *replica) removeServer(name string) error {
+	return r.Raft.RemoveServer(raft.ServerID(name), 0, membershipHeartbeats*r.heartbeat).Error()
+}
--- /dev/null
+++ b/internal/control/policyserver/server_test.go
@@ -0,0 +1,84 @@
+package policyserver
+
+import (
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/internal/control/policyapi"
+)
+
+func quietLog() *logrus.Logger {
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	return log
+}
+
+func singleServer(t *testing.T) *Config {
+	return &Config{
+		Name:          "s1",
+		Folder:        filepath.Join(t.TempDir(), "state"),
+		Listen:        "127.0.0.1:0",
+		RaftListen:    "127.0.0.1:0",
+		Peers:         []Peer{{Name: "s1", Raft: "127.0.0.1:1", HTTP: "127.0.0.1:1"}},
+		Lease:         time.Second,
+		ChangeTimeout: time.Second,
+		Heartbeat:     20 * time.Millisecond,
+	}
+}
+
+// TestOpenUndoesWhatItBegan: where a late step of Open fails, the earlier ones are undone: the state folder can be opened
+// again at once.
+func TestOpenUndoesWhatItBegan(t *testing.T) {
+	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer taken.Close()
+	c := singleServer(t)
+	c.RaftListen = taken.Addr().String()
+	if _, err := Open(t.Context(), c, quietLog()); err == nil || !strings.Contains(err.Error(), "address already in use") {
+		t.Fatalf("%v", err)
+	}
+	c.RaftListen = "127.0.0.1:0"
+	s, err := Open(t.Context(), c, quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := s.close(); err != nil {
+		t.Error(err)
+	}
+}
+
+// TestOpenRefusesStaleDisk: a server does not start where another one knows of a later incarnation.
+func TestOpenRefusesStaleDisk(t *testing.T) {
+	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		respond(w, http.StatusOK, policyapi.IncarnationResponse{Format: policyapi.Format, Incarnation: 5})
+	}))
+	defer peer.Close()
+	c := singleServer(t)
+	c.Peers = append(c.Peers, Peer{Name: "s2", Raft: "127.0.0.1:1", HTTP: strings.TrimPrefix(peer.URL, "http://")})
+	if _, err := Open(t.Context(), c, quietLog()); !errors.Is(err, ErrStaleDisk) {
+		t.Errorf("%v", err)
+	}
+}
+
+// TestRunReportsFailureOfHTTP: a server whose listener fails ends, and says so.
+func TestRunReportsFailureOfHTTP(t *testing.T) {
+	s, err := Open(t.Context(), singleServer(t), quietLog())
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.http.listener.Close()
+	if err := s.Run(t.Context()); err == nil || !strings.Contains(err.Error(), "HTTP server on 127.0.0.1:") {
+		t.Errorf("%v", err)
+	}
+}
