--- a/internal/control/policyclient/client.go
+++ b/internal/control/policyclient/client.go
@@ -1,3 +1,4 @@
+// Package policyclient is the operators' client of the policy servers.
 package policyclient
 
 import (
--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -14,12 +14,7 @@
 	"reflect"
 	"strings"
 	"testing"
-	"time"
 
-	"github.com/sirupsen/logrus"
-
-	"yokeroute/gather"
-	"yokeroute/internal/config/operator"
 	"yokeroute/logic/policy"
 )
 
@@ -173,30 +168,6 @@
 	}
 }
 
-// TestKeptFence: how far a gatherer has come is read from the file that an earlier version wrote, and written again
-// byte for byte.
-func TestKeptFence(t *testing.T) {
-	folder := t.TempDir()
-	want := policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}
-	text := kept(t, "fence")
-	file := filepath.Join(folder, "policy")
-	if err := os.WriteFile(file, text, 0o644); err != nil {
-		t.Fatal(err)
-	}
-	if got, err := OpenFence(folder); got != want || err != nil {
-		t.Errorf("%+v, %v", got, err)
-	}
-	if err := os.Remove(file); err != nil {
-		t.Fatal(err)
-	}
-	if err := keepFence(folder, want); err != nil {
-		t.Fatal(err)
-	}
-	if got, err := os.ReadFile(file); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("%s, %v", got, err)
-	}
-}
-
 // exchange is what a stand-in for a steward was sent.
 type exchange struct {
 	method, path string
@@ -278,44 +249,3 @@
 		t.Errorf("%q", all)
 	}
 }
-
-// TestKeptPolls: a gatherer's first question and the one after an answer are sent as before, and the fence that an answer
-// leaves is kept as before.
-func TestKeptPolls(t *testing.T) {
-	address, got := standIn(t, "answer-change.json")
-	folder := t.TempDir()
-	terms := &gather.Settings{
-		RetryBudgetWindow: 1000.0, RetryBudgetRatio: 0.1, RetryBudgetFloor: 8.0,
-		OverloadMultiple: 3.0,
-		Classes: []gather.Class{
-			{Name: "claim"},
-			{Name: "find", MinShare: 0.5},
-			{Name: "resolve"},
-		},
-	}
-	g := NewGovernor(terms, keptPolicy(), policy.Revision{Epoch: 41, LastEnded: 41}, func() float64 { return 0 }, func() {})
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	me := policy.Heartbeat{Member: policy.Member{Name: "g1", Zone: "north", Fallback: keptPolicy()}, Incarnation: "123-456", Version: "1.2"}
-	f := NewFollower(g, []operator.PolicyServer{{Name: "s1", Address: address}}, me, folder, log)
-	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
-	var all []exchange
-	for limit := time.Now().Add(20 * time.Second); len(all) < 2 && time.Now().Before(limit); time.Sleep(5 * time.Millisecond) {
-		all = append(all, got()...)
-	}
-	stop()
-	<-ended
-	if len(all) < 2 {
-		t.Fatalf("%q", all)
-	}
-	for i, name := range []string{"poll-first.json", "poll-next.json"} {
-		if all[i].method+" "+all[i].path != "POST /policy/ask" || all[i].body != string(kept(t, name)) {
-			t.Errorf("%s: %q", name, all[i])
-		}
-	}
-	if fence, err := os.ReadFile(filepath.Join(folder, "policy")); err != nil || !bytes.Equal(fence, kept(t, "fence")) {
-		t.Errorf("%s, %v", fence, err)
-	}
-}
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -10,56 +10,66 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/config/policyfile"
-	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policylease"
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/internal/process"
 	"yokeroute/internal/version"
-	logic "yokeroute/logic/policy"
+	"yokeroute/logic/policy"
 )
 
 // governed wires the operators' policies into a gatherer. A nil one leaves all decisions to the platform's settings.
 type governed struct {
-	governor *policyclient.Governor
-	follower *policyclient.Follower // nil where the policy is the gatherer's own file
-	number   uint64                 // of the own file's readings
+	lease  *policylease.Lease
+	poller *policylease.Poller // nil where the policy is the gatherer's own file
+	number uint64              // counts the readings of that file
 }
 
-// govern makes it. A floor or a file that does not fit the platform's settings ends the start: without one the gatherer
-// would do what the rest of the fleet counts on it not to.
+// govern applies the operators' policies, where the operator's file names some. A fallback policy or a policy file that
+// the platform's settings rule out is an error: without it the gatherer would do what the rest of the fleet counts on
+// it not to do.
 func govern(c *platform.Config, own *operator.File, settings *gather.Settings, picker *dispatch.Picker, log *logrus.Logger) (*governed, error) {
 	if own.FallbackPolicy+own.Policy == "" {
 		return nil, nil
 	}
+	config := policylease.Config{Platform: settings, Clock: picker.Now, OnChange: picker.Stir}
 	if own.FallbackPolicy == "" {
-		g := &governed{governor: policyclient.NewGovernor(settings, nil, logic.Revision{}, picker.Now, picker.Stir)}
+		g := &governed{lease: policylease.New(config)}
 		if err := g.reread(own); err != nil {
 			return nil, err
 		}
-		picker.Govern(g.governor)
+		picker.Govern(g.lease)
 		return g, nil
 	}
-	floor, err := policyfile.Read(own.FallbackPolicy)
+	fallback, err := policyfile.Read(own.FallbackPolicy)
 	if err == nil {
-		err = policyclient.Fit(settings, floor)
+		err = policylease.Validate(settings, fallback)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("policy floor: %w", err)
 	}
-	fence, err := policyclient.OpenFence(own.State)
+	revision, err := policylease.LoadRevision(own.State)
 	if err != nil {
-		log.WithError(err).Warn("policy: how far the process before this one had come can't be read; what the stewards tell is trusted")
+		log.WithError(err).Warn("policy client: stored revision not read")
 	}
-	g := &governed{governor: policyclient.NewGovernor(settings, floor, fence, picker.Now, picker.Stir)}
-	me := logic.Heartbeat{Member: logic.Member{Name: c.Name, Zone: settings.Zone, Fallback: floor}, Incarnation: process.Name(picker.Now()), Version: version.Name()}
-	g.follower = policyclient.NewFollower(g.governor, own.PolicyServers, me, own.State, log)
-	picker.Govern(g.governor)
+	config.Fallback = fallback
+	config.Revision = revision
+	g := &governed{lease: policylease.New(config)}
+	g.poller = policylease.NewPoller(g.lease, policylease.PollerConfig{
+		Servers:     own.PolicyServers,
+		Member:      policy.Member{Name: c.Name, Zone: settings.Zone, Fallback: fallback},
+		Incarnation: process.Name(picker.Now()),
+		Version:     version.Name(),
+		StateFolder: own.State,
+		Log:         log,
+	})
+	picker.Govern(g.lease)
 	return g, nil
 }
 
 // reread takes over the gatherer's own policy file.
 func (g *governed) reread(own *operator.File) error {
-	if g == nil || own.Policy == "" || g.follower != nil {
+	if g == nil || own.Policy == "" || g.poller != nil {
 		return nil
 	}
 	p, err := policyfile.Read(own.Policy)
@@ -67,19 +77,19 @@
 		return err
 	}
 	g.number++
-	return g.governor.Hold(p, g.number)
+	return g.lease.Hold(p, g.number)
 }
 
 // run follows the stewards until ctx ends.
 func (g *governed) run(ctx context.Context) {
-	if g != nil && g.follower != nil {
-		g.follower.Run(ctx)
+	if g != nil && g.poller != nil {
+		g.poller.Run(ctx)
 	}
 }
 
 func (g *governed) follow(list gather.EndpointList, all []shardcall.Address) {
 	if g != nil {
-		g.governor.Follow(list, all)
+		g.lease.Follow(list, all)
 	}
 }
 
@@ -88,5 +98,5 @@
 	if g == nil {
 		return nil
 	}
-	return func() any { return g.governor.State() }
+	return func() any { return g.lease.State() }
 }
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -9,7 +9,8 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
-	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policyapi"
+	"yokeroute/internal/control/policylease"
 	"yokeroute/internal/control/policyserver"
 	"yokeroute/internal/control/rollout"
 	"yokeroute/internal/control/segments"
@@ -81,7 +82,7 @@
 		t.Fatal(err)
 	}
 	defer answer.Close()
-	if a, err := policyclient.ReadAnswer(answer); err != nil || a.Word.Pending.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
+	if a, err := policyapi.ReadPollResponse(answer); err != nil || a.Update.Pending.Number != 5 || len(a.Update.Policy) != 2 || a.Update.Lease != 10_000 {
 		t.Errorf("policy 1: %v, %+v", err, a)
 	}
 	fence, err := os.ReadFile(kept("fence-1"))
@@ -89,7 +90,7 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(folder, "policy"), fence, 0o644)
-	if f, err := policyclient.OpenFence(folder); err != nil || f.Epoch != 41 || f.LastEnded != 43 || f.Pending != 44 {
+	if f, err := policylease.LoadRevision(folder); err != nil || f.Epoch != 41 || f.LastEnded != 43 || f.Pending != 44 {
 		t.Errorf("fence 1: %v, %+v", err, f)
 	}
 	record, err := os.Open(kept("policies-1.json"))
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -16,6 +16,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policylease"
 	"yokeroute/internal/process"
 	"yokeroute/internal/stats"
 	"yokeroute/internal/testbed/processtest"
@@ -93,9 +94,9 @@
 	log      *logrus.Logger
 }
 
-// hollowGatherer is the control side of a gatherer without clients: the real governor and the real follower.
+// hollowGatherer is the control side of a gatherer without clients: the real lease and the real poller.
 type hollowGatherer struct {
-	governor *policyclient.Governor
+	lease    *policylease.Lease
 	far      bool // it stands in the region that is cut off
 	stop     context.CancelFunc
 	ended    chan struct{}
@@ -208,24 +209,36 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Revision{}, clock, func() { h.changed(clock()) })
-	me := decisions.Heartbeat{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Fallback: hollowFloor},
-		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano())}
-	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
+	h.lease = policylease.New(policylease.Config{
+		Platform: &gather.Settings{},
+		Fallback: hollowFloor,
+		Clock:    clock,
+		OnChange: func() { h.changed(clock()) },
+	})
+	poller := policylease.NewPoller(h.lease, policylease.PollerConfig{
+		Servers: stewards,
+		Member: decisions.Member{
+			Name:     fmt.Sprintf("g%05d", number),
+			Zone:     fmt.Sprint("z", number%DesignZones),
+			Fallback: hollowFloor,
+		},
+		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano()),
+		Log:         f.log,
+	})
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
 	go func() {
 		defer close(h.ended)
-		follower.Run(ctx)
+		poller.Run(ctx)
 	}()
 	return h
 }
 
 // changed notes how far the gatherer has come, and settles: it has no lookups in hand.
 func (h *hollowGatherer) changed(now float64) {
-	way, _ := h.governor.Acts(now)
-	h.governor.Settle(way)
-	state := h.governor.State()
+	way, _ := h.lease.Acts(now)
+	h.lease.Settle(way)
+	state := h.lease.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if state.Applied.Epoch > h.epoch && state.Applied.Pending == 0 {
@@ -247,7 +260,7 @@
 }
 
 // leased reports whether it goes by the stewards' word.
-func (h *hollowGatherer) leased() bool { return h.governor.State().Until > 0 }
+func (h *hollowGatherer) leased() bool { return h.lease.State().ExpiresAt > 0 }
 
 // change proposes a policy, does what befalls the fleet, and waits until the policy is in force at all that are left.
 func (f *policyFleet) change(number int) (times []time.Duration, err error) {
