--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -58,7 +58,7 @@
 	g.poller = policylease.NewPoller(g.lease, policylease.PollerConfig{
 		Servers:     own.PolicyServers,
 		Member:      policy.Member{Name: c.Name, Zone: settings.Zone, Fallback: fallback},
-		Incarnation: process.Name(picker.Now()),
+		Incarnation: process.Identity(picker.Now()),
 		Version:     version.Name(),
 		StateFolder: own.State,
 		Log:         log,
