--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -72,6 +72,6 @@
 		Run: func(cmd *cobra.Command, _ []string) {
 			fmt.Fprintf(cmd.OutOrStdout(), "yokeroute %s, %s, program %s\n", version.Name(), runtime.Version(), version.Program())
 		}}
-	root.AddCommand(serve, check, named, planCommand(), explainCommand(), segmentsCommand(), keysCommand(), migrateCommand(), rolloutCommand(), stewardCommand(), policyCommand(), referenceCommand())
+	root.AddCommand(serve, check, named, planCommand(), explainCommand(), segmentsCommand(), keysCommand(), migrateCommand(), rolloutCommand(), policyServerCommand(), policyCommand(), referenceCommand())
 	return root
 }
--- a/internal/control/policyclient/client.go
+++ b/internal/control/policyclient/client.go
@@ -1,171 +1,153 @@
-// Package policyclient is the operators' client of the policy servers.
+// Package policyclient is the operators' client of the policy servers: it proposes and abandons changes, reads the
+// status, and administers members.
 package policyclient
 
 import (
-	"bytes"
 	"context"
 	"crypto/rand"
 	"encoding/hex"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
 	"strings"
 	"time"
 
+	"yokeroute/internal/control/policyapi"
 	"yokeroute/logic/policy"
 )
 
-// Client asks stewards for operators: whichever of them leads.
-type Client struct{ Stewards []string } // addresses, any of them
-
-// do sends to one after the other until one that leads answers.
-func (c *Client) do(ctx context.Context, method, path string, doc any) (*Answer, error) {
-	var why []string
-	for try := 0; ; try++ {
-		why = why[:0]
-		for _, address := range c.Stewards {
-			a, status, err := one(ctx, method, "http://"+address+path, doc)
-			switch {
-			case err != nil:
-				why = append(why, fmt.Sprintf("%s: %v", address, err))
-			case status == http.StatusOK:
-				return a, nil
-			case status == http.StatusConflict:
-				return nil, policy.RejectedError{Reason: a.Error}
-			case status == http.StatusBadRequest:
-				return nil, errors.New(a.Error)
-			default:
-				why = append(why, fmt.Sprintf("%s: %s", address, a.Error))
-			}
+const (
+	// attemptTimeout bounds one request, so that a server that hangs does not hide those that serve. The request may
+	// still be executed: a retry sends the same idempotency key.
+	attemptTimeout = 1500 * time.Millisecond
+	// Some seconds of retries outlast a leader election.
+	maxRounds  = 20
+	roundPause = 200 * time.Millisecond
+
+	awaitInterval = 100 * time.Millisecond
+	idBytes       = 12
+)
+
+// Client sends requests to whichever policy server is the leader.
+type Client struct {
+	Servers []string // addresses, at best of all policy servers
+}
+
+// call sends a request to one server after the other until the leader answers.
+func call[T any](ctx context.Context, c *Client, method, path string, request any) (*T, error) {
+	for round := 0; ; round++ {
+		response, failures, err := callEach[T](ctx, c.Servers, method, path, request)
+		if response != nil || err != nil {
+			return response, err
 		}
-		if try >= 20 { // some seconds: a lead that moves is back by then
-			return nil, fmt.Errorf("no steward that leads answers: %s", strings.Join(why, "; "))
+		if round >= maxRounds {
+			return nil, fmt.Errorf("no steward that leads answers: %s", strings.Join(failures, "; "))
 		}
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(200 * time.Millisecond):
+		case <-time.After(roundPause):
 		}
 	}
 }
 
-// oneTry is for how long one steward is waited for, against one that stands still in front of those that serve. What it
-// was asked to do may come to be all the same: who asks again does so under the same ID.
-const oneTry = 1500 * time.Millisecond
-
-// one asks one steward.
-func one(ctx context.Context, method, url string, doc any) (*Answer, int, error) {
-	ctx, cancel := context.WithTimeout(ctx, oneTry)
-	defer cancel()
-	return Exchange(ctx, http.DefaultClient, method, url, doc)
+// callEach sends a request to each server in turn. It returns the leader's response, or the error by which the leader
+// has rejected the request; and otherwise why each server could not answer.
+func callEach[T any](ctx context.Context, servers []string, method, path string, request any) (*T, []string, error) {
+	var failures []string
+	for _, address := range servers {
+		e := policyapi.Endpoint{Method: method, Address: address, Path: path}
+		response, err := callOne[T](ctx, e, request)
+		if err == nil {
+			return response, nil, nil
+		}
+		var status *policyapi.StatusError
+		if errors.As(err, &status) {
+			switch status.Code {
+			case http.StatusConflict:
+				return nil, nil, policy.RejectedError{Reason: status.Message}
+			case http.StatusBadRequest:
+				return nil, nil, errors.New(status.Message)
+			}
+		}
+		failures = append(failures, fmt.Sprintf("%s: %v", address, err))
+	}
+	return nil, failures, nil
 }
 
-// Exchange sends a steward a document and reads its answer, of whatever status.
-func Exchange(ctx context.Context, client *http.Client, method, url string, doc any) (*Answer, int, error) {
-	body, err := json.Marshal(doc)
-	if err != nil {
-		return nil, 0, err
-	}
-	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
-	if err != nil {
-		return nil, 0, err
-	}
-	req.Header.Set("Content-Type", "application/json")
-	resp, err := client.Do(req)
-	if err != nil {
-		return nil, 0, err
-	}
-	defer resp.Body.Close()
-	a, err := ReadAnswer(resp.Body)
-	if err != nil {
-		return nil, 0, fmt.Errorf("answer %s: %w", resp.Status, err)
-	}
-	return a, resp.StatusCode, nil
+func callOne[T any](ctx context.Context, e policyapi.Endpoint, request any) (*T, error) {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
+	defer cancel()
+	return policyapi.Call(ctx, http.DefaultClient, e, request, policyapi.Read[T])
 }
 
-// Status is how far everybody is.
-func (c *Client) Status(ctx context.Context) (*Status, error) {
-	a, err := c.do(ctx, http.MethodGet, StatusPath, nil)
+// Status returns the record and the status of each gatherer.
+func (c *Client) Status(ctx context.Context) (*policyapi.Status, error) {
+	r, err := call[policyapi.StatusResponse](ctx, c, http.MethodGet, policyapi.StatusPath, nil)
 	if err != nil {
 		return nil, err
 	}
-	if a.Status == nil {
+	if r.Status == nil {
 		return nil, errors.New("the answer holds no status")
 	}
-	return a.Status, nil
+	return r.Status, nil
 }
 
-// Propose puts a policy forward that was written for an epoch. Asked again under the same ID it does nothing twice; an
-// empty ID takes one that nobody else has.
-func (c *Client) Propose(ctx context.Context, id string, base uint64, p policy.Policy, why string) (*policy.Change, error) {
-	if id == "" {
-		var b [12]byte
-		rand.Read(b[:])
-		id = hex.EncodeToString(b[:])
+// Proposal is a policy to be proposed.
+type Proposal struct {
+	ID     string // idempotency key; a random one is used where it is empty
+	Base   uint64 // the epoch that the policy was written for
+	Policy policy.Policy
+	Reason string
+}
+
+// Propose proposes a policy and returns the change. The error is a policy.RejectedError where the record rejects it.
+func (c *Client) Propose(ctx context.Context, p Proposal) (*policy.Change, error) {
+	if p.ID == "" {
+		p.ID = randomID()
+	}
+	request := policyapi.ProposeRequest{
+		Format: policyapi.Format,
+		Change: policy.Change{ID: p.ID, Base: p.Base, Policy: p.Policy, Reason: p.Reason},
 	}
-	a, err := c.do(ctx, http.MethodPost, ProposePath, Proposal{Form, policy.Change{ID: id, Base: base, Policy: p, Reason: why}})
+	r, err := call[policyapi.ChangeResponse](ctx, c, http.MethodPost, policyapi.ProposePath, request)
 	if err != nil {
 		return nil, err
 	}
-	return a.Change, nil
+	return r.Change, nil
 }
 
-// GiveUp ends a change that is being prepared.
-func (c *Client) GiveUp(ctx context.Context, number uint64, why string) error {
-	_, err := c.do(ctx, http.MethodPost, EndPath, Name{Form: Form, Number: number, Why: why})
+func randomID() string {
+	var id [idBytes]byte
+	rand.Read(id[:]) // never fails
+	return hex.EncodeToString(id[:])
+}
+
+// Abandon abandons the pending change.
+func (c *Client) Abandon(ctx context.Context, number uint64, reason string) error {
+	request := policyapi.AbandonRequest{Format: policyapi.Format, Number: number, Reason: reason}
+	_, err := call[policyapi.ChangeResponse](ctx, c, http.MethodPost, policyapi.AbandonPath, request)
 	return err
 }
 
-// Forget strikes a gatherer that will never come back from those whose floors bound what can be proposed.
+// Forget removes a gatherer that will never return, so that its fallback policy no longer limits what can be proposed.
 func (c *Client) Forget(ctx context.Context, name string) error {
-	_, err := c.do(ctx, http.MethodPost, ForgetPath, Name{Form: Form, Name: name})
+	request := policyapi.ForgetRequest{Format: policyapi.Format, Name: name}
+	_, err := call[policyapi.ChangeResponse](ctx, c, http.MethodPost, policyapi.ForgetPath, request)
 	return err
 }
 
-// Steward takes a steward in or out of those that agree.
-func (c *Client) Steward(ctx context.Context, name string, out bool) error {
-	_, err := c.do(ctx, http.MethodPost, StewardPath, Name{Form: Form, Name: name, Out: out})
-	return err
+// AddServer adds a policy server to the quorum.
+func (c *Client) AddServer(ctx context.Context, name string) error {
+	return c.changeMembership(ctx, policyapi.MembershipRequest{Format: policyapi.Format, Name: name})
 }
 
-// Await waits until a change has ended and what it decided holds everywhere; seen is told what lacks, when that changes.
-func (c *Client) Await(ctx context.Context, number uint64, seen func(string)) (*policy.Change, error) {
-	told := ""
-	for {
-		s, err := c.Status(ctx)
-		if err != nil && ctx.Err() != nil {
-			return nil, ctx.Err()
-		}
-		line := ""
-		switch {
-		case err != nil:
-			line = err.Error()
-		case s.Record.Pending != nil && s.Record.Pending.Number == number:
-			line = s.Waits
-		case s.Record.LastEnded >= number:
-			var end *policy.Change
-			for i := range s.Record.History {
-				if s.Record.History[i].Number == number {
-					end = &s.Record.History[i]
-				}
-			}
-			if end == nil {
-				return nil, fmt.Errorf("change %d ended long ago", number)
-			}
-			if end.Outcome != policy.Committed || s.Everywhere {
-				return end, nil
-			}
-			line = "decided; not yet heard by " + strings.Join(s.Missing, ", ")
-		}
-		if line != told && line != "" {
-			told = line
-			seen(line)
-		}
-		select {
-		case <-ctx.Done():
-			return nil, ctx.Err()
-		case <-time.After(100 * time.Millisecond):
-		}
-	}
+// RemoveServer removes a policy server from the quorum.
+func (c *Client) RemoveServer(ctx context.Context, name string) error {
+	return c.changeMembership(ctx, policyapi.MembershipRequest{Format: policyapi.Format, Name: name, Remove: true})
+}
+
+func (c *Client) changeMembership(ctx context.Context, request policyapi.MembershipRequest) error {
+	_, err := call[policyapi.MembershipResponse](ctx, c, http.MethodPost, policyapi.MembershipPath, request)
+	return err
 }
--- a/internal/control/policyclient/emulated/fleet.go
+++ b/internal/control/policyclient/emulated/fleet.go
@@ -14,7 +14,7 @@
 	"fmt"
 	"math"
 
-	wire "yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policyapi"
 	"yokeroute/internal/pcg"
 	"yokeroute/logic/policy"
 )
@@ -376,7 +376,7 @@
 	}
 	f.asked[i]++
 	if f.asked[i]%16 == 1 { // the length of one stands for sixteen
-		text, _ := json.Marshal(wire.Ask{Form: wire.Form, Hello: hello, Wait: askWait})
+		text, _ := json.Marshal(policyapi.PollRequest{Format: policyapi.Format, Heartbeat: hello, WaitMillis: askWait})
 		f.bytes[i] += 16 * float64(len(text)+220) // and what HTTP puts around question and answer
 	}
 }
--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -1,12 +1,9 @@
 package policyclient
 
 import (
-	"bytes"
 	"context"
 	"encoding/json"
-	"errors"
 	"io"
-	"io/fs"
 	"net/http"
 	"net/http/httptest"
 	"os"
@@ -15,169 +12,34 @@
 	"strings"
 	"testing"
 
-	"yokeroute/logic/policy"
+	"yokeroute/internal/control/policyapi"
 )
 
-// kept reads a document as a version that was released wrote it. None of these files may be changed.
+// kept returns a document as a released version wrote it.
 func kept(t *testing.T, name string) []byte {
 	t.Helper()
-	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
-	if errors.Is(err, fs.ErrNotExist) {
-		text, err = os.ReadFile(filepath.Join("..", "policyapi", "testdata", "kept", name))
-	}
+	text, err := os.ReadFile(filepath.Join("..", "policyapi", "testdata", "kept", name))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return text
 }
 
-func keptPolicy() policy.Policy {
-	return policy.Policy{
-		{Kind: policy.RetryAllowance, Value: 4},
-		{Kind: policy.RetryShare, Value: 0.02},
-		{Kind: policy.Closed, Subject: "north/s1"},
-		{Kind: policy.Closed, Subject: "south/"},
-		{Kind: policy.WarmUpShare, Value: 0.5},
-		{Kind: policy.MinShare, Subject: "find", Value: 0.8},
-		{Kind: policy.NoHedging},
-		{Kind: policy.NoHedging, Subject: "resolve"},
-		{Kind: policy.NonIdempotent, Subject: "claim"},
-		{Kind: policy.HostWeight, Subject: "s9", Value: 0.5},
-	}
-}
-
-func keptMember() policy.Member {
-	return policy.Member{Name: "g1", Zone: "north", Fallback: keptPolicy(), KnownKinds: policy.Kinds()}
-}
-
-func keptChange() policy.Change {
-	return policy.Change{Number: 44, Base: 41, ID: "0123456789abcdef01234567", Policy: keptPolicy(), Reason: "host s9 <is> \"repaired\"", ProposedAt: 1.7648e12}
-}
-
-func keptRecord() policy.Record {
-	change := keptChange()
-	decided, givenUp := keptChange(), keptChange()
-	decided.Number, decided.Base, decided.ID, decided.Outcome = 41, 12, "a", policy.Committed
-	givenUp.Number, givenUp.ID, givenUp.Outcome, givenUp.OutcomeReason = 43, "b", policy.Abandoned, "g2 refuses it: no index find"
-	return policy.Record{
-		Epoch:          41,
-		Policy:         keptPolicy(),
-		LastEnded:      43,
-		Pending:        &change,
-		History:        []policy.Change{decided, givenUp},
-		TrimmedChanges: 39,
-		Members:        []policy.Member{keptMember(), {Name: "g2"}},
-	}
-}
-
-func keptStatus() *Status {
-	return &Status{
-		Steward: "s1",
-		Record:  keptRecord(),
-		Standings: []policy.MemberStatus{
-			{Name: "g1", Zone: "north", Applied: policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}, State: policy.StatePrepared, SinceLastPoll: 250.5, Version: "1.2"},
-			{Name: "g2", Applied: policy.Revision{Epoch: 41, LastEnded: 41}, State: policy.StateStale, SinceLastPoll: 3},
-			{Name: "g3", State: policy.StateDetached, SinceLastPoll: -1},
-			{Name: "g4", State: policy.StateRefusing, Detail: "no index find"},
-			{Name: "g5", State: policy.StateNotAdmitted, Detail: "its floor allows what is forbidden, or it does not know a kind"},
-			{Name: "g6", State: policy.StateApplied},
-		},
-		Missing: []string{"g2"},
-		Waits:   "not prepared yet: g2",
-	}
-}
-
-// TestKeptDocuments: each document of the protocol is read as the values that it was written from, and these are
-// written again byte for byte.
-func TestKeptDocuments(t *testing.T) {
-	hello := policy.Heartbeat{
-		Member:          keptMember(),
-		Incarnation:     "123-456",
-		Applied:         policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44},
-		Drained:         true,
-		RefusedChange:   44,
-		RefusalReason:   "no index find",
-		Version:         "1.2",
-		ExpiredLeases:   7,
-		RejectedUpdates: 3,
-	}
-	change := keptChange()
-	for name, want := range map[string]any{
-		"ask.json":               &Ask{Form, hello, 2000},
-		"ask-first.json":         &Ask{Form, policy.Heartbeat{Member: policy.Member{Name: "g1"}, Incarnation: "1"}, 0},
-		"answer-word.json":       &Answer{Form: Form, Word: &policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Lease: 10_000}},
-		"answer-change.json":     &Answer{Form: Form, Word: &policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Pending: &change, Lease: 10_000}},
-		"answer-refused.json":    &Answer{Form: Form, Word: &policy.Update{Epoch: 41, LastEnded: 43, RefusalReason: "it does not know the kind turns; it is of an older version"}},
-		"answer-proposed.json":   &Answer{Form: Form, Change: &change},
-		"answer-status.json":     &Answer{Form: Form, Status: keptStatus()},
-		"answer-everywhere.json": &Answer{Form: Form, Status: &Status{Steward: "s1", Everywhere: true}},
-		"answer-boot.json":       &Answer{Form: Form, Boot: 5},
-		"answer-empty.json":      &Answer{Form: Form},
-		"answer-elsewhere.json":  &Answer{Form: Form, Leader: "s2", Error: "this steward does not lead"},
-		"answer-no-leader.json":  &Answer{Form: Form, Error: "this steward does not lead"},
-		"proposal.json":          &Proposal{Form, policy.Change{ID: "0123456789abcdef01234567", Base: 41, Policy: keptPolicy(), Reason: "host s9 <is> \"repaired\""}},
-		"proposal-empty.json":    &Proposal{Form, policy.Change{ID: "x"}},
-		"give-up.json":           &Name{Form: Form, Number: 44, Why: "reverted"},
-		"forget.json":            &Name{Form: Form, Name: "g7"},
-		"member-in.json":         &Name{Form: Form, Name: "s4"},
-		"member-out.json":        &Name{Form: Form, Name: "s4", Out: true},
-		"boot.json":              &Name{Form: Form, Name: "s1", Number: 6},
-	} {
-		text := kept(t, name)
-		var got any
-		var err error
-		switch want.(type) {
-		case *Ask:
-			got, err = ReadAsk(bytes.NewReader(text))
-		case *Answer:
-			got, err = ReadAnswer(bytes.NewReader(text))
-		case *Proposal:
-			got, err = ReadProposal(bytes.NewReader(text))
-		case *Name:
-			got, err = ReadName(bytes.NewReader(text))
-		}
-		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v, %v", name, got, err)
-		}
-		for _, doc := range []any{got, want} {
-			if again, err := json.Marshal(doc); err != nil || !bytes.Equal(again, text) {
-				t.Errorf("%s is written as %s, %v", name, again, err)
-			}
-		}
-	}
-}
-
-// TestKeptCommands: the commands of the log that policy servers replicate are written as before, and read again.
-func TestKeptCommands(t *testing.T) {
-	change, member := keptChange(), keptMember()
-	for name, want := range map[string]policy.Command{
-		"log-propose.json":  {Propose: &change},
-		"log-decide.json":   {Commit: 44},
-		"log-give-up.json":  {Abandon: 44, Reason: "g2 refuses it: no index find"},
-		"log-register.json": {Register: &member},
-		"log-forget.json":   {Forget: "g7"},
-	} {
-		text := kept(t, name)
-		var got policy.Command
-		if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v, %v", name, got, err)
-		}
-		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s is written as %s, %v", name, again, err)
-		}
+func decode[T any](t *testing.T, name string) (doc T) {
+	t.Helper()
+	if err := json.Unmarshal(kept(t, name), &doc); err != nil {
+		t.Fatal(err)
 	}
+	return doc
 }
 
-// exchange is what a stand-in for a steward was sent.
-type exchange struct {
-	method, path string
-	body         string
-}
+// request is what a fake policy server has received.
+type request struct{ method, path, body string }
 
-// standIn answers everything with one kept document, and keeps what it was sent.
-func standIn(t *testing.T, answer string) (address string, got func() []exchange) {
+// fakeServer answers every request with a kept document. Its second result returns the requests received so far.
+func fakeServer(t *testing.T, answer string) (address string, received func() []request) {
 	t.Helper()
-	sent := make(chan exchange, 100)
+	requests := make(chan request, 100)
 	text := kept(t, answer)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -185,17 +47,17 @@
 			t.Errorf("content type %q", kind)
 		}
 		select {
-		case sent <- exchange{r.Method, r.URL.Path, string(body)}:
+		case requests <- request{r.Method, r.URL.Path, string(body)}:
 		default:
 		}
 		w.Write(text)
 	}))
 	t.Cleanup(server.Close)
-	return strings.TrimPrefix(server.URL, "http://"), func() (all []exchange) {
+	return strings.TrimPrefix(server.URL, "http://"), func() (all []request) {
 		for {
 			select {
-			case e := <-sent:
-				all = append(all, e)
+			case r := <-requests:
+				all = append(all, r)
 			default:
 				return all
 			}
@@ -203,49 +65,62 @@
 	}
 }
 
-// TestKeptRequests: what operators' commands send goes to the same paths in the same bytes as before.
+// TestKeptRequests: each call of the client sends the request that a released version sent, byte for byte, and returns
+// what the answer holds.
 func TestKeptRequests(t *testing.T) {
-	why := "host s9 <is> \"repaired\""
-	for path, c := range map[string]struct {
+	const noBody = "null"
+	proposal := decode[policyapi.ProposeRequest](t, "proposal.json").Change
+	for call, c := range map[string]struct {
 		answer, request string
 		do              func(ctx context.Context, c *Client) error
 	}{
-		"GET /policy/status": {"answer-status.json", "", func(ctx context.Context, c *Client) error {
+		"GET /policy/status": {"answer-status.json", noBody, func(ctx context.Context, c *Client) error {
 			got, err := c.Status(ctx)
-			if !reflect.DeepEqual(got, keptStatus()) {
+			if want := decode[policyapi.StatusResponse](t, "answer-status.json"); !reflect.DeepEqual(got, want.Status) {
 				t.Errorf("%+v", got)
 			}
 			return err
 		}},
 		"POST /policy/propose": {"answer-proposed.json", "proposal.json", func(ctx context.Context, c *Client) error {
-			got, err := c.Propose(ctx, "0123456789abcdef01234567", 41, keptPolicy(), why)
-			if want := keptChange(); !reflect.DeepEqual(got, &want) {
+			got, err := c.Propose(ctx, Proposal{
+				ID:     "0123456789abcdef01234567",
+				Base:   41,
+				Policy: proposal.Policy,
+				Reason: "host s9 <is> \"repaired\"",
+			})
+			if want := decode[policyapi.ChangeResponse](t, "answer-proposed.json"); !reflect.DeepEqual(got, want.Change) {
 				t.Errorf("%+v", got)
 			}
 			return err
 		}},
-		"POST /policy/give-up": {"answer-empty.json", "give-up.json", func(ctx context.Context, c *Client) error { return c.GiveUp(ctx, 44, "reverted") }},
-		"POST /policy/forget":  {"answer-empty.json", "forget.json", func(ctx context.Context, c *Client) error { return c.Forget(ctx, "g7") }},
-		"POST /policy/steward": {"answer-empty.json", "member-in.json", func(ctx context.Context, c *Client) error { return c.Steward(ctx, "s4", false) }},
+		"POST /policy/give-up": {"answer-empty.json", "give-up.json", func(ctx context.Context, c *Client) error {
+			return c.Abandon(ctx, 44, "reverted")
+		}},
+		"POST /policy/forget": {"answer-empty.json", "forget.json", func(ctx context.Context, c *Client) error {
+			return c.Forget(ctx, "g7")
+		}},
+		"POST /policy/steward": {"answer-empty.json", "member-in.json", func(ctx context.Context, c *Client) error {
+			return c.AddServer(ctx, "s4")
+		}},
 	} {
-		address, got := standIn(t, c.answer)
-		if err := c.do(t.Context(), &Client{Stewards: []string{address}}); err != nil {
-			t.Errorf("%s: %v", path, err)
+		address, received := fakeServer(t, c.answer)
+		if err := c.do(t.Context(), &Client{Servers: []string{address}}); err != nil {
+			t.Errorf("%s: %v", call, err)
 		}
-		want := "null"
-		if c.request != "" {
-			want = string(kept(t, c.request))
+		body := c.request
+		if body != noBody {
+			body = string(kept(t, c.request))
 		}
-		all := got()
-		if len(all) != 1 || all[0].method+" "+all[0].path != path || all[0].body != want {
-			t.Errorf("%s: %q", path, all)
+		all := received()
+		if len(all) != 1 || all[0].method+" "+all[0].path != call || all[0].body != body {
+			t.Errorf("%s: %q", call, all)
 		}
 	}
-	address, got := standIn(t, "answer-empty.json")
-	if err := (&Client{Stewards: []string{address}}).Steward(t.Context(), "s4", true); err != nil {
+	address, received := fakeServer(t, "answer-empty.json")
+	if err := (&Client{Servers: []string{address}}).RemoveServer(t.Context(), "s4"); err != nil {
 		t.Error(err)
 	}
-	if all := got(); len(all) != 1 || all[0].body != string(kept(t, "member-out.json")) {
+	if all := received(); len(all) != 1 || all[0].body != string(kept(t, "member-out.json")) {
 		t.Errorf("%q", all)
 	}
 }
--- a/internal/control/policyclient/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -1,9 +1,7 @@
 package policyclient_test
 
 import (
-	"bytes"
 	"context"
-	"encoding/json"
 	"errors"
 	"fmt"
 	"net/http"
@@ -18,10 +16,11 @@
 	"github.com/anishathalye/porcupine"
 
 	"yokeroute/internal/config/policyfile"
+	"yokeroute/internal/control/policyapi"
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
 	"yokeroute/internal/testbed/processtest"
-	logic "yokeroute/logic/policy"
+	"yokeroute/logic/policy"
 )
 
 func TestMain(m *testing.M) {
@@ -80,14 +79,14 @@
 	t.Cleanup(s.f.Close)
 	s.stop = s.f.Load(ctx)
 	t.Cleanup(s.stop)
-	s.until("all gatherers hold", func(st *policyclient.Status) bool { return st.Everywhere && len(st.Standings) == gatherers })
+	s.until("all gatherers hold", func(st *policyapi.Status) bool { return st.AppliedEverywhere && len(st.Members) == gatherers })
 	return s
 }
 
 // three stewards, with times that a machine full of other tests can keep.
 var three = processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
 
-func (s *scene) status() *policyclient.Status {
+func (s *scene) status() *policyapi.Status {
 	ctx, cancel := context.WithTimeout(s.ctx, 10*time.Second)
 	defer cancel()
 	st, err := s.f.Policies().Status(ctx)
@@ -98,9 +97,9 @@
 }
 
 // until waits for something that the steward that leads tells.
-func (s *scene) until(what string, holds func(st *policyclient.Status) bool) {
+func (s *scene) until(what string, holds func(st *policyapi.Status) bool) {
 	s.Helper()
-	var last *policyclient.Status
+	var last *policyapi.Status
 	err := process.WaitUntil(s.ctx, what, func() bool {
 		last = s.status()
 		return last != nil && holds(last)
@@ -111,7 +110,7 @@
 }
 
 // parse reads a policy.
-func (s *scene) parse(text string) logic.Policy {
+func (s *scene) parse(text string) policy.Policy {
 	s.Helper()
 	p, err := policyfile.Parse(s.Name(), text)
 	if err != nil {
@@ -121,14 +120,14 @@
 }
 
 // propose puts a policy forward for the epoch in force.
-func (s *scene) propose(text string) *logic.Change {
+func (s *scene) propose(text string) *policy.Change {
 	s.Helper()
 	p := s.parse(text)
 	st := s.status()
 	if st == nil {
 		s.Fatal("no steward leads")
 	}
-	c, err := s.f.Policies().Propose(s.ctx, "", st.Record.Epoch, p, s.Name())
+	c, err := s.f.Policies().Propose(s.ctx, policyclient.Proposal{Base: st.Record.Epoch, Policy: p, Reason: s.Name()})
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -136,10 +135,10 @@
 }
 
 // everywhere waits until a change has been decided and holds everywhere.
-func (s *scene) everywhere(c *logic.Change) {
+func (s *scene) everywhere(c *policy.Change) {
 	s.Helper()
 	end, err := s.f.Policies().Await(s.ctx, c.Number, func(line string) { s.Logf("change %d: %s", c.Number, line) })
-	if err != nil || end.Outcome != logic.Committed {
+	if err != nil || end.Outcome != policy.Committed {
 		s.Fatalf("%+v, %v", end, err)
 	}
 }
@@ -228,10 +227,10 @@
 			t.Fatal(err)
 		}
 	}
-	s.until("all hold the second change", func(st *policyclient.Status) bool {
+	s.until("all hold the second change", func(st *policyapi.Status) bool {
 		holding := 0
-		for _, one := range st.Standings {
-			if one.State == logic.StateApplied && one.Applied.Epoch == second.Number {
+		for _, one := range st.Members {
+			if one.State == policy.StateApplied && one.Applied.Epoch == second.Number {
 				holding++
 			}
 		}
@@ -258,13 +257,13 @@
 		switch {
 		case err != nil:
 			t.Fatal(err)
-		case word == "" && end.Outcome != logic.Committed, word != "" && (end.Outcome != logic.Abandoned || !strings.Contains(end.OutcomeReason, word) || !strings.HasPrefix(end.OutcomeReason, "g")):
+		case word == "" && end.Outcome != policy.Committed, word != "" && (end.Outcome != policy.Abandoned || !strings.Contains(end.OutcomeReason, word) || !strings.HasPrefix(end.OutcomeReason, "g")):
 			t.Errorf("%q: %+v", text, end)
 		}
 	}
 	st := s.status()
 	for text, word := range map[string]string{"close zone north host s5\n": "g1, cut off, would do what this forbids: closed north/s5", "index any once-only\n": "would do what this forbids"} {
-		_, err := s.f.Policies().Propose(s.ctx, "", st.Record.Epoch, s.parse(text), "")
+		_, err := s.f.Policies().Propose(s.ctx, policyclient.Proposal{Base: st.Record.Epoch, Policy: s.parse(text)})
 		if err == nil || !strings.Contains(err.Error(), word) {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -274,13 +273,13 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	var made []*logic.Change
+	var made []*policy.Change
 	var refused []string
 	var both sync.WaitGroup
 	for _, text := range []string{"no-copies\n", "close zone south host s3\n"} {
 		p := s.parse(text)
 		both.Go(func() {
-			c, err := s.f.Policies().Propose(s.ctx, "", st.Record.Epoch, p, "")
+			c, err := s.f.Policies().Propose(s.ctx, policyclient.Proposal{Base: st.Record.Epoch, Policy: p})
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -294,12 +293,12 @@
 	if len(made) != 1 || len(refused) != 1 || !strings.Contains(refused[0], "is being prepared") {
 		t.Fatalf("%+v, %q", made, refused)
 	}
-	if err := s.f.Policies().GiveUp(s.ctx, made[0].Number, "reverted while it was being prepared"); err != nil {
+	if err := s.f.Policies().Abandon(s.ctx, made[0].Number, "reverted while it was being prepared"); err != nil {
 		t.Fatal(err)
 	}
 	s.f.Gatherers[3].Process().Continue()
-	s.until("all hold what was there before", func(now *policyclient.Status) bool {
-		return now.Everywhere && now.Record.Epoch == st.Record.Epoch && now.Record.LastEnded == made[0].Number && len(now.Standings) == 4 && now.Standings[3].State == logic.StateApplied
+	s.until("all hold what was there before", func(now *policyapi.Status) bool {
+		return now.AppliedEverywhere && now.Record.Epoch == st.Record.Epoch && now.Record.LastEnded == made[0].Number && len(now.Members) == 4 && now.Members[3].State == policy.StateApplied
 	})
 	s.end()
 }
@@ -397,36 +396,36 @@
 	t.Parallel()
 	s := begin(t, 2, 20, three)
 	leader := s.f.Leader(s.ctx)
-	ask := func() *policyclient.Answer {
-		hello := logic.Heartbeat{Member: logic.Member{Name: "old", Fallback: s.parse(floorText), KnownKinds: []logic.Kind{logic.Closed, logic.NoHedging}}, Incarnation: "1"}
-		text, err := json.Marshal(policyclient.Ask{Form: policyclient.Form, Hello: hello})
-		if err != nil {
-			t.Fatal(err)
-		}
-		resp, err := http.Post("http://"+leader.HTTP+policyclient.AskPath, "application/json", bytes.NewReader(text))
-		if err != nil {
-			t.Fatal(err)
+	poll := func() *policy.Update {
+		heartbeat := policy.Heartbeat{
+			Member: policy.Member{
+				Name:       "old",
+				Fallback:   s.parse(floorText),
+				KnownKinds: []policy.Kind{policy.Closed, policy.NoHedging},
+			},
+			Incarnation: "1",
 		}
-		defer resp.Body.Close()
-		a, err := policyclient.ReadAnswer(resp.Body)
-		if err != nil || a.Word == nil {
-			t.Fatalf("%v, %+v", err, a)
+		e := policyapi.Endpoint{Method: http.MethodPost, Address: leader.HTTP, Path: policyapi.PollPath}
+		request := policyapi.PollRequest{Format: policyapi.Format, Heartbeat: heartbeat}
+		r, err := policyapi.Call(s.ctx, http.DefaultClient, e, request, policyapi.ReadPollResponse)
+		if err != nil || r.Update == nil {
+			t.Fatalf("%v, %+v", err, r)
 		}
-		return a
+		return r.Update
 	}
-	if a := ask(); a.Word.Lease == 0 {
-		t.Errorf("%+v", a.Word)
+	if u := poll(); u.Lease == 0 {
+		t.Errorf("%+v", u)
 	}
 	text := "turns s4 50%\n"
-	if _, err := s.f.Policies().Propose(s.ctx, "", 0, s.parse(text), ""); err == nil || !strings.Contains(err.Error(), "old does not know the kind turns; it is of an older version") {
+	if _, err := s.f.Policies().Propose(s.ctx, policyclient.Proposal{Policy: s.parse(text)}); err == nil || !strings.Contains(err.Error(), "old does not know the kind turns; it is of an older version") {
 		t.Errorf("%v", err)
 	}
 	if err := s.f.Policies().Forget(s.ctx, "old"); err != nil {
 		t.Fatal(err)
 	}
 	s.everywhere(s.propose(text))
-	if a := ask(); a.Word.Lease != 0 || !strings.Contains(a.Word.RefusalReason, "does not know the kind turns") {
-		t.Errorf("%+v", a.Word)
+	if u := poll(); u.Lease != 0 || !strings.Contains(u.RefusalReason, "does not know the kind turns") {
+		t.Errorf("%+v", u)
 	}
 	s.served(20)
 	s.end()
@@ -535,13 +534,13 @@
 	if err := s.f.MendStewards(); err != nil {
 		t.Fatal(err)
 	}
-	s.until("all hold the second change", func(st *policyclient.Status) bool {
-		for _, one := range st.Standings {
-			if one.State != logic.StateApplied || one.Applied.Epoch != second.Number {
+	s.until("all hold the second change", func(st *policyapi.Status) bool {
+		for _, one := range st.Members {
+			if one.State != policy.StateApplied || one.Applied.Epoch != second.Number {
 				return false
 			}
 		}
-		return len(st.Standings) == 6
+		return len(st.Members) == 6
 	})
 	s.served(20)
 	s.end([2]string{"s3", "s1"})
@@ -585,10 +584,10 @@
 				} else if err == nil {
 					call = time.Since(began).Nanoseconds()
 					in.base = st.Record.Epoch
-					p := logic.Policy{{Kind: logic.HostWeight, Subject: in.id, Value: 0.5}}
-					var c *logic.Change
-					c, err = s.f.Policies().Propose(ctx, in.id, in.base, p, "")
-					var refusal logic.RejectedError
+					p := policy.Policy{{Kind: policy.HostWeight, Subject: in.id, Value: 0.5}}
+					var c *policy.Change
+					c, err = s.f.Policies().Propose(ctx, policyclient.Proposal{ID: in.id, Base: in.base, Policy: p})
+					var refusal policy.RejectedError
 					switch {
 					case err == nil:
 						out.last = c.Number
--- a/internal/control/policyserver/directives.go
+++ b/internal/control/policyserver/directives.go
@@ -6,7 +6,7 @@
 	"yokeroute/internal/config/directive"
 )
 
-const intro = "What one steward of a fleet's policies needs to know: `yokeroute steward FILE`. " +
+const intro = "What one steward of a fleet's policies needs to know: `yokeroute policy-server FILE`. " +
 	"Each has a file of its own; three stewards bear the loss of one, five of two."
 
 // Bounds of times in a configuration file, in milliseconds.
@@ -115,7 +115,7 @@
 		Name: "joins",
 		Once: true,
 		Help: "This steward is new among others that run: it begins no log, " +
-			"and waits until `yokeroute policy steward add` takes it in.",
+			"and waits until `yokeroute policy server add` takes it in.",
 		Example: "joins",
 		Apply: func(*directive.Values) error {
 			c.Joins = true
--- a/internal/testbed/processtest/stewards.go
+++ b/internal/testbed/processtest/stewards.go
@@ -101,7 +101,7 @@
 func (f *Fleet) Policies() *policyclient.Client {
 	c := &policyclient.Client{}
 	for _, w := range f.Stewards {
-		c.Stewards = append(c.Stewards, w.HTTP)
+		c.Servers = append(c.Servers, w.HTTP)
 	}
 	return c
 }
@@ -113,7 +113,7 @@
 		return nil
 	}
 	for _, w := range f.Stewards {
-		if w.Name == s.Steward {
+		if w.Name == s.Server {
 			return w
 		}
 	}
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -96,10 +96,10 @@
 
 // hollowGatherer is the control side of a gatherer without clients: the real lease and the real poller.
 type hollowGatherer struct {
-	lease    *policylease.Lease
-	far      bool // it stands in the region that is cut off
-	stop     context.CancelFunc
-	ended    chan struct{}
+	lease *policylease.Lease
+	far   bool // it stands in the region that is cut off
+	stop  context.CancelFunc
+	ended chan struct{}
 
 	mu    sync.Mutex
 	epoch uint64    // that it has come to
@@ -122,7 +122,7 @@
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
 		address := fmt.Sprintf("%s:%d", host, stewardPort)
 		f.names = append(f.names, operator.PolicyServer{Name: name, Address: address})
-		f.client.Stewards = append(f.client.Stewards, address)
+		f.client.Servers = append(f.client.Servers, address)
 		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, stewardLogPort, address)
 	}
 	for i, s := range f.names {
@@ -190,11 +190,11 @@
 		return nil, err
 	}
 	for i, n := range f.names {
-		if n.Name == s.Steward {
+		if n.Name == s.Server {
 			return f.stewards[i], nil
 		}
 	}
-	return nil, fmt.Errorf("no steward is named %s", s.Steward)
+	return nil, fmt.Errorf("no steward is named %s", s.Server)
 }
 
 // hollowFloor forbids what the policies of a scale test may.
@@ -275,7 +275,7 @@
 	waiting, cancel := context.WithTimeout(f.ctx, longestChange)
 	defer cancel()
 	proposed := time.Now()
-	change, err := f.client.Propose(waiting, "", status.Record.Epoch, p, "scale")
+	change, err := f.client.Propose(waiting, policyclient.Proposal{Base: status.Record.Epoch, Policy: p, Reason: "scale"})
 	if err != nil {
 		return nil, err
 	}
