--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/control/policyclient/emulated"
 	"yokeroute/internal/parallel"
 	"yokeroute/internal/stats"
+	"yokeroute/internal/testbed/policyfleet"
 )
 
 // policyRow is many histories of one fleet.
@@ -25,7 +25,7 @@
 }
 
 func policiesCommand() *cobra.Command {
-	terms := emulated.Terms{}
+	terms := policyfleet.Terms{}
 	var count, workers int
 	var seconds, lease, limit, within float64
 	var form string
@@ -77,11 +77,11 @@
 }
 
 // manyPolicies plays histories with the seeds from one on.
-func manyPolicies(t emulated.Terms, count, workers int, within float64) policyRow {
-	outs := parallel.Map(count, workers, func(i int) emulated.Outcome {
+func manyPolicies(t policyfleet.Terms, count, workers int, within float64) policyRow {
+	outs := parallel.Map(count, workers, func(i int) policyfleet.Outcome {
 		one := t
 		one.Seed += uint64(i)
-		return emulated.Play(one)
+		return policyfleet.Play(one)
 	})
 	row := policyRow{Gatherers: t.Gatherers, Runs: count}
 	var decide, all []float64
--- a/internal/control/policyclient/emulated/fleet.go
+++ b/internal/testbed/policyfleet/fleet.go
@@ -6,7 +6,7 @@
 // It models messages and what gatherers do, not how: a lookup of an index lasts for a while and may make second copies,
 // which policies forbid by index. The stewards are one record, and a lead that is there or is not; that they agree is
 // the library's business, and shown by processes.
-package emulated
+package policyfleet
 
 import (
 	"container/heap"
--- a/internal/control/policyclient/emulated/fleet_test.go
+++ b/internal/testbed/policyfleet/fleet_test.go
@@ -1,4 +1,4 @@
-package emulated
+package policyfleet
 
 import (
 	"flag"
