--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -25,17 +25,17 @@
 }
 
 func policiesCommand() *cobra.Command {
-	terms := policyfleet.Terms{}
+	terms := policyfleet.Config{}
 	var count, workers int
 	var seconds, lease, limit, within float64
 	var form string
 	cmd := &cobra.Command{Use: "policies", Short: "play changes of policy over an emulated fleet, and check that none ever holds in part", Args: cobra.NoArgs,
 		Example: "  yokeroute-testbed policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokeroute-testbed policies --runs 4 --gatherers 3000 --away 0.05",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if count < 1 || terms.Gatherers < 1 || terms.Away < 0 || terms.Away >= 1 {
-				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.Away)
+			if count < 1 || terms.Gatherers < 1 || terms.AwayShare < 0 || terms.AwayShare >= 1 {
+				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.AwayShare)
 			}
-			terms.Length, terms.Lease, terms.Limit = seconds*1000, lease*1000, limit*1000
+			terms.Duration, terms.Lease, terms.ChangeTimeout = seconds*1000, lease*1000, limit*1000
 			row := manyPolicies(terms, count, workers, within*1000)
 			if form == "json" {
 				if err := json.NewEncoder(cmd.OutOrStdout()).Encode(row); err != nil {
@@ -62,14 +62,14 @@
 	cmd.Flags().IntVar(&terms.Changes, "changes", 6, "proposed in each")
 	cmd.Flags().Float64Var(&lease, "lease", 10, "seconds")
 	cmd.Flags().Float64Var(&limit, "limit", 60, "seconds after which a change is given up")
-	cmd.Flags().Float64Var(&terms.Away, "away", 0, "share of the gatherers that is never there")
+	cmd.Flags().Float64Var(&terms.AwayShare, "away", 0, "share of the gatherers that is never there")
 	cmd.Flags().IntVar(&terms.Flapping, "flapping", 0, "gatherers that start anew each second")
-	cmd.Flags().Float64Var(&terms.Restarts, "restarts", 0, "gatherers of the fleet that are killed and started again, a day")
+	cmd.Flags().Float64Var(&terms.RestartsPerDay, "restarts", 0, "gatherers of the fleet that are killed and started again, a day")
 	cmd.Flags().Float64Var(&within, "within", 6, "seconds in which a change should hold everywhere")
-	cmd.Flags().Float64Var(&terms.Troubles, "troubles", 0, "of each gatherer in a history")
-	cmd.Flags().IntVar(&terms.Leads, "leads", 0, "times that the stewards' lead moves in a history")
-	cmd.Flags().Float64Var(&terms.Lookups, "lookups", 0, "a second, of each gatherer")
-	cmd.Flags().StringVar(&terms.Variant, "without", "", "a piece left out: \"no wire\", \"no settle\", \"no wait\"")
+	cmd.Flags().Float64Var(&terms.Faults, "troubles", 0, "of each gatherer in a history")
+	cmd.Flags().IntVar(&terms.Elections, "leads", 0, "times that the stewards' lead moves in a history")
+	cmd.Flags().Float64Var(&terms.QueriesPerSecond, "lookups", 0, "a second, of each gatherer")
+	cmd.Flags().StringVar(&terms.Without, "without", "", "a piece left out: \"no wire\", \"no settle\", \"no wait\"")
 	cmd.Flags().Uint64Var(&terms.Seed, "seed", 1, "the first one")
 	cmd.Flags().IntVar(&workers, "workers", 0, "histories played side by side; one a core unless told")
 	cmd.Flags().StringVarP(&form, "output", "o", "text", "form of the answer: text or json")
@@ -77,8 +77,8 @@
 }
 
 // manyPolicies plays histories with the seeds from one on.
-func manyPolicies(t policyfleet.Terms, count, workers int, within float64) policyRow {
-	outs := parallel.Map(count, workers, func(i int) policyfleet.Outcome {
+func manyPolicies(t policyfleet.Config, count, workers int, within float64) policyRow {
+	outs := parallel.Map(count, workers, func(i int) policyfleet.Result {
 		one := t
 		one.Seed += uint64(i)
 		return policyfleet.Play(one)
@@ -86,16 +86,16 @@
 	row := policyRow{Gatherers: t.Gatherers, Runs: count}
 	var decide, all []float64
 	for i, o := range outs {
-		if o.Wrong != "" {
+		if o.Violation != "" {
 			if row.Wrong++; row.First == "" {
-				row.First = fmt.Sprintf("seed %d: %s", t.Seed+uint64(i), o.Wrong)
+				row.First = fmt.Sprintf("seed %d: %s", t.Seed+uint64(i), o.Violation)
 			}
 		}
-		row.Proposed, row.Decided, row.GivenUp = row.Proposed+o.Proposed, row.Decided+o.Decided, row.GivenUp+o.GivenUp
-		decide, all = append(decide, o.ToDecide...), append(all, o.ToAll...)
+		row.Proposed, row.Decided, row.GivenUp = row.Proposed+o.Proposed, row.Decided+o.Committed, row.GivenUp+o.Abandoned
+		decide, all = append(decide, o.CommitTimes...), append(all, o.ApplyTimes...)
 		n := float64(count)
-		row.RestAsked, row.BusyAsked = row.RestAsked+o.RestRate/n, row.BusyAsked+o.BusyRate/n
-		row.RestBytes, row.BusyBytes = row.RestBytes+o.RestBytes/n, row.BusyBytes+o.BusyBytes/n
+		row.RestAsked, row.BusyAsked = row.RestAsked+o.IdlePollRate/n, row.BusyAsked+o.ChangePollRate/n
+		row.RestBytes, row.BusyBytes = row.RestBytes+o.IdleByteRate/n, row.BusyBytes+o.ChangeByteRate/n
 	}
 	for _, took := range all {
 		if took <= within {
--- a/internal/testbed/policyfleet/fleet.go
+++ b/internal/testbed/policyfleet/fleet.go
@@ -19,202 +19,202 @@
 	"yokeroute/logic/policy"
 )
 
-// Terms are a fleet and its troubles. Times are milliseconds.
-type Terms struct {
-	Gatherers int
-	Length    float64
-	Changes   int     // proposed, evenly over the middle of the time
-	Lease     float64 // 10 s unless told
-	Limit     float64 // 60 s unless told
-	Away      float64 // share of the gatherers that is never there after the start
-	Flapping  int     // gatherers that start anew each second
-	Restarts  float64 // a day over the fleet: killed, and back some seconds later with its disk
-	Troubles  float64 // of each gatherer, on average over the time
-	Leads     int     // times that the lead moves
-	Lookups   float64 // a second, of each gatherer
-	Seed      uint64
-	Variant   string // a piece left out: "no wire", "no settle", "no wait"; empty for none
+// Config are a fleet and its troubles. Times are milliseconds.
+type Config struct {
+	Gatherers        int
+	Duration         float64
+	Changes          int     // proposed, evenly over the middle of the time
+	Lease            float64 // 10 s unless told
+	ChangeTimeout    float64 // 60 s unless told
+	AwayShare        float64 // share of the gatherers that is never there after the start
+	Flapping         int     // gatherers that start anew each second
+	RestartsPerDay   float64 // a day over the fleet: killed, and back some seconds later with its disk
+	Faults           float64 // of each gatherer, on average over the time
+	Elections        int     // times that the lead moves
+	QueriesPerSecond float64 // a second, of each gatherer
+	Seed             uint64
+	Without          string // a piece left out: "no wire", "no settle", "no wait"; empty for none
 }
 
-// Outcome is what a history came to.
-type Outcome struct {
-	Wrong     string    // the first moment at which a gatherer did what was forbidden
-	Proposed  int       // changes
-	Decided   int       // and how they ended
-	GivenUp   int       //
-	Open      int       // neither, at the end
-	ToDecide  []float64 // milliseconds from proposing until it was decided
-	ToAll     []float64 // and until all that were there and heard acted by it
-	Asked     int       // questions that came to the stewards
-	RestRate  float64   // of them a second while no change was under way
-	BusyRate  float64   // and while one was
-	RestBytes float64   // of questions and answers a second
-	BusyBytes float64
-	Copies    int // that were made
-	Forbidden int // that were not made since they were forbidden by then
+// Result is what a history came to.
+type Result struct {
+	Violation      string    // the first moment at which a gatherer did what was forbidden
+	Proposed       int       // changes
+	Committed      int       // and how they ended
+	Abandoned      int       //
+	Pending        int       // neither, at the end
+	CommitTimes    []float64 // milliseconds from proposing until it was decided
+	ApplyTimes     []float64 // and until all that were there and heard acted by it
+	Polls          int       // questions that came to the stewards
+	IdlePollRate   float64   // of them a second while no change was under way
+	ChangePollRate float64   // and while one was
+	IdleByteRate   float64   // of questions and answers a second
+	ChangeByteRate float64
+	Hedges         int // that were made
+	Suppressed     int // that were not made since they were forbidden by then
 }
 
-const indexes = 6
+const classCount = 6
 
-func name(i int) string { return fmt.Sprint("x", i) }
+func className(i int) string { return fmt.Sprint("x", i) }
 
-// floor forbids copies of every index that any policy may.
-func floor() policy.Policy {
+// fallbackPolicy forbids copies of every index that any policy may.
+func fallbackPolicy() policy.Policy {
 	var p policy.Policy
-	for i := range indexes {
-		p = append(p, policy.Entry{Kind: policy.NoHedging, Subject: name(i)})
+	for i := range classCount {
+		p = append(p, policy.Entry{Kind: policy.NoHedging, Subject: className(i)})
 	}
 	return p
 }
 
-// lookup is one in hand.
-type lookup struct {
-	way   uint64
-	by    policy.Policy
-	index string
-	ends  float64
+// query is one in hand.
+type query struct {
+	generation uint64
+	policy     policy.Policy
+	class      string
+	endsAt     float64
 }
 
 // gatherer is one of the model.
 type gatherer struct {
-	name     string
-	floor    policy.Policy
-	h        *policy.LeaseHolder
-	disk     policy.Revision
-	process  int
-	rate     float64 // of its clock
-	offset   float64
-	up       bool
-	stopped  float64 // until then it stands still
-	cut      [2]float64
-	late     float64 // until then its messages take long
-	held     []*lookup
-	question int // number of the one under way
+	name           string
+	fallback       policy.Policy
+	holder         *policy.LeaseHolder
+	stored         policy.Revision
+	incarnation    int
+	clockRate      float64 // of its clock
+	clockOffset    float64
+	up             bool
+	suspendedUntil float64 // until then it stands still
+	cutUntil       [2]float64
+	slowUntil      float64 // until then its messages take long
+	inFlight       []*query
+	poll           int // number of the one under way
 }
 
 // event is something that happens.
 type event struct {
-	at float64
-	n  int // against two at one time in an order of chance
-	do func()
+	at    float64
+	order int // against two at one time in an order of chance
+	run   func()
 }
 
-type queue []event
+type eventQueue []event
 
-func (q queue) Len() int { return len(q) }
-func (q queue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].n < q[j].n
+func (q eventQueue) Len() int { return len(q) }
+func (q eventQueue) Less(i, j int) bool {
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].order < q[j].order
 }
-func (q queue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
+func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 
 // Push is the heap's.
-func (q *queue) Push(e any) { *q = append(*q, e.(event)) }
+func (q *eventQueue) Push(e any) { *q = append(*q, e.(event)) }
 
 // Pop is the heap's.
-func (q *queue) Pop() any {
+func (q *eventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
 }
 
-// waiting is a question that the stewards have not answered yet.
-type waiting struct {
-	g      *gatherer
-	number int
-	hello  policy.Heartbeat
-	lease  float64
+// pendingPoll is a question that the stewards have not answered yet.
+type pendingPoll struct {
+	gatherer  *gatherer
+	poll      int
+	heartbeat policy.Heartbeat
+	lease     float64
 
-	process int
-	asked   float64
+	incarnation int
+	sentAt      float64
 }
 
 type fleet struct {
-	t      Terms
-	chance *pcg.Source
-	now    float64
-	q      queue
-	n      int
-	record *policy.Record
-	leader *policy.Leader // nil while nobody leads
-	all    []*gatherer
-	polls  []*waiting
-	out    Outcome
-
-	proposed float64 // when the change under way was
-	decided  float64 // 0 before
-	number   uint64
-	busy     float64 // time with a change under way
-	since    float64
-	asked    [2]int
-	bytes    [2]float64
+	config    Config
+	random    *pcg.Source
+	now       float64
+	events    eventQueue
+	scheduled int
+	record    *policy.Record
+	leader    *policy.Leader // nil while nobody leads
+	gatherers []*gatherer
+	waiting   []*pendingPoll
+	result    Result
+
+	proposedAt    float64 // when the change under way was
+	committedAt   float64 // 0 before
+	pendingChange uint64
+	changeTime    float64 // time with a change under way
+	phaseStart    float64
+	polls         [2]int
+	pollBytes     [2]float64
 }
 
 // Play plays one history.
-func Play(t Terms) Outcome {
+func Play(t Config) Result {
 	if t.Lease == 0 {
 		t.Lease = 10_000
 	}
-	if t.Limit == 0 {
-		t.Limit = 60_000
+	if t.ChangeTimeout == 0 {
+		t.ChangeTimeout = 60_000
 	}
-	f := &fleet{t: t, chance: pcg.New(t.Seed*104_729 + 7), record: &policy.Record{}}
-	f.leader = policy.NewLeader(f.record, t.Lease, t.Limit, -2*t.Lease)
+	f := &fleet{config: t, random: pcg.New(t.Seed*104_729 + 7), record: &policy.Record{}}
+	f.leader = policy.NewLeader(f.record, t.Lease, t.ChangeTimeout, -2*t.Lease)
 	for i := range t.Gatherers {
-		g := &gatherer{name: fmt.Sprintf("g%04d", i), floor: floor(), rate: 1 + 0.008*(2*f.chance.Float64()-1), offset: 1e6 * f.chance.Float64(), cut: [2]float64{}}
-		f.all = append(f.all, g)
+		g := &gatherer{name: fmt.Sprintf("g%04d", i), fallback: fallbackPolicy(), clockRate: 1 + 0.008*(2*f.random.Float64()-1), clockOffset: 1e6 * f.random.Float64(), cutUntil: [2]float64{}}
+		f.gatherers = append(f.gatherers, g)
 		f.start(g, policy.Revision{})
-		f.troubles(g, i)
-		if t.Lookups > 0 {
-			f.in(f.gap(1000/t.Lookups), func() { f.land(g) })
+		f.scheduleFaults(g, i)
+		if t.QueriesPerSecond > 0 {
+			f.schedule(f.exponential(1000/t.QueriesPerSecond), func() { f.startQuery(g) })
 		}
 	}
 	for i := range t.Changes {
-		f.in(t.Length*(0.15+0.6*float64(i)/float64(max(t.Changes, 1))), f.propose)
+		f.schedule(t.Duration*(0.15+0.6*float64(i)/float64(max(t.Changes, 1))), f.propose)
 	}
-	for range t.Leads {
-		f.in(t.Length*f.chance.Float64(), f.lose)
+	for range t.Elections {
+		f.schedule(t.Duration*f.random.Float64(), f.loseLeader)
 	}
-	if t.Restarts > 0 {
-		f.in(f.gap(millisecondsADay/t.Restarts), f.restart)
+	if t.RestartsPerDay > 0 {
+		f.schedule(f.exponential(millisecondsADay/t.RestartsPerDay), f.restart)
 	}
-	f.in(0, f.look)
-	for len(f.q) > 0 && f.out.Wrong == "" {
-		e := heap.Pop(&f.q).(event)
-		if e.at > t.Length {
+	f.schedule(0, f.review)
+	for len(f.events) > 0 && f.result.Violation == "" {
+		e := heap.Pop(&f.events).(event)
+		if e.at > t.Duration {
 			break
 		}
 		f.now = e.at
-		e.do()
+		e.run()
 	}
-	if f.number > 0 {
-		f.out.Open++
+	if f.pendingChange > 0 {
+		f.result.Pending++
 	}
-	f.phase()
-	rest := f.now - f.busy
-	f.out.Asked = f.asked[0] + f.asked[1]
-	f.out.RestRate, f.out.RestBytes = 1000*float64(f.asked[0])/max(rest, 1), 1000*f.bytes[0]/max(rest, 1)
-	f.out.BusyRate, f.out.BusyBytes = 1000*float64(f.asked[1])/max(f.busy, 1), 1000*f.bytes[1]/max(f.busy, 1)
-	return f.out
+	f.endPhase()
+	rest := f.now - f.changeTime
+	f.result.Polls = f.polls[0] + f.polls[1]
+	f.result.IdlePollRate, f.result.IdleByteRate = 1000*float64(f.polls[0])/max(rest, 1), 1000*f.pollBytes[0]/max(rest, 1)
+	f.result.ChangePollRate, f.result.ChangeByteRate = 1000*float64(f.polls[1])/max(f.changeTime, 1), 1000*f.pollBytes[1]/max(f.changeTime, 1)
+	return f.result
 }
 
-func (f *fleet) in(after float64, do func()) {
-	f.n++
-	heap.Push(&f.q, event{f.now + after, f.n, do})
+func (f *fleet) schedule(after float64, do func()) {
+	f.scheduled++
+	heap.Push(&f.events, event{f.now + after, f.scheduled, do})
 }
 
-func (f *fleet) gap(mean float64) float64 { return -mean * math.Log(1-f.chance.Float64()) }
+func (f *fleet) exponential(mean float64) float64 { return -mean * math.Log(1-f.random.Float64()) }
 
 // clock is a gatherer's.
-func (g *gatherer) clock(now float64) float64 { return g.offset + g.rate*now }
+func (g *gatherer) clock(now float64) float64 { return g.clockOffset + g.clockRate*now }
 
 // whenUp does something of a process at once, or once it goes on; not if it has ended by then.
 func (f *fleet) whenUp(g *gatherer, do func()) {
-	process := g.process
+	process := g.incarnation
 	switch {
 	case !g.up:
-	case f.now < g.stopped:
-		f.in(g.stopped-f.now, func() {
-			if g.process == process {
+	case f.now < g.suspendedUntil:
+		f.schedule(g.suspendedUntil-f.now, func() {
+			if g.incarnation == process {
 				f.whenUp(g, do)
 			}
 		})
@@ -225,54 +225,54 @@
 
 // start starts a process of a gatherer.
 func (f *fleet) start(g *gatherer, disk policy.Revision) {
-	g.process++
-	g.up, g.stopped, g.held, g.disk = true, 0, nil, disk
-	g.h = policy.NewLeaseHolder(g.floor, disk, nil)
-	f.in(f.gap(20), func() { f.ask(g, g.process) })
+	g.incarnation++
+	g.up, g.suspendedUntil, g.inFlight, g.stored = true, 0, nil, disk
+	g.holder = policy.NewLeaseHolder(g.fallback, disk, nil)
+	f.schedule(f.exponential(20), func() { f.sendPoll(g, g.incarnation) })
 }
 
-// troubles draws what befalls a gatherer.
-func (f *fleet) troubles(g *gatherer, i int) {
-	if float64(i) < f.t.Away*float64(f.t.Gatherers) {
-		f.in(f.t.Length*0.1*f.chance.Float64(), func() { g.up = false; g.process++ })
+// scheduleFaults draws what befalls a gatherer.
+func (f *fleet) scheduleFaults(g *gatherer, i int) {
+	if float64(i) < f.config.AwayShare*float64(f.config.Gatherers) {
+		f.schedule(f.config.Duration*0.1*f.random.Float64(), func() { g.up = false; g.incarnation++ })
 		return
 	}
-	if i >= f.t.Gatherers-f.t.Flapping {
+	if i >= f.config.Gatherers-f.config.Flapping {
 		var flap func()
 		flap = func() {
-			f.start(g, g.disk)
-			f.in(700+600*f.chance.Float64(), flap)
+			f.start(g, g.stored)
+			f.schedule(700+600*f.random.Float64(), flap)
 		}
-		f.in(1000, flap)
+		f.schedule(1000, flap)
 	}
-	for at := f.gap(f.t.Length / max(f.t.Troubles, 1e-9)); at < f.t.Length; at += f.gap(f.t.Length / max(f.t.Troubles, 1e-9)) {
-		kind, long := f.chance.Uint32()%6, 100+15_000*f.chance.Float64()*f.chance.Float64()
-		f.in(at, func() {
+	for at := f.exponential(f.config.Duration / max(f.config.Faults, 1e-9)); at < f.config.Duration; at += f.exponential(f.config.Duration / max(f.config.Faults, 1e-9)) {
+		kind, long := f.random.Uint32()%6, 100+15_000*f.random.Float64()*f.random.Float64()
+		f.schedule(at, func() {
 			switch kind {
 			case 0, 1: // killed, and back with its disk kept or gone
 				if !g.up {
 					return
 				}
 				g.up = false
-				g.process++
+				g.incarnation++
 				disk := policy.Revision{}
-				if f.chance.Uint32()%3 == 0 {
-					disk = g.disk
+				if f.random.Uint32()%3 == 0 {
+					disk = g.stored
 				}
-				f.in(long/3, func() {
+				f.schedule(long/3, func() {
 					if !g.up {
 						f.start(g, disk)
 					}
 				})
 			case 2:
-				g.stopped = max(g.stopped, f.now+long)
+				g.suspendedUntil = max(g.suspendedUntil, f.now+long)
 			case 3: // cut off, both ways or one
-				g.cut = [2]float64{f.now + long, f.now + long}
-				if side := f.chance.Uint32() % 3; side < 2 {
-					g.cut[side] = 0
+				g.cutUntil = [2]float64{f.now + long, f.now + long}
+				if side := f.random.Uint32() % 3; side < 2 {
+					g.cutUntil[side] = 0
 				}
 			default:
-				g.late = f.now + long
+				g.slowUntil = f.now + long
 			}
 		})
 	}
@@ -280,196 +280,196 @@
 
 const (
 	millisecondsADay = 86_400_000.0
-	leastAway        = 1000.0 // of a gatherer that restarts,
-	awayRange        = 4000.0 // and up to so much longer
+	minDowntime      = 1000.0 // of a gatherer that restarts,
+	downtimeRange    = 4000.0 // and up to so much longer
 )
 
 // restart has one gatherer of the fleet killed and started again, and draws the next one.
 func (f *fleet) restart() {
-	f.in(f.gap(millisecondsADay/f.t.Restarts), f.restart)
-	g := f.all[int(f.chance.Uint32()>>1)%len(f.all)]
+	f.schedule(f.exponential(millisecondsADay/f.config.RestartsPerDay), f.restart)
+	g := f.gatherers[int(f.random.Uint32()>>1)%len(f.gatherers)]
 	if !g.up {
 		return
 	}
 	g.up = false
-	g.process++
-	f.in(leastAway+awayRange*f.chance.Float64(), func() {
+	g.incarnation++
+	f.schedule(minDowntime+downtimeRange*f.random.Float64(), func() {
 		if !g.up {
-			f.start(g, g.disk)
+			f.start(g, g.stored)
 		}
 	})
 }
 
-// way is how long a message takes; false where it is lost.
-func (f *fleet) way(g *gatherer, side int) (float64, bool) {
-	if f.now < g.cut[side] || f.chance.Float64() < 0.002 {
+// delay is how long a message takes; false where it is lost.
+func (f *fleet) delay(g *gatherer, side int) (float64, bool) {
+	if f.now < g.cutUntil[side] || f.random.Float64() < 0.002 {
 		return 0, false
 	}
-	if f.now < g.late {
-		return 4000 * f.chance.Float64(), true
+	if f.now < g.slowUntil {
+		return 4000 * f.random.Float64(), true
 	}
-	return 0.3 + f.gap(1.5), true
+	return 0.3 + f.exponential(1.5), true
 }
 
 const (
-	askWait = 2000.0
-	silent  = 3000.0 // after which a question counts as lost
+	pollWait    = 2000.0
+	pollTimeout = 3000.0 // after which a question counts as lost
 )
 
-// ask puts a gatherer's question.
-func (f *fleet) ask(g *gatherer, process int) {
-	if g.process != process {
+// sendPoll puts a gatherer's question.
+func (f *fleet) sendPoll(g *gatherer, process int) {
+	if g.incarnation != process {
 		return
 	}
 	f.whenUp(g, func() {
-		g.question++
-		number, asked := g.question, g.clock(f.now)
-		hello := g.h.Heartbeat(asked)
-		hello.Name, hello.Incarnation, hello.Fallback, hello.KnownKinds = g.name, fmt.Sprint(process), g.floor, policy.Kinds()
-		if f.t.Variant == "no settle" {
+		g.poll++
+		number, asked := g.poll, g.clock(f.now)
+		hello := g.holder.Heartbeat(asked)
+		hello.Name, hello.Incarnation, hello.Fallback, hello.KnownKinds = g.name, fmt.Sprint(process), g.fallback, policy.Kinds()
+		if f.config.Without == "no settle" {
 			hello.Drained = true
 		}
-		if after, comes := f.way(g, 0); comes {
-			f.in(after, func() { f.hear(g, number, asked, hello) })
+		if after, comes := f.delay(g, 0); comes {
+			f.schedule(after, func() { f.handlePoll(g, number, asked, hello) })
 		}
-		f.in(silent, func() {
-			if g.question == number {
-				f.ask(g, process)
+		f.schedule(pollTimeout, func() {
+			if g.poll == number {
+				f.sendPoll(g, process)
 			}
 		})
 	})
 }
 
-// hear has a question come to the stewards.
-func (f *fleet) hear(g *gatherer, number int, asked float64, hello policy.Heartbeat) {
+// handlePoll has a question come to the stewards.
+func (f *fleet) handlePoll(g *gatherer, number int, asked float64, hello policy.Heartbeat) {
 	if f.leader == nil {
 		return
 	}
 	if !f.record.Registered(hello.Member) {
 		f.commit(policy.Command{Register: &hello.Member})
 	}
-	f.count(hello)
-	w := &waiting{g: g, number: number, hello: hello, process: g.process, asked: asked}
+	f.countPoll(hello)
+	w := &pendingPoll{gatherer: g, poll: number, heartbeat: hello, incarnation: g.incarnation, sentAt: asked}
 	w.lease = f.leader.Handle(f.now, hello).Lease
 	f.decide()
 	if told := f.record.Update(); told.IsNewTo(hello) {
-		f.answer(w)
+		f.sendUpdate(w)
 		return
 	}
-	f.polls = append(f.polls, w)
-	f.in(askWait, func() {
-		for i, o := range f.polls {
+	f.waiting = append(f.waiting, w)
+	f.schedule(pollWait, func() {
+		for i, o := range f.waiting {
 			if o == w {
-				f.polls = append(f.polls[:i], f.polls[i+1:]...)
-				f.answer(w)
+				f.waiting = append(f.waiting[:i], f.waiting[i+1:]...)
+				f.sendUpdate(w)
 				return
 			}
 		}
 	})
 }
 
-// count books a message.
-func (f *fleet) count(hello policy.Heartbeat) {
+// countPoll books a message.
+func (f *fleet) countPoll(hello policy.Heartbeat) {
 	i := 0
-	if f.number > 0 {
+	if f.pendingChange > 0 {
 		i = 1
 	}
-	f.asked[i]++
-	if f.asked[i]%16 == 1 { // the length of one stands for sixteen
-		text, _ := json.Marshal(policyapi.PollRequest{Format: policyapi.Format, Heartbeat: hello, WaitMillis: askWait})
-		f.bytes[i] += 16 * float64(len(text)+220) // and what HTTP puts around question and answer
+	f.polls[i]++
+	if f.polls[i]%16 == 1 { // the length of one stands for sixteen
+		text, _ := json.Marshal(policyapi.PollRequest{Format: policyapi.Format, Heartbeat: hello, WaitMillis: pollWait})
+		f.pollBytes[i] += 16 * float64(len(text)+220) // and what HTTP puts around question and answer
 	}
 }
 
-// answer has the stewards' word go back.
-func (f *fleet) answer(w *waiting) {
-	g, word := w.g, f.record.Update()
+// sendUpdate has the stewards' word go back.
+func (f *fleet) sendUpdate(w *pendingPoll) {
+	g, word := w.gatherer, f.record.Update()
 	word.Lease = w.lease
-	after, comes := f.way(g, 1)
+	after, comes := f.delay(g, 1)
 	if !comes {
 		return
 	}
-	f.in(after, func() {
-		if g.process != w.process {
+	f.schedule(after, func() {
+		if g.incarnation != w.incarnation {
 			return
 		}
 		f.whenUp(g, func() {
-			if g.question != w.number { // given up meanwhile
+			if g.poll != w.poll { // given up meanwhile
 				return
 			}
-			fence, _, taken := g.h.Handle(w.asked, g.clock(f.now), word)
+			fence, _, taken := g.holder.Handle(w.sentAt, g.clock(f.now), word)
 			if taken {
-				g.disk = fence
+				g.stored = fence
 			}
-			f.settle(g)
-			f.ask(g, w.process)
+			f.markDrained(g)
+			f.sendPoll(g, w.incarnation)
 		})
 	})
 }
 
-// settle tells how far lookups in hand have come; a gatherer that has just settled tells the stewards at once.
-func (f *fleet) settle(g *gatherer) {
-	if g.h.Drained() {
+// markDrained tells how far lookups in hand have come; a gatherer that has just settled tells the stewards at once.
+func (f *fleet) markDrained(g *gatherer) {
+	if g.holder.Drained() {
 		return
 	}
-	_, oldest := g.h.Effective(g.clock(f.now))
-	for _, l := range g.held {
-		oldest = min(oldest, l.way)
+	_, oldest := g.holder.Effective(g.clock(f.now))
+	for _, l := range g.inFlight {
+		oldest = min(oldest, l.generation)
 	}
-	g.h.MarkDrained(oldest)
-	if g.h.Drained() {
-		process := g.process
-		f.in(0, func() { f.ask(g, process) })
+	g.holder.MarkDrained(oldest)
+	if g.holder.Drained() {
+		process := g.incarnation
+		f.schedule(0, func() { f.sendPoll(g, process) })
 	}
 }
 
-// land has a lookup come, and the next one after it.
-func (f *fleet) land(g *gatherer) {
-	f.in(f.gap(1000/f.t.Lookups), func() { f.land(g) })
-	if !g.up || f.now < g.stopped {
+// startQuery has a lookup come, and the next one after it.
+func (f *fleet) startQuery(g *gatherer) {
+	f.schedule(f.exponential(1000/f.config.QueriesPerSecond), func() { f.startQuery(g) })
+	if !g.up || f.now < g.suspendedUntil {
 		return
 	}
-	acts, way := g.h.Effective(g.clock(f.now))
-	l := &lookup{way: way, by: acts, index: name(int(f.chance.Uint32()) % indexes), ends: f.now + 50 + 1450*f.chance.Float64()*f.chance.Float64()}
-	g.held = append(g.held, l)
-	process := g.process
+	acts, way := g.holder.Effective(g.clock(f.now))
+	l := &query{generation: way, policy: acts, class: className(int(f.random.Uint32()) % classCount), endsAt: f.now + 50 + 1450*f.random.Float64()*f.random.Float64()}
+	g.inFlight = append(g.inFlight, l)
+	process := g.incarnation
 	for range 2 {
-		f.in((l.ends-f.now)*f.chance.Float64(), func() {
-			if g.process == process {
-				f.whenUp(g, func() { f.copy(g, l) })
+		f.schedule((l.endsAt-f.now)*f.random.Float64(), func() {
+			if g.incarnation == process {
+				f.whenUp(g, func() { f.hedge(g, l) })
 			}
 		})
 	}
-	f.in(l.ends-f.now, func() {
-		if g.process != process {
+	f.schedule(l.endsAt-f.now, func() {
+		if g.incarnation != process {
 			return
 		}
 		f.whenUp(g, func() {
-			for i, o := range g.held {
+			for i, o := range g.inFlight {
 				if o == l {
-					g.held = append(g.held[:i], g.held[i+1:]...)
+					g.inFlight = append(g.inFlight[:i], g.inFlight[i+1:]...)
 					break
 				}
 			}
-			f.settle(g)
+			f.markDrained(g)
 		})
 	})
 }
 
-// copy makes a second copy where it may be made, as the check at the wire has it, and checks that it may.
-func (f *fleet) copy(g *gatherer, l *lookup) {
-	if l.by.Has(policy.NoHedging, l.index) {
+// hedge makes a second copy where it may be made, as the check at the wire has it, and checks that it may.
+func (f *fleet) hedge(g *gatherer, l *query) {
+	if l.policy.Has(policy.NoHedging, l.class) {
 		return
 	}
 	now := g.clock(f.now)
-	acts, _ := g.h.Effective(now)
-	if f.t.Variant != "no wire" && !g.h.Permits(l.way, now) && acts.Has(policy.NoHedging, l.index) {
-		f.out.Forbidden++
+	acts, _ := g.holder.Effective(now)
+	if f.config.Without != "no wire" && !g.holder.Permits(l.generation, now) && acts.Has(policy.NoHedging, l.class) {
+		f.result.Suppressed++
 		return
 	}
-	f.out.Copies++
-	if f.record.Policy.Has(policy.NoHedging, l.index) {
-		f.out.Wrong = fmt.Sprintf("at %.1f s %s made a copy for %s, which epoch %d forbids", f.now/1000, g.name, l.index, f.record.Epoch)
+	f.result.Hedges++
+	if f.record.Policy.Has(policy.NoHedging, l.class) {
+		f.result.Violation = fmt.Sprintf("at %.1f s %s made a copy for %s, which epoch %d forbids", f.now/1000, g.name, l.class, f.record.Epoch)
 	}
 }
 
@@ -487,44 +487,44 @@
 	return change
 }
 
-// wake answers all who wait for news.
-func (f *fleet) wake() {
-	polls := f.polls
-	f.polls = nil
+// answerAll answers all who wait for news.
+func (f *fleet) answerAll() {
+	polls := f.waiting
+	f.waiting = nil
 	for _, w := range polls {
-		f.answer(w)
+		f.sendUpdate(w)
 	}
 }
 
 // propose puts a policy forward: each index's copies forbidden or not, by chance.
 func (f *fleet) propose() {
-	if f.number > 0 || f.leader == nil {
-		f.in(500, f.propose)
+	if f.pendingChange > 0 || f.leader == nil {
+		f.schedule(500, f.propose)
 		return
 	}
 	var p policy.Policy
-	for i := range indexes {
-		if f.chance.Float64() < 0.5 {
-			p = append(p, policy.Entry{Kind: policy.NoHedging, Subject: name(i)})
+	for i := range classCount {
+		if f.random.Float64() < 0.5 {
+			p = append(p, policy.Entry{Kind: policy.NoHedging, Subject: className(i)})
 		}
 	}
 	c := f.commit(policy.Command{Propose: &policy.Change{Base: f.record.Epoch, ID: fmt.Sprint(f.now), Policy: p}})
 	if c == nil {
 		return
 	}
-	f.phase()
-	f.out.Proposed++
-	f.proposed, f.decided, f.number = f.now, 0, c.Number
-	f.wake()
+	f.endPhase()
+	f.result.Proposed++
+	f.proposedAt, f.committedAt, f.pendingChange = f.now, 0, c.Number
+	f.answerAll()
 	f.decide()
 }
 
-// phase books the time with a change under way or without.
-func (f *fleet) phase() {
-	if f.number > 0 {
-		f.busy += f.now - f.since
+// endPhase books the time with a change under way or without.
+func (f *fleet) endPhase() {
+	if f.pendingChange > 0 {
+		f.changeTime += f.now - f.phaseStart
 	}
-	f.since = f.now
+	f.phaseStart = f.now
 }
 
 // decide has the stewards decide, where they lead.
@@ -540,47 +540,47 @@
 	}
 	f.commit(*c)
 	if c.Commit > 0 {
-		f.out.Decided++
-		f.decided = f.now
-		f.out.ToDecide = append(f.out.ToDecide, f.now-f.proposed)
+		f.result.Committed++
+		f.committedAt = f.now
+		f.result.CommitTimes = append(f.result.CommitTimes, f.now-f.proposedAt)
 	} else {
-		f.out.GivenUp++
-		f.phase()
-		f.number = 0
+		f.result.Abandoned++
+		f.endPhase()
+		f.pendingChange = 0
 	}
-	f.wake()
+	f.answerAll()
 }
 
-// look is the stewards' regular look, and the model's own at who holds what.
-func (f *fleet) look() {
-	f.in(50, f.look)
+// review is the stewards' regular look, and the model's own at who holds what.
+func (f *fleet) review() {
+	f.schedule(50, f.review)
 	f.decide()
-	if f.number == 0 || f.decided == 0 {
+	if f.pendingChange == 0 || f.committedAt == 0 {
 		return
 	}
-	for _, g := range f.all {
-		if !g.up || f.now < g.stopped || f.now < g.cut[0] || f.now < g.cut[1] || f.now < g.late {
+	for _, g := range f.gatherers {
+		if !g.up || f.now < g.suspendedUntil || f.now < g.cutUntil[0] || f.now < g.cutUntil[1] || f.now < g.slowUntil {
 			continue
 		}
-		if o := g.h.Heartbeat(g.clock(f.now)); o.Applied.Epoch != f.number && o.Applied != (policy.Revision{}) {
+		if o := g.holder.Heartbeat(g.clock(f.now)); o.Applied.Epoch != f.pendingChange && o.Applied != (policy.Revision{}) {
 			return
 		}
 	}
-	f.out.ToAll = append(f.out.ToAll, f.now-f.proposed)
-	f.phase()
-	f.number = 0
+	f.result.ApplyTimes = append(f.result.ApplyTimes, f.now-f.proposedAt)
+	f.endPhase()
+	f.pendingChange = 0
 }
 
-// lose has the lead go, and another take it some time after.
-func (f *fleet) lose() {
-	f.leader, f.polls = nil, nil
-	f.in(200+3000*f.chance.Float64()*f.chance.Float64(), func() {
+// loseLeader has the lead go, and another take it some time after.
+func (f *fleet) loseLeader() {
+	f.leader, f.waiting = nil, nil
+	f.schedule(200+3000*f.random.Float64()*f.random.Float64(), func() {
 		began := f.now
-		if f.t.Variant == "no wait" {
+		if f.config.Without == "no wait" {
 			began = -1e9
 		}
 		if f.leader == nil {
-			f.leader = policy.NewLeader(f.record, f.t.Lease, f.t.Limit, began)
+			f.leader = policy.NewLeader(f.record, f.config.Lease, f.config.ChangeTimeout, began)
 		}
 	})
 }
--- a/internal/testbed/policyfleet/fleet_test.go
+++ b/internal/testbed/policyfleet/fleet_test.go
@@ -8,8 +8,8 @@
 
 var whole = flag.Bool("whole", false, "play thousands of histories")
 
-func rough(seed uint64) Terms {
-	return Terms{Gatherers: 12, Length: 120_000, Changes: 6, Lease: 4000, Limit: 30_000, Away: 0.05, Flapping: 1, Troubles: 8, Leads: 3, Lookups: 8, Seed: seed}
+func rough(seed uint64) Config {
+	return Config{Gatherers: 12, Duration: 120_000, Changes: 6, Lease: 4000, ChangeTimeout: 30_000, AwayShare: 0.05, Flapping: 1, Faults: 8, Elections: 3, QueriesPerSecond: 8, Seed: seed}
 }
 
 // TestHistories: in no history does a gatherer do what the policy in force forbids; every change ends within its limit and
@@ -22,35 +22,35 @@
 	}
 	var mu sync.Mutex
 	var wait sync.WaitGroup
-	sum := Outcome{}
+	sum := Result{}
 	for part := range uint64(4) {
 		wait.Go(func() {
 			for seed := part; seed < runs; seed += 4 {
 				o := Play(rough(seed))
 				mu.Lock()
-				if o.Wrong != "" {
-					t.Errorf("seed %d: %s", seed, o.Wrong)
+				if o.Violation != "" {
+					t.Errorf("seed %d: %s", seed, o.Violation)
 				}
-				for _, took := range o.ToDecide {
+				for _, took := range o.CommitTimes {
 					if took > 30_000+2*4000*1.02+4000 {
 						t.Errorf("seed %d: a change was under way for %.0f ms", seed, took)
 					}
 				}
 				sum.Proposed += o.Proposed
-				sum.Decided += o.Decided
-				sum.GivenUp += o.GivenUp
-				sum.Copies += o.Copies
-				sum.Forbidden += o.Forbidden
+				sum.Committed += o.Committed
+				sum.Abandoned += o.Abandoned
+				sum.Hedges += o.Hedges
+				sum.Suppressed += o.Suppressed
 				mu.Unlock()
 			}
 		})
 	}
 	wait.Wait()
 	t.Logf("%+v", sum)
-	if sum.Decided < sum.Proposed*8/10 || sum.Copies == 0 || sum.Forbidden == 0 {
+	if sum.Committed < sum.Proposed*8/10 || sum.Hedges == 0 || sum.Suppressed == 0 {
 		t.Errorf("%+v", sum)
 	}
-	if a, b := Play(rough(3)), Play(rough(3)); a.Asked != b.Asked || a.Copies != b.Copies {
+	if a, b := Play(rough(3)), Play(rough(3)); a.Polls != b.Polls || a.Hedges != b.Hedges {
 		t.Errorf("%+v\n%+v", a, b)
 	}
 }
@@ -63,10 +63,10 @@
 		for seed := range uint64(30) {
 			terms := rough(seed)
 			if variant == "no settle" { // with somebody away all that was in hand ends before anything is decided
-				terms.Away, terms.Flapping, terms.Troubles, terms.Leads = 0, 0, 0, 0
+				terms.AwayShare, terms.Flapping, terms.Faults, terms.Elections = 0, 0, 0, 0
 			}
-			terms.Variant = variant
-			if Play(terms).Wrong != "" {
+			terms.Without = variant
+			if Play(terms).Violation != "" {
 				caught++
 			}
 		}
