--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -137,7 +137,7 @@
 		shards = settings.Shards
 	}
 	if own.Record != "" {
-		if s.record, err = trace.Create(own.Record, own.RecordMaxBytes, own.RecordUnbuffered, c.Settings, shards, s.Picker.Now()); err != nil {
+		if s.record, err = trace.Create(trace.FileConfig{Name: own.Record, MaxBytes: int64(own.RecordMaxBytes), FlushEach: own.RecordUnbuffered, Settings: c.Settings, Shards: shards, StartedAt: s.Picker.Now()}); err != nil {
 			return nil, fmt.Errorf("record: %w", err)
 		}
 		s.Picker.ObserveDecisions(s.record)
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -20,31 +20,33 @@
 	"yokeroute/logic/twopass"
 )
 
-// scripted is a decision module that decides what the test has it decide in the next round.
-type scripted struct {
+// keptStart is when the kept records begin, in Unix milliseconds.
+const keptStart = 1_700_000_000_000.0
+
+// scriptedModule is a decision module that decides what the test has it decide in the next round.
+type scriptedModule struct {
 	next func(in *gather.Round, w gather.Writer)
 }
 
-func (s *scripted) Round(in *gather.Round, w gather.Writer) {
+func (s *scriptedModule) Round(in *gather.Round, w gather.Writer) {
 	if s.next != nil {
 		s.next(in, w)
 	}
 	s.next = nil
 }
 
-func (s *scripted) RetryBudgetLeft() float64 { return 1000 }
+func (s *scriptedModule) RetryBudgetLeft() float64 { return 1000 }
 
-// played is a picker whose module is scripted and whose clock stands until the test moves it.
-type played struct {
+// steppedPicker is a picker whose module is scripted and whose clock stands until the test moves it.
+type steppedPicker struct {
 	*dispatch.Picker
-	module *scripted
-	now    float64
-	ids    map[string]uint64   // of queries at the module; its shard requests' follow it
-	part   []uint64            // of the round's shard requests
-	calls  []*dispatch.Attempt // of the last round
+	module   *scriptedModule
+	now      float64
+	requests []uint64            // of the round's shard requests
+	attempts []*dispatch.Attempt // of the last round
 }
 
-var keptTerms = &gather.Settings{
+var keptSettings = &gather.Settings{
 	RetryBudgetWindow: 2000.0, RetryBudgetFloor: 20.0, RetryBudgetRatio: 0.05, DrainGrace: 250.0,
 	AnswerSlack: 50.0, ReplicaSets: 4, Tick: 1.0,
 	Classes: []gather.Class{
@@ -54,12 +56,12 @@
 	},
 }
 
-func newPlayed(terms *gather.Settings, observers ...any) *played {
-	p := &played{module: &scripted{}, now: 1_700_000_000_000}
+func newSteppedPicker(settings *gather.Settings, observers ...any) *steppedPicker {
+	p := &steppedPicker{module: &scriptedModule{}, now: keptStart}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	build := func(uint64, *gather.Settings) gather.Module { return p.module }
-	p.Picker = dispatch.NewStepped(1, terms, build, func() float64 { return p.now }, log)
+	p.Picker = dispatch.NewStepped(1, settings, build, func() float64 { return p.now }, log)
 	for _, o := range observers {
 		if t, ok := o.(dispatch.DecisionObserver); ok {
 			p.ObserveDecisions(t)
@@ -72,44 +74,44 @@
 }
 
 // round plays a round 5 ms after the last; the script gets the names of the shard requests that come with it.
-func (p *played) round(script func(w gather.Writer)) {
+func (p *steppedPicker) round(script func(w gather.Writer)) {
 	p.now += 5
 	p.module.next = func(in *gather.Round, w gather.Writer) {
-		p.part = p.part[:0]
+		p.requests = p.requests[:0]
 		for _, pt := range in.Requests {
-			p.part = append(p.part, pt.ID)
+			p.requests = append(p.requests, pt.ID)
 		}
 		if script != nil {
 			script(w)
 		}
 	}
-	p.calls = p.RunRoundNow().Send
+	p.attempts = p.RunRoundNow().Send
 }
 
-// take hands a query in and sends its shard requests to the servers 10, 11 and on, each of which is written.
-func (p *played) take(id, index string, shards ...int) (*dispatch.Query, []*dispatch.Attempt) {
-	lk := &dispatch.Query{ID: id, Class: index, Deadline: p.now + 1000.5}
+// submit hands a query in and sends its shard requests to the servers 10, 11 and on, each of which is written.
+func (p *steppedPicker) submit(id, class string, shards ...int) (*dispatch.Query, []*dispatch.Attempt) {
+	query := &dispatch.Query{ID: id, Class: class, Deadline: p.now + 1000.5}
 	for _, shard := range shards {
-		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(len(shards))})
+		query.ShardRequests = append(query.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
-	p.Submit(lk)
+	p.Submit(query)
 	p.round(func(w gather.Writer) {
-		for i, part := range p.part {
+		for i, part := range p.requests {
 			w.Send(part, uint32(10+i), 100)
 		}
 	})
-	return lk, p.write()
+	return query, p.write()
 }
 
-// write has the calls of the last round written.
-func (p *played) write() []*dispatch.Attempt {
+// write has the attempts of the last round written.
+func (p *steppedPicker) write() []*dispatch.Attempt {
 	p.now += 0.25
-	for _, c := range p.calls {
+	for _, c := range p.attempts {
 		if c.BeginWrite() {
 			c.EndWrite()
 		}
 	}
-	return p.calls
+	return p.attempts
 }
 
 func sameAsKept(t *testing.T, name string, got []byte) {
@@ -127,18 +129,18 @@
 var keptOutcomes = []gather.Outcome{gather.Succeeded, gather.Failed, gather.Rejected, gather.TimedOut, gather.ConnectFailed, gather.ConnectionReset,
 	gather.Cancelled, gather.NotSent, gather.NotOwner}
 
-// TestKeptDocuments plays queries that go through every outcome of an attempt, every final answer, both passes of a
-// query in two and a call that is never written, and compares the recorded file and what is served at Path with the
-// bytes kept.
-func TestKeptDocuments(t *testing.T) {
+// TestDocumentsMatchKept plays queries that go through every outcome of an attempt, every result, both passes of a
+// query in two and an attempt that is never written, and compares the recorded file and what is served at Path with
+// the bytes kept.
+func TestDocumentsMatchKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(name, 1<<20, true, keptTerms, 0, 1_700_000_000_000)
+	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: keptStart})
 	if err != nil {
 		t.Fatal(err)
 	}
 	recorder := New(20, 1)
 	recorder.SetServerNames([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
-	p := newPlayed(keptTerms, file, recorder)
+	p := newSteppedPicker(keptSettings, file, recorder)
 	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: 0.9, MinShare: 0.5, FirstPassShare: 0.3, TrialShare: 0.5}})
 	follow := func(l gather.EndpointList) {
 		p.UpdateEndpoints(l)
@@ -152,42 +154,42 @@
 	follow(gather.EndpointList{Failed: true})
 	follow(gather.EndpointList{Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed})})
 
-	end := func(lk *dispatch.Query, decide func(w gather.Writer)) {
+	end := func(query *dispatch.Query, decide func(w gather.Writer)) {
 		p.round(decide)
-		v, ended := lk.Result()
+		v, ended := query.Result()
 		if !ended {
-			t.Fatalf("%s has no answer", lk.ID)
+			t.Fatalf("%s has no answer", query.ID)
 		}
 		p.now += 0.125
-		file.QueryAnswered(lk, v, p.now)
+		file.QueryAnswered(query, v, p.now)
 	}
 	for i, outcome := range keptOutcomes {
-		lk, calls := p.take(fmt.Sprint("outcome-", outcome), "mark", 0, 1)
-		query := p.part[0] - 1
+		query, attempts := p.submit(fmt.Sprint("outcome-", outcome), "mark", 0, 1)
+		queryID := p.requests[0] - 1
 		p.now += 10 + 1/3.0
-		p.Report(calls[0], outcome, []byte("5be2"))
+		p.Report(attempts[0], outcome, []byte("5be2"))
 		p.round(nil)
-		end(lk, []func(w gather.Writer){
-			func(w gather.Writer) { w.Answer(query, true) },
-			func(w gather.Writer) { w.Answer(query, false) },
-			func(w gather.Writer) { w.Reject(query, 0) },
-			func(w gather.Writer) { w.Reject(query, 250) },
-			func(w gather.Writer) { w.Fail(query) },
+		end(query, []func(w gather.Writer){
+			func(w gather.Writer) { w.Answer(queryID, true) },
+			func(w gather.Writer) { w.Answer(queryID, false) },
+			func(w gather.Writer) { w.Reject(queryID, 0) },
+			func(w gather.Writer) { w.Reject(queryID, 250) },
+			func(w gather.Writer) { w.Fail(queryID) },
 		}[i%5])
 	}
 
-	lk, _ := p.take("left", "mark", 2)
-	p.Abandon(lk)
-	end(lk, nil)
-	lk, _ = p.take("broken", "once", 0)
-	end(lk, func(gather.Writer) { panic("the module fails") })
+	query, _ := p.submit("left", "mark", 2)
+	p.Abandon(query)
+	end(query, nil)
+	query, _ = p.submit("broken", "once", 0)
+	end(query, func(gather.Writer) { panic("the module fails") })
 
-	lk = &dispatch.Query{ID: "never-written", Class: "once", Deadline: p.now + 300, ShardRequests: []dispatch.ShardRequest{{Shard: 1, Weight: 1}}}
-	p.Submit(lk)
-	p.round(func(w gather.Writer) { w.Send(p.part[0], 11, 100) })
-	p.Report(p.calls[0], gather.NotSent, nil)
-	query := p.part[0] - 1
-	end(lk, func(w gather.Writer) { w.Fail(query) })
+	query = &dispatch.Query{ID: "never-written", Class: "once", Deadline: p.now + 300, ShardRequests: []dispatch.ShardRequest{{Shard: 1, Weight: 1}}}
+	p.Submit(query)
+	p.round(func(w gather.Writer) { w.Send(p.requests[0], 11, 100) })
+	p.Report(p.attempts[0], gather.NotSent, nil)
+	queryID := p.requests[0] - 1
+	end(query, func(w gather.Writer) { w.Fail(queryID) })
 
 	for _, s := range running {
 		p.SetAnswersFirstPass(s.ID, true)
@@ -200,41 +202,41 @@
 		{"two-passes", []string{"none v1", "some 3 0.25 v2", "garbled"}},
 		{"one-pass-enough", []string{"none v1", "none v1", "none v7"}},
 	} {
-		lk, calls := p.take(c.id, "any", 0, 1, 2)
-		for i, call := range calls {
+		query, attempts := p.submit(c.id, "any", 0, 1, 2)
+		for i, attempt := range attempts {
 			p.now++
-			if !call.FirstPass() {
+			if !attempt.FirstPass() {
 				t.Fatalf("%s goes in one pass", c.id)
 			}
-			p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
+			p.Report(attempt, gather.Succeeded, []byte(c.summaries[i]))
 		}
-		first := p.part[0] - 1
+		first := p.requests[0] - 1
 		p.round(func(w gather.Writer) { w.Answer(first, true) })
-		if v, ended := lk.Result(); ended {
-			file.QueryAnswered(lk, v, p.now)
+		if v, ended := query.Result(); ended {
+			file.QueryAnswered(query, v, p.now)
 			continue
 		}
 		p.round(func(w gather.Writer) {
-			for _, part := range p.part {
+			for _, part := range p.requests {
 				w.Send(part, 12, 100)
 			}
 		})
-		for _, call := range p.write() {
-			p.Report(call, gather.Succeeded, []byte("7c01"))
+		for _, attempt := range p.write() {
+			p.Report(attempt, gather.Succeeded, []byte("7c01"))
 		}
-		second := p.part[0] - 1
-		end(lk, func(w gather.Writer) { w.Answer(second, true) })
+		second := p.requests[0] - 1
+		end(query, func(w gather.Writer) { w.Answer(second, true) })
 	}
 
-	lk, _ = p.take("many-calls", "mark", 3)
-	part := p.part[0]
+	query, _ = p.submit("many-calls", "mark", 3)
+	part := p.requests[0]
 	p.round(func(w gather.Writer) {
 		for range maxAttempts + 2 {
 			w.Send(part, 77, 100)
 		}
 	})
-	end(lk, func(w gather.Writer) { w.Answer(part-1, true) })
-	p.take("open", "mark", 0)
+	end(query, func(w gather.Writer) { w.Answer(part-1, true) })
+	p.submit("open", "mark", 0)
 	if err := file.Close(p.now); err != nil {
 		t.Error(err)
 	}
@@ -256,15 +258,15 @@
 	}
 }
 
-// TestKeptDocumentsOfSegments compares a record where a map says who owns which keys with the bytes kept.
-func TestKeptDocumentsOfSegments(t *testing.T) {
+// TestRecordOfSegmentsMatchesKept compares a record where a map says who owns which keys with the bytes kept.
+func TestRecordOfSegmentsMatchesKept(t *testing.T) {
 	const most, shards = 16, 4
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(name, 1<<20, false, keptTerms, shards, 1_700_000_000_000)
+	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, Settings: keptSettings, Shards: shards, StartedAt: keptStart})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPlayed(dispatch.OwnershipSettings(keptTerms, most), file)
+	p := newSteppedPicker(dispatch.OwnershipSettings(keptSettings, most), file)
 	p.EnableOwnership(most, shards)
 	p.SetServerNames(map[uint32]string{10: "h0", 11: "h1"})
 	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
@@ -275,17 +277,17 @@
 	p.SetMap(m)
 	p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 10}, {ID: 11}}})
 	p.round(nil)
-	lk, calls := p.take("a", "once", 1, 2)
-	query := p.part[0] - 3
-	p.Report(calls[0], gather.Succeeded, []byte("5be2"))
-	p.Report(calls[1], gather.NotOwner, nil)
+	query, attempts := p.submit("a", "once", 1, 2)
+	queryID := p.requests[0] - 3
+	p.Report(attempts[0], gather.Succeeded, []byte("5be2"))
+	p.Report(attempts[1], gather.NotOwner, nil)
 	p.round(nil)
-	p.round(func(w gather.Writer) { w.Answer(query, false) })
-	v, ended := lk.Result()
+	p.round(func(w gather.Writer) { w.Answer(queryID, false) })
+	v, ended := query.Result()
 	if !ended {
 		t.Fatal("no answer")
 	}
-	file.QueryAnswered(lk, v, p.now)
+	file.QueryAnswered(query, v, p.now)
 	if err := file.Close(p.now); err != nil {
 		t.Error(err)
 	}
@@ -296,16 +298,16 @@
 	sameAsKept(t, "segments.record", recorded)
 }
 
-// TestKeptDocumentsOfAFullRecord compares a record that reaches its bytes with those kept.
-func TestKeptDocumentsOfAFullRecord(t *testing.T) {
+// TestFullRecordMatchesKept compares a record that reaches its bytes with those kept.
+func TestFullRecordMatchesKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(name, 700, true, &gather.Settings{DrainGrace: 250.0}, 0, 1_700_000_000_000)
+	file, err := Create(FileConfig{Name: name, MaxBytes: 700, FlushEach: true, Settings: &gather.Settings{DrainGrace: 250}, StartedAt: keptStart})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newPlayed(keptTerms, file)
+	p := newSteppedPicker(keptSettings, file)
 	for i := range 5 {
-		p.take(strings.Repeat("a", 40)+fmt.Sprint(i), "mark", 0)
+		p.submit(strings.Repeat("a", 40)+fmt.Sprint(i), "mark", 0)
 	}
 	if err := file.Close(p.now); err != nil {
 		t.Error(err)
