--- a/cmd/yokeroute/main_test.go
+++ b/cmd/yokeroute/main_test.go
@@ -487,7 +487,7 @@
 	os.WriteFile(operators, []byte("plan plan.conf\n"), 0o600)
 	weigh("4/s", "0/s")
 	ended, log := start(t, path, address, "--operator", operators)
-	await(t, log, "weights are in force") // the list may be known before them
+	await(t, log, "weights in force") // the list may be known before them
 	n := 0
 	went := func() string {
 		before := map[string]int{"n-1": fleet["n-1"].Counts().Parts, "s-1": fleet["s-1"].Counts().Parts}
@@ -510,7 +510,7 @@
 		await(t, log, words)
 	}
 	weigh("0/s", "4/s")
-	hup("weights are in force")
+	hup("weights in force")
 	if got := went(); got != "0 6" {
 		t.Errorf("parts %s", got)
 	}
@@ -520,7 +520,7 @@
 		t.Errorf("parts %s under a faulty plan", got)
 	}
 	os.WriteFile(operators, nil, 0o600)
-	hup("plain turns")
+	hup("plain round robin")
 	if got := went(); got != "3 3" {
 		t.Errorf("parts %s without a plan", got)
 	}
--- a/internal/gatherer/background/background_test.go
+++ b/internal/gatherer/background/background_test.go
@@ -114,7 +114,7 @@
 	})
 	<-begun
 	s.Cancel("a")
-	if err := <-told; !errors.Is(err, ErrOff) {
+	if err := <-told; !errors.Is(err, ErrCancelled) {
 		t.Errorf("error %v", err)
 	}
 	s.Submit("b", jobs.Normal, func(func() error) error { panic("a fault") })
@@ -129,7 +129,7 @@
 	end()
 	select {
 	case err := <-told:
-		if !errors.Is(err, ErrOff) {
+		if !errors.Is(err, ErrCancelled) {
 			t.Errorf("error %v", err)
 		}
 	default:
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -1,11 +1,12 @@
-// Package plans keeps a gatherer's weights up with a plan: it follows the list and the time, has weights worked
-// out anew in the background where the operator wants that, and hands down what is in force. What holds when is
-// decided by logic/placement, which server is picked by the module.
+// Package plans keeps the weights of replicas in step with a plan: it follows the endpoint list and the time, solves for
+// new weights in the background where the operator wants that, and hands the weights in force to the dispatcher. Package
+// logic/placement decides which weights hold when.
 package plans
 
 import (
 	"context"
 	"errors"
+	"fmt"
 	"math"
 	"reflect"
 	"sync"
@@ -23,7 +24,7 @@
 	"yokeroute/logic/placement"
 )
 
-// Picker takes weights and has the module's time; package pick has it.
+// Picker takes weights and tells the dispatcher's time. Package dispatch implements it.
 type Picker interface {
 	Weigh(weights [][]gather.Weight)
 	Now() float64
@@ -36,194 +37,227 @@
 	jobs     *background.Scheduler
 	log      *logrus.Logger
 
-	mu      sync.Mutex
-	force   placement.Force
-	file    *placementfile.File // to solve from, nil for none
-	listed  map[uint32]placementfile.Listed
-	order   []uint32
-	numbers map[string]uint32
-	handed  [][]gather.Weight
-	told    placement.Standing // what the log has told
-	timer   *time.Timer
+	mu        sync.Mutex
+	active    placement.Force
+	placement *placementfile.File // to solve from, nil for none
+	endpoints map[uint32]placementfile.Listed
+	order     []uint32          // of the endpoints, as discovery lists them
+	ids       map[string]uint32 // of the endpoints, by name
+	applied   [][]gather.Weight
+	logged    placement.Standing // the last status that was logged
+	timer     *time.Timer        // until the weights may change by themselves
 }
 
-// New makes a keeper without a plan, which hands down nothing.
+// New makes a keeper without a plan.
 func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
-	return &Keeper{picker: picker, settings: settings, jobs: jobs, log: log, listed: map[uint32]placementfile.Listed{}, numbers: map[string]uint32{}}
+	return &Keeper{
+		picker: picker, settings: settings, jobs: jobs, log: log,
+		endpoints: map[uint32]placementfile.Listed{}, ids: map[string]uint32{},
+	}
 }
 
-// Configure takes over what the operator's file says of plans. What cannot be read changes nothing: the plan in
-// force stays, or plain turns where there was none, and the error names the place.
+// Configure applies what the operator's file says of plans. An error names the place of the mistake, and leaves the
+// plan in force, or plain round robin where there was none.
 func (k *Keeper) Configure(f *operator.File) error {
 	now := k.picker.Now()
-	var plan *placement.Plan
-	var file *placementfile.File
-	if f.Plan != "" {
-		read, err := placementfile.Read(f.Plan, now)
-		if err != nil {
-			return err
-		}
-		if plan = read.Plan; plan == nil {
-			return errors.New(f.Plan + ": holds no weights; make them by yokeroute plan solve")
-		}
-		if wrong := plan.Check(); len(wrong) > 0 {
-			return errors.New(f.Plan + ": " + wrong[0].Error())
-		}
+	plan, err := readPlan(f.Plan, now)
+	if err != nil {
+		return err
 	}
-	if f.Placement != "" {
-		read, err := placementfile.Read(f.Placement, now)
-		if err != nil {
-			return err
-		}
-		if !read.FromList {
-			return errors.New(f.Placement + ": lacks from-list; without it, make a plan by yokeroute plan solve")
-		}
-		file = read
+	file, err := readPlacement(f.Placement, now)
+	if err != nil {
+		return err
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if plan != nil || file == nil { // one that was solved goes on until the next is there
-		k.force = placement.Force{Plan: plan, MostAge: f.PlanMaxAge}
+	if plan != nil || file == nil { // a solved plan stays in force until the next one is solved
+		k.active = placement.Force{Plan: plan, MostAge: f.PlanMaxAge}
 	}
-	if k.file = file; file == nil {
-		k.jobs.Cancel(jobName)
+	k.placement = file
+	if file == nil {
+		k.jobs.Cancel(solveJob)
 	}
-	if k.force.Plan == nil && k.handed != nil && file == nil {
-		k.log.Info("no plan any more: plain turns")
+	if k.active.Plan == nil && k.applied != nil && file == nil {
+		k.log.Info("plan: removed, plain round robin")
 	}
-	k.told = placement.Standing{Missing: -1} // so that what comes of it is told in any case
-	k.refresh()
-	k.solve()
+	k.logged = placement.Standing{Missing: -1} // no real status, so that the next one is logged
+	k.applyWeights()
+	k.submitSolve()
 	return nil
 }
 
-// Follow takes over news of the list; all are the servers on it, by name.
-func (k *Keeper) Follow(list gather.EndpointList, all []shardcall.Address) {
+// readPlan reads and checks a plan file; an empty name is no plan.
+func readPlan(name string, now float64) (*placement.Plan, error) {
+	if name == "" {
+		return nil, nil
+	}
+	file, err := placementfile.Read(name, now)
+	if err != nil {
+		return nil, err
+	}
+	if file.Plan == nil {
+		return nil, errors.New(name + ": holds no weights; make them by yokeroute plan solve")
+	}
+	if wrong := file.Plan.Check(); len(wrong) > 0 {
+		return nil, fmt.Errorf("%s: %w", name, wrong[0])
+	}
+	return file.Plan, nil
+}
+
+// readPlacement reads and checks a placement file to solve from; an empty name is none.
+func readPlacement(name string, now float64) (*placementfile.File, error) {
+	if name == "" {
+		return nil, nil
+	}
+	file, err := placementfile.Read(name, now)
+	if err != nil {
+		return nil, err
+	}
+	if !file.FromList {
+		return nil, errors.New(name + ": lacks from-list; without it, make a plan by yokeroute plan solve")
+	}
+	return file, nil
+}
+
+// UpdateEndpoints takes an endpoint list and the addresses of all servers on it.
+func (k *Keeper) UpdateEndpoints(list gather.EndpointList, all []shardcall.Address) {
 	if list.Failed {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	figures := map[uint32]gather.Endpoint{}
-	for id, l := range k.listed {
-		figures[id] = l.Endpoint
+	latest := map[uint32]gather.Endpoint{}
+	for id, l := range k.endpoints {
+		latest[id] = l.Endpoint
 	}
 	for _, s := range list.Endpoints {
-		figures[s.ID] = s
+		latest[s.ID] = s
 	}
-	before := k.listed
-	k.listed, k.numbers, k.order = map[uint32]placementfile.Listed{}, map[string]uint32{}, k.order[:0]
+	before := k.endpoints
+	k.endpoints = map[uint32]placementfile.Listed{}
+	k.ids = map[string]uint32{}
+	k.order = k.order[:0]
 	for _, a := range all {
-		k.listed[a.ID] = placementfile.Listed{Name: a.Name, Endpoint: figures[a.ID]}
-		k.numbers[a.Name] = a.ID
+		k.endpoints[a.ID] = placementfile.Listed{Name: a.Name, Endpoint: latest[a.ID]}
+		k.ids[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
-	if reflect.DeepEqual(before, k.listed) {
+	if reflect.DeepEqual(before, k.endpoints) {
 		return
 	}
-	k.refresh()
-	k.solve()
+	k.applyWeights()
+	k.submitSolve()
 }
 
-// jobName is what a solve is submitted under, so that changes that come close together make one.
-const jobName = "plan"
+// solveJob is the name of the background job; changes in quick succession share one.
+const solveJob = "plan"
 
-// solve has weights worked out anew. The lock is held.
-func (k *Keeper) solve() {
-	if k.file == nil || len(k.listed) == 0 {
+// submitSolve queues a job that works weights out for the endpoints as they are then. The lock is held.
+func (k *Keeper) submitSolve() {
+	if k.placement == nil || len(k.endpoints) == 0 {
 		return
 	}
-	k.jobs.Submit(jobName, jobs.Normal, func(pause func() error) error {
-		k.mu.Lock()
-		file, before := k.file, k.force.Plan
-		var list []placementfile.Listed
-		for _, id := range k.order {
-			list = append(list, k.listed[id])
-		}
-		k.mu.Unlock()
-		if file == nil {
-			return nil
-		}
-		model, err := file.WithList(list, k.settings, k.picker.Now())
-		if err != nil {
-			return err
-		}
-		var off error
-		plan, clash, err := balance.Solve(model, before, func() bool {
-			if off == nil {
-				off = pause()
-			}
-			return off == nil
-		})
-		switch {
-		case off != nil:
-			return off
-		case err != nil:
-			return err
-		case clash != nil:
-			rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
-			k.log.WithField("hosts", len(model.Hosts)).Warnf("no weights fit, the plan in force stays: %s", clash.Words(rate))
-			return nil
-		}
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		if k.file != file { // the operator has changed his mind meanwhile
-			return nil
-		}
-		k.force = placement.Force{Plan: plan}
-		k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "steps": len(plan.Steps), "cases": len(plan.Cases),
-			"greatest": plan.Steps[0].Greatest.Float()}).Info("new weights worked out")
-		k.refresh()
+	k.jobs.Submit(solveJob, jobs.Normal, k.solve)
+}
+
+// solve works weights out and puts them in force.
+func (k *Keeper) solve(pause func() error) error {
+	file, before, list := k.solveInput()
+	if file == nil {
 		return nil
+	}
+	model, err := file.WithList(list, k.settings, k.picker.Now())
+	if err != nil {
+		return err
+	}
+	var cancelled error
+	plan, clash, err := balance.Solve(model, before, func() bool {
+		if cancelled == nil {
+			cancelled = pause()
+		}
+		return cancelled == nil
 	})
+	switch {
+	case cancelled != nil:
+		return cancelled
+	case err != nil:
+		return err
+	case clash != nil:
+		rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
+		k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "reason": clash.Words(rate)}).
+			Warn("plan: no weights fit, the plan in force stays")
+		return nil
+	}
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	if k.placement != file { // another file was configured meanwhile
+		return nil
+	}
+	k.active = placement.Force{Plan: plan}
+	k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "steps": len(plan.Steps), "cases": len(plan.Cases),
+		"greatest": plan.Steps[0].Greatest.Float()}).Info("plan: new weights")
+	k.applyWeights()
+	return nil
+}
+
+// solveInput returns what a solve starts from.
+func (k *Keeper) solveInput() (*placementfile.File, *placement.Plan, []placementfile.Listed) {
+	k.mu.Lock()
+	defer k.mu.Unlock()
+	list := make([]placementfile.Listed, 0, len(k.order))
+	for _, id := range k.order {
+		list = append(list, k.endpoints[id])
+	}
+	return k.placement, k.active.Plan, list
 }
 
-// refresh hands down what is in force now, if that is new, and looks again when it may change. The lock is held.
-func (k *Keeper) refresh() {
+// applyWeights hands the weights in force to the dispatcher where they have changed, and schedules itself for when they
+// may change next. The lock is held.
+func (k *Keeper) applyWeights() {
 	now := k.picker.Now()
-	s := k.force.At(now, func(host string) bool {
-		id, listed := k.numbers[host]
-		return listed && k.listed[id].State == gather.Running
+	s := k.active.At(now, func(host string) bool {
+		id, listed := k.ids[host]
+		return listed && k.endpoints[id].State == gather.Running
 	})
 	weights := placement.Shares(s.Rows, k.settings.Zone, func(host string) (uint32, bool) {
-		id, listed := k.numbers[host]
+		id, listed := k.ids[host]
 		return id, listed
 	})
-	if k.force.Plan != nil && (s.Stale != k.told.Stale || s.Case != k.told.Case || s.Missing != k.told.Missing) {
-		k.tell(s) // first, so that who sees new weights at work finds the reason in the log
+	if k.active.Plan != nil && (s.Stale != k.logged.Stale || s.Case != k.logged.Case || s.Missing != k.logged.Missing) {
+		k.logStatus(s) // before the weights take effect, so that the log explains them
 	}
-	k.told = s
-	if (len(weights) != 0 || len(k.handed) != 0) && !reflect.DeepEqual(weights, k.handed) {
+	k.logged = s
+	if (len(weights) != 0 || len(k.applied) != 0) && !reflect.DeepEqual(weights, k.applied) {
 		k.picker.Weigh(weights)
-		k.handed = weights
+		k.applied = weights
 	}
 	if k.timer != nil {
 		k.timer.Stop()
 	}
 	if !math.IsInf(s.Until, 1) {
-		k.timer = time.AfterFunc(time.Duration((s.Until-now)*1e6)+time.Millisecond, func() {
+		k.timer = time.AfterFunc(time.Duration((s.Until-now)*float64(time.Millisecond))+time.Millisecond, func() {
 			k.mu.Lock()
 			defer k.mu.Unlock()
-			k.refresh()
+			k.applyWeights()
 		})
 	}
 }
 
-func (k *Keeper) tell(s placement.Standing) {
+func (k *Keeper) logStatus(s placement.Standing) {
 	log := k.log.WithField("missing", s.Missing)
 	switch {
 	case s.Stale:
-		log.Warn("the plan is too old: plain turns")
+		log.Warn("plan: too old, plain round robin")
 	case s.Case != "":
-		log.WithField("case", s.Case).Warn("hosts of the plan are missing: the weights for that loss are in force")
+		log.WithField("case", s.Case).Warn("plan: hosts missing, weights in force are those for their loss")
 	case s.Missing > 0:
-		log.Warn("hosts of the plan are missing: its weights hold among the others")
+		log.Warn("plan: hosts missing, weights in force among the others")
 	default:
-		log.Info("the plan's weights are in force")
+		log.Info("plan: weights in force")
 	}
 }
 
-// Run keeps the jobs going until ctx ends.
+// Run runs background jobs until ctx ends.
 func (k *Keeper) Run(ctx context.Context) {
 	k.jobs.Run(ctx)
 	k.mu.Lock()
@@ -231,5 +265,5 @@
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	k.force, k.file = placement.Force{}, nil
+	k.active, k.placement = placement.Force{}, nil
 }
--- a/internal/gatherer/plans/plans_test.go
+++ b/internal/gatherer/plans/plans_test.go
@@ -94,7 +94,7 @@
 		l.Endpoints = append(l.Endpoints, s)
 		all = append(all, shardcall.Address{ID: s.ID, Name: name, State: s.State})
 	}
-	k.Follow(l, all)
+	k.UpdateEndpoints(l, all)
 }
 
 func share(w [][]gather.Weight, group int, server uint32) float64 {
@@ -200,7 +200,7 @@
 	k.Configure(&operator.File{Placement: write(t, "halls.conf", "from-list\nkind m capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
 	wait(t, hook, "no weights fit")
 	k.Configure(&operator.File{Placement: write(t, "halls.conf", "from-list\nkind x capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
-	wait(t, hook, "background job failed")
+	wait(t, hook, "background: job failed")
 	if len(h.handed) != 0 {
 		t.Error("weights handed down though none were worked out")
 	}
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -164,7 +164,7 @@
 			s.Picker.Names(names)
 		}
 		s.Picker.Follow(list)
-		s.keeper.Follow(list, all)
+		s.keeper.UpdateEndpoints(list, all)
 		s.tells.follow(list)
 		s.handover.follow(list, all)
 		if s.traces != nil {
