--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -26,7 +26,7 @@
 
 // Picker takes weights and tells the dispatcher's time. Package dispatch implements it.
 type Picker interface {
-	Weigh(weights [][]gather.Weight)
+	SetWeights(weights [][]gather.Weight)
 	Now() float64
 }
 
@@ -228,7 +228,7 @@
 	}
 	k.logged = s
 	if (len(weights) != 0 || len(k.applied) != 0) && !reflect.DeepEqual(weights, k.applied) {
-		k.picker.Weigh(weights)
+		k.picker.SetWeights(weights)
 		k.applied = weights
 	}
 	if k.timer != nil {
