--- a/internal/config/directive/directive_test.go
+++ b/internal/config/directive/directive_test.go
@@ -90,7 +90,7 @@
 		{"set must m number -6", `"-6": is less than -5`},
 		{"set must m when yesterday", `"yesterday": is no moment; write it as 2026-12-01T10:00:00Z`},
 		{"set must m switch yes", `"yes": is neither on nor off`},
-		{"set must m choice runing", `"runing": is not running or gone; did you mean running?`},
+		{"set must m choice runing", `"runing": is not running or gone; did you mean running?`}, //nolint:misspell // the typo that is hinted at
 		{"set must m at localhost", `"localhost": is no address`},
 		{"set must m at h:70000", `"h:70000": is no address`},
 		{"set must m rates x", `"x": is no name with a rate; write it as s-01=60/s`},
--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where what the platform tells a gatherer is read, checked and given
-// defaults. Every error names the key at fault.
+// Package platform reads, checks and completes the configuration that the platform gives a gatherer. Errors name the
+// key at fault.
 package platform
 
 import (
@@ -16,17 +16,17 @@
 	"yokeroute/internal/version"
 )
 
-// Limits are what the platform allows a gatherer.
+// Limits are the resources that the platform allows a gatherer.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// The limits of a platform that states none.
+// defaults are the limits of a platform that states none.
 var defaults = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-// Config is all that a gatherer is told at its start.
+// Config is a gatherer's configuration.
 type Config struct {
 	Name           string
 	Listen         string
@@ -38,7 +38,7 @@
 	Checksum       string // fingerprint of the text that was read
 }
 
-// Load reads the file; name and addresses that it lacks come from the environment.
+// Load reads the file at path. Name and addresses that it lacks come from the environment.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("NODE_CONFIG: not set, and no file given")
@@ -106,5 +106,5 @@
 	return c, nil
 }
 
-// minSockets leaves a few for clients beside what the process itself holds open.
+// minSockets leaves a few descriptors for clients beside those that the process itself holds.
 const minSockets = 32
--- a/internal/gatherer/background/background_test.go
+++ b/internal/gatherer/background/background_test.go
@@ -58,7 +58,7 @@
 	wait.Add(2)
 	s.Submit("long", jobs.Low, func(pause func() error) error {
 		defer wait.Done()
-		s.Submit("short", jobs.High, func(pause func() error) error {
+		s.Submit("short", jobs.High, func(func() error) error {
 			defer wait.Done()
 			note("short")
 			return nil
--- a/internal/gatherer/plans/plans_test.go
+++ b/internal/gatherer/plans/plans_test.go
@@ -65,7 +65,7 @@
 	at = 1796119200000.0 // the plan's beginning
 )
 
-func newKeeper(t *testing.T, zone string) (*Keeper, *hand, *test.Hook) {
+func newKeeper(zone string) (*Keeper, *hand, *test.Hook) {
 	log, hook := test.NewNullLogger()
 	log.SetOutput(io.Discard)
 	h := &hand{now: at + 1, handed: make(chan [][]gather.Weight, 100)}
@@ -108,7 +108,7 @@
 
 // TestFile follows a plan that was read through its steps, a loss and old age, for gatherers of one hall.
 func TestFile(t *testing.T) {
-	k, h, hook := newKeeper(t, "north")
+	k, h, hook := newKeeper("north")
 	path := write(t, "plan.conf", planText)
 	if err := k.Configure(&operator.File{Plan: path, PlanMaxAge: 300}); err != nil {
 		t.Fatal(err)
@@ -155,7 +155,7 @@
 
 // TestZone: a gatherer of a hall that the plan does not know goes by all halls together.
 func TestZone(t *testing.T) {
-	k, h, _ := newKeeper(t, "east")
+	k, h, _ := newKeeper("east")
 	list(k, true, "n-1", "s-1", "s-2")
 	if err := k.Configure(&operator.File{Plan: write(t, "plan.conf", planText)}); err != nil {
 		t.Fatal(err)
@@ -168,7 +168,7 @@
 // TestSolves has weights worked out anew as the list changes, a host that drains while a solve runs among them, and
 // keeps what is in force where nothing fits.
 func TestSolves(t *testing.T) {
-	k, h, hook := newKeeper(t, "north")
+	k, h, hook := newKeeper("north")
 	path := write(t, "halls.conf", "from-list\nkind m capacity 30/s\nhall north\nhall south\ndemand * north 10/s\n")
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
@@ -194,7 +194,8 @@
 	// Now one that drains between a solve and the next: the module leaves it out by itself, the next plan gives
 	// it nothing.
 	list(k, true, "n-1", "n-2", "s-1", "s-2", "s-3!", "s-4")
-	for ; share(w, 0, 5) > 0 || share(w, 0, 3) <= 0; w = <-h.handed {
+	for share(w, 0, 5) > 0 || share(w, 0, 3) <= 0 {
+		w = <-h.handed
 	}
 	// A kind that the file does not tell, and demand that does not fit: the plan in force stays.
 	k.Configure(&operator.File{Placement: write(t, "halls.conf", "from-list\nkind m capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
--- a/internal/htmlreport/htmlreport.go
+++ b/internal/htmlreport/htmlreport.go
@@ -1,6 +1,5 @@
-// Package page is the look of the pages that commands make: one file that stands alone, for a screen, a phone or paper,
-// with tables and charts drawn as SVG by hand. Package study draws its own charts with a plotting library, which is too
-// heavy for the gatherer's program; style and inks are from here.
+// Package htmlreport renders reports as single HTML files with a shared style sheet and charts as inline SVG. It draws
+// charts itself, since a plotting library would add megabytes to the gatherer's program.
 package htmlreport
 
 import (
@@ -12,7 +11,7 @@
 	"strings"
 )
 
-// Style is the style sheet of every page.
+// Style is the style sheet of all reports.
 const Style template.CSS = `:root { color-scheme: light; }
 body { font: 16px/1.5 Georgia, "Times New Roman", serif; color: #1c1c1c; background: #fff; max-width: 60rem; margin: 0 auto; padding: 1rem; }
 h1 { font-size: 1.5rem; line-height: 1.25; } h2 { font-size: 1.15rem; margin-top: 2.2rem; }
@@ -38,7 +37,7 @@
 	Points []Point
 }
 
-// Mark is a moment that a chart points out.
+// Mark is a labelled vertical line in a chart.
 type Mark struct {
 	X    float64
 	Name string
@@ -53,13 +52,13 @@
 	High  float64 // 0 for the greatest value
 }
 
-// Ink is how a line is drawn.
+// Ink is the colour and dash pattern of a line.
 type Ink struct {
 	Color  color.RGBA
 	Dashes []float64 // lengths of dash and gap in turns; none for a whole line
 }
 
-// Inks tell lines apart on a screen, on paper and for those who see few colours: by hue, by darkness and by dashes.
+// Inks differ in hue, darkness and dash pattern, so that lines can be told apart on paper and by colour-blind readers.
 var Inks = []Ink{
 	{color.RGBA{0x00, 0x3f, 0x5c, 0xff}, nil},
 	{color.RGBA{0xd4, 0x5a, 0x00, 0xff}, []float64{6, 3}},
@@ -71,19 +70,19 @@
 	{color.RGBA{0x7a, 0x3b, 0x1d, 0xff}, []float64{3, 1}},
 }
 
-// stroke is an ink as SVG has it.
+// stroke returns an ink's SVG attributes.
 func (i Ink) stroke() string {
 	dashes := strings.Trim(fmt.Sprint(i.Dashes), "[]")
 	return fmt.Sprintf(`stroke="#%02x%02x%02x" stroke-width="1.8" stroke-dasharray="%s"`, i.Color.R, i.Color.G, i.Color.B, dashes)
 }
 
-// The paper that a chart is drawn on.
+// The size of a chart and its margins, in SVG units.
 const (
 	width, height            = 720.0, 300.0
 	left, right, top, bottom = 56.0, 12.0, 24.0, 40.0
 )
 
-// SVG draws it.
+// SVG renders the chart.
 func (c Chart) SVG() template.HTML {
 	x0, x1, y0, y1 := math.Inf(1), math.Inf(-1), c.Low, c.High
 	for _, l := range c.Lines {
@@ -107,7 +106,7 @@
 	py := func(y float64) float64 { return height - bottom - (y-y0)/(y1-y0)*(height-top-bottom) }
 	var b strings.Builder
 	put := func(format string, args ...any) { fmt.Fprintf(&b, format+"\n", args...) }
-	text := func(s string) string { return template.HTMLEscapeString(s) }
+	text := template.HTMLEscapeString
 	put(`<svg viewBox="0 0 %g %g" role="img" aria-label="%s over %s">`, width, height, text(c.Y), text(c.X))
 	for _, y := range ticks(y0, y1) {
 		put(`<line x1="%g" x2="%g" y1="%.1f" y2="%.1f" stroke="#ddd"/><text x="%g" y="%.1f" text-anchor="end" fill="#444">%s</text>`, left, width-right, py(y), py(y), left-6, py(y)+4, number(y))
--- a/internal/process/process.go
+++ b/internal/process/process.go
@@ -127,6 +127,7 @@
 	select {
 	case <-p.exited:
 		if !p.exitExpected {
+			//nolint:errorlint // the error is nil where it ended with status 0
 			return fmt.Errorf("%s ended by itself: %v: %.2000s", p.Name, p.err, log)
 		}
 	default:
