--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -32,8 +32,8 @@
 	cmd := &cobra.Command{Use: "policies", Short: "play changes of policy over an emulated fleet, and check that none ever holds in part", Args: cobra.NoArgs,
 		Example: "  yokeroute-testbed policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokeroute-testbed policies --runs 4 --gatherers 3000 --away 0.05",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			if count < 1 || terms.Gatherers < 1 || terms.AwayShare < 0 || terms.AwayShare >= 1 {
-				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.AwayShare)
+			if count < 1 || terms.Gatherers < 1 || terms.DownShare < 0 || terms.DownShare >= 1 {
+				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.DownShare)
 			}
 			terms.Duration, terms.Lease, terms.ChangeTimeout = seconds*1000, lease*1000, limit*1000
 			row := manyPolicies(terms, count, workers, within*1000)
@@ -62,7 +62,7 @@
 	cmd.Flags().IntVar(&terms.Changes, "changes", 6, "proposed in each")
 	cmd.Flags().Float64Var(&lease, "lease", 10, "seconds")
 	cmd.Flags().Float64Var(&limit, "limit", 60, "seconds after which a change is given up")
-	cmd.Flags().Float64Var(&terms.AwayShare, "away", 0, "share of the gatherers that is never there")
+	cmd.Flags().Float64Var(&terms.DownShare, "away", 0, "share of the gatherers that is never there")
 	cmd.Flags().IntVar(&terms.Flapping, "flapping", 0, "gatherers that start anew each second")
 	cmd.Flags().Float64Var(&terms.RestartsPerDay, "restarts", 0, "gatherers of the fleet that are killed and started again, a day")
 	cmd.Flags().Float64Var(&within, "within", 6, "seconds in which a change should hold everywhere")
--- a/internal/control/policyclient/client.go
+++ b/internal/control/policyclient/client.go
@@ -130,7 +130,7 @@
 	return err
 }
 
-// Forget removes a gatherer that will never return, so that its fallback policy no longer limits what can be proposed.
+// Forget removes a gatherer that will never return. Its fallback policy then does not limit what can be proposed.
 func (c *Client) Forget(ctx context.Context, name string) error {
 	request := policyapi.ForgetRequest{Format: policyapi.Format, Name: name}
 	_, err := call[policyapi.ChangeResponse](ctx, c, http.MethodPost, policyapi.ForgetPath, request)
--- a/internal/control/policyserver/replica.go
+++ b/internal/control/policyserver/replica.go
@@ -32,7 +32,7 @@
 // Bounds of the log.
 const (
 	logFile           = "log" // in the state folder
-	keptSnapshots     = 2
+	retainedSnapshots = 2
 	snapshotThreshold = 2000 // entries
 	trailingLogs      = 500  // entries that are kept behind a snapshot
 	snapshotInterval  = 10 * time.Second
@@ -63,7 +63,7 @@
 	writer := log.WriterLevel(logrus.WarnLevel)
 	r.logWriter = writer
 	raftLog := hclog.New(&hclog.LoggerOptions{Name: "raft", Level: hclog.Warn, Output: writer, DisableTime: true})
-	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, keptSnapshots, raftLog)
+	snapshots, err := raft.NewFileSnapshotStoreWithLogger(c.Folder, retainedSnapshots, raftLog)
 	if err != nil {
 		return nil, fmt.Errorf("snapshots of policies: %w", err)
 	}
@@ -119,7 +119,7 @@
 func (r *replica) Close() error {
 	var errs []error
 	if r.Raft != nil {
-		errs = append(errs, r.Raft.Shutdown().Error())
+		errs = append(errs, r.Shutdown().Error())
 	}
 	if r.transport != nil {
 		errs = append(errs, r.transport.Close())
@@ -140,7 +140,7 @@
 	if err != nil {
 		return nil, err
 	}
-	future := r.Raft.Apply(text, applyHeartbeats*r.heartbeat)
+	future := r.Apply(text, applyHeartbeats*r.heartbeat)
 	if err := future.Error(); err != nil {
 		return nil, err
 	}
@@ -150,16 +150,16 @@
 
 // awaitApplied waits until all entries that were committed before are applied here.
 func (r *replica) awaitApplied() error {
-	return r.Raft.Barrier(barrierHeartbeats * r.heartbeat).Error()
+	return r.Barrier(barrierHeartbeats * r.heartbeat).Error()
 }
 
 // addServer adds a server to the quorum. Raft changes one server at a time.
 func (r *replica) addServer(name string) error {
 	timeout := membershipHeartbeats * r.heartbeat
-	return r.Raft.AddVoter(raft.ServerID(name), raft.ServerAddress(name), 0, timeout).Error()
+	return r.AddVoter(raft.ServerID(name), raft.ServerAddress(name), 0, timeout).Error()
 }
 
 // removeServer removes a server from the quorum.
 func (r *replica) removeServer(name string) error {
-	return r.Raft.RemoveServer(raft.ServerID(name), 0, membershipHeartbeats*r.heartbeat).Error()
+	return r.RemoveServer(raft.ServerID(name), 0, membershipHeartbeats*r.heartbeat).Error()
 }
--- a/internal/control/policyserver/respond.go
+++ b/internal/control/policyserver/respond.go
@@ -16,7 +16,9 @@
 func respond(w http.ResponseWriter, status int, doc any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	json.NewEncoder(w).Encode(doc) // an error is that of the client's connection
+	if err := json.NewEncoder(w).Encode(doc); err != nil {
+		return // the client has gone
+	}
 }
 
 func respondError(w http.ResponseWriter, status int, message string) {
--- a/internal/control/policyserver/server_test.go
+++ b/internal/control/policyserver/server_test.go
@@ -60,7 +60,7 @@
 
 // TestOpenRefusesStaleDisk: a server does not start where another one knows of a later incarnation.
 func TestOpenRefusesStaleDisk(t *testing.T) {
-	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		respond(w, http.StatusOK, policyapi.IncarnationResponse{Format: policyapi.Format, Incarnation: 5})
 	}))
 	defer peer.Close()
--- a/internal/control/policyserver/verify_test.go
+++ b/internal/control/policyserver/verify_test.go
@@ -20,10 +20,11 @@
 	<-started
 	stop()
 	<-ended
-	if err := <-answered; err != raft.ErrRaftShutdown {
+	if err := <-answered; !errors.Is(err, raft.ErrRaftShutdown) {
 		t.Errorf("%v", err)
 	}
-	if err := newLeadershipVerifier(func() bool { return false }, nil).Verify(t.Context()); err != raft.ErrNotLeader {
+	err := newLeadershipVerifier(func() bool { return false }, nil).Verify(t.Context())
+	if !errors.Is(err, raft.ErrNotLeader) {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/testbed/policyfleet/faults.go
+++ b/internal/testbed/policyfleet/faults.go
@@ -6,7 +6,7 @@
 const (
 	millisecondsPerDay = 86_400_000.0
 
-	awayWithin = 0.1 // share of the duration in which a gatherer that stays away goes down
+	downWithin = 0.1 // share of the duration in which a gatherer goes down for good
 
 	firstFlap   = 1000.0
 	minFlapTime = 700.0 // between two restarts of a flapping gatherer,
@@ -26,8 +26,8 @@
 
 // scheduleFaults draws the faults of a gatherer.
 func (f *fleet) scheduleFaults(g *gatherer, i int) {
-	if float64(i) < f.config.AwayShare*float64(f.config.Gatherers) {
-		f.schedule(f.config.Duration*awayWithin*f.random.Float64(), g.stop)
+	if float64(i) < f.config.DownShare*float64(f.config.Gatherers) {
+		f.schedule(f.config.Duration*downWithin*f.random.Float64(), g.stop)
 		return
 	}
 	if i >= f.config.Gatherers-f.config.Flapping {
--- a/internal/testbed/policyfleet/fleet.go
+++ b/internal/testbed/policyfleet/fleet.go
@@ -29,7 +29,7 @@
 	Changes          int     // proposed, spread evenly over the middle of the duration
 	Lease            float64 // 10 s where it is 0
 	ChangeTimeout    float64 // 60 s where it is 0
-	AwayShare        float64 // share of the gatherers that is down but for the start
+	DownShare        float64 // share of the gatherers that is down but for the start
 	Flapping         int     // gatherers that restart each second
 	RestartsPerDay   float64 // of the fleet: killed, and back some seconds later with the disk
 	Faults           float64 // mean number of each gatherer
--- a/internal/testbed/policyfleet/fleet_test.go
+++ b/internal/testbed/policyfleet/fleet_test.go
@@ -16,7 +16,7 @@
 		Changes:          6,
 		Lease:            4000,
 		ChangeTimeout:    30_000,
-		AwayShare:        0.05,
+		DownShare:        0.05,
 		Flapping:         1,
 		Faults:           8,
 		Elections:        3,
@@ -75,8 +75,8 @@
 		detected := 0
 		for seed := range uint64(30) {
 			c := faulty(seed)
-			if variant == WithoutDraining { // with a gatherer away, all queries in flight end before a change commits
-				c.AwayShare = 0
+			if variant == WithoutDraining { // with a gatherer down, all queries in flight end before a change commits
+				c.DownShare = 0
 				c.Flapping = 0
 				c.Faults = 0
 				c.Elections = 0
--- a/internal/testbed/policyfleet/phase.go
+++ b/internal/testbed/policyfleet/phase.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// The length of one poll in so many is measured, and stands for all of them.
+	// One poll in so many is encoded for its length, which counts for all of them.
 	pollsPerSample = 16
 	// httpOverhead is the size of the headers of a request and its response, and of a short response, in bytes.
 	httpOverhead = 220
--- a/internal/testbed/policyfleet/servers.go
+++ b/internal/testbed/policyfleet/servers.go
@@ -11,7 +11,7 @@
 // Times of the policy servers and of operators, in milliseconds.
 const (
 	reviewInterval  = 50.0
-	proposeInterval = 500.0 // after which a proposal that cannot be made yet is tried again
+	proposeInterval = 500.0 // after which a proposal that cannot be made yet is repeated
 	minElectionTime = 200.0 // without a leader,
 	electionRange   = 3000.0
 )
--- a/logic/policy/compare.go
+++ b/logic/policy/compare.go
@@ -38,19 +38,19 @@
 	return append(both, q[j:]...)
 }
 
-// Violations returns the entries of q that p does not keep; none where q permits all that p permits.
+// Violations returns the entries of q that p does not satisfy; none where q permits all that p permits.
 // Advisory kinds are left out.
 func Violations(p, q Policy) (violations []Entry) {
 	for _, e := range q {
-		if !traits[e.Kind].advisory && !p.keeps(e) {
+		if !traits[e.Kind].advisory && !p.satisfies(e) {
 			violations = append(violations, e)
 		}
 	}
 	return violations
 }
 
-// keeps reports whether a policy is at least as tight as an entry.
-func (p Policy) keeps(e Entry) bool {
+// satisfies reports whether a policy is at least as tight as an entry.
+func (p Policy) satisfies(e Entry) bool {
 	zone, _, _ := strings.Cut(e.Subject, "/")
 	switch {
 	case e.Kind == Closed && p.Has(Closed, zone+"/"), e.Kind == NoHedging && p.Has(NoHedging, ""):
--- a/logic/policy/leader.go
+++ b/logic/policy/leader.go
@@ -70,7 +70,7 @@
 	return update
 }
 
-// hasPrepared reports whether an incarnation can no longer do what a pending change forbids.
+// hasPrepared reports whether an incarnation cannot do what a pending change forbids.
 func (in *instance) hasPrepared(number uint64) bool {
 	if in.startedDuring == number {
 		return true
--- a/logic/policy/lease.go
+++ b/logic/policy/lease.go
@@ -118,7 +118,7 @@
 	}
 }
 
-// fallBack puts the fallback policy in effect. Decisions of earlier generations are no longer permitted.
+// fallBack puts the fallback policy in effect. Decisions of earlier generations are then not permitted.
 func (h *LeaseHolder) fallBack() {
 	h.leased = false
 	h.effective = h.fallback
