--- a/internal/control/policylease/lease.go
+++ b/internal/control/policylease/lease.go
@@ -1,6 +1,6 @@
 // Package policylease applies the operators' policy in a gatherer. A Lease holds the policy in effect and gives the
-// dispatcher the settings that follow from it; a Poller keeps the lease renewed by polling the policy servers. What is
-// decided is decided by logic/policy.
+// dispatcher the settings that follow from it; a Poller keeps the lease renewed by polling the policy servers. What
+// is decided is decided by logic/policy.
 package policylease
 
 import (
@@ -29,7 +29,7 @@
 	closedRev  uint64 // counts changes of closed
 }
 
-var _ dispatch.Governor = (*Lease)(nil)
+var _ dispatch.PolicyGate = (*Lease)(nil)
 
 // Config configures a Lease.
 type Config struct {
@@ -66,16 +66,16 @@
 	l.updateClosed()
 }
 
-// Acts returns the settings for queries that arrive now, and their generation.
-func (l *Lease) Acts(now float64) (uint64, *gather.Settings) {
+// Effective returns the settings for queries that arrive now, and their generation.
+func (l *Lease) Effective(now float64) (uint64, *gather.Settings) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.refresh(now)
 	return l.generation, l.settings
 }
 
-// Settle records that no query is in flight from before a generation.
-func (l *Lease) Settle(generation uint64) {
+// MarkDrained records that no query is in flight from before a generation.
+func (l *Lease) MarkDrained(generation uint64) {
 	l.mu.Lock()
 	before := l.holder.Drained()
 	l.holder.MarkDrained(generation)
@@ -90,8 +90,8 @@
 	}
 }
 
-// Settled reports whether all queries in flight were decided by the policy in effect.
-func (l *Lease) Settled() bool {
+// Drained reports whether all queries in flight were decided by the policy in effect.
+func (l *Lease) Drained() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder.Drained()
--- a/internal/control/policylease/lease_test.go
+++ b/internal/control/policylease/lease_test.go
@@ -55,7 +55,7 @@
 // settings stay as they are.
 func TestLeaseAppliesPolicyToSettings(t *testing.T) {
 	l, _ := leaseWith(t, testFallback, testPolicy)
-	_, settings := l.Acts(1)
+	_, settings := l.Effective(1)
 	class := settings.Class("any")
 	if class.MinShare != 0.6 || class.CompleteShare != 0.75 {
 		t.Errorf("%+v", class)
@@ -66,46 +66,46 @@
 	if !settings.HedgingAllowed || l.platform.OverloadMultiple != 3 {
 		t.Errorf("%+v; %+v", settings, l.platform)
 	}
-	if l.Turns(1) != 0.5 || l.Turns(2) != 1 || l.Closed(1) || !l.Closed(2) {
+	if l.Weight(1) != 0.5 || l.Weight(2) != 1 || l.Blocked(1) || !l.Blocked(2) {
 		t.Errorf("%v", l.closed)
 	}
 }
 
-// TestExpiredLeaseRestrictsDecisions: a request or an answer that was decided before the lease expired goes only as far
-// as the fallback policy permits.
+// TestExpiredLeaseRestrictsDecisions: a request or an answer that was decided before the lease expired goes only as
+// far as the fallback policy permits.
 func TestExpiredLeaseRestrictsDecisions(t *testing.T) {
 	l, now := leaseWith(t, testFallback, testPolicy)
-	generation, _ := l.Acts(1)
-	call := dispatch.Act{Way: generation, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
-	v := dispatch.Verdict{Kind: dispatch.Satisfied}
-	closed := dispatch.Act{Way: generation, Index: "any", Server: 2}
-	if !l.May(call, 500) || l.May(closed, 500) || l.Answer(call, v, 0.6, true, 500).Kind != dispatch.Satisfied {
+	generation, _ := l.Effective(1)
+	call := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1, Repeated: true, Hedge: true, UsesRetryBudget: true}
+	served := dispatch.Result{Kind: dispatch.Served}
+	closed := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 2}
+	if !l.Permits(call, 500) || l.Permits(closed, 500) || l.ReviewResult(call, served, 0.6, true, 500).Kind != dispatch.Served {
 		t.Error("under the lease")
 	}
 	*now = 1000
-	for _, a := range []dispatch.Act{{Copy: true}, {Again: true}, {Further: true}} {
-		a.Way, a.Index, a.Server = generation, "any", 9
-		if l.May(a, 1000) {
+	for _, a := range []dispatch.PolicyCheck{{Hedge: true}, {Repeated: true}, {UsesRetryBudget: true}} {
+		a.Generation, a.Class, a.Server = generation, "any", 9
+		if l.Permits(a, 1000) {
 			t.Errorf("%+v is sent after the lease", a)
 		}
 	}
-	first := dispatch.Act{Way: generation, Index: "any", Server: 9}
-	closed = dispatch.Act{Way: generation, Index: "any", Server: 1}
-	if !l.May(first, 1000) || l.May(closed, 1000) {
+	first := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 9}
+	closed = dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1}
+	if !l.Permits(first, 1000) || l.Permits(closed, 1000) {
 		t.Error("a first request is sent, but not to a host that the fallback policy closes")
 	}
 	for _, c := range []struct {
-		v     dispatch.Verdict
-		share float64
-		ran   bool
-		want  dispatch.Kind
+		result dispatch.Result
+		share  float64
+		ran    bool
+		want   dispatch.ResultKind
 	}{
-		{v, 0.6, true, dispatch.Aborted},
-		{v, 0.95, true, dispatch.Satisfied},
-		{dispatch.Verdict{Kind: dispatch.Nacked}, 0, true, dispatch.Aborted},
-		{dispatch.Verdict{Kind: dispatch.Nacked}, 0, false, dispatch.Nacked},
+		{served, 0.6, true, dispatch.Failed},
+		{served, 0.95, true, dispatch.Served},
+		{dispatch.Result{Kind: dispatch.Rejected}, 0, true, dispatch.Failed},
+		{dispatch.Result{Kind: dispatch.Rejected}, 0, false, dispatch.Rejected},
 	} {
-		if got := l.Answer(call, c.v, c.share, c.ran, 1000).Kind; got != c.want {
+		if got := l.ReviewResult(call, c.result, c.share, c.ran, 1000).Kind; got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
@@ -120,7 +120,7 @@
 func TestHoldAppliesOwnPolicy(t *testing.T) {
 	l, _ := leaseWith(t, "", "")
 	err := l.Hold(policy.Policy{{Kind: policy.Closed, Subject: "north/"}}, 2)
-	if err != nil || !l.Closed(1) || l.Closed(2) || l.holder.ExpiresAt() != math.Inf(1) {
+	if err != nil || !l.Blocked(1) || l.Blocked(2) || l.holder.ExpiresAt() != math.Inf(1) {
 		t.Errorf("%v, %v", err, l.closed)
 	}
 	for text, want := range map[string]string{
@@ -140,16 +140,16 @@
 	}
 }
 
-// BenchmarkMay measures the check of a shard request before its first byte is sent.
-func BenchmarkMay(b *testing.B) {
+// BenchmarkPermits measures the check of a shard request before its first byte is sent.
+func BenchmarkPermits(b *testing.B) {
 	l := New(Config{
 		Platform: &gather.Settings{Classes: []gather.Class{{Name: "any"}}},
 		Clock:    func() float64 { return 0 },
 		OnChange: func() {},
 	})
 	l.handle(0, policy.Update{Epoch: 1, LastEnded: 1, Lease: 1e9})
-	generation, _ := l.Acts(0)
+	generation, _ := l.Effective(0)
 	for b.Loop() {
-		l.May(dispatch.Act{Way: generation, Index: "any", Server: 1}, 1)
+		l.Permits(dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1}, 1)
 	}
 }
--- a/internal/control/policylease/poller.go
+++ b/internal/control/policylease/poller.go
@@ -172,8 +172,8 @@
 	return sentAt, *response.Update, nil
 }
 
-// cancelOnceDrained cancels a poll once the gatherer has drained. The function that it returns ends the watch and waits
-// for its end.
+// cancelOnceDrained cancels a poll once the gatherer has drained. The function that it returns ends the watch and
+// waits for its end.
 func (p *Poller) cancelOnceDrained(cancel context.CancelCauseFunc) (stop func()) {
 	answered := make(chan struct{})
 	ended := make(chan struct{})
--- a/internal/control/policylease/servers.go
+++ b/internal/control/policylease/servers.go
@@ -51,22 +51,22 @@
 	}
 }
 
-// News returns a number that changes whenever the set of closed servers does.
-func (l *Lease) News() uint64 {
+// BlockedRevision returns a number that changes whenever the set of closed servers does.
+func (l *Lease) BlockedRevision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closedRev
 }
 
-// Closed reports whether a server may get no new requests.
-func (l *Lease) Closed(server uint32) bool {
+// Blocked reports whether a server may get no new requests.
+func (l *Lease) Blocked(server uint32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed[server]
 }
 
-// Turns returns the share of its usual traffic that a server is sent.
-func (l *Lease) Turns(server uint32) float64 {
+// Weight returns the share of its usual traffic that a server is sent.
+func (l *Lease) Weight(server uint32) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.effective.Value(policy.HostWeight, l.locations[server].host, 1)
--- a/internal/gatherer/service/governed.go
+++ b/internal/gatherer/service/governed.go
@@ -32,13 +32,13 @@
 	if own.FallbackPolicy+own.Policy == "" {
 		return nil, nil
 	}
-	config := policylease.Config{Platform: settings, Clock: picker.Now, OnChange: picker.Stir}
+	config := policylease.Config{Platform: settings, Clock: picker.Now, OnChange: picker.Wake}
 	if own.FallbackPolicy == "" {
 		g := &governed{lease: policylease.New(config)}
 		if err := g.reread(own); err != nil {
 			return nil, err
 		}
-		picker.Govern(g.lease)
+		picker.SetPolicyGate(g.lease)
 		return g, nil
 	}
 	fallback, err := policyfile.Read(own.FallbackPolicy)
@@ -63,7 +63,7 @@
 		StateFolder: own.State,
 		Log:         log,
 	})
-	picker.Govern(g.lease)
+	picker.SetPolicyGate(g.lease)
 	return g, nil
 }
 
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -236,8 +236,8 @@
 
 // changed notes how far the gatherer has come, and settles: it has no lookups in hand.
 func (h *hollowGatherer) changed(now float64) {
-	way, _ := h.lease.Acts(now)
-	h.lease.Settle(way)
+	way, _ := h.lease.Effective(now)
+	h.lease.MarkDrained(way)
 	state := h.lease.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
