--- a/internal/gatherer/dispatch/attempt.go
+++ b/internal/gatherer/dispatch/attempt.go
@@ -187,7 +187,13 @@
 	a, query := end.attempt, end.attempt.query
 	succeeded := end.outcome == gather.Succeeded
 	if p.twoPass.decider != nil {
-		p.twoPass.decider.RecordEnded(now, query.Class, a.FirstPass(), succeeded, end.summary.Empty, end.latency)
+		p.twoPass.decider.RecordEnded(now, twopass.AttemptEnd{
+			Class:       query.Class,
+			FirstPass:   a.FirstPass(),
+			Succeeded:   succeeded,
+			ProvedEmpty: end.summary.Empty,
+			Latency:     end.latency,
+		})
 	}
 	for _, o := range p.observers.decisions {
 		o.AttemptEnded(a, end.outcome, end.latency, &end.summary)
--- a/logic/twopass/phases_test.go
+++ b/logic/twopass/decide_test.go
@@ -38,7 +38,9 @@
 	}
 	w.p.RecordSent(w.now, first)
 	answered := !first || w.chance.Float64() >= w.loss
-	w.p.RecordEnded(w.now, "i", first, answered, first && answered && w.chance.Float64() < w.prune, w.wait+work*(0.7+0.6*w.chance.Float64()))
+	proved := first && answered && w.chance.Float64() < w.prune
+	latency := w.wait + work*(0.7+0.6*w.chance.Float64())
+	w.p.RecordEnded(w.now, AttemptEnd{Class: "i", FirstPass: first, Succeeded: answered, ProvedEmpty: proved, Latency: latency})
 }
 
 // lookup plays one of eight parts and gives how it went.
@@ -289,7 +291,7 @@
 		w.p.Decide(w.now, lk)
 		for range 4 {
 			w.p.RecordSent(w.now, false)
-			w.p.RecordEnded(w.now, "i", false, true, false, 20)
+			w.p.RecordEnded(w.now, AttemptEnd{Class: "i", Succeeded: true, Latency: 20})
 		}
 	}
 }
--- a/logic/twopass/summary.go
+++ b/logic/twopass/summary.go
@@ -7,22 +7,22 @@
 	"strconv"
 )
 
-// Summary is what a shard server tells of a part in a first pass.
+// Summary is a shard server's answer in a first pass.
 type Summary struct {
 	Empty      bool
-	MaxHits    int64   // hits that it may hold at most, where it may hold any
-	Likelihood float64 // the chance that it holds any, where it may
-	Version    string  // of the content that was looked at; not compared, kept for traces
+	MaxHits    int64   // bound of its hits, where the shard may hold any
+	Likelihood float64 // that the shard holds any, where it may
+	Version    string  // of the content looked at; for traces, it is not compared
 }
 
-// Bounds against a summary that cannot be one.
+// Bounds of a valid summary.
 const (
 	maxSummaryBytes = 256
 	maxHitCount     = 1 << 40
 )
 
-// ParseSummary reads `none VERSION` or `some COUNT LIKELY VERSION`. What cannot be read proves nothing;
-// the error says what is wrong with it.
+// ParseSummary parses `none VERSION` or `some COUNT LIKELY VERSION`. The error says what is wrong with a text
+// that is neither; it proves nothing.
 func ParseSummary(text []byte) (Summary, error) {
 	if len(text) > maxSummaryBytes {
 		return Summary{}, fmt.Errorf("a summary of %d bytes, %d at most", len(text), maxSummaryBytes)
