--- a/logic/twopass/decide.go
+++ b/logic/twopass/decide.go
@@ -1,14 +1,14 @@
 // Package twopass decides whether a query is sent in one pass or in two, and what its second pass is.
 //
-// In two passes each shard is first asked whether it holds any match, which is cheap; then the shards that may
-// are asked in full. For each query of an enabled class the package decides by the sign of an estimated net gain
-// in latency; it bounds the time of the first pass; and from the first pass's outcomes it plans the second: which
-// shards count as received, which are left out, and which are asked. Each pass is then a query of the decision
-// module. The package learns from the ends of attempts.
+// In two passes each shard is first asked whether it holds any match, which is cheap; then the shards that
+// may are asked in full. For each query of an enabled class the package decides by the sign of an estimated
+// net gain in latency; it bounds the time of the first pass; and from the first pass's outcomes it plans
+// the second: which shards count as received, which are left out, and which are asked. Each pass is then a
+// query of the decision module. The package learns from the ends of attempts.
 //
-// It must never count a shard as received that did not prove that it holds nothing (rule 5), nor begin a first
-// pass whose attempts, were they all lost, the retry budget could not replace (rule 6). docs/design/phases.md
-// gives the reasons.
+// It must never count a shard as received that did not prove that it holds nothing (rule 5), nor begin a
+// first pass whose attempts, were they all lost, the retry budget could not replace (rule 6).
+// docs/design/phases.md gives the reasons.
 package twopass
 
 import (
@@ -126,10 +126,11 @@
 	}
 	class.lastTwoPass = decision.NetGain() > threshold && known >= minSummaries && !tooLate
 	trial := d.drawTrial(class, known)
+	typicalFirstPass := class.firstPassLatency.quantile(median, objective/assumedFirstPassWork)
 	switch {
 	case query.FirstPassRequests == 0:
 		decision.Reason = NoFirstPassServers
-	case decision.FirstPassDeadline-now < class.firstPassLatency.quantile(median, objective/assumedFirstPassWork):
+	case decision.FirstPassDeadline-now < typicalFirstPass:
 		decision.Reason = NoTime
 	case query.RetryBudgetLeft < class.retriesNeeded(query):
 		decision.Reason = NoBudget
@@ -146,15 +147,16 @@
 	return decision
 }
 
-// firstPassTime is what a first pass may take: some time beyond its usual latest attempt, but no more than its
-// share, and only what leaves the second pass its usual length.
+// firstPassTime is what a first pass may take: some time beyond its usual latest attempt, but no more than
+// its share, and only what leaves the second pass its usual length.
 func (c *classStats) firstPassTime(query Query, e *estimate, timeLeft float64) float64 {
 	slack := firstPassSlack
 	if query.RetryBudgetLeft < scarceRetries*float64(query.FirstPassRequests) {
 		slack = scarceFirstPassSlack
 	}
 	late := c.firstPassLatency.quantile(lateQuantile, c.settings.LatencyObjective/assumedFirstPass)
-	return min(c.settings.FirstPassShare*timeLeft, slack*max(late, e.firstPass), timeLeft-secondPassSlack*e.secondPass)
+	share := c.settings.FirstPassShare * timeLeft
+	return min(share, slack*max(late, e.firstPass), timeLeft-secondPassSlack*e.secondPass)
 }
 
 // retriesNeeded is how many retries have to be left for a first pass to begin.
--- a/logic/twopass/estimate.go
+++ b/logic/twopass/estimate.go
@@ -1,6 +1,8 @@
 package twopass
 
-import "math"
+import (
+	"math"
+)
 
 const (
 	loadWindow     = 5000.0 // milliseconds over which attempts count as load
--- a/logic/twopass/latency.go
+++ b/logic/twopass/latency.go
@@ -1,13 +1,16 @@
 package twopass
 
-import "slices"
+import (
+	"slices"
+)
 
 const (
 	sampleSize  = 256 // latencies kept, the newest
 	resortShare = 8   // one over the share of the sample that has to be new before it is sorted again
 )
 
-// latencySample is the latencies of the newest attempts and, sorted, of those that were the newest a while ago.
+// latencySample is the latencies of the newest attempts and, sorted, of those that were the newest a while
+// ago.
 type latencySample struct {
 	ring           []float64
 	next           int
--- a/logic/twopass/learn.go
+++ b/logic/twopass/learn.go
@@ -5,8 +5,8 @@
 	minSummaries  = 40.0    // under which the estimate is not used
 	summaryMemory = 60000.0 // milliseconds without a summary after which they begin to fade
 
-	// maxAnsweredStep bounds what one attempt changes in the answered share: its start of 1 is believed for a
-	// while.
+	// maxAnsweredStep bounds what one attempt changes in the answered share: its start of 1 is believed for
+	// a while.
 	maxAnsweredStep = 0.05
 )
 
--- a/logic/twopass/secondpass.go
+++ b/logic/twopass/secondpass.go
@@ -8,8 +8,8 @@
 const (
 	weightTolerance = 5e-5 // by which sums of weights may miss a share
 
-	// unlikelyPenalty is by how much cost a shard that surely holds nothing is ordered behind one that surely
-	// holds something.
+	// unlikelyPenalty is by how much cost a shard that surely holds nothing is ordered behind one that
+	// surely holds something.
 	unlikelyPenalty = 1000.0
 )
 
@@ -38,9 +38,9 @@
 	OrderPenalty float64
 }
 
-// PlanSecondPass plans what follows a first pass. A shard that was not heard of proves nothing and is asked in
-// full. Unlikely shards are left out only as far as the answer stays complete without them, or where the class
-// allows partial answers, reaches its minimum share; they never count as received.
+// PlanSecondPass plans what follows a first pass. A shard that was not heard of proves nothing and is asked
+// in full. Unlikely shards are left out only as far as the answer stays complete without them, or where the
+// class allows partial answers, reaches its minimum share; they never count as received.
 func (d *Decider) PlanSecondPass(class string, outcomes []FirstPassOutcome) Plan {
 	settings := &d.classes[class].settings
 	var plan Plan
--- a/logic/twopass/summary.go
+++ b/logic/twopass/summary.go
@@ -21,8 +21,8 @@
 	maxHitCount     = 1 << 40
 )
 
-// ParseSummary parses `none VERSION` or `some COUNT LIKELY VERSION`. The error says what is wrong with a text
-// that is neither; it proves nothing.
+// ParseSummary parses `none VERSION` or `some COUNT LIKELY VERSION`. The error says what is wrong with a
+// text that is neither; it proves nothing.
 func ParseSummary(text []byte) (Summary, error) {
 	if len(text) > maxSummaryBytes {
 		return Summary{}, fmt.Errorf("a summary of %d bytes, %d at most", len(text), maxSummaryBytes)
