--- a/internal/control/policylease/kept_test.go
+++ b/internal/control/policylease/kept_test.go
@@ -31,7 +31,8 @@
 	return text
 }
 
-// TestKeptRevision: the revision is read from the file that a released version wrote, and written again byte for byte.
+// TestKeptRevision: the revision is read from the file that a released version wrote, and written again byte for
+// byte.
 func TestKeptRevision(t *testing.T) {
 	folder := t.TempDir()
 	want := policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}
@@ -54,8 +55,8 @@
 	}
 }
 
-// TestKeptPolls: the first poll and the one after an update are sent as a released version sent them, byte for byte, and
-// the revision of the update is stored likewise.
+// TestKeptPolls: the first poll and the one after an update are sent as a released version sent them, byte for byte,
+// and the revision of the update is stored likewise.
 func TestKeptPolls(t *testing.T) {
 	answer := kept(t, "..", "policyapi", "testdata", "kept", "answer-change.json")
 	polls := make(chan string, 100)
--- a/internal/control/policylease/lease.go
+++ b/internal/control/policylease/lease.go
@@ -1,6 +1,6 @@
 // Package policylease applies the operators' policy in a gatherer. A Lease holds the policy in effect and gives the
-// dispatcher the settings that follow from it; a Poller keeps the lease renewed by polling the policy servers. What is
-// decided is decided by logic/policy.
+// dispatcher the settings that follow from it; a Poller keeps the lease renewed by polling the policy servers. What
+// is decided is decided by logic/policy.
 package policylease
 
 import (
