--- a/internal/migrate/migrate_test.go
+++ b/internal/config/migrate/migrate_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"yokeroute/internal/config"
+	"yokeroute/internal/config/platform"
 )
 
 const old = `{"name":"n1","listen":"127.0.0.1:8000","discovery":"127.0.0.1:8500","seed":"1f",
@@ -17,7 +17,7 @@
  "limits":{"cancel":true,"connectTimeout":250000,"attemptsCap":3,"secondCopies":true,"streamsPerConn":64},
  "rules":{"budgetShare":0.05,"extraFloor":6,"resendSpan":1000000,"drainGrace":250000}}}`
 
-const fleet = "../../examples/fleets/probed.json"
+const fleet = "../../../examples/fleets/probed.json"
 
 func file(t *testing.T, text string) string {
 	name := filepath.Join(t.TempDir(), "f.json")
@@ -33,13 +33,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := config.Parse(r.Text, func(string) string { return "" })
+	c, err := platform.Parse(r.Text, func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Terms.Num("own number") != 1 || c.Terms.Num("streams") != 64 ||
-		c.Terms.Num("groups in a row") != 3 || c.Terms.Flag("second copies") || c.Terms.Text("reports") != "pull" ||
-		c.Terms.Num("budget span") != 0 || !c.Terms.Flag("list is asked for") || c.Terms.Num("every/soft deadline") != 1000 {
+	if c.Name != "n1" || c.Seed != 0x1f || c.Known != nil || c.Settings.GathererIndex != 1 || c.Settings.StreamsPerConnection != 64 ||
+		c.Settings.ReplicaSetsPerShard != 3 || c.Settings.HedgingAllowed || c.Settings.LoadReports != "pull" ||
+		c.Settings.RetryBudgetWindow != 0 || !c.Settings.EndpointsOnRequest || c.Settings.Class("every").LatencyObjective != 1000 {
 		t.Errorf("%+v", c)
 	}
 	want := []string{"known: ", "settings.classes: index \"once\"", "settings.domain.partialEarns: ", "settings.rules.budgetShare: ",
--- a/internal/config/config.go
+++ b/internal/config/platform/config.go
@@ -1,6 +1,6 @@
 // Package config is the one place where what the platform tells a gatherer is read, checked and given
 // defaults. Every error names the key at fault.
-package config
+package platform
 
 import (
 	"encoding/json"
@@ -11,8 +11,8 @@
 	"strconv"
 
 	"yokeroute/gather"
-	"yokeroute/internal/discovery"
-	"yokeroute/internal/terms"
+	"yokeroute/internal/config/settings"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/version"
 )
 
@@ -34,7 +34,7 @@
 	Seed      uint64
 	Limits    Limits
 	Known     *discovery.Reply // nil where nothing was known
-	Terms     gather.Terms
+	Settings  *gather.Settings
 	Sum       string // fingerprint of the text that was read
 }
 
@@ -100,7 +100,7 @@
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
 	}
-	if c.Terms, err = terms.Read(file.Settings); err != nil {
+	if c.Settings, err = settings.Read(file.Settings); err != nil {
 		return nil, err
 	}
 	return c, nil
--- a/internal/policy/govern.go
+++ b/internal/control/policyclient/govern.go
@@ -1,4 +1,4 @@
-package policy
+package policyclient
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"sync"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/policy"
 )
 
@@ -18,23 +18,23 @@
 
 // Governor keeps what a gatherer goes by where the decisions, the wire and the follower reach it. It is a pick.Governor.
 type Governor struct {
-	base    gather.Terms // the platform's
+	base    *gather.Settings // the platform's
 	clock   func() float64
 	settled chan struct{} // something is there once all in hand is by what is acted by now
 	stir    func()        // has a round run, where nothing else would
 
-	mu     sync.Mutex
-	h      *policy.Holder
-	way    uint64 // for which the rest was worked out
-	acts   policy.Policy
-	terms  gather.Terms
-	places map[uint32]place
-	closed map[uint32]bool
-	news   uint64
+	mu       sync.Mutex
+	h        *policy.Holder
+	way      uint64 // for which the rest was worked out
+	acts     policy.Policy
+	settings *gather.Settings
+	places   map[uint32]place
+	closed   map[uint32]bool
+	news     uint64
 }
 
 // NewGovernor begins within a floor, at the fence that an earlier process left. Clock and stir are the picker's.
-func NewGovernor(base gather.Terms, floor policy.Policy, fence policy.Fence, clock func() float64, stir func()) *Governor {
+func NewGovernor(base *gather.Settings, floor policy.Policy, fence policy.Fence, clock func() float64, stir func()) *Governor {
 	g := &Governor{base: base, clock: clock, stir: stir, settled: make(chan struct{}, 1), places: map[uint32]place{}, closed: map[uint32]bool{}}
 	g.h = policy.NewHolder(floor, fence, g.fit)
 	return g
@@ -60,7 +60,7 @@
 	return nil
 }
 
-var _ pick.Governor = (*Governor)(nil)
+var _ dispatch.Governor = (*Governor)(nil)
 
 // refresh works out what follows from what is acted by, where that has changed. The lock is held.
 func (g *Governor) refresh(now float64) {
@@ -69,7 +69,7 @@
 		return
 	}
 	g.way, g.acts = way, acts
-	g.terms = Apply(g.base, acts)
+	g.settings = Apply(g.base, acts)
 	g.close()
 }
 
@@ -88,7 +88,7 @@
 }
 
 // Follow takes over where servers stand.
-func (g *Governor) Follow(list gather.List, all []shardcall.Address) {
+func (g *Governor) Follow(list gather.EndpointList, all []shardcall.Address) {
 	if list.Failed {
 		return
 	}
@@ -101,8 +101,8 @@
 	if list.Full {
 		clear(g.places)
 	}
-	for _, s := range list.Servers {
-		if s.State == gather.Gone {
+	for _, s := range list.Endpoints {
+		if s.State == gather.Removed {
 			delete(g.places, s.ID)
 			continue
 		}
@@ -112,11 +112,11 @@
 }
 
 // Acts is the way and the terms of lookups that land now.
-func (g *Governor) Acts(now float64) (uint64, gather.Terms) {
+func (g *Governor) Acts(now float64) (uint64, *gather.Settings) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
-	return g.way, g.terms
+	return g.way, g.settings
 }
 
 // News counts changes of what is closed.
@@ -142,7 +142,7 @@
 
 // May reports whether a call may go now: not to a closed server, and where its lookup was decided by what does not
 // hold any more, not what is forbidden by now.
-func (g *Governor) May(a pick.Act, now float64) bool {
+func (g *Governor) May(a dispatch.Act, now float64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
@@ -159,20 +159,20 @@
 
 // tightened reports whether an index is once-only by policy alone. The lock is held.
 func (g *Governor) tightened(index string) bool {
-	return g.acts.Has(policy.OnceOnly, index) && g.base.Text(index+"/effect") != "once-only"
+	return g.acts.Has(policy.OnceOnly, index) && g.base.Class(index).Effect != gather.NonIdempotent
 }
 
 // Answer gives the verdict that may be given now: one that was decided by what does not hold any more is an abort where
 // it would answer under the least share, or nack what may have run.
-func (g *Governor) Answer(a pick.Act, v pick.Verdict, share float64, ran bool, now float64) pick.Verdict {
+func (g *Governor) Answer(a dispatch.Act, v dispatch.Verdict, share float64, ran bool, now float64) dispatch.Verdict {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.refresh(now)
 	const rounding = 1e-4 // weights come rounded
 	switch {
 	case g.h.May(a.Way, now):
-	case v.Kind == pick.Satisfied && share < g.acts.Value(policy.Least, a.Index, 0)-rounding, v.Kind == pick.Nacked && ran && g.tightened(a.Index):
-		return pick.Verdict{Kind: pick.Aborted}
+	case v.Kind == dispatch.Satisfied && share < g.acts.Value(policy.Least, a.Index, 0)-rounding, v.Kind == dispatch.Nacked && ran && g.tightened(a.Index):
+		return dispatch.Verdict{Kind: dispatch.Aborted}
 	}
 	return v
 }
--- a/internal/policy/processes_test.go
+++ b/internal/control/policyclient/processes_test.go
@@ -1,4 +1,4 @@
-package policy_test
+package policyclient_test
 
 import (
 	"bytes"
@@ -17,15 +17,15 @@
 
 	"github.com/anishathalye/porcupine"
 
-	"yokeroute/internal/policy"
-	"yokeroute/internal/proc"
-	"yokeroute/internal/processes"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/process"
+	"yokeroute/internal/testbed/processtest"
 	logic "yokeroute/logic/policy"
 )
 
 func TestMain(m *testing.M) {
 	status := m.Run()
-	processes.Unbuild()
+	processtest.Unbuild()
 	os.Exit(status)
 }
 
@@ -51,42 +51,42 @@
 // scene is a fleet of processes with stewards, under load.
 type scene struct {
 	*testing.T
-	f    *processes.Fleet
+	f    *processtest.Fleet
 	ctx  context.Context
 	stop func()
 	from float64 // since when policies are checked against each other, Unix milliseconds
 }
 
-func begin(t *testing.T, gatherers, rate int, terms processes.StewardTerms) *scene {
+func begin(t *testing.T, gatherers, rate int, terms processtest.StewardTerms) *scene {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 280*time.Second)
 	t.Cleanup(cancel)
 	s := &scene{T: t, ctx: ctx}
-	binary, err := processes.Build("yokeroute")
+	binary, err := processtest.Build("yokeroute")
 	if err != nil {
 		t.Fatal(err)
 	}
-	sc, err := processes.Parse(t.Name(), fmt.Sprintf(fleetText, rate, gatherers), 0)
+	sc, err := processtest.Parse(t.Name(), fmt.Sprintf(fleetText, rate, gatherers), 0)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if terms.Floor == "" {
 		terms.Floor = floorText
 	}
-	if s.f, err = processes.StartFleet(ctx, sc, processes.Terms{Binary: binary, Folder: filepath.Join(t.TempDir(), "fleet"), State: true, Stewards: terms}); err != nil {
+	if s.f, err = processtest.StartFleet(ctx, sc, processtest.Terms{Binary: binary, Folder: filepath.Join(t.TempDir(), "fleet"), State: true, Stewards: terms}); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(s.f.Close)
 	s.stop = s.f.Load(ctx)
 	t.Cleanup(s.stop)
-	s.until("all gatherers hold", func(st *policy.Status) bool { return st.Everywhere && len(st.Standings) == gatherers })
+	s.until("all gatherers hold", func(st *policyclient.Status) bool { return st.Everywhere && len(st.Standings) == gatherers })
 	return s
 }
 
 // three stewards, with times that a machine full of other tests can keep.
-var three = processes.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
+var three = processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
 
-func (s *scene) status() *policy.Status {
+func (s *scene) status() *policyclient.Status {
 	ctx, cancel := context.WithTimeout(s.ctx, 10*time.Second)
 	defer cancel()
 	st, err := s.f.Policies().Status(ctx)
@@ -97,10 +97,10 @@
 }
 
 // until waits for something that the steward that leads tells.
-func (s *scene) until(what string, holds func(st *policy.Status) bool) {
+func (s *scene) until(what string, holds func(st *policyclient.Status) bool) {
 	s.Helper()
-	var last *policy.Status
-	err := proc.Until(s.ctx, what, func() bool {
+	var last *policyclient.Status
+	err := process.Until(s.ctx, what, func() bool {
 		last = s.status()
 		return last != nil && holds(last)
 	})
@@ -112,7 +112,7 @@
 // parse reads a policy.
 func (s *scene) parse(text string) logic.Policy {
 	s.Helper()
-	p, err := policy.Parse(s.Name(), text)
+	p, err := policyclient.Parse(s.Name(), text)
 	if err != nil {
 		s.Fatal(err)
 	}
@@ -146,8 +146,8 @@
 // served waits until so many more lookups were answered.
 func (s *scene) served(n int) {
 	s.Helper()
-	at := s.f.Front.Total().Endings[processes.Satisfied]
-	if err := proc.Until(s.ctx, "lookups are answered", func() bool { return s.f.Front.Total().Endings[processes.Satisfied] >= at+n }); err != nil {
+	at := s.f.Front.Total().Endings[processtest.Satisfied]
+	if err := process.Until(s.ctx, "lookups are answered", func() bool { return s.f.Front.Total().Endings[processtest.Satisfied] >= at+n }); err != nil {
 		s.Fatal(err)
 	}
 }
@@ -165,13 +165,13 @@
 	if err != nil {
 		s.Fatal(err)
 	}
-	sends = slices.DeleteFunc(sends, func(e processes.Send) bool { return e.At < s.from })
+	sends = slices.DeleteFunc(sends, func(e processtest.Send) bool { return e.At < s.from })
 	counts := map[string]int{}
 	for _, e := range sends {
 		counts[e.Server]++
 	}
 	for _, pair := range pairs {
-		var before, after processes.Send
+		var before, after processtest.Send
 		for _, e := range sends {
 			if e.Server == pair[0] {
 				before = e
@@ -205,7 +205,7 @@
 		t.Fatal(err)
 	}
 	for _, k := range s.f.Links("g5:w*") {
-		k.Change(func(w *processes.Weather) { w.Silent = [2]bool{true, true} })
+		k.Change(func(w *processtest.Weather) { w.Silent = [2]bool{true, true} })
 	}
 	g[7].Kill()
 	second := s.propose("close zone south host s3\n") // the other way round
@@ -227,7 +227,7 @@
 			t.Fatal(err)
 		}
 	}
-	s.until("all hold the second change", func(st *policy.Status) bool {
+	s.until("all hold the second change", func(st *policyclient.Status) bool {
 		holding := 0
 		for _, one := range st.Standings {
 			if one.State == logic.Holding && one.Holds.Epoch == second.Number {
@@ -297,7 +297,7 @@
 		t.Fatal(err)
 	}
 	s.f.Gatherers[3].Process().Continue()
-	s.until("all hold what was there before", func(now *policy.Status) bool {
+	s.until("all hold what was there before", func(now *policyclient.Status) bool {
 		return now.Everywhere && now.Record.Epoch == st.Record.Epoch && now.Record.Last == made[0].Number && len(now.Standings) == 4 && now.Standings[3].State == logic.Holding
 	})
 	s.end()
@@ -396,18 +396,18 @@
 	t.Parallel()
 	s := begin(t, 2, 20, three)
 	leader := s.f.Leader(s.ctx)
-	ask := func() *policy.Answer {
+	ask := func() *policyclient.Answer {
 		hello := logic.Hello{Member: logic.Member{Name: "old", Floor: s.parse(floorText), Knows: []logic.Kind{logic.Closed, logic.NoCopies}}, Process: "1"}
-		text, err := json.Marshal(policy.Ask{Form: policy.Form, Hello: hello})
+		text, err := json.Marshal(policyclient.Ask{Form: policyclient.Form, Hello: hello})
 		if err != nil {
 			t.Fatal(err)
 		}
-		resp, err := http.Post("http://"+leader.HTTP+policy.AskPath, "application/json", bytes.NewReader(text))
+		resp, err := http.Post("http://"+leader.HTTP+policyclient.AskPath, "application/json", bytes.NewReader(text))
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer resp.Body.Close()
-		a, err := policy.ReadAnswer(resp.Body)
+		a, err := policyclient.ReadAnswer(resp.Body)
 		if err != nil || a.Word == nil {
 			t.Fatalf("%v, %+v", err, a)
 		}
@@ -445,7 +445,7 @@
 		t.Fatal(err)
 	}
 	second := s.propose("close zone south host s3\n")
-	var others []*processes.Steward
+	var others []*processtest.Steward
 	for _, one := range w {
 		if one != leader {
 			others = append(others, one)
@@ -521,11 +521,11 @@
 		for i, g := range s.f.Gatherers {
 			if (w == leader) != (i < 2) {
 				k := s.f.Link(g.Name + ":" + w.Name)
-				k.Change(func(w *processes.Weather) { w.Silent = [2]bool{i%2 == 0, true} }) // some hear, and are not heard
+				k.Change(func(w *processtest.Weather) { w.Silent = [2]bool{i%2 == 0, true} }) // some hear, and are not heard
 			}
 		}
 	}
-	if err := proc.Until(s.ctx, "another leads", func() bool { now := s.f.Leader(s.ctx); return now != nil && now != leader }); err != nil {
+	if err := process.Until(s.ctx, "another leads", func() bool { now := s.f.Leader(s.ctx); return now != nil && now != leader }); err != nil {
 		t.Fatal(err)
 	}
 	second := s.propose("close zone south host s3\n")
@@ -534,7 +534,7 @@
 	if err := s.f.MendStewards(); err != nil {
 		t.Fatal(err)
 	}
-	s.until("all hold the second change", func(st *policy.Status) bool {
+	s.until("all hold the second change", func(st *policyclient.Status) bool {
 		for _, one := range st.Standings {
 			if one.State != logic.Holding || one.Holds.Epoch != second.Number {
 				return false
@@ -550,7 +550,7 @@
 // cut off, is as if it had happened one after the other.
 func TestLinearizable(t *testing.T) {
 	t.Parallel()
-	s := begin(t, 2, 10, processes.StewardTerms{Count: 3, Lease: 3000, Limit: 5000, Beat: 50})
+	s := begin(t, 2, 10, processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 5000, Beat: 50})
 	type input struct {
 		read bool
 		base uint64
@@ -631,7 +631,7 @@
 				t.Fatal(err)
 			}
 		}
-		if err := proc.Until(s.ctx, "the others go on", func() bool { return count() >= at+12 }); err != nil {
+		if err := process.Until(s.ctx, "the others go on", func() bool { return count() >= at+12 }); err != nil {
 			t.Fatal(err)
 		}
 		switch i % 3 {
@@ -660,7 +660,7 @@
 		}
 		return n
 	}
-	if err := proc.Until(s.ctx, "some changes were made", func() bool { return made() >= 4 }); err != nil {
+	if err := process.Until(s.ctx, "some changes were made", func() bool { return made() >= 4 }); err != nil {
 		t.Fatal(err)
 	}
 	enough()
--- a/internal/policy/wire_test.go
+++ b/internal/control/policyclient/wire_test.go
@@ -1,4 +1,4 @@
-package policy
+package policyclient
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"pgregory.net/rapid"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/policy"
 )
 
@@ -154,7 +154,7 @@
 			t.Errorf("%q: %v", text, err)
 		}
 	}
-	page := filepath.Join("..", "..", "docs", "operate", "reference-policy.md")
+	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-policy.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
 		t.Errorf("%s is not what yokeroute reference policy prints: %v", page, err)
 	}
@@ -163,8 +163,14 @@
 // governed is a governor that has heard a policy, and its settings.
 func governed(t *testing.T, floor, p string) (*Governor, *float64) {
 	t.Helper()
-	terms := gather.Terms{"indexes": []string{"any", "claim"}, "any/effect": "idempotent", "any/least share": 0.5, "any/whole from": 0.75, "claim/effect": "once-only", "second copies": true,
-		"budget span": 1000.0, "budget share": 0.1, "budget free": 8.0, "fall multiple": 3.0}
+	settings := &gather.Settings{
+		HedgingAllowed: true, RetryBudgetWindow: 1000.0, RetryBudgetRatio: 0.1,
+		RetryBudgetFloor: 8.0, OverloadMultiple: 3.0,
+		Classes: []gather.Class{
+			{Name: "any", Effect: gather.Idempotent, MinShare: 0.5, CompleteShare: 0.75},
+			{Name: "claim", Effect: gather.NonIdempotent},
+		},
+	}
 	now := 0.0
 	parse := func(text string) policy.Policy {
 		p, err := Parse("p", text)
@@ -173,8 +179,8 @@
 		}
 		return p
 	}
-	g := NewGovernor(terms, parse(floor), policy.Fence{}, func() float64 { return now }, func() {})
-	g.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 1, Zone: "north"}, {ID: 2, Zone: "south"}}}, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
+	g := NewGovernor(settings, parse(floor), policy.Fence{}, func() float64 { return now }, func() {})
+	g.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, Zone: "north"}, {ID: 2, Zone: "south"}}}, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
 	g.hear(0, policy.Word{Epoch: 1, Last: 1, Policy: parse(p), Lease: 1000})
 	return g, &now
 }
@@ -184,32 +190,32 @@
 func TestGovern(t *testing.T) {
 	floor := "no-copies\nindex any once-only least 90%\nfurther share 1% free 1\ncold 10%\nclose zone north\nclose zone south host s2\n"
 	g, now := governed(t, floor, "index any least 60%\nfurther free 4\ncold 50%\nclose zone south host s2\nturns s1 50%\n")
-	way, terms := g.Acts(1)
-	if terms.Num("any/least share") != 0.6 || terms.Num("any/whole from") != 0.75 || terms.Num("budget free") != 4 || terms.Num("budget share") != 0.1 || terms.Num("fall multiple") != 1.5 || !terms.Flag("second copies") ||
-		g.base.Num("fall multiple") != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
-		t.Errorf("%v; %v", terms, g.closed)
-	}
-	call := pick.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
-	v := pick.Verdict{Kind: pick.Satisfied}
-	if !g.May(call, 500) || g.May(pick.Act{Way: way, Index: "any", Server: 2}, 500) || g.Answer(call, v, 0.6, true, 500).Kind != pick.Satisfied {
+	way, settings := g.Acts(1)
+	if settings.Class("any").MinShare != 0.6 || settings.Class("any").CompleteShare != 0.75 || settings.RetryBudgetFloor != 4 || settings.RetryBudgetRatio != 0.1 || settings.OverloadMultiple != 1.5 || !settings.HedgingAllowed ||
+		g.base.OverloadMultiple != 3 || g.Turns(1) != 0.5 || g.Turns(2) != 1 || g.Closed(1) || !g.Closed(2) {
+		t.Errorf("%v; %v", settings, g.closed)
+	}
+	call := dispatch.Act{Way: way, Index: "any", Server: 1, Again: true, Copy: true, Further: true}
+	v := dispatch.Verdict{Kind: dispatch.Satisfied}
+	if !g.May(call, 500) || g.May(dispatch.Act{Way: way, Index: "any", Server: 2}, 500) || g.Answer(call, v, 0.6, true, 500).Kind != dispatch.Satisfied {
 		t.Error("under the lease")
 	}
 	*now = 1000
-	for _, a := range []pick.Act{{Copy: true}, {Again: true}, {Further: true}} {
+	for _, a := range []dispatch.Act{{Copy: true}, {Again: true}, {Further: true}} {
 		a.Way, a.Index, a.Server = way, "any", 9
 		if g.May(a, 1000) {
 			t.Errorf("%+v goes after the lease", a)
 		}
 	}
-	if !g.May(pick.Act{Way: way, Index: "any", Server: 9}, 1000) || g.May(pick.Act{Way: way, Index: "any", Server: 1}, 1000) {
+	if !g.May(dispatch.Act{Way: way, Index: "any", Server: 9}, 1000) || g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1000) {
 		t.Error("a first call goes, but not to a host that the floor closes")
 	}
 	for _, c := range []struct {
-		v     pick.Verdict
+		v     dispatch.Verdict
 		share float64
 		ran   bool
-		want  pick.Kind
-	}{{v, 0.6, true, pick.Aborted}, {v, 0.95, true, pick.Satisfied}, {pick.Verdict{Kind: pick.Nacked}, 0, true, pick.Aborted}, {pick.Verdict{Kind: pick.Nacked}, 0, false, pick.Nacked}} {
+		want  dispatch.Kind
+	}{{v, 0.6, true, dispatch.Aborted}, {v, 0.95, true, dispatch.Satisfied}, {dispatch.Verdict{Kind: dispatch.Nacked}, 0, true, dispatch.Aborted}, {dispatch.Verdict{Kind: dispatch.Nacked}, 0, false, dispatch.Nacked}} {
 		if got := g.Answer(call, c.v, c.share, c.ran, 1000).Kind; got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
@@ -234,10 +240,10 @@
 
 // BenchmarkMay is what a part call's first byte costs more where a policy is followed.
 func BenchmarkMay(b *testing.B) {
-	g := NewGovernor(gather.Terms{"indexes": []string{"any"}}, nil, policy.Fence{}, func() float64 { return 0 }, func() {})
+	g := NewGovernor(&gather.Settings{Classes: []gather.Class{{Name: "any"}}}, nil, policy.Fence{}, func() float64 { return 0 }, func() {})
 	g.hear(0, policy.Word{Epoch: 1, Last: 1, Lease: 1e9})
 	way, _ := g.Acts(0)
 	for b.Loop() {
-		g.May(pick.Act{Way: way, Index: "any", Server: 1}, 1)
+		g.May(dispatch.Act{Way: way, Index: "any", Server: 1}, 1)
 	}
 }
--- a/internal/steward/http.go
+++ b/internal/control/policyserver/http.go
@@ -1,4 +1,4 @@
-package steward
+package policyserver
 
 import (
 	"encoding/json"
@@ -9,7 +9,7 @@
 
 	"github.com/hashicorp/raft"
 
-	wire "yokeroute/internal/policy"
+	wire "yokeroute/internal/control/policyclient"
 	"yokeroute/logic/policy"
 )
 
--- a/internal/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/proc"
-	"yokeroute/internal/report"
-	"yokeroute/internal/state"
+	"yokeroute/internal/gatherer/report"
+	"yokeroute/internal/process"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
 
@@ -89,7 +89,7 @@
 // writeFolder has a controller with a clock that stands write a rollout's folder.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
-	own, err := state.OpenRun(folder, false)
+	own, err := statedir.OpenRun(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := state.Say(folder, "stop", 1796168075012746801); err != nil {
+	if err := statedir.Say(folder, "stop", 1796168075012746801); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -182,7 +182,7 @@
 			t.Errorf("record %d reads %q, want %q", i, line, keptLines[i])
 		}
 	}
-	own, err := state.OpenRun(folder, false)
+	own, err := statedir.OpenRun(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -225,7 +225,7 @@
 	if err := (commands{p}).note(1, pid); err != nil {
 		t.Fatal(err)
 	}
-	want := fmt.Sprintf("%d %s\n", pid, proc.Started(pid))
+	want := fmt.Sprintf("%d %s\n", pid, process.Started(pid))
 	for name, text := range folderFiles(t, p.Folder) {
 		if name != "run/g1.pid" && name != "run/g2.step" || string(text) != want {
 			t.Errorf("%s: %q, want %q", name, text, want)
@@ -246,7 +246,7 @@
 		}
 		asked = append(asked, r.Method+" "+r.URL.RequestURI()+" "+string(body))
 		if r.Method == http.MethodGet {
-			text, err := os.ReadFile(filepath.Join("..", "report", "testdata", "kept", "marked.json"))
+			text, err := os.ReadFile(filepath.Join("..", "..", "gatherer", "report", "testdata", "kept", "marked.json"))
 			if err != nil {
 				t.Error(err)
 			}
--- a/internal/pick/owned.go
+++ b/internal/gatherer/dispatch/owned.go
@@ -1,24 +1,23 @@
-package pick
+package dispatch
 
 import (
-	"maps"
 	"slices"
 
 	"yokeroute/gather"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // piece is what the module holds in the place of a part where a map says who owns which keys: the part, or some of
 // its keys.
 type piece struct {
-	owners.Held
+	ownership.Held
 	gone bool // others have taken its place
 }
 
 // owned is what the facade knows of who owns which keys.
 type owned struct {
-	owners.Follower
-	index  *owners.Index
+	ownership.Follower
+	index  *ownership.Index
 	shards int
 	hosts  map[uint32]string // names of servers
 	holds  map[string][]int
@@ -29,14 +28,14 @@
 // Segments has lookups sent to who owns their keys, by maps that are handed in: of so many segments at most, shards
 // being so many. The terms of the module have to be those of OwnedTerms. It has to be called before the first Tick.
 func (p *Picker) Segments(most, shards int) {
-	p.owned = &owned{index: owners.NewIndex(most), shards: shards, hosts: map[uint32]string{}, behind: make(chan struct{}, 1)}
+	p.owned = &owned{index: ownership.NewIndex(most), shards: shards, hosts: map[uint32]string{}, behind: make(chan struct{}, 1)}
 }
 
 // OwnedTerms are a module's terms where so many segments can be owned: each is a group of its own, and its writer
 // another one.
-func OwnedTerms(terms gather.Terms, most int) gather.Terms {
-	t := maps.Clone(terms)
-	t["groups"], t["groups in a row"] = float64(owners.NewIndex(most).Nowhere()+1), 1.0
+func OwnedTerms(settings *gather.Settings, most int) *gather.Settings {
+	t := settings.Clone()
+	t.ReplicaSets, t.ReplicaSetsPerShard = ownership.NewIndex(most).Nowhere()+1, 1
 	return t
 }
 
@@ -45,17 +44,17 @@
 
 // news of the map: a change, or a whole one.
 type mapNews struct {
-	change owners.Change
-	whole  *owners.Map
+	change ownership.Change
+	whole  *ownership.Map
 }
 
 // ChangeMap hands in a change of the map.
-func (p *Picker) ChangeMap(c owners.Change) {
+func (p *Picker) ChangeMap(c ownership.Change) {
 	p.tell(func(in *inbox) { in.maps = append(in.maps, mapNews{change: c}) })
 }
 
 // SetMap hands in a whole map.
-func (p *Picker) SetMap(m *owners.Map) {
+func (p *Picker) SetMap(m *ownership.Map) {
 	p.tell(func(in *inbox) { in.maps = append(in.maps, mapNews{whole: m}) })
 }
 
@@ -66,7 +65,7 @@
 
 // Map is the newest map known and whether sources contradict each other. It is for tests and for who looks on, on the
 // goroutine that calls Tick.
-func (p *Picker) Map() (m *owners.Map, doubt bool) { return p.owned.Map, p.owned.Doubt > 0 }
+func (p *Picker) Map() (m *ownership.Map, doubt bool) { return p.owned.Map, p.owned.Doubt > 0 }
 
 func (o *owned) ask() {
 	select {
@@ -80,7 +79,7 @@
 	o := p.owned
 	news := false
 	for _, n := range in.maps {
-		verdict, err := owners.Verdict(""), error(nil)
+		verdict, err := ownership.Verdict(""), error(nil)
 		if n.whole != nil {
 			verdict, err = o.Reset(n.whole)
 		} else {
@@ -88,7 +87,7 @@
 		}
 		log := p.log.WithField("verdict", string(verdict))
 		switch verdict {
-		case owners.Applied:
+		case ownership.Applied:
 			news = true
 			log.WithField("epoch", o.Follower.Map.Epoch).Info("map of segments: a new epoch")
 			if p.ledger != nil {
@@ -96,14 +95,14 @@
 					p.log.WithError(err).Error("the map of segments could not be written down")
 				}
 			}
-		case owners.Contradicts:
+		case ownership.Contradicts:
 			news = true
 			log.WithError(err).Error("map of segments: sources contradict each other; once-only lookups wait for a later map")
 			o.ask()
-		case owners.Garbled:
+		case ownership.Garbled:
 			log.WithError(err).Warn("map of segments: news that makes no sense; the map is asked for whole")
 			o.ask()
-		case owners.Skipped:
+		case ownership.Skipped:
 			log.Debug("map of segments: asked for whole")
 			o.ask()
 		}
@@ -124,22 +123,22 @@
 		o.holds = o.index.Holds(o.Follower.Map)
 	}
 	if news || in.names != nil {
-		all := gather.List{}
+		all := gather.EndpointList{}
 		for _, id := range p.ids {
-			all.Servers = append(all.Servers, p.servers[id])
+			all.Endpoints = append(all.Endpoints, p.servers[id])
 		}
-		in.Lists = append(in.Lists, all)
+		in.EndpointLists = append(in.EndpointLists, all)
 	}
-	for i := range in.Lists {
-		l := &in.Lists[i]
-		servers := make([]gather.Server, len(l.Servers)) // a list may be another's as well
-		for j, s := range l.Servers {
-			if s.Holds = o.holds[o.hosts[s.ID]]; s.Holds == nil {
-				s.Holds = []int{}
+	for i := range in.EndpointLists {
+		l := &in.EndpointLists[i]
+		servers := make([]gather.Endpoint, len(l.Endpoints)) // a list may be another's as well
+		for j, s := range l.Endpoints {
+			if s.ReplicaSets = o.holds[o.hosts[s.ID]]; s.ReplicaSets == nil {
+				s.ReplicaSets = []int{}
 			}
 			servers[j] = s
 		}
-		l.Servers = servers
+		l.Endpoints = servers
 	}
 	return news
 }
@@ -147,13 +146,13 @@
 // cut parts a lookup into pieces and hands it to the module.
 func (p *Picker) cut(in *gather.Round, lk *Lookup) {
 	o := p.owned
-	ranges, weights := make([]owners.Range, len(lk.Parts)), make([]float64, len(lk.Parts))
+	ranges, weights := make([]ownership.Range, len(lk.Parts)), make([]float64, len(lk.Parts))
 	for i, pt := range lk.Parts {
-		ranges[i], weights[i] = owners.Slot(pt.Shard, o.shards), pt.Weight
+		ranges[i], weights[i] = ownership.Slot(pt.Shard, o.shards), pt.Weight
 	}
 	m := o.Follower.Map
 	if m == nil {
-		m = &owners.Map{} // nobody owns anything that we know of
+		m = &ownership.Map{} // nobody owns anything that we know of
 	}
 	lk.pieces = make([]piece, 0, len(lk.Parts))
 	lk.values, lk.calls = lk.values[:0], lk.calls[:0]
@@ -162,12 +161,14 @@
 	}
 }
 
-func (p *Picker) onceOnly(lk *Lookup) bool { return p.terms.Text(lk.Index+"/effect") == "once-only" }
+func (p *Picker) onceOnly(lk *Lookup) bool {
+	return p.settings.Class(lk.Index).Effect == gather.NonIdempotent
+}
 
 // add hands one piece to the module.
-func (p *Picker) add(in *gather.Round, lk *Lookup, f owners.Fresh) {
+func (p *Picker) add(in *gather.Round, lk *Lookup, f ownership.Fresh) {
 	o := p.owned
-	h := owners.Held{Part: f.Part, Range: f.Range, Weight: f.Weight, Called: f.Again, Parked: f.Parked}
+	h := ownership.Held{Part: f.Part, Range: f.Range, Weight: f.Weight, Called: f.Again, Parked: f.Parked}
 	group := o.index.Nowhere()
 	if o.Follower.Map != nil {
 		h.Since = o.Follower.Map.Epoch
@@ -176,7 +177,7 @@
 		s := &o.Follower.Map.Segments[f.Segment]
 		h.Segment, h.Since = s.Name, s.Since
 		all, writer := o.index.Groups(s.Name)
-		if group = all; p.terms.Text(lk.Index+"/effect") != "idempotent" {
+		if group = all; p.settings.Class(lk.Index).Effect != gather.Idempotent {
 			group = writer
 		}
 	}
@@ -189,7 +190,7 @@
 	lk.values, lk.calls = append(lk.values, nil), append(lk.calls, nil)
 	pt := &lk.Parts[f.Part]
 	share := f.Weight / max(pt.Weight, 1e-9)
-	in.Parts = append(in.Parts, gather.Part{ID: h.ID, Number: lk.ref, Shard: group, Weight: f.Weight, Cost: pt.Cost * share, Key: pt.Key, Again: f.Again})
+	in.Requests = append(in.Requests, gather.ShardRequest{ID: h.ID, Number: lk.ref, Shard: group, Weight: f.Weight, Cost: pt.Cost * share, Key: pt.Key, Retry: f.Again})
 }
 
 // rehome gives the pieces of held lookups to who owns them now, where the map is new or pieces are put aside or
@@ -208,7 +209,7 @@
 	o.parked = 0
 	for _, ref := range refs {
 		lk := p.lookups[ref]
-		held := make([]owners.Held, 0, len(lk.pieces))
+		held := make([]ownership.Held, 0, len(lk.pieces))
 		for i := range lk.pieces {
 			if !lk.pieces[i].gone {
 				held = append(held, lk.pieces[i].Held)
@@ -219,7 +220,7 @@
 			lk.pieces[p.parts[id].part].gone = true
 			delete(p.parts, id)
 		}
-		in.Retired = append(in.Retired, retired...)
+		in.Superseded = append(in.Superseded, retired...)
 		for _, f := range fresh {
 			p.add(in, lk, f)
 		}
@@ -240,12 +241,12 @@
 	pc := &e.call.lk.pieces[e.call.part]
 	pc.Out--
 	switch {
-	case e.outcome == gather.Answered:
+	case e.outcome == gather.Succeeded:
 		pc.In = true
-	case e.outcome == gather.Moved:
+	case e.outcome == gather.NotOwner:
 		pc.Refused = true
 		p.refused = append(p.refused, pc.ID)
-	case !e.outcome.Unrun():
+	case !e.outcome.NeverExecuted():
 		pc.MayRun = true
 	}
 	if e.call.Begun() {
@@ -255,7 +256,7 @@
 
 // Keys are the keys that a call asks for, the segment that has them and since which epoch; ok is false where no map
 // says who owns what.
-func (c *Call) Keys() (keys owners.Range, segment string, since uint64, ok bool) {
+func (c *Call) Keys() (keys ownership.Range, segment string, since uint64, ok bool) {
 	return c.keys, c.segment, c.since, c.owned
 }
 
--- a/internal/pick/owned_test.go
+++ b/internal/gatherer/dispatch/owned_test.go
@@ -1,4 +1,4 @@
-package pick
+package dispatch
 
 import (
 	"errors"
@@ -8,26 +8,24 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
-	"yokeroute/logic/owners"
+	"yokeroute/logic/ownership"
 )
 
 // Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the rest.
-func newOwned(t *testing.T, change gather.Terms) (*Picker, *owners.Map) {
-	if change == nil {
-		change = gather.Terms{}
-	}
-	for name, value := range map[string]any{"any/whole from": 1.0, "any/least share": 1.0, "any/soft deadline": 400.0, "all/soft deadline": 400.0, "all/whole from": 1.0, "all/least share": 1.0,
-		"budget span": 2000.0, "budget free": 20.0, "budget share": 0.05, "call off": true} {
-		if change[name] == nil {
-			change[name] = value
+func newOwned(t *testing.T, change func(s *gather.Settings)) (*Picker, *ownership.Map) {
+	p := newPicker(t, func(s *gather.Settings) {
+		for _, name := range []string{"any", "all"} {
+			class := s.FindClass(name)
+			class.CompleteShare, class.MinShare, class.LatencyObjective = 1, 1, 400
 		}
-	}
-	p := newPicker(t, OwnedTerms(change, 16))
-	for name, value := range OwnedTerms(p.terms, 16) {
-		p.terms[name] = value
-	}
+		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio, s.CancelAllowed = 2000, 20, 0.05, true
+		if change != nil {
+			change(s)
+		}
+		*s = *OwnedTerms(s, 16)
+	})
 	p.Segments(16, 4)
-	p.module = p.build(5, p.terms)
+	p.module = p.build(5, p.settings)
 	p.clock = func() float64 { return p.ranAt + 4 }
 	names := map[uint32]string{}
 	for i := range uint32(6) {
@@ -35,8 +33,8 @@
 	}
 	p.Names(names)
 	half := uint64(1) << 63
-	m, err := owners.First(1, []owners.Segment{{Name: "s0", Range: owners.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
-		{Name: "s1", Range: owners.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
+	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
+		{Name: "s1", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -53,7 +51,7 @@
 	return lk, p.round(now).Calls
 }
 
-func must(t *testing.T, c owners.Change, err error) owners.Change {
+func must(t *testing.T, c ownership.Change, err error) ownership.Change {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -62,7 +60,7 @@
 }
 
 // follow applies a change to a map and hands it in.
-func follow(t *testing.T, p *Picker, m *owners.Map, c owners.Change, err error) *owners.Map {
+func follow(t *testing.T, p *Picker, m *ownership.Map, c ownership.Change, err error) *ownership.Map {
 	t.Helper()
 	next, wrong := m.Apply(must(t, c, err))
 	if wrong != nil {
@@ -75,24 +73,24 @@
 // covered reports whether hits cover all keys of a lookup's parts, none twice.
 func covered(lk *Lookup, hits []Hit) error {
 	for _, pt := range lk.Parts {
-		var got []owners.Range
+		var got []ownership.Range
 		for _, h := range hits {
 			if h.Shard != pt.Shard {
 				continue
 			}
-			r := owners.Slot(pt.Shard, 4)
+			r := ownership.Slot(pt.Shard, 4)
 			if h.Keys != nil {
 				r = *h.Keys
 			}
 			got = append(got, r)
 		}
-		slices.SortFunc(got, func(a, b owners.Range) int {
+		slices.SortFunc(got, func(a, b ownership.Range) int {
 			if a.Lo < b.Lo {
 				return -1
 			}
 			return 1
 		})
-		want := owners.Slot(pt.Shard, 4)
+		want := ownership.Slot(pt.Shard, 4)
 		from := want.Lo
 		for i, r := range got {
 			if r.Lo != from {
@@ -111,7 +109,7 @@
 
 func answerAll(p *Picker, calls []*Call) {
 	for _, c := range calls {
-		p.Report(c, gather.Answered, []byte("x"))
+		p.Report(c, gather.Succeeded, []byte("x"))
 	}
 }
 
@@ -158,9 +156,9 @@
 			t.Fatal("sent again while a call is out")
 		}
 		if refused {
-			p.Report(calls[0], gather.Moved, nil)
+			p.Report(calls[0], gather.NotOwner, nil)
 		} else {
-			p.Report(calls[0], gather.Cut, nil)
+			p.Report(calls[0], gather.ConnectionReset, nil)
 		}
 		var again []*Call
 		for now := 1020.0; now < 1600; now += 5 {
@@ -189,7 +187,7 @@
 		lk := lookup("any", 2, 3000)
 		lk.ID = "a"
 		p.admit(lk)
-		at := owners.Slot(0, 4).Lo + owners.Slot(0, 4).Hi/4
+		at := ownership.Slot(0, 4).Lo + ownership.Slot(0, 4).Hi/4
 		split, err := m.Split("s0", at, "l", "r")
 		var calls []*Call
 		if when == "before sending" {
@@ -211,9 +209,9 @@
 		}
 		for _, c := range calls {
 			if when == "while out, refused" {
-				p.Report(c, gather.Moved, nil)
+				p.Report(c, gather.NotOwner, nil)
 			} else {
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 		for now := 1020.0; now < 1100; now += 5 {
@@ -221,7 +219,7 @@
 				if keys, segment, since, _ := c.Keys(); segment == "s0" || since != 2 && since != 3 {
 					t.Errorf("%s: %s of %s since %d", when, keys.Text(), segment, since)
 				}
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			}
 		}
 		v, done := told(lk)
@@ -238,7 +236,10 @@
 // in part is, with what is in; both go on when the range is owned again.
 func TestUnowned(t *testing.T) {
 	for _, back := range []bool{false, true} {
-		p, m := newOwned(t, gather.Terms{"any/least share": 0.4, "any/partial earns": 0.8})
+		p, m := newOwned(t, func(s *gather.Settings) {
+			s.FindClass("any").MinShare = 0.4
+			s.FindClass("any").PartialValue = 0.8
+		})
 		c, err := m.Move("s1", nil)
 		m = follow(t, p, m, c, err)
 		lk, calls := take(p, 1010, "any", "a", 4)
@@ -274,8 +275,11 @@
 
 // TestMergeAnyN: segments merge under an any-n lookup that is under way; n goes by keys, each of which counts once.
 func TestMergeAnyN(t *testing.T) {
-	p, m := newOwned(t, gather.Terms{"any/whole from": 0.75, "any/least share": 0.75})
-	split, err := m.Split("s0", owners.Slot(1, 4).Lo, "l", "r")
+	p, m := newOwned(t, func(s *gather.Settings) {
+		s.FindClass("any").CompleteShare = 0.75
+		s.FindClass("any").MinShare = 0.75
+	})
+	split, err := m.Split("s0", ownership.Slot(1, 4).Lo, "l", "r")
 	m = follow(t, p, m, split, err)
 	p.round(1005)
 	lk, calls := take(p, 1010, "any", "a", 4)
@@ -287,9 +291,9 @@
 	p.round(1015)
 	for i, c := range calls {
 		if i == 0 {
-			p.Report(c, gather.Moved, nil) // its host has merged already
+			p.Report(c, gather.NotOwner, nil) // its host has merged already
 		} else {
-			p.Report(c, gather.Answered, []byte("x"))
+			p.Report(c, gather.Succeeded, []byte("x"))
 		}
 	}
 	for now := 1020.0; now < 1200; now += 5 {
@@ -310,7 +314,10 @@
 
 // TestRefusalsInBudget: calls that go again after a refusal are further ones, and no window holds more than allowed.
 func TestRefusalsInBudget(t *testing.T) {
-	p, m := newOwned(t, gather.Terms{"budget free": 3.0, "budget share": 0.0})
+	p, m := newOwned(t, func(s *gather.Settings) {
+		s.RetryBudgetFloor = 3.0
+		s.RetryBudgetRatio = 0.0
+	})
 	var lks []*Lookup
 	var calls []*Call
 	for i := range 6 {
@@ -322,7 +329,7 @@
 	c, err := m.Move("s0", []string{"h4"})
 	follow(t, p, m, c, err)
 	for _, c := range calls {
-		p.Report(c, gather.Moved, nil)
+		p.Report(c, gather.NotOwner, nil)
 	}
 	further := 0
 	for now := 1045.0; now < 1400; now += 5 {
@@ -330,9 +337,9 @@
 			if c.Begin() {
 				further++
 				c.End()
-				p.Report(c, gather.Answered, []byte("x"))
+				p.Report(c, gather.Succeeded, []byte("x"))
 			} else {
-				p.Report(c, gather.Stale, nil)
+				p.Report(c, gather.NotSent, nil)
 			}
 		}
 	}
@@ -355,10 +362,10 @@
 func TestDrainInHandover(t *testing.T) {
 	p, m := newOwned(t, nil)
 	lk, calls := take(p, 1010, "any", "a", 1)
-	p.Follow(gather.List{Servers: []gather.Server{{ID: 14, State: gather.Draining}}})
+	p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}}})
 	c, err := m.Move("s0", []string{"h4"})
 	m = follow(t, p, m, c, err)
-	p.Report(calls[0], gather.Moved, nil)
+	p.Report(calls[0], gather.NotOwner, nil)
 	for now := 1015.0; now < 1100; now += 5 {
 		if o := p.round(now); len(o.Calls) > 0 {
 			t.Fatalf("a call to server %d, which drains", o.Calls[0].Server)
@@ -419,7 +426,7 @@
 // is never asked for again where an earlier call may have run, nor nacked; each lookup has one answer.
 func TestMovingMap(t *testing.T) {
 	for seed := range uint64(8) {
-		p, m := newOwned(t, gather.Terms{"budget free": 1000.0})
+		p, m := newOwned(t, func(s *gather.Settings) { s.RetryBudgetFloor = 1000.0 })
 		chance := pcg.New(seed)
 		draw := func(n int) int { return int(chance.Uint32() % uint32(n)) }
 		type out struct {
@@ -427,13 +434,13 @@
 			at float64
 		}
 		type asked struct {
-			keys   owners.Range
+			keys   ownership.Range
 			mayRun bool
 		}
 		var outs []out
 		held := map[*Lookup][]*asked{}
 		truth := m // what hosts go by
-		var told1 []owners.Change
+		var told1 []ownership.Change
 		landed, ends, whole, moves, name := 0, 0, 0, 0, 0
 		for now := 1010.0; now < 13000; now += 5 {
 			if chance.Float64() < 0.12 && now < 11000 {
@@ -444,7 +451,7 @@
 					}
 				}
 				s := truth.Segments[i]
-				var c owners.Change
+				var c ownership.Change
 				err := errors.New("none")
 				name++
 				kind := draw(4)
@@ -509,24 +516,24 @@
 				switch {
 				case !owns:
 					a.mayRun = false
-					p.Report(o.c, gather.Moved, nil)
+					p.Report(o.c, gather.NotOwner, nil)
 				case chance.Float64() < 0.04:
-					p.Report(o.c, []gather.Outcome{gather.Cut, gather.Erred, gather.TimedOut}[draw(3)], nil)
+					p.Report(o.c, []gather.Outcome{gather.ConnectionReset, gather.Failed, gather.TimedOut}[draw(3)], nil)
 				case chance.Float64() < 0.04:
 					a.mayRun = false
-					p.Report(o.c, gather.Full, nil)
+					p.Report(o.c, gather.Rejected, nil)
 				default:
-					p.Report(o.c, gather.Answered, []byte("x"))
+					p.Report(o.c, gather.Succeeded, []byte("x"))
 				}
 			}
 			outs = rest
 			o := p.round(now)
 			for _, c := range o.Off {
-				p.Report(c, gather.CalledOff, nil)
+				p.Report(c, gather.Cancelled, nil)
 			}
 			for _, c := range o.Calls {
 				if !c.Begin() {
-					p.Report(c, gather.Stale, nil)
+					p.Report(c, gather.NotSent, nil)
 					continue
 				}
 				c.End()
--- a/internal/pick/pick_test.go
+++ b/internal/gatherer/dispatch/pick_test.go
@@ -1,4 +1,4 @@
-package pick
+package dispatch
 
 import (
 	"bufio"
@@ -13,29 +13,29 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
+	"yokeroute/internal/config/settings"
 	"yokeroute/internal/simwire"
-	"yokeroute/internal/terms"
 )
 
-const settings = `{"balancers":2,"tick":5000,"classes":[{"name":"any","effect":"pure","goalTime":1000000,"hardLimit":3000000,` +
+const settingsText = `{"balancers":2,"tick":5000,"classes":[{"name":"any","effect":"pure","goalTime":1000000,"hardLimit":3000000,` +
 	`"lateValue":0.1},{"name":"all","effect":"side_effect","goalTime":1000000,"hardLimit":3000000}],` +
 	`"domain":{"cells":2,"inARow":1,"call":27000,"partsACall":16,"classFloor":[0.5,1],"completeFrom":[0.5,1]},` +
 	`"limits":{"attemptsCap":3,"cancel":true,"secondCopies":true,"maxRetryAfter":1000000,"retryAfter":true}}`
 
-func newPicker(t *testing.T, change gather.Terms) *Picker {
-	of, err := terms.Read([]byte(settings))
+func newPicker(t *testing.T, change func(s *gather.Settings)) *Picker {
+	of, err := settings.Read([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, value := range change {
-		of[name] = value
+	if change != nil {
+		change(of)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	p := New(5, of, log)
-	list := gather.List{Full: true}
+	list := gather.EndpointList{Full: true}
 	for i := range uint32(6) {
-		list.Servers = append(list.Servers, gather.Server{ID: 10 + i, Group: int(i % 2)})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: 10 + i, ReplicaSet: int(i % 2)})
 	}
 	p.Follow(list)
 	return p
@@ -63,7 +63,7 @@
 		c       *Call
 		outcome gather.Outcome
 	}
-	verdicts := map[gather.Outcome]string{gather.Answered: "pass", gather.Erred: "fault", gather.CalledOff: "undone"}
+	verdicts := map[gather.Outcome]string{gather.Succeeded: "pass", gather.Failed: "fault", gather.Cancelled: "undone"}
 	var waiting []answer
 	held := map[*Lookup]bool{}
 	var last *Lookup
@@ -73,7 +73,7 @@
 		var batch strings.Builder
 		fmt.Fprintf(&batch, `{"cmd":"BeginBatch","now":%.0f,"batch":1}`+"\n", now*1000)
 		if step == 0 {
-			batch.WriteString(`{"cmd":"Hello","gathererId":0,"initSeed":5,"info":` + settings + "}\n" + `{"cmd":"DefineList","sheet":0,"members":[`)
+			batch.WriteString(`{"cmd":"Hello","gathererId":0,"initSeed":5,"info":` + settingsText + "}\n" + `{"cmd":"DefineList","sheet":0,"members":[`)
 			for i := range 6 {
 				fmt.Fprintf(&batch, `%.*s{"setNo":%d,"server":%d,"condition":"Running"}`, min(i, 1), ",", i%2, 10+i)
 			}
@@ -83,7 +83,7 @@
 			if a.at <= now && !a.c.told.Load() {
 				p.Report(a.c, a.outcome, []byte("v"))
 				fmt.Fprintf(&batch, `{"cmd":"ClosedAttempt","gathererId":0,"ref":%d,"server":%d,"verdict":%q,"sendNo":%d,"closed":%t}`+"\n",
-					a.c.lk.ref+1+uint64(a.c.part), a.c.Server, verdicts[a.outcome], a.c.number, a.outcome == gather.Answered)
+					a.c.lk.ref+1+uint64(a.c.part), a.c.Server, verdicts[a.outcome], a.c.number, a.outcome == gather.Succeeded)
 			}
 			return a.at <= now
 		})
@@ -98,7 +98,7 @@
 		}
 		if step%12 == 3 && held[last] { // its client goes away
 			delete(held, last)
-			p.tell(func(in *inbox) { in.Left = append(in.Left, last.ref) })
+			p.tell(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.ref) })
 			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", last.ref)
 		}
 		fmt.Fprintln(&batch, `{"cmd":"DeadlineHit","gathererId":0}`+"\n"+`{"cmd":"YourTurn"}`)
@@ -118,14 +118,14 @@
 			switch c.Server {
 			case 12: // says nothing
 			case 13:
-				waiting = append(waiting, answer{now + 5, c, gather.Erred})
+				waiting = append(waiting, answer{now + 5, c, gather.Failed})
 			default:
-				waiting = append(waiting, answer{now + 20 + float64(c.Server), c, gather.Answered})
+				waiting = append(waiting, answer{now + 20 + float64(c.Server), c, gather.Succeeded})
 			}
 		}
 		for _, c := range orders.Off {
 			facade = append(facade, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`, c.lk.ref+1+uint64(c.part), c.number))
-			waiting = append(waiting, answer{now + 5, c, gather.CalledOff})
+			waiting = append(waiting, answer{now + 5, c, gather.Cancelled})
 		}
 		for lk := range held {
 			select {
@@ -222,13 +222,13 @@
 		t.Errorf("%d of %d calls given up", len(off), len(calls))
 	}
 	for _, c := range off {
-		p.Report(c, gather.CalledOff, nil)
+		p.Report(c, gather.Cancelled, nil)
 	}
 	tick(t, p)
 	done = pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
 	c := tick(t, p).Calls[0]
-	p.Report(c, gather.Answered, []byte("v"))
-	p.Report(c, gather.Cut, nil) // only the first counts
+	p.Report(c, gather.Succeeded, []byte("v"))
+	p.Report(c, gather.ConnectionReset, nil) // only the first counts
 	tick(t, p)
 	if v := <-done; v.Kind != Satisfied || len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
 		t.Errorf("verdict %+v", v)
@@ -244,7 +244,7 @@
 	to := func() uint32 {
 		pickOf(t.Context(), p, lookup("all", 1, p.Now()+2000))
 		c := tick(t, p).Calls[0]
-		p.Report(c, gather.Answered, []byte("v"))
+		p.Report(c, gather.Succeeded, []byte("v"))
 		tick(t, p)
 		return c.Server
 	}
@@ -294,7 +294,7 @@
 
 // TestMostHeld keeps the platform's limit on what is held at once, and frees what has ended.
 func TestMostHeld(t *testing.T) {
-	p := newPicker(t, gather.Terms{"most held": 5.0})
+	p := newPicker(t, func(s *gather.Settings) { s.MaxOpenRequests = 5 })
 	tick(t, p)
 	ctx, leave := context.WithCancel(t.Context())
 	done := pickOf(ctx, p, lookup("all", 3, p.Now()+2000))
@@ -334,11 +334,11 @@
 	p := newPicker(t, nil)
 	p.round(1000)
 	for i := range uint32(2000) {
-		p.Follow(gather.List{Servers: []gather.Server{{ID: 100 + i}, {ID: 99 + i, State: gather.Gone}}})
+		p.Follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
 		lk := lookup("any", 2, 1000+float64(i)*5+1000)
 		p.admit(lk)
 		for _, c := range p.round(1000 + float64(i)*5).Calls {
-			p.Report(c, gather.Answered, []byte("v"))
+			p.Report(c, gather.Succeeded, []byte("v"))
 		}
 	}
 	p.round(1000 + 2001*5)
--- a/internal/pick/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -1,10 +1,10 @@
-package pick
+package dispatch
 
 import (
 	"sync"
 
 	"yokeroute/gather"
-	"yokeroute/internal/order"
+	"yokeroute/internal/stats"
 )
 
 // retryBudget keeps the budget of further part calls at the moment that counts. The module counts a call when it decides on
@@ -21,21 +21,21 @@
 const rounding = 1.0
 
 // newRetryBudget is nil where the terms tell no budget: the module keeps one of its own then, which is no rule.
-func newRetryBudget(terms gather.Terms) *retryBudget {
-	if terms.Num("budget span") == 0 {
+func newRetryBudget(settings *gather.Settings) *retryBudget {
+	if settings.RetryBudgetWindow == 0 {
 		return nil
 	}
-	return &retryBudget{span: terms.Num("budget span"), free: terms.Num("budget free"), share: terms.Num("budget share")}
+	return &retryBudget{span: settings.RetryBudgetWindow, free: settings.RetryBudgetFloor, share: settings.RetryBudgetRatio}
 }
 
 // set takes over other figures; what was booked stays booked.
-func (g *retryBudget) set(terms gather.Terms) {
+func (g *retryBudget) set(settings *gather.Settings) {
 	if g == nil {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.free, g.share = terms.Num("budget free"), terms.Num("budget share")
+	g.free, g.share = settings.RetryBudgetFloor, settings.RetryBudgetRatio
 }
 
 // take notes a lookup taken, with its parts.
@@ -45,7 +45,7 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.taken = order.From(g.taken, now-g.span)
+	g.taken = stats.From(g.taken, now-g.span)
 	for range n {
 		g.taken = append(g.taken, now)
 	}
@@ -58,8 +58,8 @@
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.further = order.From(g.further, now-g.span-rounding)
-	if float64(len(g.further)+1) > g.free+g.share*float64(len(order.From(g.taken, now-g.span+rounding))) {
+	g.further = stats.From(g.further, now-g.span-rounding)
+	if float64(len(g.further)+1) > g.free+g.share*float64(len(stats.From(g.taken, now-g.span+rounding))) {
 		return false
 	}
 	g.further = append(g.further, now)
--- a/internal/service/migrated_test.go
+++ b/internal/gatherer/service/migrated_test.go
@@ -7,10 +7,10 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/experiment"
-	"yokeroute/internal/migrate"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/config/migrate"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // TestMigrated moves a configuration to a fleet whose servers tell their load only when asked, whose list is asked
@@ -25,7 +25,7 @@
 		if err := os.WriteFile(old, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		moved, err := migrate.Move(old, "../../examples/fleets/probed.json")
+		moved, err := migrate.Move(old, "../../../examples/fleets/probed.json")
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/shardcall/agree_test.go
+++ b/internal/gatherer/shardcall/agree_test.go
@@ -6,15 +6,15 @@
 	"time"
 
 	"yokeroute/gather"
-	"yokeroute/internal/standin"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/testbed/standin"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // TestAgree wants each process of a server asked once, on a connection of its own, and again when it has started
 // anew or could not be reached; one that does not know the question is none that answers first passes.
 func TestAgree(t *testing.T) {
 	found := make(chan string, 10)
-	p := New(gather.Terms{"connect time-out": 1000.0}, 100, nil, quiet())
+	p := New(&gather.Settings{ConnectTimeout: 1000.0}, 100, nil, quiet())
 	p.Agree(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
 	p.again = 10 * time.Millisecond
 	start := func(brief float64) *shards.Server {
--- a/internal/shardcall/crossings_test.go
+++ b/internal/gatherer/shardcall/crossings_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/standin"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/testbed/standin"
 )
 
 // What comes between the decision on a part call and its bytes: each forced by a server that reads no further, or by a
@@ -42,15 +42,18 @@
 // is gone or is missing from the list. Nothing of the frame may go once it reads again; the call never ran.
 func TestDrainWhileWriting(t *testing.T) {
 	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Draining}},
-		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Gone}}, "missing": nil} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"drain grace": 100.0, "i/effect": "idempotent"})
+		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.DrainGrace = 100.0
+			s.FindClass("i").Effect = gather.Idempotent
+		})
 		theirs := d.pipe()
 		d.ask(t.Context(), "a", 1, 60000)
 		d.writing(t)
 		d.Follow(word)
 		select {
 		case r := <-d.reports:
-			if r.outcome != gather.Unreached {
+			if r.outcome != gather.ConnectFailed {
 				t.Errorf("%s: ended as %v", name, r.outcome)
 			}
 		case <-time.After(5 * time.Second):
@@ -66,7 +69,7 @@
 // TestDrainPartWritten: bytes have gone when the drain is told, and the server reads on within the grace: the call is
 // one from before the drain, and is answered.
 func TestDrainPartWritten(t *testing.T) {
-	d := newDesk(t, "127.0.0.1:1", gather.Terms{"drain grace": 60000.0})
+	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
 	theirs := d.pipe()
 	done := d.ask(t.Context(), "a", 1, 60000)
 	head := make([]byte, 5)
@@ -74,7 +77,7 @@
 	d.list("127.0.0.1:1", gather.Draining)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)-1))
 	(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
-	if v := <-done; v.Kind != pick.Satisfied {
+	if v := <-done; v.Kind != dispatch.Satisfied {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -97,7 +100,7 @@
 		"client gone": func(d *desk, leave func()) { leave() },
 		"time up":     func(d *desk, _ func()) {},
 		"draining":    func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Draining) },
-		"gone":        func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Gone) },
+		"gone":        func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Removed) },
 		"moved":       func(d *desk, _ func()) { d.list("127.0.0.1:2", gather.Running) },
 	} {
 		d := newDesk(t, "127.0.0.1:1", nil)
@@ -120,7 +123,7 @@
 		if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
 			t.Errorf("%s: %d bytes went", name, n)
 		}
-		if r := <-d.reports; !r.outcome.Unrun() {
+		if r := <-d.reports; !r.outcome.NeverExecuted() {
 			t.Errorf("%s: ended as %v, and nothing went", name, r.outcome)
 		}
 		leave()
@@ -131,7 +134,7 @@
 // its server could read that it is: a call elsewhere would be a second one out at once. It may still be answered.
 func TestToldBeforeCalledAgain(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent"})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 		theirs := d.pipe()
 		d.ask(t.Context(), "a", 1, 60000)
 		frame := func() {
@@ -158,15 +161,18 @@
 		}
 		if answered {
 			(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
-			d.want(t, "a.0", gather.Answered)
+			d.want(t, "a.0", gather.Succeeded)
 			frame()
 			continue
 		}
 		frame()
-		d.want(t, "a.0", gather.CalledOff)
+		d.want(t, "a.0", gather.Cancelled)
 	}
 	// A server that does not read of it: its connection is ended, which gives the call up as well.
-	d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent", "connect time-out": 50.0})
+	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+		s.ConnectTimeout = 50.0
+		s.FindClass("i").Effect = gather.Idempotent
+	})
 	theirs := d.pipe()
 	d.ask(t.Context(), "a", 1, 60000)
 	head := make([]byte, 4)
@@ -181,7 +187,7 @@
 		d.mu.Unlock()
 	}
 	d.abandon(a.call, GivenUp, errGivenUp)
-	d.want(t, "a.0", gather.Cut)
+	d.want(t, "a.0", gather.ConnectionReset)
 	if n, err := theirs.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("%d bytes, %v: the connection is still open", n, err)
 	}
@@ -191,7 +197,10 @@
 // must not wait for the write, which had all of the call's time.
 func TestGivenUpWhileWriting(t *testing.T) {
 	for _, copies := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent", "second copies": copies})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.HedgingAllowed = copies
+			s.FindClass("i").Effect = gather.Idempotent
+		})
 		theirs := d.pipe()
 		ctx, leave := context.WithCancel(t.Context())
 		done := d.ask(ctx, "a", 1, 60000)
@@ -212,7 +221,7 @@
 func TestEveryByte(t *testing.T) {
 	length := math.MaxInt
 	for n := 0; n <= length; n++ {
-		d := newDesk(t, "127.0.0.1:1", gather.Terms{"i/effect": "idempotent"})
+		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 		theirs := d.pipe()
 		done := d.ask(t.Context(), "a", 1, 60000)
 		frame := make([]byte, n)
@@ -221,8 +230,8 @@
 			length = 4 + int(binary.LittleEndian.Uint32(frame))
 		}
 		theirs.Close()
-		d.want(t, "a.0", map[bool]gather.Outcome{true: gather.Cut, false: gather.Unreached}[n == length])
-		if v := <-done; v.Kind == pick.Satisfied {
+		d.want(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset, false: gather.ConnectFailed}[n == length])
+		if v := <-done; v.Kind == dispatch.Satisfied {
 			t.Errorf("after %d bytes: %+v", n, v)
 		}
 	}
@@ -232,7 +241,7 @@
 // call gets another connection; nothing of it is served.
 func TestNeverEnding(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"i/soft deadline": 100.0})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
 	done := d.ask(t.Context(), "a", 1, 200)
 	conn := shard.Take()
 	conn.Read()
@@ -249,7 +258,7 @@
 			}
 		}
 	}()
-	if v := <-done; v.Kind != pick.Aborted {
+	if v := <-done; v.Kind != dispatch.Aborted {
 		t.Errorf("verdict %+v", v)
 	}
 	done = d.ask(t.Context(), "b", 1, 5000)
@@ -258,7 +267,7 @@
 		t.Errorf("frame %+v", f)
 	}
 	next.Answer("b.0", "ok", "w")
-	if v := <-done; v.Kind != pick.Satisfied {
+	if v := <-done; v.Kind != dispatch.Satisfied {
 		t.Errorf("verdict %+v", v)
 	}
 }
@@ -267,7 +276,10 @@
 // none, and the connection ended with every part that was.
 func TestNoConnectTime(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), gather.Terms{"connect time-out": 0.0, "i/effect": "idempotent"})
+	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+		s.ConnectTimeout = 0.0
+		s.FindClass("i").Effect = gather.Idempotent
+	})
 	ctx, leave := context.WithCancel(t.Context())
 	done := d.ask(ctx, "a", 1, 60000)
 	conn := shard.Take()
@@ -282,11 +294,11 @@
 // TestBurstOfLeavers: many lookups wait for one connection, and all their clients go at once. Nothing goes on it.
 func TestBurstOfLeavers(t *testing.T) {
 	const many = 200
-	d := newDesk(t, "127.0.0.1:1", gather.Terms{"streams": 1000.0})
+	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
 	d.reports = make(chan report, 2*many)
 	gate, theirs := d.gated()
 	ctx, leave := context.WithCancel(t.Context())
-	var done []<-chan pick.Verdict
+	var done []<-chan dispatch.Verdict
 	for i := range many {
 		done = append(done, d.ask(ctx, fmt.Sprint("l", i), 2, 60000))
 	}
@@ -297,7 +309,7 @@
 	}
 	leave()
 	for _, verdict := range done {
-		if v := <-verdict; v.Kind != pick.Left {
+		if v := <-verdict; v.Kind != dispatch.Left {
 			t.Errorf("verdict %+v", v)
 		}
 	}
@@ -307,7 +319,7 @@
 		t.Errorf("%d bytes went", n)
 	}
 	for range 2 * many {
-		if r := <-d.reports; !r.outcome.Unrun() {
+		if r := <-d.reports; !r.outcome.NeverExecuted() {
 			t.Errorf("%s ended as %v", r.id, r.outcome)
 		}
 	}
@@ -328,10 +340,10 @@
 		d.mu.Unlock()
 	}
 	leave()
-	if v := <-done; v.Kind != pick.Left {
+	if v := <-done; v.Kind != dispatch.Left {
 		t.Errorf("verdict %+v", v)
 	}
-	d.want(t, "b.0", gather.Stale)
+	d.want(t, "b.0", gather.NotSent)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
 	theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
--- a/internal/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -7,22 +7,22 @@
 	"strings"
 	"testing"
 
-	"yokeroute/internal/emulator"
-	"yokeroute/internal/formats"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/placefile"
-	"yokeroute/internal/policy"
-	"yokeroute/internal/report"
-	"yokeroute/internal/rollout"
-	"yokeroute/internal/rules"
-	"yokeroute/internal/segments"
-	"yokeroute/internal/state"
-	"yokeroute/internal/steward"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/placementfile"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policyserver"
+	"yokeroute/internal/control/rollout"
+	"yokeroute/internal/control/segments"
+	"yokeroute/internal/gatherer/report"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/internal/storage/formats"
+	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // TestPage wants the table in docs to be the one here.
 func TestPage(t *testing.T) {
-	text, err := os.ReadFile(filepath.Join("..", "..", "docs", "operate", "versions.md"))
+	text, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "operate", "versions.md"))
 	if err != nil || !strings.Contains(string(text), formats.Table()) {
 		t.Errorf("docs/operate/versions.md lacks the table as it is: %v\n%s", err, formats.Table())
 	}
@@ -37,11 +37,11 @@
 	if err := os.CopyFS(folder, os.DirFS(kept("state-1"))); err != nil {
 		t.Fatal(err)
 	}
-	g, found, err := state.OpenGatherer(folder, 1<<20, 1e12, 1e12)
+	g, found, err := statedir.OpenGatherer(folder, 1<<20, 1e12, 1e12)
 	if err != nil || found.Damaged || found.Names != 3 || !g.MayHaveRun("first", false, 1e12) || g.MayHaveRun("unrun", false, 1e12) || found.Epoch != 4 {
 		t.Errorf("state 1: %v, %+v", err, found)
 	}
-	h, err := state.OpenHandover(folder)
+	h, err := statedir.OpenHandover(folder)
 	if err != nil || strings.Join(h.Names(), " ") != "s1 s2" {
 		t.Errorf("handover 1: %v, %v", err, h)
 	}
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	defer trace.Close()
-	if r, err := rules.Check(trace); err != nil || !r.Kept() || r.Lookups < 5 {
+	if r, err := rulecheck.Check(trace); err != nil || !r.Kept() || r.Lookups < 5 {
 		t.Errorf("trace 1: %v, %+v", err, r)
 	}
 	told, err := os.Open(kept("report-1.json"))
@@ -70,7 +70,7 @@
 	if own, err := operator.Read(kept("operator-1.conf")); err != nil || own.Keep == 0 || own.Report == "" || len(own.TwoPhase) != 1 {
 		t.Errorf("operator's file 1: %v, %+v", err, own)
 	}
-	if _, err := placefile.Read(kept("placement-1.conf"), 0); err != nil {
+	if _, err := placementfile.Read(kept("placement-1.conf"), 0); err != nil {
 		t.Errorf("placement file 1: %v", err)
 	}
 	if m, _, err := segments.ReadMap(kept("segments-1.conf")); err != nil || m.Epoch == 0 {
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer answer.Close()
-	if a, err := policy.ReadAnswer(answer); err != nil || a.Word.Change.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
+	if a, err := policyclient.ReadAnswer(answer); err != nil || a.Word.Change.Number != 5 || len(a.Word.Policy) != 2 || a.Word.Lease != 10_000 {
 		t.Errorf("policy 1: %v, %+v", err, a)
 	}
 	fence, err := os.ReadFile(kept("fence-1"))
@@ -89,14 +89,14 @@
 		t.Fatal(err)
 	}
 	os.WriteFile(filepath.Join(folder, "policy"), fence, 0o644)
-	if f, err := policy.OpenFence(folder); err != nil || f.Epoch != 41 || f.Last != 43 || f.Change != 44 {
+	if f, err := policyclient.OpenFence(folder); err != nil || f.Epoch != 41 || f.Last != 43 || f.Change != 44 {
 		t.Errorf("fence 1: %v, %+v", err, f)
 	}
 	record, err := os.Open(kept("policies-1.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r, err := steward.ReadSnapshot(record); err != nil || r.Epoch != 1 || len(r.History) != 2 || len(r.Members) != 1 || r.History[1].Word == "" {
+	if r, err := policyserver.ReadSnapshot(record); err != nil || r.Epoch != 1 || len(r.History) != 2 || len(r.Members) != 1 || r.History[1].Word == "" {
 		t.Errorf("policies 1: %v, %+v", err, r)
 	}
 	if _, err := emulator.Read(kept("scenario-1.conf")); err != nil {
@@ -125,7 +125,7 @@
 	}
 	folder := t.TempDir()
 	os.WriteFile(filepath.Join(folder, "handover"), []byte(`{"handover":"yokeroute handover 2","draining":{"s9":1}}`), 0o644)
-	if h, err := state.OpenHandover(folder); err == nil || h == nil || len(h.Names()) > 0 || !strings.Contains(err.Error(), "handover 2") {
+	if h, err := statedir.OpenHandover(folder); err == nil || h == nil || len(h.Names()) > 0 || !strings.Contains(err.Error(), "handover 2") {
 		t.Errorf("%v, %+v", err, h)
 	}
 	if err := os.CopyFS(filepath.Join(folder, "state"), os.DirFS(filepath.Join("testdata", "state-1"))); err != nil {
@@ -134,7 +134,7 @@
 	snapshots, _ := filepath.Glob(filepath.Join(folder, "state", "snapshot-*"))
 	later, _ := os.ReadFile(snapshots[0])
 	os.WriteFile(snapshots[0], []byte(strings.Replace(string(later), "yokeroute state 1", "yokeroute state 2", 1)), 0o644)
-	if _, found, err := state.OpenGatherer(filepath.Join(folder, "state"), 1<<20, 1000, 0); err == nil && !found.Damaged {
+	if _, found, err := statedir.OpenGatherer(filepath.Join(folder, "state"), 1<<20, 1000, 0); err == nil && !found.Damaged {
 		t.Error("a snapshot of a later number is read as one of this")
 	}
 	os.MkdirAll(filepath.Join(folder, "rollout"), 0o755)
--- a/internal/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -18,13 +18,13 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/config"
-	"yokeroute/internal/discovery"
-	"yokeroute/internal/experiment"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/service"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/gatherer/discovery"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/service"
+	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
 	"yokeroute/logic/phases"
 )
 
@@ -101,7 +101,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c, err := config.Parse(text, func(string) string { return "" })
+	c, err := platform.Parse(text, func(string) string { return "" })
 	if err != nil {
 		return nil, err
 	}
@@ -150,13 +150,13 @@
 	Name, Hall string
 	Set        int
 	Doing      string // what was done to it, empty for nothing
-	gather.View
+	gather.EndpointView
 	Use float64 // share of its cores' time that it works, lately
 }
 
 // Machines are all machines; those that the gatherer does not list have no figures.
 func (d *Demo) Machines(ctx context.Context) []Machine {
-	views := map[uint32]gather.View{}
+	views := map[uint32]gather.EndpointView{}
 	for _, v := range d.service.Picker.View(ctx) {
 		views[v.Server] = v
 	}
@@ -166,9 +166,9 @@
 	for _, m := range d.Fleet.Machines {
 		v, listed := views[discovery.Number(m.Name)]
 		if !listed {
-			v.State = gather.Gone
+			v.State = gather.Removed
 		}
-		list = append(list, Machine{Name: m.Name, Hall: m.Hall, Set: m.Group, Doing: d.state[m.Name], View: v})
+		list = append(list, Machine{Name: m.Name, Hall: m.Hall, Set: m.Group, Doing: d.state[m.Name], EndpointView: v})
 	}
 	return list
 }
@@ -232,9 +232,9 @@
 // counter counts what is decided; it is a pick.Tracer.
 type counter struct{ d *Demo }
 
-func (c counter) Opened(*pick.Lookup, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
+func (c counter) Opened(*dispatch.Lookup, *phases.Choice, float64) { c.d.Counts.Lookups.Add(1) }
 
-func (c counter) Sent(call *pick.Call, _ float64) {
+func (c counter) Sent(call *dispatch.Call, _ float64) {
 	n := &c.d.Counts
 	n.Calls.Add(1)
 	switch lk := call.Lookup(); {
@@ -245,29 +245,29 @@
 	}
 }
 
-func (c counter) Heard(_ *pick.Call, outcome gather.Outcome, _ float64, _ *phases.Summary) {
+func (c counter) Heard(_ *dispatch.Call, outcome gather.Outcome, _ float64, _ *phases.Summary) {
 	switch outcome {
-	case gather.Answered:
+	case gather.Succeeded:
 		c.d.Counts.Answered.Add(1)
-	case gather.CalledOff, gather.Stale:
+	case gather.Cancelled, gather.NotSent:
 		c.d.Counts.GivenUp.Add(1)
 	default:
 		c.d.Counts.Failed.Add(1)
 	}
 }
 
-func (c counter) Closed(*pick.Lookup, *phases.Next, float64) {}
+func (c counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
-func (c counter) Ended(_ *pick.Lookup, v pick.Verdict, _ float64) {
+func (c counter) Ended(_ *dispatch.Lookup, v dispatch.Verdict, _ float64) {
 	n := &c.d.Counts
 	switch {
-	case v.Kind == pick.Satisfied && v.Whole:
+	case v.Kind == dispatch.Satisfied && v.Whole:
 		n.Satisfied.Add(1)
-	case v.Kind == pick.Satisfied:
+	case v.Kind == dispatch.Satisfied:
 		n.Partial.Add(1)
-	case v.Kind == pick.Nacked:
+	case v.Kind == dispatch.Nacked:
 		n.Nacked.Add(1)
-	case v.Kind == pick.Left:
+	case v.Kind == dispatch.Left:
 		n.Left.Add(1)
 	default:
 		n.Aborted.Add(1)
@@ -321,7 +321,7 @@
 		fmt.Fprintln(w, d.Counts.Line())
 		var words []string
 		for _, m := range d.Machines(ctx) {
-			words = append(words, fmt.Sprintf("%s s=%.0fms f=%.2f q=%d", m.Name, m.S, m.F, m.Out))
+			words = append(words, fmt.Sprintf("%s s=%.0fms f=%.2f q=%d", m.Name, m.Latency, m.FailureShare, m.InFlight))
 		}
 		fmt.Fprintln(w, " ", strings.Join(words, "  "))
 	}
--- a/internal/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -4,10 +4,10 @@
 	"fmt"
 	"slices"
 
+	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/rules"
-	"yokeroute/logic/owners"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/logic/ownership"
 )
 
 // ask is what a client wants, with all of its tries. It is drawn ahead of the day, whatever the decisions.
@@ -52,7 +52,7 @@
 	number uint64
 	ask    *ask
 	g      *gatherer
-	pick   *pick.Lookup
+	pick   *dispatch.Lookup
 	over   bool // its gatherer has answered it or died
 	gone   bool // its client has given it up
 }
@@ -224,24 +224,24 @@
 // take hands a lookup to its gatherer.
 func (w *World) take(g *gatherer, lk *lookup, until float64) {
 	k := lk.ask
-	p := &pick.Lookup{ID: fmt.Sprint(lk.number), Index: k.ix.Name, Customer: k.customer.Name, GiveUpAt: w.begin + until + g.offset, Retry: k.tried > 1, Tag: lk}
-	parts := make([]rules.Part, 0, len(k.parts))
+	p := &dispatch.Lookup{ID: fmt.Sprint(lk.number), Index: k.ix.Name, Customer: k.customer.Name, GiveUpAt: w.begin + until + g.offset, Retry: k.tried > 1, Tag: lk}
+	parts := make([]rulecheck.Part, 0, len(k.parts))
 	for _, pt := range k.parts {
-		p.Parts = append(p.Parts, pick.Part{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
+		p.Parts = append(p.Parts, dispatch.Part{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
 		p.Cost += pt.hint
-		part := rules.Part{Shard: pt.shard, Weight: pt.weight}
+		part := rulecheck.Part{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
-			all := owners.Slot(pt.shard, w.sc.Layout.Shards)
-			part.Keys = &rules.Keys{Lo: all.Lo, Hi: all.Hi}
+			all := ownership.Slot(pt.shard, w.sc.Layout.Shards)
+			part.Keys = &rulecheck.Keys{Lo: all.Lo, Hi: all.Hi}
 		}
 		parts = append(parts, part)
 	}
 	lk.pick = p
-	w.see(rules.Event{Kind: rules.Taken, Gatherer: g.number, Lookup: lk.number, Index: k.ix.Name, Until: until, Parts: parts})
+	w.see(rulecheck.Event{Kind: rulecheck.Taken, Gatherer: g.number, Lookup: lk.number, Index: k.ix.Name, Until: until, Parts: parts})
 	g.taken++
 	if !g.picker.Take(p) { // more than a gatherer may hold
 		lk.over = true
-		w.answered(g, lk, pick.Verdict{Kind: pick.Nacked})
+		w.answered(g, lk, dispatch.Verdict{Kind: dispatch.Nacked})
 		return
 	}
 	g.held[lk] = true
@@ -259,33 +259,33 @@
 }
 
 // answered carries a lookup's final answer to its client.
-func (w *World) answered(g *gatherer, lk *lookup, v pick.Verdict) {
-	e := rules.Event{Gatherer: g.number, Lookup: lk.number}
+func (w *World) answered(g *gatherer, lk *lookup, v dispatch.Verdict) {
+	e := rulecheck.Event{Gatherer: g.number, Lookup: lk.number}
 	switch v.Kind {
-	case pick.Left:
-		e.Kind = rules.Left
-	case pick.Satisfied:
-		e.Kind, e.Whole = rules.Answered, v.Whole
+	case dispatch.Left:
+		e.Kind = rulecheck.Left
+	case dispatch.Satisfied:
+		e.Kind, e.Whole = rulecheck.Answered, v.Whole
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
 			if h.Keys != nil {
-				e.InKeys = append(e.InKeys, &rules.Keys{Lo: h.Keys.Lo, Hi: h.Keys.Hi})
+				e.InKeys = append(e.InKeys, &rulecheck.Keys{Lo: h.Keys.Lo, Hi: h.Keys.Hi})
 			} else if w.owned != nil {
 				e.InKeys = append(e.InKeys, nil)
 			}
 		}
 		e.In = append(e.In, v.Empty...)
-	case pick.Nacked:
-		e.Kind = rules.Nacked
+	case dispatch.Nacked:
+		e.Kind = rulecheck.Nacked
 	default:
-		e.Kind = rules.Aborted
+		e.Kind = rulecheck.Aborted
 	}
-	if v.Kind == pick.Broken {
+	if v.Kind == dispatch.Broken {
 		w.broken++
 	}
 	w.see(e)
 	w.verdicts[v.Kind]++
-	if v.Kind == pick.Left {
+	if v.Kind == dispatch.Left {
 		return
 	}
 	w.in(w.sc.Clients.Latency, func() {
@@ -295,9 +295,9 @@
 		lk.gone = true
 		k := lk.ask
 		switch v.Kind {
-		case pick.Satisfied:
+		case dispatch.Satisfied:
 			w.earn(k, &v)
-		case pick.Nacked:
+		case dispatch.Nacked:
 			wait := v.ComeBack
 			if wait == 0 {
 				wait = w.sc.Clients.Wait
@@ -310,7 +310,7 @@
 }
 
 // earn books a satisfied lookup.
-func (w *World) earn(k *ask, v *pick.Verdict) {
+func (w *World) earn(k *ask, v *dispatch.Verdict) {
 	if k.ended {
 		return
 	}
@@ -321,7 +321,7 @@
 		for _, h := range v.Hits {
 			share := 1.0
 			if h.Keys != nil {
-				share = h.Keys.Size() / owners.Slot(h.Shard, w.sc.Layout.Shards).Size()
+				share = h.Keys.Size() / ownership.Slot(h.Shard, w.sc.Layout.Shards).Size()
 			}
 			in += k.part(h.Shard).weight * share
 		}
--- a/internal/processes/result.go
+++ b/internal/testbed/processtest/result.go
@@ -1,4 +1,4 @@
-package processes
+package processtest
 
 import (
 	"bytes"
@@ -11,10 +11,10 @@
 	"path/filepath"
 	"slices"
 
-	"yokeroute/internal/page"
-	"yokeroute/internal/proc"
-	"yokeroute/internal/rules"
-	"yokeroute/internal/state"
+	"yokeroute/internal/htmlreport"
+	"yokeroute/internal/process"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/internal/storage/statedir"
 )
 
 // ResultForm is the first word of a fleet's results, ResultFile their file in a folder.
@@ -25,17 +25,17 @@
 
 // Result is what a day of processes came to.
 type Result struct {
-	Form    string              `json:"form"`
-	Name    string              `json:"name"`
-	Seed    uint64              `json:"seed"`
-	Text    string              `json:"scenario"` // with its faults, so that the day can be told again
-	Said    []string            `json:"said"`
-	Indexes Tallies             `json:"indexes"`
-	P99     map[string]int64    `json:"p99"` // microseconds of satisfied tries, by index
-	Series  *Series             `json:"series"`
-	Uses    map[string]proc.Use `json:"uses"`
-	Rules   *rules.Joint        `json:"rules"`
-	Faults  string              `json:"faults,omitempty"` // of processes and of the rig
+	Form    string                 `json:"form"`
+	Name    string                 `json:"name"`
+	Seed    uint64                 `json:"seed"`
+	Text    string                 `json:"scenario"` // with its faults, so that the day can be told again
+	Said    []string               `json:"said"`
+	Indexes Tallies                `json:"indexes"`
+	P99     map[string]int64       `json:"p99"` // microseconds of satisfied tries, by index
+	Series  *Series                `json:"series"`
+	Uses    map[string]process.Use `json:"uses"`
+	Rules   *rulecheck.Joint       `json:"rules"`
+	Faults  string                 `json:"faults,omitempty"` // of processes and of the rig
 }
 
 // Kept reports whether every rule was kept and no process had a fault.
@@ -43,7 +43,7 @@
 
 // Finish ends a fleet and gives what its day came to.
 func (f *Fleet) Finish() (*Result, error) {
-	r := &Result{Form: ResultForm, Name: f.Scenario.Name, Seed: f.Scenario.Seed, Text: f.Scenario.Text, Uses: map[string]proc.Use{}, P99: map[string]int64{}}
+	r := &Result{Form: ResultForm, Name: f.Scenario.Name, Seed: f.Scenario.Seed, Text: f.Scenario.Text, Uses: map[string]process.Use{}, P99: map[string]int64{}}
 	for _, g := range f.Gatherers {
 		if p := g.Process(); p != nil {
 			r.Uses[g.Name] = p.Use()
@@ -71,7 +71,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	return state.Replace(filepath.Join(folder, ResultFile), append(text, '\n'))
+	return statedir.Replace(filepath.Join(folder, ResultFile), append(text, '\n'))
 }
 
 // LoadResult reads a folder of results.
@@ -129,11 +129,11 @@
 
 // Page is the results as one page that stands alone.
 func (r *Result) Page() ([]byte, error) {
-	chart := page.Chart{X: "seconds", Y: "earned of what was asked", High: 1, Lines: []page.Line{{Name: "all indexes"}}}
+	chart := htmlreport.Chart{X: "seconds", Y: "earned of what was asked", High: 1, Lines: []htmlreport.Line{{Name: "all indexes"}}}
 	if r.Series != nil {
 		for s := range r.Series.Asked {
 			if r.Series.Asked[s] > 0 {
-				chart.Lines[0].Points = append(chart.Lines[0].Points, page.Point{X: float64(s), Y: r.Series.Earned[s] / r.Series.Asked[s]})
+				chart.Lines[0].Points = append(chart.Lines[0].Points, htmlreport.Point{X: float64(s), Y: r.Series.Earned[s] / r.Series.Asked[s]})
 			}
 		}
 	}
@@ -142,6 +142,6 @@
 		return nil, err
 	}
 	var out bytes.Buffer
-	err = t.Execute(&out, map[string]any{"Result": r, "Style": page.Style, "Chart": chart.SVG(), "Lines": r.Lines(), "Kept": r.Kept()})
+	err = t.Execute(&out, map[string]any{"Result": r, "Style": htmlreport.Style, "Chart": chart.SVG(), "Lines": r.Lines(), "Kept": r.Kept()})
 	return out.Bytes(), err
 }
--- a/internal/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -14,11 +14,11 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/order"
-	"yokeroute/internal/policy"
-	"yokeroute/internal/proc"
-	"yokeroute/internal/processes"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/process"
+	"yokeroute/internal/stats"
+	"yokeroute/internal/testbed/processtest"
 	decisions "yokeroute/logic/policy"
 )
 
@@ -82,12 +82,12 @@
 type policyFleet struct {
 	terms    PolicyTerms
 	ctx      context.Context
-	stewards []*proc.Process
+	stewards []*process.Process
 	names    []operator.Steward
-	client   *policy.Client
+	client   *policyclient.Client
 	hollow   []*hollowGatherer
-	relays   []*processes.Link  // of the region that is cut off, one to each steward
-	far      []operator.Steward // the stewards as that region reaches them
+	relays   []*processtest.Link // of the region that is cut off, one to each steward
+	far      []operator.Steward  // the stewards as that region reaches them
 	cut      bool
 	returned []time.Duration // of the region
 	log      *logrus.Logger
@@ -95,7 +95,7 @@
 
 // hollowGatherer is the control side of a gatherer without clients: the real governor and the real follower.
 type hollowGatherer struct {
-	governor *policy.Governor
+	governor *policyclient.Governor
 	far      bool // it stands in the region that is cut off
 	stop     context.CancelFunc
 	ended    chan struct{}
@@ -115,7 +115,7 @@
 func startPolicyFleet(ctx context.Context, t PolicyTerms) (*policyFleet, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &policyFleet{terms: t, ctx: ctx, client: &policy.Client{}, log: log}
+	f := &policyFleet{terms: t, ctx: ctx, client: &policyclient.Client{}, log: log}
 	var peers strings.Builder
 	for i := range t.Stewards {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
@@ -131,7 +131,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			return f, err
 		}
-		p, err := proc.Start(s.Name, t.Binary, []string{"steward", "--log-level", "error", file}, nil)
+		p, err := process.Start(s.Name, t.Binary, []string{"steward", "--log-level", "error", file}, nil)
 		if err != nil {
 			return f, err
 		}
@@ -142,7 +142,7 @@
 	}
 	waiting, cancel := context.WithTimeout(ctx, longestStart)
 	defer cancel()
-	return f, proc.Until(waiting, "a steward leads", func() bool {
+	return f, process.Until(waiting, "a steward leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
 		defer end()
 		_, err := f.client.Status(one)
@@ -156,7 +156,7 @@
 		return nil
 	}
 	for i, s := range f.names {
-		relay, err := processes.NewLink("region", s.Name, "127.0.0.1", s.Address, uint64(i))
+		relay, err := processtest.NewLink("region", s.Name, "127.0.0.1", s.Address, uint64(i))
 		if err != nil {
 			return err
 		}
@@ -183,7 +183,7 @@
 }
 
 // leader is the process of the steward that leads.
-func (f *policyFleet) leader() (*proc.Process, error) {
+func (f *policyFleet) leader() (*process.Process, error) {
 	s, err := f.client.Status(f.ctx)
 	if err != nil {
 		return nil, err
@@ -208,10 +208,10 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policy.NewGovernor(gather.Terms{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
+	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
 	me := decisions.Hello{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Floor: hollowFloor},
 		Process: fmt.Sprintf("%d-%d", number, start.UnixNano())}
-	follower := policy.NewFollower(h.governor, stewards, me, "", f.log)
+	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
 	go func() {
@@ -271,7 +271,7 @@
 		return nil, err
 	}
 	defer undo()
-	err = proc.Until(waiting, "the change is in force everywhere", func() bool {
+	err = process.Until(waiting, "the change is in force everywhere", func() bool {
 		for _, h := range f.near() {
 			if _, there := h.reached(change.Number); !there {
 				return false
@@ -375,7 +375,7 @@
 func (f *policyFleet) awaitLeases() error {
 	waiting, cancel := context.WithTimeout(f.ctx, longestStart)
 	defer cancel()
-	return proc.Until(waiting, "all gatherers go by the stewards' word", func() bool {
+	return process.Until(waiting, "all gatherers go by the stewards' word", func() bool {
 		for _, h := range f.hollow {
 			if !h.leased() {
 				return false
@@ -478,7 +478,7 @@
 		seconds = append(seconds, t.Seconds())
 	}
 	at := func(share float64) time.Duration {
-		return time.Duration(order.Quantile(seconds, share) * float64(time.Second))
+		return time.Duration(stats.Quantile(seconds, share) * float64(time.Second))
 	}
 	c.InForce, c.P50, c.P99 = append(c.InForce, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
 }
--- a/logic/story_test.go
+++ b/logic/story_test.go
@@ -13,17 +13,22 @@
 // story plays a seeded day of all that a round may bring and gives a hash of all that was written. What is asked
 // for through change comes in with the first round.
 func story(seed uint64, change func(in *gather.Round)) (hash uint64, sends int) {
-	terms := gather.Terms{"indexes": []string{"any", "all", "once", "marked"}, "groups": 6.0, "groups in a row": 2.0,
-		"most calls": 3.0, "call off": true, "second copies": true, "tick": 5.0, "gatherers": 3.0, "own number": 1.0,
-		"longest come back": 1000.0, "cold time": 8000.0, "cold share": 0.2, "fall time": 2000.0, "fall multiple": 3.0,
-		"budget span": 2000.0, "budget free": 10.0, "budget share": 0.05, "parts a call": 16.0, "call cost": 1.0}
-	for i, index := range terms.Names("indexes") {
-		terms[index+"/soft deadline"], terms[index+"/late share"] = 400.0, 0.1
-		terms[index+"/whole from"], terms[index+"/least share"] = 1.0, 1.0
-		terms[index+"/effect"] = []string{"idempotent", "idempotent", "once-only", "fingerprinted"}[i]
+	settings := &gather.Settings{
+		ReplicaSets: 6, ReplicaSetsPerShard: 2, MaxAttempts: 3, CancelAllowed: true,
+		HedgingAllowed: true, Tick: 5.0, Gatherers: 3, GathererIndex: 1, MaxRetryAfter: 1000.0,
+		WarmupTime: 8000.0, InitialCapacityShare: 0.2, OverloadWindow: 2000.0, OverloadMultiple: 3.0,
+		RetryBudgetWindow: 2000.0, RetryBudgetFloor: 10.0, RetryBudgetRatio: 0.05,
+		RequestsPerCall: 16, CallCost: 1.0,
 	}
-	terms["any/whole from"], terms["any/least share"], terms["marked/window"] = 0.75, 0.5, 900.0
-	g, chance := New(seed, terms), pcg.New(seed+1)
+	for i, name := range []string{"any", "all", "once", "marked"} {
+		settings.Classes = append(settings.Classes, gather.Class{Name: name, LatencyObjective: 400, LateValue: 0.1,
+			CompleteShare: 1, MinShare: 1,
+			Effect: []gather.Effect{gather.Idempotent, gather.Idempotent, gather.NonIdempotent, gather.IdempotencyKeyed}[i]})
+	}
+	anyClass := settings.FindClass("any")
+	anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.5
+	settings.FindClass("marked").IdempotencyWindow = 900
+	g, chance := New(seed, settings), pcg.New(seed+1)
 	sum := fnv.New64a()
 	p := &player{to: map[string]uint32{}, sent: map[uint64]int{}}
 	type out struct {
@@ -35,27 +40,27 @@
 	}
 	var outs []out
 	started := map[uint32]float64{}
-	list := gather.List{Full: true}
+	list := gather.EndpointList{Full: true}
 	for id := range uint32(18) {
-		list.Servers = append(list.Servers, gather.Server{ID: id, Group: int(id % 6)})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: id, ReplicaSet: int(id % 6)})
 	}
 	id := uint64(1)
 	for now := 1e6; now < 1e6+30000; now += 5 + 5*chance.Float64() {
 		in := gather.Round{Now: now}
-		if list.Servers != nil {
-			in.Lists, list.Servers = append(in.Lists, list), nil
+		if list.Endpoints != nil {
+			in.EndpointLists, list.Endpoints = append(in.EndpointLists, list), nil
 			change(&in)
 		}
 		for range int(chance.Float64() * 2.2) {
 			k := 1 + int(chance.Uint32()%6)
-			lk := gather.Lookup{ID: id, Number: id, Index: terms.Names("indexes")[chance.Uint32()%4], GiveUpAt: now + 300 + 900*chance.Float64(),
+			lk := gather.Query{ID: id, Number: id, Class: settings.ClassNames()[chance.Uint32()%4], Deadline: now + 300 + 900*chance.Float64(),
 				Retry: chance.Uint32()%5 == 0}
-			in.Lookups = append(in.Lookups, lk)
+			in.Queries = append(in.Queries, lk)
 			for i := range k {
-				in.Parts = append(in.Parts, gather.Part{ID: id + 1 + uint64(i), Number: id, Shard: int(chance.Uint32()%7) + i, Weight: 1 / float64(k), Cost: 20 * chance.Float64()})
+				in.Requests = append(in.Requests, gather.ShardRequest{ID: id + 1 + uint64(i), Number: id, Shard: int(chance.Uint32()%7) + i, Weight: 1 / float64(k), Cost: 20 * chance.Float64()})
 			}
 			if chance.Uint32()%40 == 0 {
-				in.Left = append(in.Left, id)
+				in.Abandoned = append(in.Abandoned, id)
 			}
 			id += uint64(k) + 1
 		}
@@ -65,13 +70,13 @@
 				rest = append(rest, o)
 				continue
 			}
-			in.Endings = append(in.Endings, gather.Ending{Part: o.part, Server: o.shd, Call: o.call, Outcome: o.end, Over: o.end == gather.Answered})
+			in.Results = append(in.Results, gather.AttemptResult{Request: o.part, Server: o.shd, Attempt: o.call, Outcome: o.end, Finished: o.end == gather.Succeeded})
 		}
 		outs = rest
 		if chance.Uint32()%150 == 0 { // one server drains, has gone or starts again
 			shd := chance.Uint32() % 18
 			started[shd] = now
-			in.Lists = append(in.Lists, gather.List{Servers: []gather.Server{{ID: shd, Group: int(shd % 6), State: gather.State(chance.Uint32() % 3), Started: started[shd]}}})
+			in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: []gather.Endpoint{{ID: shd, ReplicaSet: int(shd % 6), State: gather.State(chance.Uint32() % 3), StartedAt: started[shd]}}})
 		}
 		p.wrote = p.wrote[:0]
 		g.Round(&in, p)
@@ -81,7 +86,7 @@
 			var shd uint32
 			if n, _ := fmt.Sscanf(line, "send %d %d", &part, &shd); n == 2 {
 				sends++
-				took, end := 10+60*chance.Float64()*chance.Float64()*float64(1+shd%4), gather.Answered
+				took, end := 10+60*chance.Float64()*chance.Float64()*float64(1+shd%4), gather.Succeeded
 				switch chance.Uint32() % 30 {
 				case 0:
 					end = gather.Outcome(1 + chance.Uint32()%7)
