--- a/internal/control/rollout/ask.go
+++ b/internal/control/rollout/ask.go
@@ -77,7 +77,7 @@
 
 // ask asks one gatherer.
 func (t *teller) ask(ctx context.Context, g int) (*report.Document, error) {
-	resp, err := t.send(ctx, g, http.MethodGet, report.Path+"?since="+url.QueryEscape(t.marks[g]), nil)
+	resp, err := t.send(ctx, g, http.MethodGet, report.ReportPath+"?since="+url.QueryEscape(t.marks[g]), nil)
 	if err != nil {
 		return nil, err
 	}
@@ -113,20 +113,20 @@
 func (t *teller) seen(g int, d *report.Document) rollout.Seen {
 	before := ""
 	if t.told[g] != nil {
-		before = t.told[g].Process
+		before = t.told[g].Incarnation
 	}
-	counts := d.Since != "" || rollout.Fresh(d.Process, before)
+	counts := d.SinceCheckpoint != "" || rollout.Fresh(d.Incarnation, before)
 	told := rollout.Marks{Program: d.Program, Config: d.Files["config"], Operator: d.Files["operator"], Version: d.Version}
-	t.marks[g], t.told[g], t.at[g] = d.Mark, d, time.Now()
-	s := rollout.Seen{Reached: true, Kind: rollout.Tell(t.old[g], t.new[g], told), Ready: d.Ready && !d.Leaving, Process: d.Process, Age: d.At - d.Started, Connections: float64(d.Connections), Memory: d.Memory}
+	t.marks[g], t.told[g], t.at[g] = d.Checkpoint, d, time.Now()
+	s := rollout.Seen{Reached: true, Kind: rollout.Tell(t.old[g], t.new[g], told), Ready: d.Ready && !d.ShuttingDown, Process: d.Incarnation, Age: d.ReportedAt - d.StartedAt, Connections: float64(d.OpenConnections), Memory: d.ResidentMemory}
 	for _, name := range t.p.Indexes {
-		ix := d.Indexes[name]
+		ix := d.Classes[name]
 		if ix == nil || !counts {
 			s.Indexes = append(s.Indexes, rollout.Counts{})
 			continue
 		}
-		s.Indexes = append(s.Indexes, rollout.Counts{Ended: float64(ix.Ended), Value: ix.Value, Nacked: float64(ix.Nacked), Aborted: float64(ix.Aborted + ix.Broken), Parts: float64(ix.Parts),
-			Calls: float64(ix.Calls), Further: float64(ix.Further), Took: ix.Took.Histogram})
+		s.Indexes = append(s.Indexes, rollout.Counts{Ended: float64(ix.Queries), Value: ix.EarnedValue, Nacked: float64(ix.Rejected), Aborted: float64(ix.Failed + ix.InternalErrors), Parts: float64(ix.ShardRequests),
+			Calls: float64(ix.Attempts), Further: float64(ix.ExtraAttempts), Took: ix.Latency.Histogram})
 	}
 	return s
 }
--- a/internal/control/rollout/control.go
+++ b/internal/control/rollout/control.go
@@ -173,7 +173,7 @@
 	for g := range o.Seen {
 		if d := c.teller.told[g]; d != nil {
 			var names []string
-			for name := range d.Indexes {
+			for name := range d.Classes {
 				names = append(names, name)
 			}
 			slices.Sort(names)
--- a/internal/control/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -219,7 +219,7 @@
 	s.Helper()
 	versions := map[string]int{}
 	for _, g := range s.f.Gatherers {
-		resp, err := http.Get("http://" + g.Reports + report.Path)
+		resp, err := http.Get("http://" + g.Reports + report.ReportPath)
 		if err != nil {
 			versions["none"]++
 			continue
--- a/internal/gatherer/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -18,40 +18,40 @@
 	"yokeroute/logic/rollout"
 )
 
-// marks are how many a gatherer keeps; one more and the oldest is forgotten, and who asks with it gets all since the
+// maxCheckpoints are how many a gatherer keeps; one more and the oldest is forgotten, and who asks with it gets all since the
 // process' start. Each takes some kilobytes an index.
-const marks = 8
+const maxCheckpoints = 8
 
-// Counter counts what becomes of lookups. It is a pick.Tracer and a pick.Witness.
-type Counter struct {
-	settings *gather.Settings
-	now      func() float64
-	pool     Pool
-	head     Document
-	process  string
-	Policy   func() any // what the gatherer tells of the operators' policy, nil for nothing; set before the first report
+// Collector counts what becomes of lookups. It is a pick.Tracer and a pick.Witness.
+type Collector struct {
+	settings    *gather.Settings
+	now         func() float64
+	connections Pool
+	header      Document
+	incarnation string
+	PolicyState func() any // what the gatherer tells of the operators' policy, nil for nothing; set before the first report
 
-	mu       sync.Mutex
-	indexes  map[string]*Index
-	limits   map[string]limits
-	states   map[uint32]gather.State
-	files    map[string]string
-	leaving  bool
-	claim    *rollout.Claim
-	snaps    []snapshot
-	sequence int
+	mu             sync.Mutex
+	classes        map[string]*ClassStats
+	scoring        map[string]scoring
+	endpointStates map[uint32]gather.State
+	files          map[string]string
+	shuttingDown   bool
+	claim          *rollout.Claim
+	checkpoints    []checkpoint
+	lastCheckpoint int
 }
 
-// limits are what an index's value hangs on.
-type limits struct{ soft, late, whole, partial float64 }
+// scoring are what an index's value hangs on.
+type scoring struct{ objective, lateFactor, completeFrom, partialFactor float64 }
 
-// snapshot is all counts at a mark.
-type snapshot struct {
-	mark    string
-	at      float64
-	indexes map[string]*Index
-	opened  int64
-	cpu     float64
+// checkpoint is all counts at a mark.
+type checkpoint struct {
+	id                string
+	takenAt           float64
+	classes           map[string]*ClassStats
+	connectionsOpened int64
+	cpuTime           float64
 }
 
 // Pool tells of the connections to shard servers; package shardcall's does.
@@ -59,23 +59,25 @@
 	Connections() (open int, opened int64)
 }
 
-// NewCounter makes a counter of a gatherer of that name, by its terms and clock.
-func NewCounter(name string, settings *gather.Settings, now func() float64, pool Pool) *Counter {
-	c := &Counter{settings: settings, now: now, pool: pool, indexes: map[string]*Index{}, limits: map[string]limits{}, states: map[uint32]gather.State{}, files: map[string]string{}}
+// NewCollector makes a counter of a gatherer of that name, by its terms and clock.
+func NewCollector(name string, settings *gather.Settings, now func() float64, pool Pool) *Collector {
+	c := &Collector{settings: settings, now: now, connections: pool, classes: map[string]*ClassStats{}, scoring: map[string]scoring{}, endpointStates: map[uint32]gather.State{}, files: map[string]string{}}
 	for _, ix := range settings.ClassNames() {
-		c.indexes[ix] = newIndex()
-		c.limits[ix] = limits{settings.Class(ix).LatencyObjective, settings.Class(ix).LateValue, settings.Class(ix).CompleteShare, settings.Class(ix).PartialValue}
+		c.classes[ix] = newClassStats()
+		c.scoring[ix] = scoring{settings.Class(ix).LatencyObjective, settings.Class(ix).LateValue, settings.Class(ix).CompleteShare, settings.Class(ix).PartialValue}
 	}
 	at := now()
-	c.process = process.Name(at)
-	c.head = Document{Form: Form, Name: name, Zone: settings.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
+	c.incarnation = process.Name(at)
+	c.header = Document{Format: Format, Name: name, Zone: settings.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Incarnation: c.incarnation, StartedAt: at}
 	return c
 }
 
-func newIndex() *Index { return &Index{Outcomes: map[string]int64{}, Took: NewHistogram()} }
+func newClassStats() *ClassStats {
+	return &ClassStats{Outcomes: map[string]int64{}, Latency: NewHistogram()}
+}
 
-// InForce tells the fingerprint of a file that is in force from now on; an empty one for none.
-func (c *Counter) InForce(kind, fingerprint string) {
+// SetFile tells the fingerprint of a file that is in force from now on; an empty one for none.
+func (c *Collector) SetFile(kind, fingerprint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if delete(c.files, kind); fingerprint != "" {
@@ -83,109 +85,109 @@
 	}
 }
 
-// Leave tells that the gatherer was asked to end.
-func (c *Counter) Leave() {
+// BeginShutdown tells that the gatherer was asked to end.
+func (c *Collector) BeginShutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.leaving = true
+	c.shuttingDown = true
 }
 
-// Follow takes news of the list.
-func (c *Counter) Follow(l gather.EndpointList) {
+// UpdateEndpoints takes news of the list.
+func (c *Collector) UpdateEndpoints(l gather.EndpointList) {
 	if l.Failed {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if l.Full {
-		clear(c.states)
+		clear(c.endpointStates)
 	}
 	for _, s := range l.Endpoints {
-		if c.states[s.ID] = s.State; s.State == gather.Removed {
-			delete(c.states, s.ID)
+		if c.endpointStates[s.ID] = s.State; s.State == gather.Removed {
+			delete(c.endpointStates, s.ID)
 		}
 	}
 }
 
 // Opened is counted by its end.
-func (c *Counter) Opened(*dispatch.Lookup, *phases.Choice, float64) {}
+func (c *Collector) Opened(*dispatch.Lookup, *phases.Choice, float64) {}
 
 // Sent is a decision; Written tells what went.
-func (c *Counter) Sent(*dispatch.Call, float64) {}
+func (c *Collector) Sent(*dispatch.Call, float64) {}
 
 // Closed is no end.
-func (c *Counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
+func (c *Collector) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
 // Answered is counted by Ended.
-func (c *Counter) Answered(*dispatch.Lookup, dispatch.Verdict, float64) {}
+func (c *Collector) Answered(*dispatch.Lookup, dispatch.Verdict, float64) {}
 
 // Written counts a part call whose bytes go.
-func (c *Counter) Written(call *dispatch.Call, _ float64) {
+func (c *Collector) Written(call *dispatch.Call, _ float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ix := c.indexes[call.Lookup().Index]
+	ix := c.classes[call.Lookup().Index]
 	if ix == nil {
 		return
 	}
-	ix.Calls++
+	ix.Attempts++
 	if call.Further() {
-		ix.Further++
+		ix.ExtraAttempts++
 	}
 }
 
 // Heard counts the end of a part call.
-func (c *Counter) Heard(call *dispatch.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
+func (c *Collector) Heard(call *dispatch.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ix := c.indexes[call.Lookup().Index]
+	ix := c.classes[call.Lookup().Index]
 	if ix == nil {
 		return
 	}
 	ix.Outcomes[outcome.String()]++
-	ix.Waited += max(waited, 0)
+	ix.AttemptTime += max(waited, 0)
 }
 
 // Ended counts a lookup.
-func (c *Counter) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
+func (c *Collector) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ix := c.indexes[lk.Index]
+	ix := c.classes[lk.Index]
 	if ix == nil {
 		return
 	}
-	of := c.limits[lk.Index]
-	ix.Ended++
-	ix.Parts += int64(len(lk.Parts))
+	of := c.scoring[lk.Index]
+	ix.Queries++
+	ix.ShardRequests += int64(len(lk.Parts))
 	took := at - lk.Landed()
 	switch v.Kind {
 	case dispatch.Satisfied:
 		value := 1.0
 		if v.Whole {
-			ix.Satisfied++
+			ix.Served++
 		} else {
-			ix.Partial++
-			value = of.partial * min(weight(lk, &v)/max(of.whole, 1e-9), 1)
+			ix.ServedPartly++
+			value = of.partialFactor * min(answeredWeight(lk, &v)/max(of.completeFrom, 1e-9), 1)
 		}
-		if took <= of.soft {
-			ix.InAim++
+		if took <= of.objective {
+			ix.WithinObjective++
 		} else {
-			value *= of.late
+			value *= of.lateFactor
 		}
-		ix.Value += min(value, 1)
-		ix.Took.Add(took)
+		ix.EarnedValue += min(value, 1)
+		ix.Latency.Record(took)
 	case dispatch.Nacked:
-		ix.Nacked++
+		ix.Rejected++
 	case dispatch.Aborted:
-		ix.Aborted++
+		ix.Failed++
 	case dispatch.Left:
-		ix.Left++
+		ix.ClientGone++
 	default:
-		ix.Broken++
+		ix.InternalErrors++
 	}
 }
 
-// weight is what is in of an answer in part.
-func weight(lk *dispatch.Lookup, v *dispatch.Verdict) (in float64) {
+// answeredWeight is what is in of an answer in part.
+func answeredWeight(lk *dispatch.Lookup, v *dispatch.Verdict) (in float64) {
 	for _, pt := range lk.Parts {
 		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h dispatch.Hit) bool { return h.Shard == pt.Shard }) {
 			in += pt.Weight
@@ -194,100 +196,102 @@
 	return in
 }
 
-// copyOf is an index's counts as they stand.
-func copyOf(ix *Index) *Index {
+// cloneStats is an index's counts as they stand.
+func cloneStats(ix *ClassStats) *ClassStats {
 	c := *ix
 	c.Outcomes = maps.Clone(ix.Outcomes)
-	c.Took = NewHistogram()
-	c.Took.Merge(ix.Took.Histogram)
+	c.Latency = NewHistogram()
+	c.Latency.Merge(ix.Latency.Histogram)
 	return &c
 }
 
-// less takes earlier counts away.
-func less(ix, before *Index) *Index {
-	d := copyOf(ix)
+// subtractStats takes earlier counts away.
+func subtractStats(ix, before *ClassStats) *ClassStats {
+	d := cloneStats(ix)
 	for _, n := range []struct {
 		of *int64
 		by int64
-	}{{&d.Ended, before.Ended}, {&d.Satisfied, before.Satisfied}, {&d.Partial, before.Partial}, {&d.Nacked, before.Nacked}, {&d.Aborted, before.Aborted}, {&d.Broken, before.Broken},
-		{&d.Left, before.Left}, {&d.InAim, before.InAim}, {&d.Parts, before.Parts}, {&d.Calls, before.Calls}, {&d.Further, before.Further}} {
+	}{{&d.Queries, before.Queries}, {&d.Served, before.Served}, {&d.ServedPartly, before.ServedPartly}, {&d.Rejected, before.Rejected}, {&d.Failed, before.Failed}, {&d.InternalErrors, before.InternalErrors},
+		{&d.ClientGone, before.ClientGone}, {&d.WithinObjective, before.WithinObjective}, {&d.ShardRequests, before.ShardRequests}, {&d.Attempts, before.Attempts}, {&d.ExtraAttempts, before.ExtraAttempts}} {
 		*n.of -= n.by
 	}
-	d.Value, d.Waited = max(d.Value-before.Value, 0), max(d.Waited-before.Waited, 0)
+	d.EarnedValue, d.AttemptTime = max(d.EarnedValue-before.EarnedValue, 0), max(d.AttemptTime-before.AttemptTime, 0)
 	for name, n := range before.Outcomes {
 		if d.Outcomes[name] -= n; d.Outcomes[name] == 0 {
 			delete(d.Outcomes, name)
 		}
 	}
-	d.Took = NewHistogram()
-	then := before.Took.Distribution()
-	for i, bar := range ix.Took.Distribution() { // of histograms of the same bounds: the same bars
+	d.Latency = NewHistogram()
+	then := before.Latency.Distribution()
+	for i, bar := range ix.Latency.Distribution() { // of histograms of the same bounds: the same bars
 		n := bar.Count
 		if i < len(then) {
 			n -= then[i].Count
 		}
 		if n > 0 {
-			d.Took.RecordValues(bar.From, n)
+			d.Latency.RecordValues(bar.From, n)
 		}
 	}
 	return d
 }
 
-// Document is a report since a mark. It takes a new mark.
-func (c *Counter) Document(since string, ready bool) *Document { return c.document(since, ready, true) }
+// SinceCheckpoint is a report since a mark. It takes a new mark.
+func (c *Collector) SinceCheckpoint(since string, ready bool) *Document {
+	return c.build(since, ready, true)
+}
 
-// Peek is a report since the process' start that takes no mark.
-func (c *Counter) Peek(ready bool) *Document { return c.document("", ready, false) }
+// SinceStart is a report since the process' start that takes no mark.
+func (c *Collector) SinceStart(ready bool) *Document { return c.build("", ready, false) }
 
-func (c *Counter) document(since string, ready, mark bool) *Document {
-	d := c.head
-	open, opened := c.pool.Connections()
-	d.At, d.Ready, d.Memory, d.Goroutines, d.Connections = c.now(), ready, process.Of(os.Getpid()).Memory*(1<<20), runtime.NumGoroutine(), open
-	cpu := cpuUsed()
-	if c.Policy != nil {
-		d.Policy = c.Policy()
+func (c *Collector) build(since string, ready, mark bool) *Document {
+	d := c.header
+	open, opened := c.connections.Connections()
+	d.ReportedAt, d.Ready, d.ResidentMemory, d.Goroutines, d.OpenConnections = c.now(), ready, process.Of(os.Getpid()).Memory*(1<<20), runtime.NumGoroutine(), open
+	cpu := processCPUTime()
+	if c.PolicyState != nil {
+		d.Policy = c.PolicyState()
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	d.Files, d.Leaving, d.Indexes = maps.Clone(c.files), c.leaving, map[string]*Index{}
-	d.Ready = d.Ready && !c.leaving
-	if c.claim != nil && c.claim.Until > d.At {
+	d.Files, d.ShuttingDown, d.Classes = maps.Clone(c.files), c.shuttingDown, map[string]*ClassStats{}
+	d.Ready = d.Ready && !c.shuttingDown
+	if c.claim != nil && c.claim.Until > d.ReportedAt {
 		held := *c.claim
 		d.Claim = &held
 	}
-	for _, state := range c.states {
+	for _, state := range c.endpointStates {
 		if state == gather.Running {
-			d.Servers++
+			d.RunningServers++
 		} else {
-			d.Draining++
+			d.DrainingServers++
 		}
 	}
-	at := slices.IndexFunc(c.snaps, func(s snapshot) bool { return s.mark == since })
-	d.Opened, d.CPU, d.Span = opened, cpu, d.At-c.head.Started
+	at := slices.IndexFunc(c.checkpoints, func(s checkpoint) bool { return s.id == since })
+	d.ConnectionsOpened, d.CPUTime, d.Interval = opened, cpu, d.ReportedAt-c.header.StartedAt
 	if at >= 0 {
-		from := c.snaps[at]
-		d.Since, d.Span, d.Opened, d.CPU = since, d.At-from.at, opened-from.opened, max(cpu-from.cpu, 0)
+		from := c.checkpoints[at]
+		d.SinceCheckpoint, d.Interval, d.ConnectionsOpened, d.CPUTime = since, d.ReportedAt-from.takenAt, opened-from.connectionsOpened, max(cpu-from.cpuTime, 0)
 	}
-	all := make(map[string]*Index, len(c.indexes)) // as they stand; nobody changes them any more
-	for name, ix := range c.indexes {
-		all[name] = copyOf(ix)
-		if d.Indexes[name] = all[name]; at >= 0 {
-			d.Indexes[name] = less(ix, c.snaps[at].indexes[name])
+	all := make(map[string]*ClassStats, len(c.classes)) // as they stand; nobody changes them any more
+	for name, ix := range c.classes {
+		all[name] = cloneStats(ix)
+		if d.Classes[name] = all[name]; at >= 0 {
+			d.Classes[name] = subtractStats(ix, c.checkpoints[at].classes[name])
 		}
 	}
 	if !mark {
 		return &d
 	}
-	c.sequence++
-	d.Mark = fmt.Sprintf("%s.%d", c.process, c.sequence)
-	if c.snaps = append(c.snaps, snapshot{d.Mark, d.At, all, opened, cpu}); len(c.snaps) > marks {
-		c.snaps = slices.Delete(c.snaps, 0, 1)
+	c.lastCheckpoint++
+	d.Checkpoint = fmt.Sprintf("%s.%d", c.incarnation, c.lastCheckpoint)
+	if c.checkpoints = append(c.checkpoints, checkpoint{d.Checkpoint, d.ReportedAt, all, opened, cpu}); len(c.checkpoints) > maxCheckpoints {
+		c.checkpoints = slices.Delete(c.checkpoints, 0, 1)
 	}
 	return &d
 }
 
-// Take has a run claim the gatherer. It gives who holds it from now on.
-func (c *Counter) Take(claim rollout.Claim) (holder rollout.Claim, granted bool) {
+// AcquireClaim has a run claim the gatherer. It gives who holds it from now on.
+func (c *Collector) AcquireClaim(claim rollout.Claim) (holder rollout.Claim, granted bool) {
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -297,8 +301,8 @@
 	return holder, granted
 }
 
-// Free gives a claim back.
-func (c *Counter) Free(run string, fence uint64) {
+// ReleaseClaim gives a claim back.
+func (c *Collector) ReleaseClaim(run string, fence uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if rollout.Release(c.claim, run, fence) {
@@ -306,8 +310,8 @@
 	}
 }
 
-// cpuUsed is the process' CPU in milliseconds of a core.
-func cpuUsed() float64 {
+// processCPUTime is the process' CPU in milliseconds of a core.
+func processCPUTime() float64 {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
--- a/internal/gatherer/report/count_test.go
+++ b/internal/gatherer/report/count_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-func counter(now *float64) *Counter {
-	return NewCounter("g", terms(), func() float64 { return *now }, pool{})
+func counter(now *float64) *Collector {
+	return NewCollector("g", terms(), func() float64 { return *now }, pool{})
 }
 
 var halves = []dispatch.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
@@ -46,27 +46,27 @@
 	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
 	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150) // late
 	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
-	first := c.Document("", true)
-	ix := first.Indexes["any"]
-	if want := 1 + 0.1 + 0.5*0.5/0.75; ix.Ended != 3 || ix.Satisfied != 2 || ix.Partial != 1 || ix.InAim != 2 || ix.Value < want-1e-9 || ix.Value > want+1e-9 || ix.Took.TotalCount() != 3 || ix.Parts != 6 {
-		t.Errorf("%+v, value %g", ix, ix.Value)
+	first := c.SinceCheckpoint("", true)
+	ix := first.Classes["any"]
+	if want := 1 + 0.1 + 0.5*0.5/0.75; ix.Queries != 3 || ix.Served != 2 || ix.ServedPartly != 1 || ix.WithinObjective != 2 || ix.EarnedValue < want-1e-9 || ix.EarnedValue > want+1e-9 || ix.Latency.TotalCount() != 3 || ix.ShardRequests != 6 {
+		t.Errorf("%+v, value %g", ix, ix.EarnedValue)
 	}
 	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
 		c.Ended(lk("once"), dispatch.Verdict{Kind: kind}, 10)
 	}
 	c.Ended(lk("none such"), dispatch.Verdict{}, 10)
 	now = 3000
-	next := c.Document(first.Mark, true)
-	if o := next.Indexes["once"]; o.Ended != 4 || o.Nacked != 1 || o.Aborted != 1 || o.Broken != 1 || o.Left != 1 || o.Value != 0 {
+	next := c.SinceCheckpoint(first.Checkpoint, true)
+	if o := next.Classes["once"]; o.Queries != 4 || o.Rejected != 1 || o.Failed != 1 || o.InternalErrors != 1 || o.ClientGone != 1 || o.EarnedValue != 0 {
 		t.Errorf("%+v", o)
 	}
-	if a := next.Indexes["any"]; a.Ended != 0 || a.Took.TotalCount() != 0 || next.Since != first.Mark || next.Span != 2000 || next.Opened != 0 {
+	if a := next.Classes["any"]; a.Queries != 0 || a.Latency.TotalCount() != 0 || next.SinceCheckpoint != first.Checkpoint || next.Interval != 2000 || next.ConnectionsOpened != 0 {
 		t.Errorf("since a mark: %+v, %+v", a, next)
 	}
-	for range marks {
-		c.Document("", true)
+	for range maxCheckpoints {
+		c.SinceCheckpoint("", true)
 	}
-	if old := c.Document(first.Mark, true); old.Since != "" || old.Indexes["any"].Ended != 3 || old.Span != 2000 {
+	if old := c.SinceCheckpoint(first.Checkpoint, true); old.SinceCheckpoint != "" || old.Classes["any"].Queries != 3 || old.Interval != 2000 {
 		t.Errorf("a mark that is forgotten: %+v", old)
 	}
 }
@@ -76,7 +76,7 @@
 func TestServer(t *testing.T) {
 	now := 1000.0
 	c := counter(&now)
-	c.InForce("operator", "abc")
+	c.SetFile("operator", "abc")
 	c.Ended(&dispatch.Lookup{Index: "any", Parts: halves}, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -103,12 +103,12 @@
 		text, _ := io.ReadAll(resp.Body)
 		return resp.StatusCode, string(text)
 	}
-	status, text := ask("GET", Path, "")
+	status, text := ask("GET", ReportPath, "")
 	d, err := Read(strings.NewReader(text))
-	if status != 200 || err != nil || d.Files["operator"] != "abc" || !d.Ready || d.Connections != 3 || d.Indexes["any"].Took.Quantile(0.5) < 49 || d.Indexes["any"].Took.Quantile(0.5) > 51 {
+	if status != 200 || err != nil || d.Files["operator"] != "abc" || !d.Ready || d.OpenConnections != 3 || d.Classes["any"].Latency.Quantile(0.5) < 49 || d.Classes["any"].Latency.Quantile(0.5) > 51 {
 		t.Errorf("%d, %v, %s", status, err, text)
 	}
-	if _, text := ask("GET", MetricPath, ""); !strings.Contains(text, `yokeroute_lookups_total{end="satisfied",index="any"} 1`) || !strings.Contains(text, `yokeroute_lookup_seconds_count{index="any"} 1`) {
+	if _, text := ask("GET", MetricsPath, ""); !strings.Contains(text, `yokeroute_lookups_total{end="satisfied",index="any"} 1`) || !strings.Contains(text, `yokeroute_lookup_seconds_count{index="any"} 1`) {
 		t.Errorf("%s", text)
 	}
 	for _, c := range []struct {
@@ -128,7 +128,7 @@
 	if status, _ := ask("POST", ClaimPath, `{"run":"b","fence":1,"for":1000}`); status != 200 {
 		t.Errorf("after a claim's time: %d", status)
 	}
-	if status, _ := ask("DELETE", ClaimPath+"?run=b&fence=1", ""); status != 204 || c.Document("", true).Claim != nil {
+	if status, _ := ask("DELETE", ClaimPath+"?run=b&fence=1", ""); status != 204 || c.SinceCheckpoint("", true).Claim != nil {
 		t.Errorf("given back: %d", status)
 	}
 }
@@ -136,7 +136,7 @@
 // TestHuge: a report that does not end is not read to its end.
 func TestHuge(t *testing.T) {
 	huge := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		for range 2 * MostBytes / 1024 {
+		for range 2 * MaxBytes / 1024 {
 			if _, err := w.Write(make([]byte, 1024)); err != nil {
 				return
 			}
@@ -175,6 +175,6 @@
 	for b.Loop() {
 		c.Ended(lk, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
 		now += 1000
-		mark = c.Document(mark, true).Mark
+		mark = c.SinceCheckpoint(mark, true).Checkpoint
 	}
 }
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -44,7 +44,7 @@
 // encoded is a report as the server writes it, with what differs from machine to machine put to fixed values.
 func encoded(t *testing.T, d *Document) []byte {
 	t.Helper()
-	d.Memory, d.Goroutines, d.CPU = 18771968, 24, 33.5
+	d.ResidentMemory, d.Goroutines, d.CPUTime = 18771968, 24, 33.5
 	var out bytes.Buffer
 	if err := json.NewEncoder(&out).Encode(d); err != nil {
 		t.Fatal(err)
@@ -53,34 +53,34 @@
 }
 
 // keptCounter is a counter of a process that is told apart by a fixed name, by a clock that stands.
-func keptCounter(now *float64, process string) *Counter {
+func keptCounter(now *float64, process string) *Collector {
 	c := counter(now)
-	c.process = process
-	c.head.Process, c.head.Version, c.head.Program = process, "41", "4cedc032988f2f85"
-	c.head.Formats = map[string]int{"report": 1, "rollout": 1, "state": 1}
+	c.incarnation = process
+	c.header.Incarnation, c.header.Version, c.header.Program = process, "41", "4cedc032988f2f85"
+	c.header.Formats = map[string]int{"report": 1, "rollout": 1, "state": 1}
 	return c
 }
 
 // filled counts something of each kind.
-func filled(c *Counter, now *float64) {
+func filled(c *Collector, now *float64) {
 	lk := func(index string) *dispatch.Lookup { return &dispatch.Lookup{Index: index, Parts: halves} }
 	for kind, sum := range map[string]string{"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12", "segments": "13", "other": ""} {
-		c.InForce(kind, sum)
+		c.SetFile(kind, sum)
 	}
-	c.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, State: gather.Running}, {ID: 2, State: gather.Running}, {ID: 3, State: gather.Draining}}})
-	c.Policy = func() any { return map[string]any{"revision": 7} }
+	c.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, State: gather.Running}, {ID: 2, State: gather.Running}, {ID: 3, State: gather.Draining}}})
+	c.PolicyState = func() any { return map[string]any{"revision": 7} }
 	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
 	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150.25)
 	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
 	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
 		c.Ended(lk("once"), dispatch.Verdict{Kind: kind}, 10)
 	}
-	ix := c.indexes["any"]
-	ix.Calls, ix.Further, ix.Waited = 9, 2, 146.817
+	ix := c.classes["any"]
+	ix.Attempts, ix.ExtraAttempts, ix.AttemptTime = 9, 2, 146.817
 	for o := range outcomes {
 		ix.Outcomes[gather.Outcome(o).String()] = int64(o + 1)
 	}
-	c.Take(rollout.Claim{Run: "release-42 in /var/rollout on host", Fence: 3, Until: *now + 60_000})
+	c.AcquireClaim(rollout.Claim{Run: "release-42 in /var/rollout on host", Fence: 3, Until: *now + 60_000})
 }
 
 // TestReportKeepsItsBytes: a report of each kind is written from the same counts byte for byte as it was when its format
@@ -90,17 +90,17 @@
 	c := keptCounter(&now, "18889-1")
 	filled(c, &now)
 	now = 2500
-	reports := map[string]*Document{"empty.json": nil, "full.json": c.Peek(true), "marked.json": c.Document("", true)}
+	reports := map[string]*Document{"empty.json": nil, "full.json": c.SinceStart(true), "marked.json": c.SinceCheckpoint("", true)}
 	now = 4000
 	c.Ended(&dispatch.Lookup{Index: "any", Parts: halves}, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 75)
-	c.indexes["any"].Calls += 3
-	c.indexes["any"].Outcomes[gather.Outcome(0).String()] += 3
-	c.Leave()
-	reports["since.json"] = c.Document("18889-1.1", true)
+	c.classes["any"].Attempts += 3
+	c.classes["any"].Outcomes[gather.Outcome(0).String()] += 3
+	c.BeginShutdown()
+	reports["since.json"] = c.SinceCheckpoint("18889-1.1", true)
 	again := keptCounter(&now, "18900-2")
 	now = 5000
-	reports["restarted.json"] = again.Document("18889-1.2", true)
-	reports["empty.json"] = again.Peek(false)
+	reports["restarted.json"] = again.SinceCheckpoint("18889-1.2", true)
+	reports["empty.json"] = again.SinceStart(false)
 	for name, d := range reports {
 		text := encoded(t, d)
 		wantKept(t, name, text)
@@ -112,8 +112,8 @@
 		if again := encoded(t, read); !bytes.Equal(again, text) {
 			t.Errorf("%s: read and written again\n%s\nkept\n%s", name, again, text)
 		}
-		if read.Name != "g" || read.Form != "yokeroute report 1" || read.Files["config"] != d.Files["config"] || len(read.Indexes) != 2 ||
-			read.Since != d.Since || read.Mark != d.Mark || read.Span != d.Span || (read.Claim == nil) != (d.Claim == nil) {
+		if read.Name != "g" || read.Format != "yokeroute report 1" || read.Files["config"] != d.Files["config"] || len(read.Classes) != 2 ||
+			read.SinceCheckpoint != d.SinceCheckpoint || read.Checkpoint != d.Checkpoint || read.Interval != d.Interval || (read.Claim == nil) != (d.Claim == nil) {
 			t.Errorf("%s: read as %+v", name, read)
 		}
 	}
@@ -122,7 +122,7 @@
 // TestReportOfAnotherFormIsRefused: the number of the form decides, not the words.
 func TestReportOfAnotherFormIsRefused(t *testing.T) {
 	text := strings.Replace(string(keptFile(t, "full.json")), "yokeroute report 1", "yokeroute report 2", 1)
-	if _, err := Read(strings.NewReader(text)); !errors.Is(err, ErrForm) {
+	if _, err := Read(strings.NewReader(text)); !errors.Is(err, ErrFormat) {
 		t.Errorf("%v", err)
 	}
 }
@@ -130,7 +130,7 @@
 // TestClaimKeepsItsBytes: who holds a gatherer is answered byte for byte as when the path began, granted or not.
 func TestClaimKeepsItsBytes(t *testing.T) {
 	now := 1000.0
-	s := &Server{counter: keptCounter(&now, "18889-1"), ready: func() bool { return true }}
+	s := &Server{collector: keptCounter(&now, "18889-1"), ready: func() bool { return true }}
 	for _, c := range []struct {
 		name   string
 		body   string
@@ -141,13 +141,13 @@
 		{"claim-wrong.txt", `{"run":"other","fence":1,"for":0}`, http.StatusBadRequest},
 	} {
 		w := httptest.NewRecorder()
-		s.claim(w, httptest.NewRequest(http.MethodPost, "/claim", strings.NewReader(c.body)))
+		s.serveClaim(w, httptest.NewRequest(http.MethodPost, "/claim", strings.NewReader(c.body)))
 		wantKept(t, c.name, w.Body.Bytes())
 		if w.Code != c.status {
 			t.Errorf("%s: %d", c.name, w.Code)
 		}
 	}
-	for _, path := range []string{Path, ClaimPath, MetricPath} {
+	for _, path := range []string{ReportPath, ClaimPath, MetricsPath} {
 		if !strings.Contains("/report /claim /metrics", path) {
 			t.Errorf("%s is no path of before", path)
 		}
@@ -162,7 +162,7 @@
 	filled(c, &now)
 	now = 2500
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(&collector{&Server{counter: c, ready: func() bool { return true }}})
+	registry.MustRegister(&prometheusCollector{&Server{collector: c, ready: func() bool { return true }}})
 	w := httptest.NewRecorder()
 	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
 	text, err := io.ReadAll(w.Body)
--- a/internal/gatherer/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -16,13 +16,13 @@
 
 // tells wires what a gatherer tells of itself. A nil one tells nothing.
 type tells struct {
-	counter *report.Counter
+	counter *report.Collector
 	server  *report.Server
 }
 
 func newTells(c *platform.Config, own *operator.File, picker *dispatch.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
-	counter := report.NewCounter(c.Name, c.Settings, picker.Now, pool)
-	counter.Policy = policy
+	counter := report.NewCollector(c.Name, c.Settings, picker.Now, pool)
+	counter.PolicyState = policy
 	server, err := report.Listen(own.Report, counter, ready, log)
 	if err != nil {
 		return nil, err
@@ -37,7 +37,7 @@
 
 func (t *tells) inForce(kind, sum string) {
 	if t != nil {
-		t.counter.InForce(kind, sum)
+		t.counter.SetFile(kind, sum)
 	}
 }
 
@@ -61,13 +61,13 @@
 
 func (t *tells) follow(list gather.EndpointList) {
 	if t != nil {
-		t.counter.Follow(list)
+		t.counter.UpdateEndpoints(list)
 	}
 }
 
 func (t *tells) leave() {
 	if t != nil {
-		t.counter.Leave()
+		t.counter.BeginShutdown()
 	}
 }
 
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -58,7 +58,7 @@
 		t.Fatal(err)
 	}
 	defer told.Close()
-	if d, err := report.Read(told); err != nil || d.Name != "g1" || d.Indexes["find"].Ended == 0 || d.Indexes["find"].Took.TotalCount() == 0 {
+	if d, err := report.Read(told); err != nil || d.Name != "g1" || d.Classes["find"].Queries == 0 || d.Classes["find"].Latency.TotalCount() == 0 {
 		t.Errorf("report 1: %v, %+v", err, d)
 	}
 	if s, err := rollout.ReadStatus(kept("rollout-1")); err != nil || s.Phase != "ended" || len(s.Gatherers) != 4 {
@@ -159,8 +159,8 @@
 		if err != nil {
 			return
 		}
-		for name, ix := range d.Indexes {
-			if ix.Ended < 0 || ix.Value > float64(ix.Ended)+1e-6 || ix.Took.TotalCount() < 0 {
+		for name, ix := range d.Classes {
+			if ix.Queries < 0 || ix.EarnedValue > float64(ix.Queries)+1e-6 || ix.Latency.TotalCount() < 0 {
 				t.Errorf("%s: %+v", name, ix)
 			}
 		}
--- a/internal/testbed/scale/reports.go
+++ b/internal/testbed/scale/reports.go
@@ -45,7 +45,7 @@
 	settings := &gather.Settings{Classes: []gather.Class{{Name: "find", LatencyObjective: softDeadline, CompleteShare: 1.0}}}
 	var addresses []string
 	for i := range gatherers {
-		counter := report.NewCounter(fmt.Sprint("g", i), settings, func() float64 { return 0 }, noPool{})
+		counter := report.NewCollector(fmt.Sprint("g", i), settings, func() float64 { return 0 }, noPool{})
 		s, err := report.Listen("127.0.0.1:0", counter, func() bool { return true }, log)
 		if err != nil {
 			return c, err
@@ -90,7 +90,7 @@
 }
 
 func askReport(ctx context.Context, client *http.Client, address string) (int64, error) {
-	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+report.Path, nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+report.ReportPath, nil)
 	if err != nil {
 		return 0, err
 	}
