--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -49,7 +49,7 @@
 			if err := oneOf("kinds", kinds, all); err != nil {
 				return err
 			}
-			by := map[string]func(p rollout.Plan) rollout.Judge{"ours": nil, "plain": emulated.Plain, "at-once": emulated.AtOnce}
+			by := map[string]func(p rollout.Plan) rollout.Strategy{"ours": nil, "plain": emulated.Plain, "at-once": emulated.AtOnce}
 			if err := oneOf("judges", judges, judgeNames); err != nil {
 				return err
 			}
@@ -126,9 +126,9 @@
 			if err := oneOf("kinds", kinds, []string{"good", "dies", "leaks", "spins"}); err != nil {
 				return err
 			}
-			by := map[string]func(p rollout.Plan, at rollout.Position) rollout.Judge{"ours": nil,
-				"plain":   func(p rollout.Plan, _ rollout.Position) rollout.Judge { return emulated.Plain(p) },
-				"at-once": func(p rollout.Plan, _ rollout.Position) rollout.Judge { return emulated.AtOnce(p) }}
+			by := map[string]func(p rollout.Plan, at rollout.Position) rollout.Strategy{"ours": nil,
+				"plain":   func(p rollout.Plan, _ rollout.Position) rollout.Strategy { return emulated.Plain(p) },
+				"at-once": func(p rollout.Plan, _ rollout.Position) rollout.Strategy { return emulated.AtOnce(p) }}
 			if err := oneOf("judges", judges, judgeNames); err != nil {
 				return err
 			}
--- a/cmd/yokeroute/rollout.go
+++ b/cmd/yokeroute/rollout.go
@@ -54,7 +54,7 @@
 		if err := tellRollout(cmd.OutOrStdout(), s, form); err != nil {
 			return err
 		}
-		if s.Phase != logic.Ended {
+		if s.Phase != logic.Completed {
 			return errNegative
 		}
 		return nil
--- a/internal/control/rollout/ask.go
+++ b/internal/control/rollout/ask.go
@@ -26,8 +26,8 @@
 	marks []string
 	told  []*report.Document // newest, nil before the first
 	at    []time.Time        // of told
-	old   []rollout.Marks
-	new   []rollout.Marks
+	old   []rollout.BuildInfo
+	new   []rollout.BuildInfo
 }
 
 // patience is how long a gatherer may take to tell. It is little: who tells late is not reached for this time.
@@ -35,7 +35,7 @@
 
 func newTeller(p *Plan) (*teller, error) {
 	n := len(p.Gatherers)
-	t := &teller{p: p, marks: make([]string, n), told: make([]*report.Document, n), at: make([]time.Time, n), old: make([]rollout.Marks, n), new: make([]rollout.Marks, n),
+	t := &teller{p: p, marks: make([]string, n), told: make([]*report.Document, n), at: make([]time.Time, n), old: make([]rollout.BuildInfo, n), new: make([]rollout.BuildInfo, n),
 		http: &http.Client{Timeout: patience, Transport: &http.Transport{MaxIdleConnsPerHost: 1, MaxConnsPerHost: 2, IdleConnTimeout: 30 * time.Second, DisableCompression: true}}}
 	for g := range p.Gatherers {
 		var err error
@@ -97,36 +97,36 @@
 
 // all asks all gatherers at once.
 func (t *teller) all(ctx context.Context, now float64) rollout.Observation {
-	o := rollout.Observation{Now: now, Seen: make([]rollout.Seen, len(t.p.Gatherers))}
+	o := rollout.Observation{Now: now, Gatherers: make([]rollout.GathererSample, len(t.p.Gatherers))}
 	t.each(func(g int) {
 		d, err := t.ask(ctx, g)
 		if err != nil {
-			o.Seen[g].Trouble = err.Error()
+			o.Gatherers[g].Fault = err.Error()
 			return
 		}
-		o.Seen[g] = t.seen(g, d)
+		o.Gatherers[g] = t.seen(g, d)
 	})
 	return o
 }
 
 // seen puts a report into the decisions' form.
-func (t *teller) seen(g int, d *report.Document) rollout.Seen {
+func (t *teller) seen(g int, d *report.Document) rollout.GathererSample {
 	before := ""
 	if t.told[g] != nil {
 		before = t.told[g].Incarnation
 	}
-	counts := d.SinceCheckpoint != "" || rollout.Fresh(d.Incarnation, before)
-	told := rollout.Marks{Program: d.Program, Config: d.Files["config"], Operator: d.Files["operator"], Version: d.Version}
+	counts := d.SinceCheckpoint != "" || rollout.Restarted(d.Incarnation, before)
+	told := rollout.BuildInfo{Program: d.Program, Config: d.Files["config"], Operator: d.Files["operator"], Version: d.Version}
 	t.marks[g], t.told[g], t.at[g] = d.Checkpoint, d, time.Now()
-	s := rollout.Seen{Reached: true, Kind: rollout.Tell(t.old[g], t.new[g], told), Ready: d.Ready && !d.ShuttingDown, Process: d.Incarnation, Age: d.ReportedAt - d.StartedAt, Connections: float64(d.OpenConnections), Memory: d.ResidentMemory}
-	for _, name := range t.p.Indexes {
+	s := rollout.GathererSample{Reachable: true, Variant: rollout.Classify(t.old[g], t.new[g], told), Ready: d.Ready && !d.ShuttingDown, Incarnation: d.Incarnation, Uptime: d.ReportedAt - d.StartedAt, Connections: float64(d.OpenConnections), Memory: d.ResidentMemory}
+	for _, name := range t.p.Classes {
 		ix := d.Classes[name]
 		if ix == nil || !counts {
-			s.Indexes = append(s.Indexes, rollout.Counts{})
+			s.Classes = append(s.Classes, rollout.ClassCounts{})
 			continue
 		}
-		s.Indexes = append(s.Indexes, rollout.Counts{Ended: float64(ix.Queries), Value: ix.EarnedValue, Nacked: float64(ix.Rejected), Aborted: float64(ix.Failed + ix.InternalErrors), Parts: float64(ix.ShardRequests),
-			Calls: float64(ix.Attempts), Further: float64(ix.ExtraAttempts), Took: ix.Latency.Histogram})
+		s.Classes = append(s.Classes, rollout.ClassCounts{Queries: float64(ix.Queries), EarnedValue: ix.EarnedValue, Rejected: float64(ix.Rejected), Failed: float64(ix.Failed + ix.InternalErrors), ShardRequests: float64(ix.ShardRequests),
+			Attempts: float64(ix.Attempts), ExtraAttempts: float64(ix.ExtraAttempts), Latency: ix.Latency.Histogram})
 	}
 	return s
 }
@@ -153,10 +153,10 @@
 		if err := json.NewDecoder(io.LimitReader(resp.Body, 4096)).Decode(&held); err != nil {
 			return err
 		}
-		if held.Run == run { // found here before the run's folder was looked at again
-			return fmt.Errorf("%w: gatherer %s is held by controller %d", statedir.ErrTaken, t.p.Gatherers[g].Name, held.Fence)
+		if held.RunID == run { // found here before the run's folder was looked at again
+			return fmt.Errorf("%w: gatherer %s is held by controller %d", statedir.ErrTaken, t.p.Gatherers[g].Name, held.FencingToken)
 		}
-		return fmt.Errorf("gatherer %s %w: %s, controller %d", t.p.Gatherers[g].Name, errHeld, held.Run, held.Fence)
+		return fmt.Errorf("gatherer %s %w: %s, controller %d", t.p.Gatherers[g].Name, errHeld, held.RunID, held.FencingToken)
 	}
 	if resp.StatusCode != http.StatusOK {
 		return fmt.Errorf("answers %s", resp.Status)
--- a/internal/control/rollout/ask_test.go
+++ b/internal/control/rollout/ask_test.go
@@ -20,7 +20,7 @@
 // which is the word that the run's folder gives as well: a controller that was stopped may find either first. A
 // gatherer that does not answer refuses nothing.
 func TestRefused(t *testing.T) {
-	held := rollout.Claim{Run: "one", Fence: 2, Until: 1e9}
+	held := rollout.Claim{RunID: "one", FencingToken: 2, ExpiresAt: 1e9}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var asked rollout.Claim
 		text, _ := io.ReadAll(r.Body)
--- a/internal/control/rollout/carry.go
+++ b/internal/control/rollout/carry.go
@@ -66,13 +66,13 @@
 type carrier interface {
 	// step makes a gatherer what it is to be. It may be called again for a step that was begun before; fence is the
 	// controller's number. An error says why it could not.
-	step(ctx context.Context, g int, to rollout.Kind, fence uint64) error
+	step(ctx context.Context, g int, to rollout.Variant, fence uint64) error
 }
 
 // commands carries steps out by the operator's own.
 type commands struct{ p *Plan }
 
-func (c commands) step(ctx context.Context, g int, to rollout.Kind, fence uint64) error {
+func (c commands) step(ctx context.Context, g int, to rollout.Variant, fence uint64) error {
 	own := c.p.Steps[to]
 	if err := c.alone(ctx, g, own.Limit); err != nil {
 		return err
@@ -236,7 +236,7 @@
 	return nil
 }
 
-func (r runner) step(ctx context.Context, g int, to rollout.Kind, _ uint64) error {
+func (r runner) step(ctx context.Context, g int, to rollout.Variant, _ uint64) error {
 	s, m := r.p.of(r.p.New, g), r.p.Machines[g]
 	if to == rollout.Old {
 		s = r.p.of(r.p.Old, g)
--- a/internal/control/rollout/control.go
+++ b/internal/control/rollout/control.go
@@ -62,8 +62,8 @@
 // Means are what a controller decides and changes gatherers by, where that is not the project's own decisions and what
 // the plan says: an experiment's.
 type Means struct {
-	Judge func(p rollout.Plan, at rollout.Position) rollout.Judge
-	Step  func(ctx context.Context, gatherer string, to rollout.Kind) error
+	Judge func(p rollout.Plan, at rollout.Position) rollout.Strategy
+	Step  func(ctx context.Context, gatherer string, to rollout.Variant) error
 }
 
 // means carries steps out by a function.
@@ -72,7 +72,7 @@
 	m Means
 }
 
-func (c means) step(ctx context.Context, g int, to rollout.Kind, _ uint64) error {
+func (c means) step(ctx context.Context, g int, to rollout.Variant, _ uint64) error {
 	return c.m.Step(ctx, c.p.Gatherers[g].Name, to)
 }
 
@@ -82,7 +82,7 @@
 	log     *logrus.Logger
 	teller  *teller
 	carrier carrier
-	decider rollout.Judge
+	decider rollout.Strategy
 	means   Means
 	own     *statedir.Run
 	fence   uint64
@@ -154,23 +154,23 @@
 	if err := c.teller.everybody(ctx, c.run, c.fence); err != nil {
 		return err
 	}
-	if len(p.Indexes) == 0 { // those that the gatherers tell of
-		if p.Indexes, err = c.indexes(ctx); err != nil {
+	if len(p.Classes) == 0 { // those that the gatherers tell of
+		if p.Classes, err = c.indexes(ctx); err != nil {
 			return err
 		}
 	}
-	c.decider = rollout.Begin(p.Plan, at)
+	c.decider = rollout.NewDecider(p.Plan, at)
 	if c.means.Judge != nil {
 		c.decider = c.means.Judge(p.Plan, at)
 	}
 	c.at = at
-	return c.write(rollout.Record{What: rollout.Began, Plan: p.Text, Fence: c.fence})
+	return c.write(rollout.Record{Kind: rollout.ControllerStarted, PlanSum: p.Text, FencingToken: c.fence})
 }
 
 // indexes are those of which the gatherers tell.
 func (c *Controller) indexes(ctx context.Context) ([]string, error) {
 	o := c.teller.all(ctx, 0)
-	for g := range o.Seen {
+	for g := range o.Gatherers {
 		if d := c.teller.told[g]; d != nil {
 			var names []string
 			for name := range d.Classes {
@@ -181,8 +181,8 @@
 		}
 	}
 	var why []string
-	for g := range o.Seen {
-		why = append(why, fmt.Sprintf("%s at %s: %s", c.p.Gatherers[g].Name, c.p.Machines[g].Report, o.Seen[g].Trouble))
+	for g := range o.Gatherers {
+		why = append(why, fmt.Sprintf("%s at %s: %s", c.p.Gatherers[g].Name, c.p.Machines[g].Report, o.Gatherers[g].Fault))
 		if len(why) == 3 {
 			break
 		}
@@ -196,7 +196,7 @@
 	var all []rollout.Record
 	err = c.own.Recover(func(text []byte) error {
 		var rec rollout.Record
-		if err := json.Unmarshal(text, &rec); err != nil || rec.Form != rollout.RecordForm {
+		if err := json.Unmarshal(text, &rec); err != nil || rec.Format != rollout.RecordFormat {
 			return fmt.Errorf("a record of another form: %.80q", text)
 		}
 		all = append(all, rec)
@@ -212,13 +212,13 @@
 	if err != nil {
 		return at, fmt.Errorf("%s: %w", c.p.File, err)
 	}
-	c.redo, c.word = r.Redo, r.Word
+	c.redo, c.word = r.UnfinishedSteps, r.Command
 	for _, rec := range c.redo {
-		if g := c.numberOf(rec.Name); g >= 0 {
+		if g := c.numberOf(rec.Gatherer); g >= 0 {
 			c.steps[g] = rollout.Running
 		}
 	}
-	return r.At, nil
+	return r.Position, nil
 }
 
 func (c *Controller) numberOf(name string) int {
@@ -227,7 +227,7 @@
 
 // write writes a record down.
 func (c *Controller) write(r rollout.Record) error {
-	r.Form, r.At = rollout.RecordForm, c.now()
+	r.Format, r.At = rollout.RecordFormat, c.now()
 	text, err := json.Marshal(r)
 	if err != nil {
 		return err
@@ -242,12 +242,12 @@
 	defer c.own.Close()
 	defer c.wait.Wait()
 	for _, rec := range c.redo {
-		g := c.numberOf(rec.Name)
+		g := c.numberOf(rec.Gatherer)
 		if g < 0 {
 			continue // the plan's text is the same, so that there is none
 		}
-		c.log.WithFields(logrus.Fields{"gatherer": rec.Name, "to": rec.To.String()}).Info("a step of whose end nothing is known is made again")
-		c.begin(ctx, g, rec.To)
+		c.log.WithFields(logrus.Fields{"gatherer": rec.Gatherer, "to": rec.Target.String()}).Info("a step of whose end nothing is known is made again")
+		c.begin(ctx, g, rec.Target)
 	}
 	tick := time.NewTicker(time.Duration(c.p.Every * 1e6))
 	defer tick.Stop()
@@ -279,10 +279,10 @@
 	}
 	o := c.teller.all(ctx, c.now())
 	c.mu.Lock()
-	for g := range o.Seen {
-		o.Seen[g].Step = c.steps[g]
+	for g := range o.Gatherers {
+		o.Gatherers[g].Step = c.steps[g]
 		if c.errs[g] != "" {
-			o.Seen[g].Trouble = c.errs[g]
+			o.Gatherers[g].Fault = c.errs[g]
 		}
 	}
 	c.mu.Unlock()
@@ -290,13 +290,13 @@
 		return nil, false, err
 	}
 	d := c.decider.Decide(o)
-	if at := c.decider.At(); at.Phase != c.at.Phase || at.Stage != c.at.Stage {
+	if at := c.decider.Position(); at.Phase != c.at.Phase || at.Stage != c.at.Stage {
 		c.at = at
-		if err := c.write(rollout.Record{What: rollout.Moved, Where: &at, Err: d.Why}); err != nil {
+		if err := c.write(rollout.Record{Kind: rollout.PositionChanged, Position: &at, Message: d.Reason}); err != nil {
 			return nil, false, err
 		}
 	}
-	if line := fmt.Sprintf("%s: %s", d.Verdict, d.Why); line != c.last {
+	if line := fmt.Sprintf("%s: %s", d.Verdict, d.Reason); line != c.last {
 		c.last = line
 		c.log.WithField("phase", string(d.Phase)).Info(line)
 	}
@@ -306,17 +306,17 @@
 		return s, false, err
 	}
 	for _, step := range d.Steps {
-		if err := c.write(rollout.Record{What: rollout.Ordered, Name: c.p.Gatherers[step.Gatherer].Name, To: step.To}); err != nil {
+		if err := c.write(rollout.Record{Kind: rollout.StepStarted, Gatherer: c.p.Gatherers[step.Gatherer].Name, Target: step.To}); err != nil {
 			return s, false, err
 		}
 		c.begin(ctx, step.Gatherer, step.To)
 	}
-	over = d.Phase == rollout.Ended || d.Phase == rollout.Restored || d.Phase == rollout.Stopped
+	over = d.Phase == rollout.Completed || d.Phase == rollout.RolledBack || d.Phase == rollout.Stopped
 	return s, over, nil
 }
 
 // begin carries a step out beside all else.
-func (c *Controller) begin(ctx context.Context, g int, to rollout.Kind) {
+func (c *Controller) begin(ctx context.Context, g int, to rollout.Variant) {
 	c.mu.Lock()
 	c.steps[g], c.errs[g] = rollout.Running, ""
 	c.mu.Unlock()
@@ -328,7 +328,7 @@
 			result, said = rollout.Failed, err.Error()
 			c.log.WithFields(logrus.Fields{"gatherer": name, "to": to.String()}).WithError(err).Warn("step failed")
 		}
-		if err := c.write(rollout.Record{What: rollout.Stepped, Name: name, To: to, Err: said}); err != nil {
+		if err := c.write(rollout.Record{Kind: rollout.StepEnded, Gatherer: name, Target: to, Message: said}); err != nil {
 			c.log.WithError(err).Error("that a step has ended could not be written down; it may be made again")
 		}
 		c.mu.Lock()
@@ -338,7 +338,7 @@
 }
 
 // carry makes a step, unless the rollout is another controller's by now.
-func (c *Controller) carry(ctx context.Context, g int, to rollout.Kind) error {
+func (c *Controller) carry(ctx context.Context, g int, to rollout.Variant) error {
 	if err := c.own.Mine(); err != nil {
 		return err
 	}
@@ -355,16 +355,16 @@
 		return err
 	}
 	c.word = word
-	if err := c.write(rollout.Record{What: rollout.Heeded, Word: c.word}); err != nil {
+	if err := c.write(rollout.Record{Kind: rollout.CommandTaken, Command: c.word}); err != nil {
 		return err
 	}
 	switch word, _, _ := strings.Cut(c.word, " "); word {
 	case "stop":
 		c.decider.Command(rollout.Stop, "by the operator's word")
 	case "back":
-		c.decider.Command(rollout.Back, "by the operator's word")
+		c.decider.Command(rollout.RollBack, "by the operator's word")
 	case "resume":
-		c.decider.Command(rollout.Go, "")
+		c.decider.Command(rollout.Proceed, "")
 	}
 	return nil
 }
@@ -373,10 +373,10 @@
 func Say(folder, word string) error { return statedir.Say(folder, word, time.Now().UnixNano()) }
 
 func (c *Controller) status(o *rollout.Observation, d rollout.Decision) *Status {
-	s := &Status{Form: statusForm, Name: c.p.Name, Plan: c.p.File, At: o.Now, Fence: c.fence, PID: os.Getpid(), Phase: d.Phase, Stage: c.p.Stages[min(d.Stage, len(c.p.Stages)-1)].Name, Verdict: d.Verdict.String(), Why: d.Why, Indexes: map[string][2]Sum{}}
-	for g := range o.Seen {
-		seen := &o.Seen[g]
-		one := GathererStatus{Name: c.p.Gatherers[g].Name, Zone: c.p.Gatherers[g].Zone, Serves: seen.Kind.String(), Ready: seen.Ready, Trouble: seen.Trouble}
+	s := &Status{Form: statusForm, Name: c.p.Name, Plan: c.p.File, At: o.Now, Fence: c.fence, PID: os.Getpid(), Phase: d.Phase, Stage: c.p.Stages[min(d.Stage, len(c.p.Stages)-1)].Name, Verdict: d.Verdict.String(), Why: d.Reason, Indexes: map[string][2]Sum{}}
+	for g := range o.Gatherers {
+		seen := &o.Gatherers[g]
+		one := GathererStatus{Name: c.p.Gatherers[g].Name, Zone: c.p.Gatherers[g].Zone, Serves: seen.Variant.String(), Ready: seen.Ready, Trouble: seen.Fault}
 		if !c.teller.at[g].IsZero() {
 			one.Reached = float64(c.teller.at[g].UnixMilli())
 		}
@@ -385,15 +385,15 @@
 		}
 		s.Gatherers = append(s.Gatherers, one)
 		side := 0
-		if seen.Kind == rollout.New {
+		if seen.Variant == rollout.New {
 			side = 1
 		}
-		for i := range seen.Indexes {
-			both := s.Indexes[c.p.Indexes[i]]
-			both[side].Lookups += seen.Indexes[i].Ended
-			both[side].Value += seen.Indexes[i].Value
-			both[side].Nacked += seen.Indexes[i].Nacked
-			s.Indexes[c.p.Indexes[i]] = both
+		for i := range seen.Classes {
+			both := s.Indexes[c.p.Classes[i]]
+			both[side].Lookups += seen.Classes[i].Queries
+			both[side].Value += seen.Classes[i].EarnedValue
+			both[side].Nacked += seen.Classes[i].Rejected
+			s.Indexes[c.p.Classes[i]] = both
 		}
 	}
 	return s
@@ -474,10 +474,10 @@
 func Log(folder string) (lines []string, err error) {
 	err = statedir.ReadRun(folder, func(text []byte) error {
 		var rec rollout.Record
-		if err := json.Unmarshal(text, &rec); err != nil || rec.Form != rollout.RecordForm {
+		if err := json.Unmarshal(text, &rec); err != nil || rec.Format != rollout.RecordFormat {
 			return fmt.Errorf("a record of another form: %.80q", text)
 		}
-		lines = append(lines, rec.Line())
+		lines = append(lines, rec.Describe())
 		return nil
 	})
 	return lines, err
--- a/internal/control/rollout/emulated/fleet.go
+++ b/internal/control/rollout/emulated/fleet.go
@@ -83,14 +83,14 @@
 	rate    float64 // lookups a second
 	offset  float64 // by which its loss differs for good, times
 	speed   float64 // and its latency
-	kind    rollout.Kind
+	kind    rollout.Variant
 	started float64
 	process int
 	down    float64 // until then it does not serve
 	hidden  float64 // until then it cannot be asked, and serves
 	cut     float64 // until then its link loses
 	step    rollout.StepState
-	stepTo  rollout.Kind
+	stepTo  rollout.Variant
 	stepEnd float64
 	memory  float64
 	open    [3]float64 // lookups of each index under way when an interval ended
@@ -260,9 +260,9 @@
 		w.latency *= 0.5 / max(1-min(w.load, 0.95), 0.05)
 		w.loss += 0.5 * max(w.load-0.8, 0)
 	}
-	o := rollout.Observation{Now: f.now, Seen: make([]rollout.Seen, len(f.gatherers))}
+	o := rollout.Observation{Now: f.now, Gatherers: make([]rollout.GathererSample, len(f.gatherers))}
 	for i := range f.gatherers {
-		o.Seen[i] = f.tell(&f.gatherers[i], &zones[f.gatherers[i].zone], burst)
+		o.Gatherers[i] = f.tell(&f.gatherers[i], &zones[f.gatherers[i].zone], burst)
 	}
 	return o
 }
@@ -299,7 +299,7 @@
 }
 
 // tell is what is heard of a gatherer for the interval that ends now.
-func (f *fleet) tell(g *gatherer, w *weather, burst float64) rollout.Seen {
+func (f *fleet) tell(g *gatherer, w *weather, burst float64) rollout.GathererSample {
 	b, _ := f.active(g, -1)
 	if g.step == rollout.Running && f.now >= g.stepEnd {
 		fails := 0.01
@@ -318,19 +318,19 @@
 	} else if g.step != rollout.Running && g.kind == rollout.New && b.Dies > 0 && f.chance.Float64() < b.Dies*f.t.Interval/60_000 {
 		f.die(g, 2000)
 	}
-	s := rollout.Seen{Kind: g.kind, Process: fmt.Sprint(g.process), Age: f.now - g.started, Step: g.step}
+	s := rollout.GathererSample{Variant: g.kind, Incarnation: fmt.Sprint(g.process), Uptime: f.now - g.started, Step: g.step}
 	g.memory += (18 - g.memory) * 0.02
 	if g.kind == rollout.New && b.Leak > 0 {
 		g.memory *= 1 + b.Leak*f.t.Interval/60_000
 	}
 	if f.now < g.down || f.now < g.hidden || f.chance.Float64() < 0.003 {
-		s = rollout.Seen{Step: g.step, Trouble: "no answer"}
+		s = rollout.GathererSample{Step: g.step, Fault: "no answer"}
 		if f.now < g.down {
 			return s
 		}
 	}
-	reached := s.Kind != rollout.Unknown
-	s.Reached, s.Ready = reached, reached
+	reached := s.Variant != rollout.Unknown
+	s.Reachable, s.Ready = reached, reached
 	s.Memory = g.memory * (1 + 0.03*f.gauss())
 	s.Connections = 60 * (1 + 0.05*f.gauss())
 	if g.kind == rollout.New && b.Conns > 0 {
@@ -339,7 +339,7 @@
 	young := math.Exp(-max(f.now-g.started, 0) / 4000)
 	span := min(f.t.Interval, max(f.now-g.started, 0)) / 1000 // a process tells what it has done itself
 	for i := range indexNames {
-		c := rollout.Counts{Ended: f.poisson(g.rate * burst * indexShares[i] * span)}
+		c := rollout.ClassCounts{Queries: f.poisson(g.rate * burst * indexShares[i] * span)}
 		e, on := f.active(g, i)
 		loss := baseLoss[i]*g.offset + w.loss + 0.10*young
 		nack, abort, latency, slowTail, more, factor := loss/2, loss/6, w.latency*g.speed*(1+0.4*young), 0.0, 0.02+0.2*w.loss+0.03*young, 1.0
@@ -360,30 +360,30 @@
 			factor = max(e.Calls, 1)
 			worse = e.Loss + e.Nack + e.Abort + e.Tail + 0.3*max(e.Latency-1, 0)
 		}
-		bad := f.binomial(c.Ended, min(loss, 0.98))
-		c.Value = c.Ended - bad
-		c.Nacked = f.binomial(bad, min(nack/max(loss, 1e-9), 1))
-		c.Aborted = f.binomial(bad-c.Nacked, min(abort/max(loss-nack, 1e-9), 1))
+		bad := f.binomial(c.Queries, min(loss, 0.98))
+		c.EarnedValue = c.Queries - bad
+		c.Rejected = f.binomial(bad, min(nack/max(loss, 1e-9), 1))
+		c.Failed = f.binomial(bad-c.Rejected, min(abort/max(loss-nack, 1e-9), 1))
 		// Part calls are counted as they go, parts once their lookup has ended: some are of the next interval.
-		c.Parts = c.Ended * parts[i]
+		c.ShardRequests = c.Queries * parts[i]
 		open := min(f.poisson(g.rate*burst*indexShares[i]*0.08*latency), 1000)
-		went := max(c.Ended+open-g.open[i], 0) * parts[i] * factor
+		went := max(c.Queries+open-g.open[i], 0) * parts[i] * factor
 		g.open[i] = open
-		c.Further = f.binomial(went, min(more, 0.9))
-		c.Calls = went + c.Further
+		c.ExtraAttempts = f.binomial(went, min(more, 0.9))
+		c.Attempts = went + c.ExtraAttempts
 		// Latency is lognormal; its limits are the median and the 95th percentile of a calm day.
 		const sigma = 0.5
-		c.Satisfied = c.Ended - bad
+		c.Served = c.Queries - bad
 		for k, z := range []float64{0, 1.645} {
 			p := 0.5 * math.Erfc((z-math.Log(latency)/sigma)/math.Sqrt2)
 			p4 := 0.5 * math.Erfc((z-math.Log(4*latency)/sigma)/math.Sqrt2)
-			c.Over[k] = f.binomial(c.Satisfied, (1-slowTail)*p+slowTail*p4)
+			c.OverLimit[k] = f.binomial(c.Served, (1-slowTail)*p+slowTail*p4)
 		}
-		f.Harmed += c.Ended * worse
-		s.Indexes = append(s.Indexes, c)
+		f.Harmed += c.Queries * worse
+		s.Classes = append(s.Classes, c)
 	}
 	if !reached {
-		return rollout.Seen{Step: g.step, Trouble: "no answer"}
+		return rollout.GathererSample{Step: g.step, Fault: "no answer"}
 	}
 	return s
 }
--- a/internal/control/rollout/emulated/hunt.go
+++ b/internal/control/rollout/emulated/hunt.go
@@ -54,9 +54,9 @@
 	case 3:
 		e.Tail, e.Latency = 2*harm, between(0.8, 1) // of the tail thrice as much is asked for
 	case 4:
-		e.Calls = 1 + Plan(t).Cost*between(1.5, 3)
+		e.Calls = 1 + Plan(t).ExtraCost*between(1.5, 3)
 	case 5:
-		e.Conns = 1 + Plan(t).Cost*between(2, 4)
+		e.Conns = 1 + Plan(t).ExtraCost*between(2, 4)
 	case 6:
 		e.Latency = between(1.4, 2)
 	case 7:
@@ -69,7 +69,7 @@
 		e.Zone = 1 + int(c.Uint32())%t.Zones
 	}
 	// Of what is confined to fewer lookups than the plan judges an index by, nothing is promised.
-	if e.Index > 0 && e.Zone > 0 && indexShares[e.Index-1]/float64(t.Zones) < Plan(t).Judged {
+	if e.Index > 0 && e.Zone > 0 && indexShares[e.Index-1]/float64(t.Zones) < Plan(t).MinClassShare {
 		e.Zone = 0
 	}
 	if c.Uint32()%4 == 0 {
--- a/internal/control/rollout/emulated/kept_test.go
+++ b/internal/control/rollout/emulated/kept_test.go
@@ -16,7 +16,7 @@
 // the same harm as when the kept outcomes were written. A change of any figure of the decisions shows here.
 func TestOutcomesStayAsTheyWere(t *testing.T) {
 	t.Parallel()
-	judges := map[string]func(p rollout.Plan) rollout.Judge{"ours": nil, "plain": Plain, "at once": AtOnce}
+	judges := map[string]func(p rollout.Plan) rollout.Strategy{"ours": nil, "plain": Plain, "at once": AtOnce}
 	var out bytes.Buffer
 	for _, kind := range append(slices.Sorted(maps.Keys(Bad)), "good") {
 		for _, judge := range slices.Sorted(maps.Keys(judges)) {
--- a/internal/control/rollout/emulated/play.go
+++ b/internal/control/rollout/emulated/play.go
@@ -24,9 +24,9 @@
 
 // Plan is the rollout that is played: one gatherer, some, a quarter, half, all.
 func Plan(t Terms) rollout.Plan {
-	p := rollout.Plan{Name: t.Kind, Indexes: indexNames, Seed: t.Seed, MostOut: max(t.Gatherers/20, 1), MostOutZone: max(t.Gatherers/40, 1),
-		Stages: []rollout.Stage{{Name: "one", Count: 1, Least: 60_000}, {Name: "some", Share: 0.04, Least: 60_000}, {Name: "quarter", Share: 0.25, Least: 120_000},
-			{Name: "half", Share: 0.5, Least: 120_000}, {Name: "all", Share: 1, Least: 60_000}}}
+	p := rollout.Plan{Name: t.Kind, Classes: indexNames, Seed: t.Seed, MaxUnavailable: max(t.Gatherers/20, 1), MaxUnavailablePerZone: max(t.Gatherers/40, 1),
+		Stages: []rollout.Stage{{Name: "one", Count: 1, MinObservation: 60_000}, {Name: "some", Share: 0.04, MinObservation: 60_000}, {Name: "quarter", Share: 0.25, MinObservation: 120_000},
+			{Name: "half", Share: 0.5, MinObservation: 120_000}, {Name: "all", Share: 1, MinObservation: 60_000}}}
 	if t.Gatherers < 50 { // of so few four hundredths are the one again
 		p.Stages[1].Share = 0.1
 	}
@@ -37,12 +37,12 @@
 }
 
 // Play plays one rollout; judge makes who decides it, nil the project's own.
-func Play(t Terms, judge func(p rollout.Plan) rollout.Judge) Outcome {
+func Play(t Terms, judge func(p rollout.Plan) rollout.Strategy) Outcome {
 	if t.Size == 0 {
 		t.Size = 1
 	}
 	f, p := newFleet(t), Plan(t)
-	var j rollout.Judge = rollout.Begin(p, rollout.Position{})
+	var j rollout.Strategy = rollout.NewDecider(p, rollout.Position{})
 	if judge != nil {
 		j = judge(p)
 	}
@@ -56,8 +56,8 @@
 				news++
 			}
 		}
-		out.End, out.Stage, out.Why = d.Phase, d.Stage, d.Why
-		if d.Phase == rollout.Backing && out.Found < 0 {
+		out.End, out.Stage, out.Why = d.Phase, d.Stage, d.Reason
+		if d.Phase == rollout.RollingBack && out.Found < 0 {
 			out.Found = float64(news) / float64(len(f.gatherers))
 		}
 		f.order(d.Steps)
@@ -68,7 +68,7 @@
 			}
 		}
 		out.MostOut = max(out.MostOut, stepping)
-		if d.Phase == rollout.Ended || d.Phase == rollout.Restored || d.Phase == rollout.Stopped {
+		if d.Phase == rollout.Completed || d.Phase == rollout.RolledBack || d.Phase == rollout.Stopped {
 			break
 		}
 	}
@@ -94,7 +94,7 @@
 }
 
 // Many plays so many rollouts of a kind, on several cores, with the seeds from one on.
-func Many(t Terms, name string, judge func(p rollout.Plan) rollout.Judge, n, workers int) Row {
+func Many(t Terms, name string, judge func(p rollout.Plan) rollout.Strategy, n, workers int) Row {
 	outs := parallel.Each(n, workers, func(i int) Outcome {
 		one := t
 		one.Seed = t.Seed + uint64(i)
@@ -104,9 +104,9 @@
 	var times []float64
 	for _, o := range outs {
 		switch o.End {
-		case rollout.Ended:
+		case rollout.Completed:
 			row.Passed++
-		case rollout.Restored, rollout.Stopped, rollout.Backing:
+		case rollout.RolledBack, rollout.Stopped, rollout.RollingBack:
 			row.Stopped++
 			row.ByStage[min(o.Stage, 4)]++
 			row.Why[o.Why]++
@@ -125,16 +125,16 @@
 
 // deaf is a plan that finds nothing and asks for no proof, for what it leaves: the steps, and the bounds on those out.
 func deaf(p rollout.Plan) rollout.Plan {
-	p.Harm, p.Cost, p.FreshHarm, p.WrongPass, p.WrongStop, p.Evidence = 1, math.Inf(1), 2, 1, 1e-300, 0
-	p.Judged = 2 // of all lookups: no index is judged
+	p.Harm, p.ExtraCost, p.WarmUpHarm, p.FalsePassRate, p.FalseStopRate, p.MinQueries = 1, math.Inf(1), 2, 1, 1e-300, 0
+	p.MinClassShare = 2 // of all lookups: no index is judged
 	return p
 }
 
 // AtOnce is the baseline of no stages: everything is changed, as fast as the bound on gatherers that are out lets it.
-func AtOnce(p rollout.Plan) rollout.Judge {
+func AtOnce(p rollout.Plan) rollout.Strategy {
 	p = deaf(p)
-	p.Stages, p.Baseline = []rollout.Stage{{Name: "all", Share: 1, Least: 1}}, 1
-	return rollout.Begin(p, rollout.Position{})
+	p.Stages, p.BaselineTime = []rollout.Stage{{Name: "all", Share: 1, MinObservation: 1}}, 1
+	return rollout.NewDecider(p, rollout.Position{})
 }
 
 // plain is the baseline of fixed waiting with plain thresholds: a stage is watched for its time, then the totals of
@@ -147,42 +147,42 @@
 }
 
 // Plain makes that baseline.
-func Plain(p rollout.Plan) rollout.Judge {
+func Plain(p rollout.Plan) rollout.Strategy {
 	quiet := deaf(p)
-	quiet.Rough = math.Inf(1)
-	return &plain{p: p, inner: rollout.Begin(quiet, rollout.Position{})}
+	quiet.MaxDisturbance = math.Inf(1)
+	return &plain{p: p, inner: rollout.NewDecider(quiet, rollout.Position{})}
 }
 
-// At is the inner decider's position.
-func (j *plain) At() rollout.Position { return j.inner.At() }
+// Position is the inner decider's position.
+func (j *plain) Position() rollout.Position { return j.inner.Position() }
 
 // Command is the operator's word.
 func (j *plain) Command(v rollout.Verdict, why string) { j.inner.Command(v, why) }
 
 // Decide compares totals at the end of each stage.
 func (j *plain) Decide(o rollout.Observation) rollout.Decision {
-	before := j.inner.At()
-	for _, s := range o.Seen {
-		if !s.Reached || s.Kind != rollout.Old && s.Kind != rollout.New {
+	before := j.inner.Position()
+	for _, s := range o.Gatherers {
+		if !s.Reachable || s.Variant != rollout.Old && s.Variant != rollout.New {
 			continue
 		}
 		side := &j.sums[0]
-		if s.Kind == rollout.New {
+		if s.Variant == rollout.New {
 			side = &j.sums[1]
 		}
-		for _, c := range s.Indexes {
-			side.n += c.Ended
-			side.lost += c.Ended - c.Value
-			side.slow += c.Over[1]
-			side.sat += c.Satisfied
-			side.calls += c.Calls
-			side.parts += c.Parts
+		for _, c := range s.Classes {
+			side.n += c.Queries
+			side.lost += c.Queries - c.EarnedValue
+			side.slow += c.OverLimit[1]
+			side.sat += c.Served
+			side.calls += c.Attempts
+			side.parts += c.ShardRequests
 		}
 	}
 	d := j.inner.Decide(o)
-	after := j.inner.At()
-	passing := after.Stage != before.Stage || after.Phase == rollout.Ended && before.Phase != rollout.Ended
-	if passing && (before.Phase == rollout.Judging || before.Phase == rollout.Changing) {
+	after := j.inner.Position()
+	passing := after.Stage != before.Stage || after.Phase == rollout.Completed && before.Phase != rollout.Completed
+	if passing && (before.Phase == rollout.Evaluating || before.Phase == rollout.Updating) {
 		a, c := j.sums[1], j.sums[0]
 		why := ""
 		switch {
@@ -191,12 +191,12 @@
 			why = "loses more"
 		case a.slow/max(a.sat, 1) > 2*c.slow/max(c.sat, 1):
 			why = "twice as many in the tail"
-		case a.calls/max(a.parts, 1) > (1+j.p.Cost)*c.calls/max(c.parts, 1):
+		case a.calls/max(a.parts, 1) > (1+j.p.ExtraCost)*c.calls/max(c.parts, 1):
 			why = "more calls"
 		}
 		if why != "" {
-			j.inner.Command(rollout.Back, why)
-			d.Phase, d.Why, d.Steps = rollout.Backing, why, nil
+			j.inner.Command(rollout.RollBack, why)
+			d.Phase, d.Reason, d.Steps = rollout.RollingBack, why, nil
 		}
 		j.sums = [2]struct{ n, lost, slow, sat, calls, parts float64 }{}
 	}
--- a/internal/control/rollout/emulated/play_test.go
+++ b/internal/control/rollout/emulated/play_test.go
@@ -56,7 +56,7 @@
 		t.Errorf("%+v\n%+v", a, b)
 	}
 	one.Seed++
-	if a := Play(one, nil); a.MostOut > 3 || a.End == rollout.Ended {
+	if a := Play(one, nil); a.MostOut > 3 || a.End == rollout.Completed {
 		t.Errorf("%+v", a)
 	}
 }
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -48,7 +48,7 @@
 func keptPlan(folder string) *Plan {
 	p := &Plan{File: "release-42.conf", Text: "ccb99da814c8b92c", Folder: folder, Every: 5000,
 		Machines: []Machine{{Report: "127.0.0.1:1"}, {Report: "127.0.0.1:2"}, {Report: "127.0.0.1:3"}}}
-	p.Name, p.Indexes = "release-42", []string{"any", "once"}
+	p.Name, p.Classes = "release-42", []string{"any", "once"}
 	p.Gatherers = []rollout.Gatherer{{Name: "g1", Zone: "north"}, {Name: "g2", Zone: "south"}, {Name: "g3"}}
 	p.Stages = []rollout.Stage{{Name: "one", Count: 1}, {Name: "all", Share: 1}}
 	return p
@@ -56,18 +56,18 @@
 
 // keptRecords are records of every kind, with each field set somewhere.
 var keptRecords = []rollout.Record{
-	{What: rollout.Began, Plan: "ccb99da814c8b92c", Fence: 1},
-	{What: rollout.Moved, Where: &rollout.Position{Phase: rollout.Watching}, Err: "watching the old for 2 s more before anything is changed"},
-	{What: rollout.Moved, Where: &rollout.Position{Phase: rollout.Changing, Stage: 1}, Err: "stage one is passed; next is all"},
-	{What: rollout.Ordered, Name: "g1", To: rollout.New},
-	{What: rollout.Stepped, Name: "g1", To: rollout.New},
-	{What: rollout.Ordered, Name: "g2", To: rollout.New},
-	{What: rollout.Stepped, Name: "g2", To: rollout.New, Err: "step of g2: exit status 1: no room"},
-	{What: rollout.Heeded, Word: "back 1796168075012746800"},
-	{What: rollout.Moved, Where: &rollout.Position{Phase: rollout.Backing, Stage: 1, Why: "by the operator's word"}},
-	{What: rollout.Ordered, Name: "g1", To: rollout.Old},
-	{What: rollout.Ordered, Name: "g3", To: rollout.Old},
-	{What: rollout.Stepped, Name: "g3", To: rollout.Old},
+	{Kind: rollout.ControllerStarted, PlanSum: "ccb99da814c8b92c", FencingToken: 1},
+	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Baselining}, Message: "watching the old for 2 s more before anything is changed"},
+	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Updating, Stage: 1}, Message: "stage one is passed; next is all"},
+	{Kind: rollout.StepStarted, Gatherer: "g1", Target: rollout.New},
+	{Kind: rollout.StepEnded, Gatherer: "g1", Target: rollout.New},
+	{Kind: rollout.StepStarted, Gatherer: "g2", Target: rollout.New},
+	{Kind: rollout.StepEnded, Gatherer: "g2", Target: rollout.New, Message: "step of g2: exit status 1: no room"},
+	{Kind: rollout.CommandTaken, Command: "back 1796168075012746800"},
+	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}},
+	{Kind: rollout.StepStarted, Gatherer: "g1", Target: rollout.Old},
+	{Kind: rollout.StepStarted, Gatherer: "g3", Target: rollout.Old},
+	{Kind: rollout.StepEnded, Gatherer: "g3", Target: rollout.Old},
 }
 
 // keptLines are the records in words, without their times, which are the reader's own zone's.
@@ -107,14 +107,14 @@
 		now += 250.5
 	}
 	c.teller.at[0], c.teller.at[1] = time.UnixMilli(int64(now)-100), time.UnixMilli(int64(now)-200)
-	o := &rollout.Observation{Now: now, Seen: []rollout.Seen{
-		{Reached: true, Kind: rollout.Old, Ready: true, Indexes: []rollout.Counts{{Ended: 250, Value: 249.5, Nacked: 1}, {Ended: 130, Value: 130}}},
-		{Reached: true, Kind: rollout.New, Step: rollout.Running, Trouble: "step of g2: exit status 1: no room", Indexes: []rollout.Counts{{Ended: 11, Value: 10}}},
-		{Trouble: "no answer"},
+	o := &rollout.Observation{Now: now, Gatherers: []rollout.GathererSample{
+		{Reachable: true, Variant: rollout.Old, Ready: true, Classes: []rollout.ClassCounts{{Queries: 250, EarnedValue: 249.5, Rejected: 1}, {Queries: 130, EarnedValue: 130}}},
+		{Reachable: true, Variant: rollout.New, Step: rollout.Running, Fault: "step of g2: exit status 1: no room", Classes: []rollout.ClassCounts{{Queries: 11, EarnedValue: 10}}},
+		{Fault: "no answer"},
 	}}
 	for _, d := range []rollout.Decision{
-		{Verdict: rollout.Back, Phase: rollout.Backing, Stage: 1, Why: "making g1 old again: by the operator's word"},
-		{Verdict: rollout.Stop, Phase: rollout.Stopped, Stage: 2, Why: "stopped: by the operator's word"},
+		{Verdict: rollout.RollBack, Phase: rollout.RollingBack, Stage: 1, Reason: "making g1 old again: by the operator's word"},
+		{Verdict: rollout.Stop, Phase: rollout.Stopped, Stage: 2, Reason: "stopped: by the operator's word"},
 	} {
 		s := c.status(o, d)
 		if s.PID != os.Getpid() {
@@ -169,7 +169,7 @@
 		t.Errorf("%+v", s.Indexes)
 	}
 	history, err := History(folder)
-	if err != nil || len(history) != 2 || history[0].Phase != rollout.Backing || history[0].Old != 1 || history[0].New != 1 || history[0].Away != 1 ||
+	if err != nil || len(history) != 2 || history[0].Phase != rollout.RollingBack || history[0].Old != 1 || history[0].New != 1 || history[0].Away != 1 ||
 		history[1].Stage != "all" || history[1].Why != "stopped: by the operator's word" || history[1].At != s.At || history[1].Indexes["any"] != s.Indexes["any"] {
 		t.Errorf("%v, %+v", err, history)
 	}
@@ -189,10 +189,10 @@
 	defer own.Close()
 	c := &Controller{p: keptPlan(folder), own: own, steps: make([]rollout.StepState, 3)}
 	at, err := c.recover()
-	if err != nil || at != (rollout.Position{Phase: rollout.Backing, Stage: 1, Why: "by the operator's word"}) || own.Fence != 2 {
+	if err != nil || at != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.Fence != 2 {
 		t.Errorf("%v, %+v, controller %d", err, at, own.Fence)
 	}
-	if len(c.redo) != 1 || c.redo[0].Name != "g1" || c.redo[0].To != rollout.Old || c.redo[0].At != 1796168077267.25 || c.word != "back 1796168075012746800" || c.steps[0] != rollout.Running {
+	if len(c.redo) != 1 || c.redo[0].Gatherer != "g1" || c.redo[0].Target != rollout.Old || c.redo[0].At != 1796168077267.25 || c.word != "back 1796168075012746800" || c.steps[0] != rollout.Running {
 		t.Errorf("made again: %+v, after %q", c.redo, c.word)
 	}
 	if word, err := own.Word(); err != nil || word != "stop 1796168075012746801" {
@@ -257,14 +257,14 @@
 	p := keptPlan(t.TempDir())
 	p.Gatherers, p.Machines = p.Gatherers[:1], []Machine{{Report: s.Listener.Addr().String()}}
 	tell := &teller{p: p, http: s.Client(), marks: make([]string, 1), told: make([]*report.Document, 1), at: make([]time.Time, 1),
-		old: []rollout.Marks{{Version: "41"}}, new: []rollout.Marks{{Version: "42"}}}
+		old: []rollout.BuildInfo{{Version: "41"}}, new: []rollout.BuildInfo{{Version: "42"}}}
 	run := "release-42 in /var/rollout on host"
 	if err := tell.claim(context.Background(), 0, run, 3, claimFor); err != nil {
 		t.Error(err)
 	}
 	for range 2 {
-		if o := tell.all(context.Background(), 1); !o.Seen[0].Reached || o.Seen[0].Kind != rollout.Old || o.Seen[0].Process != "18889-1" || len(o.Seen[0].Indexes) != 2 {
-			t.Errorf("%+v", o.Seen)
+		if o := tell.all(context.Background(), 1); !o.Gatherers[0].Reachable || o.Gatherers[0].Variant != rollout.Old || o.Gatherers[0].Incarnation != "18889-1" || len(o.Gatherers[0].Classes) != 2 {
+			t.Errorf("%+v", o.Gatherers)
 		}
 	}
 	tell.free(context.Background(), 0, run, 3)
--- a/internal/control/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -26,7 +26,7 @@
 	Seed      uint64
 	Folder    string        // an empty one
 	Limit     time.Duration // after which it is given up
-	Judge     func(p logic.Plan, at logic.Position) logic.Judge
+	Judge     func(p logic.Plan, at logic.Position) logic.Strategy
 }
 
 // Outcome is what became of one.
@@ -158,7 +158,7 @@
 	quiet.SetLevel(logrus.ErrorLevel)
 	var mu sync.Mutex
 	is := map[string]bool{} // new ones
-	step := func(ctx context.Context, name string, to logic.Kind) error {
+	step := func(ctx context.Context, name string, to logic.Variant) error {
 		g := f.Gatherer(name)
 		p := g.Process()
 		p.Expect()
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -38,8 +38,8 @@
 	Every      float64
 	Machines   []Machine // by gatherer
 	Old, New   Side
-	Steps      map[rollout.Kind]Command // empty for the built-in runner
-	Hangup     bool                     // the built-in runner changes files and sends SIGHUP, and starts nothing anew
+	Steps      map[rollout.Variant]Command // empty for the built-in runner
+	Hangup     bool                        // the built-in runner changes files and sends SIGHUP, and starts nothing anew
 	lines      map[string][]*directive.Values
 }
 
@@ -77,7 +77,7 @@
 	}
 	sideFields := []directive.Field{{Name: "program", Kind: directive.Text, Help: "file of the program"}, {Name: "config", Kind: directive.Text, Help: "file of the platform's configuration"},
 		{Name: "operator", Kind: directive.Text, Help: "operator's file"}, {Name: "version", Kind: directive.Text, Help: "as `yokeroute version` has it"}}
-	step := func(kind rollout.Kind) func(v *directive.Values) error {
+	step := func(kind rollout.Variant) func(v *directive.Values) error {
 		return func(v *directive.Values) error {
 			p.Steps[kind] = Command{v.List("command"), v.Number("limit", 60_000)}
 			return nil
@@ -101,46 +101,46 @@
 		{Name: "stage", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new then"}, share("share", "of the gatherers"), {Name: "zone", Kind: directive.Name, Help: "all gatherers of it, and those before"}, span("least", "for which it is watched once all of it serve; 60s")},
 			Help: "A stage: one of count, share and zone. Each holds those before it.", Example: "stage few share 10% least 2min",
 			Apply: kept(func(v *directive.Values) error {
-				p.Stages = append(p.Stages, rollout.Stage{Name: v.Text("name"), Count: int(v.Number("count", 0)), Share: v.Number("share", 0), Zone: v.Text("zone"), Least: v.Number("least", 0)})
+				p.Stages = append(p.Stages, rollout.Stage{Name: v.Text("name"), Count: int(v.Number("count", 0)), Share: v.Number("share", 0), Zone: v.Text("zone"), MinObservation: v.Number("least", 0)})
 				return nil
 			}, "stage")},
 		{Name: "out", Once: true, Args: []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of all"}}, Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; as of all"}},
 			Help: "How many gatherers may be out at once, those counted that died by themselves or can't be reached. One unless told.", Example: "out 2 zone 1",
 			Apply: kept(func(v *directive.Values) error {
-				p.MostOut, p.MostOutZone = int(v.Number("most", 0)), int(v.Number("zone", 0))
+				p.MaxUnavailable, p.MaxUnavailablePerZone = int(v.Number("most", 0)), int(v.Number("zone", 0))
 				return nil
 			}, "out")},
 		{Name: "watch", Once: true, Options: []directive.Field{span("baseline", "before the first change; 30s"), span("fresh", "after its start for which a gatherer is judged apart; 15s"), span("settle", "within which a changed one has to serve as what it was made; 30s")},
 			Help: "How gatherers are watched.", Example: "watch baseline 1min fresh 15s settle 30s",
 			Apply: func(v *directive.Values) error {
-				p.Baseline, p.Fresh, p.Settle = v.Number("baseline", 0), v.Number("fresh", 0), v.Number("settle", 0)
+				p.BaselineTime, p.WarmUp, p.StepTimeout = v.Number("baseline", 0), v.Number("fresh", 0), v.Number("settle", 0)
 				return nil
 			}},
 		{Name: "limit", Once: true, Args: []directive.Field{{Name: "stage", Kind: directive.Duration, Min: 1, Help: "that a stage may last"}}, Options: []directive.Field{{Name: "then", Kind: directive.Choice, Choices: []string{"back", "stop"}, Help: "back"}, span("rough", "that the old may do worse since a stage began, before it is taken for the new's doing; 2min")},
 			Help: "How long is waited. 30min unless told.", Example: "limit 30min then back rough 2min",
 			Apply: kept(func(v *directive.Values) error {
-				p.Limit, p.Rough = v.Number("stage", 0), v.Number("rough", 0)
+				p.StageLimit, p.MaxDisturbance = v.Number("stage", 0), v.Number("rough", 0)
 				if v.Text("then") == "stop" {
-					p.AtLimit = rollout.Stop
+					p.OnStageLimit = rollout.Stop
 				}
 				return nil
 			}, "limit")},
 		{Name: "harm", Once: true, Args: []directive.Field{{Name: "value", Kind: directive.Share, Min: 0.001, Help: "of what lookups could earn, lost more than by the old"}}, Options: []directive.Field{share("fresh", "the same of gatherers that have just started; 30%"), share("cost", "part calls, connections or memory more than the old ones'; 25%")},
 			Help: "What has to be found. 5% unless told; a quarter of it is borne.", Example: "harm 5% fresh 30% cost 25%",
 			Apply: kept(func(v *directive.Values) error {
-				p.Harm, p.FreshHarm, p.Cost = v.Number("value", 0), v.Number("fresh", 0), v.Number("cost", 0)
+				p.Harm, p.WarmUpHarm, p.ExtraCost = v.Number("value", 0), v.Number("fresh", 0), v.Number("cost", 0)
 				return nil
 			}, "harm")},
 		{Name: "chance", Once: true, Options: []directive.Field{share("stop", "that a rollout of a version as good as the old is stopped; 1%"), share("pass", "that a stage passes one that does the harm; 5%")},
 			Help: "What chance may do.", Example: "chance stop 1% pass 5%",
 			Apply: func(v *directive.Values) error {
-				p.WrongStop, p.WrongPass = v.Number("stop", 0), v.Number("pass", 0)
+				p.FalseStopRate, p.FalsePassRate = v.Number("stop", 0), v.Number("pass", 0)
 				return nil
 			}},
 		{Name: "evidence", Once: true, Args: []directive.Field{{Name: "lookups", Kind: directive.Count, Min: 1, Help: "of each index at new gatherers, in a stage"}}, Options: []directive.Field{share("judged", "of the lookups from which an index is judged by itself; 2%"), {Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "to change a gatherer; 2"}},
 			Help: "The least that a stage passes on. 100 unless told.", Example: "evidence 200 judged 2% tries 2",
 			Apply: func(v *directive.Values) error {
-				p.Evidence, p.Judged, p.Tries = v.Number("lookups", 0), v.Number("judged", 0), int(v.Number("tries", 0))
+				p.MinQueries, p.MinClassShare, p.MaxAttempts = v.Number("lookups", 0), v.Number("judged", 0), int(v.Number("tries", 0))
 				return nil
 			}},
 		{Name: "seed", Once: true, Args: []directive.Field{{Name: "seed", Kind: directive.Count, Max: 1 << 53}}, Help: "Of the order in which gatherers are changed; 0 unless told.", Example: "seed 7",
@@ -164,7 +164,7 @@
 func Directives() *directive.Table { return newPlan().table() }
 
 func newPlan() *Plan {
-	return &Plan{Steps: map[rollout.Kind]Command{}, lines: map[string][]*directive.Values{}}
+	return &Plan{Steps: map[rollout.Variant]Command{}, lines: map[string][]*directive.Values{}}
 }
 
 // ReadPlan reads and checks a plan. Nothing of the fleet is asked.
@@ -195,7 +195,7 @@
 	}
 	p.Plan = p.Plan.Defaults()
 	for _, wrong := range p.Plan.Check() {
-		at(wrong.What, wrong.Place, "%s", wrong.Text)
+		at(wrong.Directive, wrong.Index, "%s", wrong.Message)
 	}
 	reports := map[string]string{}
 	for i, m := range p.Machines {
@@ -255,7 +255,7 @@
 }
 
 // marksOf reads the fingerprints of a side's files for a gatherer. An error names the file and the gatherer.
-func (p *Plan) marksOf(s Side, g int) (m rollout.Marks, err error) {
+func (p *Plan) marksOf(s Side, g int) (m rollout.BuildInfo, err error) {
 	s = p.of(s, g)
 	m.Version = s.Version
 	for file, to := range map[string]*string{s.Program: &m.Program, s.Config: &m.Config, s.Operator: &m.Operator} {
@@ -277,7 +277,7 @@
 // Describe says in words what a rollout by the plan would do.
 func (p *Plan) Describe(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "rollout %s: %d gatherers in %d zones, at most %d out at once and %d in a zone\n", p.Name, len(p.Gatherers), len(p.Zones()), p.MostOut, p.MostOutZone)
+	fmt.Fprintf(&b, "rollout %s: %d gatherers in %d zones, at most %d out at once and %d in a zone\n", p.Name, len(p.Gatherers), len(p.Zones()), p.MaxUnavailable, p.MaxUnavailablePerZone)
 	before := 0
 	for i, s := range p.Stages {
 		in := p.Targets(i)
@@ -288,10 +288,10 @@
 		if len(names) > 12 {
 			names = append(names[:12], fmt.Sprintf("and %d more", len(in)-before-12))
 		}
-		fmt.Fprintf(&b, "stage %s: %d new, watched for %s: %s\n", s.Name, len(in), directive.FormatDuration(s.Least), strings.Join(names, " "))
+		fmt.Fprintf(&b, "stage %s: %d new, watched for %s: %s\n", s.Name, len(in), directive.FormatDuration(s.MinObservation), strings.Join(names, " "))
 		before = len(in)
 	}
-	fmt.Fprintf(&b, "stopped where the new lose %s more of the value than the old, with a chance of %s for a version that does not\n", directive.FormatShare(p.Harm), directive.FormatShare(p.WrongStop))
+	fmt.Fprintf(&b, "stopped where the new lose %s more of the value than the old, with a chance of %s for a version that does not\n", directive.FormatShare(p.Harm), directive.FormatShare(p.FalseStopRate))
 	_, err := io.WriteString(w, b.String())
 	return err
 }
--- a/internal/control/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -257,7 +257,7 @@
 	folder := filepath.Join(s.folder, "good")
 	s.until(c, "the second stage begins", func() bool {
 		st, err := rollout.ReadStatus(folder)
-		return err == nil && st.Phase == logic.Changing && st.Stage == "some"
+		return err == nil && st.Phase == logic.Updating && st.Stage == "some"
 	})
 	// In the midst of a stage: troubles of the fleet's own.
 	for _, name := range []string{"s1", "s4"} {
@@ -281,7 +281,7 @@
 	if err := link.Mend(); err != nil {
 		t.Fatal(err)
 	}
-	if code, st := s.ended(c); code != 0 || st.Phase != logic.Ended {
+	if code, st := s.ended(c); code != 0 || st.Phase != logic.Completed {
 		t.Fatalf("status %d, %s: %s", code, st.Phase, c.Log())
 	}
 	if v := s.serving(); v["2"] != 12 {
@@ -339,7 +339,7 @@
 	folder := filepath.Join(s.folder, "bad")
 	s.until(c, "it goes back", func() bool {
 		st, err := rollout.ReadStatus(folder)
-		return err == nil && st.Phase == logic.Backing
+		return err == nil && st.Phase == logic.RollingBack
 	})
 	st, err := rollout.ReadStatus(folder)
 	if err != nil {
@@ -373,14 +373,14 @@
 					return true
 				}
 			}
-			return st.Phase == logic.Restored // its step was made before the cut
+			return st.Phase == logic.RolledBack // its step was made before the cut
 		})
 		if err := link.Mend(); err != nil {
 			t.Fatal(err)
 		}
 	}
 	code, last := s.ended(c)
-	if code != 1 || last.Phase != logic.Restored {
+	if code != 1 || last.Phase != logic.RolledBack {
 		t.Fatalf("status %d, %s: %s", code, last.Phase, c.Log())
 	}
 	for _, g := range last.Gatherers {
@@ -413,7 +413,7 @@
 		code, last := s.ended(c)
 		enough()
 		supervisors.Wait()
-		if code != 1 || last.Phase != logic.Restored || !strings.Contains(last.Why, words) {
+		if code != 1 || last.Phase != logic.RolledBack || !strings.Contains(last.Why, words) {
 			t.Errorf("%s: status %d, %s: %s; %s", fault, code, last.Phase, last.Why, c.Log())
 		}
 		if v := s.serving(); v["2"] > 0 {
@@ -473,7 +473,7 @@
 		now := c
 		mu.Unlock()
 		code, last := s.ended(now)
-		if code == 0 && last.Phase == logic.Ended {
+		if code == 0 && last.Phase == logic.Completed {
 			if kills < 6 {
 				t.Errorf("killed %d times", kills)
 			}
@@ -531,7 +531,7 @@
 	if code, _ := s.ended(first); code != 2 || !strings.Contains(first.Log(), "another controller has taken this over") {
 		t.Errorf("the first: status %d: %s", code, first.Log())
 	}
-	if code, last := s.ended(third); code != 0 || last.Phase != logic.Ended {
+	if code, last := s.ended(third); code != 0 || last.Phase != logic.Completed {
 		t.Errorf("the third: status %d: %s", code, third.Log())
 	}
 	steps, most := s.steps.All()
@@ -557,7 +557,7 @@
 	first := s.control("run", file, "--output", "json")
 	judging := func() bool {
 		st, err := rollout.ReadStatus(folder)
-		return err == nil && st.Stage == "some" && st.Phase == logic.Judging
+		return err == nil && st.Stage == "some" && st.Phase == logic.Evaluating
 	}
 	s.until(first, "the second stage is watched", judging)
 	say := func(word string) {
@@ -577,7 +577,7 @@
 	again := s.control("resume", file, "--output", "json")
 	s.until(again, "it goes on", judging)
 	say("back")
-	if code, last := s.ended(again); code != 1 || last.Phase != logic.Restored || s.serving()["1"] != 4 {
+	if code, last := s.ended(again); code != 1 || last.Phase != logic.RolledBack || s.serving()["1"] != 4 {
 		t.Errorf("status %d, %s, %v", code, last.Phase, s.serving())
 	}
 	// A plan that was changed by hand meanwhile is not gone on with.
@@ -614,7 +614,7 @@
 		plan := strings.NewReplacer("settle 90s", "settle 4s").Replace(programs)
 		c := s.controlBy(s.f.Gatherers[0].Binary, "run", s.plan(strings.ReplaceAll(name, " ", "-"), plan), "--output", "json")
 		code, last := s.ended(c)
-		if code != 1 || last.Phase != logic.Restored || !strings.Contains(last.Why, "does not come up") {
+		if code != 1 || last.Phase != logic.RolledBack || !strings.Contains(last.Why, "does not come up") {
 			t.Errorf("%s: status %d, %s: %s", name, code, last.Phase, last.Why)
 		}
 		if v := s.serving(); v["1"] != 4 {
@@ -733,14 +733,14 @@
 	if !strings.Contains(c.Log(), `g1-faulty.conf`) || !strings.Contains(c.Log(), `"many"`) {
 		t.Errorf("%s", c.Log())
 	}
-	if _, last := run("programs", fmt.Sprintf("old operator \"{name}-old.conf\" program %q\nnew operator \"{name}-new.conf\" program %q\n", s.old, s.new), 0); last.Phase != logic.Ended {
+	if _, last := run("programs", fmt.Sprintf("old operator \"{name}-old.conf\" program %q\nnew operator \"{name}-new.conf\" program %q\n", s.old, s.new), 0); last.Phase != logic.Completed {
 		t.Errorf("%+v", last)
 	}
 	if v := s.serving(); v["2"] != 4 {
 		t.Errorf("serving: %v", v)
 	}
 	c, last := run("settings", "runner hangup\nold operator \"{name}-new.conf\"\nnew operator \"{name}-newest.conf\"\n", 0)
-	if last.Phase != logic.Ended || s.serving()["2"] != 4 {
+	if last.Phase != logic.Completed || s.serving()["2"] != 4 {
 		t.Errorf("%+v: %s", last, c.Log())
 	}
 	s.stop()
--- a/internal/gatherer/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -255,7 +255,7 @@
 	defer c.mu.Unlock()
 	d.Files, d.ShuttingDown, d.Classes = maps.Clone(c.files), c.shuttingDown, map[string]*ClassStats{}
 	d.Ready = d.Ready && !c.shuttingDown
-	if c.claim != nil && c.claim.Until > d.ReportedAt {
+	if c.claim != nil && c.claim.ExpiresAt > d.ReportedAt {
 		held := *c.claim
 		d.Claim = &held
 	}
--- a/internal/gatherer/report/count_test.go
+++ b/internal/gatherer/report/count_test.go
@@ -120,7 +120,7 @@
 		status, text := ask("POST", ClaimPath, c.body)
 		var held rollout.Claim
 		json.Unmarshal([]byte(text), &held)
-		if status != c.status || held.Run != c.holder {
+		if status != c.status || held.RunID != c.holder {
 			t.Errorf("%s: %d, %s", c.body, status, text)
 		}
 	}
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -80,7 +80,7 @@
 	for o := range outcomes {
 		ix.Outcomes[gather.Outcome(o).String()] = int64(o + 1)
 	}
-	c.AcquireClaim(rollout.Claim{Run: "release-42 in /var/rollout on host", Fence: 3, Until: *now + 60_000})
+	c.AcquireClaim(rollout.Claim{RunID: "release-42 in /var/rollout on host", FencingToken: 3, ExpiresAt: *now + 60_000})
 }
 
 // TestReportKeepsItsBytes: a report of each kind is written from the same counts byte for byte as it was when its format
--- a/internal/gatherer/report/server.go
+++ b/internal/gatherer/report/server.go
@@ -92,7 +92,7 @@
 		http.Error(w, "a claim wants a run and a time of up to 600000 ms", http.StatusBadRequest)
 		return
 	}
-	held, granted := s.collector.AcquireClaim(rollout.Claim{Run: asked.Run, Fence: asked.Fence, Until: s.collector.now() + asked.For})
+	held, granted := s.collector.AcquireClaim(rollout.Claim{RunID: asked.Run, FencingToken: asked.Fence, ExpiresAt: s.collector.now() + asked.For})
 	w.Header().Set("Content-Type", "application/json")
 	if !granted {
 		w.WriteHeader(http.StatusConflict)
--- a/logic/rollout/evidence.go
+++ b/logic/rollout/evidence.go
@@ -12,27 +12,27 @@
 // their spread as the baseline showed it, which is an assumption; what it comes to is measured on emulated
 // rollouts.
 
-// sizes of bets, in standard deviations of a step. Small ones find small harm over a long time, large ones
+// betSizes of bets, in standard deviations of a step. Small ones find small harm over a long time, large ones
 // large harm at once.
-var sizes = [...]float64{0.25, 0.5, 1, 2}
+var betSizes = [...]float64{0.25, 0.5, 1, 2}
 
-// boldest is what a single step may count, in standard deviations, against one odd interval deciding alone.
+// maxStep is what a single step may count, in standard deviations, against one odd interval deciding alone.
 // Cutting a gain off keeps the wealth a supermartingale.
-const boldest = 3.0
+const maxStep = 3.0
 
-// wealth is the evidence against a hypothesis, as logarithms by size of bet.
-type wealth [len(sizes)]float64
+// eProcess is the evidence against a hypothesis, as logarithms by size of bet.
+type eProcess [len(betSizes)]float64
 
-// step takes one interval in: by how many standard deviations it lay on the far side of the hypothesis.
-func (w *wealth) step(z float64) {
-	z = min(z, boldest)
-	for i, size := range sizes {
+// update takes one interval in: by how many standard deviations it lay on the far side of the hypothesis.
+func (w *eProcess) update(z float64) {
+	z = min(z, maxStep)
+	for i, size := range betSizes {
 		w[i] += size*z - size*size/2
 	}
 }
 
-// log is the logarithm of the mixture's wealth.
-func (w *wealth) log() float64 {
+// logValue is the logarithm of the mixture's wealth.
+func (w *eProcess) logValue() float64 {
 	most := math.Inf(-1)
 	for _, l := range w {
 		most = max(most, l)
@@ -44,22 +44,22 @@
 	return most + math.Log(sum/float64(len(w)))
 }
 
-// odds is the evidence that events fall on the new more often than their share of the time says: a
+// likelihoodRatio is the evidence that events fall on the new more often than their share of the time says: a
 // likelihood ratio against chance, for a rate so many times the old ones'.
-type odds struct{ log float64 }
+type likelihoodRatio struct{ logValue float64 }
 
-const worseRate = 5.0
+const alternativeRate = 5.0
 
-// step takes one event in; share is the new ones' part of the time served, onNew whether it fell on a new
+// update takes one event in; share is the new ones' part of the time served, onNew whether it fell on a new
 // one.
-func (o *odds) step(share float64, onNew bool) {
+func (o *likelihoodRatio) update(share float64, onNew bool) {
 	if share <= 0 || share >= 1 {
 		return
 	}
-	worse := worseRate * share / (worseRate*share + 1 - share)
+	worse := alternativeRate * share / (alternativeRate*share + 1 - share)
 	if onNew {
-		o.log += math.Log(worse / share)
+		o.logValue += math.Log(worse / share)
 	} else {
-		o.log += math.Log((1 - worse) / (1 - share))
+		o.logValue += math.Log((1 - worse) / (1 - share))
 	}
 }
--- a/logic/rollout/plan.go
+++ b/logic/rollout/plan.go
@@ -23,11 +23,11 @@
 // Stage is how far the change has come once it is passed. One of Count, Share and Zone is set; each stage
 // holds all that were changed before it.
 type Stage struct {
-	Name  string
-	Count int     // gatherers changed
-	Share float64 // of all gatherers
-	Zone  string  // all of it
-	Least float64 // milliseconds for which it is watched once all of it serves
+	Name           string
+	Count          int     // gatherers changed
+	Share          float64 // of all gatherers
+	Zone           string  // all of it
+	MinObservation float64 // milliseconds for which it is watched once all of it serves
 }
 
 // Plan is what an operator wants. Times are milliseconds. Zero values take what Defaults gives.
@@ -35,27 +35,27 @@
 	Name      string
 	Gatherers []Gatherer
 	Stages    []Stage
-	Indexes   []string
+	Classes   []string
 	Seed      uint64 // of the order in which gatherers are changed
 
-	MostOut     int // gatherers that may be out at once, for whatever reason
-	MostOutZone int // the same in each zone
+	MaxUnavailable        int // gatherers that may be out at once, for whatever reason
+	MaxUnavailablePerZone int // the same in each zone
 
-	Baseline float64 // watched before the first change
-	Fresh    float64 // after its start for which a gatherer is judged apart, while it learns
-	Settle   float64 // within which a changed one has to serve as what it was made
-	Limit    float64 // that a stage may last
-	Rough    float64 // that the old may do worse, since a stage began, before it is taken for the new's doing
-	AtLimit  Verdict // Back or Stop
+	BaselineTime   float64 // watched before the first change
+	WarmUp         float64 // after its start for which a gatherer is judged apart, while it learns
+	StepTimeout    float64 // within which a changed one has to serve as what it was made
+	StageLimit     float64 // that a stage may last
+	MaxDisturbance float64 // that the old may do worse, since a stage began, before it is taken for the new's doing
+	OnStageLimit   Verdict // Back or Stop
 
-	Harm      float64 // loss of value, a share of what lookups could earn, that has to be found
-	FreshHarm float64 // loss that is borne of a gatherer that has just started
-	Cost      float64 // by how much more part calls, connections or memory than the old ones' are found, a share
-	WrongStop float64 // chance that a whole rollout of a version as good as the old is stopped
-	WrongPass float64 // chance that a stage passes one that does worse by the harm
-	Evidence  float64 // lookups of an index in a stage, at the least
-	Judged    float64 // share of the lookups from which an index is judged by itself
-	Tries     int     // to change one gatherer
+	Harm          float64 // loss of value, a share of what lookups could earn, that has to be found
+	WarmUpHarm    float64 // loss that is borne of a gatherer that has just started
+	ExtraCost     float64 // by how much more part calls, connections or memory than the old ones' are found, a share
+	FalseStopRate float64 // chance that a whole rollout of a version as good as the old is stopped
+	FalsePassRate float64 // chance that a stage passes one that does worse by the harm
+	MinQueries    float64 // lookups of an index in a stage, at the least
+	MinClassShare float64 // share of the lookups from which an index is judged by itself
+	MaxAttempts   int     // to change one gatherer
 }
 
 // Defaults fills in what a plan leaves out. The figures are for lookups of a second or so and gatherers that
@@ -66,51 +66,51 @@
 			*v = otherwise
 		}
 	}
-	set(&p.Baseline, 30_000)
-	set(&p.Fresh, 15_000)
-	set(&p.Settle, 30_000)
-	set(&p.Limit, 30*60_000)
-	set(&p.Rough, 120_000)
+	set(&p.BaselineTime, 30_000)
+	set(&p.WarmUp, 15_000)
+	set(&p.StepTimeout, 30_000)
+	set(&p.StageLimit, 30*60_000)
+	set(&p.MaxDisturbance, 120_000)
 	set(&p.Harm, 0.05)
-	set(&p.FreshHarm, 0.3)
-	set(&p.Cost, 0.25)
-	set(&p.WrongStop, 0.01)
-	set(&p.WrongPass, 0.05)
-	set(&p.Evidence, 100)
-	set(&p.Judged, 0.02)
-	if p.MostOut == 0 {
-		p.MostOut = 1
+	set(&p.WarmUpHarm, 0.3)
+	set(&p.ExtraCost, 0.25)
+	set(&p.FalseStopRate, 0.01)
+	set(&p.FalsePassRate, 0.05)
+	set(&p.MinQueries, 100)
+	set(&p.MinClassShare, 0.02)
+	if p.MaxUnavailable == 0 {
+		p.MaxUnavailable = 1
 	}
-	if p.MostOutZone == 0 {
-		p.MostOutZone = p.MostOut
+	if p.MaxUnavailablePerZone == 0 {
+		p.MaxUnavailablePerZone = p.MaxUnavailable
 	}
-	if p.Tries == 0 {
-		p.Tries = 2
+	if p.MaxAttempts == 0 {
+		p.MaxAttempts = 2
 	}
-	if p.AtLimit == Wait {
-		p.AtLimit = Back
+	if p.OnStageLimit == Wait {
+		p.OnStageLimit = RollBack
 	}
 	for i := range p.Stages {
-		if p.Stages[i].Least == 0 {
-			p.Stages[i].Least = 60_000
+		if p.Stages[i].MinObservation == 0 {
+			p.Stages[i].MinObservation = 60_000
 		}
 	}
 	return p
 }
 
-// Wrong is a mistake in a plan: what it is about, and which stage or gatherer where it is about one.
-type Wrong struct {
-	What  string // stages, gatherers, out, harm and so on: the directive that says it
-	Place int    // which one, from 0; -1 for the whole
-	Text  string
+// PlanFault is a mistake in a plan: what it is about, and which stage or gatherer where it is about one.
+type PlanFault struct {
+	Directive string // stages, gatherers, out, harm and so on: the directive that says it
+	Index     int    // which one, from 0; -1 for the whole
+	Message   string
 }
 
-func (w Wrong) Error() string { return w.Text }
+func (w PlanFault) Error() string { return w.Message }
 
 // Check says what cannot be meant, all of it. It wants a plan with its defaults.
-func (p *Plan) Check() (all []Wrong) {
+func (p *Plan) Check() (all []PlanFault) {
 	wrong := func(what string, place int, format string, args ...any) {
-		all = append(all, Wrong{what, place, fmt.Sprintf(format, args...)})
+		all = append(all, PlanFault{what, place, fmt.Sprintf(format, args...)})
 	}
 	if len(p.Gatherers) < 2 {
 		wrong("gatherer", -1, "names %d gatherers; a rollout in stages wants two at least", len(p.Gatherers))
@@ -152,8 +152,8 @@
 		}
 		before = n
 	}
-	if len(p.Gatherers) > 1 && p.MostOut >= len(p.Gatherers) {
-		wrong("out", -1, "%d gatherers may be out at once, and there are %d: somebody has to serve", p.MostOut,
+	if len(p.Gatherers) > 1 && p.MaxUnavailable >= len(p.Gatherers) {
+		wrong("out", -1, "%d gatherers may be out at once, and there are %d: somebody has to serve", p.MaxUnavailable,
 			len(p.Gatherers))
 	}
 	for _, z := range zones {
@@ -163,21 +163,21 @@
 				n++
 			}
 		}
-		if n > 1 && p.MostOutZone >= n {
-			wrong("out", -1, "%d gatherers of a zone may be out at once, and %s has %d", p.MostOutZone, z, n)
+		if n > 1 && p.MaxUnavailablePerZone >= n {
+			wrong("out", -1, "%d gatherers of a zone may be out at once, and %s has %d", p.MaxUnavailablePerZone, z, n)
 		}
 	}
 	for _, s := range p.Stages {
-		if s.Least > p.Limit {
-			wrong("limit", -1, "a stage may last %.0f ms, and %s is watched for %.0f", p.Limit, s.Name, s.Least)
+		if s.MinObservation > p.StageLimit {
+			wrong("limit", -1, "a stage may last %.0f ms, and %s is watched for %.0f", p.StageLimit, s.Name, s.MinObservation)
 		}
 	}
-	if p.Settle > p.Limit {
-		wrong("limit", -1, "a stage may last %.0f ms, and a gatherer may take %.0f to come up", p.Limit, p.Settle)
+	if p.StepTimeout > p.StageLimit {
+		wrong("limit", -1, "a stage may last %.0f ms, and a gatherer may take %.0f to come up", p.StageLimit, p.StepTimeout)
 	}
-	if p.FreshHarm < p.Harm {
+	if p.WarmUpHarm < p.Harm {
 		wrong("harm", -1, "a fresh gatherer may lose %.3f of the value, "+
-			"less than the %.3f that a warm one is stopped for", p.FreshHarm, p.Harm)
+			"less than the %.3f that a warm one is stopped for", p.WarmUpHarm, p.Harm)
 	}
 	return all
 }
--- a/logic/rollout/rollout_test.go
+++ b/logic/rollout/rollout_test.go
@@ -18,23 +18,23 @@
 	d      *Decider
 	now    float64
 	chance *pcg.Source
-	kind   []Kind
+	kind   []Variant
 	age    []float64
 	dead   map[int]bool    // does not answer
 	until  map[int]float64 // its step ends
-	to     map[int]Kind
+	to     map[int]Variant
 	fails  map[int]bool // its steps to the new fail
-	loss   func(g int, kind Kind, index int) float64
-	calls  func(kind Kind) float64
-	tail   func(kind Kind) float64
+	loss   func(g int, kind Variant, index int) float64
+	calls  func(kind Variant) float64
+	tail   func(kind Variant) float64
 	most   int
 	rate   float64 // lookups of the first index, in an interval
 	last   Decision
 }
 
 func newFleet(n int, change func(p *Plan)) *fleet {
-	p := Plan{Name: "t", Indexes: []string{"find", "rare"}, MostOut: 2, MostOutZone: 1, Harm: 0.1, Evidence: 20,
-		Stages: []Stage{{Name: "one", Count: 1, Least: 10_000}, {Name: "half", Share: 0.5, Least: 10_000}, {Name: "all", Share: 1, Least: 10_000}}}
+	p := Plan{Name: "t", Classes: []string{"find", "rare"}, MaxUnavailable: 2, MaxUnavailablePerZone: 1, Harm: 0.1, MinQueries: 20,
+		Stages: []Stage{{Name: "one", Count: 1, MinObservation: 10_000}, {Name: "half", Share: 0.5, MinObservation: 10_000}, {Name: "all", Share: 1, MinObservation: 10_000}}}
 	for i := range n {
 		p.Gatherers = append(p.Gatherers, Gatherer{fmt.Sprint("g", i), []string{"a", "b"}[i%2]})
 	}
@@ -42,9 +42,9 @@
 		change(&p)
 	}
 	p = p.Defaults()
-	f := &fleet{p: p, d: Begin(p, Position{}), chance: pcg.New(5), kind: make([]Kind, n), age: make([]float64, n), dead: map[int]bool{}, until: map[int]float64{}, rate: 40, to: map[int]Kind{}, fails: map[int]bool{},
-		loss: func(int, Kind, int) float64 { return 0.02 }, calls: func(Kind) float64 { return 1 },
-		tail: func(Kind) float64 { return 0.05 }}
+	f := &fleet{p: p, d: NewDecider(p, Position{}), chance: pcg.New(5), kind: make([]Variant, n), age: make([]float64, n), dead: map[int]bool{}, until: map[int]float64{}, rate: 40, to: map[int]Variant{}, fails: map[int]bool{},
+		loss: func(int, Variant, int) float64 { return 0.02 }, calls: func(Variant) float64 { return 1 },
+		tail: func(Variant) float64 { return 0.05 }}
 	for i := range f.kind {
 		f.kind[i], f.age[i] = Old, 1e6
 	}
@@ -54,7 +54,7 @@
 // look plays one interval of a second.
 func (f *fleet) look() Decision {
 	f.now += 1000
-	o := Observation{Now: f.now, Seen: make([]Seen, len(f.kind))}
+	o := Observation{Now: f.now, Gatherers: make([]GathererSample, len(f.kind))}
 	out := 0
 	for g := range f.kind {
 		f.age[g] += 1000
@@ -66,7 +66,7 @@
 			f.age[g] = 0
 		}
 		_, under := f.until[g]
-		s := &o.Seen[g]
+		s := &o.Gatherers[g]
 		if under {
 			s.Step = Running
 			out++
@@ -74,7 +74,7 @@
 		if under || f.dead[g] {
 			continue
 		}
-		*s = Seen{Reached: true, Kind: f.kind[g], Ready: true, Process: fmt.Sprint(g, f.now-f.age[g]), Age: f.age[g], Connections: 10, Memory: 1e7, Step: s.Step}
+		*s = GathererSample{Reachable: true, Variant: f.kind[g], Ready: true, Incarnation: fmt.Sprint(g, f.now-f.age[g]), Uptime: f.age[g], Connections: 10, Memory: 1e7, Step: s.Step}
 		for i, n := range []float64{f.rate, math.Floor(f.rate / 13)} {
 			of := func(n, share float64) (count float64) {
 				for range int(n) {
@@ -85,8 +85,8 @@
 				return count
 			}
 			lost := of(n, f.loss(g, f.kind[g], i))
-			s.Indexes = append(s.Indexes, Counts{Ended: n, Value: n - lost, Nacked: lost, Parts: 4 * n, Calls: 4 * n * f.calls(f.kind[g]), Further: 0.02 * 4 * n,
-				Satisfied: n - lost, Over: [2]float64{of(n-lost, 0.5), of(n-lost, f.tail(f.kind[g]))}})
+			s.Classes = append(s.Classes, ClassCounts{Queries: n, EarnedValue: n - lost, Rejected: lost, ShardRequests: 4 * n, Attempts: 4 * n * f.calls(f.kind[g]), ExtraAttempts: 0.02 * 4 * n,
+				Served: n - lost, OverLimit: [2]float64{of(n-lost, 0.5), of(n-lost, f.tail(f.kind[g]))}})
 		}
 	}
 	f.most = max(f.most, out)
@@ -123,11 +123,11 @@
 	for range 1200 {
 		d := f.look()
 		reached[d.Stage] = f.news()
-		if d.Phase == Ended {
+		if d.Phase == Completed {
 			break
 		}
 	}
-	if f.last.Phase != Ended || f.news() != 12 || f.most > 2 || reached[0] != 1 || reached[1] != 6 {
+	if f.last.Phase != Completed || f.news() != 12 || f.most > 2 || reached[0] != 1 || reached[1] != 6 {
 		t.Errorf("%+v, %d new, %d out, %v", f.last, f.news(), f.most, reached)
 	}
 }
@@ -135,7 +135,7 @@
 // TestWords tells what operators read in each case that holds, stops or turns a rollout.
 func TestWords(t *testing.T) {
 	bad := func(f *fleet) {
-		f.loss = func(_ int, k Kind, i int) float64 { return map[Kind]float64{Old: 0.02, New: 0.4}[k] }
+		f.loss = func(_ int, k Variant, i int) float64 { return map[Variant]float64{Old: 0.02, New: 0.4}[k] }
 	}
 	for name, c := range map[string]struct {
 		n       int
@@ -146,46 +146,50 @@
 		words   string
 		news    int
 	}{
-		"loses": {12, nil, bad, 400, Restored, "the new loses more of the value of its lookups than the old", 0},
+		"loses": {12, nil, bad, 400, RolledBack, "the new loses more of the value of its lookups than the old", 0},
 		"one index alone": {12, nil, func(f *fleet) {
-			f.loss = func(_ int, k Kind, i int) float64 { return map[Kind]float64{Old: 0.02, New: 0.02 + 0.6*float64(i)}[k] }
-		}, 900, Restored, "index rare", 0},
-		"more calls":  {12, nil, func(f *fleet) { f.calls = func(k Kind) float64 { return map[Kind]float64{Old: 1, New: 2.2}[k] } }, 600, Restored, "makes more part calls for the same lookups", 0},
-		"a slow tail": {12, nil, func(f *fleet) { f.tail = func(k Kind) float64 { return map[Kind]float64{Old: 0.05, New: 0.4}[k] } }, 600, Restored, "has more lookups in the slow tail", 0},
-		"a tail unproved": {12, func(p *Plan) { p.Judged, p.Stages = 0.1, p.Stages[1:] }, func(f *fleet) {
-			f.rate, f.tail = 13, func(k Kind) float64 { return map[Kind]float64{Old: 0.05, New: 0.2}[k] }
-		}, 56, Judging, "(the slow tail)", 6},
+			f.loss = func(_ int, k Variant, i int) float64 {
+				return map[Variant]float64{Old: 0.02, New: 0.02 + 0.6*float64(i)}[k]
+			}
+		}, 900, RolledBack, "index rare", 0},
+		"more calls": {12, nil, func(f *fleet) { f.calls = func(k Variant) float64 { return map[Variant]float64{Old: 1, New: 2.2}[k] } }, 600, RolledBack, "makes more part calls for the same lookups", 0},
+		"a slow tail": {12, nil, func(f *fleet) {
+			f.tail = func(k Variant) float64 { return map[Variant]float64{Old: 0.05, New: 0.4}[k] }
+		}, 600, RolledBack, "has more lookups in the slow tail", 0},
+		"a tail unproved": {12, func(p *Plan) { p.MinClassShare, p.Stages = 0.1, p.Stages[1:] }, func(f *fleet) {
+			f.rate, f.tail = 13, func(k Variant) float64 { return map[Variant]float64{Old: 0.05, New: 0.2}[k] }
+		}, 56, Evaluating, "(the slow tail)", 6},
 		"both suffer": {12, nil, func(f *fleet) {
-			f.loss = func(int, Kind, int) float64 {
+			f.loss = func(int, Variant, int) float64 {
 				if f.news() > 0 && f.now < 100_000 {
 					return 0.6
 				}
 				return 0.02
 			}
-		}, 90, Judging, "nobody is blamed or passed meanwhile", 1},
-		"never ends": {12, func(p *Plan) { p.Rough = 60_000 }, func(f *fleet) {
-			f.loss = func(int, Kind, int) float64 {
+		}, 90, Evaluating, "nobody is blamed or passed meanwhile", 1},
+		"never ends": {12, func(p *Plan) { p.MaxDisturbance = 60_000 }, func(f *fleet) {
+			f.loss = func(int, Variant, int) float64 {
 				if f.news() > 0 {
 					return 0.6
 				}
 				return 0.02
 			}
-		}, 300, Restored, "the new may be what harms them", 0},
-		"too little to tell": {12, func(p *Plan) { p.Evidence = 1e5 }, func(f *fleet) {}, 160, Judging, "lookups at the new so far, 100000 are wanted", 1},
-		"for its limit":      {12, func(p *Plan) { p.Evidence, p.Limit, p.AtLimit = 1e5, 200_000, Stop }, func(f *fleet) {}, 600, Stopped, "lasts longer than its limit of 200 s", 1},
+		}, 300, RolledBack, "the new may be what harms them", 0},
+		"too little to tell": {12, func(p *Plan) { p.MinQueries = 1e5 }, func(f *fleet) {}, 160, Evaluating, "lookups at the new so far, 100000 are wanted", 1},
+		"for its limit":      {12, func(p *Plan) { p.MinQueries, p.StageLimit, p.OnStageLimit = 1e5, 200_000, Stop }, func(f *fleet) {}, 600, Stopped, "lasts longer than its limit of 200 s", 1},
 		"does not come up": {12, nil, func(f *fleet) {
 			for g := range 12 {
 				f.fails[g] = true
 			}
-		}, 300, Restored, "the new does not come up", 0},
+		}, 300, RolledBack, "the new does not come up", 0},
 		"old can't be found": {12, nil, func(f *fleet) { f.kind[3] = Other }, 3, Stopped, "g3 (other)", 0},
-		"too many out":       {12, nil, func(f *fleet) { f.dead[0], f.dead[2] = true, true }, 60, Changing, "no more may be out", 0},
+		"too many out":       {12, nil, func(f *fleet) { f.dead[0], f.dead[2] = true, true }, 60, Updating, "no more may be out", 0},
 	} {
 		f := newFleet(c.n, c.change)
 		c.before(f)
-		d := f.play(c.seconds, Restored, Stopped, Ended)
-		if d.Phase != c.phase || !strings.Contains(d.Why, c.words) || f.news() != c.news {
-			t.Errorf("%s: %s, %q, %d new at %.0f s", name, d.Phase, d.Why, f.news(), f.now/1000)
+		d := f.play(c.seconds, RolledBack, Stopped, Completed)
+		if d.Phase != c.phase || !strings.Contains(d.Reason, c.words) || f.news() != c.news {
+			t.Errorf("%s: %s, %q, %d new at %.0f s", name, d.Phase, d.Reason, f.news(), f.now/1000)
 		}
 		if f.most > 2 {
 			t.Errorf("%s: %d out", name, f.most)
@@ -199,18 +203,18 @@
 	for _, c := range []struct {
 		harm  float64
 		phase Phase
-	}{{0, Ended}, {0.5, Restored}} {
+	}{{0, Completed}, {0.5, RolledBack}} {
 		f := newFleet(12, func(p *Plan) {
-			p.Stages = []Stage{{Name: "zone", Zone: "a", Least: 10_000}, {Name: "all", Share: 1, Least: 10_000}}
+			p.Stages = []Stage{{Name: "zone", Zone: "a", MinObservation: 10_000}, {Name: "all", Share: 1, MinObservation: 10_000}}
 		})
-		f.loss = func(g int, kind Kind, _ int) float64 {
+		f.loss = func(g int, kind Variant, _ int) float64 {
 			lost := []float64{0.15, 0.02}[g%2] // zone a has always lost more
 			if kind == New {
 				lost += c.harm
 			}
 			return lost
 		}
-		if d := f.play(1500, Ended, Restored, Stopped); d.Phase != c.phase || c.harm > 0 && f.news() > 0 {
+		if d := f.play(1500, Completed, RolledBack, Stopped); d.Phase != c.phase || c.harm > 0 && f.news() > 0 {
 			t.Errorf("harm %g: %+v at %.0f s", c.harm, d, f.now/1000)
 		}
 	}
@@ -223,9 +227,9 @@
 		harm  float64
 		phase Phase
 		most  int
-	}{{0.9, Restored, 4}, {0, Ended, 12}} {
-		f := newFleet(12, func(p *Plan) { p.MostOut, p.MostOutZone = 8, 4 })
-		f.loss = func(g int, kind Kind, _ int) float64 {
+	}{{0.9, RolledBack, 4}, {0, Completed, 12}} {
+		f := newFleet(12, func(p *Plan) { p.MaxUnavailable, p.MaxUnavailablePerZone = 8, 4 })
+		f.loss = func(g int, kind Variant, _ int) float64 {
 			if kind == New && f.age[g] < 15_000 {
 				return 0.02 + c.harm
 			}
@@ -235,7 +239,7 @@
 		for range 1500 {
 			d := f.look()
 			most = max(most, f.news())
-			if d.Phase == Ended || d.Phase == Restored {
+			if d.Phase == Completed || d.Phase == RolledBack {
 				break
 			}
 		}
@@ -253,12 +257,12 @@
 			break
 		}
 	}
-	at, news := f.d.At(), f.news()
-	f.d = Begin(f.p, at)
-	if d := f.look(); d.Phase != Watching || d.Stage != 1 || len(d.Steps) > 0 {
+	at, news := f.d.Position(), f.news()
+	f.d = NewDecider(f.p, at)
+	if d := f.look(); d.Phase != Baselining || d.Stage != 1 || len(d.Steps) > 0 {
 		t.Errorf("%+v", d)
 	}
-	if d := f.play(1500, Ended, Restored, Stopped); d.Phase != Ended || f.news() < news {
+	if d := f.play(1500, Completed, RolledBack, Stopped); d.Phase != Completed || f.news() < news {
 		t.Errorf("%+v", d)
 	}
 }
@@ -268,7 +272,7 @@
 func TestOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 14).Draw(t, "gatherers")
-		f := newFleet(n, func(p *Plan) { p.Limit = 1e9; p.Rough = 1e9; p.Baseline = 3000 })
+		f := newFleet(n, func(p *Plan) { p.StageLimit = 1e9; p.MaxDisturbance = 1e9; p.BaselineTime = 3000 })
 		turn := rapid.IntRange(5, 120).Draw(t, "back")
 		for i := range 160 {
 			if rapid.IntRange(0, 5).Draw(t, "event") == 0 {
@@ -276,7 +280,7 @@
 				f.dead[g] = !f.dead[g]
 			}
 			if i == turn {
-				f.d.Command(Back, "a word")
+				f.d.Command(RollBack, "a word")
 			}
 			before := map[int]bool{}
 			for g := range f.kind {
@@ -295,13 +299,13 @@
 				}
 				out++
 				zone[f.p.Gatherers[s.Gatherer].Zone]++
-				if out > f.p.MostOut || zone[f.p.Gatherers[s.Gatherer].Zone] > f.p.MostOutZone {
-					t.Fatalf("%d out, by zone %v, allowed %d and %d", out, zone, f.p.MostOut, f.p.MostOutZone)
+				if out > f.p.MaxUnavailable || zone[f.p.Gatherers[s.Gatherer].Zone] > f.p.MaxUnavailablePerZone {
+					t.Fatalf("%d out, by zone %v, allowed %d and %d", out, zone, f.p.MaxUnavailable, f.p.MaxUnavailablePerZone)
 				}
 			}
 		}
 		clear(f.dead)
-		if d := f.play(400, Restored); d.Phase != Restored || f.news() > 0 {
+		if d := f.play(400, RolledBack); d.Phase != RolledBack || f.news() > 0 {
 			t.Fatalf("%+v, %d new", d, f.news())
 		}
 	})
@@ -322,10 +326,10 @@
 		reached := 0.0
 		const runs = 4000
 		for range runs {
-			var w wealth
+			var w eProcess
 			for range 300 {
-				w.step(gauss() + c.shift)
-				if w.log() >= math.Log(100) {
+				w.update(gauss() + c.shift)
+				if w.logValue() >= math.Log(100) {
 					reached++
 					break
 				}
@@ -335,21 +339,21 @@
 			t.Errorf("shift %g: %.4f reached the bar of a chance of 0.01", c.shift, share)
 		}
 	}
-	var o odds
-	most := o.log
+	var o likelihoodRatio
+	most := o.logValue
 	for range 200 { // ends that fall on new and old by their share
-		o.step(0.1, chance.Float64() < 0.1)
-		most = max(most, o.log)
+		o.update(0.1, chance.Float64() < 0.1)
+		most = max(most, o.logValue)
 	}
 	if most > math.Log(100) {
 		t.Errorf("alike: %g", most)
 	}
-	var worse odds
+	var worse likelihoodRatio
 	for range 6 {
-		worse.step(0.1, true)
+		worse.update(0.1, true)
 	}
-	if worse.log < math.Log(100) {
-		t.Errorf("six of six on a tenth: %g", worse.log)
+	if worse.logValue < math.Log(100) {
+		t.Errorf("six of six on a tenth: %g", worse.logValue)
 	}
 }
 
@@ -362,9 +366,9 @@
 		"wants one of count, share and zone":     func(p *Plan) { p.Stages[1].Count = 3 },
 		"changes 40 gatherers, there are 12":     func(p *Plan) { p.Stages[0].Count = 40 },
 		"is named twice":                         func(p *Plan) { p.Gatherers[1].Name = "g0" },
-		"somebody has to serve":                  func(p *Plan) { p.MostOut = 12 },
-		"may last 60000 ms, and half is watched": func(p *Plan) { p.Limit, p.Stages[1].Least = 60_000, 90_000 },
-		"less than the":                          func(p *Plan) { p.FreshHarm = 0.01 },
+		"somebody has to serve":                  func(p *Plan) { p.MaxUnavailable = 12 },
+		"may last 60000 ms, and half is watched": func(p *Plan) { p.StageLimit, p.Stages[1].MinObservation = 60_000, 90_000 },
+		"less than the":                          func(p *Plan) { p.WarmUpHarm = 0.01 },
 		"two at least":                           func(p *Plan) { p.Gatherers = p.Gatherers[:1] },
 	} {
 		f := newFleet(12, nil)
@@ -388,27 +392,27 @@
 // TestReplay: what a journal tells is gone on from at any of its ends: steps that were begun and of whose end nothing is
 // known are made again, in their order, and no others; another plan's journal is refused.
 func TestReplay(t *testing.T) {
-	all := []Record{{What: Began, Plan: "p", Fence: 1}, {What: Moved, Where: &Position{Phase: Changing}}, {What: Ordered, Name: "a", To: New}, {What: Ordered, Name: "b", To: New}, {What: Stepped, Name: "a", To: New},
-		{What: Heeded, Word: "back 7"}, {What: Moved, Where: &Position{Phase: Backing, Stage: 1, Why: "x"}}, {What: Ordered, Name: "a", To: Old}, {What: Stepped, Name: "b", Err: "no"}, {What: Stepped, Name: "a"}}
+	all := []Record{{Kind: ControllerStarted, PlanSum: "p", FencingToken: 1}, {Kind: PositionChanged, Position: &Position{Phase: Updating}}, {Kind: StepStarted, Gatherer: "a", Target: New}, {Kind: StepStarted, Gatherer: "b", Target: New}, {Kind: StepEnded, Gatherer: "a", Target: New},
+		{Kind: CommandTaken, Command: "back 7"}, {Kind: PositionChanged, Position: &Position{Phase: RollingBack, Stage: 1, Reason: "x"}}, {Kind: StepStarted, Gatherer: "a", Target: Old}, {Kind: StepEnded, Gatherer: "b", Message: "no"}, {Kind: StepEnded, Gatherer: "a"}}
 	redo := []string{"", "", "", "a", "a b", "b", "b", "b", "b a", "a", ""}
 	for n := range len(all) + 1 {
 		r, err := Replay("p", all[:n])
 		var names []string
-		for _, rec := range r.Redo {
-			names = append(names, rec.Name)
+		for _, rec := range r.UnfinishedSteps {
+			names = append(names, rec.Gatherer)
 		}
 		if err != nil || strings.Join(names, " ") != redo[n] {
 			t.Errorf("after %d records: %v, made again: %v", n, err, names)
 		}
-		if want := map[bool]Phase{true: Backing, false: Changing}[n >= 7]; n >= 2 && r.At.Phase != want || n >= 6 && r.Word != "back 7" {
+		if want := map[bool]Phase{true: RollingBack, false: Updating}[n >= 7]; n >= 2 && r.Position.Phase != want || n >= 6 && r.Command != "back 7" {
 			t.Errorf("after %d records: %+v", n, r)
 		}
 	}
-	if _, err := Replay("q", all); err != ErrChanged {
+	if _, err := Replay("q", all); err != ErrPlanChanged {
 		t.Errorf("another plan: %v", err)
 	}
 	for _, rec := range all {
-		if rec.Line() == "" {
+		if rec.Describe() == "" {
 			t.Errorf("no words for %+v", rec)
 		}
 	}
@@ -434,7 +438,7 @@
 
 // BenchmarkDecide is one look at 300 gatherers in three zones.
 func BenchmarkDecide(b *testing.B) {
-	f := newFleet(300, func(p *Plan) { p.MostOut, p.MostOutZone = 15, 8 })
+	f := newFleet(300, func(p *Plan) { p.MaxUnavailable, p.MaxUnavailablePerZone = 15, 8 })
 	f.play(60)
 	b.ResetTimer()
 	for b.Loop() {
