--- a/cmd/yokeroute/rollout.go
+++ b/cmd/yokeroute/rollout.go
@@ -29,7 +29,7 @@
 			return err
 		}
 		if word != "" {
-			if err := rollout.Say(p.Folder, word); err != nil {
+			if err := rollout.SendCommand(p.Folder, word); err != nil {
 				return fmt.Errorf("rollout %s was never begun: %w", p.Name, err)
 			}
 		}
@@ -101,7 +101,7 @@
 			if err != nil {
 				return err
 			}
-			page, err := rollout.Page(folder)
+			page, err := rollout.HTMLReport(folder)
 			if err != nil {
 				return err
 			}
@@ -119,7 +119,7 @@
 				if err != nil {
 					return err
 				}
-				if err := rollout.Say(folder, word); err != nil {
+				if err := rollout.SendCommand(folder, word); err != nil {
 					return err
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "said; the process that carries the rollout out heeds it at its next look, or the next one that does\n")
@@ -155,7 +155,7 @@
 	default:
 		return fmt.Errorf("--output %q: is neither text nor json", form)
 	}
-	fmt.Fprintf(w, "rollout %s: %s, stage %s, as of %s by controller %d\n%s: %s\n\n", s.Name, s.Phase, s.Stage, time.UnixMilli(int64(s.At)).Format("15:04:05"), s.Fence, s.Verdict, s.Why)
+	fmt.Fprintf(w, "rollout %s: %s, stage %s, as of %s by controller %d\n%s: %s\n\n", s.Name, s.Phase, s.Stage, time.UnixMilli(int64(s.ObservedAt)).Format("15:04:05"), s.FencingToken, s.Verdict, s.Reason)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "gatherer\tzone\tserves as\tready\tstep\ttrouble")
 	for _, g := range s.Gatherers {
@@ -163,7 +163,7 @@
 		if g.Ready {
 			ready = "yes"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", g.Name, g.Zone, g.Serves, ready, g.Step, g.Trouble)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%s\t%s\n", g.Name, g.Zone, g.Variant, ready, g.Step, g.Fault)
 	}
 	return t.Flush()
 }
--- a/internal/control/rollout/ask_test.go
+++ b/internal/control/rollout/ask_test.go
@@ -33,8 +33,8 @@
 		}
 	}))
 	defer s.Close()
-	p := &Plan{Plan: rollout.Plan{Gatherers: []rollout.Gatherer{{Name: "g1"}, {Name: "g2"}}}, Machines: []Machine{{Report: s.Listener.Addr().String()}, {Report: "127.0.0.1:1"}}}
-	tell := &teller{p: p, http: s.Client()}
+	p := &Plan{Plan: rollout.Plan{Gatherers: []rollout.Gatherer{{Name: "g1"}, {Name: "g2"}}}, Processes: []GathererProcess{{ReportAddress: s.Listener.Addr().String()}, {ReportAddress: "127.0.0.1:1"}}}
+	tell := &reportClient{plan: p, http: s.Client()}
 	for _, c := range []struct {
 		run   string
 		fence uint64
@@ -44,17 +44,17 @@
 		{"one", 2, nil, ""},
 		{"one", 3, nil, ""},
 		{"one", 1, statedir.ErrTaken, "another controller has taken this over: gatherer g1 is held by controller 2"},
-		{"other", 9, errHeld, "gatherer g1 is being changed by another run: one, controller 2"},
+		{"other", 9, errClaimed, "gatherer g1 is being changed by another run: one, controller 2"},
 	} {
 		err := tell.claim(context.Background(), 0, c.run, c.fence, time.Minute)
-		if !errors.Is(err, c.is) || err != nil && !strings.Contains(err.Error(), c.words) || refused(err) != (c.is != nil) {
+		if !errors.Is(err, c.is) || err != nil && !strings.Contains(err.Error(), c.words) || claimRefused(err) != (c.is != nil) {
 			t.Errorf("%s %d: %v", c.run, c.fence, err)
 		}
-		if all := tell.everybody(context.Background(), c.run, c.fence); !errors.Is(all, c.is) {
+		if all := tell.claimAll(context.Background(), c.run, c.fence); !errors.Is(all, c.is) {
 			t.Errorf("%s %d, of all: %v", c.run, c.fence, all)
 		}
 	}
-	if err := tell.claim(context.Background(), 1, "one", 1, time.Minute); err == nil || refused(err) {
+	if err := tell.claim(context.Background(), 1, "one", 1, time.Minute); err == nil || claimRefused(err) {
 		t.Errorf("nobody there: %v", err)
 	}
 }
--- a/internal/control/rollout/carry.go
+++ b/internal/control/rollout/carry.go
@@ -21,9 +21,9 @@
 	"yokeroute/logic/rollout"
 )
 
-// operatorSum is the fingerprint of an operator's file with all that it includes, as a gatherer tells it. A faulty file
+// operatorFingerprint is the fingerprint of an operator's file with all that it includes, as a gatherer tells it. A faulty file
 // is an error: no gatherer would take it.
-func operatorSum(file string) (string, error) {
+func operatorFingerprint(file string) (string, error) {
 	own, err := operator.Read(file)
 	if err != nil {
 		return "", err
@@ -34,9 +34,9 @@
 // CheckFiles reads all files of a side as gatherers would, before any is changed.
 func (p *Plan) CheckFiles() error {
 	var all []error
-	for _, s := range []Side{p.Old, p.New} {
+	for _, s := range []Release{p.Old, p.New} {
 		for g := range p.Gatherers {
-			f := p.of(s, g)
+			f := p.releaseFor(s, g)
 			if f.Program != "" {
 				if info, err := os.Stat(f.Program); err != nil {
 					all = append(all, fmt.Errorf("gatherer %s: %w", p.Gatherers[g].Name, err))
@@ -62,30 +62,30 @@
 	return errors.Join(all...)
 }
 
-// carrier makes steps.
-type carrier interface {
+// stepper makes steps.
+type stepper interface {
 	// step makes a gatherer what it is to be. It may be called again for a step that was begun before; fence is the
 	// controller's number. An error says why it could not.
 	step(ctx context.Context, g int, to rollout.Variant, fence uint64) error
 }
 
-// commands carries steps out by the operator's own.
-type commands struct{ p *Plan }
+// commandStepper carries steps out by the operator's own.
+type commandStepper struct{ plan *Plan }
 
-func (c commands) step(ctx context.Context, g int, to rollout.Variant, fence uint64) error {
-	own := c.p.Steps[to]
-	if err := c.alone(ctx, g, own.Limit); err != nil {
+func (c commandStepper) step(ctx context.Context, g int, to rollout.Variant, fence uint64) error {
+	own := c.plan.Commands[to]
+	if err := c.awaitPrevious(ctx, g, own.Timeout); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, time.Duration(own.Limit*1e6))
+	ctx, cancel := context.WithTimeout(ctx, time.Duration(own.Timeout*1e6))
 	defer cancel()
-	words := make([]string, len(own.Words))
-	for i, w := range own.Words {
-		words[i] = strings.NewReplacer("{to}", to.String(), "{fence}", strconv.FormatUint(fence, 10)).Replace(c.p.filled(w, g))
+	words := make([]string, len(own.Args))
+	for i, w := range own.Args {
+		words[i] = strings.NewReplacer("{to}", to.String(), "{fence}", strconv.FormatUint(fence, 10)).Replace(c.plan.expand(w, g))
 	}
 	cmd := exec.CommandContext(ctx, words[0], words[1:]...)
-	cmd.Dir = filepath.Dir(c.p.File)
-	cmd.Env = append(os.Environ(), "YOKEROUTE_GATHERER="+c.p.Gatherers[g].Name, "YOKEROUTE_TO="+to.String(), "YOKEROUTE_FENCE="+strconv.FormatUint(fence, 10))
+	cmd.Dir = filepath.Dir(c.plan.File)
+	cmd.Env = append(os.Environ(), "YOKEROUTE_GATHERER="+c.plan.Gatherers[g].Name, "YOKEROUTE_TO="+to.String(), "YOKEROUTE_FENCE="+strconv.FormatUint(fence, 10))
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
 	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) } // with all that it has started
 	cmd.WaitDelay = time.Second
@@ -93,7 +93,7 @@
 	cmd.Stdout, cmd.Stderr = &out, &out
 	err := cmd.Start()
 	if err == nil {
-		if noted := c.note(g, cmd.Process.Pid); noted != nil {
+		if noted := c.recordProcess(g, cmd.Process.Pid); noted != nil {
 			cmd.Cancel()
 			cmd.Wait()
 			return noted
@@ -102,29 +102,29 @@
 	}
 	if err != nil {
 		if ctx.Err() != nil {
-			return fmt.Errorf("step of %s: not done after %.0f s: %s", c.p.Gatherers[g].Name, own.Limit/1000, last(out.Bytes()))
+			return fmt.Errorf("step of %s: not done after %.0f s: %s", c.plan.Gatherers[g].Name, own.Timeout/1000, outputTail(out.Bytes()))
 		}
-		return fmt.Errorf("step of %s: %w: %s", c.p.Gatherers[g].Name, err, last(out.Bytes()))
+		return fmt.Errorf("step of %s: %w: %s", c.plan.Gatherers[g].Name, err, outputTail(out.Bytes()))
 	}
 	return nil
 }
 
-func (c commands) noteFile(g int) string {
-	return filepath.Join(c.p.Folder, "run", c.p.Gatherers[g].Name+".step")
+func (c commandStepper) processFile(g int) string {
+	return filepath.Join(c.plan.Folder, "run", c.plan.Gatherers[g].Name+".step")
 }
 
-// note writes down which process makes a gatherer's step, for a controller after this one.
-func (c commands) note(g, pid int) error {
-	if err := os.MkdirAll(filepath.Dir(c.noteFile(g)), 0o755); err != nil {
+// recordProcess writes down which process makes a gatherer's step, for a controller after this one.
+func (c commandStepper) recordProcess(g, pid int) error {
+	if err := os.MkdirAll(filepath.Dir(c.processFile(g)), 0o755); err != nil {
 		return err
 	}
-	return statedir.Replace(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.Started(pid)))
+	return statedir.Replace(c.processFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.Started(pid)))
 }
 
-// alone waits until the command that a controller before this one has started for the gatherer has ended, since two at
+// awaitPrevious waits until the command that a controller before this one has started for the gatherer has ended, since two at
 // once would be in each other's way; one that runs longer than its limit is ended.
-func (c commands) alone(ctx context.Context, g int, limit float64) error {
-	text, err := os.ReadFile(c.noteFile(g))
+func (c commandStepper) awaitPrevious(ctx context.Context, g int, limit float64) error {
+	text, err := os.ReadFile(c.processFile(g))
 	if err != nil {
 		return nil // there is none
 	}
@@ -149,8 +149,8 @@
 	return nil
 }
 
-// last is the end of what a command has said.
-func last(out []byte) string {
+// outputTail is the end of what a command has said.
+func outputTail(out []byte) string {
 	text := strings.TrimSpace(string(out))
 	if len(text) > 400 {
 		text = "..." + text[len(text)-400:]
@@ -158,17 +158,17 @@
 	return text
 }
 
-// runner is the built-in one: gatherers are processes on this machine, started apart from this one, so that they
+// processStepper is the built-in one: gatherers are processes on this machine, started apart from this one, so that they
 // outlive it. Who they are stands in files, with the kernel's word of when each started, against a number that has gone
 // to another process meanwhile.
-type runner struct{ p *Plan }
+type processStepper struct{ plan *Plan }
 
-func (r runner) pidFile(g int) string {
-	return filepath.Join(r.p.Folder, "run", r.p.Gatherers[g].Name+".pid")
+func (r processStepper) pidFile(g int) string {
+	return filepath.Join(r.plan.Folder, "run", r.plan.Gatherers[g].Name+".pid")
 }
 
-// process reads who a gatherer's process is; 0 for none that runs.
-func (r runner) process(g int) int {
+// runningPID reads who a gatherer's process is; 0 for none that runs.
+func (r processStepper) runningPID(g int) int {
 	text, err := os.ReadFile(r.pidFile(g))
 	if err == nil {
 		var pid int
@@ -177,12 +177,12 @@
 			return pid
 		}
 	}
-	return r.find(r.p.Machines[g].Config)
+	return r.findProcess(r.plan.Processes[g].ConfigFile)
 }
 
-// find looks for a process that serves by a configuration file: one that was started by hand, or by a process that was
+// findProcess looks for a process that serves by a configuration file: one that was started by hand, or by a process that was
 // killed before it had written down whom it had started.
-func (r runner) find(config string) int {
+func (r processStepper) findProcess(config string) int {
 	entries, err := os.ReadDir("/proc")
 	if err != nil || config == "" {
 		return 0
@@ -208,10 +208,10 @@
 }
 
 // adopt tells the runner of a process that serves already.
-func (r runner) adopt(g, pid int) error {
+func (r processStepper) adopt(g, pid int) error {
 	began := process.Started(pid)
 	if began == "" {
-		return fmt.Errorf("gatherer %s: no process %d", r.p.Gatherers[g].Name, pid)
+		return fmt.Errorf("gatherer %s: no process %d", r.plan.Gatherers[g].Name, pid)
 	}
 	if err := os.MkdirAll(filepath.Dir(r.pidFile(g)), 0o755); err != nil {
 		return err
@@ -220,8 +220,8 @@
 }
 
 // install puts a side's files in the place of those that a gatherer reads.
-func (r runner) install(s Side, m Machine) error {
-	for from, to := range map[string]string{s.Config: m.Config, s.Operator: m.Operator} {
+func (r processStepper) install(s Release, m GathererProcess) error {
+	for from, to := range map[string]string{s.Config: m.ConfigFile, s.Operator: m.OperatorFile} {
 		if from == "" || to == "" || from == to {
 			continue
 		}
@@ -236,44 +236,44 @@
 	return nil
 }
 
-func (r runner) step(ctx context.Context, g int, to rollout.Variant, _ uint64) error {
-	s, m := r.p.of(r.p.New, g), r.p.Machines[g]
+func (r processStepper) step(ctx context.Context, g int, to rollout.Variant, _ uint64) error {
+	s, m := r.plan.releaseFor(r.plan.New, g), r.plan.Processes[g]
 	if to == rollout.Old {
-		s = r.p.of(r.p.Old, g)
+		s = r.plan.releaseFor(r.plan.Old, g)
 	}
 	if err := r.install(s, m); err != nil {
 		return err
 	}
-	pid := r.process(g)
-	if r.p.Hangup {
+	pid := r.runningPID(g)
+	if r.plan.ReloadOnly {
 		if pid == 0 {
-			return fmt.Errorf("gatherer %s: no process to tell by SIGHUP", r.p.Gatherers[g].Name)
+			return fmt.Errorf("gatherer %s: no process to tell by SIGHUP", r.plan.Gatherers[g].Name)
 		}
 		return syscall.Kill(pid, syscall.SIGHUP)
 	}
-	if err := r.end(ctx, g, pid); err != nil {
+	if err := r.terminate(ctx, g, pid); err != nil {
 		return err
 	}
 	return r.start(g, s, m)
 }
 
-// longestDrain is how long a process may take to answer what it holds before it is ended by force: longer than any
+// maxDrainTime is how long a process may take to answer what it holds before it is ended by force: longer than any
 // hard deadline of a lookup should be.
-const longestDrain = 30 * time.Second
+const maxDrainTime = 30 * time.Second
 
-// end ends a process as a planned restart does. Its successor starts when it has ended: they share an address and a
+// terminate ends a process as a planned restart does. Its successor starts when it has ended: they share an address and a
 // state folder.
-func (r runner) end(ctx context.Context, g, pid int) error {
+func (r processStepper) terminate(ctx context.Context, g, pid int) error {
 	if pid == 0 {
 		return nil
 	}
 	syscall.Kill(pid, syscall.SIGTERM)
 	syscall.Kill(pid, syscall.SIGCONT) // one that was stopped can't end
-	force := time.NewTimer(longestDrain)
+	force := time.NewTimer(maxDrainTime)
 	defer force.Stop()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for r.process(g) == pid {
+	for r.runningPID(g) == pid {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -286,26 +286,26 @@
 }
 
 // start starts a process in a session of its own, so that neither this one's end nor its terminal reaches it.
-func (r runner) start(g int, s Side, m Machine) error {
+func (r processStepper) start(g int, s Release, m GathererProcess) error {
 	if err := os.MkdirAll(filepath.Dir(r.pidFile(g)), 0o755); err != nil {
 		return err
 	}
-	log, err := os.OpenFile(filepath.Join(r.p.Folder, "run", r.p.Gatherers[g].Name+".log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
+	log, err := os.OpenFile(filepath.Join(r.plan.Folder, "run", r.plan.Gatherers[g].Name+".log"), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	args := []string{"serve", "--config", m.Config}
-	if m.Operator != "" {
-		if _, err := os.Stat(m.Operator); !errors.Is(err, fs.ErrNotExist) {
-			args = append(args, "--operator", m.Operator)
+	args := []string{"serve", "--config", m.ConfigFile}
+	if m.OperatorFile != "" {
+		if _, err := os.Stat(m.OperatorFile); !errors.Is(err, fs.ErrNotExist) {
+			args = append(args, "--operator", m.OperatorFile)
 		}
 	}
 	cmd := exec.Command(s.Program, args...)
 	cmd.Stdout, cmd.Stderr = log, log
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setsid: true}
 	if err := cmd.Start(); err != nil {
-		return fmt.Errorf("gatherer %s: %w", r.p.Gatherers[g].Name, err)
+		return fmt.Errorf("gatherer %s: %w", r.plan.Gatherers[g].Name, err)
 	}
 	go cmd.Wait() // against a dead one that is never buried while this process lives
 	return r.adopt(g, cmd.Process.Pid)
--- a/internal/control/rollout/control.go
+++ b/internal/control/rollout/control.go
@@ -20,8 +20,8 @@
 	"yokeroute/logic/rollout"
 )
 
-// statusForm is the number of the status file.
-const statusForm = "yokeroute rollout 1"
+// statusFormat is the number of the status file.
+const statusFormat = "yokeroute rollout 1"
 
 // Files of a rollout's folder beside those of package state.
 const (
@@ -31,90 +31,94 @@
 
 // Status is what a rollout is at, for people and programs.
 type Status struct {
-	Form      string            `json:"rollout"`
-	Name      string            `json:"name"`
-	Plan      string            `json:"plan"` // its file
-	At        float64           `json:"at"`   // when this was so, Unix milliseconds
-	Fence     uint64            `json:"controller"`
-	PID       int               `json:"pid"`
-	Phase     rollout.Phase     `json:"phase"`
-	Stage     string            `json:"stage"`
-	Verdict   string            `json:"verdict"`
-	Why       string            `json:"why"`
-	Gatherers []GathererStatus  `json:"gatherers"`
-	Indexes   map[string][2]Sum `json:"indexes"` // of the last interval: old and new
+	Format       string                    `json:"rollout"`
+	Name         string                    `json:"name"`
+	Plan         string                    `json:"plan"` // its file
+	ObservedAt   float64                   `json:"at"`   // when this was so, Unix milliseconds
+	FencingToken uint64                    `json:"controller"`
+	PID          int                       `json:"pid"`
+	Phase        rollout.Phase             `json:"phase"`
+	Stage        string                    `json:"stage"`
+	Verdict      string                    `json:"verdict"`
+	Reason       string                    `json:"why"`
+	Gatherers    []GathererStatus          `json:"gatherers"`
+	Classes      map[string][2]VariantSums `json:"indexes"` // of the last interval: old and new
 }
 
 // GathererStatus is one gatherer's.
 type GathererStatus struct {
-	Name    string  `json:"name"`
-	Zone    string  `json:"zone,omitempty"`
-	Serves  string  `json:"serves"` // old, new, other or unknown
-	Ready   bool    `json:"ready"`
-	Reached float64 `json:"reached,omitempty"` // when it last told, Unix milliseconds
-	Step    string  `json:"step,omitempty"`    // under way: to new or to old
-	Trouble string  `json:"trouble,omitempty"`
+	Name         string  `json:"name"`
+	Zone         string  `json:"zone,omitempty"`
+	Variant      string  `json:"serves"` // old, new, other or unknown
+	Ready        bool    `json:"ready"`
+	LastReportAt float64 `json:"reached,omitempty"` // when it last told, Unix milliseconds
+	Step         string  `json:"step,omitempty"`    // under way: to new or to old
+	Fault        string  `json:"trouble,omitempty"`
 }
 
-// Sum is an index's lookups on one side.
-type Sum struct{ Lookups, Value, Nacked float64 }
+// VariantSums is an index's lookups on one side.
+type VariantSums struct {
+	Queries     float64 `json:"Lookups"`
+	EarnedValue float64 `json:"Value"`
+	Rejected    float64 `json:"Nacked"`
+}
 
-// Means are what a controller decides and changes gatherers by, where that is not the project's own decisions and what
+// Overrides are what a controller decides and changes gatherers by, where that is not the project's own decisions and what
 // the plan says: an experiment's.
-type Means struct {
-	Judge func(p rollout.Plan, at rollout.Position) rollout.Strategy
-	Step  func(ctx context.Context, gatherer string, to rollout.Variant) error
+type Overrides struct {
+	Strategy func(p rollout.Plan, at rollout.Position) rollout.Strategy
+	Step     func(ctx context.Context, gatherer string, to rollout.Variant) error
 }
 
-// means carries steps out by a function.
-type means struct {
-	p *Plan
-	m Means
+// overrideStepper carries steps out by a function.
+type overrideStepper struct {
+	plan      *Plan
+	overrides Overrides
 }
 
-func (c means) step(ctx context.Context, g int, to rollout.Variant, _ uint64) error {
-	return c.m.Step(ctx, c.p.Gatherers[g].Name, to)
+func (c overrideStepper) step(ctx context.Context, g int, to rollout.Variant, _ uint64) error {
+	return c.overrides.Step(ctx, c.plan.Gatherers[g].Name, to)
 }
 
 // Controller carries one rollout out.
 type Controller struct {
-	p       *Plan
-	log     *logrus.Logger
-	teller  *teller
-	carrier carrier
-	decider rollout.Strategy
-	means   Means
-	own     *statedir.Run
-	fence   uint64
-	run     string // by which gatherers know this rollout
-	word    string // the operator's last one that was heeded
-	redo    []rollout.Record
-	now     func() float64
-
-	mu    sync.Mutex
-	steps []rollout.StepState
-	errs  []string
-	wait  sync.WaitGroup
-	at    rollout.Position
-	last  string
+	plan            *Plan
+	log             *logrus.Logger
+	reports         *reportClient
+	stepper         stepper
+	strategy        rollout.Strategy
+	overrides       Overrides
+	journal         *statedir.Run
+	fencingToken    uint64
+	runID           string // by which gatherers know this rollout
+	lastCommand     string // the operator's last one that was heeded
+	unfinishedSteps []rollout.Record
+	now             func() float64
+
+	mu          sync.Mutex
+	stepStates  []rollout.StepState
+	stepFaults  []string
+	running     sync.WaitGroup
+	position    rollout.Position
+	lastSummary string
 }
 
 // Open begins a rollout, or goes on with one that was begun in the plan's folder. All files of both sides are checked
 // first, and the gatherers claimed: nothing is begun where one of that fails. With over it takes a rollout over from a
 // process that still holds it and does not go on; that one does nothing any more, should it wake up.
 func Open(ctx context.Context, p *Plan, over bool, log *logrus.Logger) (*Controller, error) {
-	return OpenWith(ctx, p, over, log, Means{})
+	return OpenWithOverrides(ctx, p, over, log, Overrides{})
 }
 
-// OpenWith is Open with other means.
-func OpenWith(ctx context.Context, p *Plan, over bool, log *logrus.Logger, m Means) (*Controller, error) {
+// OpenWithOverrides is Open with other means.
+func OpenWithOverrides(ctx context.Context, p *Plan, over bool, log *logrus.Logger, m Overrides) (*Controller, error) {
 	if err := p.CheckFiles(); err != nil {
 		return nil, err
 	}
-	c := &Controller{p: p, log: log, means: m, steps: make([]rollout.StepState, len(p.Gatherers)), errs: make([]string, len(p.Gatherers)), now: func() float64 { return float64(time.Now().UnixNano()) / 1e6 }}
+	c := &Controller{plan: p, log: log, overrides: m, stepStates: make([]rollout.StepState, len(p.Gatherers)), stepFaults: make([]string, len(p.Gatherers)), now: func() float64 { return float64(time.Now().UnixNano()) / 1e6 }}
 	if err := c.open(ctx, over); err != nil {
-		if c.own != nil {
-			c.own.Close()
+		if c.journal != nil {
+			c.journal.Close()
 		}
 		return nil, err
 	}
@@ -122,27 +126,27 @@
 }
 
 func (c *Controller) open(ctx context.Context, over bool) error {
-	p := c.p
+	p := c.plan
 	var err error
-	if c.own, err = statedir.OpenRun(p.Folder, over); errors.Is(err, statedir.ErrHeld) {
+	if c.journal, err = statedir.OpenRun(p.Folder, over); errors.Is(err, statedir.ErrHeld) {
 		holder := "unknown"
 		if s, err := ReadStatus(p.Folder); err == nil {
-			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.At)/1000)
+			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.ObservedAt)/1000)
 		}
 		return fmt.Errorf("rollout %s %w: %s; if that one stands still, --take-over", p.Name, err, holder)
 	} else if err != nil {
 		return err
 	}
-	c.fence = c.own.Fence
-	if c.teller, err = newTeller(p); err != nil {
+	c.fencingToken = c.journal.Fence
+	if c.reports, err = newReportClient(p); err != nil {
 		return err
 	}
-	c.carrier = runner{p}
-	if len(p.Steps) > 0 {
-		c.carrier = commands{p}
+	c.stepper = processStepper{p}
+	if len(p.Commands) > 0 {
+		c.stepper = commandStepper{p}
 	}
-	if c.means.Step != nil {
-		c.carrier = means{p, c.means}
+	if c.overrides.Step != nil {
+		c.stepper = overrideStepper{p, c.overrides}
 	}
 	at, err := c.recover()
 	if err != nil {
@@ -150,28 +154,28 @@
 	}
 	folder, _ := filepath.EvalSymlinks(p.Folder)
 	host, _ := os.Hostname()
-	c.run = fmt.Sprintf("%s in %s on %s", p.Name, cmp.Or(folder, p.Folder), host)
-	if err := c.teller.everybody(ctx, c.run, c.fence); err != nil {
+	c.runID = fmt.Sprintf("%s in %s on %s", p.Name, cmp.Or(folder, p.Folder), host)
+	if err := c.reports.claimAll(ctx, c.runID, c.fencingToken); err != nil {
 		return err
 	}
 	if len(p.Classes) == 0 { // those that the gatherers tell of
-		if p.Classes, err = c.indexes(ctx); err != nil {
+		if p.Classes, err = c.discoverClasses(ctx); err != nil {
 			return err
 		}
 	}
-	c.decider = rollout.NewDecider(p.Plan, at)
-	if c.means.Judge != nil {
-		c.decider = c.means.Judge(p.Plan, at)
+	c.strategy = rollout.NewDecider(p.Plan, at)
+	if c.overrides.Strategy != nil {
+		c.strategy = c.overrides.Strategy(p.Plan, at)
 	}
-	c.at = at
-	return c.write(rollout.Record{Kind: rollout.ControllerStarted, PlanSum: p.Text, FencingToken: c.fence})
+	c.position = at
+	return c.appendRecord(rollout.Record{Kind: rollout.ControllerStarted, PlanSum: p.Fingerprint, FencingToken: c.fencingToken})
 }
 
-// indexes are those of which the gatherers tell.
-func (c *Controller) indexes(ctx context.Context) ([]string, error) {
-	o := c.teller.all(ctx, 0)
+// discoverClasses are those of which the gatherers tell.
+func (c *Controller) discoverClasses(ctx context.Context) ([]string, error) {
+	o := c.reports.observe(ctx, 0)
 	for g := range o.Gatherers {
-		if d := c.teller.told[g]; d != nil {
+		if d := c.reports.lastReports[g]; d != nil {
 			var names []string
 			for name := range d.Classes {
 				names = append(names, name)
@@ -182,7 +186,7 @@
 	}
 	var why []string
 	for g := range o.Gatherers {
-		why = append(why, fmt.Sprintf("%s at %s: %s", c.p.Gatherers[g].Name, c.p.Machines[g].Report, o.Gatherers[g].Fault))
+		why = append(why, fmt.Sprintf("%s at %s: %s", c.plan.Gatherers[g].Name, c.plan.Processes[g].ReportAddress, o.Gatherers[g].Fault))
 		if len(why) == 3 {
 			break
 		}
@@ -194,7 +198,7 @@
 // known are made again.
 func (c *Controller) recover() (at rollout.Position, err error) {
 	var all []rollout.Record
-	err = c.own.Recover(func(text []byte) error {
+	err = c.journal.Recover(func(text []byte) error {
 		var rec rollout.Record
 		if err := json.Unmarshal(text, &rec); err != nil || rec.Format != rollout.RecordFormat {
 			return fmt.Errorf("a record of another form: %.80q", text)
@@ -208,25 +212,25 @@
 	if err != nil {
 		return at, err
 	}
-	r, err := rollout.Replay(c.p.Text, all)
+	r, err := rollout.Replay(c.plan.Fingerprint, all)
 	if err != nil {
-		return at, fmt.Errorf("%s: %w", c.p.File, err)
+		return at, fmt.Errorf("%s: %w", c.plan.File, err)
 	}
-	c.redo, c.word = r.UnfinishedSteps, r.Command
-	for _, rec := range c.redo {
-		if g := c.numberOf(rec.Gatherer); g >= 0 {
-			c.steps[g] = rollout.Running
+	c.unfinishedSteps, c.lastCommand = r.UnfinishedSteps, r.Command
+	for _, rec := range c.unfinishedSteps {
+		if g := c.gathererIndex(rec.Gatherer); g >= 0 {
+			c.stepStates[g] = rollout.Running
 		}
 	}
 	return r.Position, nil
 }
 
-func (c *Controller) numberOf(name string) int {
-	return slices.IndexFunc(c.p.Gatherers, func(g rollout.Gatherer) bool { return g.Name == name })
+func (c *Controller) gathererIndex(name string) int {
+	return slices.IndexFunc(c.plan.Gatherers, func(g rollout.Gatherer) bool { return g.Name == name })
 }
 
-// write writes a record down.
-func (c *Controller) write(r rollout.Record) error {
+// appendRecord writes a record down.
+func (c *Controller) appendRecord(r rollout.Record) error {
 	r.Format, r.At = rollout.RecordFormat, c.now()
 	text, err := json.Marshal(r)
 	if err != nil {
@@ -234,31 +238,31 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.own.Append(text)
+	return c.journal.Append(text)
 }
 
 // Run goes on until the rollout has come to an end, or ctx ends; then steps that are under way are waited for.
 func (c *Controller) Run(ctx context.Context) (*Status, error) {
-	defer c.own.Close()
-	defer c.wait.Wait()
-	for _, rec := range c.redo {
-		g := c.numberOf(rec.Gatherer)
+	defer c.journal.Close()
+	defer c.running.Wait()
+	for _, rec := range c.unfinishedSteps {
+		g := c.gathererIndex(rec.Gatherer)
 		if g < 0 {
 			continue // the plan's text is the same, so that there is none
 		}
 		c.log.WithFields(logrus.Fields{"gatherer": rec.Gatherer, "to": rec.Target.String()}).Info("a step of whose end nothing is known is made again")
-		c.begin(ctx, g, rec.Target)
+		c.startStep(ctx, g, rec.Target)
 	}
-	tick := time.NewTicker(time.Duration(c.p.Every * 1e6))
+	tick := time.NewTicker(time.Duration(c.plan.Interval * 1e6))
 	defer tick.Stop()
 	for {
-		s, over, err := c.look(ctx)
+		s, over, err := c.runRound(ctx)
 		if err != nil {
 			return s, err
 		}
 		if over {
-			c.wait.Wait()
-			c.teller.each(func(g int) { c.teller.free(ctx, g, c.run, c.fence) })
+			c.running.Wait()
+			c.reports.forEachGatherer(func(g int) { c.reports.release(ctx, g, c.runID, c.fencingToken) })
 			return s, nil
 		}
 		select {
@@ -269,116 +273,116 @@
 	}
 }
 
-// look asks everybody once, has what comes of it decided, and begins what was decided.
-func (c *Controller) look(ctx context.Context) (s *Status, over bool, err error) {
-	if err := c.own.Mine(); err != nil {
+// runRound asks everybody once, has what comes of it decided, and begins what was decided.
+func (c *Controller) runRound(ctx context.Context) (s *Status, over bool, err error) {
+	if err := c.journal.Mine(); err != nil {
 		return nil, false, err
 	}
-	if err := c.teller.everybody(ctx, c.run, c.fence); err != nil {
+	if err := c.reports.claimAll(ctx, c.runID, c.fencingToken); err != nil {
 		return nil, false, err
 	}
-	o := c.teller.all(ctx, c.now())
+	o := c.reports.observe(ctx, c.now())
 	c.mu.Lock()
 	for g := range o.Gatherers {
-		o.Gatherers[g].Step = c.steps[g]
-		if c.errs[g] != "" {
-			o.Gatherers[g].Fault = c.errs[g]
+		o.Gatherers[g].Step = c.stepStates[g]
+		if c.stepFaults[g] != "" {
+			o.Gatherers[g].Fault = c.stepFaults[g]
 		}
 	}
 	c.mu.Unlock()
-	if err := c.heed(); err != nil {
+	if err := c.applyCommand(); err != nil {
 		return nil, false, err
 	}
-	d := c.decider.Decide(o)
-	if at := c.decider.Position(); at.Phase != c.at.Phase || at.Stage != c.at.Stage {
-		c.at = at
-		if err := c.write(rollout.Record{Kind: rollout.PositionChanged, Position: &at, Message: d.Reason}); err != nil {
+	d := c.strategy.Decide(o)
+	if at := c.strategy.Position(); at.Phase != c.position.Phase || at.Stage != c.position.Stage {
+		c.position = at
+		if err := c.appendRecord(rollout.Record{Kind: rollout.PositionChanged, Position: &at, Message: d.Reason}); err != nil {
 			return nil, false, err
 		}
 	}
-	if line := fmt.Sprintf("%s: %s", d.Verdict, d.Reason); line != c.last {
-		c.last = line
+	if line := fmt.Sprintf("%s: %s", d.Verdict, d.Reason); line != c.lastSummary {
+		c.lastSummary = line
 		c.log.WithField("phase", string(d.Phase)).Info(line)
 	}
 	// The status comes before the steps: one who reads it after a kill knows what was about to be done.
-	s = c.status(&o, d)
-	if err := c.show(s); err != nil {
+	s = c.buildStatus(&o, d)
+	if err := c.publish(s); err != nil {
 		return s, false, err
 	}
 	for _, step := range d.Steps {
-		if err := c.write(rollout.Record{Kind: rollout.StepStarted, Gatherer: c.p.Gatherers[step.Gatherer].Name, Target: step.To}); err != nil {
+		if err := c.appendRecord(rollout.Record{Kind: rollout.StepStarted, Gatherer: c.plan.Gatherers[step.Gatherer].Name, Target: step.To}); err != nil {
 			return s, false, err
 		}
-		c.begin(ctx, step.Gatherer, step.To)
+		c.startStep(ctx, step.Gatherer, step.To)
 	}
 	over = d.Phase == rollout.Completed || d.Phase == rollout.RolledBack || d.Phase == rollout.Stopped
 	return s, over, nil
 }
 
-// begin carries a step out beside all else.
-func (c *Controller) begin(ctx context.Context, g int, to rollout.Variant) {
+// startStep carries a step out beside all else.
+func (c *Controller) startStep(ctx context.Context, g int, to rollout.Variant) {
 	c.mu.Lock()
-	c.steps[g], c.errs[g] = rollout.Running, ""
+	c.stepStates[g], c.stepFaults[g] = rollout.Running, ""
 	c.mu.Unlock()
-	name := c.p.Gatherers[g].Name
-	c.wait.Go(func() {
-		err := c.carry(context.WithoutCancel(ctx), g, to)
+	name := c.plan.Gatherers[g].Name
+	c.running.Go(func() {
+		err := c.runStep(context.WithoutCancel(ctx), g, to)
 		result, said := rollout.Succeeded, ""
 		if err != nil {
 			result, said = rollout.Failed, err.Error()
 			c.log.WithFields(logrus.Fields{"gatherer": name, "to": to.String()}).WithError(err).Warn("step failed")
 		}
-		if err := c.write(rollout.Record{Kind: rollout.StepEnded, Gatherer: name, Target: to, Message: said}); err != nil {
+		if err := c.appendRecord(rollout.Record{Kind: rollout.StepEnded, Gatherer: name, Target: to, Message: said}); err != nil {
 			c.log.WithError(err).Error("that a step has ended could not be written down; it may be made again")
 		}
 		c.mu.Lock()
-		c.steps[g], c.errs[g] = result, said
+		c.stepStates[g], c.stepFaults[g] = result, said
 		c.mu.Unlock()
 	})
 }
 
-// carry makes a step, unless the rollout is another controller's by now.
-func (c *Controller) carry(ctx context.Context, g int, to rollout.Variant) error {
-	if err := c.own.Mine(); err != nil {
+// runStep makes a step, unless the rollout is another controller's by now.
+func (c *Controller) runStep(ctx context.Context, g int, to rollout.Variant) error {
+	if err := c.journal.Mine(); err != nil {
 		return err
 	}
-	if err := c.teller.claim(ctx, g, c.run, c.fence, claimFor); refused(err) {
+	if err := c.reports.claim(ctx, g, c.runID, c.fencingToken, claimDuration); claimRefused(err) {
 		return err // one that can't be reached holds no claim that could be asked for
 	}
-	return c.carrier.step(ctx, g, to, c.fence)
+	return c.stepper.step(ctx, g, to, c.fencingToken)
 }
 
-// heed takes the operator's word, where there is a new one.
-func (c *Controller) heed() error {
-	word, err := c.own.Word()
-	if err != nil || word == c.word {
+// applyCommand takes the operator's word, where there is a new one.
+func (c *Controller) applyCommand() error {
+	word, err := c.journal.Word()
+	if err != nil || word == c.lastCommand {
 		return err
 	}
-	c.word = word
-	if err := c.write(rollout.Record{Kind: rollout.CommandTaken, Command: c.word}); err != nil {
+	c.lastCommand = word
+	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandTaken, Command: c.lastCommand}); err != nil {
 		return err
 	}
-	switch word, _, _ := strings.Cut(c.word, " "); word {
+	switch word, _, _ := strings.Cut(c.lastCommand, " "); word {
 	case "stop":
-		c.decider.Command(rollout.Stop, "by the operator's word")
+		c.strategy.Command(rollout.Stop, "by the operator's word")
 	case "back":
-		c.decider.Command(rollout.RollBack, "by the operator's word")
+		c.strategy.Command(rollout.RollBack, "by the operator's word")
 	case "resume":
-		c.decider.Command(rollout.Proceed, "")
+		c.strategy.Command(rollout.Proceed, "")
 	}
 	return nil
 }
 
-// Say leaves an operator's word (stop, back or resume) for the controller, that of now or the next one.
-func Say(folder, word string) error { return statedir.Say(folder, word, time.Now().UnixNano()) }
+// SendCommand leaves an operator's word (stop, back or resume) for the controller, that of now or the next one.
+func SendCommand(folder, word string) error { return statedir.Say(folder, word, time.Now().UnixNano()) }
 
-func (c *Controller) status(o *rollout.Observation, d rollout.Decision) *Status {
-	s := &Status{Form: statusForm, Name: c.p.Name, Plan: c.p.File, At: o.Now, Fence: c.fence, PID: os.Getpid(), Phase: d.Phase, Stage: c.p.Stages[min(d.Stage, len(c.p.Stages)-1)].Name, Verdict: d.Verdict.String(), Why: d.Reason, Indexes: map[string][2]Sum{}}
+func (c *Controller) buildStatus(o *rollout.Observation, d rollout.Decision) *Status {
+	s := &Status{Format: statusFormat, Name: c.plan.Name, Plan: c.plan.File, ObservedAt: o.Now, FencingToken: c.fencingToken, PID: os.Getpid(), Phase: d.Phase, Stage: c.plan.Stages[min(d.Stage, len(c.plan.Stages)-1)].Name, Verdict: d.Verdict.String(), Reason: d.Reason, Classes: map[string][2]VariantSums{}}
 	for g := range o.Gatherers {
 		seen := &o.Gatherers[g]
-		one := GathererStatus{Name: c.p.Gatherers[g].Name, Zone: c.p.Gatherers[g].Zone, Serves: seen.Variant.String(), Ready: seen.Ready, Trouble: seen.Fault}
-		if !c.teller.at[g].IsZero() {
-			one.Reached = float64(c.teller.at[g].UnixMilli())
+		one := GathererStatus{Name: c.plan.Gatherers[g].Name, Zone: c.plan.Gatherers[g].Zone, Variant: seen.Variant.String(), Ready: seen.Ready, Fault: seen.Fault}
+		if !c.reports.lastReportAt[g].IsZero() {
+			one.LastReportAt = float64(c.reports.lastReportAt[g].UnixMilli())
 		}
 		if seen.Step == rollout.Running {
 			one.Step = "under way"
@@ -389,50 +393,52 @@
 			side = 1
 		}
 		for i := range seen.Classes {
-			both := s.Indexes[c.p.Classes[i]]
-			both[side].Lookups += seen.Classes[i].Queries
-			both[side].Value += seen.Classes[i].EarnedValue
-			both[side].Nacked += seen.Classes[i].Rejected
-			s.Indexes[c.p.Classes[i]] = both
+			both := s.Classes[c.plan.Classes[i]]
+			both[side].Queries += seen.Classes[i].Queries
+			both[side].EarnedValue += seen.Classes[i].EarnedValue
+			both[side].Rejected += seen.Classes[i].Rejected
+			s.Classes[c.plan.Classes[i]] = both
 		}
 	}
 	return s
 }
 
-// show puts the status where others read it, and its figures behind those of before.
-func (c *Controller) show(s *Status) error {
+// publish puts the status where others read it, and its figures behind those of before.
+func (c *Controller) publish(s *Status) error {
 	text, err := json.Marshal(s)
 	if err != nil {
 		return err
 	}
-	if err := c.own.Put(statusFile, text); err != nil {
+	if err := c.journal.Put(statusFile, text); err != nil {
 		return err
 	}
-	m := Moment{At: s.At, Phase: s.Phase, Stage: s.Stage, Why: s.Why, Indexes: s.Indexes}
+	m := Sample{ObservedAt: s.ObservedAt, Phase: s.Phase, Stage: s.Stage, Reason: s.Reason, Classes: s.Classes}
 	for _, g := range s.Gatherers {
 		switch {
-		case g.Reached == 0 || s.At-g.Reached > 1.5*c.p.Every+2000:
-			m.Away++
-		case g.Serves == "new":
+		case g.LastReportAt == 0 || s.ObservedAt-g.LastReportAt > 1.5*c.plan.Interval+2000:
+			m.Unreachable++
+		case g.Variant == "new":
 			m.New++
-		case g.Serves == "old":
+		case g.Variant == "old":
 			m.Old++
 		}
 	}
 	if text, err = json.Marshal(m); err != nil {
 		return err
 	}
-	return c.own.Add(historyFile, text)
+	return c.journal.Add(historyFile, text)
 }
 
-// Moment is a rollout's figures of one interval.
-type Moment struct {
-	At             float64           `json:"t"`
-	Phase          rollout.Phase     `json:"p"`
-	Stage          string            `json:"s"`
-	Why            string            `json:"w"`
-	Old, New, Away int               `json:",omitempty"`
-	Indexes        map[string][2]Sum `json:"i"`
+// Sample is a rollout's figures of one interval.
+type Sample struct {
+	ObservedAt  float64                   `json:"t"`
+	Phase       rollout.Phase             `json:"p"`
+	Stage       string                    `json:"s"`
+	Reason      string                    `json:"w"`
+	Old         int                       `json:",omitempty"`
+	New         int                       `json:",omitempty"`
+	Unreachable int                       `json:"Away,omitempty"`
+	Classes     map[string][2]VariantSums `json:"i"`
 }
 
 // ReadStatus reads a rollout's last status.
@@ -446,14 +452,14 @@
 	if err := json.Unmarshal(text, s); err != nil {
 		return nil, fmt.Errorf("%s: %w", status, err)
 	}
-	if s.Form != statusForm {
-		return nil, fmt.Errorf("%s: the form is %.40q, this reader knows %q", status, s.Form, statusForm)
+	if s.Format != statusFormat {
+		return nil, fmt.Errorf("%s: the form is %.40q, this reader knows %q", status, s.Format, statusFormat)
 	}
 	return s, nil
 }
 
 // History reads a rollout's moments; half a last line is left out.
-func History(folder string) (all []Moment, err error) {
+func History(folder string) (all []Sample, err error) {
 	f, err := os.Open(filepath.Join(folder, historyFile))
 	if err != nil {
 		return nil, err
@@ -462,7 +468,7 @@
 	lines := bufio.NewScanner(f)
 	lines.Buffer(nil, 4<<20)
 	for lines.Scan() {
-		var m Moment
+		var m Sample
 		if json.Unmarshal(lines.Bytes(), &m) == nil {
 			all = append(all, m)
 		}
@@ -470,8 +476,8 @@
 	return all, lines.Err()
 }
 
-// Log is what the journals of a rollout tell, in words.
-func Log(folder string) (lines []string, err error) {
+// JournalLines is what the journals of a rollout tell, in words.
+func JournalLines(folder string) (lines []string, err error) {
 	err = statedir.ReadRun(folder, func(text []byte) error {
 		var rec rollout.Record
 		if err := json.Unmarshal(text, &rec); err != nil || rec.Format != rollout.RecordFormat {
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -46,8 +46,8 @@
 
 // keptPlan is the plan of the kept rollout.
 func keptPlan(folder string) *Plan {
-	p := &Plan{File: "release-42.conf", Text: "ccb99da814c8b92c", Folder: folder, Every: 5000,
-		Machines: []Machine{{Report: "127.0.0.1:1"}, {Report: "127.0.0.1:2"}, {Report: "127.0.0.1:3"}}}
+	p := &Plan{File: "release-42.conf", Fingerprint: "ccb99da814c8b92c", Folder: folder, Interval: 5000,
+		Processes: []GathererProcess{{ReportAddress: "127.0.0.1:1"}, {ReportAddress: "127.0.0.1:2"}, {ReportAddress: "127.0.0.1:3"}}}
 	p.Name, p.Classes = "release-42", []string{"any", "once"}
 	p.Gatherers = []rollout.Gatherer{{Name: "g1", Zone: "north"}, {Name: "g2", Zone: "south"}, {Name: "g3"}}
 	p.Stages = []rollout.Stage{{Name: "one", Count: 1}, {Name: "all", Share: 1}}
@@ -99,14 +99,14 @@
 	}
 	now := 1796168075012.75
 	p := keptPlan(folder)
-	c := &Controller{p: p, own: own, fence: own.Fence, now: func() float64 { return now }, teller: &teller{at: make([]time.Time, 3)}}
+	c := &Controller{plan: p, journal: own, fencingToken: own.Fence, now: func() float64 { return now }, reports: &reportClient{lastReportAt: make([]time.Time, 3)}}
 	for _, record := range keptRecords {
-		if err := c.write(record); err != nil {
+		if err := c.appendRecord(record); err != nil {
 			t.Fatal(err)
 		}
 		now += 250.5
 	}
-	c.teller.at[0], c.teller.at[1] = time.UnixMilli(int64(now)-100), time.UnixMilli(int64(now)-200)
+	c.reports.lastReportAt[0], c.reports.lastReportAt[1] = time.UnixMilli(int64(now)-100), time.UnixMilli(int64(now)-200)
 	o := &rollout.Observation{Now: now, Gatherers: []rollout.GathererSample{
 		{Reachable: true, Variant: rollout.Old, Ready: true, Classes: []rollout.ClassCounts{{Queries: 250, EarnedValue: 249.5, Rejected: 1}, {Queries: 130, EarnedValue: 130}}},
 		{Reachable: true, Variant: rollout.New, Step: rollout.Running, Fault: "step of g2: exit status 1: no room", Classes: []rollout.ClassCounts{{Queries: 11, EarnedValue: 10}}},
@@ -116,12 +116,12 @@
 		{Verdict: rollout.RollBack, Phase: rollout.RollingBack, Stage: 1, Reason: "making g1 old again: by the operator's word"},
 		{Verdict: rollout.Stop, Phase: rollout.Stopped, Stage: 2, Reason: "stopped: by the operator's word"},
 	} {
-		s := c.status(o, d)
+		s := c.buildStatus(o, d)
 		if s.PID != os.Getpid() {
 			t.Errorf("process %d", s.PID)
 		}
 		s.PID = 18889
-		if err := c.show(s); err != nil {
+		if err := c.publish(s); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -156,24 +156,24 @@
 		t.Fatal(err)
 	}
 	s, err := ReadStatus(folder)
-	if err != nil || s.Name != "release-42" || s.Plan != "release-42.conf" || s.Fence != 1 || s.PID != 18889 || s.Phase != rollout.Stopped || s.Stage != "all" ||
-		s.Verdict != "stop" || s.Why != "stopped: by the operator's word" || s.At != 1796168078018.75 {
+	if err != nil || s.Name != "release-42" || s.Plan != "release-42.conf" || s.FencingToken != 1 || s.PID != 18889 || s.Phase != rollout.Stopped || s.Stage != "all" ||
+		s.Verdict != "stop" || s.Reason != "stopped: by the operator's word" || s.ObservedAt != 1796168078018.75 {
 		t.Fatalf("%v, %+v", err, s)
 	}
-	if len(s.Gatherers) != 3 || s.Gatherers[0] != (GathererStatus{Name: "g1", Zone: "north", Serves: "old", Ready: true, Reached: 1796168077918}) ||
-		s.Gatherers[1] != (GathererStatus{Name: "g2", Zone: "south", Serves: "new", Reached: 1796168077818, Step: "under way", Trouble: "step of g2: exit status 1: no room"}) ||
-		s.Gatherers[2] != (GathererStatus{Name: "g3", Serves: "unknown", Trouble: "no answer"}) {
+	if len(s.Gatherers) != 3 || s.Gatherers[0] != (GathererStatus{Name: "g1", Zone: "north", Variant: "old", Ready: true, LastReportAt: 1796168077918}) ||
+		s.Gatherers[1] != (GathererStatus{Name: "g2", Zone: "south", Variant: "new", LastReportAt: 1796168077818, Step: "under way", Fault: "step of g2: exit status 1: no room"}) ||
+		s.Gatherers[2] != (GathererStatus{Name: "g3", Variant: "unknown", Fault: "no answer"}) {
 		t.Errorf("%+v", s.Gatherers)
 	}
-	if s.Indexes["any"] != [2]Sum{{250, 249.5, 1}, {11, 10, 0}} || s.Indexes["once"] != [2]Sum{{130, 130, 0}, {}} {
-		t.Errorf("%+v", s.Indexes)
+	if s.Classes["any"] != [2]VariantSums{{250, 249.5, 1}, {11, 10, 0}} || s.Classes["once"] != [2]VariantSums{{130, 130, 0}, {}} {
+		t.Errorf("%+v", s.Classes)
 	}
 	history, err := History(folder)
-	if err != nil || len(history) != 2 || history[0].Phase != rollout.RollingBack || history[0].Old != 1 || history[0].New != 1 || history[0].Away != 1 ||
-		history[1].Stage != "all" || history[1].Why != "stopped: by the operator's word" || history[1].At != s.At || history[1].Indexes["any"] != s.Indexes["any"] {
+	if err != nil || len(history) != 2 || history[0].Phase != rollout.RollingBack || history[0].Old != 1 || history[0].New != 1 || history[0].Unreachable != 1 ||
+		history[1].Stage != "all" || history[1].Reason != "stopped: by the operator's word" || history[1].ObservedAt != s.ObservedAt || history[1].Classes["any"] != s.Classes["any"] {
 		t.Errorf("%v, %+v", err, history)
 	}
-	lines, err := Log(folder)
+	lines, err := JournalLines(folder)
 	if err != nil || len(lines) != len(keptLines) {
 		t.Fatalf("%v, %q", err, lines)
 	}
@@ -187,13 +187,13 @@
 		t.Fatal(err)
 	}
 	defer own.Close()
-	c := &Controller{p: keptPlan(folder), own: own, steps: make([]rollout.StepState, 3)}
+	c := &Controller{plan: keptPlan(folder), journal: own, stepStates: make([]rollout.StepState, 3)}
 	at, err := c.recover()
 	if err != nil || at != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.Fence != 2 {
 		t.Errorf("%v, %+v, controller %d", err, at, own.Fence)
 	}
-	if len(c.redo) != 1 || c.redo[0].Gatherer != "g1" || c.redo[0].Target != rollout.Old || c.redo[0].At != 1796168077267.25 || c.word != "back 1796168075012746800" || c.steps[0] != rollout.Running {
-		t.Errorf("made again: %+v, after %q", c.redo, c.word)
+	if len(c.unfinishedSteps) != 1 || c.unfinishedSteps[0].Gatherer != "g1" || c.unfinishedSteps[0].Target != rollout.Old || c.unfinishedSteps[0].At != 1796168077267.25 || c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
+		t.Errorf("made again: %+v, after %q", c.unfinishedSteps, c.lastCommand)
 	}
 	if word, err := own.Word(); err != nil || word != "stop 1796168075012746801" {
 		t.Errorf("%v, %q", err, word)
@@ -205,7 +205,7 @@
 	local := time.Local
 	time.Local = time.UTC
 	defer func() { time.Local = local }()
-	got, err := Page(filepath.Join(kept, "rollout-1"))
+	got, err := HTMLReport(filepath.Join(kept, "rollout-1"))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -219,10 +219,10 @@
 func TestKeptNotesOfProcesses(t *testing.T) {
 	p := keptPlan(t.TempDir())
 	pid := os.Getpid()
-	if err := (runner{p}).adopt(0, pid); err != nil {
+	if err := (processStepper{p}).adopt(0, pid); err != nil {
 		t.Fatal(err)
 	}
-	if err := (commands{p}).note(1, pid); err != nil {
+	if err := (commandStepper{p}).recordProcess(1, pid); err != nil {
 		t.Fatal(err)
 	}
 	want := fmt.Sprintf("%d %s\n", pid, process.Started(pid))
@@ -231,8 +231,8 @@
 			t.Errorf("%s: %q, want %q", name, text, want)
 		}
 	}
-	if n := len(folderFiles(t, p.Folder)); n != 2 || (runner{p}).process(0) != pid {
-		t.Errorf("%d files, process %d", n, (runner{p}).process(0))
+	if n := len(folderFiles(t, p.Folder)); n != 2 || (processStepper{p}).runningPID(0) != pid {
+		t.Errorf("%d files, process %d", n, (processStepper{p}).runningPID(0))
 	}
 }
 
@@ -255,19 +255,19 @@
 	}))
 	defer s.Close()
 	p := keptPlan(t.TempDir())
-	p.Gatherers, p.Machines = p.Gatherers[:1], []Machine{{Report: s.Listener.Addr().String()}}
-	tell := &teller{p: p, http: s.Client(), marks: make([]string, 1), told: make([]*report.Document, 1), at: make([]time.Time, 1),
-		old: []rollout.BuildInfo{{Version: "41"}}, new: []rollout.BuildInfo{{Version: "42"}}}
+	p.Gatherers, p.Processes = p.Gatherers[:1], []GathererProcess{{ReportAddress: s.Listener.Addr().String()}}
+	tell := &reportClient{plan: p, http: s.Client(), checkpoints: make([]string, 1), lastReports: make([]*report.Document, 1), lastReportAt: make([]time.Time, 1),
+		oldBuilds: []rollout.BuildInfo{{Version: "41"}}, newBuilds: []rollout.BuildInfo{{Version: "42"}}}
 	run := "release-42 in /var/rollout on host"
-	if err := tell.claim(context.Background(), 0, run, 3, claimFor); err != nil {
+	if err := tell.claim(context.Background(), 0, run, 3, claimDuration); err != nil {
 		t.Error(err)
 	}
 	for range 2 {
-		if o := tell.all(context.Background(), 1); !o.Gatherers[0].Reachable || o.Gatherers[0].Variant != rollout.Old || o.Gatherers[0].Incarnation != "18889-1" || len(o.Gatherers[0].Classes) != 2 {
+		if o := tell.observe(context.Background(), 1); !o.Gatherers[0].Reachable || o.Gatherers[0].Variant != rollout.Old || o.Gatherers[0].Incarnation != "18889-1" || len(o.Gatherers[0].Classes) != 2 {
 			t.Errorf("%+v", o.Gatherers)
 		}
 	}
-	tell.free(context.Background(), 0, run, 3)
+	tell.release(context.Background(), 0, run, 3)
 	want := strings.Join([]string{
 		`POST /claim {"fence":3,"for":60000,"run":"release-42 in /var/rollout on host"}`,
 		`GET /report?since= `,
--- a/internal/control/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -183,7 +183,7 @@
 		mu.Unlock()
 		return g.StartFrail(ctx)
 	}
-	c, err := rollout.OpenWith(ctx, plan, false, quiet, rollout.Means{Judge: t.Judge, Step: step})
+	c, err := rollout.OpenWithOverrides(ctx, plan, false, quiet, rollout.Overrides{Strategy: t.Judge, Step: step})
 	if err != nil {
 		return err
 	}
@@ -191,7 +191,7 @@
 	defer cancel()
 	s, err := c.Run(limited)
 	if s != nil {
-		out.Phase, out.Why = s.Phase, s.Why
+		out.Phase, out.Why = s.Phase, s.Reason
 	}
 	if limited.Err() != nil && ctx.Err() == nil {
 		return nil // given up: told as it stands
--- a/internal/control/rollout/page.go
+++ b/internal/control/rollout/page.go
@@ -14,24 +14,24 @@
 )
 
 //go:embed page.html
-var pageText string
+var reportTemplate string
 
-// pageView is a rollout as its page shows it.
-type pageView struct {
+// htmlView is a rollout as its page shows it.
+type htmlView struct {
 	*Status
 	Style  template.CSS
 	When   string
-	Charts []pageChart
+	Charts []htmlChart
 	Log    []string
 }
 
-type pageChart struct {
+type htmlChart struct {
 	Title, Words string
 	SVG          template.HTML
 }
 
-// Page makes one page of a rollout that stands alone: where it is, what it did, what old and new earned.
-func Page(folder string) ([]byte, error) {
+// HTMLReport makes one page of a rollout that stands alone: where it is, what it did, what old and new earned.
+func HTMLReport(folder string) ([]byte, error) {
 	s, err := ReadStatus(folder)
 	if err != nil {
 		return nil, err
@@ -40,14 +40,14 @@
 	if err != nil {
 		return nil, err
 	}
-	v := pageView{Status: s, Style: htmlreport.Style, When: time.UnixMilli(int64(s.At)).UTC().Format(time.RFC3339)}
-	if v.Log, err = Log(folder); err != nil {
+	v := htmlView{Status: s, Style: htmlreport.Style, When: time.UnixMilli(int64(s.ObservedAt)).UTC().Format(time.RFC3339)}
+	if v.Log, err = JournalLines(folder); err != nil {
 		return nil, err
 	}
 	if len(moments) > 0 {
 		v.Charts = charts(moments)
 	}
-	t, err := template.New("rollout").Parse(pageText)
+	t, err := template.New("rollout").Parse(reportTemplate)
 	if err != nil {
 		return nil, err
 	}
@@ -56,8 +56,8 @@
 	return out.Bytes(), err
 }
 
-func charts(moments []Moment) (all []pageChart) {
-	minutes := func(m *Moment) float64 { return (m.At - moments[0].At) / 60_000 }
+func charts(moments []Sample) (all []htmlChart) {
+	minutes := func(m *Sample) float64 { return (m.ObservedAt - moments[0].ObservedAt) / 60_000 }
 	var marks []htmlreport.Mark
 	stage := ""
 	for i := range moments {
@@ -75,32 +75,32 @@
 	indexes := map[string]bool{}
 	for i := range moments {
 		m := &moments[i]
-		for l, n := range []int{m.Old, m.New, m.Away} {
+		for l, n := range []int{m.Old, m.New, m.Unreachable} {
 			count.Lines[l].Points = append(count.Lines[l].Points, htmlreport.Point{X: minutes(m), Y: float64(n)})
 		}
-		for name := range m.Indexes {
+		for name := range m.Classes {
 			indexes[name] = true
 		}
 	}
-	all = append(all, pageChart{"Gatherers", "How many served as what, at each look.", count.SVG()})
+	all = append(all, htmlChart{"Gatherers", "How many served as what, at each look.", count.SVG()})
 	for _, index := range slices.Sorted(maps.Keys(indexes)) {
 		for _, what := range []struct {
 			title, words string
-			share        func(s Sum) float64
-		}{{"Value", "What lookups earned of what they could, old and new side by side.", func(s Sum) float64 { return s.Value / s.Lookups }},
-			{"Nacked", "Share of lookups that were nacked.", func(s Sum) float64 { return s.Nacked / s.Lookups }}} {
+			share        func(s VariantSums) float64
+		}{{"Value", "What lookups earned of what they could, old and new side by side.", func(s VariantSums) float64 { return s.EarnedValue / s.Queries }},
+			{"Nacked", "Share of lookups that were nacked.", func(s VariantSums) float64 { return s.Rejected / s.Queries }}} {
 			c := htmlreport.Chart{X: "minutes", Y: "share of lookups", High: 1, Marks: marks, Lines: []htmlreport.Line{{Name: "old"}, {Name: "new"}}}
 			for i := range moments {
 				m := &moments[i]
 				for side := range 2 {
 					y := math.NaN()
-					if s := m.Indexes[index][side]; s.Lookups > 0 {
+					if s := m.Classes[index][side]; s.Queries > 0 {
 						y = what.share(s)
 					}
 					c.Lines[side].Points = append(c.Lines[side].Points, htmlreport.Point{X: minutes(m), Y: y})
 				}
 			}
-			all = append(all, pageChart{what.title + ", index " + index, what.words, c.SVG()})
+			all = append(all, htmlChart{what.title + ", index " + index, what.words, c.SVG()})
 		}
 	}
 	return all
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -15,35 +15,35 @@
 	"yokeroute/logic/rollout"
 )
 
-// Side is what gatherers serve as before or after: what of it is told is told apart by.
-type Side struct {
+// Release is what gatherers serve as before or after: what of it is told is told apart by.
+type Release struct {
 	Program, Config, Operator string // files; {name} and {zone} stand for the gatherer's
 	Version                   string
 }
 
-// Command is an operator's command for a step.
-type Command struct {
-	Words []string // {name}, {zone}, {report}, {to} and {fence} stand for the gatherer's and the step's
-	Limit float64  // milliseconds
+// StepCommand is an operator's command for a step.
+type StepCommand struct {
+	Args    []string // {name}, {zone}, {report}, {to} and {fence} stand for the gatherer's and the step's
+	Timeout float64  // milliseconds
 }
 
-// Machine is what the built-in runner needs to know of a gatherer.
-type Machine struct{ Report, Config, Operator string }
+// GathererProcess is what the built-in runner needs to know of a gatherer.
+type GathererProcess struct{ ReportAddress, ConfigFile, OperatorFile string }
 
 // Plan is a plan file.
 type Plan struct {
 	rollout.Plan
-	File, Text string // as it was read
-	Folder     string // of the journal
-	Every      float64
-	Machines   []Machine // by gatherer
-	Old, New   Side
-	Steps      map[rollout.Variant]Command // empty for the built-in runner
-	Hangup     bool                        // the built-in runner changes files and sends SIGHUP, and starts nothing anew
-	lines      map[string][]*directive.Values
+	File, Fingerprint string // as it was read
+	Folder            string // of the journal
+	Interval          float64
+	Processes         []GathererProcess // by gatherer
+	Old, New          Release
+	Commands          map[rollout.Variant]StepCommand // empty for the built-in runner
+	ReloadOnly        bool                            // the built-in runner changes files and sends SIGHUP, and starts nothing anew
+	directiveLines    map[string][]*directive.Values
 }
 
-func (p *Plan) table() *directive.Table {
+func (p *Plan) directives() *directive.Table {
 	beside := func(v *directive.Values, field string) string {
 		name := v.RelativePath(field)
 		if name == "" || filepath.IsAbs(name) {
@@ -62,14 +62,14 @@
 	}
 	kept := func(take func(v *directive.Values) error, name string) func(v *directive.Values) error {
 		return func(v *directive.Values) error {
-			p.lines[name] = append(p.lines[name], v)
+			p.directiveLines[name] = append(p.directiveLines[name], v)
 			return take(v)
 		}
 	}
-	side := func(to *Side) func(v *directive.Values) error {
+	side := func(to *Release) func(v *directive.Values) error {
 		return func(v *directive.Values) error {
-			*to = Side{beside(v, "program"), beside(v, "config"), beside(v, "operator"), v.Text("version")}
-			if *to == (Side{}) {
+			*to = Release{beside(v, "program"), beside(v, "config"), beside(v, "operator"), v.Text("version")}
+			if *to == (Release{}) {
 				return v.Errorf("program", "wants a program, a version, a config or an operator's file by which its gatherers are told")
 			}
 			return nil
@@ -79,7 +79,7 @@
 		{Name: "operator", Kind: directive.Text, Help: "operator's file"}, {Name: "version", Kind: directive.Text, Help: "as `yokeroute version` has it"}}
 	step := func(kind rollout.Variant) func(v *directive.Values) error {
 		return func(v *directive.Values) error {
-			p.Steps[kind] = Command{v.List("command"), v.Number("limit", 60_000)}
+			p.Commands[kind] = StepCommand{v.List("command"), v.Number("limit", 60_000)}
 			return nil
 		}
 	}
@@ -87,7 +87,7 @@
 		{Name: "rollout", Once: true, Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "in", Kind: directive.Text, Required: true, Help: "folder of its journal; one rollout has one"}, {Name: "every", Kind: directive.Duration, Min: 50, Max: 600_000, Help: "gatherers are asked; 5s"}},
 			Help: "Names the rollout.", Example: "rollout release-42 in rollout-42 every 5s",
 			Apply: func(v *directive.Values) error {
-				p.Name, p.Folder, p.Every = v.Text("name"), beside(v, "in"), v.Number("every", 5000)
+				p.Name, p.Folder, p.Interval = v.Text("name"), beside(v, "in"), v.Number("every", 5000)
 				return nil
 			}},
 		{Name: "gatherer", Args: []directive.Field{{Name: "name", Kind: directive.Name, Help: "as the gatherer tells it"}}, Options: []directive.Field{{Name: "zone", Kind: directive.Name, Help: "none unless told"}, {Name: "report", Kind: directive.Address, Required: true, Help: "where it tells of itself"},
@@ -95,7 +95,7 @@
 			Help: "A gatherer of the fleet. All of it stands in the plan.", Example: "gatherer g1 zone north report 127.0.0.1:8101 config run/g1.json operator run/g1.conf",
 			Apply: kept(func(v *directive.Values) error {
 				p.Gatherers = append(p.Gatherers, rollout.Gatherer{Name: v.Text("name"), Zone: v.Text("zone")})
-				p.Machines = append(p.Machines, Machine{v.Text("report"), beside(v, "config"), beside(v, "operator")})
+				p.Processes = append(p.Processes, GathererProcess{v.Text("report"), beside(v, "config"), beside(v, "operator")})
 				return nil
 			}, "gatherer")},
 		{Name: "stage", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: []directive.Field{{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new then"}, share("share", "of the gatherers"), {Name: "zone", Kind: directive.Name, Help: "all gatherers of it, and those before"}, span("least", "for which it is watched once all of it serve; 60s")},
@@ -153,37 +153,37 @@
 			Help: "The same for making it old again.", Example: `step-old ./deploy.sh "{name}" "{to}" limit 30s`, Apply: kept(step(rollout.Old), "step-old")},
 		{Name: "runner", Once: true, Args: []directive.Field{{Name: "how", Kind: directive.Choice, Choices: []string{"restart", "hangup"}}},
 			Help: "How the built-in runner changes a gatherer: its files are replaced, then its process is ended by SIGTERM and started anew, or told by SIGHUP. restart unless told.", Example: "runner hangup",
-			Apply: kept(func(v *directive.Values) error { p.Hangup = v.Text("how") == "hangup"; return nil }, "runner")},
+			Apply: kept(func(v *directive.Values) error { p.ReloadOnly = v.Text("how") == "hangup"; return nil }, "runner")},
 	}}
 }
 
 // Reference is the page about plans.
-func Reference() string { return newPlan().table().Reference() }
+func Reference() string { return newPlan().directives().Reference() }
 
 // Directives are the table of plans, for tests of its examples.
-func Directives() *directive.Table { return newPlan().table() }
+func Directives() *directive.Table { return newPlan().directives() }
 
 func newPlan() *Plan {
-	return &Plan{Steps: map[rollout.Variant]Command{}, lines: map[string][]*directive.Values{}}
+	return &Plan{Commands: map[rollout.Variant]StepCommand{}, directiveLines: map[string][]*directive.Values{}}
 }
 
 // ReadPlan reads and checks a plan. Nothing of the fleet is asked.
 func ReadPlan(file string) (*Plan, error) {
 	p := newPlan()
-	sum, err := p.table().ReadWithChecksum(file)
+	sum, err := p.directives().ReadWithChecksum(file)
 	if err != nil {
 		return nil, err
 	}
-	p.File, p.Text = file, sum
-	return p, p.complete(file)
+	p.File, p.Fingerprint = file, sum
+	return p, p.validate(file)
 }
 
-// complete fills in defaults and says what can't be meant, with its place.
-func (p *Plan) complete(file string) error {
+// validate fills in defaults and says what can't be meant, with its place.
+func (p *Plan) validate(file string) error {
 	var faults directive.ErrorList
 	at := func(what string, place int, format string, args ...any) {
 		f := &directive.Error{Position: directive.Position{File: file, Line: 1, Column: 1}, Message: fmt.Sprintf(format, args...)}
-		if lines := p.lines[what]; place >= 0 && place < len(lines) {
+		if lines := p.directiveLines[what]; place >= 0 && place < len(lines) {
 			f.Position = lines[place].Position
 		} else if len(lines) > 0 {
 			f.Position = lines[0].Position
@@ -198,14 +198,14 @@
 		at(wrong.Directive, wrong.Index, "%s", wrong.Message)
 	}
 	reports := map[string]string{}
-	for i, m := range p.Machines {
-		if other := reports[m.Report]; other != "" {
-			at("gatherer", i, "gatherer %s tells at %s, as %s does", p.Gatherers[i].Name, m.Report, other)
+	for i, m := range p.Processes {
+		if other := reports[m.ReportAddress]; other != "" {
+			at("gatherer", i, "gatherer %s tells at %s, as %s does", p.Gatherers[i].Name, m.ReportAddress, other)
 		}
-		reports[m.Report] = p.Gatherers[i].Name
+		reports[m.ReportAddress] = p.Gatherers[i].Name
 	}
 	switch {
-	case p.Old == (Side{}) || p.New == (Side{}):
+	case p.Old == (Release{}) || p.New == (Release{}):
 		at("new", -1, "does not tell old from new; write old and new with a program, a version or files")
 	case p.Old == p.New:
 		at("new", -1, "old and new are the same")
@@ -215,24 +215,24 @@
 			at("new", -1, "a %s stands at one of old and new alone; what is told of one has to be told of the other", field)
 		}
 	}
-	_, commandNew := p.Steps[rollout.New]
-	_, commandOld := p.Steps[rollout.Old]
+	_, commandNew := p.Commands[rollout.New]
+	_, commandOld := p.Commands[rollout.Old]
 	switch {
 	case commandNew != commandOld:
 		at(map[bool]string{true: "step-new", false: "step-old"}[commandNew], -1, "step-new and step-old go together: what is made new may have to be made old again")
-	case commandNew && len(p.lines["runner"]) > 0:
+	case commandNew && len(p.directiveLines["runner"]) > 0:
 		at("runner", -1, "stands beside step-new and step-old: steps are made by the one or the other")
-	case !commandNew && !p.Hangup && p.Old.Program == "":
+	case !commandNew && !p.ReloadOnly && p.Old.Program == "":
 		at("runner", -1, "the built-in runner starts programs: old and new want one each, or write step-new and step-old, or runner hangup")
-	case !commandNew && p.Hangup && p.Old.Config+p.Old.Operator == "":
+	case !commandNew && p.ReloadOnly && p.Old.Config+p.Old.Operator == "":
 		at("runner", -1, "runner hangup changes files: old and new want a config or an operator's file each")
 	}
 	if !commandNew {
-		for i, m := range p.Machines {
-			if p.Old.Config != "" && m.Config == "" || !p.Hangup && m.Config == "" {
+		for i, m := range p.Processes {
+			if p.Old.Config != "" && m.ConfigFile == "" || !p.ReloadOnly && m.ConfigFile == "" {
 				at("gatherer", i, "gatherer %s wants config, the file that its process reads, for the built-in runner", p.Gatherers[i].Name)
 			}
-			if p.Old.Operator != "" && m.Operator == "" {
+			if p.Old.Operator != "" && m.OperatorFile == "" {
 				at("gatherer", i, "gatherer %s wants operator, the operator's file that its process reads, for the built-in runner", p.Gatherers[i].Name)
 			}
 		}
@@ -244,26 +244,26 @@
 	return nil
 }
 
-// filled puts a gatherer's words in the place of what stands for them.
-func (p *Plan) filled(text string, g int) string {
-	return strings.NewReplacer("{name}", p.Gatherers[g].Name, "{zone}", p.Gatherers[g].Zone, "{report}", p.Machines[g].Report).Replace(text)
+// expand puts a gatherer's words in the place of what stands for them.
+func (p *Plan) expand(text string, g int) string {
+	return strings.NewReplacer("{name}", p.Gatherers[g].Name, "{zone}", p.Gatherers[g].Zone, "{report}", p.Processes[g].ReportAddress).Replace(text)
 }
 
-// of is a side's files for a gatherer.
-func (p *Plan) of(s Side, g int) Side {
-	return Side{p.filled(s.Program, g), p.filled(s.Config, g), p.filled(s.Operator, g), s.Version}
+// releaseFor is a side's files for a gatherer.
+func (p *Plan) releaseFor(s Release, g int) Release {
+	return Release{p.expand(s.Program, g), p.expand(s.Config, g), p.expand(s.Operator, g), s.Version}
 }
 
-// marksOf reads the fingerprints of a side's files for a gatherer. An error names the file and the gatherer.
-func (p *Plan) marksOf(s Side, g int) (m rollout.BuildInfo, err error) {
-	s = p.of(s, g)
+// buildInfo reads the fingerprints of a side's files for a gatherer. An error names the file and the gatherer.
+func (p *Plan) buildInfo(s Release, g int) (m rollout.BuildInfo, err error) {
+	s = p.releaseFor(s, g)
 	m.Version = s.Version
 	for file, to := range map[string]*string{s.Program: &m.Program, s.Config: &m.Config, s.Operator: &m.Operator} {
 		if file == "" {
 			continue
 		}
 		if to == &m.Operator { // with all that it includes
-			*to, err = operatorSum(file)
+			*to, err = operatorFingerprint(file)
 		} else {
 			*to, err = version.OfFile(file)
 		}
--- a/internal/control/rollout/processes_test.go
+++ b/internal/control/rollout/processes_test.go
@@ -290,7 +290,7 @@
 	if _, most := s.steps.All(); most > 2 {
 		t.Errorf("%d gatherers were out at once", most)
 	}
-	page, err := rollout.Page(folder)
+	page, err := rollout.HTMLReport(folder)
 	if err != nil || !strings.Contains(string(page), "<svg") || !strings.Contains(string(page), "making g") {
 		t.Errorf("%v: %.300s", err, page)
 	}
@@ -347,12 +347,12 @@
 	}
 	var news []string
 	for _, g := range st.Gatherers {
-		if g.Serves == "new" {
+		if g.Variant == "new" {
 			news = append(news, g.Name)
 		}
 	}
-	if len(news) > 3 || !strings.Contains(st.Why, "than the old") {
-		t.Errorf("found at %v: %s", news, st.Why)
+	if len(news) > 3 || !strings.Contains(st.Reason, "than the old") {
+		t.Errorf("found at %v: %s", news, st.Reason)
 	}
 	if len(news) > 0 { // a second fault while it goes back
 		g := s.f.Gatherer(news[0])
@@ -369,7 +369,7 @@
 				return false
 			}
 			for _, one := range st.Gatherers {
-				if one.Name == g.Name && one.Trouble != "" {
+				if one.Name == g.Name && one.Fault != "" {
 					return true
 				}
 			}
@@ -384,8 +384,8 @@
 		t.Fatalf("status %d, %s: %s", code, last.Phase, c.Log())
 	}
 	for _, g := range last.Gatherers {
-		if g.Serves != "old" {
-			t.Errorf("%s serves as %s", g.Name, g.Serves)
+		if g.Variant != "old" {
+			t.Errorf("%s serves as %s", g.Name, g.Variant)
 		}
 	}
 	s.end()
@@ -413,8 +413,8 @@
 		code, last := s.ended(c)
 		enough()
 		supervisors.Wait()
-		if code != 1 || last.Phase != logic.RolledBack || !strings.Contains(last.Why, words) {
-			t.Errorf("%s: status %d, %s: %s; %s", fault, code, last.Phase, last.Why, c.Log())
+		if code != 1 || last.Phase != logic.RolledBack || !strings.Contains(last.Reason, words) {
+			t.Errorf("%s: status %d, %s: %s; %s", fault, code, last.Phase, last.Reason, c.Log())
 		}
 		if v := s.serving(); v["2"] > 0 {
 			t.Errorf("%s: serving: %v", fault, v)
@@ -507,7 +507,7 @@
 	first := s.control("run", file, "--output", "json")
 	s.until(first, "it has begun", func() bool {
 		st, err := rollout.ReadStatus(filepath.Join(s.folder, "one"))
-		return err == nil && len(st.Gatherers) == 4 && st.Gatherers[3].Reached > 0
+		return err == nil && len(st.Gatherers) == 4 && st.Gatherers[3].LastReportAt > 0
 	})
 	second := s.control("run", file)
 	if code, _ := s.ended(second); code != 2 || !strings.Contains(second.Log(), fmt.Sprint("process ", first.PID())) {
@@ -614,8 +614,8 @@
 		plan := strings.NewReplacer("settle 90s", "settle 4s").Replace(programs)
 		c := s.controlBy(s.f.Gatherers[0].Binary, "run", s.plan(strings.ReplaceAll(name, " ", "-"), plan), "--output", "json")
 		code, last := s.ended(c)
-		if code != 1 || last.Phase != logic.RolledBack || !strings.Contains(last.Why, "does not come up") {
-			t.Errorf("%s: status %d, %s: %s", name, code, last.Phase, last.Why)
+		if code != 1 || last.Phase != logic.RolledBack || !strings.Contains(last.Reason, "does not come up") {
+			t.Errorf("%s: status %d, %s: %s", name, code, last.Phase, last.Reason)
 		}
 		if v := s.serving(); v["1"] != 4 {
 			t.Errorf("%s: serving %v", name, v)
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -64,7 +64,7 @@
 	if s, err := rollout.ReadStatus(kept("rollout-1")); err != nil || s.Phase != "ended" || len(s.Gatherers) != 4 {
 		t.Errorf("rollout 1: %v, %+v", err, s)
 	}
-	if lines, err := rollout.Log(kept("rollout-1")); err != nil || len(lines) < 10 {
+	if lines, err := rollout.JournalLines(kept("rollout-1")); err != nil || len(lines) < 10 {
 		t.Errorf("journal of a rollout 1: %v, %v", err, lines)
 	}
 	if own, err := operator.Read(kept("operator-1.conf")); err != nil || own.Keep == 0 || own.Report == "" || len(own.TwoPhase) != 1 {
