--- /dev/null
+++ b/internal/gatherer/report/collector_test.go
@@ -0,0 +1,115 @@
+package report
+
+import (
+	"testing"
+
+	"yokeroute/gather"
+	"yokeroute/internal/gatherer/dispatch"
+)
+
+// fixedConnections are those of the tests.
+type fixedConnections struct{}
+
+func (fixedConnections) Connections() (open int, opened int64) { return 3, 7 }
+
+func testSettings() *gather.Settings {
+	return &gather.Settings{
+		ReplicaSets: 1, Tick: 1, Zone: "a",
+		Classes: []gather.Class{
+			{Name: "any", LatencyObjective: 100, LateValue: 0.1, CompleteShare: 0.75, PartialValue: 0.5},
+			{Name: "once", LatencyObjective: 100, CompleteShare: 1},
+		},
+	}
+}
+
+func newTestCollector(now *float64) *Collector {
+	return NewCollector("g", testSettings(), func() float64 { return *now }, fixedConnections{})
+}
+
+var halves = []dispatch.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
+
+func query(class string) *dispatch.Lookup { return &dispatch.Lookup{Index: class, Parts: halves} }
+
+// TestCollectorCountsEachEnding: each ending counts where it belongs, with the value that it earned.
+func TestCollectorCountsEachEnding(t *testing.T) {
+	now := 1000.0
+	c := newTestCollector(&now)
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150) // beyond the objective
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
+	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
+		c.Ended(query("once"), dispatch.Verdict{Kind: kind}, 10)
+	}
+	c.Ended(query("none such"), dispatch.Verdict{}, 10)
+	d := c.SinceCheckpoint("", true)
+	s := d.Classes["any"]
+	if s.Queries != 3 || s.Served != 2 || s.ServedPartly != 1 || s.WithinObjective != 2 ||
+		s.Latency.TotalCount() != 3 || s.ShardRequests != 6 {
+		t.Errorf("%+v", s)
+	}
+	if want := 1 + 0.1 + 0.5*0.5/0.75; s.EarnedValue < want-1e-9 || s.EarnedValue > want+1e-9 {
+		t.Errorf("value %g, want %g", s.EarnedValue, want)
+	}
+	o := d.Classes["once"]
+	if o.Queries != 4 || o.Rejected != 1 || o.Failed != 1 || o.InternalErrors != 1 || o.ClientGone != 1 ||
+		o.EarnedValue != 0 {
+		t.Errorf("%+v", o)
+	}
+}
+
+// TestReportSinceACheckpointHasLaterCountsOnly: a report since a checkpoint has what came after it; one since a
+// checkpoint that was dropped has all counts, and says so.
+func TestReportSinceACheckpointHasLaterCountsOnly(t *testing.T) {
+	now := 1000.0
+	c := newTestCollector(&now)
+	for range 3 {
+		c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	}
+	first := c.SinceCheckpoint("", true)
+	for range 4 {
+		c.Ended(query("once"), dispatch.Verdict{Kind: dispatch.Nacked}, 10)
+	}
+	now = 3000
+	next := c.SinceCheckpoint(first.Checkpoint, true)
+	if o := next.Classes["once"]; o.Queries != 4 || o.Rejected != 4 {
+		t.Errorf("%+v", o)
+	}
+	if s := next.Classes["any"]; s.Queries != 0 || s.Latency.TotalCount() != 0 {
+		t.Errorf("since a checkpoint: %+v", s)
+	}
+	if next.SinceCheckpoint != first.Checkpoint || next.Interval != 2000 || next.ConnectionsOpened != 0 {
+		t.Errorf("since a checkpoint: %+v", next)
+	}
+	for range maxCheckpoints {
+		c.SinceCheckpoint("", true)
+	}
+	dropped := c.SinceCheckpoint(first.Checkpoint, true)
+	if dropped.SinceCheckpoint != "" || dropped.Classes["any"].Queries != 3 || dropped.Interval != 2000 {
+		t.Errorf("since a dropped checkpoint: %+v", dropped)
+	}
+}
+
+// BenchmarkEnded is the counting of one query.
+func BenchmarkEnded(b *testing.B) {
+	now := 0.0
+	c := newTestCollector(&now)
+	served := query("any")
+	b.ReportAllocs()
+	for b.Loop() {
+		c.Ended(served, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	}
+}
+
+// BenchmarkSinceCheckpoint is one report since a checkpoint.
+func BenchmarkSinceCheckpoint(b *testing.B) {
+	now := 0.0
+	c := newTestCollector(&now)
+	served := query("any")
+	checkpoint := ""
+	b.ReportAllocs()
+	for b.Loop() {
+		c.Ended(served, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+		now += 1000
+		checkpoint = c.SinceCheckpoint(checkpoint, true).Checkpoint
+	}
+}
--- a/internal/gatherer/report/document.go
+++ b/internal/gatherer/report/document.go
@@ -1,6 +1,6 @@
-// Package report is what a gatherer tells of itself, to operators and to whoever changes a fleet in stages: which
-// program and which files it serves by, and what became of its lookups. It is one JSON document with a format number,
-// and the same counts for Prometheus. Nothing of it is on a lookup's way but counting.
+// Package report is a gatherer's report about itself, for operators and for rollouts: which program and which files
+// are in force, and what became of its queries. It is served as one JSON document with a format number, and as metrics
+// for Prometheus from the same counts. A query's path only counts; all else happens when a report is requested.
 package report
 
 import (
@@ -12,191 +12,192 @@
 	"math"
 	"slices"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-
 	"yokeroute/logic/rollout"
 )
 
-// Format is the first word of every report. A reader refuses another one; it skips words that it doesn't know, so that a
-// later version may add some under the same number.
+// Format is the format of reports. A reader refuses another one, and skips keys that it doesn't know, so that a later
+// version may add some under the same number.
 const Format = "yokeroute report 1"
 
-// MaxBytes bounds a report, against reading without end from what is no gatherer.
+// MaxBytes bounds a report, against a peer that sends without end.
 const MaxBytes = 4 << 20
 
-// Document is a report. Times are Unix milliseconds, spans milliseconds. All counts are those since the mark that was
-// asked for, or since the process started where that mark is not known; gauges are of now.
+// maxClasses bounds the classes in a report.
+const maxClasses = 1000
+
+// ErrFormat is a document of another format.
+var ErrFormat = errors.New("another form of report")
+
+// Document is a report. Counts are those since a checkpoint, or since the process started where the requested one is
+// not known. Gauges are as of ReportedAt.
 type Document struct {
-	Format          string            `json:"report"`
-	Name            string            `json:"name"`
-	Zone            string            `json:"zone,omitempty"`
-	Version         string            `json:"version"`
-	Program         string            `json:"program"` // fingerprint of the program's file
-	Files           map[string]string `json:"files"`   // fingerprints of the files in force: config, operator, plan, placement, segments
-	Formats         map[string]int    `json:"formats"` // numbers of the formats that this version writes
-	Incarnation     string            `json:"process"` // another one with each start
-	StartedAt       float64           `json:"started"`
-	ReportedAt      float64           `json:"at"`
-	Checkpoint      string            `json:"mark,omitempty"`   // to ask with the next time, where it was asked with one
-	SinceCheckpoint string            `json:"since,omitempty"`  // the mark that the counts are from; empty for the process' start
-	Interval        float64           `json:"span"`             // for which they are
-	Ready           bool              `json:"ready"`            // it has a list and takes lookups
-	ShuttingDown    bool              `json:"leaving"`          // it was asked to end
-	Claim           *rollout.Claim    `json:"claim,omitempty"`  // who changes it now
-	Policy          any               `json:"policy,omitempty"` // of the operators, as far as the gatherer is with it
+	Format      string            `json:"report"`
+	Name        string            `json:"name"`
+	Zone        string            `json:"zone,omitempty"`
+	Version     string            `json:"version"`
+	Program     string            `json:"program"` // fingerprint of the program's file
+	Files       map[string]string `json:"files"`   // fingerprints of the files in force, by kind
+	Formats     map[string]int    `json:"formats"` // numbers of the formats that this version writes
+	Incarnation string            `json:"process"` // differs with each start of the process
+	StartedAt   float64           `json:"started"` // Unix milliseconds
+	ReportedAt  float64           `json:"at"`      // Unix milliseconds
+
+	Checkpoint      string  `json:"mark,omitempty"`  // to request the next report since; only where one was requested
+	SinceCheckpoint string  `json:"since,omitempty"` // that the counts start from; empty for the process' start
+	Interval        float64 `json:"span"`            // milliseconds, that the counts cover
+
+	Ready        bool           `json:"ready"`   // it has an endpoint list and accepts queries
+	ShuttingDown bool           `json:"leaving"` // gracefully
+	Claim        *rollout.Claim `json:"claim,omitempty"`
+	Policy       any            `json:"policy,omitempty"` // the state of the operators' policy, where one is followed
 
 	Classes           map[string]*ClassStats `json:"indexes"`
-	ConnectionsOpened int64                  `json:"opened"`      // connections to shard servers that were opened
+	ConnectionsOpened int64                  `json:"opened"`      // to shard servers
 	CPUTime           float64                `json:"cpu"`         // milliseconds of a core
-	OpenConnections   int                    `json:"connections"` // gauges: to shard servers, open now
-	RunningServers    int                    `json:"servers"`     // on the list, running
-	DrainingServers   int                    `json:"draining"`    // on the list, draining
-	ResidentMemory    float64                `json:"memory"`      // bytes, resident
-	Goroutines        int                    `json:"goroutines"`
+	OpenConnections   int                    `json:"connections"` // gauge: to shard servers
+	RunningServers    int                    `json:"servers"`     // gauge: on the endpoint list
+	DrainingServers   int                    `json:"draining"`    // gauge: on the endpoint list
+	ResidentMemory    float64                `json:"memory"`      // gauge: bytes
+	Goroutines        int                    `json:"goroutines"`  // gauge
 }
 
-// ClassStats is what became of the lookups of one index, and of their part calls.
+// ClassStats counts what became of the queries of one class, and of their attempts at shard servers.
 type ClassStats struct {
 	Queries         int64            `json:"ended"`
-	Served          int64            `json:"satisfied"` // whole
+	Served          int64            `json:"satisfied"` // completely
 	ServedPartly    int64            `json:"partial"`
 	Rejected        int64            `json:"nacked"`
 	Failed          int64            `json:"aborted"`
-	InternalErrors  int64            `json:"broken"` // the decisions failed while they held it
-	ClientGone      int64            `json:"left"`   // its client had gone
-	WithinObjective int64            `json:"in_aim"` // satisfied, whole or not, by the soft deadline
-	EarnedValue     float64          `json:"value"`  // of each lookup the share of its gain that it earned, from 0 to 1, summed up
-	ShardRequests   int64            `json:"parts"`  // that the lookups had
-	Attempts        int64            `json:"calls"`  // part calls whose bytes went
-	ExtraAttempts   int64            `json:"further"`
-	AttemptTime     float64          `json:"waited"` // milliseconds for which part calls were out
+	InternalErrors  int64            `json:"broken"` // the decision module failed while it had them
+	ClientGone      int64            `json:"left"`
+	WithinObjective int64            `json:"in_aim"` // served, completely or partly, within the latency objective
+	EarnedValue     float64          `json:"value"`  // summed up, from 0 to 1 for a query
+	ShardRequests   int64            `json:"parts"`
+	Attempts        int64            `json:"calls"`   // written to a connection
+	ExtraAttempts   int64            `json:"further"` // of Attempts: retries and hedged requests
+	AttemptTime     float64          `json:"waited"`  // milliseconds in flight, summed up
 	Outcomes        map[string]int64 `json:"outcomes"`
-	Latency         Histogram        `json:"took"` // of satisfied lookups
-}
-
-// Histogram is latencies in tenths of a millisecond, from 0.1 ms to a minute, to two digits.
-type Histogram struct{ *hdrhistogram.Histogram }
-
-// Bounds of histograms, in tenths of a millisecond.
-const (
-	unitMilliseconds = 0.1
-	lowestUnits      = 1
-	highestUnits     = 600_000
-)
-
-// NewHistogram is one of nothing.
-func NewHistogram() Histogram { return Histogram{hdrhistogram.New(lowestUnits, highestUnits, 2)} }
-
-// Record records one latency in milliseconds.
-func (h Histogram) Record(ms float64) {
-	h.RecordValue(int64(min(max(math.Round(ms/unitMilliseconds), lowestUnits), highestUnits))) // within its bounds: no error
+	Latency         Histogram        `json:"took"` // of served queries
 }
 
-// Quantile is a quantile in milliseconds, 0 where there is nothing.
-func (h Histogram) Quantile(q float64) float64 {
-	if h.Histogram == nil || h.TotalCount() == 0 {
-		return 0
-	}
-	return float64(h.ValueAtQuantile(100*q)) * unitMilliseconds
+func newClassStats() *ClassStats {
+	return &ClassStats{Outcomes: map[string]int64{}, Latency: NewHistogram()}
 }
 
-// MarshalJSON writes the bars that hold anything, as pairs of a latency in tenths of a millisecond and a count. The
-// library's own compressed form has the sender say how much memory its reader takes.
-func (h Histogram) MarshalJSON() ([]byte, error) {
-	bars := []int64{}
-	if h.Histogram != nil {
-		for _, bar := range h.Distribution() {
-			if bar.Count > 0 {
-				bars = append(bars, bar.From, bar.Count)
-			}
-		}
-	}
-	return json.Marshal(bars)
+// clone copies the counts.
+func (s *ClassStats) clone() *ClassStats {
+	c := *s
+	c.Outcomes = maps.Clone(s.Outcomes)
+	c.Latency = s.Latency.clone()
+	return &c
 }
 
-// UnmarshalJSON reads it.
-func (h *Histogram) UnmarshalJSON(text []byte) error {
-	*h = NewHistogram()
-	var bars []int64
-	if err := json.Unmarshal(text, &bars); err != nil {
-		return err
-	}
-	if len(bars)%2 != 0 {
-		return fmt.Errorf("a histogram of %d numbers, which are no pairs", len(bars))
-	}
-	for i := 0; i < len(bars); i += 2 {
-		if bars[i] < 0 || bars[i] > highestUnits || bars[i+1] < 0 || bars[i+1] > math.MaxInt64/2-h.TotalCount() {
-			return fmt.Errorf("a histogram with %d at %d tenths of a millisecond", bars[i+1], bars[i])
-		}
-		if err := h.RecordValues(bars[i], bars[i+1]); err != nil {
-			return fmt.Errorf("a histogram: %w", err)
+// since returns the counts beyond earlier ones.
+func (s *ClassStats) since(earlier *ClassStats) *ClassStats {
+	d := s.clone()
+	d.Queries -= earlier.Queries
+	d.Served -= earlier.Served
+	d.ServedPartly -= earlier.ServedPartly
+	d.Rejected -= earlier.Rejected
+	d.Failed -= earlier.Failed
+	d.InternalErrors -= earlier.InternalErrors
+	d.ClientGone -= earlier.ClientGone
+	d.WithinObjective -= earlier.WithinObjective
+	d.ShardRequests -= earlier.ShardRequests
+	d.Attempts -= earlier.Attempts
+	d.ExtraAttempts -= earlier.ExtraAttempts
+	d.EarnedValue = max(d.EarnedValue-earlier.EarnedValue, 0)
+	d.AttemptTime = max(d.AttemptTime-earlier.AttemptTime, 0)
+	for outcome, n := range earlier.Outcomes {
+		d.Outcomes[outcome] -= n
+		if d.Outcomes[outcome] == 0 {
+			delete(d.Outcomes, outcome)
 		}
 	}
-	return nil
+	d.Latency = s.Latency.since(earlier.Latency)
+	return d
 }
 
-// ErrFormat is a document of another form.
-var ErrFormat = errors.New("another form of report")
-
-// Read reads a report. What it refuses changes nothing: an error says what is wrong, and names the gatherer where the
-// document does.
+// Read reads and checks a report. An error names the gatherer where the document does.
 func Read(from io.Reader) (*Document, error) {
 	text, err := io.ReadAll(io.LimitReader(from, MaxBytes+1))
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("report: %w", err)
 	}
 	if len(text) > MaxBytes {
 		return nil, fmt.Errorf("a report of more than %d MB", MaxBytes>>20)
 	}
-	var head struct {
-		Form string `json:"report"`
-		Name string `json:"name"`
+	var header struct {
+		Format string `json:"report"`
+		Name   string `json:"name"`
 	}
-	if err := json.Unmarshal(text, &head); err != nil {
+	if err := json.Unmarshal(text, &header); err != nil {
 		return nil, fmt.Errorf("no report: %w", err)
 	}
-	if head.Form != Format {
-		return nil, fmt.Errorf("%w: %.40q of %.80q, this reader knows %q", ErrFormat, head.Form, head.Name, Format)
+	if header.Format != Format {
+		return nil, fmt.Errorf("%w: %.40q of %.80q, this reader knows %q",
+			ErrFormat, header.Format, header.Name, Format)
 	}
 	d := &Document{}
 	if err := json.Unmarshal(text, d); err != nil {
-		return nil, fmt.Errorf("report of %.80q: %w", head.Name, err)
+		return nil, fmt.Errorf("report of %.80q: %w", header.Name, err)
 	}
 	return d, d.validate()
 }
 
-// validate refuses figures that no gatherer can have, against a sum that is poisoned by one of them.
+// validate refuses figures that no gatherer can have, since one of them would spoil every sum that it enters.
 func (d *Document) validate() error {
-	wrong := func(what string, value any) error {
-		return fmt.Errorf("report of %.80q: %s is %v", d.Name, what, value)
-	}
-	fine := func(v float64) bool { return v >= 0 && !math.IsInf(v, 0) }
 	switch {
 	case d.Name == "":
 		return errors.New("a report without a name")
 	case d.Incarnation == "":
-		return wrong("process", "missing")
-	case !fine(d.Interval) || !fine(d.ReportedAt) || !fine(d.ResidentMemory) || !fine(d.CPUTime) || d.OpenConnections < 0 || d.ConnectionsOpened < 0:
-		return wrong("a time or gauge", "below 0 or no number")
-	case len(d.Classes) > 1000:
-		return wrong("the number of indexes", len(d.Classes))
+		return d.wrong("process", "missing")
+	case !valid(d.Interval, d.ReportedAt, d.ResidentMemory, d.CPUTime) ||
+		d.OpenConnections < 0 || d.ConnectionsOpened < 0:
+		return d.wrong("a time or gauge", "below 0 or no number")
+	case len(d.Classes) > maxClasses:
+		return d.wrong("the number of indexes", len(d.Classes))
 	}
-	for _, name := range slices.Sorted(maps.Keys(d.Classes)) {
-		ix := d.Classes[name]
-		if ix == nil {
-			return wrong("index "+name, "null")
-		}
-		for _, n := range []int64{ix.Queries, ix.Served, ix.ServedPartly, ix.Rejected, ix.Failed, ix.InternalErrors, ix.ClientGone, ix.WithinObjective, ix.ShardRequests, ix.Attempts, ix.ExtraAttempts} {
-			if n < 0 {
-				return wrong("a count of index "+name, n)
-			}
+	for _, class := range slices.Sorted(maps.Keys(d.Classes)) {
+		if err := d.validateClass(class, d.Classes[class]); err != nil {
+			return err
 		}
-		if !fine(ix.EarnedValue) || !fine(ix.AttemptTime) || ix.EarnedValue > float64(ix.Queries)+1e-6 {
-			return wrong("the value or time of index "+name, ix.EarnedValue)
-		}
-		if ix.Latency.Histogram == nil {
-			ix.Latency = NewHistogram()
+	}
+	return nil
+}
+
+func (d *Document) validateClass(class string, s *ClassStats) error {
+	if s == nil {
+		return d.wrong("index "+class, "null")
+	}
+	for _, n := range []int64{
+		s.Queries, s.Served, s.ServedPartly, s.Rejected, s.Failed, s.InternalErrors, s.ClientGone,
+		s.WithinObjective, s.ShardRequests, s.Attempts, s.ExtraAttempts,
+	} {
+		if n < 0 {
+			return d.wrong("a count of index "+class, n)
 		}
 	}
+	const rounding = 1e-6
+	if !valid(s.EarnedValue, s.AttemptTime) || s.EarnedValue > float64(s.Queries)+rounding {
+		return d.wrong("the value or time of index "+class, s.EarnedValue)
+	}
+	if s.Latency.Histogram == nil {
+		s.Latency = NewHistogram()
+	}
 	return nil
 }
+
+func (d *Document) wrong(what string, value any) error {
+	return fmt.Errorf("report of %.80q: %s is %v", d.Name, what, value)
+}
+
+// valid reports whether all figures are numbers that are not negative.
+func valid(figures ...float64) bool {
+	for _, v := range figures {
+		if !(v >= 0) || math.IsInf(v, 0) {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/internal/gatherer/report/document_test.go
@@ -0,0 +1,28 @@
+package report
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+)
+
+// TestReadRefusesAReportWithoutEnd: a report that does not end is not read to its end.
+func TestReadRefusesAReportWithoutEnd(t *testing.T) {
+	endless := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+		for range 2 * MaxBytes / 1024 {
+			if _, err := w.Write(make([]byte, 1024)); err != nil {
+				return
+			}
+		}
+	}))
+	defer endless.Close()
+	resp, err := http.Get(endless.URL)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer resp.Body.Close()
+	if _, err := Read(resp.Body); err == nil || !strings.Contains(err.Error(), "more than 4 MB") {
+		t.Errorf("%v", err)
+	}
+}
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -44,7 +44,9 @@
 // encoded is a report as the server writes it, with what differs from machine to machine put to fixed values.
 func encoded(t *testing.T, d *Document) []byte {
 	t.Helper()
-	d.ResidentMemory, d.Goroutines, d.CPUTime = 18771968, 24, 33.5
+	d.ResidentMemory = 18771968
+	d.Goroutines = 24
+	d.CPUTime = 33.5
 	var out bytes.Buffer
 	if err := json.NewEncoder(&out).Encode(d); err != nil {
 		t.Fatal(err)
@@ -52,52 +54,64 @@
 	return out.Bytes()
 }
 
-// keptCounter is a counter of a process that is told apart by a fixed name, by a clock that stands.
-func keptCounter(now *float64, process string) *Collector {
-	c := counter(now)
-	c.incarnation = process
-	c.header.Incarnation, c.header.Version, c.header.Program = process, "41", "4cedc032988f2f85"
+// keptCollector is a collector of a process with a fixed incarnation, by a clock that stands.
+func keptCollector(now *float64, process string) *Collector {
+	c := newTestCollector(now)
+	c.header.Incarnation = process
+	c.header.Version = "41"
+	c.header.Program = "4cedc032988f2f85"
 	c.header.Formats = map[string]int{"report": 1, "rollout": 1, "state": 1}
 	return c
 }
 
-// filled counts something of each kind.
-func filled(c *Collector, now *float64) {
-	lk := func(index string) *dispatch.Lookup { return &dispatch.Lookup{Index: index, Parts: halves} }
-	for kind, sum := range map[string]string{"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12", "segments": "13", "other": ""} {
+// fill has a collector count something of each kind.
+func fill(c *Collector, now *float64) {
+	for kind, sum := range map[string]string{
+		"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12",
+		"segments": "13", "other": "",
+	} {
 		c.SetFile(kind, sum)
 	}
-	c.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, State: gather.Running}, {ID: 2, State: gather.Running}, {ID: 3, State: gather.Draining}}})
+	c.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{
+		{ID: 1, State: gather.Running},
+		{ID: 2, State: gather.Running},
+		{ID: 3, State: gather.Draining},
+	}})
 	c.PolicyState = func() any { return map[string]any{"revision": 7} }
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150.25)
-	c.Ended(lk("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150.25)
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
 	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
-		c.Ended(lk("once"), dispatch.Verdict{Kind: kind}, 10)
+		c.Ended(query("once"), dispatch.Verdict{Kind: kind}, 10)
 	}
-	ix := c.classes["any"]
-	ix.Attempts, ix.ExtraAttempts, ix.AttemptTime = 9, 2, 146.817
+	stats := c.classes["any"]
+	stats.Attempts = 9
+	stats.ExtraAttempts = 2
+	stats.AttemptTime = 146.817
 	for o := range outcomes {
-		ix.Outcomes[gather.Outcome(o).String()] = int64(o + 1)
+		stats.Outcomes[gather.Outcome(o).String()] = int64(o + 1)
 	}
 	c.AcquireClaim(rollout.Claim{RunID: "release-42 in /var/rollout on host", FencingToken: 3, ExpiresAt: *now + 60_000})
 }
 
-// TestReportKeepsItsBytes: a report of each kind is written from the same counts byte for byte as it was when its format
-// began, and what is read from the kept one is what was written.
+// TestReportKeepsItsBytes: a report of each kind is written from the same counts byte for byte as it was when its
+// format began, and what is read from the kept one is what was written.
 func TestReportKeepsItsBytes(t *testing.T) {
 	now := 1000.0
-	c := keptCounter(&now, "18889-1")
-	filled(c, &now)
+	c := keptCollector(&now, "18889-1")
+	fill(c, &now)
 	now = 2500
-	reports := map[string]*Document{"empty.json": nil, "full.json": c.SinceStart(true), "marked.json": c.SinceCheckpoint("", true)}
+	reports := map[string]*Document{
+		"full.json":   c.SinceStart(true),
+		"marked.json": c.SinceCheckpoint("", true),
+	}
 	now = 4000
-	c.Ended(&dispatch.Lookup{Index: "any", Parts: halves}, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 75)
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 75)
 	c.classes["any"].Attempts += 3
 	c.classes["any"].Outcomes[gather.Outcome(0).String()] += 3
 	c.BeginShutdown()
 	reports["since.json"] = c.SinceCheckpoint("18889-1.1", true)
-	again := keptCounter(&now, "18900-2")
+	again := keptCollector(&now, "18900-2")
 	now = 5000
 	reports["restarted.json"] = again.SinceCheckpoint("18889-1.2", true)
 	reports["empty.json"] = again.SinceStart(false)
@@ -112,8 +126,9 @@
 		if again := encoded(t, read); !bytes.Equal(again, text) {
 			t.Errorf("%s: read and written again\n%s\nkept\n%s", name, again, text)
 		}
-		if read.Name != "g" || read.Format != "yokeroute report 1" || read.Files["config"] != d.Files["config"] || len(read.Classes) != 2 ||
-			read.SinceCheckpoint != d.SinceCheckpoint || read.Checkpoint != d.Checkpoint || read.Interval != d.Interval || (read.Claim == nil) != (d.Claim == nil) {
+		if read.Name != "g" || read.Format != "yokeroute report 1" || read.Files["config"] != d.Files["config"] ||
+			len(read.Classes) != 2 || read.SinceCheckpoint != d.SinceCheckpoint || read.Checkpoint != d.Checkpoint ||
+			read.Interval != d.Interval || (read.Claim == nil) != (d.Claim == nil) {
 			t.Errorf("%s: read as %+v", name, read)
 		}
 	}
@@ -130,7 +145,7 @@
 // TestClaimKeepsItsBytes: who holds a gatherer is answered byte for byte as when the path began, granted or not.
 func TestClaimKeepsItsBytes(t *testing.T) {
 	now := 1000.0
-	s := &Server{collector: keptCounter(&now, "18889-1"), ready: func() bool { return true }}
+	s := &Server{collector: keptCollector(&now, "18889-1"), ready: func() bool { return true }}
 	for _, c := range []struct {
 		name   string
 		body   string
@@ -158,13 +173,14 @@
 // machine to machine.
 func TestMetricsKeepTheirNames(t *testing.T) {
 	now := 1000.0
-	c := keptCounter(&now, "18889-1")
-	filled(c, &now)
+	c := keptCollector(&now, "18889-1")
+	fill(c, &now)
 	now = 2500
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&prometheusCollector{&Server{collector: c, ready: func() bool { return true }}})
 	w := httptest.NewRecorder()
-	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(w, httptest.NewRequest(http.MethodGet, "/metrics", nil))
+	request := httptest.NewRequest(http.MethodGet, "/metrics", nil)
+	promhttp.HandlerFor(registry, promhttp.HandlerOpts{}).ServeHTTP(w, request)
 	text, err := io.ReadAll(w.Body)
 	if err != nil {
 		t.Fatal(err)
--- /dev/null
+++ b/internal/gatherer/report/server_test.go
@@ -0,0 +1,122 @@
+package report
+
+import (
+	"context"
+	"encoding/json"
+	"io"
+	"net/http"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/logic/rollout"
+)
+
+// startServer runs a server until the test ends, and returns what sends it a request.
+func startServer(t *testing.T, c *Collector) (send func(method, path, body string) (status int, text string)) {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	s, err := Listen("127.0.0.1:0", c, func() bool { return true }, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	done := make(chan struct{})
+	go func() {
+		s.Run(ctx)
+		close(done)
+	}()
+	t.Cleanup(func() {
+		stop()
+		<-done
+	})
+	client := &http.Client{Timeout: 10 * time.Second}
+	return func(method, path, body string) (int, string) {
+		t.Helper()
+		req, err := http.NewRequest(method, "http://"+s.Address()+path, strings.NewReader(body))
+		if err != nil {
+			t.Fatal(err)
+		}
+		resp, err := client.Do(req)
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer resp.Body.Close()
+		text, err := io.ReadAll(resp.Body)
+		if err != nil {
+			t.Error(err)
+		}
+		return resp.StatusCode, string(text)
+	}
+}
+
+// TestServerServesReportsAndMetrics: the document and the metrics are served over HTTP.
+func TestServerServesReportsAndMetrics(t *testing.T) {
+	now := 1000.0
+	c := newTestCollector(&now)
+	c.SetFile("operator", "abc")
+	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	send := startServer(t, c)
+	status, text := send("GET", ReportPath, "")
+	d, err := Read(strings.NewReader(text))
+	if status != http.StatusOK || err != nil {
+		t.Fatalf("%d, %v, %s", status, err, text)
+	}
+	median := d.Classes["any"].Latency.Quantile(0.5)
+	if d.Files["operator"] != "abc" || !d.Ready || d.OpenConnections != 3 || median < 49 || median > 51 {
+		t.Errorf("median %g ms: %s", median, text)
+	}
+	_, text = send("GET", MetricsPath, "")
+	for _, line := range []string{
+		`yokeroute_lookups_total{end="satisfied",index="any"} 1`,
+		`yokeroute_lookup_seconds_count{index="any"} 1`,
+	} {
+		if !strings.Contains(text, line) {
+			t.Errorf("metrics lack %s:\n%s", line, text)
+		}
+	}
+}
+
+// TestServerGrantsClaims: a claim holds for its time, against other rollouts and earlier controllers; what is no claim
+// is refused.
+func TestServerGrantsClaims(t *testing.T) {
+	var now atomic.Int64
+	now.Store(1000)
+	c := NewCollector("g", testSettings(), func() float64 { return float64(now.Load()) }, fixedConnections{})
+	send := startServer(t, c)
+	for _, request := range []struct {
+		body   string
+		status int
+		holder string
+	}{
+		{`{"run":"a","fence":2,"for":1000}`, http.StatusOK, "a"},
+		{`{"run":"b","fence":9,"for":1000}`, http.StatusConflict, "a"},
+		{`{"run":"a","fence":1,"for":1000}`, http.StatusConflict, "a"},
+		{`{"run":"a","fence":3,"for":1000}`, http.StatusOK, "a"},
+		{`{"run":"a"}`, http.StatusBadRequest, ""},
+		{`{"run":"a","for":1e12}`, http.StatusBadRequest, ""},
+		{`no`, http.StatusBadRequest, ""},
+	} {
+		status, text := send("POST", ClaimPath, request.body)
+		var held rollout.Claim
+		if err := json.Unmarshal([]byte(text), &held); err != nil && status != http.StatusBadRequest {
+			t.Errorf("%s: %v", text, err)
+		}
+		if status != request.status || held.RunID != request.holder {
+			t.Errorf("%s: %d, %s", request.body, status, text)
+		}
+	}
+	now.Store(2500) // the claim has expired
+	if status, _ := send("POST", ClaimPath, `{"run":"b","fence":1,"for":1000}`); status != http.StatusOK {
+		t.Errorf("after a claim's time: %d", status)
+	}
+	status, _ := send("DELETE", ClaimPath+"?run=b&fence=1", "")
+	if status != http.StatusNoContent || c.SinceCheckpoint("", true).Claim != nil {
+		t.Errorf("released: %d", status)
+	}
+}
