--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -83,11 +83,11 @@
 	terms    PolicyTerms
 	ctx      context.Context
 	stewards []*process.Process
-	names    []operator.Steward
+	names    []operator.PolicyServer
 	client   *policyclient.Client
 	hollow   []*hollowGatherer
-	relays   []*processtest.Link // of the region that is cut off, one to each steward
-	far      []operator.Steward  // the stewards as that region reaches them
+	relays   []*processtest.Link     // of the region that is cut off, one to each steward
+	far      []operator.PolicyServer // the stewards as that region reaches them
 	cut      bool
 	returned []time.Duration // of the region
 	log      *logrus.Logger
@@ -120,7 +120,7 @@
 	for i := range t.Stewards {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
 		address := fmt.Sprintf("%s:%d", host, stewardPort)
-		f.names = append(f.names, operator.Steward{Name: name, Address: address})
+		f.names = append(f.names, operator.PolicyServer{Name: name, Address: address})
 		f.client.Stewards = append(f.client.Stewards, address)
 		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, stewardLogPort, address)
 	}
@@ -161,7 +161,7 @@
 			return err
 		}
 		f.relays = append(f.relays, relay)
-		f.far = append(f.far, operator.Steward{Name: s.Name, Address: relay.Address()})
+		f.far = append(f.far, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
 	}
 	return nil
 }
@@ -197,7 +197,7 @@
 }
 
 // hollowFloor forbids what the policies of a scale test may.
-var hollowFloor = decisions.Policy{{Kind: decisions.NoCopies}}
+var hollowFloor = decisions.Policy{{Kind: decisions.NoHedging}}
 
 // startHollow starts one gatherer's control side.
 func (f *policyFleet) startHollow(number int) *hollowGatherer {
@@ -208,9 +208,9 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Fence{}, clock, func() { h.changed(clock()) })
-	me := decisions.Hello{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Floor: hollowFloor},
-		Process: fmt.Sprintf("%d-%d", number, start.UnixNano())}
+	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Revision{}, clock, func() { h.changed(clock()) })
+	me := decisions.Heartbeat{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Fallback: hollowFloor},
+		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano())}
 	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
@@ -228,8 +228,8 @@
 	state := h.governor.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if state.Holds.Epoch > h.epoch && state.Holds.Change == 0 {
-		h.epoch, h.at = state.Holds.Epoch, time.Now()
+	if state.Applied.Epoch > h.epoch && state.Applied.Pending == 0 {
+		h.epoch, h.at = state.Applied.Epoch, time.Now()
 	}
 }
 
