--- a/internal/gatherer/report/server.go
+++ b/internal/gatherer/report/server.go
@@ -90,8 +90,13 @@
 	}
 }
 
-// Close closes the listener of a server that is never run.
-func (s *Server) Close() error { return s.listener.Close() }
+// Close closes the listener. It is for a server that is never run; after Run it does nothing.
+func (s *Server) Close() error {
+	if err := s.listener.Close(); err != nil && !errors.Is(err, net.ErrClosed) {
+		return fmt.Errorf("report: %w", err)
+	}
+	return nil
+}
 
 func (s *Server) serveReport(w http.ResponseWriter, r *http.Request) {
 	var d *Document
--- /dev/null
+++ b/internal/gatherer/service/assembly.go
@@ -0,0 +1,263 @@
+package service
+
+import (
+	"context"
+	"errors"
+	"fmt"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/gather"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/control/segments"
+	"yokeroute/internal/gatherer/background"
+	"yokeroute/internal/gatherer/discovery"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/frontend"
+	"yokeroute/internal/gatherer/plans"
+	"yokeroute/internal/gatherer/shardcall"
+	"yokeroute/internal/gatherer/trace"
+	"yokeroute/internal/storage/statedir"
+)
+
+// ownSockets are descriptors besides queries' connections: standard streams, listener, poller, the runtime's own,
+// calls to discovery while it is silent and the ends of those before them, a file that is read again.
+const ownSockets = 20
+
+// assembly is a gatherer while its parts are added.
+type assembly struct {
+	*Service
+	own      operator.File
+	settings *gather.Settings // the platform's; with segments those of the decisions
+	names    *statedir.Gatherer
+	handover *handover
+	policy   *policyPart
+	traces   *trace.Recorder
+}
+
+func newAssembly(c *platform.Config, own *operator.File, log *logrus.Logger) (*assembly, error) {
+	a := &assembly{Service: &Service{log: log, config: c}, own: *own, settings: c.Settings}
+	if a.ownedSegments() {
+		if c.Settings.Shards < 1 {
+			return nil, errors.New("segments: the settings don't tell how many shards there are")
+		}
+		a.settings = dispatch.OwnedTerms(c.Settings, own.MaxSegments)
+		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
+			log.Error("service: plans and two phases ignored, as segments have owners of their own")
+			a.own.Plan = ""
+			a.own.Placement = ""
+			a.own.TwoPhase = nil
+		}
+	}
+	a.Picker = dispatch.New(c.Seed, a.settings, log)
+	return a, nil
+}
+
+// ownedSegments reports whether a map says which server owns which keys.
+func (a *assembly) ownedSegments() bool { return a.own.MaxSegments > 0 }
+
+// addNameJournal adds the journal of non-idempotent queries' names.
+func (a *assembly) addNameJournal() error {
+	if a.own.NameRetention <= 0 {
+		return nil
+	}
+	names, found, err := statedir.OpenGatherer(a.own.State, int64(a.own.JournalMaxBytes), a.own.NameRetention,
+		a.Picker.Now())
+	if err != nil {
+		return err
+	}
+	a.names = names
+	a.Picker.Keep(names)
+	a.hooks.close = append(a.hooks.close, func() error {
+		if err := names.Close(); err != nil {
+			return fmt.Errorf("state: %w", err)
+		}
+		return nil
+	})
+	log := a.log.WithFields(logrus.Fields{
+		"folder": a.own.State, "names": found.Names, "epoch": found.Epoch, "records": found.Records,
+		"bytes": found.Bytes, "torn": found.Torn, "took": found.Took,
+	})
+	if found.Blind > 0 {
+		log.Warn("state: recovery incomplete; repeats of non-idempotent queries fail for a while")
+	} else {
+		log.Info("state: recovered")
+	}
+	return nil
+}
+
+// shardServerSockets and clientSockets divide the sockets that the process leaves. One connection to a shard server
+// carries many shard requests, one from a client a single query: a quarter is for shard servers. Clients may exceed
+// their share by an eighth for a moment, and as many connections that were ended may still hold their sockets.
+func shardServerSockets(l platform.Limits) int { return (l.Sockets - ownSockets) / 4 }
+
+func clientSockets(l platform.Limits) int {
+	left := l.Sockets - ownSockets
+	return (left - left/4 - 2) * 8 / 10
+}
+
+// addShardServers adds the connections to shard servers.
+func (a *assembly) addShardServers() error {
+	a.pool = shardcall.New(a.config.Settings, shardServerSockets(a.config.Limits), a.Picker, a.log)
+	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
+		a.pool.Follow(addresses)
+	})
+	return nil
+}
+
+// addSegments adds the map of segments, from the journal, a file and an authority.
+func (a *assembly) addSegments() error {
+	if !a.ownedSegments() {
+		return nil
+	}
+	a.Picker.Segments(a.own.MaxSegments, a.settings.Shards)
+	if a.names != nil && a.names.Map() != nil {
+		a.Picker.SetMap(a.names.Map())
+	}
+	if err := a.readSegments(&a.own); err != nil {
+		return err
+	}
+	if a.own.SegmentAuthority != "" {
+		authority := segments.NewFollower(a.own.SegmentAuthority, a.Picker, a.log)
+		a.hooks.run = append(a.hooks.run, authority.Run)
+	}
+	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
+		names := make(map[uint32]string, len(addresses))
+		for _, address := range addresses {
+			names[address.ID] = address.Name
+		}
+		a.Picker.Names(names)
+	})
+	a.hooks.reread = append(a.hooks.reread, func(own *operator.File) error {
+		own.Plan = ""
+		own.Placement = ""
+		return a.readSegments(own)
+	})
+	return nil
+}
+
+// readSegments reads the file of a map, where there is one. An older map than the one in force changes nothing;
+// another one of the same epoch is a contradiction, which the picker reports.
+func (a *assembly) readSegments(own *operator.File) error {
+	if own.Segments == "" {
+		return nil
+	}
+	m, _, err := segments.ReadMap(own.Segments)
+	if err != nil {
+		return err
+	}
+	a.Picker.SetMap(m)
+	return nil
+}
+
+// addTwoPhases adds the classes whose queries go to shard servers in two phases.
+func (a *assembly) addTwoPhases() error {
+	classes, err := a.own.TwoPhaseSettings(a.config.Settings)
+	if err != nil {
+		a.log.WithError(err).Error("service: two phases rejected for some classes")
+	}
+	if len(classes) > 0 {
+		a.Picker.Phases(classes)
+		a.pool.Agree(a.Picker.Speaks)
+	}
+	return nil
+}
+
+// addPicker adds the decision loop.
+func (a *assembly) addPicker() error {
+	a.hooks.endpoints = append(a.hooks.endpoints, func(event gather.EndpointList, _ []shardcall.Address) {
+		a.Picker.Follow(event)
+	})
+	a.hooks.run = append(a.hooks.run, func(ctx context.Context) {
+		for {
+			orders, err := a.Picker.Tick(ctx)
+			if err != nil {
+				return
+			}
+			a.pool.Carry(orders)
+		}
+	})
+	return nil
+}
+
+// addPlans adds plans and placement, and the work beside queries that they need.
+func (a *assembly) addPlans() error {
+	keeper := plans.New(a.Picker, a.config.Settings, background.New(a.own.BackgroundShare, a.log), a.log)
+	if err := keeper.Configure(&a.own); err != nil {
+		a.log.WithError(err).Error("service: plan rejected; serving without")
+	}
+	a.hooks.run = append(a.hooks.run, keeper.Run)
+	a.hooks.endpoints = append(a.hooks.endpoints, keeper.Follow)
+	a.hooks.reread = append(a.hooks.reread, keeper.Configure)
+	return nil
+}
+
+// addTraces adds the traces that operators look at.
+func (a *assembly) addTraces() error {
+	if a.own.TracesKept <= 0 {
+		return nil
+	}
+	a.traces = trace.New(a.own.TracesKept, a.own.TraceShare)
+	a.Picker.Trace(a.traces)
+	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
+		a.traces.Names(addresses)
+	})
+	return nil
+}
+
+// addRecord adds the record of everything, on which the rules can be checked.
+func (a *assembly) addRecord() error {
+	if a.own.Record == "" {
+		return nil
+	}
+	shards := 0
+	if a.ownedSegments() {
+		shards = a.settings.Shards
+	}
+	record, err := trace.Create(a.own.Record, a.own.RecordMaxBytes, a.own.RecordUnbuffered, a.config.Settings, shards,
+		a.Picker.Now())
+	if err != nil {
+		return fmt.Errorf("record: %w", err)
+	}
+	a.Picker.Trace(record)
+	a.Picker.Watch(record)
+	a.hooks.endpoints = append(a.hooks.endpoints, func(event gather.EndpointList, _ []shardcall.Address) {
+		record.Follow(event, a.Picker.Now())
+	})
+	a.hooks.close = append(a.hooks.close, func() error {
+		if err := record.Close(a.Picker.Now()); err != nil {
+			return fmt.Errorf("record: %w", err)
+		}
+		return nil
+	})
+	return nil
+}
+
+// addDiscovery adds the watch of the endpoint list, which begins with the list that the platform knows.
+func (a *assembly) addDiscovery() error {
+	follower := discovery.New(a.config.Discovery, a.updateEndpoints, a.Picker.Asked(), a.log)
+	if a.settings.EndpointsOnRequest {
+		follower.Shared()
+	}
+	if known := a.config.KnownEndpoints; known != nil {
+		if a.handover != nil {
+			a.handover.apply(known)
+		}
+		follower.Take(known)
+	}
+	a.hooks.run = append(a.hooks.run, follower.Run)
+	a.hooks.configured = append(a.hooks.configured, func(c *platform.Config) { follower.Move(c.Discovery) })
+	return nil
+}
+
+// addFrontend adds the front end. A quarter of all sockets is for connections that have sent a query, so that new ones
+// find room.
+func (a *assembly) addFrontend() error {
+	limits := a.config.Limits
+	a.server = frontend.New(a.Picker, a.config.Settings, clientSockets(limits), limits.Sockets/4, a.listed.Load, a.log)
+	if a.traces != nil {
+		a.server.Admin(trace.Path, a.traces)
+	}
+	return nil
+}
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -162,3 +163,36 @@
 	}
 	return r
 }
+
+// TestNewUndoesWhatItBeganOnFailure: when a part can't be assembled, what the parts before it hold is given back: the
+// address of the reports can be listened on, and the folder of the state opened, again.
+func TestNewUndoesWhatItBeganOnFailure(t *testing.T) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	address := listener.Addr().String()
+	listener.Close()
+	c, err := platform.Parse([]byte(text("127.0.0.1:1", "127.0.0.1:1", settings)), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	folder := t.TempDir()
+	own := &operator.File{
+		State: filepath.Join(folder, "state"), NameRetention: 60_000, JournalMaxBytes: 1 << 20,
+		ReportAddress: address, Record: filepath.Join(folder, "nowhere", "day.trace"),
+	}
+	for range 2 {
+		_, err := New(c, own, log)
+		if !errors.Is(err, os.ErrNotExist) || !strings.HasPrefix(err.Error(), "record: ") {
+			t.Fatalf("%v", err)
+		}
+	}
+	listener, err = net.Listen("tcp", address)
+	if err != nil {
+		t.Fatalf("the address of reports is still taken: %v", err)
+	}
+	listener.Close()
+}
