--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -265,7 +265,7 @@
 		if to == &m.Operator { // with all that it includes
 			*to, err = operatorFingerprint(file)
 		} else {
-			*to, err = version.OfFile(file)
+			*to, err = version.FileChecksum(file)
 		}
 		if err != nil {
 			return m, fmt.Errorf("gatherer %s: %w", p.Gatherers[g].Name, err)
--- a/internal/gatherer/report/checkpoint.go
+++ b/internal/gatherer/report/checkpoint.go
@@ -60,7 +60,7 @@
 	d.ReportedAt = c.now()
 	d.Interval = d.ReportedAt - d.StartedAt
 	d.Ready = ready
-	d.ResidentMemory = process.Of(os.Getpid()).Memory * bytesPerMegabyte
+	d.ResidentMemory = process.UsageOf(os.Getpid()).Memory * bytesPerMegabyte
 	d.Goroutines = runtime.NumGoroutine()
 	d.CPUTime = processCPUTime()
 	if c.PolicyState != nil {
--- a/internal/gatherer/report/collector.go
+++ b/internal/gatherer/report/collector.go
@@ -62,7 +62,7 @@
 			Version:     version.Name(),
 			Program:     version.Program(),
 			Formats:     formats.Numbers(),
-			Incarnation: process.Name(startedAt),
+			Incarnation: process.Identity(startedAt),
 			StartedAt:   startedAt,
 		},
 	}
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -79,7 +79,7 @@
 	}
 	heartbeat := logic.Heartbeat{
 		Member:      logic.Member{Name: a.config.Name, Zone: a.settings.Zone, Fallback: fallback},
-		Incarnation: process.Name(a.Picker.Now()),
+		Incarnation: process.Identity(a.Picker.Now()),
 		Version:     version.Name(),
 	}
 	client := policyclient.NewFollower(p.governor, a.own.PolicyServers, heartbeat, a.own.State, a.log)
--- a/internal/gatherer/service/reports.go
+++ b/internal/gatherer/service/reports.go
@@ -56,7 +56,7 @@
 	if file == "" {
 		return ""
 	}
-	sum, err := version.OfFile(file)
+	sum, err := version.FileChecksum(file)
 	if err != nil {
 		return "unknown"
 	}
--- a/logic/policy/leader.go
+++ b/logic/policy/leader.go
@@ -123,7 +123,7 @@
 	case now > l.pendingSince+l.ChangeTimeout:
 		return &Command{Abandon: change.Number, Reason: l.timeoutReason(missing)}, ""
 	case len(missing) > 0:
-		return nil, "not prepared yet: " + suggest.List(missing)
+		return nil, "not prepared yet: " + suggest.Join(missing)
 	}
 	return nil, fmt.Sprintf("a steward that has just begun to lead waits for %.0f s, "+
 		"since who asked the one before it may act by its word", math.Ceil((earlierLeasesEnd-now)/1000))
@@ -134,5 +134,5 @@
 	if len(missing) == 0 {
 		return "the stewards' lead went from one to another too often"
 	}
-	return fmt.Sprintf("not prepared within %.0f s: %s", l.ChangeTimeout/1000, suggest.List(missing))
+	return fmt.Sprintf("not prepared within %.0f s: %s", l.ChangeTimeout/1000, suggest.Join(missing))
 }
--- a/logic/rollout/decide.go
+++ b/logic/rollout/decide.go
@@ -227,7 +227,7 @@
 	if len(notOld) > 0 && !d.resumed {
 		d.position.Phase = Stopped
 		d.position.Reason = "before the first change some gatherers do not serve as the plan's old ones: " +
-			suggest.List(notOld)
+			suggest.Join(notOld)
 		return d.decision(Stop, nil, "%s", d.position.Reason)
 	}
 	d.baseline.observe(&d.plan, d.zoneOf, o)
@@ -298,7 +298,7 @@
 		if last && short > 0 && short == d.countUnchangeable(o, missing) {
 			d.position.Phase = Completed
 			return d.decision(Done, nil, "all that can be reached and come up are new; not these: %s",
-				suggest.List(d.gathererNames(missing)))
+				suggest.Join(d.gathererNames(missing)))
 		}
 		if d.plan.OnStageLimit == Stop {
 			d.position.Phase, d.position.Reason = Stopped, why
@@ -310,7 +310,7 @@
 	if short > 0 {
 		d.evaluatingSince, d.position.Phase = 0, Updating
 		if len(steps) > 0 {
-			return d.decision(Proceed, steps, "stage %s: changing %s", name, suggest.List(d.stepNames(steps)))
+			return d.decision(Proceed, steps, "stage %s: changing %s", name, suggest.Join(d.stepNames(steps)))
 		}
 		return d.decision(Wait, nil, "stage %s: %s", name, d.waitingFor(o, missing))
 	}
@@ -452,7 +452,7 @@
 	}
 	// One machine may be broken, and of many one in twenty.
 	if len(names) >= max(2, int(math.Ceil(0.05*float64(tried)))) || len(names) == 1 && len(d.plan.Gatherers) < 3 {
-		return fmt.Sprintf("the new does not come up: %s, each after %d tries", suggest.List(names), d.plan.MaxAttempts)
+		return fmt.Sprintf("the new does not come up: %s, each after %d tries", suggest.Join(names), d.plan.MaxAttempts)
 	}
 	return ""
 }
@@ -467,7 +467,7 @@
 	slices.Reverse(all)
 	steps, missing := d.planSteps(o, all, Old, false)
 	if len(steps) > 0 {
-		return d.decision(RollBack, steps, "making %s old again: %s", suggest.List(d.stepNames(steps)), d.position.Reason)
+		return d.decision(RollBack, steps, "making %s old again: %s", suggest.Join(d.stepNames(steps)), d.position.Reason)
 	}
 	if len(missing) == 0 {
 		d.position.Phase = RolledBack
@@ -476,7 +476,7 @@
 	if o.Now-d.stageStartedAt > d.plan.StageLimit {
 		d.position.Phase = Stopped
 		d.position.Reason = fmt.Sprintf("going back is not finished after %.0f s, still not old: %s; it began since %s",
-			d.plan.StageLimit/1000, suggest.List(d.gathererNames(missing)), d.position.Reason)
+			d.plan.StageLimit/1000, suggest.Join(d.gathererNames(missing)), d.position.Reason)
 		return d.decision(Stop, nil, "%s", d.position.Reason)
 	}
 	return d.decision(Wait, nil, "going back, %s: %s", d.waitingFor(o, missing), d.position.Reason)
@@ -522,7 +522,7 @@
 	var words []string
 	add := func(what string, names []string) {
 		if len(names) > 0 {
-			words = append(words, what+suggest.List(names))
+			words = append(words, what+suggest.Join(names))
 		}
 	}
 	add("under way: ", underWay)
