--- a/logic/rollout/compare.go
+++ b/logic/rollout/compare.go
@@ -1,370 +1,380 @@
 package rollout
 
-import (
-	"math"
+import "math"
 
-	"github.com/HdrHistogram/hdrhistogram-go"
-)
-
-// ClassCounts are what one gatherer told of one index for one interval.
-type ClassCounts struct {
-	Queries       float64 // lookups
-	EarnedValue   float64 // that they earned, each from 0 to 1
-	Rejected      float64
-	Failed        float64 // and broken
-	ShardRequests float64 // that they had
-	Attempts      float64 // part calls made
-	ExtraAttempts float64
-	Latency       *hdrhistogram.Histogram // of satisfied ones, tenths of a millisecond; nil for none
-	// of Satisfied those over the limits, where who observes has counted them already
-	OverLimit [2]float64
-	Served    float64
-}
+// Disturbances: the old of a zone do worse than at the baseline, or many of its gatherers are not reachable.
+// Nothing is held against the new meanwhile.
+const (
+	// disturbanceHold is for how long a zone still counts as disturbed after that, in milliseconds: old and
+	// new may recover at different speeds without a fault of either.
+	disturbanceHold = 10_000
 
-// Variant is what a gatherer serves as.
-type Variant int
+	// disturbanceMargin is the least loss of value beyond the baseline's that counts.
+	disturbanceMargin = 0.06
 
-const (
-	Unknown Variant = iota
-	Old
-	New
-	Other // neither: another version, or files of which the plan knows nothing
+	// unreachableShare is the share of a zone's gatherers beyond which it counts.
+	unreachableShare = 0.25
 )
 
-var variantNames = []string{"unknown", "old", "new", "other"}
+const (
+	// minQueries is how many each side of a comparison needs for a difference to be roughly normal.
+	minQueries = 8
 
-func (k Variant) String() string { return variantNames[k] }
+	// minShardRequests is the same for attemptsPerRequest. Attempts are counted when they are sent and shard
+	// requests when their query ends, so that an interval's end separates some of them.
+	minShardRequests = 60
 
-// StepState is how far the change of a gatherer has come, as its carrier tells.
-type StepState int
+	// minVarianceRate is the least rate that a variance is computed from: a rare event that a short interval
+	// has not shown is not impossible.
+	minVarianceRate = 0.01
 
-const (
-	Idle StepState = iota
-	Running
-	Failed    // the command ended with an error, or in no time
-	Succeeded // the command has ended; what the gatherer now is it tells itself
+	// gaugeVariation is the least coefficient of variation of connections and memory between gatherers.
+	gaugeVariation = 0.25
 )
 
-// GathererSample is what was heard of one gatherer in an interval.
-type GathererSample struct {
-	Reachable   bool // it told of itself; the rest is empty where it did not
-	Variant     Variant
-	Ready       bool
-	Incarnation string  // another one with each start
-	Uptime      float64 // milliseconds since that start
-	Classes     []ClassCounts
-	Connections float64 // now
-	Memory      float64 // now, bytes
-	Step        StepState
-	Fault       string // why it was not reached, or why its step failed, for people
+// comparison is the evidence about one metric of one class in one scope.
+type comparison struct {
+	harm       eProcess // against: the new are worse by no more than is tolerated
+	harmless   eProcess // against: the new are worse by what has to be found
+	queries    float64  // of the new, that went in
+	difference welford  // for operators
 }
 
-// Observation is what was heard of all gatherers, in the plan's order, at a time in milliseconds.
-type Observation struct {
-	Now       float64
-	Gatherers []GathererSample
+// comparisonKey names a comparison, and the counts that are pending for it.
+type comparisonKey struct {
+	metric metric // metricCount for the lost value of one gatherer that warms up
+	class  int
+	scope  int // 0 for all zones, 1+zone for one; of a gatherer that warms up 1+zones+gatherer
 }
 
-// metric is one thing in which new and old are compared. All are shares from 0 to 1 of which more is worse,
-// or costs over what the old ones' were at the baseline.
-type metric int
-
-const (
-	lostValue metric = iota
-	rejected
-	failedQueries
-	slowQueries        // of satisfied lookups, over the median of the baseline
-	latencyTail        // over its 95th percentile
-	extraAttempts      // of part calls
-	attemptsPerRequest // part calls a part, over the baseline's
-	metricCount        // how many there are
-)
-
-// gauges are compared by gatherer, not by lookup.
-type gauge int
-
-const (
-	openConnections gauge = iota
-	residentMemory
-	gaugeCount
-)
-
-var metricFindings = [...]string{
-	lostValue:          "loses more of the value of its lookups",
-	rejected:           "nacks more",
-	failedQueries:      "aborts more",
-	slowQueries:        "answers more of its lookups slower than the usual",
-	latencyTail:        "has more lookups in the slow tail",
-	extraAttempts:      "makes more further part calls",
-	attemptsPerRequest: "makes more part calls for the same lookups",
+// variantTally is one side of a comparison in a zone.
+type variantTally struct {
+	gatherers int
+	classes   []tally
+	gauges    [gaugeCount]float64 // sums
 }
 
-var gaugeFindings = [...]string{openConnections: "keeps more connections open", residentMemory: "takes more memory"}
-
-// thresholds are what is borne of a metric, and what has to be found.
-type thresholds struct{ tolerated, detectable float64 }
+// interval is an observation sorted for comparison.
+type interval struct {
+	olds, news  []variantTally // by zone
+	warmingUp   []int          // gatherers that have just started as new
+	unreachable []float64      // by zone
+	gatherers   []float64      // by zone
+	disturbed   []bool         // by zone
+}
 
-// thresholds are a metric's bounds. Value, nacks and aborts are the same coin: a share of what lookups could earn. A
-// quarter of the harm is borne, since two equal versions are never quite the same. Latency by itself harms
-// nobody until it costs value, so that more of it is borne; the tail is told before it does.
-func (p *Plan) thresholds(m metric) thresholds {
-	switch m {
-	case slowQueries:
-		return thresholds{0.08, 0.25}
-	case latencyTail:
-		return thresholds{0.5 * p.Harm, 1.5 * p.Harm}
-	case extraAttempts:
-		return thresholds{0.25 * p.Harm, p.Harm}
-	case attemptsPerRequest:
-		return thresholds{p.ExtraCost / 3, p.ExtraCost}
+func newInterval(zones, classes int) *interval {
+	in := &interval{
+		olds:        make([]variantTally, zones),
+		news:        make([]variantTally, zones),
+		unreachable: make([]float64, zones),
+		gatherers:   make([]float64, zones),
+		disturbed:   make([]bool, zones),
+	}
+	for z := range zones {
+		in.olds[z].classes = make([]tally, classes)
+		in.news[z].classes = make([]tally, classes)
 	}
-	return thresholds{0.25 * p.Harm, p.Harm}
+	return in
 }
 
-// tally are a group's counts of one index in one interval, or over many.
-type tally struct {
-	total [metricCount]float64 // what the metric is a share of
-	bad   [metricCount]float64
+// compareVariants adds an interval's evidence. New and old are compared within a zone and an interval, so
+// that what strikes both alike does not show.
+func (d *Decider) compareVariants(o *Observation) {
+	if d.baseline == nil || !d.baseline.complete {
+		return
+	}
+	in := newInterval(len(d.zoneNames), len(d.plan.Classes))
+	for g := range o.Gatherers {
+		d.addSample(in, o, g)
+	}
+	d.updateDisturbance(in, o.Now)
+	for class := range d.plan.Classes {
+		if d.baseline.classShare[class] < d.plan.MinClassShare {
+			continue
+		}
+		for m := range metricCount {
+			d.compareMetric(in, o, class, m)
+		}
+		d.compareWarmUps(in, o, class)
+	}
+	d.compareGauges(in)
 }
 
-// add takes a gatherer's counts in. Limits are the latencies that slow and tail go by, in tenths of a
-// millisecond.
-func (s *tally) add(c *ClassCounts, limits [2]int64) {
-	put := func(m metric, n, bad float64) {
-		s.total[m] += n
-		s.bad[m] += bad
+// addSample adds a gatherer's sample to its side, or to none.
+func (d *Decider) addSample(in *interval, o *Observation, g int) {
+	s, z := &o.Gatherers[g], d.zoneOf[g]
+	in.gatherers[z]++
+	if !s.Reachable {
+		in.unreachable[z]++
+		return
 	}
-	put(lostValue, c.Queries, max(c.Queries-c.EarnedValue, 0))
-	put(rejected, c.Queries, c.Rejected)
-	put(failedQueries, c.Queries, c.Failed)
-	put(extraAttempts, c.Attempts, c.ExtraAttempts)
-	put(attemptsPerRequest, c.ShardRequests, min(c.Attempts, 3*c.ShardRequests))
-	if c.Served > 0 {
-		put(slowQueries, c.Served, c.OverLimit[0])
-		put(latencyTail, c.Served, c.OverLimit[1])
-	} else if c.Latency != nil && limits[0] > 0 {
-		s.addLatencies(c.Latency.Distribution(), limits)
+	if s.Step == Running || !s.Ready || s.Variant == Other || s.Variant == Unknown {
+		return
 	}
+	warmingUp := s.Uptime < d.plan.WarmUp
+	// An interval that contains the change of a gatherer belongs to neither side. The exception is the
+	// report of its new process, which covers its own first seconds and nothing else.
+	firstReport := d.requested[g] == New && s.Variant == New && warmingUp &&
+		s.Incarnation != d.incarnationBefore[g]
+	if d.requested[g] != Unknown && !firstReport {
+		return
+	}
+	side := &in.olds[z]
+	switch {
+	case s.Variant == New && warmingUp:
+		in.warmingUp = append(in.warmingUp, g)
+		return
+	case s.Variant == New:
+		side = &in.news[z]
+	case warmingUp && s.Uptime < o.Now-d.baseline.startedAt: // an old one that was restarted warms up as well
+		return
+	}
+	side.gatherers++
+	for class := range min(len(d.plan.Classes), len(s.Classes)) {
+		side.classes[class].add(&s.Classes[class], d.baseline.latencyLimits[class])
+	}
+	side.gauges[openConnections] += s.Connections
+	side.gauges[residentMemory] += s.Memory
 }
 
-// addLatencies takes latencies in.
-func (s *tally) addLatencies(bars []hdrhistogram.Bar, limits [2]int64) {
-	for _, bar := range bars {
-		for i, m := range [2]metric{slowQueries, latencyTail} {
-			s.total[m] += float64(bar.Count)
-			if bar.From > limits[i] {
-				s.bad[m] += float64(bar.Count)
-			}
+// updateDisturbance finds the zones that are disturbed, and since when any is.
+func (d *Decider) updateDisturbance(in *interval, now float64) {
+	disturbed := false
+	for z := range in.disturbed {
+		if d.isDisturbed(z, &in.olds[z]) || in.unreachable[z] > unreachableShare*in.gatherers[z] {
+			d.disturbedUntil[z] = now + disturbanceHold
+			disturbed = true
 		}
+		in.disturbed[z] = now < d.disturbedUntil[z]
+	}
+	switch {
+	case !disturbed:
+		d.disturbedSince = 0
+	case d.disturbedSince == 0:
+		d.disturbedSince = now
 	}
 }
 
-// merge takes another's sums in.
-func (s *tally) merge(o *tally) {
-	for m := range metricCount {
-		s.total[m] += o.total[m]
-		s.bad[m] += o.bad[m]
+// isDisturbed reports whether the old of a zone lose more value than they did.
+func (d *Decider) isDisturbed(zone int, olds *variantTally) bool {
+	for class := range olds.classes {
+		now, before := &olds.classes[class], &d.baseline.lossByZone[zone][class]
+		if now.total[lostValue] < minQueries || before.n < 2 {
+			continue
+		}
+		const minLoss = 0.02 // that the noise is computed from
+		noise := math.Sqrt(rateVariance(lostValue, max(before.mean, minLoss)) / now.total[lostValue])
+		margin := max(disturbanceMargin, 4*max(noise, math.Sqrt(before.variance())))
+		if now.rate(lostValue) > before.mean+margin {
+			return true
+		}
 	}
+	return false
 }
 
-func (s *tally) rate(m metric) float64 { return s.bad[m] / max(s.total[m], 1e-9) }
-
-// rateVariance is the variance of a metric by lookup, as it would be if lookups were independent.
-func rateVariance(m metric, share float64) float64 {
-	if m == attemptsPerRequest { // of calls a part: some have none, some two
-		return 0.25
+// compareMetric compares new and old in one metric, zone by zone and over all zones.
+func (d *Decider) compareMetric(in *interval, o *Observation, class int, m metric) {
+	isNew := func(g int) bool { return o.Gatherers[g].Reachable && o.Gatherers[g].Variant == New }
+	isOld := func(g int) bool { return o.Gatherers[g].Reachable && o.Gatherers[g].Variant == Old }
+	offset, offsetError := d.baseline.offset(class, m, isNew, isOld)
+	// What a version costs the servers shows under disturbances above all, and is no one else's doing.
+	isCost := m == extraAttempts || m == attemptsPerRequest
+	var differences []difference
+	for z := range in.disturbed {
+		if in.disturbed[z] && !isCost {
+			continue
+		}
+		older, zoneOffset, zoneError := &in.olds[z].classes[class], offset, offsetError
+		if in.olds[z].gatherers == 0 && in.news[z].gatherers > 0 {
+			var found bool
+			if older, found = in.oldOfOtherZones(z, class); !found {
+				continue
+			}
+			zoneOffset, zoneError = d.baseline.offset(class, m,
+				func(g int) bool { return isNew(g) && d.zoneOf[g] == z },
+				func(g int) bool { return isOld(g) && d.zoneOf[g] != z })
+			zoneError += d.stageThresholds(m).detectable / 2
+		}
+		key := comparisonKey{m, class, 1 + z}
+		if diff, ok := d.nextDifference(key, &in.news[z].classes[class], older); ok {
+			d.updateComparison(key, zoneOffset, zoneError, diff)
+			diff.value += offset - zoneOffset // the offset over all zones is subtracted from the pooled one
+			differences = append(differences, diff)
+		}
+	}
+	if len(differences) > 0 {
+		d.updateComparison(comparisonKey{m, class, 0}, offset, offsetError, pooledDifference(differences))
 	}
-	return max(share*(1-share), 0.005)
 }
 
-// welford keeps a mean and a variance.
-type welford struct{ n, mean, m2 float64 }
-
-func (w *welford) add(x float64) {
-	w.n++
-	d := x - w.mean
-	w.mean += d / w.n
-	w.m2 += d * (x - w.mean)
+// oldOfOtherZones sums up the old of the other zones, for a zone that has none left. It is compared with
+// them by how much both have changed since the baseline; what strikes one zone alone is allowed for by a
+// wider error, and disturbed zones are left out.
+func (in *interval) oldOfOtherZones(zone, class int) (sum *tally, found bool) {
+	sum = &tally{}
+	for z := range in.olds {
+		if z == zone || in.disturbed[z] || in.olds[z].gatherers == 0 {
+			continue
+		}
+		found = true
+		sum.merge(&in.olds[z].classes[class])
+	}
+	return sum, found
 }
 
-func (w *welford) variance() float64 { return w.m2 / max(w.n-1, 1) }
-
-// baseline is what the fleet was like before the first change.
-type baseline struct {
-	startedAt          float64
-	tallies            [][]tally              // by gatherer and index
-	latencyBars        [][][]hdrhistogram.Bar // their latencies, counted against the limits once these are known
-	latency            []*hdrhistogram.Histogram
-	latencyLimits      [][2]int64 // by index, once it is over: median and 95th percentile
-	attemptsPerRequest []float64  // a part, by index
-	classShare         []float64  // of the fleet's lookups, by index
-	lossByZone         [][]welford
-	// squares of the difference of two halves of the fleet, over what independence makes them
-	dispersionSamples [][metricCount]welford
-	overdispersion    [][metricCount]float64 // by how much differences spread more than that, 1 at the least
-	gauges            [gaugeCount]welford    // of gatherers, over their mean
-	complete          bool
+// compareWarmUps compares the lost value of gatherers that have just started as new, one by one: each start
+// is an event of its own, and there are few.
+func (d *Decider) compareWarmUps(in *interval, o *Observation, class int) {
+	for _, g := range in.warmingUp {
+		z, s := d.zoneOf[g], &o.Gatherers[g]
+		if in.disturbed[z] || class >= len(s.Classes) {
+			continue
+		}
+		var own tally
+		own.add(&s.Classes[class], d.baseline.latencyLimits[class])
+		key := comparisonKey{metricCount, class, 1 + len(d.zoneNames) + g}
+		if diff, ok := d.nextDifference(key, &own, &in.olds[z].classes[class]); ok {
+			c := &d.warmUps[class]
+			c.queries += diff.queries
+			c.difference.add(diff.value)
+			c.harm.update((diff.value - d.plan.WarmUpHarm) / diff.stdDev)
+		}
+	}
 }
 
-// newBaseline makes a baseline that has seen nothing.
-func newBaseline(p *Plan, now float64) *baseline {
-	n := len(p.Classes)
-	b := &baseline{startedAt: now, tallies: make([][]tally, len(p.Gatherers)), latency: make([]*hdrhistogram.Histogram, n),
-		latencyLimits: make([][2]int64, n), attemptsPerRequest: make([]float64, n), classShare: make([]float64, n),
-		dispersionSamples: make([][metricCount]welford, n), overdispersion: make([][metricCount]float64, n)}
-	b.latencyBars = make([][][]hdrhistogram.Bar, len(p.Gatherers))
-	for i := range b.tallies {
-		b.tallies[i], b.latencyBars[i] = make([]tally, n), make([][]hdrhistogram.Bar, n)
+// difference is a difference of new and old, and how many queries of the new it is from.
+type difference struct{ value, stdDev, queries float64 }
+
+// nextDifference adds counts of an interval, and returns the difference of new and old once there are enough
+// of both.
+func (d *Decider) nextDifference(k comparisonKey, newer, older *tally) (difference, bool) {
+	m := k.metric
+	if m == metricCount {
+		m = lostValue
 	}
-	for range p.Zones() {
-		b.lossByZone = append(b.lossByZone, make([]welford, n))
+	pending := d.pending[k]
+	if pending == nil {
+		pending = &[2]tally{}
+		d.pending[k] = pending
 	}
-	return b
-}
-
-// observe takes an interval of the baseline in: all old, warm and alike.
-func (b *baseline) observe(p *Plan, zones []int, o *Observation) {
-	n := len(p.Classes)
-	halves := make([][2]tally, n)
-	byZone := make([][]tally, len(b.lossByZone))
-	for z := range byZone {
-		byZone[z] = make([]tally, n)
+	if newer.total[m] == 0 || older.total[m] == 0 {
+		return difference{}, false
 	}
-	half := make([]int, len(b.lossByZone)) // of each zone alike, so that zones that differ do not show as spread
-	for g := range o.Gatherers {
-		s := &o.Gatherers[g]
-		if !s.Reachable || s.Variant != Old {
-			continue
-		}
-		half[zones[g]]++
-		for i := range min(n, len(s.Classes)) {
-			c := &s.Classes[i]
-			b.tallies[g][i].add(c, [2]int64{})
-			halves[i][half[zones[g]]%2].add(c, [2]int64{})
-			byZone[zones[g]][i].add(c, [2]int64{})
-			if c.Latency != nil {
-				if b.latency[i] == nil {
-					b.latency[i] = hdrhistogram.New(c.Latency.LowestTrackableValue(), c.Latency.HighestTrackableValue(),
-						int(c.Latency.SignificantFigures()))
-				}
-				b.latency[i].Merge(c.Latency)
-				for _, bar := range c.Latency.Distribution() {
-					if bar.Count > 0 {
-						b.latencyBars[g][i] = append(b.latencyBars[g][i], bar)
-					}
-				}
-			}
-		}
-		b.gauges[openConnections].add(s.Connections)
-		b.gauges[residentMemory].add(s.Memory)
+	for side, t := range [2]*tally{newer, older} {
+		pending[side].put(m, t.total[m], t.bad[m])
 	}
-	for i := range halves {
-		for m := range metricCount {
-			a, c := &halves[i][0], &halves[i][1]
-			if a.total[m] < 5 || c.total[m] < 5 {
-				continue
-			}
-			d := a.rate(m) - c.rate(m)
-			if m == attemptsPerRequest {
-				d /= max((a.bad[m]+c.bad[m])/(a.total[m]+c.total[m]), 1e-9)
-			}
-			both := a.total[m] * c.total[m] / (a.total[m] + c.total[m])
-			pooled := (a.bad[m] + c.bad[m]) / (a.total[m] + c.total[m])
-			b.dispersionSamples[i][m].add(d * d * both / rateVariance(m, pooled))
-		}
+	news, olds := pending[0], pending[1]
+	enough := float64(minQueries)
+	if m == attemptsPerRequest {
+		enough = minShardRequests
 	}
-	for z := range byZone {
-		for i := range byZone[z] {
-			if byZone[z][i].total[lostValue] >= 5 {
-				b.lossByZone[z][i].add(byZone[z][i].rate(lostValue))
-			}
-		}
+	if news.total[m] < enough || olds.total[m] < enough {
+		return difference{}, false
 	}
+	*pending = [2]tally{}
+	value := news.rate(m) - olds.rate(m)
+	if m == attemptsPerRequest {
+		value /= max(d.baseline.attemptsPerRequest[k.class], 1e-9)
+	}
+	pooled := (news.bad[m] + olds.bad[m]) / (news.total[m] + olds.total[m])
+	variance := rateVariance(m, max(pooled, minVarianceRate)) * d.baseline.overdispersionOf(k.class, m)
+	stdDev := math.Sqrt(variance * (1/news.total[m] + 1/olds.total[m]))
+	return difference{value, stdDev, news.total[m]}, true
 }
 
-// total is what all gatherers came to in an index.
-func (b *baseline) total(i int) (sum tally) {
-	for g := range b.tallies {
-		sum.merge(&b.tallies[g][i])
+// pooledDifference is the difference over several zones, weighted by the inverse of their variances.
+func pooledDifference(all []difference) (sum difference) {
+	weights := 0.0
+	for _, diff := range all {
+		weight := 1 / (diff.stdDev * diff.stdDev)
+		sum.value += weight * diff.value
+		sum.queries += diff.queries
+		weights += weight
 	}
+	sum.value /= weights
+	sum.stdDev = math.Sqrt(1 / weights)
 	return sum
 }
 
-// precise reports whether an index is known well enough for two halves of the fleet to be told apart by what a
-// quarter of the harm is. What is taken off later as the gatherers' own difference is no better known than
-// that, and stays as wrong for as long as a stage lasts.
-func (b *baseline) precise(p *Plan, i int) bool {
-	sum := b.total(i)
-	for _, m := range []metric{lostValue, rejected, failedQueries, extraAttempts} {
-		over := max(1, b.dispersionSamples[i][m].mean)
-		if err := 2 * math.Sqrt(rateVariance(m, sum.rate(m))*over/max(sum.total[m], 1)); err > p.Harm/4 {
-			return false
-		}
+// updateComparison adds a difference to both questions: whether the new are worse by more than is tolerated,
+// and whether they are worse by less than has to be found. The offset and its standard error are the
+// gatherers' own difference at the baseline.
+func (d *Decider) updateComparison(k comparisonKey, offset, offsetError float64, diff difference) {
+	c := d.comparisons[k]
+	if c == nil {
+		c = &comparison{}
+		d.comparisons[k] = c
 	}
-	// Of the tail there is a twentieth by its meaning, whatever the latencies are.
-	return 2*math.Sqrt(0.05*0.95*latencyOverdispersion/max(sum.total[lostValue], 1)) <= p.thresholds(latencyTail).detectable/4
+	t := d.stageThresholds(k.metric)
+	value := diff.value - offset
+	c.queries += diff.queries
+	c.difference.add(value)
+	// Two standard errors of the offset are tolerated too. One makes harm be found sooner, but no sooner
+	// than at half of what has to be found.
+	c.harm.update((value - t.tolerated - 2*offsetError) / diff.stdDev)
+	c.harmless.update((max(t.detectable-offsetError, t.detectable/2) - value) / diff.stdDev)
 }
 
-// latencyOverdispersion is by how much latencies spread more than independent ones, which no baseline tells: the
-// limits that they are held against come from it.
-const latencyOverdispersion = 2.0
-
-// hasLatencies reports whether latencies of an index were told at the baseline.
-func (b *baseline) hasLatencies(i int) bool {
-	return b.latency[i] != nil && b.latency[i].TotalCount() > 0 || b.total(i).total[latencyTail] > 0
+// stageThresholds are a metric's thresholds at this stage. What has to be found is what would harm as many
+// queries at the next stage as the plan's harm would in the whole fleet: one gatherer shows a great harm
+// soon and a small one never, and a small one does little before a stage that can show it.
+func (d *Decider) stageThresholds(m metric) thresholds {
+	t := d.plan.thresholds(m)
+	t.detectable = max(t.detectable, min(t.detectable/d.nextStageShare(), d.widestThreshold(m)))
+	return t
 }
 
-// finish works out what the baseline comes to.
-func (b *baseline) finish() {
-	b.complete = true
-	all := 0.0
-	defer func() { b.latencyBars = nil }()
-	for i := range b.latencyLimits {
-		sum := b.total(i)
-		b.classShare[i] = sum.total[lostValue]
-		all += sum.total[lostValue]
-		b.attemptsPerRequest[i] = sum.rate(attemptsPerRequest)
-		if b.latency[i] != nil && b.latency[i].TotalCount() > 0 {
-			b.latencyLimits[i] = [2]int64{b.latency[i].ValueAtQuantile(50), b.latency[i].ValueAtQuantile(95)}
-			for g := range b.tallies {
-				b.tallies[g][i].addLatencies(b.latencyBars[g][i], b.latencyLimits[i])
-			}
-		}
-		for m := range metricCount {
-			// Few intervals say little of the spread: it is taken to be half as much again, then less and less.
-			over := &b.dispersionSamples[i][m]
-			b.overdispersion[i][m] = max(1, over.mean) * (1 + 4/(over.n+8))
-		}
+// nextStageShare is the share of the fleet that the next stage changes.
+func (d *Decider) nextStageShare() float64 {
+	if next := d.position.Stage + 1; next < len(d.targets) {
+		return float64(len(d.targets[next])) / float64(len(d.plan.Gatherers))
 	}
-	for i := range b.classShare {
-		b.classShare[i] /= max(all, 1)
+	return 1
+}
+
+// widestThreshold is what has to be found of a metric at the smallest stage.
+func (d *Decider) widestThreshold(m metric) float64 {
+	if m == attemptsPerRequest {
+		return 1
 	}
+	return d.plan.WarmUpHarm
+}
+
+// stageTooSmallFor reports whether a stage is too small to need proof in a metric that costs nobody anything
+// by itself: a gatherer's own differences are as large there.
+func (d *Decider) stageTooSmallFor(m metric) bool {
+	const rounding = 1.001
+	return d.plan.thresholds(m).detectable/d.nextStageShare() > rounding*d.widestThreshold(m)
 }
 
-// offset is by how much a set of gatherers was worse than the rest at the baseline, in a metric and index,
-// with its standard error: the quiet ones, the busy ones and those with a bad link differ without any
-// version's doing.
-func (b *baseline) offset(i int, m metric, isNew, isOld func(g int) bool) (offset, err float64) {
-	var a, c tally
-	for g := range b.tallies {
-		switch {
-		case isNew(g):
-			a.merge(&b.tallies[g][i])
-		case isOld(g):
-			c.merge(&b.tallies[g][i])
+// compareGauges compares connections and memory of an average gatherer, relative to the old ones'.
+func (d *Decider) compareGauges(in *interval) {
+	var news, olds variantTally
+	for z := range in.olds {
+		news.gatherers += in.news[z].gatherers
+		olds.gatherers += in.olds[z].gatherers
+		for k := range gaugeCount {
+			news.gauges[k] += in.news[z].gauges[k]
+			olds.gauges[k] += in.olds[z].gauges[k]
 		}
 	}
-	if a.total[m] < 5 || c.total[m] < 5 {
-		return 0, 0
+	if news.gatherers == 0 || olds.gatherers == 0 {
+		return
 	}
-	pooled := (a.bad[m] + c.bad[m]) / (a.total[m] + c.total[m])
-	d := a.rate(m) - c.rate(m)
-	if m == attemptsPerRequest {
-		d /= max(b.attemptsPerRequest[i], 1e-9)
+	newCount, oldCount := float64(news.gatherers), float64(olds.gatherers)
+	for k := range gaugeCount {
+		usual := max(olds.gauges[k]/oldCount, 1e-9)
+		value := news.gauges[k]/newCount/usual - 1
+		variation := gaugeVariation
+		if g := &d.baseline.gauges[k]; g.n > 1 && g.mean > 0 {
+			variation = max(variation, math.Sqrt(g.variance())/g.mean)
+		}
+		// Intervals follow each other and are no independent draws, hence twice the deviation.
+		stdDev := variation * math.Sqrt(1/newCount+1/oldCount) * 2
+		c := &d.gauges[k]
+		c.queries += newCount
+		c.difference.add(value)
+		c.harm.update(max(min((value-d.plan.ExtraCost/3)/stdDev, 1), -2))
 	}
-	both := a.total[m] * c.total[m] / (a.total[m] + c.total[m])
-	err = math.Sqrt(rateVariance(m, pooled) * b.overdispersion[i][m] / both)
-	// What is seen of a difference is chance for the part that chance makes (James and Stein, 1961): taken off
-	// whole, it would be a difference of its own.
-	return d * max(0, 1-err*err/max(d*d, 1e-12)), err
 }
--- /dev/null
+++ b/logic/rollout/decider.go
@@ -0,0 +1,340 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+
+	"yokeroute/internal/suggest"
+)
+
+// Decider decides one rollout. Its slices are indexed by gatherer unless they say otherwise.
+type Decider struct {
+	plan      Plan
+	zoneNames []string
+	zoneOf    []int
+	order     []int   // in which gatherers are changed
+	targets   [][]int // by stage: gatherers of it and of those before it
+	position  Position
+	resumed   bool // some gatherers may be new already
+
+	stageStarted    bool
+	stageStartedAt  float64
+	evaluatingSince float64 // when all of the stage served as new; 0 before
+
+	baseline       *baseline
+	comparisons    map[comparisonKey]*comparison
+	pending        map[comparisonKey]*[2]tally // new and old, too few to compare yet
+	warmUps        []comparison                // by class, over all stages: gatherers new and warming up
+	gauges         [gaugeCount]comparison
+	exits          likelihoodRatio // processes that ended by themselves
+	disturbedUntil []float64       // by zone
+	disturbedSince float64         // of any zone without a pause; 0 for none
+
+	requested         []Variant // of the step in progress; Unknown for none
+	requestedAt       []float64
+	attempts          []int    // steps started in a row
+	gaveUp            []bool   // it did not come up as new in all attempts
+	incarnation       []string // as last reported
+	incarnationBefore []string // as of the last step's start
+	lastSeenNew       []bool   // it served as new when it was last reachable
+}
+
+// NewDecider returns a decider for a plan with its defaults that passed Check, at the position that an
+// earlier decider was at. The zero Position is the beginning.
+func NewDecider(p Plan, at Position) *Decider {
+	resumed := at.Phase != ""
+	if at.Phase == "" || at.Phase == Updating || at.Phase == Evaluating {
+		at.Phase = Baselining // evidence is not kept: the old are observed again
+	}
+	n := len(p.Gatherers)
+	d := &Decider{
+		plan: p, zoneNames: p.Zones(), order: p.Order(), position: at, resumed: resumed,
+		warmUps:           make([]comparison, len(p.Classes)),
+		requested:         make([]Variant, n),
+		requestedAt:       make([]float64, n),
+		attempts:          make([]int, n),
+		gaveUp:            make([]bool, n),
+		incarnation:       make([]string, n),
+		incarnationBefore: make([]string, n),
+		lastSeenNew:       make([]bool, n),
+	}
+	for _, g := range p.Gatherers {
+		d.zoneOf = append(d.zoneOf, slices.Index(d.zoneNames, g.Zone))
+	}
+	for s := range p.Stages {
+		d.targets = append(d.targets, p.Targets(s))
+	}
+	d.disturbedUntil = make([]float64, len(d.zoneNames))
+	d.resetEvidence()
+	return d
+}
+
+// Position implements Strategy.
+func (d *Decider) Position() Position { return d.position }
+
+// resetEvidence drops a stage's evidence. That about warming up is kept: it accumulates over all stages.
+func (d *Decider) resetEvidence() {
+	d.pending = map[comparisonKey]*[2]tally{}
+	d.comparisons = map[comparisonKey]*comparison{}
+	d.gauges = [gaugeCount]comparison{}
+	d.exits = likelihoodRatio{}
+	d.evaluatingSince = 0
+	d.disturbedSince = 0
+	d.stageStarted = false
+	clear(d.attempts)
+	clear(d.gaveUp)
+}
+
+// startStage begins a stage's time and evidence.
+func (d *Decider) startStage(now float64) {
+	d.position.Phase = Updating
+	d.resetEvidence()
+	d.stageStarted = true
+	d.stageStartedAt = now
+}
+
+// Command implements Strategy.
+func (d *Decider) Command(v Verdict, reason string) {
+	phase := d.position.Phase
+	switch {
+	case v == Stop && phase != Completed && phase != RolledBack:
+		d.position.Phase = Stopped
+		d.position.Reason = reason
+	case v == RollBack && phase != RolledBack:
+		d.startRollback(reason)
+	case v == Proceed && phase == Stopped:
+		d.resume()
+	}
+}
+
+func (d *Decider) resume() {
+	d.position.Phase = Updating
+	d.position.Reason = ""
+	if d.baseline == nil || !d.baseline.complete {
+		d.position.Phase = Baselining
+		d.baseline = nil
+		d.resumed = true
+	}
+	d.resetEvidence()
+	clear(d.warmUps)
+}
+
+func (d *Decider) startRollback(reason string) {
+	d.position.Phase = RollingBack
+	d.position.Reason = reason
+	clear(d.warmUps)
+	d.resetEvidence()
+}
+
+// Decide implements Strategy.
+func (d *Decider) Decide(o Observation) Decision {
+	if !d.stageStarted {
+		d.stageStarted = true
+		d.stageStartedAt = o.Now
+	}
+	d.trackIncarnations(&o)
+	switch d.position.Phase {
+	case Baselining:
+		return d.observeBaseline(&o)
+	case Updating, Evaluating:
+		return d.advanceStage(&o)
+	case RollingBack:
+		return d.continueRollback(&o)
+	case Stopped:
+		return d.decision(Stop, nil, "stopped: %s", d.position.Reason)
+	case RolledBack:
+		return d.decision(Done, nil, "restored: %s", d.position.Reason)
+	}
+	return d.decision(Done, nil, "all %d gatherers are new", len(d.plan.Gatherers))
+}
+
+func (d *Decider) decision(v Verdict, steps []Step, format string, args ...any) Decision {
+	return Decision{Verdict: v, Phase: d.position.Phase, Stage: d.position.Stage,
+		Reason: fmt.Sprintf(format, args...), Steps: steps}
+}
+
+// rollBack starts a rollback.
+func (d *Decider) rollBack(reason string) Decision {
+	d.startRollback(reason)
+	return d.decision(RollBack, nil, "%s", reason)
+}
+
+// stop stops the rollout.
+func (d *Decider) stop(reason string) Decision {
+	d.position.Phase = Stopped
+	d.position.Reason = reason
+	return d.decision(Stop, nil, "%s", reason)
+}
+
+// trackIncarnations keeps which process serves each gatherer, and counts processes that ended without a
+// step.
+func (d *Decider) trackIncarnations(o *Observation) {
+	olds, news := o.countVariants()
+	for g := range o.Gatherers {
+		s := &o.Gatherers[g]
+		if !s.Reachable {
+			continue
+		}
+		changed := d.incarnation[g] != "" && s.Incarnation != d.incarnation[g]
+		byStep := d.requested[g] != Unknown || s.Step == Running
+		if changed && !byStep && (s.Variant == New || s.Variant == Old) {
+			d.exits.update(float64(news)/float64(max(news+olds, 1)), d.lastSeenNew[g] || s.Variant == New)
+		}
+		d.incarnation[g] = s.Incarnation
+		d.lastSeenNew[g] = s.Variant == New
+	}
+}
+
+// observeBaseline is the phase before the first change.
+func (d *Decider) observeBaseline(o *Observation) Decision {
+	if d.baseline == nil {
+		d.baseline = newBaseline(&d.plan, o.Now)
+	}
+	if notOld := d.notOld(o); len(notOld) > 0 && !d.resumed {
+		return d.stop("before the first change some gatherers do not serve as the plan's old ones: " +
+			suggest.Join(notOld))
+	}
+	d.baseline.observe(&d.plan, d.zoneOf, o)
+	elapsed := o.Now - d.baseline.startedAt
+	if elapsed < d.plan.BaselineTime {
+		return d.decision(Wait, nil, "watching the old for %.0f s more before anything is changed",
+			(d.plan.BaselineTime-elapsed)/1000)
+	}
+	if class := d.unknownClass(); class >= 0 && elapsed < d.plan.StageLimit/4 {
+		return d.decision(Wait, nil, "watching the old: %.0f lookups of %s so far, too few to know them by",
+			d.baseline.total(class).total[lostValue], d.plan.Classes[class])
+	}
+	d.baseline.finish()
+	d.startStage(o.Now)
+	return d.decision(Proceed, nil, "the old are known: %s", d.baseline.summary(&d.plan))
+}
+
+// notOld names the gatherers that serve as something else than old and are not being changed.
+func (d *Decider) notOld(o *Observation) (names []string) {
+	for g := range o.Gatherers {
+		if s := &o.Gatherers[g]; s.Reachable && s.Variant != Old && s.Step == Idle {
+			names = append(names, fmt.Sprintf("%s (%s)", d.plan.Gatherers[g].Name, s.Variant))
+		}
+	}
+	return names
+}
+
+// unknownClass returns the last class of which the baseline has seen too little, -1 for none.
+func (d *Decider) unknownClass() int {
+	all, unknown := 0.0, -1
+	for class := range d.plan.Classes {
+		all += d.baseline.total(class).total[lostValue]
+	}
+	for class := range d.plan.Classes {
+		queries := d.baseline.total(class).total[lostValue]
+		evaluated := queries >= d.plan.MinClassShare*all
+		if queries < minBaselineQueries || evaluated && !d.baseline.precise(&d.plan, class) {
+			unknown = class
+		}
+	}
+	return unknown
+}
+
+// advanceStage changes the gatherers of a stage and evaluates them.
+func (d *Decider) advanceStage(o *Observation) Decision {
+	d.compareVariants(o)
+	if reason := cmp.Or(d.provenHarm(), d.startFailure()); reason != "" {
+		return d.rollBack(reason)
+	}
+	steps, missing := d.planSteps(o, d.targets[d.position.Stage], New, !d.lastStage())
+	if reason := d.lastingDisturbance(o); reason != "" {
+		return d.rollBack(reason)
+	}
+	if o.Now-d.stageStartedAt > d.plan.StageLimit {
+		return d.endOverdueStage(o, missing)
+	}
+	if len(missing) > 0 {
+		d.evaluatingSince = 0
+		d.position.Phase = Updating
+		if len(steps) > 0 {
+			return d.decision(Proceed, steps, "stage %s: changing %s",
+				d.stageName(), suggest.Join(d.stepNames(steps)))
+		}
+		return d.decision(Wait, nil, "stage %s: %s", d.stageName(), d.waitingFor(o, missing))
+	}
+	if d.evaluatingSince == 0 {
+		d.evaluatingSince = o.Now
+		d.position.Phase = Evaluating
+	}
+	if lacking := d.missingEvidence(o); lacking != "" {
+		return d.decision(Wait, nil, "stage %s: %s", d.stageName(), lacking)
+	}
+	return d.passStage(o)
+}
+
+func (d *Decider) stageName() string { return d.plan.Stages[d.position.Stage].Name }
+
+func (d *Decider) lastStage() bool { return d.position.Stage == len(d.plan.Stages)-1 }
+
+// passStage goes on to the next stage, or completes the rollout.
+func (d *Decider) passStage(o *Observation) Decision {
+	if d.lastStage() {
+		d.position.Phase = Completed
+		return d.decision(Done, nil, "all %d gatherers are new", len(d.targets[d.position.Stage]))
+	}
+	passed := d.stageName()
+	d.position.Stage++
+	d.startStage(o.Now)
+	return d.decision(Proceed, nil, "stage %s is passed; next is %s", passed, d.stageName())
+}
+
+// lastingDisturbance returns why a disturbance of the old is held against the new, empty where it is not. A
+// disturbance suspends comparisons; one that never ends may be the new version's doing.
+func (d *Decider) lastingDisturbance(o *Observation) string {
+	_, news := o.countVariants()
+	lasted := o.Now - d.disturbedSince
+	if news == 0 || d.disturbedSince <= 0 || lasted <= d.plan.MaxDisturbance {
+		return ""
+	}
+	return fmt.Sprintf("stage %s: the old do worse as well since %.0f s ago, without an end; "+
+		"the new may be what harms them", d.stageName(), lasted/1000)
+}
+
+// endOverdueStage ends a stage that exceeded its limit. The last one is complete where all that is missing
+// can't be changed.
+func (d *Decider) endOverdueStage(o *Observation, missing []int) Decision {
+	lacking := d.waitingFor(o, missing)
+	if len(missing) == 0 {
+		lacking = d.missingEvidence(o)
+	}
+	if d.lastStage() && len(missing) > 0 && len(missing) == d.countUnchangeable(o, missing) {
+		d.position.Phase = Completed
+		return d.decision(Done, nil, "all that can be reached and come up are new; not these: %s",
+			suggest.Join(d.gathererNames(missing)))
+	}
+	reason := fmt.Sprintf("stage %s lasts longer than its limit of %.0f s: %s", d.stageName(),
+		d.plan.StageLimit/1000, lacking)
+	if d.plan.OnStageLimit == Stop {
+		return d.stop(reason)
+	}
+	return d.rollBack(reason)
+}
+
+// continueRollback makes new gatherers old again.
+func (d *Decider) continueRollback(o *Observation) Decision {
+	all := make([]int, len(o.Gatherers))
+	for g := range all {
+		all[g] = len(all) - 1 - g
+	}
+	steps, missing := d.planSteps(o, all, Old, false)
+	if len(steps) > 0 {
+		return d.decision(RollBack, steps, "making %s old again: %s", suggest.Join(d.stepNames(steps)),
+			d.position.Reason)
+	}
+	if len(missing) == 0 {
+		d.position.Phase = RolledBack
+		return d.decision(Done, nil, "restored: %s", d.position.Reason)
+	}
+	if o.Now-d.stageStartedAt > d.plan.StageLimit {
+		return d.stop(fmt.Sprintf("going back is not finished after %.0f s, still not old: %s; "+
+			"it began since %s",
+			d.plan.StageLimit/1000, suggest.Join(d.gathererNames(missing)), d.position.Reason))
+	}
+	return d.decision(Wait, nil, "going back, %s: %s", d.waitingFor(o, missing), d.position.Reason)
+}
--- a/logic/rollout/journal.go
+++ b/logic/rollout/journal.go
@@ -7,95 +7,99 @@
 	"time"
 )
 
-// RecordFormat is the number of a journal's records; a reader of lower ones alone refuses them.
+// RecordFormat is the format number of a journal's records. A reader that knows only lower numbers refuses
+// them.
 const RecordFormat = 1
 
-// Record is one line of a rollout's journal. Times are Unix milliseconds.
+// Record is an entry of a rollout's journal.
 type Record struct {
 	Format       int        `json:"f"`
-	At           float64    `json:"t"`
+	At           float64    `json:"t"` // Unix milliseconds
 	Kind         RecordKind `json:"k"`
-	PlanSum      string     `json:"plan,omitempty"`  // fingerprint of the plan that a controller began with
-	FencingToken uint64     `json:"fence,omitempty"` // the controller's number
+	PlanSum      string     `json:"plan,omitempty"`  // fingerprint of the controller's plan
+	FencingToken uint64     `json:"fence,omitempty"` // the controller's
 	Position     *Position  `json:"at,omitempty"`
-	Gatherer     string     `json:"g,omitempty"`  // the gatherer
-	Target       Variant    `json:"to,omitempty"` // what it is made
+	Gatherer     string     `json:"g,omitempty"`
+	Target       Variant    `json:"to,omitempty"` // of the step
 	Message      string     `json:"err,omitempty"`
-	Command      string     `json:"word,omitempty"` // the operator's, and which one
+	Command      string     `json:"word,omitempty"` // the operator's, with its stamp
 }
 
-// RecordKind is what a record tells.
+// RecordKind is the event that a record keeps.
 type RecordKind string
 
 // The kinds of records.
 const (
-	ControllerStarted RecordKind = "begin"   // a controller has begun
-	PositionChanged   RecordKind = "at"      // the rollout is at another position
-	StepStarted       RecordKind = "step"    // a step is about to begin
-	StepEnded         RecordKind = "stepped" // it has ended, well or not
-	CommandTaken      RecordKind = "word"    // the operator's word was taken
+	ControllerStarted RecordKind = "begin"
+	PositionChanged   RecordKind = "at"
+	StepStarted       RecordKind = "step"    // written before the step starts
+	StepEnded         RecordKind = "stepped" // well or not
+	CommandTaken      RecordKind = "word"    // an operator's command
 )
 
-// Describe is a record in words.
+// Describe is the record as operators read it.
 func (r Record) Describe() string {
-	when := time.UnixMilli(int64(r.At)).Format("15:04:05")
+	at := time.UnixMilli(int64(r.At)).Format("15:04:05")
 	switch r.Kind {
 	case ControllerStarted:
-		return fmt.Sprintf("%s  controller %d begins", when, r.FencingToken)
+		return fmt.Sprintf("%s  controller %d begins", at, r.FencingToken)
 	case PositionChanged:
-		return fmt.Sprintf("%s  %s, stage %d: %s", when, r.Position.Phase, r.Position.Stage+1, cmp.Or(r.Message, r.Position.Reason))
+		return fmt.Sprintf("%s  %s, stage %d: %s", at, r.Position.Phase, r.Position.Stage+1,
+			cmp.Or(r.Message, r.Position.Reason))
 	case StepStarted:
-		return fmt.Sprintf("%s  making %s %s", when, r.Gatherer, r.Target)
+		return fmt.Sprintf("%s  making %s %s", at, r.Gatherer, r.Target)
 	case StepEnded:
 		if r.Message != "" {
-			return fmt.Sprintf("%s  %s could not be made %s: %s", when, r.Gatherer, r.Target, r.Message)
+			return fmt.Sprintf("%s  %s could not be made %s: %s", at, r.Gatherer, r.Target, r.Message)
 		}
-		return fmt.Sprintf("%s  %s: its step to %s has ended", when, r.Gatherer, r.Target)
+		return fmt.Sprintf("%s  %s: its step to %s has ended", at, r.Gatherer, r.Target)
 	}
-	return fmt.Sprintf("%s  operator: %s", when, r.Command)
+	return fmt.Sprintf("%s  operator: %s", at, r.Command)
 }
 
-// ErrPlanChanged is a plan whose text is not that with which the rollout began: what was done by the one can't
-// be gone on with by the other.
+// ErrPlanChanged is a plan whose text is not the one that the rollout began with. What was done by the one
+// can't be continued by the other.
 var ErrPlanChanged = errors.New("has changed since this rollout began; put the old text back, " +
 	"or end this rollout and begin another in a folder of its own")
 
-// Recovered is what a controller goes on from.
+// ErrRecord is a record that Replay can't take.
+var ErrRecord = errors.New("a faulty record of a rollout's journal")
+
+// Recovered is what a controller continues from.
 type Recovered struct {
 	Position        Position
-	UnfinishedSteps []Record // steps that were begun and of whose end nothing is known, in their order: they are made again
-	Command         string   // the operator's last one that was heeded
+	UnfinishedSteps []Record // started, with no end in the journal; in their order
+	Command         string   // the operator's last one that was taken
 }
 
-// Replay reads a journal: where the rollout was, and what may be half done. A step that was written down as
-// begun and not as ended may have been made, or not, or be under way still; making it again is harmless,
-// leaving it out is not.
-func Replay(plan string, all []Record) (r Recovered, err error) {
-	open := map[string]int{}
-	for i, rec := range all {
-		switch rec.Kind {
+// Replay reads a journal. A step that is recorded as started and not as ended may have been made, or not, or
+// may still be running. Repeating it is harmless, leaving it out is not: the controller repeats it.
+func Replay(planSum string, records []Record) (r Recovered, err error) {
+	unfinished := map[string]int{} // index of the latest StepStarted by gatherer
+	for i, record := range records {
+		switch record.Kind {
 		case ControllerStarted:
-			if rec.PlanSum != plan {
+			if record.PlanSum != planSum {
 				return r, ErrPlanChanged
 			}
 		case PositionChanged:
-			if rec.Position == nil {
-				return r, fmt.Errorf("record %d tells no position", i+1)
+			if record.Position == nil {
+				return r, fmt.Errorf("%w: record %d tells no position", ErrRecord, i+1)
 			}
-			r.Position = *rec.Position
+			r.Position = *record.Position
 		case StepStarted:
-			open[rec.Gatherer] = i
+			unfinished[record.Gatherer] = i
 		case StepEnded:
-			delete(open, rec.Gatherer)
+			delete(unfinished, record.Gatherer)
 		case CommandTaken:
-			r.Command = rec.Command
+			r.Command = record.Command
 		default:
-			return r, fmt.Errorf("record %d is of the unknown kind %q", i+1, rec.Kind)
+			return r, fmt.Errorf("%w: record %d is of the unknown kind %q", ErrRecord, i+1, record.Kind)
 		}
 	}
-	for i, rec := range all { // in their order, not the map's
-		if at, is := open[rec.Gatherer]; is && at == i {
-			r.UnfinishedSteps = append(r.UnfinishedSteps, rec)
+	for i, record := range records { // in the journal's order, not the map's
+		if started, is := unfinished[record.Gatherer]; is && started == i {
+			r.UnfinishedSteps = append(r.UnfinishedSteps, record)
 		}
 	}
 	return r, nil
