--- a/internal/control/rollout/ask_test.go
+++ b/internal/control/rollout/ask_test.go
@@ -9,7 +9,6 @@
 	"net/http/httptest"
 	"strings"
 	"testing"
-	"time"
 
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/storage/statedir"
@@ -46,7 +45,7 @@
 		{"one", 1, statedir.ErrTaken, "another controller has taken this over: gatherer g1 is held by controller 2"},
 		{"other", 9, errClaimed, "gatherer g1 is being changed by another run: one, controller 2"},
 	} {
-		err := tell.claim(context.Background(), 0, c.run, c.fence, time.Minute)
+		err := tell.claim(context.Background(), 0, c.run, c.fence)
 		if !errors.Is(err, c.is) || err != nil && !strings.Contains(err.Error(), c.words) || claimRefused(err) != (c.is != nil) {
 			t.Errorf("%s %d: %v", c.run, c.fence, err)
 		}
@@ -54,7 +53,7 @@
 			t.Errorf("%s %d, of all: %v", c.run, c.fence, all)
 		}
 	}
-	if err := tell.claim(context.Background(), 1, "one", 1, time.Minute); err == nil || claimRefused(err) {
+	if err := tell.claim(context.Background(), 1, "one", 1); err == nil || claimRefused(err) {
 		t.Errorf("nobody there: %v", err)
 	}
 }
--- /dev/null
+++ b/internal/control/rollout/commandstep.go
@@ -0,0 +1,155 @@
+package rollout
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"syscall"
+	"time"
+
+	"yokeroute/internal/process"
+	"yokeroute/internal/storage/statedir"
+	"yokeroute/logic/rollout"
+)
+
+const (
+	// processPollInterval is how often the end of a process is looked for that is not this one's child.
+	processPollInterval = 20 * time.Millisecond
+
+	// outputWait is for how long a command's output is read after its end, if a child of it holds the pipe.
+	outputWait = time.Second
+
+	maxOutput = 400 // bytes of a command's output in an error
+)
+
+// commandStepper makes steps by the operator's commands.
+type commandStepper struct{ plan *Plan }
+
+func (s commandStepper) step(ctx context.Context, g int, to rollout.Variant, fencingToken uint64) error {
+	command := s.plan.Commands[to]
+	if err := s.awaitPrevious(ctx, g, command.Timeout); err != nil {
+		return err
+	}
+	ctx, cancel := context.WithTimeout(ctx, command.Timeout)
+	defer cancel()
+	var output bytes.Buffer
+	cmd := s.build(ctx, g, to, fencingToken)
+	cmd.Stdout = &output
+	cmd.Stderr = &output
+	err := cmd.Start()
+	if err == nil {
+		if err := s.recordProcess(g, cmd.Process.Pid); err != nil {
+			_ = cmd.Cancel() // the error is that of recording
+			_ = cmd.Wait()
+			return err
+		}
+		err = cmd.Wait()
+	}
+	name := s.plan.Gatherers[g].Name
+	switch {
+	case err == nil:
+		return nil
+	case ctx.Err() != nil:
+		return fmt.Errorf("step of %s: not done after %.0f s: %s", name, command.Timeout.Seconds(),
+			outputTail(output.Bytes()))
+	}
+	return fmt.Errorf("step of %s: %w: %s", name, err, outputTail(output.Bytes()))
+}
+
+// build makes the command of a step. It has a process group of its own, so that it can be ended with all that it has
+// started.
+func (s commandStepper) build(ctx context.Context, g int, to rollout.Variant, fencingToken uint64) *exec.Cmd {
+	token := strconv.FormatUint(fencingToken, 10)
+	placeholders := strings.NewReplacer("{to}", to.String(), "{fence}", token)
+	template := s.plan.Commands[to].Args
+	args := make([]string, len(template))
+	for i, arg := range template {
+		args[i] = placeholders.Replace(s.plan.expand(arg, g))
+	}
+	cmd := exec.CommandContext(ctx, args[0], args[1:]...)
+	cmd.Dir = filepath.Dir(s.plan.File)
+	cmd.Env = append(os.Environ(),
+		"YOKEROUTE_GATHERER="+s.plan.Gatherers[g].Name,
+		"YOKEROUTE_TO="+to.String(),
+		"YOKEROUTE_FENCE="+token,
+	)
+	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true}
+	cmd.Cancel = func() error { return syscall.Kill(-cmd.Process.Pid, syscall.SIGKILL) }
+	cmd.WaitDelay = outputWait
+	return cmd
+}
+
+func (s commandStepper) processFile(g int) string {
+	return filepath.Join(s.plan.Folder, "run", s.plan.Gatherers[g].Name+".step")
+}
+
+// recordProcess records the process of a gatherer's step for a later controller.
+func (s commandStepper) recordProcess(g, pid int) error {
+	return writeProcessFile(s.processFile(g), pid, process.StartTicks(pid))
+}
+
+// awaitPrevious waits for the end of a command that an earlier controller has started for the gatherer, since two at
+// once would disturb each other. One that exceeds its time is killed.
+func (s commandStepper) awaitPrevious(ctx context.Context, g int, timeout time.Duration) error {
+	pid, startTicks, ok := readProcessFile(s.processFile(g))
+	if !ok {
+		return nil
+	}
+	running := func() bool { return process.StartTicks(pid) == startTicks }
+	return awaitEnd(ctx, running, timeout, func() { sendSignal(-pid, syscall.SIGKILL) })
+}
+
+// awaitEnd waits until a process no longer runs, and kills it after a time.
+func awaitEnd(ctx context.Context, running func() bool, timeout time.Duration, kill func()) error {
+	expired := time.NewTimer(timeout)
+	defer expired.Stop()
+	poll := time.NewTicker(processPollInterval)
+	defer poll.Stop()
+	for running() {
+		select {
+		case <-ctx.Done():
+			return ctx.Err()
+		case <-expired.C:
+			kill()
+		case <-poll.C:
+		}
+	}
+	return nil
+}
+
+// sendSignal sends a signal to a process or, by a negative ID, to its group. One that has ended needs none.
+func sendSignal(pid int, s syscall.Signal) { _ = syscall.Kill(pid, s) }
+
+// writeProcessFile writes which process something is: its ID, and when the kernel started it, since IDs are reused.
+func writeProcessFile(file string, pid int, startTicks string) error {
+	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
+		return err
+	}
+	return statedir.Replace(file, fmt.Appendf(nil, "%d %s\n", pid, startTicks))
+}
+
+// readProcessFile reads what writeProcessFile wrote; ok is false where there is nothing to read.
+func readProcessFile(file string) (pid int, startTicks string, ok bool) {
+	text, err := os.ReadFile(file)
+	if err != nil {
+		return 0, "", false
+	}
+	if n, _ := fmt.Sscan(string(text), &pid, &startTicks); n < 2 {
+		return 0, "", false
+	}
+	return pid, startTicks, true
+}
+
+// outputTail is the end of a command's output.
+func outputTail(output []byte) string {
+	text := strings.TrimSpace(string(output))
+	if len(text) > maxOutput {
+		text = "..." + text[len(text)-maxOutput:]
+	}
+	return text
+}
--- /dev/null
+++ b/internal/control/rollout/controller.go
@@ -0,0 +1,214 @@
+package rollout
+
+import (
+	"cmp"
+	"context"
+	"encoding/json"
+	"errors"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/internal/storage/statedir"
+	"yokeroute/logic/rollout"
+)
+
+// Controller carries out one rollout.
+type Controller struct {
+	plan     *Plan
+	log      *logrus.Logger
+	reports  *reportClient
+	stepper  stepper
+	strategy rollout.Strategy
+	now      func() float64 // Unix milliseconds
+
+	journal      *statedir.Run
+	fencingToken uint64
+	runID        string           // by which gatherers know this rollout
+	lastCommand  string           // the operator's last one that was taken
+	unfinished   []rollout.Record // steps that an earlier controller began
+	position     rollout.Position // last recorded
+	lastSummary  string           // last logged
+
+	mu         sync.Mutex          // guards what follows, and the journal's end
+	stepStates []rollout.StepState // by gatherer
+	stepFaults []string            // by gatherer
+	steps      sync.WaitGroup      // in progress
+}
+
+// Open begins a rollout, or continues one that was begun in the plan's folder. All files of both releases are checked
+// and the gatherers claimed first: nothing is begun where that fails. With takeOver it takes a rollout over from a
+// process that holds it and stands still; that one does nothing any more, should it go on.
+func Open(ctx context.Context, p *Plan, takeOver bool, log *logrus.Logger) (*Controller, error) {
+	return OpenWithOverrides(ctx, p, takeOver, log, Overrides{})
+}
+
+// OpenWithOverrides is Open with other decisions or steps.
+func OpenWithOverrides(
+	ctx context.Context, p *Plan, takeOver bool, log *logrus.Logger, overrides Overrides,
+) (*Controller, error) {
+	if err := p.CheckFiles(); err != nil {
+		return nil, err
+	}
+	c := &Controller{
+		plan:       p,
+		log:        log,
+		stepper:    newStepper(p, overrides),
+		stepStates: make([]rollout.StepState, len(p.Gatherers)),
+		stepFaults: make([]string, len(p.Gatherers)),
+		now:        func() float64 { return float64(time.Now().UnixNano()) / float64(time.Millisecond) },
+	}
+	if err := c.openJournal(takeOver); err != nil {
+		return nil, err
+	}
+	if err := c.begin(ctx, overrides); err != nil {
+		c.journal.Close()
+		return nil, err
+	}
+	return c, nil
+}
+
+// openJournal takes the lock of the plan's folder and a fencing token.
+func (c *Controller) openJournal(takeOver bool) error {
+	var err error
+	c.journal, err = statedir.OpenRun(c.plan.Folder, takeOver)
+	if errors.Is(err, statedir.ErrHeld) {
+		holder := "unknown"
+		if s, err := ReadStatus(c.plan.Folder); err == nil {
+			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.ObservedAt)/1000)
+		}
+		return fmt.Errorf("rollout %s %w: %s; if that one stands still, --take-over", c.plan.Name, err, holder)
+	}
+	if err != nil {
+		return err
+	}
+	c.fencingToken = c.journal.Fence
+	return nil
+}
+
+// begin recovers the position, claims the gatherers and records that this controller carries the rollout out.
+func (c *Controller) begin(ctx context.Context, overrides Overrides) error {
+	var err error
+	if c.reports, err = newReportClient(c.plan); err != nil {
+		return err
+	}
+	if err := c.recover(); err != nil {
+		return err
+	}
+	c.runID = c.plan.runID()
+	if err := c.reports.claimAll(ctx, c.runID, c.fencingToken); err != nil {
+		return err
+	}
+	if len(c.plan.Classes) == 0 {
+		if c.plan.Classes, err = c.discoverClasses(ctx); err != nil {
+			return err
+		}
+	}
+	if overrides.Strategy != nil {
+		c.strategy = overrides.Strategy(c.plan.Plan, c.position)
+	} else {
+		c.strategy = rollout.NewDecider(c.plan.Plan, c.position)
+	}
+	return c.appendRecord(rollout.Record{
+		Kind:         rollout.ControllerStarted,
+		PlanSum:      c.plan.Fingerprint,
+		FencingToken: c.fencingToken,
+	})
+}
+
+// runID names the rollout to gatherers: the same for all of its controllers, and different from all other rollouts'.
+func (p *Plan) runID() string {
+	folder, err := filepath.EvalSymlinks(p.Folder)
+	if err != nil {
+		folder = ""
+	}
+	host, err := os.Hostname()
+	if err != nil {
+		host = ""
+	}
+	return fmt.Sprintf("%s in %s on %s", p.Name, cmp.Or(folder, p.Folder), host)
+}
+
+// discoverClasses returns the classes that the gatherers report.
+func (c *Controller) discoverClasses(ctx context.Context) ([]string, error) {
+	const maxFaults = 3
+	o := c.reports.observe(ctx, 0)
+	var faults []string
+	for g := range o.Gatherers {
+		if d := c.reports.lastReports[g]; d != nil {
+			var classes []string
+			for class := range d.Classes {
+				classes = append(classes, class)
+			}
+			slices.Sort(classes)
+			return classes, nil
+		}
+		faults = append(faults, fmt.Sprintf("%s at %s: %s", c.plan.Gatherers[g].Name, c.plan.Processes[g].ReportAddress,
+			o.Gatherers[g].Fault))
+	}
+	return nil, fmt.Errorf("no gatherer tells of itself; %s", strings.Join(faults[:min(len(faults), maxFaults)], "; "))
+}
+
+// recover reads what earlier controllers recorded. Steps without a recorded end will be repeated.
+func (c *Controller) recover() error {
+	var records []rollout.Record
+	err := c.journal.Recover(func(text []byte) error {
+		record, err := decodeRecord(text)
+		if err != nil {
+			return err
+		}
+		records = append(records, record)
+		return nil
+	})
+	if errors.Is(err, statedir.ErrDamaged) {
+		return fmt.Errorf("%w; docs/operate/rollout.md tells how to go back by hand", err)
+	}
+	if err != nil {
+		return err
+	}
+	recovered, err := rollout.Replay(c.plan.Fingerprint, records)
+	if err != nil {
+		return fmt.Errorf("%s: %w", c.plan.File, err)
+	}
+	c.position = recovered.Position
+	c.unfinished = recovered.UnfinishedSteps
+	c.lastCommand = recovered.Command
+	for _, record := range c.unfinished {
+		if g := c.gathererIndex(record.Gatherer); g >= 0 {
+			c.stepStates[g] = rollout.Running
+		}
+	}
+	return nil
+}
+
+// gathererIndex is a gatherer's index in the plan, -1 for none of that name.
+func (c *Controller) gathererIndex(name string) int {
+	return slices.IndexFunc(c.plan.Gatherers, func(g rollout.Gatherer) bool { return g.Name == name })
+}
+
+// appendRecord appends to the journal.
+func (c *Controller) appendRecord(r rollout.Record) error {
+	r.Format = rollout.RecordFormat
+	r.At = c.now()
+	text, err := json.Marshal(r)
+	if err != nil {
+		return err
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.journal.Append(text)
+}
+
+// decodeRecord reads a record of the journal.
+func decodeRecord(text []byte) (record rollout.Record, err error) {
+	if err := json.Unmarshal(text, &record); err != nil || record.Format != rollout.RecordFormat {
+		return record, fmt.Errorf("%w: another form: %.80q", rollout.ErrRecord, text)
+	}
+	return record, nil
+}
--- /dev/null
+++ b/internal/control/rollout/directives.go
@@ -0,0 +1,365 @@
+package rollout
+
+import (
+	"path/filepath"
+	"time"
+
+	"yokeroute/internal/config/directive"
+	"yokeroute/logic/rollout"
+)
+
+const (
+	defaultInterval    = 5 * time.Second
+	defaultStepTimeout = time.Minute
+
+	minShare = 0.0001 // of what a directive takes
+	minHarm  = 0.001
+)
+
+// Reference returns the operators' reference page on plans.
+func Reference() string { return newPlan().directives().Reference() }
+
+// Directives returns the table of a plan's directives, for tests of its examples.
+func Directives() *directive.Table { return newPlan().directives() }
+
+// directives is the table by which plans are read, checked and documented.
+func (p *Plan) directives() *directive.Table {
+	return &directive.Table{
+		Name: "rollout plan",
+		Intro: "How a fleet of gatherers goes from an old version or old settings to new ones in stages: " +
+			"`yokeroute rollout run FILE`. In names of files and in commands {name} and {zone} stand for " +
+			"a gatherer's; names of files are relative to the plan.",
+		Directives: []*directive.Directive{
+			p.rolloutDirective(), p.gathererDirective(), p.stageDirective(),
+			p.outDirective(), p.watchDirective(), p.limitDirective(),
+			p.harmDirective(), p.chanceDirective(), p.evidenceDirective(), p.seedDirective(),
+			p.oldDirective(), p.newDirective(),
+			p.stepNewDirective(), p.stepOldDirective(), p.runnerDirective(),
+		},
+	}
+}
+
+// keepLine makes a directive's lines known to validate, before they are taken.
+func (p *Plan) keepLine(name string, take func(v *directive.Values) error) func(v *directive.Values) error {
+	return func(v *directive.Values) error {
+		p.directiveLines[name] = append(p.directiveLines[name], v)
+		return take(v)
+	}
+}
+
+func durationField(name, help string) directive.Field {
+	return directive.Field{Name: name, Kind: directive.Duration, Min: 1, Help: help}
+}
+
+func shareField(name, help string) directive.Field {
+	return directive.Field{Name: name, Kind: directive.Share, Min: minShare, Help: help}
+}
+
+// pathOf is the absolute path of a file that is named relative to the plan: processes are told apart by it.
+func pathOf(v *directive.Values, field string) string {
+	name := v.RelativePath(field)
+	if name == "" || filepath.IsAbs(name) {
+		return name
+	}
+	if path, err := filepath.Abs(name); err == nil {
+		return path
+	}
+	return name
+}
+
+// durationOf is a duration, 0 or the given one where the field is not set.
+func durationOf(v *directive.Values, field string, otherwise time.Duration) time.Duration {
+	ms := v.Number(field, float64(otherwise)/float64(time.Millisecond))
+	return time.Duration(ms * float64(time.Millisecond))
+}
+
+func (p *Plan) rolloutDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "rollout", Once: true,
+		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
+		Options: []directive.Field{
+			{Name: "in", Kind: directive.Text, Required: true, Help: "folder of its journal; one rollout has one"},
+			{Name: "every", Kind: directive.Duration, Min: 50, Max: 600_000, Help: "gatherers are asked; 5s"},
+		},
+		Help:    "Names the rollout.",
+		Example: "rollout release-42 in rollout-42 every 5s",
+		Apply: func(v *directive.Values) error {
+			p.Name = v.Text("name")
+			p.Folder = pathOf(v, "in")
+			p.Interval = durationOf(v, "every", defaultInterval)
+			return nil
+		},
+	}
+}
+
+func (p *Plan) gathererDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "gatherer",
+		Args: []directive.Field{{Name: "name", Kind: directive.Name, Help: "as the gatherer tells it"}},
+		Options: []directive.Field{
+			{Name: "zone", Kind: directive.Name, Help: "none unless told"},
+			{Name: "report", Kind: directive.Address, Required: true, Help: "where it tells of itself"},
+			{Name: "config", Kind: directive.Text, Help: "file that its process reads, for the built-in runner"},
+			{Name: "operator", Kind: directive.Text, Help: "the same, of the operator's file"},
+		},
+		Help:    "A gatherer of the fleet. All of it stands in the plan.",
+		Example: "gatherer g1 zone north report 127.0.0.1:8101 config run/g1.json operator run/g1.conf",
+		Apply: p.keepLine("gatherer", func(v *directive.Values) error {
+			p.Gatherers = append(p.Gatherers, rollout.Gatherer{Name: v.Text("name"), Zone: v.Text("zone")})
+			p.Processes = append(p.Processes, GathererProcess{
+				ReportAddress: v.Text("report"),
+				ConfigFile:    pathOf(v, "config"),
+				OperatorFile:  pathOf(v, "operator"),
+			})
+			return nil
+		}),
+	}
+}
+
+func (p *Plan) stageDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "stage",
+		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
+		Options: []directive.Field{
+			{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new then"},
+			shareField("share", "of the gatherers"),
+			{Name: "zone", Kind: directive.Name, Help: "all gatherers of it, and those before"},
+			durationField("least", "for which it is watched once all of it serve; 60s"),
+		},
+		Help:    "A stage: one of count, share and zone. Each holds those before it.",
+		Example: "stage few share 10% least 2min",
+		Apply: p.keepLine("stage", func(v *directive.Values) error {
+			p.Stages = append(p.Stages, rollout.Stage{
+				Name:           v.Text("name"),
+				Count:          int(v.Number("count", 0)),
+				Share:          v.Number("share", 0),
+				Zone:           v.Text("zone"),
+				MinObservation: v.Number("least", 0),
+			})
+			return nil
+		}),
+	}
+}
+
+func (p *Plan) outDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "out", Once: true,
+		Args:    []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of all"}},
+		Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; as of all"}},
+		Help: "How many gatherers may be out at once, those counted that died by themselves or can't be reached. " +
+			"One unless told.",
+		Example: "out 2 zone 1",
+		Apply: p.keepLine("out", func(v *directive.Values) error {
+			p.MaxUnavailable = int(v.Number("most", 0))
+			p.MaxUnavailablePerZone = int(v.Number("zone", 0))
+			return nil
+		}),
+	}
+}
+
+func (p *Plan) watchDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "watch", Once: true,
+		Options: []directive.Field{
+			durationField("baseline", "before the first change; 30s"),
+			durationField("fresh", "after its start for which a gatherer is judged apart; 15s"),
+			durationField("settle", "within which a changed one has to serve as what it was made; 30s"),
+		},
+		Help:    "How gatherers are watched.",
+		Example: "watch baseline 1min fresh 15s settle 30s",
+		Apply: func(v *directive.Values) error {
+			p.BaselineTime = v.Number("baseline", 0)
+			p.WarmUp = v.Number("fresh", 0)
+			p.StepTimeout = v.Number("settle", 0)
+			return nil
+		},
+	}
+}
+
+func (p *Plan) limitDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "limit", Once: true,
+		Args: []directive.Field{{Name: "stage", Kind: directive.Duration, Min: 1, Help: "that a stage may last"}},
+		Options: []directive.Field{
+			{Name: "then", Kind: directive.Choice, Choices: []string{"back", "stop"}, Help: "back"},
+			durationField("rough", "that the old may do worse since a stage began, "+
+				"before it is taken for the new's doing; 2min"),
+		},
+		Help:    "How long is waited. 30min unless told.",
+		Example: "limit 30min then back rough 2min",
+		Apply: p.keepLine("limit", func(v *directive.Values) error {
+			p.StageLimit = v.Number("stage", 0)
+			p.MaxDisturbance = v.Number("rough", 0)
+			if v.Text("then") == "stop" {
+				p.OnStageLimit = rollout.Stop
+			}
+			return nil
+		}),
+	}
+}
+
+func (p *Plan) harmDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "harm", Once: true,
+		Args: []directive.Field{{
+			Name: "value", Kind: directive.Share, Min: minHarm,
+			Help: "of what lookups could earn, lost more than by the old",
+		}},
+		Options: []directive.Field{
+			shareField("fresh", "the same of gatherers that have just started; 30%"),
+			shareField("cost", "part calls, connections or memory more than the old ones'; 25%"),
+		},
+		Help:    "What has to be found. 5% unless told; a quarter of it is borne.",
+		Example: "harm 5% fresh 30% cost 25%",
+		Apply: p.keepLine("harm", func(v *directive.Values) error {
+			p.Harm = v.Number("value", 0)
+			p.WarmUpHarm = v.Number("fresh", 0)
+			p.ExtraCost = v.Number("cost", 0)
+			return nil
+		}),
+	}
+}
+
+func (p *Plan) chanceDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "chance", Once: true,
+		Options: []directive.Field{
+			shareField("stop", "that a rollout of a version as good as the old is stopped; 1%"),
+			shareField("pass", "that a stage passes one that does the harm; 5%"),
+		},
+		Help:    "What chance may do.",
+		Example: "chance stop 1% pass 5%",
+		Apply: func(v *directive.Values) error {
+			p.FalseStopRate = v.Number("stop", 0)
+			p.FalsePassRate = v.Number("pass", 0)
+			return nil
+		},
+	}
+}
+
+func (p *Plan) evidenceDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "evidence", Once: true,
+		Args: []directive.Field{{
+			Name: "lookups", Kind: directive.Count, Min: 1, Help: "of each index at new gatherers, in a stage",
+		}},
+		Options: []directive.Field{
+			shareField("judged", "of the lookups from which an index is judged by itself; 2%"),
+			{Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "to change a gatherer; 2"},
+		},
+		Help:    "The least that a stage passes on. 100 unless told.",
+		Example: "evidence 200 judged 2% tries 2",
+		Apply: func(v *directive.Values) error {
+			p.MinQueries = v.Number("lookups", 0)
+			p.MinClassShare = v.Number("judged", 0)
+			p.MaxAttempts = int(v.Number("tries", 0))
+			return nil
+		},
+	}
+}
+
+func (p *Plan) seedDirective() *directive.Directive {
+	const maxSeed = 1 << 53 // that a float64 holds exactly
+	return &directive.Directive{
+		Name: "seed", Once: true,
+		Args:    []directive.Field{{Name: "seed", Kind: directive.Count, Max: maxSeed}},
+		Help:    "Of the order in which gatherers are changed; 0 unless told.",
+		Example: "seed 7",
+		Apply: func(v *directive.Values) error {
+			p.Seed = uint64(v.Number("seed", 0))
+			return nil
+		},
+	}
+}
+
+var releaseFields = []directive.Field{
+	{Name: "program", Kind: directive.Text, Help: "file of the program"},
+	{Name: "config", Kind: directive.Text, Help: "file of the platform's configuration"},
+	{Name: "operator", Kind: directive.Text, Help: "operator's file"},
+	{Name: "version", Kind: directive.Text, Help: "as `yokeroute version` has it"},
+}
+
+// takeRelease takes the line of a side.
+func takeRelease(to *Release) func(v *directive.Values) error {
+	return func(v *directive.Values) error {
+		*to = Release{
+			Program:  pathOf(v, "program"),
+			Config:   pathOf(v, "config"),
+			Operator: pathOf(v, "operator"),
+			Version:  v.Text("version"),
+		}
+		if *to == (Release{}) {
+			return v.Errorf("program",
+				"wants a program, a version, a config or an operator's file by which its gatherers are told")
+		}
+		return nil
+	}
+}
+
+func (p *Plan) oldDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "old", Once: true, Options: releaseFields,
+		Help:    "What gatherers serve as before. What stands here is what they are told by.",
+		Example: "old program releases/41/yokeroute",
+		Apply:   p.keepLine("old", takeRelease(&p.Old)),
+	}
+}
+
+func (p *Plan) newDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "new", Once: true, Options: releaseFields,
+		Help:    "What they are to serve as.",
+		Example: "new program releases/42/yokeroute operator new.conf",
+		Apply:   p.keepLine("new", takeRelease(&p.New)),
+	}
+}
+
+// takeCommand takes the line of a step's command.
+func (p *Plan) takeCommand(to rollout.Variant) func(v *directive.Values) error {
+	return func(v *directive.Values) error {
+		p.Commands[to] = StepCommand{Args: v.List("command"), Timeout: durationOf(v, "limit", defaultStepTimeout)}
+		return nil
+	}
+}
+
+var stepTimeoutField = durationField("limit", "after which it is ended and has failed; 1min")
+
+func (p *Plan) stepNewDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "step-new", Once: true,
+		Args: []directive.Field{{
+			Name: "command", Kind: directive.Words, Help: "and its words; {to} is new, {fence} a number that grows",
+		}},
+		Options: []directive.Field{stepTimeoutField},
+		Help: "A command that makes a gatherer new, run in the plan's folder. Status 0 says that it did " +
+			"what it could; what the gatherer is it tells itself. It may run twice for one gatherer. " +
+			"Without it the built-in runner does it, for processes on this machine.",
+		Example: `step-new ./deploy.sh "{name}" "{to}" limit 30s`,
+		Apply:   p.keepLine("step-new", p.takeCommand(rollout.New)),
+	}
+}
+
+func (p *Plan) stepOldDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "step-old", Once: true,
+		Args:    []directive.Field{{Name: "command", Kind: directive.Words, Help: "and its words"}},
+		Options: []directive.Field{stepTimeoutField},
+		Help:    "The same for making it old again.",
+		Example: `step-old ./deploy.sh "{name}" "{to}" limit 30s`,
+		Apply:   p.keepLine("step-old", p.takeCommand(rollout.Old)),
+	}
+}
+
+func (p *Plan) runnerDirective() *directive.Directive {
+	return &directive.Directive{
+		Name: "runner", Once: true,
+		Args: []directive.Field{{Name: "how", Kind: directive.Choice, Choices: []string{"restart", "hangup"}}},
+		Help: "How the built-in runner changes a gatherer: its files are replaced, " +
+			"then its process is ended by SIGTERM and started anew, or told by SIGHUP. restart unless told.",
+		Example: "runner hangup",
+		Apply: p.keepLine("runner", func(v *directive.Values) error {
+			p.ReloadOnly = v.Text("how") == "hangup"
+			return nil
+		}),
+	}
+}
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -46,7 +46,7 @@
 
 // keptPlan is the plan of the kept rollout.
 func keptPlan(folder string) *Plan {
-	p := &Plan{File: "release-42.conf", Fingerprint: "ccb99da814c8b92c", Folder: folder, Interval: 5000,
+	p := &Plan{File: "release-42.conf", Fingerprint: "ccb99da814c8b92c", Folder: folder, Interval: 5 * time.Second,
 		Processes: []GathererProcess{{ReportAddress: "127.0.0.1:1"}, {ReportAddress: "127.0.0.1:2"}, {ReportAddress: "127.0.0.1:3"}}}
 	p.Name, p.Classes = "release-42", []string{"any", "once"}
 	p.Gatherers = []rollout.Gatherer{{Name: "g1", Zone: "north"}, {Name: "g2", Zone: "south"}, {Name: "g3"}}
@@ -188,12 +188,12 @@
 	}
 	defer own.Close()
 	c := &Controller{plan: keptPlan(folder), journal: own, stepStates: make([]rollout.StepState, 3)}
-	at, err := c.recover()
-	if err != nil || at != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.Fence != 2 {
-		t.Errorf("%v, %+v, controller %d", err, at, own.Fence)
+	err = c.recover()
+	if err != nil || c.position != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.Fence != 2 {
+		t.Errorf("%v, %+v, controller %d", err, c.position, own.Fence)
 	}
-	if len(c.unfinishedSteps) != 1 || c.unfinishedSteps[0].Gatherer != "g1" || c.unfinishedSteps[0].Target != rollout.Old || c.unfinishedSteps[0].At != 1796168077267.25 || c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
-		t.Errorf("made again: %+v, after %q", c.unfinishedSteps, c.lastCommand)
+	if len(c.unfinished) != 1 || c.unfinished[0].Gatherer != "g1" || c.unfinished[0].Target != rollout.Old || c.unfinished[0].At != 1796168077267.25 || c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
+		t.Errorf("made again: %+v, after %q", c.unfinished, c.lastCommand)
 	}
 	if word, err := own.Word(); err != nil || word != "stop 1796168075012746801" {
 		t.Errorf("%v, %q", err, word)
@@ -259,7 +259,7 @@
 	tell := &reportClient{plan: p, http: s.Client(), checkpoints: make([]string, 1), lastReports: make([]*report.Document, 1), lastReportAt: make([]time.Time, 1),
 		oldBuilds: []rollout.BuildInfo{{Version: "41"}}, newBuilds: []rollout.BuildInfo{{Version: "42"}}}
 	run := "release-42 in /var/rollout on host"
-	if err := tell.claim(context.Background(), 0, run, 3, claimDuration); err != nil {
+	if err := tell.claim(context.Background(), 0, run, 3); err != nil {
 		t.Error(err)
 	}
 	for range 2 {
--- /dev/null
+++ b/internal/control/rollout/round.go
@@ -0,0 +1,198 @@
+package rollout
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/internal/storage/statedir"
+	"yokeroute/logic/rollout"
+)
+
+// The operator's commands, as SendCommand takes them.
+const (
+	CommandStop   = "stop"
+	CommandBack   = "back"
+	CommandResume = "resume"
+)
+
+// Run runs rounds until the rollout has ended, or ctx ends. It waits for the steps that are in progress.
+func (c *Controller) Run(ctx context.Context) (*Status, error) {
+	defer c.journal.Close()
+	defer c.steps.Wait()
+	c.repeatUnfinished(ctx)
+	tick := time.NewTicker(c.plan.Interval)
+	defer tick.Stop()
+	for {
+		s, err := c.runRound(ctx)
+		if err != nil {
+			return s, err
+		}
+		if s.Phase.Final() {
+			c.steps.Wait()
+			c.reports.forEachGatherer(func(g int) { c.reports.release(ctx, g, c.runID, c.fencingToken) })
+			return s, nil
+		}
+		select {
+		case <-ctx.Done():
+			return s, ctx.Err()
+		case <-tick.C:
+		}
+	}
+}
+
+// repeatUnfinished repeats the steps that an earlier controller began and whose end is not recorded.
+func (c *Controller) repeatUnfinished(ctx context.Context) {
+	for _, record := range c.unfinished {
+		g := c.gathererIndex(record.Gatherer)
+		if g < 0 {
+			continue // not in a journal of the same plan
+		}
+		c.stepLog(record.Gatherer, record.Target).Info("rollout: unfinished step repeated")
+		c.startStep(ctx, g, record.Target)
+	}
+}
+
+func (c *Controller) stepLog(gatherer string, to rollout.Variant) *logrus.Entry {
+	return c.log.WithFields(logrus.Fields{"gatherer": gatherer, "to": to.String()})
+}
+
+// runRound observes all gatherers, has the strategy decide, and starts the steps that were decided on. The status is
+// nil where an error came before it was known.
+func (c *Controller) runRound(ctx context.Context) (*Status, error) {
+	if err := c.journal.Mine(); err != nil {
+		return nil, err
+	}
+	if err := c.reports.claimAll(ctx, c.runID, c.fencingToken); err != nil {
+		return nil, err
+	}
+	o := c.observe(ctx)
+	if err := c.applyCommand(); err != nil {
+		return nil, err
+	}
+	d := c.strategy.Decide(o)
+	if err := c.recordPosition(d); err != nil {
+		return nil, err
+	}
+	c.logDecision(d)
+	// The status is published before the steps start: after a kill it tells what was about to be done.
+	s := c.buildStatus(&o, d)
+	if err := c.publish(s); err != nil {
+		return s, err
+	}
+	for _, step := range d.Steps {
+		err := c.appendRecord(rollout.Record{
+			Kind:     rollout.StepStarted,
+			Gatherer: c.plan.Gatherers[step.Gatherer].Name,
+			Target:   step.To,
+		})
+		if err != nil {
+			return s, err
+		}
+		c.startStep(ctx, step.Gatherer, step.To)
+	}
+	return s, nil
+}
+
+// observe requests all reports, and adds the states of the steps.
+func (c *Controller) observe(ctx context.Context) rollout.Observation {
+	o := c.reports.observe(ctx, c.now())
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for g := range o.Gatherers {
+		o.Gatherers[g].Step = c.stepStates[g]
+		if c.stepFaults[g] != "" {
+			o.Gatherers[g].Fault = c.stepFaults[g]
+		}
+	}
+	return o
+}
+
+// recordPosition records a change of phase or stage.
+func (c *Controller) recordPosition(d rollout.Decision) error {
+	position := c.strategy.Position()
+	if position.Phase == c.position.Phase && position.Stage == c.position.Stage {
+		return nil
+	}
+	c.position = position
+	return c.appendRecord(rollout.Record{Kind: rollout.PositionChanged, Position: &position, Message: d.Reason})
+}
+
+// logDecision logs a decision that is not that of the round before.
+func (c *Controller) logDecision(d rollout.Decision) {
+	summary := fmt.Sprintf("%s: %s", d.Verdict, d.Reason)
+	if summary == c.lastSummary {
+		return
+	}
+	c.lastSummary = summary
+	c.log.WithFields(logrus.Fields{
+		"phase": string(d.Phase), "verdict": d.Verdict.String(), "reason": d.Reason,
+	}).Info("rollout: decision changed")
+}
+
+// startStep makes a step concurrently. Run waits for its end; ctx does not end it.
+func (c *Controller) startStep(ctx context.Context, g int, to rollout.Variant) {
+	c.setStep(g, rollout.Running, "")
+	name := c.plan.Gatherers[g].Name
+	c.steps.Go(func() {
+		result, fault := rollout.Succeeded, ""
+		if err := c.runStep(context.WithoutCancel(ctx), g, to); err != nil {
+			result, fault = rollout.Failed, err.Error()
+			c.stepLog(name, to).WithError(err).Warn("rollout: step failed")
+		}
+		err := c.appendRecord(rollout.Record{Kind: rollout.StepEnded, Gatherer: name, Target: to, Message: fault})
+		if err != nil {
+			c.stepLog(name, to).WithError(err).Error("rollout: step's end not recorded; the step may be repeated")
+		}
+		c.setStep(g, result, fault)
+	})
+}
+
+func (c *Controller) setStep(g int, state rollout.StepState, fault string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.stepStates[g] = state
+	c.stepFaults[g] = fault
+}
+
+// runStep makes a step, unless the rollout is another controller's by now. A gatherer that can't be reached holds no
+// claim that could be asked for.
+func (c *Controller) runStep(ctx context.Context, g int, to rollout.Variant) error {
+	if err := c.journal.Mine(); err != nil {
+		return err
+	}
+	if err := c.reports.claim(ctx, g, c.runID, c.fencingToken); claimRefused(err) {
+		return err
+	}
+	return c.stepper.step(ctx, g, to, c.fencingToken)
+}
+
+// applyCommand takes the operator's command, where there is a new one.
+func (c *Controller) applyCommand() error {
+	stamped, err := c.journal.Word()
+	if err != nil || stamped == c.lastCommand {
+		return err
+	}
+	c.lastCommand = stamped
+	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandTaken, Command: stamped}); err != nil {
+		return err
+	}
+	const reason = "by the operator's word"
+	switch command, _, _ := strings.Cut(stamped, " "); command {
+	case CommandStop:
+		c.strategy.Command(rollout.Stop, reason)
+	case CommandBack:
+		c.strategy.Command(rollout.RollBack, reason)
+	case CommandResume:
+		c.strategy.Command(rollout.Proceed, "")
+	}
+	return nil
+}
+
+// SendCommand leaves an operator's command for the controller, the one of now or the next one.
+func SendCommand(folder, command string) error {
+	return statedir.Say(folder, command, time.Now().UnixNano())
+}
