--- a/internal/config/operator/operator.go
+++ b/internal/config/operator/operator.go
@@ -8,7 +8,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/directive"
 	"yokeroute/internal/suggest"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // TwoPhaseClass is a class whose queries may go in two passes.
@@ -61,8 +61,8 @@
 
 // TwoPhaseSettings returns the settings of the classes that may go in two passes. Classes that do not exist, or whose
 // requests may not be executed twice, come as an ErrorList beside those that fit.
-func (f *File) TwoPhaseSettings(settings *gather.Settings) (map[string]phases.Terms, error) {
-	accepted := map[string]phases.Terms{}
+func (f *File) TwoPhaseSettings(settings *gather.Settings) (map[string]twopass.Settings, error) {
+	accepted := map[string]twopass.Settings{}
 	var mistakes directive.ErrorList
 	for _, c := range f.TwoPhase {
 		if err := c.check(settings); err != nil {
@@ -70,9 +70,9 @@
 			continue
 		}
 		class := settings.Class(c.Class)
-		accepted[c.Class] = phases.Terms{
-			Soft: class.LatencyObjective, Whole: class.CompleteShare, Least: class.MinShare,
-			First: c.FirstPassShare, Likely: c.MinProbability, Partial: c.Partial, Trials: c.TrialShare,
+		accepted[c.Class] = twopass.Settings{
+			LatencyObjective: class.LatencyObjective, CompleteShare: class.CompleteShare, MinShare: class.MinShare,
+			FirstPassShare: c.FirstPassShare, MinLikelihood: c.MinProbability, AllowPartial: c.Partial, TrialShare: c.TrialShare,
 		}
 	}
 	if len(mistakes) > 0 {
--- a/internal/gatherer/report/collector.go
+++ b/internal/gatherer/report/collector.go
@@ -10,7 +10,7 @@
 	"yokeroute/logic/rollout"
 )
 
-// Collector counts what becomes of queries, and builds reports. It is a dispatch.Tracer and a dispatch.Witness.
+// Collector counts what becomes of queries, and builds reports. It is a dispatch.DecisionObserver and a dispatch.WireObserver.
 type Collector struct {
 	// PolicyState returns what reports contain as Policy. It is set before the first report; nil for nothing.
 	PolicyState func() any
--- a/internal/gatherer/report/collector_test.go
+++ b/internal/gatherer/report/collector_test.go
@@ -26,21 +26,21 @@
 	return NewCollector("g", testSettings(), func() float64 { return *now }, fixedConnections{})
 }
 
-var halves = []dispatch.Part{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
+var halves = []dispatch.ShardRequest{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
 
-func query(class string) *dispatch.Lookup { return &dispatch.Lookup{Index: class, Parts: halves} }
+func query(class string) *dispatch.Query { return &dispatch.Query{Class: class, ShardRequests: halves} }
 
 // TestCollectorCountsEachEnding: each ending counts where it belongs, with the value that it earned.
 func TestCollectorCountsEachEnding(t *testing.T) {
 	now := 1000.0
 	c := newTestCollector(&now)
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150) // beyond the objective
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
-	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
-		c.Ended(query("once"), dispatch.Verdict{Kind: kind}, 10)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 150) // beyond the objective
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
+	for _, kind := range []dispatch.ResultKind{dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned} {
+		c.QueryDecided(query("once"), dispatch.Result{Kind: kind}, 10)
 	}
-	c.Ended(query("none such"), dispatch.Verdict{}, 10)
+	c.QueryDecided(query("none such"), dispatch.Result{}, 10)
 	d := c.SinceCheckpoint("", true)
 	s := d.Classes["any"]
 	if s.Queries != 3 || s.Served != 2 || s.ServedPartly != 1 || s.WithinObjective != 2 ||
@@ -63,11 +63,11 @@
 	now := 1000.0
 	c := newTestCollector(&now)
 	for range 3 {
-		c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+		c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 	}
 	first := c.SinceCheckpoint("", true)
 	for range 4 {
-		c.Ended(query("once"), dispatch.Verdict{Kind: dispatch.Nacked}, 10)
+		c.QueryDecided(query("once"), dispatch.Result{Kind: dispatch.Rejected}, 10)
 	}
 	now = 3000
 	next := c.SinceCheckpoint(first.Checkpoint, true)
@@ -89,14 +89,14 @@
 	}
 }
 
-// BenchmarkEnded is the counting of one query.
-func BenchmarkEnded(b *testing.B) {
+// BenchmarkQueryDecided is the counting of one query.
+func BenchmarkQueryDecided(b *testing.B) {
 	now := 0.0
 	c := newTestCollector(&now)
 	served := query("any")
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Ended(served, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+		c.QueryDecided(served, dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 	}
 }
 
@@ -108,7 +108,7 @@
 	checkpoint := ""
 	b.ReportAllocs()
 	for b.Loop() {
-		c.Ended(served, dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+		c.QueryDecided(served, dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 		now += 1000
 		checkpoint = c.SinceCheckpoint(checkpoint, true).Checkpoint
 	}
--- a/internal/gatherer/report/events.go
+++ b/internal/gatherer/report/events.go
@@ -5,42 +5,42 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/dispatch"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // The events of a query that are counted by a later one.
 
-// Opened implements dispatch.Tracer.
-func (c *Collector) Opened(*dispatch.Lookup, *phases.Choice, float64) {}
+// QueryAdmitted implements dispatch.DecisionObserver.
+func (c *Collector) QueryAdmitted(*dispatch.Query, *twopass.Decision, float64) {}
 
-// Sent implements dispatch.Tracer.
-func (c *Collector) Sent(*dispatch.Call, float64) {}
+// AttemptDecided implements dispatch.DecisionObserver.
+func (c *Collector) AttemptDecided(*dispatch.Attempt, float64) {}
 
-// Closed implements dispatch.Tracer.
-func (c *Collector) Closed(*dispatch.Lookup, *phases.Next, float64) {}
+// FirstPassEnded implements dispatch.DecisionObserver.
+func (c *Collector) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
-// Answered implements dispatch.Tracer.
-func (c *Collector) Answered(*dispatch.Lookup, dispatch.Verdict, float64) {}
+// QueryAnswered implements dispatch.DecisionObserver.
+func (c *Collector) QueryAnswered(*dispatch.Query, dispatch.Result, float64) {}
 
-// Written counts an attempt that is written to a connection.
-func (c *Collector) Written(call *dispatch.Call, _ float64) {
+// AttemptWritten counts an attempt that is written to a connection.
+func (c *Collector) AttemptWritten(attempt *dispatch.Attempt, _ float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	stats := c.classes[call.Lookup().Index]
+	stats := c.classes[attempt.Query().Class]
 	if stats == nil {
 		return
 	}
 	stats.Attempts++
-	if call.Further() {
+	if attempt.UsesRetryBudget() {
 		stats.ExtraAttempts++
 	}
 }
 
-// Heard counts the end of an attempt.
-func (c *Collector) Heard(call *dispatch.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
+// AttemptEnded counts the end of an attempt.
+func (c *Collector) AttemptEnded(attempt *dispatch.Attempt, outcome gather.Outcome, waited float64, _ *twopass.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	stats := c.classes[call.Lookup().Index]
+	stats := c.classes[attempt.Query().Class]
 	if stats == nil {
 		return
 	}
@@ -48,24 +48,24 @@
 	stats.AttemptTime += max(waited, 0)
 }
 
-// Ended counts a query by how it ended.
-func (c *Collector) Ended(query *dispatch.Lookup, verdict dispatch.Verdict, at float64) {
+// QueryDecided counts a query by how it ended.
+func (c *Collector) QueryDecided(query *dispatch.Query, result dispatch.Result, at float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	stats := c.classes[query.Index]
+	stats := c.classes[query.Class]
 	if stats == nil {
 		return
 	}
 	stats.Queries++
-	stats.ShardRequests += int64(len(query.Parts))
-	switch verdict.Kind {
-	case dispatch.Satisfied:
-		stats.countServed(c.scoring[query.Index], query, &verdict, at-query.Landed())
-	case dispatch.Nacked:
+	stats.ShardRequests += int64(len(query.ShardRequests))
+	switch result.Kind {
+	case dispatch.Served:
+		stats.countServed(c.scoring[query.Class], query, &result, at-query.AdmittedAt())
+	case dispatch.Rejected:
 		stats.Rejected++
-	case dispatch.Aborted:
+	case dispatch.Failed:
 		stats.Failed++
-	case dispatch.Left:
+	case dispatch.Abandoned:
 		stats.ClientGone++
 	default:
 		stats.InternalErrors++
@@ -73,13 +73,13 @@
 }
 
 // countServed counts a served query, with the value that it earned.
-func (s *ClassStats) countServed(by scoring, query *dispatch.Lookup, verdict *dispatch.Verdict, latency float64) {
+func (s *ClassStats) countServed(by scoring, query *dispatch.Query, result *dispatch.Result, latency float64) {
 	value := 1.0
-	if verdict.Whole {
+	if result.Complete {
 		s.Served++
 	} else {
 		s.ServedPartly++
-		value = by.partialFactor * min(answeredWeight(query, verdict)/max(by.completeFrom, 1e-9), 1)
+		value = by.partialFactor * min(answeredWeight(query, result)/max(by.completeFrom, 1e-9), 1)
 	}
 	if latency <= by.objective {
 		s.WithinObjective++
@@ -91,11 +91,11 @@
 }
 
 // answeredWeight is the weight of the shard requests that an answer contains.
-func answeredWeight(query *dispatch.Lookup, verdict *dispatch.Verdict) (weight float64) {
-	for _, part := range query.Parts {
-		hit := slices.ContainsFunc(verdict.Hits, func(h dispatch.Hit) bool { return h.Shard == part.Shard })
-		if hit || slices.Contains(verdict.Empty, part.Shard) {
-			weight += part.Weight
+func answeredWeight(query *dispatch.Query, result *dispatch.Result) (weight float64) {
+	for _, request := range query.ShardRequests {
+		hit := slices.ContainsFunc(result.Hits, func(h dispatch.Hit) bool { return h.Shard == request.Shard })
+		if hit || slices.Contains(result.EmptyShards, request.Shard) {
+			weight += request.Weight
 		}
 	}
 	return weight
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -78,11 +78,11 @@
 		{ID: 3, State: gather.Draining},
 	}})
 	c.PolicyState = func() any { return map[string]any{"revision": 7} }
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 150.25)
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
-	for _, kind := range []dispatch.Kind{dispatch.Nacked, dispatch.Aborted, dispatch.Broken, dispatch.Left} {
-		c.Ended(query("once"), dispatch.Verdict{Kind: kind}, 10)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 150.25)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
+	for _, kind := range []dispatch.ResultKind{dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned} {
+		c.QueryDecided(query("once"), dispatch.Result{Kind: kind}, 10)
 	}
 	stats := c.classes["any"]
 	stats.Attempts = 9
@@ -106,7 +106,7 @@
 		"marked.json": c.SinceCheckpoint("", true),
 	}
 	now = 4000
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 75)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 75)
 	c.classes["any"].Attempts += 3
 	c.classes["any"].Outcomes[gather.Outcome(0).String()] += 3
 	c.BeginShutdown()
--- a/internal/gatherer/report/server_test.go
+++ b/internal/gatherer/report/server_test.go
@@ -60,7 +60,7 @@
 	now := 1000.0
 	c := newTestCollector(&now)
 	c.SetFile("operator", "abc")
-	c.Ended(query("any"), dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true}, 50)
+	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 	send := startServer(t, c)
 	status, text := send("GET", ReportPath, "")
 	d, err := Read(strings.NewReader(text))
--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -42,9 +42,9 @@
 		if c.Settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		a.settings = dispatch.OwnedTerms(c.Settings, own.MaxSegments)
+		a.settings = dispatch.OwnershipSettings(c.Settings, own.MaxSegments)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
-			log.Error("service: plans and two phases ignored, as segments have owners of their own")
+			log.Error("service: plans and two passes ignored, as segments have owners of their own")
 			a.own.Plan = ""
 			a.own.Placement = ""
 			a.own.TwoPhase = nil
@@ -68,7 +68,7 @@
 		return err
 	}
 	a.names = names
-	a.Picker.Keep(names)
+	a.Picker.SetNonIdempotentStore(names)
 	a.hooks.close = append(a.hooks.close, func() error {
 		if err := names.Close(); err != nil {
 			return fmt.Errorf("state: %w", err)
@@ -111,7 +111,7 @@
 	if !a.ownedSegments() {
 		return nil
 	}
-	a.Picker.Segments(a.own.MaxSegments, a.settings.Shards)
+	a.Picker.EnableOwnership(a.own.MaxSegments, a.settings.Shards)
 	if a.names != nil && a.names.Map() != nil {
 		a.Picker.SetMap(a.names.Map())
 	}
@@ -127,7 +127,7 @@
 		for _, address := range addresses {
 			names[address.ID] = address.Name
 		}
-		a.Picker.Names(names)
+		a.Picker.SetServerNames(names)
 	})
 	a.hooks.reread = append(a.hooks.reread, func(own *operator.File) error {
 		own.Plan = ""
@@ -151,15 +151,15 @@
 	return nil
 }
 
-// addTwoPhases adds the classes whose queries go to shard servers in two phases.
-func (a *assembly) addTwoPhases() error {
+// addTwoPass adds the classes whose queries go to shard servers in two passes.
+func (a *assembly) addTwoPass() error {
 	classes, err := a.own.TwoPhaseSettings(a.config.Settings)
 	if err != nil {
-		a.log.WithError(err).Error("service: two phases rejected for some classes")
+		a.log.WithError(err).Error("service: two passes rejected for some classes")
 	}
 	if len(classes) > 0 {
-		a.Picker.Phases(classes)
-		a.pool.Agree(a.Picker.Speaks)
+		a.Picker.EnableTwoPass(classes)
+		a.pool.Agree(a.Picker.SetAnswersFirstPass)
 	}
 	return nil
 }
@@ -167,11 +167,11 @@
 // addPicker adds the decision loop.
 func (a *assembly) addPicker() error {
 	a.hooks.endpoints = append(a.hooks.endpoints, func(event gather.EndpointList, _ []shardcall.Address) {
-		a.Picker.Follow(event)
+		a.Picker.UpdateEndpoints(event)
 	})
 	a.hooks.run = append(a.hooks.run, func(ctx context.Context) {
 		for {
-			orders, err := a.Picker.Tick(ctx)
+			orders, err := a.Picker.RunRound(ctx)
 			if err != nil {
 				return
 			}
@@ -199,9 +199,9 @@
 		return nil
 	}
 	a.traces = trace.New(a.own.TracesKept, a.own.TraceShare)
-	a.Picker.Trace(a.traces)
+	a.Picker.ObserveDecisions(a.traces)
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
-		a.traces.Names(addresses)
+		a.traces.SetServerNames(addresses)
 	})
 	return nil
 }
@@ -220,10 +220,10 @@
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
-	a.Picker.Trace(record)
-	a.Picker.Watch(record)
+	a.Picker.ObserveDecisions(record)
+	a.Picker.ObserveWire(record)
 	a.hooks.endpoints = append(a.hooks.endpoints, func(event gather.EndpointList, _ []shardcall.Address) {
-		record.Follow(event, a.Picker.Now())
+		record.UpdateEndpoints(event, a.Picker.Now())
 	})
 	a.hooks.close = append(a.hooks.close, func() error {
 		if err := record.Close(a.Picker.Now()); err != nil {
@@ -236,7 +236,7 @@
 
 // addDiscovery adds the watch of the endpoint list, which begins with the list that the platform knows.
 func (a *assembly) addDiscovery() error {
-	follower := discovery.New(a.config.Discovery, a.updateEndpoints, a.Picker.Asked(), a.log)
+	follower := discovery.New(a.config.Discovery, a.updateEndpoints, a.Picker.EndpointListRequested(), a.log)
 	if a.settings.EndpointsOnRequest {
 		follower.Shared()
 	}
@@ -255,9 +255,16 @@
 // find room.
 func (a *assembly) addFrontend() error {
 	limits := a.config.Limits
-	a.server = frontend.New(a.Picker, a.config.Settings, clientSockets(limits), limits.Sockets/4, a.listed.Load, a.log)
+	a.server = frontend.New(frontend.Config{
+		Picker:       a.Picker,
+		Settings:     a.config.Settings,
+		MaxConns:     clientSockets(limits),
+		MaxUsedConns: limits.Sockets / 4,
+		Ready:        a.listed.Load,
+		Log:          a.log,
+	})
 	if a.traces != nil {
-		a.server.Admin(trace.Path, a.traces)
+		a.server.Handle(trace.Path, a.traces)
 	}
 	return nil
 }
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -31,7 +31,7 @@
 	if err != nil {
 		return err
 	}
-	a.Picker.Govern(a.policy.governor)
+	a.Picker.SetPolicyGate(a.policy.governor)
 	a.hooks.endpoints = append(a.hooks.endpoints, a.policy.governor.Follow)
 	return nil
 }
@@ -39,7 +39,7 @@
 // readOwnPolicy makes the policy of a file of the gatherer's own.
 func (a *assembly) readOwnPolicy() (*policyPart, error) {
 	p := &policyPart{
-		governor: policyclient.NewGovernor(a.settings, nil, logic.Revision{}, a.Picker.Now, a.Picker.Stir),
+		governor: policyclient.NewGovernor(a.settings, nil, logic.Revision{}, a.Picker.Now, a.Picker.Wake),
 	}
 	if err := p.reread(&a.own); err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 		a.log.WithError(err).Warn("policy: the stored revision can't be read; policy servers are trusted")
 	}
 	p := &policyPart{
-		governor: policyclient.NewGovernor(a.settings, fallback, revision, a.Picker.Now, a.Picker.Stir),
+		governor: policyclient.NewGovernor(a.settings, fallback, revision, a.Picker.Now, a.Picker.Wake),
 	}
 	heartbeat := logic.Heartbeat{
 		Member:      logic.Member{Name: a.config.Name, Zone: a.settings.Zone, Fallback: fallback},
--- a/internal/gatherer/service/reports.go
+++ b/internal/gatherer/service/reports.go
@@ -22,8 +22,8 @@
 	if err != nil {
 		return err
 	}
-	a.Picker.Trace(collector)
-	a.Picker.Watch(collector)
+	a.Picker.ObserveDecisions(collector)
+	a.Picker.ObserveWire(collector)
 	collector.SetFile("config", a.config.Checksum)
 	setFiles(collector, &a.own)
 	a.hooks.run = append(a.hooks.run, server.Run)
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -54,7 +54,7 @@
 	close []func() error
 }
 
-// New assembles a gatherer that serves nothing yet. Of the operator's file, plans and two phases that do not fit are
+// New assembles a gatherer that serves nothing yet. Of the operator's file, plans and two passes that do not fit are
 // logged and left out: a gatherer serves without them rather than not at all. Any other error undoes what was
 // assembled before it.
 func New(c *platform.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
@@ -65,7 +65,7 @@
 	// Of the endpoint hooks the pool's comes before the picker's, so that no server is chosen whose address is not
 	// known; those of the policy come before, those of traces behind the picker's.
 	for _, add := range []func() error{
-		a.addNameJournal, a.addShardServers, a.addSegments, a.addTwoPhases, a.addPolicy, a.addPicker, a.addPlans,
+		a.addNameJournal, a.addShardServers, a.addSegments, a.addTwoPass, a.addPolicy, a.addPicker, a.addPlans,
 		a.addReports, a.addHandover, a.addTraces, a.addRecord, a.addDiscovery, a.addFrontend,
 	} {
 		if err := add(); err != nil {
