--- a/logic/advance.go
+++ b/logic/advance.go
@@ -6,6 +6,11 @@
 	"yokeroute/gather"
 )
 
+const (
+	deadlineTicks  = 3 // before its deadline a query has to end
+	objectiveTicks = 2 // before its latency objective a partial answer may be given
+)
+
 // progress is how far a query has come. Weights are shares of the complete answer.
 type progress struct {
 	needed   float64 // for a complete answer
@@ -26,7 +31,7 @@
 		possible:      q.ReceivedWeight,
 		expected:      q.ReceivedWeight,
 		objectiveLeft: q.arrivedAt + q.class.LatencyObjective - g.now,
-		timeUp:        q.Deadline-g.now <= 3*g.tick(),
+		timeUp:        q.Deadline-g.now <= deadlineTicks*g.tick(),
 	}
 	if q.secondStep {
 		p.needed = 1
@@ -61,7 +66,7 @@
 		return false
 	}
 	worthMoreNow := q.class.PartialValue*p.received/p.needed > q.class.LateValue
-	if p.timeUp || p.objectiveLeft <= 2*tick && worthMoreNow {
+	if p.timeUp || p.objectiveLeft <= objectiveTicks*tick && worthMoreNow {
 		return true
 	}
 	return p.possible < p.needed-shareTolerance && p.received >= p.possible-shareTolerance
@@ -97,8 +102,8 @@
 }
 
 // begin chooses the mode of a query that has arrived. It reports whether the query goes on in this round:
-// it may wait for load reports, or be shed. A first pass is never shed: its second pass soon is where that
-// is needed.
+// it may wait for load reports, or be shed. A first pass is never shed: it is short, and its second pass
+// may be.
 func (g *Gatherer) begin(q *query) bool {
 	if g.loads.request(q, g.now, g.writer) {
 		return false
--- a/logic/class.go
+++ b/logic/class.go
@@ -6,7 +6,7 @@
 	"yokeroute/gather"
 )
 
-// class is a request class with what was learnt of its queries.
+// class is a request class with what was observed of its queries.
 type class struct {
 	gather.Class
 	meanCost        float64 // mean expected work of a shard request, 0 before there is any
@@ -20,7 +20,7 @@
 	byName   map[string]*class
 }
 
-// configure drops what was learnt of the classes, whose settings may have changed.
+// configure drops what was observed of the classes, whose settings may have changed.
 func (t *classTable) configure(settings *gather.Settings) {
 	t.settings = settings
 	t.byName = map[string]*class{}
--- a/logic/endpoints.go
+++ b/logic/endpoints.go
@@ -81,7 +81,7 @@
 }
 
 func (g *Gatherer) updateServer(e *gather.Endpoint, index int) {
-	s := &g.servers.servers[index]
+	s := g.servers.get(index)
 	s.state = e.State
 	s.answersFirstPass = e.AnswersFirstPass
 	s.inOtherZone = e.Zone != g.settings.Zone
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -12,16 +12,16 @@
 	// Where a server has fewer records in the window, older ones count: a small gatherer sends each server
 	// little.
 	minRecords     = 4
-	recordMemoryMS = 25000.0
+	maxRecordAgeMS = 25000.0
 
-	lateMultiple        = 2.0  // of its usual latency, beyond which an attempt counts as failed; the paper's
-	maxUtilization      = 0.9  // at which the paper's L·s is clamped
-	ageFactor           = 1.5  // from the mean age of attempts in flight to their expected latency
-	addedSuccesses      = 2    // added to the cautious failure share: one failure proves little
-	successFloor        = 0.02 // added to the success share: no server is ruled out for good
-	startLatencyDivisor = 10   // of the shortest objective: the latency before there is any record
-	startExtraDivisor   = 2    // of the shortest objective: the paper's r before an attempt has failed
-	unknown             = -1.0
+	lateMultiple          = 2.0  // of its usual latency, beyond which an attempt has failed; the paper's
+	maxUtilization        = 0.9  // at which the paper's L·s is clamped
+	ageFactor             = 1.5  // from the mean age of attempts in flight to their expected latency
+	failurePrior          = 2    // added to the cautious failure share: one failure proves little
+	successPrior          = 0.02 // added to the success share: no server is ruled out for good
+	initialLatencyDivisor = 10   // of the shortest objective: the latency before there is any record
+	initialExtraDivisor   = 2    // of the shortest objective: the paper's r before an attempt has failed
+	unknown               = -1.0
 )
 
 // estimate is what a server's records and attempts in flight say of it.
@@ -42,9 +42,9 @@
 	records   *callstats.Table
 
 	shortestObjective float64 // of all classes
-	medianLatency     float64 // of the attempts that succeeded in the window
-	unknownLatency    float64 // of a server without records: the median of the round before
-	usualAttempt      float64 // median latency of attempts in flight and of those that succeeded of late
+	windowMedian      float64 // latency of the attempts that succeeded in the window
+	defaultLatency    float64 // of a server without records: the window's median as of the round before
+	currentMedian     float64 // of attempts in flight and of those that succeeded of late
 	succeededAtWarm   float64 // attempts since the last round, at servers that are warmed up
 	attemptLatencies  []float64
 }
@@ -52,34 +52,36 @@
 func newLatencyEstimator(
 	servers *serverTable, slow *slowstart.Table, shortestObjective float64,
 ) latencyEstimator {
-	limits := callstats.Limits{Window: measuringWindowMS, MinRecords: minRecords, MaxAge: recordMemoryMS}
+	limits := callstats.Limits{Window: measuringWindowMS, MinRecords: minRecords, MaxAge: maxRecordAgeMS}
 	return latencyEstimator{
 		servers:           servers,
 		slowStart:         slow,
 		shortestObjective: shortestObjective,
-		medianLatency:     shortestObjective / startLatencyDivisor,
+		windowMedian:      shortestObjective / initialLatencyDivisor,
 		records:           callstats.New(limits),
 	}
 }
 
-// startLatency is the latency assumed before there is any record.
-func (e *latencyEstimator) startLatency() float64 { return e.shortestObjective / startLatencyDivisor }
+// initialLatency is the latency assumed before there is any record.
+func (e *latencyEstimator) initialLatency() float64 {
+	return e.shortestObjective / initialLatencyDivisor
+}
 
-// learnt reports whether the median rests on attempts.
-func (e *latencyEstimator) learnt() bool { return e.medianLatency != e.startLatency() }
+// measured reports whether the median is that of attempts.
+func (e *latencyEstimator) measured() bool { return e.windowMedian != e.initialLatency() }
 
-// latency is the paper's s. A server without records is taken for a usual one.
+// latency is the paper's s. A server without records is assumed to be an average one.
 func (e *latencyEstimator) latency(server int) float64 {
-	if s := e.servers.servers[server].estimate.latency; s >= 0 {
+	if s := e.servers.get(server).estimate.latency; s >= 0 {
 		return s
 	}
-	return e.unknownLatency
+	return e.defaultLatency
 }
 
 // attemptLatency is what an attempt should take. The median of all servers bounds it, since a server that
 // slows down steadily never takes twice its own s; a request of a high cost may take longer.
 func (e *latencyEstimator) attemptLatency(a *attempt) float64 {
-	return min(e.latency(a.server), e.medianLatency) * a.request.relativeCost()
+	return min(e.latency(a.server), e.windowMedian) * a.request.relativeCost()
 }
 
 // record notes an attempt that has ended. One that this side ended before it was late says nothing of the
@@ -119,7 +121,7 @@
 	latencies := e.records.AppendLatencies(now-e.shortestObjective, e.attemptLatencies[:0])
 	e.servers.removeIdle()
 	for _, server := range e.servers.busy {
-		for _, a := range e.servers.servers[server].inFlight {
+		for _, a := range e.servers.get(server).inFlight {
 			latencies = append(latencies, max(e.latency(server), ageFactor*(now-a.startedAt)))
 		}
 		e.estimate(server, now)
@@ -132,14 +134,14 @@
 	e.slowStart.Earn(slowstart.Round{
 		Now:             now,
 		Elapsed:         elapsed,
-		MedianLatency:   e.medianLatency,
+		MedianLatency:   e.windowMedian,
 		SucceededAtWarm: e.succeededAtWarm,
 	}, e.servers.running)
 	e.succeededAtWarm = 0
 	e.attemptLatencies = latencies
-	e.usualAttempt = stats.Median(latencies, 0)
-	e.unknownLatency = e.medianLatency
-	e.medianLatency = e.records.Median(e.startLatency())
+	e.currentMedian = stats.Median(latencies, 0)
+	e.defaultLatency = e.windowMedian
+	e.windowMedian = e.records.Median(e.initialLatency())
 }
 
 // estimate works out a server's estimate. An attempt in flight that is late counts as failed, so that a
@@ -147,7 +149,7 @@
 func (e *latencyEstimator) estimate(server int, now float64) {
 	sums := e.records.Sums(server)
 	count, failed, extra := sums.Count, sums.Failed, sums.ExtraLatency
-	s := &e.servers.servers[server]
+	s := e.servers.get(server)
 	for _, a := range s.inFlight {
 		if late := now - a.startedAt - lateMultiple*e.attemptLatency(a); late > 0 {
 			count++
@@ -158,9 +160,9 @@
 	s.estimate = estimate{
 		latency:              unknown,
 		failureShare:         failed / max(count, 1),
-		extraLatency:         e.shortestObjective / startExtraDivisor,
-		cautiousFailureShare: failed / (count + addedSuccesses),
-		successShare:         (sums.Succeeded + successFloor) / (count + successFloor),
+		extraLatency:         e.shortestObjective / initialExtraDivisor,
+		cautiousFailureShare: failed / (count + failurePrior),
+		successShare:         (sums.Succeeded + successPrior) / (count + successPrior),
 		successesSinceLoss:   sums.SuccessesSinceLoss,
 	}
 	if sums.Succeeded > 0 {
--- a/logic/finish.go
+++ b/logic/finish.go
@@ -35,7 +35,7 @@
 
 // retryAfter is the advice when to come again. After its latency objective a query earns nothing by that.
 func (g *Gatherer) retryAfter(q *query) float64 {
-	after := max(minRetryAfterMS, g.latencies.medianLatency)
+	after := max(minRetryAfterMS, g.latencies.windowMedian)
 	if g.now >= q.arrivedAt+q.class.LatencyObjective {
 		after = q.class.Deadline
 	}
--- a/logic/load.go
+++ b/logic/load.go
@@ -7,20 +7,21 @@
 )
 
 const (
-	reportWaitMS      = 25.0   // that an arriving query waits for load reports
-	reportFreshMS     = 300.0  // for which a load report is not requested again
-	reportValidMS     = 2000.0 // for which a load report is better than none
-	reportTimeoutMS   = 1000.0 // after which an unanswered health check is repeated
-	concurrentWork    = 2.0    // requests that a server is assumed to work on at once
-	maxReportMultiple = 4.0    // of the median latency, at which a reported latency is clamped
-	unresponsive      = 1e9    // expected latency of a server that does not answer a health check
+	reportWaitMS        = 25.0   // that an arriving query waits for load reports,
+	minReportTimeMS     = 50.0   // unless its deadline is nearer than this
+	reportFreshMS       = 300.0  // for which a load report is not requested again
+	reportValidMS       = 2000.0 // for which a load report is better than none
+	reportTimeoutMS     = 1000.0 // after which an unanswered health check is repeated
+	concurrentWork      = 2.0    // requests that a server is assumed to work on at once
+	maxReportMultiple   = 4.0    // of the median latency, at which a reported latency is clamped
+	unresponsiveLatency = 1e9    // expected latency of a server that does not answer a health check
 )
 
 // ConnectionSilenceShare is for how much of the shortest latency objective nothing may be received on a
 // connection with attempts in flight before further attempts use another connection.
 const ConnectionSilenceShare = 0.4
 
-// loadReport is the load that a server told with its last health check.
+// loadReport is a server's load as of its last health check.
 type loadReport struct {
 	requestedAt   float64 // 0 where no health check is pending
 	receivedAt    float64 // -Inf where there is none
@@ -48,7 +49,7 @@
 	if !known {
 		return
 	}
-	report := &p.servers.servers[index].load
+	report := &p.servers.get(index).load
 	if report.requestedAt <= 0 {
 		return
 	}
@@ -59,18 +60,18 @@
 		checkDuration: result.Elapsed,
 	}
 	if !result.Succeeded {
-		report.queueLength = unresponsive
+		report.queueLength = unresponsiveLatency
 	}
 }
 
-// request asks the replicas of a query's requests for their load, where what they told is no longer fresh.
-// It reports whether the query should wait for them.
+// request asks the replicas of a query's requests for their load, unless their last reports are fresh. It
+// reports whether the query should wait for them.
 func (p *loadProbe) request(q *query, now float64, w gather.Writer) (wait bool) {
-	waitedEnough := q.waitsForLoad > 0 && now >= q.waitsForLoad
-	if !p.enabled || waitedEnough || q.Deadline-now <= 2*reportWaitMS {
+	waitedEnough := q.loadDeadline > 0 && now >= q.loadDeadline
+	if !p.enabled || waitedEnough || q.Deadline-now <= minReportTimeMS {
 		return false
 	}
-	q.waitsForLoad = cmp.Or(q.waitsForLoad, now+reportWaitMS)
+	q.loadDeadline = cmp.Or(q.loadDeadline, now+reportWaitMS)
 	for _, r := range q.requests {
 		for _, index := range p.servers.replicas[p.servers.replicaSet(r.Shard)] {
 			if p.requestFrom(index, now, w) {
@@ -84,7 +85,7 @@
 // requestFrom asks one server unless its report is fresh or on its way. It reports whether one may come
 // soon.
 func (p *loadProbe) requestFrom(index int, now float64, w gather.Writer) (soon bool) {
-	s := &p.servers.servers[index]
+	s := p.servers.get(index)
 	if now-s.load.receivedAt <= reportFreshMS {
 		return false
 	}
@@ -95,13 +96,13 @@
 	return now-s.load.requestedAt < reportWaitMS
 }
 
-// expectedLatency is what a request sent to a server now would take. s alone tells it seconds late when a
+// expectedLatency is what a request sent to a server now would take. s alone follows seconds late when a
 // queue grows, since it counts attempts that have ended; a load report or the age of attempts in flight
-// tells it sooner.
+// shows it sooner.
 func (e *latencyEstimator) expectedLatency(server int, now float64) float64 {
-	s := &e.servers.servers[server]
+	s := e.servers.get(server)
 	if s.load.requestedAt > 0 && now-s.load.requestedAt >= reportWaitMS {
-		return unresponsive
+		return unresponsiveLatency
 	}
 	age, sinceReport := 0.0, 0.0
 	for _, a := range s.inFlight {
@@ -118,9 +119,10 @@
 }
 
 // reportedLatency is what a load report makes a request take behind a queue. The reported latency is
-// clamped: a server that was slow tells so until it has answered more requests, which nobody would send it.
+// clamped: a server that was slow reports so until it has answered more requests, which nobody would send
+// it.
 func (e *latencyEstimator) reportedLatency(server int, queue float64) float64 {
-	report := &e.servers.servers[server].load
-	work := min(max(report.latency, e.latency(server)), maxReportMultiple*e.medianLatency)
+	report := &e.servers.get(server).load
+	work := min(max(report.latency, e.latency(server)), maxReportMultiple*e.windowMedian)
 	return report.checkDuration + work*(1+queue/concurrentWork)
 }
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -16,7 +16,7 @@
 // Redundancy with Enhanced HDD Controllability and Observability", called the paper here: a drive there is
 // a shard server here, a sub-request an attempt. Its symbols are s, the mean latency of a server; f, the
 // share of its attempts that fail; r, the extra latency of a failed attempt; q, its queue; and L, the rate
-// at which it is sent attempts. What departs from the paper, and why, is told in docs/design.md.
+// at which it is sent attempts. docs/design.md says what departs from the paper, and why.
 //
 // Times are milliseconds.
 package logic
@@ -30,6 +30,9 @@
 	"yokeroute/logic/slowstart"
 )
 
+// wakeTicks is how many ticks apart rounds are while there is something to wait for.
+const wakeTicks = 2
+
 // Gatherer holds all state of one instance.
 type Gatherer struct {
 	settings *gather.Settings
@@ -128,13 +131,13 @@
 // tick is the shortest time between two rounds.
 func (g *Gatherer) tick() float64 { return max(g.settings.Tick, 1) }
 
-// scheduleWake requests a round at every other tick while there is something to wait for.
+// scheduleWake requests the next round while there is something to wait for.
 func (g *Gatherer) scheduleWake() {
 	if g.now < g.nextWakeAt || len(g.queries.open) == 0 && !g.mustSubscribe() {
 		return
 	}
-	g.nextWakeAt = g.now + 2*g.tick()
-	g.writer.Wake(2 * g.tick())
+	g.nextWakeAt = g.now + wakeTicks*g.tick()
+	g.writer.Wake(wakeTicks * g.tick())
 }
 
 // finishAbandoned ends the queries whose clients have disconnected, some in the round in which they
--- a/logic/mode.go
+++ b/logic/mode.go
@@ -56,7 +56,7 @@
 			netGain -= affected * (1 - droppedShare) * latency
 			continue
 		}
-		estimate := &g.servers.servers[r.replica].estimate
+		estimate := &g.servers.get(r.replica).estimate
 		netGain += affected * (estimate.failureShare*estimate.extraLatency + droppedShare*latency)
 		mayFail = mayFail || estimate.failureShare > 0
 	}
@@ -78,7 +78,7 @@
 			cost:         r.Cost + r.OrderPenalty + g.random.Float64(),
 		}
 		if r.replica != noReplica {
-			candidates[i].failureShare = g.servers.servers[r.replica].estimate.failureShare
+			candidates[i].failureShare = g.servers.get(r.replica).estimate.failureShare
 		}
 	}
 	slices.SortStableFunc(candidates, func(a, b modeCandidate) int {
--- a/logic/query.go
+++ b/logic/query.go
@@ -9,6 +9,10 @@
 // shareTolerance is by how much sums of weights may miss a share: weights come rounded.
 const shareTolerance = 5e-5
 
+// cutShortTicks is by how much a retry's time has to be below the longest first try to count as cut short
+// by the deadline.
+const cutShortTicks = 4
+
 // query is an open query, or one step or pass of it.
 type query struct {
 	gather.Query
@@ -17,7 +21,7 @@
 	requests  []*shardRequest
 
 	modeChosen    bool
-	waitsForLoad  float64 // the end of its wait for load reports, 0 before it has asked for any
+	loadDeadline  float64 // the end of its wait for load reports, 0 before it has asked for any
 	secondStep    bool    // its first step was answered
 	firstComplete bool    // and that answer was complete
 	finished      bool
@@ -44,7 +48,7 @@
 	request       *shardRequest
 	server        int
 	startedAt     float64 // earlier than it was sent by what a first pass saves
-	weight        float64 // of its record: a first pass tells less than a call in full
+	weight        float64 // of its record: a first pass says less than a call in full
 	ended         bool
 	neverExecuted bool // it is proved that the server did not execute it
 	cancelled     bool // to be retried once its end is reported
@@ -114,7 +118,7 @@
 	}
 }
 
-// arrivalTime is when a query counts as arrived. A client's repeat whose time is cut by the class's
+// arrivalTime is when a query counts as arrived. A client's retry whose time is cut short by the class's
 // deadline has lost the time of the earlier tries, and counts as arrived with the first of them.
 func (g *Gatherer) arrivalTime(q *query) float64 {
 	timeLeft := q.Deadline - g.now
@@ -123,7 +127,7 @@
 		return q.ArrivedAt
 	case !q.Retry:
 		q.class.observeFirstTry(timeLeft)
-	case timeLeft < q.class.longestFirstTry-4*g.tick():
+	case timeLeft < q.class.longestFirstTry-cutShortTicks*g.tick():
 		return min(q.Deadline-q.class.Deadline, g.now)
 	}
 	return g.now
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -17,6 +17,7 @@
 	slowMultiple    = 2.0  // of the least expected latency, above which a replica is passed over
 	requestsPerSlot = 4    // requests of a round that share a call where it has a cost; more would queue up
 	noReplica       = -1
+	neverTaken      = -1.0
 )
 
 // replicaPicker chooses the replica for each attempt: round robin, or weighted round robin where an
@@ -66,7 +67,7 @@
 		leastFailureRound: make([]uint64, sets),
 	}
 	for i := range p.slots {
-		p.slots[i] = slot{next: int(random.Uint32() >> 8), takenAt: -1}
+		p.slots[i] = slot{next: int(random.Uint32() >> 8), takenAt: neverTaken}
 	}
 	p.endpointsChanged()
 	return p
@@ -122,7 +123,7 @@
 	if scan.otherZone != noReplica {
 		return scan.otherZone
 	}
-	return scan.leastBad
+	return scan.fallback
 }
 
 // replicaScan is one look through the replicas of a set.
@@ -132,8 +133,8 @@
 	now            float64
 	fewestInFlight float64 // at an acceptable replica
 	otherZone      int     // the first acceptable replica in another zone
-	leastBad       int     // of all usable replicas,
-	leastCost      float64 // by the time that it is expected to take
+	fallback       int     // the usable replica that is expected to answer first,
+	fallbackCost   float64 // by this cost
 }
 
 func (p *replicaPicker) newScan(set int, r *shardRequest, now float64) replicaScan {
@@ -143,8 +144,8 @@
 		now:            now,
 		fewestInFlight: math.Inf(1),
 		otherZone:      noReplica,
-		leastBad:       noReplica,
-		leastCost:      math.Inf(1),
+		fallback:       noReplica,
+		fallbackCost:   math.Inf(1),
 	}
 	for _, server := range p.servers.replicas[set] {
 		if scan.fewestInFlight <= 0 {
@@ -165,7 +166,7 @@
 	inFlight := float64(p.servers.inFlight(server))
 	crowded := !p.loadsReported && inFlight > s.fewestInFlight+maxInFlightLead
 	if latency <= maxLatency && !crowded && !p.passedOver(server, s.request, s.now) {
-		if !p.servers.servers[server].inOtherZone {
+		if !p.servers.get(server).inOtherZone {
 			return true
 		}
 		if s.otherZone == noReplica {
@@ -174,10 +175,10 @@
 	}
 	// A server that rejects at once has a low s and nothing in flight: its success share keeps requests
 	// from herding.
-	cost := latency * (inFlight + 1) / p.servers.servers[server].estimate.successShare
-	if cost < s.leastCost {
-		s.leastBad = server
-		s.leastCost = cost
+	cost := latency * (inFlight + 1) / p.servers.get(server).estimate.successShare
+	if cost < s.fallbackCost {
+		s.fallback = server
+		s.fallbackCost = cost
 	}
 	return false
 }
@@ -196,7 +197,7 @@
 // usable reports whether a request may be sent to a server at all. One that has seen it would only give the
 // same result again; one that rejected it is tried again once all replicas have seen it.
 func (p *replicaPicker) usable(server int, r *shardRequest, now float64) bool {
-	if r.query.Pass == gather.FirstPass && !p.servers.servers[server].answersFirstPass {
+	if r.query.Pass == gather.FirstPass && !p.servers.get(server).answersFirstPass {
 		return false
 	}
 	for _, a := range r.attempts {
@@ -215,7 +216,7 @@
 // that it was ever sent is in flight; it is an outlier; or it lost an attempt of late, for a request that
 // cannot be sent again.
 func (p *replicaPicker) passedOver(server int, r *shardRequest, now float64) bool {
-	if last := p.servers.servers[server].lastAttempt; last != nil && !last.ended {
+	if last := p.servers.get(server).lastAttempt; last != nil && !last.ended {
 		late := now-last.startedAt > lateMultiple*p.latencies.latency(server)
 		if late || !p.loadsReported && p.latencies.records.Count(server) == 0 {
 			return true
@@ -224,7 +225,7 @@
 	if p.outlier(server, r) {
 		return true
 	}
-	estimate := &p.servers.servers[server].estimate
+	estimate := &p.servers.get(server).estimate
 	return r.query.class.Effect == gather.NonIdempotent && estimate.successesSinceLoss < trustedAfter
 }
 
@@ -236,11 +237,11 @@
 		p.leastFailureRound[set] = p.round
 		p.leastFailure[set] = math.Inf(1)
 		for _, other := range p.servers.replicas[set] {
-			share := p.servers.servers[other].estimate.cautiousFailureShare
+			share := p.servers.get(other).estimate.cautiousFailureShare
 			p.leastFailure[set] = min(p.leastFailure[set], share)
 		}
 	}
-	return p.servers.servers[server].estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
+	return p.servers.get(server).estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
 }
 
 // take notes that a replica was chosen. Where a call has a cost, requests of one round share its slot and
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -13,9 +13,9 @@
 
 const (
 	// The budget where the deployment sets none, so that retries cannot feed an overload.
-	ownBudgetWindowMS = 5000.0
-	ownBudgetFloor    = 3.0
-	ownBudgetRatio    = 0.1
+	defaultBudgetWindowMS = 5000.0
+	defaultBudgetFloor    = 3.0
+	defaultBudgetRatio    = 0.1
 	// cancelledMultiple widens it where each retry takes the place of a cancelled attempt.
 	cancelledMultiple = 10.0
 
@@ -50,7 +50,7 @@
 func (b *retryBudget) update(now, tick float64, settings *gather.Settings) {
 	window, floor, ratio := settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio
 	if window == 0 {
-		window, floor, ratio = ownBudgetWindowMS, ownBudgetFloor, ownBudgetRatio
+		window, floor, ratio = defaultBudgetWindowMS, defaultBudgetFloor, defaultBudgetRatio
 		if !settings.HedgingAllowed {
 			floor *= cancelledMultiple
 			ratio *= cancelledMultiple
@@ -111,7 +111,7 @@
 		g.cancelLateAttempt(r)
 		return false
 	}
-	feedsOverload := g.latencies.usualAttempt*missing > hedgeMaxLatency*class.LatencyObjective
+	feedsOverload := g.latencies.currentMedian*missing > hedgeMaxLatency*class.LatencyObjective
 	return !feedsOverload && g.retries.allowsHedge()
 }
 
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -42,6 +42,9 @@
 	return serverTable{indexOf: map[uint32]int{}, replicas: make([][]int, replicaSets)}
 }
 
+// get returns a server. It stays valid until a server is added.
+func (t *serverTable) get(index int) *server { return &t.servers[index] }
+
 func (t *serverTable) id(index int) uint32 { return t.servers[index].id }
 
 func (t *serverTable) running(index int) bool { return t.servers[index].state == gather.Running }
@@ -55,7 +58,7 @@
 // the table's length where there is none.
 func (t *serverTable) reusable(from int) int {
 	for from < len(t.servers) {
-		if s := &t.servers[from]; s.state == gather.Removed && len(s.inFlight) == 0 {
+		if s := t.get(from); s.state == gather.Removed && len(s.inFlight) == 0 {
 			break
 		}
 		from++
@@ -79,7 +82,7 @@
 
 // restart forgets what was observed of a server's earlier process. Attempts in flight go on.
 func (t *serverTable) restart(index int) {
-	s := &t.servers[index]
+	s := t.get(index)
 	s.lastAttempt = nil
 	s.load.requestedAt = 0
 	s.load.receivedAt = math.Inf(-1)
@@ -116,7 +119,7 @@
 
 // addInFlight notes an attempt that is sent.
 func (t *serverTable) addInFlight(a *attempt) {
-	s := &t.servers[a.server]
+	s := t.get(a.server)
 	if !s.listedBusy {
 		s.listedBusy = true
 		t.busy = append(t.busy, a.server)
@@ -128,14 +131,14 @@
 
 // removeInFlight notes an attempt that has ended.
 func (t *serverTable) removeInFlight(a *attempt) {
-	s := &t.servers[a.server]
+	s := t.get(a.server)
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *attempt) bool { return other == a })
 }
 
 // removeIdle takes the servers without attempts in flight off the list of busy ones.
 func (t *serverTable) removeIdle() {
 	t.busy = slices.DeleteFunc(t.busy, func(index int) bool {
-		s := &t.servers[index]
+		s := t.get(index)
 		s.listedBusy = len(s.inFlight) > 0
 		return !s.listedBusy
 	})
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -23,7 +23,7 @@
 	// Clients that wait less than that leave before their answer, and come again.
 	timeLeft := max(min(untilObjective, q.Deadline)-g.now, 1)
 	load := g.slowestLatency(q) / timeLeft
-	if !g.latencies.learnt() {
+	if !g.latencies.measured() {
 		return false
 	}
 	return (load-shedFromShare)/(shedAllShare-shedFromShare) > g.random.Float64()
@@ -42,7 +42,7 @@
 		if !r.wanted || r.replica == noReplica {
 			continue
 		}
-		if latency := g.latencies.expectedLatency(r.replica, g.now); latency < unresponsive {
+		if latency := g.latencies.expectedLatency(r.replica, g.now); latency < unresponsiveLatency {
 			requests = append(requests, expected{counted * latency, r.Weight})
 		}
 	}
--- a/logic/view.go
+++ b/logic/view.go
@@ -6,7 +6,7 @@
 func (g *Gatherer) View() []gather.EndpointView {
 	var views []gather.EndpointView
 	for i := range g.servers.servers {
-		s := &g.servers.servers[i]
+		s := g.servers.get(i)
 		if s.state == gather.Removed {
 			continue
 		}
