--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -65,7 +65,7 @@
 		if settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		settings = dispatch.OwnedTerms(settings, own.MaxSegments)
+		settings = dispatch.OwnershipSettings(settings, own.MaxSegments)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("plans and two phases go by groups of shards and are left out where segments have owners of their own")
 			own.Plan, own.Placement, own.TwoPhase = "", "", nil
@@ -78,7 +78,7 @@
 			return nil, err
 		}
 		s.ledger = ledger
-		s.Picker.Keep(ledger)
+		s.Picker.SetNonIdempotentStore(ledger)
 		tell := log.WithFields(logrus.Fields{"folder": own.State, "names": found.Names, "epoch": found.Epoch, "records": found.Records, "bytes": found.Bytes, "torn": found.Torn, "took": found.Took})
 		if found.Blind > 0 {
 			tell.Warn("state: what ran before may be unknown; once-only lookups that are marked as repeats are aborted for a while")
@@ -93,7 +93,7 @@
 		}
 	}
 	if own.MaxSegments > 0 {
-		s.Picker.Segments(own.MaxSegments, settings.Shards)
+		s.Picker.EnableOwnership(own.MaxSegments, settings.Shards)
 		if s.ledger != nil && s.ledger.Map() != nil {
 			s.Picker.SetMap(s.ledger.Map())
 		}
@@ -120,12 +120,12 @@
 		log.WithError(err).Error("two phases refused for these indexes: one phase")
 	}
 	if len(marked) > 0 {
-		s.Picker.Phases(marked)
-		s.pool.Agree(s.Picker.Speaks)
+		s.Picker.EnableTwoPass(marked)
+		s.pool.Agree(s.Picker.SetAnswersFirstPass)
 	}
 	if own.TracesKept > 0 {
 		s.traces = trace.New(own.TracesKept, own.TraceShare)
-		s.Picker.Trace(s.traces)
+		s.Picker.ObserveDecisions(s.traces)
 	}
 	governed, err := govern(c, own, settings, s.Picker, log)
 	if err != nil {
@@ -137,11 +137,11 @@
 		shards = settings.Shards
 	}
 	if own.Record != "" {
-		if s.record, err = trace.Create(own.Record, own.RecordMaxBytes, own.RecordUnbuffered, c.Settings, shards, s.Picker.Now()); err != nil {
+		if s.record, err = trace.Create(trace.FileConfig{Name: own.Record, MaxBytes: int64(own.RecordMaxBytes), FlushEach: own.RecordUnbuffered, Settings: c.Settings, Shards: shards, StartedAt: s.Picker.Now()}); err != nil {
 			return nil, fmt.Errorf("record: %w", err)
 		}
-		s.Picker.Trace(s.record)
-		s.Picker.Watch(s.record)
+		s.Picker.ObserveDecisions(s.record)
+		s.Picker.ObserveWire(s.record)
 	}
 	s.keeper = plans.New(s.Picker, c.Settings, background.New(own.BackgroundShare, log), log)
 	if err := s.keeper.Configure(own); err != nil { // against not serving for want of a plan
@@ -161,22 +161,22 @@
 			for _, a := range all {
 				names[a.ID] = a.Name
 			}
-			s.Picker.Names(names)
+			s.Picker.SetServerNames(names)
 		}
-		s.Picker.Follow(list)
-		s.keeper.Follow(list, all)
+		s.Picker.UpdateEndpoints(list)
+		s.keeper.UpdateEndpoints(list, all)
 		s.tells.follow(list)
 		s.handover.follow(list, all)
 		if s.traces != nil {
-			s.traces.Names(all)
+			s.traces.SetServerNames(all)
 		}
 		if s.record != nil {
-			s.record.Follow(list, s.Picker.Now())
+			s.record.UpdateEndpoints(list, s.Picker.Now())
 		}
 		if len(all) > 0 {
 			listed.Store(true)
 		}
-	}, s.Picker.Asked(), log)
+	}, s.Picker.EndpointListRequested(), log)
 	if settings.EndpointsOnRequest {
 		s.follower.Shared()
 	}
@@ -184,9 +184,9 @@
 		s.handover.apply(c.KnownEndpoints)
 		s.follower.Take(c.KnownEndpoints)
 	}
-	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
+	s.server = frontend.New(frontend.Config{Picker: s.Picker, Settings: c.Settings, MaxConns: clients, MaxUsedConns: c.Limits.Sockets / 4, Ready: listed.Load, Log: log})
 	if s.traces != nil {
-		s.server.Admin(trace.Path, s.traces)
+		s.server.Handle(trace.Path, s.traces)
 	}
 	return s, nil
 }
@@ -209,7 +209,7 @@
 	}
 	wait.Go(func() {
 		for {
-			orders, err := s.Picker.Tick(serving)
+			orders, err := s.Picker.RunRound(serving)
 			if err != nil {
 				return
 			}
