--- a/internal/gatherer/dispatch/attempt.go
+++ b/internal/gatherer/dispatch/attempt.go
@@ -40,11 +40,11 @@
 	cancelled     atomic.Bool
 	ended         atomic.Bool
 	neverExecuted atomic.Bool // set at its end where that proves it
-	writeBegun    atomic.Bool
+	writeStarted  atomic.Bool
 }
 
-// ID names the shard request on the wire; a hedged request bears the same name. In a first pass a mark follows, so that
-// an answer cannot be taken for the other pass's.
+// ID names the shard request on the wire; a hedged request bears the same name. In a first pass a mark follows, so
+// that an answer cannot be taken for the other pass's.
 func (a *Attempt) ID() string {
 	id := a.query.ID + "." + strconv.Itoa(a.shard)
 	if a.owned { // several pieces of a shard request may be in flight at one server
@@ -102,8 +102,8 @@
 // BeginWrite reports whether the attempt may still be written: it may have waited for a connection while its query
 // was decided, the policy changed or the retry budget ran out. Each BeginWrite that returns true needs an EndWrite.
 //
-// BeginWrite never blocks: a query that is being sealed is as good as answered, and writers that waited could wait for
-// each other.
+// BeginWrite never blocks: a query that is being sealed is as good as answered, and writers that waited could wait
+// for each other.
 func (a *Attempt) BeginWrite() bool {
 	query := a.query.root()
 	if a.cancelled.Load() || !query.writeGate.TryRLock() {
@@ -115,7 +115,7 @@
 		query.writeGate.RUnlock()
 		return false
 	}
-	a.writeBegun.Store(true)
+	a.writeStarted.Store(true)
 	query.mayHaveRun.Store(true)
 	for _, o := range a.picker.observers.wire {
 		o.AttemptWritten(a, now)
@@ -126,11 +126,11 @@
 // EndWrite ends what BeginWrite began.
 func (a *Attempt) EndWrite() { a.query.root().writeGate.RUnlock() }
 
-// WriteBegun reports whether BeginWrite has returned true.
-func (a *Attempt) WriteBegun() bool { return a.writeBegun.Load() }
+// WriteStarted reports whether BeginWrite has returned true.
+func (a *Attempt) WriteStarted() bool { return a.writeStarted.Load() }
 
-// keyStillKnown reports whether the servers still know the idempotency key of every earlier attempt that may have run:
-// the window may end while the attempt waits for its connection.
+// keyStillKnown reports whether the servers still know the idempotency key of every earlier attempt that may have
+// run: the window may end while the attempt waits for its connection.
 func (a *Attempt) keyStillKnown(now float64) bool {
 	for _, e := range a.earlier {
 		if !e.neverExecuted.Load() && now > e.decidedAt+a.idempotencyWindow-clockTolerance {
--- a/internal/gatherer/dispatch/endpoints.go
+++ b/internal/gatherer/dispatch/endpoints.go
@@ -45,8 +45,8 @@
 	return all
 }
 
-// rewriteEndpoints replaces each list's endpoints by copies that change has been applied to: a list may be shared with
-// others.
+// rewriteEndpoints replaces each list's endpoints by copies that change has been applied to: a list may be shared
+// with others.
 func rewriteEndpoints(lists []gather.EndpointList, change func(e *gather.Endpoint)) {
 	for i := range lists {
 		copies := make([]gather.Endpoint, len(lists[i].Endpoints))
--- a/internal/gatherer/dispatch/harness_test.go
+++ b/internal/gatherer/dispatch/harness_test.go
@@ -113,7 +113,8 @@
 	return n
 }
 
-// Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the rest.
+// Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the
+// rest.
 func newOwnershipPicker(t *testing.T, change func(s *gather.Settings)) (*Picker, *ownership.Map) {
 	p := newPicker(t, func(s *gather.Settings) {
 		for _, name := range []string{"any", "all"} {
--- a/internal/gatherer/dispatch/intake.go
+++ b/internal/gatherer/dispatch/intake.go
@@ -64,8 +64,8 @@
 	return i.inbox.pending
 }
 
-// take empties the inbox for a round.
-func (i *intake) take() inbox {
+// drain empties the inbox for a round.
+func (i *intake) drain() inbox {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	in := i.inbox
@@ -91,8 +91,8 @@
 	}
 }
 
-// reserve counts a query in with its shard requests and returns the first of as many IDs. It reports false, and counts
-// nothing, beyond the limit.
+// reserve counts a query in with its shard requests and returns the first of as many IDs. It reports false, and
+// counts nothing, beyond the limit.
 func (i *intake) reserve(size int) (firstID uint64, admitted bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/gatherer/dispatch/nonidempotent.go
+++ b/internal/gatherer/dispatch/nonidempotent.go
@@ -7,11 +7,11 @@
 	"yokeroute/logic/ownership"
 )
 
-// NonIdempotentStore is the durable record of non-idempotent queries that may have run, and of the newest segment map.
-// It is called on the goroutine that runs rounds.
+// NonIdempotentStore is the durable record of non-idempotent queries that may have run, and of the newest segment
+// map. It is called on the goroutine that runs rounds.
 type NonIdempotentStore interface {
-	// MayHaveRun reports whether an attempt of a query of this ID may have run. Retried is set for one that its client
-	// marked as a repeat.
+	// MayHaveRun reports whether an attempt of a query of this ID may have run. Retried is set for one that its
+	// client marked as a repeat.
 	MayHaveRun(id string, retried bool, now float64) bool
 	// RecordSent stores the IDs of queries whose first attempts are about to be sent.
 	RecordSent(ids []string, now float64) error
@@ -28,7 +28,8 @@
 	return p.settings.Class(query.Class).Effect == gather.NonIdempotent
 }
 
-// failIfMayHaveRun fails a non-idempotent query of whose ID an earlier attempt may have run. It reports whether it did.
+// failIfMayHaveRun fails a non-idempotent query of whose ID an earlier attempt may have run. It reports whether it
+// did.
 func (p *Picker) failIfMayHaveRun(query *Query, now float64) bool {
 	if p.store == nil || !p.nonIdempotent(query) || !p.store.MayHaveRun(query.ID, query.Retried, now) {
 		return false
--- a/internal/gatherer/dispatch/observers.go
+++ b/internal/gatherer/dispatch/observers.go
@@ -8,7 +8,8 @@
 // DecisionObserver is notified of decisions and of attempts' ends, on the goroutine that runs rounds. It must not
 // block. Times are on the picker's clock, latencies milliseconds.
 type DecisionObserver interface {
-	// QueryAdmitted is called at a query's arrival. The decision is nil for a class that is never served in two passes.
+	// QueryAdmitted is called at a query's arrival. The decision is nil for a class that is never served in two
+	// passes.
 	QueryAdmitted(query *Query, decision *twopass.Decision, at float64)
 	AttemptDecided(attempt *Attempt, at float64)
 	AttemptEnded(attempt *Attempt, outcome gather.Outcome, latency float64, summary *twopass.Summary)
--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -49,8 +49,8 @@
 	refusedPieces int              // by servers that do not own them, since the last round
 }
 
-// EnableOwnership has queries sent to the owners of their keys, by the maps that are handed in, of maxSegments at most.
-// The module's settings must be those of OwnershipSettings.
+// EnableOwnership has queries sent to the owners of their keys, by the maps that are handed in, of maxSegments at
+// most. The module's settings must be those of OwnershipSettings.
 func (p *Picker) EnableOwnership(maxSegments, shards int) {
 	p.ownership = &ownershipState{
 		index:        ownership.NewIndex(maxSegments),
@@ -60,8 +60,8 @@
 	}
 }
 
-// OwnershipSettings are a module's settings where so many segments can be owned: each segment is a replica set, and its
-// writer another one.
+// OwnershipSettings are a module's settings where so many segments can be owned: each segment is a replica set, and
+// its writer another one.
 func OwnershipSettings(settings *gather.Settings, maxSegments int) *gather.Settings {
 	s := settings.Clone()
 	s.ReplicaSets = ownership.NewIndex(maxSegments).Nowhere() + 1
@@ -93,8 +93,8 @@
 	p.intake.enqueue(func(in *inbox) { in.serverNames = names })
 }
 
-// Map is the newest map known, and whether sources contradict each other. It must be called on the goroutine that runs
-// rounds.
+// Map is the newest map known, and whether sources contradict each other. It must be called on the goroutine that
+// runs rounds.
 func (p *Picker) Map() (m *ownership.Map, contradicted bool) {
 	return p.ownership.Map, p.ownership.Doubt > 0
 }
@@ -116,20 +116,20 @@
 			changed = true
 		}
 	}
-	if changed && o.Doubt > 0 && o.Follower.Map != nil && o.Follower.Map.Epoch > o.Doubt {
+	if changed && o.Doubt > 0 && o.Map != nil && o.Map.Epoch > o.Doubt {
 		o.requestMap() // as a full one, this map ends the doubt
 	}
 	if in.serverNames != nil {
 		o.serverNames = in.serverNames
 	}
-	if o.Follower.Map == nil {
+	if o.Map == nil {
 		return false
 	}
 	if changed {
-		if o.index.Take(o.Follower.Map) {
+		if o.index.Take(o.Map) {
 			p.log.Error("segment map: too many segments, the last ones are not served")
 		}
-		o.ownedSets = o.index.Holds(o.Follower.Map)
+		o.ownedSets = o.index.Holds(o.Map)
 	}
 	if changed || in.serverNames != nil {
 		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: p.endpoints.all()})
@@ -156,9 +156,9 @@
 	log := p.log.WithField("verdict", string(verdict))
 	switch verdict {
 	case ownership.Applied:
-		log.WithField("epoch", o.Follower.Map.Epoch).Info("segment map: new epoch")
+		log.WithField("epoch", o.Map.Epoch).Info("segment map: new epoch")
 		if p.store != nil {
-			if err := p.store.SaveMap(o.Follower.Map); err != nil {
+			if err := p.store.SaveMap(o.Map); err != nil {
 				p.log.WithError(err).Error("segment map: not saved")
 			}
 		}
@@ -186,7 +186,7 @@
 		ranges[i] = ownership.Slot(r.Shard, o.shards)
 		weights[i] = r.Weight
 	}
-	m := o.Follower.Map
+	m := o.Map
 	if m == nil {
 		m = &ownership.Map{} // no owner is known
 	}
@@ -226,16 +226,17 @@
 	})
 }
 
-// assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set that
-// stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds them.
+// assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set
+// that stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds
+// them.
 func (o *ownershipState) assignSegment(held *ownership.Held, segment int, effect gather.Effect) (replicaSet int) {
-	if o.Follower.Map != nil {
-		held.Since = o.Follower.Map.Epoch
+	if o.Map != nil {
+		held.Since = o.Map.Epoch
 	}
 	if segment < 0 {
 		return o.index.Nowhere()
 	}
-	s := &o.Follower.Map.Segments[segment]
+	s := &o.Map.Segments[segment]
 	held.Segment = s.Name
 	held.Since = s.Since
 	all, writer := o.index.Groups(s.Name)
@@ -249,7 +250,7 @@
 // parked or were refused.
 func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
 	o := p.ownership
-	if o.Follower.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
+	if o.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
 		return
 	}
 	ids := make([]uint64, 0, len(p.queries.byID))
@@ -275,7 +276,7 @@
 			held = append(held, query.pieces[i].Held)
 		}
 	}
-	replaced, fresh := o.Follower.Map.Rehome(held, p.nonIdempotent(query), o.Doubt == 0, now)
+	replaced, fresh := o.Map.Rehome(held, p.nonIdempotent(query), o.Doubt == 0, now)
 	for _, id := range replaced {
 		query.pieces[p.queries.requests[id].index].replaced = true
 		delete(p.queries.requests, id)
@@ -304,7 +305,7 @@
 	case !end.outcome.NeverExecuted():
 		pc.MayRun = true
 	}
-	if end.attempt.WriteBegun() {
+	if end.attempt.WriteStarted() {
 		pc.Called = true
 	}
 }
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -328,6 +328,7 @@
 // each key once; a non-idempotent shard request is never sent again where an earlier attempt may have run, nor its
 // query rejected; each query has one result.
 func TestMovingSegmentsKeepTheRules(t *testing.T) {
+	const lostShare, rejectedShare = 0.04, 0.04 // of attempts
 	for seed := range uint64(8) {
 		p, m := newOwnershipPicker(t, func(s *gather.Settings) { s.RetryBudgetFloor = 1000.0 })
 		chance := pcg.New(seed)
@@ -420,9 +421,9 @@
 				case !owns:
 					a.mayRun = false
 					p.Report(o.c, gather.NotOwner, nil)
-				case chance.Float64() < 0.04:
+				case chance.Float64() < lostShare:
 					p.Report(o.c, []gather.Outcome{gather.ConnectionReset, gather.Failed, gather.TimedOut}[draw(3)], nil)
-				case chance.Float64() < 0.04:
+				case chance.Float64() < rejectedShare:
 					a.mayRun = false
 					p.Report(o.c, gather.Rejected, nil)
 				default:
--- a/internal/gatherer/dispatch/picker.go
+++ b/internal/gatherer/dispatch/picker.go
@@ -79,7 +79,8 @@
 	p.intake.enqueue(func(in *inbox) { in.EndpointLists = append(in.EndpointLists, list) })
 }
 
-// SetWeights hands in weights by replica set, empty ones for plain round robin. They belong to the module from then on.
+// SetWeights hands in weights by replica set, empty ones for plain round robin. They belong to the module from then
+// on.
 func (p *Picker) SetWeights(weights [][]gather.Weight) {
 	p.intake.enqueue(func(in *inbox) { in.Weights = weights })
 }
--- a/internal/gatherer/dispatch/policygate.go
+++ b/internal/gatherer/dispatch/policygate.go
@@ -6,9 +6,9 @@
 	"yokeroute/gather"
 )
 
-// PolicyGate says which settings queries are decided by while the operators' policy changes across the fleet, and what
-// may still go out that was decided before a change. Each change begins a generation, by which all queries are decided
-// that are admitted in it.
+// PolicyGate says which settings queries are decided by while the operators' policy changes across the fleet, and
+// what may still go out that was decided before a change. Each change begins a generation, by which all queries are
+// decided that are admitted in it.
 type PolicyGate interface {
 	// Effective returns the generation in effect and its settings. It is called at the beginning of each round.
 	Effective(now float64) (generation uint64, settings *gather.Settings)
@@ -30,8 +30,8 @@
 	Drained() bool
 }
 
-// PolicyCheck is an attempt that is about to be written, or a query whose result is about to be given, as a policy sees
-// it.
+// PolicyCheck is an attempt that is about to be written, or a query whose result is about to be given, as a policy
+// sees it.
 type PolicyCheck struct {
 	Generation uint64 // that its query was decided by
 	Class      string
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -11,8 +11,8 @@
 const clockTolerance = 1.0
 
 // retryBudget counts retries and hedged requests when their first byte is written. The module counts them when it
-// decides on them, which is earlier by what a new connection takes: attempts that waited together would go together, in
-// a window in which fewer requests were admitted than when they were decided on.
+// decides on them, which is earlier by what a new connection takes: attempts that waited together would go together,
+// in a window in which fewer requests were admitted than when they were decided on.
 //
 // A nil retryBudget allows everything.
 type retryBudget struct {
--- a/internal/gatherer/dispatch/round.go
+++ b/internal/gatherer/dispatch/round.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// RunRound blocks until a round is due and runs it on all input that has come. It returns an error only when ctx ends.
+// RunRound blocks until a round is due and runs it on all input that has come. It returns an error only when ctx
+// ends.
 func (p *Picker) RunRound(ctx context.Context) (Actions, error) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -65,7 +66,7 @@
 
 // runRound runs the module once on all input. The order of its steps is part of what the module decides by.
 func (p *Picker) runRound(now float64) Actions {
-	in := p.intake.take()
+	in := p.intake.drain()
 	p.actions = Actions{}
 	p.schedule.begin(now)
 	p.applyEndpointLists(in.EndpointLists)
--- a/internal/gatherer/dispatch/stepped.go
+++ b/internal/gatherer/dispatch/stepped.go
@@ -9,8 +9,8 @@
 )
 
 // NewStepped returns a picker whose rounds the caller runs one by one, on the caller's clock: for models of fleets in
-// virtual time. A nil build stands for the project's own module. No method may be called by two goroutines at once, and
-// RunRound and Pick not at all.
+// virtual time. A nil build stands for the project's own module. No method may be called by two goroutines at once,
+// and RunRound and Pick not at all.
 func NewStepped(
 	seed uint64, settings *gather.Settings, build ModuleFactory, now func() float64, log *logrus.Logger,
 ) *Picker {
--- a/internal/gatherer/dispatch/twopass.go
+++ b/internal/gatherer/dispatch/twopass.go
@@ -192,8 +192,8 @@
 	return first
 }
 
-// firstPassRequestsIn counts the shard requests of first passes in a round, for which the module has not held back any
-// retries yet.
+// firstPassRequestsIn counts the shard requests of first passes in a round, for which the module has not held back
+// any retries yet.
 func firstPassRequestsIn(in *gather.Round) (n float64) {
 	first := map[uint64]bool{}
 	for _, query := range in.Queries {
--- a/internal/gatherer/frontend/clientconn.go
+++ b/internal/gatherer/frontend/clientconn.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"os"
@@ -74,7 +75,7 @@
 // Read implements net.Conn.
 func (c *clientConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	n := c.ahead.take(p)
+	n := c.ahead.consume(p)
 	c.mu.Unlock()
 	if n > 0 {
 		c.scan(p[:n])
@@ -108,11 +109,11 @@
 		}
 		for {
 			n, err = syscall.Read(int(fd), p)
-			if err != syscall.EINTR {
+			if !errors.Is(err, syscall.EINTR) {
 				break
 			}
 		}
-		if err == syscall.EAGAIN {
+		if errors.Is(err, syscall.EAGAIN) {
 			return false
 		}
 		n, err = c.received(n, len(p), err)
@@ -138,8 +139,8 @@
 		c.arrivingSince = time.Now()
 	}
 	// net/http reads a single byte only behind a request being served, and no further while it serves.
-	c.ahead.byteTaken = size == 1 && c.ahead.onClientGone == nil
-	if c.ahead.onClientGone != nil && c.ahead.done == nil {
+	c.ahead.byteConsumed = size == 1 && c.ahead.onDisconnect == nil
+	if c.ahead.onDisconnect != nil && c.ahead.done == nil {
 		c.startReadAhead()
 	}
 	return n, nil
@@ -176,7 +177,7 @@
 	}
 	c.serving = false
 	c.requestRead = false
-	c.ahead.byteTaken = false
+	c.ahead.byteConsumed = false
 }
 
 // closeIfIdle closes the connection if no request is served on it and no byte of one has been read or waits to be. A
@@ -199,7 +200,7 @@
 	c.closedByServer = c.closedByServer || closing
 	c.mu.Unlock()
 	if closing {
-		c.Close()
+		_ = c.Close()
 	}
 	return closing
 }
@@ -218,7 +219,7 @@
 	if c.CloseWrite() != nil { // reset, or closed already
 		return c.TCPConn.Close()
 	}
-	c.SetReadDeadline(longAgo) // wakes a pending read, which returns that the connection is closed
+	_ = c.SetReadDeadline(longAgo) // wakes a pending read, which returns that the connection is closed
 	c.lingering.add(c)
 	go c.discardUntilClosed(wait)
 	return nil
@@ -227,14 +228,14 @@
 // discardUntilClosed reads and drops what the client still sends, and releases the descriptor. lingeringConns waits
 // for its end.
 func (c *clientConn) discardUntilClosed(wait time.Duration) {
-	c.SetReadDeadline(time.Now().Add(wait))
+	_ = c.SetReadDeadline(time.Now().Add(wait))
 	buf := make([]byte, discardBufferBytes)
 	for {
 		if _, err := c.TCPConn.Read(buf); err != nil {
 			break
 		}
 	}
-	c.TCPConn.Close()
+	_ = c.TCPConn.Close()
 	c.lingering.remove(c)
 }
 
--- a/internal/gatherer/frontend/clientconn_test.go
+++ b/internal/gatherer/frontend/clientconn_test.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"errors"
 	"io"
 	"net"
 	"runtime"
@@ -69,7 +70,7 @@
 	conn.closedByServer = true
 	conn.mu.Unlock()
 	io.WriteString(far, "P")
-	if r := <-got; r.n != 0 || r.err != net.ErrClosed {
+	if r := <-got; r.n != 0 || !errors.Is(r.err, net.ErrClosed) {
 		t.Errorf("read %d, %v", r.n, r.err)
 	}
 }
--- a/internal/gatherer/frontend/conntracker.go
+++ b/internal/gatherer/frontend/conntracker.go
@@ -240,8 +240,8 @@
 		return false
 	}
 	n := 0
-	raw.Control(func(fd uintptr) {
+	err = raw.Control(func(fd uintptr) {
 		n, _, _ = syscall.Recvfrom(int(fd), make([]byte, 1), syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 	})
-	return n > 0
+	return err == nil && n > 0
 }
--- a/internal/gatherer/frontend/conntracker_test.go
+++ b/internal/gatherer/frontend/conntracker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -52,7 +53,7 @@
 	last, _ := open("")
 	c.onStateChange(last, http.StateNew)
 	far.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the silent one is still open: %v", err)
 	}
 	for name, conn := range map[string]net.Conn{"idle": usual, "asking": asking, "last": last} {
@@ -115,7 +116,7 @@
 	c.onStateChange(a, http.StateIdle)
 	c.onStateChange(b, http.StateIdle)
 	d := open()
-	if _, err := far[0].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := far[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the one idle longest is not closed: %v", err)
 	}
 	if c.overloaded() {
--- a/internal/gatherer/frontend/handler.go
+++ b/internal/gatherer/frontend/handler.go
@@ -25,8 +25,8 @@
 		}
 	}()
 	rc := http.NewResponseController(w)
-	rc.SetReadDeadline(time.Now().Add(readBodyTimeout))
-	rc.SetWriteDeadline(time.Now().Add(writeTimeout))
+	_ = rc.SetReadDeadline(time.Now().Add(readBodyTimeout))
+	_ = rc.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if conn != nil && conn.conflictingLengths.Load() {
 		w.Header().Set("Connection", "close") // the body may hide another request
 		writeText(w, http.StatusBadRequest, "Content-Length and Transfer-Encoding")
@@ -40,7 +40,7 @@
 func (s *Server) route(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) {
 	switch r.URL.Path {
 	case "/-/ready":
-		if s.shutdown.begun.Load() || !s.ready() {
+		if s.shutdown.started.Load() || !s.ready() {
 			writeText(w, http.StatusServiceUnavailable, "not ready")
 			return
 		}
@@ -98,7 +98,7 @@
 		return err
 	}
 	s.closeAfterResponse(w, conn)
-	rc.SetWriteDeadline(deadline.Add(writeTimeout))
+	_ = rc.SetWriteDeadline(deadline.Add(writeTimeout))
 	writeResult(w, result)
 	return nil
 }
@@ -107,7 +107,7 @@
 // the longest.
 func readBody(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, deadline time.Time) ([]byte, error) {
 	if time.Until(deadline) < readBodyTimeout {
-		rc.SetReadDeadline(deadline)
+		_ = rc.SetReadDeadline(deadline)
 	}
 	if r.ContentLength > maxBodyBytes { // rejected before any of it is read
 		w.Header().Set("Connection", "close")
@@ -117,7 +117,7 @@
 	if err != nil {
 		return nil, err
 	}
-	rc.SetReadDeadline(time.Time{})
+	_ = rc.SetReadDeadline(time.Time{})
 	return body, nil
 }
 
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -46,7 +46,7 @@
 	"internal-error":         keptAnswer(dispatch.Result{Kind: dispatch.InternalError}),
 	"panicked":               func(context.Context, *dispatch.Query) dispatch.Result { panic("broken") },
 	"abandoned":              keptAnswer(dispatch.Result{Kind: dispatch.Abandoned}),
-	"deadline-passed": func(ctx context.Context, query *dispatch.Query) dispatch.Result {
+	"deadline-passed": func(_ context.Context, query *dispatch.Query) dispatch.Result {
 		time.Sleep(time.Duration(query.Deadline-1000) * time.Millisecond)
 		return dispatch.Result{Kind: dispatch.Failed}
 	},
@@ -105,7 +105,7 @@
 	s := newTestServer(f, clients, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
 	switch {
 	case strings.HasSuffix(name, "-while-shutting-down"):
-		s.shutdown.begun.Store(true)
+		s.shutdown.started.Store(true)
 	case strings.HasSuffix(name, "-while-crowded"):
 		for range clients {
 			s.conns.active.PushBack(nil) // in use by others
--- a/internal/gatherer/frontend/lingering.go
+++ b/internal/gatherer/frontend/lingering.go
@@ -30,7 +30,7 @@
 	l.conns = append(l.conns, conn)
 	l.all.Add(1)
 	if len(l.conns) > l.limit {
-		l.conns[0].TCPConn.Close()
+		_ = l.conns[0].TCPConn.Close()
 		l.conns = slices.Delete(l.conns, 0, 1)
 	}
 }
--- a/internal/gatherer/frontend/readahead.go
+++ b/internal/gatherer/frontend/readahead.go
@@ -1,6 +1,7 @@
 package frontend
 
 import (
+	"errors"
 	"net"
 	"time"
 )
@@ -18,13 +19,13 @@
 type readAhead struct {
 	buffered     []byte        // for net/http, which reads it first
 	overflow     bool          // more came than is kept: no later request can be served
-	byteTaken    bool          // net/http has read its one byte behind a request that is not watched yet
-	onClientGone func()        // nil while nobody watches the client
+	byteConsumed bool          // net/http has read its one byte behind a request that is not watched yet
+	onDisconnect func()        // nil while nobody watches the client
 	done         chan struct{} // closed at the reader's end; nil while none runs
 }
 
-// take moves buffered bytes to p.
-func (a *readAhead) take(p []byte) int {
+// consume moves buffered bytes to p.
+func (a *readAhead) consume(p []byte) int {
 	n := copy(p, a.buffered)
 	if n > 0 {
 		a.buffered = a.buffered[n:]
@@ -32,16 +33,16 @@
 	return n
 }
 
-// watchClient begins to watch the client of a request that has been read completely. Until stopWatching, onGone is
-// called once the client has closed its connection, whatever it sent before.
-func (c *clientConn) watchClient(onGone func()) {
+// watchClient begins to watch the client of a request that has been read completely. Until stopWatching, onDisconnect
+// is called once the client has closed its connection, whatever it sent before.
+func (c *clientConn) watchClient(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.requestRead = true
 	c.arrivingSince = time.Time{}
-	c.ahead.onClientGone = onGone
-	if c.ahead.byteTaken {
-		c.ahead.byteTaken = false
+	c.ahead.onDisconnect = onDisconnect
+	if c.ahead.byteConsumed {
+		c.ahead.byteConsumed = false
 		c.startReadAhead()
 	}
 }
@@ -50,12 +51,12 @@
 // response is left to net/http.
 func (c *clientConn) stopWatching() {
 	c.mu.Lock()
-	c.ahead.onClientGone = nil
+	c.ahead.onDisconnect = nil
 	done := c.ahead.done
 	c.ahead.done = nil
 	c.mu.Unlock()
 	if done != nil {
-		c.SetReadDeadline(longAgo) // net/http sets its own before it reads on
+		_ = c.SetReadDeadline(longAgo) // net/http sets its own before it reads on
 		<-done
 	}
 }
@@ -71,11 +72,11 @@
 // pending.
 func (c *clientConn) startReadAhead() {
 	c.ahead.done = make(chan struct{})
-	go c.readAheadUntilGone(c.ahead.onClientGone, c.ahead.done)
+	go c.readAheadUntilDisconnect(c.ahead.onDisconnect, c.ahead.done)
 }
 
-// readAheadUntilGone reads until the client has gone or stopWatching interrupts it.
-func (c *clientConn) readAheadUntilGone(onGone func(), done chan struct{}) {
+// readAheadUntilDisconnect reads until the client has disconnected or stopWatching interrupts it.
+func (c *clientConn) readAheadUntilDisconnect(onDisconnect func(), done chan struct{}) {
 	defer close(done)
 	buf := make([]byte, readAheadBufferBytes)
 	for {
@@ -89,8 +90,9 @@
 		}
 		c.mu.Unlock()
 		if err != nil {
-			if e, ok := err.(net.Error); !ok || !e.Timeout() {
-				onGone()
+			var netErr net.Error
+			if !errors.As(err, &netErr) || !netErr.Timeout() {
+				onDisconnect()
 			}
 			return
 		}
--- a/internal/gatherer/frontend/request_test.go
+++ b/internal/gatherer/frontend/request_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,8 +19,8 @@
 // connection usable afterwards; the picker gets none of them.
 func TestInvalidRequestIsRejectedWithItsStatus(t *testing.T) {
 	f, _, address := startServer(t, 10, nil)
-	change := func(old, new string) string { return post("/find", strings.Replace(headers, old, new, 1), shardsBody) }
-	body := func(old, new string) string { return post("/find", headers, strings.Replace(shardsBody, old, new, 1)) }
+	change := func(from, to string) string { return post("/find", strings.Replace(headers, from, to, 1), shardsBody) }
+	body := func(from, to string) string { return post("/find", headers, strings.Replace(shardsBody, from, to, 1)) }
 	for _, c := range []struct {
 		name, text string
 		want       int
@@ -148,7 +149,7 @@
 			defer c.Close()
 			io.WriteString(c, text)
 			c.SetReadDeadline(start.Add(3 * time.Second))
-			if _, err := c.Read(make([]byte, 1)); err != nil && err != io.EOF {
+			if _, err := c.Read(make([]byte, 1)); err != nil && !errors.Is(err, io.EOF) {
 				done <- fmt.Sprintf("%q: %v", text, err)
 			}
 			done <- ""
@@ -183,7 +184,7 @@
 	conn, _ := connPair(t)
 	conn.ahead.overflow = true
 	defer func() {
-		if fault := recover(); fault != http.ErrAbortHandler {
+		if fault := recover(); fault != http.ErrAbortHandler { //nolint:errorlint // net/http compares it in the same way
 			t.Errorf("handled as %v", fault)
 		}
 	}()
--- a/internal/gatherer/frontend/response.go
+++ b/internal/gatherer/frontend/response.go
@@ -26,7 +26,7 @@
 		text := resultBody(result)
 		h.Set("Content-Type", "application/json")
 		h.Set("Content-Length", strconv.Itoa(len(text)))
-		w.Write(text) // an error is a client that has gone; the server notices it as well
+		_, _ = w.Write(text) // an error is a client that has gone; the server notices it as well
 	case dispatch.Rejected:
 		if result.RetryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(result.RetryAfter/millisPerSecond, 'f', 3, 64))
@@ -47,7 +47,7 @@
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	h.Set("Content-Length", strconv.Itoa(len(text)+1))
 	w.WriteHeader(status)
-	w.Write([]byte(text + "\n"))
+	_, _ = w.Write([]byte(text + "\n"))
 }
 
 // resultBody is the body of a served query. It is put together by hand since hits go out byte for byte as the shard
--- a/internal/gatherer/frontend/server.go
+++ b/internal/gatherer/frontend/server.go
@@ -78,8 +78,8 @@
 
 // shutdownState is how far a shutdown has come.
 type shutdownState struct {
-	begun atomic.Bool
-	late  atomic.Pointer[lateWindow] // set once begun
+	started atomic.Bool
+	late    atomic.Pointer[lateWindow] // set once begun
 }
 
 // New returns a server that is not serving yet.
@@ -117,7 +117,7 @@
 	s.mu.Unlock()
 	defer close(s.serveDone)
 	err := s.http.Serve(trackingListener{l, s.conns})
-	if s.shutdown.begun.Load() { // Shutdown has closed the listener
+	if s.shutdown.started.Load() { // Shutdown has closed the listener
 		return nil
 	}
 	return err
--- a/internal/gatherer/frontend/shutdown.go
+++ b/internal/gatherer/frontend/shutdown.go
@@ -35,7 +35,7 @@
 	defer cancel()
 	lateFrom := time.Now().Add(lameDuckPeriod)
 	s.shutdown.late.Store(&lateWindow{from: lateFrom, end: lateFrom.Add(min(s.limits.maxDeadline, killTimeout))})
-	s.shutdown.begun.Store(true)
+	s.shutdown.started.Store(true)
 	s.conns.shutDown() // idle connections; each other one ends with its response
 	select {
 	case <-ctx.Done():
@@ -69,7 +69,7 @@
 // closeAfterResponse has the response end its connection where no later request on it could be served: the server
 // shuts down, or the client has sent more behind the request than is buffered.
 func (s *Server) closeAfterResponse(w http.ResponseWriter, conn *clientConn) {
-	if s.shutdown.begun.Load() || conn != nil && conn.overflowed() {
+	if s.shutdown.started.Load() || conn != nil && conn.overflowed() {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -3,6 +3,7 @@
 import (
 	"bufio"
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -29,7 +30,7 @@
 	<-f.picked
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	for !s.shutdown.begun.Load() {
+	for !s.shutdown.started.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _, _ := exchange(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n", 1); status[0] != 503 {
@@ -69,7 +70,7 @@
 	})
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	waitUntil(t, "leaving", func() bool { return s.shutdown.begun.Load() })
+	waitUntil(t, "leaving", func() bool { return s.shutdown.started.Load() })
 	io.WriteString(c, text[20:])
 	if resp := readResponse(t, r); resp.StatusCode != 504 || !resp.Close {
 		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
@@ -88,7 +89,7 @@
 	<-f.picked
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	if _, err := r.ReadByte(); err != io.EOF { // the end is there, and the connection still takes what crosses it
+	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) { // the end is there, and the connection still takes what crosses it
 		t.Errorf("instead of the end: %v", err)
 	}
 	io.WriteString(c, post("/find", headers, shardsBody))
@@ -127,7 +128,7 @@
 		io.WriteString(c, text[:cut])
 		done := make(chan error, 1)
 		go func() { done <- s.Shutdown(t.Context()) }()
-		waitUntil(t, "leaving", func() bool { return s.shutdown.begun.Load() })
+		waitUntil(t, "leaving", func() bool { return s.shutdown.started.Load() })
 		s.conns.mu.Unlock()
 		gate <- struct{}{}
 		io.WriteString(c, text[cut:])
@@ -173,7 +174,7 @@
 // connection is decided. The connection ends without a reset, and the further requests reach nobody.
 func TestLastResponseSurvivesPipelinedRequests(t *testing.T) {
 	more := make(chan struct{})
-	f, s, address := startServer(t, 10, func(ctx context.Context, _ *dispatch.Query) dispatch.Result {
+	f, s, address := startServer(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-more
 		return dispatch.Result{Kind: dispatch.Failed}
 	})
@@ -182,7 +183,7 @@
 	<-f.picked
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	waitUntil(t, "leaving", func() bool { return s.shutdown.begun.Load() })
+	waitUntil(t, "leaving", func() bool { return s.shutdown.started.Load() })
 	for range 4 { // in pieces, so that some come after the answer is decided
 		io.WriteString(c, post("/find", headers, shardsBody))
 	}
--- a/internal/gatherer/trace/file.go
+++ b/internal/gatherer/trace/file.go
@@ -218,7 +218,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[attempt.Query()]
-	if !open || !attempt.WriteBegun() {
+	if !open || !attempt.WriteStarted() {
 		return
 	}
 	e := attemptEvent(rulecheck.Ended, number, attempt)
--- a/internal/gatherer/trace/handler.go
+++ b/internal/gatherer/trace/handler.go
@@ -27,7 +27,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	w.Write(document)
+	_, _ = w.Write(document) // an error is a client that has gone
 }
 
 // document is the JSON for an ID, nil where no such query is kept. It is encoded under the lock, since attempts may
--- a/internal/gatherer/trace/recorder.go
+++ b/internal/gatherer/trace/recorder.go
@@ -92,11 +92,11 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[query] = &openQuery{Query: t, attemptIndex: map[*dispatch.Attempt]int{}}
-	r.keep(t)
+	r.add(t)
 }
 
-// keep puts a query into the ring, in place of the oldest one where that is full. The lock is held.
-func (r *Recorder) keep(t *Query) {
+// add puts a query into the ring, in place of the oldest one where that is full. The lock is held.
+func (r *Recorder) add(t *Query) {
 	if len(r.ring) < r.capacity {
 		r.ring = append(r.ring, t)
 	} else {
