--- a/cmd/yokeroute/policy.go
+++ b/cmd/yokeroute/policy.go
@@ -53,7 +53,9 @@
 	alias := *flags.Lookup(newName)
 	alias.Name = oldName
 	flags.AddFlag(&alias)
-	flags.MarkDeprecated(oldName, "use --"+newName)
+	if err := flags.MarkDeprecated(oldName, "use --"+newName); err != nil {
+		panic(err) // the flag was added above
+	}
 }
 
 // connect makes a command check that it has the addresses of policy servers, and end on a signal.
--- a/internal/control/policylease/lease_test.go
+++ b/internal/control/policylease/lease_test.go
@@ -71,15 +71,15 @@
 	}
 }
 
-// TestExpiredLeaseRestrictsDecisions: a request or an answer that was decided before the lease expired goes only as far
-// as the fallback policy permits.
+// TestExpiredLeaseRestrictsDecisions: a request or an answer that was decided before the lease expired goes only as
+// far as the fallback policy permits.
 func TestExpiredLeaseRestrictsDecisions(t *testing.T) {
 	l, now := leaseWith(t, testFallback, testPolicy)
 	generation, _ := l.Effective(1)
 	call := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1, Repeated: true, Hedge: true, UsesRetryBudget: true}
-	v := dispatch.Result{Kind: dispatch.Served}
+	served := dispatch.Result{Kind: dispatch.Served}
 	closed := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 2}
-	if !l.Permits(call, 500) || l.Permits(closed, 500) || l.ReviewResult(call, v, 0.6, true, 500).Kind != dispatch.Served {
+	if !l.Permits(call, 500) || l.Permits(closed, 500) || l.ReviewResult(call, served, 0.6, true, 500).Kind != dispatch.Served {
 		t.Error("under the lease")
 	}
 	*now = 1000
@@ -95,17 +95,17 @@
 		t.Error("a first request is sent, but not to a host that the fallback policy closes")
 	}
 	for _, c := range []struct {
-		v     dispatch.Result
-		share float64
-		ran   bool
-		want  dispatch.ResultKind
+		result dispatch.Result
+		share  float64
+		ran    bool
+		want   dispatch.ResultKind
 	}{
-		{v, 0.6, true, dispatch.Failed},
-		{v, 0.95, true, dispatch.Served},
+		{served, 0.6, true, dispatch.Failed},
+		{served, 0.95, true, dispatch.Served},
 		{dispatch.Result{Kind: dispatch.Rejected}, 0, true, dispatch.Failed},
 		{dispatch.Result{Kind: dispatch.Rejected}, 0, false, dispatch.Rejected},
 	} {
-		if got := l.ReviewResult(call, c.v, c.share, c.ran, 1000).Kind; got != c.want {
+		if got := l.ReviewResult(call, c.result, c.share, c.ran, 1000).Kind; got != c.want {
 			t.Errorf("%+v: %v", c, got)
 		}
 	}
--- a/internal/control/policylease/settings.go
+++ b/internal/control/policylease/settings.go
@@ -11,8 +11,8 @@
 // tolerance is by how much a policy's value may exceed the platform's: both were read from decimal text.
 const tolerance = 1e-9
 
-// Validate reports why the platform's settings rule out a policy: it names a class that they do not have, or is looser
-// than they are.
+// Validate reports why the platform's settings rule out a policy: it names a class that they do not have, or is
+// looser than they are.
 func Validate(settings *gather.Settings, p policy.Policy) error {
 	for _, e := range p {
 		if err := validateClass(settings, e); err != nil {
