--- a/logic/baselines/baselines.go
+++ b/logic/baselines/baselines.go
@@ -71,6 +71,9 @@
 	{Name: "hedge-95", Choose: TwoChoices, HedgeQuantile: 0.95},
 }
 
+// wakeTicks is how many ticks apart rounds are while queries are open.
+const wakeTicks = 2
+
 // Module is a gatherer that follows a strategy. It is a gather.Module.
 type Module struct {
 	settings *gather.Settings
@@ -130,8 +133,8 @@
 	}
 	m.removeFinished()
 	if m.now >= m.nextWakeAt && len(m.open) > 0 {
-		m.nextWakeAt = m.now + 2*m.tick()
-		w.Wake(2 * m.tick())
+		m.nextWakeAt = m.now + wakeTicks*m.tick()
+		w.Wake(wakeTicks * m.tick())
 	}
 }
 
--- a/logic/baselines/query.go
+++ b/logic/baselines/query.go
@@ -9,13 +9,14 @@
 const (
 	retryAfterMS   = 400.0 // advice to the client of a rejected query
 	shareTolerance = 5e-5  // by which sums of weights may miss a share: weights come rounded
+	deadlineTicks  = 3     // before its deadline a query has to end
 )
 
 type query struct {
 	gather.Query
-	requests []*shardRequest
-	begun    bool // it is decided which requests are wanted
-	finished bool
+	requests       []*shardRequest
+	requestsChosen bool // it is decided which requests are wanted
+	finished       bool
 }
 
 type shardRequest struct {
@@ -58,9 +59,9 @@
 	}
 }
 
-// begin chooses random requests that make a complete answer.
-func (m *Module) begin(q *query) {
-	q.begun = true
+// chooseRequests chooses random requests that make a complete answer.
+func (m *Module) chooseRequests(q *query) {
+	q.requestsChosen = true
 	order := slices.Clone(q.requests)
 	for i := len(order) - 1; i > 0; i-- {
 		j := int(m.random.Uint32() % uint32(i+1))
@@ -75,14 +76,14 @@
 
 // advance takes a query as far as it can go in this round: it ends it, or sends what it needs.
 func (m *Module) advance(q *query) {
-	if !q.begun {
-		m.begin(q)
+	if !q.requestsChosen {
+		m.chooseRequests(q)
 	}
 	class := m.class(q)
 	hedgeAfter := m.hedgeAfter()
 	received, possible := m.weights(q)
 	complete := received >= class.CompleteShare-shareTolerance
-	timeUp := q.Deadline-m.now <= 3*m.tick()
+	timeUp := q.Deadline-m.now <= deadlineTicks*m.tick()
 	nothingMore := timeUp ||
 		possible < class.CompleteShare-shareTolerance && received >= possible-shareTolerance
 	switch {
--- /dev/null
+++ b/logic/servers_test.go
@@ -0,0 +1,72 @@
+package logic
+
+import (
+	"slices"
+	"testing"
+
+	"yokeroute/gather"
+)
+
+// TestIndexIsReusedOnceNothingNeedsIt: the server is removed and its last attempt has ended.
+func TestIndexIsReusedOnceNothingNeedsIt(t *testing.T) {
+	table := newServerTable(1)
+	for index, id := range []uint32{10, 11} {
+		if !table.assign(id, index) {
+			t.Fatalf("a new index for server %d does not grow the table", id)
+		}
+	}
+	if got := table.reusable(0); got != 2 {
+		t.Errorf("beside running servers the next index is %d, want 2", got)
+	}
+	a := &attempt{server: 0}
+	table.addInFlight(a)
+	table.get(0).state = gather.Removed
+	if got := table.reusable(0); got != 2 {
+		t.Errorf("with an attempt in flight the next index is %d, want 2", got)
+	}
+	table.removeInFlight(a)
+	if got := table.reusable(0); got != 0 {
+		t.Errorf("without attempts in flight the next index is %d, want 0", got)
+	}
+	if table.assign(12, 0) {
+		t.Error("a reused index grows the table")
+	}
+	if _, known := table.indexOf[10]; known || table.indexOf[12] != 0 {
+		t.Errorf("the indexes are %v, want 11 and 12 alone", table.indexOf)
+	}
+}
+
+// TestBusyServersHaveAttemptsInFlight: a server is listed once, until it is idle.
+func TestBusyServersHaveAttemptsInFlight(t *testing.T) {
+	table := newServerTable(1)
+	table.assign(10, 0)
+	table.assign(11, 1)
+	first, second, other := &attempt{server: 0}, &attempt{server: 0}, &attempt{server: 1}
+	for _, a := range []*attempt{first, second, other} {
+		table.addInFlight(a)
+	}
+	if want := []int{0, 1}; !slices.Equal(table.busy, want) {
+		t.Errorf("busy are %v, want %v", table.busy, want)
+	}
+	table.removeInFlight(first)
+	table.removeInFlight(other)
+	table.removeIdle()
+	if want := []int{0}; !slices.Equal(table.busy, want) {
+		t.Errorf("busy are %v, want %v", table.busy, want)
+	}
+	table.removeInFlight(second)
+	table.removeIdle()
+	table.addInFlight(first)
+	if want := []int{0}; !slices.Equal(table.busy, want) {
+		t.Errorf("a server that is busy again makes %v, want %v", table.busy, want)
+	}
+}
+
+func TestServerHoldsTheShardsOfItsSetAndThoseBefore(t *testing.T) {
+	g := New(1, &gather.Settings{ReplicaSets: 4, ReplicaSetsPerShard: 3})
+	for own, want := range map[int][]int{0: {0, 3, 2}, 2: {2, 1, 0}, 4: nil, -1: nil} {
+		if got := g.replicaSetsOf(own); !slices.Equal(got, want) {
+			t.Errorf("a server of set %d holds the shards of %v, want %v", own, got, want)
+		}
+	}
+}
