--- a/gather/query.go
+++ b/gather/query.go
@@ -1,6 +1,6 @@
 package gather
 
-// Pass tells which pass of a two-pass query is handed in.
+// Pass is which pass of a two-pass query is handed in.
 type Pass int
 
 // The passes.
@@ -39,7 +39,7 @@
 	OrderPenalty float64 // added to Cost when requests of equal failure share are ordered
 }
 
-// Outcome tells how an attempt ended.
+// Outcome is how an attempt ended.
 type Outcome int
 
 // The outcomes.
--- a/gather/settings.go
+++ b/gather/settings.go
@@ -12,12 +12,11 @@
 	NonIdempotent    Effect = "once-only"
 )
 
-// Ways in which a deployment's servers publish their load.
-const (
-	LoadReportsOnHealthCheck = "pull"
-)
+// LoadReportsOnHealthCheck is the value of Settings.LoadReports where servers publish their load only on a health
+// check.
+const LoadReportsOnHealthCheck = "pull"
 
-// Settings are what a gatherer is told about its deployment. They are shared by all parts of the process and by
+// Settings describe a gatherer's deployment. They are shared by all parts of the process and by
 // concurrent goroutines, and never changed: a change works on a Clone. Times are milliseconds.
 type Settings struct {
 	Gatherers     int // instances of this gatherer in the fleet
@@ -46,7 +45,7 @@
 	ConnectTimeout       float64
 	IdleTimeout          float64
 	StreamsPerConnection int
-	MaxRetryAfter        float64 // 0 where clients are told no time
+	MaxRetryAfter        float64 // 0 where clients get no Retry-After
 
 	AnswerSlack float64 // after a query's deadline in which a final answer still counts
 	DrainGrace  float64 // after the notice of a drain in which sends have to stop
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -71,7 +71,7 @@
 			got.RetryBudgetFloor, got.RetryBudgetRatio)
 	}
 	if got.MaxRetryAfter != 0 {
-		t.Errorf("clients that get no advice may be told %v ms", got.MaxRetryAfter)
+		t.Errorf("clients that get no advice may be advised to wait %v ms", got.MaxRetryAfter)
 	}
 }
 
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,8 +8,8 @@
 	"yokeroute/gather"
 )
 
-// notTold stands for a value that a load report does not have.
-const notTold = -1
+// notReported stands for a value that a load report does not have.
+const notReported = -1
 
 // addToRound translates an event of an instance.
 func (h *host) addToRound(r *gather.Round, m *message) error {
@@ -38,8 +38,8 @@
 		Server:      *m.Server,
 		Elapsed:     milliseconds(m.Elapsed),
 		Succeeded:   m.Verdict == verdictSucceeded,
-		QueueLength: notTold,
-		Latency:     notTold,
+		QueueLength: notReported,
+		Latency:     notReported,
 	}
 	if m.Report.QueueLength != nil {
 		result.QueueLength = *m.Report.QueueLength
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -83,7 +83,7 @@
 	Report  loadReport `json:"healthInfo"`
 }
 
-// loadReport has the values of a load report that the module uses, nil where they are not told.
+// loadReport has the values of a load report that the module uses, nil where they are missing.
 type loadReport struct {
 	QueueLength *float64 `json:"backlog"`
 	LatencyMS   *float64 `json:"recent_ms"`
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -67,7 +67,7 @@
 	w.write(cmdCheckHealth, `,"server":`, decimal(uint64(server)))
 }
 
-// panicked tells the simulator that the module panicked.
+// panicked reports to the simulator that the module panicked.
 func (w *roundWriter) panicked(cause any) {
 	text, _ := json.Marshal(fmt.Sprint(cause)) // a string always marshals
 	w.write(cmdPanicked, `,"line":`, string(text))
--- a/logic/callstats/callstats.go
+++ b/logic/callstats/callstats.go
@@ -10,12 +10,12 @@
 
 import "math"
 
-// Record tells how one attempt went.
+// Record is how one attempt went.
 type Record struct {
 	EndedAt      float64
 	Latency      float64
 	ExtraLatency float64 // over what it should have taken
-	Weight       float64 // 1, or less for an attempt that tells less
+	Weight       float64 // 1, or less for an attempt that says less
 	Succeeded    bool
 	Failed       bool // it did not succeed, or was late
 	Lost         bool // it did not succeed, and may have been executed
--- a/logic/query.go
+++ b/logic/query.go
@@ -21,7 +21,7 @@
 	requests  []*shardRequest
 
 	modeChosen    bool
-	loadDeadline  float64 // the end of its wait for load reports, 0 before it has asked for any
+	loadDeadline  float64 // the end of its wait for load reports, 0 before it has requested any
 	secondStep    bool    // its first step was answered
 	firstComplete bool    // and that answer was complete
 	finished      bool
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -1,6 +1,6 @@
 // Package roundrobin decides which replica of a set comes next where an operator has set weights: weighted
 // round robin by start-time fair queueing. A set without weights is left to its caller.
-// docs/design/placement.md tells where the weights come from.
+// docs/design/placement.md says where the weights come from.
 package roundrobin
 
 import (
