--- /dev/null
+++ b/internal/control/policyclient/change_test.go
@@ -0,0 +1,178 @@
+package policyclient_test
+
+import (
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+
+	"yokeroute/internal/control/policyapi"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/testbed/processtest"
+	"yokeroute/logic/policy"
+)
+
+// TestChangeIsAppliedEverywhere: a change is applied everywhere while one gatherer is suspended through all of it,
+// one is killed and restarted, one is cut off from the policy servers, and the leader is killed in its midst. No
+// gatherer applies the old policy once one applies the new one.
+func TestChangeIsAppliedEverywhere(t *testing.T) {
+	const gatherers = 12
+	f := startFleet(t, gatherers, 150, threeServers)
+	f.awaitApplied(f.propose(closeS1Text))
+	f.checkFrom = unixMilliseconds()
+	f.awaitServed(50)
+	suspended, killed := f.fleet.Gatherers[2], f.fleet.Gatherers[7]
+	if err := suspended.Process().Stop(f.ctx); err != nil {
+		t.Fatal(err)
+	}
+	for _, link := range f.fleet.Links("g5:w*") {
+		link.Change(func(w *processtest.Weather) { w.Silent = [2]bool{true, true} })
+	}
+	killed.Kill()
+	second := f.propose(closeS3Text)
+	leader := f.fleet.Leader(f.ctx)
+	if leader == nil {
+		t.Fatal("no policy server leads")
+	}
+	leader.Process().Kill()
+	if err := killed.Start(f.ctx); err != nil {
+		t.Fatal(err)
+	}
+	f.awaitApplied(second)
+	if err := leader.Start(); err != nil {
+		t.Fatal(err)
+	}
+	suspended.Process().Continue()
+	for _, link := range f.fleet.Links("g5:w*") {
+		if err := link.Mend(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	f.awaitStatus("all apply the second change", allApply(gatherers, second))
+	f.awaitServed(50)
+	f.check([2]string{"s3", "s1"})
+}
+
+// TestRefusedChangeIsAppliedNowhere: a change that a gatherer refuses is abandoned with its reason, one that a
+// fallback policy violates is rejected, and of two that are proposed at once one is rejected. A pending change can be
+// abandoned.
+func TestRefusedChangeIsAppliedNowhere(t *testing.T) {
+	t.Parallel()
+	f := startFleet(t, 4, 40, threeServers)
+	for text, reason := range map[string]string{
+		"no-copies\nindex nowhere no-copies\n":              "there is no index nowhere",
+		"no-copies\nclose zone west host s7\n":              "closed west/s7: s7 stands in ",
+		closeS1Text + "turns s9 50%\n":                      "",
+		closeS3Text + closeS1Text + "index any no-copies\n": "",
+	} {
+		c := f.propose(text)
+		ended, err := f.fleet.Policies().Await(f.ctx, c.Number, func(string) {})
+		if err != nil {
+			t.Fatal(err)
+		}
+		if reason == "" {
+			if ended.Outcome != policy.Committed {
+				t.Errorf("%q: %+v", text, ended)
+			}
+			continue
+		}
+		byGatherer := strings.HasPrefix(ended.OutcomeReason, "g")
+		if ended.Outcome != policy.Abandoned || !strings.Contains(ended.OutcomeReason, reason) || !byGatherer {
+			t.Errorf("%q: %+v", text, ended)
+		}
+	}
+	before := f.status()
+	for text, reason := range map[string]string{
+		"close zone north host s5\n": "g1, cut off, would do what this forbids: closed north/s5",
+		"index any once-only\n":      "would do what this forbids",
+	} {
+		proposal := policyclient.Proposal{Base: before.Record.Epoch, Policy: f.parse(text)}
+		_, err := f.fleet.Policies().Propose(f.ctx, proposal)
+		if err == nil || !strings.Contains(err.Error(), reason) {
+			t.Errorf("%q: %v", text, err)
+		}
+	}
+	// With one gatherer suspended a change stays pending for the length of its lease.
+	if err := f.fleet.Gatherers[3].Process().Stop(f.ctx); err != nil {
+		t.Fatal(err)
+	}
+	pending := f.proposeTwoAtOnce(before.Record.Epoch, "no-copies\n", closeS3Text)
+	if err := f.fleet.Policies().Abandon(f.ctx, pending.Number, "reverted while it was being prepared"); err != nil {
+		t.Fatal(err)
+	}
+	f.fleet.Gatherers[3].Process().Continue()
+	f.awaitStatus("all apply the policy from before", func(s *policyapi.Status) bool {
+		same := s.Record.Epoch == before.Record.Epoch && s.Record.LastEnded == pending.Number
+		return s.AppliedEverywhere && same && len(s.Members) == 4 && s.Members[3].State == policy.StateApplied
+	})
+	f.check()
+}
+
+// proposeTwoAtOnce proposes two policies at once, and returns the change that is not rejected.
+func (f *fleetTest) proposeTwoAtOnce(base uint64, texts ...string) *policy.Change {
+	f.Helper()
+	var mu sync.Mutex
+	var made []*policy.Change
+	var rejected []string
+	var wait sync.WaitGroup
+	for _, text := range texts {
+		proposal := policyclient.Proposal{Base: base, Policy: f.parse(text)}
+		wait.Go(func() {
+			c, err := f.fleet.Policies().Propose(f.ctx, proposal)
+			mu.Lock()
+			defer mu.Unlock()
+			if err != nil {
+				rejected = append(rejected, err.Error())
+			} else {
+				made = append(made, c)
+			}
+		})
+	}
+	wait.Wait()
+	if len(made) != 1 || len(rejected) != 1 || !strings.Contains(rejected[0], "is being prepared") {
+		f.Fatalf("%+v, %q", made, rejected)
+	}
+	return made[0]
+}
+
+// TestOlderGathererIsNamed: a change with a kind that a gatherer of an older version does not know is rejected and
+// names it. Once that gatherer is forgotten the change is committed, and it is not admitted again.
+func TestOlderGathererIsNamed(t *testing.T) {
+	t.Parallel()
+	f := startFleet(t, 2, 20, threeServers)
+	leader := f.fleet.Leader(f.ctx)
+	poll := func() *policy.Update {
+		older := policy.Member{
+			Name:       "old",
+			Fallback:   f.parse(fallbackText),
+			KnownKinds: []policy.Kind{policy.Closed, policy.NoHedging},
+		}
+		e := policyapi.Endpoint{Method: http.MethodPost, Address: leader.HTTP, Path: policyapi.PollPath}
+		request := policyapi.PollRequest{
+			Format:    policyapi.Format,
+			Heartbeat: policy.Heartbeat{Member: older, Incarnation: "1"},
+		}
+		r, err := policyapi.Call(f.ctx, http.DefaultClient, e, request, policyapi.ReadPollResponse)
+		if err != nil || r.Update == nil {
+			t.Fatalf("%v, %+v", err, r)
+		}
+		return r.Update
+	}
+	if u := poll(); u.Lease == 0 {
+		t.Errorf("%+v", u)
+	}
+	text := "turns s4 50%\n"
+	_, err := f.fleet.Policies().Propose(f.ctx, policyclient.Proposal{Policy: f.parse(text)})
+	if err == nil || !strings.Contains(err.Error(), "old does not know the kind turns; it is of an older version") {
+		t.Errorf("%v", err)
+	}
+	if err := f.fleet.Policies().Forget(f.ctx, "old"); err != nil {
+		t.Fatal(err)
+	}
+	f.awaitApplied(f.propose(text))
+	if u := poll(); u.Lease != 0 || !strings.Contains(u.RefusalReason, "does not know the kind turns") {
+		t.Errorf("%+v", u)
+	}
+	f.awaitServed(20)
+	f.check()
+}
--- /dev/null
+++ b/internal/control/policyclient/fleet_test.go
@@ -0,0 +1,225 @@
+package policyclient_test
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+	"time"
+
+	"yokeroute/internal/config/policyfile"
+	"yokeroute/internal/control/policyapi"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/process"
+	"yokeroute/internal/testbed/processtest"
+	"yokeroute/logic/policy"
+)
+
+func TestMain(m *testing.M) {
+	status := m.Run()
+	processtest.Unbuild()
+	os.Exit(status)
+}
+
+const (
+	testTimeout   = 280 * time.Second
+	statusTimeout = 10 * time.Second
+)
+
+const scenarioText = `hall north
+hall south
+kind box cores 4 queue 100
+layout sets 2 shards 12
+servers 8 kind box
+index any share 70%% parts 4 need 75%% work 4ms spread 0.5 soft 500ms hard 1.5s
+index once share 30%% parts 2 work 4ms soft 500ms hard 1.5s late 0%% effect once-only
+clients retries 2 wait 50ms notice 300ms rate %d/s
+discovery lag 100ms
+budget free 6 share 5%% in 1s
+cold from 20%% warms 5s falls 3 in 2s
+time length 10min warm-up 0s
+gatherers %d
+seed 5
+`
+
+// The policies of tests open and close two hosts. A detached gatherer sends to neither.
+const (
+	fallbackText = "close zone north host s1\nclose zone south host s3\nclose zone west host s7\nno-copies\n"
+	closeS1Text  = "close zone north host s1\n"
+	closeS3Text  = "close zone south host s3\n"
+)
+
+// threeServers have times that a machine full of other tests can keep.
+var threeServers = processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
+
+// fleetTest is a fleet of processes with policy servers, under load.
+type fleetTest struct {
+	*testing.T
+	fleet     *processtest.Fleet
+	ctx       context.Context
+	stopLoad  func()
+	checkFrom float64 // since when policies are checked against each other, Unix milliseconds
+}
+
+// startFleet starts a fleet and waits until all gatherers apply the policy.
+func startFleet(t *testing.T, gatherers, rate int, servers processtest.StewardTerms) *fleetTest {
+	t.Helper()
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
+	t.Cleanup(cancel)
+	f := &fleetTest{T: t, ctx: ctx}
+	binary, err := processtest.Build("yokeroute")
+	if err != nil {
+		t.Fatal(err)
+	}
+	scenario, err := processtest.Parse(t.Name(), fmt.Sprintf(scenarioText, rate, gatherers), 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if servers.Floor == "" {
+		servers.Floor = fallbackText
+	}
+	f.fleet, err = processtest.StartFleet(ctx, scenario, processtest.Terms{
+		Binary:   binary,
+		Folder:   filepath.Join(t.TempDir(), "fleet"),
+		State:    true,
+		Stewards: servers,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.fleet.Close)
+	f.stopLoad = f.fleet.Load(ctx)
+	t.Cleanup(f.stopLoad)
+	f.awaitStatus("all gatherers apply the policy", func(s *policyapi.Status) bool {
+		return s.AppliedEverywhere && len(s.Members) == gatherers
+	})
+	return f
+}
+
+// status returns the leader's status, nil where no server leads.
+func (f *fleetTest) status() *policyapi.Status {
+	ctx, cancel := context.WithTimeout(f.ctx, statusTimeout)
+	defer cancel()
+	s, err := f.fleet.Policies().Status(ctx)
+	if err != nil {
+		return nil
+	}
+	return s
+}
+
+// awaitStatus waits until the leader's status fulfils a condition.
+func (f *fleetTest) awaitStatus(what string, holds func(s *policyapi.Status) bool) {
+	f.Helper()
+	var last *policyapi.Status
+	err := process.WaitUntil(f.ctx, what, func() bool {
+		last = f.status()
+		return last != nil && holds(last)
+	})
+	if err != nil {
+		f.Fatalf("%v: %+v; %v", err, last, f.fleet.Faults())
+	}
+}
+
+// parse reads a policy.
+func (f *fleetTest) parse(text string) policy.Policy {
+	f.Helper()
+	p, err := policyfile.Parse(f.Name(), text)
+	if err != nil {
+		f.Fatal(err)
+	}
+	return p
+}
+
+// propose proposes a policy for the committed epoch.
+func (f *fleetTest) propose(text string) *policy.Change {
+	f.Helper()
+	p := f.parse(text)
+	s := f.status()
+	if s == nil {
+		f.Fatal("no policy server leads")
+	}
+	proposal := policyclient.Proposal{Base: s.Record.Epoch, Policy: p, Reason: f.Name()}
+	c, err := f.fleet.Policies().Propose(f.ctx, proposal)
+	if err != nil {
+		f.Fatal(err)
+	}
+	return c
+}
+
+// awaitApplied waits until a change is committed and applied everywhere.
+func (f *fleetTest) awaitApplied(c *policy.Change) {
+	f.Helper()
+	onProgress := func(line string) { f.Logf("change %d: %s", c.Number, line) }
+	ended, err := f.fleet.Policies().Await(f.ctx, c.Number, onProgress)
+	if err != nil || ended.Outcome != policy.Committed {
+		f.Fatalf("%+v, %v", ended, err)
+	}
+}
+
+// awaitServed waits until so many more queries are served.
+func (f *fleetTest) awaitServed(n int) {
+	f.Helper()
+	served := func() int { return f.fleet.Front.Total().Endings[processtest.Satisfied] }
+	before := served()
+	err := process.WaitUntil(f.ctx, "queries are served", func() bool { return served() >= before+n })
+	if err != nil {
+		f.Fatal(err)
+	}
+}
+
+// check ends the fleet and checks that all processes together kept the rules, and that no gatherer did what the
+// policy of another forbade: of each pair of hosts, all sends to the first, which a change closed, came before all to
+// the second, which it opened.
+func (f *fleetTest) check(pairs ...[2]string) {
+	f.Helper()
+	f.stopLoad()
+	if _, err := f.fleet.Verdict(); err != nil {
+		f.Error(err)
+	}
+	sends, err := f.fleet.Sends()
+	if err != nil {
+		f.Fatal(err)
+	}
+	sends = slices.DeleteFunc(sends, func(s processtest.Send) bool { return s.At < f.checkFrom })
+	counts := map[string]int{}
+	for _, s := range sends {
+		counts[s.Server]++
+	}
+	for _, pair := range pairs {
+		var last, first processtest.Send
+		for _, s := range sends {
+			if s.Server == pair[0] {
+				last = s
+			}
+		}
+		for _, s := range slices.Backward(sends) {
+			if s.Server == pair[1] {
+				first = s
+			}
+		}
+		if last.At == 0 || first.At == 0 {
+			f.Errorf("sends by server %v: none to one of %v", counts, pair)
+		}
+		if last.At >= first.At {
+			f.Errorf("%s sent to %s, %.1f ms after %s had sent to %s",
+				last.Gatherer, last.Server, last.At-first.At, first.Gatherer, first.Server)
+		}
+	}
+}
+
+// allApply returns a condition that all of so many gatherers apply a change.
+func allApply(gatherers int, c *policy.Change) func(s *policyapi.Status) bool {
+	return func(s *policyapi.Status) bool {
+		applying := 0
+		for _, m := range s.Members {
+			if m.State == policy.StateApplied && m.Applied.Epoch == c.Number {
+				applying++
+			}
+		}
+		return applying == gatherers
+	}
+}
+
+func unixMilliseconds() float64 { return float64(time.Now().UnixMilli()) }
--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// TestKeptRequests: each call of the client sends the request that a released version sent, byte for byte, and returns
-// what the answer holds.
+// TestKeptRequests: each call of the client sends the request that a released version sent, byte for byte, and
+// returns what the answer holds.
 func TestKeptRequests(t *testing.T) {
 	const noBody = "null"
 	proposal := decode[policyapi.ProposeRequest](t, "proposal.json").Change
--- /dev/null
+++ b/internal/control/policyclient/outage_test.go
@@ -0,0 +1,148 @@
+package policyclient_test
+
+import (
+	"context"
+	"path/filepath"
+	"strings"
+	"testing"
+	"time"
+
+	"yokeroute/internal/control/policyapi"
+	"yokeroute/internal/process"
+	"yokeroute/internal/testbed/processtest"
+	"yokeroute/logic/policy"
+)
+
+// TestServingWithoutQuorum: with two of three policy servers down nothing is committed and queries are served; a
+// pending change ends once they are back. With all down for longer than a lease, gatherers apply their fallback
+// policies and serve, also those that restart then with a torn, stale or lost state. A policy server with a stale
+// disk does not serve.
+func TestServingWithoutQuorum(t *testing.T) {
+	f := startFleet(t, 4, 60, threeServers)
+	servers := f.fleet.Stewards
+	f.awaitApplied(f.propose(closeS1Text))
+	f.checkFrom = unixMilliseconds()
+	f.awaitServed(20)
+	leader := f.fleet.Leader(f.ctx)
+	if err := f.fleet.Gatherers[3].Process().Stop(f.ctx); err != nil { // so that the change stays pending
+		t.Fatal(err)
+	}
+	second := f.propose(closeS3Text)
+	var followers []*processtest.Steward
+	for _, s := range servers {
+		if s != leader {
+			followers = append(followers, s)
+			s.Process().Kill()
+		}
+	}
+	staleDisk := filepath.Join(t.TempDir(), "old")
+	if err := followers[0].Copy(staleDisk); err != nil {
+		t.Fatal(err)
+	}
+	f.fleet.Gatherers[3].Process().Continue()
+	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
+	if _, err := f.fleet.Policies().Status(ctx); err == nil {
+		t.Error("one policy server of three says that it is the leader")
+	}
+	cancel()
+	f.awaitServed(20)
+	leader.Process().Kill()
+	f.restartWithStates("torn", "gone", "stale")
+	f.awaitServed(50) // by the fallback policies
+	for _, s := range servers {
+		if err := s.Start(); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := f.fleet.Led(f.ctx); err != nil {
+		t.Fatal(err)
+	}
+	f.awaitApplied(second)
+	f.awaitServed(20)
+	f.checkStaleDisk(followers[0], staleDisk)
+	f.awaitApplied(f.propose(closeS3Text + "no-copies\n")) // two of three go on
+	f.check([2]string{"s3", "s1"})
+}
+
+// restartWithStates kills one gatherer for each state, and starts it again with its state folder in that state.
+func (f *fleetTest) restartWithStates(states ...string) {
+	f.Helper()
+	for i, state := range states {
+		g := f.fleet.Gatherers[i]
+		g.Kill()
+		if err := g.Age(state); err != nil {
+			f.Fatal(err)
+		}
+		if err := g.Start(f.ctx); err != nil {
+			f.Fatal(err)
+		}
+	}
+}
+
+// checkStaleDisk restarts a policy server with an earlier copy of its disk: the others know that it has voted since.
+func (f *fleetTest) checkStaleDisk(s *processtest.Steward, staleDisk string) {
+	f.Helper()
+	s.Process().Kill()
+	if err := s.Paste(staleDisk); err != nil {
+		f.Fatal(err)
+	}
+	if err := s.Start(); err != nil {
+		f.Fatal(err)
+	}
+	p := s.Process()
+	p.ExpectExit()
+	if err := p.Wait(f.ctx); err != nil {
+		f.Fatal(err)
+	}
+	if !strings.Contains(p.Log(), "the disk is older than this steward") {
+		f.Errorf("%v: %s", p.Err(), p.Log())
+	}
+}
+
+// TestPartitionedFleet: the fleet is split, with the leader and two gatherers on one side, and two policy servers and
+// the other gatherers on the other. The side with the quorum commits a change; the other applies its fallback policy,
+// and then the change once the split is over.
+func TestPartitionedFleet(t *testing.T) {
+	t.Parallel()
+	const gatherers = 6
+	f := startFleet(t, gatherers, 60, threeServers)
+	f.awaitApplied(f.propose(closeS1Text))
+	f.checkFrom = unixMilliseconds()
+	f.awaitServed(20)
+	leader := f.fleet.Leader(f.ctx)
+	if err := leader.Isolate(false); err != nil {
+		t.Fatal(err)
+	}
+	for _, s := range f.fleet.Stewards {
+		for i, g := range f.fleet.Gatherers {
+			if (s == leader) != (i < 2) {
+				link := f.fleet.Link(g.Name + ":" + s.Name)
+				// Some receive answers that they cannot send polls for.
+				link.Change(func(w *processtest.Weather) { w.Silent = [2]bool{i%2 == 0, true} })
+			}
+		}
+	}
+	err := process.WaitUntil(f.ctx, "another policy server leads", func() bool {
+		now := f.fleet.Leader(f.ctx)
+		return now != nil && now != leader
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	second := f.propose(closeS3Text)
+	f.awaitApplied(second)
+	f.awaitServed(30)
+	if err := f.fleet.MendStewards(); err != nil {
+		t.Fatal(err)
+	}
+	f.awaitStatus("all apply the second change", func(s *policyapi.Status) bool {
+		for _, m := range s.Members {
+			if m.State != policy.StateApplied || m.Applied.Epoch != second.Number {
+				return false
+			}
+		}
+		return len(s.Members) == gatherers
+	})
+	f.awaitServed(20)
+	f.check([2]string{"s3", "s1"})
+}
