--- /dev/null
+++ b/internal/control/rollout/claims_test.go
@@ -0,0 +1,65 @@
+package rollout
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"testing"
+
+	"yokeroute/internal/gatherer/report"
+	"yokeroute/internal/storage/statedir"
+	"yokeroute/logic/rollout"
+)
+
+// TestRefusedClaimSaysWhoHoldsTheGatherer: a claim that a gatherer refuses says whether another rollout holds it, or a
+// later controller of this one, which is what the folder of the rollout says as well: a controller that was stopped may
+// find either first. A gatherer that does not answer refuses nothing.
+func TestRefusedClaimSaysWhoHoldsTheGatherer(t *testing.T) {
+	held := rollout.Claim{RunID: "one", FencingToken: 2, ExpiresAt: 1e9}
+	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		var requested rollout.Claim
+		if err := json.NewDecoder(r.Body).Decode(&requested); err != nil || r.URL.Path != report.ClaimPath {
+			t.Errorf("%s: %v", r.URL, err)
+		}
+		if holder, granted := rollout.Grant(&held, requested, 0); !granted {
+			w.WriteHeader(http.StatusConflict)
+			if err := json.NewEncoder(w).Encode(holder); err != nil {
+				t.Error(err)
+			}
+		}
+	}))
+	defer s.Close()
+	p := &Plan{
+		Plan:      rollout.Plan{Gatherers: []rollout.Gatherer{{Name: "g1"}, {Name: "g2"}}},
+		Processes: []GathererProcess{{ReportAddress: s.Listener.Addr().String()}, {ReportAddress: "127.0.0.1:1"}},
+	}
+	client := &reportClient{plan: p, http: s.Client()}
+	for _, c := range []struct {
+		runID        string
+		fencingToken uint64
+		want         error
+		text         string // part of it
+	}{
+		{"one", 2, nil, ""},
+		{"one", 3, nil, ""},
+		{"one", 1, statedir.ErrTaken, "another controller has taken this over: gatherer g1 is held by controller 2"},
+		{"other", 9, errClaimed, "gatherer g1 is being changed by another run: one, controller 2"},
+	} {
+		err := client.claim(context.Background(), 0, c.runID, c.fencingToken)
+		if !errors.Is(err, c.want) || claimRefused(err) != (c.want != nil) {
+			t.Errorf("%s %d: %v", c.runID, c.fencingToken, err)
+		}
+		if err != nil && !strings.Contains(err.Error(), c.text) {
+			t.Errorf("%s %d: %v, want %s", c.runID, c.fencingToken, err, c.text)
+		}
+		if err := client.claimAll(context.Background(), c.runID, c.fencingToken); !errors.Is(err, c.want) {
+			t.Errorf("%s %d, of all: %v", c.runID, c.fencingToken, err)
+		}
+	}
+	if err := client.claim(context.Background(), 1, "one", 1); err == nil || claimRefused(err) {
+		t.Errorf("nobody there: %v", err)
+	}
+}
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -9,6 +9,7 @@
 	"net/http/httptest"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 	"time"
@@ -47,7 +48,9 @@
 // keptPlan is the plan of the kept rollout.
 func keptPlan(folder string) *Plan {
 	p := &Plan{File: "release-42.conf", Fingerprint: "ccb99da814c8b92c", Folder: folder, Interval: 5 * time.Second,
-		Processes: []GathererProcess{{ReportAddress: "127.0.0.1:1"}, {ReportAddress: "127.0.0.1:2"}, {ReportAddress: "127.0.0.1:3"}}}
+		Processes: []GathererProcess{
+			{ReportAddress: "127.0.0.1:1"}, {ReportAddress: "127.0.0.1:2"}, {ReportAddress: "127.0.0.1:3"},
+		}}
 	p.Name, p.Classes = "release-42", []string{"any", "once"}
 	p.Gatherers = []rollout.Gatherer{{Name: "g1", Zone: "north"}, {Name: "g2", Zone: "south"}, {Name: "g3"}}
 	p.Stages = []rollout.Stage{{Name: "one", Count: 1}, {Name: "all", Share: 1}}
@@ -57,14 +60,17 @@
 // keptRecords are records of every kind, with each field set somewhere.
 var keptRecords = []rollout.Record{
 	{Kind: rollout.ControllerStarted, PlanSum: "ccb99da814c8b92c", FencingToken: 1},
-	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Baselining}, Message: "watching the old for 2 s more before anything is changed"},
-	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Updating, Stage: 1}, Message: "stage one is passed; next is all"},
+	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Baselining},
+		Message: "watching the old for 2 s more before anything is changed"},
+	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Updating, Stage: 1},
+		Message: "stage one is passed; next is all"},
 	{Kind: rollout.StepStarted, Gatherer: "g1", Target: rollout.New},
 	{Kind: rollout.StepEnded, Gatherer: "g1", Target: rollout.New},
 	{Kind: rollout.StepStarted, Gatherer: "g2", Target: rollout.New},
 	{Kind: rollout.StepEnded, Gatherer: "g2", Target: rollout.New, Message: "step of g2: exit status 1: no room"},
 	{Kind: rollout.CommandTaken, Command: "back 1796168075012746800"},
-	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}},
+	{Kind: rollout.PositionChanged,
+		Position: &rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}},
 	{Kind: rollout.StepStarted, Gatherer: "g1", Target: rollout.Old},
 	{Kind: rollout.StepStarted, Gatherer: "g3", Target: rollout.Old},
 	{Kind: rollout.StepEnded, Gatherer: "g3", Target: rollout.Old},
@@ -99,17 +105,25 @@
 	}
 	now := 1796168075012.75
 	p := keptPlan(folder)
-	c := &Controller{plan: p, journal: own, fencingToken: own.Fence, now: func() float64 { return now }, reports: &reportClient{lastReportAt: make([]time.Time, 3)}}
+	c := &Controller{
+		plan: p, journal: own, fencingToken: own.Fence, now: func() float64 { return now },
+		reports: &reportClient{lastReportAt: make([]time.Time, 3)},
+	}
 	for _, record := range keptRecords {
 		if err := c.appendRecord(record); err != nil {
 			t.Fatal(err)
 		}
 		now += 250.5
 	}
-	c.reports.lastReportAt[0], c.reports.lastReportAt[1] = time.UnixMilli(int64(now)-100), time.UnixMilli(int64(now)-200)
+	c.reports.lastReportAt[0] = time.UnixMilli(int64(now) - 100)
+	c.reports.lastReportAt[1] = time.UnixMilli(int64(now) - 200)
 	o := &rollout.Observation{Now: now, Gatherers: []rollout.GathererSample{
-		{Reachable: true, Variant: rollout.Old, Ready: true, Classes: []rollout.ClassCounts{{Queries: 250, EarnedValue: 249.5, Rejected: 1}, {Queries: 130, EarnedValue: 130}}},
-		{Reachable: true, Variant: rollout.New, Step: rollout.Running, Fault: "step of g2: exit status 1: no room", Classes: []rollout.ClassCounts{{Queries: 11, EarnedValue: 10}}},
+		{Reachable: true, Variant: rollout.Old, Ready: true, Classes: []rollout.ClassCounts{
+			{Queries: 250, EarnedValue: 249.5, Rejected: 1},
+			{Queries: 130, EarnedValue: 130},
+		}},
+		{Reachable: true, Variant: rollout.New, Step: rollout.Running, Fault: "step of g2: exit status 1: no room",
+			Classes: []rollout.ClassCounts{{Queries: 11, EarnedValue: 10}}},
 		{Fault: "no answer"},
 	}}
 	for _, d := range []rollout.Decision{
@@ -148,29 +162,37 @@
 	}
 }
 
-// TestKeptFolderIsRead: a kept folder is read by who looks on, and a controller after the one that wrote it goes on from
-// it, with what was begun and not ended.
+// TestKeptFolderIsRead: a kept folder is read by who looks on, and a controller after the one that wrote it goes on
+// from it, with what was begun and not ended.
 func TestKeptFolderIsRead(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "run")
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join(kept, "rollout-1"))); err != nil {
 		t.Fatal(err)
 	}
 	s, err := ReadStatus(folder)
-	if err != nil || s.Name != "release-42" || s.Plan != "release-42.conf" || s.FencingToken != 1 || s.PID != 18889 || s.Phase != rollout.Stopped || s.Stage != "all" ||
+	if err != nil || s.Name != "release-42" || s.Plan != "release-42.conf" || s.FencingToken != 1 || s.PID != 18889 ||
+		s.Phase != rollout.Stopped || s.Stage != "all" ||
 		s.Verdict != "stop" || s.Reason != "stopped: by the operator's word" || s.ObservedAt != 1796168078018.75 {
 		t.Fatalf("%v, %+v", err, s)
 	}
-	if len(s.Gatherers) != 3 || s.Gatherers[0] != (GathererStatus{Name: "g1", Zone: "north", Variant: "old", Ready: true, LastReportAt: 1796168077918}) ||
-		s.Gatherers[1] != (GathererStatus{Name: "g2", Zone: "south", Variant: "new", LastReportAt: 1796168077818, Step: "under way", Fault: "step of g2: exit status 1: no room"}) ||
-		s.Gatherers[2] != (GathererStatus{Name: "g3", Variant: "unknown", Fault: "no answer"}) {
+	if !slices.Equal(s.Gatherers, []GathererStatus{
+		{Name: "g1", Zone: "north", Variant: "old", Ready: true, LastReportAt: 1796168077918},
+		{
+			Name: "g2", Zone: "south", Variant: "new", LastReportAt: 1796168077818, Step: "under way",
+			Fault: "step of g2: exit status 1: no room",
+		},
+		{Name: "g3", Variant: "unknown", Fault: "no answer"},
+	}) {
 		t.Errorf("%+v", s.Gatherers)
 	}
 	if s.Classes["any"] != [2]VariantSums{{250, 249.5, 1}, {11, 10, 0}} || s.Classes["once"] != [2]VariantSums{{130, 130, 0}, {}} {
 		t.Errorf("%+v", s.Classes)
 	}
 	history, err := History(folder)
-	if err != nil || len(history) != 2 || history[0].Phase != rollout.RollingBack || history[0].Old != 1 || history[0].New != 1 || history[0].Unreachable != 1 ||
-		history[1].Stage != "all" || history[1].Reason != "stopped: by the operator's word" || history[1].ObservedAt != s.ObservedAt || history[1].Classes["any"] != s.Classes["any"] {
+	if err != nil || len(history) != 2 || history[0].Phase != rollout.RollingBack || history[0].Old != 1 ||
+		history[0].New != 1 || history[0].Unreachable != 1 ||
+		history[1].Stage != "all" || history[1].Reason != "stopped: by the operator's word" || history[1].ObservedAt != s.ObservedAt ||
+		history[1].Classes["any"] != s.Classes["any"] {
 		t.Errorf("%v, %+v", err, history)
 	}
 	lines, err := JournalLines(folder)
@@ -192,7 +214,9 @@
 	if err != nil || c.position != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.Fence != 2 {
 		t.Errorf("%v, %+v, controller %d", err, c.position, own.Fence)
 	}
-	if len(c.unfinished) != 1 || c.unfinished[0].Gatherer != "g1" || c.unfinished[0].Target != rollout.Old || c.unfinished[0].At != 1796168077267.25 || c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
+	if len(c.unfinished) != 1 || c.unfinished[0].Gatherer != "g1" ||
+		c.unfinished[0].Target != rollout.Old || c.unfinished[0].At != 1796168077267.25 ||
+		c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
 		t.Errorf("made again: %+v, after %q", c.unfinished, c.lastCommand)
 	}
 	if word, err := own.Word(); err != nil || word != "stop 1796168075012746801" {
@@ -200,8 +224,8 @@
 	}
 }
 
-// TestPageKeepsItsBytes: the page of the kept rollout is what it was, in UTC.
-func TestPageKeepsItsBytes(t *testing.T) {
+// TestHTMLReportKeepsItsBytes: the page of the kept rollout is what it was, in UTC.
+func TestHTMLReportKeepsItsBytes(t *testing.T) {
 	local := time.Local
 	time.Local = time.UTC
 	defer func() { time.Local = local }()
@@ -256,18 +280,22 @@
 	defer s.Close()
 	p := keptPlan(t.TempDir())
 	p.Gatherers, p.Processes = p.Gatherers[:1], []GathererProcess{{ReportAddress: s.Listener.Addr().String()}}
-	tell := &reportClient{plan: p, http: s.Client(), checkpoints: make([]string, 1), lastReports: make([]*report.Document, 1), lastReportAt: make([]time.Time, 1),
-		oldBuilds: []rollout.BuildInfo{{Version: "41"}}, newBuilds: []rollout.BuildInfo{{Version: "42"}}}
+	client := &reportClient{
+		plan: p, http: s.Client(),
+		checkpoints: make([]string, 1), lastReports: make([]*report.Document, 1), lastReportAt: make([]time.Time, 1),
+		oldBuilds: []rollout.BuildInfo{{Version: "41"}}, newBuilds: []rollout.BuildInfo{{Version: "42"}},
+	}
 	run := "release-42 in /var/rollout on host"
-	if err := tell.claim(context.Background(), 0, run, 3); err != nil {
+	if err := client.claim(context.Background(), 0, run, 3); err != nil {
 		t.Error(err)
 	}
 	for range 2 {
-		if o := tell.observe(context.Background(), 1); !o.Gatherers[0].Reachable || o.Gatherers[0].Variant != rollout.Old || o.Gatherers[0].Incarnation != "18889-1" || len(o.Gatherers[0].Classes) != 2 {
-			t.Errorf("%+v", o.Gatherers)
+		sample := client.observe(context.Background(), 1).Gatherers[0]
+		if !sample.Reachable || sample.Variant != rollout.Old || sample.Incarnation != "18889-1" || len(sample.Classes) != 2 {
+			t.Errorf("%+v", sample)
 		}
 	}
-	tell.release(context.Background(), 0, run, 3)
+	client.release(context.Background(), 0, run, 3)
 	want := strings.Join([]string{
 		`POST /claim {"fence":3,"for":60000,"run":"release-42 in /var/rollout on host"}`,
 		`GET /report?since= `,
