--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -188,7 +188,7 @@
 		a.log.WithError(err).Error("service: plan rejected; serving without")
 	}
 	a.hooks.run = append(a.hooks.run, keeper.Run)
-	a.hooks.endpoints = append(a.hooks.endpoints, keeper.Follow)
+	a.hooks.endpoints = append(a.hooks.endpoints, keeper.UpdateEndpoints)
 	a.hooks.reread = append(a.hooks.reread, keeper.Configure)
 	return nil
 }
@@ -215,8 +215,14 @@
 	if a.ownedSegments() {
 		shards = a.settings.Shards
 	}
-	record, err := trace.Create(a.own.Record, a.own.RecordMaxBytes, a.own.RecordUnbuffered, a.config.Settings, shards,
-		a.Picker.Now())
+	record, err := trace.Create(trace.FileConfig{
+		Name:      a.own.Record,
+		MaxBytes:  int64(a.own.RecordMaxBytes),
+		FlushEach: a.own.RecordUnbuffered,
+		Settings:  a.config.Settings,
+		Shards:    shards,
+		StartedAt: a.Picker.Now(),
+	})
 	if err != nil {
 		return fmt.Errorf("record: %w", err)
 	}
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -4,25 +4,26 @@
 	"fmt"
 
 	"yokeroute/internal/config/operator"
-	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/config/policyfile"
+	"yokeroute/internal/control/policylease"
 	"yokeroute/internal/process"
 	"yokeroute/internal/version"
-	logic "yokeroute/logic/policy"
+	"yokeroute/logic/policy"
 )
 
 // policyPart is the operators' policy, from policy servers or from a file of the gatherer's own.
 type policyPart struct {
-	governor *policyclient.Governor
+	lease    *policylease.Lease
 	readings uint64 // of the own file
 }
 
-// addPolicy adds the operators' policy. A fallback policy or a file that does not fit the platform's settings is an
-// error: without one the gatherer would do what the rest of the fleet counts on it not to.
+// addPolicy adds the operators' policy. A fallback policy or a file that the platform's settings rule out is an error:
+// without it the gatherer would do what the rest of the fleet counts on it not to do.
 func (a *assembly) addPolicy() error {
 	var err error
 	switch {
 	case a.own.FallbackPolicy != "":
-		a.policy, err = a.followPolicyServers()
+		a.policy, err = a.pollPolicyServers()
 	case a.own.Policy != "":
 		a.policy, err = a.readOwnPolicy()
 	default:
@@ -31,16 +32,18 @@
 	if err != nil {
 		return err
 	}
-	a.Picker.SetPolicyGate(a.policy.governor)
-	a.hooks.endpoints = append(a.hooks.endpoints, a.policy.governor.Follow)
+	a.Picker.SetPolicyGate(a.policy.lease)
+	a.hooks.endpoints = append(a.hooks.endpoints, a.policy.lease.Follow)
 	return nil
 }
 
+func (a *assembly) leaseConfig() policylease.Config {
+	return policylease.Config{Platform: a.settings, Clock: a.Picker.Now, OnChange: a.Picker.Wake}
+}
+
 // readOwnPolicy makes the policy of a file of the gatherer's own.
 func (a *assembly) readOwnPolicy() (*policyPart, error) {
-	p := &policyPart{
-		governor: policyclient.NewGovernor(a.settings, nil, logic.Revision{}, a.Picker.Now, a.Picker.Wake),
-	}
+	p := &policyPart{lease: policylease.New(a.leaseConfig())}
 	if err := p.reread(&a.own); err != nil {
 		return nil, err
 	}
@@ -53,39 +56,42 @@
 	if own.Policy == "" {
 		return nil
 	}
-	policy, err := policyclient.Read(own.Policy)
+	read, err := policyfile.Read(own.Policy)
 	if err != nil {
 		return err
 	}
 	p.readings++
-	return p.governor.Hold(policy, p.readings)
+	return p.lease.Hold(read, p.readings)
 }
 
-// followPolicyServers makes the policy of the policy servers, with the fallback policy for the time without a lease.
-func (a *assembly) followPolicyServers() (*policyPart, error) {
-	fallback, err := policyclient.Read(a.own.FallbackPolicy)
+// pollPolicyServers makes the policy of the policy servers, with the fallback policy for the time without a lease.
+func (a *assembly) pollPolicyServers() (*policyPart, error) {
+	fallback, err := policyfile.Read(a.own.FallbackPolicy)
 	if err == nil {
-		err = policyclient.Fit(a.settings, fallback)
+		err = policylease.Validate(a.settings, fallback)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("policy floor: %w", err)
 	}
-	revision, err := policyclient.OpenFence(a.own.State)
+	revision, err := policylease.LoadRevision(a.own.State)
 	if err != nil {
-		a.log.WithError(err).Warn("policy: the stored revision can't be read; policy servers are trusted")
+		a.log.WithError(err).Warn("policy client: stored revision not read")
 	}
-	p := &policyPart{
-		governor: policyclient.NewGovernor(a.settings, fallback, revision, a.Picker.Now, a.Picker.Wake),
-	}
-	heartbeat := logic.Heartbeat{
-		Member:      logic.Member{Name: a.config.Name, Zone: a.settings.Zone, Fallback: fallback},
+	config := a.leaseConfig()
+	config.Fallback = fallback
+	config.Revision = revision
+	lease := policylease.New(config)
+	poller := policylease.NewPoller(lease, policylease.PollerConfig{
+		Servers:     a.own.PolicyServers,
+		Member:      policy.Member{Name: a.config.Name, Zone: a.settings.Zone, Fallback: fallback},
 		Incarnation: process.Identity(a.Picker.Now()),
 		Version:     version.Name(),
-	}
-	client := policyclient.NewFollower(p.governor, a.own.PolicyServers, heartbeat, a.own.State, a.log)
-	a.hooks.run = append(a.hooks.run, client.Run)
-	return p, nil
+		StateFolder: a.own.State,
+		Log:         a.log,
+	})
+	a.hooks.run = append(a.hooks.run, poller.Run)
+	return &policyPart{lease: lease}, nil
 }
 
 // state is what reports contain of the policy.
-func (p *policyPart) state() any { return p.governor.State() }
+func (p *policyPart) state() any { return p.lease.State() }
