--- a/internal/gatherer/dispatch/attempt_test.go
+++ b/internal/gatherer/dispatch/attempt_test.go
@@ -12,7 +12,7 @@
 // first attempt, of a retry. None begins.
 func TestAbandonedAttemptIsNotWritten(t *testing.T) {
 	now := 1000.0
-	for _, further := range []bool{false, true} {
+	for _, retry := range []bool{false, true} {
 		p := newPicker(t, nil)
 		p.clock.override = func() float64 { return now }
 		p.RunRoundNow()
@@ -20,9 +20,9 @@
 		done := make(chan Result, 1)
 		query := newQuery("all", 1, now+1000)
 		go func() { done <- p.Pick(ctx, query) }()
-		for taken := 0; taken == 0; runtime.Gosched() {
+		for queued := 0; queued == 0; runtime.Gosched() {
 			p.intake.mu.Lock()
-			taken = len(p.intake.inbox.admitted)
+			queued = len(p.intake.inbox.admitted)
 			p.intake.mu.Unlock()
 		}
 		now += 5
@@ -30,13 +30,13 @@
 		if len(attempts) != 1 {
 			t.Fatalf("%d attempts", len(attempts))
 		}
-		if further { // it is turned away, so that its part is called again
+		if retry { // it is rejected, so that its shard request is sent again
 			attempts[0].BeginWrite()
 			attempts[0].EndWrite()
 			p.Report(attempts[0], gather.Rejected, nil)
 			now += 5
 			if attempts = p.RunRoundNow().Send; len(attempts) != 1 || !attempts[0].UsesRetryBudget() {
-				t.Fatalf("%d attempts after one was turned away", len(attempts))
+				t.Fatalf("%d attempts after one was rejected", len(attempts))
 			}
 		}
 		leave()
@@ -44,7 +44,7 @@
 			t.Errorf("result %+v", v)
 		}
 		if attempts[0].BeginWrite() {
-			t.Errorf("further %v: an attempt begins for a client that has gone", further)
+			t.Errorf("retry %v: an attempt begins for a client that has gone", retry)
 		}
 	}
 }
@@ -56,7 +56,7 @@
 	for _, c := range []struct {
 		name  string
 		first gather.Outcome
-		late  float64 // the second call's first byte, after the first's decision
+		late  float64 // the second attempt's first byte, after the first's decision
 		want  bool
 	}{
 		{"within", gather.Failed, 80, true},
--- a/internal/gatherer/dispatch/harness_test.go
+++ b/internal/gatherer/dispatch/harness_test.go
@@ -76,8 +76,8 @@
 			change(s)
 		}
 	})
-	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
-	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: whole, MinShare: least, FirstPassShare: 0.3, TrialShare: 0.5}})
+	completeShare, minShare := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
+	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: completeShare, MinShare: minShare, FirstPassShare: 0.3, TrialShare: 0.5}})
 	p.clock.override = func() float64 { return p.schedule.lastAt + 4 } // what is reported before a round came just before it
 	p.runRound(1000)
 	for id := uint32(10); id < 16; id++ {
@@ -173,15 +173,15 @@
 	return next
 }
 
-// checkKeysCoveredOnce reports whether hits cover all keys of a query's parts, none twice.
+// checkKeysCoveredOnce reports whether hits cover all keys of a query's shard requests, none twice.
 func checkKeysCoveredOnce(query *Query, hits []Hit) error {
-	for _, pt := range query.ShardRequests {
+	for _, request := range query.ShardRequests {
 		var got []ownership.Range
 		for _, h := range hits {
-			if h.Shard != pt.Shard {
+			if h.Shard != request.Shard {
 				continue
 			}
-			r := ownership.Slot(pt.Shard, 4)
+			r := ownership.Slot(request.Shard, 4)
 			if h.Keys != nil {
 				r = *h.Keys
 			}
@@ -193,18 +193,18 @@
 			}
 			return 1
 		})
-		want := ownership.Slot(pt.Shard, 4)
+		want := ownership.Slot(request.Shard, 4)
 		from := want.Lo
 		for i, r := range got {
 			if r.Lo != from {
-				return fmt.Errorf("shard %d: keys %v, %s comes where %016x should", pt.Shard, got, r.Text(), from)
+				return fmt.Errorf("shard %d: keys %v, %s comes where %016x should", request.Shard, got, r.Text(), from)
 			}
 			if from = r.Hi + 1; i == len(got)-1 && r.Hi != want.Hi {
-				return fmt.Errorf("shard %d: keys %v end before %s", pt.Shard, got, want.Text())
+				return fmt.Errorf("shard %d: keys %v end before %s", request.Shard, got, want.Text())
 			}
 		}
 		if len(got) == 0 {
-			return fmt.Errorf("shard %d: no keys", pt.Shard)
+			return fmt.Errorf("shard %d: no keys", request.Shard)
 		}
 	}
 	return nil
--- a/internal/gatherer/dispatch/module_test.go
+++ b/internal/gatherer/dispatch/module_test.go
@@ -15,7 +15,7 @@
 	done := pickAsync(t.Context(), p, newQuery("all", 2, p.Now()+2000))
 	attempts := runDueRound(t, p).Send
 	bad := newQuery("all", 1, p.Now()+2000)
-	bad.ShardRequests[0].Shard = -1 // the front turns such a shard away; the module does not expect it
+	bad.ShardRequests[0].Shard = -1 // the front end rejects such a shard; the module does not expect it
 	worse := pickAsync(t.Context(), p, bad)
 	off := runDueRound(t, p).Cancel
 	if a, b := <-done, <-worse; a.Kind != InternalError || b.Kind != InternalError {
@@ -73,7 +73,7 @@
 		seen[to()] = true
 	}
 	if len(seen) != 3 {
-		t.Errorf("plain turns went to %v", seen)
+		t.Errorf("plain round robin goes to %v", seen)
 	}
 }
 
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -28,7 +28,7 @@
 		_, attempts = submitAndRun(p, 1015+10*float64(i), "all", fmt.Sprint("o", i), 4)
 		for _, c := range attempts {
 			if want := uint32(10 + c.Shard()/2*2); c.Server != want || !c.NonIdempotent() {
-				t.Errorf("a non-idempotent part of shard %d goes to server %d", c.Shard(), c.Server)
+				t.Errorf("a non-idempotent shard request of shard %d goes to server %d", c.Shard(), c.Server)
 			}
 		}
 		answerAll(p, attempts)
@@ -95,7 +95,7 @@
 			applyChange(t, p, m, c, err)
 			attempts = p.runRound(1010).Send
 			if len(attempts) != 3 {
-				t.Fatalf("%d attempts of two parts, one of which is split", len(attempts))
+				t.Fatalf("%d attempts of two shard requests, one of which is split", len(attempts))
 			}
 		} else {
 			attempts = p.runRound(1010).Send
@@ -143,7 +143,7 @@
 		m = applyChange(t, p, m, c, err)
 		query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 		if len(attempts) != 2 {
-			t.Fatalf("%d attempts, the keys of two parts are unowned", len(attempts))
+			t.Fatalf("%d attempts, the keys of two shard requests are unowned", len(attempts))
 		}
 		answerAll(p, attempts)
 		if back {
@@ -168,7 +168,7 @@
 		p.runRound(now)
 	}
 	if v, done := takeResult(query); !done || v.Kind == Served {
-		t.Errorf("a query that needs all parts: %+v, %t", v, done)
+		t.Errorf("a query that needs all shards: %+v, %t", v, done)
 	}
 }
 
@@ -232,11 +232,11 @@
 	for _, c := range attempts {
 		p.Report(c, gather.NotOwner, nil)
 	}
-	further := 0
+	retries := 0
 	for now := 1045.0; now < 1400; now += 5 {
 		for _, c := range p.runRound(now).Send {
 			if c.BeginWrite() {
-				further++
+				retries++
 				c.EndWrite()
 				p.Report(c, gather.Succeeded, []byte("x"))
 			} else {
@@ -244,8 +244,8 @@
 			}
 		}
 	}
-	if further != 3 {
-		t.Errorf("%d attempts after a refusal within a window that allows 3", further)
+	if retries != 3 {
+		t.Errorf("%d attempts after a refusal within a window that allows 3", retries)
 	}
 	satisfied := 0
 	for _, query := range queries {
@@ -298,15 +298,15 @@
 	select {
 	case <-p.MapRequested():
 	default:
-		t.Error("the whole map is not asked for")
+		t.Error("the full map is not asked for")
 	}
 	once, attempts := submitAndRun(p, 1010, "all", "a", 1)
 	if len(attempts) > 0 {
-		t.Fatal("a non-idempotent part is sent though two owners may believe it theirs")
+		t.Fatal("a non-idempotent shard request is sent though two owners may believe it theirs")
 	}
 	_, attempts = submitAndRun(p, 1015, "any", "b", 1)
 	if len(attempts) != 1 || attempts[0].Server != 14 {
-		t.Errorf("an idempotent part: %v", attempts)
+		t.Errorf("an idempotent shard request: %v", attempts)
 	}
 	answerAll(p, attempts)
 	c, err := next.Move("s1", []string{"h2"})
@@ -344,8 +344,8 @@
 		var outs []out
 		held := map[*Query][]*asked{}
 		truth := m // what hosts go by
-		var told1 []ownership.Change
-		admitted, ends, whole, moves, name := 0, 0, 0, 0, 0
+		var updates []ownership.Change
+		admitted, ends, complete, moves, name := 0, 0, 0, 0, 0
 		for now := 1010.0; now < 13000; now += 5 {
 			if chance.Float64() < 0.12 && now < 11000 {
 				i := draw(len(truth.Segments))
@@ -380,17 +380,17 @@
 				}
 				if err == nil {
 					truth, _ = truth.Apply(c)
-					told1 = append(told1, c)
+					updates = append(updates, c)
 					moves++
 				}
 			}
 			if chance.Float64() < 0.3 || now > 11000 { // news comes late, one at a time, sometimes twice
-				if len(told1) > 0 {
-					p.ApplyMapChange(told1[0])
+				if len(updates) > 0 {
+					p.ApplyMapChange(updates[0])
 					if chance.Float64() < 0.2 {
-						p.ApplyMapChange(told1[0])
+						p.ApplyMapChange(updates[0])
 					}
-					told1 = told1[1:]
+					updates = updates[1:]
 				}
 			}
 			if chance.Float64() < 0.3 && now < 11500 {
@@ -463,7 +463,7 @@
 				ends++
 				delete(held, query)
 				if v.Kind == Served && v.Complete {
-					whole++
+					complete++
 					if err := checkKeysCoveredOnce(query, v.Hits); err != nil {
 						t.Fatalf("seed %d at %g: %s: %v", seed, now, query.ID, err)
 					}
@@ -478,11 +478,11 @@
 				}
 			}
 		}
-		if ends != admitted || admitted < 400 || whole < admitted/3 || moves < 80 {
-			t.Errorf("seed %d: %d of %d queries answered, %d complete, %d moves", seed, ends, admitted, whole, moves)
+		if ends != admitted || admitted < 400 || complete < admitted/3 || moves < 80 {
+			t.Errorf("seed %d: %d of %d queries answered, %d complete, %d moves", seed, ends, admitted, complete, moves)
 		}
 		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
-			t.Errorf("seed %d: %d held, %d queries, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
+			t.Errorf("seed %d: %d held, %d queries, %d shard requests", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
--- a/internal/gatherer/dispatch/picker_test.go
+++ b/internal/gatherer/dispatch/picker_test.go
@@ -202,6 +202,6 @@
 	}
 	p.runRound(1000 + 2001*5)
 	if len(p.endpoints.byID) != 7 || len(p.endpoints.order) != 7 || len(p.queries.byID) > 1 || len(p.queries.requests) > 2 || p.intake.held > 3 {
-		t.Errorf("%d servers, %d ids, %d queries, %d parts, %d held", len(p.endpoints.byID), len(p.endpoints.order), len(p.queries.byID), len(p.queries.requests), p.intake.held)
+		t.Errorf("%d servers, %d ids, %d queries, %d shard requests, %d held", len(p.endpoints.byID), len(p.endpoints.order), len(p.queries.byID), len(p.queries.requests), p.intake.held)
 	}
 }
--- a/internal/gatherer/dispatch/twopass_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -31,19 +31,19 @@
 				t.Fatalf("%d attempts, %d of a first pass", len(o.Send), countFirstPass(o))
 			}
 			if id := o.Send[0].ID(); !strings.HasSuffix(id, "~") {
-				t.Errorf("a first pass's part is called %s", id)
+				t.Errorf("a first pass's shard request is called %s", id)
 			}
-			for i, call := range o.Send {
-				p.Report(call, gather.Succeeded, []byte(c.summaries[i]))
+			for i, attempt := range o.Send {
+				p.Report(attempt, gather.Succeeded, []byte(c.summaries[i]))
 			}
 			now, attempts := 1015.0, []*Attempt(nil)
 			for ; now < 1400 && len(attempts) == 0; now += 5 {
 				attempts = nil
-				for _, call := range p.runRound(now).Send {
-					if call.FirstPass() { // sent again elsewhere, within the first pass
-						p.Report(call, gather.Succeeded, []byte("garbled again"))
+				for _, attempt := range p.runRound(now).Send {
+					if attempt.FirstPass() { // sent again elsewhere, within the first pass
+						p.Report(attempt, gather.Succeeded, []byte("garbled again"))
 					} else {
-						attempts = append(attempts, call)
+						attempts = append(attempts, attempt)
 					}
 				}
 				if v, done := takeResult(query); done {
@@ -56,11 +56,11 @@
 			if len(attempts) != c.second || slices.ContainsFunc(attempts, (*Attempt).FirstPass) {
 				t.Fatalf("%d attempts in the second pass", len(attempts))
 			}
-			for _, call := range attempts {
-				if call.ID() != fmt.Sprint("a.", call.Shard()) {
-					t.Errorf("a part in full is called %s", call.ID())
+			for _, attempt := range attempts {
+				if attempt.ID() != fmt.Sprint("a.", attempt.Shard()) {
+					t.Errorf("a shard request in full is called %s", attempt.ID())
 				}
-				p.Report(call, gather.Succeeded, fmt.Append(nil, call.Shard()))
+				p.Report(attempt, gather.Succeeded, fmt.Append(nil, attempt.Shard()))
 			}
 			p.runRound(now)
 			v, done := takeResult(query)
@@ -73,7 +73,7 @@
 				}
 			}
 			if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
-				t.Errorf("%d held, %d queries, %d parts, %d in two passes", p.intake.held, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
+				t.Errorf("%d held, %d queries, %d shard requests, %d in two passes", p.intake.held, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
 			}
 		})
 	}
@@ -237,10 +237,10 @@
 			first bool
 		}
 		var outs []out
-		var takenAt, furtherAt []float64
+		var admittedAt, retriedAt []float64
 		attempts, answered := map[key]int{}, map[key]bool{}
 		held := map[*Query]bool{}
-		admitted, ends, further, two := 0, 0, 0, 0
+		admitted, ends, retries, two := 0, 0, 0, 0
 		for now := 1010.0; now < 20000; now += 5 {
 			troubled := math.Mod(now, 6000) < 2000
 			if chance.Float64() < 0.25 && now < 17000 {
@@ -250,7 +250,7 @@
 				p.submit(query)
 				held[query] = true
 				for range 1 + len(query.ShardRequests) {
-					takenAt = append(takenAt, now)
+					admittedAt = append(admittedAt, now)
 				}
 			}
 			rest := outs[:0]
@@ -279,21 +279,21 @@
 				}
 				k, other := key{query, c.Shard(), c.FirstPass()}, key{query, c.Shard(), true}
 				if attempts[k] > 0 || !c.FirstPass() && attempts[other] > 0 && !answered[other] {
-					further++
-					furtherAt = append(furtherAt, now)
-					in, taken := 0, 0
-					for _, at := range furtherAt {
+					retries++
+					retriedAt = append(retriedAt, now)
+					in, queued := 0, 0
+					for _, at := range retriedAt {
 						if at >= now-2000 {
 							in++
 						}
 					}
-					for _, at := range takenAt {
+					for _, at := range admittedAt {
 						if at >= now-2000 {
-							taken++
+							queued++
 						}
 					}
-					if most := 6 + 0.05*float64(taken); float64(in) > most {
-						t.Fatalf("seed %d at %g: %d further attempts in 2 s, %g allowed", seed, now, in, most)
+					if most := 6 + 0.05*float64(queued); float64(in) > most {
+						t.Fatalf("seed %d at %g: %d retries in 2 s, %g allowed", seed, now, in, most)
 					}
 				}
 				attempts[k]++
@@ -317,7 +317,7 @@
 						two++
 					}
 					if v.Kind == Served && v.Complete && len(v.Hits)+len(v.EmptyShards) != len(query.ShardRequests) {
-						t.Fatalf("seed %d: whole with %d hits and %d empty of %d parts", seed, len(v.Hits), len(v.EmptyShards), len(query.ShardRequests))
+						t.Fatalf("seed %d: complete with %d hits and %d empty of %d shard requests", seed, len(v.Hits), len(v.EmptyShards), len(query.ShardRequests))
 					}
 					if now > query.Deadline+20 {
 						t.Errorf("seed %d: answered %g ms after its time", seed, now-query.Deadline)
@@ -325,11 +325,11 @@
 				}
 			}
 		}
-		if ends != admitted || admitted < 500 || two < 100 || further < 10 {
-			t.Errorf("seed %d: %d of %d queries answered, %d in two passes, %d retries", seed, ends, admitted, two, further)
+		if ends != admitted || admitted < 500 || two < 100 || retries < 10 {
+			t.Errorf("seed %d: %d of %d queries answered, %d in two passes, %d retries", seed, ends, admitted, two, retries)
 		}
 		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
-			t.Errorf("seed %d: %d held, %d queries, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
+			t.Errorf("seed %d: %d held, %d queries, %d shard requests", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
@@ -343,7 +343,7 @@
 	})
 	query, o := submitTwoPass(p, 1010, "a", 8)
 	if n := countFirstPass(o); n < 6 {
-		t.Fatalf("%d parts of the first pass", n)
+		t.Fatalf("%d shard requests of the first pass", n)
 	}
 	for i, c := range o.Send {
 		if i < 4 {
@@ -355,7 +355,7 @@
 	p.runRound(1015)
 	second := p.runRound(1020).Send
 	if len(second) != 2 {
-		t.Fatalf("%d attempts in full, of 8 parts 4 are proved empty and 6 make a whole answer", len(second))
+		t.Fatalf("%d attempts in full, of 8 shards 4 are proved empty and 6 make a complete one", len(second))
 	}
 	for _, c := range second {
 		p.Report(c, gather.Succeeded, []byte("x"))
--- a/internal/gatherer/frontend/activequeries_test.go
+++ b/internal/gatherer/frontend/activequeries_test.go
@@ -104,6 +104,6 @@
 	leave()
 	v, err := s.decide(ctx, &dispatch.Query{ID: "a"}, nil)
 	if v.Kind != dispatch.Abandoned || err != nil || len(f.picked) > 0 {
-		t.Errorf("verdict %+v, %v, %d picked", v, err, len(f.picked))
+		t.Errorf("result %+v, %v, %d picked", v, err, len(f.picked))
 	}
 }
--- a/internal/gatherer/frontend/conntracker_test.go
+++ b/internal/gatherer/frontend/conntracker_test.go
@@ -41,11 +41,11 @@
 	c.onStateChange(usual, http.StateNew)
 	c.onStateChange(usual, http.StateActive)
 	c.onStateChange(usual, http.StateIdle)
-	asking, _ := open("POST ")
-	c.onStateChange(asking, http.StateNew)
+	sending, _ := open("POST ")
+	c.onStateChange(sending, http.StateNew)
 	silent, far := open("")
 	c.onStateChange(silent, http.StateNew)
-	for _, conn := range []net.Conn{asking, silent} {
+	for _, conn := range []net.Conn{sending, silent} {
 		p := c.entries[conn]
 		p.since = p.since.Add(-firstByteTimeout)
 		c.entries[conn] = p
@@ -56,13 +56,13 @@
 	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the silent one is still open: %v", err)
 	}
-	for name, conn := range map[string]net.Conn{"idle": usual, "asking": asking, "last": last} {
+	for name, conn := range map[string]net.Conn{"idle": usual, "sending": sending, "last": last} {
 		if c.uncounted[conn] {
 			t.Errorf("the %s one was closed", name)
 		}
 	}
-	// Nothing is silent for long now. A client that has just come is about to ask: closed then, its request
-	// fails, where one between two requests just comes again.
+	// Nothing is silent for long now. A client that has just come is about to send: closed then, its request
+	// fails, where one between two requests just connects again.
 	next, _ := open("")
 	c.onStateChange(next, http.StateNew)
 	if !c.uncounted[usual] || c.uncounted[last] || c.uncounted[next] {
@@ -70,7 +70,7 @@
 	}
 	c.onStateChange(next, http.StateActive)
 	c.onStateChange(last, http.StateActive)
-	c.onStateChange(asking, http.StateActive)
+	c.onStateChange(sending, http.StateActive)
 	var more []net.Conn // all in use: a few more may come, for an answer that says so, and then none
 	for range 3 {
 		near, _ := open("POST ")
@@ -120,7 +120,7 @@
 		t.Errorf("the one idle longest is not closed: %v", err)
 	}
 	if c.overloaded() {
-		t.Error("crowded, though one was closed")
+		t.Error("overloaded, though one was closed")
 	}
 	c.onStateChange(a, http.StateClosed)
 	c.onStateChange(b, http.StateActive)
--- a/internal/gatherer/frontend/harness_test.go
+++ b/internal/gatherer/frontend/harness_test.go
@@ -16,7 +16,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// fakePicker decides what a test tells it to.
+// fakePicker decides by a function.
 type fakePicker struct {
 	picked chan *dispatch.Query
 	decide func(ctx context.Context, query *dispatch.Query) dispatch.Result
@@ -68,7 +68,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", path, head, len(body), body)
 }
 
-// exchange sends the text and reads so many answers.
+// exchange sends a text and reads so many responses. It returns their statuses, and the last one's body and header.
 func exchange(t *testing.T, address, text string, answers int) (status []int, last string, head http.Header) {
 	status = make([]int, answers)
 	c, err := net.Dial("tcp", address)
@@ -89,7 +89,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if resp.Close { // the client takes the word out of the headers
+		if resp.Close { // net/http's client takes it out of the header
 			resp.Header.Set("Connection", "close")
 		}
 		status[i], last, head = resp.StatusCode, string(body), resp.Header
@@ -97,9 +97,7 @@
 	return status, last, head
 }
 
-// What comes between two lines of a shutdown, of a close and of a client that goes: each crossing is forced by the
-// other side or by a gate, as docs/design/crossings.md lists them.
-
+// dial opens a client's connection, with a deadline against a test that hangs.
 func dial(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -107,7 +105,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(20 * time.Second)) // against a test that hangs
+	c.SetDeadline(time.Now().Add(20 * time.Second))
 	return c.(*net.TCPConn)
 }
 
@@ -128,7 +126,7 @@
 	return &clientConn{TCPConn: accepted.(*net.TCPConn), lingerFor: lingerTimeout}, far
 }
 
-// readResponse reads one answer; nothing may follow it where its connection ends.
+// readResponse reads one response; nothing may follow it where its connection ends.
 func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
@@ -160,7 +158,7 @@
 	return dispatch.Result{Kind: dispatch.Failed}
 }
 
-// idleConn is a connection on which one request has been answered.
+// idleConn returns a connection on which one request has been answered.
 func idleConn(t *testing.T, s *Server, address string) (*net.TCPConn, *bufio.Reader) {
 	t.Helper()
 	c := dial(t, address)
@@ -169,7 +167,7 @@
 	if resp := readResponse(t, r); resp.StatusCode != 504 || resp.Close {
 		t.Fatalf("answered %d, close %v", resp.StatusCode, resp.Close)
 	}
-	waitUntil(t, "the server has it for idle", func() bool {
+	waitUntil(t, "the server takes it for idle", func() bool {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
 		return s.conns.idle.Len() > 0
@@ -185,6 +183,6 @@
 	for conn := range s.conns.entries {
 		return conn.(*clientConn)
 	}
-	t.Fatal("no connection rests")
+	t.Fatal("no connection is idle")
 	return nil
 }
--- a/internal/gatherer/frontend/readahead_test.go
+++ b/internal/gatherer/frontend/readahead_test.go
@@ -140,7 +140,7 @@
 		t.Errorf("answered %v, %v", resp, err)
 	}
 	if len(f.picked) > 0 {
-		t.Error("what came behind was sent on")
+		t.Error("what came behind was forwarded")
 	}
 }
 
@@ -161,7 +161,7 @@
 		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
 	}
 	if len(f.picked) > 0 {
-		t.Error("what came behind was sent on")
+		t.Error("what came behind was forwarded")
 	}
 	s.active.mu.Lock()
 	defer s.active.mu.Unlock()
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -101,7 +101,7 @@
 		t.Error(err)
 	}
 	if len(f.picked) > 0 {
-		t.Error("a request that came after the end was sent on")
+		t.Error("a request that came after the end was forwarded")
 	}
 }
 
@@ -196,6 +196,6 @@
 		t.Error(err)
 	}
 	if len(f.picked) > 0 {
-		t.Error("what came behind the last request was sent on")
+		t.Error("what came behind the last request was forwarded")
 	}
 }
