--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -19,13 +19,13 @@
 // overloaded decides whether a query that has arrived is shed: one whose slowest request would take most of
 // its time only delays others. Nothing of it was sent yet, so that any class may be rejected.
 func (g *Gatherer) overloaded(q *query) bool {
-	untilObjective := q.arrivedAt + q.class.LatencyObjective
-	// Clients that wait less than that leave before their answer, and come again.
-	timeLeft := max(min(untilObjective, q.Deadline)-g.now, 1)
-	load := g.slowestLatency(q) / timeLeft
-	if !g.latencies.learnt() {
+	if !g.latencies.measured() {
 		return false
 	}
+	objectiveAt := q.arrivedAt + q.class.LatencyObjective
+	// Clients that wait less than that leave before their answer, and come again.
+	timeLeft := max(min(objectiveAt, q.Deadline)-g.now, 1)
+	load := g.slowestLatency(q) / timeLeft
 	return (load-shedFromShare)/(shedAllShare-shedFromShare) > g.random.Float64()
 }
 
@@ -42,7 +42,7 @@
 		if !r.wanted || r.replica == noReplica {
 			continue
 		}
-		if latency := g.latencies.expectedLatency(r.replica, g.now); latency < unresponsive {
+		if latency := g.latencies.expectedLatency(r.replica, g.now); latency < unresponsiveLatency {
 			requests = append(requests, expected{counted * latency, r.Weight})
 		}
 	}
