--- a/internal/control/policyapi/kept_test.go
+++ b/internal/control/policyapi/kept_test.go
@@ -62,20 +62,33 @@
 }
 
 func keptChange() policy.Change {
-	return policy.Change{Number: 44, Base: 41, ID: "0123456789abcdef01234567", Policy: keptPolicy(), Reason: "host s9 <is> \"repaired\"", ProposedAt: 1.7648e12}
+	return policy.Change{
+		Number:     44,
+		Base:       41,
+		ID:         "0123456789abcdef01234567",
+		Policy:     keptPolicy(),
+		Reason:     "host s9 <is> \"repaired\"",
+		ProposedAt: 1.7648e12,
+	}
 }
 
 func keptRecord() policy.Record {
 	change := keptChange()
-	decided, givenUp := keptChange(), keptChange()
-	decided.Number, decided.Base, decided.ID, decided.Outcome = 41, 12, "a", policy.Committed
-	givenUp.Number, givenUp.ID, givenUp.Outcome, givenUp.OutcomeReason = 43, "b", policy.Abandoned, "g2 refuses it: no index find"
+	committed, abandoned := keptChange(), keptChange()
+	committed.Number = 41
+	committed.Base = 12
+	committed.ID = "a"
+	committed.Outcome = policy.Committed
+	abandoned.Number = 43
+	abandoned.ID = "b"
+	abandoned.Outcome = policy.Abandoned
+	abandoned.OutcomeReason = "g2 refuses it: no index find"
 	return policy.Record{
 		Epoch:          41,
 		Policy:         keptPolicy(),
 		LastEnded:      43,
 		Pending:        &change,
-		History:        []policy.Change{decided, givenUp},
+		History:        []policy.Change{committed, abandoned},
 		TrimmedChanges: 39,
 		Members:        []policy.Member{keptMember(), {Name: "g2"}},
 	}
@@ -86,11 +99,27 @@
 		Server: "s1",
 		Record: keptRecord(),
 		Members: []policy.MemberStatus{
-			{Name: "g1", Zone: "north", Applied: policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}, State: policy.StatePrepared, SinceLastPoll: 250.5, Version: "1.2"},
-			{Name: "g2", Applied: policy.Revision{Epoch: 41, LastEnded: 41}, State: policy.StateStale, SinceLastPoll: 3},
+			{
+				Name:          "g1",
+				Zone:          "north",
+				Applied:       policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44},
+				State:         policy.StatePrepared,
+				SinceLastPoll: 250.5,
+				Version:       "1.2",
+			},
+			{
+				Name:          "g2",
+				Applied:       policy.Revision{Epoch: 41, LastEnded: 41},
+				State:         policy.StateStale,
+				SinceLastPoll: 3,
+			},
 			{Name: "g3", State: policy.StateDetached, SinceLastPoll: -1},
 			{Name: "g4", State: policy.StateRefusing, Detail: "no index find"},
-			{Name: "g5", State: policy.StateNotAdmitted, Detail: "its floor allows what is forbidden, or it does not know a kind"},
+			{
+				Name:   "g5",
+				State:  policy.StateNotAdmitted,
+				Detail: "its floor allows what is forbidden, or it does not know a kind",
+			},
 			{Name: "g6", State: policy.StateApplied},
 		},
 		Missing:    []string{"g2"},
@@ -129,13 +158,16 @@
 		return readAs(MembershipRequest{Format: Format, Name: name, Remove: remove}, Read[MembershipRequest])
 	}
 	refused := "it does not know the kind turns; it is of an older version"
+	idle := policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Lease: 10_000}
+	pending := idle
+	pending.Pending = &change
 	first := policy.Heartbeat{Member: policy.Member{Name: "g1"}, Incarnation: "1"}
 	proposed := policy.Change{ID: change.ID, Base: 41, Policy: keptPolicy(), Reason: change.Reason}
 	for name, check := range map[string]document{
 		"ask.json":               readAs(PollRequest{Format, hello, 2000}, ReadPollRequest),
 		"ask-first.json":         readAs(PollRequest{Format, first, 0}, ReadPollRequest),
-		"answer-word.json":       update(policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Lease: 10_000}),
-		"answer-change.json":     update(policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Pending: &change, Lease: 10_000}),
+		"answer-word.json":       update(idle),
+		"answer-change.json":     update(pending),
 		"answer-refused.json":    update(policy.Update{Epoch: 41, LastEnded: 43, RefusalReason: refused}),
 		"answer-proposed.json":   readAs(ChangeResponse{Format, &change}, Read[ChangeResponse]),
 		"answer-status.json":     status(*keptStatus()),
--- a/internal/control/policyclient/client.go
+++ b/internal/control/policyclient/client.go
@@ -41,7 +41,7 @@
 			return response, err
 		}
 		if round >= maxRounds {
-			return nil, fmt.Errorf("no steward that leads answers: %s", strings.Join(failures, "; "))
+			return nil, fmt.Errorf("no leader among the policy servers answers: %s", strings.Join(failures, "; "))
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/control/policylease/poller.go
+++ b/internal/control/policylease/poller.go
@@ -38,9 +38,9 @@
 
 // Poller polls the policy servers, one poll after the other, and hands their updates to a lease.
 type Poller struct {
-	PollerConfig
-	lease *Lease
-	http  *http.Client
+	config PollerConfig
+	lease  *Lease
+	http   *http.Client
 }
 
 // NewPoller returns a poller. Run makes it poll.
@@ -51,11 +51,11 @@
 		ResponseHeaderTimeout: pollWait + responseGrace,
 		DisableCompression:    true,
 	}
-	return &Poller{PollerConfig: c, lease: lease, http: &http.Client{Transport: transport}}
+	return &Poller{config: c, lease: lease, http: &http.Client{Transport: transport}}
 }
 
 // errDrained ends a poll that has to be sent again, as there is news for the leader.
-var errDrained = errors.New("there is news to tell")
+var errDrained = errors.New("the gatherer has drained")
 
 // Run polls until ctx ends. No query waits for it.
 func (p *Poller) Run(ctx context.Context) {
@@ -64,7 +64,7 @@
 	backoff := minBackoff
 	failing := false
 	for ctx.Err() == nil {
-		sentAt, update, err := p.poll(ctx, p.Servers[current])
+		sentAt, update, err := p.poll(ctx, p.config.Servers[current])
 		switch {
 		case errors.Is(err, errDrained):
 			continue
@@ -80,7 +80,7 @@
 				p.serverLog(current).WithError(err).Warn("policy client: server does not answer")
 			}
 			failing = true
-			current = (current + 1) % len(p.Servers)
+			current = (current + 1) % len(p.config.Servers)
 			p.pause(ctx, backoff)
 			backoff = min(2*backoff, maxBackoff)
 			continue
@@ -97,7 +97,7 @@
 }
 
 func (p *Poller) serverLog(server int) *logrus.Entry {
-	return p.Log.WithField("server", p.Servers[server].Name)
+	return p.config.Log.WithField("server", p.config.Servers[server].Name)
 }
 
 // leaderIndex returns the index of the server that an error names as the leader, -1 where it names none.
@@ -106,14 +106,14 @@
 	if !errors.As(err, &status) || !status.NotLeader() || status.Leader == "" {
 		return -1
 	}
-	return slices.IndexFunc(p.Servers, func(s operator.PolicyServer) bool { return s.Name == status.Leader })
+	return slices.IndexFunc(p.config.Servers, func(s operator.PolicyServer) bool { return s.Name == status.Leader })
 }
 
 // handle hands an update to the lease, and stores the revision where it has advanced. It reports whether the update
 // was accepted.
 func (p *Poller) handle(sentAt float64, u policy.Update) bool {
 	revision, advanced, accepted := p.lease.handle(sentAt, u)
-	log := p.Log.WithFields(logrus.Fields{"epoch": u.Epoch, "last": u.LastEnded})
+	log := p.config.Log.WithFields(logrus.Fields{"epoch": u.Epoch, "last": u.LastEnded})
 	if u.Pending != nil {
 		log = log.WithField("change", u.Pending.Number)
 	}
@@ -124,7 +124,7 @@
 		log.WithField("reason", u.RefusalReason).Error("policy client: no lease granted, fallback policy in effect")
 	case advanced:
 		log.Info("policy client: update applied")
-		if err := saveRevision(p.StateFolder, revision); err != nil {
+		if err := saveRevision(p.config.StateFolder, revision); err != nil {
 			log.WithError(err).Error("policy client: revision not stored")
 		}
 	}
@@ -167,7 +167,7 @@
 	case err != nil:
 		return 0, u, err
 	case response.Update == nil:
-		return 0, u, errors.New("the answer holds no word")
+		return 0, u, errors.New("the answer holds no update")
 	}
 	return sentAt, *response.Update, nil
 }
@@ -193,8 +193,8 @@
 
 func (p *Poller) heartbeat() policy.Heartbeat {
 	heartbeat := p.lease.heartbeat()
-	heartbeat.Member = p.Member
-	heartbeat.Incarnation = p.Incarnation
-	heartbeat.Version = p.Version
+	heartbeat.Member = p.config.Member
+	heartbeat.Incarnation = p.config.Incarnation
+	heartbeat.Version = p.config.Version
 	return heartbeat
 }
--- a/internal/control/policyserver/incarnations.go
+++ b/internal/control/policyserver/incarnations.go
@@ -38,7 +38,7 @@
 	options := &bbolt.Options{Timeout: fileLockTimeout}
 	db, err := bbolt.Open(filepath.Join(folder, incarnationFile), 0o600, options)
 	if err != nil {
-		return nil, fmt.Errorf("folder %s: %w; another steward may run in it", folder, err)
+		return nil, fmt.Errorf("folder %s: %w; another policy server may run in it", folder, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		_, err := tx.CreateBucketIfNotExists(incarnationBucket)
--- a/internal/control/policyserver/kept_test.go
+++ b/internal/control/policyserver/kept_test.go
@@ -16,6 +16,7 @@
 	"time"
 
 	"yokeroute/internal/control/policyapi"
+	"yokeroute/logic/policy"
 )
 
 // keptFolder returns a copy of the state folder that a released version wrote: its log, a snapshot of a part of it, and
@@ -57,49 +58,70 @@
 	return string(text)
 }
 
-// TestKeptFolder: a server that is started in the state folder of a released version leads with the record as it was,
-// continues its incarnations, and answers each request in the same bytes as that version.
-func TestKeptFolder(t *testing.T) {
+// keptServer starts a server in a copy of the kept state folder, and returns its address.
+func keptServer(t *testing.T) (address string, c *Config, stop func()) {
+	t.Helper()
 	file := filepath.Join(t.TempDir(), "s1.conf")
-	text := "steward s1 in state listen 127.0.0.1:0 raft 127.0.0.1:0\npeer s1 raft 127.0.0.1:1 http 127.0.0.1:1\nlease 1min limit 2min\nbeat 20ms\n"
+	text := "steward s1 in state listen 127.0.0.1:0 raft 127.0.0.1:0\n" +
+		"peer s1 raft 127.0.0.1:1 http 127.0.0.1:1\n" +
+		"lease 1min limit 2min\n" +
+		"beat 20ms\n"
 	if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	config, err := Read(file)
+	c, err := Read(file)
 	if err != nil {
 		t.Fatal(err)
 	}
-	config.Folder = keptFolder(t)
-	ctx, stop := context.WithCancel(t.Context())
-	s, err := Open(ctx, config, quietLog())
+	c.Folder = keptFolder(t)
+	ctx, cancel := context.WithCancel(t.Context())
+	s, err := Open(ctx, c, quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- s.Run(ctx) }()
-	address := s.http.listener.Addr().String()
-	var status *policyapi.Status
-	for limit := time.Now().Add(20 * time.Second); status == nil && time.Now().Before(limit); time.Sleep(10 * time.Millisecond) {
-		e := policyapi.Endpoint{Method: http.MethodGet, Address: address, Path: "/policy/status"}
-		r, err := policyapi.Call(ctx, http.DefaultClient, e, nil, policyapi.Read[policyapi.StatusResponse])
-		if err == nil {
-			status = r.Status
+	return s.http.listener.Addr().String(), c, func() {
+		cancel()
+		if err := <-ended; err != nil {
+			t.Error(err)
 		}
 	}
-	if status == nil {
-		t.Fatal("it does not lead")
+}
+
+// awaitRecord waits until a server is the leader, and returns its record.
+func awaitRecord(t *testing.T, address string) policy.Record {
+	t.Helper()
+	e := policyapi.Endpoint{Method: http.MethodGet, Address: address, Path: "/policy/status"}
+	for timeout := time.After(20 * time.Second); ; {
+		r, err := policyapi.Call(t.Context(), http.DefaultClient, e, nil, policyapi.Read[policyapi.StatusResponse])
+		if err == nil {
+			return r.Status.Record
+		}
+		select {
+		case <-timeout:
+			t.Fatalf("it does not lead: %v", err)
+		case <-time.After(10 * time.Millisecond):
+		}
 	}
-	if got, err := json.Marshal(status.Record); err != nil || string(got) != strings.TrimSpace(keptText(t, "record.json")) {
-		t.Errorf("the record is %s, %v", got, err)
+}
+
+// TestKeptFolder: a server that is started in the state folder of a released version leads with the record as it was,
+// continues its incarnations, and answers each request in the same bytes as that version.
+func TestKeptFolder(t *testing.T) {
+	address, config, stop := keptServer(t)
+	record, err := json.Marshal(awaitRecord(t, address))
+	if err != nil || string(record) != strings.TrimSpace(keptText(t, "record.json")) {
+		t.Errorf("the record is %s, %v", record, err)
 	}
 	for _, c := range []struct {
 		name, path string
 		status     int
 	}{
-		{"ask-news", "/policy/ask", 200},          // at once, since what it holds is older
-		{"ask-nothing", "/policy/ask", 200},       // once its wait is over
-		{"ask-unread", "/policy/ask", 400},        //
-		{"ask-refused", "/policy/ask", 200},       // by its floor
+		{"ask-news", "/policy/ask", 200},    // at once, since its revision is older
+		{"ask-nothing", "/policy/ask", 200}, // once its wait is over
+		{"ask-unread", "/policy/ask", 400},
+		{"ask-refused", "/policy/ask", 200},       // by its fallback policy
 		{"propose-again", "/policy/propose", 200}, // what was proposed before the restart
 		{"propose-second", "/policy/propose", 409},
 		{"propose-unread", "/policy/propose", 400},
@@ -107,31 +129,32 @@
 		{"give-up-unknown", "/policy/give-up", 409},
 		{"forget-unknown", "/policy/forget", 409},
 		{"forget-unread", "/policy/forget", 400},
-		{"boot-old", "/policy/boot", 200}, // start 3 of one that was started five times
-		{"boot-own", "/policy/boot", 200}, // start 2 of this one
+		{"boot-old", "/policy/boot", 200}, // incarnation 3 of a server that has had five
+		{"boot-own", "/policy/boot", 200}, // incarnation 2 of this one
 		{"boot-new", "/policy/boot", 200},
 	} {
-		resp, err := http.Post("http://"+address+c.path, "application/json", strings.NewReader(keptText(t, c.name+".request")))
+		request := strings.NewReader(keptText(t, c.name+".request"))
+		resp, err := http.Post("http://"+address+c.path, "application/json", request)
 		if err != nil {
 			t.Fatal(err)
 		}
 		got, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
-		if want := keptText(t, c.name+".answer"); err != nil || string(got) != want || resp.StatusCode != c.status || resp.Header.Get("Content-Type") != "application/json" {
-			t.Errorf("%s: %s, %s, %v, %v", c.name, resp.Status, got, resp.Header, err)
+		if want := keptText(t, c.name+".answer"); err != nil || string(got) != want {
+			t.Errorf("%s: %s, %v", c.name, got, err)
+		}
+		if resp.StatusCode != c.status || resp.Header.Get("Content-Type") != "application/json" {
+			t.Errorf("%s: %s, %v", c.name, resp.Status, resp.Header)
 		}
 	}
 	stop()
-	if err := <-ended; err != nil {
-		t.Error(err)
-	}
-	counts, err := openIncarnations(config.Folder)
+	incarnations, err := openIncarnations(config.Folder)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer counts.Close()
+	defer incarnations.Close()
 	for name, want := range map[string]uint64{"s1": 2, "s7": 5, "s8": 1} {
-		if got, err := counts.latest(name); got != want || err != nil {
+		if got, err := incarnations.latest(name); got != want || err != nil {
 			t.Errorf("incarnation %d of %s is known, %v", got, name, err)
 		}
 	}
--- a/internal/control/policyserver/transport.go
+++ b/internal/control/policyserver/transport.go
@@ -40,7 +40,7 @@
 func (s namedStreams) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address, known := s.addresses[name]
 	if !known {
-		return nil, fmt.Errorf("no steward is named %s", name)
+		return nil, fmt.Errorf("no policy server is named %s", name)
 	}
 	return net.DialTimeout("tcp", address, timeout)
 }
