--- a/cmd/yokeroute/main_test.go
+++ b/cmd/yokeroute/main_test.go
@@ -42,7 +42,7 @@
 
 func execute(t *testing.T, args ...string) (string, error) {
 	var out bytes.Buffer
-	cmd := command()
+	cmd := rootCommand()
 	cmd.SetArgs(args)
 	cmd.SetOut(&out)
 	cmd.SetErr(&out)
@@ -175,7 +175,7 @@
 func start(t *testing.T, path, address string, more ...string) (ended chan error, log <-chan string) {
 	out, in := io.Pipe()
 	ended = make(chan error, 1)
-	cmd := command()
+	cmd := rootCommand()
 	cmd.SetArgs(append([]string{"serve", "--config", path}, more...))
 	cmd.SetErr(in)
 	go func() {
--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -14,37 +14,13 @@
 	"github.com/spf13/cobra"
 
 	"yokeroute/internal/config/directive"
-	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/placementfile"
-	"yokeroute/internal/config/policyfile"
-	"yokeroute/internal/control/policyserver"
-	"yokeroute/internal/control/rollout"
-	"yokeroute/internal/control/segments"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
 	"yokeroute/logic/placing"
 )
 
-func unixMilli() float64 { return float64(time.Now().UnixMilli()) }
-
-// checkPlans reads the files that an operator's file names.
-func checkPlans(own *operator.File) error {
-	for _, name := range []string{own.Plan, own.Placement} {
-		if name == "" {
-			continue
-		}
-		f, err := placementfile.Read(name, unixMilli())
-		switch {
-		case err != nil:
-			return err
-		case name == own.Plan && f.Plan == nil:
-			return fmt.Errorf("%s: holds no weights; make them by yokeroute plan solve", name)
-		case name == own.Placement && !f.FromList:
-			return fmt.Errorf("%s: lacks from-list; without it, make a plan by yokeroute plan solve", name)
-		}
-	}
-	return nil
-}
+func unixMilliseconds() float64 { return float64(time.Now().UnixMilli()) }
 
 // output is the flag that a command with results for programs has.
 func output(cmd *cobra.Command, to *string) {
@@ -243,7 +219,7 @@
 }
 
 func readModel(name string) (*placementfile.File, error) {
-	f, err := placementfile.Read(name, unixMilli())
+	f, err := placementfile.Read(name, unixMilliseconds())
 	if err == nil && f.FromList {
 		err = fmt.Errorf("%s: from-list takes its hosts from discovery's list; it is for serve, named by placement in the operator's file", name)
 	}
@@ -273,7 +249,7 @@
 			var all []checked
 			bad := false
 			for _, name := range args {
-				f, err := placementfile.Read(name, unixMilli())
+				f, err := placementfile.Read(name, unixMilliseconds())
 				if err != nil {
 					return err
 				}
@@ -437,18 +413,3 @@
 	output(cmd, &form)
 	return cmd
 }
-
-// referenceCommand prints the pages about the operators' files, from the tables that read them.
-func referenceCommand() *cobra.Command {
-	pages := map[string]func() string{"operator": operator.Reference, "placement": placementfile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policyfile.Reference, "steward": policyserver.Reference}
-	return &cobra.Command{Use: "reference operator|placement|segments|rollout|policy|steward", Short: "print the page about a kind of file", Args: cobra.ExactArgs(1),
-		Example: "  yokeroute reference placement", ValidArgs: []string{"operator", "placement", "segments", "rollout", "policy", "steward"},
-		RunE: func(cmd *cobra.Command, args []string) error {
-			page := pages[args[0]]
-			if page == nil {
-				return fmt.Errorf("reference %q: is none of operator, placement, segments, rollout, policy and steward", args[0])
-			}
-			fmt.Fprint(cmd.OutOrStdout(), page())
-			return nil
-		}}
-}
--- a/cmd/yokeroute/policy_test.go
+++ b/cmd/yokeroute/policy_test.go
@@ -15,7 +15,7 @@
 func runCommand(t *testing.T, args ...string) (stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
-	c := command()
+	c := rootCommand()
 	c.SetArgs(args)
 	c.SetOut(&out)
 	c.SetErr(&errs)
@@ -115,7 +115,7 @@
 
 // TestPolicyNeedsServers: a command that asks policy servers wants their addresses; a comparison of two files does not.
 func TestPolicyNeedsServers(t *testing.T) {
-	c := command()
+	c := rootCommand()
 	c.SetArgs([]string{"policy", "status"})
 	if err := c.Execute(); err == nil || !strings.Contains(err.Error(), "--policy-server ADDRESS is needed") {
 		t.Errorf("%v", err)
--- a/cmd/yokeroute/policyserver.go
+++ b/cmd/yokeroute/policyserver.go
@@ -34,13 +34,13 @@
 			return runPolicyServer(cmd, config, level)
 		},
 	}
-	cmd.Flags().StringVar(&level, "log-level", "info", "least level that is logged: debug, info, warning, error")
+	addLogLevelFlag(cmd, &level)
 	cmd.Flags().BoolVar(&check, "check", false, "read the file, say what is wrong with it, and start nothing")
 	return cmd
 }
 
 func runPolicyServer(cmd *cobra.Command, config *policyserver.Config, level string) error {
-	log, err := logger(cmd.ErrOrStderr(), level)
+	log, err := newLogger(cmd.ErrOrStderr(), level)
 	if err != nil {
 		return err
 	}
--- a/cmd/yokeroute/rollout.go
+++ b/cmd/yokeroute/rollout.go
@@ -102,7 +102,7 @@
 	addOutputFlag(cmd, &o.output)
 	cmd.Flags().BoolVar(&o.takeOver, "take-over", false,
 		"from a process that carries it out and stands still; that one does nothing any more, should it go on")
-	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "least level that is logged: debug, info, warning, error")
+	addLogLevelFlag(cmd, &o.logLevel)
 }
 
 func addOutputFlag(cmd *cobra.Command, output *string) {
@@ -111,7 +111,7 @@
 
 // runController carries a rollout out until it ends or the process is told to end.
 func (o *controllerOptions) runController(cmd *cobra.Command, p *rollout.Plan) error {
-	log, err := logger(cmd.ErrOrStderr(), o.logLevel)
+	log, err := newLogger(cmd.ErrOrStderr(), o.logLevel)
 	if err != nil {
 		return err
 	}
--- a/cmd/yokeroute/serve.go
+++ b/cmd/yokeroute/serve.go
@@ -7,70 +7,107 @@
 	"net"
 	"os"
 	"os/signal"
+	"sync"
 	"syscall"
 
 	"github.com/sirupsen/logrus"
+	"github.com/spf13/cobra"
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/gatherer/service"
 )
 
-// run serves until SIGTERM and until all that was taken is answered, or until something fails. SIGHUP has the
-// configuration read again.
-func run(ctx context.Context, load func() (*platform.Config, error), operators string, level string, out io.Writer) error {
-	// Before all else, against ending on one that comes early: once it listens, what came is owed an answer.
+// serveOptions are the flags of serve.
+type serveOptions struct {
+	files    configFiles
+	logLevel string
+}
+
+func serveCommand() *cobra.Command {
+	var options serveOptions
+	cmd := &cobra.Command{
+		Use:     "serve",
+		Short:   "serve lookups until SIGTERM; SIGHUP rereads the configuration",
+		Args:    cobra.NoArgs,
+		Example: "  yokeroute serve --config config.json --operator deploy/yokeroute.conf",
+		RunE: func(cmd *cobra.Command, _ []string) error {
+			return options.serve(cmd.Context(), cmd.ErrOrStderr())
+		},
+	}
+	options.files.addFlags(cmd)
+	addLogLevelFlag(cmd, &options.logLevel)
+	return cmd
+}
+
+// serve serves until SIGTERM and until every admitted query is answered, or until something fails. SIGHUP reloads
+// the configuration.
+func (o *serveOptions) serve(ctx context.Context, logOutput io.Writer) error {
+	// Signals are caught before anything else, since an early one would end the process, and a query that came to
+	// an open listener is owed an answer.
 	terminated, stop := signal.NotifyContext(ctx, syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
 	hangup := make(chan os.Signal, 1)
 	signal.Notify(hangup, syscall.SIGHUP)
 	defer signal.Stop(hangup)
-	c, err := load()
+	g, err := o.open(logOutput)
 	if err != nil {
 		return err
 	}
-	own, err := operator.Read(operators)
+	ended := make(chan struct{})
+	var reloads sync.WaitGroup
+	defer reloads.Wait()
+	defer close(ended)
+	reloads.Go(func() { o.reloadOn(hangup, ended, g.service) })
+	g.log.WithFields(logrus.Fields{"name": g.config.Name, "listen": g.config.Listen}).Info("serving")
+	return g.service.Run(terminated, g.listener)
+}
+
+// gatherer is a configured service with its open listener.
+type gatherer struct {
+	config   *platform.Config
+	service  *service.Service
+	listener net.Listener
+	log      *logrus.Logger
+}
+
+// open reads the configuration, and opens the listener before it sets up the service, which may start connections.
+func (o *serveOptions) open(logOutput io.Writer) (*gatherer, error) {
+	config, err := o.files.loadPlatform()
+	if err != nil {
+		return nil, err
+	}
+	operatorFile, err := operator.Read(o.files.operator)
 	if err != nil {
-		return fmt.Errorf("operator's file: %w", err)
+		return nil, fmt.Errorf("operator's file: %w", err)
 	}
-	log, err := logger(out, level)
+	log, err := newLogger(logOutput, o.logLevel)
 	if err != nil {
-		return err
+		return nil, err
 	}
-	service.Limit(c.Limits)
-	listener, err := net.Listen("tcp", c.Listen)
+	service.Limit(config.Limits)
+	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
-		return fmt.Errorf("listen: %w", err)
+		return nil, fmt.Errorf("listen: %w", err)
 	}
-	s, err := service.New(c, own, log)
+	s, err := service.New(config, operatorFile, log)
 	if err != nil {
-		return err
+		listener.Close()
+		return nil, err
 	}
-	ended := make(chan struct{})
-	defer close(ended)
-	go func() {
-		for {
-			select {
-			case <-ended:
-				return
-			case <-hangup: // on the way out as well: the list is followed to the end
-				s.Reload(load)
-				s.Reread(operators)
-			}
-		}
-	}()
-	log.WithFields(logrus.Fields{"name": c.Name, "listen": c.Listen}).Info("serving")
-	return s.Run(terminated, listener)
+	return &gatherer{config: config, service: s, listener: listener, log: log}, nil
 }
 
-// logger logs what is of a level at least.
-func logger(out io.Writer, level string) (*logrus.Logger, error) {
-	lowest, err := logrus.ParseLevel(level)
-	if err != nil {
-		return nil, fmt.Errorf("--log-level: %w", err)
+// reloadOn reloads the configuration at each signal until ended is closed. It goes on while the service drains, as
+// the endpoint list is followed to the end.
+func (o *serveOptions) reloadOn(hangup <-chan os.Signal, ended <-chan struct{}, s *service.Service) {
+	for {
+		select {
+		case <-ended:
+			return
+		case <-hangup:
+			s.Reload(o.files.loadPlatform)
+			s.Reread(o.files.operator)
+		}
 	}
-	log := logrus.New()
-	log.SetOutput(out)
-	log.SetLevel(lowest)
-	return log, nil
 }
