--- a/cmd/yokeroute/main_test.go
+++ b/cmd/yokeroute/main_test.go
@@ -190,7 +190,7 @@
 		}
 	}()
 	log = lines
-	await(t, log, "serving")
+	await(t, log, "service: serving")
 	for ready := false; !ready; time.Sleep(time.Millisecond) {
 		resp, err := http.Get("http://" + address + "/-/ready")
 		if err == nil {
--- a/cmd/yokeroute/serve.go
+++ b/cmd/yokeroute/serve.go
@@ -59,7 +59,7 @@
 	defer reloads.Wait()
 	defer close(ended)
 	reloads.Go(func() { o.reloadOn(hangup, ended, g.service) })
-	g.log.WithFields(logrus.Fields{"name": g.config.Name, "listen": g.config.Listen}).Info("serving")
+	g.log.WithFields(logrus.Fields{"name": g.config.Name, "listen": g.config.Listen}).Info("service: serving")
 	return g.service.Run(terminated, g.listener)
 }
 
