--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -58,7 +58,7 @@
 			return nil
 		}}
 	lookup.Flags().StringVar(&gatherer, "gatherer", "127.0.0.1:8000", "address of the gatherer")
-	output(lookup, &form)
+	addCheckedOutputFlag(lookup, &form)
 	explain.AddCommand(lookup)
 	return explain
 }
--- a/cmd/yokeroute/migrate_test.go
+++ b/cmd/yokeroute/migrate_test.go
@@ -48,7 +48,8 @@
 // TestWrite: whole or not at all, and never over a file unless told.
 func TestWrite(t *testing.T) {
 	write := func(name, text string, put func(from, to string) error) error {
-		return place(name, 0o600, put, func(w io.Writer) error { _, err := io.WriteString(w, text); return err })
+		file := atomicFile{name: name, mode: privateFileMode, publish: put}
+		return file.write(func(w io.Writer) error { _, err := io.WriteString(w, text); return err })
 	}
 	folder := t.TempDir()
 	name := filepath.Join(folder, "new.json")
--- a/cmd/yokeroute/policystatus.go
+++ b/cmd/yokeroute/policystatus.go
@@ -25,13 +25,13 @@
 			if err != nil {
 				return err
 			}
-			if o.output == "json" {
+			if o.output == outputJSON {
 				return json.NewEncoder(cmd.OutOrStdout()).Encode(s)
 			}
 			return printPolicyStatus(cmd.OutOrStdout(), s)
 		},
 	}
-	cmd.Flags().StringVarP(&o.output, "output", "o", "text", "form of the answer: text or json")
+	addOutputFlag(cmd, &o.output)
 	return cmd
 }
 
--- a/cmd/yokeroute/rollout.go
+++ b/cmd/yokeroute/rollout.go
@@ -105,10 +105,6 @@
 	addLogLevelFlag(cmd, &o.logLevel)
 }
 
-func addOutputFlag(cmd *cobra.Command, output *string) {
-	cmd.Flags().StringVarP(output, "output", "o", "text", "form of the answer: text or json")
-}
-
 // runController carries a rollout out until it ends or the process is told to end.
 func (o *controllerOptions) runController(cmd *cobra.Command, p *rollout.Plan) error {
 	log, err := newLogger(cmd.ErrOrStderr(), o.logLevel)
@@ -239,9 +235,9 @@
 // printStatus writes a status as text or JSON.
 func printStatus(w io.Writer, s *rollout.Status, output string) error {
 	switch output {
-	case "json":
+	case outputJSON:
 		return json.NewEncoder(w).Encode(s)
-	case "text":
+	case outputText:
 	default:
 		return fmt.Errorf("--output %q: is neither text nor json", output)
 	}
