--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -6,152 +6,148 @@
 	"io"
 	"net/http"
 	"net/url"
-	"slices"
 	"strings"
 	"text/tabwriter"
 	"time"
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/config/directive"
 	"yokeroute/internal/gatherer/trace"
 )
 
+const (
+	traceTimeout  = 10 * time.Second
+	maxTraceBytes = 16 << 20
+)
+
+// explainOptions are the flags of explain lookup.
+type explainOptions struct {
+	gatherer string // address
+	output   string
+}
+
 func explainCommand() *cobra.Command {
-	explain := &cobra.Command{Use: "explain", Short: "say what a gatherer decided and why"}
-	var gatherer, form string
-	lookup := &cobra.Command{Use: "lookup [ID]", Short: "explain a lookup that a gatherer keeps a trace of, or list those", Args: cobra.MaximumNArgs(1),
-		Example: "  yokeroute explain lookup --gatherer 127.0.0.1:8000\n  yokeroute explain lookup --gatherer 127.0.0.1:8000 9b1f03aa5c7e2d41",
+	cmd := &cobra.Command{
+		Use:   "explain",
+		Short: "say what a gatherer decided and why",
+	}
+	cmd.AddCommand(explainQueryCommand())
+	return cmd
+}
+
+func explainQueryCommand() *cobra.Command {
+	var options explainOptions
+	cmd := &cobra.Command{
+		Use:   "lookup [ID]",
+		Short: "explain a lookup that a gatherer keeps a trace of, or list those",
+		Args:  cobra.MaximumNArgs(1),
+		Example: "  yokeroute explain lookup --gatherer 127.0.0.1:8000\n" +
+			"  yokeroute explain lookup --gatherer 127.0.0.1:8000 9b1f03aa5c7e2d41",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			at := "http://" + gatherer + trace.Path
-			if len(args) > 0 {
-				at += "/" + url.PathEscape(args[0])
-			}
-			client := http.Client{Timeout: 10 * time.Second}
-			resp, err := client.Get(at)
-			if err != nil {
-				return err
-			}
-			defer resp.Body.Close()
-			text, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
-			if err != nil {
-				return err
+			if len(args) == 0 {
+				return options.list(cmd.OutOrStdout())
 			}
-			w := cmd.OutOrStdout()
-			switch {
-			case resp.StatusCode == http.StatusNotFound && len(args) > 0 && strings.Contains(string(text), "kept"):
-				fmt.Fprintf(w, "%s keeps no trace of the lookup %s\n", gatherer, args[0])
-				return errNegative
-			case resp.StatusCode != http.StatusOK:
-				return fmt.Errorf("%s keeps no traces (%s): the operator's file switches them on by trace", gatherer, resp.Status)
-			case form == "json":
-				_, err := w.Write(append(text, '\n'))
-				return err
-			case len(args) == 0:
-				return list(w, text)
-			}
-			var t trace.Query
-			if err := json.Unmarshal(text, &t); err != nil {
-				return fmt.Errorf("%s: %w", gatherer, err)
-			}
-			tell(w, &t)
-			return nil
-		}}
-	lookup.Flags().StringVar(&gatherer, "gatherer", "127.0.0.1:8000", "address of the gatherer")
-	addCheckedOutputFlag(lookup, &form)
-	explain.AddCommand(lookup)
-	return explain
+			return options.explain(cmd.OutOrStdout(), args[0])
+		},
+	}
+	cmd.Flags().StringVar(&options.gatherer, "gatherer", "127.0.0.1:8000", "address of the gatherer")
+	addCheckedOutputFlag(cmd, &options.output)
+	return cmd
 }
 
-func list(w io.Writer, text []byte) error {
-	var lines []struct {
-		ID, Index, Verdict string
-		Took               float64
-		Two                bool
-	}
-	if err := json.Unmarshal(text, &lines); err != nil {
+// list prints which queries the gatherer keeps traces of.
+func (o *explainOptions) list(w io.Writer) error {
+	r, err := o.get(trace.Path)
+	if err != nil {
 		return err
 	}
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tab, "lookup\tindex\tphases\tended\ttook")
-	for _, l := range lines {
-		phases := "one"
-		if l.Two {
-			phases = "two"
-		}
-		ended, took := l.Verdict, fmt.Sprintf("%.1f ms", l.Took)
-		if ended == "" {
-			ended, took = "still held", "-"
-		}
-		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\n", l.ID, l.Index, phases, ended, took)
+	if r.code != http.StatusOK {
+		return o.noTraces(r)
+	}
+	if o.output == outputJSON {
+		return r.print(w)
 	}
-	return tab.Flush()
+	return printTraceList(w, r.body)
 }
 
-// tell explains one lookup phase by phase.
-func tell(w io.Writer, t *trace.Query) {
-	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", t.ID, t.Class, plural(len(t.Shards), "part", "parts"), directive.FormatTimestamp(t.AdmittedAt), t.Timeout)
-	if c := t.Decision; c != nil {
-		way := "one phase"
-		if c.TwoPass {
-			way = "two phases"
-		}
-		fmt.Fprintf(w, "%s: %s\n", way, c.Reason)
-		fmt.Fprintf(w, "  estimate: %.0f%% of the parts hold nothing; latency of its own %+.1f ms, of others saved %.1f ms, spent %.1f ms: net gain %+.1f ms\n",
-			100*c.EmptyShare, c.OwnGain, c.SavedElsewhere, c.FirstPassCost, c.OwnGain+c.SavedElsewhere-c.FirstPassCost)
-		if c.TwoPass {
-			fmt.Fprintf(w, "  the first pass might take %.1f ms\n", c.FirstPassTime)
-		}
-	}
-	calls := func(pass string) {
-		tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		seen := map[int]int{}
-		for _, c := range t.Attempts {
-			if c.Pass != pass {
-				continue
-			}
-			seen[c.Shard]++
-			note := c.Summary
-			if n := seen[c.Shard]; n > 1 {
-				note = fmt.Sprintf("call %d of the part %s", n, note)
-			}
-			fmt.Fprintf(tab, "  at %.1f ms\tshard %d\t%s\t%s after %.1f ms\t%s\n", c.DecidedAt, c.Shard, c.Server, c.Outcome, c.Duration, note)
-		}
-		tab.Flush()
+// explain prints the trace of one query.
+func (o *explainOptions) explain(w io.Writer, id string) error {
+	r, err := o.get(trace.Path + "/" + url.PathEscape(id))
+	if err != nil {
+		return err
 	}
-	if f := t.FirstPass; f != nil {
-		fmt.Fprintln(w, "first pass:")
-		calls("first")
-		fmt.Fprintf(w, "after %.1f ms: %.0f%% of the weight proved to hold nothing\n", f.EndedAt, 100*f.ProvedWeight)
-		if len(f.LeftOut) > 0 {
-			fmt.Fprintf(w, "  left out as unlikely: shards %s\n", numbers(f.LeftOut))
-		}
-		if len(f.Retried) > 0 {
-			fmt.Fprintf(w, "  the first call was lost, so that the call in full counts against the budget: shards %s\n", numbers(f.Retried))
-		}
-		if len(f.SecondPass) == 0 {
-			fmt.Fprintln(w, "nothing is left to ask")
-		} else {
-			fmt.Fprintf(w, "second pass, %s:\n", plural(len(f.SecondPass), "part", "parts"))
-			calls("second")
-		}
-	} else {
-		calls("only")
-		calls("first")
+	switch {
+	case r.code == http.StatusNotFound && strings.Contains(string(r.body), "kept"):
+		fmt.Fprintf(w, "%s keeps no trace of the lookup %s\n", o.gatherer, id)
+		return errNegative
+	case r.code != http.StatusOK:
+		return o.noTraces(r)
+	case o.output == outputJSON:
+		return r.print(w)
 	}
-	if t.OmittedAttempts > 0 {
-		fmt.Fprintf(w, "and %s that the trace has no room for\n", plural(t.OmittedAttempts, "call", "calls"))
+	var query trace.Query
+	if err := json.Unmarshal(r.body, &query); err != nil {
+		return fmt.Errorf("%s: %w", o.gatherer, err)
 	}
-	if t.Result == "" {
-		fmt.Fprintln(w, "still held")
-		return
+	return printQueryTrace(w, &query)
+}
+
+// traceResponse is what a gatherer answered about its traces.
+type traceResponse struct {
+	code   int
+	status string
+	body   []byte
+}
+
+func (o *explainOptions) get(path string) (*traceResponse, error) {
+	client := http.Client{Timeout: traceTimeout}
+	resp, err := client.Get("http://" + o.gatherer + path)
+	if err != nil {
+		return nil, err
 	}
-	fmt.Fprintf(w, "%s after %.1f ms, %s", t.Result, t.Duration, plural(t.Hits, "part with a value", "parts with a value"))
-	if len(t.EmptyShards) > 0 {
-		slices.Sort(t.EmptyShards)
-		fmt.Fprintf(w, ", %d proved to hold nothing", len(t.EmptyShards))
+	defer resp.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxTraceBytes))
+	if err != nil {
+		return nil, err
 	}
-	fmt.Fprintln(w)
+	return &traceResponse{code: resp.StatusCode, status: resp.Status, body: body}, nil
+}
+
+func (o *explainOptions) noTraces(r *traceResponse) error {
+	return fmt.Errorf("%s keeps no traces (%s): the operator's file switches them on by trace", o.gatherer, r.status)
 }
 
-func numbers(list []int) string { return strings.Trim(fmt.Sprint(list), "[]") }
+// print copies the body as the gatherer sent it.
+func (r *traceResponse) print(w io.Writer) error {
+	_, err := w.Write(append(r.body, '\n'))
+	return err
+}
+
+func printTraceList(w io.Writer, body []byte) error {
+	var queries []struct {
+		ID       string  `json:"id"`
+		Class    string  `json:"index"`
+		Result   string  `json:"verdict"`
+		Duration float64 `json:"took"` // milliseconds
+		TwoPass  bool    `json:"two"`
+	}
+	if err := json.Unmarshal(body, &queries); err != nil {
+		return err
+	}
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "lookup\tindex\tphases\tended\ttook")
+	for _, q := range queries {
+		phases := "one"
+		if q.TwoPass {
+			phases = "two"
+		}
+		result := q.Result
+		duration := fmt.Sprintf("%.1f ms", q.Duration)
+		if result == "" {
+			result = "still held"
+			duration = "-"
+		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", q.ID, q.Class, phases, result, duration)
+	}
+	return table.Flush()
+}
