--- a/internal/gatherer/dispatch/intake.go
+++ b/internal/gatherer/dispatch/intake.go
@@ -30,19 +30,19 @@
 
 // intake takes input from any goroutine and holds it until the next round.
 type intake struct {
-	maxHeld int           // queries and shard requests held at once, 0 for no limit
+	maxOpen int           // queries and shard requests, 0 for no limit
 	wake    chan struct{} // has a value once input waits
 
 	mu     sync.Mutex
 	inbox  inbox
-	held   int    // queries and shard requests
+	open   int    // queries and shard requests
 	nextID uint64 // of queries, shard requests and pieces, at the module
 
 	spare inbox // the last round's, whose slices are used again; it belongs to the goroutine that runs rounds
 }
 
-func newIntake(maxHeld int) intake {
-	return intake{maxHeld: maxHeld, wake: make(chan struct{}, 1)}
+func newIntake(maxOpen int) intake {
+	return intake{maxOpen: maxOpen, wake: make(chan struct{}, 1)}
 }
 
 // enqueue has put add to the inbox, and a round run.
@@ -96,10 +96,10 @@
 func (i *intake) reserve(size int) (firstID uint64, admitted bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.maxHeld > 0 && i.held+size > i.maxHeld {
+	if i.maxOpen > 0 && i.open+size > i.maxOpen {
 		return 0, false
 	}
-	i.held += size
+	i.open += size
 	return i.allocateLocked(size), true
 }
 
@@ -107,7 +107,7 @@
 func (i *intake) release(size int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.held -= size
+	i.open -= size
 }
 
 // allocate returns the first of so many IDs.
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -481,8 +481,8 @@
 		if ends != admitted || admitted < 400 || complete < admitted/3 || moves < 80 {
 			t.Errorf("seed %d: %d of %d queries answered, %d complete, %d moves", seed, ends, admitted, complete, moves)
 		}
-		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
-			t.Errorf("seed %d: %d held, %d queries, %d shard requests", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
+		if p.intake.open != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
+			t.Errorf("seed %d: %d open, %d queries, %d shard requests", seed, p.intake.open, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
--- a/internal/gatherer/dispatch/picker.go
+++ b/internal/gatherer/dispatch/picker.go
@@ -17,7 +17,9 @@
 	"yokeroute/logic"
 )
 
-// Picker connects the network and one decision module. Its setters and observers must be set before the first round.
+// Picker connects the network and one decision module. What it is set up with, by its Enable, Set and Observe
+// methods, must be in place before the first round, except for what the module is to learn of later: endpoints, weights,
+// server names and the segment map.
 type Picker struct {
 	log         *logrus.Logger
 	clock       clock
@@ -99,7 +101,7 @@
 	if !p.submit(query) {
 		return Result{Kind: Rejected}
 	}
-	result := Result{Kind: InternalError} // stands where the code below panics
+	result := Result{Kind: InternalError} // unless the code below returns
 	defer func() {
 		query.seal()
 		for _, o := range p.observers.wire {
@@ -130,7 +132,7 @@
 	return true
 }
 
-// abandon leaves word that a query's client has gone.
+// abandon hands in that a query's client has gone.
 func (p *Picker) abandon(query *Query) {
 	p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, query.id) })
 }
--- a/internal/gatherer/dispatch/picker_test.go
+++ b/internal/gatherer/dispatch/picker_test.go
@@ -201,7 +201,7 @@
 		}
 	}
 	p.runRound(1000 + 2001*5)
-	if len(p.endpoints.byID) != 7 || len(p.endpoints.order) != 7 || len(p.queries.byID) > 1 || len(p.queries.requests) > 2 || p.intake.held > 3 {
-		t.Errorf("%d servers, %d ids, %d queries, %d shard requests, %d held", len(p.endpoints.byID), len(p.endpoints.order), len(p.queries.byID), len(p.queries.requests), p.intake.held)
+	if len(p.endpoints.byID) != 7 || len(p.endpoints.order) != 7 || len(p.queries.byID) > 1 || len(p.queries.requests) > 2 || p.intake.open > 3 {
+		t.Errorf("%d servers, %d ids, %d queries, %d shard requests, %d open", len(p.endpoints.byID), len(p.endpoints.order), len(p.queries.byID), len(p.queries.requests), p.intake.open)
 	}
 }
--- a/internal/gatherer/dispatch/query.go
+++ b/internal/gatherer/dispatch/query.go
@@ -74,7 +74,7 @@
 	Keys  *ownership.Range // the shard's keys that it stands for, nil for all of them
 }
 
-// AdmittedAt is when the query was first decided on, on the picker's clock; 0 where its result was known at once.
+// AdmittedAt is the time of the round that admitted the query, on the picker's clock; 0 before that.
 func (q *Query) AdmittedAt() float64 { return q.admittedAt }
 
 // Result is the final result, if it is decided. It is for those who step the picker; others wait in Pick.
--- a/internal/gatherer/dispatch/round.go
+++ b/internal/gatherer/dispatch/round.go
@@ -45,8 +45,8 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		now := p.Now()
 		at := p.schedule.nextAt(p.intake.pending())
+		now := p.Now()
 		if now >= at {
 			return p.runRound(now), nil
 		}
--- a/internal/gatherer/dispatch/twopass_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -72,8 +72,8 @@
 					t.Errorf("hit %+v, empty %v", h, v.EmptyShards)
 				}
 			}
-			if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
-				t.Errorf("%d held, %d queries, %d shard requests, %d in two passes", p.intake.held, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
+			if p.intake.open != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
+				t.Errorf("%d open, %d queries, %d shard requests, %d in two passes", p.intake.open, len(p.queries.byID), len(p.queries.requests), len(p.twoPass.queries))
 			}
 		})
 	}
@@ -153,7 +153,7 @@
 		for _, c := range attempts {
 			p.Report(c, gather.Cancelled, nil)
 		}
-		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries.byID)+len(p.twoPass.queries)+p.intake.held != 0 {
+		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries.byID)+len(p.twoPass.queries)+p.intake.open != 0 {
 			t.Errorf("%d: %d attempts after the end, %d queries held", when, len(o.Send), len(p.queries.byID))
 		}
 	}
@@ -328,8 +328,8 @@
 		if ends != admitted || admitted < 500 || two < 100 || retries < 10 {
 			t.Errorf("seed %d: %d of %d queries answered, %d in two passes, %d retries", seed, ends, admitted, two, retries)
 		}
-		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
-			t.Errorf("seed %d: %d held, %d queries, %d shard requests", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
+		if p.intake.open != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
+			t.Errorf("seed %d: %d open, %d queries, %d shard requests", seed, p.intake.open, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
