--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -17,139 +17,191 @@
 	"yokeroute/internal/gatherer/trace"
 )
 
+const (
+	explainTimeout = 10 * time.Second
+	maxTraceBytes  = 16 << 20 // of a gatherer's answer
+)
+
 func explainCommand() *cobra.Command {
 	explain := &cobra.Command{Use: "explain", Short: "say what a gatherer decided and why"}
+	explain.AddCommand(explainQueryCommand())
+	return explain
+}
+
+func explainQueryCommand() *cobra.Command {
 	var gatherer, form string
-	lookup := &cobra.Command{Use: "lookup [ID]", Short: "explain a lookup that a gatherer keeps a trace of, or list those", Args: cobra.MaximumNArgs(1),
-		Example: "  yokeroute explain lookup --gatherer 127.0.0.1:8000\n  yokeroute explain lookup --gatherer 127.0.0.1:8000 9b1f03aa5c7e2d41",
+	cmd := &cobra.Command{
+		Use:   "lookup [ID]",
+		Short: "explain a lookup that a gatherer keeps a trace of, or list those",
+		Args:  cobra.MaximumNArgs(1),
+		Example: "  yokeroute explain lookup --gatherer 127.0.0.1:8000\n" +
+			"  yokeroute explain lookup --gatherer 127.0.0.1:8000 9b1f03aa5c7e2d41",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			at := "http://" + gatherer + trace.Path
+			id := ""
 			if len(args) > 0 {
-				at += "/" + url.PathEscape(args[0])
-			}
-			client := http.Client{Timeout: 10 * time.Second}
-			resp, err := client.Get(at)
-			if err != nil {
-				return err
+				id = args[0]
 			}
-			defer resp.Body.Close()
-			text, err := io.ReadAll(io.LimitReader(resp.Body, 16<<20))
-			if err != nil {
-				return err
-			}
-			w := cmd.OutOrStdout()
-			switch {
-			case resp.StatusCode == http.StatusNotFound && len(args) > 0 && strings.Contains(string(text), "kept"):
-				fmt.Fprintf(w, "%s keeps no trace of the lookup %s\n", gatherer, args[0])
-				return errNegative
-			case resp.StatusCode != http.StatusOK:
-				return fmt.Errorf("%s keeps no traces (%s): the operator's file switches them on by trace", gatherer, resp.Status)
-			case form == "json":
-				_, err := w.Write(append(text, '\n'))
-				return err
-			case len(args) == 0:
-				return list(w, text)
-			}
-			var t trace.Query
-			if err := json.Unmarshal(text, &t); err != nil {
-				return fmt.Errorf("%s: %w", gatherer, err)
-			}
-			tell(w, &t)
-			return nil
-		}}
-	lookup.Flags().StringVar(&gatherer, "gatherer", "127.0.0.1:8000", "address of the gatherer")
-	output(lookup, &form)
-	explain.AddCommand(lookup)
-	return explain
+			return explainQuery(cmd.OutOrStdout(), gatherer, id, form)
+		},
+	}
+	cmd.Flags().StringVar(&gatherer, "gatherer", "127.0.0.1:8000", "address of the gatherer")
+	output(cmd, &form)
+	return cmd
 }
 
-func list(w io.Writer, text []byte) error {
-	var lines []struct {
-		ID, Index, Verdict string
-		Took               float64
-		Two                bool
-	}
-	if err := json.Unmarshal(text, &lines); err != nil {
+// explainQuery prints a gatherer's trace of a query, or the list of its traces where the ID is empty.
+func explainQuery(w io.Writer, gatherer, id, form string) error {
+	status, document, err := fetchTrace(gatherer, id)
+	if err != nil {
 		return err
 	}
-	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tab, "lookup\tindex\tphases\tended\ttook")
-	for _, l := range lines {
-		phases := "one"
-		if l.Two {
-			phases = "two"
-		}
-		ended, took := l.Verdict, fmt.Sprintf("%.1f ms", l.Took)
-		if ended == "" {
-			ended, took = "still held", "-"
+	switch {
+	case status.code == http.StatusNotFound && id != "" && strings.Contains(string(document), "kept"):
+		fmt.Fprintf(w, "%s keeps no trace of the lookup %s\n", gatherer, id)
+		return errNegative
+	case status.code != http.StatusOK:
+		return fmt.Errorf("%s keeps no traces (%s): the operator's file switches them on by trace", gatherer, status.text)
+	case form == "json":
+		_, err := w.Write(append(document, '\n'))
+		return err
+	case id == "":
+		var list []trace.ListEntry
+		if err := json.Unmarshal(document, &list); err != nil {
+			return err
 		}
-		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%s\n", l.ID, l.Index, phases, ended, took)
+		return printTraceList(w, list)
+	}
+	var query trace.Query
+	if err := json.Unmarshal(document, &query); err != nil {
+		return fmt.Errorf("%s: %w", gatherer, err)
 	}
-	return tab.Flush()
+	printTrace(w, &query)
+	return nil
 }
 
-// tell explains one lookup phase by phase.
-func tell(w io.Writer, t *trace.Query) {
-	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", t.ID, t.Class, plural(len(t.Shards), "part", "parts"), directive.FormatTimestamp(t.AdmittedAt), t.Timeout)
-	if c := t.Decision; c != nil {
-		way := "one phase"
-		if c.TwoPass {
-			way = "two phases"
-		}
-		fmt.Fprintf(w, "%s: %s\n", way, c.Reason)
-		fmt.Fprintf(w, "  estimate: %.0f%% of the parts hold nothing; latency of its own %+.1f ms, of others saved %.1f ms, spent %.1f ms: net gain %+.1f ms\n",
-			100*c.EmptyShare, c.OwnGain, c.SavedElsewhere, c.FirstPassCost, c.OwnGain+c.SavedElsewhere-c.FirstPassCost)
-		if c.TwoPass {
-			fmt.Fprintf(w, "  the first pass might take %.1f ms\n", c.FirstPassTime)
-		}
+type httpStatus struct {
+	code int
+	text string
+}
+
+// fetchTrace requests the trace of a query, or the list where the ID is empty.
+func fetchTrace(gatherer, id string) (httpStatus, []byte, error) {
+	address := "http://" + gatherer + trace.Path
+	if id != "" {
+		address += "/" + url.PathEscape(id)
 	}
-	calls := func(pass string) {
-		tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-		seen := map[int]int{}
-		for _, c := range t.Attempts {
-			if c.Pass != pass {
-				continue
-			}
-			seen[c.Shard]++
-			note := c.Summary
-			if n := seen[c.Shard]; n > 1 {
-				note = fmt.Sprintf("call %d of the part %s", n, note)
-			}
-			fmt.Fprintf(tab, "  at %.1f ms\tshard %d\t%s\t%s after %.1f ms\t%s\n", c.DecidedAt, c.Shard, c.Server, c.Outcome, c.Duration, note)
-		}
-		tab.Flush()
-	}
-	if f := t.FirstPass; f != nil {
-		fmt.Fprintln(w, "first pass:")
-		calls("first")
-		fmt.Fprintf(w, "after %.1f ms: %.0f%% of the weight proved to hold nothing\n", f.EndedAt, 100*f.ProvedWeight)
-		if len(f.LeftOut) > 0 {
-			fmt.Fprintf(w, "  left out as unlikely: shards %s\n", numbers(f.LeftOut))
-		}
-		if len(f.Retried) > 0 {
-			fmt.Fprintf(w, "  the first call was lost, so that the call in full counts against the budget: shards %s\n", numbers(f.Retried))
+	client := http.Client{Timeout: explainTimeout}
+	resp, err := client.Get(address)
+	if err != nil {
+		return httpStatus{}, nil, err
+	}
+	defer resp.Body.Close()
+	document, err := io.ReadAll(io.LimitReader(resp.Body, maxTraceBytes))
+	return httpStatus{resp.StatusCode, resp.Status}, document, err
+}
+
+func printTraceList(w io.Writer, list []trace.ListEntry) error {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "lookup\tindex\tphases\tended\ttook")
+	for _, query := range list {
+		passes := "one"
+		if query.TwoPass {
+			passes = "two"
 		}
-		if len(f.SecondPass) == 0 {
-			fmt.Fprintln(w, "nothing is left to ask")
-		} else {
-			fmt.Fprintf(w, "second pass, %s:\n", plural(len(f.SecondPass), "part", "parts"))
-			calls("second")
+		result := query.Result
+		duration := fmt.Sprintf("%.1f ms", query.Duration)
+		if result == "" {
+			result = "still held"
+			duration = "-"
 		}
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", query.ID, query.Class, passes, result, duration)
+	}
+	return table.Flush()
+}
+
+// printTrace explains one query pass by pass.
+func printTrace(w io.Writer, query *trace.Query) {
+	fmt.Fprintf(w, "lookup %s of %s, %s, landed at %s with %.0f ms\n", query.ID, query.Class,
+		plural(len(query.Shards), "part", "parts"), directive.FormatTimestamp(query.AdmittedAt), query.Timeout)
+	if query.Decision != nil {
+		printDecision(w, query.Decision)
+	}
+	if query.FirstPass != nil {
+		printPasses(w, query)
 	} else {
-		calls("only")
-		calls("first")
+		printAttempts(w, query, "only")
+		printAttempts(w, query, "first")
 	}
-	if t.OmittedAttempts > 0 {
-		fmt.Fprintf(w, "and %s that the trace has no room for\n", plural(t.OmittedAttempts, "call", "calls"))
+	if query.OmittedAttempts > 0 {
+		fmt.Fprintf(w, "and %s that the trace has no room for\n", plural(query.OmittedAttempts, "call", "calls"))
 	}
-	if t.Result == "" {
+	printResult(w, query)
+}
+
+func printDecision(w io.Writer, d *trace.Decision) {
+	passes := "one phase"
+	if d.TwoPass {
+		passes = "two phases"
+	}
+	fmt.Fprintf(w, "%s: %s\n", passes, d.Reason)
+	netGain := d.OwnGain + d.SavedElsewhere - d.FirstPassCost
+	fmt.Fprintf(w, "  estimate: %.0f%% of the parts hold nothing; latency of its own %+.1f ms, of others saved %.1f ms, "+
+		"spent %.1f ms: net gain %+.1f ms\n", 100*d.EmptyShare, d.OwnGain, d.SavedElsewhere, d.FirstPassCost, netGain)
+	if d.TwoPass {
+		fmt.Fprintf(w, "  the first pass might take %.1f ms\n", d.FirstPassTime)
+	}
+}
+
+// printPasses explains both passes of a query whose first pass has ended.
+func printPasses(w io.Writer, query *trace.Query) {
+	first := query.FirstPass
+	fmt.Fprintln(w, "first pass:")
+	printAttempts(w, query, "first")
+	fmt.Fprintf(w, "after %.1f ms: %.0f%% of the weight proved to hold nothing\n", first.EndedAt, 100*first.ProvedWeight)
+	if len(first.LeftOut) > 0 {
+		fmt.Fprintf(w, "  left out as unlikely: shards %s\n", numbers(first.LeftOut))
+	}
+	if len(first.Retried) > 0 {
+		fmt.Fprintf(w, "  the first call was lost, so that the call in full counts against the budget: shards %s\n",
+			numbers(first.Retried))
+	}
+	if len(first.SecondPass) == 0 {
+		fmt.Fprintln(w, "nothing is left to ask")
+		return
+	}
+	fmt.Fprintf(w, "second pass, %s:\n", plural(len(first.SecondPass), "part", "parts"))
+	printAttempts(w, query, "second")
+}
+
+// printAttempts lists the attempts of one pass.
+func printAttempts(w io.Writer, query *trace.Query, pass string) {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	attempts := map[int]int{} // by shard
+	for _, a := range query.Attempts {
+		if a.Pass != pass {
+			continue
+		}
+		attempts[a.Shard]++
+		note := a.Summary
+		if n := attempts[a.Shard]; n > 1 {
+			note = fmt.Sprintf("call %d of the part %s", n, note)
+		}
+		fmt.Fprintf(table, "  at %.1f ms\tshard %d\t%s\t%s after %.1f ms\t%s\n",
+			a.DecidedAt, a.Shard, a.Server, a.Outcome, a.Duration, note)
+	}
+	_ = table.Flush()
+}
+
+func printResult(w io.Writer, query *trace.Query) {
+	if query.Result == "" {
 		fmt.Fprintln(w, "still held")
 		return
 	}
-	fmt.Fprintf(w, "%s after %.1f ms, %s", t.Result, t.Duration, plural(t.Hits, "part with a value", "parts with a value"))
-	if len(t.EmptyShards) > 0 {
-		slices.Sort(t.EmptyShards)
-		fmt.Fprintf(w, ", %d proved to hold nothing", len(t.EmptyShards))
+	fmt.Fprintf(w, "%s after %.1f ms, %s", query.Result, query.Duration,
+		plural(query.Hits, "part with a value", "parts with a value"))
+	if len(query.EmptyShards) > 0 {
+		slices.Sort(query.EmptyShards)
+		fmt.Fprintf(w, ", %d proved to hold nothing", len(query.EmptyShards))
 	}
 	fmt.Fprintln(w)
 }
--- a/internal/gatherer/trace/handler.go
+++ b/internal/gatherer/trace/handler.go
@@ -9,8 +9,8 @@
 // Path is where a gatherer serves its traces: the list of all, and below it each by its query's ID.
 const Path = "/-/trace"
 
-// listEntry is a query in the list that Path serves.
-type listEntry struct {
+// ListEntry is a query in the list that Path serves.
+type ListEntry struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"index"`
 	Result   string  `json:"verdict"`
@@ -46,11 +46,11 @@
 }
 
 // list is all that is kept, the newest last. The lock is held.
-func (r *Recorder) list() []listEntry {
-	list := []listEntry{}
+func (r *Recorder) list() []ListEntry {
+	list := []ListEntry{}
 	for i := range r.ring {
 		t := r.ring[(r.oldest+i)%len(r.ring)]
-		list = append(list, listEntry{
+		list = append(list, ListEntry{
 			ID:       t.ID,
 			Class:    t.Class,
 			Result:   t.Result,
