--- /dev/null
+++ b/internal/discovery/kept_test.go
@@ -0,0 +1,69 @@
+package discovery
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"yokeroute/gather"
+	"yokeroute/internal/shardcall"
+)
+
+// The documents in testdata/kept are in the forms that discovery sends, and learnt.txt is what a gatherer of the version
+// that kept them learns from each. None may be changed.
+
+var keptStates = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Gone: "gone"}
+
+// TestKeptDocuments reads documents of all forms, one after the other, and compares what is handed on with the kept text.
+func TestKeptDocuments(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("testdata", "kept", "[0-9]-*.json"))
+	if err != nil || len(files) != 7 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	var b strings.Builder
+	f := New("127.0.0.1:1", func(list gather.List, all []shardcall.Address) {
+		fmt.Fprintf(&b, "full %t, failed %t\n", list.Full, list.Failed)
+		for _, s := range list.Servers {
+			fmt.Fprintf(&b, "  server %d group %d zone %q kind %q size %v state %s started %.1f\n",
+				s.ID, s.Group, s.Zone, s.Kind, s.Size, keptStates[s.State], s.Started)
+		}
+		for _, a := range all {
+			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort, keptStates[a.State], a.Started)
+		}
+	}, nil, nil)
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		r, err := Parse(text)
+		if err != nil {
+			t.Fatalf("%s: %v", file, err)
+		}
+		fmt.Fprintf(&b, "%s: revision %d, whole %t: ", filepath.Base(file), r.Revision, r.Whole)
+		f.Take(r)
+	}
+	want, err := os.ReadFile(filepath.Join("testdata", "kept", "learnt.txt"))
+	if err != nil || b.String() != string(want) {
+		t.Errorf("learnt\n%s\nkept\n%s\n%v", b.String(), want, err)
+	}
+}
+
+// TestKeptRefusals wants each document that the version that kept them refused refused whole.
+func TestKeptRefusals(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("testdata", "kept", "refused-*"))
+	if err != nil || len(files) != 9 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	for _, file := range files {
+		text, err := os.ReadFile(file)
+		if err != nil {
+			t.Fatal(err)
+		}
+		if r, err := Parse(text); err == nil {
+			t.Errorf("%s is read as %+v", file, r)
+		}
+	}
+}
--- /dev/null
+++ b/internal/segments/kept_test.go
@@ -0,0 +1,110 @@
+package segments
+
+import (
+	"bytes"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"yokeroute/logic/owners"
+)
+
+// The documents in testdata/kept are those of the version that wrote them. None may be changed: authorities, gatherers
+// and operators' files of two versions have to understand each other.
+
+func kept(t *testing.T, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+func keptMap(t *testing.T) *owners.Map {
+	t.Helper()
+	quarter := uint64(1) << 62
+	m, err := owners.First(7, []owners.Segment{
+		{Name: "a", Range: owners.Range{Lo: 0, Hi: quarter - 1}, Owners: []string{"h-01", "h-02"}, Since: 3},
+		{Name: "b", Range: owners.Range{Lo: quarter, Hi: 2*quarter - 1}, Owners: []string{"h-02"}},
+		{Name: "c", Range: owners.Range{Lo: 3 * quarter, Hi: ^uint64(0)}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+func keptChanges(t *testing.T) []owners.Change {
+	t.Helper()
+	m := keptMap(t)
+	var changes []owners.Change
+	step := func(c owners.Change, err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+		if m, err = m.Apply(c); err != nil {
+			t.Fatal(err)
+		}
+		changes = append(changes, c)
+	}
+	step(m.Move("a", []string{"h-03", "h-01"}))
+	step(m.Split("a", 1<<61, "a1", "a2"))
+	step(m.Merge("a1", "a2", "a"))
+	step(m.Move("b", nil))
+	return changes
+}
+
+// TestKeptReplies reads the authority's replies as they were kept, and writes the same values to the same bytes.
+func TestKeptReplies(t *testing.T) {
+	for name, want := range map[string]*Reply{
+		"whole.json":   {Whole: keptMap(t)},
+		"changes.json": {Changes: keptChanges(t)},
+		"both.json":    {Whole: keptMap(t), Changes: keptChanges(t)[:1]},
+		"nothing.json": {},
+	} {
+		text := kept(t, name)
+		got, err := Parse(text)
+		if err != nil {
+			t.Errorf("%s: %v", name, err)
+			continue
+		}
+		if want.Whole != nil && !reflect.DeepEqual(got.Whole, want.Whole) || len(got.Changes) != len(want.Changes) {
+			t.Errorf("%s: read %+v, want %+v", name, got, want)
+		}
+		for i := range got.Changes {
+			if !reflect.DeepEqual(got.Changes[i], want.Changes[i]) {
+				t.Errorf("%s: change %d is read as %+v, want %+v", name, i, got.Changes[i], want.Changes[i])
+			}
+		}
+		if written := want.Text(); !bytes.Equal(written, text) {
+			t.Errorf("%s: written %s, kept %s", name, written, text)
+		}
+		if written := got.Text(); !bytes.Equal(written, text) {
+			t.Errorf("%s: read and written again: %s, kept %s", name, written, text)
+		}
+	}
+	// What a later authority may add is left aside.
+	got, err := Parse(kept(t, "unknown-keys.json"))
+	if err != nil || !reflect.DeepEqual(got, &Reply{Whole: keptMap(t)}) {
+		t.Errorf("unknown keys: %+v, %v", got, err)
+	}
+}
+
+// TestKeptMapFile reads a map file in all forms that operators write, and writes the same map to the same bytes.
+func TestKeptMapFile(t *testing.T) {
+	for _, name := range []string{"by-hand.conf", "written.conf"} {
+		got, shards, err := ReadMap(filepath.Join("testdata", "kept", name))
+		if err != nil || shards != 18 || !reflect.DeepEqual(got, keptMap(t)) {
+			t.Errorf("%s: read %+v, %d shards, %v", name, got, shards, err)
+		}
+	}
+	if written, want := WriteMap(keptMap(t), 18), string(kept(t, "written.conf")); written != want {
+		t.Errorf("written %s, kept %s", written, want)
+	}
+	if written, want := WriteMap(keptMap(t), 0), string(kept(t, "written-without-shards.conf")); written != want {
+		t.Errorf("written %s, kept %s", written, want)
+	}
+}
--- /dev/null
+++ b/internal/shardcall/kept_test.go
@@ -0,0 +1,322 @@
+package shardcall
+
+import (
+	"bytes"
+	"context"
+	"encoding/binary"
+	"fmt"
+	"io"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strconv"
+	"testing"
+	"time"
+
+	"yokeroute/gather"
+	"yokeroute/internal/pick"
+	"yokeroute/internal/standin"
+	"yokeroute/logic/owners"
+	"yokeroute/logic/phases"
+)
+
+// The frames in testdata/kept are those of the version that wrote them. None may be changed: a gatherer and a shard
+// server of two versions have to understand each other.
+
+func keptFrames(t *testing.T, direction, name string) []byte {
+	t.Helper()
+	text, err := os.ReadFile(filepath.Join("testdata", "kept", direction, name))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+var timeLeft = regexp.MustCompile(`d=(\d+)\b`)
+
+// wantSent reads as many frames as a kept file holds and compares them. The time left, which passes while a test runs,
+// is 55555 in the files, and the lengths in them are those of frames with five digits.
+func wantSent(t *testing.T, conn *standin.Conn, name string) {
+	t.Helper()
+	want := keptFrames(t, "sent", name)
+	var got []byte
+	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
+	for len(got) < len(want) {
+		head := make([]byte, 4)
+		if _, err := io.ReadFull(conn.Conn, head); err != nil {
+			t.Fatalf("%s: sent %q and no more, kept %q: %v", name, got, want, err)
+		}
+		frame := make([]byte, binary.LittleEndian.Uint32(head))
+		if _, err := io.ReadFull(conn.Conn, frame); err != nil {
+			t.Fatalf("%s: a frame of %d bytes: %v", name, len(frame), err)
+		}
+		frame = timeLeft.ReplaceAllFunc(frame, func(text []byte) []byte {
+			if left, err := strconv.Atoi(string(text[2:])); err != nil || left < 1 || left > keptWait {
+				t.Errorf("%s: %s is no time left of %d ms", name, text, keptWait)
+			}
+			return []byte("d=55555")
+		})
+		got = append(binary.LittleEndian.AppendUint32(got, uint32(len(frame))), frame...)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s: sent %q, kept %q", name, got, want)
+	}
+}
+
+// nothingMore checks that no byte follows what was read.
+func nothingMore(t *testing.T, conn *standin.Conn, name string) {
+	t.Helper()
+	conn.SetReadDeadline(time.Now().Add(30 * time.Millisecond))
+	if n, _ := conn.Conn.Read(make([]byte, 1)); n > 0 {
+		t.Errorf("%s: more was sent than the file holds", name)
+	}
+}
+
+const keptWait = 60_000 // milliseconds that a client waits
+
+var keptTerms = gather.Terms{"i/soft deadline": 59_000.0, "i/hard deadline": 60_000.0}
+
+// TestKeptRequestFrames compares what the pool sends, a kind of frame at a time, with the kept bytes.
+func TestKeptRequestFrames(t *testing.T) {
+	t.Run("one part, cancelled", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d := newDesk(t, shard.Address(), keptTerms)
+		ctx, leave := context.WithCancel(t.Context())
+		done := d.ask(ctx, "a", 1, keptWait)
+		conn := shard.Take()
+		wantSent(t, conn, "Q-one-part")
+		leave()
+		<-done
+		wantSent(t, conn, "X")
+		nothingMore(t, conn, "X")
+	})
+	t.Run("two parts in one frame", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d := newDesk(t, shard.Address(), keptTerms)
+		d.ask(t.Context(), "a", 2, keptWait)
+		conn := shard.Take()
+		wantSent(t, conn, "Q-two-parts")
+		nothingMore(t, conn, "Q-two-parts")
+	})
+	t.Run("three parts in two frames", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d := newDesk(t, shard.Address(), keptTerms)
+		d.ask(t.Context(), "a", 3, keptWait)
+		conn := shard.Take()
+		wantSent(t, conn, "Q-three-parts")
+		nothingMore(t, conn, "Q-three-parts")
+	})
+	t.Run("retry of a part of two", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d := newDesk(t, shard.Address(), gather.Terms{"i/soft deadline": 59_000.0, "i/hard deadline": 60_000.0, "i/effect": "idempotent",
+			"most calls": 3.0, "budget span": 2000.0, "budget free": 20.0, "budget share": 0.05})
+		d.ask(t.Context(), "a", 2, keptWait)
+		conn := shard.Take()
+		wantSent(t, conn, "Q-two-parts")
+		conn.Answer("a.1", "ok", "v")
+		conn.Answer("a.0", "busy", "")
+		wantSent(t, conn, "Q-one-part")
+	})
+	t.Run("health check", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d := newDesk(t, shard.Address(), nil)
+		d.Carry(pick.Orders{Probes: []uint32{7}})
+		conn := shard.Take()
+		wantSent(t, conn, "L")
+		nothingMore(t, conn, "L")
+	})
+	t.Run("agreement on first passes", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		p := New(gather.Terms{"connect time-out": 1000.0}, 100, nil, quiet())
+		p.Agree(func(uint32, bool) {})
+		p.Follow([]Address{{ID: 1, HostPort: shard.Address()}})
+		conn := shard.Take()
+		wantSent(t, conn, "H")
+		nothingMore(t, conn, "H")
+		conn.Write('H', "two-phase 1")
+	})
+	t.Run("first pass", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d, conn := newFirstPassDesk(t, shard)
+		d.ask(t.Context(), "a", 2, keptWait)
+		wantSent(t, conn, "S-two-parts")
+		nothingMore(t, conn, "S-two-parts")
+	})
+	for effect, name := range map[string]string{"idempotent": "O-idempotent", "once-only": "O-once-only"} {
+		t.Run("keys with owners, "+effect, func(t *testing.T) {
+			shard := standin.NewShard(t)
+			d := newOwnedDesk(t, shard, effect)
+			d.askShard(t, 3)
+			conn := shard.Take()
+			wantSent(t, conn, name)
+			nothingMore(t, conn, name)
+		})
+	}
+}
+
+// newFirstPassDesk has lookups go in two phases, to a server that answers first passes.
+func newFirstPassDesk(t *testing.T, shard *standin.Shard) (*desk, *standin.Conn) {
+	change := gather.Terms{"i/soft deadline": 2000.0, "i/hard deadline": 60_000.0, "i/effect": "idempotent",
+		"most calls": 3.0, "budget span": 2000.0, "budget free": 20.0, "budget share": 0.05}
+	d := newDeskWith(t, shard.Address(), change, func(p *pick.Picker) {
+		p.Phases(map[string]phases.Terms{"i": {Soft: 2000, Whole: 1, Least: 1, First: 0.3, Trials: 0.5}})
+		p.Follow(gather.List{Full: true, Servers: []gather.Server{{ID: 7}}})
+		p.Speaks(7, true)
+	})
+	done := d.ask(t.Context(), "before", 1, keptWait) // the budget for further calls is known after a first round
+	conn := shard.Take()
+	conn.Read()
+	conn.Answer("before.0", "ok", "v")
+	<-done
+	<-d.reports
+	return d, conn
+}
+
+// newOwnedDesk has lookups sent to who owns their keys: shard 3 of 16 is a segment of the server's.
+func newOwnedDesk(t *testing.T, shard *standin.Shard, effect string) *desk {
+	keys := owners.Slot(3, 16)
+	m, err := owners.First(5, []owners.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, Since: 4}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	change := pick.OwnedTerms(gather.Terms{"i/soft deadline": 59_000.0, "i/hard deadline": 60_000.0, "i/effect": effect}, 4)
+	return newDeskWith(t, shard.Address(), change, func(p *pick.Picker) {
+		p.Segments(4, 16)
+		p.Names(map[uint32]string{7: "h-01"})
+		p.SetMap(m)
+	})
+}
+
+// askShard sends a lookup of one shard on its way.
+func (d *desk) askShard(t *testing.T, shard int) <-chan pick.Verdict {
+	lk := &pick.Lookup{ID: "a", Index: "i", GiveUpAt: d.picker.Now() + keptWait, Text: []byte("text of a"),
+		Parts: []pick.Part{{Shard: shard, Weight: 1}}}
+	done := make(chan pick.Verdict, 1)
+	go func() { done <- d.picker.Pick(t.Context(), lk) }()
+	return done
+}
+
+// TestKeptReplyFrames has a shard server answer a call with kept bytes: how the call ends.
+func TestKeptReplyFrames(t *testing.T) {
+	for name, want := range map[string]report{
+		"A-ok":                  {"a.0", gather.Answered, "value"},
+		"A-ok-score-and-report": {"a.0", gather.Answered, "value"},
+		"A-ok-empty":            {"a.0", gather.Answered, ""},
+		"A-ok-utf8":             {"a.0", gather.Answered, "välue"},
+		"A-busy":                {"a.0", gather.Full, ""},
+		"A-err":                 {"a.0", gather.Erred, ""},
+		"A-moved-without-keys":  {"a.0", gather.Cut, ""},
+		"A-unknown-status":      {"a.0", gather.Cut, ""},
+		"A-for-another":         {"a.0", gather.Cut, ""},
+		"A-control-character":   {"a.0", gather.Cut, ""},
+		"A-not-utf8":            {"a.0", gather.Cut, ""},
+		"E":                     {"a.0", gather.Cut, ""},
+		"P":                     {"a.0", gather.Answered, "value"},
+		"Z":                     {"a.0", gather.Cut, ""},
+		"L-nothing-asked":       {"a.0", gather.Answered, "value"},
+		"length-zero":           {"a.0", gather.Cut, ""},
+		"length-too-long":       {"a.0", gather.Cut, ""},
+	} {
+		t.Run(name, func(t *testing.T) {
+			shard := standin.NewShard(t)
+			d := newDesk(t, shard.Address(), keptTerms)
+			d.ask(t.Context(), "a", 1, keptWait)
+			conn := shard.Take()
+			wantSent(t, conn, "Q-one-part")
+			conn.Conn.Write(keptFrames(t, "received", name))
+			if got := <-d.reports; got != want {
+				t.Errorf("ended as %+v, want %+v", got, want)
+			}
+		})
+	}
+	for name, want := range map[string]report{
+		"O-moved": {"a.3.0", gather.Moved, ""},
+		"O-ok":    {"a.3.0", gather.Answered, "value"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			shard := standin.NewShard(t)
+			d := newOwnedDesk(t, shard, "once-only")
+			d.askShard(t, 3)
+			conn := shard.Take()
+			wantSent(t, conn, "O-once-only")
+			conn.Conn.Write(keptFrames(t, "received", name))
+			if got := <-d.reports; got != want {
+				t.Errorf("ended as %+v, want %+v", got, want)
+			}
+		})
+	}
+	t.Run("S-none", func(t *testing.T) {
+		shard := standin.NewShard(t)
+		d, conn := newFirstPassDesk(t, shard)
+		done := d.ask(t.Context(), "a", 1, keptWait)
+		wantSent(t, conn, "S-one-part")
+		conn.Conn.Write(keptFrames(t, "received", "S-none"))
+		if got, want := <-d.reports, (report{"a.0~", gather.Answered, "none v1"}); got != want {
+			t.Errorf("ended as %+v, want %+v", got, want)
+		}
+		if v := <-done; v.Kind != pick.Satisfied || !v.Whole || fmt.Sprint(v.Empty) != "[0]" {
+			t.Errorf("verdict %+v", v)
+		}
+	})
+}
+
+// TestKeptLoadFrames has a shard server answer a health check with kept bytes: what is read.
+func TestKeptLoadFrames(t *testing.T) {
+	for name, want := range map[string]gather.Sample{
+		"L-load":             {Server: 7, Passed: true, Waiting: 7, Latency: 61.5},
+		"L-load-other-names": {Server: 7, Passed: true, Waiting: 2, Latency: 3},
+		"L-nothing":          {Server: 7, Passed: true, Waiting: -1, Latency: -1},
+		"L-empty":            {Server: 7, Passed: true, Waiting: -1, Latency: -1},
+		"L-err":              {Server: 7, Passed: false, Waiting: -1, Latency: -1},
+	} {
+		t.Run(name, func(t *testing.T) {
+			shard := standin.NewShard(t)
+			d := newDesk(t, shard.Address(), nil)
+			d.Carry(pick.Orders{Probes: []uint32{7}})
+			conn := shard.Take()
+			wantSent(t, conn, "L")
+			conn.Conn.Write(keptFrames(t, "received", name))
+			got := <-d.samples
+			got.Waited = 0
+			if got != want {
+				t.Errorf("read %+v, want %+v", got, want)
+			}
+		})
+	}
+}
+
+// TestKeptAgreementFrames has a shard server answer the question for first passes with kept bytes: what is found.
+func TestKeptAgreementFrames(t *testing.T) {
+	for name, want := range map[string]bool{"H-two-phase-1": true, "H-two-phase-2": false, "H-E": false} {
+		t.Run(name, func(t *testing.T) {
+			shard := standin.NewShard(t)
+			found := make(chan bool, 1)
+			p := New(gather.Terms{"connect time-out": 1000.0}, 100, nil, quiet())
+			p.Agree(func(_ uint32, yes bool) { found <- yes })
+			p.Follow([]Address{{ID: 1, HostPort: shard.Address()}})
+			conn := shard.Take()
+			wantSent(t, conn, "H")
+			conn.Conn.Write(keptFrames(t, "received", name))
+			if got := <-found; got != want {
+				t.Errorf("answers first passes: %t, want %t", got, want)
+			}
+		})
+	}
+}
+
+// TestKeptFramesAreWhole checks the kept files themselves: what a gatherer sends is a row of frames without a rest.
+func TestKeptFramesAreWhole(t *testing.T) {
+	files, err := filepath.Glob(filepath.Join("testdata", "kept", "sent", "*"))
+	if err != nil || len(files) == 0 {
+		t.Fatalf("%d files, %v", len(files), err)
+	}
+	for _, file := range files {
+		text := keptFrames(t, "sent", filepath.Base(file))
+		for len(text) > 0 {
+			if len(text) < 5 || len(text) < 4+int(binary.LittleEndian.Uint32(text)) {
+				t.Fatalf("%s: %d bytes are no frame", file, len(text))
+			}
+			text = text[4+int(binary.LittleEndian.Uint32(text)):]
+		}
+	}
+}
--- a/internal/shardcall/pool_test.go
+++ b/internal/shardcall/pool_test.go
@@ -50,6 +50,11 @@
 }
 
 func newDesk(t *testing.T, address string, change gather.Terms) *desk {
+	return newDeskWith(t, address, change, func(*pick.Picker) {})
+}
+
+// newDeskWith has the facade set up by the test before its first round.
+func newDeskWith(t *testing.T, address string, change gather.Terms, setUp func(*pick.Picker)) *desk {
 	terms := gather.Terms{"indexes": []string{"i"}, "i/soft deadline": 2000.0, "i/whole from": 1.0, "i/least share": 1.0,
 		"i/late share": 0.1, "i/effect": "once-only", "groups": 1.0, "groups in a row": 1.0, "call off": true, "tick": 1.0,
 		"connect time-out": 2000.0, "idle close": 30000.0, "parts a call": 2.0, "streams": 4.0, "most calls": 1.0,
@@ -58,6 +63,7 @@
 		terms[name] = value
 	}
 	d := &desk{picker: pick.New(1, terms, quiet()), reports: make(chan report, 100), samples: make(chan gather.Sample, 100)}
+	setUp(d.picker)
 	d.Pool = New(terms, 100, d, quiet())
 	d.list(address, gather.Running)
 	ctx, stop := context.WithCancel(t.Context())
--- /dev/null
+++ b/internal/state/kept_test.go
@@ -0,0 +1,193 @@
+package state
+
+import (
+	"bytes"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"yokeroute/logic/owners"
+)
+
+// The folders in testdata/kept are those of the version that wrote them. None may be changed: a gatherer that is
+// replaced by a newer or an older one goes on with its folder.
+
+// keptCopy is a copy of a kept folder: opening one may write to it.
+func keptCopy(t *testing.T, name string) string {
+	t.Helper()
+	return copyDir(t, filepath.Join("testdata", "kept", name))
+}
+
+// files are all files below a folder, by their path in it.
+func files(t *testing.T, folder string) map[string][]byte {
+	t.Helper()
+	all := map[string][]byte{}
+	err := fs.WalkDir(os.DirFS(folder), ".", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		all[path], err = os.ReadFile(filepath.Join(folder, path))
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// wantFolder compares all files of a folder with a kept one, byte for byte.
+func wantFolder(t *testing.T, folder, name string) {
+	t.Helper()
+	got, want := files(t, folder), files(t, filepath.Join("testdata", "kept", name))
+	if !slices.Equal(slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want))) {
+		t.Errorf("%s: written %v, kept %v", name, slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
+	}
+	for path, text := range want {
+		if !bytes.Equal(got[path], text) {
+			t.Errorf("%s: %s: written %q, kept %q", name, path, got[path], text)
+		}
+	}
+}
+
+func keptMap(t *testing.T) *owners.Map {
+	t.Helper()
+	half := uint64(1) << 63
+	m, err := owners.First(7, []owners.Segment{
+		{Name: "a", Range: owners.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h-01", "h-02"}, Since: 3},
+		{Name: "b", Range: owners.Range{Lo: half, Hi: ^uint64(0)}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+// writeGatherer writes the folder of a gatherer: a snapshot with a map and two names, a journal of four records behind
+// it, and the hand-over.
+func writeGatherer(t *testing.T, folder string) {
+	t.Helper()
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	g, _, err := OpenGatherer(folder, 300, 1e12, 1_796_000_000_000)
+	must(err)
+	must(g.SetMap(keptMap(t)))
+	must(g.Sent([]string{"first", "second"}, 1_796_000_000_000.25)) // past 300 bytes: a snapshot
+	must(g.Sent([]string{"third", "<&> \"name\""}, 1_796_000_000_001))
+	must(g.Unrun("second"))
+	must(g.Sent([]string{"late"}, 1_796_000_000_500.5))
+	must(g.Close())
+	h, err := OpenHandover(folder)
+	must(err)
+	must(h.Set(map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}))
+}
+
+// TestKeptGathererFolder opens a gatherer's folder as it was kept, and writes the same values to the same bytes.
+func TestKeptGathererFolder(t *testing.T) {
+	const now = 1_796_000_001_000
+	folder := keptCopy(t, "gatherer")
+	g, found, err := OpenGatherer(folder, 300, 1e12, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if found.Fresh || found.Damaged || found.Torn != 0 || found.Names != 4 || found.Epoch != 7 || found.Blind != 0 {
+		t.Errorf("found %+v", found)
+	}
+	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true, "late": true, "never": false} {
+		if got := g.MayHaveRun(name, true, now); got != want {
+			t.Errorf("%s may have run: %t, want %t", name, got, want)
+		}
+	}
+	m, want := g.Map(), keptMap(t)
+	if m.Epoch != want.Epoch || m.Sum != want.Sum || len(m.Segments) != 2 || m.Segments[0].Range != want.Segments[0].Range ||
+		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].Since != 3 || m.Segments[1].Name != "b" {
+		t.Errorf("map %+v", m)
+	}
+	g.Close()
+	h, err := OpenHandover(folder)
+	if err != nil || !maps.Equal(h.Draining, map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}) {
+		t.Errorf("hand-over %+v, %v", h, err)
+	}
+	wantFolder(t, folder, "gatherer") // reading changes nothing
+	written := t.TempDir()
+	writeGatherer(t, written)
+	wantFolder(t, written, "gatherer")
+}
+
+// TestKeptTornFolder opens a folder whose journal ends in half a record: what stands before it is there.
+func TestKeptTornFolder(t *testing.T) {
+	folder := keptCopy(t, "gatherer")
+	path := only(t, folder, journalName)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text[:len(text)-3], 0o644); err != nil {
+		t.Fatal(err)
+	}
+	g, found, err := OpenGatherer(folder, 300, 1e12, 1_796_000_001_000)
+	if err != nil || found.Damaged || found.Torn == 0 || found.Names != 3 || g.MayHaveRun("late", false, 1_796_000_001_000) {
+		t.Errorf("found %+v, %v", found, err)
+	}
+}
+
+// writeRun writes the folder of a run that two processes carried out, one after the other.
+func writeRun(t *testing.T, folder string) {
+	t.Helper()
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	first, err := OpenRun(folder, false)
+	must(err)
+	must(first.Recover(func([]byte) error { return nil }))
+	must(first.Append([]byte(`{"stage":1}`)))
+	must(first.Append([]byte(`{"stage":2}`)))
+	first.Close()
+	must(Say(folder, "pause", 1_796_000_000_000))
+	second, err := OpenRun(folder, false)
+	must(err)
+	must(second.Recover(func([]byte) error { return nil }))
+	must(second.Append([]byte(`{"stage":3}`)))
+	must(second.Put("status.json", []byte(`{"phase":"paused"}`)))
+	must(second.Add("history", []byte(`{"event":"paused"}`)))
+	must(second.Add("history", []byte(`{"event":"resumed"}`)))
+	second.Close()
+}
+
+// TestKeptRunFolder reads and takes over a run's folder as it was kept, and writes the same values to the same bytes.
+func TestKeptRunFolder(t *testing.T) {
+	var seen []string
+	see := func(record []byte) error {
+		seen = append(seen, string(record))
+		return nil
+	}
+	want := []string{`{"stage":1}`, `{"stage":2}`, `{"stage":3}`}
+	folder := keptCopy(t, "run")
+	if err := ReadRun(folder, see); err != nil || !slices.Equal(seen, want) {
+		t.Errorf("read %q, %v", seen, err)
+	}
+	seen = nil
+	r, err := OpenRun(folder, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	if err := r.Recover(see); err != nil || !slices.Equal(seen, want) || r.Fence != 3 {
+		t.Errorf("taken over as %d with %q, %v", r.Fence, seen, err)
+	}
+	if word, err := r.Word(); err != nil || word != "pause 1796000000000" {
+		t.Errorf("the operator's word is %q, %v", word, err)
+	}
+	written := t.TempDir()
+	writeRun(t, written)
+	wantFolder(t, written, "run")
+}
