--- a/cmd/yokelab/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -15,10 +15,10 @@
 	"github.com/schollz/progressbar/v3"
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/emulator"
-	"yokeroute/internal/processes"
-	"yokeroute/internal/rules"
-	"yokeroute/internal/study"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/internal/testbed/emulator"
+	"yokeroute/internal/testbed/processtest"
+	"yokeroute/internal/testbed/study"
 )
 
 // play is what the commands that play days have in common.
@@ -101,7 +101,7 @@
 		if err := r.Save(p.out); err != nil {
 			return err
 		}
-		fmt.Fprintf(cmd.ErrOrStderr(), "results in %s; yokelab report %s makes a page of them\n", p.out, p.out)
+		fmt.Fprintf(cmd.ErrOrStderr(), "results in %s; yokeroute-testbed report %s makes a page of them\n", p.out, p.out)
 	}
 	if p.form == "json" {
 		text, err := r.Bytes()
@@ -135,7 +135,7 @@
 	p := &play{}
 	var variant, trace string
 	cmd := &cobra.Command{Use: "run FILE", Short: "play a scenario", Args: cobra.ExactArgs(1),
-		Example: "  yokelab run examples/days/farm.conf --seeds 3\n  yokelab run examples/days/farm.conf --trace day.trace",
+		Example: "  yokeroute-testbed run examples/days/farm.conf --seeds 3\n  yokeroute-testbed run examples/days/farm.conf --trace day.trace",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := p.check(); err != nil {
 				return err
@@ -172,7 +172,7 @@
 		}}
 	p.flags(cmd, 1)
 	cmd.Flags().StringVar(&variant, "variant", emulator.Ours.Name, "whose decisions: ours, or a baseline")
-	cmd.Flags().StringVar(&trace, "trace", "", "file for a trace of the first day, which yokelab replay checks")
+	cmd.Flags().StringVar(&trace, "trace", "", "file for a trace of the first day, which yokeroute-testbed replay checks")
 	return cmd
 }
 
@@ -182,8 +182,8 @@
 	if err != nil {
 		return err
 	}
-	_, err = emulator.Run(sc, emulator.Options{Seed: seed, Variant: v, Unruled: true, Trace: func(h rules.Header) (func(rules.Event), func(float64, string) error) {
-		w := rules.NewWriter(f, h)
+	_, err = emulator.Run(sc, emulator.Options{Seed: seed, Variant: v, Unruled: true, Trace: func(h rulecheck.Header) (func(rulecheck.Event), func(float64, string) error) {
+		w := rulecheck.NewWriter(f, h)
 		return w.See, w.End
 	}})
 	return errors.Join(err, f.Close())
@@ -193,7 +193,7 @@
 	p := &play{}
 	var names, with []string
 	cmd := &cobra.Command{Use: "compare FILE", Short: "compare variants over the same days", Args: cobra.ExactArgs(1),
-		Example: "  yokelab compare examples/days/farm.conf --seeds 10\n  yokelab compare examples/days/farm.conf --variants ours --with old=earlier/results",
+		Example: "  yokeroute-testbed compare examples/days/farm.conf --seeds 10\n  yokeroute-testbed compare examples/days/farm.conf --variants ours --with old=earlier/results",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := p.check(); err != nil {
 				return err
@@ -242,7 +242,7 @@
 	var names, values []string
 	var over string
 	cmd := &cobra.Command{Use: "sweep FILE", Short: "play a scenario over the values of one option", Args: cobra.ExactArgs(1),
-		Example: "  yokelab sweep examples/days/farm.conf --over 'clients rate' --values 15/s,25/s,35/s,45/s",
+		Example: "  yokeroute-testbed sweep examples/days/farm.conf --over 'clients rate' --values 15/s,25/s,35/s,45/s",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			if err := p.check(); err != nil {
 				return err
@@ -290,7 +290,7 @@
 	h := study.HuntTerms{}
 	var variant, keep string
 	cmd := &cobra.Command{Use: "hunt FILE", Short: "search seeds and overlaps of troubles for the day on which decisions do worst", Args: cobra.ExactArgs(1),
-		Example: "  yokelab hunt examples/days/farm.conf --days 200 --keep worst.conf\n  yokelab hunt examples/days/farm.conf --rules --days 1000",
+		Example: "  yokeroute-testbed hunt examples/days/farm.conf --days 200 --keep worst.conf\n  yokeroute-testbed hunt examples/days/farm.conf --rules --days 1000",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			sc, text, err := scenario(args[0])
 			if err != nil {
@@ -364,7 +364,7 @@
 
 func reportCommand() *cobra.Command {
 	var out string
-	cmd := &cobra.Command{Use: "report FOLDER", Short: "make one page of a folder of results", Args: cobra.ExactArgs(1), Example: "  yokelab report results --out report.html",
+	cmd := &cobra.Command{Use: "report FOLDER", Short: "make one page of a folder of results", Args: cobra.ExactArgs(1), Example: "  yokeroute-testbed report results --out report.html",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			page, err := pageOf(args[0])
 			if err != nil {
@@ -385,8 +385,8 @@
 
 // pageOf makes the page of a folder: of days of the emulator, or of a day of processes.
 func pageOf(folder string) ([]byte, error) {
-	if _, err := os.Stat(filepath.Join(folder, processes.ResultFile)); err == nil {
-		r, err := processes.LoadResult(folder)
+	if _, err := os.Stat(filepath.Join(folder, processtest.ResultFile)); err == nil {
+		r, err := processtest.LoadResult(folder)
 		if err != nil {
 			return nil, err
 		}
@@ -403,7 +403,7 @@
 	var lookup uint64
 	var form string
 	cmd := &cobra.Command{Use: "replay TRACE|FOLDER", Short: "check the rules on a trace, or play a folder's days again and say what differs", Args: cobra.ExactArgs(1),
-		Example: "  yokelab replay day.trace\n  yokelab replay day.trace --lookup 17\n  yokelab replay results",
+		Example: "  yokeroute-testbed replay day.trace\n  yokeroute-testbed replay day.trace --lookup 17\n  yokeroute-testbed replay results",
 		RunE: func(cmd *cobra.Command, args []string) error {
 			info, err := os.Stat(args[0])
 			if err != nil {
@@ -433,7 +433,7 @@
 			if lookup > 0 {
 				return story(cmd, text, lookup)
 			}
-			report, err := rules.Check(bytes.NewReader(text))
+			report, err := rulecheck.Check(bytes.NewReader(text))
 			if err != nil {
 				return fmt.Errorf("%s: %w", args[0], err)
 			}
@@ -455,9 +455,9 @@
 }
 
 // verdict says in words what a check has found.
-func verdict(cmd *cobra.Command, r *rules.Report) {
+func verdict(cmd *cobra.Command, r *rulecheck.Report) {
 	out := cmd.OutOrStdout()
-	fmt.Fprintf(out, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Lookups, r.Calls, r.Finals[rules.Answered], r.Finals[rules.Nacked], r.Finals[rules.Aborted])
+	fmt.Fprintf(out, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Lookups, r.Calls, r.Finals[rulecheck.Answered], r.Finals[rulecheck.Nacked], r.Finals[rulecheck.Aborted])
 	for rule := 1; rule <= 6; rule++ {
 		switch {
 		case r.Counts[rule] > 0:
@@ -481,7 +481,7 @@
 // story tells what became of one lookup of a trace.
 func story(cmd *cobra.Command, text []byte, number uint64) error {
 	out, begin, seen := cmd.OutOrStdout(), 0.0, false
-	err := rules.Read(bytes.NewReader(text), func(rules.Header) error { return nil }, func(e rules.Event) {
+	err := rulecheck.Read(bytes.NewReader(text), func(rulecheck.Header) error { return nil }, func(e rulecheck.Event) {
 		if e.Lookup != number {
 			return
 		}
@@ -494,21 +494,21 @@
 			pass = ", first pass"
 		}
 		switch e.Kind {
-		case rules.Taken:
+		case rulecheck.Taken:
 			fmt.Fprintf(out, "%9.3f ms  taken by gatherer %d: %s, %d parts, %.0f ms\n", at, e.Gatherer, e.Index, len(e.Parts), e.Until-e.At)
-		case rules.Sent:
+		case rulecheck.Sent:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d to server %d%s\n", at, e.Shard, e.Call+1, e.Server, pass)
-		case rules.Ran:
+		case rulecheck.Ran:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: server %d begins its work%s\n", at, e.Shard, e.Server, pass)
-		case rules.Ended:
+		case rulecheck.Ended:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d: %s%s\n", at, e.Shard, e.Call+1, e.Outcome, pass)
-		case rules.Answered:
+		case rulecheck.Answered:
 			fmt.Fprintf(out, "%9.3f ms  answered, whole %t, shards %v\n", at, e.Whole, e.In)
 		default:
 			fmt.Fprintf(out, "%9.3f ms  %s\n", at, e.Kind)
 		}
 	})
-	if err != nil && !errors.Is(err, rules.ErrCut) {
+	if err != nil && !errors.Is(err, rulecheck.ErrCut) {
 		return err
 	}
 	if !seen {
@@ -518,10 +518,10 @@
 }
 
 func referenceCommand() *cobra.Command {
-	return &cobra.Command{Use: "reference [fleet]", Short: "print the page about scenario files, or about those of fleets of processes", Args: cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"fleet"}, Example: "  yokelab reference\n  yokelab reference fleet",
+	return &cobra.Command{Use: "reference [fleet]", Short: "print the page about scenario files, or about those of fleets of processes", Args: cobra.MatchAll(cobra.MaximumNArgs(1), cobra.OnlyValidArgs), ValidArgs: []string{"fleet"}, Example: "  yokeroute-testbed reference\n  yokeroute-testbed reference fleet",
 		Run: func(cmd *cobra.Command, args []string) {
 			if len(args) > 0 {
-				fmt.Fprint(cmd.OutOrStdout(), processes.Reference())
+				fmt.Fprint(cmd.OutOrStdout(), processtest.Reference())
 				return
 			}
 			fmt.Fprint(cmd.OutOrStdout(), emulator.Reference())
--- a/cmd/yokelab/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -7,9 +7,9 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/order"
-	"yokeroute/internal/policy/emulated"
-	"yokeroute/internal/runs"
+	"yokeroute/internal/control/policyclient/emulated"
+	"yokeroute/internal/parallel"
+	"yokeroute/internal/stats"
 )
 
 // policyRow is many histories of one fleet.
@@ -30,7 +30,7 @@
 	var seconds, lease, limit, within float64
 	var form string
 	cmd := &cobra.Command{Use: "policies", Short: "play changes of policy over an emulated fleet, and check that none ever holds in part", Args: cobra.NoArgs,
-		Example: "  yokelab policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokelab policies --runs 4 --gatherers 3000 --away 0.05",
+		Example: "  yokeroute-testbed policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokeroute-testbed policies --runs 4 --gatherers 3000 --away 0.05",
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			if count < 1 || terms.Gatherers < 1 || terms.Away < 0 || terms.Away >= 1 {
 				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.Away)
@@ -78,7 +78,7 @@
 
 // manyPolicies plays histories with the seeds from one on.
 func manyPolicies(t emulated.Terms, count, workers int, within float64) policyRow {
-	outs := runs.Each(count, workers, func(i int) emulated.Outcome {
+	outs := parallel.Map(count, workers, func(i int) emulated.Outcome {
 		one := t
 		one.Seed += uint64(i)
 		return emulated.Play(one)
@@ -102,6 +102,6 @@
 			row.InTime += 1 / float64(len(all))
 		}
 	}
-	row.DecideP50, row.DecideP99, row.AllP50, row.AllP99 = order.Quantile(decide, 0.5), order.Quantile(decide, 0.99), order.Quantile(all, 0.5), order.Quantile(all, 0.99)
+	row.DecideP50, row.DecideP99, row.AllP50, row.AllP99 = stats.Quantile(decide, 0.5), stats.Quantile(decide, 0.99), stats.Quantile(all, 0.5), stats.Quantile(all, 0.99)
 	return row
 }
--- a/cmd/yokeroute/main.go
+++ b/cmd/yokeroute/main.go
@@ -9,8 +9,8 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/config"
-	"yokeroute/internal/operator"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
 	"yokeroute/internal/version"
 )
 
@@ -35,7 +35,7 @@
 	serve := &cobra.Command{Use: "serve", Short: "serve lookups until SIGTERM; SIGHUP rereads the configuration", Args: cobra.NoArgs,
 		Example: "  yokeroute serve --config config.json --operator deploy/yokeroute.conf",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			load := func() (*config.Config, error) { return config.Load(file, os.Getenv) }
+			load := func() (*platform.Config, error) { return platform.Load(file, os.Getenv) }
 			return run(cmd.Context(), load, operators, level, cmd.ErrOrStderr())
 		}}
 	serve.Flags().StringVar(&level, "log-level", "info", "least level that is logged: debug, info, warning, error")
@@ -53,15 +53,15 @@
 				fmt.Fprintf(cmd.OutOrStdout(), "%s: reads well\n", operators)
 				return nil
 			}
-			c, err := config.Load(file, os.Getenv)
+			c, err := platform.Load(file, os.Getenv)
 			if err != nil {
 				return err
 			}
-			if _, err := own.Fit(c.Terms); err != nil {
+			if _, err := own.TwoPhaseSettings(c.Settings); err != nil {
 				return err
 			}
 			fmt.Fprintf(cmd.OutOrStdout(), "%s: listens on %s, discovery at %s, %d indexes\n", c.Name, c.Listen,
-				c.Discovery, len(c.Terms.Names("indexes")))
+				c.Discovery, len(c.Settings.ClassNames()))
 			return nil
 		}}
 	for _, sub := range []*cobra.Command{serve, check} {
--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -13,13 +13,13 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/conf"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/placefile"
-	"yokeroute/internal/policy"
-	"yokeroute/internal/rollout"
-	"yokeroute/internal/segments"
-	"yokeroute/internal/steward"
+	"yokeroute/internal/config/directive"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/placementfile"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policyserver"
+	"yokeroute/internal/control/rollout"
+	"yokeroute/internal/control/segments"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/placement"
 	"yokeroute/logic/placing"
@@ -33,7 +33,7 @@
 		if name == "" {
 			continue
 		}
-		f, err := placefile.Read(name, unixMilli())
+		f, err := placementfile.Read(name, unixMilli())
 		switch {
 		case err != nil:
 			return err
@@ -122,7 +122,7 @@
 					return fmt.Errorf("%s: %w", args[0], err)
 				}
 			}
-			rate := func(units int64) string { return placefile.FormatUnits(model.Unit, units) }
+			rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
 			switch {
 			case answer.Misfit != nil:
 				answer.Fits, answer.Why = false, answer.Misfit.Words(rate)
@@ -130,7 +130,7 @@
 				answer.Fits, answer.Why = false, answer.Clash.Words(rate)
 			}
 			if out != "" && answer.Plan != nil {
-				if err := replace(out, func(w io.Writer) error { return placefile.WritePlan(w, answer.Plan) }); err != nil {
+				if err := replace(out, func(w io.Writer) error { return placementfile.WritePlan(w, answer.Plan) }); err != nil {
 					return err
 				}
 			}
@@ -144,7 +144,7 @@
 				fmt.Fprintf(w, "Nothing fits. %s\n", answer.Why)
 			default:
 				if out == "" {
-					if err := placefile.WritePlan(w, answer.Plan); err != nil {
+					if err := placementfile.WritePlan(w, answer.Plan); err != nil {
 						return err
 					}
 					w = cmd.ErrOrStderr()
@@ -242,15 +242,15 @@
 	return put(f.Name(), name)
 }
 
-func readModel(name string) (*placefile.File, error) {
-	f, err := placefile.Read(name, unixMilli())
+func readModel(name string) (*placementfile.File, error) {
+	f, err := placementfile.Read(name, unixMilli())
 	if err == nil && f.FromList {
 		err = fmt.Errorf("%s: from-list takes its hosts from discovery's list; it is for serve, named by placement in the operator's file", name)
 	}
 	return f, err
 }
 
-func readPlan(name string) (*placefile.File, error) {
+func readPlan(name string) (*placementfile.File, error) {
 	f, err := readModel(name)
 	if err == nil && f.Plan == nil {
 		err = fmt.Errorf("%s: holds no weights; make them by yokeroute plan solve", name)
@@ -273,12 +273,12 @@
 			var all []checked
 			bad := false
 			for _, name := range args {
-				f, err := placefile.Read(name, unixMilli())
+				f, err := placementfile.Read(name, unixMilli())
 				if err != nil {
 					return err
 				}
 				c := checked{File: name, Kind: "placement file", Fits: true}
-				switch rate := func(units int64) string { return placefile.FormatUnits(f.Model.Unit, units) }; {
+				switch rate := func(units int64) string { return placementfile.FormatUnits(f.Model.Unit, units) }; {
 				case f.FromList:
 					c.Kind = "placement file for discovery's list"
 				case f.Plan != nil:
@@ -363,13 +363,13 @@
 	return cmd
 }
 
-func explain(w io.Writer, f *placefile.File, r *balance.Report) {
-	rate := func(units int64) string { return placefile.FormatUnits(f.Model.Unit, units) }
+func explain(w io.Writer, f *placementfile.File, r *balance.Report) {
+	rate := func(units int64) string { return placementfile.FormatUnits(f.Model.Unit, units) }
 	what := "weights"
 	if r.Case != "" {
 		what = "case " + r.Case
 	}
-	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n", what, conf.FormatWhen(r.At),
+	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n", what, directive.FormatTimestamp(r.At),
 		rate(r.Asked), 100*r.Greatest.Float(), rate(r.Crossing), float64(r.Cost)/1000)
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tab, "host\thall\tcan\tgets\tuse\twhy")
@@ -400,7 +400,7 @@
 		fmt.Fprintln(w, "\nWhat is left cannot take all that is asked for: hosts are filled evenly beyond what they can do, and lookups will be refused.")
 	}
 	if n := len(f.Plan.Steps); n > 1 && r.Case == "" {
-		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n", n, conf.FormatWhen(f.Plan.Steps[n-1].From))
+		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n", n, directive.FormatTimestamp(f.Plan.Steps[n-1].From))
 	}
 }
 
@@ -419,13 +419,13 @@
 			}
 			if old.Model.Unit != now.Model.Unit {
 				return fmt.Errorf("%s goes by %s and %s by %s: plans of different units cannot be compared", args[0],
-					conf.FormatRate(old.Model.Unit), args[1], conf.FormatRate(now.Model.Unit))
+					directive.FormatRate(old.Model.Unit), args[1], directive.FormatRate(now.Model.Unit))
 			}
 			c := placement.Diff(old.Plan, now.Plan, now.Plan.Steps[0].From)
 			if form == "json" {
 				return writeJSON(cmd.OutOrStdout(), c)
 			}
-			lines := c.Words(func(units int64) string { return placefile.FormatUnits(now.Model.Unit, units) })
+			lines := c.Words(func(units int64) string { return placementfile.FormatUnits(now.Model.Unit, units) })
 			if len(lines) == 0 {
 				lines = []string{"no difference in meaning"}
 			}
@@ -440,7 +440,7 @@
 
 // referenceCommand prints the pages about the operators' files, from the tables that read them.
 func referenceCommand() *cobra.Command {
-	pages := map[string]func() string{"operator": operator.Reference, "placement": placefile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policy.Reference, "steward": steward.Reference}
+	pages := map[string]func() string{"operator": operator.Reference, "placement": placementfile.Reference, "segments": segments.MapReference, "rollout": rollout.Reference, "policy": policyclient.Reference, "steward": policyserver.Reference}
 	return &cobra.Command{Use: "reference operator|placement|segments|rollout|policy|steward", Short: "print the page about a kind of file", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute reference placement", ValidArgs: []string{"operator", "placement", "segments", "rollout", "policy", "steward"},
 		RunE: func(cmd *cobra.Command, args []string) error {
--- a/cmd/yokeroute/policy.go
+++ b/cmd/yokeroute/policy.go
@@ -14,13 +14,13 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/policy"
+	"yokeroute/internal/control/policyclient"
 	logic "yokeroute/logic/policy"
 )
 
 func policyCommand() *cobra.Command {
 	cmd := &cobra.Command{Use: "policy", Short: "change what a whole fleet may do, everywhere or nowhere"}
-	client := &policy.Client{}
+	client := &policyclient.Client{}
 	var form, why string
 	var wait bool
 	var limit time.Duration
@@ -38,8 +38,8 @@
 			return errNegative
 		case err != nil:
 			return err
-		case end.End != logic.Decided:
-			fmt.Fprintf(cmd.OutOrStdout(), "change %d was given up: %s\n", end.Number, end.Word)
+		case end.Outcome != logic.Committed:
+			fmt.Fprintf(cmd.OutOrStdout(), "change %d was given up: %s\n", end.Number, end.OutcomeReason)
 			return errNegative
 		}
 		fmt.Fprintf(cmd.OutOrStdout(), "change %d holds everywhere\n", end.Number)
@@ -55,9 +55,9 @@
 			fmt.Fprintln(cmd.ErrOrStderr(), mark(line))
 		}
 		c, err := client.Propose(cmd.Context(), "", s.Record.Epoch, p, why)
-		var refusal logic.Refusal
+		var refusal logic.RejectedError
 		if errors.As(err, &refusal) {
-			fmt.Fprintf(cmd.OutOrStdout(), "refused: %s\n", refusal.Text)
+			fmt.Fprintf(cmd.OutOrStdout(), "refused: %s\n", refusal.Reason)
 			return errNegative
 		}
 		if err != nil {
@@ -68,7 +68,7 @@
 	check := &cobra.Command{Use: "check FILE", Short: "read a policy file and say what is wrong with it", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute policy check policy.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := policy.Read(args[0])
+			p, err := policyclient.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -78,13 +78,13 @@
 	diff := &cobra.Command{Use: "diff FILE [FILE]", Short: "say what a change means: from what is in force, or from the first file to the second", Args: cobra.RangeArgs(1, 2),
 		Example: "  yokeroute policy diff --steward 127.0.0.1:8700 policy.conf\n  yokeroute policy diff old.conf new.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			to, err := policy.Read(args[len(args)-1])
+			to, err := policyclient.Read(args[len(args)-1])
 			if err != nil {
 				return err
 			}
 			var from logic.Policy
 			if len(args) == 2 {
-				if from, err = policy.Read(args[0]); err != nil {
+				if from, err = policyclient.Read(args[0]); err != nil {
 					return err
 				}
 			} else {
@@ -106,7 +106,7 @@
 	put := &cobra.Command{Use: "propose FILE", Short: "put a policy forward; it takes hold everywhere or nowhere", Args: cobra.ExactArgs(1),
 		Example: "  yokeroute policy propose --steward 127.0.0.1:8700 --wait --why \"host s7 is being repaired\" policy.conf",
 		RunE: func(cmd *cobra.Command, args []string) error {
-			p, err := policy.Read(args[0])
+			p, err := policyclient.Read(args[0])
 			if err != nil {
 				return err
 			}
@@ -123,21 +123,21 @@
 			if err != nil {
 				return err
 			}
-			if c := s.Record.Change; c != nil && c.Number == number {
+			if c := s.Record.Pending; c != nil && c.Number == number {
 				if err := client.GiveUp(cmd.Context(), number, "reverted while it was being prepared"); err != nil {
 					return err
 				}
 				fmt.Fprintf(cmd.OutOrStdout(), "change %d was given up\n", number)
 				return nil
 			}
-			at := slices.IndexFunc(s.Record.History, func(c logic.Change) bool { return c.Number == number && c.End == logic.Decided })
+			at := slices.IndexFunc(s.Record.History, func(c logic.Change) bool { return c.Number == number && c.Outcome == logic.Committed })
 			if at < 0 {
 				return fmt.Errorf("change %d was never decided, or so long ago that its policy is not kept", number)
 			}
 			var before logic.Policy
-			found := s.Record.Earlier == 0
+			found := s.Record.TrimmedChanges == 0
 			for _, c := range s.Record.History[:at] {
-				if c.End == logic.Decided {
+				if c.Outcome == logic.Committed {
 					before, found = c.Policy, true
 				}
 			}
@@ -165,10 +165,10 @@
 			w := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
 			fmt.Fprintln(w, "change\tproposed\tend\twhy\tword")
 			for _, c := range slices.Backward(s.Record.History) {
-				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Number, time.UnixMilli(int64(c.At)).Format(time.DateTime), c.End, c.Why, c.Word)
+				fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Number, time.UnixMilli(int64(c.ProposedAt)).Format(time.DateTime), c.Outcome, c.Reason, c.OutcomeReason)
 			}
-			if s.Record.Earlier > 0 {
-				fmt.Fprintf(w, "and %d before these\n", s.Record.Earlier)
+			if s.Record.TrimmedChanges > 0 {
+				fmt.Fprintf(w, "and %d before these\n", s.Record.TrimmedChanges)
 			}
 			return w.Flush()
 		}}
@@ -206,7 +206,7 @@
 	return cmd
 }
 
-func mark(l logic.Line) string {
+func mark(l logic.Difference) string {
 	if l.Tightens {
 		return "tighter  " + l.Text
 	}
@@ -214,7 +214,7 @@
 }
 
 // tellPolicy prints a status.
-func tellPolicy(w io.Writer, s *policy.Status, form string) error {
+func tellPolicy(w io.Writer, s *policyclient.Status, form string) error {
 	if form == "json" {
 		return json.NewEncoder(w).Encode(s)
 	}
@@ -222,7 +222,7 @@
 	for _, e := range s.Record.Policy {
 		fmt.Fprintf(w, "  %s\n", e)
 	}
-	if c := s.Record.Change; c != nil {
+	if c := s.Record.Pending; c != nil {
 		fmt.Fprintf(w, "change %d is being prepared: %s\n", c.Number, s.Waits)
 		for _, line := range logic.Diff(s.Record.Policy, c.Policy) {
 			fmt.Fprintf(w, "  %s\n", mark(line))
@@ -234,10 +234,10 @@
 	fmt.Fprintln(t, "gatherer\tzone\tstate\tepoch\theard\tversion\t")
 	for _, g := range s.Standings {
 		heard := "never by this steward"
-		if g.Since >= 0 {
-			heard = fmt.Sprintf("%.1f s ago", g.Since/1000)
+		if g.SinceLastPoll >= 0 {
+			heard = fmt.Sprintf("%.1f s ago", g.SinceLastPoll/1000)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Zone, g.State, g.Holds.Epoch, heard, g.Version, g.Word)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", g.Name, g.Zone, g.State, g.Applied.Epoch, heard, g.Version, g.Detail)
 	}
 	return t.Flush()
 }
--- a/internal/rollout/carry.go
+++ b/internal/control/rollout/carry.go
@@ -14,10 +14,10 @@
 	"syscall"
 	"time"
 
-	"yokeroute/internal/config"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/proc"
-	"yokeroute/internal/state"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/process"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/logic/rollout"
 )
 
@@ -28,7 +28,7 @@
 	if err != nil {
 		return "", err
 	}
-	return own.Sum, nil
+	return own.Checksum, nil
 }
 
 // CheckFiles reads all files of a side as gatherers would, before any is changed.
@@ -45,7 +45,7 @@
 				}
 			}
 			if f.Config != "" {
-				if _, err := config.Load(f.Config, func(string) string { return "" }); err != nil {
+				if _, err := platform.Load(f.Config, func(string) string { return "" }); err != nil {
 					all = append(all, fmt.Errorf("gatherer %s: %w", p.Gatherers[g].Name, err))
 				}
 			}
@@ -118,7 +118,7 @@
 	if err := os.MkdirAll(filepath.Dir(c.noteFile(g)), 0o755); err != nil {
 		return err
 	}
-	return state.Replace(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, proc.Started(pid)))
+	return statedir.Replace(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.StartTicks(pid)))
 }
 
 // alone waits until the command that a controller before this one has started for the gatherer has ended, since two at
@@ -137,7 +137,7 @@
 	defer force.Stop()
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
-	for proc.Started(pid) == began {
+	for process.StartTicks(pid) == began {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -173,7 +173,7 @@
 	if err == nil {
 		var pid int
 		var began string
-		if n, _ := fmt.Sscan(string(text), &pid, &began); n == 2 && proc.Started(pid) == began {
+		if n, _ := fmt.Sscan(string(text), &pid, &began); n == 2 && process.StartTicks(pid) == began {
 			return pid
 		}
 	}
@@ -199,7 +199,7 @@
 		words := strings.Split(strings.TrimRight(string(text), "\x00"), "\x00")
 		serves := len(words) > 1 && words[1] == "serve"
 		for i, w := range words {
-			if serves && (w == "--config" && i+1 < len(words) && words[i+1] == config || w == "--config="+config) && proc.Started(pid) != "" {
+			if serves && (w == "--config" && i+1 < len(words) && words[i+1] == config || w == "--config="+config) && process.StartTicks(pid) != "" {
 				return pid
 			}
 		}
@@ -209,14 +209,14 @@
 
 // adopt tells the runner of a process that serves already.
 func (r runner) adopt(g, pid int) error {
-	began := proc.Started(pid)
+	began := process.StartTicks(pid)
 	if began == "" {
 		return fmt.Errorf("gatherer %s: no process %d", r.p.Gatherers[g].Name, pid)
 	}
 	if err := os.MkdirAll(filepath.Dir(r.pidFile(g)), 0o755); err != nil {
 		return err
 	}
-	return state.Replace(r.pidFile(g), fmt.Appendf(nil, "%d %s\n", pid, began))
+	return statedir.Replace(r.pidFile(g), fmt.Appendf(nil, "%d %s\n", pid, began))
 }
 
 // install puts a side's files in the place of those that a gatherer reads.
@@ -229,7 +229,7 @@
 		if err != nil {
 			return err
 		}
-		if err := state.Replace(to, text); err != nil {
+		if err := statedir.Replace(to, text); err != nil {
 			return err
 		}
 	}
--- a/internal/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -13,8 +13,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/processes"
-	"yokeroute/internal/rollout"
+	"yokeroute/internal/control/rollout"
+	"yokeroute/internal/testbed/processtest"
 	logic "yokeroute/logic/rollout"
 )
 
@@ -82,24 +82,24 @@
 // Play plays one. Programs are built from the module in the current folder, without the race detector.
 func Play(ctx context.Context, t Terms) (out Outcome, err error) {
 	out = Outcome{Kind: t.Kind, Gatherers: t.Gatherers}
-	old, err := processes.BuildPlain("yokeroute", "yokeroute/internal/version.Set=1")
+	old, err := processtest.BuildPlain("yokeroute", "yokeroute/internal/version.Set=1")
 	if err != nil {
 		return out, err
 	}
 	newer := ""
 	if t.Kind == "good" {
-		newer, err = processes.BuildPlain("yokeroute", "yokeroute/internal/version.Set=2")
+		newer, err = processtest.BuildPlain("yokeroute", "yokeroute/internal/version.Set=2")
 	} else {
-		newer, err = processes.BuildWorse(t.Kind, "2", false)
+		newer, err = processtest.BuildWorse(t.Kind, "2", false)
 	}
 	if err != nil {
 		return out, err
 	}
-	sc, err := processes.Parse("live", fmt.Sprintf(fleetText, t.Rate, t.Gatherers, t.Seed), 0)
+	sc, err := processtest.Parse("live", fmt.Sprintf(fleetText, t.Rate, t.Gatherers, t.Seed), 0)
 	if err != nil {
 		return out, err
 	}
-	f, err := processes.StartFleet(ctx, sc, processes.Terms{Binary: old, Folder: filepath.Join(t.Folder, "fleet"), State: true, Report: true, MemoryMB: 32})
+	f, err := processtest.StartFleet(ctx, sc, processtest.Terms{Binary: old, Folder: filepath.Join(t.Folder, "fleet"), State: true, Report: true, MemoryMB: 32})
 	if err != nil {
 		return out, err
 	}
@@ -126,7 +126,7 @@
 	out.Lost = (total.Asked - total.Value) - (calm.Asked - calm.Value)
 	out.Before = (calm.Asked - calm.Value) / max(calm.Asked, 1e-9) * (total.Asked - calm.Asked)
 	for _, g := range f.Gatherers {
-		use := g.Process().Use()
+		use := g.Process().Usage()
 		out.Memory[0] += use.Memory / float64(len(f.Gatherers))
 		out.Memory[1] = max(out.Memory[1], use.Memory)
 	}
@@ -140,7 +140,7 @@
 }
 
 // control carries the rollout out in this process.
-func (t *Terms) control(ctx context.Context, f *processes.Fleet, old, newer string, out *Outcome) error {
+func (t *Terms) control(ctx context.Context, f *processtest.Fleet, old, newer string, out *Outcome) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, planText, filepath.Join(t.Folder, "run"), max(t.Gatherers/10, 1), max(t.Gatherers/20, 1), t.Seed)
 	for _, g := range f.Gatherers {
@@ -161,9 +161,9 @@
 	step := func(ctx context.Context, name string, to logic.Kind) error {
 		g := f.Gatherer(name)
 		p := g.Process()
-		p.Expect()
+		p.ExpectExit()
 		if p.Alive() {
-			if err := p.Term(ctx); err != nil {
+			if err := p.Terminate(ctx); err != nil {
 				return err
 			}
 		}
@@ -200,7 +200,7 @@
 }
 
 // supervise starts gatherers again that have ended by themselves, as a platform does.
-func supervise(ctx context.Context, f *processes.Fleet) {
+func supervise(ctx context.Context, f *processtest.Fleet) {
 	var wait sync.WaitGroup
 	defer wait.Wait()
 	for _, g := range f.Gatherers {
@@ -210,7 +210,7 @@
 				select {
 				case <-ctx.Done():
 					return
-				case <-p.Ended():
+				case <-p.Exited():
 				}
 				// One that was ended by a step has its successor by then.
 				select {
@@ -220,7 +220,7 @@
 				}
 				if g.Process() == p && p.Err() != nil {
 					if next, err := g.Launch(); err == nil {
-						next.Expect()
+						next.ExpectExit()
 					}
 				}
 			}
--- a/internal/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -14,10 +14,10 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/background"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/placefile"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/placementfile"
+	"yokeroute/internal/gatherer/background"
+	"yokeroute/internal/gatherer/shardcall"
 	"yokeroute/logic/balance"
 	"yokeroute/logic/jobs"
 	"yokeroute/logic/placement"
@@ -31,15 +31,15 @@
 
 // Keeper keeps a plan in force.
 type Keeper struct {
-	picker Picker
-	terms  gather.Terms
-	jobs   *background.Scheduler
-	log    *logrus.Logger
+	picker   Picker
+	settings *gather.Settings
+	jobs     *background.Scheduler
+	log      *logrus.Logger
 
 	mu      sync.Mutex
 	force   placement.Force
-	file    *placefile.File // to solve from, nil for none
-	listed  map[uint32]placefile.Listed
+	file    *placementfile.File // to solve from, nil for none
+	listed  map[uint32]placementfile.Listed
 	order   []uint32
 	numbers map[string]uint32
 	handed  [][]gather.Weight
@@ -48,8 +48,8 @@
 }
 
 // New makes a keeper without a plan, which hands down nothing.
-func New(picker Picker, terms gather.Terms, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
-	return &Keeper{picker: picker, terms: terms, jobs: jobs, log: log, listed: map[uint32]placefile.Listed{}, numbers: map[string]uint32{}}
+func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
+	return &Keeper{picker: picker, settings: settings, jobs: jobs, log: log, listed: map[uint32]placementfile.Listed{}, numbers: map[string]uint32{}}
 }
 
 // Configure takes over what the operator's file says of plans. What cannot be read changes nothing: the plan in
@@ -57,9 +57,9 @@
 func (k *Keeper) Configure(f *operator.File) error {
 	now := k.picker.Now()
 	var plan *placement.Plan
-	var file *placefile.File
+	var file *placementfile.File
 	if f.Plan != "" {
-		read, err := placefile.Read(f.Plan, now)
+		read, err := placementfile.Read(f.Plan, now)
 		if err != nil {
 			return err
 		}
@@ -71,7 +71,7 @@
 		}
 	}
 	if f.Placement != "" {
-		read, err := placefile.Read(f.Placement, now)
+		read, err := placementfile.Read(f.Placement, now)
 		if err != nil {
 			return err
 		}
@@ -83,7 +83,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if plan != nil || file == nil { // one that was solved goes on until the next is there
-		k.force = placement.Force{Plan: plan, MostAge: f.PlanAge}
+		k.force = placement.Force{Plan: plan, MostAge: f.PlanMaxAge}
 	}
 	if k.file = file; file == nil {
 		k.jobs.Cancel(jobName)
@@ -98,23 +98,23 @@
 }
 
 // Follow takes over news of the list; all are the servers on it, by name.
-func (k *Keeper) Follow(list gather.List, all []shardcall.Address) {
+func (k *Keeper) Follow(list gather.EndpointList, all []shardcall.Address) {
 	if list.Failed {
 		return
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	figures := map[uint32]gather.Server{}
+	figures := map[uint32]gather.Endpoint{}
 	for id, l := range k.listed {
-		figures[id] = l.Server
+		figures[id] = l.Endpoint
 	}
-	for _, s := range list.Servers {
+	for _, s := range list.Endpoints {
 		figures[s.ID] = s
 	}
 	before := k.listed
-	k.listed, k.numbers, k.order = map[uint32]placefile.Listed{}, map[string]uint32{}, k.order[:0]
+	k.listed, k.numbers, k.order = map[uint32]placementfile.Listed{}, map[string]uint32{}, k.order[:0]
 	for _, a := range all {
-		k.listed[a.ID] = placefile.Listed{Name: a.Name, Server: figures[a.ID]}
+		k.listed[a.ID] = placementfile.Listed{Name: a.Name, Endpoint: figures[a.ID]}
 		k.numbers[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
@@ -136,7 +136,7 @@
 	k.jobs.Submit(jobName, jobs.Normal, func(pause func() error) error {
 		k.mu.Lock()
 		file, before := k.file, k.force.Plan
-		var list []placefile.Listed
+		var list []placementfile.Listed
 		for _, id := range k.order {
 			list = append(list, k.listed[id])
 		}
@@ -144,7 +144,7 @@
 		if file == nil {
 			return nil
 		}
-		model, err := file.WithList(list, k.terms, k.picker.Now())
+		model, err := file.WithList(list, k.settings, k.picker.Now())
 		if err != nil {
 			return err
 		}
@@ -161,7 +161,7 @@
 		case err != nil:
 			return err
 		case clash != nil:
-			rate := func(units int64) string { return placefile.FormatUnits(model.Unit, units) }
+			rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
 			k.log.WithField("hosts", len(model.Hosts)).Warnf("no weights fit, the plan in force stays: %s", clash.Words(rate))
 			return nil
 		}
@@ -185,7 +185,7 @@
 		id, listed := k.numbers[host]
 		return listed && k.listed[id].State == gather.Running
 	})
-	weights := placement.Shares(s.Rows, k.terms.Text("zone"), func(host string) (uint32, bool) {
+	weights := placement.Shares(s.Rows, k.settings.Zone, func(host string) (uint32, bool) {
 		id, listed := k.numbers[host]
 		return id, listed
 	})
--- a/internal/report/count.go
+++ b/internal/gatherer/report/count.go
@@ -10,9 +10,9 @@
 	"syscall"
 
 	"yokeroute/gather"
-	"yokeroute/internal/formats"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/proc"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/process"
+	"yokeroute/internal/storage/formats"
 	"yokeroute/internal/version"
 	"yokeroute/logic/phases"
 	"yokeroute/logic/rollout"
@@ -24,12 +24,12 @@
 
 // Counter counts what becomes of lookups. It is a pick.Tracer and a pick.Witness.
 type Counter struct {
-	terms   gather.Terms
-	now     func() float64
-	pool    Pool
-	head    Document
-	process string
-	Policy  func() any // what the gatherer tells of the operators' policy, nil for nothing; set before the first report
+	settings *gather.Settings
+	now      func() float64
+	pool     Pool
+	head     Document
+	process  string
+	Policy   func() any // what the gatherer tells of the operators' policy, nil for nothing; set before the first report
 
 	mu       sync.Mutex
 	indexes  map[string]*Index
@@ -60,15 +60,15 @@
 }
 
 // NewCounter makes a counter of a gatherer of that name, by its terms and clock.
-func NewCounter(name string, terms gather.Terms, now func() float64, pool Pool) *Counter {
-	c := &Counter{terms: terms, now: now, pool: pool, indexes: map[string]*Index{}, limits: map[string]limits{}, states: map[uint32]gather.State{}, files: map[string]string{}}
-	for _, ix := range terms.Names("indexes") {
+func NewCounter(name string, settings *gather.Settings, now func() float64, pool Pool) *Counter {
+	c := &Counter{settings: settings, now: now, pool: pool, indexes: map[string]*Index{}, limits: map[string]limits{}, states: map[uint32]gather.State{}, files: map[string]string{}}
+	for _, ix := range settings.ClassNames() {
 		c.indexes[ix] = newIndex()
-		c.limits[ix] = limits{terms.Num(ix + "/soft deadline"), terms.Num(ix + "/late share"), terms.Num(ix + "/whole from"), terms.Num(ix + "/partial earns")}
+		c.limits[ix] = limits{settings.Class(ix).LatencyObjective, settings.Class(ix).LateValue, settings.Class(ix).CompleteShare, settings.Class(ix).PartialValue}
 	}
 	at := now()
-	c.process = proc.Name(at)
-	c.head = Document{Form: Form, Name: name, Zone: terms.Text("zone"), Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
+	c.process = process.Identity(at)
+	c.head = Document{Form: Form, Name: name, Zone: settings.Zone, Version: version.Name(), Program: version.Program(), Formats: formats.Numbers(), Process: c.process, Started: at}
 	return c
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Follow takes news of the list.
-func (c *Counter) Follow(l gather.List) {
+func (c *Counter) Follow(l gather.EndpointList) {
 	if l.Failed {
 		return
 	}
@@ -100,27 +100,27 @@
 	if l.Full {
 		clear(c.states)
 	}
-	for _, s := range l.Servers {
-		if c.states[s.ID] = s.State; s.State == gather.Gone {
+	for _, s := range l.Endpoints {
+		if c.states[s.ID] = s.State; s.State == gather.Removed {
 			delete(c.states, s.ID)
 		}
 	}
 }
 
 // Opened is counted by its end.
-func (c *Counter) Opened(*pick.Lookup, *phases.Choice, float64) {}
+func (c *Counter) Opened(*dispatch.Lookup, *phases.Choice, float64) {}
 
 // Sent is a decision; Written tells what went.
-func (c *Counter) Sent(*pick.Call, float64) {}
+func (c *Counter) Sent(*dispatch.Call, float64) {}
 
 // Closed is no end.
-func (c *Counter) Closed(*pick.Lookup, *phases.Next, float64) {}
+func (c *Counter) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
 // Answered is counted by Ended.
-func (c *Counter) Answered(*pick.Lookup, pick.Verdict, float64) {}
+func (c *Counter) Answered(*dispatch.Lookup, dispatch.Verdict, float64) {}
 
 // Written counts a part call whose bytes go.
-func (c *Counter) Written(call *pick.Call, _ float64) {
+func (c *Counter) Written(call *dispatch.Call, _ float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[call.Lookup().Index]
@@ -134,7 +134,7 @@
 }
 
 // Heard counts the end of a part call.
-func (c *Counter) Heard(call *pick.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
+func (c *Counter) Heard(call *dispatch.Call, outcome gather.Outcome, waited float64, _ *phases.Summary) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[call.Lookup().Index]
@@ -146,7 +146,7 @@
 }
 
 // Ended counts a lookup.
-func (c *Counter) Ended(lk *pick.Lookup, v pick.Verdict, at float64) {
+func (c *Counter) Ended(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ix := c.indexes[lk.Index]
@@ -158,7 +158,7 @@
 	ix.Parts += int64(len(lk.Parts))
 	took := at - lk.Landed()
 	switch v.Kind {
-	case pick.Satisfied:
+	case dispatch.Satisfied:
 		value := 1.0
 		if v.Whole {
 			ix.Satisfied++
@@ -173,11 +173,11 @@
 		}
 		ix.Value += min(value, 1)
 		ix.Took.Add(took)
-	case pick.Nacked:
+	case dispatch.Nacked:
 		ix.Nacked++
-	case pick.Aborted:
+	case dispatch.Aborted:
 		ix.Aborted++
-	case pick.Left:
+	case dispatch.Left:
 		ix.Left++
 	default:
 		ix.Broken++
@@ -185,9 +185,9 @@
 }
 
 // weight is what is in of an answer in part.
-func weight(lk *pick.Lookup, v *pick.Verdict) (in float64) {
+func weight(lk *dispatch.Lookup, v *dispatch.Verdict) (in float64) {
 	for _, pt := range lk.Parts {
-		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h pick.Hit) bool { return h.Shard == pt.Shard }) {
+		if slices.Contains(v.Empty, pt.Shard) || slices.ContainsFunc(v.Hits, func(h dispatch.Hit) bool { return h.Shard == pt.Shard }) {
 			in += pt.Weight
 		}
 	}
@@ -242,7 +242,7 @@
 func (c *Counter) document(since string, ready, mark bool) *Document {
 	d := c.head
 	open, opened := c.pool.Connections()
-	d.At, d.Ready, d.Memory, d.Goroutines, d.Connections = c.now(), ready, proc.Of(os.Getpid()).Memory*(1<<20), runtime.NumGoroutine(), open
+	d.At, d.Ready, d.Memory, d.Goroutines, d.Connections = c.now(), ready, process.UsageOf(os.Getpid()).Memory*(1<<20), runtime.NumGoroutine(), open
 	cpu := cpuUsed()
 	if c.Policy != nil {
 		d.Policy = c.Policy()
--- a/internal/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -17,18 +17,18 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/background"
-	"yokeroute/internal/config"
-	"yokeroute/internal/discovery"
-	"yokeroute/internal/front"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/plans"
-	"yokeroute/internal/segments"
-	"yokeroute/internal/shardcall"
-	"yokeroute/internal/state"
-	"yokeroute/internal/trace"
-	"yokeroute/logic/owners"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/control/segments"
+	"yokeroute/internal/gatherer/background"
+	"yokeroute/internal/gatherer/discovery"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/frontend"
+	"yokeroute/internal/gatherer/plans"
+	"yokeroute/internal/gatherer/shardcall"
+	"yokeroute/internal/gatherer/trace"
+	"yokeroute/internal/storage/statedir"
+	"yokeroute/logic/ownership"
 )
 
 // ownSockets are descriptors besides connections of lookups: standard streams, listener, poller, the runtime's own,
@@ -37,16 +37,16 @@
 
 // Service is one gatherer.
 type Service struct {
-	Picker *pick.Picker
+	Picker *dispatch.Picker
 
 	log       *logrus.Logger
 	pool      *shardcall.Pool
 	follower  *discovery.Follower
 	keeper    *plans.Keeper
-	server    *front.Server
+	server    *frontend.Server
 	traces    *trace.Recorder
 	record    *trace.File
-	ledger    *state.Gatherer
+	ledger    *statedir.Gatherer
 	tells     *tells // nil where it tells nothing of itself
 	handover  *handover
 	governed  *governed // nil where no policy is followed
@@ -54,26 +54,26 @@
 	owned     bool // a map says who owns which keys
 
 	mu sync.Mutex
-	c  *config.Config
+	c  *platform.Config
 }
 
 // New makes a gatherer that serves nothing yet. What of the operator's file does not fit is told in the log and left
 // out: a gatherer serves without a plan rather than not at all.
-func New(c *config.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
-	terms := c.Terms
-	if own.MostOwned > 0 {
-		if terms.Num("shards") < 1 {
+func New(c *platform.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
+	settings := c.Settings
+	if own.MaxSegments > 0 {
+		if settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
 		}
-		terms = pick.OwnedTerms(terms, own.MostOwned)
+		settings = dispatch.OwnedTerms(settings, own.MaxSegments)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("plans and two phases go by groups of shards and are left out where segments have owners of their own")
 			own.Plan, own.Placement, own.TwoPhase = "", "", nil
 		}
 	}
-	s := &Service{c: c, log: log, owned: own.MostOwned > 0, Picker: pick.New(c.Seed, terms, log)}
-	if own.Keep > 0 {
-		ledger, found, err := state.OpenGatherer(own.State, int64(own.StateMost), own.Keep, s.Picker.Now())
+	s := &Service{c: c, log: log, owned: own.MaxSegments > 0, Picker: dispatch.New(c.Seed, settings, log)}
+	if own.NameRetention > 0 {
+		ledger, found, err := statedir.OpenGatherer(own.State, int64(own.JournalMaxBytes), own.NameRetention, s.Picker.Now())
 		if err != nil {
 			return nil, err
 		}
@@ -92,8 +92,8 @@
 			return nil, err
 		}
 	}
-	if own.MostOwned > 0 {
-		s.Picker.Segments(own.MostOwned, int(terms.Num("shards")))
+	if own.MaxSegments > 0 {
+		s.Picker.Segments(own.MaxSegments, settings.Shards)
 		if s.ledger != nil && s.ledger.Map() != nil {
 			s.Picker.SetMap(s.ledger.Map())
 		}
@@ -104,8 +104,8 @@
 			}
 			s.Picker.SetMap(m)
 		}
-		if own.Authority != "" {
-			s.authority = segments.NewFollower(own.Authority, s.Picker, log)
+		if own.SegmentAuthority != "" {
+			s.authority = segments.NewFollower(own.SegmentAuthority, s.Picker, log)
 		}
 	}
 	// One connection to a shard server carries many parts, one from a client a single lookup: of what the process
@@ -114,8 +114,8 @@
 	// They get a third of all for requests; of those that have asked a quarter is kept, so that new ones find room.
 	rest := c.Limits.Sockets - ownSockets
 	clients := (rest - rest/4 - 2) * 8 / 10
-	s.pool = shardcall.New(c.Terms, rest/4, s.Picker, log)
-	marked, err := own.Fit(c.Terms)
+	s.pool = shardcall.New(c.Settings, rest/4, s.Picker, log)
+	marked, err := own.TwoPhaseSettings(c.Settings)
 	if err != nil {
 		log.WithError(err).Error("two phases refused for these indexes: one phase")
 	}
@@ -123,40 +123,40 @@
 		s.Picker.Phases(marked)
 		s.pool.Agree(s.Picker.Speaks)
 	}
-	if own.Traces > 0 {
-		s.traces = trace.New(own.Traces, own.KeepShare)
+	if own.TracesKept > 0 {
+		s.traces = trace.New(own.TracesKept, own.TraceShare)
 		s.Picker.Trace(s.traces)
 	}
-	governed, err := govern(c, own, terms, s.Picker, log)
+	governed, err := govern(c, own, settings, s.Picker, log)
 	if err != nil {
 		return nil, err
 	}
 	s.governed = governed
 	shards := 0
-	if own.MostOwned > 0 {
-		shards = int(terms.Num("shards"))
+	if own.MaxSegments > 0 {
+		shards = settings.Shards
 	}
 	if own.Record != "" {
-		if s.record, err = trace.Create(own.Record, own.RecordMost, own.RecordAtOnce, c.Terms, shards, s.Picker.Now()); err != nil {
+		if s.record, err = trace.Create(own.Record, own.RecordMaxBytes, own.RecordUnbuffered, c.Settings, shards, s.Picker.Now()); err != nil {
 			return nil, fmt.Errorf("record: %w", err)
 		}
 		s.Picker.Trace(s.record)
 		s.Picker.Watch(s.record)
 	}
-	s.keeper = plans.New(s.Picker, c.Terms, background.New(own.Background, log), log)
+	s.keeper = plans.New(s.Picker, c.Settings, background.New(own.BackgroundShare, log), log)
 	if err := s.keeper.Configure(own); err != nil { // against not serving for want of a plan
 		log.WithError(err).Error("plan refused: plain turns")
 	}
 	var listed atomic.Bool
-	if own.Report != "" {
+	if own.ReportAddress != "" {
 		if s.tells, err = newTells(c, own, s.Picker, s.pool, s.governed.tells(), listed.Load, log); err != nil {
 			return nil, err
 		}
 	}
-	s.follower = discovery.New(c.Discovery, func(list gather.List, all []shardcall.Address) {
+	s.follower = discovery.New(c.Discovery, func(list gather.EndpointList, all []shardcall.Address) {
 		s.governed.follow(list, all)
 		s.pool.Follow(all) // first, so that the module names no server whose address is not known
-		if own.MostOwned > 0 {
+		if own.MaxSegments > 0 {
 			names := make(map[uint32]string, len(all))
 			for _, a := range all {
 				names[a.ID] = a.Name
@@ -177,14 +177,14 @@
 			listed.Store(true)
 		}
 	}, s.Picker.Asked(), log)
-	if terms.Flag("list is asked for") {
+	if settings.EndpointsOnRequest {
 		s.follower.Shared()
 	}
-	if c.Known != nil {
-		s.handover.apply(c.Known)
-		s.follower.Take(c.Known)
+	if c.KnownEndpoints != nil {
+		s.handover.apply(c.KnownEndpoints)
+		s.follower.Take(c.KnownEndpoints)
 	}
-	s.server = front.New(s.Picker, c.Terms, clients, c.Limits.Sockets/4, listed.Load, log)
+	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
 	if s.traces != nil {
 		s.server.Admin(trace.Path, s.traces)
 	}
@@ -247,7 +247,7 @@
 }
 
 // Reload takes over what of a new configuration can change under load. A faulty one changes nothing.
-func (s *Service) Reload(load func() (*config.Config, error)) {
+func (s *Service) Reload(load func() (*platform.Config, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	old := s.c
@@ -257,13 +257,13 @@
 		return
 	}
 	s.c = c
-	s.tells.inForce("config", c.Sum)
+	s.tells.inForce("config", c.Checksum)
 	s.follower.Move(c.Discovery)
 	if c.Limits != old.Limits {
 		Limit(c.Limits)
 	}
 	for key, changed := range map[string]bool{"name": c.Name != old.Name, "listen": c.Listen != old.Listen,
-		"limits.sockets": c.Limits.Sockets != old.Limits.Sockets, "settings": !reflect.DeepEqual(c.Terms, old.Terms)} {
+		"limits.sockets": c.Limits.Sockets != old.Limits.Sockets, "settings": !reflect.DeepEqual(c.Settings, old.Settings)} {
 		if changed { // connections and lookups in hand go by it
 			s.log.WithField("key", key).Warn("new configuration: this key counts from the next start")
 		}
@@ -277,7 +277,7 @@
 	if err == nil && s.owned {
 		own.Plan, own.Placement = "", ""
 		if own.Segments != "" {
-			var m *owners.Map
+			var m *ownership.Map
 			if m, _, err = segments.ReadMap(own.Segments); err == nil {
 				s.Picker.SetMap(m) // an older one changes nothing, another one of the same epoch is a contradiction
 			}
@@ -297,7 +297,7 @@
 }
 
 // Limit tells the runtime what the platform allows, against being killed for memory or throttled mid-collection.
-func Limit(l config.Limits) {
+func Limit(l platform.Limits) {
 	runtime.GOMAXPROCS(max(int(math.Ceil(l.Cores)), 1))
 	debug.SetMemoryLimit(int64(l.MemoryMB * (1 << 20) * 3 / 4))
 }
--- a/internal/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -4,13 +4,13 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/config"
-	"yokeroute/internal/discovery"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/report"
-	"yokeroute/internal/shardcall"
-	"yokeroute/internal/state"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/gatherer/discovery"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/report"
+	"yokeroute/internal/gatherer/shardcall"
+	"yokeroute/internal/storage/statedir"
 	"yokeroute/internal/version"
 )
 
@@ -20,17 +20,17 @@
 	server  *report.Server
 }
 
-func newTells(c *config.Config, own *operator.File, picker *pick.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
-	counter := report.NewCounter(c.Name, c.Terms, picker.Now, pool)
+func newTells(c *platform.Config, own *operator.File, picker *dispatch.Picker, pool *shardcall.Pool, policy func() any, ready func() bool, log *logrus.Logger) (*tells, error) {
+	counter := report.NewCounter(c.Name, c.Settings, picker.Now, pool)
 	counter.Policy = policy
-	server, err := report.Listen(own.Report, counter, ready, log)
+	server, err := report.Listen(own.ReportAddress, counter, ready, log)
 	if err != nil {
 		return nil, err
 	}
 	picker.Trace(counter)
 	picker.Watch(counter)
 	t := &tells{counter, server}
-	t.inForce("config", c.Sum)
+	t.inForce("config", c.Checksum)
 	t.files(own)
 	return t, nil
 }
@@ -46,12 +46,12 @@
 	if t == nil {
 		return
 	}
-	t.inForce("operator", own.Sum)
+	t.inForce("operator", own.Checksum)
 	for kind, name := range map[string]string{"plan": own.Plan, "placement": own.Placement, "segments": own.Segments} {
 		sum := ""
 		if name != "" {
 			var err error
-			if sum, err = version.OfFile(name); err != nil { // it has been read a moment ago
+			if sum, err = version.FileChecksum(name); err != nil { // it has been read a moment ago
 				sum = "unknown"
 			}
 		}
@@ -59,7 +59,7 @@
 	}
 }
 
-func (t *tells) follow(list gather.List) {
+func (t *tells) follow(list gather.EndpointList) {
 	if t != nil {
 		t.counter.Follow(list)
 	}
@@ -73,12 +73,12 @@
 
 // handover wires what a gatherer leaves to its successor. A nil one leaves nothing.
 type handover struct {
-	*state.Handover
+	*statedir.Handover
 	log *logrus.Logger
 }
 
 func openHandover(folder string, log *logrus.Logger) (*handover, error) {
-	h, err := state.OpenHandover(folder)
+	h, err := statedir.OpenHandover(folder)
 	if h == nil {
 		return nil, err
 	}
@@ -99,7 +99,7 @@
 }
 
 // follow puts down which servers drain. What earlier processes heard stays until discovery itself has told.
-func (h *handover) follow(list gather.List, all []shardcall.Address) {
+func (h *handover) follow(list gather.EndpointList, all []shardcall.Address) {
 	if h == nil || list.Failed {
 		return
 	}
--- a/internal/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -15,13 +15,13 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
+	"yokeroute/internal/gatherer/dispatch"
 )
 
 // Reporter hears how part calls ended and what came of probes; it must not block.
 type Reporter interface {
-	Report(c *pick.Call, outcome gather.Outcome, value []byte)
-	Sample(s gather.Sample)
+	Report(c *dispatch.Call, outcome gather.Outcome, value []byte)
+	Sample(s gather.HealthCheckResult)
 }
 
 // Address is where a server of the list is reached.
@@ -56,7 +56,7 @@
 	agreeing chan struct{}
 	again    time.Duration // after which a server that could not be reached is asked again
 	servers  map[uint32]*server
-	attempts map[*pick.Call]*attempt
+	attempts map[*dispatch.Call]*attempt
 }
 
 // server is one shard server and the connections to it that may take calls.
@@ -82,7 +82,7 @@
 
 // attempt is a part call between its decision and its end.
 type attempt struct {
-	call    *pick.Call
+	call    *dispatch.Call
 	id      string
 	srv     *server
 	on      *conn
@@ -96,11 +96,11 @@
 const defaultConnect = time.Second
 
 // New makes a pool that keeps the limits in the terms, and to so many connections where it can.
-func New(terms gather.Terms, most int, reporter Reporter, log *logrus.Logger) *Pool {
-	span := func(name string) time.Duration { return time.Duration(terms.Num(name) * 1e6) }
-	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span("connect time-out"),
-		grace: span("drain grace"), copies: terms.Flag("second copies"), perFrame: max(int(terms.Num("parts a call")), 1), perConn: int(terms.Num("streams")),
-		servers: map[uint32]*server{}, attempts: map[*pick.Call]*attempt{}}
+func New(settings *gather.Settings, most int, reporter Reporter, log *logrus.Logger) *Pool {
+	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
+	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(settings.ConnectTimeout),
+		grace: span(settings.DrainGrace), copies: settings.HedgingAllowed, perFrame: max(settings.RequestsPerCall, 1), perConn: settings.StreamsPerConnection,
+		servers: map[uint32]*server{}, attempts: map[*dispatch.Call]*attempt{}}
 	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTime) }
 	if p.connectTime == 0 {
 		p.connectTime = defaultConnect
@@ -108,19 +108,19 @@
 	// A connection that has stood idle for the time in the terms swallows what is written to it. It is closed
 	// before that by the time that setting one up may take, against a call that crosses the other side's close.
 	p.idleTime = math.MaxInt64
-	if terms.Num("idle close") > 0 {
-		p.idleTime = max(span("idle close")-p.connectTime, span("idle close")/2)
+	if settings.IdleTimeout > 0 {
+		p.idleTime = max(span(settings.IdleTimeout)-p.connectTime, span(settings.IdleTimeout)/2)
 	}
 	if p.perConn < 1 { // no limit is told
 		p.perConn = math.MaxInt32
 	}
 	// On a machine that vanished, and where a connection has fallen silent, only a new one shows what is there.
 	p.silence = math.MaxInt64
-	if ms := pick.Silence(terms); ms < 1e9 {
+	if ms := dispatch.Silence(settings); ms < 1e9 {
 		p.silence = time.Duration(ms * 1e6)
 	}
-	for _, index := range terms.Names("indexes") {
-		p.memory = max(p.memory, 2*span(index+"/hard deadline"))
+	for i := range settings.Classes {
+		p.memory = max(p.memory, 2*span(settings.Classes[i].Deadline))
 	}
 	return p
 }
@@ -145,8 +145,8 @@
 		p.agree(s)
 	}
 	for id, s := range p.servers {
-		if !listed[id] || s.State == gather.Gone {
-			s.State = gather.Gone
+		if !listed[id] || s.State == gather.Removed {
+			s.State = gather.Removed
 			p.hasten(s)
 			s.retire()
 			delete(p.servers, id)
@@ -170,7 +170,7 @@
 }
 
 // Carry does what a round has ordered. It does not wait for the network.
-func (p *Pool) Carry(o pick.Orders) {
+func (p *Pool) Carry(o dispatch.Orders) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// What ends goes first, against giving up a part of the same name that is only now asked for.
@@ -251,7 +251,7 @@
 
 // stop keeps a call from being written. One that is being written to a server that has stopped reading would
 // hold up its lookup's answer: it gets no more time, which breaks off nothing that the kernel still takes.
-func (p *Pool) stop(call *pick.Call) {
+func (p *Pool) stop(call *dispatch.Call) {
 	a := p.attempts[call]
 	switch {
 	case a == nil || a.written:
@@ -262,14 +262,14 @@
 	}
 }
 
-func (p *Pool) abandon(call *pick.Call, stage Stage, err error) {
+func (p *Pool) abandon(call *dispatch.Call, stage Stage, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.abandonLocked(call, stage, err)
 }
 
 // abandonLocked gives up a call that is still out; one whose bytes have not begun to go was never sent.
-func (p *Pool) abandonLocked(call *pick.Call, stage Stage, err error) {
+func (p *Pool) abandonLocked(call *dispatch.Call, stage Stage, err error) {
 	a := p.attempts[call]
 	if a == nil {
 		return
--- a/internal/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -7,9 +7,9 @@
 	"sync"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/rules"
-	"yokeroute/logic/owners"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/logic/ownership"
 	"yokeroute/logic/phases"
 )
 
@@ -19,7 +19,7 @@
 type File struct {
 	mu     sync.Mutex
 	f      *os.File
-	w      *rules.Writer
+	w      *rulecheck.Writer
 	most   int64
 	at     bool // each event is handed to the system at once
 	shards int  // into which clients part the keys, where a map says who owns them; 0 where none does
@@ -27,29 +27,29 @@
 	last   float64
 	why    string // it has ended, and why
 	next   uint64
-	open   map[*pick.Lookup]uint64
+	open   map[*dispatch.Lookup]uint64
 	states map[uint32]gather.State
 }
 
 // Create begins a record by a gatherer's terms, at its time. Shards is 0 where no map says who owns their keys. With
 // atOnce a process that is killed leaves a record that lacks nothing but its last line; each event costs a system call.
-func Create(name string, most float64, atOnce bool, terms gather.Terms, shards int, now float64) (*File, error) {
+func Create(name string, most float64, atOnce bool, settings *gather.Settings, shards int, now float64) (*File, error) {
 	f, err := os.Create(name)
 	if err != nil {
 		return nil, err
 	}
-	h := rules.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: terms.Num("drain grace"), Slack: terms.Num("answer slack"), Indexes: map[string]rules.Index{}}
-	if terms.Num("budget span") > 0 {
-		h.Budget = &rules.Budget{Span: terms.Num("budget span"), Free: terms.Num("budget free"), Share: terms.Num("budget share")}
+	h := rulecheck.Header{Source: "yokeroute serve", Begin: 0, Unix: now, Grace: settings.DrainGrace, Slack: settings.AnswerSlack, Indexes: map[string]rulecheck.Index{}}
+	if settings.RetryBudgetWindow > 0 {
+		h.Budget = &rulecheck.Budget{Span: settings.RetryBudgetWindow, Free: settings.RetryBudgetFloor, Share: settings.RetryBudgetRatio}
 	}
-	for _, name := range terms.Names("indexes") {
-		h.Indexes[name] = rules.Index{Effect: terms.Text(name + "/effect"), Window: terms.Num(name + "/window"), Whole: terms.Num(name + "/whole from"), Least: terms.Num(name + "/least share")}
+	for _, name := range settings.ClassNames() {
+		h.Indexes[name] = rulecheck.Index{Effect: string(settings.Class(name).Effect), Window: settings.Class(name).IdempotencyWindow, Whole: settings.Class(name).CompleteShare, Least: settings.Class(name).MinShare}
 	}
-	return &File{f: f, w: rules.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*pick.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
+	return &File{f: f, w: rulecheck.NewWriter(f, h), most: int64(most), at: atOnce, shards: shards, begin: now, next: 1, open: map[*dispatch.Lookup]uint64{}, states: map[uint32]gather.State{}}, nil
 }
 
 // see writes an event, unless the record has ended. The lock is held.
-func (r *File) see(at float64, e rules.Event) {
+func (r *File) see(at float64, e rulecheck.Event) {
 	if r.why != "" {
 		return
 	}
@@ -87,41 +87,41 @@
 	return nil
 }
 
-var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Gone: "gone"}
+var states = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}
 
 // Follow records what the gatherer was told of servers.
-func (r *File) Follow(l gather.List, at float64) {
+func (r *File) Follow(l gather.EndpointList, at float64) {
 	if l.Failed {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	listed := map[uint32]bool{}
-	for _, s := range l.Servers {
+	for _, s := range l.Endpoints {
 		listed[s.ID] = true
 		if was, known := r.states[s.ID]; !known || was != s.State {
 			r.states[s.ID] = s.State
-			r.see(at, rules.Event{Kind: rules.Told, Server: s.ID, State: states[s.State]})
+			r.see(at, rulecheck.Event{Kind: rulecheck.Told, Server: s.ID, State: states[s.State]})
 		}
 	}
 	for id := range r.states {
 		if l.Full && !listed[id] {
-			r.see(at, rules.Event{Kind: rules.Told, Server: id, State: "gone"})
+			r.see(at, rulecheck.Event{Kind: rulecheck.Told, Server: id, State: "gone"})
 			delete(r.states, id)
 		}
 	}
 }
 
 // Opened begins a lookup.
-func (r *File) Opened(lk *pick.Lookup, _ *phases.Choice, at float64) {
+func (r *File) Opened(lk *dispatch.Lookup, _ *phases.Choice, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open[lk] = r.next
-	e := rules.Event{Kind: rules.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Index, Until: lk.GiveUpAt - r.begin}
+	e := rulecheck.Event{Kind: rulecheck.Taken, Lookup: r.next, Name: lk.ID, Index: lk.Index, Until: lk.GiveUpAt - r.begin}
 	for _, p := range lk.Parts {
-		part := rules.Part{Shard: p.Shard, Weight: p.Weight}
+		part := rulecheck.Part{Shard: p.Shard, Weight: p.Weight}
 		if r.shards > 0 {
-			part.Keys = keys(owners.Slot(p.Shard, r.shards))
+			part.Keys = keys(ownership.Slot(p.Shard, r.shards))
 		}
 		e.Parts = append(e.Parts, part)
 	}
@@ -130,21 +130,21 @@
 }
 
 // Sent is a decision, which the wire may never see; Written tells.
-func (r *File) Sent(*pick.Call, float64) {}
+func (r *File) Sent(*dispatch.Call, float64) {}
 
 // Written records a call whose first byte is about to go.
-func (r *File) Written(c *pick.Call, at float64) {
+func (r *File) Written(c *dispatch.Call, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if number, open := r.open[c.Lookup()]; open {
-		r.see(at, rules.Event{Kind: rules.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Keys: keysOf(c)})
+		r.see(at, rulecheck.Event{Kind: rulecheck.Sent, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Keys: keysOf(c)})
 	}
 }
 
-func keys(r owners.Range) *rules.Keys { return &rules.Keys{Lo: r.Lo, Hi: r.Hi} }
+func keys(r ownership.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
 
 // keysOf are the keys that a call asks for, nil where no map says who owns what.
-func keysOf(c *pick.Call) *rules.Keys {
+func keysOf(c *dispatch.Call) *rulecheck.Keys {
 	r, _, _, owned := c.Keys()
 	if !owned {
 		return nil
@@ -153,25 +153,25 @@
 }
 
 // Heard records how a call ended.
-func (r *File) Heard(c *pick.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
+func (r *File) Heard(c *dispatch.Call, outcome gather.Outcome, waited float64, s *phases.Summary) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[c.Lookup()]
 	if !open || !c.Begun() {
 		return
 	}
-	r.see(c.At()+waited, rules.Event{Kind: rules.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Outcome: outcome.String(),
-		Empty: c.First() && outcome == gather.Answered && s.Empty, Keys: keysOf(c)})
+	r.see(c.At()+waited, rulecheck.Event{Kind: rulecheck.Ended, Lookup: number, Shard: c.Shard(), Server: c.Server, Call: c.Number(), First: c.First(), Outcome: outcome.String(),
+		Empty: c.First() && outcome == gather.Succeeded && s.Empty, Keys: keysOf(c)})
 }
 
 // Closed is of no interest to the rules.
-func (r *File) Closed(*pick.Lookup, *phases.Next, float64) {}
+func (r *File) Closed(*dispatch.Lookup, *phases.Next, float64) {}
 
 // Ended is a decision as well; Answered tells when nothing can go any more.
-func (r *File) Ended(*pick.Lookup, pick.Verdict, float64) {}
+func (r *File) Ended(*dispatch.Lookup, dispatch.Verdict, float64) {}
 
 // Answered records a final answer.
-func (r *File) Answered(lk *pick.Lookup, v pick.Verdict, at float64) {
+func (r *File) Answered(lk *dispatch.Lookup, v dispatch.Verdict, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	number, open := r.open[lk]
@@ -179,10 +179,10 @@
 		return
 	}
 	delete(r.open, lk)
-	e := rules.Event{Lookup: number, Whole: v.Whole}
+	e := rulecheck.Event{Lookup: number, Whole: v.Whole}
 	switch v.Kind {
-	case pick.Satisfied:
-		e.Kind = rules.Answered
+	case dispatch.Satisfied:
+		e.Kind = rulecheck.Answered
 		for _, h := range v.Hits {
 			e.In = append(e.In, h.Shard)
 			if h.Keys != nil {
@@ -195,12 +195,12 @@
 			e.InKeys = nil
 		}
 		e.In = append(e.In, v.Empty...)
-	case pick.Nacked:
-		e.Kind = rules.Nacked
-	case pick.Left:
-		e.Kind = rules.Left
+	case dispatch.Nacked:
+		e.Kind = rulecheck.Nacked
+	case dispatch.Left:
+		e.Kind = rulecheck.Left
 	default:
-		e.Kind = rules.Aborted
+		e.Kind = rulecheck.Aborted
 	}
 	r.see(at, e)
 }
--- a/internal/emulator/result.go
+++ b/internal/testbed/emulator/result.go
@@ -9,8 +9,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/rulecheck"
 )
 
 // Result is what a day came to. Shares are of lookups that clients asked for after the warm-up, with all their tries.
@@ -46,7 +46,7 @@
 	Refused  int                `json:"refused,omitempty"` // calls that came to who did not own their keys
 	Rounds   int                `json:"rounds"`            // of all gatherers
 	Faults   int                `json:"faults"`            // lookups lost to a panic of the module
-	Rules    *rules.Report      `json:"rules,omitempty"`
+	Rules    *rulecheck.Report  `json:"rules,omitempty"`
 
 	hist    *hdrhistogram.Histogram
 	indexes map[string]*Share
@@ -151,7 +151,7 @@
 	n := max(float64(r.Lookups), 1)
 	r.Gain = r.earned / max(r.asked, 1e-9)
 	r.InAim, r.Satisfied, r.Whole, r.Tries = float64(r.inAim)/n, float64(r.served)/n, float64(r.whole)/n, float64(r.tried)/n
-	r.Nacked, r.Aborted = float64(w.verdicts[pick.Nacked])/n, float64(w.verdicts[pick.Aborted])/n
+	r.Nacked, r.Aborted = float64(w.verdicts[dispatch.Nacked])/n, float64(w.verdicts[dispatch.Aborted])/n
 	r.WorstTen = r.Gain
 	from := int(math.Ceil(w.sc.Warmup / 1000))
 	for i := from; i+10 <= len(r.Seconds); i++ {
@@ -193,7 +193,7 @@
 		r.Causes[CauseNames[i]] = float64(c) / n
 		r.Calls += float64(c) / n
 	}
-	for o := gather.Answered; o <= gather.Moved; o++ {
+	for o := gather.Succeeded; o <= gather.NotOwner; o++ {
 		if w.ended[o] > 0 {
 			r.Ends[o.String()] = w.ended[o]
 		}
--- a/internal/emulator/server.go
+++ b/internal/testbed/emulator/server.go
@@ -3,8 +3,8 @@
 import (
 	"yokeroute/gather"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/rules"
-	"yokeroute/logic/owners"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/logic/ownership"
 )
 
 // server is one shard server.
@@ -95,7 +95,7 @@
 		return
 	}
 	s.started, s.fell = w.now, false
-	w.see(rules.Event{Kind: rules.Started, Server: s.id})
+	w.see(rulecheck.Event{Kind: rulecheck.Started, Server: s.id})
 	if s.silent { // a machine that is back resets what it does not know
 		for _, g := range w.gatherers {
 			if c := g.conns[s.number]; c != nil && c.epoch != s.epoch {
@@ -117,26 +117,26 @@
 	for _, a := range calls {
 		s.parts++
 		a.came = true
-		w.see(rules.Event{Kind: rules.Came, Gatherer: c.g.number, Server: s.id, Work: a.work})
+		w.see(rulecheck.Event{Kind: rulecheck.Came, Gatherer: c.g.number, Server: s.id, Work: a.work})
 		if w.pushes(s, a.work) {
 			return
 		}
-		outcome := gather.Answered
-		if w.owned != nil && w.owned.asks(s, a) == owners.Moved {
-			w.reply(c, a, gather.Moved, nil)
+		outcome := gather.Succeeded
+		if w.owned != nil && w.owned.asks(s, a) == ownership.Moved {
+			w.reply(c, a, gather.NotOwner, nil)
 			continue
 		}
 		for _, f := range s.failing {
 			if (f.index == "" || f.index == a.lk.ask.ix.Name) && s.chance.Float64() < f.share {
-				outcome = gather.Erred
+				outcome = gather.Failed
 			}
 		}
 		if s.draining || len(s.waiting)-s.head >= s.kind.Queue || a.stopped {
-			outcome = gather.Full
+			outcome = gather.Rejected
 			s.turnedAway++
 		}
-		if outcome != gather.Answered {
-			if outcome == gather.Erred { // it may have run, and here it did
+		if outcome != gather.Succeeded {
+			if outcome == gather.Failed { // it may have run, and here it did
 				w.ran(s, a)
 			}
 			w.reply(c, a, outcome, nil)
@@ -151,7 +151,7 @@
 }
 
 func (w *World) ran(s *server, a *attempt) {
-	w.see(rules.Event{Kind: rules.Ran, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: s.id, First: a.call.First(), Keys: a.keys})
+	w.see(rulecheck.Event{Kind: rulecheck.Ran, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: s.id, First: a.call.First(), Keys: a.keys})
 }
 
 // pushes notes work sent to a server and reports whether it falls over for it.
@@ -197,7 +197,7 @@
 			continue
 		}
 		if t.a != nil && w.owned != nil && t.a.call.OnceOnly() && !w.owned.takes(t.a) { // its log is another's by now
-			w.reply(t.a.conn, t.a, gather.Moved, nil)
+			w.reply(t.a.conn, t.a, gather.NotOwner, nil)
 			continue
 		}
 		t.begun = true
@@ -242,7 +242,7 @@
 	case a.call.First():
 		text = mayHold
 	}
-	w.reply(a.conn, a, gather.Answered, text)
+	w.reply(a.conn, a, gather.Succeeded, text)
 }
 
 var value, mayHold, holdsNone = []byte("x"), []byte("some 1 1 v1"), []byte("none v1")
--- a/internal/processes/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -6,7 +6,7 @@
 // What it cannot do: a link that is silent takes new connections, where a machine that is cut off would never answer
 // their first packet; clocks are one machine's; and processes share its cores, so that times are measured here as
 // ratios within one run alone.
-package processes
+package processtest
 
 import (
 	"cmp"
@@ -23,13 +23,13 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/discovery"
-	"yokeroute/internal/experiment"
+	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/proc"
-	"yokeroute/internal/rules"
-	"yokeroute/internal/standin/directory"
-	"yokeroute/internal/standin/shards"
+	"yokeroute/internal/process"
+	"yokeroute/internal/rulecheck"
+	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/directory"
+	"yokeroute/internal/testbed/standin/shards"
 )
 
 // Terms are what a fleet is started with beside its scenario.
@@ -58,7 +58,7 @@
 	mu     sync.Mutex
 	links  map[string]*Link
 	order  []string
-	truth  rules.Truth
+	truth  rulecheck.Truth
 	faults []error
 	said   []string
 	began  time.Time
@@ -77,10 +77,10 @@
 
 	fleet     *Fleet
 	mu        sync.Mutex
-	process   *proc.Process
+	process   *process.Process
 	started   int
 	traces    []*tape
-	processes []*proc.Process
+	processes []*process.Process
 	agent     net.Listener
 	taken     net.Listener // something else on its port
 	backup    string       // its state folder as it was at its process' own start
@@ -138,14 +138,14 @@
 	if f.base, f.guard, err = addresses(); err != nil {
 		return nil, err
 	}
-	f.truth = rules.Truth{Servers: map[uint32]rules.Server{}, Cold: sc.Header().Cold}
+	f.truth = rulecheck.Truth{Servers: map[uint32]rulecheck.Server{}, Cold: sc.Header().Cold}
 	var machines []experiment.Machine
 	for i, m := range sc.Machines() {
 		name := fmt.Sprint("s", i+1)
 		machines = append(machines, experiment.Machine{Name: name, Hall: sc.Halls[m.Hall], Kind: m.Kind.Name, Group: m.Set,
 			Terms: shards.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
 				Brief: sc.Indexes[0].Work * 0.1, Keeps: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
-		f.truth.Servers[discovery.Number(name)] = rules.Server{Capacity: float64(m.Kind.Cores)}
+		f.truth.Servers[discovery.Number(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
 	}
 	if f.Fleet, err = experiment.StartFleet(machines); err != nil {
 		return nil, err
@@ -208,7 +208,7 @@
 
 // see takes what a server tells of a part.
 func (f *Fleet) see(id uint32, seen shards.Seen) {
-	e := rules.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rules.Kind(seen.What), Server: id, Shard: seen.Shard, First: seen.Brief, Work: seen.Work}
+	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.Kind(seen.What), Server: id, Shard: seen.Shard, First: seen.Brief, Work: seen.Work}
 	e.Name = strings.TrimSuffix(seen.ID, "~")
 	if dot := strings.LastIndexByte(e.Name, '.'); dot >= 0 {
 		e.Name = e.Name[:dot]
@@ -292,7 +292,7 @@
 	f.mu.Lock()
 	all := slices.Clone(f.faults)
 	f.mu.Unlock()
-	var processes []*proc.Process
+	var processes []*process.Process
 	for _, g := range f.Gatherers {
 		g.mu.Lock()
 		processes = append(processes, g.processes...)
@@ -304,7 +304,7 @@
 		w.mu.Unlock()
 	}
 	for _, p := range processes {
-		if err := p.Fault(); err != nil {
+		if err := p.Failure(); err != nil {
 			all = append(all, err)
 		}
 	}
@@ -339,7 +339,7 @@
 // Check joins the traces of all processes with what the servers ran, and checks the rules. Processes that still serve
 // have to be ended before, by Close. That answers come in time is not judged: a process that was stopped gives none,
 // and under the race detector on few cores none is sure to.
-func (f *Fleet) Check() (*rules.Joint, error) {
+func (f *Fleet) Check() (*rulecheck.Joint, error) {
 	sources, done, err := f.sources()
 	defer done()
 	if err != nil {
@@ -349,11 +349,11 @@
 	truth := f.truth
 	truth.Events = slices.Clone(f.truth.Events)
 	f.mu.Unlock()
-	return rules.Join(sources, &truth, rules.JoinTerms{Operation: Operation, Slack: 60_000})
+	return rulecheck.Join(sources, &truth, rulecheck.JoinTerms{Operation: Operation, Slack: 60_000})
 }
 
 // sources are the traces of all processes, once they are whole; done closes them.
-func (f *Fleet) sources() (all []rules.Source, done func(), err error) {
+func (f *Fleet) sources() (all []rulecheck.Source, done func(), err error) {
 	done = func() {
 		for _, s := range all {
 			s.From.(*os.File).Close()
@@ -369,14 +369,14 @@
 			if err != nil {
 				return all, done, err
 			}
-			all = append(all, rules.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, From: file})
+			all = append(all, rulecheck.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, From: file})
 		}
 	}
 	return all, done, nil
 }
 
 // Verdict ends a fleet and says what went wrong: faults of its processes, and rules that they broke together.
-func (f *Fleet) Verdict() (*rules.Joint, error) {
+func (f *Fleet) Verdict() (*rulecheck.Joint, error) {
 	f.Close()
 	j, err := f.Check()
 	if err == nil && !j.Kept() {
@@ -397,13 +397,13 @@
 }
 
 // end ends a process as in a planned restart, and by force where it does not heed that.
-func (f *Fleet) end(p *proc.Process) {
+func (f *Fleet) end(p *process.Process) {
 	if p == nil || !p.Alive() {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 20*time.Second)
 	defer cancel()
-	if err := p.Term(ctx); err != nil {
+	if err := p.Terminate(ctx); err != nil {
 		f.fault(err)
 		p.Kill()
 	}
@@ -419,7 +419,7 @@
 }
 
 // Process is its newest process, nil before the first.
-func (g *Gatherer) Process() *proc.Process {
+func (g *Gatherer) Process() *process.Process {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.process
@@ -485,12 +485,12 @@
 	if err != nil {
 		return err
 	}
-	p.Expect()
+	p.ExpectExit()
 	return g.Ready(ctx, p)
 }
 
 // Launch starts a process of it and does not wait.
-func (g *Gatherer) Launch() (*proc.Process, error) {
+func (g *Gatherer) Launch() (*process.Process, error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.started++
@@ -505,7 +505,7 @@
 		return nil, err
 	}
 	defer end.Close() // the process has its own
-	p, err := proc.Start(fmt.Sprintf("%s.%d", g.Name, g.started), g.Binary, []string{"serve", "--config", g.ConfigFile(), "--operator", g.OperatorFile()}, nil, end)
+	p, err := process.Start(fmt.Sprintf("%s.%d", g.Name, g.started), g.Binary, []string{"serve", "--config", g.ConfigFile(), "--operator", g.OperatorFile()}, nil, end)
 	if err != nil {
 		return nil, err
 	}
@@ -514,11 +514,11 @@
 }
 
 // Ready waits until a process of it takes lookups.
-func (g *Gatherer) Ready(ctx context.Context, p *proc.Process) error {
+func (g *Gatherer) Ready(ctx context.Context, p *process.Process) error {
 	ctx, cancel := context.WithTimeout(ctx, 120*time.Second)
 	defer cancel()
-	err := proc.Until(ctx, g.Name+" is ready", func() bool { return !p.Alive() || g.answers() })
-	if err == nil && !p.Alive() && !p.Expected() { // another fault may have ended it meanwhile
+	err := process.WaitUntil(ctx, g.Name+" is ready", func() bool { return !p.Alive() || g.answers() })
+	if err == nil && !p.Alive() && !p.ExitExpected() { // another fault may have ended it meanwhile
 		err = fmt.Errorf("%s ended at its start: %v: %.2000s", p.Name, p.Err(), p.Log())
 	}
 	return err
--- a/internal/processes/stewards.go
+++ b/internal/testbed/processtest/stewards.go
@@ -1,4 +1,4 @@
-package processes
+package processtest
 
 import (
 	"cmp"
@@ -12,10 +12,10 @@
 	"sync"
 	"time"
 
-	"yokeroute/internal/discovery"
-	"yokeroute/internal/policy"
-	"yokeroute/internal/proc"
-	"yokeroute/internal/rules"
+	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/gatherer/discovery"
+	"yokeroute/internal/process"
+	"yokeroute/internal/rulecheck"
 )
 
 // StewardTerms are the stewards of a fleet, none where Count is 0.
@@ -38,8 +38,8 @@
 
 	fleet     *Fleet
 	mu        sync.Mutex
-	process   *proc.Process
-	processes []*proc.Process
+	process   *process.Process
+	processes []*process.Process
 	started   int
 }
 
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Second)
 	defer cancel()
 	var last error
-	err := proc.Until(ctx, "a steward leads", func() bool {
+	err := process.WaitUntil(ctx, "a steward leads", func() bool {
 		one, end := context.WithTimeout(ctx, 2*time.Second)
 		defer end()
 		_, last = f.Policies().Status(one)
@@ -98,8 +98,8 @@
 }
 
 // Policies asks whichever steward leads.
-func (f *Fleet) Policies() *policy.Client {
-	c := &policy.Client{}
+func (f *Fleet) Policies() *policyclient.Client {
+	c := &policyclient.Client{}
 	for _, w := range f.Stewards {
 		c.Stewards = append(c.Stewards, w.HTTP)
 	}
@@ -144,7 +144,7 @@
 	if err := os.WriteFile(file, []byte(w.file()), 0o644); err != nil {
 		return err
 	}
-	p, err := proc.Start(fmt.Sprintf("%s.%d", w.Name, w.started), w.Binary, []string{"steward", file}, nil)
+	p, err := process.Start(fmt.Sprintf("%s.%d", w.Name, w.started), w.Binary, []string{"steward", file}, nil)
 	if err != nil {
 		return err
 	}
@@ -153,7 +153,7 @@
 }
 
 // Process is its newest process.
-func (w *Steward) Process() *proc.Process {
+func (w *Steward) Process() *process.Process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.process
@@ -243,23 +243,23 @@
 			lookup uint64
 			shard  int
 		}
-		taken, ran := map[uint64]rules.Event{}, map[part]int{} // calls of parts that may have run
-		err := rules.Read(source.From, func(h rules.Header) error { unix = h.Unix; return nil }, func(e rules.Event) {
+		taken, ran := map[uint64]rulecheck.Event{}, map[part]int{} // calls of parts that may have run
+		err := rulecheck.Read(source.From, func(h rulecheck.Header) error { unix = h.Unix; return nil }, func(e rulecheck.Event) {
 			at := part{e.Lookup, e.Shard}
 			switch e.Kind {
-			case rules.Taken:
+			case rulecheck.Taken:
 				taken[e.Lookup] = e
-			case rules.Sent:
+			case rulecheck.Sent:
 				lk := taken[e.Lookup]
 				all = append(all, Send{unix + e.At, gatherer, names[e.Server], lk.Index, unix + lk.At, ran[at] > 0})
 				ran[at]++
-			case rules.Ended:
-				if rules.Unrun(e.Outcome) {
+			case rulecheck.Ended:
+				if rulecheck.Unrun(e.Outcome) {
 					ran[at]--
 				}
 			}
 		})
-		if err != nil && !errors.Is(err, rules.ErrCut) {
+		if err != nil && !errors.Is(err, rulecheck.ErrCut) {
 			return nil, fmt.Errorf("%s: %w", source.Name, err)
 		}
 	}
--- a/internal/processes/worse/main.go
+++ b/internal/testbed/processtest/worse/main.go
@@ -16,9 +16,9 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/config"
-	"yokeroute/internal/operator"
-	"yokeroute/internal/service"
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/gatherer/service"
 )
 
 // fault is one of faults.
@@ -78,7 +78,7 @@
 	if !known {
 		return fmt.Errorf("built with the fault %q, which is none", fault)
 	}
-	c, err := config.Load(*file, os.Getenv)
+	c, err := platform.Load(*file, os.Getenv)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/connections.go
+++ b/internal/testbed/scale/connections.go
@@ -12,8 +12,8 @@
 	"github.com/sirupsen/logrus"
 
 	"yokeroute/gather"
-	"yokeroute/internal/pick"
-	"yokeroute/internal/shardcall"
+	"yokeroute/internal/gatherer/dispatch"
+	"yokeroute/internal/gatherer/shardcall"
 )
 
 // ConnectionCost is what connections to shard servers cost a gatherer at rest.
@@ -117,17 +117,22 @@
 func pooledConnections(ctx context.Context, address string, count int) (*shardcall.Pool, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	terms := gather.Terms{"indexes": []string{"find"}, "groups": float64(count), "groups in a row": 1.0, "most calls": 1.0, "tick": 1.0,
-		"connect time-out": 10_000.0, "idle close": 3_600_000.0, "parts a call": 1.0, "streams": 100.0, "call off": true,
-		"find/soft deadline": 30_000.0, "find/hard deadline": 60_000.0, "find/whole from": 1.0, "find/least share": 1.0, "find/effect": "idempotent"}
-	picker := pick.New(1, terms, log)
-	pool := shardcall.New(terms, count, picker, log)
-	list, addresses := gather.List{Full: true}, make([]shardcall.Address, count)
-	lk := &pick.Lookup{ID: "scale", Index: "find", GiveUpAt: picker.Now() + 60_000, Text: []byte("q")}
+	settings := &gather.Settings{
+		ReplicaSets: count, ReplicaSetsPerShard: 1, MaxAttempts: 1, Tick: 1.0,
+		ConnectTimeout: 10_000.0, IdleTimeout: 3_600_000.0, RequestsPerCall: 1,
+		StreamsPerConnection: 100, CancelAllowed: true,
+		Classes: []gather.Class{
+			{Name: "find", LatencyObjective: 30_000.0, Deadline: 60_000.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
+		},
+	}
+	picker := dispatch.New(1, settings, log)
+	pool := shardcall.New(settings, count, picker, log)
+	list, addresses := gather.EndpointList{Full: true}, make([]shardcall.Address, count)
+	lk := &dispatch.Lookup{ID: "scale", Index: "find", GiveUpAt: picker.Now() + 60_000, Text: []byte("q")}
 	for i := range count {
 		addresses[i] = shardcall.Address{ID: uint32(i), Name: fmt.Sprint("s", i), HostPort: address}
-		list.Servers = append(list.Servers, gather.Server{ID: uint32(i), Group: i})
-		lk.Parts = append(lk.Parts, pick.Part{Shard: i, Weight: 1 / float64(count)})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), ReplicaSet: i})
+		lk.Parts = append(lk.Parts, dispatch.Part{Shard: i, Weight: 1 / float64(count)})
 	}
 	pool.Follow(addresses)
 	picker.Follow(list)
@@ -142,7 +147,7 @@
 			pool.Carry(orders)
 		}
 	}()
-	if v := picker.Pick(ctx, lk); v.Kind != pick.Satisfied {
+	if v := picker.Pick(ctx, lk); v.Kind != dispatch.Satisfied {
 		return nil, fmt.Errorf("connections: the lookup over %d servers ended as %d", count, v.Kind)
 	}
 	return pool, nil
--- a/internal/study/hunt.go
+++ b/internal/testbed/study/hunt.go
@@ -6,9 +6,9 @@
 	"math"
 	"strings"
 
-	"yokeroute/internal/conf"
-	"yokeroute/internal/emulator"
+	"yokeroute/internal/config/directive"
 	"yokeroute/internal/pcg"
+	"yokeroute/internal/testbed/emulator"
 )
 
 // HuntTerms are those of a search for the day on which decisions do worst.
@@ -233,7 +233,7 @@
 			switch option, value := words[j], words[j+1]; option {
 			case "for":
 				if ms := span(value); ms > 1000 {
-					change(conf.FormatSpan(max(math.Round(ms/2/100)*100, 1000)))
+					change(directive.FormatDuration(max(math.Round(ms/2/100)*100, 1000)))
 				}
 			case "servers", "gatherers":
 				if _, err := fmt.Sscan(value, &n); err == nil && n > 0.1 && n < 1 {
@@ -258,6 +258,6 @@
 
 // keep writes the day as a scenario file, with what it is kept for.
 func (h *HuntTerms) keep(d huntDay, f Found) string {
-	note := fmt.Sprintf("# Found by yokelab hunt --seed %d --days %d, made small: %s.\n", h.Seed, h.Days, f.words())
+	note := fmt.Sprintf("# Found by yokeroute-testbed hunt --seed %d --days %d, made small: %s.\n", h.Seed, h.Days, f.words())
 	return note + strings.TrimRight(h.text(d), "\n") + fmt.Sprintf("\nseed %d\n", d.seed)
 }
--- /dev/null
+++ b/logic/passes_test.go
@@ -0,0 +1,169 @@
+package logic
+
+import (
+	"fmt"
+	"hash/fnv"
+	"testing"
+
+	"yokeroute/gather"
+)
+
+const (
+	passesServers         = 15
+	passesReplicaSets     = 5
+	passesSettingsChanges = 4
+	passesLengthMS        = 20_000
+)
+
+// passes plays a seeded day of what the simulator's wire does not bring: first and second passes, weights,
+// settings that change, requests that others supersede, and servers that list the replica sets whose shards
+// they hold. It returns a hash of what was written and the number of attempts.
+func passes(seed uint64) (hash uint64, attempts int) {
+	d := newDay(passesSettings(0), seed, seed)
+	end := d.now + passesLengthMS
+	for round := 0; d.now < end; round++ {
+		in := gather.Round{Now: d.now}
+		if round%1000 == 0 {
+			in.EndpointLists = append(in.EndpointLists, d.passesList())
+		}
+		if round%300 == 50 {
+			in.Weights = d.passesWeights()
+		}
+		if round%400 == 200 {
+			in.Settings = passesSettings(round / 400 % passesSettingsChanges)
+		}
+		if d.oneIn(2) {
+			d.addPass(&in)
+		}
+		d.addDueResults(&in)
+		d.run(&in, d.passesOutcome, func() []any { return []any{d.now, d.gatherer.RetryBudgetLeft()} })
+		if (round+1)%50 == 0 {
+			for _, view := range d.gatherer.View() {
+				fmt.Fprintln(d.hash, view)
+			}
+		}
+		d.now += 5 + 10*d.random.Float64()
+	}
+	return d.hash.Sum64(), d.attempts
+}
+
+// passesSettings are the settings of a day, of which an operator changes some.
+func passesSettings(change int) *gather.Settings {
+	settings := &gather.Settings{
+		ReplicaSets: passesReplicaSets, ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: change != 2,
+		HedgingAllowed: change != 1, Tick: 5, Gatherers: 2, GathererIndex: 1, MaxRetryAfter: 800,
+		WarmupTime: 4000, InitialCapacityShare: 0.2, OverloadWindow: 2000, OverloadMultiple: 3, Zone: "east",
+		CallCost: float64(change % 2), RequestsPerCall: 8,
+	}
+	if change > 1 {
+		settings.RetryBudgetWindow = 2000
+		settings.RetryBudgetFloor = 6
+		settings.RetryBudgetRatio = 0.1
+	}
+	for _, name := range []string{"any", "all", "non-idempotent"} {
+		settings.Classes = append(settings.Classes, gather.Class{Name: name, Effect: gather.Idempotent,
+			LatencyObjective: 300 + 50*float64(change), Deadline: 1500, LateValue: 0.1, PartialValue: 0.9,
+			CompleteShare: 1, MinShare: 1})
+	}
+	settings.Classes[0].CompleteShare = 0.7
+	settings.Classes[0].MinShare = 0.5
+	settings.Classes[1].HedgingForbidden = change%2 == 1
+	settings.Classes[2].Effect = gather.NonIdempotent
+	return settings
+}
+
+func (d *day) passesList() gather.EndpointList {
+	list := gather.EndpointList{Full: true}
+	for id := range passesServers {
+		set := id % passesReplicaSets
+		e := gather.Endpoint{ID: uint32(id), ReplicaSet: set, Zone: []string{"east", "west"}[id/passesReplicaSets%2]}
+		e.AnswersFirstPass = !d.oneIn(3)
+		if d.oneIn(3) {
+			e.ReplicaSets = []int{set, (id + 1) % passesReplicaSets, passesReplicaSets + 2}
+		}
+		if d.oneIn(6) {
+			e.StartedAt = 1e6 + 20000*d.random.Float64()
+		}
+		list.Endpoints = append(list.Endpoints, e)
+	}
+	return list
+}
+
+// passesWeights leave the first replica set, and some servers, without weights.
+func (d *day) passesWeights() [][]gather.Weight {
+	weights := make([][]gather.Weight, passesReplicaSets)
+	for id := range passesServers {
+		set := id % passesReplicaSets
+		if set == 0 || d.oneIn(5) {
+			continue
+		}
+		weight := gather.Weight{Server: uint32(id), Share: float64(d.random.Uint32() % 4)}
+		weights[set] = append(weights[set], weight)
+	}
+	return weights
+}
+
+// addPass adds a query in one pass, or a first or second pass.
+func (d *day) addPass(in *gather.Round) {
+	count := 2 + int(d.random.Uint32()%6)
+	q := gather.Query{ID: d.nextID, Number: d.nextID}
+	q.Class = passesSettings(0).ClassNames()[d.random.Uint32()%3]
+	q.Deadline = d.now + 200 + 800*d.random.Float64()
+	q.Pass = gather.Pass(d.random.Uint32() % 3)
+	switch q.Pass {
+	case gather.FirstPass:
+		q.FullCallExtra = 30 * d.random.Float64()
+	case gather.SecondPass:
+		q.ArrivedAt = d.now - 50
+		q.ReceivedWeight = 0.5 * d.random.Float64()
+	}
+	in.Queries = append(in.Queries, q)
+	for i := range count {
+		r := gather.ShardRequest{ID: q.ID + 1 + uint64(i), Number: q.Number}
+		r.Shard = int(d.random.Uint32()%passesReplicaSets) + i
+		r.Weight = (1 - q.ReceivedWeight) / float64(count)
+		r.Cost = 20 * d.random.Float64()
+		if q.Pass == gather.SecondPass {
+			r.Retry = d.oneIn(2)
+			r.OrderPenalty = 5 * d.random.Float64()
+		}
+		in.Requests = append(in.Requests, r)
+	}
+	if d.oneIn(20) {
+		in.Superseded = append(in.Superseded, q.ID+1)
+	}
+	if d.oneIn(20) {
+		in.Abandoned = append(in.Abandoned, q.ID)
+	}
+	d.nextID += uint64(count) + 1
+}
+
+func (d *day) passesOutcome(server uint32) (after float64, outcome gather.Outcome) {
+	after = 10 + 60*d.random.Float64()*float64(1+server%3)
+	outcome = gather.Succeeded
+	if d.oneIn(12) {
+		outcome = gather.Outcome(d.random.Uint32() % 8)
+	}
+	if d.oneIn(25) {
+		after *= 30
+	}
+	return after, outcome
+}
+
+// TestPassesAndWeightsDecideAsRecorded wants the recorded decisions, byte for byte, of days with passes,
+// weights and changing settings.
+func TestPassesAndWeightsDecideAsRecorded(t *testing.T) {
+	requireRecordedArchitecture(t)
+	sum, total := fnv.New64a(), 0
+	for seed := range uint64(40) {
+		hash, attempts := passes(500 + seed)
+		fmt.Fprintln(sum, hash)
+		total += attempts
+	}
+	if total < 40_000 {
+		t.Errorf("%d attempts are too few to tell", total)
+	}
+	if got, want := sum.Sum64(), uint64(0x7e0557ad509dbf); got != want {
+		t.Errorf("hash %#x, recorded was %#x", got, want)
+	}
+}
