--- a/internal/gatherer/frontend/server_test.go
+++ b/internal/gatherer/frontend/server_test.go
@@ -20,21 +20,21 @@
 
 // fake decides what a test tells it to.
 type fake struct {
-	took   chan *dispatch.Lookup
-	decide func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict
+	took   chan *dispatch.Query
+	decide func(ctx context.Context, lk *dispatch.Query) dispatch.Result
 }
 
 func (f *fake) Now() float64 { return 1000 }
 
-func (f *fake) Pick(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict {
+func (f *fake) Pick(ctx context.Context, lk *dispatch.Query) dispatch.Result {
 	f.took <- lk
 	return f.decide(ctx, lk)
 }
 
-func start(t *testing.T, clients int, decide func(context.Context, *dispatch.Lookup) dispatch.Verdict) (*fake, *Server, string) {
+func start(t *testing.T, clients int, decide func(context.Context, *dispatch.Query) dispatch.Result) (*fake, *Server, string) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &fake{make(chan *dispatch.Lookup, 10), decide}
+	f := &fake{make(chan *dispatch.Query, 10), decide}
 	s := New(f, &gather.Settings{Shards: 10, Classes: []gather.Class{{Name: "find", Deadline: 3000.0}, {Name: "mark", Effect: gather.IdempotencyKeyed}}, Tenants: []gather.Tenant{{Name: "acme"}}}, clients, clients, func() bool { return true }, log)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -127,8 +127,8 @@
 		{"weights that go over", body("0.5", "0.75"), 400},
 		{"cost negative", body("9000", "-1"), 400},
 		{"body too large, none of it sent", "POST /find HTTP/1.1\r\n" + headers + "Content-Length: 60000000\r\n\r\n", 413},
-		{"body too large", post("/find", headers, strings.Repeat(" ", mostBody)+parts), 413},
-		{"headers too large", change("acme", strings.Repeat("a", 2*mostHeaders)), 431},
+		{"body too large", post("/find", headers, strings.Repeat(" ", maxBodyBytes)+parts), 413},
+		{"headers too large", change("acme", strings.Repeat("a", 2*maxHeaderBytes)), 431},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			if status, body, _ := talk(t, address, c.text, 1); status[0] != c.want {
@@ -137,8 +137,8 @@
 		})
 	}
 	// What was rounded by the client is no mistake of it.
-	lk := &dispatch.Lookup{}
-	if err := (&Server{}).readBody(lk, []byte(`{"shards":[{"shard":1,"weight":0.333333},{"shard":2,"weight":0.666666}],"q":"x"}`)); err != nil {
+	lk := &dispatch.Query{}
+	if err := (&Server{}).parseBody(lk, []byte(`{"shards":[{"shard":1,"weight":0.333333},{"shard":2,"weight":0.666666}],"q":"x"}`)); err != nil {
 		t.Error(err)
 	}
 	if status, _, _ := talk(t, address, change("480", "0")+change("480", "-1"), 2); status[1] != 400 {
@@ -153,19 +153,19 @@
 func TestAnswers(t *testing.T) {
 	hits := []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("a\"\n")}}
 	for _, c := range []struct {
-		verdict     dispatch.Verdict
+		verdict     dispatch.Result
 		status      int
 		body, after string
 	}{
-		{dispatch.Verdict{Kind: dispatch.Satisfied, Whole: true, Hits: hits[:1]}, 200, `{"complete":true,"hits":[{"shard":3,"doc":"5be2"}]}`, ""},
-		{dispatch.Verdict{Kind: dispatch.Satisfied, Hits: hits}, 200,
+		{dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: hits[:1]}, 200, `{"complete":true,"hits":[{"shard":3,"doc":"5be2"}]}`, ""},
+		{dispatch.Result{Kind: dispatch.Served, Hits: hits}, 200,
 			`{"complete":false,"hits":[{"shard":3,"doc":"5be2"},{"shard":9,"doc":"a\"\n"}]}`, ""},
-		{dispatch.Verdict{Kind: dispatch.Nacked, ComeBack: 412.5}, 503, "nacked\n", "0.412"},
-		{dispatch.Verdict{Kind: dispatch.Nacked}, 503, "nacked\n", ""},
-		{dispatch.Verdict{Kind: dispatch.Aborted}, 504, "aborted\n", ""},
-		{dispatch.Verdict{Kind: dispatch.Broken}, 500, "failed\n", ""},
+		{dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}, 503, "nacked\n", "0.412"},
+		{dispatch.Result{Kind: dispatch.Rejected}, 503, "nacked\n", ""},
+		{dispatch.Result{Kind: dispatch.Failed}, 504, "aborted\n", ""},
+		{dispatch.Result{Kind: dispatch.InternalError}, 500, "failed\n", ""},
 	} {
-		f, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict { return c.verdict })
+		f, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result { return c.verdict })
 		chunked := "POST /find/x HTTP/1.1\r\n" + headers + "X-Route-Key: rk\r\nX-Retried: 1\r\nTransfer-Encoding: chunked\r\n\r\n" +
 			fmt.Sprintf("5\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", parts[:5], len(parts)-5, parts[5:])
 		sent := time.Now()
@@ -174,18 +174,18 @@
 			t.Errorf("%+v: %v %s %v", c.verdict, status, body, head)
 		}
 		lk, passed := <-f.took, float64(time.Since(sent))/1e6
-		if lk.GiveUpAt > 1480 || lk.GiveUpAt < 1480-passed { // its time counts from its first byte
-			t.Errorf("given up at %v, %v ms after it was sent", lk.GiveUpAt, passed)
+		if lk.Deadline > 1480 || lk.Deadline < 1480-passed { // its time counts from its first byte
+			t.Errorf("given up at %v, %v ms after it was sent", lk.Deadline, passed)
 		}
-		if lk.ID != "a1" || lk.Index != "find" || lk.Customer != "acme" || lk.Key != "rk" || !lk.Retry ||
-			string(lk.Text) != "c41e" || len(lk.Parts) != 2 || lk.Parts[0] != (dispatch.Part{Shard: 3, Weight: 0.5, Cost: 9, Key: "k"}) {
+		if lk.ID != "a1" || lk.Class != "find" || lk.Tenant != "acme" || lk.RouteKey != "rk" || !lk.Retried ||
+			string(lk.Payload) != "c41e" || len(lk.ShardRequests) != 2 || lk.ShardRequests[0] != (dispatch.ShardRequest{Shard: 3, Weight: 0.5, Cost: 9, Key: "k"}) {
 			t.Errorf("took %+v", lk)
 		}
 	}
 }
 
 func TestTextOfEscapes(t *testing.T) {
-	got, err := textOf([]byte(`"a\u0041\""`))
+	got, err := queryText([]byte(`"a\u0041\""`))
 	if err != nil || string(got) != `aA"` {
 		t.Errorf("%q, %v", got, err)
 	}
@@ -194,12 +194,12 @@
 // TestPanic wants a request that breaks its handler answered as failed, and the next one served.
 func TestPanic(t *testing.T) {
 	first := true
-	_, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	_, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		if first {
 			first = false
 			panic("broken")
 		}
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	status, _, _ := talk(t, address, post("/find", headers, parts)+post("/find", headers, parts), 2)
 	if status[0] != 500 || status[1] != 504 {
@@ -211,13 +211,13 @@
 // under its request sends that once more: the second must wait for the end of the first, not be turned away.
 func TestGone(t *testing.T) {
 	over := make(chan struct{}, 2)
-	f, _, address := start(t, 10, func(ctx context.Context, lk *dispatch.Lookup) dispatch.Verdict {
-		if lk.Key == "again" {
-			return dispatch.Verdict{Kind: dispatch.Aborted}
+	f, _, address := start(t, 10, func(ctx context.Context, lk *dispatch.Query) dispatch.Result {
+		if lk.RouteKey == "again" {
+			return dispatch.Result{Kind: dispatch.Failed}
 		}
 		<-ctx.Done()
 		<-over
-		return dispatch.Verdict{Kind: dispatch.Left}
+		return dispatch.Result{Kind: dispatch.Abandoned}
 	})
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -253,9 +253,9 @@
 // TestOpenName guards against serving a client that comes with the name of another's open lookup.
 func TestOpenName(t *testing.T) {
 	hold := make(chan struct{})
-	f, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-hold
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	first := make(chan []int, 1)
 	go func() {
@@ -277,23 +277,23 @@
 func TestNameAfterWait(t *testing.T) {
 	for _, left := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			s := &Server{inHand: map[string]*holder{}}
+			s := &Server{activeQueries: map[string]*activeQuery{}}
 			client, leave := context.WithCancel(t.Context())
 			defer leave()
-			first, err := s.hold(client, "a")
+			first, err := s.acquireID(client, "a")
 			if err != nil {
 				t.Fatal(err)
 			}
 			second := make(chan error)
 			go func() {
-				_, err := s.hold(t.Context(), "a")
+				_, err := s.acquireID(t.Context(), "a")
 				second <- err
 			}()
 			synctest.Wait()
 			if left {
 				leave()
 			}
-			s.letGo("a", first)
+			s.releaseID("a", first)
 			if err := <-second; (err == nil) != left {
 				t.Errorf("left %v: the second gets %v", left, err)
 			}
@@ -304,8 +304,8 @@
 // TestTwoLengths guards against a request that hides in the body of one that bears both lengths: nothing on that
 // connection is served from there on. A body of either kind alone is fine, and so is what comes in pieces.
 func TestTwoLengths(t *testing.T) {
-	f, _, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+	f, _, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	hidden := post("/find", headers, parts)
 	for _, both := range []string{"Content-Length: 4\r\nTransfer-Encoding: chunked\r\n", "transfer-encoding: chunked\r\nCONTENT-LENGTH: 4\r\n",
@@ -372,7 +372,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := newConns(3, 9)
+	c := newConnTracker(3, 9)
 	open := func(text string) (near, far net.Conn) {
 		far, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -384,70 +384,70 @@
 		}
 		t.Cleanup(func() { far.Close(); near.Close() })
 		io.WriteString(far, text)
-		for text != "" && !asked(near) {
+		for text != "" && !hasUnreadBytes(near) {
 			time.Sleep(time.Millisecond)
 		}
 		return near, far
 	}
 	usual, _ := open("")
-	c.state(usual, http.StateNew)
-	c.state(usual, http.StateActive)
-	c.state(usual, http.StateIdle)
+	c.onStateChange(usual, http.StateNew)
+	c.onStateChange(usual, http.StateActive)
+	c.onStateChange(usual, http.StateIdle)
 	asking, _ := open("POST ")
-	c.state(asking, http.StateNew)
+	c.onStateChange(asking, http.StateNew)
 	silent, far := open("")
-	c.state(silent, http.StateNew)
+	c.onStateChange(silent, http.StateNew)
 	for _, conn := range []net.Conn{asking, silent} {
-		p := c.at[conn]
-		p.from = p.from.Add(-firstByteTimeout)
-		c.at[conn] = p
+		p := c.entries[conn]
+		p.since = p.since.Add(-firstByteTimeout)
+		c.entries[conn] = p
 	}
 	last, _ := open("")
-	c.state(last, http.StateNew)
+	c.onStateChange(last, http.StateNew)
 	far.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the silent one is still open: %v", err)
 	}
 	for name, conn := range map[string]net.Conn{"idle": usual, "asking": asking, "last": last} {
-		if c.closed[conn] {
+		if c.uncounted[conn] {
 			t.Errorf("the %s one was closed", name)
 		}
 	}
 	// Nothing is silent for long now. A client that has just come is about to ask: closed then, its request
 	// fails, where one between two requests just comes again.
 	next, _ := open("")
-	c.state(next, http.StateNew)
-	if !c.closed[usual] || c.closed[last] || c.closed[next] {
-		t.Errorf("idle closed: %v, new ones: %v and %v", c.closed[usual], c.closed[last], c.closed[next])
+	c.onStateChange(next, http.StateNew)
+	if !c.uncounted[usual] || c.uncounted[last] || c.uncounted[next] {
+		t.Errorf("idle closed: %v, new ones: %v and %v", c.uncounted[usual], c.uncounted[last], c.uncounted[next])
 	}
-	c.state(next, http.StateActive)
-	c.state(last, http.StateActive)
-	c.state(asking, http.StateActive)
+	c.onStateChange(next, http.StateActive)
+	c.onStateChange(last, http.StateActive)
+	c.onStateChange(asking, http.StateActive)
 	var more []net.Conn // all in use: a few more may come, for an answer that says so, and then none
 	for range 3 {
 		near, _ := open("POST ")
-		c.state(near, http.StateNew)
-		c.state(near, http.StateActive)
+		c.onStateChange(near, http.StateNew)
+		c.onStateChange(near, http.StateActive)
 		more = append(more, near)
 	}
-	if c.closed[more[0]] || !c.closed[more[1]] || !c.closed[more[2]] {
-		t.Errorf("of three too many %v were closed", c.closed)
+	if c.uncounted[more[0]] || !c.uncounted[more[1]] || !c.uncounted[more[2]] {
+		t.Errorf("of three too many %v were closed", c.uncounted)
 	}
 }
 
 // TestKept guards against clients that ask once and hold their connection: the share of descriptors that clients
 // get was full of idle ones, and a fifth of all lookups found no way in.
 func TestKept(t *testing.T) {
-	c := newConns(100, 10)
+	c := newConnTracker(100, 10)
 	var all []net.Conn
 	for range 50 {
 		near, _ := net.Pipe()
-		c.state(near, http.StateNew)
-		c.state(near, http.StateActive)
-		c.state(near, http.StateIdle)
+		c.onStateChange(near, http.StateNew)
+		c.onStateChange(near, http.StateActive)
+		c.onStateChange(near, http.StateIdle)
 		all = append(all, near)
 	}
-	if c.open != 10 || c.idle.Len() != 10 || !c.closed[all[39]] || c.closed[all[40]] {
+	if c.open != 10 || c.idle.Len() != 10 || !c.uncounted[all[39]] || c.uncounted[all[40]] {
 		t.Errorf("%d open, %d idle", c.open, c.idle.Len())
 	}
 }
@@ -455,33 +455,33 @@
 // TestCrowd wants the connection idle longest closed at the bound and no longer counted from then on, before its
 // own goroutine has noticed: counted on, it had new clients nacked.
 func TestCrowd(t *testing.T) {
-	c := newConns(2, 2)
+	c := newConnTracker(2, 2)
 	var far []net.Conn
 	open := func() net.Conn {
 		near, other := net.Pipe()
 		far = append(far, other)
-		c.state(near, http.StateNew)
-		c.state(near, http.StateActive)
+		c.onStateChange(near, http.StateNew)
+		c.onStateChange(near, http.StateActive)
 		return near
 	}
 	a, b := open(), open()
-	c.state(a, http.StateIdle)
-	c.state(b, http.StateIdle)
+	c.onStateChange(a, http.StateIdle)
+	c.onStateChange(b, http.StateIdle)
 	d := open()
 	if _, err := far[0].Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the one idle longest is not closed: %v", err)
 	}
-	if c.crowded() {
+	if c.overloaded() {
 		t.Error("crowded, though one was closed")
 	}
-	c.state(a, http.StateClosed)
-	c.state(b, http.StateActive)
+	c.onStateChange(a, http.StateClosed)
+	c.onStateChange(b, http.StateActive)
 	open()
-	if !c.crowded() {
+	if !c.overloaded() {
 		t.Error("three in use are not above two")
 	}
-	c.state(d, http.StateIdle)
-	if c.crowded() || len(c.closed) != 1 {
+	c.onStateChange(d, http.StateIdle)
+	if c.overloaded() || len(c.uncounted) != 1 {
 		t.Error("one that fell idle was not closed")
 	}
 }
@@ -489,9 +489,9 @@
 // TestCrowded wants a client that comes while all others are busy nacked and sent away, not left waiting.
 func TestCrowded(t *testing.T) {
 	hold := make(chan struct{})
-	f, _, address := start(t, 1, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, _, address := start(t, 1, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-hold
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	first := make(chan []int, 1)
 	go func() {
@@ -512,9 +512,9 @@
 // and clients are asked to go.
 func TestShutdown(t *testing.T) {
 	hold := make(chan struct{})
-	f, s, address := start(t, 10, func(context.Context, *dispatch.Lookup) dispatch.Verdict {
+	f, s, address := start(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-hold
-		return dispatch.Verdict{Kind: dispatch.Aborted}
+		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	early := make(chan http.Header, 1)
 	go func() {
@@ -524,7 +524,7 @@
 	<-f.took
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	for !s.leaving.Load() {
+	for !s.shuttingDown.Load() {
 		time.Sleep(time.Millisecond)
 	}
 	if status, _, _ := talk(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n", 1); status[0] != 503 {
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -17,7 +17,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/testbed/standin"
 	"yokeroute/logic/ownership"
-	"yokeroute/logic/phases"
+	"yokeroute/logic/twopass"
 )
 
 // The frames in testdata/kept are those of the version that wrote them. None may be changed: a gatherer and a shard
@@ -129,7 +129,7 @@
 	t.Run("health check", func(t *testing.T) {
 		shard := standin.NewShard(t)
 		d := newDesk(t, shard.Address(), nil)
-		d.Carry(dispatch.Orders{Probes: []uint32{7}})
+		d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
 		conn := shard.Take()
 		wantSent(t, conn, "L")
 		nothingMore(t, conn, "L")
@@ -170,9 +170,9 @@
 		s.Classes[0].LatencyObjective = 2000
 	}
 	d := newDeskWith(t, shard.Address(), change, func(p *dispatch.Picker) {
-		p.Phases(map[string]phases.Terms{"i": {Soft: 2000, Whole: 1, Least: 1, First: 0.3, Trials: 0.5}})
-		p.Follow(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
-		p.Speaks(7, true)
+		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1, FirstPassShare: 0.3, TrialShare: 0.5}})
+		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
+		p.SetAnswersFirstPass(7, true)
 	})
 	done := d.ask(t.Context(), "before", 1, keptWait) // the budget for further calls is known after a first round
 	conn := shard.Take()
@@ -193,20 +193,20 @@
 	change := func(s *gather.Settings) {
 		keptSettings(s)
 		s.Classes[0].Effect = effect
-		*s = *dispatch.OwnedTerms(s, 4)
+		*s = *dispatch.OwnershipSettings(s, 4)
 	}
 	return newDeskWith(t, shard.Address(), change, func(p *dispatch.Picker) {
-		p.Segments(4, 16)
-		p.Names(map[uint32]string{7: "h-01"})
+		p.EnableOwnership(4, 16)
+		p.SetServerNames(map[uint32]string{7: "h-01"})
 		p.SetMap(m)
 	})
 }
 
 // askShard sends a lookup of one shard on its way.
-func (d *desk) askShard(t *testing.T, shard int) <-chan dispatch.Verdict {
-	lk := &dispatch.Lookup{ID: "a", Index: "i", GiveUpAt: d.picker.Now() + keptWait, Text: []byte("text of a"),
-		Parts: []dispatch.Part{{Shard: shard, Weight: 1}}}
-	done := make(chan dispatch.Verdict, 1)
+func (d *desk) askShard(t *testing.T, shard int) <-chan dispatch.Result {
+	lk := &dispatch.Query{ID: "a", Class: "i", Deadline: d.picker.Now() + keptWait, Payload: []byte("text of a"),
+		ShardRequests: []dispatch.ShardRequest{{Shard: shard, Weight: 1}}}
+	done := make(chan dispatch.Result, 1)
 	go func() { done <- d.picker.Pick(t.Context(), lk) }()
 	return done
 }
@@ -269,7 +269,7 @@
 		if got, want := <-d.reports, (report{"a.0~", gather.Succeeded, "none v1"}); got != want {
 			t.Errorf("ended as %+v, want %+v", got, want)
 		}
-		if v := <-done; v.Kind != dispatch.Satisfied || !v.Whole || fmt.Sprint(v.Empty) != "[0]" {
+		if v := <-done; v.Kind != dispatch.Served || !v.Complete || fmt.Sprint(v.EmptyShards) != "[0]" {
 			t.Errorf("verdict %+v", v)
 		}
 	})
@@ -287,7 +287,7 @@
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
 			d := newDesk(t, shard.Address(), nil)
-			d.Carry(dispatch.Orders{Probes: []uint32{7}})
+			d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
 			conn := shard.Take()
 			wantSent(t, conn, "L")
 			conn.Conn.Write(keptFrames(t, "received", name))
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -77,11 +77,11 @@
 	}
 	g, _, err := OpenGatherer(folder, 300, 1e12, 1_796_000_000_000)
 	must(err)
-	must(g.SetMap(keptMap(t)))
-	must(g.Sent([]string{"first", "second"}, 1_796_000_000_000.25)) // past 300 bytes: a snapshot
-	must(g.Sent([]string{"third", "<&> \"name\""}, 1_796_000_000_001))
-	must(g.Unrun("second"))
-	must(g.Sent([]string{"late"}, 1_796_000_000_500.5))
+	must(g.SaveMap(keptMap(t)))
+	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25)) // past 300 bytes: a snapshot
+	must(g.RecordSent([]string{"third", "<&> \"name\""}, 1_796_000_000_001))
+	must(g.RecordNotRun("second"))
+	must(g.RecordSent([]string{"late"}, 1_796_000_000_500.5))
 	must(g.Close())
 	h, err := OpenHandover(folder)
 	must(err)
