--- a/cmd/yokeroute/segments.go
+++ b/cmd/yokeroute/segments.go
@@ -64,7 +64,7 @@
 				return err
 			}
 			if form == "json" {
-				return json.NewEncoder(cmd.OutOrStdout()).Encode(m)
+				return json.NewEncoder(cmd.OutOrStdout()).Encode(newMapDocument(m))
 			}
 			showMap(cmd.OutOrStdout(), m, shards, host)
 			return nil
@@ -75,6 +75,32 @@
 	return cmd
 }
 
+// mapDocument is a segment map as show prints it for programs.
+type mapDocument struct {
+	Epoch    uint64            `json:"Epoch"`
+	Checksum uint64            `json:"Sum"`
+	Segments []segmentDocument `json:"Segments"`
+}
+
+type segmentDocument struct {
+	Name       string   `json:"Name"`
+	First      uint64   `json:"Lo"`
+	Last       uint64   `json:"Hi"`
+	Owners     []string `json:"Owners"`
+	OwnedSince uint64   `json:"Since"`
+}
+
+func newMapDocument(m *ownership.Map) mapDocument {
+	document := mapDocument{Epoch: m.Epoch, Checksum: m.Sum}
+	if m.Segments != nil { // null and an empty list are different texts
+		document.Segments = make([]segmentDocument, 0, len(m.Segments))
+	}
+	for _, s := range m.Segments {
+		document.Segments = append(document.Segments, segmentDocument{s.Name, s.Lo, s.Hi, s.Owners, s.Since})
+	}
+	return document
+}
+
 func showMap(w io.Writer, m *ownership.Map, shards int, host string) {
 	fmt.Fprintf(w, "epoch %d, %d segments\n\n", m.Epoch, len(m.Segments))
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/cmd/yokeroute/segments_test.go
+++ b/cmd/yokeroute/segments_test.go
@@ -8,6 +8,13 @@
 	"testing"
 )
 
+// farmDocument is what show prints of the worked example for programs.
+const farmDocument = `{"Epoch":7,"Sum":12807838646025767513,"Segments":[{"Name":"resolve-a","Lo":0,"Hi":4611686018427387903,"Owners":["h-01","h-02"],"Since":7},` +
+	`{"Name":"resolve-b","Lo":4611686018427387904,"Hi":9223372036854775807,"Owners":["h-02","h-03"],"Since":5},` +
+	`{"Name":"search-a","Lo":9223372036854775808,"Hi":13835058055282163711,"Owners":["h-03","h-04"],"Since":7},` +
+	`{"Name":"search-b","Lo":13835058055282163712,"Hi":16140901064495857663,"Owners":["h-04","h-01"],"Since":6}]}
+`
+
 // TestSegmentCommands goes from the worked example to a moved map and back, and wants a clear no told from bad input.
 func TestSegmentCommands(t *testing.T) {
 	example := filepath.Join("..", "..", "examples", "segments", "farm.conf")
@@ -29,7 +36,7 @@
 	}{
 		{"segments show " + example, "", []string{"epoch 7, 4 segments", "resolve-b  4000000000000000-7fffffffffffffff  25.000%  4-7     5      h-02", "unowned:", "shards 14-15"}},
 		{"segments show --host h-04 " + example, "", []string{"search-a", "search-b"}},
-		{"segments show -o json " + example, "", []string{`"Name":"resolve-a"`}},
+		{"segments show -o json " + example, "", []string{`"Name":"resolve-a"`, farmDocument}},
 		{"segments check " + example, "no", []string{"1 ranges are unowned, the first is e000000000000000"}},
 		{"segments check " + whole, "", []string{"reads well: epoch 7, 2 segments"}},
 		{"segments plan-move " + example + " resolve-b --to h-03,h-01 --out " + next, "", []string{"makes epoch 8", "from h-02 to h-03", "1. seal: h-02, h-03 take no more once-only calls of shards 4-7", "in epoch 9"}},
--- a/internal/storage/statedir/claims.go
+++ b/internal/storage/statedir/claims.go
@@ -35,9 +35,38 @@
 }
 
 type mapRecord struct {
-	Epoch    uint64              `json:"epoch"`
-	Sum      string              `json:"sum"`
-	Segments []ownership.Segment `json:"segments"`
+	Epoch    uint64          `json:"epoch"`
+	Checksum string          `json:"sum"` // sixteen hex digits
+	Segments []segmentRecord `json:"segments"`
+}
+
+type segmentRecord struct {
+	Name   string   `json:"Name"`
+	First  uint64   `json:"Lo"`
+	Last   uint64   `json:"Hi"`
+	Owners []string `json:"Owners"`
+	Since  uint64   `json:"Since"`
+}
+
+func newMapRecord(m *ownership.Map) *mapRecord {
+	r := &mapRecord{Epoch: m.Epoch, Checksum: fmt.Sprintf("%016x", m.Sum)}
+	if m.Segments != nil { // null and an empty list are different bytes
+		r.Segments = make([]segmentRecord, 0, len(m.Segments))
+	}
+	for _, s := range m.Segments {
+		r.Segments = append(r.Segments, segmentRecord{s.Name, s.Lo, s.Hi, s.Owners, s.Since})
+	}
+	return r
+}
+
+func (r *mapRecord) segmentMap() *ownership.Map {
+	m := &ownership.Map{Epoch: r.Epoch}
+	fmt.Sscanf(r.Checksum, "%x", &m.Sum)
+	for _, s := range r.Segments {
+		keys := ownership.Range{Lo: s.First, Hi: s.Last}
+		m.Segments = append(m.Segments, ownership.Segment{Name: s.Name, Range: keys, Owners: s.Owners, Since: s.Since})
+	}
+	return m
 }
 
 // Recovered says what was found, and how long it took.
@@ -72,8 +101,7 @@
 		case rec.Unrun != "":
 			delete(g.names, rec.Unrun)
 		case rec.Map != nil:
-			m := &ownership.Map{Epoch: rec.Map.Epoch, Segments: rec.Map.Segments}
-			fmt.Sscanf(rec.Map.Sum, "%x", &m.Sum)
+			m := rec.Map.segmentMap()
 			if g.epoch == nil || m.Epoch > g.epoch.Epoch {
 				g.epoch = m
 			}
@@ -167,7 +195,7 @@
 }
 
 func encodeMap(m *ownership.Map) []byte {
-	return encode(record{Map: &mapRecord{m.Epoch, fmt.Sprintf("%016x", m.Sum), m.Segments}})
+	return encode(record{Map: newMapRecord(m)})
 }
 
 func (g *Gatherer) write(records [][]byte) error {
