--- a/cmd/yokeroute/segments.go
+++ b/cmd/yokeroute/segments.go
@@ -39,7 +39,7 @@
 	}
 	first, last := -1, -1
 	for s := range shards {
-		if ownership.Slot(s, shards).Overlaps(r) {
+		if ownership.ShardRange(s, shards).Overlaps(r) {
 			if first < 0 {
 				first = s
 			}
@@ -91,12 +91,12 @@
 }
 
 func newMapDocument(m *ownership.Map) mapDocument {
-	document := mapDocument{Epoch: m.Epoch, Checksum: m.Sum}
+	document := mapDocument{Epoch: m.Epoch, Checksum: m.Checksum}
 	if m.Segments != nil { // null and an empty list are different texts
 		document.Segments = make([]segmentDocument, 0, len(m.Segments))
 	}
 	for _, s := range m.Segments {
-		document.Segments = append(document.Segments, segmentDocument{s.Name, s.Lo, s.Hi, s.Owners, s.Since})
+		document.Segments = append(document.Segments, segmentDocument{s.Name, s.Lo, s.Hi, s.Owners, s.OwnedSince})
 	}
 	return document
 }
@@ -113,13 +113,13 @@
 		if len(s.Owners) > 0 {
 			writer, others = s.Owners[0], strings.Join(s.Owners[1:], " ")
 		}
-		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", s.Name, s.Range.Text(), percent(s.Size()), shardsOf(s.Range, shards), s.Since, writer, others)
+		fmt.Fprintf(tab, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", s.Name, s.Range.Text(), percent(s.Fraction()), shardsOf(s.Range, shards), s.OwnedSince, writer, others)
 	}
 	tab.Flush()
-	if gaps := m.Unowned(); len(gaps) > 0 && host == "" {
+	if gaps := m.UnownedRanges(); len(gaps) > 0 && host == "" {
 		fmt.Fprintln(w, "\nunowned:")
 		for _, g := range gaps {
-			fmt.Fprintf(w, "  %s, %s of all, shards %s: no lookup that needs these keys is answered whole\n", g.Text(), percent(g.Size()), shardsOf(g, shards))
+			fmt.Fprintf(w, "  %s, %s of all, shards %s: no lookup that needs these keys is answered whole\n", g.Text(), percent(g.Fraction()), shardsOf(g, shards))
 		}
 	}
 }
@@ -135,7 +135,7 @@
 			out := cmd.OutOrStdout()
 			if len(args) == 1 {
 				fmt.Fprintf(out, "%s: reads well: epoch %d, %d segments\n", args[0], m.Epoch, len(m.Segments))
-				if gaps := m.Unowned(); len(gaps) > 0 {
+				if gaps := m.UnownedRanges(); len(gaps) > 0 {
 					fmt.Fprintf(out, "%d ranges are unowned, the first is %s\n", len(gaps), gaps[0].Text())
 					return errNegative
 				}
@@ -169,18 +169,18 @@
 	for _, s := range next.Segments {
 		i := m.Find(s.Name)
 		if i < 0 {
-			if s.Since <= m.Epoch {
-				wrong = append(wrong, fmt.Sprintf("segment %s is new and says that it is owned since epoch %d; write since %d, or nothing", s.Name, s.Since, next.Epoch))
+			if s.OwnedSince <= m.Epoch {
+				wrong = append(wrong, fmt.Sprintf("segment %s is new and says that it is owned since epoch %d; write since %d, or nothing", s.Name, s.OwnedSince, next.Epoch))
 			}
 			continue
 		}
 		was := m.Segments[i]
 		same := was.Range == s.Range && slices.Equal(was.Owners, s.Owners)
 		switch {
-		case !same && s.Since <= m.Epoch:
-			wrong = append(wrong, fmt.Sprintf("segment %s is owned otherwise than before and still says since epoch %d: the fence of its log would let its old owner write; write since %d, or nothing", s.Name, s.Since, next.Epoch))
-		case same && s.Since < was.Since:
-			wrong = append(wrong, fmt.Sprintf("segment %s is owned since epoch %d and says since %d", s.Name, was.Since, s.Since))
+		case !same && s.OwnedSince <= m.Epoch:
+			wrong = append(wrong, fmt.Sprintf("segment %s is owned otherwise than before and still says since epoch %d: the fence of its log would let its old owner write; write since %d, or nothing", s.Name, s.OwnedSince, next.Epoch))
+		case same && s.OwnedSince < was.OwnedSince:
+			wrong = append(wrong, fmt.Sprintf("segment %s is owned since epoch %d and says since %d", s.Name, was.OwnedSince, s.OwnedSince))
 		}
 	}
 	return wrong
@@ -190,14 +190,14 @@
 func difference(m, next *ownership.Map) (lines []string) {
 	moved := 0.0
 	for _, s := range next.Segments {
-		for _, p := range m.Pieces(s.Range) {
+		for _, p := range m.Overlaps(s.Range) {
 			var was []string
 			if p.Segment >= 0 {
 				was = m.Segments[p.Segment].Owners
 			}
 			if writerOf(was) != writerOf(s.Owners) {
-				moved += p.Size()
-				lines = append(lines, fmt.Sprintf("%s, %s of all keys: from %s to %s", p.Range.Text(), percent(p.Size()), writerOf(was), writerOf(s.Owners)))
+				moved += p.Fraction()
+				lines = append(lines, fmt.Sprintf("%s, %s of all keys: from %s to %s", p.Range.Text(), percent(p.Fraction()), writerOf(was), writerOf(s.Owners)))
 			}
 		}
 	}
@@ -234,7 +234,7 @@
 			case ways != 1:
 				return errors.New("say one of --to HOSTS, --split KEY or --merge SEGMENT")
 			case len(to) > 0:
-				c, err = m.Move(args[1], to)
+				c, err = m.MoveSegment(args[1], to)
 			case split != "":
 				at, wrong := strconv.ParseUint(split, 16, 64)
 				if wrong != nil || len(split) != 16 {
@@ -243,12 +243,12 @@
 				if len(names) != 2 || names[0] == "" {
 					names = []string{args[1] + "-1", args[1] + "-2"}
 				}
-				c, err = m.Split(args[1], at, names[0], names[1])
+				c, err = m.SplitSegment(args[1], at, names[0], names[1])
 			default:
 				if names[0] == "" {
 					names[0] = args[1] + "+" + merge
 				}
-				c, err = m.Merge(args[1], merge, names[0])
+				c, err = m.MergeSegments(args[1], merge, names[0])
 			}
 			if err != nil {
 				return err
@@ -258,11 +258,11 @@
 				return err
 			}
 			w := cmd.OutOrStdout()
-			fmt.Fprintf(w, "%s: makes epoch %d\n\n", c.Why, c.Epoch)
+			fmt.Fprintf(w, "%s: makes epoch %d\n\n", c.Reason, c.Epoch)
 			for _, line := range difference(m, next) {
 				fmt.Fprintln(w, line)
 			}
-			h := ownership.Begin(m, c)
+			h := ownership.NewHandover(m, c)
 			fmt.Fprintf(w, "\nsteps:\n")
 			for i, line := range steps(&h, shards) {
 				fmt.Fprintf(w, "  %d. %s\n", i+1, line)
@@ -289,11 +289,11 @@
 func steps(h *ownership.Handover, shards int) []string {
 	var olds, news []string
 	touched := ""
-	for _, s := range h.Was {
+	for _, s := range h.Previous {
 		olds = append(olds, s.Owners...)
 		touched = shardsOf(s.Range, shards)
 	}
-	for _, s := range h.In {
+	for _, s := range h.Added {
 		for _, o := range s.Owners {
 			if !slices.Contains(news, o) {
 				news = append(news, o)
--- a/internal/control/segments/file.go
+++ b/internal/control/segments/file.go
@@ -31,7 +31,7 @@
 				if err != nil {
 					return v.Errorf("keys", "%v", err)
 				}
-				f.segments = append(f.segments, ownership.Segment{Name: v.Text("name"), Range: r, Owners: v.List("on"), Since: uint64(v.Number("since", 0))})
+				f.segments = append(f.segments, ownership.Segment{Name: v.Text("name"), Range: r, Owners: v.List("on"), OwnedSince: uint64(v.Number("since", 0))})
 				f.at = append(f.at, v)
 				return nil
 			}},
@@ -64,7 +64,7 @@
 	if f.epoch == 0 {
 		return nil, 0, directive.ErrorList{{Position: top, Message: "lacks its epoch; write epoch NUMBER"}}
 	}
-	m, err := ownership.First(f.epoch, f.segments)
+	m, err := ownership.NewMap(f.epoch, f.segments)
 	if err == nil {
 		return m, f.shards, nil
 	}
@@ -90,8 +90,8 @@
 		if len(s.Owners) > 0 {
 			fmt.Fprintf(&b, " on %s", strings.Join(s.Owners, " "))
 		}
-		if s.Since != m.Epoch {
-			fmt.Fprintf(&b, " since %d", s.Since)
+		if s.OwnedSince != m.Epoch {
+			fmt.Fprintf(&b, " since %d", s.OwnedSince)
 		}
 		b.WriteByte('\n')
 	}
--- a/internal/control/segments/kept_test.go
+++ b/internal/control/segments/kept_test.go
@@ -25,8 +25,8 @@
 func keptMap(t *testing.T) *ownership.Map {
 	t.Helper()
 	quarter := uint64(1) << 62
-	m, err := ownership.First(7, []ownership.Segment{
-		{Name: "a", Range: ownership.Range{Lo: 0, Hi: quarter - 1}, Owners: []string{"h-01", "h-02"}, Since: 3},
+	m, err := ownership.NewMap(7, []ownership.Segment{
+		{Name: "a", Range: ownership.Range{Lo: 0, Hi: quarter - 1}, Owners: []string{"h-01", "h-02"}, OwnedSince: 3},
 		{Name: "b", Range: ownership.Range{Lo: quarter, Hi: 2*quarter - 1}, Owners: []string{"h-02"}},
 		{Name: "c", Range: ownership.Range{Lo: 3 * quarter, Hi: ^uint64(0)}},
 	})
@@ -50,10 +50,10 @@
 		}
 		changes = append(changes, c)
 	}
-	step(m.Move("a", []string{"h-03", "h-01"}))
-	step(m.Split("a", 1<<61, "a1", "a2"))
-	step(m.Merge("a1", "a2", "a"))
-	step(m.Move("b", nil))
+	step(m.MoveSegment("a", []string{"h-03", "h-01"}))
+	step(m.SplitSegment("a", 1<<61, "a1", "a2"))
+	step(m.MergeSegments("a1", "a2", "a"))
+	step(m.MoveSegment("b", nil))
 	return changes
 }
 
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -24,7 +24,7 @@
 // TestMapFile: a map file reads as it is written, and each mistake is one message with its place.
 func TestMapFile(t *testing.T) {
 	m, shards, err := ParseMap("m.conf", good)
-	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].Since != 3 || m.Segments[1].Since != 7 || m.Segments[0].Owners[1] != "h-2" {
+	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
 	again, _, err := ParseMap("again.conf", WriteMap(m, shards))
@@ -57,7 +57,7 @@
 // TestReplies: replies read as they are written; a bad one is refused whole, with the field.
 func TestReplies(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", good)
-	split, err := m.Split("a", 5, "c", "d")
+	split, err := m.SplitSegment("a", 5, "c", "d")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,7 +103,7 @@
 // a watch waits; through an authority that fails and one that sends what can't be read.
 func TestFollows(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", good)
-	next, err := m.Move("a", []string{"h-9"})
+	next, err := m.MoveSegment("a", []string{"h-9"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -164,7 +164,7 @@
 // without harm.
 func FuzzParse(f *testing.F) {
 	m, _, _ := ParseMap("m.conf", good)
-	split, _ := m.Split("a", 5, "c", "d")
+	split, _ := m.SplitSegment("a", 5, "c", "d")
 	f.Add((&Reply{Whole: m, Changes: []ownership.Change{split}}).Text())
 	f.Add([]byte(`{"whole":{"epoch":1,"sum":"0000000000000000","segments":[{"name":"a","keys":"0000000000000000-ffffffffffffffff"}]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -176,13 +176,13 @@
 		if err != nil || again.Whole != nil && (again.Whole.Epoch != r.Whole.Epoch || len(again.Whole.Segments) != len(r.Whole.Segments)) || len(again.Changes) != len(r.Changes) {
 			t.Fatalf("%v: %+v, then %+v", err, r, again)
 		}
-		follower := ownership.Follower{}
-		follower.Reset(m)
+		follower := ownership.Tracker{}
+		follower.ApplyMap(m)
 		if r.Whole != nil {
-			follower.Reset(r.Whole)
+			follower.ApplyMap(r.Whole)
 		}
 		for _, c := range r.Changes {
-			follower.Take(c)
+			follower.ApplyChange(c)
 		}
 		if faults := follower.Map.Check(); len(faults) > 0 {
 			t.Fatalf("a map with faults is believed: %v", faults)
--- a/internal/control/segments/wire.go
+++ b/internal/control/segments/wire.go
@@ -47,7 +47,9 @@
 // mostChanges bounds the changes of one reply; who is further behind gets the whole map.
 const mostChanges = 1024
 
-func wire(s ownership.Segment) segment { return segment{s.Name, s.Range.Text(), s.Owners, s.Since} }
+func wire(s ownership.Segment) segment {
+	return segment{s.Name, s.Range.Text(), s.Owners, s.OwnedSince}
+}
 
 func unwire(where string, list []segment) (segments []ownership.Segment, err error) {
 	for i, s := range list {
@@ -58,7 +60,7 @@
 		if s.Name == "" {
 			return nil, fmt.Errorf("%s[%d].name: is empty", where, i)
 		}
-		segments = append(segments, ownership.Segment{Name: s.Name, Range: r, Owners: s.Owners, Since: s.Since})
+		segments = append(segments, ownership.Segment{Name: s.Name, Range: r, Owners: s.Owners, OwnedSince: s.Since})
 	}
 	return segments, nil
 }
@@ -75,14 +77,14 @@
 func (r *Reply) Text() []byte {
 	var w wireReply
 	if r.Whole != nil {
-		w.Whole = &wireMap{Epoch: r.Whole.Epoch, Sum: fmt.Sprintf("%016x", r.Whole.Sum), Segments: []segment{}}
+		w.Whole = &wireMap{Epoch: r.Whole.Epoch, Sum: fmt.Sprintf("%016x", r.Whole.Checksum), Segments: []segment{}}
 		for _, s := range r.Whole.Segments {
 			w.Whole.Segments = append(w.Whole.Segments, wire(s))
 		}
 	}
 	for _, c := range r.Changes {
-		one := wireChange{Epoch: c.Epoch, Was: fmt.Sprintf("%016x", c.Was), Sum: fmt.Sprintf("%016x", c.Sum), Why: c.Why, Out: c.Out}
-		for _, s := range c.In {
+		one := wireChange{Epoch: c.Epoch, Was: fmt.Sprintf("%016x", c.PreviousChecksum), Sum: fmt.Sprintf("%016x", c.Checksum), Why: c.Reason, Out: c.Removed}
+		for _, s := range c.Added {
 			one.In = append(one.In, wire(s))
 		}
 		w.Changes = append(w.Changes, one)
@@ -101,14 +103,14 @@
 	var err error
 	if w.Whole != nil {
 		m := &ownership.Map{Epoch: w.Whole.Epoch}
-		if m.Sum, err = sumOf("whole.sum", w.Whole.Sum); err != nil {
+		if m.Checksum, err = sumOf("whole.sum", w.Whole.Sum); err != nil {
 			return nil, err
 		}
 		if m.Segments, err = unwire("whole.segments", w.Whole.Segments); err != nil {
 			return nil, err
 		}
-		if len(m.Segments) > ownership.Most {
-			return nil, fmt.Errorf("whole.segments: %d, at most %d can be", len(m.Segments), ownership.Most)
+		if len(m.Segments) > ownership.MaxSegments {
+			return nil, fmt.Errorf("whole.segments: %d, at most %d can be", len(m.Segments), ownership.MaxSegments)
 		}
 		r.Whole = m
 	}
@@ -117,14 +119,14 @@
 	}
 	for i, c := range w.Changes {
 		where := fmt.Sprintf("changes[%d]", i)
-		one := ownership.Change{Epoch: c.Epoch, Why: c.Why, Out: c.Out}
-		if one.Was, err = sumOf(where+".was", c.Was); err != nil {
+		one := ownership.Change{Epoch: c.Epoch, Reason: c.Why, Removed: c.Out}
+		if one.PreviousChecksum, err = sumOf(where+".was", c.Was); err != nil {
 			return nil, err
 		}
-		if one.Sum, err = sumOf(where+".sum", c.Sum); err != nil {
+		if one.Checksum, err = sumOf(where+".sum", c.Sum); err != nil {
 			return nil, err
 		}
-		if one.In, err = unwire(where+".in", c.In); err != nil {
+		if one.Added, err = unwire(where+".in", c.In); err != nil {
 			return nil, err
 		}
 		r.Changes = append(r.Changes, one)
--- a/internal/gatherer/dispatch/harness_test.go
+++ b/internal/gatherer/dispatch/harness_test.go
@@ -135,7 +135,7 @@
 	}
 	p.SetServerNames(names)
 	half := uint64(1) << 63
-	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
+	m, err := ownership.NewMap(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
 		{Name: "s1", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -180,7 +180,7 @@
 			if h.Shard != pt.Shard {
 				continue
 			}
-			r := ownership.Slot(pt.Shard, 4)
+			r := ownership.ShardRange(pt.Shard, 4)
 			if h.Keys != nil {
 				r = *h.Keys
 			}
@@ -192,7 +192,7 @@
 			}
 			return 1
 		})
-		want := ownership.Slot(pt.Shard, 4)
+		want := ownership.ShardRange(pt.Shard, 4)
 		from := want.Lo
 		for i, r := range got {
 			if r.Lo != from {
--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -13,7 +13,7 @@
 // piece is what the module decides on in place of a shard request where a map says who owns which keys: the request,
 // or some of its keys.
 type piece struct {
-	ownership.Held
+	ownership.Piece
 	replaced bool // others stand for its keys
 }
 
@@ -22,15 +22,15 @@
 	a.owned = true
 	a.keys = pc.Range
 	a.segment = pc.Segment
-	a.ownedSince = pc.Since
-	a.usesRetryBudget = a.usesRetryBudget || pc.Called && a.number == 0
-	pc.Out++
+	a.ownedSince = pc.OwnedSince
+	a.usesRetryBudget = a.usesRetryBudget || pc.Attempted && a.number == 0
+	pc.InFlight++
 }
 
 // coversShardRequest reports whether a piece stands for all of its shard request.
 func (q *Query) coversShardRequest(i int) bool {
 	for j := range q.pieces {
-		if j != i && !q.pieces[j].replaced && q.pieces[j].Part == q.pieces[i].Part {
+		if j != i && !q.pieces[j].replaced && q.pieces[j].Request == q.pieces[i].Request {
 			return false
 		}
 	}
@@ -39,8 +39,8 @@
 
 // ownershipState is what the picker knows of who owns which keys.
 type ownershipState struct {
-	ownership.Follower
-	index         *ownership.Index
+	ownership.Tracker
+	index         *ownership.ReplicaSetIndex
 	shards        int // that the keys are divided into
 	serverNames   map[uint32]string
 	ownedSets     map[string][]int // replica sets of the segments that a server owns, by its name
@@ -53,7 +53,7 @@
 // The module's settings must be those of OwnershipSettings.
 func (p *Picker) EnableOwnership(maxSegments, shards int) {
 	p.ownership = &ownershipState{
-		index:        ownership.NewIndex(maxSegments),
+		index:        ownership.NewReplicaSetIndex(maxSegments),
 		shards:       shards,
 		serverNames:  map[uint32]string{},
 		mapRequested: make(chan struct{}, 1),
@@ -64,7 +64,7 @@
 // writer another one.
 func OwnershipSettings(settings *gather.Settings, maxSegments int) *gather.Settings {
 	s := settings.Clone()
-	s.ReplicaSets = ownership.NewIndex(maxSegments).Nowhere() + 1
+	s.ReplicaSets = ownership.NewReplicaSetIndex(maxSegments).NoOwner() + 1
 	s.ReplicaSetsPerShard = 1
 	return s
 }
@@ -96,7 +96,7 @@
 // Map is the newest map known, and whether sources contradict each other. It must be called on the goroutine that runs
 // rounds.
 func (p *Picker) Map() (m *ownership.Map, contradicted bool) {
-	return p.ownership.Map, p.ownership.Doubt > 0
+	return p.ownership.Map, p.ownership.ConflictEpoch > 0
 }
 
 func (o *ownershipState) requestMap() {
@@ -116,20 +116,20 @@
 			changed = true
 		}
 	}
-	if changed && o.Doubt > 0 && o.Follower.Map != nil && o.Follower.Map.Epoch > o.Doubt {
+	if changed && o.ConflictEpoch > 0 && o.Tracker.Map != nil && o.Tracker.Map.Epoch > o.ConflictEpoch {
 		o.requestMap() // as a full one, this map ends the doubt
 	}
 	if in.serverNames != nil {
 		o.serverNames = in.serverNames
 	}
-	if o.Follower.Map == nil {
+	if o.Tracker.Map == nil {
 		return false
 	}
 	if changed {
-		if o.index.Take(o.Follower.Map) {
+		if o.index.Update(o.Tracker.Map) {
 			p.log.Error("segment map: too many segments, the last ones are not served")
 		}
-		o.ownedSets = o.index.Holds(o.Follower.Map)
+		o.ownedSets = o.index.ByHost(o.Tracker.Map)
 	}
 	if changed || in.serverNames != nil {
 		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: p.endpoints.all()})
@@ -146,31 +146,31 @@
 // applyMapUpdate takes over one update. It reports whether the map, or the trust in it, has changed.
 func (p *Picker) applyMapUpdate(update *mapUpdate) bool {
 	o := p.ownership
-	var verdict ownership.Verdict
+	var verdict ownership.UpdateResult
 	var err error
 	if update.full != nil {
-		verdict, err = o.Reset(update.full)
+		verdict, err = o.ApplyMap(update.full)
 	} else {
-		verdict, err = o.Take(update.change)
+		verdict, err = o.ApplyChange(update.change)
 	}
 	log := p.log.WithField("verdict", string(verdict))
 	switch verdict {
 	case ownership.Applied:
-		log.WithField("epoch", o.Follower.Map.Epoch).Info("segment map: new epoch")
+		log.WithField("epoch", o.Tracker.Map.Epoch).Info("segment map: new epoch")
 		if p.store != nil {
-			if err := p.store.SaveMap(o.Follower.Map); err != nil {
+			if err := p.store.SaveMap(o.Tracker.Map); err != nil {
 				p.log.WithError(err).Error("segment map: not saved")
 			}
 		}
 		return true
-	case ownership.Contradicts:
+	case ownership.Conflict:
 		log.WithError(err).Error("segment map: contradicting sources, non-idempotent queries wait for a later epoch")
 		o.requestMap()
 		return true
-	case ownership.Garbled:
+	case ownership.Invalid:
 		log.WithError(err).Warn("segment map: invalid update, requesting the full map")
 		o.requestMap()
-	case ownership.Skipped:
+	case ownership.Gap:
 		log.Debug("segment map: epochs missed, requesting the full map")
 		o.requestMap()
 	}
@@ -183,37 +183,37 @@
 	ranges := make([]ownership.Range, len(query.ShardRequests))
 	weights := make([]float64, len(query.ShardRequests))
 	for i, r := range query.ShardRequests {
-		ranges[i] = ownership.Slot(r.Shard, o.shards)
+		ranges[i] = ownership.ShardRange(r.Shard, o.shards)
 		weights[i] = r.Weight
 	}
-	m := o.Follower.Map
+	m := o.Tracker.Map
 	if m == nil {
 		m = &ownership.Map{} // no owner is known
 	}
 	query.pieces = make([]piece, 0, len(query.ShardRequests))
 	query.values = query.values[:0]
 	query.attempts = query.attempts[:0]
-	for _, fresh := range m.Begin(ranges, weights, p.nonIdempotent(query) && o.Doubt > 0) {
+	for _, fresh := range m.Split(ranges, weights, p.nonIdempotent(query) && o.ConflictEpoch > 0) {
 		p.addPiece(in, query, fresh)
 	}
 }
 
 // addPiece hands one piece to the module.
-func (p *Picker) addPiece(in *gather.Round, query *Query, fresh ownership.Fresh) {
-	held := ownership.Held{
-		ID:     p.intake.allocate(1),
-		Part:   fresh.Part,
-		Range:  fresh.Range,
-		Weight: fresh.Weight,
-		Called: fresh.Again,
-		Parked: fresh.Parked,
+func (p *Picker) addPiece(in *gather.Round, query *Query, fresh ownership.NewPiece) {
+	held := ownership.Piece{
+		ID:         p.intake.allocate(1),
+		Request:    fresh.Request,
+		Range:      fresh.Range,
+		Weight:     fresh.Weight,
+		Attempted:  fresh.Retry,
+		DeferredAt: fresh.DeferredAt,
 	}
 	replicaSet := p.ownership.assignSegment(&held, fresh.Segment, p.settings.Class(query.Class).Effect)
 	p.queries.requests[held.ID] = requestRef{query, len(query.pieces)}
-	query.pieces = append(query.pieces, piece{Held: held})
+	query.pieces = append(query.pieces, piece{Piece: held})
 	query.values = append(query.values, nil)
 	query.attempts = append(query.attempts, nil)
-	request := &query.ShardRequests[fresh.Part]
+	request := &query.ShardRequests[fresh.Request]
 	share := fresh.Weight / max(request.Weight, minPieceShare)
 	in.Requests = append(in.Requests, gather.ShardRequest{
 		ID:     held.ID,
@@ -222,23 +222,23 @@
 		Weight: fresh.Weight,
 		Cost:   request.Cost * share,
 		Key:    request.Key,
-		Retry:  fresh.Again,
+		Retry:  fresh.Retry,
 	})
 }
 
 // assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set that
 // stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds them.
-func (o *ownershipState) assignSegment(held *ownership.Held, segment int, effect gather.Effect) (replicaSet int) {
-	if o.Follower.Map != nil {
-		held.Since = o.Follower.Map.Epoch
+func (o *ownershipState) assignSegment(held *ownership.Piece, segment int, effect gather.Effect) (replicaSet int) {
+	if o.Tracker.Map != nil {
+		held.OwnedSince = o.Tracker.Map.Epoch
 	}
 	if segment < 0 {
-		return o.index.Nowhere()
+		return o.index.NoOwner()
 	}
-	s := &o.Follower.Map.Segments[segment]
+	s := &o.Tracker.Map.Segments[segment]
 	held.Segment = s.Name
-	held.Since = s.Since
-	all, writer := o.index.Groups(s.Name)
+	held.OwnedSince = s.OwnedSince
+	all, writer := o.index.ReplicaSets(s.Name)
 	if effect == gather.Idempotent {
 		return all
 	}
@@ -249,7 +249,7 @@
 // parked or were refused.
 func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
 	o := p.ownership
-	if o.Follower.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
+	if o.Tracker.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
 		return
 	}
 	ids := make([]uint64, 0, len(p.queries.byID))
@@ -269,13 +269,13 @@
 
 func (p *Picker) reassignPiecesOf(in *gather.Round, query *Query, now float64) {
 	o := p.ownership
-	held := make([]ownership.Held, 0, len(query.pieces))
+	held := make([]ownership.Piece, 0, len(query.pieces))
 	for i := range query.pieces {
 		if !query.pieces[i].replaced {
-			held = append(held, query.pieces[i].Held)
+			held = append(held, query.pieces[i].Piece)
 		}
 	}
-	replaced, fresh := o.Follower.Map.Rehome(held, p.nonIdempotent(query), o.Doubt == 0, now)
+	replaced, fresh := o.Tracker.Map.Reassign(held, p.nonIdempotent(query), o.ConflictEpoch == 0, now)
 	for _, id := range replaced {
 		query.pieces[p.queries.requests[id].index].replaced = true
 		delete(p.queries.requests, id)
@@ -285,7 +285,7 @@
 		p.addPiece(in, query, f)
 	}
 	for i := range query.pieces {
-		if pc := &query.pieces[i]; !pc.replaced && pc.Parked > 0 {
+		if pc := &query.pieces[i]; !pc.replaced && pc.DeferredAt > 0 {
 			o.parked++
 		}
 	}
@@ -294,17 +294,17 @@
 // recordPieceEnd notes the end of an attempt at a piece.
 func (p *Picker) recordPieceEnd(end *attemptEnd) {
 	pc := &end.attempt.query.pieces[end.attempt.index]
-	pc.Out--
+	pc.InFlight--
 	switch {
 	case end.outcome == gather.Succeeded:
-		pc.In = true
+		pc.Answered = true
 	case end.outcome == gather.NotOwner:
-		pc.Refused = true
+		pc.Rejected = true
 		p.ownership.refusedPieces++
 	case !end.outcome.NeverExecuted():
-		pc.MayRun = true
+		pc.MayHaveRun = true
 	}
 	if end.attempt.WriteBegun() {
-		pc.Called = true
+		pc.Attempted = true
 	}
 }
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -49,7 +49,7 @@
 		}
 		attempts[0].BeginWrite()
 		attempts[0].EndWrite()
-		c, err := m.Move("s0", []string{"h4"})
+		c, err := m.MoveSegment("s0", []string{"h4"})
 		applyChange(t, p, m, c, err)
 		if o := p.runRound(1015); len(o.Send) > 0 {
 			t.Fatal("sent again while an attempt is out")
@@ -86,12 +86,12 @@
 		query := newQuery("any", 2, 3000)
 		query.ID = "a"
 		p.submit(query)
-		at := ownership.Slot(0, 4).Lo + ownership.Slot(0, 4).Hi/4
-		split, err := m.Split("s0", at, "l", "r")
+		at := ownership.ShardRange(0, 4).Lo + ownership.ShardRange(0, 4).Hi/4
+		split, err := m.SplitSegment("s0", at, "l", "r")
 		var attempts []*Attempt
 		if when == "before sending" {
 			m = applyChange(t, p, m, split, err)
-			c, err := m.Move("r", []string{"h5"})
+			c, err := m.MoveSegment("r", []string{"h5"})
 			applyChange(t, p, m, c, err)
 			attempts = p.runRound(1010).Send
 			if len(attempts) != 3 {
@@ -100,7 +100,7 @@
 		} else {
 			attempts = p.runRound(1010).Send
 			m = applyChange(t, p, m, split, err)
-			c, err := m.Move("r", []string{"h5"})
+			c, err := m.MoveSegment("r", []string{"h5"})
 			applyChange(t, p, m, c, err)
 			if more := p.runRound(1015).Send; len(more) > 0 {
 				t.Fatal("sent again while attempts are out")
@@ -139,7 +139,7 @@
 			s.FindClass("any").MinShare = 0.4
 			s.FindClass("any").PartialValue = 0.8
 		})
-		c, err := m.Move("s1", nil)
+		c, err := m.MoveSegment("s1", nil)
 		m = applyChange(t, p, m, c, err)
 		query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 		if len(attempts) != 2 {
@@ -148,7 +148,7 @@
 		answerAll(p, attempts)
 		if back {
 			p.runRound(1020)
-			c, err := m.Move("s1", []string{"h4"})
+			c, err := m.MoveSegment("s1", []string{"h4"})
 			applyChange(t, p, m, c, err)
 		}
 		for now := 1025.0; now < 1600; now += 5 {
@@ -160,7 +160,7 @@
 		}
 	}
 	p, m := newOwnershipPicker(t, nil)
-	c, err := m.Move("s1", nil)
+	c, err := m.MoveSegment("s1", nil)
 	applyChange(t, p, m, c, err)
 	query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 	answerAll(p, attempts)
@@ -179,14 +179,14 @@
 		s.FindClass("any").CompleteShare = 0.75
 		s.FindClass("any").MinShare = 0.75
 	})
-	split, err := m.Split("s0", ownership.Slot(1, 4).Lo, "l", "r")
+	split, err := m.SplitSegment("s0", ownership.ShardRange(1, 4).Lo, "l", "r")
 	m = applyChange(t, p, m, split, err)
 	p.runRound(1005)
 	query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 	if len(attempts) < 3 {
 		t.Fatalf("%d attempts", len(attempts))
 	}
-	merge, err := m.Merge("l", "r", "s2")
+	merge, err := m.MergeSegments("l", "r", "s2")
 	applyChange(t, p, m, merge, err)
 	p.runRound(1015)
 	for i, c := range attempts {
@@ -227,7 +227,7 @@
 		some[0].EndWrite()
 		queries, attempts = append(queries, query), append(attempts, some...)
 	}
-	c, err := m.Move("s0", []string{"h4"})
+	c, err := m.MoveSegment("s0", []string{"h4"})
 	applyChange(t, p, m, c, err)
 	for _, c := range attempts {
 		p.Report(c, gather.NotOwner, nil)
@@ -264,7 +264,7 @@
 	p, m := newOwnershipPicker(t, nil)
 	query, attempts := submitAndRun(p, 1010, "any", "a", 1)
 	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}}})
-	c, err := m.Move("s0", []string{"h4"})
+	c, err := m.MoveSegment("s0", []string{"h4"})
 	m = applyChange(t, p, m, c, err)
 	p.Report(attempts[0], gather.NotOwner, nil)
 	for now := 1015.0; now < 1100; now += 5 {
@@ -272,7 +272,7 @@
 			t.Fatalf("an attempt to server %d, which drains", o.Send[0].Server)
 		}
 	}
-	c, err = m.Move("s0", []string{"h5"})
+	c, err = m.MoveSegment("s0", []string{"h5"})
 	applyChange(t, p, m, c, err)
 	again := p.runRound(1105).Send
 	if len(again) != 1 || again[0].Server != 15 {
@@ -289,9 +289,9 @@
 // until a later map, others do not.
 func TestContradictingMapsHoldBackNonIdempotent(t *testing.T) {
 	p, m := newOwnershipPicker(t, nil)
-	one, err := m.Move("s0", []string{"h4"})
+	one, err := m.MoveSegment("s0", []string{"h4"})
 	mustChange(t, one, err)
-	other, err := m.Move("s0", []string{"h5"})
+	other, err := m.MoveSegment("s0", []string{"h5"})
 	next := applyChange(t, p, m, one, nil)
 	applyChange(t, p, m, other, err)
 	p.runRound(1005)
@@ -309,7 +309,7 @@
 		t.Errorf("an idempotent part: %v", attempts)
 	}
 	answerAll(p, attempts)
-	c, err := next.Move("s1", []string{"h2"})
+	c, err := next.MoveSegment("s1", []string{"h2"})
 	after, _ := next.Apply(mustChange(t, c, err))
 	p.SetMap(after)
 	attempts = p.runRound(1100).Send
@@ -364,17 +364,17 @@
 				switch kind {
 				case 0:
 					if s.Hi-s.Lo > 1000 && len(truth.Segments) < 14 {
-						c, err = truth.Split(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)), fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
+						c, err = truth.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)), fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
 					}
 				case 1:
 					if i+1 < len(truth.Segments) {
-						c, err = truth.Merge(s.Name, truth.Segments[i+1].Name, fmt.Sprint("n", name))
+						c, err = truth.MergeSegments(s.Name, truth.Segments[i+1].Name, fmt.Sprint("n", name))
 					}
 				case 2:
-					c, err = truth.Move(s.Name, []string{fmt.Sprint("h", draw(6))})
+					c, err = truth.MoveSegment(s.Name, []string{fmt.Sprint("h", draw(6))})
 				default:
 					if chance.Float64() < 0.3 {
-						c, err = truth.Move(s.Name, nil)
+						c, err = truth.MoveSegment(s.Name, nil)
 					}
 				}
 				if err == nil {
@@ -415,7 +415,7 @@
 					return &asked{}
 				}()
 				i := truth.Find(segment)
-				owns := i >= 0 && truth.Segments[i].Since == since && slices.Contains(truth.Segments[i].Owners, fmt.Sprint("h", o.c.Server-10))
+				owns := i >= 0 && truth.Segments[i].OwnedSince == since && slices.Contains(truth.Segments[i].Owners, fmt.Sprint("h", o.c.Server-10))
 				switch {
 				case !owns:
 					a.mayRun = false
--- a/internal/gatherer/dispatch/query.go
+++ b/internal/gatherer/dispatch/query.go
@@ -109,7 +109,7 @@
 // shardRequestOf is the index of the shard request that a piece belongs to; without pieces it is i itself.
 func (q *Query) shardRequestOf(i int) int {
 	if q.pieces != nil {
-		return q.pieces[i].Part
+		return q.pieces[i].Request
 	}
 	return i
 }
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -64,9 +64,9 @@
 	}
 	var list []ownership.Segment
 	for i := range 4 {
-		list = append(list, ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.Slot(i, 4), Owners: []string{f.hosts[i%hosts].Name, f.hosts[(i+1)%hosts].Name}})
+		list = append(list, ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.ShardRange(i, 4), Owners: []string{f.hosts[i%hosts].Name, f.hosts[(i+1)%hosts].Name}})
 	}
-	first, err := ownership.First(1, list)
+	first, err := ownership.NewMap(1, list)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,7 +186,7 @@
 		return 1
 	})
 	for i, s := range shards {
-		want := ownership.Slot(s, 4)
+		want := ownership.ShardRange(s, 4)
 		for from := want.Lo; ; {
 			if len(got) == 0 || got[0].Lo != from || got[0].Hi > want.Hi {
 				return fmt.Errorf("shard %d of %d: what was read is not all of %s, once", s, i, want.Text())
@@ -264,7 +264,7 @@
 // claim makes one claim and records it.
 func claim(address, id string, key uint64, began time.Time) porcupine.Operation {
 	shard := 0
-	for ownership.Slot(shard, 4).Hi < key {
+	for ownership.ShardRange(shard, 4).Hi < key {
 		shard++
 	}
 	op := porcupine.Operation{Input: claimInput{key, id}, Call: time.Since(began).Nanoseconds()}
@@ -363,12 +363,12 @@
 		var err error
 		switch kind := draw(3); {
 		case kind == 0 && len(m.Segments) < 12:
-			c, err = m.Split(s.Name, s.Lo+(s.Hi-s.Lo)/2, fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
+			c, err = m.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/2, fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
 		case kind == 1 && i+1 < len(m.Segments) && len(m.Segments) > 4:
-			c, err = m.Merge(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", name))
+			c, err = m.MergeSegments(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", name))
 		default:
 			to := f.hosts[draw(len(f.hosts))]
-			c, err = m.Move(s.Name, []string{to.Name, f.hosts[draw(len(f.hosts))].Name})
+			c, err = m.MoveSegment(s.Name, []string{to.Name, f.hosts[draw(len(f.hosts))].Name})
 		}
 		if err != nil {
 			continue
@@ -395,7 +395,7 @@
 		case 2:
 			f.hosts[draw(len(f.hosts))].Lose(1 + draw(3))
 		}
-		h := ownership.Begin(m, c)
+		h := ownership.NewHandover(m, c)
 		for step := ownership.Fence; step <= ownership.Done; step++ { // a step at a time, with calls in between
 			if err = f.authority.Carry(&h, step); err != nil {
 				break
@@ -489,11 +489,11 @@
 		f.authority.Silence(true)
 		f.hosts[0].Cut(true)
 		m := f.authority.Map()
-		c, err := m.Move("s0", []string{"h2"})
+		c, err := m.MoveSegment("s0", []string{"h2"})
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := ownership.Begin(m, c)
+		h := ownership.NewHandover(m, c)
 		if err := f.authority.Carry(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
@@ -531,11 +531,11 @@
 	f.authority.Silence(true)
 	for i := range 3 { // to hosts that have none of it, one after the other
 		m := f.authority.Map()
-		c, err := m.Move("s0", []string{f.hosts[[]int{2, 3, 2}[i]].Name})
+		c, err := m.MoveSegment("s0", []string{f.hosts[[]int{2, 3, 2}[i]].Name})
 		if err != nil {
 			t.Fatal(err)
 		}
-		h := ownership.Begin(m, c)
+		h := ownership.NewHandover(m, c)
 		if err := f.authority.Carry(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
@@ -587,12 +587,12 @@
 		t.Fatalf("no claim is ever %s", want)
 	}
 	m := f.authority.Map()
-	lie, err := m.Move("s0", []string{"h2"})
+	lie, err := m.MoveSegment("s0", []string{"h2"})
 	if err != nil {
 		t.Fatal(err)
 	}
 	nonsense := lie
-	nonsense.Sum++
+	nonsense.Checksum++
 	tell := func(c ownership.Change) { // in place of the changes that there are; a whole map is told as it is
 		f.authority.Twist(func(r *segments.Reply) *segments.Reply {
 			if r.Whole != nil {
@@ -605,26 +605,26 @@
 	try(1, "given")
 	tell(lie)
 	try(1, "never") // the host that the lie names refuses
-	c, err := m.Move("s3", []string{"h2"})
+	c, err := m.MoveSegment("s3", []string{"h2"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	h := ownership.Begin(m, c)
+	h := ownership.NewHandover(m, c)
 	if err := f.authority.Carry(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
 	f.authority.Twist(nil)
 	try(1, "never") // refused, and so the map is asked for whole
-	other := ownership.Slot(1, 4).Lo
+	other := ownership.ShardRange(1, 4).Lo
 	try(other, "never") // of a segment of which no lie was told
 	if a := ask(f.addresses[0], "find", "r", []int{1}, "read"); a.status != http.StatusOK || !a.Complete {
 		t.Errorf("reads: %+v", a)
 	}
 	next := f.authority.Map()
-	if c, err = next.Move("s3", []string{"h0"}); err != nil {
+	if c, err = next.MoveSegment("s3", []string{"h0"}); err != nil {
 		t.Fatal(err)
 	}
-	h = ownership.Begin(next, c)
+	h = ownership.NewHandover(next, c)
 	if err := f.authority.Carry(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -185,8 +185,8 @@
 
 // newOwnedDesk has lookups sent to who owns their keys: shard 3 of 16 is a segment of the server's.
 func newOwnedDesk(t *testing.T, shard *standin.Shard, effect gather.Effect) *desk {
-	keys := ownership.Slot(3, 16)
-	m, err := ownership.First(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, Since: 4}})
+	keys := ownership.ShardRange(3, 16)
+	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, OwnedSince: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -267,7 +267,7 @@
 	p := newPlayed(dispatch.OwnershipSettings(keptTerms, most), file)
 	p.EnableOwnership(most, shards)
 	p.SetServerNames(map[uint32]string{10: "h0", 11: "h1"})
-	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
+	m, err := ownership.NewMap(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
 		{Name: "s1", Range: ownership.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/trace/record.go
+++ b/internal/gatherer/trace/record.go
@@ -121,7 +121,7 @@
 	for _, p := range lk.ShardRequests {
 		part := rulecheck.Part{Shard: p.Shard, Weight: p.Weight}
 		if r.shards > 0 {
-			part.Keys = ruleKeys(ownership.Slot(p.Shard, r.shards))
+			part.Keys = ruleKeys(ownership.ShardRange(p.Shard, r.shards))
 		}
 		e.Parts = append(e.Parts, part)
 	}
--- a/internal/storage/statedir/claims.go
+++ b/internal/storage/statedir/claims.go
@@ -49,22 +49,22 @@
 }
 
 func newMapRecord(m *ownership.Map) *mapRecord {
-	r := &mapRecord{Epoch: m.Epoch, Checksum: fmt.Sprintf("%016x", m.Sum)}
+	r := &mapRecord{Epoch: m.Epoch, Checksum: fmt.Sprintf("%016x", m.Checksum)}
 	if m.Segments != nil { // null and an empty list are different bytes
 		r.Segments = make([]segmentRecord, 0, len(m.Segments))
 	}
 	for _, s := range m.Segments {
-		r.Segments = append(r.Segments, segmentRecord{s.Name, s.Lo, s.Hi, s.Owners, s.Since})
+		r.Segments = append(r.Segments, segmentRecord{s.Name, s.Lo, s.Hi, s.Owners, s.OwnedSince})
 	}
 	return r
 }
 
 func (r *mapRecord) segmentMap() *ownership.Map {
 	m := &ownership.Map{Epoch: r.Epoch}
-	fmt.Sscanf(r.Checksum, "%x", &m.Sum)
+	fmt.Sscanf(r.Checksum, "%x", &m.Checksum)
 	for _, s := range r.Segments {
 		keys := ownership.Range{Lo: s.First, Hi: s.Last}
-		m.Segments = append(m.Segments, ownership.Segment{Name: s.Name, Range: keys, Owners: s.Owners, Since: s.Since})
+		m.Segments = append(m.Segments, ownership.Segment{Name: s.Name, Range: keys, Owners: s.Owners, OwnedSince: s.Since})
 	}
 	return m
 }
--- a/internal/storage/statedir/claims_test.go
+++ b/internal/storage/statedir/claims_test.go
@@ -25,7 +25,7 @@
 	if !r.Fresh || r.Blind > 0 {
 		t.Errorf("%+v", r)
 	}
-	m, err := ownership.First(3, []ownership.Segment{{Name: "s", Range: ownership.All, Owners: []string{"a"}}})
+	m, err := ownership.NewMap(3, []ownership.Segment{{Name: "s", Range: ownership.All, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -44,7 +44,7 @@
 	}
 	// A crash: nothing is closed.
 	g, r = open(t, dir, 1100)
-	if r.Epoch != 3 || g.Map().Sum != m.Sum || len(g.Map().Segments) != 1 || r.Blind > 0 {
+	if r.Epoch != 3 || g.Map().Checksum != m.Checksum || len(g.Map().Segments) != 1 || r.Blind > 0 {
 		t.Errorf("%+v, map %+v", r, g.Map())
 	}
 	for i := range 200 {
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -55,8 +55,8 @@
 func keptMap(t *testing.T) *ownership.Map {
 	t.Helper()
 	half := uint64(1) << 63
-	m, err := ownership.First(7, []ownership.Segment{
-		{Name: "a", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h-01", "h-02"}, Since: 3},
+	m, err := ownership.NewMap(7, []ownership.Segment{
+		{Name: "a", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h-01", "h-02"}, OwnedSince: 3},
 		{Name: "b", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}},
 	})
 	if err != nil {
@@ -105,8 +105,8 @@
 		}
 	}
 	m, want := g.Map(), keptMap(t)
-	if m.Epoch != want.Epoch || m.Sum != want.Sum || len(m.Segments) != 2 || m.Segments[0].Range != want.Segments[0].Range ||
-		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].Since != 3 || m.Segments[1].Name != "b" {
+	if m.Epoch != want.Epoch || m.Checksum != want.Checksum || len(m.Segments) != 2 || m.Segments[0].Range != want.Segments[0].Range ||
+		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].OwnedSince != 3 || m.Segments[1].Name != "b" {
 		t.Errorf("map %+v", m)
 	}
 	g.Close()
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -231,7 +231,7 @@
 		p.Cost += pt.hint
 		part := rulecheck.Part{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
-			all := ownership.Slot(pt.shard, w.sc.Layout.Shards)
+			all := ownership.ShardRange(pt.shard, w.sc.Layout.Shards)
 			part.Keys = &rulecheck.Keys{Lo: all.Lo, Hi: all.Hi}
 		}
 		parts = append(parts, part)
@@ -321,7 +321,7 @@
 		for _, h := range v.Hits {
 			share := 1.0
 			if h.Keys != nil {
-				share = h.Keys.Size() / ownership.Slot(h.Shard, w.sc.Layout.Shards).Size()
+				share = h.Keys.Fraction() / ownership.ShardRange(h.Shard, w.sc.Layout.Shards).Fraction()
 			}
 			in += k.part(h.Shard).weight * share
 		}
--- a/internal/testbed/emulator/gatherer.go
+++ b/internal/testbed/emulator/gatherer.go
@@ -201,7 +201,7 @@
 		if w.owned != nil {
 			keys, _, _, _ := c.Ownership()
 			a.keys = &rulecheck.Keys{Lo: keys.Lo, Hi: keys.Hi}
-			a.work *= keys.Size() / ownership.Slot(c.Shard(), w.sc.Layout.Shards).Size()
+			a.work *= keys.Fraction() / ownership.ShardRange(c.Shard(), w.sc.Layout.Shards).Fraction()
 		}
 		if c.FirstPass() {
 			a.work *= lk.ask.ix.Brief
--- a/internal/testbed/emulator/owned.go
+++ b/internal/testbed/emulator/owned.go
@@ -12,7 +12,7 @@
 type segmentOwners struct {
 	m       *ownership.Map
 	hosts   []ownership.Host // by server
-	logs    map[string]*ownership.Log
+	logs    map[string]*ownership.SegmentLog
 	names   map[uint32]string
 	byName  map[string]*server
 	chance  *pcg.Source
@@ -27,7 +27,7 @@
 // settleSegments deals the first segments out.
 func (w *World) settleSegments() error {
 	sc := w.sc
-	o := &segmentOwners{hosts: make([]ownership.Host, len(w.servers)), logs: map[string]*ownership.Log{}, names: map[uint32]string{}, byName: map[string]*server{}, chance: w.stream("hand-overs", 0)}
+	o := &segmentOwners{hosts: make([]ownership.Host, len(w.servers)), logs: map[string]*ownership.SegmentLog{}, names: map[uint32]string{}, byName: map[string]*server{}, chance: w.stream("hand-overs", 0)}
 	w.owned = o
 	for _, s := range w.servers {
 		name := fmt.Sprint("h", s.number)
@@ -35,18 +35,18 @@
 	}
 	var list []ownership.Segment
 	for i := range sc.Owned.Segments {
-		s := ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.Slot(i, sc.Owned.Segments)}
+		s := ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.ShardRange(i, sc.Owned.Segments)}
 		for k := range min(sc.Owned.Owners, len(w.servers)) {
 			s.Owners = append(s.Owners, fmt.Sprint("h", (i+k*(len(w.servers)/max(sc.Owned.Owners, 1)+1))%len(w.servers)))
 		}
 		list = append(list, s)
 	}
 	var err error
-	if o.m, err = ownership.First(1, list); err != nil {
+	if o.m, err = ownership.NewMap(1, list); err != nil {
 		return err
 	}
 	for _, s := range o.m.Segments {
-		o.logs[s.Name] = &ownership.Log{Fence: 1}
+		o.logs[s.Name] = &ownership.SegmentLog{Epoch: 1}
 		o.accept(s)
 	}
 	for _, g := range w.gatherers {
@@ -64,16 +64,16 @@
 			reached = reached && i > 0
 			continue
 		}
-		o.hosts[srv.number].Take(ownership.Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: i == 0})
+		o.hosts[srv.number].Acquire(ownership.OwnedSegment{Name: s.Name, Range: s.Range, OwnedSince: s.OwnedSince, Writer: i == 0})
 	}
 	return reached
 }
 
 // asks has a server decide about a call.
-func (o *segmentOwners) asks(s *server, a *attempt) ownership.Answer {
+func (o *segmentOwners) asks(s *server, a *attempt) ownership.Admission {
 	keys, segment, since, _ := a.call.Ownership()
-	answer := o.hosts[s.number].Ask(ownership.Call{Segment: segment, Since: since, Range: keys, OnceOnly: a.call.NonIdempotent()})
-	if answer == ownership.Moved {
+	answer := o.hosts[s.number].Admit(ownership.Request{Segment: segment, OwnedSince: since, Range: keys, NonIdempotent: a.call.NonIdempotent()})
+	if answer == ownership.NotOwner {
 		o.refused++
 	}
 	return answer
@@ -116,16 +116,16 @@
 	}
 	switch kind := draw(3); {
 	case kind == 0 && len(o.m.Segments) < w.sc.Owned.Most:
-		c, err = o.m.Split(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(3))+1, fmt.Sprint("n", o.next, "a"), fmt.Sprint("n", o.next, "b"))
+		c, err = o.m.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(3))+1, fmt.Sprint("n", o.next, "a"), fmt.Sprint("n", o.next, "b"))
 	case kind == 1 && i+1 < len(o.m.Segments) && len(o.m.Segments) > w.sc.Owned.Segments/2:
-		c, err = o.m.Merge(s.Name, o.m.Segments[i+1].Name, fmt.Sprint("n", o.next))
+		c, err = o.m.MergeSegments(s.Name, o.m.Segments[i+1].Name, fmt.Sprint("n", o.next))
 	default:
-		c, err = o.m.Move(s.Name, to())
+		c, err = o.m.MoveSegment(s.Name, to())
 	}
 	if err != nil {
 		return
 	}
-	h := ownership.Begin(o.m, c)
+	h := ownership.NewHandover(o.m, c)
 	o.busy = true
 	w.step(&h, o.chance.Float64() < w.sc.Owned.Undone, 0)
 }
@@ -152,24 +152,24 @@
 	old, new := true, true
 	switch h.Step {
 	case ownership.Seal:
-		for _, s := range h.Was {
+		for _, s := range h.Previous {
 			old = reached(s.Owners, func(host *ownership.Host) { host.Seal(s.Name) }) && old
 		}
 	case ownership.Fence:
 		o.raise(h.Change)
 	case ownership.Accept:
-		for _, s := range h.In {
+		for _, s := range h.Added {
 			new = o.accept(s) && new
 		}
 	case ownership.Publish:
 		if undo {
-			changes, err := h.Undone(o.m)
+			changes, err := h.Revert(o.m)
 			if err != nil {
 				panic(err) // the map has not changed since the hand-over began
 			}
 			for _, c := range changes {
 				o.raise(c)
-				for _, s := range c.In {
+				for _, s := range c.Added {
 					o.accept(s)
 				}
 				w.publish(c)
@@ -181,13 +181,13 @@
 		w.publish(h.Change)
 		o.done++
 	case ownership.Release:
-		for _, s := range h.Was {
+		for _, s := range h.Previous {
 			reached(s.Owners, func(host *ownership.Host) {
-				host.Owns = slices.DeleteFunc(host.Owns, func(has ownership.Owned) bool { return has.Name == s.Name && has.Since == s.Since })
+				host.Segments = slices.DeleteFunc(host.Segments, func(has ownership.OwnedSegment) bool { return has.Name == s.Name && has.OwnedSince == s.OwnedSince })
 			})
 		}
 	}
-	if h.May(old, new) {
+	if h.CanProceed(old, new) {
 		h.Step++
 		tried = 0
 	} else {
@@ -201,19 +201,19 @@
 }
 
 func (o *segmentOwners) raise(c ownership.Change) {
-	for _, name := range c.Out {
+	for _, name := range c.Removed {
 		if log := o.logs[name]; log != nil {
-			log.Raise(c.Epoch)
+			log.RaiseEpoch(c.Epoch)
 			log.Sealed = true
 		}
 	}
-	for _, s := range c.In {
+	for _, s := range c.Added {
 		log := o.logs[s.Name]
 		if log == nil {
-			log = &ownership.Log{}
+			log = &ownership.SegmentLog{}
 			o.logs[s.Name] = log
 		}
-		log.Raise(c.Epoch)
+		log.RaiseEpoch(c.Epoch)
 		log.Sealed = false
 	}
 }
--- a/internal/testbed/emulator/server.go
+++ b/internal/testbed/emulator/server.go
@@ -122,7 +122,7 @@
 			return
 		}
 		outcome := gather.Succeeded
-		if w.owned != nil && w.owned.asks(s, a) == ownership.Moved {
+		if w.owned != nil && w.owned.asks(s, a) == ownership.NotOwner {
 			w.reply(c, a, gather.NotOwner, nil)
 			continue
 		}
--- a/internal/testbed/standin/owners/owners.go
+++ b/internal/testbed/standin/owners/owners.go
@@ -36,7 +36,7 @@
 	Unfenced bool // records of any epoch are taken, as if there were no fence: for showing that it is needed
 
 	mu   sync.Mutex
-	logs map[string]*ownership.Log
+	logs map[string]*ownership.SegmentLog
 	held map[uint64]string // who has a key
 	ran  []Ran
 }
@@ -70,19 +70,19 @@
 func (l *Logs) raise(c ownership.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	for _, name := range c.Out {
+	for _, name := range c.Removed {
 		if log := l.logs[name]; log != nil {
-			log.Raise(c.Epoch)
+			log.RaiseEpoch(c.Epoch)
 			log.Sealed = true
 		}
 	}
-	for _, s := range c.In {
+	for _, s := range c.Added {
 		log := l.logs[s.Name]
 		if log == nil {
-			log = &ownership.Log{}
+			log = &ownership.SegmentLog{}
 			l.logs[s.Name] = log
 		}
-		log.Raise(c.Epoch)
+		log.RaiseEpoch(c.Epoch)
 		log.Sealed = false
 	}
 }
@@ -192,10 +192,10 @@
 }
 
 // Owns is what it believes to own.
-func (h *Host) Owns() []ownership.Owned {
+func (h *Host) Owns() []ownership.OwnedSegment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.own.Owns)
+	return slices.Clone(h.own.Segments)
 }
 
 var errCut = errors.New("the host can't be reached")
@@ -217,7 +217,7 @@
 // part is one piece of a call as it came.
 type part struct {
 	shards.Part
-	ownership.Call
+	ownership.Request
 }
 
 // parse takes a call's body apart: the platform's lines with keys in their lists.
@@ -239,11 +239,11 @@
 			case "s":
 				p.Segment = value
 			case "e":
-				p.Since, err = strconv.ParseUint(value, 10, 64)
+				p.OwnedSince, err = strconv.ParseUint(value, 10, 64)
 			case "k":
 				p.Range, err = ownership.ParseRange(value)
 			case "once":
-				p.OnceOnly = true
+				p.NonIdempotent = true
 			}
 			if err != nil {
 				return nil, fmt.Errorf("a part's list %.80q: %w", words[2], err)
@@ -304,10 +304,10 @@
 // take answers one piece.
 func (h *Host) take(p part, send func(letter byte, body string)) {
 	h.mu.Lock()
-	answer := h.own.Ask(p.Call)
+	answer := h.own.Admit(p.Request)
 	end, value := "ok", ""
 	switch {
-	case answer == ownership.Moved:
+	case answer == ownership.NotOwner:
 		h.moved++
 		end = "moved"
 	case h.draining:
@@ -335,7 +335,7 @@
 func (h *Host) run(p *part) (end, value string) {
 	words := strings.Fields(p.Text)
 	if len(words) != 3 || words[0] != "claim" {
-		return "ok", fmt.Sprintf("%s %s@%d on %s", p.Range.Text(), p.Segment, p.Since, h.Name)
+		return "ok", fmt.Sprintf("%s %s@%d on %s", p.Range.Text(), p.Segment, p.OwnedSince, h.Name)
 	}
 	key, err := strconv.ParseUint(words[1], 16, 64)
 	if err != nil {
@@ -350,7 +350,7 @@
 	if cut {
 		return "busy", "" // nothing was written, so that nothing has run
 	}
-	given, taken := h.logs.append(p.Segment, p.Since, p.ID, key, words[2], h.Name, h.view)
+	given, taken := h.logs.append(p.Segment, p.OwnedSince, p.ID, key, words[2], h.Name, h.view)
 	switch {
 	case !taken:
 		return "moved", ""
@@ -381,13 +381,13 @@
 	if err != nil {
 		return nil, err
 	}
-	logs.logs, logs.held = map[string]*ownership.Log{}, map[uint64]string{}
+	logs.logs, logs.held = map[string]*ownership.SegmentLog{}, map[uint64]string{}
 	a := &Authority{Logs: logs, l: l, hosts: map[string]*Host{}, m: first, news: make(chan struct{})}
 	for _, h := range hosts {
 		a.hosts[h.Name] = h
 	}
 	for _, s := range first.Segments {
-		logs.logs[s.Name] = &ownership.Log{Fence: s.Since}
+		logs.logs[s.Name] = &ownership.SegmentLog{Epoch: s.OwnedSince}
 		a.accept(s)
 	}
 	a.http = &http.Server{Handler: http.HandlerFunc(a.handle)}
@@ -404,7 +404,7 @@
 			return fmt.Errorf("no host %q", name)
 		}
 		errs = append(errs, h.order(func(own *ownership.Host) {
-			own.Take(ownership.Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: i == 0})
+			own.Acquire(ownership.OwnedSegment{Name: s.Name, Range: s.Range, OwnedSince: s.OwnedSince, Writer: i == 0})
 		}))
 	}
 	return errors.Join(errs...)
@@ -446,7 +446,7 @@
 		var old, new error
 		switch h.Step {
 		case ownership.Seal:
-			for _, s := range h.Was {
+			for _, s := range h.Previous {
 				for _, name := range s.Owners {
 					old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Seal(s.Name) }))
 				}
@@ -454,7 +454,7 @@
 		case ownership.Fence:
 			a.Logs.raise(h.Change)
 		case ownership.Accept:
-			for _, s := range h.In {
+			for _, s := range h.Added {
 				new = errors.Join(new, a.accept(s))
 			}
 		case ownership.Publish:
@@ -463,16 +463,16 @@
 			}
 		case ownership.Release:
 			next := a.Map()
-			for _, s := range h.Was {
+			for _, s := range h.Previous {
 				for _, name := range s.Owners {
 					if i := next.Find(s.Name); i < 0 || !slices.Contains(next.Segments[i].Owners, name) {
-						old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Leave(s.Name) }))
+						old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Release(s.Name) }))
 					}
 				}
 			}
 		}
-		if !h.May(old == nil, new == nil) {
-			return fmt.Errorf("step %d of %s: %w", h.Step, h.Why, errors.Join(old, new))
+		if !h.CanProceed(old == nil, new == nil) {
+			return fmt.Errorf("step %d of %s: %w", h.Step, h.Reason, errors.Join(old, new))
 		}
 		h.Step++
 	}
@@ -481,12 +481,12 @@
 
 // Undo takes back a hand-over that was not published.
 func (a *Authority) Undo(h *ownership.Handover) error {
-	changes, err := h.Undone(a.Map())
+	changes, err := h.Revert(a.Map())
 	if err != nil {
 		return err
 	}
 	for _, c := range changes {
-		one := ownership.Begin(a.Map(), c)
+		one := ownership.NewHandover(a.Map(), c)
 		one.Step = ownership.Fence
 		if err := a.Carry(&one, ownership.Done); err != nil {
 			return err
--- a/logic/ownership/follow.go
+++ b/logic/ownership/follow.go
@@ -2,111 +2,111 @@
 
 import "fmt"
 
-// Verdict is what news of the map came to.
-type Verdict string
+// UpdateResult is what news of the map came to.
+type UpdateResult string
 
 // The verdicts.
 const (
-	Applied     Verdict = "applied"
-	Repeated    Verdict = "known already"
-	Stale       Verdict = "older than what is known"
-	Skipped     Verdict = "some epochs are missing before it"
-	Contradicts Verdict = "contradicts what is known"
-	Garbled     Verdict = "makes no sense by itself"
+	Applied   UpdateResult = "applied"
+	Duplicate UpdateResult = "known already"
+	Stale     UpdateResult = "older than what is known"
+	Gap       UpdateResult = "some epochs are missing before it"
+	Conflict  UpdateResult = "contradicts what is known"
+	Invalid   UpdateResult = "makes no sense by itself"
 )
 
-// remembered is how many epochs a follower can tell a repeat from a contradiction for.
-const remembered = 64
+// checksumHistory is how many epochs a follower can tell a repeat from a contradiction for.
+const checksumHistory = 64
 
-// Follower keeps the newest map that it has heard of. News may come late, twice, out of order or from two
+// Tracker keeps the newest map that it has heard of. News may come late, twice, out of order or from two
 // sources that contradict each other.
-type Follower struct {
+type Tracker struct {
 	Map *Map // nil where none is known
 
-	// Doubt is the epoch at which sources contradicted each other, 0 for none. In doubt nothing once-only is
+	// ConflictEpoch is the epoch at which sources contradicted each other, 0 for none. In doubt nothing once-only is
 	// sent: two owners could each believe a part theirs. It ends with a whole map of a later epoch.
-	Doubt uint64
+	ConflictEpoch uint64
 
-	sums [remembered]struct{ epoch, sum uint64 }
+	checksums [checksumHistory]struct{ epoch, sum uint64 }
 }
 
-func (f *Follower) remember(m *Map) {
+func (f *Tracker) adopt(m *Map) {
 	f.Map = m
-	slot := &f.sums[m.Epoch%remembered]
-	slot.epoch, slot.sum = m.Epoch, m.Sum
+	slot := &f.checksums[m.Epoch%checksumHistory]
+	slot.epoch, slot.sum = m.Epoch, m.Checksum
 }
 
-// known reports whether an epoch's sum is remembered, and whether it is this one.
-func (f *Follower) known(epoch, sum uint64) (known, same bool) {
-	slot := f.sums[epoch%remembered]
+// knownChecksum reports whether an epoch's sum is remembered, and whether it is this one.
+func (f *Tracker) knownChecksum(epoch, sum uint64) (known, same bool) {
+	slot := f.checksums[epoch%checksumHistory]
 	return slot.epoch == epoch && slot.sum != 0, slot.sum == sum
 }
 
-// Take takes a change. Where epochs are missing before it, or it makes no sense, the whole map has to be
+// ApplyChange takes a change. Where epochs are missing before it, or it makes no sense, the whole map has to be
 // asked for. The error says what is wrong.
-func (f *Follower) Take(c Change) (Verdict, error) {
+func (f *Tracker) ApplyChange(c Change) (UpdateResult, error) {
 	switch {
 	case f.Map == nil || c.Epoch > f.Map.Epoch+1:
-		return Skipped, nil
+		return Gap, nil
 	case c.Epoch <= f.Map.Epoch:
-		known, same := f.known(c.Epoch, c.Sum)
+		known, same := f.knownChecksum(c.Epoch, c.Checksum)
 		switch {
 		case known && same:
-			return Repeated, nil
+			return Duplicate, nil
 		case known:
-			return f.contradicted(c.Epoch, fmt.Errorf("epoch %d is said to have the sum %016x and had another",
-				c.Epoch, c.Sum))
+			return f.conflict(c.Epoch, fmt.Errorf("epoch %d is said to have the sum %016x and had another",
+				c.Epoch, c.Checksum))
 		}
 		return Stale, nil
 	}
 	next, err := f.Map.Apply(c)
 	switch {
-	case err != nil && c.Was != f.Map.Sum: // it follows another story of the epoch that we know
-		return f.contradicted(f.Map.Epoch, err)
+	case err != nil && c.PreviousChecksum != f.Map.Checksum: // it follows another story of the epoch that we know
+		return f.conflict(f.Map.Epoch, err)
 	case err != nil:
-		return Garbled, err
+		return Invalid, err
 	}
-	f.remember(next)
+	f.adopt(next)
 	return Applied, nil
 }
 
-// Reset takes a whole map.
-func (f *Follower) Reset(m *Map) (Verdict, error) {
+// ApplyMap takes a whole map.
+func (f *Tracker) ApplyMap(m *Map) (UpdateResult, error) {
 	if faults := m.Check(); len(faults) > 0 {
-		return Garbled, faults[0]
+		return Invalid, faults[0]
 	}
 	switch {
 	case f.Map == nil || m.Epoch > f.Map.Epoch:
-		f.remember(m)
-		f.settle()
+		f.adopt(m)
+		f.clearConflict()
 		return Applied, nil
 	case m.Epoch < f.Map.Epoch:
-		if known, same := f.known(m.Epoch, m.Sum); known && !same {
-			return f.contradicted(m.Epoch, fmt.Errorf("epoch %d has the sum %016x and had another",
-				m.Epoch, m.Sum))
+		if known, same := f.knownChecksum(m.Epoch, m.Checksum); known && !same {
+			return f.conflict(m.Epoch, fmt.Errorf("epoch %d has the sum %016x and had another",
+				m.Epoch, m.Checksum))
 		}
 		return Stale, nil
-	case m.Sum != f.Map.Sum:
-		return f.contradicted(m.Epoch, fmt.Errorf("epoch %d has the sum %016x here and %016x there",
-			m.Epoch, f.Map.Sum, m.Sum))
+	case m.Checksum != f.Map.Checksum:
+		return f.conflict(m.Epoch, fmt.Errorf("epoch %d has the sum %016x here and %016x there",
+			m.Epoch, f.Map.Checksum, m.Checksum))
 	}
-	f.settle()
-	return Repeated, nil
+	f.clearConflict()
+	return Duplicate, nil
 }
 
-// settle ends the doubt where the map that is known, told whole, is later than what was doubtful.
-func (f *Follower) settle() {
-	if f.Map.Epoch > f.Doubt {
-		f.Doubt = 0
+// clearConflict ends the doubt where the map that is known, told whole, is later than what was doubtful.
+func (f *Tracker) clearConflict() {
+	if f.Map.Epoch > f.ConflictEpoch {
+		f.ConflictEpoch = 0
 	}
 }
 
-// contradicted keeps the map that there is; what is doubtful goes by the larger epoch, so that a source
+// conflict keeps the map that there is; what is doubtful goes by the larger epoch, so that a source
 // which is wrong about the future can't end the doubt by it.
-func (f *Follower) contradicted(epoch uint64, err error) (Verdict, error) {
-	f.Doubt = max(f.Doubt, epoch, 1)
+func (f *Tracker) conflict(epoch uint64, err error) (UpdateResult, error) {
+	f.ConflictEpoch = max(f.ConflictEpoch, epoch, 1)
 	if f.Map != nil {
-		f.Doubt = max(f.Doubt, f.Map.Epoch)
+		f.ConflictEpoch = max(f.ConflictEpoch, f.Map.Epoch)
 	}
-	return Contradicts, err
+	return Conflict, err
 }
--- a/logic/ownership/lookup.go
+++ b/logic/ownership/lookup.go
@@ -2,54 +2,54 @@
 
 import "slices"
 
-// Held is a piece of a lookup as it was handed to the module.
-type Held struct {
-	ID      uint64 // the caller's
-	Part    int    // of the lookup, by its place
-	Range          // its keys
-	Segment string // that owned them, empty where it was sent to nobody
-	Since   uint64
-	Weight  float64
-	Out     int     // calls that have not ended
-	Called  bool    // some call of it was written
-	MayRun  bool    // of these, one may have run
-	In      bool    // its answer has come
-	Refused bool    // the newest call was refused by a host that does not own its keys
-	Parked  float64 // when it was put aside for that, 0 for never
+// Piece is a piece of a lookup as it was handed to the module.
+type Piece struct {
+	ID         uint64 // the caller's
+	Request    int    // of the lookup, by its place
+	Range             // its keys
+	Segment    string // that owned them, empty where it was sent to nobody
+	OwnedSince uint64
+	Weight     float64
+	InFlight   int     // calls that have not ended
+	Attempted  bool    // some call of it was written
+	MayHaveRun bool    // of these, one may have run
+	Answered   bool    // its answer has come
+	Rejected   bool    // the newest call was refused by a host that does not own its keys
+	DeferredAt float64 // when it was put aside for that, 0 for never
 }
 
-// Fresh is a piece that takes the place of a held one.
-type Fresh struct {
-	Part int
+// NewPiece is a piece that takes the place of a held one.
+type NewPiece struct {
+	Request int
 	Range
-	Segment int // in the map, -1 for nowhere
-	Weight  float64
-	Again   bool    // calls of it are further ones: some of its keys were asked for already
-	Parked  float64 // when it was put aside, 0 where it was not
+	Segment    int // in the map, -1 for nowhere
+	Weight     float64
+	Retry      bool    // calls of it are further ones: some of its keys were asked for already
+	DeferredAt float64 // when it was put aside, 0 where it was not
 }
 
-// Patience is for how long a piece is put aside that a host refused though the map names that host: it may
+// DeferralTime is for how long a piece is put aside that a host refused though the map names that host: it may
 // have heard of the epoch later than the gatherer, or have forgotten it. A newer map ends it at once.
-const Patience = 100.0
+const DeferralTime = 100.0
 
-// Begin parts a lookup's parts by the map: each falls into a piece for each segment that has keys of its.
+// Split parts a lookup's parts by the map: each falls into a piece for each segment that has keys of its.
 // Their weights share out the part's, by keys. Nowhere is where nothing of it may be sent to anyone yet.
-func (m *Map) Begin(ranges []Range, weights []float64, nowhere bool) (pieces []Fresh) {
+func (m *Map) Split(ranges []Range, weights []float64, nowhere bool) (pieces []NewPiece) {
 	for part, r := range ranges {
-		for _, p := range m.Pieces(r) {
+		for _, p := range m.Overlaps(r) {
 			if nowhere {
 				p.Segment = -1
 			}
-			pieces = append(pieces, Fresh{part, p.Range, p.Segment, weights[part] * p.Share, false, 0})
+			pieces = append(pieces, NewPiece{part, p.Range, p.Segment, weights[part] * p.Share, false, 0})
 		}
 	}
 	return pieces
 }
 
-// Settled reports whether a piece stays as it is under a map: its keys are owned as they were when it was
+// IsCurrent reports whether a piece stays as it is under a map: its keys are owned as they were when it was
 // cut.
-func (m *Map) Settled(h *Held) bool {
-	pieces := m.Pieces(h.Range)
+func (m *Map) IsCurrent(h *Piece) bool {
+	pieces := m.Overlaps(h.Range)
 	if len(pieces) != 1 {
 		return false
 	}
@@ -57,115 +57,115 @@
 		return h.Segment == ""
 	}
 	s := &m.Segments[pieces[0].Segment]
-	return s.Name == h.Segment && s.Since == h.Since
+	return s.Name == h.Segment && s.OwnedSince == h.OwnedSince
 }
 
-// Rehome says what becomes of a lookup's held pieces at a time, under the map that is known: which are
+// Reassign says what becomes of a lookup's held pieces at a time, under the map that is known: which are
 // given up, and what takes their place. A piece that is in stays in: it was answered by who owned it. One
 // with a call out waits for its end. Of a once-only piece that may have run, nothing is sent to anyone
 // again: it stays, and its lookup fails by it. A piece that was refused though the map has not changed is
 // put aside for a while. Where nobody is trusted, because sources of the map contradict each other, nothing
 // once-only goes anywhere.
-func (m *Map) Rehome(held []Held, onceOnly, trusted bool, now float64) (retired []uint64, fresh []Fresh) {
+func (m *Map) Reassign(held []Piece, onceOnly, trusted bool, now float64) (retired []uint64, fresh []NewPiece) {
 	for i := range held {
 		h := &held[i]
-		if h.In || h.Out > 0 || onceOnly && h.MayRun {
+		if h.Answered || h.InFlight > 0 || onceOnly && h.MayHaveRun {
 			continue
 		}
 		nowhere := onceOnly && !trusted
-		switch settled := m.Settled(h); {
-		case nowhere && h.Segment == "", h.Parked > 0 && now < h.Parked+Patience && !h.outdated(m):
+		switch settled := m.IsCurrent(h); {
+		case nowhere && h.Segment == "", h.DeferredAt > 0 && now < h.DeferredAt+DeferralTime && !h.olderThan(m):
 			continue
-		case !nowhere && settled && !h.Refused && h.Parked == 0:
+		case !nowhere && settled && !h.Rejected && h.DeferredAt == 0:
 			continue
-		case h.Refused && settled:
+		case h.Rejected && settled:
 			retired = append(retired, h.ID)
-			fresh = append(fresh, Fresh{h.Part, h.Range, -1, h.Weight, h.Called, now})
+			fresh = append(fresh, NewPiece{h.Request, h.Range, -1, h.Weight, h.Attempted, now})
 			continue
 		}
 		retired = append(retired, h.ID)
-		for _, p := range m.Pieces(h.Range) {
+		for _, p := range m.Overlaps(h.Range) {
 			if nowhere {
 				p.Segment = -1
 			}
-			fresh = append(fresh, Fresh{h.Part, p.Range, p.Segment, h.Weight * p.Share, h.Called, 0})
+			fresh = append(fresh, NewPiece{h.Request, p.Range, p.Segment, h.Weight * p.Share, h.Attempted, 0})
 		}
 	}
 	return retired, fresh
 }
 
-// outdated reports whether a piece that was put aside was cut by an older map than this.
-func (h *Held) outdated(m *Map) bool { return h.Since < m.Epoch }
+// olderThan reports whether a piece that was put aside was cut by an older map than this.
+func (h *Piece) olderThan(m *Map) bool { return h.OwnedSince < m.Epoch }
 
-// Index gives segments dense numbers, by which the module knows groups of servers. A number that is free is
+// ReplicaSetIndex gives segments dense numbers, by which the module knows groups of servers. A number that is free is
 // used again only when all others were, so that what was cut under an old map does not meet a new segment
 // by it.
-type Index struct {
-	most   int
-	number map[string]int
-	free   []int
+type ReplicaSetIndex struct {
+	maxSegments int
+	numbers     map[string]int
+	free        []int
 }
 
-// NewIndex makes one for so many segments at most.
-func NewIndex(most int) *Index {
-	x := &Index{most: most, number: map[string]int{}}
+// NewReplicaSetIndex makes one for so many segments at most.
+func NewReplicaSetIndex(most int) *ReplicaSetIndex {
+	x := &ReplicaSetIndex{maxSegments: most, numbers: map[string]int{}}
 	for i := range most {
 		x.free = append(x.free, i)
 	}
 	return x
 }
 
-// Take gives numbers to the segments of a map; full reports that there are more than there are numbers, in
+// Update gives numbers to the segments of a map; full reports that there are more than there are numbers, in
 // which case the last ones have none and go as if unowned.
-func (x *Index) Take(m *Map) (full bool) {
+func (x *ReplicaSetIndex) Update(m *Map) (full bool) {
 	here := map[string]bool{}
 	for _, s := range m.Segments {
 		here[s.Name] = true
 	}
 	var gone []string
-	for name := range x.number {
+	for name := range x.numbers {
 		if !here[name] {
 			gone = append(gone, name)
 		}
 	}
 	slices.Sort(gone) // against the order of a map
 	for _, name := range gone {
-		x.free = append(x.free, x.number[name])
-		delete(x.number, name)
+		x.free = append(x.free, x.numbers[name])
+		delete(x.numbers, name)
 	}
 	for _, s := range m.Segments {
-		if _, has := x.number[s.Name]; has {
+		if _, has := x.numbers[s.Name]; has {
 			continue
 		}
 		if len(x.free) == 0 {
 			full = true
 			continue
 		}
-		x.number[s.Name] = x.free[0]
+		x.numbers[s.Name] = x.free[0]
 		x.free = x.free[1:]
 	}
 	return full
 }
 
-// Groups are the module's numbers of a segment: of all its owners, and of its writer alone; nowhere for both
+// ReplicaSets are the module's numbers of a segment: of all its owners, and of its writer alone; nowhere for both
 // where it has none. There are 2·most + 1 groups in all, the last of which is nowhere.
-func (x *Index) Groups(name string) (all, writer int) {
-	n, has := x.number[name]
+func (x *ReplicaSetIndex) ReplicaSets(name string) (all, writer int) {
+	n, has := x.numbers[name]
 	if !has {
-		return x.Nowhere(), x.Nowhere()
+		return x.NoOwner(), x.NoOwner()
 	}
 	return 2 * n, 2*n + 1
 }
 
-// Nowhere is the group that no server is in.
-func (x *Index) Nowhere() int { return 2 * x.most }
+// NoOwner is the group that no server is in.
+func (x *ReplicaSetIndex) NoOwner() int { return 2 * x.maxSegments }
 
-// Holds are the groups that each host is in.
-func (x *Index) Holds(m *Map) map[string][]int {
+// ByHost are the groups that each host is in.
+func (x *ReplicaSetIndex) ByHost(m *Map) map[string][]int {
 	holds := map[string][]int{}
 	for _, s := range m.Segments {
-		all, writer := x.Groups(s.Name)
-		if all == x.Nowhere() {
+		all, writer := x.ReplicaSets(s.Name)
+		if all == x.NoOwner() {
 			continue
 		}
 		for i, host := range s.Owners {
--- a/logic/ownership/map.go
+++ b/logic/ownership/map.go
@@ -29,8 +29,8 @@
 // All is every key.
 var All = Range{0, ^uint64(0)}
 
-// Slot is the range of one of so many shards, as clients count them: they part the keys evenly.
-func Slot(shard, shards int) Range {
+// ShardRange is the range of one of so many shards, as clients count them: they part the keys evenly.
+func ShardRange(shard, shards int) Range {
 	n := uint64(max(shards, 1))
 	each := ^uint64(0)/n + 1 // the last shard has what rounding leaves
 	if n == 1 {
@@ -43,8 +43,8 @@
 	return r
 }
 
-// Size is how many keys a range has, as a share of all.
-func (r Range) Size() float64 { return (float64(r.Hi-r.Lo) + 1) / (1 << 64) }
+// Fraction is how many keys a range has, as a share of all.
+func (r Range) Fraction() float64 { return (float64(r.Hi-r.Lo) + 1) / (1 << 64) }
 
 // Overlaps reports whether two ranges share a key.
 func (r Range) Overlaps(o Range) bool { return r.Lo <= o.Hi && o.Lo <= r.Hi }
@@ -74,19 +74,19 @@
 type Segment struct {
 	Name string
 	Range
-	Owners []string // hosts; the first is its writer, who alone runs once-only calls
-	Since  uint64   // the epoch from which they own it
+	Owners     []string // hosts; the first is its writer, who alone runs once-only calls
+	OwnedSince uint64   // the epoch from which they own it
 }
 
 // Map is who owns what in one epoch.
 type Map struct {
 	Epoch    uint64
-	Sum      uint64    // over the map and all that came before it
+	Checksum uint64    // over the map and all that came before it
 	Segments []Segment // by their first key, without overlap; keys in a gap are unowned
 }
 
-// Most bounds the segments of a map.
-const Most = 1 << 20
+// MaxSegments bounds the segments of a map.
+const MaxSegments = 1 << 20
 
 // Check gives what is wrong with a map, in the order of its segments.
 func (m *Map) Check() (faults []error) {
@@ -101,9 +101,9 @@
 			faults = append(faults, fmt.Errorf("segment %q: a name holds no blank, comma or =", s.Name))
 		case s.Hi < s.Lo:
 			faults = append(faults, fmt.Errorf("segment %q ends before it begins", s.Name))
-		case s.Since > m.Epoch:
+		case s.OwnedSince > m.Epoch:
 			faults = append(faults, fmt.Errorf("segment %q is owned since epoch %d, the map's is %d",
-				s.Name, s.Since, m.Epoch))
+				s.Name, s.OwnedSince, m.Epoch))
 		}
 		names[s.Name] = true
 		if i > 0 && s.Lo <= m.Segments[i-1].Hi {
@@ -116,8 +116,8 @@
 			}
 		}
 	}
-	if len(m.Segments) > Most {
-		faults = append(faults, fmt.Errorf("%d segments, at most %d can be", len(m.Segments), Most))
+	if len(m.Segments) > MaxSegments {
+		faults = append(faults, fmt.Errorf("%d segments, at most %d can be", len(m.Segments), MaxSegments))
 	}
 	return faults
 }
@@ -127,132 +127,132 @@
 	return slices.IndexFunc(m.Segments, func(s Segment) bool { return s.Name == name })
 }
 
-// sum is the sum of a map that follows one with the sum before.
-func (m *Map) sum(before uint64) uint64 {
+// checksumAfter is the sum of a map that follows one with the sum before.
+func (m *Map) checksumAfter(before uint64) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%d %d\n", before, m.Epoch)
 	for _, s := range m.Segments {
-		fmt.Fprintf(h, "%s %s %d %s\n", s.Name, s.Range.Text(), s.Since, strings.Join(s.Owners, ","))
+		fmt.Fprintf(h, "%s %s %d %s\n", s.Name, s.Range.Text(), s.OwnedSince, strings.Join(s.Owners, ","))
 	}
 	return h.Sum64()
 }
 
-// First makes the map of a first epoch.
-func First(epoch uint64, segments []Segment) (*Map, error) {
+// NewMap makes the map of a first epoch.
+func NewMap(epoch uint64, segments []Segment) (*Map, error) {
 	m := &Map{Epoch: epoch, Segments: slices.Clone(segments)}
 	slices.SortStableFunc(m.Segments, func(a, b Segment) int { return cmp.Compare(a.Lo, b.Lo) })
 	for i := range m.Segments {
-		if m.Segments[i].Since == 0 {
-			m.Segments[i].Since = epoch
+		if m.Segments[i].OwnedSince == 0 {
+			m.Segments[i].OwnedSince = epoch
 		}
 	}
 	if faults := m.Check(); len(faults) > 0 {
 		return nil, faults[0]
 	}
-	m.Sum = m.sum(0)
+	m.Checksum = m.checksumAfter(0)
 	return m, nil
 }
 
 // Change makes the next epoch: some segments go, others come.
 type Change struct {
-	Epoch uint64 // that it makes
-	Was   uint64 // sum of the map that it changes
-	Sum   uint64 // of the map that it makes
-	Why   string // what it is, in words
-	Out   []string
-	In    []Segment // owned since this epoch
+	Epoch            uint64 // that it makes
+	PreviousChecksum uint64 // sum of the map that it changes
+	Checksum         uint64 // of the map that it makes
+	Reason           string // what it is, in words
+	Removed          []string
+	Added            []Segment // owned since this epoch
 }
 
 // Apply gives the map that a change makes.
 func (m *Map) Apply(c Change) (*Map, error) {
-	if c.Epoch != m.Epoch+1 || c.Was != m.Sum {
+	if c.Epoch != m.Epoch+1 || c.PreviousChecksum != m.Checksum {
 		return nil, fmt.Errorf("a change of epoch %d with sum %016x does not follow epoch %d with sum %016x",
-			c.Epoch, c.Was, m.Epoch, m.Sum)
+			c.Epoch, c.PreviousChecksum, m.Epoch, m.Checksum)
 	}
 	next := &Map{Epoch: c.Epoch}
 	out := 0
 	for _, s := range m.Segments {
-		if slices.Contains(c.Out, s.Name) {
+		if slices.Contains(c.Removed, s.Name) {
 			out++
 		} else {
 			next.Segments = append(next.Segments, s)
 		}
 	}
-	if out != len(c.Out) {
-		for _, name := range c.Out {
+	if out != len(c.Removed) {
+		for _, name := range c.Removed {
 			if m.Find(name) < 0 {
 				return nil, fmt.Errorf("epoch %d takes out %q, which is no segment%s", c.Epoch, name,
-					suggest.Hint(name, m.names()))
+					suggest.Hint(name, m.segmentNames()))
 			}
 		}
 		return nil, fmt.Errorf("epoch %d takes a segment out twice", c.Epoch)
 	}
-	for _, s := range c.In {
-		s.Since = c.Epoch
+	for _, s := range c.Added {
+		s.OwnedSince = c.Epoch
 		next.Segments = append(next.Segments, s)
 	}
 	slices.SortStableFunc(next.Segments, func(a, b Segment) int { return cmp.Compare(a.Lo, b.Lo) })
 	if faults := next.Check(); len(faults) > 0 {
 		return nil, fmt.Errorf("epoch %d: %w", c.Epoch, faults[0])
 	}
-	next.Sum = next.sum(m.Sum)
-	if c.Sum != 0 && c.Sum != next.Sum {
-		return nil, fmt.Errorf("epoch %d makes a map with sum %016x, it says %016x", c.Epoch, next.Sum, c.Sum)
+	next.Checksum = next.checksumAfter(m.Checksum)
+	if c.Checksum != 0 && c.Checksum != next.Checksum {
+		return nil, fmt.Errorf("epoch %d makes a map with sum %016x, it says %016x", c.Epoch, next.Checksum, c.Checksum)
 	}
 	return next, nil
 }
 
-func (m *Map) names() (names []string) {
+func (m *Map) segmentNames() (names []string) {
 	for _, s := range m.Segments {
 		names = append(names, s.Name)
 	}
 	return names
 }
 
-// change completes a change with its epoch and sums.
-func (m *Map) change(why string, out []string, in ...Segment) (Change, error) {
-	c := Change{Epoch: m.Epoch + 1, Was: m.Sum, Why: why, Out: out, In: in}
-	for i := range c.In {
-		c.In[i].Since = c.Epoch
+// newChange completes a change with its epoch and sums.
+func (m *Map) newChange(why string, out []string, in ...Segment) (Change, error) {
+	c := Change{Epoch: m.Epoch + 1, PreviousChecksum: m.Checksum, Reason: why, Removed: out, Added: in}
+	for i := range c.Added {
+		c.Added[i].OwnedSince = c.Epoch
 	}
 	next, err := m.Apply(c)
 	if err != nil {
 		return c, err
 	}
-	c.Sum = next.Sum
+	c.Checksum = next.Checksum
 	return c, nil
 }
 
-func (m *Map) need(name string) (*Segment, error) {
+func (m *Map) segment(name string) (*Segment, error) {
 	if i := m.Find(name); i >= 0 {
 		return &m.Segments[i], nil
 	}
-	return nil, fmt.Errorf("%q is no segment%s", name, suggest.Hint(name, m.names()))
+	return nil, fmt.Errorf("%q is no segment%s", name, suggest.Hint(name, m.segmentNames()))
 }
 
-// Move hands a segment to other owners, the first of whom is its writer. With none, its keys are unowned.
-func (m *Map) Move(name string, to []string) (Change, error) {
-	s, err := m.need(name)
+// MoveSegment hands a segment to other owners, the first of whom is its writer. With none, its keys are unowned.
+func (m *Map) MoveSegment(name string, to []string) (Change, error) {
+	s, err := m.segment(name)
 	if err != nil {
 		return Change{}, err
 	}
 	if slices.Equal(s.Owners, to) {
 		return Change{}, fmt.Errorf("segment %q is owned by %s already", name, strings.Join(to, ", "))
 	}
-	return m.change(fmt.Sprintf("move %s from %s to %s", name, join(s.Owners), join(to)), []string{name},
+	return m.newChange(fmt.Sprintf("move %s from %s to %s", name, hostList(s.Owners), hostList(to)), []string{name},
 		Segment{Name: name, Range: s.Range, Owners: slices.Clone(to)})
 }
 
-func join(hosts []string) string {
+func hostList(hosts []string) string {
 	if len(hosts) == 0 {
 		return "nobody"
 	}
 	return strings.Join(hosts, ", ")
 }
 
-// Split parts a segment before a key; both halves keep its owners.
-func (m *Map) Split(name string, at uint64, left, right string) (Change, error) {
-	s, err := m.need(name)
+// SplitSegment parts a segment before a key; both halves keep its owners.
+func (m *Map) SplitSegment(name string, at uint64, left, right string) (Change, error) {
+	s, err := m.segment(name)
 	if err != nil {
 		return Change{}, err
 	}
@@ -260,18 +260,18 @@
 		return Change{}, fmt.Errorf("segment %q goes from %016x to %016x and can't be split before %016x",
 			name, s.Lo, s.Hi, at)
 	}
-	return m.change(fmt.Sprintf("split %s before %016x into %s and %s", name, at, left, right), []string{name},
+	return m.newChange(fmt.Sprintf("split %s before %016x into %s and %s", name, at, left, right), []string{name},
 		Segment{Name: left, Range: Range{s.Lo, at - 1}, Owners: slices.Clone(s.Owners)},
 		Segment{Name: right, Range: Range{at, s.Hi}, Owners: slices.Clone(s.Owners)})
 }
 
-// Merge makes one of two neighbours; it is owned by those who own the first.
-func (m *Map) Merge(left, right, name string) (Change, error) {
-	a, err := m.need(left)
+// MergeSegments makes one of two neighbours; it is owned by those who own the first.
+func (m *Map) MergeSegments(left, right, name string) (Change, error) {
+	a, err := m.segment(left)
 	if err != nil {
 		return Change{}, err
 	}
-	b, err := m.need(right)
+	b, err := m.segment(right)
 	if err != nil {
 		return Change{}, err
 	}
@@ -279,12 +279,12 @@
 		return Change{}, fmt.Errorf("%q ends at %016x and %q begins at %016x: they are no neighbours in this order",
 			left, a.Hi, right, b.Lo)
 	}
-	return m.change(fmt.Sprintf("merge %s and %s into %s", left, right, name), []string{left, right},
+	return m.newChange(fmt.Sprintf("merge %s and %s into %s", left, right, name), []string{left, right},
 		Segment{Name: name, Range: Range{a.Lo, b.Hi}, Owners: slices.Clone(a.Owners)})
 }
 
-// Unowned are the ranges that nobody owns.
-func (m *Map) Unowned() (gaps []Range) {
+// UnownedRanges are the ranges that nobody owns.
+func (m *Map) UnownedRanges() (gaps []Range) {
 	from, done := uint64(0), false
 	for _, s := range m.Segments {
 		if len(s.Owners) == 0 {
@@ -305,18 +305,18 @@
 	return gaps
 }
 
-// Piece is the keys of a range that one segment has.
-type Piece struct {
+// Overlap is the keys of a range that one segment has.
+type Overlap struct {
 	Range
 	Segment int     // its place in the map, -1 where nobody owns these keys
 	Share   float64 // of the range's keys
 }
 
-// Pieces parts a range by the segments that own its keys, by their first key. Their shares add up to 1.
-func (m *Map) Pieces(r Range) (pieces []Piece) {
+// Overlaps parts a range by the segments that own its keys, by their first key. Their shares add up to 1.
+func (m *Map) Overlaps(r Range) (pieces []Overlap) {
 	add := func(lo, hi uint64, segment int) {
-		p := Piece{Range{lo, hi}, segment, 0}
-		p.Share = p.Size() / r.Size()
+		p := Overlap{Range{lo, hi}, segment, 0}
+		p.Share = p.Fraction() / r.Fraction()
 		pieces = append(pieces, p)
 	}
 	from, done := r.Lo, false
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -23,7 +23,7 @@
 	kind string // call or reply
 	from int    // the gatherer's number
 	host int
-	call Call
+	call Request
 	ran  bool // of a reply: it ran; else it was moved
 }
 
@@ -41,7 +41,7 @@
 	step      Step
 	undone    int      // changes of the undoing that are carried out
 	published []string // what gatherers may know by now, as keys of maps
-	logs      map[string]Log
+	logs      map[string]SegmentLog
 	granted   map[string]int // by log: who has the key, 0 for nobody
 	copies    [2]int         // without a fence each host has a copy of the record of its own
 	g         [2]modelGatherer
@@ -55,11 +55,11 @@
 func (s *modelState) clone() *modelState {
 	c := *s
 	for i := range c.hosts {
-		c.hosts[i].Owns = slices.Clone(s.hosts[i].Owns)
+		c.hosts[i].Segments = slices.Clone(s.hosts[i].Segments)
 	}
 	c.published = slices.Clone(s.published)
 	c.wire = slices.Clone(s.wire)
-	c.logs, c.granted = map[string]Log{}, map[string]int{}
+	c.logs, c.granted = map[string]SegmentLog{}, map[string]int{}
 	for k, v := range s.logs {
 		c.logs[k] = v
 	}
@@ -80,8 +80,8 @@
 		}
 	}
 	for i := range s.hosts {
-		for _, o := range s.hosts[i].Owns {
-			b = append(append(b, o.Name...), byte(o.Since), byte(o.Hi>>56))
+		for _, o := range s.hosts[i].Segments {
+			b = append(append(b, o.Name...), byte(o.OwnedSince), byte(o.Hi>>56))
 			flag(o.Sealed)
 		}
 		b = append(b, '|')
@@ -89,7 +89,7 @@
 	b = append(b, byte(s.step), byte(s.undone), byte(len(s.published)))
 	for _, name := range []string{"s", "l", "r"} {
 		log := s.logs[name]
-		b = append(b, byte(log.Fence), byte(s.granted[name]))
+		b = append(b, byte(log.Epoch), byte(s.granted[name]))
 		flag(log.Sealed)
 	}
 	b = append(b, byte(s.copies[0]), byte(s.copies[1]), byte(s.runs[0]), byte(s.runs[1]), byte(s.grants))
@@ -106,7 +106,7 @@
 		if m.ran {
 			ran = 1
 		}
-		wire[i] = m.kind[:1] + m.call.Segment + string([]byte{byte(m.from), byte(m.host), byte(m.call.Since), ran})
+		wire[i] = m.kind[:1] + m.call.Segment + string([]byte{byte(m.from), byte(m.host), byte(m.call.OwnedSince), ran})
 	}
 	slices.Sort(wire) // what is on its way has no order
 	for _, w := range wire {
@@ -141,7 +141,7 @@
 		for _, reached := range []bool{true, false} {
 			h := s.hand
 			h.Step = s.step
-			if !h.May(reached, s.step != Accept || reached) {
+			if !h.CanProceed(reached, s.step != Accept || reached) {
 				continue
 			}
 			do(func(c *modelState) { m.carry(c, reached) })
@@ -161,12 +161,12 @@
 		}
 		if !g.out && !g.may && g.calls < 2 {
 			mp := m.maps[s.published[g.epoch]]
-			p := mp.Pieces(m.key)
+			p := mp.Overlaps(m.key)
 			if p[0].Segment >= 0 {
 				seg := mp.Segments[p[0].Segment]
 				do(func(c *modelState) {
 					c.g[i].out, c.g[i].calls = true, g.calls+1
-					c.wire = append(c.wire, news{kind: "call", from: i, host: slices.Index(hostNames, seg.Owners[0]), call: Call{seg.Name, seg.Since, m.key, true}})
+					c.wire = append(c.wire, news{kind: "call", from: i, host: slices.Index(hostNames, seg.Owners[0]), call: Request{seg.Name, seg.OwnedSince, m.key, true}})
 				})
 			}
 		}
@@ -215,7 +215,7 @@
 func believed(mp *Map, h int) (host Host) {
 	for _, s := range mp.Segments {
 		if slices.Contains(s.Owners, hostNames[h]) {
-			host.Take(Owned{Name: s.Name, Range: s.Range, Since: s.Since, Writer: s.Owners[0] == hostNames[h]})
+			host.Acquire(OwnedSegment{Name: s.Name, Range: s.Range, OwnedSince: s.OwnedSince, Writer: s.Owners[0] == hostNames[h]})
 		}
 	}
 	return host
@@ -223,12 +223,12 @@
 
 // runs has a host take a call; it reports whether it ran.
 func (m *model) runs(s *modelState, msg news) bool {
-	if s.hosts[msg.host].Ask(msg.call) != Run {
+	if s.hosts[msg.host].Admit(msg.call) != Admitted {
 		return false
 	}
 	if m.fence {
 		log := s.logs[msg.call.Segment]
-		if !log.Append(msg.call.Since) {
+		if !log.Append(msg.call.OwnedSince) {
 			return false
 		}
 		if s.granted[msg.call.Segment] == 0 {
@@ -248,7 +248,7 @@
 	next := m.maps["new"]
 	switch s.step {
 	case Seal:
-		for _, name := range m.change.Out {
+		for _, name := range m.change.Removed {
 			if reached {
 				s.hosts[hostA].Seal(name)
 			}
@@ -256,9 +256,9 @@
 	case Fence:
 		m.raise(s, m.change)
 	case Accept:
-		for _, seg := range m.change.In {
+		for _, seg := range m.change.Added {
 			h := slices.Index(hostNames, seg.Owners[0])
-			s.hosts[h].Take(Owned{Name: seg.Name, Range: seg.Range, Since: seg.Since, Writer: true})
+			s.hosts[h].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince, Writer: true})
 			if h == hostB {
 				s.copies[hostB] = s.copies[hostA]
 			}
@@ -266,9 +266,9 @@
 	case Publish:
 		s.published = append(s.published, "new")
 	case Release:
-		for _, name := range m.change.Out {
+		for _, name := range m.change.Removed {
 			if i := next.Find(name); reached && (i < 0 || next.Segments[i].Owners[0] != "a") {
-				s.hosts[hostA].Leave(name)
+				s.hosts[hostA].Release(name)
 			}
 		}
 	}
@@ -278,16 +278,16 @@
 // raise closes the logs of what goes and opens those of what comes with what was written.
 func (m *model) raise(s *modelState, c Change) {
 	has := 0
-	for _, name := range c.Out {
+	for _, name := range c.Removed {
 		log := s.logs[name]
 		has = max(has, s.granted[name])
-		log.Raise(c.Epoch)
+		log.RaiseEpoch(c.Epoch)
 		log.Sealed = true
 		s.logs[name] = log
 	}
-	for _, seg := range c.In {
+	for _, seg := range c.Added {
 		log := s.logs[seg.Name]
-		log.Raise(c.Epoch)
+		log.RaiseEpoch(c.Epoch)
 		log.Sealed = false
 		s.logs[seg.Name] = log
 		if m.key.Within(seg.Range) {
@@ -298,7 +298,7 @@
 
 // undo takes back a hand-over that was not published.
 func (m *model) undo(s *modelState) {
-	changes, err := s.hand.Undone(m.first)
+	changes, err := s.hand.Revert(m.first)
 	if err != nil {
 		panic(err)
 	}
@@ -309,10 +309,10 @@
 			names = append(names, log)
 		}
 	}
-	m.raise(s, Change{Epoch: c.Epoch, Out: names, In: c.In})
+	m.raise(s, Change{Epoch: c.Epoch, Removed: names, Added: c.Added})
 	if s.undone == 1 {
-		for _, seg := range c.In {
-			s.hosts[hostA].Take(Owned{Name: seg.Name, Range: seg.Range, Since: seg.Since, Writer: true})
+		for _, seg := range c.Added {
+			s.hosts[hostA].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince, Writer: true})
 		}
 	}
 	s.published = append(s.published, fmt.Sprint("undone", s.undone))
@@ -337,15 +337,15 @@
 
 // explore looks at every state that can be reached.
 func explore(t *testing.T, fence bool, why string) (states int, broken string) {
-	first, err := First(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
+	first, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m := &model{fence: fence, first: first, key: Range{1 << 63, 1 << 63}, seen: map[string]bool{}}
 	if why == "move" {
-		m.change, err = first.Move("s", []string{"b"})
+		m.change, err = first.MoveSegment("s", []string{"b"})
 	} else { // the right half goes to b
-		m.change, err = first.change("split", []string{"s"}, Segment{Name: "l", Range: Range{0, 1<<63 - 1}, Owners: []string{"a"}},
+		m.change, err = first.newChange("split", []string{"s"}, Segment{Name: "l", Range: Range{0, 1<<63 - 1}, Owners: []string{"a"}},
 			Segment{Name: "r", Range: Range{1 << 63, ^uint64(0)}, Owners: []string{"b"}})
 	}
 	if err != nil {
@@ -355,15 +355,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hand := Begin(first, m.change)
-	undone, err := hand.Undone(first)
+	hand := NewHandover(first, m.change)
+	undone, err := hand.Revert(first)
 	if err != nil {
 		t.Fatal(err)
 	}
 	between, _ := first.Apply(undone[0])
 	back, _ := between.Apply(undone[1])
 	m.maps = map[string]*Map{"old": first, "new": next, "undone0": between, "undone1": back}
-	start := &modelState{hand: hand, published: []string{"old"}, logs: map[string]Log{"s": {Fence: 1}}, granted: map[string]int{}}
+	start := &modelState{hand: hand, published: []string{"old"}, logs: map[string]SegmentLog{"s": {Epoch: 1}}, granted: map[string]int{}}
 	start.hosts[hostA] = believed(first, hostA)
 	queue := []*modelState{start}
 	m.seen[start.key()] = true
--- a/logic/ownership/owners_test.go
+++ b/logic/ownership/owners_test.go
@@ -35,7 +35,7 @@
 			from = cuts[i]
 		}
 	}
-	m, err := First(1, segments)
+	m, err := NewMap(1, segments)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,16 +52,16 @@
 	var err error
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		c, err = m.Split(s.Name, rapid.Uint64Range(s.Lo, s.Hi).Draw(t, "at"), fmt.Sprint("n", n, "a"), fmt.Sprint("n", n, "b"))
+		c, err = m.SplitSegment(s.Name, rapid.Uint64Range(s.Lo, s.Hi).Draw(t, "at"), fmt.Sprint("n", n, "a"), fmt.Sprint("n", n, "b"))
 	case 1:
 		if i+1 == len(m.Segments) {
 			return c, false
 		}
-		c, err = m.Merge(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", n))
+		c, err = m.MergeSegments(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", n))
 	case 2:
-		c, err = m.Move(s.Name, []string{fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "to"))})
+		c, err = m.MoveSegment(s.Name, []string{fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "to"))})
 	default:
-		c, err = m.Move(s.Name, nil)
+		c, err = m.MoveSegment(s.Name, nil)
 	}
 	return c, err == nil
 }
@@ -78,7 +78,7 @@
 		}
 		a, b := rapid.Uint64().Draw(t, "a"), rapid.Uint64().Draw(t, "b")
 		r := Range{min(a, b), max(a, b)}
-		pieces := m.Pieces(r)
+		pieces := m.Overlaps(r)
 		sum, from := 0.0, r.Lo
 		for i, p := range pieces {
 			if p.Lo != from || p.Hi < p.Lo || p.Hi > r.Hi {
@@ -106,7 +106,7 @@
 					owner = i
 				}
 			}
-			at := slices.IndexFunc(pieces, func(p Piece) bool { return key >= p.Lo && key <= p.Hi })
+			at := slices.IndexFunc(pieces, func(p Overlap) bool { return key >= p.Lo && key <= p.Hi })
 			if pieces[at].Segment != owner {
 				t.Fatalf("key %016x is of segment %d, its piece of %d", key, owner, pieces[at].Segment)
 			}
@@ -119,11 +119,11 @@
 	for _, n := range []int{1, 2, 3, 4, 7, 18, 1000, 65536} {
 		from := uint64(0)
 		for shard := range n {
-			r := Slot(shard, n)
+			r := ShardRange(shard, n)
 			if r.Lo != from || shard == n-1 && r.Hi != ^uint64(0) {
 				t.Fatalf("shard %d of %d: %s, from %016x", shard, n, r.Text(), from)
 			}
-			if off := r.Size()*float64(n) - 1; math.Abs(off) > 1e-9 {
+			if off := r.Fraction()*float64(n) - 1; math.Abs(off) > 1e-9 {
 				t.Errorf("shard %d of %d has %g of its share", shard, n, off+1)
 			}
 			from = r.Hi + 1
@@ -137,17 +137,17 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
 		once := rapid.Bool().Draw(t, "once")
-		var held []Held
+		var held []Piece
 		next := uint64(0)
-		hold := func(f Fresh) {
-			h := Held{ID: next, Part: f.Part, Range: f.Range, Weight: f.Weight, Called: f.Again, Parked: f.Parked, Since: m.Epoch}
+		hold := func(f NewPiece) {
+			h := Piece{ID: next, Request: f.Request, Range: f.Range, Weight: f.Weight, Attempted: f.Retry, DeferredAt: f.DeferredAt, OwnedSince: m.Epoch}
 			if next++; f.Segment >= 0 {
-				h.Segment, h.Since = m.Segments[f.Segment].Name, m.Segments[f.Segment].Since
+				h.Segment, h.OwnedSince = m.Segments[f.Segment].Name, m.Segments[f.Segment].OwnedSince
 			}
 			held = append(held, h)
 		}
-		ranges, weights := []Range{Slot(0, 4), Slot(3, 4)}, []float64{0.5, 0.5}
-		for _, f := range m.Begin(ranges, weights, false) {
+		ranges, weights := []Range{ShardRange(0, 4), ShardRange(3, 4)}, []float64{0.5, 0.5}
+		for _, f := range m.Split(ranges, weights, false) {
 			hold(f)
 		}
 		now := 1000.0
@@ -156,15 +156,15 @@
 				h := &held[i]
 				switch rapid.IntRange(0, 5).Draw(t, "fate") {
 				case 0:
-					h.Out, h.Called = 1, true
+					h.InFlight, h.Attempted = 1, true
 				case 1:
-					h.Out = 0
+					h.InFlight = 0
 				case 2:
-					h.Out, h.MayRun, h.Called = 0, true, true
+					h.InFlight, h.MayHaveRun, h.Attempted = 0, true, true
 				case 3:
-					h.Out, h.In = 0, h.Segment != ""
+					h.InFlight, h.Answered = 0, h.Segment != ""
 				case 4:
-					h.Out, h.Refused, h.Called = 0, h.Segment != "" && !h.MayRun, true
+					h.InFlight, h.Rejected, h.Attempted = 0, h.Segment != "" && !h.MayHaveRun, true
 				}
 			}
 			if c, ok := drawChange(t, m, n); ok {
@@ -172,10 +172,10 @@
 			}
 			trusted := rapid.IntRange(0, 5).Draw(t, "trusted") > 0
 			now += rapid.Float64Range(0, 200).Draw(t, "passes")
-			retired, fresh := m.Rehome(held, once, trusted, now)
+			retired, fresh := m.Reassign(held, once, trusted, now)
 			for _, id := range retired {
-				i := slices.IndexFunc(held, func(h Held) bool { return h.ID == id })
-				if h := held[i]; h.In || h.Out > 0 || once && h.MayRun {
+				i := slices.IndexFunc(held, func(h Piece) bool { return h.ID == id })
+				if h := held[i]; h.Answered || h.InFlight > 0 || once && h.MayHaveRun {
 					t.Fatalf("retired: %+v", h)
 				}
 				held = slices.Delete(held, i, i+1)
@@ -187,14 +187,14 @@
 				hold(f)
 			}
 			for part, r := range ranges {
-				var mine []Held
+				var mine []Piece
 				sum := 0.0
 				for _, h := range held {
-					if h.Part == part {
+					if h.Request == part {
 						mine, sum = append(mine, h), sum+h.Weight
 					}
 				}
-				slices.SortFunc(mine, func(a, b Held) int {
+				slices.SortFunc(mine, func(a, b Piece) int {
 					if a.Lo < b.Lo {
 						return -1
 					}
@@ -230,71 +230,71 @@
 				truth, changes = append(truth, next), append(changes, c)
 			}
 		}
-		var f Follower
+		var f Tracker
 		last := uint64(0)
-		see := func(v Verdict, err error) {
-			if v == Contradicts {
+		see := func(v UpdateResult, err error) {
+			if v == Conflict {
 				t.Fatalf("true news: %v", err)
 			}
 			if f.Map == nil {
 				return
 			}
-			if f.Map.Epoch < last || truth[f.Map.Epoch-1].Sum != f.Map.Sum {
+			if f.Map.Epoch < last || truth[f.Map.Epoch-1].Checksum != f.Map.Checksum {
 				t.Fatalf("epoch %d after %d", f.Map.Epoch, last)
 			}
 			last = f.Map.Epoch
 		}
 		for range 30 {
 			if len(changes) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 0 {
-				see(f.Take(changes[rapid.IntRange(0, len(changes)-1).Draw(t, "change")]))
+				see(f.ApplyChange(changes[rapid.IntRange(0, len(changes)-1).Draw(t, "change")]))
 			} else {
-				see(f.Reset(truth[rapid.IntRange(0, len(truth)-1).Draw(t, "whole")]))
+				see(f.ApplyMap(truth[rapid.IntRange(0, len(truth)-1).Draw(t, "whole")]))
 			}
 		}
-		see(f.Reset(truth[len(truth)-1]))
-		if f.Map.Epoch != uint64(len(truth)) || f.Doubt != 0 {
-			t.Fatalf("epoch %d of %d, doubt %d", f.Map.Epoch, len(truth), f.Doubt)
+		see(f.ApplyMap(truth[len(truth)-1]))
+		if f.Map.Epoch != uint64(len(truth)) || f.ConflictEpoch != 0 {
+			t.Fatalf("epoch %d of %d, doubt %d", f.Map.Epoch, len(truth), f.ConflictEpoch)
 		}
 	})
 }
 
 // TestContradictions: of two stories the first stays, and what is doubtful ends with a later whole map alone.
 func TestContradictions(t *testing.T) {
-	m, err := First(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
+	m, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	one, _ := m.Move("s", []string{"b"})
-	other, _ := m.Move("s", []string{"c"})
-	f := Follower{}
-	f.Reset(m)
-	if v, _ := f.Take(one); v != Applied {
+	one, _ := m.MoveSegment("s", []string{"b"})
+	other, _ := m.MoveSegment("s", []string{"c"})
+	f := Tracker{}
+	f.ApplyMap(m)
+	if v, _ := f.ApplyChange(one); v != Applied {
 		t.Fatal(v)
 	}
-	if v, err := f.Take(other); v != Contradicts || err == nil || f.Doubt != 2 || f.Map.Segments[0].Owners[0] != "b" {
-		t.Errorf("%v, %v, doubt %d", v, err, f.Doubt)
+	if v, err := f.ApplyChange(other); v != Conflict || err == nil || f.ConflictEpoch != 2 || f.Map.Segments[0].Owners[0] != "b" {
+		t.Errorf("%v, %v, doubt %d", v, err, f.ConflictEpoch)
 	}
-	if v, _ := f.Take(one); v != Repeated || f.Doubt == 0 {
-		t.Errorf("%v, doubt %d", v, f.Doubt)
+	if v, _ := f.ApplyChange(one); v != Duplicate || f.ConflictEpoch == 0 {
+		t.Errorf("%v, doubt %d", v, f.ConflictEpoch)
 	}
 	again, _ := m.Apply(one)
-	if v, _ := f.Reset(again); v != Repeated || f.Doubt == 0 {
-		t.Errorf("%v, doubt %d", v, f.Doubt)
+	if v, _ := f.ApplyMap(again); v != Duplicate || f.ConflictEpoch == 0 {
+		t.Errorf("%v, doubt %d", v, f.ConflictEpoch)
 	}
-	next, _ := again.Move("s", []string{"a"})
+	next, _ := again.MoveSegment("s", []string{"a"})
 	later, _ := again.Apply(next)
-	if v, _ := f.Reset(later); v != Applied || f.Doubt != 0 {
-		t.Errorf("%v, doubt %d", v, f.Doubt)
+	if v, _ := f.ApplyMap(later); v != Applied || f.ConflictEpoch != 0 {
+		t.Errorf("%v, doubt %d", v, f.ConflictEpoch)
 	}
 	// A map whose segments overlap, from a source that is otherwise right.
-	broken := &Map{Epoch: 9, Sum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}}, {Name: "y", Range: Range{9, 20}}}}
-	if v, err := f.Reset(broken); v != Garbled || !strings.Contains(err.Error(), "both own the key") || f.Map.Epoch != 3 {
+	broken := &Map{Epoch: 9, Checksum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}}, {Name: "y", Range: Range{9, 20}}}}
+	if v, err := f.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") || f.Map.Epoch != 3 {
 		t.Errorf("%v, %v", v, err)
 	}
 	wrong := next
-	wrong.Epoch, wrong.Was = 4, later.Sum
-	wrong.Out = []string{"t"}
-	if v, err := f.Take(wrong); v != Garbled || f.Doubt != 0 || !strings.Contains(err.Error(), `"t", which is no segment`) {
+	wrong.Epoch, wrong.PreviousChecksum = 4, later.Checksum
+	wrong.Removed = []string{"t"}
+	if v, err := f.ApplyChange(wrong); v != Invalid || f.ConflictEpoch != 0 || !strings.Contains(err.Error(), `"t", which is no segment`) {
 		t.Errorf("%v, %v", v, err)
 	}
 }
@@ -303,40 +303,40 @@
 // of an older epoch, nor after it was closed.
 func TestHost(t *testing.T) {
 	var h Host
-	h.Take(Owned{Name: "s", Range: Range{100, 200}, Since: 3, Writer: true})
+	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 3, Writer: true})
 	for _, c := range []struct {
-		call Call
-		want Answer
+		call Request
+		want Admission
 	}{
-		{Call{"s", 3, Range{100, 200}, true}, Run}, {Call{"s", 3, Range{120, 130}, false}, Run}, {Call{"s", 2, Range{120, 130}, false}, Moved},
-		{Call{"s", 4, Range{120, 130}, false}, Moved}, {Call{"t", 3, Range{120, 130}, false}, Moved}, {Call{"s", 3, Range{99, 130}, false}, Moved},
+		{Request{"s", 3, Range{100, 200}, true}, Admitted}, {Request{"s", 3, Range{120, 130}, false}, Admitted}, {Request{"s", 2, Range{120, 130}, false}, NotOwner},
+		{Request{"s", 4, Range{120, 130}, false}, NotOwner}, {Request{"t", 3, Range{120, 130}, false}, NotOwner}, {Request{"s", 3, Range{99, 130}, false}, NotOwner},
 	} {
-		if got := h.Ask(c.call); got != c.want {
+		if got := h.Admit(c.call); got != c.want {
 			t.Errorf("%+v: %d", c.call, got)
 		}
 	}
 	h.Seal("s")
-	if h.Ask(Call{"s", 3, Range{100, 200}, true}) != Moved || h.Ask(Call{"s", 3, Range{100, 200}, false}) != Run {
+	if h.Admit(Request{"s", 3, Range{100, 200}, true}) != NotOwner || h.Admit(Request{"s", 3, Range{100, 200}, false}) != Admitted {
 		t.Error("a sealed segment takes no once-only calls, and others")
 	}
-	h.Take(Owned{Name: "s", Range: Range{100, 200}, Since: 5, Writer: false})
-	if h.Ask(Call{"s", 5, Range{100, 200}, true}) != Moved {
+	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 5, Writer: false})
+	if h.Admit(Request{"s", 5, Range{100, 200}, true}) != NotOwner {
 		t.Error("who is not the writer runs a once-only call")
 	}
-	h.Take(Owned{Name: "u", Range: Range{150, 300}, Since: 4})
-	if len(h.Owns) != 2 || h.find("s") == nil {
-		t.Errorf("an older order undoes a newer: %+v", h.Owns)
+	h.Acquire(OwnedSegment{Name: "u", Range: Range{150, 300}, OwnedSince: 4})
+	if len(h.Segments) != 2 || h.find("s") == nil {
+		t.Errorf("an older order undoes a newer: %+v", h.Segments)
 	}
-	h.Take(Owned{Name: "u", Range: Range{150, 300}, Since: 6})
-	if len(h.Owns) != 1 {
-		t.Errorf("owns %+v", h.Owns)
+	h.Acquire(OwnedSegment{Name: "u", Range: Range{150, 300}, OwnedSince: 6})
+	if len(h.Segments) != 1 {
+		t.Errorf("owns %+v", h.Segments)
 	}
-	l := Log{Fence: 3}
-	if !l.Append(3) || l.Append(2) || l.Append(4) || l.Raise(2) || !l.Raise(5) || l.Append(3) || !l.Append(5) {
+	l := SegmentLog{Epoch: 3}
+	if !l.Append(3) || l.Append(2) || l.Append(4) || l.RaiseEpoch(2) || !l.RaiseEpoch(5) || l.Append(3) || !l.Append(5) {
 		t.Errorf("%+v", l)
 	}
 	l.Sealed = true
-	if l.Append(5) || !l.Raise(5) || l.Append(5) || !l.Raise(6) || !l.Append(6) {
+	if l.Append(5) || !l.RaiseEpoch(5) || l.Append(5) || !l.RaiseEpoch(6) || !l.Append(6) {
 		t.Errorf("%+v", l)
 	}
 }
@@ -344,39 +344,39 @@
 // TestIndex: numbers are one segment's at a time, are found again for segments that stay, and are not used again at
 // once.
 func TestIndex(t *testing.T) {
-	x := NewIndex(3)
-	m, _ := First(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}}, {Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
-	if x.Take(m) {
+	x := NewReplicaSetIndex(3)
+	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}}, {Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
+	if x.Update(m) {
 		t.Error("full")
 	}
-	all, writer := x.Groups("b")
-	c, _ := m.Split("a", 5, "a1", "a2")
+	all, writer := x.ReplicaSets("b")
+	c, _ := m.SplitSegment("a", 5, "a1", "a2")
 	m, _ = m.Apply(c)
-	if x.Take(m) {
+	if x.Update(m) {
 		t.Error("three segments in three numbers are too many")
 	}
-	if a, w := x.Groups("b"); a != all || w != writer {
+	if a, w := x.ReplicaSets("b"); a != all || w != writer {
 		t.Error("a segment that stays has another number")
 	}
 	seen := map[int]bool{}
 	for _, name := range []string{"a1", "a2", "b"} {
-		a, w := x.Groups(name)
-		if seen[a] || seen[w] || a == x.Nowhere() {
+		a, w := x.ReplicaSets(name)
+		if seen[a] || seen[w] || a == x.NoOwner() {
 			t.Errorf("%s has the groups %d and %d", name, a, w)
 		}
 		seen[a], seen[w] = true, true
 	}
-	c, _ = m.Split("b", 15, "b1", "b2")
+	c, _ = m.SplitSegment("b", 15, "b1", "b2")
 	m, _ = m.Apply(c)
-	if !x.Take(m) {
+	if !x.Update(m) {
 		t.Error("four segments fit into three numbers")
 	}
-	holds := x.Holds(m)
-	a1, w1 := x.Groups("b1")
+	holds := x.ByHost(m)
+	a1, w1 := x.ReplicaSets("b1")
 	if !slices.Contains(holds["g"], a1) || !slices.Contains(holds["g"], w1) || !slices.Contains(holds["h"], a1) || slices.Contains(holds["h"], w1) {
 		t.Errorf("%v", holds)
 	}
-	if a, _ := x.Groups("b2"); a != x.Nowhere() {
+	if a, _ := x.ReplicaSets("b2"); a != x.NoOwner() {
 		t.Error("a segment without a number is asked somewhere")
 	}
 }
@@ -387,16 +387,16 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var segments []Segment
 			for i := range n {
-				segments = append(segments, Segment{Name: fmt.Sprint("s", i), Range: Slot(i, n), Owners: []string{"h"}})
+				segments = append(segments, Segment{Name: fmt.Sprint("s", i), Range: ShardRange(i, n), Owners: []string{"h"}})
 			}
-			m, _ := First(1, segments)
+			m, _ := NewMap(1, segments)
 			var ranges []Range
 			var weights []float64
 			for i := range 8 {
-				ranges, weights = append(ranges, Slot(i, 64)), append(weights, 0.125)
+				ranges, weights = append(ranges, ShardRange(i, 64)), append(weights, 0.125)
 			}
 			for b.Loop() {
-				m.Begin(ranges, weights, false)
+				m.Split(ranges, weights, false)
 			}
 		})
 	}
