--- a/internal/control/policyclient/fence.go
+++ b/internal/control/policyclient/fence.go
@@ -59,5 +59,5 @@
 	if err != nil {
 		return err
 	}
-	return statedir.Replace(filepath.Join(folder, fenceName), text)
+	return statedir.WriteFileAtomic(filepath.Join(folder, fenceName), text)
 }
--- a/internal/control/rollout/ask.go
+++ b/internal/control/rollout/ask.go
@@ -135,7 +135,9 @@
 var errHeld = errors.New("is being changed by another run")
 
 // refused reports whether a claim was answered with no; one that was not answered may hold nothing.
-func refused(err error) bool { return errors.Is(err, errHeld) || errors.Is(err, statedir.ErrTaken) }
+func refused(err error) bool {
+	return errors.Is(err, errHeld) || errors.Is(err, statedir.ErrSuperseded)
+}
 
 // claim claims a gatherer for a time. Where another run holds it, or this run by a later controller, the error says so.
 func (t *teller) claim(ctx context.Context, g int, run string, fence uint64, length time.Duration) error {
@@ -154,7 +156,7 @@
 			return err
 		}
 		if held.Run == run { // found here before the run's folder was looked at again
-			return fmt.Errorf("%w: gatherer %s is held by controller %d", statedir.ErrTaken, t.p.Gatherers[g].Name, held.Fence)
+			return fmt.Errorf("%w: gatherer %s is held by controller %d", statedir.ErrSuperseded, t.p.Gatherers[g].Name, held.Fence)
 		}
 		return fmt.Errorf("gatherer %s %w: %s, controller %d", t.p.Gatherers[g].Name, errHeld, held.Run, held.Fence)
 	}
--- a/internal/control/rollout/ask_test.go
+++ b/internal/control/rollout/ask_test.go
@@ -43,7 +43,7 @@
 	}{
 		{"one", 2, nil, ""},
 		{"one", 3, nil, ""},
-		{"one", 1, statedir.ErrTaken, "another controller has taken this over: gatherer g1 is held by controller 2"},
+		{"one", 1, statedir.ErrSuperseded, "another controller has taken this over: gatherer g1 is held by controller 2"},
 		{"other", 9, errHeld, "gatherer g1 is being changed by another run: one, controller 2"},
 	} {
 		err := tell.claim(context.Background(), 0, c.run, c.fence, time.Minute)
--- a/internal/control/rollout/carry.go
+++ b/internal/control/rollout/carry.go
@@ -118,7 +118,7 @@
 	if err := os.MkdirAll(filepath.Dir(c.noteFile(g)), 0o755); err != nil {
 		return err
 	}
-	return statedir.Replace(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.StartTicks(pid)))
+	return statedir.WriteFileAtomic(c.noteFile(g), fmt.Appendf(nil, "%d %s\n", pid, process.StartTicks(pid)))
 }
 
 // alone waits until the command that a controller before this one has started for the gatherer has ended, since two at
@@ -216,7 +216,7 @@
 	if err := os.MkdirAll(filepath.Dir(r.pidFile(g)), 0o755); err != nil {
 		return err
 	}
-	return statedir.Replace(r.pidFile(g), fmt.Appendf(nil, "%d %s\n", pid, began))
+	return statedir.WriteFileAtomic(r.pidFile(g), fmt.Appendf(nil, "%d %s\n", pid, began))
 }
 
 // install puts a side's files in the place of those that a gatherer reads.
@@ -229,7 +229,7 @@
 		if err != nil {
 			return err
 		}
-		if err := statedir.Replace(to, text); err != nil {
+		if err := statedir.WriteFileAtomic(to, text); err != nil {
 			return err
 		}
 	}
--- a/internal/control/rollout/control.go
+++ b/internal/control/rollout/control.go
@@ -84,7 +84,7 @@
 	carrier carrier
 	decider rollout.Judge
 	means   Means
-	own     *statedir.Run
+	own     *statedir.RunFolder
 	fence   uint64
 	run     string // by which gatherers know this rollout
 	word    string // the operator's last one that was heeded
@@ -124,7 +124,7 @@
 func (c *Controller) open(ctx context.Context, over bool) error {
 	p := c.p
 	var err error
-	if c.own, err = statedir.OpenRun(p.Folder, over); errors.Is(err, statedir.ErrHeld) {
+	if c.own, err = statedir.OpenRunFolder(p.Folder, over); errors.Is(err, statedir.ErrLocked) {
 		holder := "unknown"
 		if s, err := ReadStatus(p.Folder); err == nil {
 			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.At)/1000)
@@ -133,7 +133,7 @@
 	} else if err != nil {
 		return err
 	}
-	c.fence = c.own.Fence
+	c.fence = c.own.FencingToken
 	if c.teller, err = newTeller(p); err != nil {
 		return err
 	}
@@ -202,7 +202,7 @@
 		all = append(all, rec)
 		return nil
 	})
-	if errors.Is(err, statedir.ErrDamaged) {
+	if errors.Is(err, statedir.ErrRecordsLost) {
 		err = fmt.Errorf("%w; docs/operate/rollout.md tells how to go back by hand", err)
 	}
 	if err != nil {
@@ -271,7 +271,7 @@
 
 // look asks everybody once, has what comes of it decided, and begins what was decided.
 func (c *Controller) look(ctx context.Context) (s *Status, over bool, err error) {
-	if err := c.own.Mine(); err != nil {
+	if err := c.own.CheckSuperseded(); err != nil {
 		return nil, false, err
 	}
 	if err := c.teller.everybody(ctx, c.run, c.fence); err != nil {
@@ -339,7 +339,7 @@
 
 // carry makes a step, unless the rollout is another controller's by now.
 func (c *Controller) carry(ctx context.Context, g int, to rollout.Kind) error {
-	if err := c.own.Mine(); err != nil {
+	if err := c.own.CheckSuperseded(); err != nil {
 		return err
 	}
 	if err := c.teller.claim(ctx, g, c.run, c.fence, claimFor); refused(err) {
@@ -350,7 +350,7 @@
 
 // heed takes the operator's word, where there is a new one.
 func (c *Controller) heed() error {
-	word, err := c.own.Word()
+	word, err := c.own.Command()
 	if err != nil || word == c.word {
 		return err
 	}
@@ -370,7 +370,7 @@
 }
 
 // Say leaves an operator's word (stop, back or resume) for the controller, that of now or the next one.
-func Say(folder, word string) error { return statedir.Say(folder, word, time.Now().UnixNano()) }
+func Say(folder, word string) error { return statedir.SendCommand(folder, word, time.Now().UnixNano()) }
 
 func (c *Controller) status(o *rollout.Observation, d rollout.Decision) *Status {
 	s := &Status{Form: statusForm, Name: c.p.Name, Plan: c.p.File, At: o.Now, Fence: c.fence, PID: os.Getpid(), Phase: d.Phase, Stage: c.p.Stages[min(d.Stage, len(c.p.Stages)-1)].Name, Verdict: d.Verdict.String(), Why: d.Why, Indexes: map[string][2]Sum{}}
@@ -405,7 +405,7 @@
 	if err != nil {
 		return err
 	}
-	if err := c.own.Put(statusFile, text); err != nil {
+	if err := c.own.WriteFile(statusFile, text); err != nil {
 		return err
 	}
 	m := Moment{At: s.At, Phase: s.Phase, Stage: s.Stage, Why: s.Why, Indexes: s.Indexes}
@@ -422,7 +422,7 @@
 	if text, err = json.Marshal(m); err != nil {
 		return err
 	}
-	return c.own.Add(historyFile, text)
+	return c.own.AppendLine(historyFile, text)
 }
 
 // Moment is a rollout's figures of one interval.
@@ -472,7 +472,7 @@
 
 // Log is what the journals of a rollout tell, in words.
 func Log(folder string) (lines []string, err error) {
-	err = statedir.ReadRun(folder, func(text []byte) error {
+	err = statedir.ReadRunJournal(folder, func(text []byte) error {
 		var rec rollout.Record
 		if err := json.Unmarshal(text, &rec); err != nil || rec.Form != rollout.RecordForm {
 			return fmt.Errorf("a record of another form: %.80q", text)
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -89,7 +89,7 @@
 // writeFolder has a controller with a clock that stands write a rollout's folder.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
-	own, err := statedir.OpenRun(folder, false)
+	own, err := statedir.OpenRunFolder(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -99,7 +99,7 @@
 	}
 	now := 1796168075012.75
 	p := keptPlan(folder)
-	c := &Controller{p: p, own: own, fence: own.Fence, now: func() float64 { return now }, teller: &teller{at: make([]time.Time, 3)}}
+	c := &Controller{p: p, own: own, fence: own.FencingToken, now: func() float64 { return now }, teller: &teller{at: make([]time.Time, 3)}}
 	for _, record := range keptRecords {
 		if err := c.write(record); err != nil {
 			t.Fatal(err)
@@ -125,7 +125,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := statedir.Say(folder, "stop", 1796168075012746801); err != nil {
+	if err := statedir.SendCommand(folder, "stop", 1796168075012746801); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -182,20 +182,20 @@
 			t.Errorf("record %d reads %q, want %q", i, line, keptLines[i])
 		}
 	}
-	own, err := statedir.OpenRun(folder, false)
+	own, err := statedir.OpenRunFolder(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer own.Close()
 	c := &Controller{p: keptPlan(folder), own: own, steps: make([]rollout.StepState, 3)}
 	at, err := c.recover()
-	if err != nil || at != (rollout.Position{Phase: rollout.Backing, Stage: 1, Why: "by the operator's word"}) || own.Fence != 2 {
-		t.Errorf("%v, %+v, controller %d", err, at, own.Fence)
+	if err != nil || at != (rollout.Position{Phase: rollout.Backing, Stage: 1, Why: "by the operator's word"}) || own.FencingToken != 2 {
+		t.Errorf("%v, %+v, controller %d", err, at, own.FencingToken)
 	}
 	if len(c.redo) != 1 || c.redo[0].Name != "g1" || c.redo[0].To != rollout.Old || c.redo[0].At != 1796168077267.25 || c.word != "back 1796168075012746800" || c.steps[0] != rollout.Running {
 		t.Errorf("made again: %+v, after %q", c.redo, c.word)
 	}
-	if word, err := own.Word(); err != nil || word != "stop 1796168075012746801" {
+	if word, err := own.Command(); err != nil || word != "stop 1796168075012746801" {
 		t.Errorf("%v, %q", err, word)
 	}
 }
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -46,7 +46,7 @@
 	server    *frontend.Server
 	traces    *trace.Recorder
 	record    *trace.File
-	ledger    *statedir.Gatherer
+	ledger    *statedir.GathererState
 	tells     *tells // nil where it tells nothing of itself
 	handover  *handover
 	governed  *governed // nil where no policy is followed
@@ -73,14 +73,14 @@
 	}
 	s := &Service{c: c, log: log, owned: own.MaxSegments > 0, Picker: dispatch.New(c.Seed, settings, log)}
 	if own.NameRetention > 0 {
-		ledger, found, err := statedir.OpenGatherer(own.State, int64(own.JournalMaxBytes), own.NameRetention, s.Picker.Now())
+		ledger, found, err := statedir.OpenGathererState(own.State, int64(own.JournalMaxBytes), own.NameRetention, s.Picker.Now())
 		if err != nil {
 			return nil, err
 		}
 		s.ledger = ledger
 		s.Picker.SetNonIdempotentStore(ledger)
-		tell := log.WithFields(logrus.Fields{"folder": own.State, "names": found.Names, "epoch": found.Epoch, "records": found.Records, "bytes": found.Bytes, "torn": found.Torn, "took": found.Took})
-		if found.Blind > 0 {
+		tell := log.WithFields(logrus.Fields{"folder": own.State, "names": found.Claims, "epoch": found.Epoch, "records": found.Records, "bytes": found.BytesRead, "torn": found.TornBytes, "took": found.Duration})
+		if found.UnknownUntil > 0 {
 			tell.Warn("state: what ran before may be unknown; once-only lookups that are marked as repeats are aborted for a while")
 		} else {
 			tell.Info("state: recovered")
--- a/internal/gatherer/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -109,7 +109,7 @@
 			draining[a.Name] = a.Started
 		}
 	}
-	if err := h.Set(draining); err != nil {
+	if err := h.SetDraining(draining); err != nil {
 		h.log.WithError(err).Error("drains could not be written down for the next process")
 	}
 }
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -37,12 +37,12 @@
 	if err := os.CopyFS(folder, os.DirFS(kept("state-1"))); err != nil {
 		t.Fatal(err)
 	}
-	g, found, err := statedir.OpenGatherer(folder, 1<<20, 1e12, 1e12)
-	if err != nil || found.Damaged || found.Names != 3 || !g.MayHaveRun("first", false, 1e12) || g.MayHaveRun("unrun", false, 1e12) || found.Epoch != 4 {
+	g, found, err := statedir.OpenGathererState(folder, 1<<20, 1e12, 1e12)
+	if err != nil || found.Damaged || found.Claims != 3 || !g.MayHaveRun("first", false, 1e12) || g.MayHaveRun("unrun", false, 1e12) || found.Epoch != 4 {
 		t.Errorf("state 1: %v, %+v", err, found)
 	}
 	h, err := statedir.OpenHandover(folder)
-	if err != nil || strings.Join(h.Names(), " ") != "s1 s2" {
+	if err != nil || strings.Join(h.DrainingNames(), " ") != "s1 s2" {
 		t.Errorf("handover 1: %v, %v", err, h)
 	}
 	trace, err := os.Open(kept("trace-1"))
@@ -125,7 +125,7 @@
 	}
 	folder := t.TempDir()
 	os.WriteFile(filepath.Join(folder, "handover"), []byte(`{"handover":"yokeroute handover 2","draining":{"s9":1}}`), 0o644)
-	if h, err := statedir.OpenHandover(folder); err == nil || h == nil || len(h.Names()) > 0 || !strings.Contains(err.Error(), "handover 2") {
+	if h, err := statedir.OpenHandover(folder); err == nil || h == nil || len(h.DrainingNames()) > 0 || !strings.Contains(err.Error(), "handover 2") {
 		t.Errorf("%v, %+v", err, h)
 	}
 	if err := os.CopyFS(filepath.Join(folder, "state"), os.DirFS(filepath.Join("testdata", "state-1"))); err != nil {
@@ -134,7 +134,7 @@
 	snapshots, _ := filepath.Glob(filepath.Join(folder, "state", "snapshot-*"))
 	later, _ := os.ReadFile(snapshots[0])
 	os.WriteFile(snapshots[0], []byte(strings.Replace(string(later), "yokeroute state 1", "yokeroute state 2", 1)), 0o644)
-	if _, found, err := statedir.OpenGatherer(filepath.Join(folder, "state"), 1<<20, 1000, 0); err == nil && !found.Damaged {
+	if _, found, err := statedir.OpenGathererState(filepath.Join(folder, "state"), 1<<20, 1000, 0); err == nil && !found.Damaged {
 		t.Error("a snapshot of a later number is read as one of this")
 	}
 	os.MkdirAll(filepath.Join(folder, "rollout"), 0o755)
--- a/internal/storage/statedir/claims.go
+++ b/internal/storage/statedir/claims.go
@@ -10,28 +10,28 @@
 	"yokeroute/logic/ownership"
 )
 
-// Gatherer is what a gatherer has to know after a crash: the newest map of segments that it had heard of, and the
+// GathererState is what a gatherer has to know after a crash: the newest map of segments that it had heard of, and the
 // names of once-only lookups of which a part call may have run, for so long as their clients may ask again.
-type Gatherer struct {
-	journal *Journal // nil without a disk
-	keep    float64  // milliseconds for which a name is kept
-	names   map[string]float64
-	order   []claim // by time
-	epoch   *ownership.Map
-	blind   float64 // until then names of before the start may be unknown
+type GathererState struct {
+	journal      *Journal // nil without a disk
+	retention    float64  // milliseconds for which a name is kept
+	sentAt       map[string]float64
+	claims       []claim // by time
+	segmentMap   *ownership.Map
+	unknownUntil float64 // until then names of before the start may be unknown
 }
 
 type claim struct {
-	name string
-	at   float64
+	name   string
+	sentAt float64
 }
 
 // record is one line of the journal, or of its snapshot.
 type record struct {
-	Sent  string     `json:"sent,omitempty"`  // a once-only lookup's part call is about to go
-	Unrun string     `json:"unrun,omitempty"` // none of them ran
-	At    float64    `json:"at,omitempty"`    // Unix milliseconds
-	Map   *mapRecord `json:"map,omitempty"`
+	Sent   string     `json:"sent,omitempty"`  // a once-only lookup's part call is about to go
+	NotRun string     `json:"unrun,omitempty"` // none of them ran
+	At     float64    `json:"at,omitempty"`    // Unix milliseconds
+	Map    *mapRecord `json:"map,omitempty"`
 }
 
 type mapRecord struct {
@@ -69,156 +69,156 @@
 	return m
 }
 
-// Recovered says what was found, and how long it took.
-type Recovered struct {
+// RecoveredState says what was found, and how long it took.
+type RecoveredState struct {
 	Recovery
-	Names int
-	Epoch uint64
-	Took  time.Duration
-	Blind float64 // until then, Unix milliseconds, names of before may be unknown; 0 where all are known
+	Claims       int
+	Epoch        uint64
+	Duration     time.Duration
+	UnknownUntil float64 // until then, Unix milliseconds, names of before may be unknown; 0 where all are known
 }
 
-// OpenGatherer opens the state in a folder at a time. Without a folder, or where records were lost, nothing is known
+// OpenGathererState opens the state in a folder at a time. Without a folder, or where records were lost, nothing is known
 // of what ran before the start: until all such names would have been forgotten, a once-only lookup that its client
 // says is a repeat may have run.
-func OpenGatherer(dir string, most int64, keep, now float64) (*Gatherer, Recovered, error) {
-	g := &Gatherer{keep: keep, names: map[string]float64{}}
-	var r Recovered
-	if dir == "" {
-		g.blind, r.Blind = now+keep, now+keep
+func OpenGathererState(folder string, maxJournalBytes int64, retention, now float64) (*GathererState, RecoveredState, error) {
+	g := &GathererState{retention: retention, sentAt: map[string]float64{}}
+	var r RecoveredState
+	if folder == "" {
+		g.unknownUntil, r.UnknownUntil = now+retention, now+retention
 		return g, r, nil
 	}
 	began := time.Now()
 	var err error
-	g.journal, r.Recovery, err = Open(dir, most, func(text []byte) error {
+	g.journal, r.Recovery, err = OpenJournal(folder, maxJournalBytes, func(text []byte) error {
 		var rec record
 		if err := json.Unmarshal(text, &rec); err != nil {
 			return fmt.Errorf("a record of %d bytes: %w", len(text), err) // its sum holds: another program wrote it
 		}
 		switch {
 		case rec.Sent != "":
-			g.names[rec.Sent] = rec.At
-		case rec.Unrun != "":
-			delete(g.names, rec.Unrun)
+			g.sentAt[rec.Sent] = rec.At
+		case rec.NotRun != "":
+			delete(g.sentAt, rec.NotRun)
 		case rec.Map != nil:
 			m := rec.Map.segmentMap()
-			if g.epoch == nil || m.Epoch > g.epoch.Epoch {
-				g.epoch = m
+			if g.segmentMap == nil || m.Epoch > g.segmentMap.Epoch {
+				g.segmentMap = m
 			}
 		}
 		return nil
 	})
 	if err != nil {
-		return nil, r, fmt.Errorf("state in %s: %w", dir, err)
+		return nil, r, fmt.Errorf("state in %s: %w", folder, err)
 	}
-	for name, at := range g.names {
-		g.order = append(g.order, claim{name, at})
+	for name, at := range g.sentAt {
+		g.claims = append(g.claims, claim{name, at})
 	}
-	slices.SortFunc(g.order, func(a, b claim) int { return cmp.Or(cmp.Compare(a.at, b.at), cmp.Compare(a.name, b.name)) })
+	slices.SortFunc(g.claims, func(a, b claim) int { return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.name, b.name)) })
 	g.forget(now)
 	if r.Damaged {
-		g.blind, r.Blind = now+keep, now+keep
+		g.unknownUntil, r.UnknownUntil = now+retention, now+retention
 	}
-	if g.epoch != nil {
-		r.Epoch = g.epoch.Epoch
+	if g.segmentMap != nil {
+		r.Epoch = g.segmentMap.Epoch
 	}
-	r.Names, r.Took = len(g.names), time.Since(began)
+	r.Claims, r.Duration = len(g.sentAt), time.Since(began)
 	return g, r, nil
 }
 
 // Map is the newest map that was known, nil for none.
-func (g *Gatherer) Map() *ownership.Map { return g.epoch }
+func (g *GathererState) Map() *ownership.Map { return g.segmentMap }
 
-func (g *Gatherer) forget(now float64) {
+func (g *GathererState) forget(now float64) {
 	n := 0
-	for n < len(g.order) && g.order[n].at < now-g.keep {
-		if g.names[g.order[n].name] == g.order[n].at {
-			delete(g.names, g.order[n].name)
+	for n < len(g.claims) && g.claims[n].sentAt < now-g.retention {
+		if g.sentAt[g.claims[n].name] == g.claims[n].sentAt {
+			delete(g.sentAt, g.claims[n].name)
 		}
 		n++
 	}
-	g.order = g.order[n:]
+	g.claims = g.claims[n:]
 }
 
 // MayHaveRun reports whether a part call of a once-only lookup of that name may have run; repeat is what its client
 // says of it.
-func (g *Gatherer) MayHaveRun(name string, repeat bool, now float64) bool {
-	_, known := g.names[name]
-	return known || repeat && now < g.blind
+func (g *GathererState) MayHaveRun(name string, repeat bool, now float64) bool {
+	_, known := g.sentAt[name]
+	return known || repeat && now < g.unknownUntil
 }
 
 // RecordSent notes, before any byte of theirs goes, that part calls of once-only lookups are about to go. With a disk it
 // returns once that is written; an error means that it may not be, and that the calls must not go.
-func (g *Gatherer) RecordSent(names []string, now float64) error {
+func (g *GathererState) RecordSent(names []string, now float64) error {
 	g.forget(now)
 	var records [][]byte
-	from := len(g.order)
+	from := len(g.claims)
 	for _, name := range names {
-		if _, known := g.names[name]; known {
+		if _, known := g.sentAt[name]; known {
 			continue
 		}
-		g.names[name] = now
-		g.order = append(g.order, claim{name, now})
-		records = append(records, encode(record{Sent: name, At: now}))
+		g.sentAt[name] = now
+		g.claims = append(g.claims, claim{name, now})
+		records = append(records, encodeRecord(record{Sent: name, At: now}))
 	}
-	err := g.write(records)
+	err := g.append(records)
 	if err != nil { // against taking a name for written the next time
-		for _, c := range g.order[from:] {
-			delete(g.names, c.name)
+		for _, c := range g.claims[from:] {
+			delete(g.sentAt, c.name)
 		}
-		g.order = g.order[:from]
+		g.claims = g.claims[:from]
 	}
 	return err
 }
 
 // RecordNotRun notes that no part call of a lookup ran after all, so that its client may ask again.
-func (g *Gatherer) RecordNotRun(name string) error {
-	if _, known := g.names[name]; !known {
+func (g *GathererState) RecordNotRun(name string) error {
+	if _, known := g.sentAt[name]; !known {
 		return nil
 	}
-	delete(g.names, name)
-	return g.write([][]byte{encode(record{Unrun: name})})
+	delete(g.sentAt, name)
+	return g.append([][]byte{encodeRecord(record{NotRun: name})})
 }
 
 // SaveMap notes a newer map.
-func (g *Gatherer) SaveMap(m *ownership.Map) error {
-	if g.epoch != nil && m.Epoch <= g.epoch.Epoch {
+func (g *GathererState) SaveMap(m *ownership.Map) error {
+	if g.segmentMap != nil && m.Epoch <= g.segmentMap.Epoch {
 		return nil
 	}
-	g.epoch = m
-	return g.write([][]byte{encodeMap(m)})
+	g.segmentMap = m
+	return g.append([][]byte{encodeMapRecord(m)})
 }
 
-func encode(r record) []byte {
+func encodeRecord(r record) []byte {
 	text, _ := json.Marshal(r) // strings and numbers always marshal
 	return text
 }
 
-func encodeMap(m *ownership.Map) []byte {
-	return encode(record{Map: newMapRecord(m)})
+func encodeMapRecord(m *ownership.Map) []byte {
+	return encodeRecord(record{Map: newMapRecord(m)})
 }
 
-func (g *Gatherer) write(records [][]byte) error {
+func (g *GathererState) append(records [][]byte) error {
 	if g.journal == nil || len(records) == 0 {
 		return nil
 	}
 	if err := g.journal.Append(records...); err != nil {
 		return err
 	}
-	if !g.journal.Full() {
+	if !g.journal.SnapshotDue() {
 		return nil
 	}
 	return g.journal.Snapshot(func(put func([]byte) error) error {
-		if g.epoch != nil {
-			if err := put(encodeMap(g.epoch)); err != nil {
+		if g.segmentMap != nil {
+			if err := put(encodeMapRecord(g.segmentMap)); err != nil {
 				return err
 			}
 		}
-		for _, c := range g.order {
-			if g.names[c.name] != c.at {
+		for _, c := range g.claims {
+			if g.sentAt[c.name] != c.sentAt {
 				continue
 			}
-			if err := put(encode(record{Sent: c.name, At: c.at})); err != nil {
+			if err := put(encodeRecord(record{Sent: c.name, At: c.sentAt})); err != nil {
 				return err
 			}
 		}
@@ -227,15 +227,15 @@
 }
 
 // Size is that of the journal behind its snapshot, in bytes, and how many names are kept.
-func (g *Gatherer) Size() (bytes int64, names int) {
+func (g *GathererState) Size() (bytes int64, names int) {
 	if g.journal != nil {
 		bytes = g.journal.Size()
 	}
-	return bytes, len(g.names)
+	return bytes, len(g.sentAt)
 }
 
 // Close closes the folder.
-func (g *Gatherer) Close() error {
+func (g *GathererState) Close() error {
 	if g.journal == nil {
 		return nil
 	}
--- a/internal/storage/statedir/claims_test.go
+++ b/internal/storage/statedir/claims_test.go
@@ -8,9 +8,9 @@
 	"yokeroute/logic/ownership"
 )
 
-func open(t *testing.T, dir string, now float64) (*Gatherer, Recovered) {
+func open(t *testing.T, dir string, now float64) (*GathererState, RecoveredState) {
 	t.Helper()
-	g, r, err := OpenGatherer(dir, 2000, 1000, now)
+	g, r, err := OpenGathererState(dir, 2000, 1000, now)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -22,7 +22,7 @@
 func TestClaims(t *testing.T) {
 	dir := t.TempDir()
 	g, r := open(t, dir, 0)
-	if !r.Fresh || r.Blind > 0 {
+	if !r.Empty || r.UnknownUntil > 0 {
 		t.Errorf("%+v", r)
 	}
 	m, err := ownership.NewMap(3, []ownership.Segment{{Name: "s", Range: ownership.All, Owners: []string{"a"}}})
@@ -44,7 +44,7 @@
 	}
 	// A crash: nothing is closed.
 	g, r = open(t, dir, 1100)
-	if r.Epoch != 3 || g.Map().Checksum != m.Checksum || len(g.Map().Segments) != 1 || r.Blind > 0 {
+	if r.Epoch != 3 || g.Map().Checksum != m.Checksum || len(g.Map().Segments) != 1 || r.UnknownUntil > 0 {
 		t.Errorf("%+v, map %+v", r, g.Map())
 	}
 	for i := range 200 {
@@ -63,8 +63,8 @@
 
 // TestBlind: without a disk, or where records are lost, a repeat may have run until all names would be forgotten.
 func TestBlind(t *testing.T) {
-	g, r, err := OpenGatherer("", 0, 1000, 5000)
-	if err != nil || r.Blind != 6000 {
+	g, r, err := OpenGathererState("", 0, 1000, 5000)
+	if err != nil || r.UnknownUntil != 6000 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	for _, c := range []struct {
@@ -85,11 +85,11 @@
 		d.RecordSent([]string{fmt.Sprint(i)}, 0)
 	}
 	d.Close()
-	path := only(t, dir, journalName)
+	path := only(t, dir, journalPrefix)
 	text, _ := os.ReadFile(path)
 	text[40] ^= 1
 	os.WriteFile(path, text, 0o600)
-	if _, r := open(t, dir, 10); !r.Damaged || r.Blind != 1010 {
+	if _, r := open(t, dir, 10); !r.Damaged || r.UnknownUntil != 1010 {
 		t.Errorf("a damaged journal: %+v", r)
 	}
 }
@@ -97,13 +97,13 @@
 // TestForeign: a folder of another program is refused, not taken for empty.
 func TestForeign(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := Open(dir, 100, nil)
+	j, _, err := OpenJournal(dir, 100, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	j.Append([]byte("not ours"))
 	j.Close()
-	if _, _, err := OpenGatherer(dir, 100, 1000, 0); err == nil {
+	if _, _, err := OpenGathererState(dir, 100, 1000, 0); err == nil {
 		t.Error("records of another program are taken")
 	}
 }
--- a/internal/storage/statedir/handover.go
+++ b/internal/storage/statedir/handover.go
@@ -11,44 +11,44 @@
 	"slices"
 )
 
-// handoverForm is the first word of a hand-over; a reader of another form leaves it alone and starts without.
-const handoverForm = "yokeroute handover 1"
+// handoverFormat is the first word of a hand-over; a reader of another form leaves it alone and starts without.
+const handoverFormat = "yokeroute handover 1"
 
-// handoverName is its file in the state folder.
-const handoverName = "handover"
+// handoverFile is its file in the state folder.
+const handoverFile = "handover"
 
 // Handover is what a gatherer tells its successor, whose own list may be older: which servers it has heard to drain.
 // It is rewritten whole with each such news, so that it is there after a kill too.
 type Handover struct {
-	file     string
+	path     string
 	Draining map[string]float64 // by name: since when the process that drains has been up, in Unix milliseconds
 }
 
-type handover struct {
-	Form     string             `json:"handover"`
+type handoverDocument struct {
+	Format   string             `json:"handover"`
 	Draining map[string]float64 `json:"draining"`
 }
 
 // OpenHandover reads what an earlier process has left in a folder; there may be nothing. An error says what cannot be
 // read; the hand-over is then empty, and fit for use.
 func OpenHandover(folder string) (*Handover, error) {
-	h := &Handover{file: filepath.Join(folder, handoverName), Draining: map[string]float64{}}
+	h := &Handover{path: filepath.Join(folder, handoverFile), Draining: map[string]float64{}}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return nil, err
 	}
-	text, err := os.ReadFile(h.file)
+	text, err := os.ReadFile(h.path)
 	if errors.Is(err, fs.ErrNotExist) {
 		return h, nil
 	}
-	var read handover
+	var read handoverDocument
 	if err == nil {
 		err = json.Unmarshal(text, &read)
 	}
-	if err == nil && read.Form != handoverForm {
-		err = fmt.Errorf("the form is %.40q, this reader knows %q", read.Form, handoverForm)
+	if err == nil && read.Format != handoverFormat {
+		err = fmt.Errorf("the form is %.40q, this reader knows %q", read.Format, handoverFormat)
 	}
 	if err != nil {
-		return h, fmt.Errorf("%s: %w", h.file, err)
+		return h, fmt.Errorf("%s: %w", h.path, err)
 	}
 	if read.Draining != nil {
 		h.Draining = read.Draining
@@ -56,24 +56,24 @@
 	return h, nil
 }
 
-// Set puts down which servers drain now; it writes only what is news.
-func (h *Handover) Set(draining map[string]float64) error {
+// SetDraining puts down which servers drain now; it writes only what is news.
+func (h *Handover) SetDraining(draining map[string]float64) error {
 	if maps.Equal(h.Draining, draining) {
 		return nil
 	}
 	h.Draining = draining
-	text, err := json.Marshal(handover{handoverForm, draining})
+	text, err := json.Marshal(handoverDocument{handoverFormat, draining})
 	if err != nil {
 		return err
 	}
-	return Replace(h.file, text)
+	return WriteFileAtomic(h.path, text)
 }
 
-// Names are the servers that drain, in order.
-func (h *Handover) Names() []string { return slices.Sorted(maps.Keys(h.Draining)) }
+// DrainingNames are the servers that drain, in order.
+func (h *Handover) DrainingNames() []string { return slices.Sorted(maps.Keys(h.Draining)) }
 
-// Replace puts a text in a file's place: a reader, and a crash, find the old one or the new one whole.
-func Replace(name string, text []byte) error {
+// WriteFileAtomic puts a text in a file's place: a reader, and a crash, find the old one or the new one whole.
+func WriteFileAtomic(name string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(name), ".writing-*")
 	if err != nil {
 		return err
--- a/internal/storage/statedir/journal.go
+++ b/internal/storage/statedir/journal.go
@@ -21,55 +21,55 @@
 
 // Files of a folder, by generation: a snapshot of all before it, and a journal of what came after.
 const (
-	snapshotName = "snapshot-"
-	journalName  = "journal-"
-	magic        = "yokeroute state 1\n"
-	longest      = 1 << 24 // bytes of a record; more is damage
-	headSize     = 12      // of a record: its length and its sum
+	snapshotPrefix    = "snapshot-"
+	journalPrefix     = "journal-"
+	snapshotHeader    = "yokeroute state 1\n"
+	maxRecordBytes    = 1 << 24 // bytes of a record; more is damage
+	recordHeaderBytes = 12      // of a record: its length and its sum
 )
 
 // Recovery is what opening a folder found.
 type Recovery struct {
-	Records int   // handed to load
-	Bytes   int64 // read
-	Torn    int64 // bytes at the journal's end that a crash has left half-written; they are cut off
-	Damaged bool  // what stands behind the first record that can't be read is more than a crash leaves: records are lost
-	Fresh   bool  // there was nothing
+	Records   int   // handed to load
+	BytesRead int64 // read
+	TornBytes int64 // bytes at the journal's end that a crash has left half-written; they are cut off
+	Damaged   bool  // what stands behind the first record that can't be read is more than a crash leaves: records are lost
+	Empty     bool  // there was nothing
 }
 
 // Journal is an open folder. One goroutine uses it at a time.
 type Journal struct {
-	dir    string
-	most   int64
-	gen    uint64
-	f      *os.File
-	size   int64
-	broken error
-	sync   func(*os.File) error
+	folder     string
+	maxBytes   int64
+	generation uint64
+	file       *os.File
+	size       int64
+	failure    error
+	sync       func(*os.File) error
 }
 
-// Open opens a folder, makes it where there is none, and hands all records that it holds to load, the oldest first.
+// OpenJournal opens a folder, makes it where there is none, and hands all records that it holds to load, the oldest first.
 // Behind a snapshot the journal grows to so many bytes at most; then Full says so. An error of load ends it.
-func Open(dir string, most int64, load func(record []byte) error) (*Journal, Recovery, error) {
+func OpenJournal(dir string, most int64, load func(record []byte) error) (*Journal, Recovery, error) {
 	var r Recovery
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, r, err
 	}
-	gens, err := generations(dir)
+	gens, err := listGenerations(dir)
 	if err != nil {
 		return nil, r, err
 	}
-	j := &Journal{dir: dir, most: most, sync: (*os.File).Sync}
-	r.Fresh = len(gens) == 0
+	j := &Journal{folder: dir, maxBytes: most, sync: (*os.File).Sync}
+	r.Empty = len(gens) == 0
 	for _, gen := range gens { // the newest that is whole counts
-		records, bytes, err := readSnapshot(j.path(snapshotName, gen))
+		records, bytes, err := readSnapshot(j.generationPath(snapshotPrefix, gen))
 		if err != nil {
 			// It was on the disk before it had its name: no crash leaves it so.
 			r.Damaged = true
 			continue
 		}
-		j.gen = gen
-		r.Bytes += bytes
+		j.generation = gen
+		r.BytesRead += bytes
 		for _, rec := range records {
 			if err := load(rec); err != nil {
 				return nil, r, err
@@ -78,32 +78,32 @@
 		}
 		break
 	}
-	if j.gen == 0 { // nothing, or nothing that can be read: begin behind all that there is
+	if j.generation == 0 { // nothing, or nothing that can be read: begin behind all that there is
 		if len(gens) > 0 {
-			j.gen = gens[0]
+			j.generation = gens[0]
 		}
-		return j, r, j.begin(func(func([]byte) error) error { return nil })
+		return j, r, j.writeSnapshot(func(func([]byte) error) error { return nil })
 	}
 	if err := j.replay(load, &r); err != nil {
 		return nil, r, err
 	}
-	j.clean()
+	j.removeOldFiles()
 	return j, r, nil
 }
 
-func (j *Journal) path(name string, gen uint64) string {
-	return filepath.Join(j.dir, fmt.Sprintf("%s%016x", name, gen))
+func (j *Journal) generationPath(name string, gen uint64) string {
+	return filepath.Join(j.folder, fmt.Sprintf("%s%016x", name, gen))
 }
 
-// generations are those of which there is a snapshot, the newest first.
-func generations(dir string) (gens []uint64, err error) {
+// listGenerations are those of which there is a snapshot, the newest first.
+func listGenerations(dir string) (gens []uint64, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
 		return nil, err
 	}
 	for _, e := range entries {
 		var gen uint64
-		if n, _ := fmt.Sscanf(e.Name(), snapshotName+"%016x", &gen); n == 1 && e.Name() == fmt.Sprintf("%s%016x", snapshotName, gen) {
+		if n, _ := fmt.Sscanf(e.Name(), snapshotPrefix+"%016x", &gen); n == 1 && e.Name() == fmt.Sprintf("%s%016x", snapshotPrefix, gen) {
 			gens = append(gens, gen)
 		}
 	}
@@ -116,11 +116,11 @@
 // sum, against a record of an older file that a disk gives back in the place of a newer one.
 func appendRecord(to []byte, gen uint64, at int64, record []byte) []byte {
 	to = binary.LittleEndian.AppendUint32(to, uint32(len(record)))
-	to = binary.LittleEndian.AppendUint64(to, sum(gen, at, record))
+	to = binary.LittleEndian.AppendUint64(to, recordChecksum(gen, at, record))
 	return append(to, record...)
 }
 
-func sum(gen uint64, at int64, record []byte) uint64 {
+func recordChecksum(gen uint64, at int64, record []byte) uint64 {
 	var place [16]byte
 	binary.LittleEndian.PutUint64(place[:], gen)
 	binary.LittleEndian.PutUint64(place[8:], uint64(at))
@@ -130,25 +130,25 @@
 	return h.Sum64()
 }
 
-var errTorn = errors.New("half a record")
+var errIncompleteRecord = errors.New("half a record")
 
 // readRecord reads the record at a place.
 func readRecord(r io.Reader, gen uint64, at int64) ([]byte, error) {
-	var head [headSize]byte
+	var head [recordHeaderBytes]byte
 	_, err := io.ReadFull(r, head[:])
 	if err == io.EOF {
 		return nil, io.EOF
 	}
 	if err != nil {
-		return nil, errTorn
+		return nil, errIncompleteRecord
 	}
 	length := binary.LittleEndian.Uint32(head[:])
-	if length > longest {
-		return nil, errTorn
+	if length > maxRecordBytes {
+		return nil, errIncompleteRecord
 	}
 	record := make([]byte, length)
-	if _, err := io.ReadFull(r, record); err != nil || sum(gen, at, record) != binary.LittleEndian.Uint64(head[4:]) {
-		return nil, errTorn
+	if _, err := io.ReadFull(r, record); err != nil || recordChecksum(gen, at, record) != binary.LittleEndian.Uint64(head[4:]) {
+		return nil, errIncompleteRecord
 	}
 	return record, nil
 }
@@ -161,19 +161,19 @@
 	}
 	defer f.Close()
 	var gen uint64
-	fmt.Sscanf(filepath.Base(path), snapshotName+"%016x", &gen)
+	fmt.Sscanf(filepath.Base(path), snapshotPrefix+"%016x", &gen)
 	r := bufio.NewReader(f)
-	head := make([]byte, len(magic))
-	if _, err := io.ReadFull(r, head); err != nil || string(head) != magic {
-		return nil, 0, errTorn
+	head := make([]byte, len(snapshotHeader))
+	if _, err := io.ReadFull(r, head); err != nil || string(head) != snapshotHeader {
+		return nil, 0, errIncompleteRecord
 	}
-	at := int64(len(magic))
+	at := int64(len(snapshotHeader))
 	for {
 		rec, err := readRecord(r, gen, at)
 		if err != nil {
-			return nil, at, errTorn // also where it ends: its last record is missing
+			return nil, at, errIncompleteRecord // also where it ends: its last record is missing
 		}
-		at += headSize + int64(len(rec))
+		at += recordHeaderBytes + int64(len(rec))
 		if len(rec) == 0 {
 			return records, at, nil
 		}
@@ -183,14 +183,14 @@
 
 // replay reads the journal behind the snapshot, cuts off what a crash has torn, and goes on from there.
 func (j *Journal) replay(load func([]byte) error, r *Recovery) error {
-	f, err := os.OpenFile(j.path(journalName, j.gen), os.O_RDWR|os.O_CREATE, 0o644)
+	f, err := os.OpenFile(j.generationPath(journalPrefix, j.generation), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return err
 	}
 	in := bufio.NewReader(f)
 	at := int64(0)
 	for {
-		rec, err := readRecord(in, j.gen, at)
+		rec, err := readRecord(in, j.generation, at)
 		if err != nil {
 			break
 		}
@@ -199,29 +199,29 @@
 			return err
 		}
 		r.Records++
-		at += headSize + int64(len(rec))
+		at += recordHeaderBytes + int64(len(rec))
 	}
 	info, err := f.Stat()
 	if err != nil {
 		f.Close()
 		return err
 	}
-	r.Bytes += info.Size()
-	if r.Torn = info.Size() - at; r.Torn > 0 {
-		r.Damaged = r.Damaged || laterRecord(f, j.gen, at, info.Size())
+	r.BytesRead += info.Size()
+	if r.TornBytes = info.Size() - at; r.TornBytes > 0 {
+		r.Damaged = r.Damaged || hasLaterRecord(f, j.generation, at, info.Size())
 		if err := errors.Join(f.Truncate(at), j.sync(f)); err != nil {
 			f.Close()
 			return err
 		}
 	}
-	j.f, j.size = f, at
+	j.file, j.size = f, at
 	return nil
 }
 
-// laterRecord looks for a record that can be read behind one that can't. A crash tears the last write alone, so that
+// hasLaterRecord looks for a record that can be read behind one that can't. A crash tears the last write alone, so that
 // one behind it means that the disk has lost what stood before; where a single write of several records was torn out
 // of order it says so too, which errs on the careful side.
-func laterRecord(f *os.File, gen uint64, from, to int64) bool {
+func hasLaterRecord(f *os.File, gen uint64, from, to int64) bool {
 	const most = 1 << 20 // looked at
 	if to-from > most {
 		return true // no write is as long
@@ -230,12 +230,12 @@
 	if _, err := f.ReadAt(buf, from); err != nil {
 		return true
 	}
-	for at := 1; at+headSize <= len(buf); at++ {
+	for at := 1; at+recordHeaderBytes <= len(buf); at++ {
 		n := int(binary.LittleEndian.Uint32(buf[at:]))
-		if n > longest || at+headSize+n > len(buf) {
+		if n > maxRecordBytes || at+recordHeaderBytes+n > len(buf) {
 			continue
 		}
-		if sum(gen, from+int64(at), buf[at+headSize:at+headSize+n]) == binary.LittleEndian.Uint64(buf[at+4:]) {
+		if recordChecksum(gen, from+int64(at), buf[at+recordHeaderBytes:at+recordHeaderBytes+n]) == binary.LittleEndian.Uint64(buf[at+4:]) {
 			return true
 		}
 	}
@@ -245,41 +245,41 @@
 // Append writes records, all in one write, and returns once they are on the disk. After an error nothing more can be
 // written: what is on the disk is not known, and a new Open tells.
 func (j *Journal) Append(records ...[]byte) error {
-	if j.broken != nil {
-		return j.broken
+	if j.failure != nil {
+		return j.failure
 	}
 	var buf []byte
 	for _, rec := range records {
-		if len(rec) == 0 || len(rec) > longest {
+		if len(rec) == 0 || len(rec) > maxRecordBytes {
 			return fmt.Errorf("a record of %d bytes", len(rec))
 		}
-		buf = appendRecord(buf, j.gen, j.size+int64(len(buf)), rec)
+		buf = appendRecord(buf, j.generation, j.size+int64(len(buf)), rec)
 	}
-	if _, err := j.f.WriteAt(buf, j.size); err != nil {
-		j.broken = fmt.Errorf("journal: %w", err)
-		return j.broken
+	if _, err := j.file.WriteAt(buf, j.size); err != nil {
+		j.failure = fmt.Errorf("journal: %w", err)
+		return j.failure
 	}
-	if err := j.sync(j.f); err != nil {
-		j.broken = fmt.Errorf("journal: %w", err)
-		return j.broken
+	if err := j.sync(j.file); err != nil {
+		j.failure = fmt.Errorf("journal: %w", err)
+		return j.failure
 	}
 	j.size += int64(len(buf))
 	return nil
 }
 
-// Full reports whether a snapshot is due.
-func (j *Journal) Full() bool { return j.size > j.most }
+// SnapshotDue reports whether a snapshot is due.
+func (j *Journal) SnapshotDue() bool { return j.size > j.maxBytes }
 
 // Size is that of the journal behind its snapshot, in bytes.
 func (j *Journal) Size() int64 { return j.size }
 
 // Snapshot puts what all records come to in their place: write is handed each record of it.
 func (j *Journal) Snapshot(write func(put func(record []byte) error) error) error {
-	if j.broken != nil {
-		return j.broken
+	if j.failure != nil {
+		return j.failure
 	}
-	old := j.f
-	if err := j.begin(write); err != nil {
+	old := j.file
+	if err := j.writeSnapshot(write); err != nil {
 		return err
 	}
 	if old != nil {
@@ -288,19 +288,19 @@
 	return nil
 }
 
-// begin writes the snapshot of the next generation and opens its journal. The old generation goes only when the new
+// writeSnapshot writes the snapshot of the next generation and opens its journal. The old generation goes only when the new
 // one is on the disk.
-func (j *Journal) begin(write func(put func([]byte) error) error) error {
-	gen := j.gen + 1
-	path := j.path(snapshotName, gen)
-	f, err := os.CreateTemp(j.dir, ".writing-*")
+func (j *Journal) writeSnapshot(write func(put func([]byte) error) error) error {
+	gen := j.generation + 1
+	path := j.generationPath(snapshotPrefix, gen)
+	f, err := os.CreateTemp(j.folder, ".writing-*")
 	if err != nil {
 		return err
 	}
 	defer os.Remove(f.Name()) // where it was not renamed
 	out := bufio.NewWriter(f)
-	out.WriteString(magic)
-	at := int64(len(magic))
+	out.WriteString(snapshotHeader)
+	at := int64(len(snapshotHeader))
 	put := func(rec []byte) error {
 		framed := appendRecord(nil, gen, at, rec)
 		at += int64(len(framed))
@@ -308,7 +308,7 @@
 		return err
 	}
 	err = write(func(rec []byte) error {
-		if len(rec) == 0 || len(rec) > longest {
+		if len(rec) == 0 || len(rec) > maxRecordBytes {
 			return fmt.Errorf("a record of %d bytes", len(rec))
 		}
 		return put(rec)
@@ -318,7 +318,7 @@
 	}
 	// The journal is there before its snapshot counts, empty: one of the same generation that an earlier crash left
 	// behind was never part of anything.
-	journal, err := os.OpenFile(j.path(journalName, gen), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
+	journal, err := os.OpenFile(j.generationPath(journalPrefix, gen), os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
 	if err != nil {
 		return err
 	}
@@ -326,13 +326,13 @@
 		journal.Close()
 		return err
 	}
-	j.gen, j.f, j.size = gen, journal, 0
-	j.clean()
+	j.generation, j.file, j.size = gen, journal, 0
+	j.removeOldFiles()
 	return nil
 }
 
 func (j *Journal) syncDir() error {
-	d, err := os.Open(j.dir)
+	d, err := os.Open(j.folder)
 	if err != nil {
 		return err
 	}
@@ -340,43 +340,43 @@
 	return j.sync(d)
 }
 
-// clean takes away what is of another generation, or was being written when a crash came.
-func (j *Journal) clean() {
-	entries, err := os.ReadDir(j.dir)
+// removeOldFiles takes away what is of another generation, or was being written when a crash came.
+func (j *Journal) removeOldFiles() {
+	entries, err := os.ReadDir(j.folder)
 	if err != nil {
 		return
 	}
 	for _, e := range entries {
 		name := e.Name()
-		ours := strings.HasPrefix(name, snapshotName) || strings.HasPrefix(name, journalName) || strings.HasPrefix(name, ".writing-")
-		if ours && name != filepath.Base(j.path(snapshotName, j.gen)) && name != filepath.Base(j.path(journalName, j.gen)) {
-			os.Remove(filepath.Join(j.dir, name)) // what is left of it is taken away the next time
+		ours := strings.HasPrefix(name, snapshotPrefix) || strings.HasPrefix(name, journalPrefix) || strings.HasPrefix(name, ".writing-")
+		if ours && name != filepath.Base(j.generationPath(snapshotPrefix, j.generation)) && name != filepath.Base(j.generationPath(journalPrefix, j.generation)) {
+			os.Remove(filepath.Join(j.folder, name)) // what is left of it is taken away the next time
 		}
 	}
 }
 
 // Close closes the folder.
 func (j *Journal) Close() error {
-	if j.f == nil {
+	if j.file == nil {
 		return nil
 	}
-	err := j.f.Close()
-	j.f = nil
+	err := j.file.Close()
+	j.file = nil
 	if errors.Is(err, fs.ErrClosed) {
 		return nil
 	}
 	return err
 }
 
-// Read hands all records of a folder that can be read to see, the oldest first, and changes nothing there: for who looks
+// ReadJournal hands all records of a folder that can be read to see, the oldest first, and changes nothing there: for who looks
 // on while another process writes.
-func Read(dir string, see func(record []byte) error) error {
-	gens, err := generations(dir)
+func ReadJournal(dir string, see func(record []byte) error) error {
+	gens, err := listGenerations(dir)
 	if err != nil {
 		return err
 	}
 	for _, gen := range gens {
-		records, _, err := readSnapshot(filepath.Join(dir, fmt.Sprintf("%s%016x", snapshotName, gen)))
+		records, _, err := readSnapshot(filepath.Join(dir, fmt.Sprintf("%s%016x", snapshotPrefix, gen)))
 		if err != nil {
 			continue
 		}
@@ -385,7 +385,7 @@
 				return err
 			}
 		}
-		f, err := os.Open(filepath.Join(dir, fmt.Sprintf("%s%016x", journalName, gen)))
+		f, err := os.Open(filepath.Join(dir, fmt.Sprintf("%s%016x", journalPrefix, gen)))
 		if err != nil {
 			return err
 		}
@@ -399,7 +399,7 @@
 			if err := see(rec); err != nil {
 				return err
 			}
-			at += headSize + int64(len(rec))
+			at += recordHeaderBytes + int64(len(rec))
 		}
 	}
 	return nil
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/statedir/journal_test.go
@@ -17,7 +17,7 @@
 func read(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
 	t.Helper()
 	var got []string
-	j, r, err := Open(dir, most, func(rec []byte) error { got = append(got, string(rec)); return nil })
+	j, r, err := OpenJournal(dir, most, func(rec []byte) error { got = append(got, string(rec)); return nil })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -55,7 +55,7 @@
 func TestTorn(t *testing.T) {
 	dir := t.TempDir()
 	j, _, r := read(t, dir, 1<<20)
-	if !r.Fresh {
+	if !r.Empty {
 		t.Error("an empty folder is not fresh")
 	}
 	want := records(12)
@@ -67,7 +67,7 @@
 		ends = append(ends, j.Size())
 	}
 	j.Close()
-	path := only(t, dir, journalName)
+	path := only(t, dir, journalPrefix)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -81,7 +81,7 @@
 		for kept < len(ends) && ends[kept] <= int64(n) {
 			kept++
 		}
-		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Fresh || (r.Torn > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
+		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Empty || (r.TornBytes > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
 			t.Fatalf("cut at %d: %d records of %d, %+v", n, len(got), kept, r)
 		}
 		if err := j.Append([]byte("more")); err != nil {
@@ -118,7 +118,7 @@
 		ends = append(ends, j.Size())
 	}
 	j.Close()
-	for _, file := range []string{journalName, snapshotName} {
+	for _, file := range []string{journalPrefix, snapshotPrefix} {
 		path := only(t, dir, file)
 		whole, _ := os.ReadFile(path)
 		for n := range whole {
@@ -130,7 +130,7 @@
 			}
 			j, got, r := read(t, hurt, 1<<20)
 			j.Close()
-			if file == snapshotName {
+			if file == snapshotPrefix {
 				if len(got) > 0 || !r.Damaged {
 					t.Fatalf("byte %d of the snapshot changed: %d records, %+v", n, len(got), r)
 				}
@@ -173,7 +173,7 @@
 			t.Fatal(err)
 		}
 		acknowledged = pending
-		if j.Full() {
+		if j.SnapshotDue() {
 			if err := j.Snapshot(func(put func([]byte) error) error {
 				for _, rec := range acknowledged {
 					if err := put([]byte(rec)); err != nil {
@@ -214,7 +214,7 @@
 				break
 			}
 			acknowledged = append(acknowledged, rec)
-			if j.Full() {
+			if j.SnapshotDue() {
 				if failed = j.Snapshot(func(put func([]byte) error) error {
 					for _, rec := range acknowledged {
 						put([]byte(rec))
@@ -241,12 +241,12 @@
 	if err := j.Append(nil); err == nil {
 		t.Error("an empty record is taken")
 	}
-	if err := j.Append(make([]byte, longest+1)); err == nil {
+	if err := j.Append(make([]byte, maxRecordBytes+1)); err == nil {
 		t.Error("a record that is too long is taken")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
-	if _, _, err := Open(file, 100, nil); err == nil {
+	if _, _, err := OpenJournal(file, 100, nil); err == nil {
 		t.Error("a file is taken for a folder")
 	}
 }
@@ -260,20 +260,20 @@
 		j, _, _ := read(t, dir, 100)
 		j.Append([]byte("first"))
 		j.Close()
-		path := only(t, dir, journalName)
+		path := only(t, dir, journalPrefix)
 		good, _ := os.ReadFile(path)
 		if err := os.WriteFile(path, append(good, text...), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j, got, r := read(t, dir, 100)
-		if len(got) == 0 || got[0] != "first" || r.Bytes != int64(len(good)+len(text))+int64(len(magic)+headSize) {
+		if len(got) == 0 || got[0] != "first" || r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
 			t.Fatalf("%q, %+v", got, r)
 		}
 		if err := j.Append([]byte("last")); err != nil {
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, again, r := read(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" || r.Torn > 0 {
+		if _, again, r := read(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" || r.TornBytes > 0 {
 			t.Fatalf("%q after %q, %+v", again, got, r)
 		}
 	})
@@ -281,11 +281,11 @@
 
 // FuzzSnapshot reads whatever stands in a snapshot.
 func FuzzSnapshot(f *testing.F) {
-	f.Add([]byte(magic))
-	f.Add(appendRecord(appendRecord([]byte(magic), 1, int64(len(magic)), []byte("a")), 1, int64(len(magic))+13, nil))
+	f.Add([]byte(snapshotHeader))
+	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1, int64(len(snapshotHeader))+13, nil))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		dir := t.TempDir()
-		if err := os.WriteFile(filepath.Join(dir, snapshotName+"0000000000000001"), text, 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(dir, snapshotPrefix+"0000000000000001"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j, got, r := read(t, dir, 100)
@@ -307,7 +307,7 @@
 	for _, claims := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(claims), func(b *testing.B) {
 			dir := b.TempDir()
-			g, _, err := OpenGatherer(dir, 4<<20, 600_000, 1_000_000)
+			g, _, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -328,8 +328,8 @@
 			}
 			b.ResetTimer()
 			for range b.N {
-				g, r, err := OpenGatherer(dir, 4<<20, 600_000, 1_000_000)
-				if err != nil || r.Names != claims {
+				g, r, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
+				if err != nil || r.Claims != claims {
 					b.Fatal(r, err)
 				}
 				g.Close()
@@ -343,7 +343,7 @@
 func BenchmarkSent(b *testing.B) {
 	for _, together := range []int{1, 16} {
 		b.Run(fmt.Sprint(together), func(b *testing.B) {
-			g, _, err := OpenGatherer(b.TempDir(), 4<<20, 600_000, 0)
+			g, _, err := OpenGathererState(b.TempDir(), 4<<20, 600_000, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 	}
-	g, _, err := OpenGatherer(folder, 300, 1e12, 1_796_000_000_000)
+	g, _, err := OpenGathererState(folder, 300, 1e12, 1_796_000_000_000)
 	must(err)
 	must(g.SaveMap(keptMap(t)))
 	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25)) // past 300 bytes: a snapshot
@@ -85,18 +85,18 @@
 	must(g.Close())
 	h, err := OpenHandover(folder)
 	must(err)
-	must(h.Set(map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}))
+	must(h.SetDraining(map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}))
 }
 
 // TestKeptGathererFolder opens a gatherer's folder as it was kept, and writes the same values to the same bytes.
 func TestKeptGathererFolder(t *testing.T) {
 	const now = 1_796_000_001_000
 	folder := keptCopy(t, "gatherer")
-	g, found, err := OpenGatherer(folder, 300, 1e12, now)
+	g, found, err := OpenGathererState(folder, 300, 1e12, now)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found.Fresh || found.Damaged || found.Torn != 0 || found.Names != 4 || found.Epoch != 7 || found.Blind != 0 {
+	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 || found.UnknownUntil != 0 {
 		t.Errorf("found %+v", found)
 	}
 	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true, "late": true, "never": false} {
@@ -123,7 +123,7 @@
 // TestKeptTornFolder opens a folder whose journal ends in half a record: what stands before it is there.
 func TestKeptTornFolder(t *testing.T) {
 	folder := keptCopy(t, "gatherer")
-	path := only(t, folder, journalName)
+	path := only(t, folder, journalPrefix)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -131,8 +131,8 @@
 	if err := os.WriteFile(path, text[:len(text)-3], 0o644); err != nil {
 		t.Fatal(err)
 	}
-	g, found, err := OpenGatherer(folder, 300, 1e12, 1_796_000_001_000)
-	if err != nil || found.Damaged || found.Torn == 0 || found.Names != 3 || g.MayHaveRun("late", false, 1_796_000_001_000) {
+	g, found, err := OpenGathererState(folder, 300, 1e12, 1_796_000_001_000)
+	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 || g.MayHaveRun("late", false, 1_796_000_001_000) {
 		t.Errorf("found %+v, %v", found, err)
 	}
 }
@@ -146,20 +146,20 @@
 			t.Fatal(err)
 		}
 	}
-	first, err := OpenRun(folder, false)
+	first, err := OpenRunFolder(folder, false)
 	must(err)
 	must(first.Recover(func([]byte) error { return nil }))
 	must(first.Append([]byte(`{"stage":1}`)))
 	must(first.Append([]byte(`{"stage":2}`)))
 	first.Close()
-	must(Say(folder, "pause", 1_796_000_000_000))
-	second, err := OpenRun(folder, false)
+	must(SendCommand(folder, "pause", 1_796_000_000_000))
+	second, err := OpenRunFolder(folder, false)
 	must(err)
 	must(second.Recover(func([]byte) error { return nil }))
 	must(second.Append([]byte(`{"stage":3}`)))
-	must(second.Put("status.json", []byte(`{"phase":"paused"}`)))
-	must(second.Add("history", []byte(`{"event":"paused"}`)))
-	must(second.Add("history", []byte(`{"event":"resumed"}`)))
+	must(second.WriteFile("status.json", []byte(`{"phase":"paused"}`)))
+	must(second.AppendLine("history", []byte(`{"event":"paused"}`)))
+	must(second.AppendLine("history", []byte(`{"event":"resumed"}`)))
 	second.Close()
 }
 
@@ -172,19 +172,19 @@
 	}
 	want := []string{`{"stage":1}`, `{"stage":2}`, `{"stage":3}`}
 	folder := keptCopy(t, "run")
-	if err := ReadRun(folder, see); err != nil || !slices.Equal(seen, want) {
+	if err := ReadRunJournal(folder, see); err != nil || !slices.Equal(seen, want) {
 		t.Errorf("read %q, %v", seen, err)
 	}
 	seen = nil
-	r, err := OpenRun(folder, false)
+	r, err := OpenRunFolder(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if err := r.Recover(see); err != nil || !slices.Equal(seen, want) || r.Fence != 3 {
-		t.Errorf("taken over as %d with %q, %v", r.Fence, seen, err)
+	if err := r.Recover(see); err != nil || !slices.Equal(seen, want) || r.FencingToken != 3 {
+		t.Errorf("taken over as %d with %q, %v", r.FencingToken, seen, err)
 	}
-	if word, err := r.Word(); err != nil || word != "pause 1796000000000" {
+	if word, err := r.Command(); err != nil || word != "pause 1796000000000" {
 		t.Errorf("the operator's word is %q, %v", word, err)
 	}
 	written := t.TempDir()
--- a/internal/testbed/processtest/result.go
+++ b/internal/testbed/processtest/result.go
@@ -71,7 +71,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	return statedir.Replace(filepath.Join(folder, ResultFile), append(text, '\n'))
+	return statedir.WriteFileAtomic(filepath.Join(folder, ResultFile), append(text, '\n'))
 }
 
 // LoadResult reads a folder of results.
