--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -33,7 +33,7 @@
 	Discovery      string
 	Seed           uint64
 	Limits         Limits
-	KnownEndpoints *discovery.Reply // nil where nothing was known
+	KnownEndpoints *discovery.Response // nil where nothing was known
 	Settings       *gather.Settings
 	Checksum       string // fingerprint of the text that was read
 }
@@ -92,10 +92,10 @@
 		return nil, fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, minSockets)
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
+		if c.KnownEndpoints, err = discovery.ParseResponse(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.KnownEndpoints.Whole = true // it is the list as this gatherer last held it
+		c.KnownEndpoints.Full = true // it is the list as this gatherer last held it
 	}
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
--- a/internal/config/platform/config_test.go
+++ b/internal/config/platform/config_test.go
@@ -53,7 +53,7 @@
 	}
 	c, err := Load(path, func(name string) string { return map[string]string{"NODE_LISTEN": "127.0.0.9:1"}[name] })
 	if err != nil || c.Listen != "127.0.0.9:1" || c.Name != "n3" || c.Seed != 0x8c1f30d27a5be964 || c.Limits.Sockets != 4096 ||
-		!c.KnownEndpoints.Whole || c.KnownEndpoints.Revision != 41 {
+		!c.KnownEndpoints.Full || c.KnownEndpoints.Revision != 41 {
 		t.Errorf("%+v, %v", c, err)
 	}
 }
--- a/internal/control/segments/file.go
+++ b/internal/control/segments/file.go
@@ -8,15 +8,15 @@
 	"yokeroute/logic/ownership"
 )
 
-// file is a map file being read.
-type file struct {
+// mapFile is a map file being read.
+type mapFile struct {
 	epoch    uint64
 	shards   int
 	segments []ownership.Segment
-	at       []*directive.Values
+	parsed   []*directive.Values
 }
 
-func (f *file) table() *directive.Table {
+func (f *mapFile) directives() *directive.Table {
 	return &directive.Table{Name: "map file", Intro: "Which hosts own which keys, for `segments FILE` in the operator's file and for `yokeroute segments`.", Directives: []*directive.Directive{
 		{Name: "epoch", Once: true, Args: []directive.Field{{Name: "epoch", Kind: directive.Count, Min: 1, Max: 1 << 53, Help: "more than that of any map told before"}}, Help: "Which epoch it is.", Example: "epoch 7",
 			Apply: func(v *directive.Values) error { f.epoch = uint64(v.Number("epoch", 0)); return nil }},
@@ -32,34 +32,34 @@
 					return v.Errorf("keys", "%v", err)
 				}
 				f.segments = append(f.segments, ownership.Segment{Name: v.Text("name"), Range: r, Owners: v.List("on"), OwnedSince: uint64(v.Number("since", 0))})
-				f.at = append(f.at, v)
+				f.parsed = append(f.parsed, v)
 				return nil
 			}},
 	}}
 }
 
 // MapReference is the page about map files.
-func MapReference() string { return (&file{}).table().Reference() }
+func MapReference() string { return (&mapFile{}).directives().Reference() }
 
 // ReadMap reads a map file; shards is 0 where it does not tell them.
 func ReadMap(name string) (m *ownership.Map, shards int, err error) {
-	f := &file{}
-	if err := f.table().Read(name); err != nil {
+	f := &mapFile{}
+	if err := f.directives().Read(name); err != nil {
 		return nil, 0, err
 	}
-	return f.finish(name)
+	return f.segmentMap(name)
 }
 
 // ParseMap reads the text of a map file.
 func ParseMap(name, text string) (m *ownership.Map, shards int, err error) {
-	f := &file{}
-	if err := f.table().Parse(name, text); err != nil {
+	f := &mapFile{}
+	if err := f.directives().Parse(name, text); err != nil {
 		return nil, 0, err
 	}
-	return f.finish(name)
+	return f.segmentMap(name)
 }
 
-func (f *file) finish(name string) (*ownership.Map, int, error) {
+func (f *mapFile) segmentMap(name string) (*ownership.Map, int, error) {
 	top := directive.Position{File: name, Line: 1, Column: 1}
 	if f.epoch == 0 {
 		return nil, 0, directive.ErrorList{{Position: top, Message: "lacks its epoch; write epoch NUMBER"}}
@@ -72,7 +72,7 @@
 	at := top
 	for i, s := range f.segments {
 		if strings.Contains(err.Error(), fmt.Sprintf("%q", s.Name)) {
-			at = f.at[i].Position
+			at = f.parsed[i].Position
 		}
 	}
 	return nil, 0, directive.ErrorList{{Position: at, Message: err.Error()}}
--- a/internal/control/segments/follow.go
+++ b/internal/control/segments/follow.go
@@ -12,8 +12,8 @@
 	"yokeroute/logic/ownership"
 )
 
-// Picker takes news of the map; package pick has it.
-type Picker interface {
+// MapReceiver takes news of the map; package pick has it.
+type MapReceiver interface {
 	ApplyMapChange(c ownership.Change)
 	SetMap(m *ownership.Map)
 	MapRequested() <-chan struct{}
@@ -21,49 +21,49 @@
 
 const (
 	// A watch that brings no news is answered after this time.
-	watchWait = 2 * time.Second
-	patience  = time.Second
+	watchDuration = 2 * time.Second
+	headerTimeout = time.Second
 	// The first pause after a failed call and the longest.
-	pauseFirst, pauseMost = 50 * time.Millisecond, time.Second
-	mostBody              = 16 << 20
+	minBackoff, maxBackoff = 50 * time.Millisecond, time.Second
+	maxBodyBytes           = 16 << 20
 )
 
-// Follower follows an authority.
-type Follower struct {
-	http   *http.Client
-	base   string
-	picker Picker
-	log    *logrus.Logger
-	epoch  uint64 // the newest told; 0 where the whole map is wanted
+// Watcher follows an authority.
+type Watcher struct {
+	http     *http.Client
+	url      string
+	receiver MapReceiver
+	log      *logrus.Logger
+	epoch    uint64 // the newest told; 0 where the whole map is wanted
 }
 
 // Path is where an authority is asked.
 const Path = "/api/segments"
 
-// NewFollower makes a follower of the authority at an address.
-func NewFollower(address string, picker Picker, log *logrus.Logger) *Follower {
-	return &Follower{base: "http://" + address + Path, picker: picker, log: log,
-		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: watchWait + patience, DisableCompression: true}}}
+// NewWatcher makes a follower of the authority at an address.
+func NewWatcher(address string, picker MapReceiver, log *logrus.Logger) *Watcher {
+	return &Watcher{url: "http://" + address + Path, receiver: picker, log: log,
+		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1, ResponseHeaderTimeout: watchDuration + headerTimeout, DisableCompression: true}}}
 }
 
 // Run follows it until ctx ends. Whenever the picker finds that it is behind, the whole map is asked for at once: what
 // a watch would bring may be what it could not believe.
-func (f *Follower) Run(ctx context.Context) {
+func (f *Watcher) Run(ctx context.Context) {
 	defer f.http.CloseIdleConnections()
-	pause := pauseFirst
+	pause := minBackoff
 	for ctx.Err() == nil {
 		asking, stop := context.WithCancel(ctx)
 		behind := make(chan bool, 1)
 		go func() { // breaks off a watch that waits
 			select {
-			case <-f.picker.MapRequested():
+			case <-f.receiver.MapRequested():
 				behind <- true
 				stop()
 			case <-asking.Done():
 				behind <- false
 			}
 		}()
-		reply, err := f.ask(asking)
+		reply, err := f.poll(asking)
 		stop()
 		if <-behind {
 			f.epoch = 0
@@ -74,40 +74,40 @@
 				return
 			}
 			level := logrus.WarnLevel
-			if pause != pauseFirst { // said already
+			if pause != minBackoff { // said already
 				level = logrus.DebugLevel
 			}
 			f.log.WithError(err).Log(level, "the authority of segments does not answer; the last map stays in force")
 			select {
 			case <-ctx.Done():
-			case <-f.picker.MapRequested():
+			case <-f.receiver.MapRequested():
 				f.epoch = 0
 			case <-time.After(pause):
 			}
-			pause = min(2*pause, pauseMost)
+			pause = min(2*pause, maxBackoff)
 			continue
 		}
-		if pause != pauseFirst {
+		if pause != minBackoff {
 			f.log.Info("the authority of segments answers again")
 		}
-		pause = pauseFirst
-		if reply.Whole != nil {
-			f.picker.SetMap(reply.Whole)
-			f.epoch = reply.Whole.Epoch
+		pause = minBackoff
+		if reply.Full != nil {
+			f.receiver.SetMap(reply.Full)
+			f.epoch = reply.Full.Epoch
 		}
 		for _, c := range reply.Changes {
-			f.picker.ApplyMapChange(c)
+			f.receiver.ApplyMapChange(c)
 			f.epoch = c.Epoch
 		}
 	}
 }
 
-// ask makes one call: for the whole map, or for what has changed since the newest epoch told.
-func (f *Follower) ask(ctx context.Context) (*Reply, error) {
-	url, limit := f.base, patience
+// poll makes one call: for the whole map, or for what has changed since the newest epoch told.
+func (f *Watcher) poll(ctx context.Context) (*Response, error) {
+	url, limit := f.url, headerTimeout
 	if f.epoch > 0 {
-		url += fmt.Sprintf("?after=%d&wait=%d", f.epoch, watchWait.Milliseconds())
-		limit += watchWait
+		url += fmt.Sprintf("?after=%d&wait=%d", f.epoch, watchDuration.Milliseconds())
+		limit += watchDuration
 	}
 	ctx, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
@@ -120,15 +120,15 @@
 		return nil, err
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, mostBody))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBodyBytes))
 	if err != nil {
 		return nil, err
 	}
 	if resp.StatusCode != http.StatusOK {
 		return nil, fmt.Errorf("the authority answers %s", resp.Status)
 	}
-	reply, err := Parse(body)
-	if err == nil && f.epoch == 0 && reply.Whole == nil {
+	reply, err := ParseResponse(body)
+	if err == nil && f.epoch == 0 && reply.Full == nil {
 		err = fmt.Errorf("a change, where the whole map was asked for")
 	}
 	return reply, err
--- a/internal/control/segments/kept_test.go
+++ b/internal/control/segments/kept_test.go
@@ -59,19 +59,19 @@
 
 // TestKeptReplies reads the authority's replies as they were kept, and writes the same values to the same bytes.
 func TestKeptReplies(t *testing.T) {
-	for name, want := range map[string]*Reply{
-		"whole.json":   {Whole: keptMap(t)},
+	for name, want := range map[string]*Response{
+		"whole.json":   {Full: keptMap(t)},
 		"changes.json": {Changes: keptChanges(t)},
-		"both.json":    {Whole: keptMap(t), Changes: keptChanges(t)[:1]},
+		"both.json":    {Full: keptMap(t), Changes: keptChanges(t)[:1]},
 		"nothing.json": {},
 	} {
 		text := kept(t, name)
-		got, err := Parse(text)
+		got, err := ParseResponse(text)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if want.Whole != nil && !reflect.DeepEqual(got.Whole, want.Whole) || len(got.Changes) != len(want.Changes) {
+		if want.Full != nil && !reflect.DeepEqual(got.Full, want.Full) || len(got.Changes) != len(want.Changes) {
 			t.Errorf("%s: read %+v, want %+v", name, got, want)
 		}
 		for i := range got.Changes {
@@ -79,16 +79,16 @@
 				t.Errorf("%s: change %d is read as %+v, want %+v", name, i, got.Changes[i], want.Changes[i])
 			}
 		}
-		if written := want.Text(); !bytes.Equal(written, text) {
+		if written := want.Encode(); !bytes.Equal(written, text) {
 			t.Errorf("%s: written %s, kept %s", name, written, text)
 		}
-		if written := got.Text(); !bytes.Equal(written, text) {
+		if written := got.Encode(); !bytes.Equal(written, text) {
 			t.Errorf("%s: read and written again: %s, kept %s", name, written, text)
 		}
 	}
 	// What a later authority may add is left aside.
-	got, err := Parse(kept(t, "unknown-keys.json"))
-	if err != nil || !reflect.DeepEqual(got, &Reply{Whole: keptMap(t)}) {
+	got, err := ParseResponse(kept(t, "unknown-keys.json"))
+	if err != nil || !reflect.DeepEqual(got, &Response{Full: keptMap(t)}) {
 		t.Errorf("unknown keys: %+v, %v", got, err)
 	}
 }
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -61,12 +61,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Reply{Whole: m, Changes: []ownership.Change{split}}
-	again, err := Parse(r.Text())
+	r := &Response{Full: m, Changes: []ownership.Change{split}}
+	again, err := ParseResponse(r.Encode())
 	if err != nil || !reflect.DeepEqual(again, r) {
 		t.Fatalf("%+v, %v", again, err)
 	}
-	text := string(r.Text())
+	text := string(r.Encode())
 	for _, c := range []struct{ old, new, want string }{
 		{`"keys":"0000000000000000-7fffffffffffffff"`, `"keys":"0-7"`, "whole.segments[0].keys"},
 		{`"name":"b"`, `"name":""`, "whole.segments[1].name"},
@@ -75,7 +75,7 @@
 		{`"epoch":7`, `"epoch":-7`, "epoch"},
 		{`{`, ``, "invalid"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
@@ -121,11 +121,11 @@
 		case n <= fails:
 			w.Write([]byte(`{"whole":{"epoch":7,"sum":"zz"}}`))
 		case r.URL.Query().Get("after") == "":
-			w.Write((&Reply{Whole: m}).Text())
+			w.Write((&Response{Full: m}).Encode())
 		default:
 			select {
 			case <-release:
-				w.Write((&Reply{Changes: []ownership.Change{next}}).Text())
+				w.Write((&Response{Changes: []ownership.Change{next}}).Encode())
 			case <-r.Context().Done():
 			}
 		}
@@ -137,7 +137,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
-		NewFollower(strings.TrimPrefix(server.URL, "http://"), p, log).Run(ctx)
+		NewWatcher(strings.TrimPrefix(server.URL, "http://"), p, log).Run(ctx)
 		close(done)
 	}()
 	wait := func() {
@@ -165,21 +165,21 @@
 func FuzzParse(f *testing.F) {
 	m, _, _ := ParseMap("m.conf", good)
 	split, _ := m.SplitSegment("a", 5, "c", "d")
-	f.Add((&Reply{Whole: m, Changes: []ownership.Change{split}}).Text())
+	f.Add((&Response{Full: m, Changes: []ownership.Change{split}}).Encode())
 	f.Add([]byte(`{"whole":{"epoch":1,"sum":"0000000000000000","segments":[{"name":"a","keys":"0000000000000000-ffffffffffffffff"}]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r, err := Parse(text)
+		r, err := ParseResponse(text)
 		if err != nil {
 			return
 		}
-		again, err := Parse(r.Text())
-		if err != nil || again.Whole != nil && (again.Whole.Epoch != r.Whole.Epoch || len(again.Whole.Segments) != len(r.Whole.Segments)) || len(again.Changes) != len(r.Changes) {
+		again, err := ParseResponse(r.Encode())
+		if err != nil || again.Full != nil && (again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) || len(again.Changes) != len(r.Changes) {
 			t.Fatalf("%v: %+v, then %+v", err, r, again)
 		}
 		follower := ownership.Tracker{}
 		follower.ApplyMap(m)
-		if r.Whole != nil {
-			follower.ApplyMap(r.Whole)
+		if r.Full != nil {
+			follower.ApplyMap(r.Full)
 		}
 		for _, c := range r.Changes {
 			follower.ApplyChange(c)
--- a/internal/control/segments/wire.go
+++ b/internal/control/segments/wire.go
@@ -10,48 +10,48 @@
 	"yokeroute/logic/ownership"
 )
 
-// segment is a segment as the authority words it.
-type segment struct {
-	Name   string   `json:"name"`
-	Keys   string   `json:"keys"`
-	Owners []string `json:"owners"`
-	Since  uint64   `json:"since"`
+// segmentDocument is a segment as the authority words it.
+type segmentDocument struct {
+	Name       string   `json:"name"`
+	Keys       string   `json:"keys"`
+	Owners     []string `json:"owners"`
+	OwnedSince uint64   `json:"since"`
 }
 
-// Reply is what the authority tells: a whole map, or changes that follow what was known.
-type Reply struct {
-	Whole   *ownership.Map
+// Response is what the authority tells: a whole map, or changes that follow what was known.
+type Response struct {
+	Full    *ownership.Map
 	Changes []ownership.Change
 }
 
-type wireMap struct {
-	Epoch    uint64    `json:"epoch"`
-	Sum      string    `json:"sum"`
-	Segments []segment `json:"segments"`
+type mapDocument struct {
+	Epoch    uint64            `json:"epoch"`
+	Checksum string            `json:"sum"`
+	Segments []segmentDocument `json:"segments"`
 }
 
-type wireChange struct {
-	Epoch uint64    `json:"epoch"`
-	Was   string    `json:"was"`
-	Sum   string    `json:"sum"`
-	Why   string    `json:"why"`
-	Out   []string  `json:"out"`
-	In    []segment `json:"in"`
+type changeDocument struct {
+	Epoch            uint64            `json:"epoch"`
+	PreviousChecksum string            `json:"was"`
+	Checksum         string            `json:"sum"`
+	Reason           string            `json:"why"`
+	Removed          []string          `json:"out"`
+	Added            []segmentDocument `json:"in"`
 }
 
-type wireReply struct {
-	Whole   *wireMap     `json:"whole,omitempty"`
-	Changes []wireChange `json:"changes,omitempty"`
+type responseDocument struct {
+	Full    *mapDocument     `json:"whole,omitempty"`
+	Changes []changeDocument `json:"changes,omitempty"`
 }
 
-// mostChanges bounds the changes of one reply; who is further behind gets the whole map.
-const mostChanges = 1024
+// maxChanges bounds the changes of one reply; who is further behind gets the whole map.
+const maxChanges = 1024
 
-func wire(s ownership.Segment) segment {
-	return segment{s.Name, s.Range.Text(), s.Owners, s.OwnedSince}
+func newSegmentDocument(s ownership.Segment) segmentDocument {
+	return segmentDocument{s.Name, s.Range.Text(), s.Owners, s.OwnedSince}
 }
 
-func unwire(where string, list []segment) (segments []ownership.Segment, err error) {
+func parseSegments(where string, list []segmentDocument) (segments []ownership.Segment, err error) {
 	for i, s := range list {
 		r, err := ownership.ParseRange(s.Keys)
 		if err != nil {
@@ -60,12 +60,12 @@
 		if s.Name == "" {
 			return nil, fmt.Errorf("%s[%d].name: is empty", where, i)
 		}
-		segments = append(segments, ownership.Segment{Name: s.Name, Range: r, Owners: s.Owners, OwnedSince: s.Since})
+		segments = append(segments, ownership.Segment{Name: s.Name, Range: r, Owners: s.Owners, OwnedSince: s.OwnedSince})
 	}
 	return segments, nil
 }
 
-func sumOf(where, text string) (uint64, error) {
+func parseChecksum(where, text string) (uint64, error) {
 	n, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != 16 {
 		return 0, fmt.Errorf("%s: %q is no sum of sixteen hex digits", where, text)
@@ -73,19 +73,19 @@
 	return n, nil
 }
 
-// Text writes a reply as the authority does.
-func (r *Reply) Text() []byte {
-	var w wireReply
-	if r.Whole != nil {
-		w.Whole = &wireMap{Epoch: r.Whole.Epoch, Sum: fmt.Sprintf("%016x", r.Whole.Checksum), Segments: []segment{}}
-		for _, s := range r.Whole.Segments {
-			w.Whole.Segments = append(w.Whole.Segments, wire(s))
+// Encode writes a reply as the authority does.
+func (r *Response) Encode() []byte {
+	var w responseDocument
+	if r.Full != nil {
+		w.Full = &mapDocument{Epoch: r.Full.Epoch, Checksum: fmt.Sprintf("%016x", r.Full.Checksum), Segments: []segmentDocument{}}
+		for _, s := range r.Full.Segments {
+			w.Full.Segments = append(w.Full.Segments, newSegmentDocument(s))
 		}
 	}
 	for _, c := range r.Changes {
-		one := wireChange{Epoch: c.Epoch, Was: fmt.Sprintf("%016x", c.PreviousChecksum), Sum: fmt.Sprintf("%016x", c.Checksum), Why: c.Reason, Out: c.Removed}
+		one := changeDocument{Epoch: c.Epoch, PreviousChecksum: fmt.Sprintf("%016x", c.PreviousChecksum), Checksum: fmt.Sprintf("%016x", c.Checksum), Reason: c.Reason, Removed: c.Removed}
 		for _, s := range c.Added {
-			one.In = append(one.In, wire(s))
+			one.Added = append(one.Added, newSegmentDocument(s))
 		}
 		w.Changes = append(w.Changes, one)
 	}
@@ -93,40 +93,40 @@
 	return append(text, '\n')
 }
 
-// Parse reads a reply and checks its form, so that a bad one is dropped whole. The error names the field.
-func Parse(text []byte) (*Reply, error) {
-	var w wireReply
+// ParseResponse reads a reply and checks its form, so that a bad one is dropped whole. The error names the field.
+func ParseResponse(text []byte) (*Response, error) {
+	var w responseDocument
 	if err := json.Unmarshal(text, &w); err != nil {
 		return nil, err
 	}
-	r := &Reply{}
+	r := &Response{}
 	var err error
-	if w.Whole != nil {
-		m := &ownership.Map{Epoch: w.Whole.Epoch}
-		if m.Checksum, err = sumOf("whole.sum", w.Whole.Sum); err != nil {
+	if w.Full != nil {
+		m := &ownership.Map{Epoch: w.Full.Epoch}
+		if m.Checksum, err = parseChecksum("whole.sum", w.Full.Checksum); err != nil {
 			return nil, err
 		}
-		if m.Segments, err = unwire("whole.segments", w.Whole.Segments); err != nil {
+		if m.Segments, err = parseSegments("whole.segments", w.Full.Segments); err != nil {
 			return nil, err
 		}
 		if len(m.Segments) > ownership.MaxSegments {
 			return nil, fmt.Errorf("whole.segments: %d, at most %d can be", len(m.Segments), ownership.MaxSegments)
 		}
-		r.Whole = m
+		r.Full = m
 	}
-	if len(w.Changes) > mostChanges {
-		return nil, fmt.Errorf("changes: %d, at most %d can be in one reply", len(w.Changes), mostChanges)
+	if len(w.Changes) > maxChanges {
+		return nil, fmt.Errorf("changes: %d, at most %d can be in one reply", len(w.Changes), maxChanges)
 	}
 	for i, c := range w.Changes {
 		where := fmt.Sprintf("changes[%d]", i)
-		one := ownership.Change{Epoch: c.Epoch, Reason: c.Why, Removed: c.Out}
-		if one.PreviousChecksum, err = sumOf(where+".was", c.Was); err != nil {
+		one := ownership.Change{Epoch: c.Epoch, Reason: c.Reason, Removed: c.Removed}
+		if one.PreviousChecksum, err = parseChecksum(where+".was", c.PreviousChecksum); err != nil {
 			return nil, err
 		}
-		if one.Checksum, err = sumOf(where+".sum", c.Sum); err != nil {
+		if one.Checksum, err = parseChecksum(where+".sum", c.Checksum); err != nil {
 			return nil, err
 		}
-		if one.Added, err = unwire(where+".in", c.In); err != nil {
+		if one.Added, err = parseSegments(where+".in", c.Added); err != nil {
 			return nil, err
 		}
 		r.Changes = append(r.Changes, one)
--- a/internal/gatherer/discovery/crossings_test.go
+++ b/internal/gatherer/discovery/crossings_test.go
@@ -25,7 +25,7 @@
 // A list that goes quiet, is cut, comes late or is behind: each forced by the agent.
 
 // follow runs a follower of an agent until the test ends; what it tells comes on the channel.
-func follow(t *testing.T, handle http.HandlerFunc) (f *Follower, told chan gather.EndpointList) {
+func follow(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
 	log := logrus.New()
@@ -321,7 +321,7 @@
 	}))
 	defer second.Close()
 	defer second.CloseClientConnections()
-	f.Move(strings.TrimPrefix(second.URL, "http://"))
+	f.SetAddress(strings.TrimPrefix(second.URL, "http://"))
 	if l := next(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("told %+v", l)
 	}
@@ -357,11 +357,11 @@
 		var list gather.EndpointList
 		f := New("127.0.0.1:1", func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a }, nil, nil)
 		for i, text := range c.words {
-			r, err := Parse([]byte(text))
+			r, err := ParseResponse([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Take(r)
+			f.Apply(r)
 			state, told := gather.Removed, gather.Removed
 			for _, a := range all {
 				state = a.State
@@ -379,30 +379,30 @@
 // TestGoneBound: what is kept of servers that are gone is bounded.
 func TestGoneBound(t *testing.T) {
 	f := New("127.0.0.1:1", func(gather.EndpointList, []shardcall.Address) {}, nil, nil)
-	for i := range 3 * mostGone {
-		r, err := Parse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
+	for i := range 3 * maxRemovedNames {
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Take(r)
+		f.Apply(r)
 	}
-	if len(f.told) > mostGone || len(f.gone) > mostGone || !slices.Contains(f.gone, fmt.Sprint("s-", 3*mostGone-1)) {
-		t.Errorf("%d facts, %d names", len(f.told), len(f.gone))
+	if len(f.observations) > maxRemovedNames || len(f.removedNames) > maxRemovedNames || !slices.Contains(f.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
+		t.Errorf("%d facts, %d names", len(f.observations), len(f.removedNames))
 	}
 }
 
 // sharedFollower follows the list of a service that answers only when asked; it knows a list already.
-func sharedFollower(t *testing.T, agent *httptest.Server) *Follower {
+func sharedFollower(t *testing.T, agent *httptest.Server) *Watcher {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f := New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log)
 	f.Shared()
-	known, err := Parse([]byte(whole))
+	known, err := ParseResponse([]byte(whole))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Take(known)
+	f.Apply(known)
 	return f
 }
 
@@ -509,7 +509,7 @@
 
 // TestOverBound: a list over the bound is told at error level, once, and the one before stays in force.
 func TestOverBound(t *testing.T) {
-	text := fleetList(mostMembers + 1)
+	text := fleetList(maxMembers + 1)
 	var calls atomic.Int32
 	again := make(chan struct{})
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -547,7 +547,7 @@
 	for _, e := range said.AllEntries() {
 		if e.Level == logrus.ErrorLevel {
 			errors++
-			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(mostMembers)) {
+			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(maxMembers)) {
 				t.Errorf("said %q", text)
 			}
 		}
@@ -561,7 +561,7 @@
 // number has been given away.
 func TestNumbersAlike(t *testing.T) {
 	const first, second, third = "s-0000002a", "t-0000002a", "s-0000002b"
-	if Number(first) != Number(second) || Number(third) != Number(first)+1 {
+	if ServerID(first) != ServerID(second) || ServerID(third) != ServerID(first)+1 {
 		t.Fatal("they are not alike")
 	}
 	held := map[string]uint32{}
@@ -581,11 +581,11 @@
 		for _, name := range names {
 			entries = append(entries, fmt.Sprintf(`{"id":"%s","host_port":"%s:1","cell":0,"phase":"%s"}`, name, name, phase))
 		}
-		r, err := Parse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(entries, ",")))
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(entries, ",")))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Take(r)
+		f.Apply(r)
 		numbers := map[uint32]bool{}
 		for _, id := range held {
 			numbers[id] = true
--- a/internal/gatherer/discovery/follow_test.go
+++ b/internal/gatherer/discovery/follow_test.go
@@ -38,7 +38,7 @@
 		{"no address", `{"revision":1,"members":[{"id":"s","phase":"in_service","cell":0}]}`, "members[0]: host_port"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(c.text))
+			_, err := ParseResponse([]byte(c.text))
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error %v, want %q", err, c.want)
 			}
@@ -48,13 +48,13 @@
 
 // TestNumber wants numbers that are the same at each gatherer and after each start, and no two servers with one.
 func TestNumber(t *testing.T) {
-	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": Number("s-zzzzzzzz")} {
-		if got := Number(name); name != "s-7" && got != want {
+	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
+		if got := ServerID(name); name != "s-7" && got != want {
 			t.Errorf("%s is %#x, want %#x", name, got, want)
 		}
 	}
 	f := New("127.0.0.1:1", nil, nil, nil)
-	if a, b, c := f.number("s-00000005"), f.number("t-00000005"), f.number("s-00000005"); a != 5 || b != 6 || c != 5 {
+	if a, b, c := f.assignID("s-00000005"), f.assignID("t-00000005"), f.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
 		t.Errorf("numbers %d, %d, %d", a, b, c)
 	}
 }
@@ -101,7 +101,7 @@
 	f.Run(ctx)
 	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
-	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", Started: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
+	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
 	left := both[1:]
 	want := []news{
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
@@ -220,13 +220,13 @@
 	go func() { f.Run(ctx); close(ended) }()
 	for i, want := range []string{"old?", "old?index=41&wait=2000", "new?", "new?index=41&wait=2000"} {
 		if i == 2 {
-			f.Move(at(next))
+			f.SetAddress(at(next))
 		}
 		if got := <-asked; got != want {
 			t.Errorf("call %d is %s, want %s", i, got, want)
 		}
 	}
-	f.Move(at(next)) // as it is: the watch goes on
+	f.SetAddress(at(next)) // as it is: the watch goes on
 	stop()
 	<-ended
 	if failed || len(asked) > 0 {
@@ -241,13 +241,13 @@
 	f := New("127.0.0.1:1", func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) }, nil, nil)
 	for i := range 1000 {
 		text := `{"revision":%d,"complete":%t,"members":[{"id":"s-%d","phase":"terminated"},{"id":"s-%d","host_port":"h:1","cell":0,"phase":"in_service"}]}`
-		r, err := Parse(fmt.Appendf(nil, text, i, i%10 == 0, i, i+1))
+		r, err := ParseResponse(fmt.Appendf(nil, text, i, i%10 == 0, i, i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Take(r)
-		if all != 1 || len(f.ids) != 1 || len(f.names) != 1 || len(f.held) != 1 || len(f.order) != 1 {
-			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.ids), len(f.names), len(f.held), len(f.order))
+		f.Apply(r)
+		if all != 1 || len(f.idByName) != 1 || len(f.nameByID) != 1 || len(f.addresses) != 1 || len(f.addressOrder) != 1 {
+			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.idByName), len(f.nameByID), len(f.addresses), len(f.addressOrder))
 		}
 	}
 }
--- a/internal/gatherer/discovery/kept_test.go
+++ b/internal/gatherer/discovery/kept_test.go
@@ -30,7 +30,7 @@
 				s.ID, s.ReplicaSet, s.Zone, s.Kind, s.Size, keptStates[s.State], s.StartedAt)
 		}
 		for _, a := range all {
-			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort, keptStates[a.State], a.Started)
+			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort, keptStates[a.State], a.StartedAt)
 		}
 	}, nil, nil)
 	for _, file := range files {
@@ -38,12 +38,12 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		r, err := Parse(text)
+		r, err := ParseResponse(text)
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		fmt.Fprintf(&b, "%s: revision %d, whole %t: ", filepath.Base(file), r.Revision, r.Whole)
-		f.Take(r)
+		fmt.Fprintf(&b, "%s: revision %d, whole %t: ", filepath.Base(file), r.Revision, r.Full)
+		f.Apply(r)
 	}
 	want, err := os.ReadFile(filepath.Join("testdata", "kept", "learnt.txt"))
 	if err != nil || b.String() != string(want) {
@@ -62,7 +62,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if r, err := Parse(text); err == nil {
+		if r, err := ParseResponse(text); err == nil {
 			t.Errorf("%s is read as %+v", file, r)
 		}
 	}
--- a/internal/gatherer/discovery/list.go
+++ b/internal/gatherer/discovery/list.go
@@ -25,19 +25,19 @@
 	UpSince  float64 `json:"up_since_ms"`
 }
 
-// Reply is what discovery tells at once: the whole list, or what changed.
-type Reply struct {
+// Response is what discovery tells at once: the whole list, or what changed.
+type Response struct {
 	Revision int64
-	Whole    bool
+	Full     bool
 	members  []member
 }
 
-// Drain marks servers as draining that the list, which may be old, does not know to drain: by name, with since when
+// MarkDraining marks servers as draining that the list, which may be old, does not know to drain: by name, with since when
 // the process that drains has been up. A later process of that name is another one. It gives how many it marked.
-func (r *Reply) Drain(draining map[string]float64) (marked int) {
+func (r *Response) MarkDraining(draining map[string]float64) (marked int) {
 	for i := range r.members {
 		m := &r.members[i]
-		if up, told := draining[m.ID]; told && m.UpSince <= up && phases[m.Phase] == gather.Running {
+		if up, told := draining[m.ID]; told && m.UpSince <= up && stateOfPhase[m.Phase] == gather.Running {
 			m.Phase = "terminating"
 			marked++
 		}
@@ -45,12 +45,12 @@
 	return marked
 }
 
-var phases = map[string]gather.State{
+var stateOfPhase = map[string]gather.State{
 	"in_service": gather.Running, "terminating": gather.Draining, "terminated": gather.Removed,
 }
 
-// Parse reads a reply and checks it, so that a bad one is dropped whole.
-func Parse(text []byte) (*Reply, error) {
+// ParseResponse reads a reply and checks it, so that a bad one is dropped whole.
+func ParseResponse(text []byte) (*Response, error) {
 	var wire struct {
 		Revision *int64   `json:"revision"`
 		Complete bool     `json:"complete"`
@@ -62,11 +62,11 @@
 	if wire.Revision == nil {
 		return nil, errors.New("no revision")
 	}
-	if len(wire.Members) > mostMembers {
-		return nil, fmt.Errorf("%w: members: %d entries, at most %d can be", errOverBound, len(wire.Members), mostMembers)
+	if len(wire.Members) > maxMembers {
+		return nil, fmt.Errorf("%w: members: %d entries, at most %d can be", errTooLarge, len(wire.Members), maxMembers)
 	}
 	for i, m := range wire.Members {
-		state, known := phases[m.Phase]
+		state, known := stateOfPhase[m.Phase]
 		switch {
 		case m.ID == "":
 			return nil, fmt.Errorf("members[%d]: no id", i)
@@ -81,13 +81,13 @@
 			return nil, fmt.Errorf("members[%d]: host_port: %w", i, err)
 		}
 	}
-	return &Reply{Revision: *wire.Revision, Whole: wire.Complete, members: wire.Members}, nil
+	return &Response{Revision: *wire.Revision, Full: wire.Complete, members: wire.Members}, nil
 }
 
-// Number is the id that the module knows a server by. Gatherers take turns by it, so that it has to come out
+// ServerID is the id that the module knows a server by. Gatherers take turns by it, so that it has to come out
 // alike at all of them and after each start: a name that ends in eight hex digits carries its number, others
 // are hashed.
-func Number(name string) uint32 {
+func ServerID(name string) uint32 {
 	if at := strings.LastIndexByte(name, '-'); at >= 0 && len(name)-at == 9 {
 		if n, err := strconv.ParseUint(name[at+1:], 16, 32); err == nil {
 			return uint32(n)
--- a/internal/gatherer/discovery/open.go
+++ b/internal/gatherer/discovery/open.go
@@ -8,95 +8,95 @@
 	"time"
 )
 
-// opening is the calls for the whole list that are out at one agent.
-type opening struct {
-	ctx  context.Context
-	stop context.CancelFunc
-	ends chan end
-	out  []*opened // by age
+// fullListRequests is the calls for the whole list that are out at one agent.
+type fullListRequests struct {
+	ctx      context.Context
+	cancel   context.CancelFunc
+	results  chan fullListResult
+	inFlight []*fullListRequest // by age
 }
 
-type opened struct {
-	stop  context.CancelFunc
-	begun atomic.Bool // its answer has
+type fullListRequest struct {
+	cancel      context.CancelFunc
+	bodyStarted atomic.Bool // its answer has
 }
 
-type end struct {
-	of  *opened
-	r   *Reply
-	err error
+type fullListResult struct {
+	request  *fullListRequest
+	response *Response
+	err      error
 }
 
-func (o *opening) end() {
+func (o *fullListRequests) cancelAll() {
 	if o != nil {
-		o.stop()
+		o.cancel()
 	}
 }
 
-// ask makes one more call, in place of one that has waited for nothing where too many are out.
-func (o *opening) ask(f *Follower, url string) {
-	if len(o.out) >= mostOpening {
-		at := slices.IndexFunc(o.out[1:], func(c *opened) bool { return !c.begun.Load() })
+// start makes one more call, in place of one that has waited for nothing where too many are out.
+func (o *fullListRequests) start(f *Watcher, url string) {
+	if len(o.inFlight) >= maxFullListRequests {
+		at := slices.IndexFunc(o.inFlight[1:], func(c *fullListRequest) bool { return !c.bodyStarted.Load() })
 		if at < 0 {
 			return // answers are coming
 		}
-		o.out[1+at].stop()
-		o.out = slices.Delete(o.out, 1+at, 2+at)
+		o.inFlight[1+at].cancel()
+		o.inFlight = slices.Delete(o.inFlight, 1+at, 2+at)
 	}
 	ctx, stop := context.WithCancel(o.ctx)
-	c := &opened{stop: stop}
-	o.out = append(o.out, c)
+	c := &fullListRequest{cancel: stop}
+	o.inFlight = append(o.inFlight, c)
 	go func() {
 		defer stop()
-		r, err := f.get(ctx, url, wholeList, &c.begun)
+		r, err := f.get(ctx, url, fullListBodyTimeout, &c.bodyStarted)
 		select {
-		case o.ends <- end{c, r, err}:
+		case o.results <- fullListResult{c, r, err}:
 		case <-o.ctx.Done():
 		}
 	}()
 }
 
-// open asks for the whole list until one of its calls is answered, for as long as patience lasts. Calls that are still
+// requestFullList asks for the whole list until one of its calls is answered, for as long as patience lasts. Calls that are still
 // out then go on, for the next open to hear.
-func (f *Follower) open(ctx context.Context, url string) (*Reply, error) {
-	if f.opening == nil {
-		f.opening = &opening{ends: make(chan end)}
-		f.opening.ctx, f.opening.stop = context.WithCancel(context.WithoutCancel(ctx))
+func (f *Watcher) requestFullList(ctx context.Context, url string) (*Response, error) {
+	if f.fullListRequests == nil {
+		f.fullListRequests = &fullListRequests{results: make(chan fullListResult)}
+		f.fullListRequests.ctx, f.fullListRequests.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	}
-	o := f.opening
-	limit := time.NewTimer(patience)
+	o := f.fullListRequests
+	limit := time.NewTimer(headerTimeout)
 	defer limit.Stop()
-	next := time.NewTicker(hedgeAfter)
+	next := time.NewTicker(fullListHedgeDelay)
 	defer next.Stop()
-	o.ask(f, url)
+	o.start(f, url)
 	for {
 		select {
-		case e := <-o.ends:
-			at := slices.Index(o.out, e.of)
+		case e := <-o.results:
+			at := slices.Index(o.inFlight, e.request)
 			if at >= 0 { // else it was given up for another
-				o.out = slices.Delete(o.out, at, at+1)
+				o.inFlight = slices.Delete(o.inFlight, at, at+1)
 			}
 			if e.err == nil {
-				o.end()
-				f.opening = nil
-				return e.r, nil
+				o.cancelAll()
+				f.fullListRequests = nil
+				return e.response, nil
 			}
-			if len(o.out) == 0 {
+			if len(o.inFlight) == 0 {
 				return nil, e.err
 			}
 		case <-next.C:
-			if !f.shared {
-				o.ask(f, url)
+			if !f.sharedService {
+				o.start(f, url)
 			}
 		case <-limit.C:
-			return nil, errSilent
+			return nil, errNoAnswer
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
 	}
 }
 
-// errOverBound is an answer that is larger than any fleet's; nothing of it is taken over.
-var errOverBound = errors.New("over the bound")
+// errTooLarge is an answer that is larger than any fleet's; nothing of it is taken over.
+var errTooLarge = errors.New("over the bound")
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -29,7 +29,7 @@
 	if c.KnownEndpoints == nil || c.KnownEndpoints.Revision != 12 {
 		t.Fatalf("known: %+v", c.KnownEndpoints)
 	}
-	if marked := c.KnownEndpoints.Drain(map[string]float64{"s1": 1796168000000, "s2": 1796168000000, "s3": 0}); marked != 1 {
+	if marked := c.KnownEndpoints.MarkDraining(map[string]float64{"s1": 1796168000000, "s2": 1796168000000, "s3": 0}); marked != 1 {
 		t.Errorf("%d of the known servers were marked as draining, one of them was in service", marked)
 	}
 }
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -594,11 +594,11 @@
 	nonsense := lie
 	nonsense.Checksum++
 	tell := func(c ownership.Change) { // in place of the changes that there are; a whole map is told as it is
-		f.authority.Twist(func(r *segments.Reply) *segments.Reply {
-			if r.Whole != nil {
+		f.authority.Twist(func(r *segments.Response) *segments.Response {
+			if r.Full != nil {
 				return r
 			}
-			return &segments.Reply{Changes: []ownership.Change{c}}
+			return &segments.Response{Changes: []ownership.Change{c}}
 		})
 	}
 	tell(nonsense)
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -41,7 +41,7 @@
 
 	log       *logrus.Logger
 	pool      *shardcall.Pool
-	follower  *discovery.Follower
+	follower  *discovery.Watcher
 	keeper    *plans.Keeper
 	server    *frontend.Server
 	traces    *trace.Recorder
@@ -50,7 +50,7 @@
 	tells     *tells // nil where it tells nothing of itself
 	handover  *handover
 	governed  *governed // nil where no policy is followed
-	authority *segments.Follower
+	authority *segments.Watcher
 	owned     bool // a map says who owns which keys
 
 	mu sync.Mutex
@@ -105,7 +105,7 @@
 			s.Picker.SetMap(m)
 		}
 		if own.SegmentAuthority != "" {
-			s.authority = segments.NewFollower(own.SegmentAuthority, s.Picker, log)
+			s.authority = segments.NewWatcher(own.SegmentAuthority, s.Picker, log)
 		}
 	}
 	// One connection to a shard server carries many parts, one from a client a single lookup: of what the process
@@ -121,7 +121,7 @@
 	}
 	if len(marked) > 0 {
 		s.Picker.EnableTwoPass(marked)
-		s.pool.Agree(s.Picker.SetAnswersFirstPass)
+		s.pool.EnableFirstPass(s.Picker.SetAnswersFirstPass)
 	}
 	if own.TracesKept > 0 {
 		s.traces = trace.New(own.TracesKept, own.TraceShare)
@@ -155,7 +155,7 @@
 	}
 	s.follower = discovery.New(c.Discovery, func(list gather.EndpointList, all []shardcall.Address) {
 		s.governed.follow(list, all)
-		s.pool.Follow(all) // first, so that the module names no server whose address is not known
+		s.pool.SetEndpoints(all) // first, so that the module names no server whose address is not known
 		if own.MaxSegments > 0 {
 			names := make(map[uint32]string, len(all))
 			for _, a := range all {
@@ -182,7 +182,7 @@
 	}
 	if c.KnownEndpoints != nil {
 		s.handover.apply(c.KnownEndpoints)
-		s.follower.Take(c.KnownEndpoints)
+		s.follower.Apply(c.KnownEndpoints)
 	}
 	s.server = frontend.New(s.Picker, c.Settings, clients, c.Limits.Sockets/4, listed.Load, log)
 	if s.traces != nil {
@@ -213,7 +213,7 @@
 			if err != nil {
 				return
 			}
-			s.pool.Carry(orders)
+			s.pool.Execute(orders)
 		}
 	})
 	failed := make(chan error, 1)
@@ -258,7 +258,7 @@
 	}
 	s.c = c
 	s.tells.inForce("config", c.Checksum)
-	s.follower.Move(c.Discovery)
+	s.follower.SetAddress(c.Discovery)
 	if c.Limits != old.Limits {
 		Limit(c.Limits)
 	}
--- a/internal/gatherer/service/tells.go
+++ b/internal/gatherer/service/tells.go
@@ -89,11 +89,11 @@
 }
 
 // apply keeps the drains that an earlier process heard, where the list known at the start is older than they are.
-func (h *handover) apply(known *discovery.Reply) {
+func (h *handover) apply(known *discovery.Response) {
 	if h == nil {
 		return
 	}
-	if marked := known.Drain(h.Draining); marked > 0 {
+	if marked := known.MarkDraining(h.Draining); marked > 0 {
 		h.log.WithField("servers", marked).Info("drains heard by the process before this one are kept")
 	}
 }
@@ -106,7 +106,7 @@
 	draining := map[string]float64{}
 	for _, a := range all {
 		if a.State == gather.Draining {
-			draining[a.Name] = a.Started
+			draining[a.Name] = a.StartedAt
 		}
 	}
 	if err := h.SetDraining(draining); err != nil {
--- a/internal/gatherer/shardcall/agree.go
+++ b/internal/gatherer/shardcall/agree.go
@@ -12,69 +12,69 @@
 // Agreeing on two phases (docs/protocol-two-phase.md): a frame H that names the extension, on a connection of its
 // own without any call, so that a shard server that does not know it closes nothing that matters.
 const (
-	extension   = "two-phase 1"
-	agreeTime   = 2 * time.Second
-	agreeAgain  = 5 * time.Second // after a server that could not be reached
-	agreeAtOnce = 4               // connections for it at a time, against a burst of them at a start
+	firstPassExtension  = "two-phase 1"
+	handshakeTimeout    = 2 * time.Second
+	handshakeRetryDelay = 5 * time.Second // after a server that could not be reached
+	maxHandshakes       = 4               // connections for it at a time, against a burst of them at a start
 )
 
-// agreement is what was found out of one process of a server.
-type agreement struct {
-	address string
-	started float64
+// handshake is what was found out of one process of a server.
+type handshake struct {
+	address   string
+	startedAt float64
 }
 
-// Agree has it found out of each server on the list, once for each process, whether it answers first passes. It
+// EnableFirstPass has it found out of each server on the list, once for each process, whether it answers first passes. It
 // has to be called before Follow.
-func (p *Pool) Agree(speaks func(server uint32, yes bool)) {
-	p.speaks = speaks
-	p.agreeing, p.again = make(chan struct{}, agreeAtOnce), agreeAgain
+func (p *Pool) EnableFirstPass(speaks func(server uint32, yes bool)) {
+	p.onFirstPassSupport = speaks
+	p.handshakeSlots, p.handshakeRetryDelay = make(chan struct{}, maxHandshakes), handshakeRetryDelay
 }
 
-// agree asks a server that was not asked yet. The lock is held.
-func (p *Pool) agree(s *server) {
-	if p.speaks == nil || s.State != gather.Running {
+// startHandshake asks a server that was not asked yet. The lock is held.
+func (p *Pool) startHandshake(s *server) {
+	if p.onFirstPassSupport == nil || s.State != gather.Running {
 		return
 	}
-	if a := s.agreed; a != nil && a.address == s.HostPort && a.started == s.Started {
+	if a := s.handshake; a != nil && a.address == s.HostPort && a.startedAt == s.StartedAt {
 		return
 	}
-	s.agreed = &agreement{s.HostPort, s.Started}
-	go p.ask(s, s.agreed, s.ID)
+	s.handshake = &handshake{s.HostPort, s.StartedAt}
+	go p.runHandshake(s, s.handshake, s.ID)
 }
 
-// ask asks until it has been found out, or until the server has gone or is another process.
-func (p *Pool) ask(s *server, a *agreement, id uint32) {
+// runHandshake asks until it has been found out, or until the server has gone or is another process.
+func (p *Pool) runHandshake(s *server, a *handshake, id uint32) {
 	for {
-		p.agreeing <- struct{}{}
-		known, yes, err := p.hello(a.address)
-		<-p.agreeing
+		p.handshakeSlots <- struct{}{}
+		known, yes, err := p.handshake(a.address)
+		<-p.handshakeSlots
 		p.mu.Lock()
-		current := s.agreed == a && s.State == gather.Running
+		current := s.handshake == a && s.State == gather.Running
 		p.mu.Unlock()
 		switch {
 		case !current:
 			return
 		case known:
 			p.log.WithField("server", a.address).Debugf("first passes: %t", yes)
-			p.speaks(id, yes)
+			p.onFirstPassSupport(id, yes)
 			return
 		}
 		p.log.WithField("server", a.address).Debugf("first passes: not found out yet: %v", err)
-		time.Sleep(p.again)
+		time.Sleep(p.handshakeRetryDelay)
 	}
 }
 
-// hello asks on a connection of its own. A server that answers E, or closes once it was asked, does not know the
+// handshake asks on a connection of its own. A server that answers E, or closes once it was asked, does not know the
 // extension; one that cannot be reached or is silent has told nothing.
-func (p *Pool) hello(address string) (known, yes bool, err error) {
+func (p *Pool) handshake(address string) (known, yes bool, err error) {
 	nc, err := p.dial(address)
 	if err != nil {
 		return false, false, err
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(agreeTime))
-	if _, err := nc.Write(finish(append(begin(nil, 'H'), extension...), 0)); err != nil {
+	nc.SetDeadline(time.Now().Add(handshakeTimeout))
+	if _, err := nc.Write(finishFrame(append(beginFrame(nil, 'H'), firstPassExtension...), 0)); err != nil {
 		return false, false, err
 	}
 	letter, body, _, err := readFrame(bufio.NewReader(nc), nil)
@@ -84,22 +84,22 @@
 	if err != nil {
 		return true, false, nil
 	}
-	if letter == 'H' && string(body) == extension {
+	if letter == 'H' && string(body) == firstPassExtension {
 		return true, true, nil
 	}
 	return true, false, fmt.Errorf("answered %q", letter)
 }
 
-// unspoken takes back that a server answers first passes, where it could not use a frame while one was out: it
+// revokeFirstPass takes back that a server answers first passes, where it could not use a frame while one was out: it
 // may be another build by now. It is asked again.
-func (p *Pool) unspoken(c *conn) {
+func (p *Pool) revokeFirstPass(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, a := range c.out {
-		if a.call.FirstPass() && p.speaks != nil {
-			p.speaks(c.srv.ID, false)
-			c.srv.agreed = nil
-			p.agree(c.srv)
+	for _, a := range c.inFlight {
+		if a.decision.FirstPass() && p.onFirstPassSupport != nil {
+			p.onFirstPassSupport(c.server.ID, false)
+			c.server.handshake = nil
+			p.startHandshake(c.server)
 			return
 		}
 	}
--- a/internal/gatherer/shardcall/agree_test.go
+++ b/internal/gatherer/shardcall/agree_test.go
@@ -10,13 +10,13 @@
 	"yokeroute/internal/testbed/standin/shards"
 )
 
-// TestAgree wants each process of a server asked once, on a connection of its own, and again when it has started
+// TestHandshakeOncePerServerProcess wants each process of a server asked once, on a connection of its own, and again when it has started
 // anew or could not be reached; one that does not know the question is none that answers first passes.
-func TestAgree(t *testing.T) {
+func TestHandshakeOncePerServerProcess(t *testing.T) {
 	found := make(chan string, 10)
-	p := New(&gather.Settings{ConnectTimeout: 1000.0}, 100, nil, quiet())
-	p.Agree(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
-	p.again = 10 * time.Millisecond
+	p := New(&gather.Settings{ConnectTimeout: 1000.0}, 100, nil, discardLog())
+	p.EnableFirstPass(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
+	p.handshakeRetryDelay = 10 * time.Millisecond
 	start := func(brief float64) *shards.Server {
 		s, err := shards.Start(shards.Terms{Cores: 1, Work: 1, Brief: brief}, nil)
 		if err != nil {
@@ -28,8 +28,8 @@
 	fresh, old, gone, silent := start(1), start(0), start(1), standin.NewShard(t)
 	gone.Kill()
 	list := []Address{{ID: 1, HostPort: fresh.Address()}, {ID: 2, HostPort: old.Address()}, {ID: 3, HostPort: gone.Address()}, {ID: 4, HostPort: silent.Address()}}
-	p.Follow(list)
-	p.Follow(list)
+	p.SetEndpoints(list)
+	p.SetEndpoints(list)
 	first, second := <-found, <-found
 	if first+" "+second != "1 true 2 false" && first+" "+second != "2 false 1 true" {
 		t.Errorf("found %s, %s", first, second)
@@ -52,8 +52,8 @@
 		t.Errorf("asked %d times", n)
 	}
 	old.Speak(1)
-	list[1].Started = 7
-	p.Follow(list)
+	list[1].StartedAt = 7
+	p.SetEndpoints(list)
 	if f := <-found; f != "2 true" {
 		t.Errorf("found %s of a process that has started anew", f)
 	}
--- a/internal/gatherer/shardcall/conn.go
+++ b/internal/gatherer/shardcall/conn.go
@@ -13,138 +13,138 @@
 	"yokeroute/gather"
 )
 
-// leastLeft is the least time, in milliseconds, that a call can tell its server.
-const leastLeft = 1
+// minRemaining is the least time, in milliseconds, that a call can tell its server.
+const minRemaining = 1
 
-// frame is what waits to be written: parts of one call, the name of a part that is given up, or a probe.
-type frame struct {
-	calls  []*attempt
-	giveUp string
-	of     *attempt // the call that is given up, if it ends with this
-	probe  *probe
+// outgoing is what waits to be written: parts of one call, the name of a part that is given up, or a probe.
+type outgoing struct {
+	attempts  []*attempt
+	cancelID  string
+	cancelled *attempt // the call that is given up, if it ends with this
+	check     *healthCheck
 }
 
 // conn is one connection to a shard server, with one goroutine that writes and one that reads. Its fields
 // are guarded by the pool's lock.
 type conn struct {
-	pool    *Pool
-	srv     *server
-	address string
-	nc      net.Conn
-	queue   []frame
-	asked   []*probe            // written, in order; their answers come in the same
-	out     map[string]*attempt // begun or written, not ended
-	booked  int                 // queued, begun or written, not ended
-	quiet   time.Duration       // that calls were out before, all since the last frame came
-	since   time.Time           // since when calls are out, or the last frame came if that is later
-	until   time.Time           // by which the frame of calls that is being written has to be out
-	idle    *time.Timer
-	work    chan struct{}
-	retired bool
-	spoilt  bool // takes nothing more, not even what is queued
-	closed  bool
+	pool          *Pool
+	server        *server
+	address       string
+	nc            net.Conn
+	queue         []outgoing
+	pendingChecks []*healthCheck      // written, in order; their answers come in the same
+	inFlight      map[string]*attempt // begun or written, not ended
+	reserved      int                 // queued, begun or written, not ended
+	silentBefore  time.Duration       // that calls were out before, all since the last frame came
+	silentSince   time.Time           // since when calls are out, or the last frame came if that is later
+	writeDeadline time.Time           // by which the frame of calls that is being written has to be out
+	idleTimer     *time.Timer
+	wake          chan struct{}
+	retired       bool
+	unusable      bool // takes nothing more, not even what is queued
+	closed        bool
 
 	// Names that an answer may still bear though nothing waits for it. Those of parts given up or out of time are
 	// kept for one to two times the pool's memory, against growing with every part that is never answered.
-	last        string // answered last: a copy may follow
-	late, older map[string]bool
-	lateFrom    time.Time // when late was begun
+	lastAnswered          string // answered last: a copy may follow
+	lateIDs, olderLateIDs map[string]bool
+	lateIDsSince          time.Time // when late was begun
 }
 
 // enqueue leaves a frame for the writing goroutine.
-func (c *conn) enqueue(f frame) {
+func (c *conn) enqueue(f outgoing) {
 	if c.closed {
 		return
 	}
-	for _, a := range f.calls {
-		a.on = c
+	for _, a := range f.attempts {
+		a.conn = c
 	}
-	c.booked += len(f.calls)
-	if f.probe != nil {
-		f.probe.on = c
-		c.booked++
+	c.reserved += len(f.attempts)
+	if f.check != nil {
+		f.check.conn = c
+		c.reserved++
 	}
 	c.queue = append(c.queue, f)
 	select {
-	case c.work <- struct{}{}:
+	case c.wake <- struct{}{}:
 	default: // it has been called already
 	}
 }
 
-// free gives back one place; a connection without calls closes after its idle time, or at once if retired.
-func (c *conn) free() {
-	c.booked--
-	if c.booked > 0 || c.closed {
+// release gives back one place; a connection without calls closes after its idle time, or at once if retired.
+func (c *conn) release() {
+	c.reserved--
+	if c.reserved > 0 || c.closed {
 		return
 	}
-	wait := c.pool.idleTime
+	wait := c.pool.idleTimeout
 	if c.retired {
 		wait = 0
 	}
-	if c.idle == nil {
-		c.idle = time.AfterFunc(wait, c.closeIdle)
+	if c.idleTimer == nil {
+		c.idleTimer = time.AfterFunc(wait, c.closeIdle)
 	} else {
-		c.idle.Reset(wait)
+		c.idleTimer.Reset(wait)
 	}
 }
 
-// expect notes that an answer may come though nothing waits for it any more.
-func (c *conn) expect(id string) {
-	if now := time.Now(); c.late == nil || now.Sub(c.lateFrom) > c.pool.memory {
-		c.late, c.older, c.lateFrom = map[string]bool{}, c.late, now
+// expectLateAnswer notes that an answer may come though nothing waits for it any more.
+func (c *conn) expectLateAnswer(id string) {
+	if now := time.Now(); c.lateIDs == nil || now.Sub(c.lateIDsSince) > c.pool.lateAnswerWindow {
+		c.lateIDs, c.olderLateIDs, c.lateIDsSince = map[string]bool{}, c.lateIDs, now
 	}
-	c.late[id] = true
+	c.lateIDs[id] = true
 }
 
-// calm notes for how long calls were out once none is any more, against counting the time in which nothing
+// pauseSilence notes for how long calls were out once none is any more, against counting the time in which nothing
 // could be heard.
-func (c *conn) calm() {
-	if len(c.out) == 0 {
-		c.quiet += time.Since(c.since)
+func (c *conn) pauseSilence() {
+	if len(c.inFlight) == 0 {
+		c.silentBefore += time.Since(c.silentSince)
 	}
 }
 
-// quietFor is for how long calls have been out since anything was heard.
-func (c *conn) quietFor() time.Duration {
-	if len(c.out) == 0 {
-		return c.quiet
+// silence is for how long calls have been out since anything was heard.
+func (c *conn) silence() time.Duration {
+	if len(c.inFlight) == 0 {
+		return c.silentBefore
 	}
-	return c.quiet + time.Since(c.since)
+	return c.silentBefore + time.Since(c.silentSince)
 }
 
 func (c *conn) closeIdle() {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if c.booked == 0 {
-		c.fail(errIdle)
+	if c.reserved == 0 {
+		c.closeLocked(errConnIdle)
 	}
 }
 
-// leave takes the connection out of those that may get calls.
-func (c *conn) leave() {
-	c.srv.conns = slices.DeleteFunc(c.srv.conns, func(other *conn) bool { return other == c })
+// removeFromServer takes the connection out of those that may get calls.
+func (c *conn) removeFromServer() {
+	c.server.conns = slices.DeleteFunc(c.server.conns, func(other *conn) bool { return other == c })
 }
 
 // retire lets a connection end once nothing is out on it. The lock is held.
 func (c *conn) retire(err error) {
-	c.leave()
+	c.removeFromServer()
 	c.retired = true
-	if c.booked == 0 {
-		c.fail(err)
+	if c.reserved == 0 {
+		c.closeLocked(err)
 	}
 }
 
-// fail closes the connection and ends all that is on it but what is being written, which its writer ends.
+// closeLocked closes the connection and ends all that is on it but what is being written, which its writer ends.
 // The lock is held.
-func (c *conn) fail(err error) {
+func (c *conn) closeLocked(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
-	c.pool.open--
-	c.leave()
-	if c.idle != nil {
-		c.idle.Stop()
+	c.pool.openConns--
+	c.removeFromServer()
+	if c.idleTimer != nil {
+		c.idleTimer.Stop()
 	}
 	stage := Writing
 	if c.nc == nil {
@@ -153,50 +153,50 @@
 		c.nc.Close()
 	}
 	for _, f := range c.queue {
-		for _, a := range f.calls {
-			c.pool.end(a, &Error{stage, err}, nil)
+		for _, a := range f.attempts {
+			c.pool.finish(a, &Error{stage, err}, nil)
 		}
-		if f.probe != nil {
-			c.pool.told(f.probe, nil)
+		if f.check != nil {
+			c.pool.finishHealthCheck(f.check, nil)
 		}
 	}
 	c.queue = nil
-	for _, pr := range c.asked {
-		c.pool.told(pr, nil)
+	for _, pr := range c.pendingChecks {
+		c.pool.finishHealthCheck(pr, nil)
 	}
-	c.asked = nil
-	for _, a := range c.out {
+	c.pendingChecks = nil
+	for _, a := range c.inFlight {
 		if a.written {
-			c.pool.end(a, &Error{Written, err}, nil)
+			c.pool.finish(a, &Error{Written, err}, nil)
 		}
 	}
-	close(c.work)
+	close(c.wake)
 }
 
-// broken is fail for a goroutine that does not hold the lock.
-func (c *conn) broken(err error) {
+// close is fail for a goroutine that does not hold the lock.
+func (c *conn) close(err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if !c.closed {
-		c.pool.log.WithField("server", c.srv.HostPort).Debugf("connection ends: %v", err)
+		c.pool.log.WithField("server", c.server.HostPort).Debugf("connection ends: %v", err)
 	}
-	c.fail(err)
+	c.closeLocked(err)
 }
 
-// guard keeps a panic from going further than its connection.
-func (c *conn) guard() {
+// recoverPanic keeps a panic from going further than its connection.
+func (c *conn) recoverPanic() {
 	if fault := recover(); fault != nil {
 		c.pool.log.WithField("stack", string(debug.Stack())).Errorf("connection to shard server: %v", fault)
-		c.broken(fmt.Errorf("panic: %v", fault))
+		c.close(fmt.Errorf("panic: %v", fault))
 	}
 }
 
 // run sets the connection up and then writes what is queued until it ends.
 func (c *conn) run() {
-	defer c.guard()
+	defer c.recoverPanic()
 	nc, err := c.pool.dial(c.address)
 	if err != nil {
-		c.broken(err)
+		c.close(err)
 		return
 	}
 	c.pool.mu.Lock()
@@ -207,73 +207,73 @@
 	}
 	c.nc = nc
 	c.pool.mu.Unlock()
-	go c.read(nc)
-	c.writeAll(nc)
+	go c.readLoop(nc)
+	c.writeLoop(nc)
 }
 
-// writeAll writes what is queued until the connection ends.
-func (c *conn) writeAll(nc net.Conn) {
-	defer c.guard()
+// writeLoop writes what is queued until the connection ends.
+func (c *conn) writeLoop(nc net.Conn) {
+	defer c.recoverPanic()
 	var buf []byte
-	for range c.work {
-		for f, more := c.next(); more; f, more = c.next() {
+	for range c.wake {
+		for f, more := c.dequeue(); more; f, more = c.dequeue() {
 			var err error
-			if buf, err = c.write(nc, buf[:0], f); err != nil {
-				c.broken(err)
+			if buf, err = c.writeFrame(nc, buf[:0], f); err != nil {
+				c.close(err)
 			}
-			buf = spare(buf)
+			buf = reusable(buf)
 		}
 	}
 }
 
-func (c *conn) next() (frame, bool) {
+func (c *conn) dequeue() (outgoing, bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if len(c.queue) == 0 {
-		return frame{}, false
+		return outgoing{}, false
 	}
 	f := c.queue[0]
 	c.queue = c.queue[1:]
 	return f, true
 }
 
-// write puts one frame on the wire. What has become forbidden while it waited is left out.
-func (c *conn) write(nc net.Conn, buf []byte, f frame) ([]byte, error) {
-	if f.giveUp != "" {
-		buf = appendGiveUp(buf, f.giveUp)
-		nc.SetWriteDeadline(time.Now().Add(c.pool.connectTime))
+// writeFrame puts one frame on the wire. What has become forbidden while it waited is left out.
+func (c *conn) writeFrame(nc net.Conn, buf []byte, f outgoing) ([]byte, error) {
+	if f.cancelID != "" {
+		buf = appendCancelFrame(buf, f.cancelID)
+		nc.SetWriteDeadline(time.Now().Add(c.pool.connectTimeout))
 		_, err := nc.Write(buf)
-		if f.of != nil && err == nil {
+		if f.cancelled != nil && err == nil {
 			c.pool.mu.Lock()
-			c.pool.end(f.of, &Error{GivenUp, errGivenUp}, nil)
+			c.pool.finish(f.cancelled, &Error{Cancelled, errCancelled}, nil)
 			c.pool.mu.Unlock()
 		}
 		return buf, err
 	}
-	if f.probe != nil {
-		if !c.question(f.probe) {
+	if f.check != nil {
+		if !c.beginHealthCheck(f.check) {
 			return buf, nil
 		}
-		buf = finish(begin(buf, 'L'), len(buf))
-		nc.SetWriteDeadline(time.Now().Add(c.pool.connectTime))
+		buf = finishFrame(beginFrame(buf, 'L'), len(buf))
+		nc.SetWriteDeadline(time.Now().Add(c.pool.connectTimeout))
 		_, err := nc.Write(buf)
 		return buf, err
 	}
-	live := c.begin(f.calls)
+	live := c.beginWrite(f.attempts)
 	if len(live) == 0 {
 		return buf, nil
 	}
-	buf = appendCall(buf, live)
+	buf = appendRequestFrame(buf, live)
 	n, err := nc.Write(buf)
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	for _, a := range live {
-		a.call.EndWrite()
+		a.decision.EndWrite()
 		switch {
 		case err != nil && n < len(buf):
-			c.pool.end(a, &Error{Writing, err}, nil)
+			c.pool.finish(a, &Error{Writing, err}, nil)
 		case c.closed:
-			c.pool.end(a, &Error{Written, errors.Join(err, errors.New("connection ended"))}, nil)
+			c.pool.finish(a, &Error{Written, errors.Join(err, errors.New("connection ended"))}, nil)
 		default:
 			a.written = true
 		}
@@ -284,72 +284,72 @@
 	return buf, err
 }
 
-// begin picks the calls that may still be written, and gives the frame the longest of their times.
-func (c *conn) begin(calls []*attempt) (live []*attempt) {
+// beginWrite picks the calls that may still be written, and gives the frame the longest of their times.
+func (c *conn) beginWrite(calls []*attempt) (live []*attempt) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	longest := time.Duration(0)
 	for _, a := range calls {
-		if c.pool.attempts[a.call] != a {
+		if c.pool.attempts[a.decision] != a {
 			continue
 		}
-		if a.call.Remaining() < leastLeft {
-			c.pool.end(a, &Error{NotSent, errTime}, nil)
+		if a.decision.Remaining() < minRemaining {
+			c.pool.finish(a, &Error{NotSent, errTimedOut}, nil)
 			continue
 		}
 		// A server that was told to drain while the call waited gets nothing new, grace or not. Where one was
 		// that has moved, another may be by now.
-		if c.closed || c.spoilt || c.srv.State != gather.Running || c.srv.HostPort != c.address || c.out[a.id] != nil || !a.call.BeginWrite() {
-			c.pool.end(a, &Error{NotSent, errForbidden}, nil)
+		if c.closed || c.unusable || c.server.State != gather.Running || c.server.HostPort != c.address || c.inFlight[a.id] != nil || !a.decision.BeginWrite() {
+			c.pool.finish(a, &Error{NotSent, errNotAllowed}, nil)
 			continue
 		}
-		if len(c.out) == 0 {
-			c.since = time.Now()
+		if len(c.inFlight) == 0 {
+			c.silentSince = time.Now()
 		}
-		c.out[a.id] = a
+		c.inFlight[a.id] = a
 		live = append(live, a)
-		longest = max(longest, time.Duration(a.call.Remaining()*1e6))
+		longest = max(longest, time.Duration(a.decision.Remaining()*1e6))
 	}
 	if len(live) > 0 {
-		c.until = time.Now().Add(longest)
-		c.nc.SetWriteDeadline(c.until) // under the lock, against undoing a stop
+		c.writeDeadline = time.Now().Add(longest)
+		c.nc.SetWriteDeadline(c.writeDeadline) // under the lock, against undoing a stop
 	}
 	return live
 }
 
-// read takes answers until the connection ends or its framing is lost.
-func (c *conn) read(nc net.Conn) {
-	defer c.guard()
+// readLoop takes answers until the connection ends or its framing is lost.
+func (c *conn) readLoop(nc net.Conn) {
+	defer c.recoverPanic()
 	r := bufio.NewReader(nc)
 	var buf []byte
 	for {
 		letter, body, kept, err := readFrame(r, buf)
 		buf = kept
 		if err == nil {
-			err = c.heard(letter, body, r.Buffered() > 0)
+			err = c.handleFrame(letter, body, r.Buffered() > 0)
 		}
 		if err != nil {
-			c.broken(err)
+			c.close(err)
 			return
 		}
 	}
 }
 
-// heard takes one frame; more says whether something came right behind it.
-func (c *conn) heard(letter byte, body []byte, more bool) error {
+// handleFrame takes one frame; more says whether something came right behind it.
+func (c *conn) handleFrame(letter byte, body []byte, more bool) error {
 	switch letter {
 	case 'A':
 		ans, err := parseAnswer(body)
 		if err != nil {
 			return err
 		}
-		return c.answered(ans, more)
+		return c.handleAnswer(ans, more)
 	case 'E':
-		c.pool.unspoken(c)
-		c.pool.log.WithField("server", c.srv.HostPort).Warnf("shard server could not use a frame: %.200q", body)
-		return errUnusable
+		c.pool.revokeFirstPass(c)
+		c.pool.log.WithField("server", c.server.HostPort).Warnf("shard server could not use a frame: %.200q", body)
+		return errFrameRefused
 	case 'L':
-		c.replied(body)
+		c.handleLoadReport(body)
 		return nil
 	case 'P':
 		return nil // answers to probes that ask for no load, which are not sent
@@ -357,42 +357,42 @@
 	return fmt.Errorf("frame with the letter %q", letter)
 }
 
-// answered ends the call that an answer is for. One that was given up is no longer waited for, and one that is
+// handleAnswer ends the call that an answer is for. One that was given up is no longer waited for, and one that is
 // answered already may be copied; a name that was never asked for here is spoilt, and the answer that it stands
 // for will not come: the connection ends.
-func (c *conn) answered(ans answer, more bool) error {
+func (c *conn) handleAnswer(ans answer, more bool) error {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	a := c.out[ans.id]
-	if a == nil && ans.id != c.last && !c.late[ans.id] && !c.older[ans.id] {
+	a := c.inFlight[ans.id]
+	if a == nil && ans.id != c.lastAnswered && !c.lateIDs[ans.id] && !c.olderLateIDs[ans.id] {
 		return fmt.Errorf("answer for %.50q, which was not asked for", ans.id)
 	}
-	c.quiet, c.since = 0, time.Now()
+	c.silentBefore, c.silentSince = 0, time.Now()
 	if a == nil {
-		delete(c.late, ans.id)
-		delete(c.older, ans.id)
+		delete(c.lateIDs, ans.id)
+		delete(c.olderLateIDs, ans.id)
 		return nil
 	}
 	// Where nothing else is awaited, what came right behind belongs to nothing. The answer is good; the next call
 	// goes elsewhere, against being cut when the noise is read.
-	if more && len(c.out) == 1 && len(c.late)+len(c.older) == 0 {
-		c.spoilt = true
-		c.leave()
+	if more && len(c.inFlight) == 1 && len(c.lateIDs)+len(c.olderLateIDs) == 0 {
+		c.unusable = true
+		c.removeFromServer()
 		c.retired = true
 	}
-	c.last = ans.id
-	switch ans.end {
+	c.lastAnswered = ans.id
+	switch ans.status {
 	case "ok":
-		c.pool.end(a, nil, ans.value)
+		c.pool.finish(a, nil, ans.value)
 	case "busy":
-		c.pool.end(a, &Error{TurnedAway, errBusy}, nil)
+		c.pool.finish(a, &Error{Rejected, errRejected}, nil)
 	case "moved":
-		if _, _, _, owned := a.call.Ownership(); !owned {
+		if _, _, _, owned := a.decision.Ownership(); !owned {
 			return errors.New("answer that ends in moved to a call that bore no keys")
 		}
-		c.pool.end(a, &Error{NotOwned, errMoved}, nil)
+		c.pool.finish(a, &Error{NotOwner, errNotOwner}, nil)
 	default:
-		c.pool.end(a, &Error{Failed, errFailed}, nil)
+		c.pool.finish(a, &Error{Failed, errFailed}, nil)
 	}
 	return nil
 }
--- a/internal/gatherer/shardcall/crossings_test.go
+++ b/internal/gatherer/shardcall/crossings_test.go
@@ -20,8 +20,8 @@
 // What comes between the decision on a part call and its bytes: each forced by a server that reads no further, or by a
 // gate at the setting up of its connection.
 
-// writing waits until a call's frame is being written, and gives it.
-func (d *desk) writing(t *testing.T) (a *attempt) {
+// waitForWrite waits until a call's frame is being written, and gives it.
+func (d *harness) waitForWrite(t *testing.T) (a *attempt) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); a == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
@@ -29,7 +29,7 @@
 		}
 		d.mu.Lock()
 		for _, one := range d.attempts {
-			if one.on != nil && one.on.out[one.id] == one && !one.written {
+			if one.conn != nil && one.conn.inFlight[one.id] == one && !one.written {
 				a = one
 			}
 		}
@@ -38,21 +38,21 @@
 	return a
 }
 
-// TestDrainWhileWriting: a server has stopped reading, so that not a byte of a frame has gone, when it is told to drain,
+// TestFrameNotBegunIsDroppedAfterDrainGrace: a server has stopped reading, so that not a byte of a frame has gone, when it is told to drain,
 // is gone or is missing from the list. Nothing of the frame may go once it reads again; the call never ran.
-func TestDrainWhileWriting(t *testing.T) {
+func TestFrameNotBegunIsDroppedAfterDrainGrace(t *testing.T) {
 	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Draining}},
 		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
-		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.DrainGrace = 100.0
 			s.FindClass("i").Effect = gather.Idempotent
 		})
-		theirs := d.pipe()
-		d.ask(t.Context(), "a", 1, 60000)
-		d.writing(t)
-		d.Follow(word)
+		theirs := d.connectByPipe()
+		d.submit(t.Context(), "a", 1, 60000)
+		d.waitForWrite(t)
+		d.SetEndpoints(word)
 		select {
-		case r := <-d.reports:
+		case r := <-d.results:
 			if r.outcome != gather.ConnectFailed {
 				t.Errorf("%s: ended as %v", name, r.outcome)
 			}
@@ -66,15 +66,15 @@
 	}
 }
 
-// TestDrainPartWritten: bytes have gone when the drain is told, and the server reads on within the grace: the call is
+// TestFrameBegunBeforeDrainIsAnswered: bytes have gone when the drain is told, and the server reads on within the grace: the call is
 // one from before the drain, and is answered.
-func TestDrainPartWritten(t *testing.T) {
-	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
-	theirs := d.pipe()
-	done := d.ask(t.Context(), "a", 1, 60000)
+func TestFrameBegunBeforeDrainIsAnswered(t *testing.T) {
+	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
+	theirs := d.connectByPipe()
+	done := d.submit(t.Context(), "a", 1, 60000)
 	head := make([]byte, 5)
 	io.ReadFull(theirs, head)
-	d.list("127.0.0.1:1", gather.Draining)
+	d.setEndpoint("127.0.0.1:1", gather.Draining)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)-1))
 	(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
 	if v := <-done; v.Kind != dispatch.Served {
@@ -82,8 +82,8 @@
 	}
 }
 
-// gated gives the server a connection that comes up once the gate is opened.
-func (d *desk) gated() (gate chan struct{}, theirs net.Conn) {
+// connectByGate gives the server a connection that comes up once the gate is opened.
+func (d *harness) connectByGate() (gate chan struct{}, theirs net.Conn) {
 	ours, theirs := net.Pipe()
 	gate = make(chan struct{})
 	d.dial = func(string) (net.Conn, error) {
@@ -93,23 +93,23 @@
 	return gate, theirs
 }
 
-// TestLateConnection: while a connection comes up its calls' reason ends: the client goes, the lookup's time is up, the
+// TestConnectionThatComesUpLateSendsNothingObsolete: while a connection comes up its calls' reason ends: the client goes, the lookup's time is up, the
 // server drains, is gone, or is found elsewhere. Nothing goes on it when it is up.
-func TestLateConnection(t *testing.T) {
-	for name, end := range map[string]func(d *desk, leave func()){
-		"client gone": func(d *desk, leave func()) { leave() },
-		"time up":     func(d *desk, _ func()) {},
-		"draining":    func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Draining) },
-		"gone":        func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Removed) },
-		"moved":       func(d *desk, _ func()) { d.list("127.0.0.1:2", gather.Running) },
+func TestConnectionThatComesUpLateSendsNothingObsolete(t *testing.T) {
+	for name, end := range map[string]func(d *harness, leave func()){
+		"client gone": func(d *harness, leave func()) { leave() },
+		"time up":     func(d *harness, _ func()) {},
+		"draining":    func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Draining) },
+		"gone":        func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Removed) },
+		"moved":       func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:2", gather.Running) },
 	} {
-		d := newDesk(t, "127.0.0.1:1", nil)
-		gate, theirs := d.gated()
+		d := newHarness(t, "127.0.0.1:1", nil)
+		gate, theirs := d.connectByGate()
 		ctx, leave := context.WithCancel(t.Context())
-		done := d.ask(ctx, "a", 1, map[bool]float64{true: 50, false: 60000}[name == "time up"])
+		done := d.submit(ctx, "a", 1, map[bool]float64{true: 50, false: 60000}[name == "time up"])
 		for n := 0; n == 0; time.Sleep(time.Millisecond) { // it waits for its connection
 			d.mu.Lock()
-			n = d.open
+			n = d.openConns
 			d.mu.Unlock()
 		}
 		end(d, leave)
@@ -123,20 +123,20 @@
 		if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
 			t.Errorf("%s: %d bytes went", name, n)
 		}
-		if r := <-d.reports; !r.outcome.NeverExecuted() {
+		if r := <-d.results; !r.outcome.NeverExecuted() {
 			t.Errorf("%s: ended as %v, and nothing went", name, r.outcome)
 		}
 		leave()
 	}
 }
 
-// TestToldBeforeCalledAgain: where no second copy may be out, a part that is given up ends for the decisions only when
+// TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt: where no second copy may be out, a part that is given up ends for the decisions only when
 // its server could read that it is: a call elsewhere would be a second one out at once. It may still be answered.
-func TestToldBeforeCalledAgain(t *testing.T) {
+func TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
-		theirs := d.pipe()
-		d.ask(t.Context(), "a", 1, 60000)
+		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
+		theirs := d.connectByPipe()
+		d.submit(t.Context(), "a", 1, 60000)
 		frame := func() {
 			head := make([]byte, 4)
 			io.ReadFull(theirs, head)
@@ -154,27 +154,27 @@
 			d.mu.Lock()
 		}
 		d.mu.Unlock()
-		d.abandon(a.call, GivenUp, errGivenUp)
-		d.abandon(a.call, GivenUp, errGivenUp) // once more changes nothing
-		if len(d.reports) > 0 {
+		d.cancel(a.decision, Cancelled, errCancelled)
+		d.cancel(a.decision, Cancelled, errCancelled) // once more changes nothing
+		if len(d.results) > 0 {
 			t.Error("reported before the server could read of it")
 		}
 		if answered {
 			(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
-			d.want(t, "a.0", gather.Succeeded)
+			d.expectResult(t, "a.0", gather.Succeeded)
 			frame()
 			continue
 		}
 		frame()
-		d.want(t, "a.0", gather.Cancelled)
+		d.expectResult(t, "a.0", gather.Cancelled)
 	}
 	// A server that does not read of it: its connection is ended, which gives the call up as well.
-	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 		s.ConnectTimeout = 50.0
 		s.FindClass("i").Effect = gather.Idempotent
 	})
-	theirs := d.pipe()
-	d.ask(t.Context(), "a", 1, 60000)
+	theirs := d.connectByPipe()
+	d.submit(t.Context(), "a", 1, 60000)
 	head := make([]byte, 4)
 	io.ReadFull(theirs, head)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
@@ -186,27 +186,27 @@
 		}
 		d.mu.Unlock()
 	}
-	d.abandon(a.call, GivenUp, errGivenUp)
-	d.want(t, "a.0", gather.ConnectionReset)
+	d.cancel(a.decision, Cancelled, errCancelled)
+	d.expectResult(t, "a.0", gather.ConnectionReset)
 	if n, err := theirs.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("%d bytes, %v: the connection is still open", n, err)
 	}
 }
 
-// TestGivenUpWhileWriting: a call is given up while its server reads no further, and its lookup ends later. The answer
+// TestQueryEndDoesNotWaitForCancelledWrite: a call is given up while its server reads no further, and its lookup ends later. The answer
 // must not wait for the write, which had all of the call's time.
-func TestGivenUpWhileWriting(t *testing.T) {
+func TestQueryEndDoesNotWaitForCancelledWrite(t *testing.T) {
 	for _, copies := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.HedgingAllowed = copies
 			s.FindClass("i").Effect = gather.Idempotent
 		})
-		theirs := d.pipe()
+		theirs := d.connectByPipe()
 		ctx, leave := context.WithCancel(t.Context())
-		done := d.ask(ctx, "a", 1, 60000)
+		done := d.submit(ctx, "a", 1, 60000)
 		io.ReadFull(theirs, make([]byte, 3))
-		d.abandon(d.writing(t).call, GivenUp, errGivenUp)
-		<-d.reports
+		d.cancel(d.waitForWrite(t).decision, Cancelled, errCancelled)
+		<-d.results
 		leave()
 		select {
 		case <-done:
@@ -216,33 +216,33 @@
 	}
 }
 
-// TestEveryByte: the connection ends after each number of a frame's bytes. Before the last one the frame was never used;
+// TestConnectionEndAfterEachByteOfAFrame: the connection ends after each number of a frame's bytes. Before the last one the frame was never used;
 // from it on it may have been.
-func TestEveryByte(t *testing.T) {
+func TestConnectionEndAfterEachByteOfAFrame(t *testing.T) {
 	length := math.MaxInt
 	for n := 0; n <= length; n++ {
-		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
-		theirs := d.pipe()
-		done := d.ask(t.Context(), "a", 1, 60000)
+		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
+		theirs := d.connectByPipe()
+		done := d.submit(t.Context(), "a", 1, 60000)
 		frame := make([]byte, n)
 		io.ReadFull(theirs, frame)
 		if n >= 4 {
 			length = 4 + int(binary.LittleEndian.Uint32(frame))
 		}
 		theirs.Close()
-		d.want(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset, false: gather.ConnectFailed}[n == length])
+		d.expectResult(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset, false: gather.ConnectFailed}[n == length])
 		if v := <-done; v.Kind == dispatch.Served {
 			t.Errorf("after %d bytes: %+v", n, v)
 		}
 	}
 }
 
-// TestNeverEnding: an answer begins and goes on byte by byte without an end. Its part ends with its time, and the next
+// TestAnswerWithoutEndTimesOut: an answer begins and goes on byte by byte without an end. Its part ends with its time, and the next
 // call gets another connection; nothing of it is served.
-func TestNeverEnding(t *testing.T) {
+func TestAnswerWithoutEndTimesOut(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
-	done := d.ask(t.Context(), "a", 1, 200)
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
+	done := d.submit(t.Context(), "a", 1, 200)
 	conn := shard.Take()
 	conn.Read()
 	io.WriteString(conn.Conn, "\x00\x02\x00\x00Aa.0 ok 1 -\n")
@@ -261,7 +261,7 @@
 	if v := <-done; v.Kind != dispatch.Failed {
 		t.Errorf("verdict %+v", v)
 	}
-	done = d.ask(t.Context(), "b", 1, 5000)
+	done = d.submit(t.Context(), "b", 1, 5000)
 	next := shard.Take()
 	if f := next.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
@@ -272,16 +272,16 @@
 	}
 }
 
-// TestNoConnectTime: terms that tell no time for a connection still leave one for a word that a part is given up; it had
+// TestCancelFrameHasTimeWithoutConnectTimeout: terms that tell no time for a connection still leave one for a word that a part is given up; it had
 // none, and the connection ended with every part that was.
-func TestNoConnectTime(t *testing.T) {
+func TestCancelFrameHasTimeWithoutConnectTimeout(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
 		s.ConnectTimeout = 0.0
 		s.FindClass("i").Effect = gather.Idempotent
 	})
 	ctx, leave := context.WithCancel(t.Context())
-	done := d.ask(ctx, "a", 1, 60000)
+	done := d.submit(ctx, "a", 1, 60000)
 	conn := shard.Take()
 	conn.Read()
 	leave()
@@ -291,16 +291,16 @@
 	}
 }
 
-// TestBurstOfLeavers: many lookups wait for one connection, and all their clients go at once. Nothing goes on it.
-func TestBurstOfLeavers(t *testing.T) {
+// TestAbandonedQueriesSendNothingOnALateConnection: many lookups wait for one connection, and all their clients go at once. Nothing goes on it.
+func TestAbandonedQueriesSendNothingOnALateConnection(t *testing.T) {
 	const many = 200
-	d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
-	d.reports = make(chan report, 2*many)
-	gate, theirs := d.gated()
+	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
+	d.results = make(chan result, 2*many)
+	gate, theirs := d.connectByGate()
 	ctx, leave := context.WithCancel(t.Context())
 	var done []<-chan dispatch.Result
 	for i := range many {
-		done = append(done, d.ask(ctx, fmt.Sprint("l", i), 2, 60000))
+		done = append(done, d.submit(ctx, fmt.Sprint("l", i), 2, 60000))
 	}
 	for waiting := 0; waiting < 2*many; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
@@ -319,21 +319,21 @@
 		t.Errorf("%d bytes went", n)
 	}
 	for range 2 * many {
-		if r := <-d.reports; !r.outcome.NeverExecuted() {
+		if r := <-d.results; !r.outcome.NeverExecuted() {
 			t.Errorf("%s ended as %v", r.id, r.outcome)
 		}
 	}
 }
 
-// TestGoneInQueue: a client goes while its call waits behind a frame that is stuck. Nothing of it follows that frame.
-func TestGoneInQueue(t *testing.T) {
-	d := newDesk(t, "127.0.0.1:1", nil)
-	theirs := d.pipe()
-	d.ask(t.Context(), "a", 1, 60000)
+// TestAbandonedQueryBehindAStuckFrameSendsNothing: a client goes while its call waits behind a frame that is stuck. Nothing of it follows that frame.
+func TestAbandonedQueryBehindAStuckFrameSendsNothing(t *testing.T) {
+	d := newHarness(t, "127.0.0.1:1", nil)
+	theirs := d.connectByPipe()
+	d.submit(t.Context(), "a", 1, 60000)
 	head := make([]byte, 4)
 	io.ReadFull(theirs, head)
 	ctx, leave := context.WithCancel(t.Context())
-	done := d.ask(ctx, "b", 1, 60000)
+	done := d.submit(ctx, "b", 1, 60000)
 	for waiting := 0; waiting < 2; time.Sleep(time.Millisecond) {
 		d.mu.Lock()
 		waiting = len(d.attempts)
@@ -343,7 +343,7 @@
 	if v := <-done; v.Kind != dispatch.Abandoned {
 		t.Errorf("verdict %+v", v)
 	}
-	d.want(t, "b.0", gather.NotSent)
+	d.expectResult(t, "b.0", gather.NotSent)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
 	theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 	if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
@@ -351,8 +351,8 @@
 	}
 }
 
-// timeTold is the time in milliseconds that the first part of the next frame tells its server.
-func timeTold(t *testing.T, theirs *standin.Conn) int {
+// timeLeftInNextFrame is the time in milliseconds that the first part of the next frame tells its server.
+func timeLeftInNextFrame(t *testing.T, theirs *standin.Conn) int {
 	t.Helper()
 	frame := theirs.Read()
 	if len(frame.Parts) == 0 {
@@ -366,30 +366,30 @@
 	return told
 }
 
-// TestTimeToldAfterWait: a call waits for its connection, or behind a frame that its server does not read on. What it
+// TestFrameCarriesTheTimeLeftAtItsWrite: a call waits for its connection, or behind a frame that its server does not read on. What it
 // then tells is what is left of its time, not what was left when it was decided on.
-func TestTimeToldAfterWait(t *testing.T) {
+func TestFrameCarriesTheTimeLeftAtItsWrite(t *testing.T) {
 	const wait, waited = 60000, 300 * time.Millisecond
 	for _, queued := range []bool{false, true} {
-		d := newDesk(t, "127.0.0.1:1", nil)
-		gate, pipe := d.gated()
+		d := newHarness(t, "127.0.0.1:1", nil)
+		gate, pipe := d.connectByGate()
 		theirs := standin.NewConn(t, pipe)
 		if queued {
 			close(gate)
-			d.ask(t.Context(), "first", 1, wait)
-			d.writing(t)
+			d.submit(t.Context(), "first", 1, wait)
+			d.waitForWrite(t)
 		}
-		d.ask(t.Context(), "a", 1, wait)
+		d.submit(t.Context(), "a", 1, wait)
 		asked := time.Now()
 		for time.Since(asked) < waited {
 			time.Sleep(time.Millisecond)
 		}
 		if queued {
-			timeTold(t, theirs)
+			timeLeftInNextFrame(t, theirs)
 		} else {
 			close(gate)
 		}
-		if told, most := timeTold(t, theirs), wait-int(waited.Milliseconds()); told > most {
+		if told, most := timeLeftInNextFrame(t, theirs), wait-int(waited.Milliseconds()); told > most {
 			t.Errorf("queued %v: told %d ms, at most %d were left", queued, told, most)
 		}
 	}
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -90,9 +90,9 @@
 func TestKeptRequestFrames(t *testing.T) {
 	t.Run("one part, cancelled", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d := newDesk(t, shard.Address(), keptSettings)
+		d := newHarness(t, shard.Address(), keptSettings)
 		ctx, leave := context.WithCancel(t.Context())
-		done := d.ask(ctx, "a", 1, keptWait)
+		done := d.submit(ctx, "a", 1, keptWait)
 		conn := shard.Take()
 		wantSent(t, conn, "Q-one-part")
 		leave()
@@ -102,24 +102,24 @@
 	})
 	t.Run("two parts in one frame", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d := newDesk(t, shard.Address(), keptSettings)
-		d.ask(t.Context(), "a", 2, keptWait)
+		d := newHarness(t, shard.Address(), keptSettings)
+		d.submit(t.Context(), "a", 2, keptWait)
 		conn := shard.Take()
 		wantSent(t, conn, "Q-two-parts")
 		nothingMore(t, conn, "Q-two-parts")
 	})
 	t.Run("three parts in two frames", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d := newDesk(t, shard.Address(), keptSettings)
-		d.ask(t.Context(), "a", 3, keptWait)
+		d := newHarness(t, shard.Address(), keptSettings)
+		d.submit(t.Context(), "a", 3, keptWait)
 		conn := shard.Take()
 		wantSent(t, conn, "Q-three-parts")
 		nothingMore(t, conn, "Q-three-parts")
 	})
 	t.Run("retry of a part of two", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d := newDesk(t, shard.Address(), keptRetrySettings)
-		d.ask(t.Context(), "a", 2, keptWait)
+		d := newHarness(t, shard.Address(), keptRetrySettings)
+		d.submit(t.Context(), "a", 2, keptWait)
 		conn := shard.Take()
 		wantSent(t, conn, "Q-two-parts")
 		conn.Answer("a.1", "ok", "v")
@@ -128,17 +128,17 @@
 	})
 	t.Run("health check", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d := newDesk(t, shard.Address(), nil)
-		d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
+		d := newHarness(t, shard.Address(), nil)
+		d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 		conn := shard.Take()
 		wantSent(t, conn, "L")
 		nothingMore(t, conn, "L")
 	})
 	t.Run("agreement on first passes", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, quiet())
-		p.Agree(func(uint32, bool) {})
-		p.Follow([]Address{{ID: 1, HostPort: shard.Address()}})
+		p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, discardLog())
+		p.EnableFirstPass(func(uint32, bool) {})
+		p.SetEndpoints([]Address{{ID: 1, HostPort: shard.Address()}})
 		conn := shard.Take()
 		wantSent(t, conn, "H")
 		nothingMore(t, conn, "H")
@@ -146,16 +146,16 @@
 	})
 	t.Run("first pass", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d, conn := newFirstPassDesk(t, shard)
-		d.ask(t.Context(), "a", 2, keptWait)
+		d, conn := newFirstPassHarness(t, shard)
+		d.submit(t.Context(), "a", 2, keptWait)
 		wantSent(t, conn, "S-two-parts")
 		nothingMore(t, conn, "S-two-parts")
 	})
 	for effect, name := range map[gather.Effect]string{gather.Idempotent: "O-idempotent", gather.NonIdempotent: "O-once-only"} {
 		t.Run("keys with owners, "+string(effect), func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newOwnedDesk(t, shard, effect)
-			d.askShard(t, 3)
+			d := newOwnershipHarness(t, shard, effect)
+			d.submitForShard(t, 3)
 			conn := shard.Take()
 			wantSent(t, conn, name)
 			nothingMore(t, conn, name)
@@ -163,28 +163,28 @@
 	}
 }
 
-// newFirstPassDesk has lookups go in two phases, to a server that answers first passes.
-func newFirstPassDesk(t *testing.T, shard *standin.Shard) (*desk, *standin.Conn) {
+// newFirstPassHarness has lookups go in two phases, to a server that answers first passes.
+func newFirstPassHarness(t *testing.T, shard *standin.Shard) (*harness, *standin.Conn) {
 	change := func(s *gather.Settings) {
 		keptRetrySettings(s)
 		s.Classes[0].LatencyObjective = 2000
 	}
-	d := newDeskWith(t, shard.Address(), change, func(p *dispatch.Picker) {
+	d := newHarnessWith(t, shard.Address(), change, func(p *dispatch.Picker) {
 		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1, FirstPassShare: 0.3, TrialShare: 0.5}})
 		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
 		p.SetAnswersFirstPass(7, true)
 	})
-	done := d.ask(t.Context(), "before", 1, keptWait) // the budget for further calls is known after a first round
+	done := d.submit(t.Context(), "before", 1, keptWait) // the budget for further calls is known after a first round
 	conn := shard.Take()
 	conn.Read()
 	conn.Answer("before.0", "ok", "v")
 	<-done
-	<-d.reports
+	<-d.results
 	return d, conn
 }
 
-// newOwnedDesk has lookups sent to who owns their keys: shard 3 of 16 is a segment of the server's.
-func newOwnedDesk(t *testing.T, shard *standin.Shard, effect gather.Effect) *desk {
+// newOwnershipHarness has lookups sent to who owns their keys: shard 3 of 16 is a segment of the server's.
+func newOwnershipHarness(t *testing.T, shard *standin.Shard, effect gather.Effect) *harness {
 	keys := ownership.ShardRange(3, 16)
 	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, OwnedSince: 4}})
 	if err != nil {
@@ -195,15 +195,15 @@
 		s.Classes[0].Effect = effect
 		*s = *dispatch.OwnershipSettings(s, 4)
 	}
-	return newDeskWith(t, shard.Address(), change, func(p *dispatch.Picker) {
+	return newHarnessWith(t, shard.Address(), change, func(p *dispatch.Picker) {
 		p.EnableOwnership(4, 16)
 		p.SetServerNames(map[uint32]string{7: "h-01"})
 		p.SetMap(m)
 	})
 }
 
-// askShard sends a lookup of one shard on its way.
-func (d *desk) askShard(t *testing.T, shard int) <-chan dispatch.Result {
+// submitForShard sends a lookup of one shard on its way.
+func (d *harness) submitForShard(t *testing.T, shard int) <-chan dispatch.Result {
 	lk := &dispatch.Query{ID: "a", Class: "i", Deadline: d.picker.Now() + keptWait, Payload: []byte("text of a"),
 		ShardRequests: []dispatch.ShardRequest{{Shard: shard, Weight: 1}}}
 	done := make(chan dispatch.Result, 1)
@@ -213,7 +213,7 @@
 
 // TestKeptReplyFrames has a shard server answer a call with kept bytes: how the call ends.
 func TestKeptReplyFrames(t *testing.T) {
-	for name, want := range map[string]report{
+	for name, want := range map[string]result{
 		"A-ok":                  {"a.0", gather.Succeeded, "value"},
 		"A-ok-score-and-report": {"a.0", gather.Succeeded, "value"},
 		"A-ok-empty":            {"a.0", gather.Succeeded, ""},
@@ -234,39 +234,39 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newDesk(t, shard.Address(), keptSettings)
-			d.ask(t.Context(), "a", 1, keptWait)
+			d := newHarness(t, shard.Address(), keptSettings)
+			d.submit(t.Context(), "a", 1, keptWait)
 			conn := shard.Take()
 			wantSent(t, conn, "Q-one-part")
 			conn.Conn.Write(keptFrames(t, "received", name))
-			if got := <-d.reports; got != want {
+			if got := <-d.results; got != want {
 				t.Errorf("ended as %+v, want %+v", got, want)
 			}
 		})
 	}
-	for name, want := range map[string]report{
+	for name, want := range map[string]result{
 		"O-moved": {"a.3.0", gather.NotOwner, ""},
 		"O-ok":    {"a.3.0", gather.Succeeded, "value"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newOwnedDesk(t, shard, gather.NonIdempotent)
-			d.askShard(t, 3)
+			d := newOwnershipHarness(t, shard, gather.NonIdempotent)
+			d.submitForShard(t, 3)
 			conn := shard.Take()
 			wantSent(t, conn, "O-once-only")
 			conn.Conn.Write(keptFrames(t, "received", name))
-			if got := <-d.reports; got != want {
+			if got := <-d.results; got != want {
 				t.Errorf("ended as %+v, want %+v", got, want)
 			}
 		})
 	}
 	t.Run("S-none", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d, conn := newFirstPassDesk(t, shard)
-		done := d.ask(t.Context(), "a", 1, keptWait)
+		d, conn := newFirstPassHarness(t, shard)
+		done := d.submit(t.Context(), "a", 1, keptWait)
 		wantSent(t, conn, "S-one-part")
 		conn.Conn.Write(keptFrames(t, "received", "S-none"))
-		if got, want := <-d.reports, (report{"a.0~", gather.Succeeded, "none v1"}); got != want {
+		if got, want := <-d.results, (result{"a.0~", gather.Succeeded, "none v1"}); got != want {
 			t.Errorf("ended as %+v, want %+v", got, want)
 		}
 		if v := <-done; v.Kind != dispatch.Served || !v.Complete || fmt.Sprint(v.EmptyShards) != "[0]" {
@@ -286,12 +286,12 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newDesk(t, shard.Address(), nil)
-			d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
+			d := newHarness(t, shard.Address(), nil)
+			d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 			conn := shard.Take()
 			wantSent(t, conn, "L")
 			conn.Conn.Write(keptFrames(t, "received", name))
-			got := <-d.samples
+			got := <-d.checks
 			got.Elapsed = 0
 			if got != want {
 				t.Errorf("read %+v, want %+v", got, want)
@@ -306,9 +306,9 @@
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
 			found := make(chan bool, 1)
-			p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, quiet())
-			p.Agree(func(_ uint32, yes bool) { found <- yes })
-			p.Follow([]Address{{ID: 1, HostPort: shard.Address()}})
+			p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, discardLog())
+			p.EnableFirstPass(func(_ uint32, yes bool) { found <- yes })
+			p.SetEndpoints([]Address{{ID: 1, HostPort: shard.Address()}})
 			conn := shard.Take()
 			wantSent(t, conn, "H")
 			conn.Conn.Write(keptFrames(t, "received", name))
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -26,108 +26,108 @@
 
 // Address is where a server of the list is reached.
 type Address struct {
-	ID       uint32
-	Name     string // by which discovery knows it
-	HostPort string
-	State    gather.State
-	Started  float64 // as in the list
+	ID        uint32
+	Name      string // by which discovery knows it
+	HostPort  string
+	State     gather.State
+	StartedAt float64 // as in the list
 }
 
 // Pool holds the connections to all shard servers. One lock guards it all: there are a few hundred part calls
 // a second at the most, and none holds it while it waits for the network.
 type Pool struct {
-	reporter    Reporter
-	log         *logrus.Logger
-	connectTime time.Duration
-	idleTime    time.Duration
-	silence     time.Duration
-	memory      time.Duration // for which an answer may still come after its part was given up
-	dial        func(address string) (net.Conn, error)
-	grace       time.Duration // after a drain is told, in which a first byte may still go
-	copies      bool          // two calls of a part may be out at once
-	perFrame    int
-	perConn     int
-	most        int // connections open at once
+	reporter         Reporter
+	log              *logrus.Logger
+	connectTimeout   time.Duration
+	idleTimeout      time.Duration
+	silenceTimeout   time.Duration
+	lateAnswerWindow time.Duration // for which an answer may still come after its part was given up
+	dial             func(address string) (net.Conn, error)
+	drainGrace       time.Duration // after a drain is told, in which a first byte may still go
+	hedgingAllowed   bool          // two calls of a part may be out at once
+	requestsPerFrame int
+	streamsPerConn   int
+	maxConns         int // connections open at once
 
-	mu       sync.Mutex
-	open     int
-	opened   int64
-	speaks   func(server uint32, yes bool) // nil where first passes are not used
-	agreeing chan struct{}
-	again    time.Duration // after which a server that could not be reached is asked again
-	servers  map[uint32]*server
-	attempts map[*dispatch.Attempt]*attempt
+	mu                  sync.Mutex
+	openConns           int
+	openedConns         int64
+	onFirstPassSupport  func(server uint32, yes bool) // nil where first passes are not used
+	handshakeSlots      chan struct{}
+	handshakeRetryDelay time.Duration // after which a server that could not be reached is asked again
+	servers             map[uint32]*server
+	attempts            map[*dispatch.Attempt]*attempt
 }
 
 // server is one shard server and the connections to it that may take calls.
 type server struct {
 	Address
-	conns  []*conn
-	agreed *agreement
+	conns     []*conn
+	handshake *handshake
 }
 
 // Connections tells how many are open, and how many were opened so far.
 func (p *Pool) Connections() (open int, opened int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.open, p.opened
+	return p.openConns, p.openedConns
 }
 
 // retire leaves all connections without new calls.
 func (s *server) retire() {
 	for _, c := range slices.Clone(s.conns) {
-		c.retire(errRetired)
+		c.retire(errConnRetired)
 	}
 }
 
 // attempt is a part call between its decision and its end.
 type attempt struct {
-	call    *dispatch.Attempt
-	id      string
-	srv     *server
-	on      *conn
-	timer   *time.Timer
-	written bool
-	leaving bool // given up: it ends once the shard server has been told
+	decision   *dispatch.Attempt
+	id         string
+	server     *server
+	conn       *conn
+	timeout    *time.Timer
+	written    bool
+	cancelling bool // given up: it ends once the shard server has been told
 }
 
-// defaultConnect is how long a connection may take to come up, and a word that a part is given up to be written, where the
+// defaultConnectTimeout is how long a connection may take to come up, and a word that a part is given up to be written, where the
 // terms tell nothing of it: without it the one would wait for ever and the other not at all.
-const defaultConnect = time.Second
+const defaultConnectTimeout = time.Second
 
 // New makes a pool that keeps the limits in the terms, and to so many connections where it can.
 func New(settings *gather.Settings, most int, reporter Reporter, log *logrus.Logger) *Pool {
 	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
-	p := &Pool{reporter: reporter, most: most, log: log, connectTime: span(settings.ConnectTimeout),
-		grace: span(settings.DrainGrace), copies: settings.HedgingAllowed, perFrame: max(settings.RequestsPerCall, 1), perConn: settings.StreamsPerConnection,
+	p := &Pool{reporter: reporter, maxConns: most, log: log, connectTimeout: span(settings.ConnectTimeout),
+		drainGrace: span(settings.DrainGrace), hedgingAllowed: settings.HedgingAllowed, requestsPerFrame: max(settings.RequestsPerCall, 1), streamsPerConn: settings.StreamsPerConnection,
 		servers: map[uint32]*server{}, attempts: map[*dispatch.Attempt]*attempt{}}
-	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTime) }
-	if p.connectTime == 0 {
-		p.connectTime = defaultConnect
+	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTimeout) }
+	if p.connectTimeout == 0 {
+		p.connectTimeout = defaultConnectTimeout
 	}
 	// A connection that has stood idle for the time in the terms swallows what is written to it. It is closed
 	// before that by the time that setting one up may take, against a call that crosses the other side's close.
-	p.idleTime = math.MaxInt64
+	p.idleTimeout = math.MaxInt64
 	if settings.IdleTimeout > 0 {
-		p.idleTime = max(span(settings.IdleTimeout)-p.connectTime, span(settings.IdleTimeout)/2)
+		p.idleTimeout = max(span(settings.IdleTimeout)-p.connectTimeout, span(settings.IdleTimeout)/2)
 	}
-	if p.perConn < 1 { // no limit is told
-		p.perConn = math.MaxInt32
+	if p.streamsPerConn < 1 { // no limit is told
+		p.streamsPerConn = math.MaxInt32
 	}
 	// On a machine that vanished, and where a connection has fallen silent, only a new one shows what is there.
-	p.silence = math.MaxInt64
+	p.silenceTimeout = math.MaxInt64
 	if ms := dispatch.SilenceTimeout(settings); ms < 1e9 {
-		p.silence = time.Duration(ms * 1e6)
+		p.silenceTimeout = time.Duration(ms * 1e6)
 	}
 	for i := range settings.Classes {
-		p.memory = max(p.memory, 2*span(settings.Classes[i].Deadline))
+		p.lateAnswerWindow = max(p.lateAnswerWindow, 2*span(settings.Classes[i].Deadline))
 	}
 	return p
 }
 
-// Follow takes over the addresses of all servers that are on the list. Those of servers that have left it, or
+// SetEndpoints takes over the addresses of all servers that are on the list. Those of servers that have left it, or
 // that are found elsewhere now, take no new calls; what is out on them may still be answered.
-func (p *Pool) Follow(list []Address) {
+func (p *Pool) SetEndpoints(list []Address) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := make(map[uint32]bool, len(list))
@@ -141,47 +141,47 @@
 			s.retire()
 		}
 		s.Address = a
-		p.hasten(s)
-		p.agree(s)
+		p.limitWritesInProgress(s)
+		p.startHandshake(s)
 	}
 	for id, s := range p.servers {
 		if !listed[id] || s.State == gather.Removed {
 			s.State = gather.Removed
-			p.hasten(s)
+			p.limitWritesInProgress(s)
 			s.retire()
 			delete(p.servers, id)
 		}
 	}
 }
 
-// hasten bounds what is being written to a server that takes nothing new: where not even the first byte has gone,
+// limitWritesInProgress bounds what is being written to a server that takes nothing new: where not even the first byte has gone,
 // since the server had stopped reading, it must not go once the grace is over. Half of that is left to it.
-func (p *Pool) hasten(s *server) {
+func (p *Pool) limitWritesInProgress(s *server) {
 	if s.State == gather.Running {
 		return
 	}
-	until := time.Now().Add(p.grace / 2)
+	until := time.Now().Add(p.drainGrace / 2)
 	for _, a := range p.attempts {
-		if c := a.on; a.srv == s && c != nil && c.out[a.id] == a && !a.written && until.Before(c.until) {
-			c.until = until
+		if c := a.conn; a.server == s && c != nil && c.inFlight[a.id] == a && !a.written && until.Before(c.writeDeadline) {
+			c.writeDeadline = until
 			c.nc.SetWriteDeadline(until)
 		}
 	}
 }
 
-// Carry does what a round has ordered. It does not wait for the network.
-func (p *Pool) Carry(o dispatch.Actions) {
+// Execute does what a round has ordered. It does not wait for the network.
+func (p *Pool) Execute(o dispatch.Actions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	// What ends goes first, against giving up a part of the same name that is only now asked for.
 	for _, call := range o.StopWriting {
-		p.stop(call)
+		p.stopWriting(call)
 	}
 	for _, call := range o.Cancel {
-		p.abandonLocked(call, GivenUp, errGivenUp)
+		p.cancelLocked(call, Cancelled, errCancelled)
 	}
 	for _, id := range o.CheckHealth {
-		p.inquire(id)
+		p.startHealthCheck(id)
 	}
 	type turn struct { // calls of a first pass travel in frames of their own
 		*server
@@ -190,14 +190,14 @@
 	var order []turn
 	turns := map[turn][]*attempt{}
 	for _, call := range o.Send {
-		a := &attempt{call: call, id: call.ID(), srv: p.servers[call.Server]}
+		a := &attempt{decision: call, id: call.ID(), server: p.servers[call.Server]}
 		p.attempts[call] = a
-		if a.srv == nil {
-			p.end(a, &Error{NotSent, errUnknown}, nil)
+		if a.server == nil {
+			p.finish(a, &Error{NotSent, errNotListed}, nil)
 			continue
 		}
-		a.timer = time.AfterFunc(time.Duration(call.Timeout*1e6), func() { p.abandon(call, OutOfTime, errTime) })
-		t := turn{a.srv, call.FirstPass()}
+		a.timeout = time.AfterFunc(time.Duration(call.Timeout*1e6), func() { p.cancel(call, TimedOut, errTimedOut) })
+		t := turn{a.server, call.FirstPass()}
 		if turns[t] == nil {
 			order = append(order, t)
 		}
@@ -205,8 +205,8 @@
 	}
 	for _, t := range order {
 		for calls := turns[t]; len(calls) > 0; {
-			n := min(len(calls), p.perFrame)
-			p.connFor(t.server, n).enqueue(frame{calls: calls[:n:n]})
+			n := min(len(calls), p.requestsPerFrame)
+			p.connFor(t.server, n).enqueue(outgoing{attempts: calls[:n:n]})
 			calls = calls[n:]
 		}
 	}
@@ -215,104 +215,104 @@
 // connFor gives a connection with room for so many parts, opening one only where none has.
 func (p *Pool) connFor(s *server, n int) *conn {
 	for _, c := range slices.Clone(s.conns) {
-		if c.quietFor() > p.silence || len(c.asked) >= mostAsked {
-			c.retire(errSilent)
+		if c.silence() > p.silenceTimeout || len(c.pendingChecks) >= maxPendingChecks {
+			c.retire(errConnSilent)
 		}
 	}
 	for _, c := range s.conns {
-		if c.booked == 0 || c.booked+n <= p.perConn {
+		if c.reserved == 0 || c.reserved+n <= p.streamsPerConn {
 			return c
 		}
 	}
-	p.makeRoom()
-	c := &conn{pool: p, srv: s, address: s.HostPort, out: map[string]*attempt{}, work: make(chan struct{}, 1)}
+	p.closeIdleConn()
+	c := &conn{pool: p, server: s, address: s.HostPort, inFlight: map[string]*attempt{}, wake: make(chan struct{}, 1)}
 	s.conns = append(s.conns, c)
-	p.open++
-	p.opened++
+	p.openConns++
+	p.openedConns++
 	go c.run()
 	return c
 }
 
-// makeRoom closes a connection without calls where as many are open as the process may have. Where each has
+// closeIdleConn closes a connection without calls where as many are open as the process may have. Where each has
 // some, one more is opened all the same: the kernel then says whether there is a socket for it.
-func (p *Pool) makeRoom() {
-	if p.open < p.most {
+func (p *Pool) closeIdleConn() {
+	if p.openConns < p.maxConns {
 		return
 	}
 	for _, s := range p.servers {
 		for _, c := range s.conns {
-			if c.booked == 0 {
-				c.fail(errIdle)
+			if c.reserved == 0 {
+				c.closeLocked(errConnIdle)
 				return
 			}
 		}
 	}
 }
 
-// stop keeps a call from being written. One that is being written to a server that has stopped reading would
+// stopWriting keeps a call from being written. One that is being written to a server that has stopped reading would
 // hold up its lookup's answer: it gets no more time, which breaks off nothing that the kernel still takes.
-func (p *Pool) stop(call *dispatch.Attempt) {
+func (p *Pool) stopWriting(call *dispatch.Attempt) {
 	a := p.attempts[call]
 	switch {
 	case a == nil || a.written:
-	case a.on == nil || a.on.out[a.id] != a:
-		p.end(a, &Error{NotSent, errForbidden}, nil)
+	case a.conn == nil || a.conn.inFlight[a.id] != a:
+		p.finish(a, &Error{NotSent, errNotAllowed}, nil)
 	default:
-		a.on.nc.SetWriteDeadline(time.Now())
+		a.conn.nc.SetWriteDeadline(time.Now())
 	}
 }
 
-func (p *Pool) abandon(call *dispatch.Attempt, stage Stage, err error) {
+func (p *Pool) cancel(call *dispatch.Attempt, stage Stage, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.abandonLocked(call, stage, err)
+	p.cancelLocked(call, stage, err)
 }
 
-// abandonLocked gives up a call that is still out; one whose bytes have not begun to go was never sent.
-func (p *Pool) abandonLocked(call *dispatch.Attempt, stage Stage, err error) {
+// cancelLocked gives up a call that is still out; one whose bytes have not begun to go was never sent.
+func (p *Pool) cancelLocked(call *dispatch.Attempt, stage Stage, err error) {
 	a := p.attempts[call]
 	if a == nil {
 		return
 	}
-	if a.on == nil || a.on.out[a.id] != a {
-		p.end(a, &Error{NotSent, err}, nil)
+	if a.conn == nil || a.conn.inFlight[a.id] != a {
+		p.finish(a, &Error{NotSent, err}, nil)
 		return
 	}
-	c := a.on
+	c := a.conn
 	if !a.written { // its lookup's answer waits for the write, and must not wait for a server that has stopped reading
 		c.nc.SetWriteDeadline(time.Now())
 	}
 	// Where no second copy may be out, its part is called again once this one's end is reported: not before the
 	// server could read of it, or the connection has ended.
-	if stage == GivenUp && !p.copies {
-		if !a.leaving {
-			a.leaving = true
-			c.enqueue(frame{giveUp: a.id, of: a})
+	if stage == Cancelled && !p.hedgingAllowed {
+		if !a.cancelling {
+			a.cancelling = true
+			c.enqueue(outgoing{cancelID: a.id, cancelled: a})
 		}
 		return
 	}
-	p.end(a, &Error{stage, err}, nil)
-	c.enqueue(frame{giveUp: a.id})
+	p.finish(a, &Error{stage, err}, nil)
+	c.enqueue(outgoing{cancelID: a.id})
 }
 
-// end reports a call, once, and frees its place. The lock is held.
-func (p *Pool) end(a *attempt, err error, value []byte) {
-	if p.attempts[a.call] != a {
+// finish reports a call, once, and frees its place. The lock is held.
+func (p *Pool) finish(a *attempt, err error, value []byte) {
+	if p.attempts[a.decision] != a {
 		return
 	}
-	delete(p.attempts, a.call)
-	if a.timer != nil {
-		a.timer.Stop()
+	delete(p.attempts, a.decision)
+	if a.timeout != nil {
+		a.timeout.Stop()
 	}
-	if c := a.on; c != nil {
-		if c.out[a.id] == a {
-			delete(c.out, a.id)
-			c.calm()
-			if e := (*Error)(nil); errors.As(err, &e) && (e.Stage == GivenUp || e.Stage == OutOfTime) {
-				c.expect(a.id)
+	if c := a.conn; c != nil {
+		if c.inFlight[a.id] == a {
+			delete(c.inFlight, a.id)
+			c.pauseSilence()
+			if e := (*Error)(nil); errors.As(err, &e) && (e.Stage == Cancelled || e.Stage == TimedOut) {
+				c.expectLateAnswer(a.id)
 			}
 		}
-		c.free()
+		c.release()
 	}
-	p.reporter.Report(a.call, Outcome(err), value)
+	p.reporter.Report(a.decision, Outcome(err), value)
 }
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -18,43 +18,43 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// desk is a pool with a facade before it, whose reports a test can read. The module behind it has one
+// harness is a pool with a facade before it, whose reports a test can read. The module behind it has one
 // index with replicas by group; with one server the decisions are plain.
-type desk struct {
+type harness struct {
 	*Pool
 	picker  *dispatch.Picker
-	reports chan report
-	samples chan gather.HealthCheckResult
+	results chan result
+	checks  chan gather.HealthCheckResult
 }
 
-type report struct {
+type result struct {
 	id      string
 	outcome gather.Outcome
 	value   string
 }
 
-func (d *desk) Report(c *dispatch.Attempt, outcome gather.Outcome, value []byte) {
-	d.reports <- report{c.ID(), outcome, string(value)}
+func (d *harness) Report(c *dispatch.Attempt, outcome gather.Outcome, value []byte) {
+	d.results <- result{c.ID(), outcome, string(value)}
 	d.picker.Report(c, outcome, value)
 }
 
-func (d *desk) ReportHealthCheck(s gather.HealthCheckResult) {
-	d.samples <- s
+func (d *harness) ReportHealthCheck(s gather.HealthCheckResult) {
+	d.checks <- s
 	d.picker.ReportHealthCheck(s)
 }
 
-func quiet() *logrus.Logger {
+func discardLog() *logrus.Logger {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return log
 }
 
-func newDesk(t *testing.T, address string, change func(s *gather.Settings)) *desk {
-	return newDeskWith(t, address, change, func(*dispatch.Picker) {})
+func newHarness(t *testing.T, address string, change func(s *gather.Settings)) *harness {
+	return newHarnessWith(t, address, change, func(*dispatch.Picker) {})
 }
 
-// newDeskWith has the facade set up by the test before its first round.
-func newDeskWith(t *testing.T, address string, change func(s *gather.Settings), setUp func(*dispatch.Picker)) *desk {
+// newHarnessWith has the facade set up by the test before its first round.
+func newHarnessWith(t *testing.T, address string, change func(s *gather.Settings), setUp func(*dispatch.Picker)) *harness {
 	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, CancelAllowed: true, Tick: 1.0,
 		ConnectTimeout: 2000.0, IdleTimeout: 30000.0, RequestsPerCall: 2, StreamsPerConnection: 4,
@@ -66,10 +66,10 @@
 	if change != nil {
 		change(settings)
 	}
-	d := &desk{picker: dispatch.New(1, settings, quiet()), reports: make(chan report, 100), samples: make(chan gather.HealthCheckResult, 100)}
+	d := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100), checks: make(chan gather.HealthCheckResult, 100)}
 	setUp(d.picker)
-	d.Pool = New(settings, 100, d, quiet())
-	d.list(address, gather.Running)
+	d.Pool = New(settings, 100, d, discardLog())
+	d.setEndpoint(address, gather.Running)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go func() {
@@ -78,25 +78,25 @@
 			if err != nil {
 				return
 			}
-			d.Carry(orders)
+			d.Execute(orders)
 		}
 	}()
 	return d
 }
 
-func (d *desk) list(address string, state gather.State) {
-	d.Follow([]Address{{ID: 7, HostPort: address, State: state}})
+func (d *harness) setEndpoint(address string, state gather.State) {
+	d.SetEndpoints([]Address{{ID: 7, HostPort: address, State: state}})
 	d.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: state}}})
 }
 
-func (d *desk) sockets() int {
+func (d *harness) openConnections() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.open
+	return d.openConns
 }
 
-// ask sends a lookup of so many parts on its way and gives back how it will end.
-func (d *desk) ask(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Result {
+// submit sends a lookup of so many parts on its way and gives back how it will end.
+func (d *harness) submit(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Result {
 	lk := &dispatch.Query{ID: id, Class: "i", Deadline: d.picker.Now() + wait, Payload: []byte("text of " + id)}
 	for shard := range parts {
 		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(parts)})
@@ -106,15 +106,15 @@
 	return done
 }
 
-func (d *desk) want(t *testing.T, id string, outcome gather.Outcome) {
+func (d *harness) expectResult(t *testing.T, id string, outcome gather.Outcome) {
 	t.Helper()
-	if got := <-d.reports; got.id != id || got.outcome != outcome {
+	if got := <-d.results; got.id != id || got.outcome != outcome {
 		t.Errorf("%s ended as %d, want %s as %d", got.id, got.outcome, id, outcome)
 	}
 }
 
-// TestStages breaks a call at each stage. What it proves about having run is the rule against two effects.
-func TestStages(t *testing.T) {
+// TestAttemptEndsAtItsStageWithTheOutcomeThatItProves breaks a call at each stage. What it proves about having run is the rule against two effects.
+func TestAttemptEndsAtItsStageWithTheOutcomeThatItProves(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		act    func(c *standin.Conn, id string)
@@ -143,8 +143,8 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newDesk(t, shard.Address(), nil)
-			done := d.ask(t.Context(), "a", 1, 2000)
+			d := newHarness(t, shard.Address(), nil)
+			done := d.submit(t.Context(), "a", 1, 2000)
 			conn := shard.Take()
 			f := conn.Read()
 			if len(f.Parts) != 1 || f.Parts[0].ID != "a.0" || f.Parts[0].Text != "text of a" ||
@@ -152,7 +152,7 @@
 				t.Fatalf("frame %+v", f)
 			}
 			c.act(conn, "a.0")
-			d.want(t, "a.0", c.want)
+			d.expectResult(t, "a.0", c.want)
 			v := <-done
 			if (v.Kind == dispatch.Served) != (c.want == gather.Succeeded) {
 				t.Errorf("verdict %+v", v)
@@ -163,7 +163,7 @@
 			if c.broken {
 				return
 			}
-			done = d.ask(t.Context(), "b", 1, 2000)
+			done = d.submit(t.Context(), "b", 1, 2000)
 			if f := conn.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
 				t.Errorf("the connection was not used again: %+v", f)
 			}
@@ -175,20 +175,20 @@
 	}
 }
 
-// TestMoreThanAsked has a good answer bring what does not belong to it. The answer counts, and so must the next
+// TestBytesBehindAnAnswerDoNotAffectTheNextCall has a good answer bring what does not belong to it. The answer counts, and so must the next
 // call's: what can't be read would end the connection under it.
-func TestMoreThanAsked(t *testing.T) {
+func TestBytesBehindAnAnswerDoNotAffectTheNextCall(t *testing.T) {
 	for _, more := range []string{"\x81\xfe\x7b\x5d\xe7", "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"} {
 		shard := standin.NewShard(t)
-		d := newDesk(t, shard.Address(), nil)
-		done := d.ask(t.Context(), "a", 1, 2000)
+		d := newHarness(t, shard.Address(), nil)
+		done := d.submit(t.Context(), "a", 1, 2000)
 		conn := shard.Take()
 		conn.Read()
 		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+more) // in one write
 		if v := <-done; v.Kind != dispatch.Served {
 			t.Errorf("verdict %+v", v)
 		}
-		done = d.ask(t.Context(), "b", 1, 2000)
+		done = d.submit(t.Context(), "b", 1, 2000)
 		next := shard.Take()
 		if f := next.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
 			t.Errorf("frame %+v on the next connection", f)
@@ -203,16 +203,16 @@
 	}
 }
 
-// TestCopy wants a second copy of an answer, or one for a part given up, to spoil nothing of the next call.
-func TestCopy(t *testing.T) {
+// TestRepeatedAnswerDoesNotAffectTheNextCall wants a second copy of an answer, or one for a part given up, to spoil nothing of the next call.
+func TestRepeatedAnswerDoesNotAffectTheNextCall(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), nil)
-	done := d.ask(t.Context(), "a", 1, 2000)
+	d := newHarness(t, shard.Address(), nil)
+	done := d.submit(t.Context(), "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	<-done
-	done = d.ask(t.Context(), "b", 1, 2000)
+	done = d.submit(t.Context(), "b", 1, 2000)
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	conn.Answer("b.0", "ok", "w")
@@ -221,87 +221,87 @@
 	}
 }
 
-// TestExpect bounds the names of parts that were given up and never answered.
-func TestExpect(t *testing.T) {
-	c := &conn{pool: &Pool{memory: time.Nanosecond}}
+// TestLateAnswerIDsAreBounded bounds the names of parts that were given up and never answered.
+func TestLateAnswerIDsAreBounded(t *testing.T) {
+	c := &conn{pool: &Pool{lateAnswerWindow: time.Nanosecond}}
 	for range 1000 {
-		c.expect(time.Now().String())
+		c.expectLateAnswer(time.Now().String())
 		time.Sleep(2 * time.Nanosecond)
 	}
-	if n := len(c.late) + len(c.older); n > 10 {
+	if n := len(c.lateIDs) + len(c.olderLateIDs); n > 10 {
 		t.Errorf("%d names kept", n)
 	}
 }
 
-// TestSpare guards against connections that each hold on to the largest frame that they ever carried.
-func TestSpare(t *testing.T) {
+// TestReadFrameDropsLargeBuffers guards against connections that each hold on to the largest frame that they ever carried.
+func TestReadFrameDropsLargeBuffers(t *testing.T) {
 	big := append([]byte{0, 0, 1, 0, 'A'}, make([]byte, 1<<16-1)...)
 	r := bufio.NewReader(bytes.NewReader(append(big, 1, 0, 0, 0, 'P')))
 	_, _, kept, err := readFrame(r, nil)
 	if err != nil || len(kept) != 1<<16 {
 		t.Fatalf("%d bytes, %v", len(kept), err)
 	}
-	if letter, _, kept, err := readFrame(r, kept); letter != 'P' || cap(kept) > mostSpare || err != nil {
+	if letter, _, kept, err := readFrame(r, kept); letter != 'P' || cap(kept) > maxSpareBuffer || err != nil {
 		t.Errorf("letter %q, %d bytes kept, %v", letter, cap(kept), err)
 	}
 }
 
-func TestRefused(t *testing.T) {
+func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
 	shard := standin.NewShard(t)
 	shard.Close()
-	d := newDesk(t, shard.Address(), nil)
-	done := d.ask(t.Context(), "a", 1, 2000)
-	d.want(t, "a.0", gather.ConnectFailed)
+	d := newHarness(t, shard.Address(), nil)
+	done := d.submit(t.Context(), "a", 1, 2000)
+	d.expectResult(t, "a.0", gather.ConnectFailed)
 	if v := <-done; v.Kind != dispatch.Rejected {
 		t.Errorf("verdict %+v: it never ran, so that the client may come again", v)
 	}
 }
 
-// pipe gives the server a connection over a pipe, which takes just as many bytes as are read.
-func (d *desk) pipe() net.Conn {
+// connectByPipe gives the server a connection over a pipe, which takes just as many bytes as are read.
+func (d *harness) connectByPipe() net.Conn {
 	ours, theirs := net.Pipe()
 	d.dial = func(string) (net.Conn, error) { return ours, nil }
 	return theirs
 }
 
-// TestHalfWritten guards against calling a frame that went out in part one that may have run, and against
+// TestPartlyWrittenFrameNeverRan guards against calling a frame that went out in part one that may have run, and against
 // calling one that went out whole one that never ran.
-func TestHalfWritten(t *testing.T) {
+func TestPartlyWrittenFrameNeverRan(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		whole bool
 		want  gather.Outcome
 	}{{"broken before the last byte", false, gather.ConnectFailed}, {"broken after it", true, gather.ConnectionReset}} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
-			theirs := d.pipe()
-			d.ask(t.Context(), "a", 1, 2000)
+			d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
+			theirs := d.connectByPipe()
+			d.submit(t.Context(), "a", 1, 2000)
 			head := make([]byte, 5)
 			io.ReadFull(theirs, head)
 			if c.whole {
 				io.ReadFull(theirs, make([]byte, int(head[0])-1))
 			}
 			theirs.Close()
-			d.want(t, "a.0", c.want)
+			d.expectResult(t, "a.0", c.want)
 		})
 	}
 }
 
-// TestStuck guards against an answer that waits for a server that has stopped reading: the frame that is being
+// TestQueryEndDoesNotWaitForServerThatStoppedReading guards against an answer that waits for a server that has stopped reading: the frame that is being
 // written when its lookup ends is broken off. Where the call's end waits for the server to be told, it ends as what that
 // proves: a frame that went out in part was never used.
-func TestStuck(t *testing.T) {
+func TestQueryEndDoesNotWaitForServerThatStoppedReading(t *testing.T) {
 	for _, c := range []struct {
 		callOff, copies bool
 		want            gather.Outcome
 	}{{true, true, gather.Cancelled}, {true, false, gather.ConnectFailed}, {false, false, gather.ConnectFailed}} {
-		d := newDesk(t, "127.0.0.1:1", func(s *gather.Settings) {
+		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.CancelAllowed = c.callOff
 			s.HedgingAllowed = c.copies
 		})
-		theirs := d.pipe()
+		theirs := d.connectByPipe()
 		ctx, leave := context.WithCancel(t.Context())
-		done := d.ask(ctx, "a", 1, 60000)
+		done := d.submit(ctx, "a", 1, 60000)
 		io.ReadFull(theirs, make([]byte, 3))
 		leave()
 		select {
@@ -309,16 +309,16 @@
 		case <-time.After(10 * time.Second):
 			t.Fatal("the lookup's end waits for the server")
 		}
-		d.want(t, "a.0", c.want)
+		d.expectResult(t, "a.0", c.want)
 	}
 }
 
-// TestFrames looks at what travels together: parts of one turn, up to the number in the terms, on as few
+// TestRequestsOfOneRoundShareFrames looks at what travels together: parts of one turn, up to the number in the terms, on as few
 // connections as have room.
-func TestFrames(t *testing.T) {
+func TestRequestsOfOneRoundShareFrames(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), nil)
-	done := d.ask(t.Context(), "a", 6, 2000)
+	d := newHarness(t, shard.Address(), nil)
+	done := d.submit(t.Context(), "a", 6, 2000)
 	frames := make(chan standin.Frame, 3)
 	for range 2 {
 		conn := shard.Take()
@@ -344,25 +344,25 @@
 	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Served || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
 		t.Errorf("asked %v, verdict %+v", seen, v)
 	}
-	if n := d.sockets(); n != 2 {
+	if n := d.openConnections(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// TestForbidden holds a call back while its connection is set up and makes it forbidden meanwhile.
-func TestForbidden(t *testing.T) {
+// TestAttemptForbiddenWhileConnectingIsNotSent holds a call back while its connection is set up and makes it forbidden meanwhile.
+func TestAttemptForbiddenWhileConnectingIsNotSent(t *testing.T) {
 	for _, c := range []struct {
 		name   string
-		forbid func(d *desk, leave func())
+		forbid func(d *harness, leave func())
 	}{
-		{"client has gone", func(_ *desk, leave func()) { leave() }},
-		{"server drains", func(d *desk, _ func()) { d.list(d.servers[7].HostPort, gather.Draining) }},
+		{"client has gone", func(_ *harness, leave func()) { leave() }},
+		{"server drains", func(d *harness, _ func()) { d.setEndpoint(d.servers[7].HostPort, gather.Draining) }},
 		// Where it was, another may be by now, which does not hold the shard.
-		{"server moves", func(d *desk, _ func()) { d.list("127.0.0.1:1", gather.Running) }},
+		{"server moves", func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Running) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newDesk(t, shard.Address(), nil)
+			d := newHarness(t, shard.Address(), nil)
 			ctx, leave := context.WithCancel(t.Context())
 			decided, hold := make(chan struct{}), make(chan struct{})
 			var once sync.Once
@@ -371,16 +371,16 @@
 				<-hold
 				return net.Dial("tcp", address)
 			}
-			done := d.ask(ctx, "a", 1, 2000)
+			done := d.submit(ctx, "a", 1, 2000)
 			<-decided // and waits for its connection
 			c.forbid(d, leave)
 			if c.name == "client has gone" {
 				<-done
 			}
 			close(hold)
-			d.want(t, "a.0", gather.NotSent)
-			d.list(shard.Address(), gather.Running)
-			d.ask(t.Context(), "b", 1, 2000)
+			d.expectResult(t, "a.0", gather.NotSent)
+			d.setEndpoint(shard.Address(), gather.Running)
+			d.submit(t.Context(), "b", 1, 2000)
 			f := shard.Take().Read()
 			for f.Letter == 0 {
 				f = shard.Take().Read()
@@ -393,74 +393,74 @@
 	}
 }
 
-// TestGivenUp wants the shard server told, the call ended at once, and a late answer ignored.
-func TestGivenUp(t *testing.T) {
+// TestCancelledAttemptEndsAtOnceAndNotifiesServer wants the shard server told, the call ended at once, and a late answer ignored.
+func TestCancelledAttemptEndsAtOnceAndNotifiesServer(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), nil)
+	d := newHarness(t, shard.Address(), nil)
 	ctx, leave := context.WithCancel(t.Context())
-	done := d.ask(ctx, "a", 1, 2000)
+	done := d.submit(ctx, "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
 	leave()
 	if v := <-done; v.Kind != dispatch.Abandoned {
 		t.Errorf("verdict %+v", v)
 	}
-	d.want(t, "a.0", gather.Cancelled)
+	d.expectResult(t, "a.0", gather.Cancelled)
 	if f := conn.Read(); f.Letter != 'X' || f.Body != "a.0" {
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.0", "ok", "late")
-	done = d.ask(t.Context(), "b", 1, 2000)
+	done = d.submit(t.Context(), "b", 1, 2000)
 	conn.Read()
 	conn.Answer("b.0", "ok", "v")
-	d.want(t, "b.0", gather.Succeeded)
+	d.expectResult(t, "b.0", gather.Succeeded)
 	if v := <-done; len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
 		t.Errorf("verdict %+v", v)
 	}
 }
 
-// TestSilent wants an answer that never comes to end in time, and the next call on a new connection: the old
+// TestUnansweredAttemptTimesOutAndNextUsesNewConnection wants an answer that never comes to end in time, and the next call on a new connection: the old
 // one may lead to a machine that has vanished.
-func TestSilent(t *testing.T) {
+func TestUnansweredAttemptTimesOutAndNextUsesNewConnection(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
 		s.Tick = 1.0
 		s.FindClass("i").LatencyObjective = 20.0
 	})
-	done := d.ask(t.Context(), "a", 1, 60)
+	done := d.submit(t.Context(), "a", 1, 60)
 	shard.Take().Read()
 	if v := <-done; v.Kind != dispatch.Failed {
 		t.Errorf("verdict %+v: it may have run", v)
 	}
-	d.ask(t.Context(), "b", 1, 2000)
+	d.submit(t.Context(), "b", 1, 2000)
 	if f := shard.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
 }
 
-// TestSilentSoon wants that well before the soft deadline: what goes out meanwhile is lost on the same connection.
-func TestSilentSoon(t *testing.T) {
+// TestSilentConnectionIsReplacedBeforeTheLatencyObjective wants that well before the soft deadline: what goes out meanwhile is lost on the same connection.
+func TestSilentConnectionIsReplacedBeforeTheLatencyObjective(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 500.0 })
-	done := d.ask(t.Context(), "a", 1, 300)
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 500.0 })
+	done := d.submit(t.Context(), "a", 1, 300)
 	shard.Take().Read()
 	<-done
-	d.ask(t.Context(), "b", 1, 2000)
+	d.submit(t.Context(), "b", 1, 2000)
 	shard.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	if f := shard.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
 }
 
-// TestIdle wants a connection closed before the shard server's own idle limit, against a call that is
+// TestIdleConnectionClosesBeforeTheServersLimit wants a connection closed before the shard server's own idle limit, against a call that is
 // written into its close.
-func TestIdle(t *testing.T) {
+func TestIdleConnectionClosesBeforeTheServersLimit(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) {
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
 		s.IdleTimeout = 1000.0
 		s.ConnectTimeout = 800.0
 	})
-	done := d.ask(t.Context(), "a", 1, 2000)
+	done := d.submit(t.Context(), "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
@@ -469,26 +469,26 @@
 	if f := conn.Read(); f.Letter != 0 || time.Since(start) > 900*time.Millisecond {
 		t.Errorf("frame %+v after %v", f, time.Since(start))
 	}
-	if n := d.sockets(); n != 0 {
+	if n := d.openConnections(); n != 0 {
 		t.Errorf("%d connections left", n)
 	}
 }
 
-// TestMostSockets wants an idle connection closed for a new one where as many are open as the process may have.
-func TestMostSockets(t *testing.T) {
+// TestIdleConnectionClosesForANewOneAtTheLimit wants an idle connection closed for a new one where as many are open as the process may have.
+func TestIdleConnectionClosesForANewOneAtTheLimit(t *testing.T) {
 	one, two := standin.NewShard(t), standin.NewShard(t)
-	d := newDesk(t, one.Address(), nil)
-	d.most = 1
-	done := d.ask(t.Context(), "a", 1, 2000)
+	d := newHarness(t, one.Address(), nil)
+	d.maxConns = 1
+	done := d.submit(t.Context(), "a", 1, 2000)
 	conn := one.Take()
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	<-done
-	d.Follow([]Address{{ID: 7, HostPort: one.Address()}, {ID: 8, HostPort: two.Address()}})
+	d.SetEndpoints([]Address{{ID: 7, HostPort: one.Address()}, {ID: 8, HostPort: two.Address()}})
 	d.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
-	d.ask(t.Context(), "b", 1, 2000)
+	d.submit(t.Context(), "b", 1, 2000)
 	two.Take().Read()
-	if n := d.sockets(); n != 1 {
+	if n := d.openConnections(); n != 1 {
 		t.Fatalf("%d connections", n)
 	}
 	if f := conn.Read(); f.Letter != 0 {
@@ -496,15 +496,15 @@
 	}
 }
 
-// TestMoved wants a server that is found elsewhere reached there, and one that has gone left alone.
-func TestMoved(t *testing.T) {
+// TestServerWithNewAddressIsReachedThere wants a server that is found elsewhere reached there, and one that has gone left alone.
+func TestServerWithNewAddressIsReachedThere(t *testing.T) {
 	before, after := standin.NewShard(t), standin.NewShard(t)
-	d := newDesk(t, before.Address(), nil)
-	done := d.ask(t.Context(), "a", 1, 2000)
+	d := newHarness(t, before.Address(), nil)
+	done := d.submit(t.Context(), "a", 1, 2000)
 	conn := before.Take()
 	conn.Read()
-	d.list(after.Address(), gather.Running)
-	d.ask(t.Context(), "b", 1, 2000)
+	d.setEndpoint(after.Address(), gather.Running)
+	d.submit(t.Context(), "b", 1, 2000)
 	if f := after.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
@@ -517,12 +517,12 @@
 	}
 }
 
-func TestOutcome(t *testing.T) {
+func TestOutcomeOfEachStageSaysWhetherItMayHaveRun(t *testing.T) {
 	if got := Outcome(io.EOF); got != gather.ConnectionReset {
 		t.Errorf("an error without a stage is %d; it may have run", got)
 	}
-	unrun := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, TurnedAway: true, NotOwned: true}
-	for s := range stageNumber {
+	unrun := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, Rejected: true, NotOwner: true}
+	for s := range stageCount {
 		if got := Outcome(&Error{s, io.EOF}); got.NeverExecuted() != unrun[s] || got == gather.Succeeded {
 			t.Errorf("stage %d is outcome %d", s, got)
 		}
--- a/internal/gatherer/shardcall/probe.go
+++ b/internal/gatherer/shardcall/probe.go
@@ -8,50 +8,50 @@
 	"yokeroute/gather"
 )
 
-// mostAsked bounds the probes that a connection owes an answer to: on one that never answers them they would
+// maxPendingChecks bounds the probes that a connection owes an answer to: on one that never answers them they would
 // pile up, as their answers bear no name and go by their order.
-const mostAsked = 32
+const maxPendingChecks = 32
 
-// probe is a question for a server's load, between its decision and its end.
-type probe struct {
-	server uint32
-	at     time.Time
-	on     *conn
-	timer  *time.Timer
-	over   bool
+// healthCheck is a question for a server's load, between its decision and its end.
+type healthCheck struct {
+	server    uint32
+	startedAt time.Time
+	conn      *conn
+	timeout   *time.Timer
+	finished  bool
 }
 
-// inquire sends a server a question for its load. It goes by a connection that calls use; a server that has none
+// startHealthCheck sends a server a question for its load. It goes by a connection that calls use; a server that has none
 // gets one. What is not answered in the time of a connect has failed. The lock is held.
-func (p *Pool) inquire(id uint32) {
-	pr := &probe{server: id, at: time.Now()}
+func (p *Pool) startHealthCheck(id uint32) {
+	pr := &healthCheck{server: id, startedAt: time.Now()}
 	s := p.servers[id]
 	if s == nil || s.State != gather.Running {
-		p.told(pr, nil)
+		p.finishHealthCheck(pr, nil)
 		return
 	}
 	c := p.connFor(s, 1)
-	pr.timer = time.AfterFunc(p.connectTime, func() {
+	pr.timeout = time.AfterFunc(p.connectTimeout, func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.told(pr, nil)
+		p.finishHealthCheck(pr, nil)
 	})
-	c.enqueue(frame{probe: pr})
+	c.enqueue(outgoing{check: pr})
 }
 
-// told ends a probe, once, with the report that came or nil. The lock is held.
-func (p *Pool) told(pr *probe, report []byte) {
-	if pr.over {
+// finishHealthCheck ends a probe, once, with the report that came or nil. The lock is held.
+func (p *Pool) finishHealthCheck(pr *healthCheck, report []byte) {
+	if pr.finished {
 		return
 	}
-	pr.over = true
-	if pr.timer != nil {
-		pr.timer.Stop()
+	pr.finished = true
+	if pr.timeout != nil {
+		pr.timeout.Stop()
 	}
-	if pr.on != nil {
-		pr.on.free()
+	if pr.conn != nil {
+		pr.conn.release()
 	}
-	smp := gather.HealthCheckResult{Server: pr.server, Elapsed: float64(time.Since(pr.at)) / 1e6, Succeeded: report != nil, QueueLength: -1, Latency: -1}
+	smp := gather.HealthCheckResult{Server: pr.server, Elapsed: float64(time.Since(pr.startedAt)) / 1e6, Succeeded: report != nil, QueueLength: -1, Latency: -1}
 	if string(report) == "err" {
 		smp.Succeeded = false
 	}
@@ -71,27 +71,27 @@
 	p.reporter.ReportHealthCheck(smp)
 }
 
-// question writes a probe that still waits for its answer; false where there is nothing to write.
-func (c *conn) question(pr *probe) bool {
+// beginHealthCheck writes a probe that still waits for its answer; false where there is nothing to write.
+func (c *conn) beginHealthCheck(pr *healthCheck) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if pr.over || c.closed {
-		c.pool.told(pr, nil)
+	if pr.finished || c.closed {
+		c.pool.finishHealthCheck(pr, nil)
 		return false
 	}
-	c.asked = append(c.asked, pr)
+	c.pendingChecks = append(c.pendingChecks, pr)
 	return true
 }
 
-// replied gives the oldest probe its answer; one that nobody asked for says nothing.
-func (c *conn) replied(report []byte) {
+// handleLoadReport gives the oldest probe its answer; one that nobody asked for says nothing.
+func (c *conn) handleLoadReport(report []byte) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	if len(c.asked) == 0 {
+	if len(c.pendingChecks) == 0 {
 		return
 	}
-	pr := c.asked[0]
-	c.asked = c.asked[1:]
-	c.quiet, c.since = 0, time.Now()
-	c.pool.told(pr, report)
+	pr := c.pendingChecks[0]
+	c.pendingChecks = c.pendingChecks[1:]
+	c.silentBefore, c.silentSince = 0, time.Now()
+	c.pool.finishHealthCheck(pr, report)
 }
--- a/internal/gatherer/shardcall/probe_test.go
+++ b/internal/gatherer/shardcall/probe_test.go
@@ -8,14 +8,14 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// load asks for a load and gives back what came of it.
-func (d *desk) load() gather.HealthCheckResult {
-	d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
-	return <-d.samples
+// checkHealth asks for a load and gives back what came of it.
+func (d *harness) checkHealth() gather.HealthCheckResult {
+	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
+	return <-d.checks
 }
 
-// TestLoad: what a server tells of its load, and what is made of words that can't be read.
-func TestLoad(t *testing.T) {
+// TestLoadReportIsParsed: what a server tells of its load, and what is made of words that can't be read.
+func TestLoadReportIsParsed(t *testing.T) {
 	for _, c := range []struct {
 		told             string
 		passed           bool
@@ -30,7 +30,7 @@
 	} {
 		t.Run(c.told, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newDesk(t, shard.Address(), nil)
+			d := newHarness(t, shard.Address(), nil)
 			go func() {
 				conn := shard.Take()
 				if f := conn.Read(); f.Letter != 'L' || f.Body != "" {
@@ -38,25 +38,25 @@
 				}
 				conn.Write('L', c.told)
 			}()
-			if s := d.load(); s.Server != 7 || s.Succeeded != c.passed || s.QueueLength != c.waiting || s.Latency != c.latency || s.Elapsed <= 0 {
+			if s := d.checkHealth(); s.Server != 7 || s.Succeeded != c.passed || s.QueueLength != c.waiting || s.Latency != c.latency || s.Elapsed <= 0 {
 				t.Errorf("%+v", s)
 			}
 		})
 	}
 }
 
-// TestLoadNever: a probe ends once where the server is not there, not on the list, silent, or breaks off; a late
+// TestHealthCheckEndsOnceWithoutAnAnswer: a probe ends once where the server is not there, not on the list, silent, or breaks off; a late
 // answer is not taken for the next one's.
-func TestLoadNever(t *testing.T) {
+func TestHealthCheckEndsOnceWithoutAnAnswer(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
 	conns := make(chan *standin.Conn, 2)
 	go func() { conns <- shard.Take() }()
-	if s := d.load(); s.Succeeded {
+	if s := d.checkHealth(); s.Succeeded {
 		t.Errorf("silent: %+v", s)
 	}
 	conn := <-conns
-	d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
+	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 	for range 2 {
 		if f := conn.Read(); f.Letter != 'L' {
 			t.Fatalf("frame %+v", f)
@@ -64,47 +64,47 @@
 	}
 	conn.Write('L', "queue=1,latency_ms=1")
 	conn.Write('L', "queue=2,latency_ms=2")
-	if s := <-d.samples; s.Succeeded && s.QueueLength != 2 {
+	if s := <-d.checks; s.Succeeded && s.QueueLength != 2 {
 		t.Errorf("an answer that was too late counts for the next: %+v", s)
 	}
-	d.Carry(dispatch.Actions{CheckHealth: []uint32{7}})
+	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 	conn.Read()
 	conn.Close()
-	if s := <-d.samples; s.Succeeded {
+	if s := <-d.checks; s.Succeeded {
 		t.Errorf("cut: %+v", s)
 	}
 	shard.Close()
-	if s := d.load(); s.Succeeded {
+	if s := d.checkHealth(); s.Succeeded {
 		t.Errorf("unreached: %+v", s)
 	}
-	d.list(shard.Address(), gather.Draining)
-	if s := d.load(); s.Succeeded {
+	d.setEndpoint(shard.Address(), gather.Draining)
+	if s := d.checkHealth(); s.Succeeded {
 		t.Errorf("draining: %+v", s)
 	}
-	if len(d.samples) > 0 {
-		t.Errorf("told twice: %+v", <-d.samples)
+	if len(d.checks) > 0 {
+		t.Errorf("told twice: %+v", <-d.checks)
 	}
 }
 
-// TestLoadPiles: a connection that never answers probes is left for a new one before they pile up.
-func TestLoadPiles(t *testing.T) {
+// TestConnectionWithUnansweredChecksIsReplaced: a connection that never answers probes is left for a new one before they pile up.
+func TestConnectionWithUnansweredChecksIsReplaced(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newDesk(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
+	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		shard.Take()
 		shard.Take()
 	}()
-	for range mostAsked + 1 {
-		d.load()
+	for range maxPendingChecks + 1 {
+		d.checkHealth()
 	}
 	<-done
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for _, c := range d.servers[7].conns {
-		if len(c.asked) > mostAsked {
-			t.Errorf("%d answers are owed", len(c.asked))
+		if len(c.pendingChecks) > maxPendingChecks {
+			t.Errorf("%d answers are owed", len(c.pendingChecks))
 		}
 	}
 }
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -113,7 +113,7 @@
 	}
 	d.service.Picker.ObserveDecisions(counter{d})
 	for _, m := range machines {
-		id := discovery.Number(m.Name)
+		id := discovery.ServerID(m.Name)
 		d.names[id] = m.Name
 		d.ids = append(d.ids, id)
 	}
@@ -164,7 +164,7 @@
 	defer d.mu.Unlock()
 	var list []Machine
 	for _, m := range d.Fleet.Machines {
-		v, listed := views[discovery.Number(m.Name)]
+		v, listed := views[discovery.ServerID(m.Name)]
 		if !listed {
 			v.State = gather.Removed
 		}
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -145,13 +145,13 @@
 		machines = append(machines, experiment.Machine{Name: name, Hall: sc.Halls[m.Hall], Kind: m.Kind.Name, Group: m.Set,
 			Terms: shards.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
 				Brief: sc.Indexes[0].Work * 0.1, Keeps: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
-		f.truth.Servers[discovery.Number(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
+		f.truth.Servers[discovery.ServerID(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
 	}
 	if f.Fleet, err = experiment.StartFleet(machines); err != nil {
 		return nil, err
 	}
 	for name, s := range f.Servers {
-		id := discovery.Number(name)
+		id := discovery.ServerID(name)
 		s.Watch(func(seen shards.Seen) { f.see(id, seen) })
 	}
 	if err = f.layStewards(); err != nil {
--- a/internal/testbed/processtest/stewards.go
+++ b/internal/testbed/processtest/stewards.go
@@ -230,7 +230,7 @@
 func (f *Fleet) Sends() (all []Send, err error) {
 	names := map[uint32]string{}
 	for name := range f.Servers {
-		names[discovery.Number(name)] = name
+		names[discovery.ServerID(name)] = name
 	}
 	sources, done, err := f.sources()
 	defer done()
--- a/internal/testbed/scale/connections.go
+++ b/internal/testbed/scale/connections.go
@@ -134,7 +134,7 @@
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), ReplicaSet: i})
 		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: i, Weight: 1 / float64(count)})
 	}
-	pool.Follow(addresses)
+	pool.SetEndpoints(addresses)
 	picker.UpdateEndpoints(list)
 	ctx, stop := context.WithTimeout(ctx, connectionWait)
 	defer stop()
@@ -144,7 +144,7 @@
 			if err != nil {
 				return
 			}
-			pool.Carry(orders)
+			pool.Execute(orders)
 		}
 	}()
 	if v := picker.Pick(ctx, lk); v.Kind != dispatch.Served {
--- a/internal/testbed/standin/owners/owners.go
+++ b/internal/testbed/standin/owners/owners.go
@@ -372,7 +372,7 @@
 	changes []ownership.Change
 	news    chan struct{}
 	silent  bool
-	twist   func(r *segments.Reply) *segments.Reply // what is told in place of the truth, nil for the truth
+	twist   func(r *segments.Response) *segments.Response // what is told in place of the truth, nil for the truth
 }
 
 // Start starts an authority over hosts, with a first map, which the hosts are told.
@@ -431,7 +431,7 @@
 }
 
 // Twist changes what it tells: nil tells the truth again.
-func (a *Authority) Twist(twist func(r *segments.Reply) *segments.Reply) {
+func (a *Authority) Twist(twist func(r *segments.Response) *segments.Response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.twist = twist
@@ -519,9 +519,9 @@
 	for {
 		a.mu.Lock()
 		silent, news, twist := a.silent, a.news, a.twist
-		reply := &segments.Reply{}
+		reply := &segments.Response{}
 		if after == 0 || len(a.changes) > 0 && after+1 < a.changes[0].Epoch {
-			reply.Whole = a.m
+			reply.Full = a.m
 		} else {
 			for _, c := range a.changes {
 				if c.Epoch > after {
@@ -537,14 +537,14 @@
 		if twist != nil {
 			reply = twist(reply)
 		}
-		if reply.Whole != nil || len(reply.Changes) > 0 {
-			w.Write(reply.Text())
+		if reply.Full != nil || len(reply.Changes) > 0 {
+			w.Write(reply.Encode())
 			return
 		}
 		select {
 		case <-news:
 		case <-until:
-			w.Write(reply.Text())
+			w.Write(reply.Encode())
 			return
 		case <-r.Context().Done():
 			return
