--- a/internal/control/segments/kept_test.go
+++ b/internal/control/segments/kept_test.go
@@ -57,8 +57,8 @@
 	return changes
 }
 
-// TestKeptReplies reads the authority's replies as they were kept, and writes the same values to the same bytes.
-func TestKeptReplies(t *testing.T) {
+// TestKeptResponsesAreReadAndWrittenAsBefore reads the authority's replies as they were kept, and writes the same values to the same bytes.
+func TestKeptResponsesAreReadAndWrittenAsBefore(t *testing.T) {
 	for name, want := range map[string]*Response{
 		"whole.json":   {Full: keptMap(t)},
 		"changes.json": {Changes: keptChanges(t)},
@@ -93,8 +93,8 @@
 	}
 }
 
-// TestKeptMapFile reads a map file in all forms that operators write, and writes the same map to the same bytes.
-func TestKeptMapFile(t *testing.T) {
+// TestKeptMapFilesAreReadAndWrittenAsBefore reads a map file in all forms that operators write, and writes the same map to the same bytes.
+func TestKeptMapFilesAreReadAndWrittenAsBefore(t *testing.T) {
 	for _, name := range []string{"by-hand.conf", "written.conf"} {
 		got, shards, err := ReadMap(filepath.Join("testdata", "kept", name))
 		if err != nil || shards != 18 || !reflect.DeepEqual(got, keptMap(t)) {
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -19,11 +19,11 @@
 	"yokeroute/logic/ownership"
 )
 
-const good = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
+const validMapFile = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
 
-// TestMapFile: a map file reads as it is written, and each mistake is one message with its place.
-func TestMapFile(t *testing.T) {
-	m, shards, err := ParseMap("m.conf", good)
+// TestMapFileFormatsAndErrors: a map file reads as it is written, and each mistake is one message with its place.
+func TestMapFileFormatsAndErrors(t *testing.T) {
+	m, shards, err := ParseMap("m.conf", validMapFile)
 	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestReplies: replies read as they are written; a bad one is refused whole, with the field.
-func TestReplies(t *testing.T) {
-	m, _, _ := ParseMap("m.conf", good)
+// TestResponsesAreCheckedAndNameTheField: replies read as they are written; a bad one is refused whole, with the field.
+func TestResponsesAreCheckedAndNameTheField(t *testing.T) {
+	m, _, _ := ParseMap("m.conf", validMapFile)
 	split, err := m.SplitSegment("a", 5, "c", "d")
 	if err != nil {
 		t.Fatal(err)
@@ -81,28 +81,28 @@
 	}
 }
 
-// picker keeps what it is told.
-type picker struct {
+// recordingReceiver keeps what it is told.
+type recordingReceiver struct {
 	mu     sync.Mutex
 	epochs []string
 	behind chan struct{}
 	told   chan bool
 }
 
-func (p *picker) add(text string) {
+func (p *recordingReceiver) add(text string) {
 	p.mu.Lock()
 	p.epochs = append(p.epochs, text)
 	p.mu.Unlock()
 	p.told <- true
 }
-func (p *picker) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
-func (p *picker) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
-func (p *picker) MapRequested() <-chan struct{}     { return p.behind }
+func (p *recordingReceiver) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
+func (p *recordingReceiver) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
+func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.behind }
 
-// TestFollows: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
+// TestWatcherRequestsFullMapThenChanges: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
 // a watch waits; through an authority that fails and one that sends what can't be read.
-func TestFollows(t *testing.T) {
-	m, _, _ := ParseMap("m.conf", good)
+func TestWatcherRequestsFullMapThenChanges(t *testing.T) {
+	m, _, _ := ParseMap("m.conf", validMapFile)
 	next, err := m.MoveSegment("a", []string{"h-9"})
 	if err != nil {
 		t.Fatal(err)
@@ -133,7 +133,7 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := &picker{behind: make(chan struct{}, 1), told: make(chan bool, 100)}
+	p := &recordingReceiver{behind: make(chan struct{}, 1), told: make(chan bool, 100)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
@@ -160,10 +160,10 @@
 	}
 }
 
-// FuzzParse reads whatever an authority sends; what is read and written again reads the same, and a follower takes it
+// FuzzParseResponse reads whatever an authority sends; what is read and written again reads the same, and a follower takes it
 // without harm.
-func FuzzParse(f *testing.F) {
-	m, _, _ := ParseMap("m.conf", good)
+func FuzzParseResponse(f *testing.F) {
+	m, _, _ := ParseMap("m.conf", validMapFile)
 	split, _ := m.SplitSegment("a", 5, "c", "d")
 	f.Add((&Response{Full: m, Changes: []ownership.Change{split}}).Encode())
 	f.Add([]byte(`{"whole":{"epoch":1,"sum":"0000000000000000","segments":[{"name":"a","keys":"0000000000000000-ffffffffffffffff"}]}}`))
@@ -190,9 +190,9 @@
 	})
 }
 
-// FuzzMap reads whatever stands in a map file.
-func FuzzMap(f *testing.F) {
-	f.Add(good)
+// FuzzParseMap reads whatever stands in a map file.
+func FuzzParseMap(f *testing.F) {
+	f.Add(validMapFile)
 	f.Add("epoch 1\nsegment \"a\" keys 0000000000000000-ffffffffffffffff\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		m, shards, err := ParseMap("m.conf", text)
--- a/internal/gatherer/discovery/crossings_test.go
+++ b/internal/gatherer/discovery/crossings_test.go
@@ -24,8 +24,8 @@
 
 // A list that goes quiet, is cut, comes late or is behind: each forced by the agent.
 
-// follow runs a follower of an agent until the test ends; what it tells comes on the channel.
-func follow(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
+// startWatcher runs a follower of an agent until the test ends; what it tells comes on the channel.
+func startWatcher(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
 	log := logrus.New()
@@ -44,8 +44,8 @@
 	return f, told
 }
 
-// next is the list told next, whatever failures come before it.
-func next(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
+// nextList is the list told next, whatever failures come before it.
+func nextList(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
@@ -60,17 +60,17 @@
 	}
 }
 
-// TestSlowAgent: the first call for the list is answered only once many more have been made: an agent that takes longer
+// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood: the first call for the list is answered only once many more have been made: an agent that takes longer
 // than a second for each. All of them were given up after a second, and nothing was ever learnt.
-func TestSlowAgent(t *testing.T) {
+func TestAgentSlowerThanTheHeaderTimeoutIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	slow := make(chan struct{})
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			select {
 			case <-slow:
-				io.WriteString(w, whole)
+				io.WriteString(w, fullDocument)
 			case <-r.Context().Done():
 			}
 		case n == 14:
@@ -80,17 +80,17 @@
 			<-r.Context().Done()
 		}
 	})
-	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestPieces: the list comes in pieces, one with each further call that is made, for longer than a second in all.
-func TestPieces(t *testing.T) {
+// TestListThatArrivesInPiecesIsUnderstood: the list comes in pieces, one with each further call that is made, for longer than a second in all.
+func TestListThatArrivesInPiecesIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
-	text := strings.Replace(whole, ",", ",\n  ", -1) // indented as well
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	text := strings.Replace(fullDocument, ",", ",\n  ", -1) // indented as well
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			piece <- struct{}{}
 			<-r.Context().Done()
@@ -108,16 +108,16 @@
 			}
 		}
 	})
-	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestOpenCalls: an agent that answers nothing holds a bounded number of calls.
-func TestOpenCalls(t *testing.T) {
+// TestFullListRequestsInFlightAreBounded: an agent that answers nothing holds a bounded number of calls.
+func TestFullListRequestsInFlightAreBounded(t *testing.T) {
 	var calls, open, most atomic.Int32
 	enough := make(chan struct{})
-	follow(t, func(w http.ResponseWriter, r *http.Request) {
+	startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if n := open.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -133,27 +133,27 @@
 	}
 }
 
-// TestCut: an answer that ends half-way teaches nothing, whether it has a length, comes in chunks or has neither and is
+// TestTruncatedAnswerIsDiscarded: an answer that ends half-way teaches nothing, whether it has a length, comes in chunks or has neither and is
 // reset, also right before its last byte. The list is asked for again at once.
-func TestCut(t *testing.T) {
+func TestTruncatedAnswerIsDiscarded(t *testing.T) {
 	for how, head := range map[string]string{
-		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(whole)),
-		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(whole)),
+		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(fullDocument)),
+		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(fullDocument)),
 		"none":   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
 		for _, reset := range []bool{false, true} {
-			for _, at := range []int{0, 1, len(whole) / 2, len(whole) - 1, len(whole)} {
-				if at == len(whole) && !(how == "none" && reset) {
+			for _, at := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
+				if at == len(fullDocument) && !(how == "none" && reset) {
 					continue // it is whole there, and what ends it says so
 				}
 				var calls atomic.Int32
-				_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+				_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 					if calls.Add(1) > 1 {
 						if r.URL.RawQuery != "" {
 							<-r.Context().Done()
 							return
 						}
-						io.WriteString(w, strings.Replace(whole, "41", "40", 1))
+						io.WriteString(w, strings.Replace(fullDocument, "41", "40", 1))
 						return
 					}
 					c, _, err := w.(http.Hijacker).Hijack()
@@ -161,7 +161,7 @@
 						t.Error(err)
 						return
 					}
-					io.WriteString(c, head+whole[:at])
+					io.WriteString(c, head+fullDocument[:at])
 					if reset {
 						c.(*net.TCPConn).SetLinger(0)
 					}
@@ -170,7 +170,7 @@
 				if l := <-told; !l.Failed || len(l.Endpoints) > 0 {
 					t.Errorf("%s, cut at %d, reset %v: told %+v", how, at, reset, l)
 				}
-				if l := next(t, told); len(l.Endpoints) != 2 {
+				if l := nextList(t, told); len(l.Endpoints) != 2 {
 					t.Errorf("%s, cut at %d: then told %+v", how, at, l)
 				}
 			}
@@ -178,16 +178,16 @@
 	}
 }
 
-// TestSilentWatch: a watch is taken and never answered, and a server begins to drain right then. It counts as told 6 s
+// TestDrainDuringASilentWatchIsNoticedInTime: a watch is taken and never answered, and a server begins to drain right then. It counts as told 6 s
 // after that.
-func TestSilentWatch(t *testing.T) {
+func TestDrainDuringASilentWatchIsNoticedInTime(t *testing.T) {
 	var calls atomic.Int32
 	silent := make(chan time.Time, 1)
-	drained := strings.Replace(strings.Replace(whole, "in_service", "terminating", 1), "41", "42", 1)
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	drained := strings.Replace(strings.Replace(fullDocument, "in_service", "terminating", 1), "41", "42", 1)
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		case n == 2:
 			silent <- time.Now()
 			<-r.Context().Done()
@@ -197,20 +197,20 @@
 			<-r.Context().Done()
 		}
 	})
-	next(t, told)
+	nextList(t, told)
 	from := <-silent
-	l := next(t, told)
+	l := nextList(t, told)
 	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
 		t.Errorf("told %+v after %v", l, time.Since(from))
 	}
 }
 
-// TestStalledWatch: a watch's answer begins and does not go on. The whole list is asked for instead.
-func TestStalledWatch(t *testing.T) {
+// TestStalledWatchFallsBackToTheFullList: a watch's answer begins and does not go on. The whole list is asked for instead.
+func TestStalledWatchFallsBackToTheFullList(t *testing.T) {
 	var calls atomic.Int32
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 2 {
-			io.WriteString(w, change[:len(change)/2])
+			io.WriteString(w, changeDocument[:len(changeDocument)/2])
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 			return
@@ -219,39 +219,39 @@
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, whole)
+		io.WriteString(w, fullDocument)
 	})
-	next(t, told)
-	if l := next(t, told); !l.Full {
+	nextList(t, told)
+	if l := nextList(t, told); !l.Full {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestOlderChange: a watch is answered with a change of a version before its own. It teaches nothing; the whole list is
+// TestChangeOfAnOlderRevisionIsDiscarded: a watch is answered with a change of a version before its own. It teaches nothing; the whole list is
 // asked for.
-func TestOlderChange(t *testing.T) {
+func TestChangeOfAnOlderRevisionIsDiscarded(t *testing.T) {
 	var calls atomic.Int32
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 2:
-			io.WriteString(w, strings.Replace(change, "43", "40", 1))
+			io.WriteString(w, strings.Replace(changeDocument, "43", "40", 1))
 		case r.URL.RawQuery == "":
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		default:
 			<-r.Context().Done()
 		}
 	})
-	next(t, told)
+	nextList(t, told)
 	if l := <-told; !l.Failed {
 		t.Errorf("told %+v", l)
 	}
-	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("then told %+v", l)
 	}
 }
 
-// TestRefused: nobody listens at the address, then one answers 503 for a while, then the list is there.
-func TestRefused(t *testing.T) {
+// TestUnreachableAgentIsPolledUntilItAnswers: nobody listens at the address, then one answers 503 for a while, then the list is there.
+func TestUnreachableAgentIsPolledUntilItAnswers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -277,27 +277,27 @@
 		switch {
 		case calls.Add(1) <= 20:
 			w.WriteHeader(http.StatusServiceUnavailable)
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		case r.URL.RawQuery == "":
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		default:
 			<-r.Context().Done()
 		}
 	})}
 	defer agent.Close()
 	go agent.Serve(l)
-	if l := next(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
+	if l := nextList(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
 		t.Errorf("told %+v after %d calls", l, calls.Load())
 	}
 }
 
-// TestMoveInSilence: SIGHUP moves the list while calls to an agent that is silent are open. The new one is asked at once,
+// TestSetAddressTakesEffectWhileRequestsAreUnanswered: SIGHUP moves the list while calls to an agent that is silent are open. The new one is asked at once,
 // and what the old one had told of drains holds where the new one is behind.
-func TestMoveInSilence(t *testing.T) {
+func TestSetAddressTakesEffectWhileRequestsAreUnanswered(t *testing.T) {
 	var calls atomic.Int32
 	open := make(chan struct{})
-	drained := strings.Replace(whole, "in_service", "terminating", 1)
-	f, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	drained := strings.Replace(fullDocument, "in_service", "terminating", 1)
+	f, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			io.WriteString(w, drained)
@@ -310,25 +310,25 @@
 			<-r.Context().Done()
 		}
 	})
-	next(t, told)
+	nextList(t, told)
 	<-open
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, strings.Replace(whole, "41", "7", 1))
+		io.WriteString(w, strings.Replace(fullDocument, "41", "7", 1))
 	}))
 	defer second.Close()
 	defer second.CloseClientConnections()
 	f.SetAddress(strings.TrimPrefix(second.URL, "http://"))
-	if l := next(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
+	if l := nextList(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestOlder goes through words on one server, one after the other: which states result.
-func TestOlder(t *testing.T) {
+// TestOlderListRevertsNoDrainAndNoRemoval goes through words on one server, one after the other: which states result.
+func TestOlderListRevertsNoDrainAndNoRemoval(t *testing.T) {
 	at := func(revision int, whole bool, phase string, up int) string {
 		member := ""
 		if phase != "" {
@@ -376,8 +376,8 @@
 	}
 }
 
-// TestGoneBound: what is kept of servers that are gone is bounded.
-func TestGoneBound(t *testing.T) {
+// TestRemovedNamesAreBounded: what is kept of servers that are gone is bounded.
+func TestRemovedNamesAreBounded(t *testing.T) {
 	f := New("127.0.0.1:1", func(gather.EndpointList, []shardcall.Address) {}, nil, nil)
 	for i := range 3 * maxRemovedNames {
 		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
@@ -391,14 +391,14 @@
 	}
 }
 
-// sharedFollower follows the list of a service that answers only when asked; it knows a list already.
-func sharedFollower(t *testing.T, agent *httptest.Server) *Watcher {
+// newSharedWatcher follows the list of a service that answers only when asked; it knows a list already.
+func newSharedWatcher(t *testing.T, agent *httptest.Server) *Watcher {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	f := New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log)
 	f.Shared()
-	known, err := ParseResponse([]byte(whole))
+	known, err := ParseResponse([]byte(fullDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -406,10 +406,10 @@
 	return f
 }
 
-// TestSharedService: a service that answers only when asked refuses all calls for a while. It is asked by one call at a
+// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff: a service that answers only when asked refuses all calls for a while. It is asked by one call at a
 // time, ever more seldom, and with what is newer than the last list; it was asked twenty times a second, by up to five
 // calls at once, for the whole list, so that a few gatherers together kept it from answering any.
-func TestSharedService(t *testing.T) {
+func TestSharedServiceIsPolledOneRequestAtATimeWithBackoff(t *testing.T) {
 	const refusals = 5
 	type call struct {
 		at    time.Time
@@ -430,7 +430,7 @@
 		<-r.Context().Done()
 	}))
 	defer agent.Close()
-	f := sharedFollower(t, agent)
+	f := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -455,15 +455,15 @@
 	}
 }
 
-// TestSharedServiceBehind: the service has not come as far as the list that was known. Its whole list is asked for.
-func TestSharedServiceBehind(t *testing.T) {
+// TestStaleSharedServiceIsAskedForItsFullList: the service has not come as far as the list that was known. Its whole list is asked for.
+func TestStaleSharedServiceIsAskedForItsFullList(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		io.WriteString(w, `{"revision":0,"complete":false,"members":[]}`)
 	}))
 	defer agent.Close()
-	f := sharedFollower(t, agent)
+	f := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go f.Run(ctx)
@@ -472,8 +472,8 @@
 	}
 }
 
-// fleetList is a whole list of so many servers, an entry a line.
-func fleetList(servers int) string {
+// fleetDocument is a whole list of so many servers, an entry a line.
+func fleetDocument(servers int) string {
 	var b strings.Builder
 	b.WriteString(`{"revision":44,"complete":true,"members":[`)
 	for i := range servers {
@@ -487,35 +487,35 @@
 	return b.String()
 }
 
-// TestDesignSize: the list of the largest fleet that is planned for is read; it was over the bound, and such a gatherer
+// TestListOfTheDesignSizeIsUnderstood: the list of the largest fleet that is planned for is read; it was over the bound, and such a gatherer
 // never served.
-func TestDesignSize(t *testing.T) {
+func TestListOfTheDesignSizeIsUnderstood(t *testing.T) {
 	const servers = 28_000
-	text := fleetList(servers)
+	text := fleetDocument(servers)
 	if len(text) <= 4<<20 {
 		t.Errorf("a list of %d bytes shows nothing", len(text))
 	}
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
 		io.WriteString(w, text)
 	})
-	if l := next(t, told); len(l.Endpoints) != servers {
+	if l := nextList(t, told); len(l.Endpoints) != servers {
 		t.Errorf("%d servers were told", len(l.Endpoints))
 	}
 }
 
-// TestOverBound: a list over the bound is told at error level, once, and the one before stays in force.
-func TestOverBound(t *testing.T) {
-	text := fleetList(maxMembers + 1)
+// TestOversizedListIsReportedOnceAndDiscarded: a list over the bound is told at error level, once, and the one before stays in force.
+func TestOversizedListIsReportedOnceAndDiscarded(t *testing.T) {
+	text := fleetDocument(maxMembers + 1)
 	var calls atomic.Int32
 	again := make(chan struct{})
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		case n > 4:
 			<-r.Context().Done()
 		default:
@@ -557,9 +557,9 @@
 	}
 }
 
-// TestNumbersAlike: two names that come to one number are two servers, through an end, a return and a name whose own
+// TestNamesWithEqualNumbersGetDistinctIDs: two names that come to one number are two servers, through an end, a return and a name whose own
 // number has been given away.
-func TestNumbersAlike(t *testing.T) {
+func TestNamesWithEqualNumbersGetDistinctIDs(t *testing.T) {
 	const first, second, third = "s-0000002a", "t-0000002a", "s-0000002b"
 	if ServerID(first) != ServerID(second) || ServerID(third) != ServerID(first)+1 {
 		t.Fatal("they are not alike")
--- a/internal/gatherer/discovery/follow_test.go
+++ b/internal/gatherer/discovery/follow_test.go
@@ -19,16 +19,16 @@
 )
 
 const (
-	whole = `{"revision":41,"complete":true,"members":[` +
+	fullDocument = `{"revision":41,"complete":true,"members":[` +
 		`{"id":"s-5be2a07c","host_port":"127.0.0.1:1","locality":"a","flavor":"m","cell":3,"phase":"in_service","size":1.5,"up_since_ms":7},` +
 		`{"id":"s-00000002","host_port":"127.0.0.1:2","cell":0,"phase":"terminating"}]}`
-	change = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","phase":"terminated"}]}`
+	changeDocument = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","phase":"terminated"}]}`
 )
 
-func TestParse(t *testing.T) {
+func TestParseResponseChecksEachMember(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"whole", whole, ""},
-		{"change", change, ""},
+		{"whole", fullDocument, ""},
+		{"change", changeDocument, ""},
 		{"nothing new", `{"revision":41,"complete":false}`, ""},
 		{"not JSON", `<html>`, "invalid"},
 		{"no revision", `{"complete":true}`, "no revision"},
@@ -46,8 +46,8 @@
 	}
 }
 
-// TestNumber wants numbers that are the same at each gatherer and after each start, and no two servers with one.
-func TestNumber(t *testing.T) {
+// TestServerIDsAreStableAndDistinct wants numbers that are the same at each gatherer and after each start, and no two servers with one.
+func TestServerIDsAreStableAndDistinct(t *testing.T) {
 	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
 		if got := ServerID(name); name != "s-7" && got != want {
 			t.Errorf("%s is %#x, want %#x", name, got, want)
@@ -59,17 +59,17 @@
 	}
 }
 
-// TestFollow plays an agent through a day: whole list, change, bad answers of several kinds, whole list again.
-func TestFollow(t *testing.T) {
+// TestWatcherNotifiesOfListsChangesAndFailures plays an agent through a day: whole list, change, bad answers of several kinds, whole list again.
+func TestWatcherNotifiesOfListsChangesAndFailures(t *testing.T) {
 	replies := []struct {
 		query, body string
 		status      int
 	}{
-		{"", whole, 200},
-		{"index=41&wait=2000", change, 200},
+		{"", fullDocument, 200},
+		{"index=41&wait=2000", changeDocument, 200},
 		{"index=43&wait=2000", `{"revision":44,`, 200},
 		{"", "", 500},
-		{"", strings.Replace(whole, "41", "45", 1), 200}, // newer: an older one takes no end back, see TestOlder
+		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older one takes no end back, see TestOlder
 		{"index=45&wait=2000", "", 0},
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -115,8 +115,8 @@
 	}
 }
 
-// TestHasty guards against asking without a pause an agent that answers at once whatever it is asked.
-func TestHasty(t *testing.T) {
+// TestAgentThatAnswersAtOnceIsPolledWithPauses guards against asking without a pause an agent that answers at once whatever it is asked.
+func TestAgentThatAnswersAtOnceIsPolledWithPauses(t *testing.T) {
 	for _, body := range []string{`{"revision":1,"complete":true}`, `{"revision":1,"complete":false}`} {
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		calls := 0
@@ -135,8 +135,8 @@
 	}
 }
 
-// TestSilent wants an agent that says nothing to count as one that does not answer, and asked again.
-func TestSilent(t *testing.T) {
+// TestSilentAgentCountsAsFailedAndIsPolledAgain wants an agent that says nothing to count as one that does not answer, and asked again.
+func TestSilentAgentCountsAsFailedAndIsPolledAgain(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	calls := make(chan struct{}, 10)
 	agent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -157,10 +157,10 @@
 	<-calls
 }
 
-// TestBack wants an agent that never answers what it took while it was silent found as soon as it speaks again: further
+// TestFullListIsTakenFromWhicheverRequestIsAnswered wants an agent that never answers what it took while it was silent found as soon as it speaks again: further
 // calls are made while the first is open. One that is slow is heard all the same: its answer to the first call, which
 // comes after the third, is the one taken.
-func TestBack(t *testing.T) {
+func TestFullListIsTakenFromWhicheverRequestIsAnswered(t *testing.T) {
 	for _, answered := range []int{3, 1} {
 		ctx, stop := context.WithCancel(t.Context())
 		var calls atomic.Int32
@@ -173,7 +173,7 @@
 			if n <= 3 && n == answered {
 				select {
 				case <-third:
-					io.WriteString(w, whole)
+					io.WriteString(w, fullDocument)
 				case <-r.Context().Done():
 				}
 				return
@@ -193,9 +193,9 @@
 	}
 }
 
-// TestMove wants a watch that waits at the old agent broken off, and the whole list asked of the new one first:
+// TestSetAddressCancelsTheWatchAndRequestsTheFullList wants a watch that waits at the old agent broken off, and the whole list asked of the new one first:
 // numbers of versions mean nothing across agents.
-func TestMove(t *testing.T) {
+func TestSetAddressCancelsTheWatchAndRequestsTheFullList(t *testing.T) {
 	asked := make(chan string, 10)
 	agent := func(name string) *httptest.Server {
 		a := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -204,7 +204,7 @@
 				<-r.Context().Done()
 				return
 			}
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		}))
 		t.Cleanup(a.Close)
 		return a
@@ -234,9 +234,9 @@
 	}
 }
 
-// TestReplaced guards against keeping all servers that there ever were, where each is replaced by one of a new name:
+// TestRemovedEndpointsAreNotKept guards against keeping all servers that there ever were, where each is replaced by one of a new name:
 // told as gone in a change, or just missing from a whole list.
-func TestReplaced(t *testing.T) {
+func TestRemovedEndpointsAreNotKept(t *testing.T) {
 	all := 0
 	f := New("127.0.0.1:1", func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) }, nil, nil)
 	for i := range 1000 {
--- a/internal/gatherer/discovery/kept_test.go
+++ b/internal/gatherer/discovery/kept_test.go
@@ -16,8 +16,8 @@
 
 var keptStates = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}
 
-// TestKeptDocuments reads documents of all forms, one after the other, and compares what is handed on with the kept text.
-func TestKeptDocuments(t *testing.T) {
+// TestKeptDocumentsAreReadAsBefore reads documents of all forms, one after the other, and compares what is handed on with the kept text.
+func TestKeptDocumentsAreReadAsBefore(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "[0-9]-*.json"))
 	if err != nil || len(files) != 7 {
 		t.Fatalf("%d files, %v", len(files), err)
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestKeptRefusals wants each document that the version that kept them refused refused whole.
-func TestKeptRefusals(t *testing.T) {
+// TestKeptInvalidDocumentsAreRefused wants each document that the version that kept them refused refused whole.
+func TestKeptInvalidDocumentsAreRefused(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "refused-*"))
 	if err != nil || len(files) != 9 {
 		t.Fatalf("%d files, %v", len(files), err)
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -86,8 +86,8 @@
 	s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio = 2000, 20, 0.05
 }
 
-// TestKeptRequestFrames compares what the pool sends, a kind of frame at a time, with the kept bytes.
-func TestKeptRequestFrames(t *testing.T) {
+// TestKeptRequestFramesAreSentAsBefore compares what the pool sends, a kind of frame at a time, with the kept bytes.
+func TestKeptRequestFramesAreSentAsBefore(t *testing.T) {
 	t.Run("one part, cancelled", func(t *testing.T) {
 		shard := standin.NewShard(t)
 		d := newHarness(t, shard.Address(), keptSettings)
@@ -211,8 +211,8 @@
 	return done
 }
 
-// TestKeptReplyFrames has a shard server answer a call with kept bytes: how the call ends.
-func TestKeptReplyFrames(t *testing.T) {
+// TestKeptReplyFramesEndAttemptsAsBefore has a shard server answer a call with kept bytes: how the call ends.
+func TestKeptReplyFramesEndAttemptsAsBefore(t *testing.T) {
 	for name, want := range map[string]result{
 		"A-ok":                  {"a.0", gather.Succeeded, "value"},
 		"A-ok-score-and-report": {"a.0", gather.Succeeded, "value"},
@@ -275,8 +275,8 @@
 	})
 }
 
-// TestKeptLoadFrames has a shard server answer a health check with kept bytes: what is read.
-func TestKeptLoadFrames(t *testing.T) {
+// TestKeptLoadReportsAreReadAsBefore has a shard server answer a health check with kept bytes: what is read.
+func TestKeptLoadReportsAreReadAsBefore(t *testing.T) {
 	for name, want := range map[string]gather.HealthCheckResult{
 		"L-load":             {Server: 7, Succeeded: true, QueueLength: 7, Latency: 61.5},
 		"L-load-other-names": {Server: 7, Succeeded: true, QueueLength: 2, Latency: 3},
@@ -300,8 +300,8 @@
 	}
 }
 
-// TestKeptAgreementFrames has a shard server answer the question for first passes with kept bytes: what is found.
-func TestKeptAgreementFrames(t *testing.T) {
+// TestKeptHandshakeFramesAreReadAsBefore has a shard server answer the question for first passes with kept bytes: what is found.
+func TestKeptHandshakeFramesAreReadAsBefore(t *testing.T) {
 	for name, want := range map[string]bool{"H-two-phase-1": true, "H-two-phase-2": false, "H-E": false} {
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
--- a/internal/storage/statedir/claims_test.go
+++ b/internal/storage/statedir/claims_test.go
@@ -8,7 +8,7 @@
 	"yokeroute/logic/ownership"
 )
 
-func open(t *testing.T, dir string, now float64) (*GathererState, RecoveredState) {
+func openState(t *testing.T, dir string, now float64) (*GathererState, RecoveredState) {
 	t.Helper()
 	g, r, err := OpenGathererState(dir, 2000, 1000, now)
 	if err != nil {
@@ -17,11 +17,11 @@
 	return g, r
 }
 
-// TestClaims: names and the map are known after a crash, through snapshots, for as long as they are kept; one of which
+// TestClaimsAndMapSurviveACrash: names and the map are known after a crash, through snapshots, for as long as they are kept; one of which
 // nothing ran is free again.
-func TestClaims(t *testing.T) {
+func TestClaimsAndMapSurviveACrash(t *testing.T) {
 	dir := t.TempDir()
-	g, r := open(t, dir, 0)
+	g, r := openState(t, dir, 0)
 	if !r.Empty || r.UnknownUntil > 0 {
 		t.Errorf("%+v", r)
 	}
@@ -43,7 +43,7 @@
 		}
 	}
 	// A crash: nothing is closed.
-	g, r = open(t, dir, 1100)
+	g, r = openState(t, dir, 1100)
 	if r.Epoch != 3 || g.Map().Checksum != m.Checksum || len(g.Map().Segments) != 1 || r.UnknownUntil > 0 {
 		t.Errorf("%+v, map %+v", r, g.Map())
 	}
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestBlind: without a disk, or where records are lost, a repeat may have run until all names would be forgotten.
-func TestBlind(t *testing.T) {
+// TestRepeatsMayHaveRunWhereRecordsAreMissing: without a disk, or where records are lost, a repeat may have run until all names would be forgotten.
+func TestRepeatsMayHaveRunWhereRecordsAreMissing(t *testing.T) {
 	g, r, err := OpenGathererState("", 0, 1000, 5000)
 	if err != nil || r.UnknownUntil != 6000 {
 		t.Fatalf("%+v, %v", r, err)
@@ -80,22 +80,22 @@
 		t.Errorf("a name sent by this process: %v", err)
 	}
 	dir := t.TempDir()
-	d, _ := open(t, dir, 0)
+	d, _ := openState(t, dir, 0)
 	for i := range 10 {
 		d.RecordSent([]string{fmt.Sprint(i)}, 0)
 	}
 	d.Close()
-	path := only(t, dir, journalPrefix)
+	path := singleFile(t, dir, journalPrefix)
 	text, _ := os.ReadFile(path)
 	text[40] ^= 1
 	os.WriteFile(path, text, 0o600)
-	if _, r := open(t, dir, 10); !r.Damaged || r.UnknownUntil != 1010 {
+	if _, r := openState(t, dir, 10); !r.Damaged || r.UnknownUntil != 1010 {
 		t.Errorf("a damaged journal: %+v", r)
 	}
 }
 
-// TestForeign: a folder of another program is refused, not taken for empty.
-func TestForeign(t *testing.T) {
+// TestJournalOfAnotherProgramIsRefused: a folder of another program is refused, not taken for empty.
+func TestJournalOfAnotherProgramIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := OpenJournal(dir, 100, nil)
 	if err != nil {
@@ -108,10 +108,10 @@
 	}
 }
 
-// TestUnwritten: a name that could not be written down is not taken for known the next time: its calls must not go then
+// TestClaimThatWasNotWrittenIsUnknown: a name that could not be written down is not taken for known the next time: its calls must not go then
 // either.
-func TestUnwritten(t *testing.T) {
-	g, _ := open(t, t.TempDir(), 0)
+func TestClaimThatWasNotWrittenIsUnknown(t *testing.T) {
+	g, _ := openState(t, t.TempDir(), 0)
 	if err := g.RecordSent([]string{"a"}, 1); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/statedir/journal_test.go
@@ -13,8 +13,8 @@
 	"yokeroute/internal/pcg"
 )
 
-// read opens a folder and gives its records.
-func read(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
+// openJournal opens a folder and gives its records.
+func openJournal(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
 	t.Helper()
 	var got []string
 	j, r, err := OpenJournal(dir, most, func(rec []byte) error { got = append(got, string(rec)); return nil })
@@ -24,7 +24,7 @@
 	return j, got, r
 }
 
-func records(n int) (list []string) {
+func sampleRecords(n int) (list []string) {
 	for i := range n {
 		list = append(list, fmt.Sprintf("record %d %s", i, bytes.Repeat([]byte{'x'}, i%7)))
 	}
@@ -40,8 +40,8 @@
 	return to
 }
 
-// only gives the one file of a folder whose name begins so.
-func only(t testing.TB, dir, prefix string) string {
+// singleFile gives the one file of a folder whose name begins so.
+func singleFile(t testing.TB, dir, prefix string) string {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	if len(names) != 1 {
@@ -50,15 +50,15 @@
 	return names[0]
 }
 
-// TestTorn cuts a journal off at every byte: what was appended before the cut is there, nothing else is, no damage is
+// TestJournalCutAtAnyByteKeepsWhatStandsBefore cuts a journal off at every byte: what was appended before the cut is there, nothing else is, no damage is
 // told, and what is appended from then on is there as well.
-func TestTorn(t *testing.T) {
+func TestJournalCutAtAnyByteKeepsWhatStandsBefore(t *testing.T) {
 	dir := t.TempDir()
-	j, _, r := read(t, dir, 1<<20)
+	j, _, r := openJournal(t, dir, 1<<20)
 	if !r.Empty {
 		t.Error("an empty folder is not fresh")
 	}
-	want := records(12)
+	want := sampleRecords(12)
 	var ends []int64
 	for _, rec := range want {
 		if err := j.Append([]byte(rec)); err != nil {
@@ -67,7 +67,7 @@
 		ends = append(ends, j.Size())
 	}
 	j.Close()
-	path := only(t, dir, journalPrefix)
+	path := singleFile(t, dir, journalPrefix)
 	whole, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -76,7 +76,7 @@
 		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j, got, r := read(t, dir, 1<<20)
+		j, got, r := openJournal(t, dir, 1<<20)
 		kept := 0
 		for kept < len(ends) && ends[kept] <= int64(n) {
 			kept++
@@ -88,18 +88,18 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, got, _ := read(t, dir, 1<<20); !slices.Equal(got, append(slices.Clone(want[:kept]), "more")) {
+		if _, got, _ := openJournal(t, dir, 1<<20); !slices.Equal(got, append(slices.Clone(want[:kept]), "more")) {
 			t.Fatalf("cut at %d, then appended: %q", n, got)
 		}
 	}
 }
 
-// TestDamage changes every byte of a journal and of a snapshot: what is read is a beginning of what was written, and
+// TestDamageOfAnyByteIsDetected changes every byte of a journal and of a snapshot: what is read is a beginning of what was written, and
 // where something behind the damage could still be read, it says that records are lost.
-func TestDamage(t *testing.T) {
+func TestDamageOfAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
-	j, _, _ := read(t, dir, 1<<20)
-	want := records(10)
+	j, _, _ := openJournal(t, dir, 1<<20)
+	want := sampleRecords(10)
 	if err := j.Snapshot(func(put func([]byte) error) error {
 		for _, rec := range want[:4] {
 			if err := put([]byte(rec)); err != nil {
@@ -119,7 +119,7 @@
 	}
 	j.Close()
 	for _, file := range []string{journalPrefix, snapshotPrefix} {
-		path := only(t, dir, file)
+		path := singleFile(t, dir, file)
 		whole, _ := os.ReadFile(path)
 		for n := range whole {
 			hurt := copyDir(t, dir)
@@ -128,7 +128,7 @@
 			if err := os.WriteFile(filepath.Join(hurt, filepath.Base(path)), changed, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			j, got, r := read(t, hurt, 1<<20)
+			j, got, r := openJournal(t, hurt, 1<<20)
 			j.Close()
 			if file == snapshotPrefix {
 				if len(got) > 0 || !r.Damaged {
@@ -147,11 +147,11 @@
 	}
 }
 
-// TestCrashes stops the disk at every moment at which something was just made to last, also within the putting of a
+// TestCrashAtAnySyncLosesNothingAcknowledged stops the disk at every moment at which something was just made to last, also within the putting of a
 // snapshot in place, and opens what is there: no record that was acknowledged is ever missing, and none is told twice.
-func TestCrashes(t *testing.T) {
+func TestCrashAtAnySyncLosesNothingAcknowledged(t *testing.T) {
 	dir := t.TempDir()
-	j, _, _ := read(t, dir, 200)
+	j, _, _ := openJournal(t, dir, 200)
 	var acknowledged, pending []string
 	points := 0
 	j.sync = func(f *os.File) error {
@@ -160,14 +160,14 @@
 		}
 		points++
 		crashed := copyDir(t, dir)
-		after, got, r := read(t, crashed, 200)
+		after, got, r := openJournal(t, crashed, 200)
 		after.Close()
 		if r.Damaged || len(got) < len(acknowledged) || len(got) > len(pending) || !slices.Equal(got, pending[:len(got)]) {
 			t.Fatalf("a crash after %d records of which %d were acknowledged: %d are there, %+v", len(pending), len(acknowledged), len(got), r)
 		}
 		return nil
 	}
-	for _, rec := range records(60) {
+	for _, rec := range sampleRecords(60) {
 		pending = append(pending, rec)
 		if err := j.Append([]byte(rec)); err != nil {
 			t.Fatal(err)
@@ -194,12 +194,12 @@
 	}
 }
 
-// TestDisk: a disk that fails at any call stops the journal rather than letting it go on; what was acknowledged before
+// TestFailingDiskStopsTheJournal: a disk that fails at any call stops the journal rather than letting it go on; what was acknowledged before
 // is there afterwards.
-func TestDisk(t *testing.T) {
+func TestFailingDiskStopsTheJournal(t *testing.T) {
 	for fails := range 12 {
 		dir := t.TempDir()
-		j, _, _ := read(t, dir, 120)
+		j, _, _ := openJournal(t, dir, 120)
 		calls := 0
 		j.sync = func(f *os.File) error {
 			if calls++; calls > fails {
@@ -209,7 +209,7 @@
 		}
 		var acknowledged []string
 		var failed error
-		for _, rec := range records(20) {
+		for _, rec := range sampleRecords(20) {
 			if failed = j.Append([]byte(rec)); failed != nil {
 				break
 			}
@@ -229,15 +229,15 @@
 			t.Fatalf("%d calls: %v", fails, failed)
 		}
 		j.Close()
-		if _, got, _ := read(t, dir, 120); len(got) < len(acknowledged) || !slices.Equal(got[:len(acknowledged)], acknowledged) {
+		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) || !slices.Equal(got[:len(acknowledged)], acknowledged) {
 			t.Fatalf("%d calls: %d of %d acknowledged records are there", fails, len(got), len(acknowledged))
 		}
 	}
 }
 
-// TestRefuses: records that can't be, and a folder that is a file.
-func TestRefuses(t *testing.T) {
-	j, _, _ := read(t, t.TempDir(), 100)
+// TestInvalidRecordsAndFoldersAreRefused: records that can't be, and a folder that is a file.
+func TestInvalidRecordsAndFoldersAreRefused(t *testing.T) {
+	j, _, _ := openJournal(t, t.TempDir(), 100)
 	if err := j.Append(nil); err == nil {
 		t.Error("an empty record is taken")
 	}
@@ -251,21 +251,21 @@
 	}
 }
 
-// FuzzJournal reads whatever stands in a journal behind a good snapshot.
-func FuzzJournal(f *testing.F) {
+// FuzzOpenJournal reads whatever stands in a journal behind a good snapshot.
+func FuzzOpenJournal(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, 1, 0, []byte("a")), 1, 13, []byte("bc")))
 	f.Add([]byte{255, 255, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
 		dir := t.TempDir()
-		j, _, _ := read(t, dir, 100)
+		j, _, _ := openJournal(t, dir, 100)
 		j.Append([]byte("first"))
 		j.Close()
-		path := only(t, dir, journalPrefix)
+		path := singleFile(t, dir, journalPrefix)
 		good, _ := os.ReadFile(path)
 		if err := os.WriteFile(path, append(good, text...), 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j, got, r := read(t, dir, 100)
+		j, got, r := openJournal(t, dir, 100)
 		if len(got) == 0 || got[0] != "first" || r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
 			t.Fatalf("%q, %+v", got, r)
 		}
@@ -273,7 +273,7 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, again, r := read(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" || r.TornBytes > 0 {
+		if _, again, r := openJournal(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" || r.TornBytes > 0 {
 			t.Fatalf("%q after %q, %+v", again, got, r)
 		}
 	})
@@ -288,7 +288,7 @@
 		if err := os.WriteFile(filepath.Join(dir, snapshotPrefix+"0000000000000001"), text, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		j, got, r := read(t, dir, 100)
+		j, got, r := openJournal(t, dir, 100)
 		if len(got) > 0 && r.Damaged {
 			t.Fatalf("%q of a damaged snapshot", got)
 		}
@@ -296,14 +296,14 @@
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, again, _ := read(t, dir, 100); len(again) != len(got)+1 {
+		if _, again, _ := openJournal(t, dir, 100); len(again) != len(got)+1 {
 			t.Fatalf("%q after %q", again, got)
 		}
 	})
 }
 
-// BenchmarkRecover tells what opening a folder takes, by how many claims it holds, and how large it is.
-func BenchmarkRecover(b *testing.B) {
+// BenchmarkOpenGathererState tells what opening a folder takes, by how many claims it holds, and how large it is.
+func BenchmarkOpenGathererState(b *testing.B) {
 	for _, claims := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(claims), func(b *testing.B) {
 			dir := b.TempDir()
@@ -339,8 +339,8 @@
 	}
 }
 
-// BenchmarkSent tells what writing a once-only lookup down takes, the disk included.
-func BenchmarkSent(b *testing.B) {
+// BenchmarkRecordSent tells what writing a once-only lookup down takes, the disk included.
+func BenchmarkRecordSent(b *testing.B) {
 	for _, together := range []int{1, 16} {
 		b.Run(fmt.Sprint(together), func(b *testing.B) {
 			g, _, err := OpenGathererState(b.TempDir(), 4<<20, 600_000, 0)
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -88,8 +88,8 @@
 	must(h.SetDraining(map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}))
 }
 
-// TestKeptGathererFolder opens a gatherer's folder as it was kept, and writes the same values to the same bytes.
-func TestKeptGathererFolder(t *testing.T) {
+// TestKeptGathererFolderIsReadAndWrittenAsBefore opens a gatherer's folder as it was kept, and writes the same values to the same bytes.
+func TestKeptGathererFolderIsReadAndWrittenAsBefore(t *testing.T) {
 	const now = 1_796_000_001_000
 	folder := keptCopy(t, "gatherer")
 	g, found, err := OpenGathererState(folder, 300, 1e12, now)
@@ -120,10 +120,10 @@
 	wantFolder(t, written, "gatherer")
 }
 
-// TestKeptTornFolder opens a folder whose journal ends in half a record: what stands before it is there.
-func TestKeptTornFolder(t *testing.T) {
+// TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in half a record: what stands before it is there.
+func TestKeptFolderWithIncompleteRecordIsRead(t *testing.T) {
 	folder := keptCopy(t, "gatherer")
-	path := only(t, folder, journalPrefix)
+	path := singleFile(t, folder, journalPrefix)
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -163,8 +163,8 @@
 	second.Close()
 }
 
-// TestKeptRunFolder reads and takes over a run's folder as it was kept, and writes the same values to the same bytes.
-func TestKeptRunFolder(t *testing.T) {
+// TestKeptRunFolderIsReadAndWrittenAsBefore reads and takes over a run's folder as it was kept, and writes the same values to the same bytes.
+func TestKeptRunFolderIsReadAndWrittenAsBefore(t *testing.T) {
 	var seen []string
 	see := func(record []byte) error {
 		seen = append(seen, string(record))
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -383,9 +383,9 @@
 	return len(m.seen), ""
 }
 
-// TestModel explores a move and a split with the fence, in which nothing runs twice, and without it, which has to be
+// TestModelCheckOfHandovers explores a move and a split with the fence, in which nothing runs twice, and without it, which has to be
 // caught.
-func TestModel(t *testing.T) {
+func TestModelCheckOfHandovers(t *testing.T) {
 	for _, why := range []string{"move", "split"} {
 		t.Run(why, func(t *testing.T) {
 			t.Parallel()
--- a/logic/ownership/owners_test.go
+++ b/logic/ownership/owners_test.go
@@ -66,9 +66,9 @@
 	return c, err == nil
 }
 
-// TestPieces holds the parting of a range against a search key by key: at the borders of all segments the piece that
+// TestOverlapsPartitionARange holds the parting of a range against a search key by key: at the borders of all segments the piece that
 // has a key is of the segment that has it; pieces lie in a row, cover the range, and share it out.
-func TestPieces(t *testing.T) {
+func TestOverlapsPartitionARange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
 		for n := range rapid.IntRange(0, 6).Draw(t, "changes") {
@@ -114,8 +114,8 @@
 	})
 }
 
-// TestSlots: shards part all keys, evenly and without a gap.
-func TestSlots(t *testing.T) {
+// TestShardRangesPartitionAllKeys: shards part all keys, evenly and without a gap.
+func TestShardRangesPartitionAllKeys(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 18, 1000, 65536} {
 		from := uint64(0)
 		for shard := range n {
@@ -131,9 +131,9 @@
 	}
 }
 
-// TestRehome: through any chain of changes no keys of a lookup are lost or asked for twice, weights keep their sum, a
+// TestReassignByMapAndState: through any chain of changes no keys of a lookup are lost or asked for twice, weights keep their sum, a
 // once-only piece that may have run is left alone, and so is what is in or out.
-func TestRehome(t *testing.T) {
+func TestReassignByMapAndState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
 		once := rapid.Bool().Draw(t, "once")
@@ -215,9 +215,9 @@
 	})
 }
 
-// TestFollower hands news late, twice, out of order and in gaps, with whole maps in between: what is believed is always
+// TestTrackerAppliesOnlyWhatFollows hands news late, twice, out of order and in gaps, with whole maps in between: what is believed is always
 // one of the true maps, never an older one than before, and the newest once all is told.
-func TestFollower(t *testing.T) {
+func TestTrackerAppliesOnlyWhatFollows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := []*Map{drawMap(t)}
 		var changes []Change
@@ -258,8 +258,8 @@
 	})
 }
 
-// TestContradictions: of two stories the first stays, and what is doubtful ends with a later whole map alone.
-func TestContradictions(t *testing.T) {
+// TestTrackerReportsConflictingSources: of two stories the first stays, and what is doubtful ends with a later whole map alone.
+func TestTrackerReportsConflictingSources(t *testing.T) {
 	m, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -299,9 +299,9 @@
 	}
 }
 
-// TestHost: a host runs what it owns under the epoch under which it does, and refuses all else; a log takes nothing
+// TestHostAdmitsOnlyWhatItOwns: a host runs what it owns under the epoch under which it does, and refuses all else; a log takes nothing
 // of an older epoch, nor after it was closed.
-func TestHost(t *testing.T) {
+func TestHostAdmitsOnlyWhatItOwns(t *testing.T) {
 	var h Host
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 3, Writer: true})
 	for _, c := range []struct {
@@ -341,9 +341,9 @@
 	}
 }
 
-// TestIndex: numbers are one segment's at a time, are found again for segments that stay, and are not used again at
+// TestReplicaSetIndexReusesNumbersLast: numbers are one segment's at a time, are found again for segments that stay, and are not used again at
 // once.
-func TestIndex(t *testing.T) {
+func TestReplicaSetIndexReusesNumbersLast(t *testing.T) {
 	x := NewReplicaSetIndex(3)
 	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}}, {Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
 	if x.Update(m) {
@@ -381,8 +381,8 @@
 	}
 }
 
-// BenchmarkBegin tells what parting a lookup costs, by the size of the map.
-func BenchmarkBegin(b *testing.B) {
+// BenchmarkSplit tells what parting a lookup costs, by the size of the map.
+func BenchmarkSplit(b *testing.B) {
 	for _, n := range []int{4, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var segments []Segment
