--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -16,6 +16,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/control/policyclient"
+	"yokeroute/internal/control/policylease"
 	"yokeroute/internal/process"
 	"yokeroute/internal/stats"
 	"yokeroute/internal/testbed/processtest"
@@ -93,12 +94,12 @@
 	log      *logrus.Logger
 }
 
-// hollowGatherer is the control side of a gatherer without clients: the real governor and the real follower.
+// hollowGatherer is the control side of a gatherer without clients: the real lease and the real poller.
 type hollowGatherer struct {
-	governor *policyclient.Governor
-	far      bool // it stands in the region that is cut off
-	stop     context.CancelFunc
-	ended    chan struct{}
+	lease *policylease.Lease
+	far   bool // it stands in the region that is cut off
+	stop  context.CancelFunc
+	ended chan struct{}
 
 	mu    sync.Mutex
 	epoch uint64    // that it has come to
@@ -121,7 +122,7 @@
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
 		address := fmt.Sprintf("%s:%d", host, stewardPort)
 		f.names = append(f.names, operator.PolicyServer{Name: name, Address: address})
-		f.client.Stewards = append(f.client.Stewards, address)
+		f.client.Servers = append(f.client.Servers, address)
 		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, stewardLogPort, address)
 	}
 	for i, s := range f.names {
@@ -189,11 +190,11 @@
 		return nil, err
 	}
 	for i, n := range f.names {
-		if n.Name == s.Steward {
+		if n.Name == s.Server {
 			return f.stewards[i], nil
 		}
 	}
-	return nil, fmt.Errorf("no steward is named %s", s.Steward)
+	return nil, fmt.Errorf("no steward is named %s", s.Server)
 }
 
 // hollowFloor forbids what the policies of a scale test may.
@@ -208,24 +209,36 @@
 	if h.far {
 		stewards = f.far
 	}
-	h.governor = policyclient.NewGovernor(&gather.Settings{}, hollowFloor, decisions.Revision{}, clock, func() { h.changed(clock()) })
-	me := decisions.Heartbeat{Member: decisions.Member{Name: fmt.Sprintf("g%05d", number), Zone: fmt.Sprint("z", number%DesignZones), Fallback: hollowFloor},
-		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano())}
-	follower := policyclient.NewFollower(h.governor, stewards, me, "", f.log)
+	h.lease = policylease.New(policylease.Config{
+		Platform: &gather.Settings{},
+		Fallback: hollowFloor,
+		Clock:    clock,
+		OnChange: func() { h.changed(clock()) },
+	})
+	poller := policylease.NewPoller(h.lease, policylease.PollerConfig{
+		Servers: stewards,
+		Member: decisions.Member{
+			Name:     fmt.Sprintf("g%05d", number),
+			Zone:     fmt.Sprint("z", number%DesignZones),
+			Fallback: hollowFloor,
+		},
+		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano()),
+		Log:         f.log,
+	})
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
 	go func() {
 		defer close(h.ended)
-		follower.Run(ctx)
+		poller.Run(ctx)
 	}()
 	return h
 }
 
 // changed notes how far the gatherer has come, and settles: it has no lookups in hand.
 func (h *hollowGatherer) changed(now float64) {
-	way, _ := h.governor.Effective(now)
-	h.governor.MarkDrained(way)
-	state := h.governor.State()
+	way, _ := h.lease.Effective(now)
+	h.lease.MarkDrained(way)
+	state := h.lease.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if state.Applied.Epoch > h.epoch && state.Applied.Pending == 0 {
@@ -247,7 +260,7 @@
 }
 
 // leased reports whether it goes by the stewards' word.
-func (h *hollowGatherer) leased() bool { return h.governor.State().Until > 0 }
+func (h *hollowGatherer) leased() bool { return h.lease.State().ExpiresAt > 0 }
 
 // change proposes a policy, does what befalls the fleet, and waits until the policy is in force at all that are left.
 func (f *policyFleet) change(number int) (times []time.Duration, err error) {
@@ -262,7 +275,7 @@
 	waiting, cancel := context.WithTimeout(f.ctx, longestChange)
 	defer cancel()
 	proposed := time.Now()
-	change, err := f.client.Propose(waiting, "", status.Record.Epoch, p, "scale")
+	change, err := f.client.Propose(waiting, policyclient.Proposal{Base: status.Record.Epoch, Policy: p, Reason: "scale"})
 	if err != nil {
 		return nil, err
 	}
