--- a/internal/gatherer/discovery/crossings_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -31,7 +31,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	told = make(chan gather.EndpointList, 1000)
-	f = New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log)
+	f = New(Config{
+		Address:  address(agent),
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		Log:      log,
+	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -263,7 +267,11 @@
 	told := make(chan gather.EndpointList, 1000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go New(address, func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log).Run(ctx)
+	go New(Config{
+		Address:  address,
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		Log:      log,
+	}).Run(ctx)
 	for range 5 {
 		if l := <-told; !l.Failed {
 			t.Errorf("told %+v", l)
@@ -321,7 +329,7 @@
 	}))
 	defer second.Close()
 	defer second.CloseClientConnections()
-	f.SetAddress(strings.TrimPrefix(second.URL, "http://"))
+	f.SetAddress(address(second))
 	if l := nextList(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("told %+v", l)
 	}
@@ -355,7 +363,10 @@
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
-		f := New("127.0.0.1:1", func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a }, nil, nil)
+		f := New(Config{
+			Address:  "127.0.0.1:1",
+			OnChange: func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a },
+		})
 		for i, text := range c.words {
 			r, err := ParseResponse([]byte(text))
 			if err != nil {
@@ -378,7 +389,10 @@
 
 // TestRemovedNamesAreBounded: what is kept of servers that are gone is bounded.
 func TestRemovedNamesAreBounded(t *testing.T) {
-	f := New("127.0.0.1:1", func(gather.EndpointList, []shardcall.Address) {}, nil, nil)
+	f := New(Config{
+		Address:  "127.0.0.1:1",
+		OnChange: func(gather.EndpointList, []shardcall.Address) {},
+	})
 	for i := range 3 * maxRemovedNames {
 		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
 		if err != nil {
@@ -386,8 +400,8 @@
 		}
 		f.Apply(r)
 	}
-	if len(f.observations) > maxRemovedNames || len(f.removedNames) > maxRemovedNames || !slices.Contains(f.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
-		t.Errorf("%d facts, %d names", len(f.observations), len(f.removedNames))
+	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames || !slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
+		t.Errorf("%d facts, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
 	}
 }
 
@@ -396,8 +410,12 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log)
-	f.Shared()
+	f := New(Config{
+		Address:  address(agent),
+		OnChange: func(gather.EndpointList, []shardcall.Address) {},
+		Log:      log,
+	})
+	f.config.SharedService = true
 	known, err := ParseResponse([]byte(fullDocument))
 	if err != nil {
 		t.Fatal(err)
@@ -442,7 +460,7 @@
 	var before time.Time
 	for n := range refusals + 1 {
 		c := <-calls
-		if want := "index=" + strconv.FormatInt(f.revision, 10) + "&"; !strings.HasPrefix(c.query, want) {
+		if want := "index=" + strconv.FormatInt(f.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query, want) {
 			t.Errorf("call %d asks for %q, not from %q on", n, c.query, want)
 		}
 		if least := time.Duration(backoff.Pause(n, 0)) * time.Millisecond; n > 0 && c.at.Sub(before) < least {
@@ -532,7 +550,11 @@
 	told := make(chan []shardcall.Address, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(_ gather.EndpointList, all []shardcall.Address) { told <- all }, nil, log)
+	f := New(Config{
+		Address:  address(agent),
+		OnChange: func(_ gather.EndpointList, all []shardcall.Address) { told <- all },
+		Log:      log,
+	})
 	go func() { f.Run(ctx); close(ended) }()
 	<-again
 	stop()
@@ -565,7 +587,7 @@
 		t.Fatal("they are not alike")
 	}
 	held := map[string]uint32{}
-	f := New("127.0.0.1:1", func(_ gather.EndpointList, all []shardcall.Address) {
+	f := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
 		clear(held)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
@@ -573,7 +595,7 @@
 			}
 			held[a.Name] = a.ID
 		}
-	}, nil, logrus.New())
+	}, Log: logrus.New()})
 	revision := 0
 	take := func(complete bool, phase string, names ...string) {
 		revision++
--- a/internal/gatherer/discovery/kept_test.go
+++ b/internal/gatherer/discovery/kept_test.go
@@ -23,7 +23,7 @@
 		t.Fatalf("%d files, %v", len(files), err)
 	}
 	var b strings.Builder
-	f := New("127.0.0.1:1", func(list gather.EndpointList, all []shardcall.Address) {
+	f := New(Config{Address: "127.0.0.1:1", OnChange: func(list gather.EndpointList, all []shardcall.Address) {
 		fmt.Fprintf(&b, "full %t, failed %t\n", list.Full, list.Failed)
 		for _, s := range list.Endpoints {
 			fmt.Fprintf(&b, "  server %d group %d zone %q kind %q size %v state %s started %.1f\n",
@@ -32,7 +32,7 @@
 		for _, a := range all {
 			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort, keptStates[a.State], a.StartedAt)
 		}
-	}, nil, nil)
+	}})
 	for _, file := range files {
 		text, err := os.ReadFile(file)
 		if err != nil {
--- a/internal/gatherer/discovery/follow_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -25,6 +25,9 @@
 	changeDocument = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","phase":"terminated"}]}`
 )
 
+// address is where a test's agent listens.
+func address(agent *httptest.Server) string { return strings.TrimPrefix(agent.URL, "http://") }
+
 func TestParseResponseChecksEachMember(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"whole", fullDocument, ""},
@@ -53,8 +56,8 @@
 			t.Errorf("%s is %#x, want %#x", name, got, want)
 		}
 	}
-	f := New("127.0.0.1:1", nil, nil, nil)
-	if a, b, c := f.assignID("s-00000005"), f.assignID("t-00000005"), f.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
+	f := New(Config{Address: "127.0.0.1:1"})
+	if a, b, c := f.endpoints.assignID("s-00000005"), f.endpoints.assignID("t-00000005"), f.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
 		t.Errorf("numbers %d, %d, %d", a, b, c)
 	}
 }
@@ -95,9 +98,9 @@
 		all  []shardcall.Address
 	}
 	var told []news
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, all []shardcall.Address) {
+	f := New(Config{Address: address(agent), OnChange: func(l gather.EndpointList, all []shardcall.Address) {
 		told = append(told, news{l, all})
-	}, nil, log)
+	}, Log: log})
 	f.Run(ctx)
 	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
@@ -126,7 +129,11 @@
 		}))
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log).Run(ctx)
+		New(Config{
+			Address:  address(agent),
+			OnChange: func(gather.EndpointList, []shardcall.Address) {},
+			Log:      log,
+		}).Run(ctx)
 		agent.Close()
 		stop()
 		if calls < 2 || calls > 15 {
@@ -148,7 +155,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := make(chan bool, 10)
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed }, nil, log)
+	f := New(Config{
+		Address:  address(agent),
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed },
+		Log:      log,
+	})
 	go f.Run(ctx)
 	<-calls
 	if !<-failed {
@@ -183,7 +194,11 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		told := make(chan gather.EndpointList, 100)
-		f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log)
+		f := New(Config{
+			Address:  address(agent),
+			OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+			Log:      log,
+		})
 		go f.Run(ctx)
 		if l := <-told; l.Failed || !l.Full || len(l.Endpoints) != 2 {
 			t.Errorf("call %d answered: told %+v first", answered, l)
@@ -209,24 +224,27 @@
 		t.Cleanup(a.Close)
 		return a
 	}
-	at := func(a *httptest.Server) string { return strings.TrimPrefix(a.URL, "http://") }
 	old, next := agent("old?"), agent("new?")
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := false
-	f := New(at(old), func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed }, nil, log)
+	f := New(Config{
+		Address:  address(old),
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed },
+		Log:      log,
+	})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
 	for i, want := range []string{"old?", "old?index=41&wait=2000", "new?", "new?index=41&wait=2000"} {
 		if i == 2 {
-			f.SetAddress(at(next))
+			f.SetAddress(address(next))
 		}
 		if got := <-asked; got != want {
 			t.Errorf("call %d is %s, want %s", i, got, want)
 		}
 	}
-	f.SetAddress(at(next)) // as it is: the watch goes on
+	f.SetAddress(address(next)) // as it is: the watch goes on
 	stop()
 	<-ended
 	if failed || len(asked) > 0 {
@@ -238,7 +256,10 @@
 // told as gone in a change, or just missing from a whole list.
 func TestRemovedEndpointsAreNotKept(t *testing.T) {
 	all := 0
-	f := New("127.0.0.1:1", func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) }, nil, nil)
+	f := New(Config{
+		Address:  "127.0.0.1:1",
+		OnChange: func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) },
+	})
 	for i := range 1000 {
 		text := `{"revision":%d,"complete":%t,"members":[{"id":"s-%d","phase":"terminated"},{"id":"s-%d","host_port":"h:1","cell":0,"phase":"in_service"}]}`
 		r, err := ParseResponse(fmt.Appendf(nil, text, i, i%10 == 0, i, i+1))
@@ -246,8 +267,8 @@
 			t.Fatal(err)
 		}
 		f.Apply(r)
-		if all != 1 || len(f.idByName) != 1 || len(f.nameByID) != 1 || len(f.addresses) != 1 || len(f.addressOrder) != 1 {
-			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.idByName), len(f.nameByID), len(f.addresses), len(f.addressOrder))
+		if all != 1 || len(f.endpoints.idByName) != 1 || len(f.endpoints.nameByID) != 1 || len(f.endpoints.addresses) != 1 || len(f.endpoints.order) != 1 {
+			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.endpoints.idByName), len(f.endpoints.nameByID), len(f.endpoints.addresses), len(f.endpoints.order))
 		}
 	}
 }
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -153,7 +153,7 @@
 			return nil, err
 		}
 	}
-	s.follower = discovery.New(c.Discovery, func(list gather.EndpointList, all []shardcall.Address) {
+	s.follower = discovery.New(discovery.Config{Address: c.Discovery, OnChange: func(list gather.EndpointList, all []shardcall.Address) {
 		s.governed.follow(list, all)
 		s.pool.SetEndpoints(all) // first, so that the module names no server whose address is not known
 		if own.MaxSegments > 0 {
@@ -176,10 +176,7 @@
 		if len(all) > 0 {
 			listed.Store(true)
 		}
-	}, s.Picker.EndpointListRequested(), log)
-	if settings.EndpointsOnRequest {
-		s.follower.Shared()
-	}
+	}, RefreshRequested: s.Picker.EndpointListRequested(), SharedService: settings.EndpointsOnRequest, Log: log})
 	if c.KnownEndpoints != nil {
 		s.handover.apply(c.KnownEndpoints)
 		s.follower.Apply(c.KnownEndpoints)
--- a/internal/testbed/scale/lists.go
+++ b/internal/testbed/scale/lists.go
@@ -62,11 +62,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	r := &listReader{told: make(chan gather.EndpointList, 1024), done: make(chan struct{})}
-	follower := discovery.New(address, func(l gather.EndpointList, _ []shardcall.Address) {
+	follower := discovery.New(discovery.Config{Address: address, OnChange: func(l gather.EndpointList, _ []shardcall.Address) {
 		if l.Full || len(l.Endpoints) > 0 {
 			r.told <- l
 		}
-	}, nil, log)
+	}, Log: log})
 	ctx, r.stop = context.WithCancel(ctx)
 	go func() {
 		defer close(r.done)
