--- a/internal/gatherer/discovery/crossings_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -24,14 +24,18 @@
 
 // A list that goes quiet, is cut, comes late or is behind: each forced by the agent.
 
-// follow runs a follower of an agent until the test ends; what it tells comes on the channel.
-func follow(t *testing.T, handle http.HandlerFunc) (f *Follower, told chan gather.EndpointList) {
+// startWatcher runs a follower of an agent until the test ends; what it tells comes on the channel.
+func startWatcher(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	told = make(chan gather.EndpointList, 1000)
-	f = New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log)
+	f = New(Config{
+		Address:  address(agent),
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		Log:      log,
+	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -44,8 +48,8 @@
 	return f, told
 }
 
-// next is the list told next, whatever failures come before it.
-func next(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
+// nextList is the list told next, whatever failures come before it.
+func nextList(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
@@ -60,17 +64,17 @@
 	}
 }
 
-// TestSlowAgent: the first call for the list is answered only once many more have been made: an agent that takes longer
+// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood: the first call for the list is answered only once many more have been made: an agent that takes longer
 // than a second for each. All of them were given up after a second, and nothing was ever learnt.
-func TestSlowAgent(t *testing.T) {
+func TestAgentSlowerThanTheHeaderTimeoutIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	slow := make(chan struct{})
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			select {
 			case <-slow:
-				io.WriteString(w, whole)
+				io.WriteString(w, fullDocument)
 			case <-r.Context().Done():
 			}
 		case n == 14:
@@ -80,17 +84,17 @@
 			<-r.Context().Done()
 		}
 	})
-	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestPieces: the list comes in pieces, one with each further call that is made, for longer than a second in all.
-func TestPieces(t *testing.T) {
+// TestListThatArrivesInPiecesIsUnderstood: the list comes in pieces, one with each further call that is made, for longer than a second in all.
+func TestListThatArrivesInPiecesIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
-	text := strings.Replace(whole, ",", ",\n  ", -1) // indented as well
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	text := strings.Replace(fullDocument, ",", ",\n  ", -1) // indented as well
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			piece <- struct{}{}
 			<-r.Context().Done()
@@ -108,16 +112,16 @@
 			}
 		}
 	})
-	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestOpenCalls: an agent that answers nothing holds a bounded number of calls.
-func TestOpenCalls(t *testing.T) {
+// TestFullListRequestsInFlightAreBounded: an agent that answers nothing holds a bounded number of calls.
+func TestFullListRequestsInFlightAreBounded(t *testing.T) {
 	var calls, open, most atomic.Int32
 	enough := make(chan struct{})
-	follow(t, func(w http.ResponseWriter, r *http.Request) {
+	startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if n := open.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -133,27 +137,27 @@
 	}
 }
 
-// TestCut: an answer that ends half-way teaches nothing, whether it has a length, comes in chunks or has neither and is
+// TestTruncatedAnswerIsDiscarded: an answer that ends half-way teaches nothing, whether it has a length, comes in chunks or has neither and is
 // reset, also right before its last byte. The list is asked for again at once.
-func TestCut(t *testing.T) {
+func TestTruncatedAnswerIsDiscarded(t *testing.T) {
 	for how, head := range map[string]string{
-		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(whole)),
-		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(whole)),
+		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(fullDocument)),
+		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(fullDocument)),
 		"none":   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
 		for _, reset := range []bool{false, true} {
-			for _, at := range []int{0, 1, len(whole) / 2, len(whole) - 1, len(whole)} {
-				if at == len(whole) && !(how == "none" && reset) {
+			for _, at := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
+				if at == len(fullDocument) && !(how == "none" && reset) {
 					continue // it is whole there, and what ends it says so
 				}
 				var calls atomic.Int32
-				_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+				_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 					if calls.Add(1) > 1 {
 						if r.URL.RawQuery != "" {
 							<-r.Context().Done()
 							return
 						}
-						io.WriteString(w, strings.Replace(whole, "41", "40", 1))
+						io.WriteString(w, strings.Replace(fullDocument, "41", "40", 1))
 						return
 					}
 					c, _, err := w.(http.Hijacker).Hijack()
@@ -161,7 +165,7 @@
 						t.Error(err)
 						return
 					}
-					io.WriteString(c, head+whole[:at])
+					io.WriteString(c, head+fullDocument[:at])
 					if reset {
 						c.(*net.TCPConn).SetLinger(0)
 					}
@@ -170,7 +174,7 @@
 				if l := <-told; !l.Failed || len(l.Endpoints) > 0 {
 					t.Errorf("%s, cut at %d, reset %v: told %+v", how, at, reset, l)
 				}
-				if l := next(t, told); len(l.Endpoints) != 2 {
+				if l := nextList(t, told); len(l.Endpoints) != 2 {
 					t.Errorf("%s, cut at %d: then told %+v", how, at, l)
 				}
 			}
@@ -178,16 +182,16 @@
 	}
 }
 
-// TestSilentWatch: a watch is taken and never answered, and a server begins to drain right then. It counts as told 6 s
+// TestDrainDuringASilentWatchIsNoticedInTime: a watch is taken and never answered, and a server begins to drain right then. It counts as told 6 s
 // after that.
-func TestSilentWatch(t *testing.T) {
+func TestDrainDuringASilentWatchIsNoticedInTime(t *testing.T) {
 	var calls atomic.Int32
 	silent := make(chan time.Time, 1)
-	drained := strings.Replace(strings.Replace(whole, "in_service", "terminating", 1), "41", "42", 1)
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	drained := strings.Replace(strings.Replace(fullDocument, "in_service", "terminating", 1), "41", "42", 1)
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		case n == 2:
 			silent <- time.Now()
 			<-r.Context().Done()
@@ -197,20 +201,20 @@
 			<-r.Context().Done()
 		}
 	})
-	next(t, told)
+	nextList(t, told)
 	from := <-silent
-	l := next(t, told)
+	l := nextList(t, told)
 	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
 		t.Errorf("told %+v after %v", l, time.Since(from))
 	}
 }
 
-// TestStalledWatch: a watch's answer begins and does not go on. The whole list is asked for instead.
-func TestStalledWatch(t *testing.T) {
+// TestStalledWatchFallsBackToTheFullList: a watch's answer begins and does not go on. The whole list is asked for instead.
+func TestStalledWatchFallsBackToTheFullList(t *testing.T) {
 	var calls atomic.Int32
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 2 {
-			io.WriteString(w, change[:len(change)/2])
+			io.WriteString(w, changeDocument[:len(changeDocument)/2])
 			w.(http.Flusher).Flush()
 			<-r.Context().Done()
 			return
@@ -219,39 +223,39 @@
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, whole)
+		io.WriteString(w, fullDocument)
 	})
-	next(t, told)
-	if l := next(t, told); !l.Full {
+	nextList(t, told)
+	if l := nextList(t, told); !l.Full {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestOlderChange: a watch is answered with a change of a version before its own. It teaches nothing; the whole list is
+// TestChangeOfAnOlderRevisionIsDiscarded: a watch is answered with a change of a version before its own. It teaches nothing; the whole list is
 // asked for.
-func TestOlderChange(t *testing.T) {
+func TestChangeOfAnOlderRevisionIsDiscarded(t *testing.T) {
 	var calls atomic.Int32
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 2:
-			io.WriteString(w, strings.Replace(change, "43", "40", 1))
+			io.WriteString(w, strings.Replace(changeDocument, "43", "40", 1))
 		case r.URL.RawQuery == "":
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		default:
 			<-r.Context().Done()
 		}
 	})
-	next(t, told)
+	nextList(t, told)
 	if l := <-told; !l.Failed {
 		t.Errorf("told %+v", l)
 	}
-	if l := next(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("then told %+v", l)
 	}
 }
 
-// TestRefused: nobody listens at the address, then one answers 503 for a while, then the list is there.
-func TestRefused(t *testing.T) {
+// TestUnreachableAgentIsPolledUntilItAnswers: nobody listens at the address, then one answers 503 for a while, then the list is there.
+func TestUnreachableAgentIsPolledUntilItAnswers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -263,7 +267,11 @@
 	told := make(chan gather.EndpointList, 1000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go New(address, func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log).Run(ctx)
+	go New(Config{
+		Address:  address,
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		Log:      log,
+	}).Run(ctx)
 	for range 5 {
 		if l := <-told; !l.Failed {
 			t.Errorf("told %+v", l)
@@ -277,27 +285,27 @@
 		switch {
 		case calls.Add(1) <= 20:
 			w.WriteHeader(http.StatusServiceUnavailable)
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		case r.URL.RawQuery == "":
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		default:
 			<-r.Context().Done()
 		}
 	})}
 	defer agent.Close()
 	go agent.Serve(l)
-	if l := next(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
+	if l := nextList(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
 		t.Errorf("told %+v after %d calls", l, calls.Load())
 	}
 }
 
-// TestMoveInSilence: SIGHUP moves the list while calls to an agent that is silent are open. The new one is asked at once,
+// TestSetAddressTakesEffectWhileRequestsAreUnanswered: SIGHUP moves the list while calls to an agent that is silent are open. The new one is asked at once,
 // and what the old one had told of drains holds where the new one is behind.
-func TestMoveInSilence(t *testing.T) {
+func TestSetAddressTakesEffectWhileRequestsAreUnanswered(t *testing.T) {
 	var calls atomic.Int32
 	open := make(chan struct{})
-	drained := strings.Replace(whole, "in_service", "terminating", 1)
-	f, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	drained := strings.Replace(fullDocument, "in_service", "terminating", 1)
+	f, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			io.WriteString(w, drained)
@@ -310,25 +318,25 @@
 			<-r.Context().Done()
 		}
 	})
-	next(t, told)
+	nextList(t, told)
 	<-open
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
-		io.WriteString(w, strings.Replace(whole, "41", "7", 1))
+		io.WriteString(w, strings.Replace(fullDocument, "41", "7", 1))
 	}))
 	defer second.Close()
 	defer second.CloseClientConnections()
-	f.Move(strings.TrimPrefix(second.URL, "http://"))
-	if l := next(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
+	f.SetAddress(address(second))
+	if l := nextList(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("told %+v", l)
 	}
 }
 
-// TestOlder goes through words on one server, one after the other: which states result.
-func TestOlder(t *testing.T) {
+// TestOlderListRevertsNoDrainAndNoRemoval goes through words on one server, one after the other: which states result.
+func TestOlderListRevertsNoDrainAndNoRemoval(t *testing.T) {
 	at := func(revision int, whole bool, phase string, up int) string {
 		member := ""
 		if phase != "" {
@@ -355,13 +363,16 @@
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
-		f := New("127.0.0.1:1", func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a }, nil, nil)
+		f := New(Config{
+			Address:  "127.0.0.1:1",
+			OnChange: func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a },
+		})
 		for i, text := range c.words {
-			r, err := Parse([]byte(text))
+			r, err := ParseResponse([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Take(r)
+			f.Apply(r)
 			state, told := gather.Removed, gather.Removed
 			for _, a := range all {
 				state = a.State
@@ -376,40 +387,47 @@
 	}
 }
 
-// TestGoneBound: what is kept of servers that are gone is bounded.
-func TestGoneBound(t *testing.T) {
-	f := New("127.0.0.1:1", func(gather.EndpointList, []shardcall.Address) {}, nil, nil)
-	for i := range 3 * mostGone {
-		r, err := Parse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
+// TestRemovedNamesAreBounded: what is kept of servers that are gone is bounded.
+func TestRemovedNamesAreBounded(t *testing.T) {
+	f := New(Config{
+		Address:  "127.0.0.1:1",
+		OnChange: func(gather.EndpointList, []shardcall.Address) {},
+	})
+	for i := range 3 * maxRemovedNames {
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Take(r)
+		f.Apply(r)
 	}
-	if len(f.told) > mostGone || len(f.gone) > mostGone || !slices.Contains(f.gone, fmt.Sprint("s-", 3*mostGone-1)) {
-		t.Errorf("%d facts, %d names", len(f.told), len(f.gone))
+	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames || !slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
+		t.Errorf("%d facts, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
 	}
 }
 
-// sharedFollower follows the list of a service that answers only when asked; it knows a list already.
-func sharedFollower(t *testing.T, agent *httptest.Server) *Follower {
+// newSharedWatcher follows the list of a service that answers only when asked; it knows a list already.
+func newSharedWatcher(t *testing.T, agent *httptest.Server) *Watcher {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log)
-	f.Shared()
-	known, err := Parse([]byte(whole))
+	f := New(Config{
+		Address:  address(agent),
+		OnChange: func(gather.EndpointList, []shardcall.Address) {},
+		Log:      log,
+	})
+	f.config.SharedService = true
+	known, err := ParseResponse([]byte(fullDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Take(known)
+	f.Apply(known)
 	return f
 }
 
-// TestSharedService: a service that answers only when asked refuses all calls for a while. It is asked by one call at a
+// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff: a service that answers only when asked refuses all calls for a while. It is asked by one call at a
 // time, ever more seldom, and with what is newer than the last list; it was asked twenty times a second, by up to five
 // calls at once, for the whole list, so that a few gatherers together kept it from answering any.
-func TestSharedService(t *testing.T) {
+func TestSharedServiceIsPolledOneRequestAtATimeWithBackoff(t *testing.T) {
 	const refusals = 5
 	type call struct {
 		at    time.Time
@@ -430,7 +448,7 @@
 		<-r.Context().Done()
 	}))
 	defer agent.Close()
-	f := sharedFollower(t, agent)
+	f := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
@@ -442,7 +460,7 @@
 	var before time.Time
 	for n := range refusals + 1 {
 		c := <-calls
-		if want := "index=" + strconv.FormatInt(f.revision, 10) + "&"; !strings.HasPrefix(c.query, want) {
+		if want := "index=" + strconv.FormatInt(f.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query, want) {
 			t.Errorf("call %d asks for %q, not from %q on", n, c.query, want)
 		}
 		if least := time.Duration(backoff.Pause(n, 0)) * time.Millisecond; n > 0 && c.at.Sub(before) < least {
@@ -455,15 +473,15 @@
 	}
 }
 
-// TestSharedServiceBehind: the service has not come as far as the list that was known. Its whole list is asked for.
-func TestSharedServiceBehind(t *testing.T) {
+// TestStaleSharedServiceIsAskedForItsFullList: the service has not come as far as the list that was known. Its whole list is asked for.
+func TestStaleSharedServiceIsAskedForItsFullList(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.RawQuery
 		io.WriteString(w, `{"revision":0,"complete":false,"members":[]}`)
 	}))
 	defer agent.Close()
-	f := sharedFollower(t, agent)
+	f := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go f.Run(ctx)
@@ -472,8 +490,8 @@
 	}
 }
 
-// fleetList is a whole list of so many servers, an entry a line.
-func fleetList(servers int) string {
+// fleetDocument is a whole list of so many servers, an entry a line.
+func fleetDocument(servers int) string {
 	var b strings.Builder
 	b.WriteString(`{"revision":44,"complete":true,"members":[`)
 	for i := range servers {
@@ -487,35 +505,35 @@
 	return b.String()
 }
 
-// TestDesignSize: the list of the largest fleet that is planned for is read; it was over the bound, and such a gatherer
+// TestListOfTheDesignSizeIsUnderstood: the list of the largest fleet that is planned for is read; it was over the bound, and such a gatherer
 // never served.
-func TestDesignSize(t *testing.T) {
+func TestListOfTheDesignSizeIsUnderstood(t *testing.T) {
 	const servers = 28_000
-	text := fleetList(servers)
+	text := fleetDocument(servers)
 	if len(text) <= 4<<20 {
 		t.Errorf("a list of %d bytes shows nothing", len(text))
 	}
-	_, told := follow(t, func(w http.ResponseWriter, r *http.Request) {
+	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
 		io.WriteString(w, text)
 	})
-	if l := next(t, told); len(l.Endpoints) != servers {
+	if l := nextList(t, told); len(l.Endpoints) != servers {
 		t.Errorf("%d servers were told", len(l.Endpoints))
 	}
 }
 
-// TestOverBound: a list over the bound is told at error level, once, and the one before stays in force.
-func TestOverBound(t *testing.T) {
-	text := fleetList(mostMembers + 1)
+// TestOversizedListIsReportedOnceAndDiscarded: a list over the bound is told at error level, once, and the one before stays in force.
+func TestOversizedListIsReportedOnceAndDiscarded(t *testing.T) {
+	text := fleetDocument(maxMembers + 1)
 	var calls atomic.Int32
 	again := make(chan struct{})
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		case n > 4:
 			<-r.Context().Done()
 		default:
@@ -532,7 +550,11 @@
 	told := make(chan []shardcall.Address, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(_ gather.EndpointList, all []shardcall.Address) { told <- all }, nil, log)
+	f := New(Config{
+		Address:  address(agent),
+		OnChange: func(_ gather.EndpointList, all []shardcall.Address) { told <- all },
+		Log:      log,
+	})
 	go func() { f.Run(ctx); close(ended) }()
 	<-again
 	stop()
@@ -547,7 +569,7 @@
 	for _, e := range said.AllEntries() {
 		if e.Level == logrus.ErrorLevel {
 			errors++
-			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(mostMembers)) {
+			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(maxMembers)) {
 				t.Errorf("said %q", text)
 			}
 		}
@@ -557,15 +579,15 @@
 	}
 }
 
-// TestNumbersAlike: two names that come to one number are two servers, through an end, a return and a name whose own
+// TestNamesWithEqualNumbersGetDistinctIDs: two names that come to one number are two servers, through an end, a return and a name whose own
 // number has been given away.
-func TestNumbersAlike(t *testing.T) {
+func TestNamesWithEqualNumbersGetDistinctIDs(t *testing.T) {
 	const first, second, third = "s-0000002a", "t-0000002a", "s-0000002b"
-	if Number(first) != Number(second) || Number(third) != Number(first)+1 {
+	if ServerID(first) != ServerID(second) || ServerID(third) != ServerID(first)+1 {
 		t.Fatal("they are not alike")
 	}
 	held := map[string]uint32{}
-	f := New("127.0.0.1:1", func(_ gather.EndpointList, all []shardcall.Address) {
+	f := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
 		clear(held)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
@@ -573,7 +595,7 @@
 			}
 			held[a.Name] = a.ID
 		}
-	}, nil, logrus.New())
+	}, Log: logrus.New()})
 	revision := 0
 	take := func(complete bool, phase string, names ...string) {
 		revision++
@@ -581,11 +603,11 @@
 		for _, name := range names {
 			entries = append(entries, fmt.Sprintf(`{"id":"%s","host_port":"%s:1","cell":0,"phase":"%s"}`, name, name, phase))
 		}
-		r, err := Parse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(entries, ",")))
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(entries, ",")))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Take(r)
+		f.Apply(r)
 		numbers := map[uint32]bool{}
 		for _, id := range held {
 			numbers[id] = true
--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -30,7 +30,7 @@
 	*Service
 	own      operator.File
 	settings *gather.Settings // the platform's; with segments those of the decisions
-	names    *statedir.Gatherer
+	names    *statedir.GathererState
 	handover *handover
 	policy   *policyPart
 	traces   *trace.Recorder
@@ -62,7 +62,7 @@
 	if a.own.NameRetention <= 0 {
 		return nil
 	}
-	names, found, err := statedir.OpenGatherer(a.own.State, int64(a.own.JournalMaxBytes), a.own.NameRetention,
+	names, found, err := statedir.OpenGathererState(a.own.State, int64(a.own.JournalMaxBytes), a.own.NameRetention,
 		a.Picker.Now())
 	if err != nil {
 		return err
@@ -76,10 +76,10 @@
 		return nil
 	})
 	log := a.log.WithFields(logrus.Fields{
-		"folder": a.own.State, "names": found.Names, "epoch": found.Epoch, "records": found.Records,
-		"bytes": found.Bytes, "torn": found.Torn, "took": found.Took,
+		"folder": a.own.State, "names": found.Claims, "epoch": found.Epoch, "records": found.Records,
+		"bytes": found.BytesRead, "torn": found.TornBytes, "took": found.Duration,
 	})
-	if found.Blind > 0 {
+	if found.UnknownUntil > 0 {
 		log.Warn("state: recovery incomplete; repeats of non-idempotent queries fail for a while")
 	} else {
 		log.Info("state: recovered")
@@ -101,7 +101,7 @@
 func (a *assembly) addShardServers() error {
 	a.pool = shardcall.New(a.config.Settings, shardServerSockets(a.config.Limits), a.Picker, a.log)
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
-		a.pool.Follow(addresses)
+		a.pool.SetEndpoints(addresses)
 	})
 	return nil
 }
@@ -119,7 +119,7 @@
 		return err
 	}
 	if a.own.SegmentAuthority != "" {
-		authority := segments.NewFollower(a.own.SegmentAuthority, a.Picker, a.log)
+		authority := segments.NewWatcher(a.own.SegmentAuthority, a.Picker, a.log)
 		a.hooks.run = append(a.hooks.run, authority.Run)
 	}
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
@@ -159,7 +159,7 @@
 	}
 	if len(classes) > 0 {
 		a.Picker.EnableTwoPass(classes)
-		a.pool.Agree(a.Picker.SetAnswersFirstPass)
+		a.pool.EnableFirstPass(a.Picker.SetAnswersFirstPass)
 	}
 	return nil
 }
@@ -175,7 +175,7 @@
 			if err != nil {
 				return
 			}
-			a.pool.Carry(orders)
+			a.pool.Execute(orders)
 		}
 	})
 	return nil
@@ -242,18 +242,21 @@
 
 // addDiscovery adds the watch of the endpoint list, which begins with the list that the platform knows.
 func (a *assembly) addDiscovery() error {
-	follower := discovery.New(a.config.Discovery, a.updateEndpoints, a.Picker.EndpointListRequested(), a.log)
-	if a.settings.EndpointsOnRequest {
-		follower.Shared()
-	}
+	watcher := discovery.New(discovery.Config{
+		Address:          a.config.Discovery,
+		OnChange:         a.updateEndpoints,
+		RefreshRequested: a.Picker.EndpointListRequested(),
+		SharedService:    a.settings.EndpointsOnRequest,
+		Log:              a.log,
+	})
 	if known := a.config.KnownEndpoints; known != nil {
 		if a.handover != nil {
 			a.handover.apply(known)
 		}
-		follower.Take(known)
+		watcher.Apply(known)
 	}
-	a.hooks.run = append(a.hooks.run, follower.Run)
-	a.hooks.configured = append(a.hooks.configured, func(c *platform.Config) { follower.Move(c.Discovery) })
+	a.hooks.run = append(a.hooks.run, watcher.Run)
+	a.hooks.configured = append(a.hooks.configured, func(c *platform.Config) { watcher.SetAddress(c.Discovery) })
 	return nil
 }
 
