--- a/cmd/yokeroute/explain.go
+++ b/cmd/yokeroute/explain.go
@@ -124,13 +124,7 @@
 }
 
 func printTraceList(w io.Writer, body []byte) error {
-	var queries []struct {
-		ID       string  `json:"id"`
-		Class    string  `json:"index"`
-		Result   string  `json:"verdict"`
-		Duration float64 `json:"took"` // milliseconds
-		TwoPass  bool    `json:"two"`
-	}
+	var queries []trace.ListEntry
 	if err := json.Unmarshal(body, &queries); err != nil {
 		return err
 	}
--- a/internal/control/rollout/processstep.go
+++ b/internal/control/rollout/processstep.go
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		if err := statedir.Replace(file.to, text); err != nil {
+		if err := statedir.WriteFileAtomic(file.to, text); err != nil {
 			return err
 		}
 	}
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -19,12 +19,12 @@
 	"yokeroute/logic/ownership"
 )
 
-const good = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
+const validMapFile = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
 
-// TestMapFile: a map file reads as it is written, and each mistake is one message with its place.
-func TestMapFile(t *testing.T) {
-	m, shards, err := ParseMap("m.conf", good)
-	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].Since != 3 || m.Segments[1].Since != 7 || m.Segments[0].Owners[1] != "h-2" {
+// TestMapFileFormatsAndErrors: a map file reads as it is written, and each mistake is one message with its place.
+func TestMapFileFormatsAndErrors(t *testing.T) {
+	m, shards, err := ParseMap("m.conf", validMapFile)
+	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
 	again, _, err := ParseMap("again.conf", WriteMap(m, shards))
@@ -54,19 +54,19 @@
 	}
 }
 
-// TestReplies: replies read as they are written; a bad one is refused whole, with the field.
-func TestReplies(t *testing.T) {
-	m, _, _ := ParseMap("m.conf", good)
-	split, err := m.Split("a", 5, "c", "d")
+// TestResponsesAreCheckedAndNameTheField: replies read as they are written; a bad one is refused whole, with the field.
+func TestResponsesAreCheckedAndNameTheField(t *testing.T) {
+	m, _, _ := ParseMap("m.conf", validMapFile)
+	split, err := m.SplitSegment("a", 5, "c", "d")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Reply{Whole: m, Changes: []ownership.Change{split}}
-	again, err := Parse(r.Text())
+	r := &Response{Full: m, Changes: []ownership.Change{split}}
+	again, err := ParseResponse(r.Encode())
 	if err != nil || !reflect.DeepEqual(again, r) {
 		t.Fatalf("%+v, %v", again, err)
 	}
-	text := string(r.Text())
+	text := string(r.Encode())
 	for _, c := range []struct{ old, new, want string }{
 		{`"keys":"0000000000000000-7fffffffffffffff"`, `"keys":"0-7"`, "whole.segments[0].keys"},
 		{`"name":"b"`, `"name":""`, "whole.segments[1].name"},
@@ -75,35 +75,35 @@
 		{`"epoch":7`, `"epoch":-7`, "epoch"},
 		{`{`, ``, "invalid"},
 	} {
-		if _, err := Parse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
 }
 
-// picker keeps what it is told.
-type picker struct {
+// recordingReceiver keeps what it is told.
+type recordingReceiver struct {
 	mu     sync.Mutex
 	epochs []string
 	behind chan struct{}
 	told   chan bool
 }
 
-func (p *picker) add(text string) {
+func (p *recordingReceiver) add(text string) {
 	p.mu.Lock()
 	p.epochs = append(p.epochs, text)
 	p.mu.Unlock()
 	p.told <- true
 }
-func (p *picker) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
-func (p *picker) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
-func (p *picker) MapRequested() <-chan struct{}     { return p.behind }
+func (p *recordingReceiver) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
+func (p *recordingReceiver) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
+func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.behind }
 
-// TestFollows: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
+// TestWatcherRequestsFullMapThenChanges: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
 // a watch waits; through an authority that fails and one that sends what can't be read.
-func TestFollows(t *testing.T) {
-	m, _, _ := ParseMap("m.conf", good)
-	next, err := m.Move("a", []string{"h-9"})
+func TestWatcherRequestsFullMapThenChanges(t *testing.T) {
+	m, _, _ := ParseMap("m.conf", validMapFile)
+	next, err := m.MoveSegment("a", []string{"h-9"})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,11 +121,11 @@
 		case n <= fails:
 			w.Write([]byte(`{"whole":{"epoch":7,"sum":"zz"}}`))
 		case r.URL.Query().Get("after") == "":
-			w.Write((&Reply{Whole: m}).Text())
+			w.Write((&Response{Full: m}).Encode())
 		default:
 			select {
 			case <-release:
-				w.Write((&Reply{Changes: []ownership.Change{next}}).Text())
+				w.Write((&Response{Changes: []ownership.Change{next}}).Encode())
 			case <-r.Context().Done():
 			}
 		}
@@ -133,11 +133,11 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := &picker{behind: make(chan struct{}, 1), told: make(chan bool, 100)}
+	p := &recordingReceiver{behind: make(chan struct{}, 1), told: make(chan bool, 100)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
-		NewFollower(strings.TrimPrefix(server.URL, "http://"), p, log).Run(ctx)
+		NewWatcher(strings.TrimPrefix(server.URL, "http://"), p, log).Run(ctx)
 		close(done)
 	}()
 	wait := func() {
@@ -160,29 +160,29 @@
 	}
 }
 
-// FuzzParse reads whatever an authority sends; what is read and written again reads the same, and a follower takes it
+// FuzzParseResponse reads whatever an authority sends; what is read and written again reads the same, and a follower takes it
 // without harm.
-func FuzzParse(f *testing.F) {
-	m, _, _ := ParseMap("m.conf", good)
-	split, _ := m.Split("a", 5, "c", "d")
-	f.Add((&Reply{Whole: m, Changes: []ownership.Change{split}}).Text())
+func FuzzParseResponse(f *testing.F) {
+	m, _, _ := ParseMap("m.conf", validMapFile)
+	split, _ := m.SplitSegment("a", 5, "c", "d")
+	f.Add((&Response{Full: m, Changes: []ownership.Change{split}}).Encode())
 	f.Add([]byte(`{"whole":{"epoch":1,"sum":"0000000000000000","segments":[{"name":"a","keys":"0000000000000000-ffffffffffffffff"}]}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		r, err := Parse(text)
+		r, err := ParseResponse(text)
 		if err != nil {
 			return
 		}
-		again, err := Parse(r.Text())
-		if err != nil || again.Whole != nil && (again.Whole.Epoch != r.Whole.Epoch || len(again.Whole.Segments) != len(r.Whole.Segments)) || len(again.Changes) != len(r.Changes) {
+		again, err := ParseResponse(r.Encode())
+		if err != nil || again.Full != nil && (again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) || len(again.Changes) != len(r.Changes) {
 			t.Fatalf("%v: %+v, then %+v", err, r, again)
 		}
-		follower := ownership.Follower{}
-		follower.Reset(m)
-		if r.Whole != nil {
-			follower.Reset(r.Whole)
+		follower := ownership.Tracker{}
+		follower.ApplyMap(m)
+		if r.Full != nil {
+			follower.ApplyMap(r.Full)
 		}
 		for _, c := range r.Changes {
-			follower.Take(c)
+			follower.ApplyChange(c)
 		}
 		if faults := follower.Map.Check(); len(faults) > 0 {
 			t.Fatalf("a map with faults is believed: %v", faults)
@@ -190,9 +190,9 @@
 	})
 }
 
-// FuzzMap reads whatever stands in a map file.
-func FuzzMap(f *testing.F) {
-	f.Add(good)
+// FuzzParseMap reads whatever stands in a map file.
+func FuzzParseMap(f *testing.F) {
+	f.Add(validMapFile)
 	f.Add("epoch 1\nsegment \"a\" keys 0000000000000000-ffffffffffffffff\n")
 	f.Fuzz(func(t *testing.T, text string) {
 		m, shards, err := ParseMap("m.conf", text)
--- a/internal/gatherer/discovery/follow_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -19,16 +19,19 @@
 )
 
 const (
-	whole = `{"revision":41,"complete":true,"members":[` +
+	fullDocument = `{"revision":41,"complete":true,"members":[` +
 		`{"id":"s-5be2a07c","host_port":"127.0.0.1:1","locality":"a","flavor":"m","cell":3,"phase":"in_service","size":1.5,"up_since_ms":7},` +
 		`{"id":"s-00000002","host_port":"127.0.0.1:2","cell":0,"phase":"terminating"}]}`
-	change = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","phase":"terminated"}]}`
+	changeDocument = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","phase":"terminated"}]}`
 )
 
-func TestParse(t *testing.T) {
+// address is where a test's agent listens.
+func address(agent *httptest.Server) string { return strings.TrimPrefix(agent.URL, "http://") }
+
+func TestParseResponseChecksEachMember(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"whole", whole, ""},
-		{"change", change, ""},
+		{"whole", fullDocument, ""},
+		{"change", changeDocument, ""},
 		{"nothing new", `{"revision":41,"complete":false}`, ""},
 		{"not JSON", `<html>`, "invalid"},
 		{"no revision", `{"complete":true}`, "no revision"},
@@ -38,7 +41,7 @@
 		{"no address", `{"revision":1,"members":[{"id":"s","phase":"in_service","cell":0}]}`, "members[0]: host_port"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := Parse([]byte(c.text))
+			_, err := ParseResponse([]byte(c.text))
 			if (err == nil) != (c.want == "") || err != nil && !strings.Contains(err.Error(), c.want) {
 				t.Errorf("error %v, want %q", err, c.want)
 			}
@@ -46,30 +49,30 @@
 	}
 }
 
-// TestNumber wants numbers that are the same at each gatherer and after each start, and no two servers with one.
-func TestNumber(t *testing.T) {
-	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": Number("s-zzzzzzzz")} {
-		if got := Number(name); name != "s-7" && got != want {
+// TestServerIDsAreStableAndDistinct wants numbers that are the same at each gatherer and after each start, and no two servers with one.
+func TestServerIDsAreStableAndDistinct(t *testing.T) {
+	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
+		if got := ServerID(name); name != "s-7" && got != want {
 			t.Errorf("%s is %#x, want %#x", name, got, want)
 		}
 	}
-	f := New("127.0.0.1:1", nil, nil, nil)
-	if a, b, c := f.number("s-00000005"), f.number("t-00000005"), f.number("s-00000005"); a != 5 || b != 6 || c != 5 {
+	f := New(Config{Address: "127.0.0.1:1"})
+	if a, b, c := f.endpoints.assignID("s-00000005"), f.endpoints.assignID("t-00000005"), f.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
 		t.Errorf("numbers %d, %d, %d", a, b, c)
 	}
 }
 
-// TestFollow plays an agent through a day: whole list, change, bad answers of several kinds, whole list again.
-func TestFollow(t *testing.T) {
+// TestWatcherNotifiesOfListsChangesAndFailures plays an agent through a day: whole list, change, bad answers of several kinds, whole list again.
+func TestWatcherNotifiesOfListsChangesAndFailures(t *testing.T) {
 	replies := []struct {
 		query, body string
 		status      int
 	}{
-		{"", whole, 200},
-		{"index=41&wait=2000", change, 200},
+		{"", fullDocument, 200},
+		{"index=41&wait=2000", changeDocument, 200},
 		{"index=43&wait=2000", `{"revision":44,`, 200},
 		{"", "", 500},
-		{"", strings.Replace(whole, "41", "45", 1), 200}, // newer: an older one takes no end back, see TestOlder
+		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older one takes no end back, see TestOlder
 		{"index=45&wait=2000", "", 0},
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -95,13 +98,13 @@
 		all  []shardcall.Address
 	}
 	var told []news
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, all []shardcall.Address) {
+	f := New(Config{Address: address(agent), OnChange: func(l gather.EndpointList, all []shardcall.Address) {
 		told = append(told, news{l, all})
-	}, nil, log)
+	}, Log: log})
 	f.Run(ctx)
 	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
-	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", Started: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
+	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
 	left := both[1:]
 	want := []news{
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
@@ -115,8 +118,8 @@
 	}
 }
 
-// TestHasty guards against asking without a pause an agent that answers at once whatever it is asked.
-func TestHasty(t *testing.T) {
+// TestAgentThatAnswersAtOnceIsPolledWithPauses guards against asking without a pause an agent that answers at once whatever it is asked.
+func TestAgentThatAnswersAtOnceIsPolledWithPauses(t *testing.T) {
 	for _, body := range []string{`{"revision":1,"complete":true}`, `{"revision":1,"complete":false}`} {
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		calls := 0
@@ -126,7 +129,11 @@
 		}))
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		New(strings.TrimPrefix(agent.URL, "http://"), func(gather.EndpointList, []shardcall.Address) {}, nil, log).Run(ctx)
+		New(Config{
+			Address:  address(agent),
+			OnChange: func(gather.EndpointList, []shardcall.Address) {},
+			Log:      log,
+		}).Run(ctx)
 		agent.Close()
 		stop()
 		if calls < 2 || calls > 15 {
@@ -135,8 +142,8 @@
 	}
 }
 
-// TestSilent wants an agent that says nothing to count as one that does not answer, and asked again.
-func TestSilent(t *testing.T) {
+// TestSilentAgentCountsAsFailedAndIsPolledAgain wants an agent that says nothing to count as one that does not answer, and asked again.
+func TestSilentAgentCountsAsFailedAndIsPolledAgain(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	calls := make(chan struct{}, 10)
 	agent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -148,7 +155,11 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := make(chan bool, 10)
-	f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed }, nil, log)
+	f := New(Config{
+		Address:  address(agent),
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed },
+		Log:      log,
+	})
 	go f.Run(ctx)
 	<-calls
 	if !<-failed {
@@ -157,10 +168,10 @@
 	<-calls
 }
 
-// TestBack wants an agent that never answers what it took while it was silent found as soon as it speaks again: further
+// TestFullListIsTakenFromWhicheverRequestIsAnswered wants an agent that never answers what it took while it was silent found as soon as it speaks again: further
 // calls are made while the first is open. One that is slow is heard all the same: its answer to the first call, which
 // comes after the third, is the one taken.
-func TestBack(t *testing.T) {
+func TestFullListIsTakenFromWhicheverRequestIsAnswered(t *testing.T) {
 	for _, answered := range []int{3, 1} {
 		ctx, stop := context.WithCancel(t.Context())
 		var calls atomic.Int32
@@ -173,7 +184,7 @@
 			if n <= 3 && n == answered {
 				select {
 				case <-third:
-					io.WriteString(w, whole)
+					io.WriteString(w, fullDocument)
 				case <-r.Context().Done():
 				}
 				return
@@ -183,7 +194,11 @@
 		log := logrus.New()
 		log.SetOutput(io.Discard)
 		told := make(chan gather.EndpointList, 100)
-		f := New(strings.TrimPrefix(agent.URL, "http://"), func(l gather.EndpointList, _ []shardcall.Address) { told <- l }, nil, log)
+		f := New(Config{
+			Address:  address(agent),
+			OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+			Log:      log,
+		})
 		go f.Run(ctx)
 		if l := <-told; l.Failed || !l.Full || len(l.Endpoints) != 2 {
 			t.Errorf("call %d answered: told %+v first", answered, l)
@@ -193,9 +208,9 @@
 	}
 }
 
-// TestMove wants a watch that waits at the old agent broken off, and the whole list asked of the new one first:
+// TestSetAddressCancelsTheWatchAndRequestsTheFullList wants a watch that waits at the old agent broken off, and the whole list asked of the new one first:
 // numbers of versions mean nothing across agents.
-func TestMove(t *testing.T) {
+func TestSetAddressCancelsTheWatchAndRequestsTheFullList(t *testing.T) {
 	asked := make(chan string, 10)
 	agent := func(name string) *httptest.Server {
 		a := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -204,29 +219,32 @@
 				<-r.Context().Done()
 				return
 			}
-			io.WriteString(w, whole)
+			io.WriteString(w, fullDocument)
 		}))
 		t.Cleanup(a.Close)
 		return a
 	}
-	at := func(a *httptest.Server) string { return strings.TrimPrefix(a.URL, "http://") }
 	old, next := agent("old?"), agent("new?")
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := false
-	f := New(at(old), func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed }, nil, log)
+	f := New(Config{
+		Address:  address(old),
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed },
+		Log:      log,
+	})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { f.Run(ctx); close(ended) }()
 	for i, want := range []string{"old?", "old?index=41&wait=2000", "new?", "new?index=41&wait=2000"} {
 		if i == 2 {
-			f.Move(at(next))
+			f.SetAddress(address(next))
 		}
 		if got := <-asked; got != want {
 			t.Errorf("call %d is %s, want %s", i, got, want)
 		}
 	}
-	f.Move(at(next)) // as it is: the watch goes on
+	f.SetAddress(address(next)) // as it is: the watch goes on
 	stop()
 	<-ended
 	if failed || len(asked) > 0 {
@@ -234,20 +252,23 @@
 	}
 }
 
-// TestReplaced guards against keeping all servers that there ever were, where each is replaced by one of a new name:
+// TestRemovedEndpointsAreNotKept guards against keeping all servers that there ever were, where each is replaced by one of a new name:
 // told as gone in a change, or just missing from a whole list.
-func TestReplaced(t *testing.T) {
+func TestRemovedEndpointsAreNotKept(t *testing.T) {
 	all := 0
-	f := New("127.0.0.1:1", func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) }, nil, nil)
+	f := New(Config{
+		Address:  "127.0.0.1:1",
+		OnChange: func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) },
+	})
 	for i := range 1000 {
 		text := `{"revision":%d,"complete":%t,"members":[{"id":"s-%d","phase":"terminated"},{"id":"s-%d","host_port":"h:1","cell":0,"phase":"in_service"}]}`
-		r, err := Parse(fmt.Appendf(nil, text, i, i%10 == 0, i, i+1))
+		r, err := ParseResponse(fmt.Appendf(nil, text, i, i%10 == 0, i, i+1))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Take(r)
-		if all != 1 || len(f.ids) != 1 || len(f.names) != 1 || len(f.held) != 1 || len(f.order) != 1 {
-			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.ids), len(f.names), len(f.held), len(f.order))
+		f.Apply(r)
+		if all != 1 || len(f.endpoints.idByName) != 1 || len(f.endpoints.nameByID) != 1 || len(f.endpoints.addresses) != 1 || len(f.endpoints.order) != 1 {
+			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.endpoints.idByName), len(f.endpoints.nameByID), len(f.endpoints.addresses), len(f.endpoints.order))
 		}
 	}
 }
