--- a/cmd/yokeroute/plansolve.go
+++ b/cmd/yokeroute/plansolve.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	s, rate, err := o.solve(name, &f.Model, inForce)
+	s, err := o.solve(name, &f.Model, inForce)
 	if err != nil {
 		return err
 	}
@@ -88,7 +88,7 @@
 			return err
 		}
 	}
-	if err := o.print(cmd, s, rate); err != nil {
+	if err := o.print(cmd, s); err != nil {
 		return err
 	}
 	if !s.Fits {
@@ -110,15 +110,14 @@
 	return old.Plan, nil
 }
 
-// solve works out a placement where one is wanted, and weights for it. It also returns the function that writes
-// the model's units as rates.
-func (o *solveOptions) solve(name string, model *placement.Model, inForce *placement.Plan) (
-	s *solution, rate func(int64) string, err error) {
-	s = &solution{}
+// solve works out a placement where one is wanted, and weights for it.
+func (o *solveOptions) solve(name string, model *placement.Model, inForce *placement.Plan) (*solution, error) {
+	s := &solution{}
+	var err error
 	if o.place {
 		s.Placement, s.Misfit, err = placing.Search(model, o.search, timeLeft(o.timeLimit))
 		if err != nil {
-			return nil, nil, err
+			return nil, err
 		}
 		if s.Placement != nil {
 			model = s.Placement.Model
@@ -127,10 +126,10 @@
 	if s.Misfit == nil {
 		s.Plan, s.Clash, err = balance.Solve(model, inForce, timeLeft(o.timeLimit))
 		if err != nil {
-			return nil, nil, fmt.Errorf("%s: %w", name, err)
+			return nil, fmt.Errorf("%s: %w", name, err)
 		}
 	}
-	rate = rateFormatter(model)
+	rate := rateFormatter(model)
 	switch {
 	case s.Misfit != nil:
 		s.Reason = s.Misfit.Words(rate)
@@ -139,7 +138,7 @@
 	default:
 		s.Fits = true
 	}
-	return s, rate, nil
+	return s, nil
 }
 
 // timeLeft returns a function that reports whether a time limit, which starts now, has not passed.
@@ -151,7 +150,7 @@
 func (s *solution) writePlan(w io.Writer) error { return placementfile.WritePlan(w, s.Plan) }
 
 // print writes the answer to standard output. A plan that goes there too has its summary on standard error.
-func (o *solveOptions) print(cmd *cobra.Command, s *solution, rate func(int64) string) error {
+func (o *solveOptions) print(cmd *cobra.Command, s *solution) error {
 	out := cmd.OutOrStdout()
 	switch {
 	case o.output == outputJSON:
