--- a/cmd/yokeroute/crossings_test.go
+++ b/cmd/yokeroute/crossings_test.go
@@ -22,7 +22,8 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// The whole program as a process of its own: signals at every moment, descriptors that run out, many starts at once.
+// The tests in this file run the whole program as a process of its own: signals at any moment, a lack of descriptors,
+// many starts at once.
 
 // program is one process of the gatherer.
 type program struct {
@@ -32,8 +33,8 @@
 	ended   chan error
 }
 
-// launch starts the program with so many descriptors; it is killed with the test at the latest.
-func launch(t *testing.T, binary, config, address string, descriptors int) *program {
+// startProcess starts the program with a limit of file descriptors. It is killed at the end of the test at the latest.
+func startProcess(t *testing.T, binary, config, address string, descriptors int) *program {
 	t.Helper()
 	p := &program{address: address, log: &bytes.Buffer{}, ended: make(chan error, 1)}
 	p.Cmd = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d; exec \"$0\" serve --config \"$1\"", descriptors), binary, config)
@@ -53,8 +54,8 @@
 	}
 }
 
-// left wants the process to end by itself, with nothing wrong, within a time.
-func (p *program) left(t *testing.T, within time.Duration) {
+// awaitExit expects the process to end by itself within a time, without an error.
+func (p *program) awaitExit(t *testing.T, within time.Duration) {
 	t.Helper()
 	select {
 	case err := <-p.ended:
@@ -69,7 +70,7 @@
 	}
 }
 
-// get asks for a path on a connection of its own; 0 where there was no answer.
+// get requests a path on a connection of its own, and returns the status, 0 without a response.
 func (p *program) get(path string) int {
 	client := http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: 2 * time.Second}
 	resp, err := client.Get("http://" + p.address + path)
@@ -102,14 +103,14 @@
 	return binary
 }
 
-// TestSignalsAtStart: a signal comes while the configuration is still being read, which the test holds up. SIGTERM
-// ended the process on the spot then; it has to leave as it does later. SIGHUP changes nothing.
-func TestSignalsAtStart(t *testing.T) {
+// TestSignalsDuringStartActAsLater sends a signal while the configuration is being read, which the test delays.
+// SIGTERM ends the process in order, and SIGHUP has the configuration read again.
+func TestSignalsDuringStartActAsLater(t *testing.T) {
 	shard := standin.NewShard(t)
-	agent, _ := newAgent(t, shard)
+	agent, _ := startDiscovery(t, shard)
 	for _, s := range []syscall.Signal{syscall.SIGTERM, syscall.SIGHUP} {
 		address := freeAddress(t)
-		text, err := os.ReadFile(configure(t, address, agent))
+		text, err := os.ReadFile(writeConfig(t, address, agent))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -117,7 +118,7 @@
 		if err := syscall.Mkfifo(pipe, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		p := launch(t, build(t), pipe, address, 256)
+		p := startProcess(t, build(t), pipe, address, 256)
 		w, err := os.OpenFile(pipe, os.O_WRONLY, 0) // waits for the process to open it
 		if err != nil {
 			t.Fatal(err)
@@ -148,25 +149,25 @@
 			waitFor(t, "ready", 10*time.Second, func() bool { return p.get("/-/ready") == 200 })
 			p.signal(t, syscall.SIGTERM)
 		}
-		p.left(t, 10*time.Second)
+		p.awaitExit(t, 10*time.Second)
 	}
 }
 
-// TestSignalsWhileLeaving: SIGTERM comes twice and SIGHUP between, with a lookup held and a server that hangs. The
-// lookup that is answered is answered, the one that hangs gets its final answer in its time, and so does one that
-// comes on a connection that was there before; the process ends by itself.
-func TestSignalsWhileLeaving(t *testing.T) {
+// TestRepeatedSignalsDoNotDisturbShutdown sends SIGTERM twice and SIGHUP between, while a query waits for a server that
+// answers and another for one that hangs. Each query gets its final answer in time, so does one on an idle connection
+// from before, and the process ends by itself.
+func TestRepeatedSignalsDoNotDisturbShutdown(t *testing.T) {
 	shard := standin.NewShard(t)
-	agent, _ := newAgent(t, shard)
+	agent, _ := startDiscovery(t, shard)
 	address := freeAddress(t)
-	p := launch(t, build(t), configure(t, address, agent), address, 256)
+	p := startProcess(t, build(t), writeConfig(t, address, agent), address, 256)
 	waitFor(t, "ready", 10*time.Second, func() bool { return p.get("/-/ready") == 200 })
 	early, err := net.Dial("tcp", address) // says nothing yet
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer early.Close()
-	held, hung := ask(address, "a"), ask(address, "b")
+	held, hung := sendQuery(address, "a"), sendQuery(address, "b")
 	conn := shard.Take()
 	for parts := 0; parts < 2; { // in one frame or in two
 		parts += len(conn.Read().Parts)
@@ -177,7 +178,7 @@
 	p.signal(t, syscall.SIGHUP)
 	p.signal(t, syscall.SIGTERM)
 	conn.Answer("a.2", "ok", "5be2")
-	if got := <-held; got != served {
+	if got := <-held; got != servedAnswer {
 		t.Errorf("answer %s", got)
 	}
 	waitFor(t, "no longer listening", 5*time.Second, func() bool {
@@ -196,13 +197,13 @@
 	if err != nil || resp.StatusCode != 503 && resp.StatusCode != 504 || !resp.Close {
 		t.Errorf("the one that came late: %v, %v", resp, err)
 	}
-	p.left(t, 10*time.Second)
+	p.awaitExit(t, 10*time.Second)
 }
 
-// TestDescriptorsFilled: clients that say nothing, or half of something, hold all the connections they can get while
-// discovery is silent. It is found when it speaks again, servers are reached, readiness is answered meanwhile, memory
-// stays in its limit, and who asks something is served while the others go on.
-func TestDescriptorsFilled(t *testing.T) {
+// TestIdleConnectionsLeaveRoomForDiscoveryAndServers has clients that send nothing, or half a request, take every
+// connection they can get while discovery is silent. Discovery is reached once it answers, and so are servers; readiness
+// is answered meanwhile, memory stays within its limit, and clients that send a query are served.
+func TestIdleConnectionsLeaveRoomForDiscoveryAndServers(t *testing.T) {
 	const sockets, memory = 96, 64
 	shard := standin.NewShard(t)
 	go func() {
@@ -245,11 +246,11 @@
 	defer agent.Close()
 	go agent.Serve(l)
 	address := freeAddress(t)
-	path := configure(t, address, l.Addr().String())
+	path := writeConfig(t, address, l.Addr().String())
 	text, _ := os.ReadFile(path)
 	text = bytes.Replace(text, []byte(`"seed"`), fmt.Appendf(nil, `"limits":{"cores":1,"memory_mb":%d,"sockets":%d},"seed"`, memory, sockets), 1)
 	os.WriteFile(path, text, 0o600)
-	p := launch(t, build(t), path, address, sockets)
+	p := startProcess(t, build(t), path, address, sockets)
 	waitFor(t, "healthy", 10*time.Second, func() bool { return p.get("/-/healthy") == 200 })
 
 	stop := make(chan struct{})
@@ -291,10 +292,10 @@
 	waitFor(t, "ready once discovery speaks", 5*time.Second, func() bool { return p.get("/-/ready") == 200 })
 	answers := map[string]int{}
 	for i := range 30 {
-		answers[<-ask(address, "q"+strconv.Itoa(i))]++
+		answers[<-sendQuery(address, "q"+strconv.Itoa(i))]++
 	}
-	t.Logf("of 30 lookups: %d served", answers[served])
-	if answers[served] < 20 { // some connections are closed at the bound before they have asked
+	t.Logf("of 30 lookups: %d served", answers[servedAnswer])
+	if answers[servedAnswer] < 20 { // some connections are closed at the bound before they have asked
 		t.Errorf("of 30 lookups: %v", answers)
 	}
 	if n := descriptors(); n > sockets {
@@ -309,15 +310,16 @@
 		}
 	}
 	p.signal(t, syscall.SIGTERM)
-	p.left(t, 10*time.Second)
+	p.awaitExit(t, 10*time.Second)
 	if strings.Contains(p.log.String(), "too many open files") {
 		t.Errorf("ran out of descriptors: %s", p.log)
 	}
 }
 
-// TestManyStarts: a dozen processes start at once before a discovery that is silent at first, then refuses, then answers
-// late and in pieces. Nine in ten are ready within 10 s and all within 30; here all are within 10.
-func TestManyStarts(t *testing.T) {
+// TestManyProcessesStartBeforeSlowDiscovery starts a dozen processes at once before a discovery that is silent at first,
+// then refuses, then answers late and in pieces. The requirement is nine in ten ready within 10 s and all within 30 s;
+// here all have to be ready within 10 s.
+func TestManyProcessesStartBeforeSlowDiscovery(t *testing.T) {
 	shard := standin.NewShard(t)
 	const many = 12
 	var calls atomic.Int32
@@ -352,7 +354,7 @@
 	var all []*program
 	for range many {
 		address := freeAddress(t)
-		all = append(all, launch(t, build(t), configure(t, address, l.Addr().String()), address, 256))
+		all = append(all, startProcess(t, build(t), writeConfig(t, address, l.Addr().String()), address, 256))
 	}
 	from := time.Now()
 	for _, p := range all {
@@ -362,6 +364,6 @@
 		p.signal(t, syscall.SIGTERM)
 	}
 	for _, p := range all {
-		p.left(t, 10*time.Second)
+		p.awaitExit(t, 10*time.Second)
 	}
 }
--- a/cmd/yokeroute/keys_test.go
+++ b/cmd/yokeroute/keys_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestKeysCommands makes keys, finds them fit, and finds what is wrong with others.
-func TestKeysCommands(t *testing.T) {
+// TestKeysCommandsMakeAndCheck makes keys, finds them valid, and finds what is wrong with others.
+func TestKeysCommandsMakeAndCheck(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "keys")
 	in := func(text string) string { return strings.ReplaceAll(text, "K/", dir+"/") }
 	for _, c := range []struct {
--- a/cmd/yokeroute/migrate_test.go
+++ b/cmd/yokeroute/migrate_test.go
@@ -9,13 +9,14 @@
 	"testing"
 )
 
-// TestMigrate: the command's exit, what it lists, a dry run that writes nothing, and a result that reads well.
-func TestMigrate(t *testing.T) {
+// TestMigrateListsLossesAndNeverOverwritesUnasked checks the command's exit status and list, a dry run that writes
+// nothing, and that the result is a valid configuration.
+func TestMigrateListsLossesAndNeverOverwritesUnasked(t *testing.T) {
 	fleet := filepath.Join(t.TempDir(), "fleet.json")
 	if err := os.WriteFile(fleet, []byte(`{"discovery":"on_request","limits":{"idleClose":null,"secondCopies":false}}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	old := configure(t, "127.0.0.1:8000", "127.0.0.1:8500")
+	old := writeConfig(t, "127.0.0.1:8000", "127.0.0.1:8500")
 	to := filepath.Join(t.TempDir(), "new.json")
 	out, err := execute(t, "migrate", "--config", old, "--fleet", fleet, "--out", to, "--dry-run")
 	if !errors.Is(err, errNegative) || !strings.Contains(out, "not carried over: settings.limits.idleClose: ") || !strings.Contains(out, `"on_request"`) {
@@ -45,8 +46,8 @@
 	}
 }
 
-// TestWrite: whole or not at all, and never over a file unless told.
-func TestWrite(t *testing.T) {
+// TestAtomicFileIsCompleteOrAbsent: a file is replaced only on request, and nothing is left behind by a failed write.
+func TestAtomicFileIsCompleteOrAbsent(t *testing.T) {
 	write := func(name, text string, put func(from, to string) error) error {
 		file := atomicFile{name: name, mode: privateFileMode, publish: put}
 		return file.write(func(w io.Writer) error { _, err := io.WriteString(w, text); return err })
