--- a/internal/gatherer/frontend/shutdown.go
+++ b/internal/gatherer/frontend/shutdown.go
@@ -19,7 +19,8 @@
 	answerMargin = 100 * time.Millisecond
 )
 
-// lateWindow is the time in a shutdown in which queries no longer get their own deadline.
+// lateWindow is the last part of a shutdown: a query that comes in it has to be answered by its end, whatever its own
+// deadline.
 type lateWindow struct {
 	from time.Time
 	end  time.Time // by which they have to be answered
