--- a/internal/control/policylease/revisionfile.go
+++ b/internal/control/policylease/revisionfile.go
@@ -69,5 +69,5 @@
 	if err != nil {
 		return err
 	}
-	return statedir.Replace(filepath.Join(folder, revisionFile), text)
+	return statedir.WriteFileAtomic(filepath.Join(folder, revisionFile), text)
 }
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -95,7 +95,7 @@
 // writeFolder has a controller with a clock that stands write a rollout's folder.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
-	own, err := statedir.OpenRun(folder, false)
+	own, err := statedir.OpenRunFolder(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 	now := 1796168075012.75
 	p := keptPlan(folder)
 	c := &Controller{
-		plan: p, journal: own, fencingToken: own.Fence, now: func() float64 { return now },
+		plan: p, journal: own, fencingToken: own.FencingToken, now: func() float64 { return now },
 		reports: &reportClient{lastReportAt: make([]time.Time, 3)},
 	}
 	for _, record := range keptRecords {
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := statedir.Say(folder, "stop", 1796168075012746801); err != nil {
+	if err := statedir.SendCommand(folder, "stop", 1796168075012746801); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -204,22 +204,22 @@
 			t.Errorf("record %d reads %q, want %q", i, line, keptLines[i])
 		}
 	}
-	own, err := statedir.OpenRun(folder, false)
+	own, err := statedir.OpenRunFolder(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer own.Close()
 	c := &Controller{plan: keptPlan(folder), journal: own, stepStates: make([]rollout.StepState, 3)}
 	err = c.recover()
-	if err != nil || c.position != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.Fence != 2 {
-		t.Errorf("%v, %+v, controller %d", err, c.position, own.Fence)
+	if err != nil || c.position != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.FencingToken != 2 {
+		t.Errorf("%v, %+v, controller %d", err, c.position, own.FencingToken)
 	}
 	if len(c.unfinished) != 1 || c.unfinished[0].Gatherer != "g1" ||
 		c.unfinished[0].Target != rollout.Old || c.unfinished[0].At != 1796168077267.25 ||
 		c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
 		t.Errorf("made again: %+v, after %q", c.unfinished, c.lastCommand)
 	}
-	if word, err := own.Word(); err != nil || word != "stop 1796168075012746801" {
+	if word, err := own.Command(); err != nil || word != "stop 1796168075012746801" {
 		t.Errorf("%v, %q", err, word)
 	}
 }
--- a/internal/gatherer/service/handover.go
+++ b/internal/gatherer/service/handover.go
@@ -33,8 +33,8 @@
 }
 
 // apply marks the drains that an earlier process knew of in the list that the platform knows, which may be older.
-func (h *handover) apply(known *discovery.Reply) {
-	if marked := known.Drain(h.Draining); marked > 0 {
+func (h *handover) apply(known *discovery.Response) {
+	if marked := known.MarkDraining(h.Draining); marked > 0 {
 		h.log.WithField("servers", marked).Info("handover: stored drains applied")
 	}
 }
@@ -47,10 +47,10 @@
 	draining := map[string]float64{}
 	for _, address := range addresses {
 		if address.State == gather.Draining {
-			draining[address.Name] = address.Started
+			draining[address.Name] = address.StartedAt
 		}
 	}
-	if err := h.Set(draining); err != nil {
+	if err := h.SetDraining(draining); err != nil {
 		h.log.WithError(err).Error("handover: drains can't be stored")
 	}
 }
