--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -40,13 +40,13 @@
 // ownershipState is what the picker knows of who owns which keys.
 type ownershipState struct {
 	ownership.Tracker
-	index         *ownership.ReplicaSetIndex
-	shards        int // that the keys are divided into
-	serverNames   map[uint32]string
-	ownedSets     map[string][]int // replica sets of the segments that a server owns, by its name
-	mapRequested  chan struct{}    // has a value while the map that is known is not the newest
-	parked        int              // pieces that wait for a map
-	refusedPieces int              // by servers that do not own them, since the last round
+	index          *ownership.ReplicaSetIndex
+	shards         int // that the keys are divided into
+	serverNames    map[uint32]string
+	ownedSets      map[string][]int // replica sets of the segments that a server owns, by its name
+	mapRequested   chan struct{}    // has a value while the map that is known is not the newest
+	deferred       int              // pieces that wait for another map
+	rejectedPieces int              // by servers that do not own them, since the last round
 }
 
 // EnableOwnership has queries sent to the owners of their keys, by the maps that are handed in, of maxSegments at
@@ -107,7 +107,7 @@
 }
 
 // applyMapUpdates takes over updates of the map and puts into the endpoint lists which segments each server owns. It
-// reports whether the map, or the trust in it, has changed.
+// reports whether the map, or whether it is trusted, has changed.
 func (p *Picker) applyMapUpdates(in *inbox) bool {
 	o := p.ownership
 	changed := false
@@ -117,7 +117,7 @@
 		}
 	}
 	if changed && o.ConflictEpoch > 0 && o.Map != nil && o.Map.Epoch > o.ConflictEpoch {
-		o.requestMap() // as a full one, this map ends the doubt
+		o.requestMap() // as a full one, this map ends the conflict
 	}
 	if in.serverNames != nil {
 		o.serverNames = in.serverNames
@@ -143,18 +143,18 @@
 	return changed
 }
 
-// applyMapUpdate takes over one update. It reports whether the map, or the trust in it, has changed.
+// applyMapUpdate takes over one update. It reports whether the map, or whether it is trusted, has changed.
 func (p *Picker) applyMapUpdate(update *mapUpdate) bool {
 	o := p.ownership
-	var verdict ownership.UpdateResult
+	var result ownership.UpdateResult
 	var err error
 	if update.full != nil {
-		verdict, err = o.ApplyMap(update.full)
+		result, err = o.ApplyMap(update.full)
 	} else {
-		verdict, err = o.ApplyChange(update.change)
+		result, err = o.ApplyChange(update.change)
 	}
-	log := p.log.WithField("verdict", string(verdict))
-	switch verdict {
+	log := p.log.WithField("result", string(result))
+	switch result {
 	case ownership.Applied:
 		log.WithField("epoch", o.Map.Epoch).Info("segment map: new epoch")
 		if p.store != nil {
@@ -193,52 +193,52 @@
 	query.pieces = make([]piece, 0, len(query.ShardRequests))
 	query.values = query.values[:0]
 	query.attempts = query.attempts[:0]
-	for _, fresh := range m.Split(ranges, weights, p.nonIdempotent(query) && o.ConflictEpoch > 0) {
-		p.addPiece(in, query, fresh)
+	for _, added := range m.Split(ranges, weights, p.nonIdempotent(query) && o.ConflictEpoch > 0) {
+		p.addPiece(in, query, added)
 	}
 }
 
 // addPiece hands one piece to the module.
-func (p *Picker) addPiece(in *gather.Round, query *Query, fresh ownership.NewPiece) {
-	held := ownership.Piece{
+func (p *Picker) addPiece(in *gather.Round, query *Query, added ownership.NewPiece) {
+	owned := ownership.Piece{
 		ID:         p.intake.allocate(1),
-		Request:    fresh.Request,
-		Range:      fresh.Range,
-		Weight:     fresh.Weight,
-		Attempted:  fresh.Retry,
-		DeferredAt: fresh.DeferredAt,
+		Request:    added.Request,
+		Range:      added.Range,
+		Weight:     added.Weight,
+		Attempted:  added.Retry,
+		DeferredAt: added.DeferredAt,
 	}
-	replicaSet := p.ownership.assignSegment(&held, fresh.Segment, p.settings.Class(query.Class).Effect)
-	p.queries.requests[held.ID] = requestRef{query, len(query.pieces)}
-	query.pieces = append(query.pieces, piece{Piece: held})
+	replicaSet := p.ownership.assignSegment(&owned, added.Segment, p.settings.Class(query.Class).Effect)
+	p.queries.requests[owned.ID] = requestRef{query, len(query.pieces)}
+	query.pieces = append(query.pieces, piece{Piece: owned})
 	query.values = append(query.values, nil)
 	query.attempts = append(query.attempts, nil)
-	request := &query.ShardRequests[fresh.Request]
-	share := fresh.Weight / max(request.Weight, minPieceShare)
+	request := &query.ShardRequests[added.Request]
+	share := added.Weight / max(request.Weight, minPieceShare)
 	in.Requests = append(in.Requests, gather.ShardRequest{
-		ID:     held.ID,
+		ID:     owned.ID,
 		Number: query.id,
 		Shard:  replicaSet,
-		Weight: fresh.Weight,
+		Weight: added.Weight,
 		Cost:   request.Cost * share,
 		Key:    request.Key,
-		Retry:  fresh.Retry,
+		Retry:  added.Retry,
 	})
 }
 
 // assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set
 // that stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds
 // them.
-func (o *ownershipState) assignSegment(held *ownership.Piece, segment int, effect gather.Effect) (replicaSet int) {
+func (o *ownershipState) assignSegment(owned *ownership.Piece, segment int, effect gather.Effect) (replicaSet int) {
 	if o.Map != nil {
-		held.OwnedSince = o.Map.Epoch
+		owned.OwnedSince = o.Map.Epoch
 	}
 	if segment < 0 {
 		return o.index.NoOwner()
 	}
 	s := &o.Map.Segments[segment]
-	held.Segment = s.Name
-	held.OwnedSince = s.OwnedSince
+	owned.Segment = s.Name
+	owned.OwnedSince = s.OwnedSince
 	all, writer := o.index.ReplicaSets(s.Name)
 	if effect == gather.Idempotent {
 		return all
@@ -247,10 +247,10 @@
 }
 
 // reassignPieces gives the pieces of open queries to their present owners, where the map has changed or pieces are
-// parked or were refused.
+// deferred or were rejected.
 func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
 	o := p.ownership
-	if o.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
+	if o.Map == nil || !mapChanged && o.deferred == 0 && o.rejectedPieces == 0 {
 		return
 	}
 	ids := make([]uint64, 0, len(p.queries.byID))
@@ -258,36 +258,36 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids) // the module must not depend on a map's order
-	o.parked = 0
+	o.deferred = 0
 	for _, id := range ids {
 		p.reassignPiecesOf(in, p.queries.byID[id], now)
 	}
-	if o.refusedPieces > 0 {
+	if o.rejectedPieces > 0 {
 		o.requestMap()
-		o.refusedPieces = 0
+		o.rejectedPieces = 0
 	}
 }
 
 func (p *Picker) reassignPiecesOf(in *gather.Round, query *Query, now float64) {
 	o := p.ownership
-	held := make([]ownership.Piece, 0, len(query.pieces))
+	current := make([]ownership.Piece, 0, len(query.pieces))
 	for i := range query.pieces {
 		if !query.pieces[i].replaced {
-			held = append(held, query.pieces[i].Piece)
+			current = append(current, query.pieces[i].Piece)
 		}
 	}
-	replaced, fresh := o.Map.Reassign(held, p.nonIdempotent(query), o.ConflictEpoch == 0, now)
+	replaced, added := o.Map.Reassign(current, p.nonIdempotent(query), o.ConflictEpoch == 0, now)
 	for _, id := range replaced {
 		query.pieces[p.queries.requests[id].index].replaced = true
 		delete(p.queries.requests, id)
 	}
 	in.Superseded = append(in.Superseded, replaced...)
-	for _, f := range fresh {
-		p.addPiece(in, query, f)
+	for _, next := range added {
+		p.addPiece(in, query, next)
 	}
 	for i := range query.pieces {
 		if pc := &query.pieces[i]; !pc.replaced && pc.DeferredAt > 0 {
-			o.parked++
+			o.deferred++
 		}
 	}
 }
@@ -301,7 +301,7 @@
 		pc.Answered = true
 	case end.outcome == gather.NotOwner:
 		pc.Rejected = true
-		p.ownership.refusedPieces++
+		p.ownership.rejectedPieces++
 	case !end.outcome.NeverExecuted():
 		pc.MayHaveRun = true
 	}
--- a/internal/gatherer/dispatch/picker.go
+++ b/internal/gatherer/dispatch/picker.go
@@ -18,8 +18,8 @@
 )
 
 // Picker connects the network and one decision module. What it is set up with, by its Enable, Set and Observe
-// methods, must be in place before the first round, except for what the module is to learn of later: endpoints, weights,
-// server names and the segment map.
+// methods, must be in place before the first round, except for what the module is to learn of later: endpoints,
+// weights, server names and the segment map.
 type Picker struct {
 	log         *logrus.Logger
 	clock       clock
@@ -150,7 +150,7 @@
 }
 
 // now is in Unix milliseconds, which compare with the times of discovery, moved on by the monotonic clock, so that a
-// change of the machine's clock does not move what is held.
+// change of the machine's clock does not move the deadlines of open queries.
 func (c *clock) now() float64 {
 	if c.override != nil {
 		return c.override()
--- a/internal/gatherer/dispatch/twopass_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -154,7 +154,7 @@
 			p.Report(c, gather.Cancelled, nil)
 		}
 		if o := p.runRound(now + 5); len(o.Send) > 0 || len(p.queries.byID)+len(p.twoPass.queries)+p.intake.open != 0 {
-			t.Errorf("%d: %d attempts after the end, %d queries held", when, len(o.Send), len(p.queries.byID))
+			t.Errorf("%d: %d attempts after the end, %d queries open", when, len(o.Send), len(p.queries.byID))
 		}
 	}
 }
