--- a/cmd/yokeroute/plancheck.go
+++ b/cmd/yokeroute/plancheck.go
@@ -23,7 +23,7 @@
 type checkedFile struct {
 	File                string   `json:"file"`
 	Kind                string   `json:"kind"`
-	Fits                bool     `json:"fits"`
+	Feasible            bool     `json:"fits"`
 	GreatestUtilisation float64  `json:"greatest"`
 	Violations          []string `json:"wrong,omitempty"`
 }
@@ -46,14 +46,14 @@
 // checkPlacementFiles checks each of the files, and reports whether all fit by its error.
 func checkPlacementFiles(w io.Writer, names []string, output string) error {
 	var files []checkedFile
-	fit := true
+	feasible := true
 	for _, name := range names {
 		f, err := placementfile.Read(name, unixMilliseconds())
 		if err != nil {
 			return err
 		}
 		checked := checkPlacementFile(name, f)
-		fit = fit && checked.Fits
+		feasible = feasible && checked.Feasible
 		files = append(files, checked)
 	}
 	if output == outputJSON {
@@ -65,7 +65,7 @@
 			files[i].print(w)
 		}
 	}
-	if !fit {
+	if !feasible {
 		return errNegative
 	}
 	return nil
@@ -90,7 +90,7 @@
 			c.Violations = []string{clash.Words(rateFormatter(&f.Model))}
 		}
 	}
-	c.Fits = len(c.Violations) == 0
+	c.Feasible = len(c.Violations) == 0
 	return c
 }
 
@@ -109,10 +109,10 @@
 
 func (c *checkedFile) print(w io.Writer) {
 	switch {
-	case !c.Fits && c.Kind == kindPlan:
+	case !c.Feasible && c.Kind == kindPlan:
 		fmt.Fprintf(w, "%s: a plan that breaks %s:\n  %s\n",
 			c.File, plural(len(c.Violations), "limit", "limits"), strings.Join(c.Violations, "\n  "))
-	case !c.Fits:
+	case !c.Feasible:
 		fmt.Fprintf(w, "%s: nothing fits. %s\n", c.File, c.Violations[0])
 	case c.GreatestUtilisation > 0:
 		fmt.Fprintf(w, "%s: a %s, greatest utilisation %.1f%%\n", c.File, c.Kind, 100*c.GreatestUtilisation)
--- a/cmd/yokeroute/plansolve.go
+++ b/cmd/yokeroute/plansolve.go
@@ -32,7 +32,7 @@
 
 // solution is what plan solve prints as JSON.
 type solution struct {
-	Fits      bool             `json:"fits"`
+	Feasible  bool             `json:"fits"`
 	Reason    string           `json:"why,omitempty"`
 	Plan      *placement.Plan  `json:"plan,omitempty"`
 	Placement *placing.Result  `json:"placement,omitempty"`
@@ -91,7 +91,7 @@
 	if err := o.print(cmd, s); err != nil {
 		return err
 	}
-	if !s.Fits {
+	if !s.Feasible {
 		return errNegative
 	}
 	return nil
@@ -136,7 +136,7 @@
 	case s.Clash != nil:
 		s.Reason = s.Clash.Words(rate)
 	default:
-		s.Fits = true
+		s.Feasible = true
 	}
 	return s, nil
 }
@@ -155,7 +155,7 @@
 	switch {
 	case o.output == outputJSON:
 		return writeIndentedJSON(out, s)
-	case !s.Fits:
+	case !s.Feasible:
 		fmt.Fprintf(out, "Nothing fits. %s\n", s.Reason)
 		return nil
 	case o.out != "":
