--- a/cmd/yokeroute/keysmake.go
+++ b/cmd/yokeroute/keysmake.go
@@ -58,13 +58,13 @@
 	if err := os.MkdirAll(dir, privateDirMode); err != nil {
 		return err
 	}
-	validity := tlskeys.For(time.Duration(o.days) * day)
+	validity := tlskeys.ValidFor(time.Duration(o.days) * day)
 	authority, err := openAuthority(w, dir, validity)
 	if err != nil {
 		return err
 	}
-	if authority.Certificate.NotAfter.Before(validity.Until) {
-		validity.Until = authority.Certificate.NotAfter
+	if authority.Certificate.NotAfter.Before(validity.NotAfter) {
+		validity.NotAfter = authority.Certificate.NotAfter
 	}
 	issuer := keyIssuer{authority: authority, dir: dir, validity: validity}
 	for _, spec := range o.servers {
@@ -81,7 +81,7 @@
 }
 
 // openAuthority reads the folder's authority, or makes one where there is none.
-func openAuthority(w io.Writer, dir string, validity tlskeys.Life) (*tlskeys.Authority, error) {
+func openAuthority(w io.Writer, dir string, validity tlskeys.Validity) (*tlskeys.Authority, error) {
 	file := filepath.Join(dir, authorityFile)
 	if _, err := os.Stat(file); !errors.Is(err, fs.ErrNotExist) {
 		return tlskeys.LoadAuthority(dir)
@@ -101,7 +101,7 @@
 type keyIssuer struct {
 	authority *tlskeys.Authority
 	dir       string
-	validity  tlskeys.Life
+	validity  tlskeys.Validity
 }
 
 // issue writes a key and its certificate by a flag's value, FILE=NAME,NAME or a name that is both.
@@ -122,6 +122,6 @@
 		return err
 	}
 	fmt.Fprintf(w, "%s: for a %s, %s, until %s\n",
-		saved.Cert, use, names, i.validity.Until.UTC().Format(time.DateOnly))
+		saved.Cert, use, names, i.validity.NotAfter.UTC().Format(time.DateOnly))
 	return nil
 }
--- a/internal/tlskeys/authority.go
+++ b/internal/tlskeys/authority.go
@@ -26,30 +26,30 @@
 	key         crypto.Signer
 }
 
-// Life is when a certificate holds.
-type Life struct{ From, Until time.Time }
+// Validity is when a certificate holds.
+type Validity struct{ NotBefore, NotAfter time.Time }
 
-// For is a life from a little before now, against clocks that differ.
-func For(d time.Duration) Life {
+// ValidFor is a life from a little before now, against clocks that differ.
+func ValidFor(d time.Duration) Validity {
 	now := time.Now()
-	return Life{now.Add(-time.Minute), now.Add(d)}
+	return Validity{now.Add(-time.Minute), now.Add(d)}
 }
 
-func serial() (*big.Int, error) {
+func randomSerial() (*big.Int, error) {
 	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
 }
 
 // NewAuthority makes one.
-func NewAuthority(name string, life Life) (*Authority, error) {
+func NewAuthority(name string, life Validity) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	number, err := serial()
+	number, err := randomSerial()
 	if err != nil {
 		return nil, err
 	}
-	c := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: name}, NotBefore: life.From, NotAfter: life.Until,
+	c := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: name}, NotBefore: life.NotBefore, NotAfter: life.NotAfter,
 		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
 	der, err := x509.CreateCertificate(rand.Reader, c, c, key.Public(), key)
 	if err != nil {
@@ -65,15 +65,15 @@
 }
 
 // Issue signs a certificate for names (host names, addresses, or URIs) and gives it and its key in PEM.
-func (a *Authority) Issue(names []string, life Life, uses ...Use) (cert, key []byte, err error) {
+func (a *Authority) Issue(names []string, life Validity, uses ...Use) (cert, key []byte, err error) {
 	if len(names) == 0 {
 		return nil, nil, errors.New("a certificate without a name")
 	}
-	number, err := serial()
+	number, err := randomSerial()
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: names[0]}, NotBefore: life.From, NotAfter: life.Until,
+	c := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: names[0]}, NotBefore: life.NotBefore, NotAfter: life.NotAfter,
 		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageDigitalSignature}
 	for _, n := range names {
 		if ip := net.ParseIP(n); ip != nil {
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, use := range uses {
-		c.ExtKeyUsage = append(c.ExtKeyUsage, use.extended())
+		c.ExtKeyUsage = append(c.ExtKeyUsage, use.extKeyUsage())
 	}
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
@@ -112,10 +112,10 @@
 	if err != nil {
 		return err
 	}
-	if err := write(filepath.Join(dir, "ca.key"), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text}), 0o600); err != nil {
+	if err := replaceFile(filepath.Join(dir, "ca.key"), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text}), 0o600); err != nil {
 		return err
 	}
-	return write(filepath.Join(dir, "ca.pem"), a.PEM(), 0o644)
+	return replaceFile(filepath.Join(dir, "ca.pem"), a.PEM(), 0o644)
 }
 
 // LoadAuthority reads one from a folder.
@@ -125,7 +125,7 @@
 	if err != nil {
 		return nil, err
 	}
-	all, err := certificates(file, text)
+	all, err := parseCertificates(file, text)
 	if err != nil {
 		return nil, err
 	}
@@ -133,17 +133,17 @@
 	if text, err = readFile(file); err != nil {
 		return nil, err
 	}
-	keys, err := blocks(file, text, func(kind string) bool { return kind == "PRIVATE KEY" }, "a private key")
+	keys, err := decodePEM(file, text, func(kind string) bool { return kind == "PRIVATE KEY" }, "a private key")
 	if err != nil {
 		return nil, err
 	}
 	key, err := x509.ParsePKCS8PrivateKey(keys[0].Bytes)
 	if err != nil {
-		return nil, fault(file, "%v", err)
+		return nil, fileErrorf(file, "%v", err)
 	}
 	signer, ok := key.(crypto.Signer)
 	if !ok {
-		return nil, fault(file, "is no key that signs")
+		return nil, fileErrorf(file, "is no key that signs")
 	}
 	return &Authority{all[0], signer}, nil
 }
@@ -152,14 +152,14 @@
 // folder's ca.pem as the bundle. Each file is replaced whole.
 func Save(dir, name string, cert, key []byte) (Files, error) {
 	f := Files{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Trust: filepath.Join(dir, "ca.pem")}
-	if err := write(f.Key, key, 0o600); err != nil {
+	if err := replaceFile(f.Key, key, 0o600); err != nil {
 		return f, err
 	}
-	return f, write(f.Cert, cert, 0o644)
+	return f, replaceFile(f.Cert, cert, 0o644)
 }
 
-// write puts a file in place of another whole.
-func write(file string, text []byte, mode os.FileMode) error {
+// replaceFile puts a file in place of another whole.
+func replaceFile(file string, text []byte, mode os.FileMode) error {
 	temporary := file + ".new"
 	if err := os.WriteFile(temporary, text, mode); err != nil {
 		return err
--- a/internal/tlskeys/door.go
+++ b/internal/tlskeys/door.go
@@ -17,53 +17,53 @@
 
 var errUntrusted = errors.New("its certificate is of no authority that is trusted")
 
-// sweeps is how often a door looks for connections whose time is up.
-const sweeps = 250 * time.Millisecond
+// sweepInterval is how often a door looks for connections whose time is up.
+const sweepInterval = 250 * time.Millisecond
 
-// Door is what stands before a listener: it lets in who the rules admit, by address before a byte is read and by name
+// AccessControl is what stands before a listener: it lets in who the rules admit, by address before a byte is read and by name
 // once a certificate is proven, and ends connections whose time is up.
-type Door struct {
+type AccessControl struct {
 	store *Store
 	log   *logrus.Logger
 
 	mu    sync.Mutex
-	door  *admission.Door
+	state *admission.Door
 	conns map[uint64]*Conn
 }
 
-// NewDoor makes a door for the keys of a store.
-func NewDoor(store *Store, terms admission.Terms, rules *admission.Rules, log *logrus.Logger) *Door {
-	d := &Door{store: store, log: log, door: admission.NewDoor(terms, rules), conns: map[uint64]*Conn{}}
+// NewAccessControl makes a door for the keys of a store.
+func NewAccessControl(store *Store, terms admission.Terms, rules *admission.Rules, log *logrus.Logger) *AccessControl {
+	d := &AccessControl{store: store, log: log, state: admission.NewDoor(terms, rules), conns: map[uint64]*Conn{}}
 	store.OnReplace(func(k *Keys) {
 		at := time.Now()
 		d.mu.Lock()
-		ends := d.door.Replace(func(id uint64) bool { return k.Trusts(d.conns[id].chain, Client, at) }, unix(at))
+		ends := d.state.Replace(func(id uint64) bool { return k.Trusts(d.conns[id].chain, Client, at) }, unixMilliseconds(at))
 		d.mu.Unlock()
-		d.end(ends)
+		d.close(ends)
 	})
 	return d
 }
 
-func unix(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
+func unixMilliseconds(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// Rule takes over other rules and limits. Who may no longer do what it came in for is put out.
-func (d *Door) Rule(terms admission.Terms, rules *admission.Rules) {
+// UpdateRules takes over other rules and limits. Who may no longer do what it came in for is put out.
+func (d *AccessControl) UpdateRules(terms admission.Terms, rules *admission.Rules) {
 	d.mu.Lock()
-	ends := d.door.Rule(terms, rules)
+	ends := d.state.Rule(terms, rules)
 	d.mu.Unlock()
-	d.end(ends)
+	d.close(ends)
 }
 
 // Counts tells who is inside and who was refused.
-func (d *Door) Counts() admission.Counts {
+func (d *AccessControl) Counts() admission.Counts {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.door.Counts()
+	return d.state.Counts()
 }
 
 // Run ends connections whose time is up, until ctx ends.
-func (d *Door) Run(ctx context.Context) {
-	tick := time.NewTicker(sweeps)
+func (d *AccessControl) Run(ctx context.Context) {
+	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -71,18 +71,18 @@
 			return
 		case <-tick.C:
 			d.mu.Lock()
-			ends := d.door.Sweep(unix(time.Now()))
+			ends := d.state.Sweep(unixMilliseconds(time.Now()))
 			d.mu.Unlock()
-			d.end(ends)
+			d.close(ends)
 		}
 	}
 }
 
-func (d *Door) end(ends []admission.End) {
+func (d *AccessControl) close(ends []admission.End) {
 	for _, e := range ends {
 		d.mu.Lock()
 		c := d.conns[e.Conn]
-		name, _ := d.door.Who(e.Conn)
+		name, _ := d.state.Who(e.Conn)
 		d.mu.Unlock()
 		if c == nil {
 			continue
@@ -95,19 +95,19 @@
 // Conn is a connection that has come through a door, under TLS.
 type Conn struct {
 	net.Conn
-	door  *Door
-	id    uint64
-	chain []*x509.Certificate // guarded by the door's lock
-	once  sync.Once
+	control   *AccessControl
+	id        uint64
+	chain     []*x509.Certificate // guarded by the door's lock
+	closeOnce sync.Once
 }
 
 // Close ends it.
 func (c *Conn) Close() error {
-	c.once.Do(func() {
-		c.door.mu.Lock()
-		c.door.door.Leave(c.id)
-		delete(c.door.conns, c.id)
-		c.door.mu.Unlock()
+	c.closeOnce.Do(func() {
+		c.control.mu.Lock()
+		c.control.state.Leave(c.id)
+		delete(c.control.conns, c.id)
+		c.control.mu.Unlock()
 	})
 	return c.Conn.Close()
 }
@@ -115,11 +115,11 @@
 // listener refuses who may not even knock.
 type listener struct {
 	net.Listener
-	door *Door
+	control *AccessControl
 }
 
-// Listen puts the door before a listener. What Accept gives has still to be spoken TLS with, by Config.
-func (d *Door) Listen(l net.Listener) net.Listener { return &listener{l, d} }
+// Wrap puts the door before a listener. What Accept gives has still to be spoken TLS with, by Config.
+func (d *AccessControl) Wrap(l net.Listener) net.Listener { return &listener{l, d} }
 
 func (l *listener) Accept() (net.Conn, error) {
 	for {
@@ -127,33 +127,33 @@
 		if err != nil {
 			return nil, err
 		}
-		c, err := l.door.knock(nc)
+		c, err := l.control.accept(nc)
 		if err == nil {
 			return c, nil
 		}
-		l.door.log.WithError(err).WithField("from", nc.RemoteAddr().String()).Debug("connection refused")
+		l.control.log.WithError(err).WithField("from", nc.RemoteAddr().String()).Debug("connection refused")
 		nc.Close()
 	}
 }
 
-func (d *Door) knock(nc net.Conn) (*Conn, error) {
+func (d *AccessControl) accept(nc net.Conn) (*Conn, error) {
 	var from netip.Addr
 	if a, ok := nc.RemoteAddr().(*net.TCPAddr); ok {
 		from = a.AddrPort().Addr()
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	id, err := d.door.Knock(from, unix(time.Now()))
+	id, err := d.state.Knock(from, unixMilliseconds(time.Now()))
 	if err != nil {
 		return nil, err
 	}
-	c := &Conn{Conn: nc, door: d, id: id}
+	c := &Conn{Conn: nc, control: d, id: id}
 	d.conns[id] = c
 	return c, nil
 }
 
-// Config is the server's end of TLS on what Listen accepts. Each handshake uses the keys in force when it begins.
-func (d *Door) Config(protocols ...string) *tls.Config {
+// TLSConfig is the server's end of TLS on what Listen accepts. Each handshake uses the keys in force when it begins.
+func (d *AccessControl) TLSConfig(protocols ...string) *tls.Config {
 	return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols,
 		GetConfigForClient: func(hello *tls.ClientHelloInfo) (*tls.Config, error) {
 			c, ok := hello.Conn.(*Conn)
@@ -161,19 +161,19 @@
 				return nil, errors.New("a connection that has not come through the door")
 			}
 			d.mu.Lock()
-			generation, k := d.door.Keys(), d.store.Keys()
+			generation, k := d.state.Keys(), d.store.Keys()
 			d.mu.Unlock()
 			return &tls.Config{MinVersion: tls.VersionTLS13, NextProtos: protocols, Certificates: []tls.Certificate{k.Certificate},
 				ClientAuth: tls.RequireAndVerifyClientCert, ClientCAs: k.Trust,
 				SessionTicketsDisabled: true, // each connection proves itself by the bundle in force
-				VerifyConnection:       func(cs tls.ConnectionState) error { return d.prove(c, cs.PeerCertificates, generation) }}, nil
+				VerifyConnection:       func(cs tls.ConnectionState) error { return d.authenticate(c, cs.PeerCertificates, generation) }}, nil
 		}}
 }
 
-func (d *Door) prove(c *Conn, chain []*x509.Certificate, generation int) error {
+func (d *AccessControl) authenticate(c *Conn, chain []*x509.Certificate, generation int) error {
 	leaf := chain[0]
 	d.mu.Lock()
-	name, _, err := d.door.Prove(c.id, admission.Peer{Names: Names(leaf), Expires: unix(leaf.NotAfter)}, generation, unix(time.Now()))
+	name, _, err := d.state.Prove(c.id, admission.Peer{Names: Names(leaf), Expires: unixMilliseconds(leaf.NotAfter)}, generation, unixMilliseconds(time.Now()))
 	c.chain = chain
 	d.mu.Unlock()
 	entry := d.log.WithFields(logrus.Fields{"from": c.RemoteAddr().String(), "name": name})
@@ -185,17 +185,17 @@
 	return nil
 }
 
-// Who is the name and the roles under which a connection was let in: what net/http and others hand on as a *tls.Conn,
+// Identity is the name and the roles under which a connection was let in: what net/http and others hand on as a *tls.Conn,
 // or a *Conn itself. Nothing is known of others.
-func (d *Door) Who(nc net.Conn) (name string, roles admission.Role) {
+func (d *AccessControl) Identity(nc net.Conn) (name string, roles admission.Role) {
 	if t, ok := nc.(*tls.Conn); ok {
 		nc = t.NetConn()
 	}
 	c, ok := nc.(*Conn)
-	if !ok || c.door != d {
+	if !ok || c.control != d {
 		return "", 0
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.door.Who(c.id)
+	return d.state.Who(c.id)
 }
--- a/internal/tlskeys/keys.go
+++ b/internal/tlskeys/keys.go
@@ -39,14 +39,14 @@
 
 func (u Use) String() string { return [...]string{"server", "client"}[u] }
 
-func (u Use) extended() x509.ExtKeyUsage {
+func (u Use) extKeyUsage() x509.ExtKeyUsage {
 	return [...]x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth}[u]
 }
 
 const (
-	mostFile    = 1 << 20             // bytes; bundles of a few hundred authorities fit
-	leastRSA    = 2048                // bits
-	soonExpires = 14 * 24 * time.Hour // before its end a certificate is warned of
+	maxFileBytes  = 1 << 20             // bytes; bundles of a few hundred authorities fit
+	minRSABits    = 2048                // bits
+	expiryWarning = 14 * 24 * time.Hour // before its end a certificate is warned of
 )
 
 // Keys are one end's keys, read and checked. They are never changed.
@@ -59,13 +59,13 @@
 	digest      [sha256.Size]byte
 }
 
-// Fault is what is wrong with a file of keys.
-type Fault struct{ File, Text string }
+// FileError is what is wrong with a file of keys.
+type FileError struct{ File, Problem string }
 
-func (f *Fault) Error() string { return f.File + ": " + f.Text }
+func (f *FileError) Error() string { return f.File + ": " + f.Problem }
 
-func fault(file, format string, args ...any) error {
-	return &Fault{file, fmt.Sprintf(format, args...)}
+func fileErrorf(file, format string, args ...any) error {
+	return &FileError{file, fmt.Sprintf(format, args...)}
 }
 
 // Read reads keys and checks them for a use at a time. Its errors name the file at fault; several are joined.
@@ -87,12 +87,12 @@
 		return nil, errors.Join(faults...)
 	}
 	sum.Sum(k.digest[:0])
-	if err := k.pair(files, cert, key); err != nil {
+	if err := k.loadPair(files, cert, key); err != nil {
 		faults = append(faults, err)
-	} else if err := k.leaf(files.Cert, use, at); err != nil {
+	} else if err := k.checkLeaf(files.Cert, use, at); err != nil {
 		faults = append(faults, err)
 	}
-	if err := k.bundle(files.Trust, trust, at); err != nil {
+	if err := k.loadBundle(files.Trust, trust, at); err != nil {
 		faults = append(faults, err)
 	}
 	if len(faults) > 0 {
@@ -110,23 +110,23 @@
 	}
 	f, err := os.Open(file)
 	if err != nil {
-		return nil, fault(file, "%v", bare(err))
+		return nil, fileErrorf(file, "%v", withoutPath(err))
 	}
 	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, mostFile+1))
+	text, err := io.ReadAll(io.LimitReader(f, maxFileBytes+1))
 	switch {
 	case err != nil:
-		return nil, fault(file, "%v", bare(err))
-	case len(text) > mostFile:
-		return nil, fault(file, "is longer than %d bytes", mostFile)
+		return nil, fileErrorf(file, "%v", withoutPath(err))
+	case len(text) > maxFileBytes:
+		return nil, fileErrorf(file, "is longer than %d bytes", maxFileBytes)
 	case len(bytes.TrimSpace(text)) == 0:
-		return nil, fault(file, "is empty")
+		return nil, fileErrorf(file, "is empty")
 	}
 	return text, nil
 }
 
-// bare is an error without the file's name, which is said already.
-func bare(err error) error {
+// withoutPath is an error without the file's name, which is said already.
+func withoutPath(err error) error {
 	var path *os.PathError
 	if errors.As(err, &path) {
 		return path.Err
@@ -134,131 +134,131 @@
 	return err
 }
 
-// blocks reads all PEM blocks of a file, which must be of one kind.
-func blocks(file string, text []byte, kind func(string) bool, want string) ([]*pem.Block, error) {
+// decodePEM reads all PEM blocks of a file, which must be of one kind.
+func decodePEM(file string, text []byte, kind func(string) bool, want string) ([]*pem.Block, error) {
 	var all []*pem.Block
 	for rest := text; ; {
 		var b *pem.Block
 		if b, rest = pem.Decode(rest); b == nil {
 			if bytes.Contains(rest, []byte("-----BEGIN")) {
-				return nil, fault(file, "a PEM block is cut off or garbled after %d good ones", len(all))
+				return nil, fileErrorf(file, "a PEM block is cut off or garbled after %d good ones", len(all))
 			}
 			break
 		}
 		if !kind(b.Type) {
-			return nil, fault(file, "holds a %s where %s is wanted", strings.ToLower(b.Type), want)
+			return nil, fileErrorf(file, "holds a %s where %s is wanted", strings.ToLower(b.Type), want)
 		}
 		all = append(all, b)
 	}
 	if len(all) == 0 {
-		return nil, fault(file, "holds no PEM block; %s is wanted", want)
+		return nil, fileErrorf(file, "holds no PEM block; %s is wanted", want)
 	}
 	return all, nil
 }
 
-func certificates(file string, text []byte) (all []*x509.Certificate, err error) {
-	pems, err := blocks(file, text, func(kind string) bool { return kind == "CERTIFICATE" }, "a certificate")
+func parseCertificates(file string, text []byte) (all []*x509.Certificate, err error) {
+	pems, err := decodePEM(file, text, func(kind string) bool { return kind == "CERTIFICATE" }, "a certificate")
 	if err != nil {
 		return nil, err
 	}
 	for i, b := range pems {
 		c, err := x509.ParseCertificate(b.Bytes)
 		if err != nil {
-			return nil, fault(file, "certificate %d: %v", i+1, err)
+			return nil, fileErrorf(file, "certificate %d: %v", i+1, err)
 		}
 		all = append(all, c)
 	}
 	return all, nil
 }
 
-func (k *Keys) pair(files Files, cert, key []byte) error {
-	if _, err := certificates(files.Cert, cert); err != nil {
+func (k *Keys) loadPair(files Files, cert, key []byte) error {
+	if _, err := parseCertificates(files.Cert, cert); err != nil {
 		return err
 	}
-	if _, err := blocks(files.Key, key, func(kind string) bool { return strings.HasSuffix(kind, "PRIVATE KEY") }, "a private key"); err != nil {
+	if _, err := decodePEM(files.Key, key, func(kind string) bool { return strings.HasSuffix(kind, "PRIVATE KEY") }, "a private key"); err != nil {
 		return err
 	}
 	pair, err := tls.X509KeyPair(cert, key)
 	if err != nil {
 		if strings.Contains(err.Error(), "does not match") {
-			return fault(files.Key, "is not the key of the certificate in %s", files.Cert)
+			return fileErrorf(files.Key, "is not the key of the certificate in %s", files.Cert)
 		}
-		return fault(files.Key, "%s", strings.TrimPrefix(err.Error(), "tls: "))
+		return fileErrorf(files.Key, "%s", strings.TrimPrefix(err.Error(), "tls: "))
 	}
 	k.Certificate, k.Leaf = pair, pair.Leaf
 	return nil
 }
 
-// leaf checks the certificate that is shown, and what leads to its authority.
-func (k *Keys) leaf(file string, use Use, at time.Time) error {
+// checkLeaf checks the certificate that is shown, and what leads to its authority.
+func (k *Keys) checkLeaf(file string, use Use, at time.Time) error {
 	c := k.Leaf
-	if err := life(file, "the certificate", c, at); err != nil {
+	if err := checkValidity(file, "the certificate", c, at); err != nil {
 		return err
 	}
-	if left := c.NotAfter.Sub(at); left < soonExpires && left < c.NotAfter.Sub(c.NotBefore)/4 {
-		k.Warnings = append(k.Warnings, fmt.Sprintf("%s: expires at %s", file, day(c.NotAfter)))
+	if left := c.NotAfter.Sub(at); left < expiryWarning && left < c.NotAfter.Sub(c.NotBefore)/4 {
+		k.Warnings = append(k.Warnings, fmt.Sprintf("%s: expires at %s", file, formatTime(c.NotAfter)))
 	}
 	switch {
 	case c.IsCA:
-		return fault(file, "is an authority's certificate; one for a %s is wanted", use)
-	case !slices.Contains(c.ExtKeyUsage, use.extended()) && !slices.Contains(c.ExtKeyUsage, x509.ExtKeyUsageAny):
-		return fault(file, "may not be used for a %s: its extended key usage lacks %s authentication", use, use)
+		return fileErrorf(file, "is an authority's certificate; one for a %s is wanted", use)
+	case !slices.Contains(c.ExtKeyUsage, use.extKeyUsage()) && !slices.Contains(c.ExtKeyUsage, x509.ExtKeyUsageAny):
+		return fileErrorf(file, "may not be used for a %s: its extended key usage lacks %s authentication", use, use)
 	case c.KeyUsage != 0 && c.KeyUsage&x509.KeyUsageDigitalSignature == 0:
-		return fault(file, "its key usage lacks digital signature")
+		return fileErrorf(file, "its key usage lacks digital signature")
 	case len(Names(c)) == 0:
-		return fault(file, "proves no name")
+		return fileErrorf(file, "proves no name")
 	case use == Server && len(c.DNSNames)+len(c.IPAddresses)+len(c.URIs) == 0:
-		return fault(file, "has no subject alternative name, by which clients know a server")
+		return fileErrorf(file, "has no subject alternative name, by which clients know a server")
 	}
-	if err := strength(file, c); err != nil {
+	if err := checkKeyStrength(file, c); err != nil {
 		return err
 	}
 	for i, der := range k.Certificate.Certificate[1:] {
 		over, err := x509.ParseCertificate(der)
 		if err != nil {
-			return fault(file, "certificate %d: %v", i+2, err)
+			return fileErrorf(file, "certificate %d: %v", i+2, err)
 		}
-		if err := life(file, fmt.Sprintf("certificate %d", i+2), over, at); err != nil {
+		if err := checkValidity(file, fmt.Sprintf("certificate %d", i+2), over, at); err != nil {
 			return err
 		}
 		if err := c.CheckSignatureFrom(over); err != nil {
-			return fault(file, "certificate %d has not signed the one before it", i+2)
+			return fileErrorf(file, "certificate %d has not signed the one before it", i+2)
 		}
 		c = over
 	}
 	return nil
 }
 
-func day(t time.Time) string { return t.UTC().Format("2006-01-02 15:04 MST") }
+func formatTime(t time.Time) string { return t.UTC().Format("2006-01-02 15:04 MST") }
 
-func life(file, what string, c *x509.Certificate, at time.Time) error {
+func checkValidity(file, what string, c *x509.Certificate, at time.Time) error {
 	switch {
 	case at.Before(c.NotBefore):
-		return fault(file, "%s is not valid before %s", what, day(c.NotBefore))
+		return fileErrorf(file, "%s is not valid before %s", what, formatTime(c.NotBefore))
 	case !at.Before(c.NotAfter):
-		return fault(file, "%s has expired at %s", what, day(c.NotAfter))
+		return fileErrorf(file, "%s has expired at %s", what, formatTime(c.NotAfter))
 	}
 	return nil
 }
 
-// strength refuses keys that Go's TLS would use though they can be broken.
-func strength(file string, c *x509.Certificate) error {
+// checkKeyStrength refuses keys that Go's TLS would use though they can be broken.
+func checkKeyStrength(file string, c *x509.Certificate) error {
 	switch key := c.PublicKey.(type) {
 	case *rsa.PublicKey:
-		if key.N.BitLen() < leastRSA {
-			return fault(file, "its RSA key has %d bits, %d are the least", key.N.BitLen(), leastRSA)
+		if key.N.BitLen() < minRSABits {
+			return fileErrorf(file, "its RSA key has %d bits, %d are the least", key.N.BitLen(), minRSABits)
 		}
 	case *ecdsa.PublicKey, ed25519.PublicKey:
 	default:
-		return fault(file, "its key is of a kind that TLS does not know")
+		return fileErrorf(file, "its key is of a kind that TLS does not know")
 	}
 	return nil
 }
 
-// bundle checks the authorities. One that has expired is left out with a warning while others are there: bundles
+// loadBundle checks the authorities. One that has expired is left out with a warning while others are there: bundles
 // carry the old beside the new when authorities change.
-func (k *Keys) bundle(file string, text []byte, at time.Time) error {
-	all, err := certificates(file, text)
+func (k *Keys) loadBundle(file string, text []byte, at time.Time) error {
+	all, err := parseCertificates(file, text)
 	if err != nil {
 		return err
 	}
@@ -267,15 +267,15 @@
 	for i, c := range all {
 		what := fmt.Sprintf("certificate %d (%s)", i+1, c.Subject)
 		if !c.IsCA || !c.BasicConstraintsValid {
-			return fault(file, "%s is no authority's", what)
+			return fileErrorf(file, "%s is no authority's", what)
 		}
 		if c.KeyUsage != 0 && c.KeyUsage&x509.KeyUsageCertSign == 0 {
-			return fault(file, "%s may not sign certificates", what)
+			return fileErrorf(file, "%s may not sign certificates", what)
 		}
-		if err := strength(file, c); err != nil {
+		if err := checkKeyStrength(file, c); err != nil {
 			return err
 		}
-		if err := life(file, what, c, at); err != nil {
+		if err := checkValidity(file, what, c, at); err != nil {
 			dead = err
 			k.Warnings = append(k.Warnings, err.Error()+"; left out")
 			continue
@@ -325,6 +325,6 @@
 	for _, c := range chain[1:] {
 		between.AddCert(c)
 	}
-	_, err := chain[0].Verify(x509.VerifyOptions{Roots: k.Trust, Intermediates: between, CurrentTime: at, KeyUsages: []x509.ExtKeyUsage{use.extended()}})
+	_, err := chain[0].Verify(x509.VerifyOptions{Roots: k.Trust, Intermediates: between, CurrentTime: at, KeyUsages: []x509.ExtKeyUsage{use.extKeyUsage()}})
 	return err == nil
 }
--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -14,9 +14,9 @@
 
 const (
 	// A change of files is often several: a new certificate, then its key. They are read once there is a pause.
-	settle = 100 * time.Millisecond
+	quietPeriod = 100 * time.Millisecond
 	// Where the system tells of no changes, as on some network disks, they are looked for.
-	look = 30 * time.Second
+	pollInterval = 30 * time.Second
 )
 
 // Store holds the keys in force and replaces them when their files change. Keys that don't check out change nothing.
@@ -27,10 +27,10 @@
 
 	keys atomic.Pointer[Keys]
 
-	mu       sync.Mutex
-	files    Files
-	told     string // of the last refusal, against a line at each look
-	replaced []func(*Keys)
+	mu            sync.Mutex
+	files         Files
+	lastRejection string // of the last refusal, against a line at each look
+	onReplace     []func(*Keys)
 }
 
 // Open reads keys for a use. Faulty ones are an error.
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s.warn(k)
+	s.logKeys(k)
 	s.keys.Store(k)
 	return s, nil
 }
@@ -52,14 +52,14 @@
 func (s *Store) OnReplace(f func(*Keys)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.replaced = append(s.replaced, f)
+	s.onReplace = append(s.onReplace, f)
 }
 
-func (s *Store) warn(k *Keys) {
+func (s *Store) logKeys(k *Keys) {
 	for _, w := range k.Warnings {
 		s.log.Warn("keys: " + w)
 	}
-	s.log.WithFields(logrus.Fields{"names": Names(k.Leaf), "until": day(k.Leaf.NotAfter), "authorities": len(k.Authorities)}).Info("keys in force")
+	s.log.WithFields(logrus.Fields{"names": Names(k.Leaf), "until": formatTime(k.Leaf.NotAfter), "authorities": len(k.Authorities)}).Info("keys in force")
 }
 
 // Reload reads the files again, from other places where files is not nil, and puts what is new in force. An error
@@ -72,19 +72,19 @@
 	}
 	k, err := Read(*files, s.use, s.now())
 	if err != nil {
-		if text := err.Error(); text != s.told {
-			s.told = text
+		if text := err.Error(); text != s.lastRejection {
+			s.lastRejection = text
 			s.log.WithError(err).Error("keys refused; those before stay in force")
 		}
 		return err
 	}
-	s.files, s.told = *files, ""
+	s.files, s.lastRejection = *files, ""
 	if k.digest == s.keys.Load().digest {
 		return nil
 	}
 	s.keys.Store(k)
-	s.warn(k)
-	for _, f := range s.replaced {
+	s.logKeys(k)
+	for _, f := range s.onReplace {
 		f(k)
 	}
 	return nil
@@ -108,7 +108,7 @@
 		s.mu.Unlock()
 		events, faults = w.Events, w.Errors
 	}
-	looks := time.NewTicker(look)
+	looks := time.NewTicker(pollInterval)
 	defer looks.Stop()
 	soon := time.NewTimer(time.Hour)
 	soon.Stop()
@@ -117,10 +117,10 @@
 		case <-ctx.Done():
 			return
 		case <-events:
-			soon.Reset(settle)
+			soon.Reset(quietPeriod)
 		case err := <-faults:
 			s.log.WithError(err).Debug("keys: watching")
-			soon.Reset(settle)
+			soon.Reset(quietPeriod)
 		case <-soon.C:
 			s.Reload(nil) // it logs what it refuses
 		case <-looks.C:
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -48,12 +48,12 @@
 // authority puts another one in the bundle's place.
 func (y *yard) authority(name string) {
 	var err error
-	y.ca, err = NewAuthority(name, For(time.Hour))
+	y.ca, err = NewAuthority(name, ValidFor(time.Hour))
 	y.must(err)
 	y.must(y.ca.Save(y.dir))
 }
 
-func (y *yard) issue(file string, life Life, names []string, uses ...Use) Files {
+func (y *yard) issue(file string, life Validity, names []string, uses ...Use) Files {
 	cert, key, err := y.ca.Issue(names, life, uses...)
 	y.must(err)
 	f, err := Save(y.dir, file, cert, key)
@@ -71,12 +71,12 @@
 func TestRead(t *testing.T) {
 	y := newYard(t)
 	names := []string{"127.0.0.1", "gate"}
-	good := y.issue("good", For(time.Hour), names, Server, Client)
-	other := y.issue("other", For(time.Hour), names, Server)
+	good := y.issue("good", ValidFor(time.Hour), names, Server, Client)
+	other := y.issue("other", ValidFor(time.Hour), names, Server)
 	text, err := os.ReadFile(good.Cert)
 	y.must(err)
 	ca := y.ca.PEM()
-	old, err := NewAuthority("old", Life{time.Now().Add(-2 * time.Hour), time.Now().Add(-time.Hour)})
+	old, err := NewAuthority("old", Validity{time.Now().Add(-2 * time.Hour), time.Now().Add(-time.Hour)})
 	y.must(err)
 	for _, c := range []struct {
 		name  string
@@ -88,12 +88,12 @@
 		{"good for a client", good, Client, ""},
 		{"pair", Files{good.Cert, other.Key, good.Trust}, Server, "other.key: is not the key of the certificate in"},
 		{"use", other, Client, "other.pem: may not be used for a client"},
-		{"expired", y.issue("expired", Life{time.Now().Add(-2 * time.Hour), time.Now().Add(-time.Hour)}, names, Server), Server, "expired.pem: the certificate has expired at"},
-		{"early", y.issue("early", Life{time.Now().Add(time.Hour), time.Now().Add(2 * time.Hour)}, names, Server), Server, "early.pem: the certificate is not valid before"},
+		{"expired", y.issue("expired", Validity{time.Now().Add(-2 * time.Hour), time.Now().Add(-time.Hour)}, names, Server), Server, "expired.pem: the certificate has expired at"},
+		{"early", y.issue("early", Validity{time.Now().Add(time.Hour), time.Now().Add(2 * time.Hour)}, names, Server), Server, "early.pem: the certificate is not valid before"},
 		{"missing", Files{filepath.Join(y.dir, "none.pem"), good.Key, good.Trust}, Server, "none.pem: no such file"},
 		{"unnamed", Files{good.Cert, "", good.Trust}, Server, "no file of keys is named"},
 		{"empty", Files{y.put("empty.pem", nil), good.Key, good.Trust}, Server, "empty.pem: is empty"},
-		{"long", Files{y.put("long.pem", bytes.Repeat([]byte("x"), mostFile+1)), good.Key, good.Trust}, Server, "long.pem: is longer"},
+		{"long", Files{y.put("long.pem", bytes.Repeat([]byte("x"), maxFileBytes+1)), good.Key, good.Trust}, Server, "long.pem: is longer"},
 		{"text", Files{y.put("text.pem", []byte("hello")), good.Key, good.Trust}, Server, "text.pem: holds no PEM block"},
 		{"cut", Files{y.put("cut.pem", text[:len(text)/2]), good.Key, good.Trust}, Server, "cut.pem: a PEM block is cut off"},
 		{"swapped", Files{good.Key, good.Cert, good.Trust}, Server, "good.key: holds a private key where a certificate is wanted"},
@@ -134,21 +134,21 @@
 type gate struct {
 	*yard
 	store  *Store
-	door   *Door
+	door   *AccessControl
 	l      net.Listener
 	who    chan string
 	server Files
 }
 
 func (y *yard) gate(terms admission.Terms, rules ...admission.Rule) *gate {
-	g := &gate{yard: y, who: make(chan string, 100), server: y.issue("server", For(time.Hour), []string{"127.0.0.1"}, Server)}
+	g := &gate{yard: y, who: make(chan string, 100), server: y.issue("server", ValidFor(time.Hour), []string{"127.0.0.1"}, Server)}
 	var err error
 	g.store, err = Open(g.server, Server, quiet())
 	y.must(err)
-	g.door = NewDoor(g.store, terms, admission.NewRules(rules), quiet())
+	g.door = NewAccessControl(g.store, terms, admission.NewRules(rules), quiet())
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	y.must(err)
-	g.l = g.door.Listen(l)
+	g.l = g.door.Wrap(l)
 	ctx, cancel := context.WithCancel(context.Background())
 	go g.door.Run(ctx)
 	go g.store.Watch(ctx)
@@ -162,11 +162,11 @@
 			}
 			go func() {
 				defer nc.Close()
-				c := tls.Server(nc, g.door.Config("echo"))
+				c := tls.Server(nc, g.door.TLSConfig("echo"))
 				if c.Handshake() != nil {
 					return
 				}
-				name, roles := g.door.Who(c)
+				name, roles := g.door.Identity(c)
 				g.who <- name + " " + roles.Text()
 				io.Copy(c, c)
 			}()
@@ -218,7 +218,7 @@
 func TestStrangers(t *testing.T) {
 	y := newYard(t)
 	g := y.gate(open, admission.Rule{Name: "p1", Roles: admission.Subscriber})
-	fine := g.client(y.issue("p1", For(time.Hour), []string{"p1"}, Client))
+	fine := g.client(y.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))
 	if _, err := g.call(fine); err != nil {
 		t.Fatal(err)
 	}
@@ -240,11 +240,11 @@
 	other.authority("other")
 	for name, config := range map[string]*tls.Config{
 		"none":    none,
-		"expired": show(y.issue("e", Life{time.Now().Add(-2 * time.Hour), time.Now().Add(-time.Hour)}, []string{"p1"}, Client)),
-		"early":   show(y.issue("f", Life{time.Now().Add(time.Hour), time.Now().Add(2 * time.Hour)}, []string{"p1"}, Client)),
-		"use":     show(y.issue("u", For(time.Hour), []string{"p1"}, Server)),
-		"other":   show(other.issue("p1", For(time.Hour), []string{"p1"}, Client)),
-		"name":    show(y.issue("n", For(time.Hour), []string{"p2"}, Client)),
+		"expired": show(y.issue("e", Validity{time.Now().Add(-2 * time.Hour), time.Now().Add(-time.Hour)}, []string{"p1"}, Client)),
+		"early":   show(y.issue("f", Validity{time.Now().Add(time.Hour), time.Now().Add(2 * time.Hour)}, []string{"p1"}, Client)),
+		"use":     show(y.issue("u", ValidFor(time.Hour), []string{"p1"}, Server)),
+		"other":   show(other.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client)),
+		"name":    show(y.issue("n", ValidFor(time.Hour), []string{"p2"}, Client)),
 		"old TLS": old,
 	} {
 		if _, err := g.call(config); err == nil {
@@ -266,7 +266,7 @@
 	if _, err := impostor.call(fine); !errors.Is(err, errUntrusted) {
 		t.Errorf("a server of another authority: %v", err)
 	}
-	named, err := Open(y.issue("p1", For(time.Hour), []string{"p1"}, Client), Client, quiet())
+	named, err := Open(y.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client), Client, quiet())
 	y.must(err)
 	if _, err := g.call(named.ClientConfig("gate", "echo")); err == nil || !strings.Contains(err.Error(), "gate") {
 		t.Errorf("a server of another name: %v", err)
@@ -284,7 +284,7 @@
 func TestAddresses(t *testing.T) {
 	y := newYard(t)
 	g := y.gate(open, admission.Rule{Name: "p1", Roles: admission.Subscriber, From: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/24")}})
-	if _, err := g.call(g.client(y.issue("p1", For(time.Hour), []string{"p1"}, Client))); err == nil {
+	if _, err := g.call(g.client(y.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))); err == nil {
 		t.Error("let in")
 	}
 	if c := g.door.Counts(); c.Refused["address"] != 1 {
@@ -297,18 +297,18 @@
 func TestReplaced(t *testing.T) {
 	y := newYard(t)
 	g := y.gate(open, admission.Rule{Name: "*", Roles: admission.Subscriber})
-	first := g.client(y.issue("p1", For(time.Hour), []string{"p1"}, Client))
+	first := g.client(y.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))
 	c, err := g.call(first)
 	y.must(err)
 	before := g.store.Keys()
 	// A certificate whose key has not come yet.
-	cert, key, err := y.ca.Issue([]string{"127.0.0.1"}, For(time.Hour), Server)
+	cert, key, err := y.ca.Issue([]string{"127.0.0.1"}, ValidFor(time.Hour), Server)
 	y.must(err)
-	y.must(write(g.server.Cert, cert, 0o644))
+	y.must(replaceFile(g.server.Cert, cert, 0o644))
 	if err := g.store.Reload(nil); err == nil || g.store.Keys() != before {
 		t.Fatal("half of a pair is in force")
 	}
-	y.must(write(g.server.Key, key, 0o600))
+	y.must(replaceFile(g.server.Key, key, 0o600))
 	until := time.Now().Add(10 * time.Second)
 	for g.store.Keys() == before && time.Now().Before(until) { // the watch finds it
 		time.Sleep(5 * time.Millisecond)
@@ -322,7 +322,7 @@
 	y.authority("next")
 	y.put("ca.pem", append(old.PEM(), y.ca.PEM()...))
 	y.must(g.store.Reload(nil))
-	second, err := g.call(g.client(y.issue("p2", For(time.Hour), []string{"p2"}, Client)))
+	second, err := g.call(g.client(y.issue("p2", ValidFor(time.Hour), []string{"p2"}, Client)))
 	y.must(err)
 	y.must(say(c))
 	y.put("ca.pem", y.ca.PEM())
@@ -340,18 +340,18 @@
 	terms := open
 	terms.Ageing = 200
 	g := y.gate(terms, admission.Rule{Name: "*", Roles: admission.Subscriber})
-	config := g.client(y.issue("p1", For(time.Hour), []string{"p1"}, Client))
+	config := g.client(y.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))
 	c, err := g.call(config)
 	y.must(err)
-	y.issue("server", For(time.Hour), []string{"127.0.0.1"}, Server)
+	y.issue("server", ValidFor(time.Hour), []string{"127.0.0.1"}, Server)
 	y.must(g.store.Reload(nil))
 	ends(t, c, "aged")
 	c, err = g.call(config)
 	y.must(err)
-	g.door.Rule(terms, admission.NewRules([]admission.Rule{{Name: "q", Roles: admission.Subscriber}}))
+	g.door.UpdateRules(terms, admission.NewRules([]admission.Rule{{Name: "q", Roles: admission.Subscriber}}))
 	ends(t, c, "ruled out")
-	g.door.Rule(terms, admission.NewRules([]admission.Rule{{Name: "*", Roles: admission.Administrator}}))
-	brief, err := g.call(g.client(y.issue("brief", For(2*time.Second), []string{"brief"}, Client)))
+	g.door.UpdateRules(terms, admission.NewRules([]admission.Rule{{Name: "*", Roles: admission.Administrator}}))
+	brief, err := g.call(g.client(y.issue("brief", ValidFor(2*time.Second), []string{"brief"}, Client)))
 	y.must(err)
 	ends(t, brief, "expired")
 }
@@ -360,7 +360,7 @@
 func TestFlood(t *testing.T) {
 	y := newYard(t)
 	g := y.gate(open, admission.Rule{Name: "*", Roles: admission.Subscriber})
-	config := g.client(y.issue("p1", For(time.Hour), []string{"p1"}, Client))
+	config := g.client(y.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))
 	known, err := g.call(config)
 	y.must(err)
 	for range 60 {
