--- a/internal/tlskeys/authority.go
+++ b/internal/tlskeys/authority.go
@@ -7,7 +7,6 @@
 	"crypto/rand"
 	"crypto/x509"
 	"crypto/x509/pkix"
-	"encoding/pem"
 	"errors"
 	"fmt"
 	"math/big"
@@ -19,146 +18,198 @@
 	"time"
 )
 
-// Authority signs certificates for tests and demonstrations. Its key lies in a file or in memory: it is not for use
+const (
+	authorityCertFile = "ca.pem"
+	authorityKeyFile  = "ca.key"
+
+	certFileMode os.FileMode = 0o644
+	keyFileMode  os.FileMode = 0o600
+
+	clockSkew  = time.Minute // by which the clocks of two machines may differ
+	serialBits = 120
+)
+
+// Authority signs certificates for tests and demonstrations. Its key is in a file or in memory: it is not for use
 // where keys matter.
 type Authority struct {
 	Certificate *x509.Certificate
 	key         crypto.Signer
 }
 
-// Validity is when a certificate holds.
+// Validity is the time during which a certificate is valid.
 type Validity struct{ NotBefore, NotAfter time.Time }
 
-// ValidFor is a life from a little before now, against clocks that differ.
+// ValidFor returns a validity that ends after d. It starts a little before now, for machines whose clocks are behind.
 func ValidFor(d time.Duration) Validity {
 	now := time.Now()
-	return Validity{now.Add(-time.Minute), now.Add(d)}
+	return Validity{NotBefore: now.Add(-clockSkew), NotAfter: now.Add(d)}
 }
 
 func randomSerial() (*big.Int, error) {
-	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), 120))
+	return rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialBits))
+}
+
+// newTemplate returns what the certificates of authorities and of their subjects have in common.
+func newTemplate(commonName string, validity Validity) (*x509.Certificate, error) {
+	serial, err := randomSerial()
+	if err != nil {
+		return nil, err
+	}
+	return &x509.Certificate{
+		SerialNumber:          serial,
+		Subject:               pkix.Name{CommonName: commonName},
+		NotBefore:             validity.NotBefore,
+		NotAfter:              validity.NotAfter,
+		BasicConstraintsValid: true,
+	}, nil
 }
 
-// NewAuthority makes one.
-func NewAuthority(name string, life Validity) (*Authority, error) {
+// NewAuthority makes an authority with a key of its own.
+func NewAuthority(name string, validity Validity) (*Authority, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	number, err := randomSerial()
+	template, err := newTemplate(name, validity)
 	if err != nil {
 		return nil, err
 	}
-	c := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: name}, NotBefore: life.NotBefore, NotAfter: life.NotAfter,
-		IsCA: true, BasicConstraintsValid: true, MaxPathLenZero: true, KeyUsage: x509.KeyUsageCertSign | x509.KeyUsageCRLSign}
-	der, err := x509.CreateCertificate(rand.Reader, c, c, key.Public(), key)
+	template.IsCA = true
+	template.MaxPathLenZero = true
+	template.KeyUsage = x509.KeyUsageCertSign | x509.KeyUsageCRLSign
+	der, err := x509.CreateCertificate(rand.Reader, template, template, key.Public(), key)
 	if err != nil {
 		return nil, err
 	}
 	signed, err := x509.ParseCertificate(der)
-	return &Authority{signed, key}, err
+	if err != nil {
+		return nil, err
+	}
+	return &Authority{Certificate: signed, key: key}, nil
 }
 
-// PEM is the authority's certificate, for a bundle.
-func (a *Authority) PEM() []byte {
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: a.Certificate.Raw})
-}
+// PEM returns the authority's certificate, for a bundle.
+func (a *Authority) PEM() []byte { return encodePEM(certificateBlock, a.Certificate.Raw) }
 
-// Issue signs a certificate for names (host names, addresses, or URIs) and gives it and its key in PEM.
-func (a *Authority) Issue(names []string, life Validity, uses ...Use) (cert, key []byte, err error) {
+// Issue signs a certificate for names, which are host names, addresses or URIs. It returns the certificate and its
+// new key in PEM.
+func (a *Authority) Issue(names []string, validity Validity, uses ...Use) (cert, key []byte, err error) {
 	if len(names) == 0 {
 		return nil, nil, errors.New("a certificate without a name")
 	}
-	number, err := randomSerial()
+	template, err := newTemplate(names[0], validity)
 	if err != nil {
 		return nil, nil, err
 	}
-	c := &x509.Certificate{SerialNumber: number, Subject: pkix.Name{CommonName: names[0]}, NotBefore: life.NotBefore, NotAfter: life.NotAfter,
-		BasicConstraintsValid: true, KeyUsage: x509.KeyUsageDigitalSignature}
-	for _, n := range names {
-		if ip := net.ParseIP(n); ip != nil {
-			c.IPAddresses = append(c.IPAddresses, ip)
-		} else if strings.Contains(n, "://") {
-			u, err := url.Parse(n)
-			if err != nil {
-				return nil, nil, fmt.Errorf("name %q: %w", n, err)
-			}
-			c.URIs = append(c.URIs, u)
-		} else {
-			c.DNSNames = append(c.DNSNames, n)
-		}
+	template.KeyUsage = x509.KeyUsageDigitalSignature
+	if err := addNames(template, names); err != nil {
+		return nil, nil, err
 	}
 	for _, use := range uses {
-		c.ExtKeyUsage = append(c.ExtKeyUsage, use.extKeyUsage())
+		template.ExtKeyUsage = append(template.ExtKeyUsage, use.extKeyUsage())
 	}
 	private, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, nil, err
 	}
-	der, err := x509.CreateCertificate(rand.Reader, c, a.Certificate, private.Public(), a.key)
+	der, err := x509.CreateCertificate(rand.Reader, template, a.Certificate, private.Public(), a.key)
 	if err != nil {
 		return nil, nil, err
 	}
-	text, err := x509.MarshalPKCS8PrivateKey(private)
+	keyDER, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
 		return nil, nil, err
 	}
-	return pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text}), nil
+	return encodePEM(certificateBlock, der), encodePEM(privateKeyBlock, keyDER), nil
+}
+
+// addNames adds subject alternative names, each by its kind.
+func addNames(c *x509.Certificate, names []string) error {
+	for _, name := range names {
+		ip := net.ParseIP(name)
+		switch {
+		case ip != nil:
+			c.IPAddresses = append(c.IPAddresses, ip)
+		case strings.Contains(name, "://"):
+			u, err := url.Parse(name)
+			if err != nil {
+				return fmt.Errorf("name %q: %w", name, err)
+			}
+			c.URIs = append(c.URIs, u)
+		default:
+			c.DNSNames = append(c.DNSNames, name)
+		}
+	}
+	return nil
 }
 
-// Save puts the authority into a folder, as ca.pem and ca.key.
+// Save writes the authority into a folder, as ca.pem and ca.key.
 func (a *Authority) Save(dir string) error {
-	text, err := x509.MarshalPKCS8PrivateKey(a.key)
+	der, err := x509.MarshalPKCS8PrivateKey(a.key)
 	if err != nil {
 		return err
 	}
-	if err := replaceFile(filepath.Join(dir, "ca.key"), pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: text}), 0o600); err != nil {
+	key := encodePEM(privateKeyBlock, der)
+	if err := replaceFile(filepath.Join(dir, authorityKeyFile), key, keyFileMode); err != nil {
 		return err
 	}
-	return replaceFile(filepath.Join(dir, "ca.pem"), a.PEM(), 0o644)
+	return replaceFile(filepath.Join(dir, authorityCertFile), a.PEM(), certFileMode)
 }
 
-// LoadAuthority reads one from a folder.
+// LoadAuthority reads an authority from a folder.
 func LoadAuthority(dir string) (*Authority, error) {
-	file := filepath.Join(dir, "ca.pem")
-	text, err := readFile(file)
+	certFile := filepath.Join(dir, authorityCertFile)
+	text, err := readFile(certFile)
 	if err != nil {
 		return nil, err
 	}
-	all, err := parseCertificates(file, text)
+	certificates, err := parseCertificates(certFile, text)
 	if err != nil {
 		return nil, err
 	}
-	file = filepath.Join(dir, "ca.key")
-	if text, err = readFile(file); err != nil {
+	key, err := loadSigner(filepath.Join(dir, authorityKeyFile))
+	if err != nil {
 		return nil, err
 	}
-	keys, err := decodePEM(file, text, func(kind string) bool { return kind == "PRIVATE KEY" }, "a private key")
+	return &Authority{Certificate: certificates[0], key: key}, nil
+}
+
+func loadSigner(file string) (crypto.Signer, error) {
+	text, err := readFile(file)
 	if err != nil {
 		return nil, err
 	}
-	key, err := x509.ParsePKCS8PrivateKey(keys[0].Bytes)
+	isPKCS8 := func(blockType string) bool { return blockType == privateKeyBlock }
+	blocks, err := decodePEM(file, text, isPKCS8, "a private key")
 	if err != nil {
-		return nil, fileErrorf(file, "%v", err)
+		return nil, err
+	}
+	key, err := x509.ParsePKCS8PrivateKey(blocks[0].Bytes)
+	if err != nil {
+		return nil, &FileError{File: file, Err: err}
 	}
 	signer, ok := key.(crypto.Signer)
 	if !ok {
 		return nil, fileErrorf(file, "is no key that signs")
 	}
-	return &Authority{all[0], signer}, nil
+	return signer, nil
 }
 
-// Save puts a certificate and its key into a folder, as NAME.pem and NAME.key, and gives their files with the
-// folder's ca.pem as the bundle. Each file is replaced whole.
+// Save writes a certificate and its key into a folder, as NAME.pem and NAME.key. It returns their files, with the
+// folder's ca.pem as the bundle. Each file is replaced atomically, the key first.
 func Save(dir, name string, cert, key []byte) (Files, error) {
-	f := Files{Cert: filepath.Join(dir, name+".pem"), Key: filepath.Join(dir, name+".key"), Trust: filepath.Join(dir, "ca.pem")}
-	if err := replaceFile(f.Key, key, 0o600); err != nil {
+	f := Files{
+		Cert:  filepath.Join(dir, name+".pem"),
+		Key:   filepath.Join(dir, name+".key"),
+		Trust: filepath.Join(dir, authorityCertFile),
+	}
+	if err := replaceFile(f.Key, key, keyFileMode); err != nil {
 		return f, err
 	}
-	return f, replaceFile(f.Cert, cert, 0o644)
+	return f, replaceFile(f.Cert, cert, certFileMode)
 }
 
-// replaceFile puts a file in place of another whole.
+// replaceFile replaces a file atomically.
 func replaceFile(file string, text []byte, mode os.FileMode) error {
 	temporary := file + ".new"
 	if err := os.WriteFile(temporary, text, mode); err != nil {
--- a/internal/tlskeys/store.go
+++ b/internal/tlskeys/store.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"crypto/tls"
+	"errors"
 	"path/filepath"
 	"sync"
 	"sync/atomic"
@@ -13,27 +14,29 @@
 )
 
 const (
-	// A change of files is often several: a new certificate, then its key. They are read once there is a pause.
+	// A change often touches several files: a certificate, then its key. They are read once no file has changed for
+	// this long.
 	quietPeriod = 100 * time.Millisecond
-	// Where the system tells of no changes, as on some network disks, they are looked for.
+	// Files are read this often as well, since some network file systems report no changes.
 	pollInterval = 30 * time.Second
 )
 
-// Store holds the keys in force and replaces them when their files change. Keys that don't check out change nothing.
-type Store struct {
-	use Use
-	log *logrus.Logger
-	now func() time.Time
+var errUntrusted = errors.New("its certificate is of no authority that is trusted")
 
+// Store holds the keys in force and replaces them when their files change. Keys that fail a check change nothing.
+type Store struct {
+	use  Use
+	log  *logrus.Logger
+	now  func() time.Time
 	keys atomic.Pointer[Keys]
 
 	mu            sync.Mutex
 	files         Files
-	lastRejection string // of the last refusal, against a line at each look
+	lastRejection string // so that polling does not log the same fault again and again
 	onReplace     []func(*Keys)
 }
 
-// Open reads keys for a use. Faulty ones are an error.
+// Open reads keys for a use. Faulty keys are an error.
 func Open(files Files, use Use, log *logrus.Logger) (*Store, error) {
 	s := &Store{use: use, log: log, now: time.Now, files: files}
 	k, err := Read(files, use, s.now())
@@ -45,10 +48,11 @@
 	return s, nil
 }
 
-// Keys are those in force.
+// Keys returns the keys in force.
 func (s *Store) Keys() *Keys { return s.keys.Load() }
 
-// OnReplace has a function called with new keys once they are in force. It is called by whoever reloads.
+// OnReplace registers a function that is called with new keys once they are in force, on the goroutine that reloads
+// them.
 func (s *Store) OnReplace(f func(*Keys)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -56,13 +60,17 @@
 }
 
 func (s *Store) logKeys(k *Keys) {
-	for _, w := range k.Warnings {
-		s.log.Warn("keys: " + w)
+	for _, warning := range k.Warnings {
+		s.log.WithField("warning", warning).Warn("keys: accepted with a warning")
 	}
-	s.log.WithFields(logrus.Fields{"names": Names(k.Leaf), "until": formatTime(k.Leaf.NotAfter), "authorities": len(k.Authorities)}).Info("keys in force")
+	s.log.WithFields(logrus.Fields{
+		"names":       Names(k.Leaf),
+		"until":       formatTime(k.Leaf.NotAfter),
+		"authorities": len(k.Authorities),
+	}).Info("keys: in force")
 }
 
-// Reload reads the files again, from other places where files is not nil, and puts what is new in force. An error
+// Reload reads the files again, from other places where files is not nil, and puts new keys in force. An error
 // changes nothing.
 func (s *Store) Reload(files *Files) error {
 	s.mu.Lock()
@@ -72,73 +80,97 @@
 	}
 	k, err := Read(*files, s.use, s.now())
 	if err != nil {
-		if text := err.Error(); text != s.lastRejection {
-			s.lastRejection = text
-			s.log.WithError(err).Error("keys refused; those before stay in force")
-		}
+		s.logRejection(err)
 		return err
 	}
-	s.files, s.lastRejection = *files, ""
+	s.files = *files
+	s.lastRejection = ""
 	if k.digest == s.keys.Load().digest {
 		return nil
 	}
 	s.keys.Store(k)
 	s.logKeys(k)
-	for _, f := range s.onReplace {
-		f(k)
+	for _, notify := range s.onReplace {
+		notify(k)
 	}
 	return nil
 }
 
-// Watch reloads whenever the files change, until ctx ends. Files that are swapped by renaming, or by a link to another
-// folder, are seen as well, since their folders are watched.
+func (s *Store) logRejection(err error) {
+	text := err.Error()
+	if text == s.lastRejection {
+		return
+	}
+	s.lastRejection = text
+	s.log.WithError(err).Error("keys: rejected, the previous ones stay in force")
+}
+
+// Watch reloads whenever the files change, until ctx ends. It watches their folders, so that it notices files that
+// are replaced by a rename, or by a link to another folder.
 func (s *Store) Watch(ctx context.Context) {
-	var events chan fsnotify.Event
-	var faults chan error
-	if w, err := fsnotify.NewWatcher(); err != nil {
-		s.log.WithError(err).Warn("keys: the system tells of no changes; files are looked at now and then")
-	} else {
-		defer w.Close()
-		s.mu.Lock()
-		for _, f := range []string{s.files.Cert, s.files.Key, s.files.Trust} {
-			if err := w.Add(filepath.Dir(f)); err != nil {
-				s.log.WithError(err).WithField("file", f).Warn("keys: the system tells of no changes; files are looked at now and then")
-			}
-		}
-		s.mu.Unlock()
-		events, faults = w.Events, w.Errors
+	var changes <-chan fsnotify.Event
+	var watchErrors <-chan error
+	if w := s.watchFolders(); w != nil {
+		defer func() { _ = w.Close() }() // nothing is lost with it
+		changes = w.Events
+		watchErrors = w.Errors
 	}
-	looks := time.NewTicker(pollInterval)
-	defer looks.Stop()
-	soon := time.NewTimer(time.Hour)
-	soon.Stop()
+	poll := time.NewTicker(pollInterval)
+	defer poll.Stop()
+	settled := time.NewTimer(quietPeriod)
+	settled.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-events:
-			soon.Reset(quietPeriod)
-		case err := <-faults:
-			s.log.WithError(err).Debug("keys: watching")
-			soon.Reset(quietPeriod)
-		case <-soon.C:
-			s.Reload(nil) // it logs what it refuses
-		case <-looks.C:
-			s.Reload(nil)
+		case <-changes:
+			settled.Reset(quietPeriod)
+		case err := <-watchErrors:
+			s.log.WithError(err).Debug("keys: watch failed")
+			settled.Reset(quietPeriod)
+		case <-settled.C:
+			_ = s.Reload(nil) // it logs its errors
+		case <-poll.C:
+			_ = s.Reload(nil)
+		}
+	}
+}
+
+// watchFolders returns a watcher of the files' folders, nil where there can be none.
+func (s *Store) watchFolders() *fsnotify.Watcher {
+	const unwatched = "keys: no notification of changes, polling instead"
+	w, err := fsnotify.NewWatcher()
+	if err != nil {
+		s.log.WithError(err).Warn(unwatched)
+		return nil
+	}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, file := range []string{s.files.Cert, s.files.Key, s.files.Trust} {
+		if err := w.Add(filepath.Dir(file)); err != nil {
+			s.log.WithError(err).WithField("file", file).Warn(unwatched)
 		}
 	}
+	return w
 }
 
-// ClientConfig is for connections to a server of that name, or address; each one uses the keys then in force.
+// ClientConfig returns the client's end of TLS for connections to a server of that name, or address. Each handshake
+// uses the keys that are in force then.
 func (s *Store) ClientConfig(server string, protocols ...string) *tls.Config {
-	return &tls.Config{MinVersion: tls.VersionTLS13, ServerName: server, NextProtos: protocols,
-		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return &s.Keys().Certificate, nil },
-		// The library's own check goes by a bundle that can't be replaced; this one goes by the bundle in force.
+	return &tls.Config{
+		MinVersion: tls.VersionTLS13,
+		ServerName: server,
+		NextProtos: protocols,
+		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			return &s.Keys().Certificate, nil
+		},
+		// The library's own check uses a bundle that can't be replaced. VerifyConnection uses the one in force.
 		InsecureSkipVerify: true,
-		VerifyConnection: func(cs tls.ConnectionState) error {
-			if !s.Keys().Trusts(cs.PeerCertificates, Server, s.now()) {
+		VerifyConnection: func(state tls.ConnectionState) error {
+			if !s.Keys().Trusts(state.PeerCertificates, Server, s.now()) {
 				return errUntrusted
 			}
-			return cs.PeerCertificates[0].VerifyHostname(server)
-		}}
+			return state.PeerCertificates[0].VerifyHostname(server)
+		},
+	}
 }
