--- a/internal/testbed/processtest/fleet_test.go
+++ b/internal/testbed/processtest/fleet_test.go
@@ -214,7 +214,7 @@
 	if status := once("third"); status == http.StatusOK { // the journal is given up until the next start
 		t.Error("answered after a failed write")
 	}
-	for _, c := range []struct{ state, want string }{{"kept", "names=1"}, {"stale", "names=1"}, {"torn", "may be unknown"}, {"gone", "names=0"}} {
+	for _, c := range []struct{ state, want string }{{"kept", "names=1"}, {"stale", "names=1"}, {"torn", "recovery incomplete"}, {"gone", "names=0"}} {
 		g.Kill()
 		alive(false, "killed")
 		if err := g.Age(c.state); err != nil {
