--- a/cmd/yokeroute-testbed/demo.go
+++ b/cmd/yokeroute-testbed/demo.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"os"
 	"time"
@@ -12,43 +13,56 @@
 	"yokeroute/internal/testbed/demo"
 )
 
+const defaultDemoRate = 20 // queries a second
+
+// demoOptions are the flags of demo.
+type demoOptions struct {
+	terms    demo.Terms
+	plain    bool
+	duration time.Duration // 0 for until it is ended
+}
+
 func demoCommand() *cobra.Command {
-	terms := demo.Terms{}
-	var plain bool
-	var length time.Duration
-	cmd := &cobra.Command{Use: "demo", Short: "show a gatherer at work before stand-in shard servers, on loopback", Args: cobra.NoArgs,
+	var options demoOptions
+	cmd := &cobra.Command{
+		Use:     "demo",
+		Short:   "show a gatherer at work before stand-in shard servers, on loopback",
+		Args:    cobra.NoArgs,
 		Example: "  yokeroute-testbed demo\n  yokeroute-testbed demo --plain --for 10s",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if terms.Rate < 0 {
-				return fmt.Errorf("--rate %g: is errNegative", terms.Rate)
-			}
-			d, err := demo.Start(terms)
-			if err != nil {
-				return err
-			}
-			ctx := cmd.Context()
-			if length > 0 {
-				var stop context.CancelFunc
-				ctx, stop = context.WithTimeout(ctx, length)
-				defer stop()
-			}
-			out := cmd.OutOrStdout()
-			fmt.Fprintf(out, "a gatherer serves on http://%s; ask it:\n\n%s\n\n", d.Address, d.Curl())
-			if plain || !isatty.IsTerminal(os.Stdout.Fd()) {
-				d.Plain(ctx, out)
-			} else {
-				err = d.Screen(ctx)
-			}
-			if closed := d.Close(); err == nil {
-				err = closed
-			}
-			fmt.Fprintln(out, d.Counts.Line())
-			return err
-		}}
-	cmd.Flags().StringVar(&terms.Listen, "listen", "127.0.0.1:8000", "where the gatherer takes lookups; another port is used where this one is taken")
-	cmd.Flags().Float64Var(&terms.Rate, "rate", 20, "lookups a second of light traffic, 0 for none")
-	cmd.Flags().Uint64Var(&terms.Seed, "seed", 1, "of machines and traffic")
-	cmd.Flags().BoolVar(&plain, "plain", false, "lines in place of the live view")
-	cmd.Flags().DurationVar(&length, "for", 0, "how long; until it is ended unless told")
+		RunE:    func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
+	}
+	flags := cmd.Flags()
+	flags.StringVar(&options.terms.Listen, "listen", "127.0.0.1:8000",
+		"where the gatherer takes lookups; another port is used where this one is taken")
+	flags.Float64Var(&options.terms.Rate, "rate", defaultDemoRate, "lookups a second of light traffic, 0 for none")
+	flags.Uint64Var(&options.terms.Seed, "seed", 1, "of machines and traffic")
+	flags.BoolVar(&options.plain, "plain", false, "lines in place of the live view")
+	flags.DurationVar(&options.duration, "for", 0, "how long; until it is ended unless told")
 	return cmd
 }
+
+func (o *demoOptions) run(cmd *cobra.Command) error {
+	if o.terms.Rate < 0 {
+		return fmt.Errorf("--rate %g: is errNegative", o.terms.Rate)
+	}
+	d, err := demo.Start(o.terms)
+	if err != nil {
+		return err
+	}
+	ctx := cmd.Context()
+	if o.duration > 0 {
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, o.duration)
+		defer cancel()
+	}
+	out := cmd.OutOrStdout()
+	fmt.Fprintf(out, "a gatherer serves on http://%s; ask it:\n\n%s\n\n", d.Address, d.Curl())
+	if o.plain || !isatty.IsTerminal(os.Stdout.Fd()) {
+		d.Plain(ctx, out)
+	} else {
+		err = d.Screen(ctx)
+	}
+	closeErr := d.Close()
+	fmt.Fprintln(out, d.Counts.Line())
+	return errors.Join(err, closeErr)
+}
--- a/cmd/yokeroute-testbed/main.go
+++ b/cmd/yokeroute-testbed/main.go
@@ -1,4 +1,5 @@
-// Command yokeroute-testbed shows a gatherer at work, plays days of the emulator, and runs experiments on loopback.
+// Command yokeroute-testbed shows a gatherer at work, plays days of the emulator and of real processes, and runs
+// experiments and scale tests on loopback.
 package main
 
 import (
@@ -13,30 +14,62 @@
 	"github.com/spf13/cobra"
 )
 
-// errNegative is an answer that is clear and not what was hoped for: a rule is broken, a run differs. It has been said on
-// standard output; the exit status is 1, that of bad use or input 2.
+// Exit statuses, in the manner of grep and diff.
+const (
+	exitOK       = 0
+	exitNegative = 1
+	exitError    = 2
+)
+
+// errNegative is a clear negative answer: a rule is broken, a run differs. The command has printed it on standard
+// output, so that nothing is left to print but the exit status.
 var errNegative = errors.New("no")
 
-func main() {
+func main() { os.Exit(run()) }
+
+// run runs the command line until it ends or a signal comes, and returns the exit status.
+func run() int {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
-	switch err := command().ExecuteContext(ctx); {
+	err := rootCommand().ExecuteContext(ctx)
+	switch {
 	case errors.Is(err, errNegative):
-		os.Exit(1)
+		return exitNegative
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "yokeroute-testbed:", err)
-		os.Exit(2)
+		return exitError
 	}
+	return exitOK
 }
 
-func command() *cobra.Command {
-	root := &cobra.Command{Use: "yokeroute-testbed", Short: "a gatherer at work, days of the emulator, experiments on loopback", SilenceUsage: true, SilenceErrors: true}
-	root.AddCommand(demoCommand(), runCommand(), compareCommand(), sweepCommand(), huntCommand(), reportCommand(), replayCommand(), referenceCommand(), plansCommand(), phasesCommand(), rolloutsCommand(), policiesCommand(), fleetCommand(), scaleCommand())
+func rootCommand() *cobra.Command {
+	root := &cobra.Command{
+		Use:           "yokeroute-testbed",
+		Short:         "a gatherer at work, days of the emulator, experiments on loopback",
+		SilenceUsage:  true,
+		SilenceErrors: true,
+	}
+	root.AddCommand(
+		demoCommand(),
+		runCommand(),
+		compareCommand(),
+		sweepCommand(),
+		huntCommand(),
+		reportCommand(),
+		replayCommand(),
+		referenceCommand(),
+		plansCommand(),
+		phasesCommand(),
+		rolloutsCommand(),
+		policiesCommand(),
+		fleetCommand(),
+		scaleCommand(),
+	)
 	return root
 }
 
-// beside is the gatherer's program in the folder of this one.
-func beside() string {
+// gathererProgram returns the gatherer's program in the folder of this one.
+func gathererProgram() string {
 	self, err := os.Executable()
 	if err != nil {
 		return "yokeroute"
--- a/cmd/yokeroute-testbed/main_test.go
+++ b/cmd/yokeroute-testbed/main_test.go
@@ -14,7 +14,7 @@
 // lab runs a command line and gives what it printed.
 func lab(t *testing.T, args ...string) (string, error) {
 	t.Helper()
-	cmd := command()
+	cmd := rootCommand()
 	var out, progress bytes.Buffer
 	cmd.SetOut(&out)
 	cmd.SetErr(&progress)
--- a/cmd/yokeroute-testbed/policies.go
+++ b/cmd/yokeroute-testbed/policies.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"text/tabwriter"
 
 	"github.com/spf13/cobra"
@@ -12,96 +13,156 @@
 	"yokeroute/internal/testbed/policyfleet"
 )
 
-// policyRow is many histories of one fleet.
+const millisPerSecond = 1000
+
+// policyRow sums up many histories of one fleet. Times are milliseconds.
 type policyRow struct {
-	Gatherers, Runs                      int
-	Wrong                                int
-	Proposed, Decided, GivenUp           int
-	DecideP50, DecideP99, AllP50, AllP99 float64 // milliseconds
-	RestAsked, BusyAsked                 float64 // questions a second, to the steward that leads
-	RestBytes, BusyBytes                 float64
-	InTime                               float64 // share of the decided changes that held everywhere within the time asked for
-	First                                string  // what was wrong
+	Gatherers      int     `json:"Gatherers"`
+	Runs           int     `json:"Runs"`
+	Violations     int     `json:"Wrong"` // histories in which a change held in part
+	Proposed       int     `json:"Proposed"`
+	Committed      int     `json:"Decided"`
+	Abandoned      int     `json:"GivenUp"`
+	CommitP50      float64 `json:"DecideP50"`
+	CommitP99      float64 `json:"DecideP99"`
+	ApplyP50       float64 `json:"AllP50"`
+	ApplyP99       float64 `json:"AllP99"`
+	IdlePollRate   float64 `json:"RestAsked"` // polls a second, to the policy server that leads
+	ChangePollRate float64 `json:"BusyAsked"`
+	IdleByteRate   float64 `json:"RestBytes"` // bytes a second
+	ChangeByteRate float64 `json:"BusyBytes"`
+	AppliedInTime  float64 `json:"InTime"` // share of the committed changes that held everywhere in time
+	FirstViolation string  `json:"First"`
+}
+
+// policiesOptions are the flags of policies. Times are seconds.
+type policiesOptions struct {
+	config          policyfleet.Config
+	runs            int
+	workers         int
+	duration        float64
+	lease           float64
+	changeTimeout   float64
+	applyTimeTarget float64 // within which a change should hold everywhere
+	output          string
 }
 
 func policiesCommand() *cobra.Command {
-	terms := policyfleet.Config{}
-	var count, workers int
-	var seconds, lease, limit, within float64
-	var form string
-	cmd := &cobra.Command{Use: "policies", Short: "play changes of policy over an emulated fleet, and check that none ever holds in part", Args: cobra.NoArgs,
-		Example: "  yokeroute-testbed policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n  yokeroute-testbed policies --runs 4 --gatherers 3000 --away 0.05",
-		RunE: func(cmd *cobra.Command, _ []string) error {
-			if count < 1 || terms.Gatherers < 1 || terms.DownShare < 0 || terms.DownShare >= 1 {
-				return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed", count, terms.Gatherers, terms.DownShare)
-			}
-			terms.Duration, terms.Lease, terms.ChangeTimeout = seconds*1000, lease*1000, limit*1000
-			row := manyPolicies(terms, count, workers, within*1000)
-			if form == "json" {
-				if err := json.NewEncoder(cmd.OutOrStdout()).Encode(row); err != nil {
-					return err
-				}
-			} else {
-				t := tabwriter.NewWriter(cmd.OutOrStdout(), 0, 0, 2, ' ', 0)
-				fmt.Fprintf(t, "gatherers\thistories\twrong\tproposed\tdecided\tgiven up\tto decide, p50, p99 s\tto hold everywhere\tquestions/s at rest, in a change\tkB/s\twithin %g s\n", within)
-				fmt.Fprintf(t, "%d\t%d\t%d\t%d\t%d\t%d\t%.2f, %.2f\t%.2f, %.2f\t%.0f, %.0f\t%.0f, %.0f\t%.3f\n", row.Gatherers, row.Runs, row.Wrong, row.Proposed, row.Decided, row.GivenUp, row.DecideP50/1000, row.DecideP99/1000, row.AllP50/1000, row.AllP99/1000,
-					row.RestAsked, row.BusyAsked, row.RestBytes/1000, row.BusyBytes/1000, row.InTime)
-				if err := t.Flush(); err != nil {
-					return err
-				}
-			}
-			if row.Wrong > 0 {
-				fmt.Fprintln(cmd.ErrOrStderr(), row.First)
-				return errNegative
-			}
-			return nil
-		}}
-	cmd.Flags().IntVar(&count, "runs", 100, "histories, each with a seed of its own")
-	cmd.Flags().IntVar(&terms.Gatherers, "gatherers", 12, "of the fleet")
-	cmd.Flags().Float64Var(&seconds, "seconds", 120, "of a history")
-	cmd.Flags().IntVar(&terms.Changes, "changes", 6, "proposed in each")
-	cmd.Flags().Float64Var(&lease, "lease", 10, "seconds")
-	cmd.Flags().Float64Var(&limit, "limit", 60, "seconds after which a change is given up")
-	cmd.Flags().Float64Var(&terms.DownShare, "away", 0, "share of the gatherers that is never there")
-	cmd.Flags().IntVar(&terms.Flapping, "flapping", 0, "gatherers that start anew each second")
-	cmd.Flags().Float64Var(&terms.RestartsPerDay, "restarts", 0, "gatherers of the fleet that are killed and started again, a day")
-	cmd.Flags().Float64Var(&within, "within", 6, "seconds in which a change should hold everywhere")
-	cmd.Flags().Float64Var(&terms.Faults, "troubles", 0, "of each gatherer in a history")
-	cmd.Flags().IntVar(&terms.Elections, "leads", 0, "times that the stewards' lead moves in a history")
-	cmd.Flags().Float64Var(&terms.QueriesPerSecond, "lookups", 0, "a second, of each gatherer")
-	cmd.Flags().StringVar(&terms.Without, "without", "", "a piece left out: \"no wire\", \"no settle\", \"no wait\"")
-	cmd.Flags().Uint64Var(&terms.Seed, "seed", 1, "the first one")
-	cmd.Flags().IntVar(&workers, "workers", 0, "histories played side by side; one a core unless told")
-	cmd.Flags().StringVarP(&form, "output", "o", "text", "form of the answer: text or json")
+	var options policiesOptions
+	cmd := &cobra.Command{
+		Use:   "policies",
+		Short: "play changes of policy over an emulated fleet, and check that none ever holds in part",
+		Args:  cobra.NoArgs,
+		Example: "  yokeroute-testbed policies --runs 1000 --gatherers 12 --troubles 8 --leads 3 --lookups 8\n" +
+			"  yokeroute-testbed policies --runs 4 --gatherers 3000 --away 0.05",
+		RunE: func(cmd *cobra.Command, _ []string) error { return options.run(cmd) },
+	}
+	options.addFlags(cmd)
 	return cmd
 }
 
-// manyPolicies plays histories with the seeds from one on.
-func manyPolicies(t policyfleet.Config, count, workers int, within float64) policyRow {
-	outs := parallel.Map(count, workers, func(i int) policyfleet.Result {
-		one := t
-		one.Seed += uint64(i)
-		return policyfleet.Play(one)
-	})
-	row := policyRow{Gatherers: t.Gatherers, Runs: count}
-	var decide, all []float64
-	for i, o := range outs {
-		if o.Violation != "" {
-			if row.Wrong++; row.First == "" {
-				row.First = fmt.Sprintf("seed %d: %s", t.Seed+uint64(i), o.Violation)
-			}
+func (o *policiesOptions) addFlags(cmd *cobra.Command) {
+	flags := cmd.Flags()
+	c := &o.config
+	flags.IntVar(&o.runs, "runs", 100, "histories, each with a seed of its own")
+	flags.IntVar(&c.Gatherers, "gatherers", 12, "of the fleet")
+	flags.Float64Var(&o.duration, "seconds", 120, "of a history")
+	flags.IntVar(&c.Changes, "changes", 6, "proposed in each")
+	flags.Float64Var(&o.lease, "lease", 10, "seconds")
+	flags.Float64Var(&o.changeTimeout, "limit", 60, "seconds after which a change is given up")
+	flags.Float64Var(&c.DownShare, "away", 0, "share of the gatherers that is never there")
+	flags.IntVar(&c.Flapping, "flapping", 0, "gatherers that start anew each second")
+	flags.Float64Var(&c.RestartsPerDay, "restarts", 0,
+		"gatherers of the fleet that are killed and started again, a day")
+	flags.Float64Var(&o.applyTimeTarget, "within", 6, "seconds in which a change should hold everywhere")
+	flags.Float64Var(&c.Faults, "troubles", 0, "of each gatherer in a history")
+	flags.IntVar(&c.Elections, "leads", 0, "times that the stewards' lead moves in a history")
+	flags.Float64Var(&c.QueriesPerSecond, "lookups", 0, "a second, of each gatherer")
+	flags.StringVar(&c.Without, "without", "", "a piece left out: \"no wire\", \"no settle\", \"no wait\"")
+	flags.Uint64Var(&c.Seed, "seed", 1, "the first one")
+	flags.IntVar(&o.workers, "workers", 0, "histories played side by side; one a core unless told")
+	addOutputFlag(cmd, &o.output)
+}
+
+func (o *policiesOptions) run(cmd *cobra.Command) error {
+	c := &o.config
+	if o.runs < 1 || c.Gatherers < 1 || c.DownShare < 0 || c.DownShare >= 1 {
+		return fmt.Errorf("--runs %d, --gatherers %d, --away %g: at least 1, 1 and 0 to under 1 are needed",
+			o.runs, c.Gatherers, c.DownShare)
+	}
+	c.Duration = o.duration * millisPerSecond
+	c.Lease = o.lease * millisPerSecond
+	c.ChangeTimeout = o.changeTimeout * millisPerSecond
+	row := o.play()
+	if o.output == outputJSON {
+		if err := json.NewEncoder(cmd.OutOrStdout()).Encode(row); err != nil {
+			return err
 		}
-		row.Proposed, row.Decided, row.GivenUp = row.Proposed+o.Proposed, row.Decided+o.Committed, row.GivenUp+o.Abandoned
-		decide, all = append(decide, o.CommitTimes...), append(all, o.ApplyTimes...)
-		n := float64(count)
-		row.RestAsked, row.BusyAsked = row.RestAsked+o.IdlePollRate/n, row.BusyAsked+o.ChangePollRate/n
-		row.RestBytes, row.BusyBytes = row.RestBytes+o.IdleByteRate/n, row.BusyBytes+o.ChangeByteRate/n
+	} else if err := o.print(cmd.OutOrStdout(), row); err != nil {
+		return err
 	}
-	for _, took := range all {
-		if took <= within {
-			row.InTime += 1 / float64(len(all))
+	if row.Violations > 0 {
+		fmt.Fprintln(cmd.ErrOrStderr(), row.FirstViolation)
+		return errNegative
+	}
+	return nil
+}
+
+// play plays histories, each with the seed after the one before.
+func (o *policiesOptions) play() *policyRow {
+	results := parallel.Map(o.runs, o.workers, func(i int) policyfleet.Result {
+		config := o.config
+		config.Seed += uint64(i)
+		return policyfleet.Play(config)
+	})
+	row := &policyRow{Gatherers: o.config.Gatherers, Runs: o.runs}
+	var commitTimes, applyTimes []float64
+	for i := range results {
+		r := &results[i]
+		row.add(r, o.config.Seed+uint64(i))
+		commitTimes = append(commitTimes, r.CommitTimes...)
+		applyTimes = append(applyTimes, r.ApplyTimes...)
+	}
+	for _, applyTime := range applyTimes {
+		if applyTime <= o.applyTimeTarget*millisPerSecond {
+			row.AppliedInTime += 1 / float64(len(applyTimes))
 		}
 	}
-	row.DecideP50, row.DecideP99, row.AllP50, row.AllP99 = stats.Quantile(decide, 0.5), stats.Quantile(decide, 0.99), stats.Quantile(all, 0.5), stats.Quantile(all, 0.99)
+	row.CommitP50 = stats.Quantile(commitTimes, 0.5)
+	row.CommitP99 = stats.Quantile(commitTimes, 0.99)
+	row.ApplyP50 = stats.Quantile(applyTimes, 0.5)
+	row.ApplyP99 = stats.Quantile(applyTimes, 0.99)
 	return row
 }
+
+// add counts one history. Rates are means over all.
+func (r *policyRow) add(result *policyfleet.Result, seed uint64) {
+	if result.Violation != "" {
+		if r.Violations == 0 {
+			r.FirstViolation = fmt.Sprintf("seed %d: %s", seed, result.Violation)
+		}
+		r.Violations++
+	}
+	runs := float64(r.Runs)
+	r.Proposed += result.Proposed
+	r.Committed += result.Committed
+	r.Abandoned += result.Abandoned
+	r.IdlePollRate += result.IdlePollRate / runs
+	r.ChangePollRate += result.ChangePollRate / runs
+	r.IdleByteRate += result.IdleByteRate / runs
+	r.ChangeByteRate += result.ChangeByteRate / runs
+}
+
+func (o *policiesOptions) print(w io.Writer, r *policyRow) error {
+	const bytesPerKilobyte = 1000
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintf(table, "gatherers\thistories\twrong\tproposed\tdecided\tgiven up\tto decide, p50, p99 s\t"+
+		"to hold everywhere\tquestions/s at rest, in a change\tkB/s\twithin %g s\n", o.applyTimeTarget)
+	fmt.Fprintf(table, "%d\t%d\t%d\t%d\t%d\t%d\t%.2f, %.2f\t%.2f, %.2f\t%.0f, %.0f\t%.0f, %.0f\t%.3f\n",
+		r.Gatherers, r.Runs, r.Violations, r.Proposed, r.Committed, r.Abandoned,
+		r.CommitP50/millisPerSecond, r.CommitP99/millisPerSecond,
+		r.ApplyP50/millisPerSecond, r.ApplyP99/millisPerSecond,
+		r.IdlePollRate, r.ChangePollRate,
+		r.IdleByteRate/bytesPerKilobyte, r.ChangeByteRate/bytesPerKilobyte, r.AppliedInTime)
+	return table.Flush()
+}
