--- a/cmd/yokeroute-testbed/demo.go
+++ b/cmd/yokeroute-testbed/demo.go
@@ -43,7 +43,7 @@
 
 func (o *demoOptions) run(cmd *cobra.Command) error {
 	if o.terms.Rate < 0 {
-		return fmt.Errorf("--rate %g: is errNegative", o.terms.Rate)
+		return fmt.Errorf("--rate %g: is negative", o.terms.Rate)
 	}
 	d, err := demo.Start(o.terms)
 	if err != nil {
--- a/cmd/yokeroute-testbed/main_test.go
+++ b/cmd/yokeroute-testbed/main_test.go
@@ -108,6 +108,7 @@
 		{"is no kind of trouble", []string{"hunt", day, "--only", "crush"}},
 		{"no header of a trace", []string{"replay", day}},
 		{"--output", []string{"run", day, "-o", "xml"}},
+		{"--rate -1: is negative", []string{"demo", "--rate", "-1"}},
 	} {
 		if _, err := lab(t, c.args...); err == nil || errors.Is(err, errNegative) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %v", c.args, err)
