--- a/cmd/yokeroute-testbed/main_test.go
+++ b/cmd/yokeroute-testbed/main_test.go
@@ -9,10 +9,10 @@
 	"testing"
 )
 
-const small = "scenario small\ntime length 6s warm-up 1s\nkind one cores 2\nservers 4 kind one\nlayout sets 2 shards 12\ngatherers 2\nindex find parts 4 work 20ms\nclients rate 20/s\n"
+const smallScenario = "scenario small\ntime length 6s warm-up 1s\nkind one cores 2\nservers 4 kind one\nlayout sets 2 shards 12\ngatherers 2\nindex find parts 4 work 20ms\nclients rate 20/s\n"
 
-// lab runs a command line and gives what it printed.
-func lab(t *testing.T, args ...string) (string, error) {
+// execute runs a command line, and returns what it printed on standard output.
+func execute(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	cmd := rootCommand()
 	var out, progress bytes.Buffer
@@ -23,7 +23,7 @@
 	return out.String(), err
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -31,39 +31,40 @@
 	return path
 }
 
-// TestDays goes the way of a user: play, compare, make a page, play again, change a byte.
-func TestDays(t *testing.T) {
-	day, results, trace := write(t, "small.conf", small), t.TempDir(), filepath.Join(t.TempDir(), "day.trace")
-	if out, err := lab(t, "run", day, "--trace", trace); err != nil || !strings.Contains(out, "kept") {
+// TestDayCommandsFromRunToReplay plays a day, compares variants, makes a page, and plays the results again, also with one
+// figure changed.
+func TestDayCommandsFromRunToReplay(t *testing.T) {
+	day, results, trace := writeFile(t, "small.conf", smallScenario), t.TempDir(), filepath.Join(t.TempDir(), "day.trace")
+	if out, err := execute(t, "run", day, "--trace", trace); err != nil || !strings.Contains(out, "kept") {
 		t.Fatalf("%s%v", out, err)
 	}
-	if out, err := lab(t, "replay", trace); err != nil || !strings.Contains(out, "rule 6: kept") || strings.Contains(out, "not checked") {
+	if out, err := execute(t, "replay", trace); err != nil || !strings.Contains(out, "rule 6: kept") || strings.Contains(out, "not checked") {
 		t.Errorf("%s%v", out, err)
 	}
-	if out, err := lab(t, "replay", trace, "--lookup", "3"); err != nil || !strings.Contains(out, "answered, whole true") {
+	if out, err := execute(t, "replay", trace, "--lookup", "3"); err != nil || !strings.Contains(out, "answered, whole true") {
 		t.Errorf("%s%v", out, err)
 	}
-	if _, err := lab(t, "replay", trace, "--lookup", "99999"); err == nil {
+	if _, err := execute(t, "replay", trace, "--lookup", "99999"); err == nil {
 		t.Error("a lookup that is not there")
 	}
 	text, err := os.ReadFile(trace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	cut := write(t, "cut.trace", string(text[:len(text)/2]))
-	if out, err := lab(t, "replay", cut); !errors.Is(err, errNegative) || !strings.Contains(out, "does not pass: line") {
+	cut := writeFile(t, "cut.trace", string(text[:len(text)/2]))
+	if out, err := execute(t, "replay", cut); !errors.Is(err, errNegative) || !strings.Contains(out, "does not pass: line") {
 		t.Errorf("a cut trace: %s%v", out, err)
 	}
-	if out, err := lab(t, "compare", day, "--variants", "ours,random", "--seeds", "3", "--out", results); err != nil || !strings.Contains(out, "difference from ours") {
+	if out, err := execute(t, "compare", day, "--variants", "ours,random", "--seeds", "3", "--out", results); err != nil || !strings.Contains(out, "difference from ours") {
 		t.Fatalf("%s%v", out, err)
 	}
-	if out, err := lab(t, "compare", day, "--variants", "ours", "--seeds", "3", "--with", "before="+results); err != nil || !strings.Contains(out, "before") || !strings.Contains(out, "+0.0000") {
+	if out, err := execute(t, "compare", day, "--variants", "ours", "--seeds", "3", "--with", "before="+results); err != nil || !strings.Contains(out, "before") || !strings.Contains(out, "+0.0000") {
 		t.Errorf("%s%v", out, err)
 	}
-	if out, err := lab(t, "report", results); err != nil || !strings.Contains(out, "report.html") {
+	if out, err := execute(t, "report", results); err != nil || !strings.Contains(out, "report.html") {
 		t.Errorf("%s%v", out, err)
 	}
-	if out, err := lab(t, "replay", results); err != nil || !strings.Contains(out, "all 6 days come out the same") {
+	if out, err := execute(t, "replay", results); err != nil || !strings.Contains(out, "all 6 days come out the same") {
 		t.Errorf("%s%v", out, err)
 	}
 	file := filepath.Join(results, "results.json")
@@ -71,28 +72,28 @@
 	if err := os.WriteFile(file, bytes.Replace(text, []byte(`"lookups": 9`), []byte(`"lookups": 8`), 1), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if out, err := lab(t, "replay", results); !errors.Is(err, errNegative) || !strings.Contains(out, "1 of 6 days differ") {
+	if out, err := execute(t, "replay", results); !errors.Is(err, errNegative) || !strings.Contains(out, "1 of 6 days differ") {
 		t.Errorf("a changed day: %s%v", out, err)
 	}
-	if out, err := lab(t, "sweep", day, "--over", "clients rate", "--values", "10/s,40/s", "--seeds", "2", "--variants", "ours"); err != nil || !strings.Contains(out, "rate 40/s") {
+	if out, err := execute(t, "sweep", day, "--over", "clients rate", "--values", "10/s,40/s", "--seeds", "2", "--variants", "ours"); err != nil || !strings.Contains(out, "rate 40/s") {
 		t.Errorf("%s%v", out, err)
 	}
-	if out, err := lab(t, "hunt", day, "--rules", "--days", "3"); err != nil || !strings.Contains(out, "no rule broken on 3 days") {
+	if out, err := execute(t, "hunt", day, "--rules", "--days", "3"); err != nil || !strings.Contains(out, "no rule broken on 3 days") {
 		t.Errorf("%s%v", out, err)
 	}
 }
 
-// TestExpectations: a day that falls short of what it expects is a clear no.
-func TestExpectations(t *testing.T) {
-	day := write(t, "hard.conf", small+"trouble vanish at 1s for 5s servers 0.9\nexpect gain least 99%\n")
-	if out, err := lab(t, "run", day); !errors.Is(err, errNegative) || !strings.Contains(out, "at least 0.99 was expected") {
+// TestMissedExpectationIsANegativeAnswer: a day that misses what its file expects ends with status 1.
+func TestMissedExpectationIsANegativeAnswer(t *testing.T) {
+	day := writeFile(t, "hard.conf", smallScenario+"trouble vanish at 1s for 5s servers 0.9\nexpect gain least 99%\n")
+	if out, err := execute(t, "run", day); !errors.Is(err, errNegative) || !strings.Contains(out, "at least 0.99 was expected") {
 		t.Errorf("%s%v", out, err)
 	}
 }
 
-// TestBadUse: each mistake is one message that names what is wrong.
-func TestBadUse(t *testing.T) {
-	day := write(t, "small.conf", small)
+// TestBadUseIsNamed: the error of each mistake names what is wrong.
+func TestBadUseIsNamed(t *testing.T) {
+	day := writeFile(t, "small.conf", smallScenario)
 	for _, c := range []struct {
 		want string
 		args []string
@@ -110,7 +111,7 @@
 		{"--output", []string{"run", day, "-o", "xml"}},
 		{"--rate -1: is negative", []string{"demo", "--rate", "-1"}},
 	} {
-		if _, err := lab(t, c.args...); err == nil || errors.Is(err, errNegative) || !strings.Contains(err.Error(), c.want) {
+		if _, err := execute(t, c.args...); err == nil || errors.Is(err, errNegative) || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%v: %v", c.args, err)
 		}
 	}
