--- a/internal/config/placementfile/list.go
+++ b/internal/config/placementfile/list.go
@@ -11,16 +11,16 @@
 	"yokeroute/logic/placement"
 )
 
-// Listed is a server of discovery's list under its name.
-type Listed struct {
+// NamedEndpoint is a server of discovery's list under its name.
+type NamedEndpoint struct {
 	Name string
 	gather.Endpoint
 }
 
-// WithList completes a from-list file: hosts are those of the list, of the kinds that the file tells, and each group
+// WithEndpoints completes a from-list file: hosts are those of the list, of the kinds that the file tells, and each group
 // of shards is a segment group-N. Where a kind does not say how its hosts warm up, the rules of the terms do. A host
 // on the list whose kind the file does not tell is an error, since nothing is known of what it can do.
-func (f *File) WithList(list []Listed, settings *gather.Settings, now float64) (*placement.Model, error) {
+func (f *File) WithEndpoints(list []NamedEndpoint, settings *gather.Settings, now float64) (*placement.Model, error) {
 	m := f.Model
 	m.At = math.Ceil(now)
 	m.Halls, m.Hosts = slices.Clone(m.Halls), nil
@@ -29,11 +29,11 @@
 	for _, l := range list {
 		kind := f.kinds[l.Kind]
 		if kind == nil {
-			return nil, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s", l.Name, l.Kind, suggest.Hint(l.Kind, names(f.kinds)))
+			return nil, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s", l.Name, l.Kind, suggest.Hint(l.Kind, kindNames(f.kinds)))
 		}
 		h := placement.Host{Name: l.Name, Hall: l.Zone, State: l.State, Started: l.StartedAt}
 		var wrong error
-		f.fill(&h, kind, nil, func(err error) { wrong = err })
+		f.fillHost(&h, kind, nil, func(err error) { wrong = err })
 		if wrong != nil {
 			return nil, wrong
 		}
@@ -58,7 +58,7 @@
 	}
 	m.Demands = slices.Clone(m.Demands)
 	var wrong error
-	for _, v := range f.all {
+	for _, v := range f.wildcardDemands {
 		rate := f.units(v, "rate", func(err error) { wrong = err })
 		for _, s := range m.Segments {
 			if !slices.ContainsFunc(m.Demands, func(d placement.Demand) bool { return d.Segment == s.Name && d.Hall == v.Text("hall") }) {
@@ -71,7 +71,7 @@
 	}
 	if faults := m.Check(); len(faults) > 0 {
 		// A fault of a line is told with its place; one of the list has none.
-		if at := f.place(faults[0]); at.Position != (directive.Position{}) && faults[0].Kind != "host" && faults[0].Kind != "segment" {
+		if at := f.locate(faults[0]); at.Position != (directive.Position{}) && faults[0].Kind != "host" && faults[0].Kind != "segment" {
 			return nil, at
 		}
 		return nil, faults[0]
--- a/internal/config/placementfile/placefile_test.go
+++ b/internal/config/placementfile/placefile_test.go
@@ -121,12 +121,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := []Listed{{"a", gather.Endpoint{ReplicaSet: 0, Zone: "north", Kind: "m2", Size: 0.5}}, {"b", gather.Endpoint{ReplicaSet: 1, Zone: "east", Kind: "m2", StartedAt: 900}},
+	list := []NamedEndpoint{{"a", gather.Endpoint{ReplicaSet: 0, Zone: "north", Kind: "m2", Size: 0.5}}, {"b", gather.Endpoint{ReplicaSet: 1, Zone: "east", Kind: "m2", StartedAt: 900}},
 		{"c", gather.Endpoint{ReplicaSet: 7, Zone: "east", Kind: "m2", State: gather.Draining}}}
 	settings := &gather.Settings{
 		ReplicaSets: 2, ReplicaSetsPerShard: 2, InitialCapacityShare: 0.25, WarmupTime: 1000.0,
 	}
-	m, err := f.WithList(list, settings, 1000)
+	m, err := f.WithEndpoints(list, settings, 1000)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +135,7 @@
 		t.Errorf("%+v", m)
 	}
 	list[1].Kind = "m3"
-	if _, err := f.WithList(list, settings, 1000); err == nil || !strings.Contains(err.Error(), `host b is of kind "m3", which the placement file does not tell; did you mean m2?`) {
+	if _, err := f.WithEndpoints(list, settings, 1000); err == nil || !strings.Contains(err.Error(), `host b is of kind "m3", which the placement file does not tell; did you mean m2?`) {
 		t.Error(err)
 	}
 }
--- a/internal/config/placementfile/read.go
+++ b/internal/config/placementfile/read.go
@@ -24,18 +24,18 @@
 
 // File is a placement file that has been read. Nothing in it is checked but its form until Check.
 type File struct {
-	Model    placement.Model
-	Plan     *placement.Plan // nil where it holds no weights
-	FromList bool            // hosts and segments come from discovery's list
-	kinds    map[string]*directive.Values
-	lines    map[string][]*directive.Values // of each kind of entry, in the model's order
-	all      []*directive.Values            // demands on all segments
-	unit     *directive.Values
-	step     *placement.Step
-	inCase   bool
+	Model           placement.Model
+	Plan            *placement.Plan // nil where it holds no weights
+	FromList        bool            // hosts and segments come from discovery's list
+	kinds           map[string]*directive.Values
+	lines           map[string][]*directive.Values // of each kind of entry, in the model's order
+	wildcardDemands []*directive.Values            // demands on all segments
+	unitLine        *directive.Values
+	currentStep     *placement.Step
+	inCase          bool
 }
 
-var states = []string{"running", "draining", "gone"}
+var stateNames = []string{"running", "draining", "gone"}
 
 // hostFields are what hosts and kinds of hosts have alike.
 func hostFields() []directive.Field {
@@ -53,7 +53,7 @@
 	return &directive.Table{Name: "placement file", Intro: "Halls, hosts, segments and demand, for `yokeroute plan`; with weights in it, a plan.", Directives: []*directive.Directive{
 		{Name: "unit", Once: true, Args: []directive.Field{{Name: "rate", Kind: directive.Rate, Min: 1e-6, Max: 1e6, Help: "the rate that is not split further"}},
 			Help: "Weights are whole numbers of this rate, and all rates are multiples of it; 1/s unless told.", Example: "unit 0.1/s",
-			Apply: func(v *directive.Values) error { f.Model.Unit, f.unit = v.Number("rate", 0), v; return nil }},
+			Apply: func(v *directive.Values) error { f.Model.Unit, f.unitLine = v.Number("rate", 0), v; return nil }},
 		{Name: "at", Once: true, Args: []directive.Field{{Name: "moment", Kind: directive.Timestamp, Help: "from which the plan holds"}},
 			Help: "When the plan begins to hold; the moment of solving unless told.", Example: "at 2026-12-01T10:00:00Z",
 			Apply: func(v *directive.Values) error { f.Model.At = v.Number("moment", 0); return nil }},
@@ -87,7 +87,7 @@
 		{Name: "host", Args: []directive.Field{{Name: "name", Kind: directive.Name}}, Options: append([]directive.Field{
 			{Name: "hall", Kind: directive.Name, Required: true, Help: "where it stands"},
 			{Name: "kind", Kind: directive.Name, Help: "of which it is"},
-			{Name: "state", Kind: directive.Choice, Choices: states, Help: "running unless told; the others get nothing"},
+			{Name: "state", Kind: directive.Choice, Choices: stateNames, Help: "running unless told; the others get nothing"},
 			{Name: "started", Kind: directive.Timestamp, Help: "when it last started, or will; long ago unless told"}}, hostFields()...),
 			Help: "One machine.", Example: "host s-01 hall ktm-hall capacity 120/s",
 			Apply: func(v *directive.Values) error { keep("host", v); return nil }},
@@ -102,7 +102,7 @@
 			Help: "What the gatherers of a hall ask of a segment, all together.", Example: "demand names-a ktm-hall 140/s",
 			Apply: func(v *directive.Values) error {
 				if v.Text("segment") == "*" {
-					f.all = append(f.all, v)
+					f.wildcardDemands = append(f.wildcardDemands, v)
 				} else {
 					keep("demand", v)
 				}
@@ -111,13 +111,13 @@
 		{Name: "from-list", Once: true, Help: "Hosts and segments come from discovery's list as it changes: a host's kind, hall and start are the list's, a segment is a group of shards. For `placement` in the operator's file.", Example: "from-list",
 			Apply: func(v *directive.Values) error { f.FromList = true; return nil }},
 		{Name: "step", Args: []directive.Field{{Name: "moment", Kind: directive.Timestamp, Optional: true, Help: "from which the weights below hold; the beginning unless told"}},
-			Help: "Begins a set of weights. Written by `yokeroute plan solve`.", Example: "step 2026-12-01T10:00:04Z", Apply: f.takeStep},
+			Help: "Begins a set of weights. Written by `yokeroute plan solve`.", Example: "step 2026-12-01T10:00:04Z", Apply: f.addStep},
 		{Name: "case", Args: []directive.Field{{Name: "name", Kind: directive.Text}}, Options: []directive.Field{
 			{Name: "lost", Kind: directive.Names, Required: true, Help: "hosts that are missing"},
 			{Name: "short", Kind: directive.Rate, Help: "demand that does not fit any more"}},
-			Help: "Begins the weights for a loss; rows that it does not give are those of the plan. Written by `yokeroute plan solve`.", Example: `case "hall ktm-hall" lost s-01 s-02 short 40/s`, Apply: f.takeCase},
+			Help: "Begins the weights for a loss; rows that it does not give are those of the plan. Written by `yokeroute plan solve`.", Example: `case "hall ktm-hall" lost s-01 s-02 short 40/s`, Apply: f.addCase},
 		{Name: "weights", Args: []directive.Field{{Name: "segment", Kind: directive.Name}, {Name: "hall", Kind: directive.Name, Help: "of the gatherers that go by them"}, {Name: "hosts", Kind: directive.NamedRates, Help: "what each host gets"}},
-			Help: "One row of weights.", Example: "weights names-a ktm-hall s-01=90/s s-02=50/s", Apply: f.takeWeights},
+			Help: "One row of weights.", Example: "weights names-a ktm-hall s-01=90/s s-02=50/s", Apply: f.addWeights},
 	}}
 }
 
@@ -132,17 +132,17 @@
 // Read reads and checks a file. Mistakes come as conf.Faults; now is in Unix milliseconds.
 func Read(name string, now float64) (*File, error) {
 	f := newFile(now)
-	return f, f.finish(f.table().Read(name))
+	return f, f.build(f.table().Read(name))
 }
 
 // Parse reads and checks a text that includes nothing.
 func Parse(name, text string, now float64) (*File, error) {
 	f := newFile(now)
-	return f, f.finish(f.table().Parse(name, text))
+	return f, f.build(f.table().Parse(name, text))
 }
 
-// finish builds the model from the lines, once all of them are there: what is named may stand below.
-func (f *File) finish(err error) error {
+// build builds the model from the lines, once all of them are there: what is named may stand below.
+func (f *File) build(err error) error {
 	if err != nil {
 		return err
 	}
@@ -165,15 +165,15 @@
 		f.Model.Halls = append(f.Model.Halls, h)
 	}
 	for _, v := range f.lines["crossing"] {
-		f.Model.Crossings = append(f.Model.Crossings, placement.Crossing{From: v.Text("from"), To: v.Text("to"), Cost: thousandths(v, say)})
+		f.Model.Crossings = append(f.Model.Crossings, placement.Crossing{From: v.Text("from"), To: v.Text("to"), Cost: parseCost(v, say)})
 	}
 	for _, v := range f.lines["host"] {
 		h := placement.Host{Name: v.Text("name"), Hall: v.Text("hall"), Started: v.Number("started", 0),
 			State: gather.State(v.Number("state", 0))}
 		if kind := v.Text("kind"); kind != "" && f.kinds[kind] == nil {
-			say(v.Errorf("kind", "is no kind of this file%s", suggest.Hint(kind, names(f.kinds))))
+			say(v.Errorf("kind", "is no kind of this file%s", suggest.Hint(kind, kindNames(f.kinds))))
 		} else {
-			f.fill(&h, v, f.kinds[kind], say)
+			f.fillHost(&h, v, f.kinds[kind], say)
 		}
 		f.Model.Hosts = append(f.Model.Hosts, h)
 	}
@@ -184,10 +184,10 @@
 	for _, v := range f.lines["demand"] {
 		f.Model.Demands = append(f.Model.Demands, placement.Demand{Segment: v.Text("segment"), Hall: v.Text("hall"), Rate: f.units(v, "rate", say)})
 	}
-	f.spread(say)
+	f.addWildcardDemands(say)
 	if len(faults) == 0 && !f.FromList {
 		for _, fault := range f.Model.Check() {
-			faults = append(faults, f.place(fault))
+			faults = append(faults, f.locate(fault))
 		}
 	}
 	if f.FromList && (len(f.Model.Hosts) > 0 || len(f.Model.Segments) > 0) {
@@ -197,12 +197,12 @@
 	if len(faults) > 0 {
 		return faults
 	}
-	return f.plan()
+	return f.completePlan()
 }
 
-// spread gives a demand on all segments to each that has none of its own from that hall.
-func (f *File) spread(say func(error)) {
-	for _, v := range f.all {
+// addWildcardDemands gives a demand on all segments to each that has none of its own from that hall.
+func (f *File) addWildcardDemands(say func(error)) {
+	for _, v := range f.wildcardDemands {
 		rate := f.units(v, "rate", say)
 		for _, s := range f.Model.Segments {
 			if !slices.ContainsFunc(f.Model.Demands, func(d placement.Demand) bool { return d.Segment == s.Name && d.Hall == v.Text("hall") }) {
@@ -213,7 +213,7 @@
 	}
 }
 
-func names(kinds map[string]*directive.Values) []string {
+func kindNames(kinds map[string]*directive.Values) []string {
 	var list []string
 	for name := range kinds {
 		list = append(list, name)
@@ -222,8 +222,8 @@
 	return list
 }
 
-// fill takes a host's figures from its own line or else from its kind's.
-func (f *File) fill(h *placement.Host, own, kind *directive.Values, say func(error)) {
+// fillHost takes a host's figures from its own line or else from its kind's.
+func (f *File) fillHost(h *placement.Host, own, kind *directive.Values, say func(error)) {
 	of := func(name string) *directive.Values {
 		if kind != nil && (own == nil || !own.Has(name)) {
 			return kind
@@ -235,7 +235,7 @@
 	} else {
 		h.Capacity = f.units(v, "capacity", say)
 	}
-	h.Cost = thousandths(of("cost"), say)
+	h.Cost = parseCost(of("cost"), say)
 	h.Holds = int(of("holds").Number("holds", 0))
 	h.ColdShare, h.Warming = of("cold").Number("cold", 0), of("warms").Number("warms", 0)
 }
@@ -254,7 +254,7 @@
 	return int64(whole)
 }
 
-func thousandths(v *directive.Values, say func(error)) int64 {
+func parseCost(v *directive.Values, say func(error)) int64 {
 	n := v.Number("cost", 0) * 1000
 	if math.Abs(n-math.Round(n)) > 1e-6 {
 		say(v.Errorf("cost", "has more than three decimals"))
@@ -270,13 +270,13 @@
 	return directive.FormatRate(math.Round(float64(units)*unit*1e9) / 1e9)
 }
 
-// place finds the word of a model's fault in the file.
-func (f *File) place(fault *placement.Fault) *directive.Error {
+// locate finds the word of a model's fault in the file.
+func (f *File) locate(fault *placement.Fault) *directive.Error {
 	lines := f.lines[fault.Kind]
 	if fault.Index >= len(lines) {
 		at := directive.Position{}
-		if f.unit != nil {
-			at = f.unit.Position
+		if f.unitLine != nil {
+			at = f.unitLine.Position
 		}
 		return &directive.Error{Position: at, Token: fault.Word, Message: fault.Text}
 	}
@@ -294,7 +294,7 @@
 	return &directive.Error{Position: v.Pos(fault.Field, at), Token: word, Message: fault.Text}
 }
 
-func (f *File) takeStep(v *directive.Values) error {
+func (f *File) addStep(v *directive.Values) error {
 	if f.Plan == nil {
 		f.Plan = &placement.Plan{}
 	}
@@ -307,11 +307,11 @@
 		return v.Errorf("moment", "is not after the step before it; steps go by time")
 	}
 	*steps = append(*steps, placement.Step{From: from})
-	f.step = &(*steps)[len(*steps)-1]
+	f.currentStep = &(*steps)[len(*steps)-1]
 	return nil
 }
 
-func (f *File) takeCase(v *directive.Values) error {
+func (f *File) addCase(v *directive.Values) error {
 	if f.Plan == nil || len(f.Plan.Steps) == 0 {
 		return fmt.Errorf("stands before the plan's own step")
 	}
@@ -324,13 +324,13 @@
 		}
 	}
 	f.Plan.Cases = append(f.Plan.Cases, c)
-	f.inCase, f.step = true, nil
+	f.inCase, f.currentStep = true, nil
 	f.lines["case"] = append(f.lines["case"], v)
 	return nil
 }
 
-func (f *File) takeWeights(v *directive.Values) error {
-	if f.step == nil {
+func (f *File) addWeights(v *directive.Values) error {
+	if f.currentStep == nil {
 		return fmt.Errorf("stands before any step; write step first")
 	}
 	r := placement.Row{Segment: v.Text("segment"), Hall: v.Text("hall"), Group: -1}
@@ -346,13 +346,13 @@
 		r.Weights = append(r.Weights, placement.Weight{Host: host, Rate: int64(math.Round(units))})
 	}
 	slices.SortFunc(r.Weights, func(a, b placement.Weight) int { return strings.Compare(a.Host, b.Host) })
-	f.step.Rows = append(f.step.Rows, r)
+	f.currentStep.Rows = append(f.currentStep.Rows, r)
 	f.lines["weights"] = append(f.lines["weights"], v)
 	return nil
 }
 
-// plan completes a plan that the file holds: its model, the rows that its cases leave out, its figures.
-func (f *File) plan() error {
+// completePlan completes a plan that the file holds: its model, the rows that its cases leave out, its figures.
+func (f *File) completePlan() error {
 	if f.Plan == nil {
 		return nil
 	}
--- a/internal/config/placementfile/write.go
+++ b/internal/config/placementfile/write.go
@@ -27,7 +27,7 @@
 	writeModel(w, m)
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		fmt.Fprintf(w, "\n# greatest utilisation %s, cost %s a second\nstep %s\n", percent(s.Greatest), thousandth(s.Cost), directive.FormatTimestamp(s.From))
+		fmt.Fprintf(w, "\n# greatest utilisation %s, cost %s a second\nstep %s\n", percent(s.Greatest), formatCost(s.Cost), directive.FormatTimestamp(s.From))
 		writeRows(w, m, s.Rows)
 	}
 	for i := range p.Cases {
@@ -54,7 +54,7 @@
 
 func percent(u placement.Ratio) string { return strconv.FormatFloat(u.Float()*100, 'f', 1, 64) + "%" }
 
-func thousandth(cost int64) string {
+func formatCost(cost int64) string {
 	return strconv.FormatFloat(float64(cost)/1000, 'f', -1, 64)
 }
 
@@ -84,18 +84,18 @@
 		fmt.Fprintln(w)
 	}
 	for _, c := range m.Crossings {
-		fmt.Fprintf(w, "crossing %s %s %s\n", c.From, c.To, thousandth(c.Cost))
+		fmt.Fprintf(w, "crossing %s %s %s\n", c.From, c.To, formatCost(c.Cost))
 	}
 	for _, h := range m.Hosts {
 		fmt.Fprintf(w, "host %s hall %s capacity %s", h.Name, h.Hall, rate(h.Capacity))
 		if h.Cost > 0 {
-			fmt.Fprintf(w, " cost %s", thousandth(h.Cost))
+			fmt.Fprintf(w, " cost %s", formatCost(h.Cost))
 		}
 		if h.Holds > 0 {
 			fmt.Fprintf(w, " holds %d", h.Holds)
 		}
 		if h.State != gather.Running {
-			fmt.Fprintf(w, " state %s", states[h.State])
+			fmt.Fprintf(w, " state %s", stateNames[h.State])
 		}
 		if h.Started != 0 {
 			fmt.Fprintf(w, " started %s", directive.FormatTimestamp(h.Started))
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -40,7 +40,7 @@
 	mu        sync.Mutex
 	active    placement.Force
 	placement *placementfile.File // to solve from, nil for none
-	endpoints map[uint32]placementfile.Listed
+	endpoints map[uint32]placementfile.NamedEndpoint
 	order     []uint32          // of the endpoints, as discovery lists them
 	ids       map[string]uint32 // of the endpoints, by name
 	applied   [][]gather.Weight
@@ -52,7 +52,7 @@
 func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
 	return &Keeper{
 		picker: picker, settings: settings, jobs: jobs, log: log,
-		endpoints: map[uint32]placementfile.Listed{}, ids: map[string]uint32{},
+		endpoints: map[uint32]placementfile.NamedEndpoint{}, ids: map[string]uint32{},
 	}
 }
 
@@ -134,11 +134,11 @@
 		latest[s.ID] = s
 	}
 	before := k.endpoints
-	k.endpoints = map[uint32]placementfile.Listed{}
+	k.endpoints = map[uint32]placementfile.NamedEndpoint{}
 	k.ids = map[string]uint32{}
 	k.order = k.order[:0]
 	for _, a := range all {
-		k.endpoints[a.ID] = placementfile.Listed{Name: a.Name, Endpoint: latest[a.ID]}
+		k.endpoints[a.ID] = placementfile.NamedEndpoint{Name: a.Name, Endpoint: latest[a.ID]}
 		k.ids[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
@@ -166,7 +166,7 @@
 	if file == nil {
 		return nil
 	}
-	model, err := file.WithList(list, k.settings, k.picker.Now())
+	model, err := file.WithEndpoints(list, k.settings, k.picker.Now())
 	if err != nil {
 		return err
 	}
@@ -201,10 +201,10 @@
 }
 
 // solveInput returns what a solve starts from.
-func (k *Keeper) solveInput() (*placementfile.File, *placement.Plan, []placementfile.Listed) {
+func (k *Keeper) solveInput() (*placementfile.File, *placement.Plan, []placementfile.NamedEndpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	list := make([]placementfile.Listed, 0, len(k.order))
+	list := make([]placementfile.NamedEndpoint, 0, len(k.order))
 	for _, id := range k.order {
 		list = append(list, k.endpoints[id])
 	}
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -168,13 +168,13 @@
 	if err != nil {
 		return "", err
 	}
-	var list []placementfile.Listed
+	var list []placementfile.NamedEndpoint
 	for i, m := range fleet.Machines {
-		l := placementfile.Listed{Name: m.Name}
+		l := placementfile.NamedEndpoint{Name: m.Name}
 		l.ID, l.ReplicaSet, l.Zone, l.Kind = uint32(i), m.Group, m.Hall, m.Kind
 		list = append(list, l)
 	}
-	model, err := f.WithList(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
+	model, err := f.WithEndpoints(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
 	if err != nil {
 		return "", err
 	}
