--- /dev/null
+++ b/internal/config/placementfile/model.go
@@ -0,0 +1,235 @@
+package placementfile
+
+import (
+	"math"
+	"slices"
+
+	"yokeroute/gather"
+	"yokeroute/internal/config/directive"
+	"yokeroute/internal/suggest"
+	"yokeroute/logic/placement"
+)
+
+// costUnits is how many units of a model's cost make what an operator writes as 1.
+const costUnits = 1000
+
+// builder builds a model from the lines of a file, and collects what is wrong with them.
+type builder struct {
+	file     *File
+	mistakes directive.ErrorList
+}
+
+func (b *builder) reject(mistake *directive.Error) { b.mistakes = append(b.mistakes, mistake) }
+
+// err returns the mistakes, nil where there is none.
+func (b *builder) err() error {
+	if len(b.mistakes) == 0 {
+		return nil
+	}
+	return b.mistakes
+}
+
+// build builds the model, and the plan if there is one, from the lines that were kept.
+func (f *File) build() error {
+	b := &builder{file: f}
+	b.addZones()
+	b.addCrossings()
+	b.addHosts()
+	b.addSegments()
+	b.addDemands()
+	f.addWildcardDemands(b)
+	if len(b.mistakes) == 0 && !f.FromList {
+		for _, fault := range f.Model.Check() {
+			b.reject(f.locate(fault))
+		}
+	}
+	b.checkFromList()
+	if err := b.err(); err != nil {
+		return err
+	}
+	return f.completePlan()
+}
+
+func (b *builder) addZones() {
+	for _, v := range b.file.lines[zoneLine] {
+		zone := placement.Hall{Name: v.Text("name"), Most: -1}
+		if v.Has("most") {
+			zone.Most = b.units(v, "most")
+		}
+		if v.IsShare("spare") {
+			zone.SpareShare = v.Number("spare", 0)
+		} else {
+			zone.Spare = b.units(v, "spare")
+		}
+		b.file.Model.Halls = append(b.file.Model.Halls, zone)
+	}
+}
+
+func (b *builder) addCrossings() {
+	for _, v := range b.file.lines[crossingLine] {
+		b.file.Model.Crossings = append(b.file.Model.Crossings, placement.Crossing{
+			From: v.Text("from"),
+			To:   v.Text("to"),
+			Cost: b.cost(v),
+		})
+	}
+}
+
+func (b *builder) addHosts() {
+	f := b.file
+	for _, v := range f.lines[hostLine] {
+		host := placement.Host{
+			Name:    v.Text("name"),
+			Hall:    v.Text("hall"),
+			Started: v.Number("started", 0),
+			State:   gather.State(v.Number("state", 0)),
+		}
+		kind := v.Text("kind")
+		if kind != "" && f.kinds[kind] == nil {
+			b.reject(v.Errorf("kind", "is no kind of this file%s", suggest.Hint(kind, f.kindNames())))
+		} else {
+			b.fillHost(&host, v, f.kinds[kind])
+		}
+		f.Model.Hosts = append(f.Model.Hosts, host)
+	}
+}
+
+func (b *builder) addSegments() {
+	for _, v := range b.file.lines[segmentLine] {
+		b.file.Model.Segments = append(b.file.Model.Segments, placement.Segment{
+			Name:     v.Text("name"),
+			Group:    int(v.Number("group", -1)),
+			Replicas: int(v.Number("replicas", 0)),
+			On:       v.List("on"),
+		})
+	}
+}
+
+func (b *builder) addDemands() {
+	for _, v := range b.file.lines[demandLine] {
+		b.file.Model.Demands = append(b.file.Model.Demands, placement.Demand{
+			Segment: v.Text("segment"),
+			Hall:    v.Text("hall"),
+			Rate:    b.units(v, "rate"),
+		})
+	}
+}
+
+// addWildcardDemands adds a demand on all segments to each that has none of its own from that zone.
+func (f *File) addWildcardDemands(b *builder) {
+	for _, v := range f.wildcardDemands {
+		for _, demand := range b.expandWildcard(v, f.Model.Segments, f.Model.Demands) {
+			f.Model.Demands = append(f.Model.Demands, demand)
+			f.lines[demandLine] = append(f.lines[demandLine], v)
+		}
+	}
+}
+
+// expandWildcard returns a wildcard's demand for each segment that has none yet from its zone.
+func (b *builder) expandWildcard(
+	v *directive.Values, segments []placement.Segment, demands []placement.Demand) (added []placement.Demand) {
+	rate := b.units(v, "rate")
+	zone := v.Text("hall")
+	for _, s := range segments {
+		isOwn := func(d placement.Demand) bool { return d.Segment == s.Name && d.Hall == zone }
+		if !slices.ContainsFunc(demands, isOwn) && !slices.ContainsFunc(added, isOwn) {
+			added = append(added, placement.Demand{Segment: s.Name, Hall: zone, Rate: rate})
+		}
+	}
+	return added
+}
+
+// checkFromList rejects hosts and segments in a file that takes them from discovery's list.
+func (b *builder) checkFromList() {
+	f := b.file
+	if !f.FromList {
+		return
+	}
+	lines := append(slices.Clone(f.lines[hostLine]), f.lines[segmentLine]...)
+	if len(lines) > 0 {
+		b.reject(&directive.Error{
+			Position: lines[0].Position,
+			Message:  "from-list takes hosts and segments from the list; take these lines or from-list out",
+		})
+	}
+}
+
+func (f *File) kindNames() []string {
+	var names []string
+	for name := range f.kinds {
+		names = append(names, name)
+	}
+	slices.Sort(names)
+	return names
+}
+
+// fillHost takes a host's figures from its own line or else from its kind's. One of the two may be nil.
+func (b *builder) fillHost(h *placement.Host, own, kind *directive.Values) {
+	lineOf := func(option string) *directive.Values {
+		if kind != nil && (own == nil || !own.Has(option)) {
+			return kind
+		}
+		return own
+	}
+	if v := lineOf("capacity"); v.Has("capacity") {
+		h.Capacity = b.units(v, "capacity")
+	} else {
+		b.reject(v.Errorf("capacity", "host %s lacks its capacity, and no kind gives it; write capacity 120/s",
+			h.Name))
+	}
+	h.Cost = b.cost(lineOf("cost"))
+	h.Holds = int(lineOf("holds").Number("holds", 0))
+	h.ColdShare = lineOf("cold").Number("cold", 0)
+	h.Warming = lineOf("warms").Number("warms", 0)
+}
+
+// units returns a rate in whole units of the model.
+func (b *builder) units(v *directive.Values, option string) int64 {
+	unit := b.file.Model.Unit
+	units := v.Number(option, 0) / unit
+	whole := math.Round(units)
+	switch {
+	case units > placement.Most:
+		b.reject(v.Errorf(option, "is more than %d units of %s; write less, or a larger unit",
+			placement.Most, directive.FormatRate(unit)))
+	case math.Abs(units-whole) > roundingError:
+		b.reject(v.Errorf(option, "is no multiple of the unit, %s; write %s, or a smaller unit",
+			directive.FormatRate(unit), FormatUnits(unit, int64(whole))))
+	}
+	return int64(whole)
+}
+
+// cost returns a cost in thousandths, the units of the model.
+func (b *builder) cost(v *directive.Values) int64 {
+	cost := v.Number("cost", 0) * costUnits
+	whole := math.Round(cost)
+	if math.Abs(cost-whole) > roundingError {
+		b.reject(v.Errorf("cost", "has more than three decimals"))
+	}
+	return int64(whole)
+}
+
+// locate finds the line and the word of a model's fault. One of the model itself is at the line of the unit.
+func (f *File) locate(fault *placement.Fault) *directive.Error {
+	lines := f.lines[fault.Kind]
+	if fault.Index >= len(lines) {
+		var position directive.Position
+		if f.unitLine != nil {
+			position = f.unitLine.Position
+		}
+		return &directive.Error{Position: position, Token: fault.Word, Message: fault.Text}
+	}
+	v := lines[fault.Index]
+	words := v.List(fault.Field)
+	index := 0
+	for i, word := range words {
+		if word == fault.Word {
+			index = i // the last one, since of two alike the second is too many
+		}
+	}
+	token := fault.Word
+	if v.Has(fault.Field) && !slices.Contains(words, token) {
+		token = v.Text(fault.Field)
+	}
+	return &directive.Error{Position: v.Pos(fault.Field, index), Token: token, Message: fault.Text}
+}
--- a/internal/config/placementfile/placefile_test.go
+++ b/internal/config/placementfile/placementfile_test.go
@@ -32,8 +32,8 @@
 
 func always() bool { return true }
 
-// TestRoundTrip wants a plan to read back as the plan that was written, and to be written the same again.
-func TestRoundTrip(t *testing.T) {
+// TestPlanIsReadBackAsWritten: a plan that is written and read is the same plan, and is written the same again.
+func TestPlanIsReadBackAsWritten(t *testing.T) {
 	f, err := Parse("good", good, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -72,8 +72,8 @@
 	}
 }
 
-// TestFaults wants one message a mistake, at its place.
-func TestFaults(t *testing.T) {
+// TestMistakesAreNamedAtTheirPlace: each mistake has one message with its line, column and word.
+func TestMistakesAreNamedAtTheirPlace(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"host n-1 hall north kind big", "host n-1 hall nort kind big", `f:8:15: "nort": is no hall of this file; did you mean north?`},
 		{"host n-1 hall north kind big", "host n-1 hall north kind bog", `f:8:26: "bog": is no kind of this file; did you mean big?`},
@@ -93,6 +93,7 @@
 		{"demand b south 2.5/s", "demand b north 2.5/s", `f:16:10: "north": asks twice for b; give the sum once`},
 		{"crossing north south 2.5", "crossing north north 2.5", `a part that stays in its hall crosses nothing`},
 		{"crossing north south 2.5", "crossing north south 2.0005", `f:6:22: "2.0005": has more than three decimals`},
+		{"segment b on n-2 s-1 s-2", "segment b on n-2 s-1 s-2\nsegment a on n-2", `f:14:9: "a": is given twice`},
 		{"replicas 2", "replicas 9", `f:12:30: "9": there are 4 hosts`},
 		{"cold 18%", "cold 180%", `"180%": is no share of a whole`},
 		{"demand b south 2.5/s", "step\nweights b north n-2=20/s n-1=0/s", `"n-1": does not hold the segment b`},
@@ -115,8 +116,9 @@
 	}
 }
 
-// TestWithList wants hosts of the list by their kinds, groups as segments, and a host of an unknown kind refused.
-func TestWithList(t *testing.T) {
+// TestWithEndpointsTakesHostsFromTheList: hosts have the figures of their kinds, replica sets are segments, and a server
+// of an unknown kind is an error.
+func TestWithEndpointsTakesHostsFromTheList(t *testing.T) {
 	f, err := Parse("f", "from-list\nhall north most 50/s\nkind m2 capacity 100/s\ndemand * north 10/s\ndemand group-1 north 5/s\n", 0)
 	if err != nil {
 		t.Fatal(err)
@@ -140,8 +142,8 @@
 	}
 }
 
-// TestReferences wants the pages in docs to be those that the tables give.
-func TestReferences(t *testing.T) {
+// TestReferencePageIsCurrent: the page in docs is what the table of directives gives.
+func TestReferencePageIsCurrent(t *testing.T) {
 	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-placement.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
 		t.Errorf("%s is not what yokeroute reference placement prints: %v", page, err)
--- /dev/null
+++ b/internal/config/placementfile/plan.go
@@ -0,0 +1,151 @@
+package placementfile
+
+import (
+	"errors"
+	"math"
+	"slices"
+	"strings"
+
+	"yokeroute/internal/config/directive"
+	"yokeroute/logic/balance"
+	"yokeroute/logic/placement"
+)
+
+// addStep begins a set of weights of the plan, or of its last case.
+func (f *File) addStep(v *directive.Values) error {
+	if f.Plan == nil {
+		f.Plan = &placement.Plan{}
+	}
+	steps := &f.Plan.Steps
+	if f.inCase {
+		steps = &f.Plan.Cases[len(f.Plan.Cases)-1].Steps
+	}
+	from := v.Number("moment", f.Model.At)
+	if n := len(*steps); n > 0 && from <= (*steps)[n-1].From {
+		return v.Errorf("moment", "is not after the step before it; steps go by time")
+	}
+	*steps = append(*steps, placement.Step{From: from})
+	f.currentStep = &(*steps)[len(*steps)-1]
+	return nil
+}
+
+// addCase begins a case of the plan.
+func (f *File) addCase(v *directive.Values) error {
+	if f.Plan == nil || len(f.Plan.Steps) == 0 {
+		return errors.New("stands before the plan's own step")
+	}
+	c := placement.Case{Name: v.Text("name"), Lost: v.List("lost")}
+	if v.Has("short") {
+		b := builder{file: f}
+		c.Clash = &placement.Clash{Short: b.units(v, "short")}
+		if len(b.mistakes) > 0 {
+			return b.mistakes[0]
+		}
+	}
+	f.Plan.Cases = append(f.Plan.Cases, c)
+	f.inCase = true
+	f.currentStep = nil
+	return f.keep(caseLine)(v)
+}
+
+// addWeights adds a row of weights to the current step.
+func (f *File) addWeights(v *directive.Values) error {
+	if f.currentStep == nil {
+		return errors.New("stands before any step; write step first")
+	}
+	row := placement.Row{Segment: v.Text("segment"), Hall: v.Text("hall"), Group: -1}
+	hosts, rates := v.Rates("hosts")
+	for i, host := range hosts {
+		mistake := func(message string) error {
+			return &directive.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: message}
+		}
+		units := rates[i] / f.Model.Unit
+		whole := math.Round(units)
+		if math.Abs(units-whole) > roundingError || units > placement.Most {
+			return mistake("is no whole number of the unit, " + directive.FormatRate(f.Model.Unit))
+		}
+		if slices.ContainsFunc(row.Weights, func(w placement.Weight) bool { return w.Host == host }) {
+			return mistake("names the host twice")
+		}
+		row.Weights = append(row.Weights, placement.Weight{Host: host, Rate: int64(whole)})
+	}
+	slices.SortFunc(row.Weights, func(a, b placement.Weight) int { return strings.Compare(a.Host, b.Host) })
+	f.currentStep.Rows = append(f.currentStep.Rows, row)
+	return f.keep(weightsLine)(v)
+}
+
+// completePlan checks the names in a plan against its model, and adds the rows that its cases leave out and its
+// figures, which a file does not hold.
+func (f *File) completePlan() error {
+	if f.Plan == nil {
+		return nil
+	}
+	if f.FromList {
+		return directive.ErrorList{{
+			Position: f.lines[weightsLine][0].Position,
+			Message:  "from-list has no hosts for weights; take these lines or from-list out",
+		}}
+	}
+	f.Plan.Model = f.Model.Normal()
+	b := &builder{file: f}
+	b.checkCases()
+	b.checkWeights()
+	if err := b.err(); err != nil {
+		return err
+	}
+	balance.Complete(f.Plan)
+	return nil
+}
+
+// checkCases checks that the hosts of cases are the model's.
+func (b *builder) checkCases() {
+	hosts := map[string]bool{}
+	for _, h := range b.file.Model.Hosts {
+		hosts[h.Name] = true
+	}
+	for i, v := range b.file.lines[caseLine] {
+		for j, host := range b.file.Plan.Cases[i].Lost {
+			if !hosts[host] {
+				b.reject(&directive.Error{Position: v.Pos("lost", j), Token: host, Message: "is no host of this file"})
+			}
+		}
+	}
+}
+
+// demandKey is what tells demands of a model apart.
+type demandKey struct{ segment, zone string }
+
+// checkWeights checks that each row of weights is for a demand, and for hosts that hold its segment.
+func (b *builder) checkWeights() {
+	holders := map[string]map[string]bool{} // by segment and host
+	for _, s := range b.file.Model.Segments {
+		holders[s.Name] = map[string]bool{}
+		for _, host := range s.On {
+			holders[s.Name][host] = true
+		}
+	}
+	demanded := map[demandKey]bool{}
+	for _, d := range b.file.Model.Demands {
+		demanded[demandKey{d.Segment, d.Hall}] = true
+	}
+	for _, v := range b.file.lines[weightsLine] {
+		segment := v.Text("segment")
+		if holders[segment] == nil {
+			b.reject(v.Errorf("segment", "is no segment of this file"))
+			continue
+		}
+		hosts, _ := v.Rates("hosts")
+		for i, host := range hosts {
+			if !holders[segment][host] {
+				b.reject(&directive.Error{
+					Position: v.Pos("hosts", i),
+					Token:    host,
+					Message:  "does not hold the segment " + segment,
+				})
+			}
+		}
+		if !demanded[demandKey{segment, v.Text("hall")}] {
+			b.reject(v.Errorf("hall", "asks for nothing of segment %s in this file", segment))
+		}
+	}
+}
--- a/internal/config/placementfile/write.go
+++ b/internal/config/placementfile/write.go
@@ -11,130 +11,146 @@
 	"yokeroute/logic/placement"
 )
 
+// writer writes the lines of a file. Errors are those of its last Flush.
+type writer struct {
+	*bufio.Writer
+	unit float64 // shard requests a second
+}
+
+func (w *writer) printf(format string, args ...any) { fmt.Fprintf(w, format, args...) }
+
+// option writes an option of the current line where it differs from what applies without it.
+func (w *writer) option(differs bool, name, value string) {
+	if differs {
+		w.printf(" %s %s", name, value)
+	}
+}
+
+func (w *writer) rate(units int64) string { return FormatUnits(w.unit, units) }
+
 // WriteModel writes a model as a placement file.
 func WriteModel(to io.Writer, m *placement.Model) error {
-	w := bufio.NewWriter(to)
-	writeModel(w, m)
+	w := &writer{bufio.NewWriter(to), m.Unit}
+	w.writeModel(m)
 	return w.Flush()
 }
 
-// WritePlan writes a plan as a placement file that holds its model, its weights, and of its cases the rows that
+// WritePlan writes a plan as a placement file that holds its model and its weights, and of its cases the rows that
 // differ from the plan's own.
 func WritePlan(to io.Writer, p *placement.Plan) error {
-	w := bufio.NewWriter(to)
-	m := p.Model
-	fmt.Fprintf(w, "# A plan, written by yokeroute plan solve. It reads as a placement file.\n")
-	writeModel(w, m)
+	w := &writer{bufio.NewWriter(to), p.Model.Unit}
+	w.printf("# A plan, written by yokeroute plan solve. It reads as a placement file.\n")
+	w.writeModel(p.Model)
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		fmt.Fprintf(w, "\n# greatest utilisation %s, cost %s a second\nstep %s\n", percent(s.Greatest), formatCost(s.Cost), directive.FormatTimestamp(s.From))
-		writeRows(w, m, s.Rows)
+		w.printf("\n# greatest utilisation %s, cost %s a second\n", formatUtilisation(s.Greatest), formatCost(s.Cost))
+		w.writeStep(s)
 	}
 	for i := range p.Cases {
-		c := &p.Cases[i]
-		fmt.Fprintf(w, "\ncase %s lost", directive.Quote(c.Name))
-		for _, h := range c.Lost {
-			fmt.Fprintf(w, " %s", h)
-		}
-		if c.Clash != nil {
-			fmt.Fprintf(w, " short %s", FormatUnits(m.Unit, c.Clash.Short))
-		}
-		fmt.Fprintln(w)
-		for j := range c.Steps {
-			s := &c.Steps[j]
-			fmt.Fprintf(w, "# greatest utilisation %s\nstep %s\n", percent(s.Greatest), directive.FormatTimestamp(s.From))
-			writeRows(w, m, s.Rows)
-		}
+		w.writeCase(&p.Cases[i])
 	}
 	for _, name := range p.Left {
-		fmt.Fprintf(w, "\n# no time for the case %s\n", name)
+		w.printf("\n# no time for the case %s\n", name)
 	}
 	return w.Flush()
 }
 
-func percent(u placement.Ratio) string { return strconv.FormatFloat(u.Float()*100, 'f', 1, 64) + "%" }
+func formatUtilisation(u placement.Ratio) string {
+	return strconv.FormatFloat(u.Float()*100, 'f', 1, 64) + "%"
+}
 
 func formatCost(cost int64) string {
-	return strconv.FormatFloat(float64(cost)/1000, 'f', -1, 64)
+	return strconv.FormatFloat(float64(cost)/costUnits, 'f', -1, 64)
 }
 
-func writeModel(w *bufio.Writer, m *placement.Model) {
-	fmt.Fprintf(w, "unit %s\nat %s\n", directive.FormatRate(m.Unit), directive.FormatTimestamp(m.At))
+func (w *writer) writeModel(m *placement.Model) {
+	w.printf("unit %s\nat %s\n", directive.FormatRate(m.Unit), directive.FormatTimestamp(m.At))
 	if m.Clocks > 0 {
-		fmt.Fprintf(w, "clocks %s\n", directive.FormatDuration(m.Clocks))
+		w.printf("clocks %s\n", directive.FormatDuration(m.Clocks))
 	}
 	if m.Steps > 0 {
-		fmt.Fprintf(w, "steps %d\n", m.Steps)
+		w.printf("steps %d\n", m.Steps)
 	}
 	if m.Copies >= 0 {
-		fmt.Fprintf(w, "most-moved %d\n", m.Copies)
+		w.printf("most-moved %d\n", m.Copies)
 	}
-	rate := func(units int64) string { return FormatUnits(m.Unit, units) }
-	for _, h := range m.Halls {
-		fmt.Fprintf(w, "hall %s", h.Name)
-		if h.Most >= 0 {
-			fmt.Fprintf(w, " most %s", rate(h.Most))
-		}
-		if h.Spare > 0 {
-			fmt.Fprintf(w, " spare %s", rate(h.Spare))
-		}
-		if h.SpareShare > 0 {
-			fmt.Fprintf(w, " spare %s", directive.FormatShare(h.SpareShare))
-		}
-		fmt.Fprintln(w)
+	for i := range m.Halls {
+		w.writeZone(&m.Halls[i])
 	}
 	for _, c := range m.Crossings {
-		fmt.Fprintf(w, "crossing %s %s %s\n", c.From, c.To, formatCost(c.Cost))
+		w.printf("crossing %s %s %s\n", c.From, c.To, formatCost(c.Cost))
 	}
-	for _, h := range m.Hosts {
-		fmt.Fprintf(w, "host %s hall %s capacity %s", h.Name, h.Hall, rate(h.Capacity))
-		if h.Cost > 0 {
-			fmt.Fprintf(w, " cost %s", formatCost(h.Cost))
-		}
-		if h.Holds > 0 {
-			fmt.Fprintf(w, " holds %d", h.Holds)
-		}
-		if h.State != gather.Running {
-			fmt.Fprintf(w, " state %s", stateNames[h.State])
-		}
-		if h.Started != 0 {
-			fmt.Fprintf(w, " started %s", directive.FormatTimestamp(h.Started))
-		}
-		if h.Warming > 0 {
-			fmt.Fprintf(w, " cold %s warms %s", directive.FormatShare(h.ColdShare), directive.FormatDuration(h.Warming))
-		}
-		fmt.Fprintln(w)
+	for i := range m.Hosts {
+		w.writeHost(&m.Hosts[i])
 	}
-	for _, s := range m.Segments {
-		fmt.Fprintf(w, "segment %s", s.Name)
-		if s.Group >= 0 {
-			fmt.Fprintf(w, " group %d", s.Group)
-		}
-		if s.Replicas > 0 {
-			fmt.Fprintf(w, " replicas %d", s.Replicas)
-		}
-		if len(s.On) > 0 {
-			fmt.Fprintf(w, " on")
-			for _, h := range s.On {
-				fmt.Fprintf(w, " %s", h)
-			}
-		}
-		fmt.Fprintln(w)
+	for i := range m.Segments {
+		w.writeSegment(&m.Segments[i])
 	}
 	for _, d := range m.Demands {
-		fmt.Fprintf(w, "demand %s %s %s\n", d.Segment, d.Hall, rate(d.Rate))
+		w.printf("demand %s %s %s\n", d.Segment, d.Hall, w.rate(d.Rate))
+	}
+}
+
+func (w *writer) writeZone(z *placement.Hall) {
+	w.printf("hall %s", z.Name)
+	w.option(z.Most >= 0, "most", w.rate(z.Most))
+	w.option(z.Spare > 0, "spare", w.rate(z.Spare))
+	w.option(z.SpareShare > 0, "spare", directive.FormatShare(z.SpareShare))
+	w.printf("\n")
+}
+
+func (w *writer) writeHost(h *placement.Host) {
+	w.printf("host %s hall %s capacity %s", h.Name, h.Hall, w.rate(h.Capacity))
+	w.option(h.Cost > 0, "cost", formatCost(h.Cost))
+	w.option(h.Holds > 0, "holds", strconv.Itoa(h.Holds))
+	w.option(h.State != gather.Running, "state", stateNames[h.State])
+	w.option(h.Started != 0, "started", directive.FormatTimestamp(h.Started))
+	w.option(h.Warming > 0, "cold", directive.FormatShare(h.ColdShare))
+	w.option(h.Warming > 0, "warms", directive.FormatDuration(h.Warming))
+	w.printf("\n")
+}
+
+func (w *writer) writeSegment(s *placement.Segment) {
+	w.printf("segment %s", s.Name)
+	w.option(s.Group >= 0, "group", strconv.Itoa(s.Group))
+	w.option(s.Replicas > 0, "replicas", strconv.Itoa(s.Replicas))
+	if len(s.On) > 0 {
+		w.printf(" on")
+		w.writeNames(s.On)
+	}
+	w.printf("\n")
+}
+
+func (w *writer) writeNames(names []string) {
+	for _, name := range names {
+		w.printf(" %s", name)
+	}
+}
+
+func (w *writer) writeCase(c *placement.Case) {
+	w.printf("\ncase %s lost", directive.Quote(c.Name))
+	w.writeNames(c.Lost)
+	if c.Clash != nil {
+		w.printf(" short %s", w.rate(c.Clash.Short))
+	}
+	w.printf("\n")
+	for i := range c.Steps {
+		s := &c.Steps[i]
+		w.printf("# greatest utilisation %s\n", formatUtilisation(s.Greatest))
+		w.writeStep(s)
 	}
 }
 
-func writeRows(w *bufio.Writer, m *placement.Model, rows []placement.Row) {
-	for _, r := range rows {
-		if len(r.Weights) == 0 {
+func (w *writer) writeStep(s *placement.Step) {
+	w.printf("step %s\n", directive.FormatTimestamp(s.From))
+	for _, row := range s.Rows {
+		if len(row.Weights) == 0 {
 			continue
 		}
-		fmt.Fprintf(w, "weights %s %s", r.Segment, r.Hall)
-		for _, weight := range r.Weights {
-			fmt.Fprintf(w, " %s=%s", weight.Host, FormatUnits(m.Unit, weight.Rate))
+		w.printf("weights %s %s", row.Segment, row.Hall)
+		for _, weight := range row.Weights {
+			w.printf(" %s=%s", weight.Host, w.rate(weight.Rate))
 		}
-		fmt.Fprintln(w)
+		w.printf("\n")
 	}
 }
