--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -10,36 +10,39 @@
 
 // HostLine is what a plan gives a host and why.
 type HostLine struct {
-	Name, Hall string
-	Capacity   int64 // when warm
-	Can, Load  int64 // units, at the moment
-	Use        float64
-	Why        string
+	Name     string  `json:"Name"`
+	Hall     string  `json:"Hall"`
+	Capacity int64   `json:"Capacity"` // when warm
+	Can      int64   `json:"Can"`      // units, at the moment
+	Load     int64   `json:"Load"`     // units, at the moment
+	Use      float64 `json:"Use"`
+	Why      string  `json:"Why"`
 }
 
 // HallLine is what a plan gives a hall.
 type HallLine struct {
-	Name      string
-	Can, Load int64
-	Most      int64 // -1 for any
-	Binds     bool
-	Own       int64 // units that its own gatherers ask for
-	Crossing  int64 // units that come from other halls' gatherers
+	Name     string `json:"Name"`
+	Can      int64  `json:"Can"`
+	Load     int64  `json:"Load"`
+	Most     int64  `json:"Most"` // -1 for any
+	Binds    bool   `json:"Binds"`
+	Own      int64  `json:"Own"`      // units that its own gatherers ask for
+	Crossing int64  `json:"Crossing"` // units that come from other halls' gatherers
 }
 
 // Report explains a plan's weights at a moment, or those of a case.
 type Report struct {
-	At       float64
-	Case     string
-	Greatest placement.Ratio
-	Cost     int64 // thousandths a second
-	Crossing int64 // units that cross halls
-	Asked    int64
-	Hosts    []HostLine
-	Halls    []HallLine
+	At       float64         `json:"At"`
+	Case     string          `json:"Case"`
+	Greatest placement.Ratio `json:"Greatest"`
+	Cost     int64           `json:"Cost"`     // thousandths a second
+	Crossing int64           `json:"Crossing"` // units that cross halls
+	Asked    int64           `json:"Asked"`
+	Hosts    []HostLine      `json:"Hosts"`
+	Halls    []HallLine      `json:"Halls"`
 	// Bottleneck is why the greatest utilisation cannot be less; nil where nothing is asked for.
-	Bottleneck *placement.Clash
-	Dark       []string
+	Bottleneck *placement.Clash `json:"Bottleneck"`
+	Dark       []string         `json:"Dark"`
 }
 
 // Explain tells why each host has its weight. Name is that of a case, empty for the plan's own weights.
--- a/logic/placement/clash.go
+++ b/logic/placement/clash.go
@@ -8,8 +8,9 @@
 
 // Need is demand that a clash counts.
 type Need struct {
-	Segment, Hall string
-	Rate          int64
+	Segment string `json:"Segment"`
+	Hall    string `json:"Hall"`
+	Rate    int64  `json:"Rate"`
 }
 
 // LimitKind is what a limit is of.
@@ -28,28 +29,28 @@
 
 // Limit is a limit that a clash counts, with what it lets through.
 type Limit struct {
-	Kind  LimitKind
-	Name  string // of the host or hall
-	Takes int64
+	Kind  LimitKind `json:"Kind"`
+	Name  string    `json:"Name"` // of the host or hall
+	Takes int64     `json:"Takes"`
 }
 
 // Lift is what would do: raising one limit of the clash to so much. Enough says whether everything fits then,
 // or whether only this clash is gone.
 type Lift struct {
-	Limit  int
-	To     int64
-	Enough bool
+	Limit  int   `json:"Limit"`
+	To     int64 `json:"To"`
+	Enough bool  `json:"Enough"`
 }
 
 // Clash is a proof that no weights fit: the needs have nowhere to go but through the limits, and they are
 // Short units too many for them. Each of its segments is needed for the proof: without any one of them the
 // rest fits.
 type Clash struct {
-	At     float64
-	Needs  []Need
-	Limits []Limit
-	Short  int64
-	Lifts  []Lift
+	At     float64 `json:"At"`
+	Needs  []Need  `json:"Needs"`
+	Limits []Limit `json:"Limits"`
+	Short  int64   `json:"Short"`
+	Lifts  []Lift  `json:"Lifts"`
 }
 
 // Check reports whether a clash is true of a model by itself, without solving anything: its needs are
--- a/logic/placement/diff.go
+++ b/logic/placement/diff.go
@@ -10,20 +10,25 @@
 
 // Change is what differs between two plans, in meaning.
 type Change struct {
-	Greatest, GreatestBefore Ratio
-	Cost, CostBefore         int64
-	Halls                    []Delta // those whose load differs
-	Hosts                    []Delta // those whose load differs by over a tenth
-	Moved                    int64   // units that go to another host than before
-	Came, Left               []string
-	Copies, Drops            []string // replicas, as "segment on host"
-	Demand                   []Delta  // segments that are asked for more or less
+	Greatest       Ratio    `json:"Greatest"`
+	GreatestBefore Ratio    `json:"GreatestBefore"`
+	Cost           int64    `json:"Cost"`
+	CostBefore     int64    `json:"CostBefore"`
+	Halls          []Delta  `json:"Halls"` // those whose load differs
+	Hosts          []Delta  `json:"Hosts"` // those whose load differs by over a tenth
+	Moved          int64    `json:"Moved"` // units that go to another host than before
+	Came           []string `json:"Came"`
+	Left           []string `json:"Left"`
+	Copies         []string `json:"Copies"` // replicas, as "segment on host"
+	Drops          []string `json:"Drops"`  // replicas, as "segment on host"
+	Demand         []Delta  `json:"Demand"` // segments that are asked for more or less
 }
 
 // Delta is a rate before and now, in units.
 type Delta struct {
-	Name        string
-	Before, Now int64
+	Name   string `json:"Name"`
+	Before int64  `json:"Before"`
+	Now    int64  `json:"Now"`
 }
 
 // tenth reports whether a rate changed by over a tenth of what it was.
--- a/logic/placement/model.go
+++ b/logic/placement/model.go
@@ -27,57 +27,60 @@
 
 // Model is what is planned for. Rates are in whole units, times in Unix milliseconds.
 type Model struct {
-	Unit      float64 // parts a second that one unit stands for
-	At        float64 // when the plan begins to hold
-	Clocks    float64 // milliseconds by which a gatherer's clock may run ahead
-	Steps     int     // into how many steps a time in which hosts warm up is cut
-	Copies    int     // how many replicas a new placement may move, -1 for any number
-	Halls     []Hall
-	Hosts     []Host
-	Segments  []Segment
-	Demands   []Demand
-	Crossings []Crossing
+	Unit      float64    `json:"Unit"`   // parts a second that one unit stands for
+	At        float64    `json:"At"`     // when the plan begins to hold
+	Clocks    float64    `json:"Clocks"` // milliseconds by which a gatherer's clock may run ahead
+	Steps     int        `json:"Steps"`  // into how many steps a time in which hosts warm up is cut
+	Copies    int        `json:"Copies"` // how many replicas a new placement may move, -1 for any number
+	Halls     []Hall     `json:"Halls"`
+	Hosts     []Host     `json:"Hosts"`
+	Segments  []Segment  `json:"Segments"`
+	Demands   []Demand   `json:"Demands"`
+	Crossings []Crossing `json:"Crossings"`
 }
 
 // Hall is a place whose hosts share limits.
 type Hall struct {
-	Name       string
-	Most       int64   // load that its hosts may carry together, -1 for any
-	Spare      int64   // capacity that has to stay free in it,
-	SpareShare float64 // or the share of its capacity, if that is more
+	Name       string  `json:"Name"`
+	Most       int64   `json:"Most"`       // load that its hosts may carry together, -1 for any
+	Spare      int64   `json:"Spare"`      // capacity that has to stay free in it,
+	SpareShare float64 `json:"SpareShare"` // or the share of its capacity, if that is more
 }
 
 // Host is one machine.
 type Host struct {
-	Name, Hall string
-	Capacity   int64 // when warm
-	Cost       int64 // of a part, in thousandths
-	State      gather.State
-	Started    float64 // 0 for long ago; later than At for one that is still to come
-	ColdShare  float64 // of its capacity that is safe when it starts,
-	Warming    float64 // rising evenly over so many milliseconds to all of it
-	Holds      int     // segments that it has room for, 0 for any number
+	Name      string       `json:"Name"`
+	Hall      string       `json:"Hall"`
+	Capacity  int64        `json:"Capacity"` // when warm
+	Cost      int64        `json:"Cost"`     // of a part, in thousandths
+	State     gather.State `json:"State"`
+	Started   float64      `json:"Started"`   // 0 for long ago; later than At for one that is still to come
+	ColdShare float64      `json:"ColdShare"` // of its capacity that is safe when it starts,
+	Warming   float64      `json:"Warming"`   // rising evenly over so many milliseconds to all of it
+	Holds     int          `json:"Holds"`     // segments that it has room for, 0 for any number
 }
 
 // Segment is data that some hosts hold, each all of it.
 type Segment struct {
-	Name     string
-	Group    int // of the gatherer's shards, -1 for none
-	Replicas int // wanted of a new placement, 0 for as many as it has
-	On       []string
+	Name     string   `json:"Name"`
+	Group    int      `json:"Group"`    // of the gatherer's shards, -1 for none
+	Replicas int      `json:"Replicas"` // wanted of a new placement, 0 for as many as it has
+	On       []string `json:"On"`
 }
 
 // Demand is what the gatherers of a hall ask of a segment, in units.
 type Demand struct {
-	Segment, Hall string
-	Rate          int64
+	Segment string `json:"Segment"`
+	Hall    string `json:"Hall"`
+	Rate    int64  `json:"Rate"`
 }
 
 // Crossing is the price of a part that goes from a gatherer in one hall to a host in another, in thousandths.
 // It holds both ways unless the other way is given as well. Halls that no crossing names are at OtherHall.
 type Crossing struct {
-	From, To string
-	Cost     int64
+	From string `json:"From"`
+	To   string `json:"To"`
+	Cost int64  `json:"Cost"`
 }
 
 // OtherHall is the price of crossing between halls for which none is given: one.
--- a/logic/placement/plan.go
+++ b/logic/placement/plan.go
@@ -8,7 +8,10 @@
 )
 
 // Ratio is a utilisation: load over capacity. The zero ratio is that of an idle host.
-type Ratio struct{ Load, Capacity int64 }
+type Ratio struct {
+	Load     int64 `json:"Load"`
+	Capacity int64 `json:"Capacity"`
+}
 
 // Of is the most load that the ratio leaves to a capacity, rounded down.
 func (r Ratio) Of(capacity int64) int64 {
@@ -33,46 +36,47 @@
 
 // Weight is what a host gets of a row, in units.
 type Weight struct {
-	Host string
-	Rate int64
+	Host string `json:"Host"`
+	Rate int64  `json:"Rate"`
 }
 
 // Row shares out what gatherers of one hall ask of one segment. Its weights go by the names of all hosts that
 // hold the segment; zeroes are meant: such a host gets no turns while others are there.
 type Row struct {
-	Segment, Hall string
-	Group         int
-	Weights       []Weight
+	Segment string   `json:"Segment"`
+	Hall    string   `json:"Hall"`
+	Group   int      `json:"Group"`
+	Weights []Weight `json:"Weights"`
 }
 
 // Plan is weights with the times from which they hold, and those for losses, worked out before they are
 // needed.
 type Plan struct {
-	Model *Model // normal
-	Steps []Step // by time; the first holds from the model's At, and before it too
-	Cases []Case
-	Left  []string // cases for which there was no time
+	Model *Model   `json:"Model"` // normal
+	Steps []Step   `json:"Steps"` // by time; the first holds from the model's At, and before it too
+	Cases []Case   `json:"Cases"`
+	Left  []string `json:"Left"` // cases for which there was no time
 }
 
 // Step is one set of weights.
 type Step struct {
-	From     float64
-	Rows     []Row
-	Greatest Ratio
-	Cost     int64 // thousandths a second
-	Change   int64 // units against what was in force before
+	From     float64 `json:"From"`
+	Rows     []Row   `json:"Rows"`
+	Greatest Ratio   `json:"Greatest"`
+	Cost     int64   `json:"Cost"`   // thousandths a second
+	Change   int64   `json:"Change"` // units against what was in force before
 }
 
 // Case is what holds when some hosts are lost. Its steps are safe from their times on. They hold only the
 // rows that differ from the plan's own at that time, against a thousand cases of a thousand rows each; RowsOf
 // has them all.
 type Case struct {
-	Name  string
-	Lost  []string
-	Steps []Step
+	Name  string   `json:"Name"`
+	Lost  []string `json:"Lost"`
+	Steps []Step   `json:"Steps"`
 	// Where what is left cannot take all demand; the weights then fill hosts beyond what they can do.
-	Clash *Clash
-	Dark  []string // segments asked for that no host is left to answer for; they have no weights
+	Clash *Clash   `json:"Clash"`
+	Dark  []string `json:"Dark"` // segments asked for that no host is left to answer for; they have no weights
 }
 
 // Instants are the times at which weights may change: the model's own, and while hosts warm up so many steps
--- a/logic/placing/misfit.go
+++ b/logic/placing/misfit.go
@@ -35,15 +35,16 @@
 
 // Misfit says why no placement fits.
 type Misfit struct {
-	Kind        MisfitKind
-	Segment     string
-	Need, Takes int64
-	Hosts       []string
-	Clash       *placement.Clash // of TooMuch: of a model in which all segments are one that stands everywhere
-	Limits      []string         // of Together: no placement keeps these, and without any one of them some does
-	Lifts       []string         // what would do by itself
-	Unproven    bool
-	Tries       int
+	Kind     MisfitKind       `json:"Kind"`
+	Segment  string           `json:"Segment"`
+	Need     int64            `json:"Need"`
+	Takes    int64            `json:"Takes"`
+	Hosts    []string         `json:"Hosts"`
+	Clash    *placement.Clash `json:"Clash"`  // of TooMuch: of a model in which all segments are one that stands everywhere
+	Limits   []string         `json:"Limits"` // of Together: no placement keeps these, and without any one of them some does
+	Lifts    []string         `json:"Lifts"`  // what would do by itself
+	Unproven bool             `json:"Unproven"`
+	Tries    int              `json:"Tries"`
 }
 
 // running are the hosts that may hold something.
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -28,19 +28,23 @@
 
 // Move is one replica that is copied to a host which does not hold it yet. From is the host that holds one
 // less for it, empty where a replica is added.
-type Move struct{ Segment, From, To string }
+type Move struct {
+	Segment string `json:"Segment"`
+	From    string `json:"From"`
+	To      string `json:"To"`
+}
 
 // Result is a placement.
 type Result struct {
-	Model    *placement.Model // normal, with the new places
-	Moves    []Move
-	Greatest placement.Ratio // when all hosts are warm
-	Cost     int64
-	Bound    placement.Ratio // no placement is under it
-	Floor    int64           // nor, at the bound, under this cost
-	Proven   bool            // no placement is better
-	Tries    int
-	Stopped  bool // the time ran out before the effort
+	Model    *placement.Model `json:"Model"` // normal, with the new places
+	Moves    []Move           `json:"Moves"`
+	Greatest placement.Ratio  `json:"Greatest"` // when all hosts are warm
+	Cost     int64            `json:"Cost"`
+	Bound    placement.Ratio  `json:"Bound"`  // no placement is under it
+	Floor    int64            `json:"Floor"`  // nor, at the bound, under this cost
+	Proven   bool             `json:"Proven"` // no placement is better
+	Tries    int              `json:"Tries"`
+	Stopped  bool             `json:"Stopped"` // the time ran out before the effort
 }
 
 // value is what placements are compared by.
