--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -79,7 +79,7 @@
 	if output == outputJSON {
 		return writeIndentedJSON(w, change)
 	}
-	lines := change.Words(rateFormatter(&after.Model))
+	lines := change.Describe(rateFormatter(&after.Model))
 	if len(lines) == 0 {
 		lines = []string{"no difference in meaning"}
 	}
--- a/cmd/yokeroute/plancheck.go
+++ b/cmd/yokeroute/plancheck.go
@@ -78,16 +78,16 @@
 		c.Kind = kindFromList
 	case f.Plan != nil:
 		c.Kind = kindPlan
-		for _, violation := range f.Plan.Check() {
+		for _, violation := range f.Plan.Violations() {
 			c.Violations = append(c.Violations, violation.Error())
 		}
-		c.GreatestUtilisation = f.Plan.Steps[0].Greatest.Float()
+		c.GreatestUtilisation = f.Plan.Steps[0].MaxUtilisation.Float()
 	default:
 		c.Kind = kindModel
 		utilisation, clash := checkDemand(&f.Model)
 		c.GreatestUtilisation = utilisation
 		if clash != nil {
-			c.Violations = []string{clash.Words(rateFormatter(&f.Model))}
+			c.Violations = []string{clash.Describe(rateFormatter(&f.Model))}
 		}
 	}
 	c.Feasible = len(c.Violations) == 0
@@ -95,8 +95,8 @@
 }
 
 // checkDemand returns the least greatest utilisation at which a model's demand fits, or a proof that it does not.
-func checkDemand(model *placement.Model) (utilisation float64, clash *placement.Clash) {
-	m := model.Normal()
+func checkDemand(model *placement.Model) (utilisation float64, clash *placement.Infeasibility) {
+	m := model.Normalized()
 	p := balance.NewProblem(m)
 	p.Set(m.At, nil)
 	least, fits := p.Least(false)
--- a/cmd/yokeroute/planexplain.go
+++ b/cmd/yokeroute/planexplain.go
@@ -92,7 +92,7 @@
 	switch {
 	case r.Bottleneck != nil:
 		fmt.Fprintf(w, "\nWhy not less than %.1f%%: filled any less, hosts would not do. %s\n",
-			100*r.Greatest.Float(), r.Bottleneck.Words(rate))
+			100*r.Greatest.Float(), r.Bottleneck.Describe(rate))
 	case r.Greatest.Load > r.Greatest.Capacity:
 		fmt.Fprintln(w, "\nWhat is left cannot take all that is asked for: "+
 			"hosts are filled evenly beyond what they can do, and lookups will be refused.")
--- a/cmd/yokeroute/plansolve.go
+++ b/cmd/yokeroute/plansolve.go
@@ -32,12 +32,12 @@
 
 // solution is what plan solve prints as JSON.
 type solution struct {
-	Feasible  bool             `json:"fits"`
-	Reason    string           `json:"why,omitempty"`
-	Plan      *placement.Plan  `json:"plan,omitempty"`
-	Placement *placing.Result  `json:"placement,omitempty"`
-	Clash     *placement.Clash `json:"clash,omitempty"`
-	Misfit    *placing.Misfit  `json:"misfit,omitempty"`
+	Feasible  bool                     `json:"fits"`
+	Reason    string                   `json:"why,omitempty"`
+	Plan      *placement.Plan          `json:"plan,omitempty"`
+	Placement *placing.Result          `json:"placement,omitempty"`
+	Clash     *placement.Infeasibility `json:"clash,omitempty"`
+	Misfit    *placing.Misfit          `json:"misfit,omitempty"`
 }
 
 func planSolveCommand() *cobra.Command {
@@ -134,7 +134,7 @@
 	case s.Misfit != nil:
 		s.Reason = s.Misfit.Words(rate)
 	case s.Clash != nil:
-		s.Reason = s.Clash.Words(rate)
+		s.Reason = s.Clash.Describe(rate)
 	default:
 		s.Feasible = true
 	}
--- a/cmd/yokeroute/plansummary.go
+++ b/cmd/yokeroute/plansummary.go
@@ -52,19 +52,19 @@
 func summarisePlan(w io.Writer, p *placement.Plan) {
 	first := &p.Steps[0]
 	fmt.Fprintf(w, "weights: greatest utilisation %.1f%%, cost %g a second, %s, %s made ready\n",
-		100*first.Greatest.Float(), costPerSecond(first.Cost),
+		100*first.MaxUtilisation.Float(), costPerSecond(first.Cost),
 		plural(len(p.Steps), "step", "steps"), plural(len(p.Cases), "loss", "losses"))
 	worst, short := worstCase(p.Cases)
 	if worst != nil {
 		fmt.Fprintf(w, "worst loss: %s, greatest utilisation %.1f%%\n",
-			worst.Name, 100*worst.Steps[0].Greatest.Float())
+			worst.Name, 100*worst.Steps[0].MaxUtilisation.Float())
 	}
 	if short > 0 {
 		fmt.Fprintf(w, "%s too much for what is left; yokeroute plan explain --case tells which\n",
 			plural(short, "loss is", "losses are"))
 	}
-	if len(p.Left) > 0 {
-		fmt.Fprintf(w, "no time for %s: %s\n", plural(len(p.Left), "loss", "losses"), strings.Join(p.Left, ", "))
+	if len(p.OmittedCases) > 0 {
+		fmt.Fprintf(w, "no time for %s: %s\n", plural(len(p.OmittedCases), "loss", "losses"), strings.Join(p.OmittedCases, ", "))
 	}
 }
 
@@ -73,10 +73,10 @@
 func worstCase(cases []placement.Case) (worst *placement.Case, short int) {
 	for i := range cases {
 		c := &cases[i]
-		if c.Clash != nil {
+		if c.Infeasibility != nil {
 			short++
 		}
-		if worst == nil || worst.Steps[0].Greatest.Less(c.Steps[0].Greatest) {
+		if worst == nil || worst.Steps[0].MaxUtilisation.Less(c.Steps[0].MaxUtilisation) {
 			worst = c
 		}
 	}
--- a/internal/config/placementfile/directives.go
+++ b/internal/config/placementfile/directives.go
@@ -16,7 +16,7 @@
 	maxWarmupTime = 1e9
 	maxReplicaSet = 1e6
 	maxReplicas   = 1000
-	maxCost       = placement.MostCost / costUnits
+	maxCost       = placement.MaxCost / costUnits
 )
 
 // stateNames are the names of gather.State, in its order.
@@ -81,7 +81,7 @@
 		},
 		Help:    "What a host that warms up is safe to take is reckoned by the slowest clock.",
 		Example: "clocks 500ms",
-		Apply:   func(v *directive.Values) error { f.Model.Clocks = v.Number("time", 0); return nil },
+		Apply:   func(v *directive.Values) error { f.Model.ClockSkew = v.Number("time", 0); return nil },
 	}
 }
 
@@ -107,7 +107,7 @@
 		},
 		Help:    "Bounds what a new placement may move; any number unless told.",
 		Example: "most-moved 6",
-		Apply:   func(v *directive.Values) error { f.Model.Copies = int(v.Number("replicas", 0)); return nil },
+		Apply:   func(v *directive.Values) error { f.Model.MaxMoves = int(v.Number("replicas", 0)); return nil },
 	}
 }
 
--- a/internal/config/placementfile/endpoints.go
+++ b/internal/config/placementfile/endpoints.go
@@ -23,7 +23,7 @@
 func (f *File) WithEndpoints(list []NamedEndpoint, settings *gather.Settings, now float64) (*placement.Model, error) {
 	m := f.Model
 	m.At = math.Ceil(now)
-	m.Halls = slices.Clone(m.Halls)
+	m.Zones = slices.Clone(m.Zones)
 	m.Hosts = nil
 	for i := range list {
 		host, err := f.hostOf(&list[i], settings)
@@ -31,8 +31,8 @@
 			return nil, err
 		}
 		m.Hosts = append(m.Hosts, host)
-		if !slices.ContainsFunc(m.Halls, func(z placement.Hall) bool { return z.Name == host.Hall }) {
-			m.Halls = append(m.Halls, placement.Hall{Name: host.Hall, Most: -1})
+		if !slices.ContainsFunc(m.Zones, func(z placement.Zone) bool { return z.Name == host.Zone }) {
+			m.Zones = append(m.Zones, placement.Zone{Name: host.Zone, MaxLoad: -1})
 		}
 	}
 	m.Segments = replicaSetSegments(list, settings)
@@ -44,7 +44,7 @@
 	if len(b.mistakes) > 0 {
 		return nil, b.lastMistake()
 	}
-	if faults := m.Check(); len(faults) > 0 {
+	if faults := m.Validate(); len(faults) > 0 {
 		return nil, f.endpointFault(faults[0])
 	}
 	return &m, nil
@@ -55,7 +55,7 @@
 
 // hostOf returns the host that a listed server is, by its kind.
 func (f *File) hostOf(e *NamedEndpoint, settings *gather.Settings) (placement.Host, error) {
-	h := placement.Host{Name: e.Name, Hall: e.Zone, State: e.State, Started: e.StartedAt}
+	h := placement.Host{Name: e.Name, Zone: e.Zone, State: e.State, StartedAt: e.StartedAt}
 	kind := f.kinds[e.Kind]
 	if kind == nil {
 		return h, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s",
@@ -70,8 +70,8 @@
 		h.Capacity = int64(math.Floor(float64(h.Capacity) * e.Size))
 	}
 	if !kind.Has("warms") {
-		h.ColdShare = settings.InitialCapacityShare
-		h.Warming = settings.WarmupTime
+		h.InitialCapacityShare = settings.InitialCapacityShare
+		h.WarmupTime = settings.WarmupTime
 	}
 	return h, nil
 }
@@ -93,13 +93,13 @@
 	}
 	var segments []placement.Segment
 	for n := range count {
-		segments = append(segments, placement.Segment{Name: fmt.Sprint("group-", n), Group: n, On: hosts[n]})
+		segments = append(segments, placement.Segment{Name: fmt.Sprint("group-", n), ReplicaSet: n, Hosts: hosts[n]})
 	}
 	return segments
 }
 
 // endpointFault adds the place of a line that is at fault. Hosts and segments are the list's, and have none.
-func (f *File) endpointFault(fault *placement.Fault) error {
+func (f *File) endpointFault(fault *placement.EntryError) error {
 	located := f.locate(fault)
 	if fault.Kind == hostLine || fault.Kind == segmentLine || located.Position == (directive.Position{}) {
 		return fault
--- a/internal/config/placementfile/file.go
+++ b/internal/config/placementfile/file.go
@@ -75,7 +75,7 @@
 	return &File{
 		kinds: map[string]*directive.Values{},
 		lines: map[string][]*directive.Values{},
-		Model: placement.Model{Unit: defaultUnit, At: now, Steps: defaultSteps, Copies: -1},
+		Model: placement.Model{Unit: defaultUnit, At: now, Steps: defaultSteps, MaxMoves: -1},
 	}
 }
 
--- a/internal/config/placementfile/model.go
+++ b/internal/config/placementfile/model.go
@@ -39,7 +39,7 @@
 	b.addDemands()
 	f.addWildcardDemands(b)
 	if len(b.mistakes) == 0 && !f.FromList {
-		for _, fault := range f.Model.Check() {
+		for _, fault := range f.Model.Validate() {
 			b.reject(f.locate(fault))
 		}
 	}
@@ -52,22 +52,22 @@
 
 func (b *builder) addZones() {
 	for _, v := range b.file.lines[zoneLine] {
-		zone := placement.Hall{Name: v.Text("name"), Most: -1}
+		zone := placement.Zone{Name: v.Text("name"), MaxLoad: -1}
 		if v.Has("most") {
-			zone.Most = b.units(v, "most")
+			zone.MaxLoad = b.units(v, "most")
 		}
 		if v.IsShare("spare") {
-			zone.SpareShare = v.Number("spare", 0)
+			zone.HeadroomShare = v.Number("spare", 0)
 		} else {
-			zone.Spare = b.units(v, "spare")
+			zone.Headroom = b.units(v, "spare")
 		}
-		b.file.Model.Halls = append(b.file.Model.Halls, zone)
+		b.file.Model.Zones = append(b.file.Model.Zones, zone)
 	}
 }
 
 func (b *builder) addCrossings() {
 	for _, v := range b.file.lines[crossingLine] {
-		b.file.Model.Crossings = append(b.file.Model.Crossings, placement.Crossing{
+		b.file.Model.ZoneCosts = append(b.file.Model.ZoneCosts, placement.ZoneCost{
 			From: v.Text("from"),
 			To:   v.Text("to"),
 			Cost: b.cost(v),
@@ -79,10 +79,10 @@
 	f := b.file
 	for _, v := range f.lines[hostLine] {
 		host := placement.Host{
-			Name:    v.Text("name"),
-			Hall:    v.Text("hall"),
-			Started: v.Number("started", 0),
-			State:   gather.State(v.Number("state", 0)),
+			Name:      v.Text("name"),
+			Zone:      v.Text("hall"),
+			StartedAt: v.Number("started", 0),
+			State:     gather.State(v.Number("state", 0)),
 		}
 		kind := v.Text("kind")
 		if kind != "" && f.kinds[kind] == nil {
@@ -97,10 +97,10 @@
 func (b *builder) addSegments() {
 	for _, v := range b.file.lines[segmentLine] {
 		b.file.Model.Segments = append(b.file.Model.Segments, placement.Segment{
-			Name:     v.Text("name"),
-			Group:    int(v.Number("group", -1)),
-			Replicas: int(v.Number("replicas", 0)),
-			On:       v.List("on"),
+			Name:       v.Text("name"),
+			ReplicaSet: int(v.Number("group", -1)),
+			Replicas:   int(v.Number("replicas", 0)),
+			Hosts:      v.List("on"),
 		})
 	}
 }
@@ -109,7 +109,7 @@
 	for _, v := range b.file.lines[demandLine] {
 		b.file.Model.Demands = append(b.file.Model.Demands, placement.Demand{
 			Segment: v.Text("segment"),
-			Hall:    v.Text("hall"),
+			Zone:    v.Text("hall"),
 			Rate:    b.units(v, "rate"),
 		})
 	}
@@ -131,9 +131,9 @@
 	rate := b.units(v, "rate")
 	zone := v.Text("hall")
 	for _, s := range segments {
-		isOwn := func(d placement.Demand) bool { return d.Segment == s.Name && d.Hall == zone }
+		isOwn := func(d placement.Demand) bool { return d.Segment == s.Name && d.Zone == zone }
 		if !slices.ContainsFunc(demands, isOwn) && !slices.ContainsFunc(added, isOwn) {
-			added = append(added, placement.Demand{Segment: s.Name, Hall: zone, Rate: rate})
+			added = append(added, placement.Demand{Segment: s.Name, Zone: zone, Rate: rate})
 		}
 	}
 	return added
@@ -178,9 +178,9 @@
 			h.Name))
 	}
 	h.Cost = b.cost(lineOf("cost"))
-	h.Holds = int(lineOf("holds").Number("holds", 0))
-	h.ColdShare = lineOf("cold").Number("cold", 0)
-	h.Warming = lineOf("warms").Number("warms", 0)
+	h.MaxSegments = int(lineOf("holds").Number("holds", 0))
+	h.InitialCapacityShare = lineOf("cold").Number("cold", 0)
+	h.WarmupTime = lineOf("warms").Number("warms", 0)
 }
 
 // units returns a rate in whole units of the model.
@@ -189,9 +189,9 @@
 	units := v.Number(option, 0) / unit
 	whole := math.Round(units)
 	switch {
-	case units > placement.Most:
+	case units > placement.MaxRate:
 		b.reject(v.Errorf(option, "is more than %d units of %s; write less, or a larger unit",
-			placement.Most, directive.FormatRate(unit)))
+			placement.MaxRate, directive.FormatRate(unit)))
 	case math.Abs(units-whole) > roundingError:
 		b.reject(v.Errorf(option, "is no multiple of the unit, %s; write %s, or a smaller unit",
 			directive.FormatRate(unit), FormatUnits(unit, int64(whole))))
@@ -210,26 +210,26 @@
 }
 
 // locate finds the line and the word of a model's fault. One of the model itself is at the line of the unit.
-func (f *File) locate(fault *placement.Fault) *directive.Error {
+func (f *File) locate(fault *placement.EntryError) *directive.Error {
 	lines := f.lines[fault.Kind]
 	if fault.Index >= len(lines) {
 		var position directive.Position
 		if f.unitLine != nil {
 			position = f.unitLine.Position
 		}
-		return &directive.Error{Position: position, Token: fault.Word, Message: fault.Text}
+		return &directive.Error{Position: position, Token: fault.Value, Message: fault.Problem}
 	}
 	v := lines[fault.Index]
 	words := v.List(fault.Field)
 	index := 0
 	for i, word := range words {
-		if word == fault.Word {
+		if word == fault.Value {
 			index = i // the last one, since of two alike the second is too many
 		}
 	}
-	token := fault.Word
+	token := fault.Value
 	if v.Has(fault.Field) && !slices.Contains(words, token) {
 		token = v.Text(fault.Field)
 	}
-	return &directive.Error{Position: v.Pos(fault.Field, index), Token: token, Message: fault.Text}
+	return &directive.Error{Position: v.Pos(fault.Field, index), Token: token, Message: fault.Problem}
 }
--- a/internal/config/placementfile/placementfile_test.go
+++ b/internal/config/placementfile/placementfile_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if wrong := again.Plan.Check(); len(wrong) > 0 {
+	if wrong := again.Plan.Violations(); len(wrong) > 0 {
 		t.Error(wrong)
 	}
 	WritePlan(&second, again.Plan)
@@ -132,8 +132,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if m.Hosts[0].Capacity != 50 || m.Hosts[1].Warming != 1000 || m.Safe(&m.Hosts[1], 1000) != 32 || m.Safe(&m.Hosts[2], 1000) != 0 || len(m.Halls) != 2 ||
-		strings.Join(m.Segments[0].On, "") != "ab" || m.Segments[1].Group != 1 || m.Demands[1].Rate != 10 || m.Demands[0].Rate != 5 {
+	if m.Hosts[0].Capacity != 50 || m.Hosts[1].WarmupTime != 1000 || m.SafeCapacity(&m.Hosts[1], 1000) != 32 || m.SafeCapacity(&m.Hosts[2], 1000) != 0 || len(m.Zones) != 2 ||
+		strings.Join(m.Segments[0].Hosts, "") != "ab" || m.Segments[1].ReplicaSet != 1 || m.Demands[1].Rate != 10 || m.Demands[0].Rate != 5 {
 		t.Errorf("%+v", m)
 	}
 	list[1].Kind = "m3"
--- a/internal/config/placementfile/plan.go
+++ b/internal/config/placementfile/plan.go
@@ -34,10 +34,10 @@
 	if f.Plan == nil || len(f.Plan.Steps) == 0 {
 		return errors.New("stands before the plan's own step")
 	}
-	c := placement.Case{Name: v.Text("name"), Lost: v.List("lost")}
+	c := placement.Case{Name: v.Text("name"), LostHosts: v.List("lost")}
 	if v.Has("short") {
 		b := builder{file: f}
-		c.Clash = &placement.Clash{Short: b.units(v, "short")}
+		c.Infeasibility = &placement.Infeasibility{Shortfall: b.units(v, "short")}
 		if len(b.mistakes) > 0 {
 			return b.mistakes[0]
 		}
@@ -53,7 +53,7 @@
 	if f.currentStep == nil {
 		return errors.New("stands before any step; write step first")
 	}
-	row := placement.Row{Segment: v.Text("segment"), Hall: v.Text("hall"), Group: -1}
+	row := placement.Row{Segment: v.Text("segment"), Zone: v.Text("hall"), ReplicaSet: -1}
 	hosts, rates := v.Rates("hosts")
 	for i, host := range hosts {
 		mistake := func(message string) error {
@@ -61,7 +61,7 @@
 		}
 		units := rates[i] / f.Model.Unit
 		whole := math.Round(units)
-		if math.Abs(units-whole) > roundingError || units > placement.Most {
+		if math.Abs(units-whole) > roundingError || units > placement.MaxRate {
 			return mistake("is no whole number of the unit, " + directive.FormatRate(f.Model.Unit))
 		}
 		if slices.ContainsFunc(row.Weights, func(w placement.Weight) bool { return w.Host == host }) {
@@ -86,7 +86,7 @@
 			Message:  "from-list has no hosts for weights; take these lines or from-list out",
 		}}
 	}
-	f.Plan.Model = f.Model.Normal()
+	f.Plan.Model = f.Model.Normalized()
 	b := &builder{file: f}
 	b.checkCases()
 	b.checkWeights()
@@ -104,7 +104,7 @@
 		hosts[h.Name] = true
 	}
 	for i, v := range b.file.lines[caseLine] {
-		for j, host := range b.file.Plan.Cases[i].Lost {
+		for j, host := range b.file.Plan.Cases[i].LostHosts {
 			if !hosts[host] {
 				b.reject(&directive.Error{Position: v.Pos("lost", j), Token: host, Message: "is no host of this file"})
 			}
@@ -120,13 +120,13 @@
 	holders := map[string]map[string]bool{} // by segment and host
 	for _, s := range b.file.Model.Segments {
 		holders[s.Name] = map[string]bool{}
-		for _, host := range s.On {
+		for _, host := range s.Hosts {
 			holders[s.Name][host] = true
 		}
 	}
 	demanded := map[demandKey]bool{}
 	for _, d := range b.file.Model.Demands {
-		demanded[demandKey{d.Segment, d.Hall}] = true
+		demanded[demandKey{d.Segment, d.Zone}] = true
 	}
 	for _, v := range b.file.lines[weightsLine] {
 		segment := v.Text("segment")
--- a/internal/config/placementfile/write.go
+++ b/internal/config/placementfile/write.go
@@ -43,13 +43,13 @@
 	w.writeModel(p.Model)
 	for i := range p.Steps {
 		s := &p.Steps[i]
-		w.printf("\n# greatest utilisation %s, cost %s a second\n", formatUtilisation(s.Greatest), formatCost(s.Cost))
+		w.printf("\n# greatest utilisation %s, cost %s a second\n", formatUtilisation(s.MaxUtilisation), formatCost(s.Cost))
 		w.writeStep(s)
 	}
 	for i := range p.Cases {
 		w.writeCase(&p.Cases[i])
 	}
-	for _, name := range p.Left {
+	for _, name := range p.OmittedCases {
 		w.printf("\n# no time for the case %s\n", name)
 	}
 	return w.Flush()
@@ -65,19 +65,19 @@
 
 func (w *writer) writeModel(m *placement.Model) {
 	w.printf("unit %s\nat %s\n", directive.FormatRate(m.Unit), directive.FormatTimestamp(m.At))
-	if m.Clocks > 0 {
-		w.printf("clocks %s\n", directive.FormatDuration(m.Clocks))
+	if m.ClockSkew > 0 {
+		w.printf("clocks %s\n", directive.FormatDuration(m.ClockSkew))
 	}
 	if m.Steps > 0 {
 		w.printf("steps %d\n", m.Steps)
 	}
-	if m.Copies >= 0 {
-		w.printf("most-moved %d\n", m.Copies)
+	if m.MaxMoves >= 0 {
+		w.printf("most-moved %d\n", m.MaxMoves)
 	}
-	for i := range m.Halls {
-		w.writeZone(&m.Halls[i])
+	for i := range m.Zones {
+		w.writeZone(&m.Zones[i])
 	}
-	for _, c := range m.Crossings {
+	for _, c := range m.ZoneCosts {
 		w.printf("crossing %s %s %s\n", c.From, c.To, formatCost(c.Cost))
 	}
 	for i := range m.Hosts {
@@ -87,36 +87,36 @@
 		w.writeSegment(&m.Segments[i])
 	}
 	for _, d := range m.Demands {
-		w.printf("demand %s %s %s\n", d.Segment, d.Hall, w.rate(d.Rate))
+		w.printf("demand %s %s %s\n", d.Segment, d.Zone, w.rate(d.Rate))
 	}
 }
 
-func (w *writer) writeZone(z *placement.Hall) {
+func (w *writer) writeZone(z *placement.Zone) {
 	w.printf("hall %s", z.Name)
-	w.option(z.Most >= 0, "most", w.rate(z.Most))
-	w.option(z.Spare > 0, "spare", w.rate(z.Spare))
-	w.option(z.SpareShare > 0, "spare", directive.FormatShare(z.SpareShare))
+	w.option(z.MaxLoad >= 0, "most", w.rate(z.MaxLoad))
+	w.option(z.Headroom > 0, "spare", w.rate(z.Headroom))
+	w.option(z.HeadroomShare > 0, "spare", directive.FormatShare(z.HeadroomShare))
 	w.printf("\n")
 }
 
 func (w *writer) writeHost(h *placement.Host) {
-	w.printf("host %s hall %s capacity %s", h.Name, h.Hall, w.rate(h.Capacity))
+	w.printf("host %s hall %s capacity %s", h.Name, h.Zone, w.rate(h.Capacity))
 	w.option(h.Cost > 0, "cost", formatCost(h.Cost))
-	w.option(h.Holds > 0, "holds", strconv.Itoa(h.Holds))
+	w.option(h.MaxSegments > 0, "holds", strconv.Itoa(h.MaxSegments))
 	w.option(h.State != gather.Running, "state", stateNames[h.State])
-	w.option(h.Started != 0, "started", directive.FormatTimestamp(h.Started))
-	w.option(h.Warming > 0, "cold", directive.FormatShare(h.ColdShare))
-	w.option(h.Warming > 0, "warms", directive.FormatDuration(h.Warming))
+	w.option(h.StartedAt != 0, "started", directive.FormatTimestamp(h.StartedAt))
+	w.option(h.WarmupTime > 0, "cold", directive.FormatShare(h.InitialCapacityShare))
+	w.option(h.WarmupTime > 0, "warms", directive.FormatDuration(h.WarmupTime))
 	w.printf("\n")
 }
 
 func (w *writer) writeSegment(s *placement.Segment) {
 	w.printf("segment %s", s.Name)
-	w.option(s.Group >= 0, "group", strconv.Itoa(s.Group))
+	w.option(s.ReplicaSet >= 0, "group", strconv.Itoa(s.ReplicaSet))
 	w.option(s.Replicas > 0, "replicas", strconv.Itoa(s.Replicas))
-	if len(s.On) > 0 {
+	if len(s.Hosts) > 0 {
 		w.printf(" on")
-		w.writeNames(s.On)
+		w.writeNames(s.Hosts)
 	}
 	w.printf("\n")
 }
@@ -129,14 +129,14 @@
 
 func (w *writer) writeCase(c *placement.Case) {
 	w.printf("\ncase %s lost", directive.Quote(c.Name))
-	w.writeNames(c.Lost)
-	if c.Clash != nil {
-		w.printf(" short %s", w.rate(c.Clash.Short))
+	w.writeNames(c.LostHosts)
+	if c.Infeasibility != nil {
+		w.printf(" short %s", w.rate(c.Infeasibility.Shortfall))
 	}
 	w.printf("\n")
 	for i := range c.Steps {
 		s := &c.Steps[i]
-		w.printf("# greatest utilisation %s\n", formatUtilisation(s.Greatest))
+		w.printf("# greatest utilisation %s\n", formatUtilisation(s.MaxUtilisation))
 		w.writeStep(s)
 	}
 }
@@ -147,7 +147,7 @@
 		if len(row.Weights) == 0 {
 			continue
 		}
-		w.printf("weights %s %s", row.Segment, row.Hall)
+		w.printf("weights %s %s", row.Segment, row.Zone)
 		for _, weight := range row.Weights {
 			w.printf(" %s=%s", weight.Host, w.rate(weight.Rate))
 		}
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -38,14 +38,14 @@
 	log      *logrus.Logger
 
 	mu        sync.Mutex
-	active    placement.Force
+	active    placement.ActivePlan
 	placement *placementfile.File // to solve from, nil for none
 	endpoints map[uint32]placementfile.NamedEndpoint
 	order     []uint32          // of the endpoints, as discovery lists them
 	ids       map[string]uint32 // of the endpoints, by name
 	applied   [][]gather.Weight
-	logged    placement.Standing // the last status that was logged
-	timer     *time.Timer        // until the weights may change by themselves
+	logged    placement.Effective // the last status that was logged
+	timer     *time.Timer         // until the weights may change by themselves
 }
 
 // New makes a keeper without a plan.
@@ -71,7 +71,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if plan != nil || file == nil { // a solved plan stays in force until the next one is solved
-		k.active = placement.Force{Plan: plan, MostAge: f.PlanMaxAge}
+		k.active = placement.ActivePlan{Plan: plan, MaxAge: f.PlanMaxAge}
 	}
 	k.placement = file
 	if file == nil {
@@ -80,7 +80,7 @@
 	if k.active.Plan == nil && k.applied != nil && file == nil {
 		k.log.Info("plan: removed, plain round robin")
 	}
-	k.logged = placement.Standing{Missing: -1} // no real status, so that the next one is logged
+	k.logged = placement.Effective{MissingHosts: -1} // no real status, so that the next one is logged
 	k.applyWeights()
 	k.submitSolve()
 	return nil
@@ -98,7 +98,7 @@
 	if file.Plan == nil {
 		return nil, errors.New(name + ": holds no weights; make them by yokeroute plan solve")
 	}
-	if wrong := file.Plan.Check(); len(wrong) > 0 {
+	if wrong := file.Plan.Violations(); len(wrong) > 0 {
 		return nil, fmt.Errorf("%s: %w", name, wrong[0])
 	}
 	return file.Plan, nil
@@ -184,7 +184,7 @@
 		return err
 	case clash != nil:
 		rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
-		k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "reason": clash.Words(rate)}).
+		k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "reason": clash.Describe(rate)}).
 			Warn("plan: no weights fit, the plan in force stays")
 		return nil
 	}
@@ -193,9 +193,9 @@
 	if k.placement != file { // another file was configured meanwhile
 		return nil
 	}
-	k.active = placement.Force{Plan: plan}
+	k.active = placement.ActivePlan{Plan: plan}
 	k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "steps": len(plan.Steps), "cases": len(plan.Cases),
-		"greatest": plan.Steps[0].Greatest.Float()}).Info("plan: new weights")
+		"greatest": plan.Steps[0].MaxUtilisation.Float()}).Info("plan: new weights")
 	k.applyWeights()
 	return nil
 }
@@ -219,11 +219,11 @@
 		id, listed := k.ids[host]
 		return listed && k.endpoints[id].State == gather.Running
 	})
-	weights := placement.Shares(s.Rows, k.settings.Zone, func(host string) (uint32, bool) {
+	weights := placement.WeightsForZone(s.Rows, k.settings.Zone, func(host string) (uint32, bool) {
 		id, listed := k.ids[host]
 		return id, listed
 	})
-	if k.active.Plan != nil && (s.Stale != k.logged.Stale || s.Case != k.logged.Case || s.Missing != k.logged.Missing) {
+	if k.active.Plan != nil && (s.Stale != k.logged.Stale || s.CaseName != k.logged.CaseName || s.MissingHosts != k.logged.MissingHosts) {
 		k.logStatus(s) // before the weights take effect, so that the log explains them
 	}
 	k.logged = s
@@ -234,8 +234,8 @@
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	if !math.IsInf(s.Until, 1) {
-		k.timer = time.AfterFunc(time.Duration((s.Until-now)*float64(time.Millisecond))+time.Millisecond, func() {
+	if !math.IsInf(s.ValidUntil, 1) {
+		k.timer = time.AfterFunc(time.Duration((s.ValidUntil-now)*float64(time.Millisecond))+time.Millisecond, func() {
 			k.mu.Lock()
 			defer k.mu.Unlock()
 			k.applyWeights()
@@ -243,14 +243,14 @@
 	}
 }
 
-func (k *Keeper) logStatus(s placement.Standing) {
-	log := k.log.WithField("missing", s.Missing)
+func (k *Keeper) logStatus(s placement.Effective) {
+	log := k.log.WithField("missing", s.MissingHosts)
 	switch {
 	case s.Stale:
 		log.Warn("plan: too old, plain round robin")
-	case s.Case != "":
-		log.WithField("case", s.Case).Warn("plan: hosts missing, weights in force are those for their loss")
-	case s.Missing > 0:
+	case s.CaseName != "":
+		log.WithField("case", s.CaseName).Warn("plan: hosts missing, weights in force are those for their loss")
+	case s.MissingHosts > 0:
 		log.Warn("plan: hosts missing, weights in force among the others")
 	default:
 		log.Info("plan: weights in force")
@@ -265,5 +265,5 @@
 	if k.timer != nil {
 		k.timer.Stop()
 	}
-	k.active, k.placement = placement.Force{}, nil
+	k.active, k.placement = placement.ActivePlan{}, nil
 }
--- a/internal/testbed/emulator/world.go
+++ b/internal/testbed/emulator/world.go
@@ -225,7 +225,7 @@
 // plan works out weights from what the scenario tells, as an operator would.
 func (w *World) plan() error {
 	sc := w.sc
-	m := &placement.Model{Unit: 0.01, At: w.begin, Steps: 1, Copies: -1}
+	m := &placement.Model{Unit: 0.01, At: w.begin, Steps: 1, MaxMoves: -1}
 	work, rate := 0.0, 0.0
 	for _, ix := range sc.Indexes {
 		parts := ix.Share * math.Ceil(ix.Need*float64(ix.Parts+ix.To)/2)
@@ -233,24 +233,24 @@
 	}
 	mean := work * sc.Clients.Rate / rate
 	for _, h := range sc.Halls {
-		m.Halls = append(m.Halls, placement.Hall{Name: h, Most: -1})
+		m.Zones = append(m.Zones, placement.Zone{Name: h, MaxLoad: -1})
 	}
 	on := make([][]string, sc.Layout.Sets)
 	for _, s := range w.servers {
 		name := fmt.Sprint("s-", s.number)
-		m.Hosts = append(m.Hosts, placement.Host{Name: name, Hall: sc.Halls[s.hall], Capacity: int64(s.capacity() * 1000 / mean / m.Unit), Cost: 1000})
+		m.Hosts = append(m.Hosts, placement.Host{Name: name, Zone: sc.Halls[s.hall], Capacity: int64(s.capacity() * 1000 / mean / m.Unit), Cost: 1000})
 		for j := range sc.Layout.Row {
 			set := (s.set - j + sc.Layout.Sets) % sc.Layout.Sets
 			on[set] = append(on[set], name)
 		}
 	}
 	for set, hosts := range on {
-		m.Segments = append(m.Segments, placement.Segment{Name: fmt.Sprint("group-", set), Group: set, On: hosts})
+		m.Segments = append(m.Segments, placement.Segment{Name: fmt.Sprint("group-", set), ReplicaSet: set, Hosts: hosts})
 		for _, h := range sc.Halls {
-			m.Demands = append(m.Demands, placement.Demand{Segment: fmt.Sprint("group-", set), Hall: h, Rate: int64(rate / float64(sc.Layout.Sets) / float64(len(sc.Halls)) / m.Unit)})
+			m.Demands = append(m.Demands, placement.Demand{Segment: fmt.Sprint("group-", set), Zone: h, Rate: int64(rate / float64(sc.Layout.Sets) / float64(len(sc.Halls)) / m.Unit)})
 		}
 	}
-	if faults := m.Check(); len(faults) > 0 {
+	if faults := m.Validate(); len(faults) > 0 {
 		return faults[0]
 	}
 	plan, clash, err := balance.Solve(m, nil, func() bool { return true })
@@ -258,10 +258,10 @@
 		return err
 	}
 	if clash != nil {
-		return fmt.Errorf("weights on: no weights fit: %s", clash.Words(func(u int64) string { return fmt.Sprintf("%g/s", float64(u)*m.Unit) }))
+		return fmt.Errorf("weights on: no weights fit: %s", clash.Describe(func(u int64) string { return fmt.Sprintf("%g/s", float64(u)*m.Unit) }))
 	}
 	for _, h := range sc.Halls {
-		w.weights = append(w.weights, placement.Shares(plan.RowsAt(w.begin), h, func(host string) (uint32, bool) {
+		w.weights = append(w.weights, placement.WeightsForZone(plan.RowsAt(w.begin), h, func(host string) (uint32, bool) {
 			var n int
 			fmt.Sscanf(host, "s-%d", &n)
 			return w.servers[n].id, true
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -183,7 +183,7 @@
 		return "", err
 	}
 	if clash != nil {
-		return "", fmt.Errorf("nothing fits: %s", clash.Words(func(n int64) string { return fmt.Sprint(n) }))
+		return "", fmt.Errorf("nothing fits: %s", clash.Describe(func(n int64) string { return fmt.Sprint(n) }))
 	}
 	var b strings.Builder
 	err = placementfile.WritePlan(&b, plan)
--- a/logic/balance/balance.go
+++ b/logic/balance/balance.go
@@ -35,37 +35,37 @@
 
 // NewProblem compiles a model that Check and Normal have passed.
 func NewProblem(m *placement.Model) *Problem {
-	p := &Problem{m: m, caps: make([]int64, len(m.Hosts)), most: make([]int64, len(m.Halls))}
+	p := &Problem{m: m, caps: make([]int64, len(m.Hosts)), most: make([]int64, len(m.Zones))}
 	halls, hosts, segments := map[string]int{}, map[string]int{}, map[string]int{}
-	for i, h := range m.Halls {
+	for i, h := range m.Zones {
 		halls[h.Name] = i
 	}
 	for i, h := range m.Hosts {
 		hosts[h.Name] = i
-		p.hallOf = append(p.hallOf, halls[h.Hall])
+		p.hallOf = append(p.hallOf, halls[h.Zone])
 	}
 	for i, s := range m.Segments {
 		segments[s.Name] = i
-		on := make([]int, len(s.On))
-		for j, name := range s.On {
+		on := make([]int, len(s.Hosts))
+		for j, name := range s.Hosts {
 			on[j] = hosts[name]
 		}
 		p.replicas = append(p.replicas, on)
 	}
 	for _, d := range m.Demands {
-		p.rows = append(p.rows, row{segments[d.Segment], halls[d.Hall], d.Rate})
+		p.rows = append(p.rows, row{segments[d.Segment], halls[d.Zone], d.Rate})
 		p.total += d.Rate
 	}
-	for i := range m.Halls {
-		p.cross = append(p.cross, make([]int64, len(m.Halls)))
-		for j := range m.Halls {
+	for i := range m.Zones {
+		p.cross = append(p.cross, make([]int64, len(m.Zones)))
+		for j := range m.Zones {
 			if i != j {
-				p.cross[i][j] = placement.OtherHall
+				p.cross[i][j] = placement.DefaultZoneCost
 			}
 		}
 	}
 	for _, back := range []bool{true, false} { // first the other way round, so that one that is given prevails
-		for _, c := range m.Crossings {
+		for _, c := range m.ZoneCosts {
 			from, to := halls[c.From], halls[c.To]
 			if back {
 				from, to = to, from
@@ -78,17 +78,17 @@
 
 // Set brings what hosts and halls can take to a moment; hosts in lost count as gone.
 func (p *Problem) Set(at float64, lost []bool) {
-	room := make([]int64, len(p.m.Halls))
+	room := make([]int64, len(p.m.Zones))
 	p.lost = lost
 	for i := range p.m.Hosts {
 		p.caps[i] = 0
 		if lost == nil || !lost[i] {
-			p.caps[i] = p.m.Safe(&p.m.Hosts[i], at)
+			p.caps[i] = p.m.SafeCapacity(&p.m.Hosts[i], at)
 		}
 		room[p.hallOf[i]] += p.caps[i]
 	}
-	for i := range p.m.Halls {
-		p.most[i] = p.m.Halls[i].Room(room[i])
+	for i := range p.m.Zones {
+		p.most[i] = p.m.Zones[i].LoadLimit(room[i])
 	}
 }
 
@@ -135,7 +135,7 @@
 	}
 	for i, arc := range n.hallOut {
 		if n.Raise(arc, p.most[i]); p.most[i] < 0 {
-			n.Raise(arc, placement.Most)
+			n.Raise(arc, placement.MaxRate)
 		}
 	}
 	return n
@@ -164,7 +164,7 @@
 			if priced {
 				price.Second = 1
 			}
-			share = append(share, n.Arc(2+i, n.hosts+h, placement.Most, price))
+			share = append(share, n.Arc(2+i, n.hosts+h, placement.MaxRate, price))
 		}
 		n.share, n.kept = append(n.share, share), append(n.kept, kept)
 	}
@@ -180,7 +180,7 @@
 // open lets each host take what the ratio leaves it.
 func (n *net) open(u placement.Ratio) {
 	for h, arc := range n.out {
-		n.Raise(arc, u.Of(n.p.caps[h]))
+		n.Raise(arc, u.MaxLoad(n.p.caps[h]))
 	}
 }
 
@@ -193,7 +193,7 @@
 	n := p.network(false, nil)
 	if over {
 		for _, arc := range n.hallOut {
-			n.Raise(arc, placement.Most)
+			n.Raise(arc, placement.MaxRate)
 		}
 	}
 	u, left := placement.Ratio{Load: 0, Capacity: 1}, p.total
@@ -238,14 +238,14 @@
 	u := placement.Ratio{Load: need, Capacity: sum} // without rounding down it would be enough
 	took := int64(0)
 	for _, h := range hosts {
-		took += u.Of(p.caps[h])
+		took += u.MaxLoad(p.caps[h])
 	}
 	// From there each host's next whole unit comes at a ratio of its own; they are gone through in order. Fewer
 	// are missing than there are hosts, since each is rounded down by less than one.
 	var next []placement.Ratio
 	for _, h := range hosts {
 		if c := p.caps[h]; c > 0 {
-			next = append(next, placement.Ratio{Load: u.Of(c) + 1, Capacity: c})
+			next = append(next, placement.Ratio{Load: u.MaxLoad(c) + 1, Capacity: c})
 		}
 	}
 	slices.SortFunc(next, compare)
@@ -278,7 +278,7 @@
 	n.open(u)
 	if over {
 		for _, arc := range n.hallOut {
-			n.Raise(arc, placement.Most)
+			n.Raise(arc, placement.MaxRate)
 		}
 	}
 	_, price := n.Cheapest(n.source, n.sink, p.total)
@@ -302,7 +302,7 @@
 	rows := make([]placement.Row, len(units))
 	for i, r := range p.rows {
 		s := &p.m.Segments[r.segment]
-		rows[i] = placement.Row{Segment: s.Name, Group: s.Group, Hall: p.m.Halls[r.hall].Name}
+		rows[i] = placement.Row{Segment: s.Name, ReplicaSet: s.ReplicaSet, Zone: p.m.Zones[r.hall].Name}
 		for j, h := range p.replicas[r.segment] {
 			rows[i].Weights = append(rows[i].Weights, placement.Weight{Host: p.m.Hosts[h].Name, Rate: units[i][j]})
 		}
@@ -314,12 +314,12 @@
 func (p *Problem) Units(rows []placement.Row) [][]int64 {
 	at := map[[2]string]*placement.Row{}
 	for i := range rows {
-		at[[2]string{rows[i].Segment, rows[i].Hall}] = &rows[i]
+		at[[2]string{rows[i].Segment, rows[i].Zone}] = &rows[i]
 	}
 	units := make([][]int64, len(p.rows))
 	for i, r := range p.rows {
 		units[i] = make([]int64, len(p.replicas[r.segment]))
-		had := at[[2]string{p.m.Segments[r.segment].Name, p.m.Halls[r.hall].Name}]
+		had := at[[2]string{p.m.Segments[r.segment].Name, p.m.Zones[r.hall].Name}]
 		if had == nil {
 			continue
 		}
@@ -424,7 +424,7 @@
 	}
 	for h := range p.caps {
 		if hosts && p.caps[h] > 0 {
-			p.caps[h] = placement.Most
+			p.caps[h] = placement.MaxRate
 		}
 	}
 }
--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -70,7 +70,7 @@
 // against holds one model to the reference: no worse answer, and a true proof where there is none.
 func against(t *testing.T, m *placement.Model, before *placement.Plan) (fits bool) {
 	t.Helper()
-	if faults := m.Check(); len(faults) > 0 {
+	if faults := m.Validate(); len(faults) > 0 {
 		t.Fatalf("the case is faulty: %v", faults[0])
 	}
 	p := NewProblem(m)
@@ -87,20 +87,20 @@
 	case (plan != nil) != want.found:
 		t.Fatalf("a plan: %t, by brute force %t, of %+v", plan != nil, want.found, m)
 	case plan == nil:
-		if reason := clash.Check(m); reason != "" {
+		if reason := clash.Verify(m); reason != "" {
 			t.Fatalf("clash %+v: %s, of %+v", clash, reason, m)
 		}
 		return false
 	}
 	got := plan.Steps[0]
-	if wrong := plan.Check(); len(wrong) > 0 {
+	if wrong := plan.Violations(); len(wrong) > 0 {
 		t.Fatalf("%v, of %+v", wrong, m)
 	}
-	if got.Greatest.Less(want.u) || want.u.Less(got.Greatest) || got.Cost != want.cost || before != nil && got.Change != want.change {
-		t.Fatalf("%v at %d with change %d, by brute force %+v, of %+v", got.Greatest, got.Cost, got.Change, want, m)
+	if got.MaxUtilisation.Less(want.u) || want.u.Less(got.MaxUtilisation) || got.Cost != want.cost || before != nil && got.Change != want.change {
+		t.Fatalf("%v at %d with change %d, by brute force %+v, of %+v", got.MaxUtilisation, got.Cost, got.Change, want, m)
 	}
-	if u := p.Greatest(p.Loads(p.Units(got.Rows))); u.Less(got.Greatest) || got.Greatest.Less(u) {
-		t.Fatalf("utilisation %v, said was %v", u, got.Greatest)
+	if u := p.Greatest(p.Loads(p.Units(got.Rows))); u.Less(got.MaxUtilisation) || got.MaxUtilisation.Less(u) {
+		t.Fatalf("utilisation %v, said was %v", u, got.MaxUtilisation)
 	}
 	return true
 }
@@ -119,21 +119,21 @@
 				if !*whole && (caps+on+asks)%7 != 0 {
 					continue
 				}
-				m := &placement.Model{Unit: 1, Copies: -1, Halls: []placement.Hall{{Name: "a", Most: -1}, {Name: "b", Most: int64(on%4) + 1}}}
+				m := &placement.Model{Unit: 1, MaxMoves: -1, Zones: []placement.Zone{{Name: "a", MaxLoad: -1}, {Name: "b", MaxLoad: int64(on%4) + 1}}}
 				for i, c := range []int{caps % 4, caps / 4 % 4, caps / 16} {
-					m.Hosts = append(m.Hosts, placement.Host{Name: fmt.Sprint("h", i), Hall: []string{"a", "b", "b"}[i], Capacity: int64(c), Cost: int64(caps+i*asks) % 3 * 700})
+					m.Hosts = append(m.Hosts, placement.Host{Name: fmt.Sprint("h", i), Zone: []string{"a", "b", "b"}[i], Capacity: int64(c), Cost: int64(caps+i*asks) % 3 * 700})
 				}
 				for i, set := range []int{on%7 + 1, on/7 + 1} {
-					s := placement.Segment{Name: fmt.Sprint("s", i), Group: -1}
+					s := placement.Segment{Name: fmt.Sprint("s", i), ReplicaSet: -1}
 					for h := range 3 {
 						if set>>h&1 == 1 {
-							s.On = append(s.On, fmt.Sprint("h", h))
+							s.Hosts = append(s.Hosts, fmt.Sprint("h", h))
 						}
 					}
 					m.Segments = append(m.Segments, s)
 				}
 				for i, rate := range []int{asks % 3, asks / 3 % 3, asks / 9} {
-					m.Demands = append(m.Demands, placement.Demand{Segment: fmt.Sprint("s", i%2), Hall: []string{"a", "a", "b"}[i], Rate: int64(rate)})
+					m.Demands = append(m.Demands, placement.Demand{Segment: fmt.Sprint("s", i%2), Zone: []string{"a", "a", "b"}[i], Rate: int64(rate)})
 				}
 				count++
 				if against(t, m, nil) {
@@ -150,41 +150,41 @@
 
 // drawn makes a model of up to a dozen hosts by chance, small enough for the reference.
 func drawn(r *rand.Rand, mostHosts int) *placement.Model {
-	m := &placement.Model{Unit: 1, At: 1e6, Copies: -1, Steps: 1 + r.Intn(3)}
+	m := &placement.Model{Unit: 1, At: 1e6, MaxMoves: -1, Steps: 1 + r.Intn(3)}
 	for i := range 1 + r.Intn(3) {
-		h := placement.Hall{Name: fmt.Sprint("hall", i), Most: -1}
+		h := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
 		if r.Intn(3) == 0 {
-			h.Most = int64(r.Intn(9))
+			h.MaxLoad = int64(r.Intn(9))
 		}
 		if r.Intn(4) == 0 {
-			h.Spare = int64(r.Intn(3))
+			h.Headroom = int64(r.Intn(3))
 		}
-		m.Halls = append(m.Halls, h)
+		m.Zones = append(m.Zones, h)
 	}
 	for i := range 1 + r.Intn(mostHosts) {
-		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Hall: m.Halls[r.Intn(len(m.Halls))].Name, Capacity: int64(r.Intn(7)), Cost: int64(r.Intn(3)) * 500}
+		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Zone: m.Zones[r.Intn(len(m.Zones))].Name, Capacity: int64(r.Intn(7)), Cost: int64(r.Intn(3)) * 500}
 		switch r.Intn(8) {
 		case 0:
 			h.State = gather.Draining
 		case 1:
-			h.Started, h.Warming, h.ColdShare = m.At-float64(r.Intn(1000)), 2000, 0.2
+			h.StartedAt, h.WarmupTime, h.InitialCapacityShare = m.At-float64(r.Intn(1000)), 2000, 0.2
 		}
 		m.Hosts = append(m.Hosts, h)
 	}
 	for i := range 1 + r.Intn(3) {
-		s := placement.Segment{Name: fmt.Sprint("s", i), Group: -1}
+		s := placement.Segment{Name: fmt.Sprint("s", i), ReplicaSet: -1}
 		for _, h := range r.Perm(len(m.Hosts))[:min(1+r.Intn(4), len(m.Hosts))] {
-			s.On = append(s.On, m.Hosts[h].Name)
+			s.Hosts = append(s.Hosts, m.Hosts[h].Name)
 		}
 		m.Segments = append(m.Segments, s)
-		for _, hall := range m.Halls {
+		for _, hall := range m.Zones {
 			if rate := int64(r.Intn(4)); rate > 0 {
-				m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Hall: hall.Name, Rate: rate})
+				m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: hall.Name, Rate: rate})
 			}
 		}
 	}
-	if len(m.Halls) > 1 && r.Intn(2) == 0 {
-		m.Crossings = append(m.Crossings, placement.Crossing{From: "hall0", To: "hall1", Cost: int64(r.Intn(3)) * 400})
+	if len(m.Zones) > 1 && r.Intn(2) == 0 {
+		m.ZoneCosts = append(m.ZoneCosts, placement.ZoneCost{From: "hall0", To: "hall1", Cost: int64(r.Intn(3)) * 400})
 	}
 	return m
 }
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -18,12 +18,12 @@
 
 // two is a model of two halls of two hosts, each segment on all four.
 func two() *placement.Model {
-	m := &placement.Model{Unit: 1, At: 1e6, Copies: -1, Steps: 4, Halls: []placement.Hall{{Name: "north", Most: -1}, {Name: "south", Most: -1}}}
+	m := &placement.Model{Unit: 1, At: 1e6, MaxMoves: -1, Steps: 4, Zones: []placement.Zone{{Name: "north", MaxLoad: -1}, {Name: "south", MaxLoad: -1}}}
 	for _, name := range []string{"n1", "n2", "s1", "s2"} {
-		m.Hosts = append(m.Hosts, placement.Host{Name: name, Hall: map[byte]string{'n': "north", 's': "south"}[name[0]], Capacity: 100})
+		m.Hosts = append(m.Hosts, placement.Host{Name: name, Zone: map[byte]string{'n': "north", 's': "south"}[name[0]], Capacity: 100})
 	}
-	m.Segments = []placement.Segment{{Name: "a", Group: 0, On: []string{"n1", "n2", "s1", "s2"}}}
-	m.Demands = []placement.Demand{{Segment: "a", Hall: "north", Rate: 100}, {Segment: "a", Hall: "south", Rate: 60}}
+	m.Segments = []placement.Segment{{Name: "a", ReplicaSet: 0, Hosts: []string{"n1", "n2", "s1", "s2"}}}
+	m.Demands = []placement.Demand{{Segment: "a", Zone: "north", Rate: 100}, {Segment: "a", Zone: "south", Rate: 60}}
 	return m
 }
 
@@ -33,7 +33,7 @@
 	if err != nil || plan == nil {
 		t.Fatal(clash, err)
 	}
-	if wrong := plan.Check(); len(wrong) > 0 {
+	if wrong := plan.Violations(); len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
 	return plan
@@ -43,28 +43,28 @@
 func TestByOneUnit(t *testing.T) {
 	m := two()
 	m.Demands[0].Rate = 340
-	if plan := solve(t, m); plan.Steps[0].Greatest.Load != plan.Steps[0].Greatest.Capacity {
-		t.Errorf("greatest utilisation %v", plan.Steps[0].Greatest)
+	if plan := solve(t, m); plan.Steps[0].MaxUtilisation.Load != plan.Steps[0].MaxUtilisation.Capacity {
+		t.Errorf("greatest utilisation %v", plan.Steps[0].MaxUtilisation)
 	}
 	m.Demands[0].Rate = 341
 	_, clash, err := Solve(m, nil, always)
-	if err != nil || clash == nil || clash.Short != 1 || len(clash.Limits) != 4 || len(clash.Lifts) != 4 || !clash.Lifts[0].Enough {
+	if err != nil || clash == nil || clash.Shortfall != 1 || len(clash.Limits) != 4 || len(clash.Relaxations) != 4 || !clash.Relaxations[0].Sufficient {
 		t.Fatalf("%+v, %v", clash, err)
 	}
-	if reason := clash.Check(m); reason != "" {
+	if reason := clash.Verify(m); reason != "" {
 		t.Error(reason)
 	}
 	// The check itself tells a proof that is not one.
-	for name, spoil := range map[string]func(c *placement.Clash){
-		"a host left out": func(c *placement.Clash) { c.Limits = c.Limits[1:] },
-		"a wrong rate":    func(c *placement.Clash) { c.Needs[0].Rate++ },
-		"a wrong limit":   func(c *placement.Clash) { c.Limits[0].Takes-- },
-		"a need twice":    func(c *placement.Clash) { c.Needs = append(c.Needs, c.Needs[0]) },
-		"a wrong sum":     func(c *placement.Clash) { c.Short++ },
+	for name, spoil := range map[string]func(c *placement.Infeasibility){
+		"a host left out": func(c *placement.Infeasibility) { c.Limits = c.Limits[1:] },
+		"a wrong rate":    func(c *placement.Infeasibility) { c.Needs[0].Rate++ },
+		"a wrong limit":   func(c *placement.Infeasibility) { c.Limits[0].Capacity-- },
+		"a need twice":    func(c *placement.Infeasibility) { c.Needs = append(c.Needs, c.Needs[0]) },
+		"a wrong sum":     func(c *placement.Infeasibility) { c.Shortfall++ },
 	} {
 		c := *clash
 		c.Needs, c.Limits = slices.Clone(c.Needs), slices.Clone(c.Limits)
-		if spoil(&c); c.Check(m) == "" {
+		if spoil(&c); c.Verify(m) == "" {
 			t.Errorf("%s passes", name)
 		}
 	}
@@ -75,13 +75,13 @@
 func TestColdRising(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := two()
-		m.Clocks = float64(rapid.IntRange(0, 800).Draw(t, "clocks"))
+		m.ClockSkew = float64(rapid.IntRange(0, 800).Draw(t, "clocks"))
 		m.Steps = rapid.IntRange(1, 12).Draw(t, "steps")
 		for i := range m.Hosts {
 			if rapid.Bool().Draw(t, "cold") {
 				h := &m.Hosts[i]
-				h.Started, h.Warming = m.At+float64(rapid.IntRange(-9000, 3000).Draw(t, "age")), float64(rapid.IntRange(1, 15000).Draw(t, "warming"))
-				h.ColdShare = rapid.Float64Range(0, 1).Draw(t, "share")
+				h.StartedAt, h.WarmupTime = m.At+float64(rapid.IntRange(-9000, 3000).Draw(t, "age")), float64(rapid.IntRange(1, 15000).Draw(t, "warming"))
+				h.InitialCapacityShare = rapid.Float64Range(0, 1).Draw(t, "share")
 			}
 		}
 		m.Demands[0].Rate, m.Demands[1].Rate = rapid.Int64Range(0, 30).Draw(t, "north"), rapid.Int64Range(0, 30).Draw(t, "south")
@@ -94,7 +94,7 @@
 		}
 		for range 50 {
 			now := m.At + rapid.Float64Range(0, 20000).Draw(t, "now")
-			rows, _, _ := plan.InForce(now, func(string) bool { return true })
+			rows, _, _ := plan.RowsWithout(now, func(string) bool { return true })
 			loads := map[string]int64{}
 			for _, r := range rows {
 				for _, w := range r.Weights {
@@ -103,10 +103,10 @@
 			}
 			for _, h := range m.Hosts {
 				safe := float64(h.Capacity)
-				if h.Started != 0 {
+				if h.StartedAt != 0 {
 					// A gatherer whose clock runs ahead believes in now while the host is younger.
-					age := now - m.Clocks - h.Started
-					safe *= h.ColdShare + (1-h.ColdShare)*min(max(age, 0)/h.Warming, 1)
+					age := now - m.ClockSkew - h.StartedAt
+					safe *= h.InitialCapacityShare + (1-h.InitialCapacityShare)*min(max(age, 0)/h.WarmupTime, 1)
 					if age < 0 {
 						safe = 0
 					}
@@ -126,12 +126,12 @@
 	m.Hosts[0].Cost, m.Hosts[1].Cost = 5, 3
 	plan := solve(t, m)
 	lost := func(host string) bool { return host != "n2" }
-	rows, name, missing := plan.InForce(m.At, lost)
+	rows, name, missing := plan.RowsWithout(m.At, lost)
 	if missing != 1 || name != "half of hall north, second" && name != "host n2" {
 		t.Fatalf("case %q, %d missing", name, missing)
 	}
 	use := func(m *placement.Model, rows []placement.Row) float64 {
-		p := NewProblem(m.Normal())
+		p := NewProblem(m.Normalized())
 		p.Set(m.At, nil)
 		return p.Greatest(p.Loads(p.Units(rows))).Float()
 	}
@@ -140,11 +140,11 @@
 	less.Hosts = slices.Clone(m.Hosts)
 	less.Hosts[1].State = gather.Removed
 	again := solve(t, &less)
-	if best := again.Steps[0].Greatest.Float(); ready > best+1e-9 || best > 0.55 {
+	if best := again.Steps[0].MaxUtilisation.Float(); ready > best+1e-9 || best > 0.55 {
 		t.Errorf("greatest utilisation %g made ready, %g solved again", ready, best)
 	}
 	// Of a loss that no case names, the best that there is.
-	rows, _, _ = plan.InForce(m.At, func(host string) bool { return host == "s1" || host == "s2" })
+	rows, _, _ = plan.RowsWithout(m.At, func(host string) bool { return host == "s1" || host == "s2" })
 	if u := use(m, rows); u > 0.8+1e-9 {
 		t.Errorf("greatest utilisation %g with the north gone", u)
 	}
@@ -153,16 +153,16 @@
 // TestOneHall: a segment that stands in one hall only goes dark with it, and the case says so.
 func TestOneHall(t *testing.T) {
 	m := two()
-	m.Segments = append(m.Segments, placement.Segment{Name: "b", Group: 1, On: []string{"n1", "n2"}})
-	m.Demands = append(m.Demands, placement.Demand{Segment: "b", Hall: "south", Rate: 7})
+	m.Segments = append(m.Segments, placement.Segment{Name: "b", ReplicaSet: 1, Hosts: []string{"n1", "n2"}})
+	m.Demands = append(m.Demands, placement.Demand{Segment: "b", Zone: "south", Rate: 7})
 	plan := solve(t, m)
 	i := slices.IndexFunc(plan.Cases, func(c placement.Case) bool { return c.Name == "hall north" })
-	if c := plan.Cases[i]; !slices.Equal(c.Dark, []string{"b"}) || c.Clash != nil {
+	if c := plan.Cases[i]; !slices.Equal(c.UnservedSegments, []string{"b"}) || c.Infeasibility != nil {
 		t.Errorf("%+v", c)
 	}
 	for _, c := range plan.Cases {
-		if c.Name != "hall north" && len(c.Dark) > 0 {
-			t.Errorf("%s: %v", c.Name, c.Dark)
+		if c.Name != "hall north" && len(c.UnservedSegments) > 0 {
+			t.Errorf("%s: %v", c.Name, c.UnservedSegments)
 		}
 	}
 	if r, err := Explain(plan, m.At, "hall north"); err != nil || len(r.Dark) != 1 || r.Hosts[0].Why != "lost in this case" {
@@ -173,16 +173,16 @@
 // TestLeft: a plan none of whose hosts are there gives no weights, so that plain turns go; one that is too old, too.
 func TestLeft(t *testing.T) {
 	plan := solve(t, two())
-	f := placement.Force{Plan: plan, MostAge: 1000}
+	f := placement.ActivePlan{Plan: plan, MaxAge: 1000}
 	s := f.At(plan.Model.At+10, func(string) bool { return false })
-	weights := placement.Shares(s.Rows, "north", func(string) (uint32, bool) { return 0, false })
-	if s.Missing != 4 || len(weights) != 1 || len(weights[0]) != 0 {
+	weights := placement.WeightsForZone(s.Rows, "north", func(string) (uint32, bool) { return 0, false })
+	if s.MissingHosts != 4 || len(weights) != 1 || len(weights[0]) != 0 {
 		t.Errorf("%+v, weights %v", s, weights)
 	}
 	if s := f.At(plan.Model.At+1000, func(string) bool { return true }); !s.Stale || s.Rows != nil {
 		t.Errorf("%+v", s)
 	}
-	if s := f.At(plan.Model.At+999, func(string) bool { return true }); s.Stale || s.Until != plan.Model.At+1000 {
+	if s := f.At(plan.Model.At+999, func(string) bool { return true }); s.Stale || s.ValidUntil != plan.Model.At+1000 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -195,8 +195,8 @@
 		switch {
 		case work == 0 && !errors.Is(err, ErrTime):
 			t.Errorf("%v, %v, %v", plan, clash, err)
-		case work > 0 && (err != nil || len(plan.Cases) != work-1 || len(plan.Cases)+len(plan.Left) != 10):
-			t.Errorf("%d pieces of work: %d cases, left %v, %v", work, len(plan.Cases), plan.Left, err)
+		case work > 0 && (err != nil || len(plan.Cases) != work-1 || len(plan.Cases)+len(plan.OmittedCases) != 10):
+			t.Errorf("%d pieces of work: %d cases, left %v, %v", work, len(plan.Cases), plan.OmittedCases, err)
 		}
 	}
 }
@@ -205,14 +205,14 @@
 func TestSameOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := two()
-		m.Hosts[2].Started, m.Hosts[2].Warming = m.At-10, 5000
-		m.Segments = append(m.Segments, placement.Segment{Name: "b", Group: 1, On: []string{"s1", "n1", "n2"}})
-		m.Demands = append(m.Demands, placement.Demand{Segment: "b", Hall: "south", Rate: 31})
+		m.Hosts[2].StartedAt, m.Hosts[2].WarmupTime = m.At-10, 5000
+		m.Segments = append(m.Segments, placement.Segment{Name: "b", ReplicaSet: 1, Hosts: []string{"s1", "n1", "n2"}})
+		m.Demands = append(m.Demands, placement.Demand{Segment: "b", Zone: "south", Rate: 31})
 		want, _, _ := Solve(m, nil, always)
 		m.Hosts = rapid.Permutation(m.Hosts).Draw(t, "hosts")
-		m.Halls = rapid.Permutation(m.Halls).Draw(t, "halls")
+		m.Zones = rapid.Permutation(m.Zones).Draw(t, "halls")
 		m.Segments = rapid.Permutation(m.Segments).Draw(t, "segments")
-		m.Segments[0].On = rapid.Permutation(m.Segments[0].On).Draw(t, "on")
+		m.Segments[0].Hosts = rapid.Permutation(m.Segments[0].Hosts).Draw(t, "on")
 		m.Demands = rapid.Permutation(m.Demands).Draw(t, "demands")
 		got, _, _ := Solve(m, nil, always)
 		if len(got.Steps) != len(want.Steps) || len(got.Cases) != len(want.Cases) {
@@ -264,11 +264,11 @@
 func TestSeveral(t *testing.T) {
 	m := two()
 	cold := &m.Hosts[2]
-	cold.Started, cold.Warming, cold.ColdShare = m.At, 10000, 0.2
+	cold.StartedAt, cold.WarmupTime, cold.InitialCapacityShare = m.At, 10000, 0.2
 	plan := solve(t, m)
 	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 3, Tick: 5.0, Gatherers: 7,
-		WarmupTime: cold.Warming, InitialCapacityShare: cold.ColdShare, OverloadWindow: 2000.0,
+		WarmupTime: cold.WarmupTime, InitialCapacityShare: cold.InitialCapacityShare, OverloadWindow: 2000.0,
 		OverloadMultiple: 3.0,
 		Classes: []gather.Class{
 			{Name: "i", LatencyObjective: 400.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
@@ -280,7 +280,7 @@
 	list := gather.EndpointList{Full: true}
 	for i, h := range m.Hosts {
 		ids[h.Name] = uint32(i)
-		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), StartedAt: h.Started})
+		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), StartedAt: h.StartedAt})
 	}
 	for i := range 7 {
 		own := settings.Clone()
@@ -296,8 +296,8 @@
 				in.EndpointLists = []gather.EndpointList{list}
 			}
 			if math.Mod(w.now-m.At, 250) == 0 {
-				rows, _, _ := plan.InForce(w.now, func(string) bool { return true })
-				in.Weights = placement.Shares(rows, "both", number)
+				rows, _, _ := plan.RowsWithout(w.now, func(string) bool { return true })
+				in.Weights = placement.WeightsForZone(rows, "both", number)
 			}
 			// 160 parts a second, half of them at one gatherer.
 			if turn++; i == 0 && turn%21 < 17 && math.Mod(w.now, 10) == 0 || i > 0 && (turn+i)%60 == 0 {
@@ -333,7 +333,7 @@
 			}
 		}
 		// The rule takes the capacity of each moment of the window; that of its beginning is the least.
-		safe := 100 * (cold.ColdShare + (1-cold.ColdShare)*min((first.at-m.At)/cold.Warming, 1))
+		safe := 100 * (cold.InitialCapacityShare + (1-cold.InitialCapacityShare)*min((first.at-m.At)/cold.WarmupTime, 1))
 		if most := 3 * safe * 2; sum > most {
 			t.Fatalf("at %g: %g parts in 2 s, %g allowed", first.at-m.At, sum, most)
 		}
--- a/logic/balance/clash.go
+++ b/logic/balance/clash.go
@@ -8,13 +8,13 @@
 )
 
 // Clash proves that demand does not fit what hosts and halls can take now, or gives nil where it does.
-func (p *Problem) Clash(at float64) *placement.Clash {
+func (p *Problem) Clash(at float64) *placement.Infeasibility {
 	return p.clash(at, func(h int) int64 { return p.caps[h] })
 }
 
 // Bottleneck shows why the greatest utilisation cannot be less than u: the needs that no hosts filled any
 // less could take. It is nil where nothing is asked for.
-func (p *Problem) Bottleneck(at float64, u placement.Ratio) *placement.Clash {
+func (p *Problem) Bottleneck(at float64, u placement.Ratio) *placement.Infeasibility {
 	return p.clash(at, func(h int) int64 {
 		if full := p.caps[h] * u.Load; full > 0 {
 			return (full - 1) / u.Capacity // the most that is still under the ratio
@@ -43,7 +43,7 @@
 // mostShrunk bounds how many segments are tried one by one when a proof is made smaller.
 const mostShrunk = 300
 
-func (p *Problem) clash(at float64, room func(h int) int64) *placement.Clash {
+func (p *Problem) clash(at float64, room func(h int) int64) *placement.Infeasibility {
 	only := make([]bool, len(p.rows))
 	for i := range only {
 		only[i] = true
@@ -76,25 +76,25 @@
 		}
 	}
 	left, n, cut = p.short(only, room)
-	c := &placement.Clash{At: at, Short: left}
+	c := &placement.Infeasibility{At: at, Shortfall: left}
 	for i, r := range p.rows {
 		if only[i] && r.rate > 0 {
 			c.Needs = append(c.Needs, placement.Need{Segment: p.m.Segments[r.segment].Name,
-				Hall: p.m.Halls[r.hall].Name, Rate: r.rate})
+				Zone: p.m.Zones[r.hall].Name, Rate: r.rate})
 		}
 	}
 	for h, hall := range p.hallOf {
 		if cut[n.hosts+h] && !cut[n.halls+hall] {
-			c.Limits = append(c.Limits, placement.Limit{Kind: p.kind(h, at), Name: p.m.Hosts[h].Name, Takes: room(h)})
+			c.Limits = append(c.Limits, placement.Limit{Kind: p.kind(h, at), Name: p.m.Hosts[h].Name, Capacity: room(h)})
 		}
 	}
 	for i := range p.most {
 		if cut[n.halls+i] {
-			kind := placement.HallMost
-			if h := &p.m.Halls[i]; h.Most < 0 || p.most[i] < h.Most {
-				kind = placement.HallSpare
+			kind := placement.ZoneMaxLoad
+			if h := &p.m.Zones[i]; h.MaxLoad < 0 || p.most[i] < h.MaxLoad {
+				kind = placement.ZoneHeadroom
 			}
-			c.Limits = append(c.Limits, placement.Limit{Kind: kind, Name: p.m.Halls[i].Name, Takes: p.most[i]})
+			c.Limits = append(c.Limits, placement.Limit{Kind: kind, Name: p.m.Zones[i].Name, Capacity: p.most[i]})
 		}
 	}
 	return c
@@ -107,10 +107,10 @@
 		return placement.HostDraining
 	case host.State == gather.Removed || p.lost != nil && p.lost[h]:
 		return placement.HostGone
-	case host.Started > at-p.m.Clocks:
-		return placement.HostComing
+	case host.StartedAt > at-p.m.ClockSkew:
+		return placement.HostNotStarted
 	case p.caps[h] < host.Capacity:
-		return placement.HostCold
+		return placement.HostWarmingUp
 	}
 	return placement.HostCapacity
 }
@@ -172,18 +172,18 @@
 }
 
 // Lift tries, for each limit of a clash, whether raising it alone by what is short lets everything fit.
-func (p *Problem) Lift(c *placement.Clash) {
+func (p *Problem) Lift(c *placement.Infeasibility) {
 	for i, l := range c.Limits {
-		to := l.Takes + c.Short
+		to := l.Capacity + c.Shortfall
 		room, most, able := slices.Clone(p.caps), slices.Clone(p.most), true
 		for h := range p.m.Hosts {
-			if p.m.Hosts[h].Name == l.Name && l.Kind != placement.HallMost && l.Kind != placement.HallSpare {
+			if p.m.Hosts[h].Name == l.Name && l.Kind != placement.ZoneMaxLoad && l.Kind != placement.ZoneHeadroom {
 				p.caps[h] = to
 				able = l.Kind == placement.HostCapacity || to <= p.m.Hosts[h].Capacity
 			}
 		}
-		for h := range p.m.Halls {
-			if p.m.Halls[h].Name == l.Name && (l.Kind == placement.HallMost || l.Kind == placement.HallSpare) {
+		for h := range p.m.Zones {
+			if p.m.Zones[h].Name == l.Name && (l.Kind == placement.ZoneMaxLoad || l.Kind == placement.ZoneHeadroom) {
 				p.most[h] = to
 			}
 		}
@@ -191,7 +191,7 @@
 		n.open(placement.Ratio{Load: 1, Capacity: 1})
 		enough := n.Fill(n.source, n.sink, p.total) == p.total
 		if able { // against advice to put a host back that would not be enough even then
-			c.Lifts = append(c.Lifts, placement.Lift{Limit: i, To: to, Enough: enough})
+			c.Relaxations = append(c.Relaxations, placement.Relaxation{Limit: i, To: to, Sufficient: enough})
 		}
 		p.caps, p.most = room, most
 	}
--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -41,8 +41,8 @@
 	Hosts    []HostLine      `json:"Hosts"`
 	Halls    []HallLine      `json:"Halls"`
 	// Bottleneck is why the greatest utilisation cannot be less; nil where nothing is asked for.
-	Bottleneck *placement.Clash `json:"Bottleneck"`
-	Dark       []string         `json:"Dark"`
+	Bottleneck *placement.Infeasibility `json:"Bottleneck"`
+	Dark       []string                 `json:"Dark"`
 }
 
 // Explain tells why each host has its weight. Name is that of a case, empty for the plan's own weights.
@@ -55,9 +55,9 @@
 			return nil, fmt.Errorf("the plan has no case %q", name)
 		}
 		c := &plan.Cases[i]
-		rows, r.Dark = plan.RowsOf(c, at), c.Dark
+		rows, r.Dark = plan.CaseRows(c, at), c.UnservedSegments
 		for j, h := range plan.Model.Hosts {
-			lost[j] = slices.Contains(c.Lost, h.Name)
+			lost[j] = slices.Contains(c.LostHosts, h.Name)
 		}
 	}
 	p := NewProblem(plan.Model)
@@ -83,7 +83,7 @@
 	}
 	for i := range p.most {
 		h := &halls[i]
-		h.Name, h.Most, h.Binds = plan.Model.Halls[i].Name, p.most[i], p.most[i] >= 0 && h.Load >= p.most[i]
+		h.Name, h.Most, h.Binds = plan.Model.Zones[i].Name, p.most[i], p.most[i] >= 0 && h.Load >= p.most[i]
 	}
 	r.Halls = halls
 	if most.Load <= most.Capacity { // beyond capacity there is a clash, not a bottleneck
@@ -96,7 +96,7 @@
 		}
 	}
 	for i, h := range plan.Model.Hosts {
-		line := HostLine{Name: h.Name, Hall: h.Hall, Capacity: h.Capacity, Can: p.caps[i], Load: loads[i]}
+		line := HostLine{Name: h.Name, Hall: h.Zone, Capacity: h.Capacity, Can: p.caps[i], Load: loads[i]}
 		if p.caps[i] > 0 {
 			line.Use = float64(loads[i]) / float64(p.caps[i])
 		}
@@ -120,15 +120,15 @@
 		return "draining"
 	case h.State == gather.Removed:
 		return "gone"
-	case h.Started > at-p.m.Clocks:
+	case h.StartedAt > at-p.m.ClockSkew:
 		return "not started yet"
 	case could == 0:
 		return "holds nothing that is asked for"
 	case p.caps[i] == 0:
 		return "can take nothing now" + cold
-	case load >= most.Of(p.caps[i]) && tight:
+	case load >= most.MaxLoad(p.caps[i]) && tight:
 		return "as full as the fullest: part of the bottleneck" + cold
-	case load >= most.Of(p.caps[i]):
+	case load >= most.MaxLoad(p.caps[i]):
 		return "filled up to the greatest utilisation: cheapest for what comes to it" + cold
 	case load == could:
 		return "takes all that may come to it" + cold
--- a/logic/balance/linear_test.go
+++ b/logic/balance/linear_test.go
@@ -44,8 +44,8 @@
 // witnessed draws a model without hall limits, and rows that all have a host.
 func witnessed(r *rand.Rand, hosts int) *Problem {
 	m := drawn(r, hosts)
-	for i := range m.Halls {
-		m.Halls[i].Most, m.Halls[i].Spare = -1, 0
+	for i := range m.Zones {
+		m.Zones[i].MaxLoad, m.Zones[i].Headroom = -1, 0
 	}
 	for i := range m.Hosts {
 		m.Hosts[i].Capacity, m.Hosts[i].State = 50+int64(r.Intn(100)), gather.Running
@@ -56,7 +56,7 @@
 		asked = append(asked, d)
 	}
 	m.Demands = asked
-	p := NewProblem(m.Normal())
+	p := NewProblem(m.Normalized())
 	p.Set(1e9, nil)
 	return p
 }
@@ -87,7 +87,7 @@
 
 // BenchmarkLinear is the simplex on what BenchmarkLeast does by flows.
 func BenchmarkLinear(b *testing.B) {
-	p := NewProblem(wide(12).Normal())
+	p := NewProblem(wide(12).Normalized())
 	p.Set(1e9, nil)
 	for b.Loop() {
 		if u, err := linear(p); err != nil || math.IsNaN(u) {
@@ -97,7 +97,7 @@
 }
 
 func BenchmarkLeast(b *testing.B) {
-	p := NewProblem(wide(12).Normal())
+	p := NewProblem(wide(12).Normalized())
 	p.Set(1e9, nil)
 	for b.Loop() {
 		p.Least(true)
@@ -106,17 +106,17 @@
 
 // wide has so many hosts in sets of four, with six segments a set, asked for by two halls.
 func wide(hosts int) *placement.Model {
-	m := &placement.Model{Unit: 1, Copies: -1, Halls: []placement.Hall{{Name: "a", Most: -1}, {Name: "b", Most: -1}}}
+	m := &placement.Model{Unit: 1, MaxMoves: -1, Zones: []placement.Zone{{Name: "a", MaxLoad: -1}, {Name: "b", MaxLoad: -1}}}
 	for i := range hosts {
-		m.Hosts = append(m.Hosts, placement.Host{Name: string(rune('A' + i)), Hall: m.Halls[i%2].Name, Capacity: int64(90 + 7*i)})
+		m.Hosts = append(m.Hosts, placement.Host{Name: string(rune('A' + i)), Zone: m.Zones[i%2].Name, Capacity: int64(90 + 7*i)})
 	}
 	for i := range hosts * 6 / 4 {
-		s := placement.Segment{Name: string(rune('a' + i)), Group: -1}
+		s := placement.Segment{Name: string(rune('a' + i)), ReplicaSet: -1}
 		for j := range 4 {
-			s.On = append(s.On, m.Hosts[(i/6*4+j)%hosts].Name)
+			s.Hosts = append(s.Hosts, m.Hosts[(i/6*4+j)%hosts].Name)
 		}
 		m.Segments = append(m.Segments, s)
-		m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Hall: "a", Rate: int64(13 + i)}, placement.Demand{Segment: s.Name, Hall: "b", Rate: int64(9 + i%5)})
+		m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: "a", Rate: int64(13 + i)}, placement.Demand{Segment: s.Name, Zone: "b", Rate: int64(9 + i%5)})
 	}
 	return m
 }
--- a/logic/balance/solve.go
+++ b/logic/balance/solve.go
@@ -15,18 +15,18 @@
 // says whether there is time for another. Where nothing fits it gives the clash instead. Faults of the model
 // come as an error. Cases are worked out last; those for which there was no time are named in the plan.
 func Solve(m *placement.Model, before *placement.Plan, more func() bool) (
-	*placement.Plan, *placement.Clash, error) {
-	if faults := m.Check(); len(faults) > 0 {
+	*placement.Plan, *placement.Infeasibility, error) {
+	if faults := m.Validate(); len(faults) > 0 {
 		return nil, nil, faults[0]
 	}
-	m = m.Normal()
+	m = m.Normalized()
 	p := NewProblem(m)
 	plan := &placement.Plan{Model: m}
 	var units [][]int64
 	if before != nil {
 		units = p.Units(before.RowsAt(m.At))
 	}
-	for _, at := range m.Instants() {
+	for _, at := range m.StepTimes() {
 		if !more() {
 			return nil, nil, ErrTime
 		}
@@ -37,7 +37,7 @@
 			p.Lift(c)
 			return nil, c, nil
 		}
-		step := placement.Step{From: at, Greatest: u}
+		step := placement.Step{From: at, MaxUtilisation: u}
 		units, step.Cost, step.Change = p.Cheapest(u, false, units)
 		step.Rows = p.Rows(units)
 		if n := len(plan.Steps); n > 0 && sameRows(plan.Steps[n-1].Rows, step.Rows) {
@@ -51,7 +51,7 @@
 	}
 	for _, loss := range losses(m) {
 		if !more() {
-			plan.Left = append(plan.Left, loss.Name)
+			plan.OmittedCases = append(plan.OmittedCases, loss.Name)
 			continue
 		}
 		plan.Cases = append(plan.Cases, p.without(loss, plan, bases))
@@ -80,10 +80,10 @@
 			all = append(all, l)
 		}
 	}
-	for _, hall := range m.Halls {
+	for _, hall := range m.Zones {
 		in, turn := make([]int, len(m.Hosts)), 0
 		for i, h := range m.Hosts {
-			if h.Hall == hall.Name && h.State == gather.Running {
+			if h.Zone == hall.Name && h.State == gather.Running {
 				turn++
 				in[i] = turn
 			}
@@ -107,7 +107,7 @@
 	c := placement.Case{Name: l.Name}
 	for i, lost := range l.lost {
 		if lost {
-			c.Lost = append(c.Lost, p.m.Hosts[i].Name)
+			c.LostHosts = append(c.LostHosts, p.m.Hosts[i].Name)
 		}
 	}
 	for i, units := range bases {
@@ -118,19 +118,19 @@
 			if !p.alive(r.segment) {
 				p.rows[j].rate = 0
 				p.total -= r.rate
-				if name := p.m.Segments[r.segment].Name; i == 0 && r.rate > 0 && !slices.Contains(c.Dark, name) {
-					c.Dark = append(c.Dark, name)
+				if name := p.m.Segments[r.segment].Name; i == 0 && r.rate > 0 && !slices.Contains(c.UnservedSegments, name) {
+					c.UnservedSegments = append(c.UnservedSegments, name)
 				}
 			}
 		}
 		u, fits := p.Least(false)
 		if !fits {
-			if c.Clash == nil {
-				c.Clash = p.Clash(base.From)
+			if c.Infeasibility == nil {
+				c.Infeasibility = p.Clash(base.From)
 			}
 			u, _ = p.Least(true)
 		}
-		step := placement.Step{From: base.From, Greatest: u}
+		step := placement.Step{From: base.From, MaxUtilisation: u}
 		units, step.Cost, step.Change = p.Cheapest(u, !fits, units)
 		step.Rows = differing(p.Rows(units), base.Rows)
 		c.Steps = append(c.Steps, step)
@@ -164,7 +164,7 @@
 			gone[i] = slices.Contains(lost, h.Name)
 		}
 		problem.Set(s.From, gone)
-		s.Greatest, s.Cost = problem.Greatest(problem.Loads(units)), problem.cost(units)
+		s.MaxUtilisation, s.Cost = problem.Greatest(problem.Loads(units)), problem.cost(units)
 		return units
 	}
 	for i := range p.Steps {
@@ -178,16 +178,16 @@
 			base := p.RowsAt(s.From)
 			byName := map[[2]string]placement.Row{}
 			for _, r := range s.Rows {
-				byName[[2]string{r.Segment, r.Hall}] = r
+				byName[[2]string{r.Segment, r.Zone}] = r
 			}
 			s.Rows = slices.Clone(base)
 			for k, r := range base {
-				if own, given := byName[[2]string{r.Segment, r.Hall}]; given {
-					own.Group = r.Group
+				if own, given := byName[[2]string{r.Segment, r.Zone}]; given {
+					own.ReplicaSet = r.ReplicaSet
 					s.Rows[k] = own
 				}
 			}
-			s.Rows = differing(problem.Rows(complete(s, c.Lost)), base)
+			s.Rows = differing(problem.Rows(complete(s, c.LostHosts)), base)
 		}
 	}
 }
--- a/logic/placement/diff.go
+++ b/logic/placement/diff.go
@@ -10,18 +10,18 @@
 
 // Change is what differs between two plans, in meaning.
 type Change struct {
-	Greatest       Ratio    `json:"Greatest"`
-	GreatestBefore Ratio    `json:"GreatestBefore"`
-	Cost           int64    `json:"Cost"`
-	CostBefore     int64    `json:"CostBefore"`
-	Halls          []Delta  `json:"Halls"` // those whose load differs
-	Hosts          []Delta  `json:"Hosts"` // those whose load differs by over a tenth
-	Moved          int64    `json:"Moved"` // units that go to another host than before
-	Came           []string `json:"Came"`
-	Left           []string `json:"Left"`
-	Copies         []string `json:"Copies"` // replicas, as "segment on host"
-	Drops          []string `json:"Drops"`  // replicas, as "segment on host"
-	Demand         []Delta  `json:"Demand"` // segments that are asked for more or less
+	MaxUtilisation       Ratio    `json:"Greatest"`
+	MaxUtilisationBefore Ratio    `json:"GreatestBefore"`
+	Cost                 int64    `json:"Cost"`
+	CostBefore           int64    `json:"CostBefore"`
+	Zones                []Delta  `json:"Halls"` // those whose load differs
+	Hosts                []Delta  `json:"Hosts"` // those whose load differs by over a tenth
+	MovedRate            int64    `json:"Moved"` // units that go to another host than before
+	AddedHosts           []string `json:"Came"`
+	RemovedHosts         []string `json:"Left"`
+	AddedReplicas        []string `json:"Copies"` // replicas, as "segment on host"
+	RemovedReplicas      []string `json:"Drops"`  // replicas, as "segment on host"
+	Demand               []Delta  `json:"Demand"` // segments that are asked for more or less
 }
 
 // Delta is a rate before and now, in units.
@@ -31,14 +31,14 @@
 	Now    int64  `json:"Now"`
 }
 
-// tenth reports whether a rate changed by over a tenth of what it was.
-func (d Delta) tenth() bool {
+// overTenth reports whether a rate changed by over a tenth of what it was.
+func (d Delta) overTenth() bool {
 	return math.Abs(float64(d.Now-d.Before)) > 0.1*float64(d.Before)
 }
 
 // Diff compares the weights that hold at a moment in two plans of the same unit.
 func Diff(before, now *Plan, at float64) *Change {
-	c := &Change{GreatestBefore: stepAt(before.Steps, at).Greatest, Greatest: stepAt(now.Steps, at).Greatest,
+	c := &Change{MaxUtilisationBefore: stepAt(before.Steps, at).MaxUtilisation, MaxUtilisation: stepAt(now.Steps, at).MaxUtilisation,
 		CostBefore: stepAt(before.Steps, at).Cost, Cost: stepAt(now.Steps, at).Cost}
 	type side struct {
 		hosts, halls, demand map[string]int64
@@ -50,13 +50,13 @@
 			map[string]bool{}}
 		hall := map[string]string{}
 		for _, h := range p.Model.Hosts {
-			hall[h.Name], s.hosts[h.Name] = h.Hall, 0
+			hall[h.Name], s.hosts[h.Name] = h.Zone, 0
 		}
 		for _, d := range p.Model.Demands {
 			s.demand[d.Segment] += d.Rate
 		}
 		for _, seg := range p.Model.Segments {
-			for _, h := range seg.On {
+			for _, h := range seg.Hosts {
 				s.on[seg.Name+" on "+h] = true
 			}
 		}
@@ -64,7 +64,7 @@
 			for _, w := range r.Weights {
 				s.hosts[w.Host] += w.Rate
 				s.halls[hall[w.Host]] += w.Rate
-				s.cells[[3]string{r.Segment, r.Hall, w.Host}] = w.Rate
+				s.cells[[3]string{r.Segment, r.Zone, w.Host}] = w.Rate
 			}
 		}
 		return s
@@ -80,8 +80,8 @@
 		}
 		return list
 	}
-	c.Halls = deltas(a.halls, b.halls, func(Delta) bool { return true })
-	c.Hosts = deltas(a.hosts, b.hosts, Delta.tenth)
+	c.Zones = deltas(a.halls, b.halls, func(Delta) bool { return true })
+	c.Hosts = deltas(a.hosts, b.hosts, Delta.overTenth)
 	c.Demand = deltas(a.demand, b.demand, func(Delta) bool { return true })
 	more, less := int64(0), int64(0)
 	for cell, rate := range a.cells {
@@ -90,7 +90,7 @@
 	for cell, rate := range b.cells {
 		more += max(rate-a.cells[cell], 0)
 	}
-	c.Moved = min(more, less)
+	c.MovedRate = min(more, less)
 	missing := func(in, from []string) (list []string) {
 		for _, name := range from {
 			if _, there := slices.BinarySearch(in, name); !there {
@@ -100,18 +100,18 @@
 		return list
 	}
 	hostsA, hostsB := slices.Sorted(maps.Keys(a.hosts)), slices.Sorted(maps.Keys(b.hosts))
-	c.Came, c.Left = missing(hostsA, hostsB), missing(hostsB, hostsA)
+	c.AddedHosts, c.RemovedHosts = missing(hostsA, hostsB), missing(hostsB, hostsA)
 	onA, onB := slices.Sorted(maps.Keys(a.on)), slices.Sorted(maps.Keys(b.on))
-	c.Copies, c.Drops = missing(onA, onB), missing(onB, onA)
+	c.AddedReplicas, c.RemovedReplicas = missing(onA, onB), missing(onB, onA)
 	return c
 }
 
-// Words tells a change line by line, what matters most first; rate puts units into words.
-func (c *Change) Words(rate func(int64) string) []string {
+// Describe tells a change line by line, what matters most first; rate puts units into words.
+func (c *Change) Describe(rate func(int64) string) []string {
 	var lines []string
 	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	if c.Greatest.Less(c.GreatestBefore) || c.GreatestBefore.Less(c.Greatest) {
-		say("greatest utilisation goes from %.1f%% to %.1f%%", 100*c.GreatestBefore.Float(), 100*c.Greatest.Float())
+	if c.MaxUtilisation.Less(c.MaxUtilisationBefore) || c.MaxUtilisationBefore.Less(c.MaxUtilisation) {
+		say("greatest utilisation goes from %.1f%% to %.1f%%", 100*c.MaxUtilisationBefore.Float(), 100*c.MaxUtilisation.Float())
 	}
 	few := func(names []string) string {
 		if len(names) > 8 {
@@ -119,13 +119,13 @@
 		}
 		return strings.Join(names, " ")
 	}
-	if len(c.Came) > 0 {
-		say("%s new: %s", count(len(c.Came), "host"), few(c.Came))
+	if len(c.AddedHosts) > 0 {
+		say("%s new: %s", pluralise(len(c.AddedHosts), "host"), few(c.AddedHosts))
 	}
-	if len(c.Left) > 0 {
-		say("%s gone: %s", count(len(c.Left), "host"), few(c.Left))
+	if len(c.RemovedHosts) > 0 {
+		say("%s gone: %s", pluralise(len(c.RemovedHosts), "host"), few(c.RemovedHosts))
 	}
-	for _, d := range c.Halls {
+	for _, d := range c.Zones {
 		if d.Now > d.Before {
 			say("%s takes %s more", d.Name, rate(d.Now-d.Before))
 		} else {
@@ -141,16 +141,16 @@
 		if len(names) == 1 {
 			verb = "changes"
 		}
-		say("%s %s by over a tenth: %s", count(len(c.Hosts), "host"), verb, few(names))
+		say("%s %s by over a tenth: %s", pluralise(len(c.Hosts), "host"), verb, few(names))
 	}
-	if c.Moved > 0 {
-		say("%s go to another host than before", rate(c.Moved))
+	if c.MovedRate > 0 {
+		say("%s go to another host than before", rate(c.MovedRate))
 	}
-	if len(c.Copies) > 0 {
-		say("%s to copy: %s", count(len(c.Copies), "replica"), few(c.Copies))
+	if len(c.AddedReplicas) > 0 {
+		say("%s to copy: %s", pluralise(len(c.AddedReplicas), "replica"), few(c.AddedReplicas))
 	}
-	if len(c.Drops) > 0 {
-		say("%s to drop: %s", count(len(c.Drops), "replica"), few(c.Drops))
+	if len(c.RemovedReplicas) > 0 {
+		say("%s to drop: %s", pluralise(len(c.RemovedReplicas), "replica"), few(c.RemovedReplicas))
 	}
 	for _, d := range c.Demand {
 		say("demand for %s goes from %s to %s", d.Name, rate(d.Before), rate(d.Now))
@@ -161,7 +161,7 @@
 	return lines
 }
 
-func count(n int, what string) string {
+func pluralise(n int, what string) string {
 	if n == 1 {
 		return "1 " + what
 	}
--- a/logic/placement/force.go
+++ b/logic/placement/force.go
@@ -6,60 +6,60 @@
 	"yokeroute/gather"
 )
 
-// Force keeps a plan in force.
-type Force struct {
-	Plan    *Plan   // nil for none
-	MostAge float64 // milliseconds from the plan's beginning after which it holds no more, 0 for no bound
+// ActivePlan keeps a plan in force.
+type ActivePlan struct {
+	Plan   *Plan   // nil for none
+	MaxAge float64 // milliseconds from the plan's beginning after which it holds no more, 0 for no bound
 }
 
-// Standing is what a plan comes to at a moment.
-type Standing struct {
-	Rows    []Row  // nil where plain turns go
-	Case    string // that holds, empty for the plan's own weights
-	Missing int    // of the plan's hosts on the list
-	Stale   bool   // the plan is too old to be followed
-	Until   float64
+// Effective is what a plan comes to at a moment.
+type Effective struct {
+	Rows         []Row  // nil where plain turns go
+	CaseName     string // that holds, empty for the plan's own weights
+	MissingHosts int    // of the plan's hosts on the list
+	Stale        bool   // the plan is too old to be followed
+	ValidUntil   float64
 }
 
 // At is what holds at a moment and until when at least, as long as the list stays as it is.
-func (f *Force) At(now float64, held Held) Standing {
-	s := Standing{Until: math.Inf(1)}
+func (f *ActivePlan) At(now float64, held ListedHost) Effective {
+	s := Effective{ValidUntil: math.Inf(1)}
 	if f.Plan == nil {
 		return s
 	}
-	if ends := f.Plan.Model.At + f.MostAge; f.MostAge > 0 {
+	if ends := f.Plan.Model.At + f.MaxAge; f.MaxAge > 0 {
 		if now >= ends {
 			s.Stale = true
 			return s
 		}
-		s.Until = ends
+		s.ValidUntil = ends
 	}
 	for _, step := range f.Plan.Steps {
 		if step.From > now {
-			s.Until = min(s.Until, step.From)
+			s.ValidUntil = min(s.ValidUntil, step.From)
 			break
 		}
 	}
-	s.Rows, s.Case, s.Missing = f.Plan.InForce(now, held)
+	s.Rows, s.CaseName, s.MissingHosts = f.Plan.RowsWithout(now, held)
 	return s
 }
 
-// Shares turns rows into weights by group, for the gatherers of a hall, or for all halls together where the
+// WeightsForZone turns rows into weights by group, for the gatherers of a hall, or for all halls together where the
 // rows know no such hall. Number gives a host's number, or false for one that is not on the list.
-func Shares(rows []Row, hall string, number func(host string) (uint32, bool)) [][]gather.Weight {
+func WeightsForZone(rows []Row, hall string, number func(host string) (uint32, bool)) [][]gather.Weight {
 	known := false
 	for i := range rows {
-		known = known || rows[i].Hall == hall
+		known = known || rows[i].Zone == hall
 	}
 	weights := [][]gather.Weight{}
 	for _, r := range rows {
-		if r.Group < 0 || known && r.Hall != hall {
+		if r.ReplicaSet < 0 || known && r.Zone != hall {
 			continue
 		}
-		for len(weights) <= r.Group {
+		for len(weights) <= r.ReplicaSet {
 			weights = append(weights, nil)
 		}
-		group := &weights[r.Group]
+		group := &weights[r.ReplicaSet]
 		for _, w := range r.Weights {
 			id, listed := number(w.Host)
 			if !listed {
@@ -81,16 +81,16 @@
 	return weights
 }
 
-// Held is what a gatherer's list says of a plan's hosts: true for those that are there and may get new parts.
-type Held func(host string) bool
+// ListedHost is what a gatherer's list says of a plan's hosts: true for those that are there and may get new parts.
+type ListedHost func(host string) bool
 
-// InForce chooses the weights that hold at a moment: those of the step that has begun, or of the case that
+// RowsWithout chooses the weights that hold at a moment: those of the step that has begun, or of the case that
 // fits the hosts that are missing from the list best. It solves nothing. Each case ready is laid on the hosts
 // that are there (what it would give to missing ones goes to the others of the row in proportion, as the
 // gatherers' turns do), and the one of the least greatest utilisation holds, the plan's own weights among
 // equals. Missing tells how many of the plan's hosts the list lacks, and name which case holds, empty for
 // none.
-func (p *Plan) InForce(at float64, held Held) (rows []Row, name string, missing int) {
+func (p *Plan) RowsWithout(at float64, held ListedHost) (rows []Row, name string, missing int) {
 	step := stepAt(p.Steps, at)
 	lost := map[string]bool{}
 	for _, h := range p.Model.Hosts {
@@ -101,12 +101,12 @@
 	if len(lost) == 0 {
 		return step.Rows, "", 0
 	}
-	best := p.laid(step.Rows, lost, at)
+	best := p.maxUtilisationWithout(step.Rows, lost, at)
 	rows = step.Rows
 	for i := range p.Cases {
 		c := &p.Cases[i]
 		touched := 0
-		for _, h := range c.Lost {
+		for _, h := range c.LostHosts {
 			if lost[h] {
 				touched++
 			}
@@ -114,17 +114,17 @@
 		if touched == 0 {
 			continue
 		}
-		own := p.RowsOf(c, at)
-		if u := p.laid(own, lost, at); u < best {
+		own := p.CaseRows(c, at)
+		if u := p.maxUtilisationWithout(own, lost, at); u < best {
 			best, rows, name = u, own, c.Name
 		}
 	}
 	return rows, name, len(lost)
 }
 
-// laid is the greatest utilisation where a step's weights meet the hosts that are there. Rows whose hosts are
+// maxUtilisationWithout is the greatest utilisation where a step's weights meet the hosts that are there. Rows whose hosts are
 // all missing count for nothing: no weights help them. Those that are there but get nothing share evenly.
-func (p *Plan) laid(rows []Row, lost map[string]bool, at float64) float64 {
+func (p *Plan) maxUtilisationWithout(rows []Row, lost map[string]bool, at float64) float64 {
 	loads := map[string]float64{}
 	for _, r := range rows {
 		rate, left, there := 0.0, 0.0, 0.0
@@ -149,7 +149,7 @@
 	for i := range p.Model.Hosts { // in their order, not the map's
 		h := &p.Model.Hosts[i]
 		if load := loads[h.Name]; load > 0 {
-			most = max(most, load/max(float64(p.Model.Safe(h, at)), 0.5))
+			most = max(most, load/max(float64(p.Model.SafeCapacity(h, at)), 0.5))
 		}
 	}
 	return most
--- a/logic/placing/bench_test.go
+++ b/logic/placing/bench_test.go
@@ -14,13 +14,13 @@
 // load on a tenth of the segments.
 func fleet(hosts int, seed uint64, placed bool) *placement.Model {
 	chance := pcg.New(seed)
-	m := &placement.Model{Unit: 1, Copies: -1, Steps: 8}
+	m := &placement.Model{Unit: 1, MaxMoves: -1, Steps: 8}
 	for i := range 3 {
-		m.Halls = append(m.Halls, placement.Hall{Name: fmt.Sprint("hall", i), Most: -1, SpareShare: 0.05})
+		m.Zones = append(m.Zones, placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1, HeadroomShare: 0.05})
 	}
 	total := int64(0)
 	for i := range hosts {
-		h := placement.Host{Name: fmt.Sprintf("h%04d", i), Hall: fmt.Sprint("hall", i%3), Capacity: 120, Cost: 1000, Holds: 8}
+		h := placement.Host{Name: fmt.Sprintf("h%04d", i), Zone: fmt.Sprint("hall", i%3), Capacity: 120, Cost: 1000, MaxSegments: 8}
 		if chance.Float64() < 0.4 {
 			h.Capacity, h.Cost = 70, 800
 		}
@@ -38,15 +38,15 @@
 		sum += heavy[i]
 	}
 	for i := range segments {
-		s := placement.Segment{Name: fmt.Sprintf("s%04d", i), Group: -1, Replicas: min(4, hosts)}
+		s := placement.Segment{Name: fmt.Sprintf("s%04d", i), ReplicaSet: -1, Replicas: min(4, hosts)}
 		for j := range s.Replicas {
 			if placed {
-				s.On = append(s.On, m.Hosts[(i/6*4+j)%hosts].Name)
+				s.Hosts = append(s.Hosts, m.Hosts[(i/6*4+j)%hosts].Name)
 			}
 		}
 		m.Segments = append(m.Segments, s)
 		for hall := range 3 {
-			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Hall: fmt.Sprint("hall", hall),
+			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: fmt.Sprint("hall", hall),
 				Rate: int64(0.4 * float64(total) * heavy[i] / sum / 3)})
 		}
 	}
@@ -58,14 +58,14 @@
 func BenchmarkWeights(b *testing.B) {
 	for _, n := range sizes {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := fleet(n, 1, true).Normal()
+			m := fleet(n, 1, true).Normalized()
 			p := balance.NewProblem(m)
 			p.Set(0, nil)
 			b.ReportAllocs()
 			for b.Loop() {
 				u, fits := p.Least(false)
 				if !fits {
-					b.Fatal(p.Clash(0).Words(func(n int64) string { return fmt.Sprint(n) }))
+					b.Fatal(p.Clash(0).Describe(func(n int64) string { return fmt.Sprint(n) }))
 				}
 				p.Cheapest(u, false, nil)
 			}
--- a/logic/placing/misfit.go
+++ b/logic/placing/misfit.go
@@ -35,16 +35,16 @@
 
 // Misfit says why no placement fits.
 type Misfit struct {
-	Kind     MisfitKind       `json:"Kind"`
-	Segment  string           `json:"Segment"`
-	Need     int64            `json:"Need"`
-	Takes    int64            `json:"Takes"`
-	Hosts    []string         `json:"Hosts"`
-	Clash    *placement.Clash `json:"Clash"`  // of TooMuch: of a model in which all segments are one that stands everywhere
-	Limits   []string         `json:"Limits"` // of Together: no placement keeps these, and without any one of them some does
-	Lifts    []string         `json:"Lifts"`  // what would do by itself
-	Unproven bool             `json:"Unproven"`
-	Tries    int              `json:"Tries"`
+	Kind     MisfitKind               `json:"Kind"`
+	Segment  string                   `json:"Segment"`
+	Need     int64                    `json:"Need"`
+	Takes    int64                    `json:"Takes"`
+	Hosts    []string                 `json:"Hosts"`
+	Clash    *placement.Infeasibility `json:"Clash"`  // of TooMuch: of a model in which all segments are one that stands everywhere
+	Limits   []string                 `json:"Limits"` // of Together: no placement keeps these, and without any one of them some does
+	Lifts    []string                 `json:"Lifts"`  // what would do by itself
+	Unproven bool                     `json:"Unproven"`
+	Tries    int                      `json:"Tries"`
 }
 
 // running are the hosts that may hold something.
@@ -61,22 +61,22 @@
 	if s.Replicas > 0 {
 		return s.Replicas
 	}
-	return max(len(s.On), 1)
+	return max(len(s.Hosts), 1)
 }
 
 // Anywhere is the model in which all segments are one that stands on every host: what does not fit it fits no
 // placement.
 func Anywhere(m *placement.Model) *placement.Model {
 	whole := *m
-	whole.Segments, whole.Demands = []placement.Segment{{Name: "all", Group: -1, On: running(m)}}, nil
-	for _, hall := range m.Halls {
+	whole.Segments, whole.Demands = []placement.Segment{{Name: "all", ReplicaSet: -1, Hosts: running(m)}}, nil
+	for _, hall := range m.Zones {
 		sum := int64(0)
 		for _, d := range m.Demands {
-			if d.Hall == hall.Name {
+			if d.Zone == hall.Name {
 				sum += d.Rate
 			}
 		}
-		whole.Demands = append(whole.Demands, placement.Demand{Segment: "all", Hall: hall.Name, Rate: sum})
+		whole.Demands = append(whole.Demands, placement.Demand{Segment: "all", Zone: hall.Name, Rate: sum})
 	}
 	return &whole
 }
@@ -84,7 +84,7 @@
 // warm sets a problem to the moment at which all hosts are warm, which is what a placement is for.
 func warm(m *placement.Model) (*balance.Problem, float64) {
 	p := balance.NewProblem(m)
-	times := m.Instants()
+	times := m.StepTimes()
 	at := times[len(times)-1]
 	p.Set(at, nil)
 	return p, at
@@ -107,8 +107,8 @@
 	replicas, room, endless, forced := int64(0), int64(0), false, int64(0)
 	for _, h := range m.Hosts {
 		if h.State == gather.Running {
-			room += int64(h.Holds)
-			endless = endless || h.Holds == 0
+			room += int64(h.MaxSegments)
+			endless = endless || h.MaxSegments == 0
 		}
 	}
 	p, _ := warm(m)
@@ -122,9 +122,9 @@
 					fmt.Sprintf("%d hosts more", want-len(there))}}
 		}
 		replicas += int64(want)
-		if len(s.On) > 0 {
+		if len(s.Hosts) > 0 {
 			kept := 0
-			for _, h := range s.On {
+			for _, h := range s.Hosts {
 				if slices.Contains(there, h) {
 					kept++
 				}
@@ -137,8 +137,8 @@
 			Lifts: []string{fmt.Sprintf("hosts with room for %d segments more", replicas-room),
 				fmt.Sprintf("%d replicas fewer", replicas-room)}}
 	}
-	if m.Copies >= 0 && forced > int64(m.Copies) {
-		return &Misfit{Kind: MustMove, Need: forced, Takes: int64(m.Copies),
+	if m.MaxMoves >= 0 && forced > int64(m.MaxMoves) {
+		return &Misfit{Kind: MustMove, Need: forced, Takes: int64(m.MaxMoves),
 			Lifts: []string{fmt.Sprintf("most-moved %d", forced)}}
 	}
 	whole, at := warm(Anywhere(m))
@@ -174,24 +174,24 @@
 // clash finds limits that clash together: those that have to be lifted last, one after the other, until
 // something fits. Each is looked at by the same full search as the placement itself.
 func (j *job) clash() *Misfit {
-	none := make([]bool, len(j.m.Halls))
+	none := make([]bool, len(j.m.Zones))
 	all := lifted{halls: none}
 	type limit struct {
 		name string
 		lift func(l *lifted)
 	}
 	var limits []limit
-	if j.m.Copies >= 0 {
+	if j.m.MaxMoves >= 0 {
 		limits = append(limits, limit{limitCopies, func(l *lifted) { l.copies = true }})
 	}
 	if slices.ContainsFunc(j.spread, func(n int) bool { return n > 1 }) {
 		limits = append(limits, limit{limitSpread, func(l *lifted) { l.spread = true }})
 	}
-	if slices.ContainsFunc(j.m.Hosts, func(h placement.Host) bool { return h.Holds > 0 }) {
+	if slices.ContainsFunc(j.m.Hosts, func(h placement.Host) bool { return h.MaxSegments > 0 }) {
 		limits = append(limits, limit{limitHolds, func(l *lifted) { l.holds = true }})
 	}
-	for i, h := range j.m.Halls {
-		if h.Most >= 0 || h.Spare > 0 || h.SpareShare > 0 {
+	for i, h := range j.m.Zones {
+		if h.MaxLoad >= 0 || h.Headroom > 0 || h.HeadroomShare > 0 {
 			limits = append(limits, limit{"hall " + h.Name, func(l *lifted) {
 				l.halls = slices.Clone(l.halls)
 				l.halls[i] = true
@@ -244,10 +244,10 @@
 // enoughCopies finds how many copies would do.
 func (j *job) enoughCopies(bad *Misfit) string {
 	m := *j.m
-	for m.Copies = j.m.Copies + 1; m.Copies < j.m.Copies+len(j.m.Segments)*Exact; m.Copies++ {
-		none := lifted{halls: make([]bool, len(m.Halls))}
+	for m.MaxMoves = j.m.MaxMoves + 1; m.MaxMoves < j.m.MaxMoves+len(j.m.Segments)*Exact; m.MaxMoves++ {
+		none := lifted{halls: make([]bool, len(m.Zones))}
 		if newJob(&m, none, j.effort, j.more).fits(none, bad) {
-			return fmt.Sprintf("most-moved %d", m.Copies)
+			return fmt.Sprintf("most-moved %d", m.MaxMoves)
 		}
 	}
 	return "no bound on " + limitCopies
@@ -266,7 +266,7 @@
 		fmt.Fprintf(&b, "%d replicas have to move, from hosts that do not run or since more are wanted, ", f.Need)
 		fmt.Fprintf(&b, "and %d may.", f.Takes)
 	case TooMuch:
-		fmt.Fprintf(&b, "Wherever replicas stand: %s", f.Clash.Words(rate))
+		fmt.Fprintf(&b, "Wherever replicas stand: %s", f.Clash.Describe(rate))
 	case TooHeavy:
 		fmt.Fprintf(&b, "%s needs %s, and as many of the largest hosts as it has replicas, %s, take %s: %s short.",
 			f.Segment, rate(f.Need), strings.Join(f.Hosts, " "), rate(f.Takes), rate(f.Need-f.Takes))
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -94,7 +94,7 @@
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
 			j.usable = append(j.usable, i)
-			halls[h.Hall] = true
+			halls[h.Zone] = true
 		}
 	}
 	for i, s := range m.Segments {
@@ -130,15 +130,15 @@
 
 // mostCopies is how many copies a placement may make.
 func (j *job) mostCopies() int {
-	if j.m.Copies < 0 || j.free.copies {
-		return int(placement.Most)
+	if j.m.MaxMoves < 0 || j.free.copies {
+		return int(placement.MaxRate)
 	}
-	return j.m.Copies
+	return j.m.MaxMoves
 }
 
 // room is how many segments a host may hold.
 func (j *job) room(host int) int {
-	if holds := j.m.Hosts[host].Holds; holds > 0 && !j.free.holds {
+	if holds := j.m.Hosts[host].MaxSegments; holds > 0 && !j.free.holds {
 		return holds
 	}
 	return len(j.m.Segments)
@@ -149,7 +149,7 @@
 	if j.spread[segment] < 2 {
 		return true
 	}
-	seen := make([]bool, len(j.m.Halls))
+	seen := make([]bool, len(j.m.Zones))
 	n := 0
 	for _, h := range hosts {
 		if hall := j.p.Hall(h); !seen[hall] {
@@ -178,14 +178,14 @@
 
 // Search looks for a placement. Where none fits it says why; that is proven unless the misfit says otherwise.
 func Search(m *placement.Model, terms Terms, more func() bool) (*Result, *Misfit, error) {
-	if faults := m.Check(); len(faults) > 0 {
+	if faults := m.Validate(); len(faults) > 0 {
 		return nil, nil, faults[0]
 	}
-	m = m.Normal()
+	m = m.Normalized()
 	if bad := obvious(m); bad != nil {
 		return nil, bad, nil
 	}
-	j := newJob(m, lifted{halls: make([]bool, len(m.Halls))}, terms.Effort, more)
+	j := newJob(m, lifted{halls: make([]bool, len(m.Zones))}, terms.Effort, more)
 	r := &Result{}
 	r.Bound, r.Floor = j.bound()
 	places, v, found := j.search(terms.Seed, r.Bound)
@@ -221,13 +221,13 @@
 			on[i] = m.Hosts[h].Name
 		}
 		var gone []string
-		for _, name := range m.Segments[s].On {
+		for _, name := range m.Segments[s].Hosts {
 			if !slices.Contains(on, name) {
 				gone = append(gone, name)
 			}
 		}
 		for _, name := range on {
-			if len(m.Segments[s].On) == 0 || slices.Contains(m.Segments[s].On, name) {
+			if len(m.Segments[s].Hosts) == 0 || slices.Contains(m.Segments[s].Hosts, name) {
 				continue
 			}
 			move := Move{Segment: m.Segments[s].Name, To: name}
@@ -236,7 +236,7 @@
 			}
 			r.Moves = append(r.Moves, move)
 		}
-		m.Segments[s].On = on
+		m.Segments[s].Hosts = on
 	}
 	r.Model = &m
 }
--- a/logic/placing/placing_test.go
+++ b/logic/placing/placing_test.go
@@ -15,7 +15,7 @@
 
 // brute goes through every placement that keeps the limits and gives the best value.
 func brute(m *placement.Model, free lifted) (best value, found bool) {
-	j := newJob(m.Normal(), free, 0, always)
+	j := newJob(m.Normalized(), free, 0, always)
 	var sets [][][]int
 	for s, want := range j.wanted {
 		var of [][]int
@@ -61,19 +61,19 @@
 }
 
 func drawn(r *rand.Rand, hosts, segments int) *placement.Model {
-	m := &placement.Model{Unit: 1, Copies: r.Intn(5) - 1}
+	m := &placement.Model{Unit: 1, MaxMoves: r.Intn(5) - 1}
 	for i := range 1 + r.Intn(2) {
-		h := placement.Hall{Name: fmt.Sprint("hall", i), Most: -1}
+		h := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
 		if r.Intn(4) == 0 {
-			h.Most = int64(4 + r.Intn(14))
+			h.MaxLoad = int64(4 + r.Intn(14))
 		}
-		m.Halls = append(m.Halls, h)
+		m.Zones = append(m.Zones, h)
 	}
 	for i := range 2 + r.Intn(hosts-1) {
-		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Hall: m.Halls[r.Intn(len(m.Halls))].Name, Capacity: int64(2 + r.Intn(9)),
+		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Zone: m.Zones[r.Intn(len(m.Zones))].Name, Capacity: int64(2 + r.Intn(9)),
 			Cost: int64(r.Intn(2)) * 500}
 		if r.Intn(3) == 0 {
-			h.Holds = 1 + r.Intn(2)
+			h.MaxSegments = 1 + r.Intn(2)
 		}
 		if r.Intn(10) == 0 {
 			h.State = gather.Draining
@@ -81,15 +81,15 @@
 		m.Hosts = append(m.Hosts, h)
 	}
 	for i := range 1 + r.Intn(segments) {
-		s := placement.Segment{Name: fmt.Sprint("s", i), Group: -1, Replicas: 1 + r.Intn(min(3, len(m.Hosts)))}
+		s := placement.Segment{Name: fmt.Sprint("s", i), ReplicaSet: -1, Replicas: 1 + r.Intn(min(3, len(m.Hosts)))}
 		if r.Intn(4) > 0 {
 			for _, h := range r.Perm(len(m.Hosts))[:min(1+r.Intn(3), len(m.Hosts))] {
-				s.On = append(s.On, m.Hosts[h].Name)
+				s.Hosts = append(s.Hosts, m.Hosts[h].Name)
 			}
 		}
 		m.Segments = append(m.Segments, s)
-		for _, hall := range m.Halls {
-			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Hall: hall.Name, Rate: int64(r.Intn(8))})
+		for _, hall := range m.Zones {
+			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: hall.Name, Rate: int64(r.Intn(8))})
 		}
 	}
 	return m
@@ -98,10 +98,10 @@
 // against holds a search to the reference: no worse placement, and where none fits a reason that is true.
 func against(t *testing.T, m *placement.Model) *Misfit {
 	t.Helper()
-	if faults := m.Check(); len(faults) > 0 {
+	if faults := m.Validate(); len(faults) > 0 {
 		t.Fatalf("the case is faulty: %v", faults[0])
 	}
-	want, found := brute(m, lifted{halls: make([]bool, len(m.Halls))})
+	want, found := brute(m, lifted{halls: make([]bool, len(m.Zones))})
 	got, bad, err := Search(m, Terms{Effort: 400, Seed: 3}, always)
 	switch {
 	case err != nil:
@@ -114,8 +114,8 @@
 	case !got.Proven:
 		t.Fatalf("not proven: %+v, of %+v", got, m)
 	}
-	j := newJob(got.Model, lifted{halls: make([]bool, len(m.Halls))}, 0, always)
-	orig := newJob(m.Normal(), j.free, 0, always)
+	j := newJob(got.Model, lifted{halls: make([]bool, len(m.Zones))}, 0, always)
+	orig := newJob(m.Normalized(), j.free, 0, always)
 	v, fits := orig.judge(j.had)
 	if v.less(want) || want.less(v) || !fits || v.moves != len(got.Moves) || v.cost != got.Cost {
 		t.Fatalf("%+v, fits %t, said %+v, by brute force %+v, of %+v", v, fits, got, want, m)
@@ -131,7 +131,7 @@
 // holds checks that a misfit's reason is true by itself.
 func holds(t *testing.T, m *placement.Model, f *Misfit) {
 	t.Helper()
-	n := m.Normal()
+	n := m.Normalized()
 	switch f.Kind {
 	case TooFewHosts, NoRoom, MustMove, TooHeavy:
 		if f.Need <= f.Takes {
@@ -154,13 +154,13 @@
 			}
 		}
 	case TooMuch:
-		if reason := f.Clash.Check(Anywhere(n)); reason != "" {
+		if reason := f.Clash.Verify(Anywhere(n)); reason != "" {
 			t.Fatalf("%+v: %s", f.Clash, reason)
 		}
 	case Together:
 		only := func(drop string) lifted {
-			l := lifted{true, true, true, true, make([]bool, len(n.Halls))}
-			for i, h := range n.Halls {
+			l := lifted{true, true, true, true, make([]bool, len(n.Zones))}
+			for i, h := range n.Zones {
 				l.halls[i] = !slices.Contains(f.Limits, "hall "+h.Name) || drop == "hall "+h.Name
 			}
 			keep := func(name string) bool { return !slices.Contains(f.Limits, name) || drop == name }
--- a/logic/placing/search.go
+++ b/logic/placing/search.go
@@ -51,7 +51,7 @@
 	}
 	for _, s := range j.order {
 		for len(places[s]) < j.wanted[s] || !j.spreadOK(s, places[s]) {
-			in := make([]bool, len(j.m.Halls))
+			in := make([]bool, len(j.m.Zones))
 			seen := 0
 			for _, h := range places[s] {
 				if !in[j.p.Hall(h)] {
@@ -147,7 +147,7 @@
 func (j *job) climb(places [][]int, target placement.Ratio, chance *pcg.Source) *hill {
 	h := &hill{job: j, chance: chance, held: make([]int, len(j.m.Hosts)), hosts: 2 + len(places)}
 	h.halls = h.hosts + len(j.m.Hosts)
-	h.net = flow.New(h.halls + len(j.m.Halls))
+	h.net = flow.New(h.halls + len(j.m.Zones))
 	total := int64(0)
 	for s, hosts := range places {
 		h.places = append(h.places, slices.Clone(hosts))
@@ -162,13 +162,13 @@
 		h.copied += j.copies(s, hosts)
 	}
 	for host := range j.m.Hosts {
-		most := target.Of(j.p.Can(host))
+		most := target.MaxLoad(j.p.Can(host))
 		h.out = append(h.out, h.net.Arc(h.hosts+host, h.halls+j.p.Hall(host), most, flow.Cost{}))
 	}
-	for hall := range j.m.Halls {
+	for hall := range j.m.Zones {
 		most := j.p.HallCan(hall)
 		if most < 0 {
-			most = placement.Most
+			most = placement.MaxRate
 		}
 		h.hallOut = append(h.hallOut, h.net.Arc(h.halls+hall, 1, most, flow.Cost{}))
 	}
@@ -373,7 +373,7 @@
 
 // bring tries to put a replica of a segment into a hall, on the three hosts with the most room there.
 func (h *hill) bring(s, hall int, loads []int64, u placement.Ratio, better func(s, slot, to int) bool) bool {
-	room := func(host int) int64 { return u.Of(h.p.Can(host)) - loads[host] }
+	room := func(host int) int64 { return u.MaxLoad(h.p.Can(host)) - loads[host] }
 	var to []int
 	for _, host := range h.usable {
 		if h.p.Hall(host) == hall && room(host) > 0 {
