--- a/cmd/yokeroute-testbed/main_test.go
+++ b/cmd/yokeroute-testbed/main_test.go
@@ -31,8 +31,8 @@
 	return path
 }
 
-// TestDayCommandsFromRunToReplay plays a day, compares variants, makes a page, and plays the results again, also with one
-// figure changed.
+// TestDayCommandsFromRunToReplay plays a day, compares variants, makes a page, and plays the results again, also with
+// one figure changed.
 func TestDayCommandsFromRunToReplay(t *testing.T) {
 	day, results, trace := writeFile(t, "small.conf", smallScenario), t.TempDir(), filepath.Join(t.TempDir(), "day.trace")
 	if out, err := execute(t, "run", day, "--trace", trace); err != nil || !strings.Contains(out, "kept") {
--- a/cmd/yokeroute/crossings_test.go
+++ b/cmd/yokeroute/crossings_test.go
@@ -33,7 +33,8 @@
 	ended   chan error
 }
 
-// startProcess starts the program with a limit of file descriptors. It is killed at the end of the test at the latest.
+// startProcess starts the program with a limit of file descriptors. It is killed at the end of the test at the
+// latest.
 func startProcess(t *testing.T, binary, config, address string, descriptors int) *program {
 	t.Helper()
 	p := &program{address: address, log: &bytes.Buffer{}, ended: make(chan error, 1)}
@@ -153,9 +154,9 @@
 	}
 }
 
-// TestRepeatedSignalsDoNotDisturbShutdown sends SIGTERM twice and SIGHUP between, while a query waits for a server that
-// answers and another for one that hangs. Each query gets its final answer in time, so does one on an idle connection
-// from before, and the process ends by itself.
+// TestRepeatedSignalsDoNotDisturbShutdown sends SIGTERM twice and SIGHUP between, while a query waits for a server
+// that answers and another for one that hangs. Each query gets its final answer in time, so does one on an idle
+// connection from before, and the process ends by itself.
 func TestRepeatedSignalsDoNotDisturbShutdown(t *testing.T) {
 	shard := standin.NewShard(t)
 	agent, _ := startDiscovery(t, shard)
@@ -201,8 +202,8 @@
 }
 
 // TestIdleConnectionsLeaveRoomForDiscoveryAndServers has clients that send nothing, or half a request, take every
-// connection they can get while discovery is silent. Discovery is reached once it answers, and so are servers; readiness
-// is answered meanwhile, memory stays within its limit, and clients that send a query are served.
+// connection they can get while discovery is silent. Discovery is reached once it answers, and so are servers;
+// readiness is answered meanwhile, memory stays within its limit, and clients that send a query are served.
 func TestIdleConnectionsLeaveRoomForDiscoveryAndServers(t *testing.T) {
 	const sockets, memory = 96, 64
 	shard := standin.NewShard(t)
@@ -316,9 +317,9 @@
 	}
 }
 
-// TestManyProcessesStartBeforeSlowDiscovery starts a dozen processes at once before a discovery that is silent at first,
-// then refuses, then answers late and in pieces. The requirement is nine in ten ready within 10 s and all within 30 s;
-// here all have to be ready within 10 s.
+// TestManyProcessesStartBeforeSlowDiscovery starts a dozen processes at once before a discovery that is silent at
+// first, then refuses, then answers late and in pieces. The requirement is nine in ten ready within 10 s and all
+// within 30 s; here all have to be ready within 10 s.
 func TestManyProcessesStartBeforeSlowDiscovery(t *testing.T) {
 	shard := standin.NewShard(t)
 	const many = 12
--- a/cmd/yokeroute/plan_test.go
+++ b/cmd/yokeroute/plan_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// TestPlanCommandsSolveCheckExplainAndDiff takes the worked example to a plan and inspects it. Negative answers and bad
-// input differ in their errors.
+// TestPlanCommandsSolveCheckExplainAndDiff takes the worked example to a plan and inspects it. Negative answers and
+// bad input differ in their errors.
 func TestPlanCommandsSolveCheckExplainAndDiff(t *testing.T) {
 	example := filepath.Join("..", "..", "examples", "placement", "farm.conf")
 	dir := t.TempDir()
--- a/cmd/yokeroute/planjson_test.go
+++ b/cmd/yokeroute/planjson_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestPlanJSONIsKept compares what the plan commands print for programs with documents of a released version, byte for
-// byte.
+// TestPlanJSONIsKept compares what the plan commands print for programs with documents of a released version, byte
+// for byte.
 func TestPlanJSONIsKept(t *testing.T) {
 	t.Chdir("testdata/plan")
 	for _, c := range []struct {
--- a/cmd/yokeroute/policy_test.go
+++ b/cmd/yokeroute/policy_test.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// TestPolicyNeedsServers: a command that asks policy servers wants their addresses; a comparison of two files does not.
+// TestPolicyNeedsServers: a command that asks policy servers wants their addresses; a comparison of two files does
+// not.
 func TestPolicyNeedsServers(t *testing.T) {
 	c := rootCommand()
 	c.SetArgs([]string{"policy", "status"})
--- a/cmd/yokeroute/segments_test.go
+++ b/cmd/yokeroute/segments_test.go
@@ -15,8 +15,8 @@
 	`{"Name":"search-b","Lo":13835058055282163712,"Hi":16140901064495857663,"Owners":["h-04","h-01"],"Since":6}]}
 `
 
-// TestSegmentsCommandsShowCheckAndPlanMoves takes the worked example to a changed map and back. Negative answers and bad
-// input differ in their errors.
+// TestSegmentsCommandsShowCheckAndPlanMoves takes the worked example to a changed map and back. Negative answers and
+// bad input differ in their errors.
 func TestSegmentsCommandsShowCheckAndPlanMoves(t *testing.T) {
 	example := filepath.Join("..", "..", "examples", "segments", "farm.conf")
 	dir := t.TempDir()
--- a/cmd/yokeroute/serve_test.go
+++ b/cmd/yokeroute/serve_test.go
@@ -19,8 +19,8 @@
 	"yokeroute/internal/testbed/standin/shards"
 )
 
-// startDiscovery starts a discovery agent that lists one server and never reports a change. It sends on watched when a
-// watch begins, which is after the list was read.
+// startDiscovery starts a discovery agent that lists one server and never reports a change. It sends on watched when
+// a watch begins, which is after the list was read.
 func startDiscovery(t *testing.T, shard *standin.Shard) (address string, watched chan bool) {
 	watched = make(chan bool, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -107,7 +107,8 @@
 
 const servedAnswer = `{"complete":true,"hits":[{"shard":2,"doc":"5be2"}]}`
 
-// TestServeAnswersAndDrainsOnSIGTERM sends one query through the whole program, and SIGTERM while another is in flight.
+// TestServeAnswersAndDrainsOnSIGTERM sends one query through the whole program, and SIGTERM while another is in
+// flight.
 func TestServeAnswersAndDrainsOnSIGTERM(t *testing.T) {
 	shard := standin.NewShard(t)
 	address := freeAddress(t)
@@ -174,8 +175,8 @@
 // replica with twice the latency of another, so that delays of a busy machine have to stay small beside it.
 const servePlanWork = 80
 
-// TestServeFollowsPlanInForce: queries follow a plan's weights, those of another plan after SIGHUP, and plain round robin
-// without one. A faulty plan changes nothing.
+// TestServeFollowsPlanInForce: queries follow a plan's weights, those of another plan after SIGHUP, and plain round
+// robin without one. A faulty plan changes nothing.
 func TestServeFollowsPlanInForce(t *testing.T) {
 	var members []directory.Member
 	fleet := map[string]*shards.Server{}
--- a/cmd/yokeroute/twophase_test.go
+++ b/cmd/yokeroute/twophase_test.go
@@ -18,8 +18,8 @@
 	"yokeroute/internal/testbed/standin/shards"
 )
 
-// TestCheckConfigRejectsUnfitTwoPhaseClasses: check-config names the line and column of each class that cannot be served
-// in two phases.
+// TestCheckConfigRejectsUnfitTwoPhaseClasses: check-config names the line and column of each class that cannot be
+// served in two phases.
 func TestCheckConfigRejectsUnfitTwoPhaseClasses(t *testing.T) {
 	path := writeConfig(t, "127.0.0.1:8000", "127.0.0.1:8500")
 	text, _ := os.ReadFile(path)
@@ -45,9 +45,10 @@
 	}
 }
 
-// TestTwoPhaseAnswersAreTrueWhileContentChanges sends queries in two phases to servers of which one runs an old build,
-// one dies and one garbles its responses, while the content changes. Each answer has to be true: what it says that a
-// shard holds, or does not hold, was so at a version of the content that was current while the query was in flight.
+// TestTwoPhaseAnswersAreTrueWhileContentChanges sends queries in two phases to servers of which one runs an old
+// build, one dies and one garbles its responses, while the content changes. Each answer has to be true: what it says
+// that a shard holds, or does not hold, was so at a version of the content that was current while the query was in
+// flight.
 func TestTwoPhaseAnswersAreTrueWhileContentChanges(t *testing.T) {
 	content := &shards.Content{Queries: 60, Holds: 0.3, False: 0.2, Seed: 5}
 	var members []directory.Member
--- a/internal/config/placementfile/directives.go
+++ b/internal/config/placementfile/directives.go
@@ -16,7 +16,7 @@
 	maxWarmupTime = 1e9
 	maxReplicaSet = 1e6
 	maxReplicas   = 1000
-	maxCost       = placement.MaxCost / costUnits
+	maxCost       = placement.MaxCost / placement.CostUnits
 )
 
 // stateNames are the names of gather.State, in its order.
--- a/internal/config/placementfile/endpoints.go
+++ b/internal/config/placementfile/endpoints.go
@@ -18,8 +18,8 @@
 }
 
 // WithEndpoints completes a from-list file. The hosts are the listed servers, with the figures that the file gives
-// their kinds, and each replica set is a segment group-N. Where a kind does not say how its hosts warm up, the settings
-// do. A server whose kind the file does not describe is an error, since nothing is known of its capacity.
+// their kinds, and each replica set is a segment group-N. Where a kind does not say how its hosts warm up, the
+// settings do. A server whose kind the file does not describe is an error, since nothing is known of its capacity.
 func (f *File) WithEndpoints(list []NamedEndpoint, settings *gather.Settings, now float64) (*placement.Model, error) {
 	m := f.Model
 	m.At = math.Ceil(now)
--- a/internal/config/placementfile/file.go
+++ b/internal/config/placementfile/file.go
@@ -21,13 +21,13 @@
 )
 
 // Directives that describe a model or a plan, by which their lines are kept. The first five are also the kinds of
-// placement.Fault.
+// entries of a model.
 const (
-	zoneLine     = "hall"
-	hostLine     = "host"
-	segmentLine  = "segment"
-	demandLine   = "demand"
-	crossingLine = "crossing"
+	zoneLine     = placement.ZoneEntry
+	hostLine     = placement.HostEntry
+	segmentLine  = placement.SegmentEntry
+	demandLine   = placement.DemandEntry
+	crossingLine = placement.ZoneCostEntry
 	caseLine     = "case"
 	weightsLine  = "weights"
 )
@@ -52,8 +52,8 @@
 // Reference returns the reference page of placement files.
 func Reference() string { return newFile(0).table().Reference() }
 
-// Read reads and checks a file. Mistakes in it come as a directive.ErrorList. Now, in Unix milliseconds, is when a plan
-// begins to hold unless the file says otherwise.
+// Read reads and checks a file. Mistakes in it come as a directive.ErrorList. Now, in Unix milliseconds, is when a
+// plan begins to hold unless the file says otherwise.
 func Read(name string, now float64) (*File, error) {
 	f := newFile(now)
 	if err := f.table().Read(name); err != nil {
--- a/internal/config/placementfile/model.go
+++ b/internal/config/placementfile/model.go
@@ -10,9 +10,6 @@
 	"yokeroute/logic/placement"
 )
 
-// costUnits is how many units of a model's cost make what an operator writes as 1.
-const costUnits = 1000
-
 // builder builds a model from the lines of a file, and collects what is wrong with them.
 type builder struct {
 	file     *File
@@ -201,7 +198,7 @@
 
 // cost returns a cost in thousandths, the units of the model.
 func (b *builder) cost(v *directive.Values) int64 {
-	cost := v.Number("cost", 0) * costUnits
+	cost := v.Number("cost", 0) * placement.CostUnits
 	whole := math.Round(cost)
 	if math.Abs(cost-whole) > roundingError {
 		b.reject(v.Errorf("cost", "has more than three decimals"))
--- a/internal/config/placementfile/placementfile_test.go
+++ b/internal/config/placementfile/placementfile_test.go
@@ -116,8 +116,8 @@
 	}
 }
 
-// TestWithEndpointsTakesHostsFromTheList: hosts have the figures of their kinds, replica sets are segments, and a server
-// of an unknown kind is an error.
+// TestWithEndpointsTakesHostsFromTheList: hosts have the figures of their kinds, replica sets are segments, and a
+// server of an unknown kind is an error.
 func TestWithEndpointsTakesHostsFromTheList(t *testing.T) {
 	f, err := Parse("f", "from-list\nhall north most 50/s\nkind m2 capacity 100/s\ndemand * north 10/s\ndemand group-1 north 5/s\n", 0)
 	if err != nil {
--- a/internal/config/placementfile/write.go
+++ b/internal/config/placementfile/write.go
@@ -60,7 +60,7 @@
 }
 
 func formatCost(cost int64) string {
-	return strconv.FormatFloat(float64(cost)/costUnits, 'f', -1, 64)
+	return strconv.FormatFloat(float64(cost)/placement.CostUnits, 'f', -1, 64)
 }
 
 func (w *writer) writeModel(m *placement.Model) {
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -213,9 +213,9 @@
 
 var limits = admission.Terms{Most: 50, Unproven: 10, Prove: 300, Ageing: -1}
 
-// TestUnauthenticatedPeersAreNotAdmitted: a peer is rejected that has no certificate, or one that is expired, of another
-// authority, for another use or under a name that no rule admits, and so is one that speaks plain text or sends nothing.
-// None of their connections stays open.
+// TestUnauthenticatedPeersAreNotAdmitted: a peer is rejected that has no certificate, or one that is expired, of
+// another authority, for another use or under a name that no rule admits, and so is one that speaks plain text or
+// sends nothing. None of their connections stays open.
 func TestUnauthenticatedPeersAreNotAdmitted(t *testing.T) {
 	issuer := newTestAuthority(t)
 	server := issuer.startServer(limits, admission.Rule{Name: "p1", Roles: admission.Subscriber})
@@ -281,8 +281,8 @@
 	}
 }
 
-// TestAddressIsCheckedBeforeTheCertificate: a connection from an address that no rule admits is closed before a byte is
-// read, whatever its certificate.
+// TestAddressIsCheckedBeforeTheCertificate: a connection from an address that no rule admits is closed before a byte
+// is read, whatever its certificate.
 func TestAddressIsCheckedBeforeTheCertificate(t *testing.T) {
 	issuer := newTestAuthority(t)
 	server := issuer.startServer(limits, admission.Rule{Name: "p1", Roles: admission.Subscriber, From: []netip.Prefix{netip.MustParsePrefix("192.0.2.0/24")}})
@@ -294,8 +294,8 @@
 	}
 }
 
-// TestKeysAreReplacedInService: the next connection uses replaced keys. Open connections stay while their authority is
-// in the bundle, and end once it is not. Incomplete or faulty keys change nothing.
+// TestKeysAreReplacedInService: the next connection uses replaced keys. Open connections stay while their authority
+// is in the bundle, and end once it is not. Incomplete or faulty keys change nothing.
 func TestKeysAreReplacedInService(t *testing.T) {
 	issuer := newTestAuthority(t)
 	server := issuer.startServer(limits, admission.Rule{Name: "*", Roles: admission.Subscriber})
@@ -336,8 +336,8 @@
 	}
 }
 
-// TestConnectionsEndWhenTheirTimeIsUp: a connection ends after the ageing time of replaced keys, when the rules no longer
-// admit it, and when its certificate expires.
+// TestConnectionsEndWhenTheirTimeIsUp: a connection ends after the ageing time of replaced keys, when the rules no
+// longer admit it, and when its certificate expires.
 func TestConnectionsEndWhenTheirTimeIsUp(t *testing.T) {
 	issuer := newTestAuthority(t)
 	terms := limits
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -94,7 +94,7 @@
 		}
 		for range 50 {
 			now := m.At + rapid.Float64Range(0, 20000).Draw(t, "now")
-			rows, _, _ := plan.RowsWithout(now, func(string) bool { return true })
+			rows, _, _ := plan.EffectiveRows(now, func(string) bool { return true })
 			loads := map[string]int64{}
 			for _, r := range rows {
 				for _, w := range r.Weights {
@@ -126,7 +126,7 @@
 	m.Hosts[0].Cost, m.Hosts[1].Cost = 5, 3
 	plan := solve(t, m)
 	lost := func(host string) bool { return host != "n2" }
-	rows, name, missing := plan.RowsWithout(m.At, lost)
+	rows, name, missing := plan.EffectiveRows(m.At, lost)
 	if missing != 1 || name != "half of hall north, second" && name != "host n2" {
 		t.Fatalf("case %q, %d missing", name, missing)
 	}
@@ -144,7 +144,7 @@
 		t.Errorf("greatest utilisation %g made ready, %g solved again", ready, best)
 	}
 	// Of a loss that no case names, the best that there is.
-	rows, _, _ = plan.RowsWithout(m.At, func(host string) bool { return host == "s1" || host == "s2" })
+	rows, _, _ = plan.EffectiveRows(m.At, func(host string) bool { return host == "s1" || host == "s2" })
 	if u := use(m, rows); u > 0.8+1e-9 {
 		t.Errorf("greatest utilisation %g with the north gone", u)
 	}
@@ -296,7 +296,7 @@
 				in.EndpointLists = []gather.EndpointList{list}
 			}
 			if math.Mod(w.now-m.At, 250) == 0 {
-				rows, _, _ := plan.RowsWithout(w.now, func(string) bool { return true })
+				rows, _, _ := plan.EffectiveRows(w.now, func(string) bool { return true })
 				in.Weights = placement.WeightsForZone(rows, "both", number)
 			}
 			// 160 parts a second, half of them at one gatherer.
--- a/logic/placement/diff.go
+++ b/logic/placement/diff.go
@@ -38,129 +38,169 @@
 
 // Diff compares the weights that hold at a moment in two plans of the same unit.
 func Diff(before, now *Plan, at float64) *Change {
-	c := &Change{MaxUtilisationBefore: stepAt(before.Steps, at).MaxUtilisation, MaxUtilisation: stepAt(now.Steps, at).MaxUtilisation,
-		CostBefore: stepAt(before.Steps, at).Cost, Cost: stepAt(now.Steps, at).Cost}
-	type side struct {
-		hosts, halls, demand map[string]int64
-		cells                map[[3]string]int64
-		on                   map[string]bool
-	}
-	of := func(p *Plan) side {
-		s := side{map[string]int64{}, map[string]int64{}, map[string]int64{}, map[[3]string]int64{},
-			map[string]bool{}}
-		hall := map[string]string{}
-		for _, h := range p.Model.Hosts {
-			hall[h.Name], s.hosts[h.Name] = h.Zone, 0
-		}
-		for _, d := range p.Model.Demands {
-			s.demand[d.Segment] += d.Rate
-		}
-		for _, seg := range p.Model.Segments {
-			for _, h := range seg.Hosts {
-				s.on[seg.Name+" on "+h] = true
-			}
+	stepBefore := stepAt(before.Steps, at)
+	stepNow := stepAt(now.Steps, at)
+	a := summarise(before, stepBefore)
+	b := summarise(now, stepNow)
+	anyChange := func(Delta) bool { return true }
+	return &Change{
+		MaxUtilisation:       stepNow.MaxUtilisation,
+		MaxUtilisationBefore: stepBefore.MaxUtilisation,
+		Cost:                 stepNow.Cost,
+		CostBefore:           stepBefore.Cost,
+		Zones:                deltas(a.zoneLoads, b.zoneLoads, anyChange),
+		Hosts:                deltas(a.hostLoads, b.hostLoads, Delta.overTenth),
+		MovedRate:            movedRate(a.rates, b.rates),
+		AddedHosts:           missingFrom(a.hostLoads, b.hostLoads),
+		RemovedHosts:         missingFrom(b.hostLoads, a.hostLoads),
+		AddedReplicas:        missingFrom(a.replicas, b.replicas),
+		RemovedReplicas:      missingFrom(b.replicas, a.replicas),
+		Demand:               deltas(a.demand, b.demand, anyChange),
+	}
+}
+
+// rateKey is a segment's row for a zone, and a host of it.
+type rateKey struct{ segment, zone, host string }
+
+// summary is what plans are compared by, in units.
+type summary struct {
+	hostLoads map[string]int64
+	zoneLoads map[string]int64
+	demand    map[string]int64 // by segment
+	rates     map[rateKey]int64
+	replicas  map[string]bool // "segment on host"
+}
+
+func summarise(p *Plan, step *Step) summary {
+	s := summary{
+		hostLoads: map[string]int64{},
+		zoneLoads: map[string]int64{},
+		demand:    map[string]int64{},
+		rates:     map[rateKey]int64{},
+		replicas:  map[string]bool{},
+	}
+	zoneOf := map[string]string{}
+	for i := range p.Model.Hosts {
+		h := &p.Model.Hosts[i]
+		zoneOf[h.Name] = h.Zone
+		s.hostLoads[h.Name] = 0
+	}
+	for _, d := range p.Model.Demands {
+		s.demand[d.Segment] += d.Rate
+	}
+	for _, segment := range p.Model.Segments {
+		for _, host := range segment.Hosts {
+			s.replicas[segment.Name+" on "+host] = true
 		}
-		for _, r := range p.RowsAt(at) {
-			for _, w := range r.Weights {
-				s.hosts[w.Host] += w.Rate
-				s.halls[hall[w.Host]] += w.Rate
-				s.cells[[3]string{r.Segment, r.Zone, w.Host}] = w.Rate
-			}
+	}
+	for _, r := range step.Rows {
+		for _, w := range r.Weights {
+			s.hostLoads[w.Host] += w.Rate
+			s.zoneLoads[zoneOf[w.Host]] += w.Rate
+			s.rates[rateKey{r.Segment, r.Zone, w.Host}] = w.Rate
 		}
-		return s
-	}
-	a, b := of(before), of(now)
-	deltas := func(a, b map[string]int64, keep func(Delta) bool) (list []Delta) {
-		names := maps.Clone(a)
-		maps.Copy(names, b)
-		for _, name := range slices.Sorted(maps.Keys(names)) {
-			if d := (Delta{name, a[name], b[name]}); d.Before != d.Now && keep(d) {
-				list = append(list, d)
-			}
+	}
+	return s
+}
+
+// deltas returns what differs, in the order of names.
+func deltas(before, now map[string]int64, isRelevant func(Delta) bool) (list []Delta) {
+	names := maps.Clone(before)
+	maps.Copy(names, now)
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		d := Delta{Name: name, Before: before[name], Now: now[name]}
+		if d.Before != d.Now && isRelevant(d) {
+			list = append(list, d)
 		}
-		return list
-	}
-	c.Zones = deltas(a.halls, b.halls, func(Delta) bool { return true })
-	c.Hosts = deltas(a.hosts, b.hosts, Delta.overTenth)
-	c.Demand = deltas(a.demand, b.demand, func(Delta) bool { return true })
-	more, less := int64(0), int64(0)
-	for cell, rate := range a.cells {
-		less += max(rate-b.cells[cell], 0)
-	}
-	for cell, rate := range b.cells {
-		more += max(rate-a.cells[cell], 0)
-	}
-	c.MovedRate = min(more, less)
-	missing := func(in, from []string) (list []string) {
-		for _, name := range from {
-			if _, there := slices.BinarySearch(in, name); !there {
-				list = append(list, name)
-			}
+	}
+	return list
+}
+
+// movedRate returns the units that go to another host than before. Demand that came or went has not moved.
+func movedRate(before, now map[rateKey]int64) int64 {
+	added, removed := int64(0), int64(0)
+	for key, rate := range before {
+		removed += max(rate-now[key], 0)
+	}
+	for key, rate := range now {
+		added += max(rate-before[key], 0)
+	}
+	return min(added, removed)
+}
+
+// missingFrom returns the names that a map lacks of another, in their order.
+func missingFrom[V any](known, names map[string]V) (list []string) {
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		if _, found := known[name]; !found {
+			list = append(list, name)
 		}
-		return list
 	}
-	hostsA, hostsB := slices.Sorted(maps.Keys(a.hosts)), slices.Sorted(maps.Keys(b.hosts))
-	c.AddedHosts, c.RemovedHosts = missing(hostsA, hostsB), missing(hostsB, hostsA)
-	onA, onB := slices.Sorted(maps.Keys(a.on)), slices.Sorted(maps.Keys(b.on))
-	c.AddedReplicas, c.RemovedReplicas = missing(onA, onB), missing(onB, onA)
-	return c
+	return list
 }
 
-// Describe tells a change line by line, what matters most first; rate puts units into words.
+// Describe describes a change line by line, what matters most first. Rate writes units as a rate.
 func (c *Change) Describe(rate func(int64) string) []string {
 	var lines []string
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
 	if c.MaxUtilisation.Less(c.MaxUtilisationBefore) || c.MaxUtilisationBefore.Less(c.MaxUtilisation) {
-		say("greatest utilisation goes from %.1f%% to %.1f%%", 100*c.MaxUtilisationBefore.Float(), 100*c.MaxUtilisation.Float())
-	}
-	few := func(names []string) string {
-		if len(names) > 8 {
-			return strings.Join(names[:8], " ") + fmt.Sprintf(" and %d more", len(names)-8)
-		}
-		return strings.Join(names, " ")
-	}
-	if len(c.AddedHosts) > 0 {
-		say("%s new: %s", pluralise(len(c.AddedHosts), "host"), few(c.AddedHosts))
-	}
-	if len(c.RemovedHosts) > 0 {
-		say("%s gone: %s", pluralise(len(c.RemovedHosts), "host"), few(c.RemovedHosts))
+		add("greatest utilisation goes from %.1f%% to %.1f%%",
+			100*c.MaxUtilisationBefore.Float(), 100*c.MaxUtilisation.Float())
 	}
+	lines = append(lines, describeNames(c.AddedHosts, "host", "new")...)
+	lines = append(lines, describeNames(c.RemovedHosts, "host", "gone")...)
 	for _, d := range c.Zones {
 		if d.Now > d.Before {
-			say("%s takes %s more", d.Name, rate(d.Now-d.Before))
+			add("%s takes %s more", d.Name, rate(d.Now-d.Before))
 		} else {
-			say("%s takes %s less", d.Name, rate(d.Before-d.Now))
+			add("%s takes %s less", d.Name, rate(d.Before-d.Now))
 		}
 	}
 	if len(c.Hosts) > 0 {
-		var names []string
-		for _, d := range c.Hosts {
-			names = append(names, fmt.Sprintf("%s (%s to %s)", d.Name, rate(d.Before), rate(d.Now)))
-		}
-		verb := "change"
-		if len(names) == 1 {
-			verb = "changes"
-		}
-		say("%s %s by over a tenth: %s", pluralise(len(c.Hosts), "host"), verb, few(names))
+		lines = append(lines, describeHostLoads(c.Hosts, rate))
 	}
 	if c.MovedRate > 0 {
-		say("%s go to another host than before", rate(c.MovedRate))
-	}
-	if len(c.AddedReplicas) > 0 {
-		say("%s to copy: %s", pluralise(len(c.AddedReplicas), "replica"), few(c.AddedReplicas))
-	}
-	if len(c.RemovedReplicas) > 0 {
-		say("%s to drop: %s", pluralise(len(c.RemovedReplicas), "replica"), few(c.RemovedReplicas))
+		add("%s go to another host than before", rate(c.MovedRate))
 	}
+	lines = append(lines, describeNames(c.AddedReplicas, "replica", "to copy")...)
+	lines = append(lines, describeNames(c.RemovedReplicas, "replica", "to drop")...)
 	for _, d := range c.Demand {
-		say("demand for %s goes from %s to %s", d.Name, rate(d.Before), rate(d.Now))
+		add("demand for %s goes from %s to %s", d.Name, rate(d.Before), rate(d.Now))
 	}
 	if c.Cost != c.CostBefore {
-		say("cost goes from %g to %g a second", float64(c.CostBefore)/1000, float64(c.Cost)/1000)
+		add("cost goes from %g to %g a second", float64(c.CostBefore)/CostUnits, float64(c.Cost)/CostUnits)
 	}
 	return lines
 }
 
+// describeNames returns a line that counts and lists names, none without names.
+func describeNames(names []string, noun, what string) []string {
+	if len(names) == 0 {
+		return nil
+	}
+	return []string{fmt.Sprintf("%s %s: %s", pluralise(len(names), noun), what, firstNames(names))}
+}
+
+func describeHostLoads(hosts []Delta, rate func(int64) string) string {
+	var names []string
+	for _, d := range hosts {
+		names = append(names, fmt.Sprintf("%s (%s to %s)", d.Name, rate(d.Before), rate(d.Now)))
+	}
+	verb := "change"
+	if len(names) == 1 {
+		verb = "changes"
+	}
+	return fmt.Sprintf("%s %s by over a tenth: %s", pluralise(len(hosts), "host"), verb, firstNames(names))
+}
+
+// firstNames lists the first names, and counts the others.
+func firstNames(names []string) string {
+	const listed = 8
+	if len(names) <= listed {
+		return strings.Join(names, " ")
+	}
+	return strings.Join(names[:listed], " ") + fmt.Sprintf(" and %d more", len(names)-listed)
+}
+
 func pluralise(n int, what string) string {
 	if n == 1 {
 		return "1 " + what
--- /dev/null
+++ b/logic/placement/infeasibility.go
@@ -0,0 +1,220 @@
+package placement
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+// Need is demand that a proof of infeasibility counts.
+type Need struct {
+	Segment string `json:"Segment"`
+	Zone    string `json:"Hall"`
+	Rate    int64  `json:"Rate"`
+}
+
+// LimitKind is what a limit is of.
+type LimitKind string
+
+// The kinds of limits.
+const (
+	HostCapacity   LimitKind = "capacity" // of a warm host
+	HostWarmingUp  LimitKind = "cold"     // what is safe of a host that warms up
+	HostNotStarted LimitKind = "coming"
+	HostDraining   LimitKind = "draining"
+	HostGone       LimitKind = "gone"
+	ZoneMaxLoad    LimitKind = "hall most"
+	ZoneHeadroom   LimitKind = "hall spare"
+)
+
+// OfZone reports whether the limit is a zone's rather than a host's.
+func (k LimitKind) OfZone() bool { return k == ZoneMaxLoad || k == ZoneHeadroom }
+
+// Limit is a limit that a proof of infeasibility counts, with the load that it allows.
+type Limit struct {
+	Kind     LimitKind `json:"Kind"`
+	Name     string    `json:"Name"` // of the host or zone
+	Capacity int64     `json:"Takes"`
+}
+
+// Relaxation is a limit that would have to be raised, and how far.
+type Relaxation struct {
+	Limit      int   `json:"Limit"` // index among the limits
+	To         int64 `json:"To"`
+	Sufficient bool  `json:"Enough"` // everything fits then; else another infeasibility is left
+}
+
+// Infeasibility is a proof that no weights fit: the needs have nowhere to go but through the limits, and
+// exceed them by the shortfall. Each of its segments is needed for the proof: without any one of them the
+// rest fits.
+type Infeasibility struct {
+	At          float64      `json:"At"`
+	Needs       []Need       `json:"Needs"`
+	Limits      []Limit      `json:"Limits"`
+	Shortfall   int64        `json:"Short"`
+	Relaxations []Relaxation `json:"Lifts"`
+}
+
+// Verify checks a proof against a model, without solving anything: its needs are demands, all hosts of their
+// segments are behind one of its limits, each limit allows no more than the proof says at that moment, and
+// the needs exceed the limits by the shortfall. The reason is empty where the proof holds.
+func (f *Infeasibility) Verify(m *Model) (reason string) {
+	hosts, zones, reason := f.verifyLimits(m)
+	if reason != "" {
+		return reason
+	}
+	seen := map[Need]bool{}
+	for _, n := range f.Needs {
+		if seen[n] || !slices.Contains(m.Demands, Demand(n)) {
+			return fmt.Sprintf("%s is not asked for %d by %s", n.Segment, n.Rate, n.Zone)
+		}
+		seen[n] = true
+		s := &m.Segments[slices.IndexFunc(m.Segments, func(s Segment) bool { return s.Name == n.Segment })]
+		for _, name := range s.Hosts {
+			h := &m.Hosts[slices.IndexFunc(m.Hosts, func(h Host) bool { return h.Name == name })]
+			if !hosts[name] && !zones[h.Zone] {
+				return fmt.Sprintf("%s can also go to %s", n.Segment, name)
+			}
+		}
+	}
+	need, capacity := f.totals()
+	if need-capacity != f.Shortfall || f.Shortfall <= 0 {
+		return fmt.Sprintf("%d needed and %d taken make no %d short", need, capacity, f.Shortfall)
+	}
+	return ""
+}
+
+// verifyLimits checks the limits against the model, and returns the hosts and zones that are limited.
+func (f *Infeasibility) verifyLimits(m *Model) (hosts, zones map[string]bool, reason string) {
+	hosts = map[string]bool{}
+	zones = map[string]bool{}
+	for _, l := range f.Limits {
+		if l.Kind.OfZone() {
+			i := slices.IndexFunc(m.Zones, func(z Zone) bool { return z.Name == l.Name })
+			if i < 0 || zones[l.Name] || m.ZoneLoadLimit(&m.Zones[i], f.At) != l.Capacity {
+				return nil, nil, fmt.Sprintf("hall %s does not take %d", l.Name, l.Capacity)
+			}
+			zones[l.Name] = true
+			continue
+		}
+		i := slices.IndexFunc(m.Hosts, func(h Host) bool { return h.Name == l.Name })
+		if i < 0 || hosts[l.Name] || m.SafeCapacity(&m.Hosts[i], f.At) != l.Capacity {
+			return nil, nil, fmt.Sprintf("host %s does not take %d", l.Name, l.Capacity)
+		}
+		hosts[l.Name] = true
+	}
+	return hosts, zones, ""
+}
+
+// totals returns the sums of the needs and of the limits.
+func (f *Infeasibility) totals() (need, capacity int64) {
+	for _, n := range f.Needs {
+		need += n.Rate
+	}
+	for _, l := range f.Limits {
+		capacity += l.Capacity
+	}
+	return need, capacity
+}
+
+// Describe explains a proof to an operator. Rate writes units as a rate.
+func (f *Infeasibility) Describe(rate func(int64) string) string {
+	var b strings.Builder
+	need, capacity := f.totals()
+	needs := f.describeNeeds(rate)
+	b.WriteString(joinList(needs))
+	if len(needs) > 1 {
+		fmt.Fprintf(&b, ", %s in all", rate(need))
+	}
+	if len(f.Limits) == 0 {
+		b.WriteString(", and no host holds it")
+		return b.String()
+	}
+	var limits []string
+	for _, l := range f.Limits {
+		limits = append(limits, l.describe(rate))
+	}
+	fmt.Fprintf(&b, ".\nThere is nowhere else for it than %s", joinList(limits))
+	if len(limits) > 1 {
+		fmt.Fprintf(&b, ", which take %s together", rate(capacity))
+	}
+	fmt.Fprintf(&b, ": %s short.", rate(f.Shortfall))
+	var sufficient, partial []string
+	for _, r := range f.Relaxations {
+		text := f.Limits[r.Limit].describeRelaxed(rate(r.To))
+		if r.Sufficient {
+			sufficient = append(sufficient, text)
+		} else {
+			partial = append(partial, text)
+		}
+	}
+	if len(sufficient) > 0 {
+		fmt.Fprintf(&b, "\nAny one of these would do: %s.", strings.Join(sufficient, "; "))
+	}
+	if len(partial) > 0 {
+		fmt.Fprintf(&b, "\nThese would clear this clash and leave another: %s.", strings.Join(partial, "; "))
+	}
+	return b.String()
+}
+
+// describeNeeds describes the needs of each segment, in the order of the proof.
+func (f *Infeasibility) describeNeeds(rate func(int64) string) []string {
+	bySegment := map[string]int64{}
+	var segments []string
+	for _, n := range f.Needs {
+		if _, seen := bySegment[n.Segment]; !seen {
+			segments = append(segments, n.Segment)
+		}
+		bySegment[n.Segment] += n.Rate
+	}
+	var needs []string
+	for _, segment := range segments {
+		needs = append(needs, fmt.Sprintf("%s needs %s", segment, rate(bySegment[segment])))
+	}
+	return needs
+}
+
+func (l Limit) describe(rate func(int64) string) string {
+	switch l.Kind {
+	case HostWarmingUp:
+		return fmt.Sprintf("%s (still cold: %s is safe)", l.Name, rate(l.Capacity))
+	case HostNotStarted:
+		return fmt.Sprintf("%s (not started yet: nothing)", l.Name)
+	case HostDraining:
+		return fmt.Sprintf("%s (draining: nothing)", l.Name)
+	case HostGone:
+		return fmt.Sprintf("%s (gone: nothing)", l.Name)
+	case ZoneMaxLoad:
+		return fmt.Sprintf("hall %s (limited to %s)", l.Name, rate(l.Capacity))
+	case ZoneHeadroom:
+		return fmt.Sprintf("hall %s (%s, the rest has to stay free)", l.Name, rate(l.Capacity))
+	}
+	return fmt.Sprintf("%s (%s)", l.Name, rate(l.Capacity))
+}
+
+// describeRelaxed says what to do so that a limit allows a load.
+func (l Limit) describeRelaxed(to string) string {
+	switch l.Kind {
+	case HostWarmingUp, HostNotStarted:
+		return fmt.Sprintf("%s warm enough for %s", l.Name, to)
+	case HostDraining, HostGone:
+		return fmt.Sprintf("%s back in service for %s", l.Name, to)
+	case ZoneMaxLoad:
+		return fmt.Sprintf("hall %s allowed %s", l.Name, to)
+	case ZoneHeadroom:
+		return fmt.Sprintf("hall %s allowed %s, with less free", l.Name, to)
+	}
+	return fmt.Sprintf("%s able to take %s", l.Name, to)
+}
+
+// joinList joins items as in a sentence.
+func joinList(items []string) string {
+	switch len(items) {
+	case 0:
+		return ""
+	case 1:
+		return items[0]
+	}
+	last := len(items) - 1
+	return strings.Join(items[:last], ", ") + " and " + items[last]
+}
