--- a/logic/placement/active.go
+++ b/logic/placement/active.go
@@ -132,7 +132,7 @@
 // whose hosts are all lost count for nothing, since no weights help them. The hosts of a row that are there
 // but have no weight share it evenly.
 func (p *Plan) utilisationWithout(lost map[string]bool, rows []Row, at float64) float64 {
-	const minCapacity = 0.5 // of a host that may take nothing, so that a load on it counts as a high utilisation
+	const minCapacity = 0.5 // of a host that may take nothing, so that its utilisation is high
 	loads := map[string]float64{}
 	for i := range rows {
 		addLoadsWithout(lost, &rows[i], loads)
--- a/logic/placement/plan.go
+++ b/logic/placement/plan.go
@@ -109,7 +109,8 @@
 // CaseRows returns all rows of a case at a moment: its own, and the plan's where it has none.
 func (p *Plan) CaseRows(c *Case, at float64) []Row {
 	step := stepAt(c.Steps, at)
-	rows := slices.Clone(p.RowsAt(step.From)) // those of the moment may need more capacity than the case leaves
+	// The plan's rows of the moment may need more capacity than the case leaves.
+	rows := slices.Clone(p.RowsAt(step.From))
 	own := step.Rows
 	for i := range rows { // both are in the order of segments and zones
 		if len(own) > 0 && own[0].Segment == rows[i].Segment && own[0].Zone == rows[i].Zone {
--- a/logic/placement/validate.go
+++ b/logic/placement/validate.go
@@ -81,7 +81,8 @@
 
 func (v *validator) checkCost(e entry, cost int64) {
 	if cost < 0 || cost > MaxCost {
-		v.reject(e, "cost", fmt.Sprint(float64(cost)/CostUnits), "a cost goes from 0 to %d", MaxCost/CostUnits)
+		value := fmt.Sprint(float64(cost) / CostUnits)
+		v.reject(e, "cost", value, "a cost goes from 0 to %d", MaxCost/CostUnits)
 	}
 }
 
