--- a/cmd/yokeroute/plancheck.go
+++ b/cmd/yokeroute/plancheck.go
@@ -98,11 +98,11 @@
 func checkDemand(model *placement.Model) (utilisation float64, clash *placement.Infeasibility) {
 	m := model.Normalized()
 	p := balance.NewProblem(m)
-	p.Set(m.At, nil)
-	least, fits := p.Least(false)
+	p.SetTime(m.At, nil)
+	least, fits := p.MinUtilisation(false)
 	if !fits {
-		clash = p.Clash(m.At)
-		p.Lift(clash)
+		clash = p.Infeasibility(m.At)
+		p.AddRelaxations(clash)
 	}
 	return least.Float(), clash
 }
--- a/cmd/yokeroute/planexplain.go
+++ b/cmd/yokeroute/planexplain.go
@@ -73,59 +73,59 @@
 func printPlanReport(w io.Writer, f *placementfile.File, r *balance.Report) error {
 	rate := rateFormatter(&f.Model)
 	subject := "weights"
-	if r.Case != "" {
-		subject = "case " + r.Case
+	if r.CaseName != "" {
+		subject = "case " + r.CaseName
 	}
 	fmt.Fprintf(w, "%s at %s: %s asked for, greatest utilisation %.1f%%, %s cross halls, cost %g a second\n\n",
-		subject, directive.FormatTimestamp(r.At), rate(r.Asked), 100*r.Greatest.Float(), rate(r.Crossing),
+		subject, directive.FormatTimestamp(r.At), rate(r.Demand), 100*r.MaxUtilisation.Float(), rate(r.CrossZoneLoad),
 		costPerSecond(r.Cost))
 	if err := printHostLoads(w, r.Hosts, rate); err != nil {
 		return err
 	}
 	fmt.Fprintln(w)
-	if err := printZoneLoads(w, r.Halls, rate); err != nil {
+	if err := printZoneLoads(w, r.Zones, rate); err != nil {
 		return err
 	}
-	if len(r.Dark) > 0 {
-		fmt.Fprintf(w, "\nNo host is left for %s.\n", strings.Join(r.Dark, ", "))
+	if len(r.UnservedSegments) > 0 {
+		fmt.Fprintf(w, "\nNo host is left for %s.\n", strings.Join(r.UnservedSegments, ", "))
 	}
 	switch {
 	case r.Bottleneck != nil:
 		fmt.Fprintf(w, "\nWhy not less than %.1f%%: filled any less, hosts would not do. %s\n",
-			100*r.Greatest.Float(), r.Bottleneck.Describe(rate))
-	case r.Greatest.Load > r.Greatest.Capacity:
+			100*r.MaxUtilisation.Float(), r.Bottleneck.Describe(rate))
+	case r.MaxUtilisation.Load > r.MaxUtilisation.Capacity:
 		fmt.Fprintln(w, "\nWhat is left cannot take all that is asked for: "+
 			"hosts are filled evenly beyond what they can do, and lookups will be refused.")
 	}
-	if n := len(f.Plan.Steps); n > 1 && r.Case == "" {
+	if n := len(f.Plan.Steps); n > 1 && r.CaseName == "" {
 		fmt.Fprintf(w, "\nHosts warm up; the weights change in %d steps until %s.\n",
 			n, directive.FormatTimestamp(f.Plan.Steps[n-1].From))
 	}
 	return nil
 }
 
-func printHostLoads(w io.Writer, hosts []balance.HostLine, rate func(int64) string) error {
+func printHostLoads(w io.Writer, hosts []balance.HostReport, rate func(int64) string) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "host\thall\tcan\tgets\tuse\twhy")
 	for _, h := range hosts {
 		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%.1f%%\t%s\n",
-			h.Name, h.Hall, rate(h.Can), rate(h.Load), 100*h.Use, h.Why)
+			h.Name, h.Zone, rate(h.SafeCapacity), rate(h.Load), 100*h.Utilisation, h.Reason)
 	}
 	return table.Flush()
 }
 
-func printZoneLoads(w io.Writer, zones []balance.HallLine, rate func(int64) string) error {
+func printZoneLoads(w io.Writer, zones []balance.ZoneReport, rate func(int64) string) error {
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "hall\tcan\tgets\tof other halls\tlimit")
 	for _, z := range zones {
 		limit := "none"
-		if z.Most >= 0 {
-			limit = rate(z.Most)
+		if z.LoadLimit >= 0 {
+			limit = rate(z.LoadLimit)
 		}
-		if z.Binds {
+		if z.IsBinding {
 			limit += ", binds"
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", z.Name, rate(z.Can), rate(z.Load), rate(z.Crossing), limit)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%s\n", z.Name, rate(z.SafeCapacity), rate(z.Load), rate(z.CrossZoneLoad), limit)
 	}
 	return table.Flush()
 }
--- a/cmd/yokeroute/plansolve.go
+++ b/cmd/yokeroute/plansolve.go
@@ -27,7 +27,7 @@
 	out       string
 	output    string
 	timeLimit time.Duration // for a placement, and again for weights
-	search    placing.Terms
+	search    placing.Config
 }
 
 // solution is what plan solve prints as JSON.
@@ -37,7 +37,7 @@
 	Plan      *placement.Plan          `json:"plan,omitempty"`
 	Placement *placing.Result          `json:"placement,omitempty"`
 	Clash     *placement.Infeasibility `json:"clash,omitempty"`
-	Misfit    *placing.Misfit          `json:"misfit,omitempty"`
+	Misfit    *placing.Infeasibility   `json:"misfit,omitempty"`
 }
 
 func planSolveCommand() *cobra.Command {
@@ -132,7 +132,7 @@
 	rate := rateFormatter(model)
 	switch {
 	case s.Misfit != nil:
-		s.Reason = s.Misfit.Words(rate)
+		s.Reason = s.Misfit.Describe(rate)
 	case s.Clash != nil:
 		s.Reason = s.Clash.Describe(rate)
 	default:
--- a/cmd/yokeroute/plansummary.go
+++ b/cmd/yokeroute/plansummary.go
@@ -18,7 +18,7 @@
 }
 
 func summarisePlacement(w io.Writer, r *placing.Result) {
-	utilisation := 100 * r.Greatest.Float()
+	utilisation := 100 * r.MaxUtilisation.Float()
 	moves := plural(len(r.Moves), "replica moves", "replicas move")
 	if r.Proven {
 		fmt.Fprintf(w, "placement: greatest utilisation %.1f%% when all are warm, %s; no placement is better\n",
@@ -26,9 +26,9 @@
 	} else {
 		fmt.Fprintf(w, "placement: greatest utilisation %.1f%% when all are warm, "+
 			"within %.1f%% of the least that can be; %s; %d tries\n",
-			utilisation, optimalityGap(r), moves, r.Tries)
+			utilisation, optimalityGap(r), moves, r.Attempts)
 	}
-	if r.Stopped {
+	if r.TimedOut {
 		fmt.Fprintln(w, "placement: the time ran out before the effort; another run may find another one")
 	}
 	for _, m := range r.Moves {
@@ -46,7 +46,7 @@
 	if bound <= 0 {
 		return 0
 	}
-	return 100 * (r.Greatest.Float()/bound - 1)
+	return 100 * (r.MaxUtilisation.Float()/bound - 1)
 }
 
 func summarisePlan(w io.Writer, p *placement.Plan) {
--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -21,7 +21,7 @@
 
 func brute(p *Problem, before [][]int64) best {
 	type sum struct{ cost, change int64 }
-	loads := map[string]sum{string(make([]byte, len(p.caps))): {}}
+	loads := map[string]sum{string(make([]byte, len(p.capacity))): {}}
 	for i, r := range p.rows {
 		next := map[string]sum{}
 		for key, had := range loads {
@@ -34,14 +34,14 @@
 					return
 				}
 				h := p.replicas[r.segment][j]
-				for x := int64(0); x <= left && int64(at[h])+x <= p.caps[h]; x++ {
+				for x := int64(0); x <= left && int64(at[h])+x <= p.capacity[h]; x++ {
 					to := slices.Clone(at)
 					to[h] += byte(x)
 					had := int64(0)
 					if before != nil {
 						had = before[i][j]
 					}
-					split(j+1, left-x, to, sum{s.cost + x*(p.cross[r.hall][p.hallOf[h]]+p.m.Hosts[h].Cost), s.change + max(x-had, had-x)})
+					split(j+1, left-x, to, sum{s.cost + x*(p.zoneCosts[r.zone][p.zoneOf[h]]+p.model.Hosts[h].Cost), s.change + max(x-had, had-x)})
 				}
 			}
 			split(0, r.rate, []byte(key), had)
@@ -50,14 +50,14 @@
 	}
 	var b best
 	for key, s := range loads {
-		u, hall, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.most)), true
+		u, hall, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.zoneLimits)), true
 		for h, load := range []byte(key) {
-			if r := (placement.Ratio{Load: int64(load), Capacity: p.caps[h]}); load > 0 && u.Less(r) {
+			if r := (placement.Ratio{Load: int64(load), Capacity: p.capacity[h]}); load > 0 && u.Less(r) {
 				u = r
 			}
-			hall[p.hallOf[h]] += int64(load)
+			hall[p.zoneOf[h]] += int64(load)
 		}
-		for i, most := range p.most {
+		for i, most := range p.zoneLimits {
 			fits = fits && (most < 0 || hall[i] <= most)
 		}
 		if fits && (!b.found || u.Less(b.u) || !b.u.Less(u) && (s.cost < b.cost || s.cost == b.cost && s.change < b.change)) {
@@ -74,7 +74,7 @@
 		t.Fatalf("the case is faulty: %v", faults[0])
 	}
 	p := NewProblem(m)
-	p.Set(m.At, nil)
+	p.SetTime(m.At, nil)
 	var units [][]int64
 	if before != nil {
 		units = p.Units(before.Steps[0].Rows)
@@ -99,7 +99,7 @@
 	if got.MaxUtilisation.Less(want.u) || want.u.Less(got.MaxUtilisation) || got.Cost != want.cost || before != nil && got.Change != want.change {
 		t.Fatalf("%v at %d with change %d, by brute force %+v, of %+v", got.MaxUtilisation, got.Cost, got.Change, want, m)
 	}
-	if u := p.Greatest(p.Loads(p.Units(got.Rows))); u.Less(got.MaxUtilisation) || got.MaxUtilisation.Less(u) {
+	if u := p.MaxUtilisation(p.Loads(p.Units(got.Rows))); u.Less(got.MaxUtilisation) || got.MaxUtilisation.Less(u) {
 		t.Fatalf("utilisation %v, said was %v", u, got.MaxUtilisation)
 	}
 	return true
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -132,8 +132,8 @@
 	}
 	use := func(m *placement.Model, rows []placement.Row) float64 {
 		p := NewProblem(m.Normalized())
-		p.Set(m.At, nil)
-		return p.Greatest(p.Loads(p.Units(rows))).Float()
+		p.SetTime(m.At, nil)
+		return p.MaxUtilisation(p.Loads(p.Units(rows))).Float()
 	}
 	ready := use(m, rows)
 	less := *m
@@ -165,7 +165,7 @@
 			t.Errorf("%s: %v", c.Name, c.UnservedSegments)
 		}
 	}
-	if r, err := Explain(plan, m.At, "hall north"); err != nil || len(r.Dark) != 1 || r.Hosts[0].Why != "lost in this case" {
+	if r, err := Explain(plan, m.At, "hall north"); err != nil || len(r.UnservedSegments) != 1 || r.Hosts[0].Reason != "lost in this case" {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
@@ -193,7 +193,7 @@
 		left := work
 		plan, clash, err := Solve(two(), nil, func() bool { left--; return left >= 0 })
 		switch {
-		case work == 0 && !errors.Is(err, ErrTime):
+		case work == 0 && !errors.Is(err, ErrTimeout):
 			t.Errorf("%v, %v, %v", plan, clash, err)
 		case work > 0 && (err != nil || len(plan.Cases) != work-1 || len(plan.Cases)+len(plan.OmittedCases) != 10):
 			t.Errorf("%d pieces of work: %d cases, left %v, %v", work, len(plan.Cases), plan.OmittedCases, err)
--- a/logic/balance/linear_test.go
+++ b/logic/balance/linear_test.go
@@ -21,7 +21,7 @@
 			shares = append(shares, [2]int{i, h})
 		}
 	}
-	hosts := len(p.caps)
+	hosts := len(p.capacity)
 	n := len(shares) + 1 + hosts
 	a := mat.NewDense(len(p.rows)+hosts, n, nil)
 	b, c := make([]float64, len(p.rows)+hosts), make([]float64, n)
@@ -34,7 +34,7 @@
 		b[i] = float64(r.rate)
 	}
 	for h := range hosts {
-		a.Set(len(p.rows)+h, len(shares), -float64(p.caps[h]))
+		a.Set(len(p.rows)+h, len(shares), -float64(p.capacity[h]))
 		a.Set(len(p.rows)+h, len(shares)+1+h, 1)
 	}
 	u, _, err := lp.Simplex(c, a, b, 1e-9, nil)
@@ -57,7 +57,7 @@
 	}
 	m.Demands = asked
 	p := NewProblem(m.Normalized())
-	p.Set(1e9, nil)
+	p.SetTime(1e9, nil)
 	return p
 }
 
@@ -74,7 +74,7 @@
 		if err != nil {
 			continue // the simplex gives up on some that are degenerate
 		}
-		got, _ := p.Least(true)
+		got, _ := p.MinUtilisation(true)
 		if slack := 1 / 50.0; got.Float() < want-1e-6 || got.Float() > want+slack {
 			t.Fatalf("%v in whole units, %g in fractions", got, want)
 		}
@@ -88,7 +88,7 @@
 // BenchmarkLinear is the simplex on what BenchmarkLeast does by flows.
 func BenchmarkLinear(b *testing.B) {
 	p := NewProblem(wide(12).Normalized())
-	p.Set(1e9, nil)
+	p.SetTime(1e9, nil)
 	for b.Loop() {
 		if u, err := linear(p); err != nil || math.IsNaN(u) {
 			b.Fatal(u, err)
@@ -98,9 +98,9 @@
 
 func BenchmarkLeast(b *testing.B) {
 	p := NewProblem(wide(12).Normalized())
-	p.Set(1e9, nil)
+	p.SetTime(1e9, nil)
 	for b.Loop() {
-		p.Least(true)
+		p.MinUtilisation(true)
 	}
 }
 
--- a/logic/balance/solve.go
+++ b/logic/balance/solve.go
@@ -8,8 +8,8 @@
 	"yokeroute/logic/placement"
 )
 
-// ErrTime says that a solve ran out of its time before it had weights.
-var ErrTime = errors.New("no weights in the time given")
+// ErrTimeout says that a solve ran out of its time before it had weights.
+var ErrTimeout = errors.New("no weights in the time given")
 
 // Solve works out a plan. Before is the plan in force, nil for none; more is asked between pieces of work and
 // says whether there is time for another. Where nothing fits it gives the clash instead. Faults of the model
@@ -28,17 +28,17 @@
 	}
 	for _, at := range m.StepTimes() {
 		if !more() {
-			return nil, nil, ErrTime
+			return nil, nil, ErrTimeout
 		}
-		p.Set(at, nil)
-		u, fits := p.Least(false)
+		p.SetTime(at, nil)
+		u, fits := p.MinUtilisation(false)
 		if !fits {
-			c := p.Clash(at)
-			p.Lift(c)
+			c := p.Infeasibility(at)
+			p.AddRelaxations(c)
 			return nil, c, nil
 		}
 		step := placement.Step{From: at, MaxUtilisation: u}
-		units, step.Cost, step.Change = p.Cheapest(u, false, units)
+		units, step.Cost, step.Change = p.MinCost(u, false, units)
 		step.Rows = p.Rows(units)
 		if n := len(plan.Steps); n > 0 && sameRows(plan.Steps[n-1].Rows, step.Rows) {
 			continue // the same weights, of hosts that can do more by now
@@ -49,28 +49,28 @@
 	if last := len(plan.Steps) - 1; last > 0 {
 		bases = append(bases, p.Units(plan.Steps[last].Rows))
 	}
-	for _, loss := range losses(m) {
+	for _, loss := range foreseenFailures(m) {
 		if !more() {
-			plan.OmittedCases = append(plan.OmittedCases, loss.Name)
+			plan.OmittedCases = append(plan.OmittedCases, loss.name)
 			continue
 		}
-		plan.Cases = append(plan.Cases, p.without(loss, plan, bases))
+		plan.Cases = append(plan.Cases, p.solveCase(loss, plan, bases))
 	}
 	return plan, nil, nil
 }
 
-// loss is a set of hosts that may be lost at once.
-type loss struct {
-	Name string
+// failure is a set of hosts that may be lost at once.
+type failure struct {
+	name string
 	lost []bool
 }
 
-// losses are those that a plan is made ready for: each hall, either half of each hall's hosts, dealt out by
+// foreseenFailures are those that a plan is made ready for: each hall, either half of each hall's hosts, dealt out by
 // turns in the order of their names so that neighbours part, and each host.
-func losses(m *placement.Model) []loss {
-	var all []loss
+func foreseenFailures(m *placement.Model) []failure {
+	var all []failure
 	add := func(name string, lost func(i int) bool) {
-		l := loss{Name: name, lost: make([]bool, len(m.Hosts))}
+		l := failure{name: name, lost: make([]bool, len(m.Hosts))}
 		some := false
 		for i := range m.Hosts {
 			l.lost[i] = lost(i) && m.Hosts[i].State == gather.Running
@@ -100,47 +100,47 @@
 	return all
 }
 
-// without works out a case, for the plan's first step and, where hosts warm up, for its last. What is safe at
+// solveCase works out a case, for the plan's first step and, where hosts warm up, for its last. What is safe at
 // the first is safe later. Where demand does not fit any more, hosts are filled evenly beyond what they can
 // do: who is refused then is not this plan's to say.
-func (p *Problem) without(l loss, plan *placement.Plan, bases [][][]int64) placement.Case {
-	c := placement.Case{Name: l.Name}
+func (p *Problem) solveCase(l failure, plan *placement.Plan, bases [][][]int64) placement.Case {
+	c := placement.Case{Name: l.name}
 	for i, lost := range l.lost {
 		if lost {
-			c.LostHosts = append(c.LostHosts, p.m.Hosts[i].Name)
+			c.LostHosts = append(c.LostHosts, p.model.Hosts[i].Name)
 		}
 	}
 	for i, units := range bases {
 		base := &plan.Steps[i*(len(plan.Steps)-1)] // the first, and then the last
-		p.Set(base.From, l.lost)
-		rows, total := slices.Clone(p.rows), p.total
+		p.SetTime(base.From, l.lost)
+		rows, total := slices.Clone(p.rows), p.demand
 		for j, r := range p.rows {
-			if !p.alive(r.segment) {
+			if !p.hasCapacity(r.segment) {
 				p.rows[j].rate = 0
-				p.total -= r.rate
-				if name := p.m.Segments[r.segment].Name; i == 0 && r.rate > 0 && !slices.Contains(c.UnservedSegments, name) {
+				p.demand -= r.rate
+				if name := p.model.Segments[r.segment].Name; i == 0 && r.rate > 0 && !slices.Contains(c.UnservedSegments, name) {
 					c.UnservedSegments = append(c.UnservedSegments, name)
 				}
 			}
 		}
-		u, fits := p.Least(false)
+		u, fits := p.MinUtilisation(false)
 		if !fits {
 			if c.Infeasibility == nil {
-				c.Infeasibility = p.Clash(base.From)
+				c.Infeasibility = p.Infeasibility(base.From)
 			}
-			u, _ = p.Least(true)
+			u, _ = p.MinUtilisation(true)
 		}
 		step := placement.Step{From: base.From, MaxUtilisation: u}
-		units, step.Cost, step.Change = p.Cheapest(u, !fits, units)
-		step.Rows = differing(p.Rows(units), base.Rows)
+		units, step.Cost, step.Change = p.MinCost(u, !fits, units)
+		step.Rows = differingRows(p.Rows(units), base.Rows)
 		c.Steps = append(c.Steps, step)
-		p.rows, p.total = rows, total
+		p.rows, p.demand = rows, total
 	}
 	return c
 }
 
-// differing are the rows that are not the base's; both have the same rows in the same order.
-func differing(rows, base []placement.Row) (few []placement.Row) {
+// differingRows are the rows that are not the base's; both have the same rows in the same order.
+func differingRows(rows, base []placement.Row) (few []placement.Row) {
 	for i, r := range rows {
 		if !slices.Equal(r.Weights, base[i].Weights) {
 			few = append(few, r)
@@ -163,8 +163,8 @@
 		for i, h := range p.Model.Hosts {
 			gone[i] = slices.Contains(lost, h.Name)
 		}
-		problem.Set(s.From, gone)
-		s.MaxUtilisation, s.Cost = problem.Greatest(problem.Loads(units)), problem.cost(units)
+		problem.SetTime(s.From, gone)
+		s.MaxUtilisation, s.Cost = problem.MaxUtilisation(problem.Loads(units)), problem.cost(units)
 		return units
 	}
 	for i := range p.Steps {
@@ -187,7 +187,7 @@
 					s.Rows[k] = own
 				}
 			}
-			s.Rows = differing(problem.Rows(complete(s, c.LostHosts)), base)
+			s.Rows = differingRows(problem.Rows(complete(s, c.LostHosts)), base)
 		}
 	}
 }
@@ -196,7 +196,7 @@
 func (p *Problem) cost(units [][]int64) (cost int64) {
 	for i, r := range p.rows {
 		for j, h := range p.replicas[r.segment] {
-			cost += units[i][j] * (p.cross[r.hall][p.hallOf[h]] + p.m.Hosts[h].Cost)
+			cost += units[i][j] * (p.zoneCosts[r.zone][p.zoneOf[h]] + p.model.Hosts[h].Cost)
 		}
 	}
 	return cost
--- a/logic/flow/flow.go
+++ b/logic/flow/flow.go
@@ -13,11 +13,11 @@
 // one number with a large factor, against overflow and against a factor that one day is too small.
 type Cost struct{ First, Second int64 }
 
-// Plus adds two prices.
-func (c Cost) Plus(o Cost) Cost { return Cost{c.First + o.First, c.Second + o.Second} }
+// Add adds two prices.
+func (c Cost) Add(o Cost) Cost { return Cost{c.First + o.First, c.Second + o.Second} }
 
-// Minus takes one price from another.
-func (c Cost) Minus(o Cost) Cost { return Cost{c.First - o.First, c.Second - o.Second} }
+// Sub takes one price from another.
+func (c Cost) Sub(o Cost) Cost { return Cost{c.First - o.First, c.Second - o.Second} }
 
 // Times is the price of n units.
 func (c Cost) Times(n int64) Cost { return Cost{c.First * n, c.Second * n} }
@@ -32,55 +32,55 @@
 // Network is a directed network with a flow in it. Arcs are named by the number that Arc gave; the one that
 // leads back is that number with its lowest bit flipped.
 type Network struct {
-	leaving   [][]int32 // arcs that leave each node, those that lead back included
+	outgoing  [][]int32 // arcs that leave each node, those that lead back included
 	to        []int32
-	left      []int64 // what an arc can still take
+	residual  []int64 // what an arc can still take
 	cost      []Cost
 	potential []Cost
 
 	level, next, queue []int32 // kept from run to run, against garbage where runs come by the thousand
 	dist               []Cost
-	heap               []entry
+	heap               []heapEntry
 }
 
 // New makes a network of so many nodes, numbered from 0, without arcs.
 func New(nodes int) *Network {
-	return &Network{leaving: make([][]int32, nodes), potential: make([]Cost, nodes), level: make([]int32, nodes),
+	return &Network{outgoing: make([][]int32, nodes), potential: make([]Cost, nodes), level: make([]int32, nodes),
 		next: make([]int32, nodes), dist: make([]Cost, nodes)}
 }
 
-// Arc adds an arc that takes up to most units at a price a unit, and gives its number.
-func (n *Network) Arc(from, to int, most int64, cost Cost) int {
+// AddArc adds an arc that takes up to most units at a price a unit, and gives its number.
+func (n *Network) AddArc(from, to int, most int64, cost Cost) int {
 	arc := int32(len(n.to))
 	n.to = append(n.to, int32(to), int32(from))
-	n.left = append(n.left, most, 0)
-	n.cost = append(n.cost, cost, Cost{}.Minus(cost))
-	n.leaving[from] = append(n.leaving[from], arc)
-	n.leaving[to] = append(n.leaving[to], arc+1)
+	n.residual = append(n.residual, most, 0)
+	n.cost = append(n.cost, cost, Cost{}.Sub(cost))
+	n.outgoing[from] = append(n.outgoing[from], arc)
+	n.outgoing[to] = append(n.outgoing[to], arc+1)
 	return int(arc)
 }
 
 // Flow is what the arc carries.
-func (n *Network) Flow(arc int) int64 { return n.left[arc^1] }
+func (n *Network) Flow(arc int) int64 { return n.residual[arc^1] }
 
-// Most is what the arc can take in all.
-func (n *Network) Most(arc int) int64 { return n.left[arc] + n.left[arc^1] }
+// Capacity is what the arc can take in all.
+func (n *Network) Capacity(arc int) int64 { return n.residual[arc] + n.residual[arc^1] }
 
-// Raise sets what the arc can take in all; it may not be less than what it carries.
-func (n *Network) Raise(arc int, most int64) { n.left[arc] = most - n.left[arc^1] }
+// SetCapacity sets what the arc can take in all; it may not be less than what it carries.
+func (n *Network) SetCapacity(arc int, most int64) { n.residual[arc] = most - n.residual[arc^1] }
 
-// Undo takes an amount off each arc of a path that carries it.
-func (n *Network) Undo(amount int64, path ...int) {
+// RemoveFlow takes an amount off each arc of a path that carries it.
+func (n *Network) RemoveFlow(amount int64, path ...int) {
 	for _, arc := range path {
-		n.left[arc] += amount
-		n.left[arc^1] -= amount
+		n.residual[arc] += amount
+		n.residual[arc^1] -= amount
 	}
 }
 
-// Clear takes all flow out and forgets the potentials.
-func (n *Network) Clear() {
-	for arc := 0; arc < len(n.left); arc += 2 {
-		n.left[arc], n.left[arc+1] = n.left[arc]+n.left[arc+1], 0
+// Reset takes all flow out and forgets the potentials.
+func (n *Network) Reset() {
+	for arc := 0; arc < len(n.residual); arc += 2 {
+		n.residual[arc], n.residual[arc+1] = n.residual[arc]+n.residual[arc+1], 0
 	}
 	clear(n.potential)
 }
@@ -88,41 +88,43 @@
 // Retarget leads an arc to another node. It has to carry nothing, unless a Restore follows.
 func (n *Network) Retarget(arc, to int) {
 	back := int32(arc ^ 1)
-	old := n.leaving[n.to[arc]]
+	old := n.outgoing[n.to[arc]]
 	for i, a := range old {
 		if a == back {
-			n.leaving[n.to[arc]] = append(old[:i], old[i+1:]...)
+			n.outgoing[n.to[arc]] = append(old[:i], old[i+1:]...)
 			break
 		}
 	}
 	n.to[arc] = int32(to)
-	n.leaving[to] = append(n.leaving[to], back)
+	n.outgoing[to] = append(n.outgoing[to], back)
 }
 
-// Reprice sets what a unit on an arc costs.
-func (n *Network) Reprice(arc int, cost Cost) {
-	n.cost[arc], n.cost[arc^1] = cost, Cost{}.Minus(cost)
+// SetCost sets what a unit on an arc costs.
+func (n *Network) SetCost(arc int, cost Cost) {
+	n.cost[arc], n.cost[arc^1] = cost, Cost{}.Sub(cost)
 }
 
 // Save copies the flow, for Restore.
-func (n *Network) Save(into []int64) []int64 { return append(into[:0], n.left...) }
+func (n *Network) Save(into []int64) []int64 { return append(into[:0], n.residual...) }
 
 // Restore brings back a flow that Save copied; the arcs have to lead where they led then.
-func (n *Network) Restore(saved []int64) { copy(n.left, saved) }
+func (n *Network) Restore(saved []int64) { copy(n.residual, saved) }
 
-// Fill adds to the flow, whatever it costs, until it has sent so many units more or no path is left, and
+// Augment adds to the flow, whatever it costs, until it has sent so many units more or no path is left, and
 // gives how many it has sent.
-func (n *Network) Fill(source, sink int, want int64) int64 { return n.fill(source, sink, want, false) }
+func (n *Network) Augment(source, sink int, want int64) int64 {
+	return n.augment(source, sink, want, false)
+}
 
-// Cut tells which nodes can still be reached from the source. After a Fill that fell short they are one side
+// Reachable tells which nodes can still be reached from the source. After a Fill that fell short they are one side
 // of a least cut: every arc that leaves them is full, which proves that no more can be sent.
-func (n *Network) Cut(source int) []bool {
-	reached := make([]bool, len(n.leaving))
+func (n *Network) Reachable(source int) []bool {
+	reached := make([]bool, len(n.outgoing))
 	reached[source] = true
 	n.queue = append(n.queue[:0], int32(source))
 	for at := 0; at < len(n.queue); at++ {
-		for _, arc := range n.leaving[n.queue[at]] {
-			if to := n.to[arc]; n.left[arc] > 0 && !reached[to] {
+		for _, arc := range n.outgoing[n.queue[at]] {
+			if to := n.to[arc]; n.residual[arc] > 0 && !reached[to] {
 				reached[to] = true
 				n.queue = append(n.queue, to)
 			}
@@ -131,24 +133,24 @@
 	return reached
 }
 
-// Cheapest sends so many units, or as many as there is room for, at the least cost, into a network without
+// MinCostFlow sends so many units, or as many as there is room for, at the least cost, into a network without
 // flow. Costs may be negative as long as no circle of arcs has a negative one.
-func (n *Network) Cheapest(source, sink int, want int64) (sent int64, cost Cost) {
-	n.settle(source)
+func (n *Network) MinCostFlow(source, sink int, want int64) (sent int64, cost Cost) {
+	n.initPotentials(source)
 	for sent < want {
-		if !n.distances(source, sink) {
+		if !n.updatePotentials(source, sink) {
 			break
 		}
-		got := n.fill(source, sink, want-sent, true)
+		got := n.augment(source, sink, want-sent, true)
 		sent += got
-		cost = cost.Plus(n.potential[sink].Minus(n.potential[source]).Times(got))
+		cost = cost.Add(n.potential[sink].Sub(n.potential[source]).Times(got))
 	}
 	return sent, cost
 }
 
-// settle finds potentials under which no arc has a negative price: the distances from the source, by Bellman
+// initPotentials finds potentials under which no arc has a negative price: the distances from the source, by Bellman
 // and Ford with a queue.
-func (n *Network) settle(source int) {
+func (n *Network) initPotentials(source int) {
 	for i := range n.potential {
 		n.potential[i] = unreached
 	}
@@ -158,12 +160,12 @@
 	for at := 0; at < len(n.queue); at++ {
 		node := n.queue[at]
 		waits[node] = false
-		for _, arc := range n.leaving[node] {
+		for _, arc := range n.outgoing[node] {
 			to := n.to[arc]
-			if n.left[arc] == 0 {
+			if n.residual[arc] == 0 {
 				continue
 			}
-			if d := n.potential[node].Plus(n.cost[arc]); d.Less(n.potential[to]) {
+			if d := n.potential[node].Add(n.cost[arc]); d.Less(n.potential[to]) {
 				n.potential[to] = d
 				if !waits[to] {
 					waits[to] = true
@@ -180,33 +182,33 @@
 }
 
 func (n *Network) reduced(node, arc int32) Cost {
-	return n.cost[arc].Plus(n.potential[node]).Minus(n.potential[n.to[arc]])
+	return n.cost[arc].Add(n.potential[node]).Sub(n.potential[n.to[arc]])
 }
 
-// distances moves the potentials on so that shortest paths to the sink are of price zero; it reports whether
+// updatePotentials moves the potentials on so that shortest paths to the sink are of price zero; it reports whether
 // there is any path.
-func (n *Network) distances(source, sink int) bool {
+func (n *Network) updatePotentials(source, sink int) bool {
 	for i := range n.dist {
 		n.dist[i] = unreached
 	}
 	n.dist[source] = Cost{}
-	n.heap = append(n.heap[:0], entry{Cost{}, int32(source)})
+	n.heap = append(n.heap[:0], heapEntry{Cost{}, int32(source)})
 	for len(n.heap) > 0 {
-		e := n.pop()
+		e := n.popEntry()
 		if n.dist[e.node].Less(e.dist) {
 			continue
 		}
 		if e.node == int32(sink) {
 			break
 		}
-		for _, arc := range n.leaving[e.node] {
-			if n.left[arc] == 0 {
+		for _, arc := range n.outgoing[e.node] {
+			if n.residual[arc] == 0 {
 				continue
 			}
 			to := n.to[arc]
-			if d := e.dist.Plus(n.reduced(e.node, arc)); d.Less(n.dist[to]) {
+			if d := e.dist.Add(n.reduced(e.node, arc)); d.Less(n.dist[to]) {
 				n.dist[to] = d
-				n.push(entry{d, to})
+				n.pushEntry(heapEntry{d, to})
 			}
 		}
 	}
@@ -218,17 +220,17 @@
 		if far.Less(d) { // also what was never reached: no price turns negative by it
 			d = far
 		}
-		n.potential[i] = n.potential[i].Plus(d)
+		n.potential[i] = n.potential[i].Add(d)
 	}
 	return true
 }
 
-// fill sends along paths with the fewest arcs first; priced ones use only arcs on shortest paths.
-func (n *Network) fill(source, sink int, want int64, priced bool) (sent int64) {
+// augment sends along paths with the fewest arcs first; priced ones use only arcs on shortest paths.
+func (n *Network) augment(source, sink int, want int64, priced bool) (sent int64) {
 	for sent < want && n.levels(source, sink, priced) {
 		clear(n.next)
 		for sent < want {
-			got := n.push1(int32(source), int32(sink), want-sent, priced)
+			got := n.augmentPath(int32(source), int32(sink), want-sent, priced)
 			if got == 0 {
 				break
 			}
@@ -238,8 +240,8 @@
 	return sent
 }
 
-func (n *Network) open(node, arc int32, priced bool) bool {
-	return n.left[arc] > 0 && (!priced || n.reduced(node, arc) == Cost{})
+func (n *Network) isUsable(node, arc int32, priced bool) bool {
+	return n.residual[arc] > 0 && (!priced || n.reduced(node, arc) == Cost{})
 }
 
 func (n *Network) levels(source, sink int, priced bool) bool {
@@ -250,8 +252,8 @@
 	n.queue = append(n.queue[:0], int32(source))
 	for at := 0; at < len(n.queue); at++ {
 		node := n.queue[at]
-		for _, arc := range n.leaving[node] {
-			if to := n.to[arc]; n.level[to] < 0 && n.open(node, arc, priced) {
+		for _, arc := range n.outgoing[node] {
+			if to := n.to[arc]; n.level[to] < 0 && n.isUsable(node, arc, priced) {
 				n.level[to] = n.level[node] + 1
 				if to == int32(sink) {
 					return true
@@ -263,17 +265,17 @@
 	return false
 }
 
-// push1 sends along one path of rising levels.
-func (n *Network) push1(node, sink int32, want int64, priced bool) int64 {
+// augmentPath sends along one path of rising levels.
+func (n *Network) augmentPath(node, sink int32, want int64, priced bool) int64 {
 	if node == sink {
 		return want
 	}
-	for ; int(n.next[node]) < len(n.leaving[node]); n.next[node]++ {
-		arc := n.leaving[node][n.next[node]]
-		if to := n.to[arc]; n.level[to] == n.level[node]+1 && n.open(node, arc, priced) {
-			if got := n.push1(to, sink, min(want, n.left[arc]), priced); got > 0 {
-				n.left[arc] -= got
-				n.left[arc^1] += got
+	for ; int(n.next[node]) < len(n.outgoing[node]); n.next[node]++ {
+		arc := n.outgoing[node][n.next[node]]
+		if to := n.to[arc]; n.level[to] == n.level[node]+1 && n.isUsable(node, arc, priced) {
+			if got := n.augmentPath(to, sink, min(want, n.residual[arc]), priced); got > 0 {
+				n.residual[arc] -= got
+				n.residual[arc^1] += got
 				return got
 			}
 		}
@@ -281,17 +283,17 @@
 	return 0
 }
 
-// entry is a node that waits at a distance; the heap is written out since container/heap would box each one.
-type entry struct {
+// heapEntry is a node that waits at a distance; the heap is written out since container/heap would box each one.
+type heapEntry struct {
 	dist Cost
 	node int32
 }
 
-func (e entry) before(o entry) bool {
+func (e heapEntry) before(o heapEntry) bool {
 	return e.dist.Less(o.dist) || e.dist == o.dist && e.node < o.node
 }
 
-func (n *Network) push(e entry) {
+func (n *Network) pushEntry(e heapEntry) {
 	h := append(n.heap, e)
 	for at := len(h) - 1; at > 0; {
 		up := (at - 1) / 2
@@ -303,7 +305,7 @@
 	n.heap = h
 }
 
-func (n *Network) pop() entry {
+func (n *Network) popEntry() heapEntry {
 	h := n.heap
 	top := h[0]
 	last := len(h) - 1
--- a/logic/flow/flow_test.go
+++ b/logic/flow/flow_test.go
@@ -28,18 +28,18 @@
 		dist[0] = Cost{}
 		for range nodes {
 			for i, a := range arcs {
-				if flow[i] < a.most && dist[a.from] != unreached && dist[a.from].Plus(a.cost).Less(dist[a.to]) {
-					dist[a.to], by[a.to] = dist[a.from].Plus(a.cost), i+1
+				if flow[i] < a.most && dist[a.from] != unreached && dist[a.from].Add(a.cost).Less(dist[a.to]) {
+					dist[a.to], by[a.to] = dist[a.from].Add(a.cost), i+1
 				}
-				if flow[i] > 0 && dist[a.to] != unreached && dist[a.to].Minus(a.cost).Less(dist[a.from]) {
-					dist[a.from], by[a.from] = dist[a.to].Minus(a.cost), -i-1
+				if flow[i] > 0 && dist[a.to] != unreached && dist[a.to].Sub(a.cost).Less(dist[a.from]) {
+					dist[a.from], by[a.from] = dist[a.to].Sub(a.cost), -i-1
 				}
 			}
 		}
 		if dist[1] == unreached {
 			break
 		}
-		cost = cost.Plus(dist[1])
+		cost = cost.Add(dist[1])
 		for at := 1; at != 0; {
 			if i := by[at]; i > 0 {
 				flow[i-1]++
@@ -70,10 +70,10 @@
 				a.cost.First += 20 // so that no circle has a price below nothing
 			}
 			arcs = append(arcs, a)
-			n.Arc(a.from, a.to, a.most, a.cost)
+			n.AddArc(a.from, a.to, a.most, a.cost)
 		}
 		want := rapid.Int64Range(0, 12).Draw(t, "want")
-		sent, cost := n.Cheapest(0, 1, want)
+		sent, cost := n.MinCostFlow(0, 1, want)
 		wantSent, wantCost := cheapest(nodes, arcs, want)
 		if sent != wantSent || cost != wantCost {
 			t.Fatalf("sent %d at %v, the reference %d at %v", sent, cost, wantSent, wantCost)
@@ -82,12 +82,12 @@
 			left, sum := make([]int64, nodes), Cost{}
 			for i, a := range arcs {
 				f := n.Flow(2 * i)
-				if f < 0 || f > a.most || n.Most(2*i) != a.most {
+				if f < 0 || f > a.most || n.Capacity(2*i) != a.most {
 					t.Fatalf("arc %d carries %d of %d", i, f, a.most)
 				}
 				left[a.from] -= f
 				left[a.to] += f
-				sum = sum.Plus(a.cost.Times(f))
+				sum = sum.Add(a.cost.Times(f))
 			}
 			for node, l := range left {
 				if expect := map[int]int64{0: -sent, 1: sent}[node]; l != expect {
@@ -99,7 +99,7 @@
 			}
 		}
 		check(sent)
-		if cut := n.Cut(0); sent < want {
+		if cut := n.Reachable(0); sent < want {
 			room := int64(0)
 			for _, a := range arcs {
 				if cut[a.from] && !cut[a.to] {
@@ -111,8 +111,8 @@
 			}
 		}
 		// Taken out and sent again without prices, as much gets through; a change is undone by Restore.
-		n.Clear()
-		if got := n.Fill(0, 1, want); got != wantSent {
+		n.Reset()
+		if got := n.Augment(0, 1, want); got != wantSent {
 			t.Fatalf("filled %d, the reference %d", got, wantSent)
 		}
 		check(wantSent)
--- a/logic/placing/bench_test.go
+++ b/logic/placing/bench_test.go
@@ -60,14 +60,14 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			m := fleet(n, 1, true).Normalized()
 			p := balance.NewProblem(m)
-			p.Set(0, nil)
+			p.SetTime(0, nil)
 			b.ReportAllocs()
 			for b.Loop() {
-				u, fits := p.Least(false)
+				u, fits := p.MinUtilisation(false)
 				if !fits {
-					b.Fatal(p.Clash(0).Describe(func(n int64) string { return fmt.Sprint(n) }))
+					b.Fatal(p.Infeasibility(0).Describe(func(n int64) string { return fmt.Sprint(n) }))
 				}
-				p.Cheapest(u, false, nil)
+				p.MinCost(u, false, nil)
 			}
 		})
 	}
@@ -97,14 +97,14 @@
 				b.ReportAllocs()
 				for b.Loop() {
 					until := time.Now().Add(limit)
-					r, bad, err := Search(m, Terms{Effort: 1 << 30, Seed: 1}, func() bool { return time.Now().Before(until) })
+					r, bad, err := Search(m, Config{Effort: 1 << 30, Seed: 1}, func() bool { return time.Now().Before(until) })
 					if err != nil || bad != nil {
 						b.Fatal(err, bad)
 					}
-					b.ReportMetric((r.Greatest.Float()/r.Bound.Float()-1)*100, "gap%")
-					b.ReportMetric(r.Greatest.Float()*100, "greatest%")
-					b.ReportMetric((float64(r.Cost)/float64(r.Floor)-1)*100, "costgap%")
-					b.ReportMetric(float64(r.Tries), "tries")
+					b.ReportMetric((r.MaxUtilisation.Float()/r.Bound.Float()-1)*100, "gap%")
+					b.ReportMetric(r.MaxUtilisation.Float()*100, "greatest%")
+					b.ReportMetric((float64(r.Cost)/float64(r.CostBound)-1)*100, "costgap%")
+					b.ReportMetric(float64(r.Attempts), "tries")
 				}
 			})
 		}
--- a/logic/placing/branch.go
+++ b/logic/placing/branch.go
@@ -5,76 +5,76 @@
 	"slices"
 )
 
-// branch goes through all placements segment by segment and leaves out what can't be better than the best
+// branchAndBound goes through all placements segment by segment and leaves out what can't be better than the best
 // known. What a choice is worth at best comes from letting the segments that are not placed yet go to any
 // host.
-type branch struct {
+type branchAndBound struct {
 	*job
-	best     value
-	places   [][]int
-	found    bool
-	anything bool // whatever fits will do
+	best      value
+	places    [][]int
+	found     bool
+	acceptAny bool // whatever fits will do
 
-	at     [][]int // of the segments placed so far
-	held   []int
-	copied int
-	force  []int // copies that the segments from each place in the order on need at least
-	sets   [][]int
+	placed      [][]int // of the segments placed so far
+	segmentsOn  []int
+	moved       int
+	forcedMoves []int // copies that the segments from each place in the order on need at least
+	sets        [][]int
 }
 
 // run reports whether it has gone through all of them.
-func (b *branch) run() bool {
-	b.at = make([][]int, len(b.order))
-	b.held = make([]int, len(b.m.Hosts))
-	b.force = make([]int, len(b.order)+1)
+func (b *branchAndBound) run() bool {
+	b.placed = make([][]int, len(b.order))
+	b.segmentsOn = make([]int, len(b.model.Hosts))
+	b.forcedMoves = make([]int, len(b.order)+1)
 	for i := len(b.order) - 1; i >= 0; i-- {
 		s, kept := b.order[i], 0
-		for _, h := range b.had[s] {
+		for _, h := range b.currentHosts[s] {
 			if slices.Contains(b.usable, h) {
 				kept++
 			}
 		}
-		b.force[i] = b.force[i+1]
-		if len(b.had[s]) > 0 {
-			b.force[i] += max(b.wanted[s]-kept, 0)
+		b.forcedMoves[i] = b.forcedMoves[i+1]
+		if len(b.currentHosts[s]) > 0 {
+			b.forcedMoves[i] += max(b.wanted[s]-kept, 0)
 		}
 	}
-	return b.from(0)
+	return b.extend(0)
 }
 
 // choice is one set of hosts for a segment, with what can come of it at best.
 type choice struct {
 	hosts []int
-	best  value
+	bound value
 }
 
-func (b *branch) from(i int) bool {
+func (b *branchAndBound) extend(i int) bool {
 	if i == len(b.order) {
 		return true // its value was found when its last segment was placed
 	}
-	if !b.more() {
+	if !b.hasTime() {
 		return false
 	}
 	s := b.order[i]
 	var choices []choice
-	for _, hosts := range b.setsOf(s, i) {
-		copied := b.copied + b.copies(s, hosts)
-		if copied+b.force[i+1] > b.mostCopies() {
+	for _, hosts := range b.hostSets(s, i) {
+		copied := b.moved + b.moves(s, hosts)
+		if copied+b.forcedMoves[i+1] > b.maxMoves() {
 			continue
 		}
-		b.tries++
-		b.at[s] = hosts
-		v, fits := b.hope(i + 1)
-		b.at[s] = nil
-		if v.moves = copied + b.force[i+1]; !fits || b.found && !v.less(b.best) {
+		b.attempts++
+		b.placed[s] = hosts
+		v, fits := b.bound(i + 1)
+		b.placed[s] = nil
+		if v.moves = copied + b.forcedMoves[i+1]; !fits || b.found && !v.less(b.best) {
 			continue
 		}
 		if i+1 == len(b.order) {
 			b.best, b.found = v, true
-			b.at[s] = hosts
-			b.places = slices.Clone(b.at)
-			b.at[s] = nil
-			if b.anything {
+			b.placed[s] = hosts
+			b.places = slices.Clone(b.placed)
+			b.placed[s] = nil
+			if b.acceptAny {
 				return true
 			}
 			continue
@@ -83,31 +83,31 @@
 	}
 	slices.SortStableFunc(choices, func(x, y choice) int {
 		switch {
-		case x.best.less(y.best):
+		case x.bound.less(y.bound):
 			return -1
-		case y.best.less(x.best):
+		case y.bound.less(x.bound):
 			return 1
 		}
 		return 0
 	})
 	for _, c := range choices {
-		if b.found && b.anything {
+		if b.found && b.acceptAny {
 			return true
 		}
-		if b.found && !c.best.less(b.best) {
+		if b.found && !c.bound.less(b.best) {
 			continue
 		}
-		b.at[s] = c.hosts
-		b.copied += b.copies(s, c.hosts)
+		b.placed[s] = c.hosts
+		b.moved += b.moves(s, c.hosts)
 		for _, h := range c.hosts {
-			b.held[h]++
+			b.segmentsOn[h]++
 		}
-		done := b.from(i + 1)
+		done := b.extend(i + 1)
 		for _, h := range c.hosts {
-			b.held[h]--
+			b.segmentsOn[h]--
 		}
-		b.copied -= b.copies(s, c.hosts)
-		b.at[s] = nil
+		b.moved -= b.moves(s, c.hosts)
+		b.placed[s] = nil
 		if !done {
 			return false
 		}
@@ -115,40 +115,40 @@
 	return true
 }
 
-// hope is what can come at best of the segments placed so far, the others going anywhere. The cost counts
+// bound is what can come at best of the segments placed so far, the others going anywhere. The cost counts
 // only where the ratio is no better than the best known: at a lower one it is not compared.
-func (b *branch) hope(placed int) (value, bool) {
-	for s := range b.at {
-		if b.at[s] != nil {
-			b.p.Place(s, b.at[s])
+func (b *branchAndBound) bound(placed int) (value, bool) {
+	for s := range b.placed {
+		if b.placed[s] != nil {
+			b.problem.SetHosts(s, b.placed[s])
 		} else {
-			b.p.Place(s, b.usable)
+			b.problem.SetHosts(s, b.usable)
 		}
 	}
-	u, fits := b.p.Least(false)
+	u, fits := b.problem.MinUtilisation(false)
 	if !fits {
 		return value{}, false
 	}
-	v := value{u: u}
-	if last := placed == len(b.order); last || b.found && !u.Less(b.best.u) && !b.best.u.Less(u) {
-		_, v.cost, _ = b.p.Cheapest(u, false, nil)
+	v := value{utilisation: u}
+	if last := placed == len(b.order); last || b.found && !u.Less(b.best.utilisation) && !b.best.utilisation.Less(u) {
+		_, v.cost, _ = b.problem.MinCost(u, false, nil)
 	}
 	return v, true
 }
 
-// setsOf are the sets of hosts on which a segment may stand. Of hosts that are alike in all that matters from
+// hostSets are the sets of hosts on which a segment may stand. Of hosts that are alike in all that matters from
 // here on, only the first are taken: the others would give the same again under other names.
-func (b *branch) setsOf(s, i int) [][]int {
+func (b *branchAndBound) hostSets(s, i int) [][]int {
 	var hosts []int
 	for _, h := range b.usable {
-		if b.held[h] < b.room(h) {
+		if b.segmentsOn[h] < b.maxSegments(h) {
 			hosts = append(hosts, h)
 		}
 	}
 	alike := make([]int, len(hosts)) // the place of the one before that is alike, or -1
 	signs := make([]string, len(hosts))
 	for k, h := range hosts {
-		signs[k] = b.sign(h, i)
+		signs[k] = b.signature(h, i)
 		alike[k] = -1
 		for before := k - 1; before >= 0; before-- {
 			if signs[before] == signs[k] {
@@ -163,7 +163,7 @@
 	var from func(k int)
 	from = func(k int) {
 		if len(chosen) == b.wanted[s] {
-			if b.spreadOK(s, chosen) {
+			if b.inEnoughZones(s, chosen) {
 				b.sets = append(b.sets, slices.Clone(chosen))
 			}
 			return
@@ -183,18 +183,18 @@
 	return slices.Clone(b.sets)
 }
 
-// sign is what tells a host from others for the segments from the i-th on: its figures, what it holds
+// signature is what tells a host from others for the segments from the i-th on: its figures, what it holds
 // already, and which of those segments stand on it now.
-func (b *branch) sign(h, i int) string {
-	host := &b.m.Hosts[h]
-	sign := binary.AppendVarint(nil, int64(b.p.Hall(h)))
-	for _, n := range []int64{b.p.Can(h), host.Cost, int64(b.room(h)), int64(b.held[h])} {
+func (b *branchAndBound) signature(h, i int) string {
+	host := &b.model.Hosts[h]
+	sign := binary.AppendVarint(nil, int64(b.problem.Zone(h)))
+	for _, n := range []int64{b.problem.Capacity(h), host.Cost, int64(b.maxSegments(h)), int64(b.segmentsOn[h])} {
 		sign = binary.AppendVarint(sign, n)
 	}
 	for k, s := range b.order {
-		on := b.at[s]
+		on := b.placed[s]
 		if k >= i {
-			on = b.had[s]
+			on = b.currentHosts[s]
 		}
 		bit := byte(0)
 		if slices.Contains(on, h) {
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -17,11 +17,11 @@
 	"yokeroute/logic/placement"
 )
 
-// Exact is up to how many hosts that run a placement is proven best.
-const Exact = 12
+// MaxExactHosts is up to how many hosts that run a placement is proven best.
+const MaxExactHosts = 12
 
-// Terms are how long to look and from which seed chance comes.
-type Terms struct {
+// Config are how long to look and from which seed chance comes.
+type Config struct {
 	Effort int // tries of a change; the search is over with them, whatever machine it runs on
 	Seed   uint64
 }
@@ -36,60 +36,60 @@
 
 // Result is a placement.
 type Result struct {
-	Model    *placement.Model `json:"Model"` // normal, with the new places
-	Moves    []Move           `json:"Moves"`
-	Greatest placement.Ratio  `json:"Greatest"` // when all hosts are warm
-	Cost     int64            `json:"Cost"`
-	Bound    placement.Ratio  `json:"Bound"`  // no placement is under it
-	Floor    int64            `json:"Floor"`  // nor, at the bound, under this cost
-	Proven   bool             `json:"Proven"` // no placement is better
-	Tries    int              `json:"Tries"`
-	Stopped  bool             `json:"Stopped"` // the time ran out before the effort
+	Model          *placement.Model `json:"Model"` // normal, with the new places
+	Moves          []Move           `json:"Moves"`
+	MaxUtilisation placement.Ratio  `json:"Greatest"` // when all hosts are warm
+	Cost           int64            `json:"Cost"`
+	Bound          placement.Ratio  `json:"Bound"`  // no placement is under it
+	CostBound      int64            `json:"Floor"`  // nor, at the bound, under this cost
+	Proven         bool             `json:"Proven"` // no placement is better
+	Attempts       int              `json:"Tries"`
+	TimedOut       bool             `json:"Stopped"` // the time ran out before the effort
 }
 
 // value is what placements are compared by.
 type value struct {
-	u     placement.Ratio
-	cost  int64
-	moves int
+	utilisation placement.Ratio
+	cost        int64
+	moves       int
 }
 
 func (v value) less(o value) bool {
 	switch {
-	case v.u.Less(o.u):
+	case v.utilisation.Less(o.utilisation):
 		return true
-	case o.u.Less(v.u):
+	case o.utilisation.Less(v.utilisation):
 		return false
 	}
 	return cmp.Or(cmp.Compare(v.cost, o.cost), cmp.Compare(v.moves, o.moves)) < 0
 }
 
-// lifted are limits that are left out, for finding which of them clash.
-type lifted struct {
-	copies, spread, holds, capacity bool
-	halls                           []bool
+// relaxed are limits that are left out, for finding which of them clash.
+type relaxed struct {
+	moves, spread, slots, capacity bool
+	zones                          []bool
 }
 
 // job is a placement being looked for.
 type job struct {
-	m      *placement.Model
-	p      *balance.Problem
-	free   lifted
-	usable []int   // hosts that may hold something
-	wanted []int   // replicas of each segment
-	spread []int   // halls in which each has to stand at least
-	had    [][]int // hosts that hold each now
-	asked  []int64
-	order  []int // segments, the heaviest first
-	more   func() bool
-	tries  int
-	effort int
+	model        *placement.Model
+	problem      *balance.Problem
+	relaxed      relaxed
+	usable       []int   // hosts that may hold something
+	wanted       []int   // replicas of each segment
+	minZones     []int   // halls in which each has to stand at least
+	currentHosts [][]int // hosts that hold each now
+	demands      []int64
+	order        []int // segments, the heaviest first
+	hasTime      func() bool
+	attempts     int
+	effort       int
 }
 
-func newJob(m *placement.Model, free lifted, effort int, more func() bool) *job {
-	j := &job{m: m, free: free, more: more, effort: effort}
-	j.p, _ = warm(m)
-	j.p.Free(free.halls, free.capacity)
+func newJob(m *placement.Model, free relaxed, effort int, more func() bool) *job {
+	j := &job{model: m, relaxed: free, hasTime: more, effort: effort}
+	j.problem, _ = warmProblem(m)
+	j.problem.RelaxLimits(free.zones, free.capacity)
 	halls := map[string]bool{}
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
@@ -98,122 +98,122 @@
 		}
 	}
 	for i, s := range m.Segments {
-		j.had = append(j.had, slices.Clone(j.p.Places(i)))
-		want := wanted(&s)
+		j.currentHosts = append(j.currentHosts, slices.Clone(j.problem.Hosts(i)))
+		want := wantedReplicas(&s)
 		j.wanted = append(j.wanted, want)
 		spread := min(want, len(halls))
 		if free.spread {
 			spread = 0
 		}
-		j.spread = append(j.spread, spread)
+		j.minZones = append(j.minZones, spread)
 		j.order = append(j.order, i)
 	}
-	j.asked = j.p.Asked()
-	slices.SortStableFunc(j.order, func(a, b int) int { return cmp.Compare(j.asked[b], j.asked[a]) })
+	j.demands = j.problem.SegmentDemands()
+	slices.SortStableFunc(j.order, func(a, b int) int { return cmp.Compare(j.demands[b], j.demands[a]) })
 	return j
 }
 
-// copies counts the replicas of a segment that its hosts do not hold yet. A segment that stands nowhere is
+// moves counts the replicas of a segment that its hosts do not hold yet. A segment that stands nowhere is
 // new: putting it somewhere moves nothing.
-func (j *job) copies(segment int, hosts []int) int {
-	if len(j.had[segment]) == 0 {
+func (j *job) moves(segment int, hosts []int) int {
+	if len(j.currentHosts[segment]) == 0 {
 		return 0
 	}
 	n := 0
 	for _, h := range hosts {
-		if !slices.Contains(j.had[segment], h) {
+		if !slices.Contains(j.currentHosts[segment], h) {
 			n++
 		}
 	}
 	return n
 }
 
-// mostCopies is how many copies a placement may make.
-func (j *job) mostCopies() int {
-	if j.m.MaxMoves < 0 || j.free.copies {
+// maxMoves is how many copies a placement may make.
+func (j *job) maxMoves() int {
+	if j.model.MaxMoves < 0 || j.relaxed.moves {
 		return int(placement.MaxRate)
 	}
-	return j.m.MaxMoves
+	return j.model.MaxMoves
 }
 
-// room is how many segments a host may hold.
-func (j *job) room(host int) int {
-	if holds := j.m.Hosts[host].MaxSegments; holds > 0 && !j.free.holds {
+// maxSegments is how many segments a host may hold.
+func (j *job) maxSegments(host int) int {
+	if holds := j.model.Hosts[host].MaxSegments; holds > 0 && !j.relaxed.slots {
 		return holds
 	}
-	return len(j.m.Segments)
+	return len(j.model.Segments)
 }
 
-// spreadOK reports whether hosts stand in enough halls for the segment.
-func (j *job) spreadOK(segment int, hosts []int) bool {
-	if j.spread[segment] < 2 {
+// inEnoughZones reports whether hosts stand in enough halls for the segment.
+func (j *job) inEnoughZones(segment int, hosts []int) bool {
+	if j.minZones[segment] < 2 {
 		return true
 	}
-	seen := make([]bool, len(j.m.Zones))
+	seen := make([]bool, len(j.model.Zones))
 	n := 0
 	for _, h := range hosts {
-		if hall := j.p.Hall(h); !seen[hall] {
+		if hall := j.problem.Zone(h); !seen[hall] {
 			seen[hall] = true
 			n++
 		}
 	}
-	return n >= j.spread[segment]
+	return n >= j.minZones[segment]
 }
 
-// judge gives the value of a whole placement, or false where demand does not fit it.
-func (j *job) judge(places [][]int) (value, bool) {
+// evaluate gives the value of a whole placement, or false where demand does not fit it.
+func (j *job) evaluate(places [][]int) (value, bool) {
 	v := value{}
 	for s, hosts := range places {
-		j.p.Place(s, hosts)
-		v.moves += j.copies(s, hosts)
+		j.problem.SetHosts(s, hosts)
+		v.moves += j.moves(s, hosts)
 	}
-	u, fits := j.p.Least(false)
-	if !fits || v.moves > j.mostCopies() {
+	u, fits := j.problem.MinUtilisation(false)
+	if !fits || v.moves > j.maxMoves() {
 		return v, false
 	}
-	v.u = u
-	_, v.cost, _ = j.p.Cheapest(u, false, nil)
+	v.utilisation = u
+	_, v.cost, _ = j.problem.MinCost(u, false, nil)
 	return v, true
 }
 
 // Search looks for a placement. Where none fits it says why; that is proven unless the misfit says otherwise.
-func Search(m *placement.Model, terms Terms, more func() bool) (*Result, *Misfit, error) {
+func Search(m *placement.Model, terms Config, more func() bool) (*Result, *Infeasibility, error) {
 	if faults := m.Validate(); len(faults) > 0 {
 		return nil, nil, faults[0]
 	}
 	m = m.Normalized()
-	if bad := obvious(m); bad != nil {
+	if bad := findInfeasibility(m); bad != nil {
 		return nil, bad, nil
 	}
-	j := newJob(m, lifted{halls: make([]bool, len(m.Zones))}, terms.Effort, more)
+	j := newJob(m, relaxed{zones: make([]bool, len(m.Zones))}, terms.Effort, more)
 	r := &Result{}
-	r.Bound, r.Floor = j.bound()
+	r.Bound, r.CostBound = j.lowerBound()
 	places, v, found := j.search(terms.Seed, r.Bound)
-	exact := len(j.usable) <= Exact
+	exact := len(j.usable) <= MaxExactHosts
 	if exact {
-		b := branch{job: j, best: v, places: places, found: found}
+		b := branchAndBound{job: j, best: v, places: places, found: found}
 		r.Proven = b.run()
 		places, v, found = b.places, b.best, b.found
 	}
-	r.Tries, r.Stopped = j.tries, !more()
+	r.Attempts, r.TimedOut = j.attempts, !more()
 	if !found {
 		if exact && r.Proven {
-			return nil, j.clash(), nil
+			return nil, j.conflictingLimits(), nil
 		}
-		return nil, &Misfit{Kind: NotFound, Unproven: true, Tries: j.tries}, nil
+		return nil, &Infeasibility{Kind: NotFound, Unproven: true, Attempts: j.attempts}, nil
 	}
-	r.Greatest, r.Cost = v.u, v.cost
-	r.Proven = r.Proven || !r.Bound.Less(v.u) && r.Floor == v.cost && v.moves == 0
+	r.MaxUtilisation, r.Cost = v.utilisation, v.cost
+	r.Proven = r.Proven || !r.Bound.Less(v.utilisation) && r.CostBound == v.cost && v.moves == 0
 	if r.Proven {
-		r.Bound, r.Floor = v.u, v.cost
+		r.Bound, r.CostBound = v.utilisation, v.cost
 	}
-	j.fill(r, places)
+	j.describe(r, places)
 	return r, nil, nil
 }
 
-// fill names the places of a result.
-func (j *job) fill(r *Result, places [][]int) {
-	m := *j.m
+// describe names the places of a result.
+func (j *job) describe(r *Result, places [][]int) {
+	m := *j.model
 	m.Segments = slices.Clone(m.Segments)
 	for s, hosts := range places {
 		on := make([]string, len(hosts))
@@ -241,24 +241,24 @@
 	r.Model = &m
 }
 
-// bound is what no placement can be under: the ratio at which all demand as one finds room anywhere, and at
+// lowerBound is what no placement can be under: the ratio at which all demand as one finds room anywhere, and at
 // which each segment finds it on as many of the largest hosts as it has replicas; and the cost at that ratio
 // of demand that may go anywhere.
-func (j *job) bound() (placement.Ratio, int64) {
-	p, _ := warm(Anywhere(j.m))
-	p.Free(j.free.halls, j.free.capacity)
-	u, fits := p.Least(false)
+func (j *job) lowerBound() (placement.Ratio, int64) {
+	p, _ := warmProblem(OneSegmentModel(j.model))
+	p.RelaxLimits(j.relaxed.zones, j.relaxed.capacity)
+	u, fits := p.MinUtilisation(false)
 	if !fits {
 		return placement.Ratio{Load: 1, Capacity: 1}, 0
 	}
 	for s, want := range j.wanted {
-		if own, ok := j.p.LeastOn(heaviest(j.m, j.p, want), j.asked[s]); ok && u.Less(own) {
+		if own, ok := j.problem.MinUtilisationOn(largestHosts(j.model, j.problem, want), j.demands[s]); ok && u.Less(own) {
 			u = own
 		}
 	}
 	if u.Load > u.Capacity {
 		u = placement.Ratio{Load: 1, Capacity: 1}
 	}
-	_, cost, _ := p.Cheapest(u, false, nil)
+	_, cost, _ := p.MinCost(u, false, nil)
 	return u, cost
 }
--- a/logic/placing/placing_test.go
+++ b/logic/placing/placing_test.go
@@ -14,7 +14,7 @@
 func always() bool { return true }
 
 // brute goes through every placement that keeps the limits and gives the best value.
-func brute(m *placement.Model, free lifted) (best value, found bool) {
+func brute(m *placement.Model, free relaxed) (best value, found bool) {
 	j := newJob(m.Normalized(), free, 0, always)
 	var sets [][][]int
 	for s, want := range j.wanted {
@@ -26,7 +26,7 @@
 					hosts = append(hosts, h)
 				}
 			}
-			if len(hosts) == want && j.spreadOK(s, hosts) {
+			if len(hosts) == want && j.inEnoughZones(s, hosts) {
 				of = append(of, hosts)
 			}
 		}
@@ -37,7 +37,7 @@
 	var from func(s int)
 	from = func(s int) {
 		if s == len(sets) {
-			if v, fits := j.judge(places); fits && (!found || v.less(best)) {
+			if v, fits := j.evaluate(places); fits && (!found || v.less(best)) {
 				best, found = v, true
 			}
 			return
@@ -46,7 +46,7 @@
 			ok := true
 			for _, h := range hosts {
 				held[h]++
-				ok = ok && held[h] <= j.room(h)
+				ok = ok && held[h] <= j.maxSegments(h)
 			}
 			if places[s] = hosts; ok {
 				from(s + 1)
@@ -96,13 +96,13 @@
 }
 
 // against holds a search to the reference: no worse placement, and where none fits a reason that is true.
-func against(t *testing.T, m *placement.Model) *Misfit {
+func against(t *testing.T, m *placement.Model) *Infeasibility {
 	t.Helper()
 	if faults := m.Validate(); len(faults) > 0 {
 		t.Fatalf("the case is faulty: %v", faults[0])
 	}
-	want, found := brute(m, lifted{halls: make([]bool, len(m.Zones))})
-	got, bad, err := Search(m, Terms{Effort: 400, Seed: 3}, always)
+	want, found := brute(m, relaxed{zones: make([]bool, len(m.Zones))})
+	got, bad, err := Search(m, Config{Effort: 400, Seed: 3}, always)
 	switch {
 	case err != nil:
 		t.Fatal(err)
@@ -114,14 +114,14 @@
 	case !got.Proven:
 		t.Fatalf("not proven: %+v, of %+v", got, m)
 	}
-	j := newJob(got.Model, lifted{halls: make([]bool, len(m.Zones))}, 0, always)
-	orig := newJob(m.Normalized(), j.free, 0, always)
-	v, fits := orig.judge(j.had)
+	j := newJob(got.Model, relaxed{zones: make([]bool, len(m.Zones))}, 0, always)
+	orig := newJob(m.Normalized(), j.relaxed, 0, always)
+	v, fits := orig.evaluate(j.currentHosts)
 	if v.less(want) || want.less(v) || !fits || v.moves != len(got.Moves) || v.cost != got.Cost {
 		t.Fatalf("%+v, fits %t, said %+v, by brute force %+v, of %+v", v, fits, got, want, m)
 	}
-	for s, hosts := range j.had {
-		if len(hosts) != j.wanted[s] || !j.spreadOK(s, hosts) {
+	for s, hosts := range j.currentHosts {
+		if len(hosts) != j.wanted[s] || !j.inEnoughZones(s, hosts) {
 			t.Fatalf("%s on %v, of %+v", m.Segments[s].Name, hosts, m)
 		}
 	}
@@ -129,15 +129,15 @@
 }
 
 // holds checks that a misfit's reason is true by itself.
-func holds(t *testing.T, m *placement.Model, f *Misfit) {
+func holds(t *testing.T, m *placement.Model, f *Infeasibility) {
 	t.Helper()
 	n := m.Normalized()
 	switch f.Kind {
-	case TooFewHosts, NoRoom, MustMove, TooHeavy:
-		if f.Need <= f.Takes {
-			t.Fatalf("%d needed, %d there: %+v", f.Need, f.Takes, f)
+	case TooFewHosts, TooFewSlots, TooManyMoves, SegmentDemandTooHigh:
+		if f.Need <= f.Available {
+			t.Fatalf("%d needed, %d there: %+v", f.Need, f.Available, f)
 		}
-		if f.Kind == TooHeavy {
+		if f.Kind == SegmentDemandTooHigh {
 			asked, can := int64(0), int64(0)
 			for _, d := range n.Demands {
 				if d.Segment == f.Segment {
@@ -149,22 +149,22 @@
 					can += h.Capacity
 				}
 			}
-			if asked != f.Need || can != f.Takes {
+			if asked != f.Need || can != f.Available {
 				t.Fatalf("%+v, but %d and %d", f, asked, can)
 			}
 		}
-	case TooMuch:
-		if reason := f.Clash.Verify(Anywhere(n)); reason != "" {
-			t.Fatalf("%+v: %s", f.Clash, reason)
+	case DemandTooHigh:
+		if reason := f.Proof.Verify(OneSegmentModel(n)); reason != "" {
+			t.Fatalf("%+v: %s", f.Proof, reason)
 		}
-	case Together:
-		only := func(drop string) lifted {
-			l := lifted{true, true, true, true, make([]bool, len(n.Zones))}
+	case ConflictingLimits:
+		only := func(drop string) relaxed {
+			l := relaxed{true, true, true, true, make([]bool, len(n.Zones))}
 			for i, h := range n.Zones {
-				l.halls[i] = !slices.Contains(f.Limits, "hall "+h.Name) || drop == "hall "+h.Name
+				l.zones[i] = !slices.Contains(f.Limits, "hall "+h.Name) || drop == "hall "+h.Name
 			}
 			keep := func(name string) bool { return !slices.Contains(f.Limits, name) || drop == name }
-			l.copies, l.spread, l.holds, l.capacity = keep(limitCopies), keep(limitSpread), keep(limitHolds), keep(limitCapacity)
+			l.moves, l.spread, l.slots, l.capacity = keep(limitCopies), keep(limitSpread), keep(limitHolds), keep(limitCapacity)
 			return l
 		}
 		if _, found := brute(m, only("")); found {
@@ -185,7 +185,7 @@
 
 func TestDrawn(t *testing.T) {
 	r := rand.New(rand.NewSource(16))
-	kinds := map[MisfitKind]int{}
+	kinds := map[InfeasibilityKind]int{}
 	for i := range *seeded {
 		hosts, segments := 6, 3
 		if i%10 == 0 {
@@ -196,7 +196,7 @@
 		}
 	}
 	t.Logf("%d models, none fits: %v", *seeded, kinds)
-	if kinds[Together] < *seeded/100 || kinds[TooMuch] < *seeded/100 {
+	if kinds[ConflictingLimits] < *seeded/100 || kinds[DemandTooHigh] < *seeded/100 {
 		t.Errorf("too few misfits of a kind to tell: %v", kinds)
 	}
 }
