--- a/internal/control/policyclient/change_test.go
+++ b/internal/control/policyclient/change_test.go
@@ -66,7 +66,7 @@
 		closeS3Text + closeS1Text + "index any no-copies\n": "",
 	} {
 		c := f.propose(text)
-		ended, err := f.fleet.Policies().Await(f.ctx, c.Number, func(string) {})
+		ended, err := f.fleet.PolicyClient().Await(f.ctx, c.Number, func(string) {})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -87,7 +87,7 @@
 		"index any once-only\n":      "would do what this forbids",
 	} {
 		proposal := policyclient.Proposal{Base: before.Record.Epoch, Policy: f.parse(text)}
-		_, err := f.fleet.Policies().Propose(f.ctx, proposal)
+		_, err := f.fleet.PolicyClient().Propose(f.ctx, proposal)
 		if err == nil || !strings.Contains(err.Error(), reason) {
 			t.Errorf("%q: %v", text, err)
 		}
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	pending := f.proposeTwoAtOnce(before.Record.Epoch, "no-copies\n", closeS3Text)
-	if err := f.fleet.Policies().Abandon(f.ctx, pending.Number, "reverted while it was being prepared"); err != nil {
+	if err := f.fleet.PolicyClient().Abandon(f.ctx, pending.Number, "reverted while it was being prepared"); err != nil {
 		t.Fatal(err)
 	}
 	f.fleet.Gatherers[3].Process().Continue()
@@ -118,7 +118,7 @@
 	for _, text := range texts {
 		proposal := policyclient.Proposal{Base: base, Policy: f.parse(text)}
 		wait.Go(func() {
-			c, err := f.fleet.Policies().Propose(f.ctx, proposal)
+			c, err := f.fleet.PolicyClient().Propose(f.ctx, proposal)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -162,11 +162,11 @@
 		t.Errorf("%+v", u)
 	}
 	text := "turns s4 50%\n"
-	_, err := f.fleet.Policies().Propose(f.ctx, policyclient.Proposal{Policy: f.parse(text)})
+	_, err := f.fleet.PolicyClient().Propose(f.ctx, policyclient.Proposal{Policy: f.parse(text)})
 	if err == nil || !strings.Contains(err.Error(), "old does not know the kind turns; it is of an older version") {
 		t.Errorf("%v", err)
 	}
-	if err := f.fleet.Policies().Forget(f.ctx, "old"); err != nil {
+	if err := f.fleet.PolicyClient().Forget(f.ctx, "old"); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitApplied(f.propose(text))
--- a/internal/control/policyclient/fleet_test.go
+++ b/internal/control/policyclient/fleet_test.go
@@ -52,7 +52,7 @@
 )
 
 // threeServers have times that a machine full of other tests can keep.
-var threeServers = processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 60_000, Beat: 50}
+var threeServers = processtest.PolicyConfig{Servers: 3, Lease: 3000, ChangeTimeout: 60_000, Heartbeat: 50}
 
 // fleetTest is a fleet of processes with policy servers, under load.
 type fleetTest struct {
@@ -64,7 +64,7 @@
 }
 
 // startFleet starts a fleet and waits until all gatherers apply the policy.
-func startFleet(t *testing.T, gatherers, rate int, servers processtest.StewardTerms) *fleetTest {
+func startFleet(t *testing.T, gatherers, rate int, servers processtest.PolicyConfig) *fleetTest {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
@@ -77,14 +77,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if servers.Floor == "" {
-		servers.Floor = fallbackText
+	if servers.Fallback == "" {
+		servers.Fallback = fallbackText
 	}
 	f.fleet, err = processtest.StartFleet(ctx, scenario, processtest.Terms{
-		Binary:   binary,
-		Folder:   filepath.Join(t.TempDir(), "fleet"),
-		State:    true,
-		Stewards: servers,
+		Binary: binary,
+		Folder: filepath.Join(t.TempDir(), "fleet"),
+		State:  true,
+		Policy: servers,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -102,7 +102,7 @@
 func (f *fleetTest) status() *policyapi.Status {
 	ctx, cancel := context.WithTimeout(f.ctx, statusTimeout)
 	defer cancel()
-	s, err := f.fleet.Policies().Status(ctx)
+	s, err := f.fleet.PolicyClient().Status(ctx)
 	if err != nil {
 		return nil
 	}
@@ -141,7 +141,7 @@
 		f.Fatal("no policy server leads")
 	}
 	proposal := policyclient.Proposal{Base: s.Record.Epoch, Policy: p, Reason: f.Name()}
-	c, err := f.fleet.Policies().Propose(f.ctx, proposal)
+	c, err := f.fleet.PolicyClient().Propose(f.ctx, proposal)
 	if err != nil {
 		f.Fatal(err)
 	}
@@ -152,7 +152,7 @@
 func (f *fleetTest) awaitApplied(c *policy.Change) {
 	f.Helper()
 	onProgress := func(line string) { f.Logf("change %d: %s", c.Number, line) }
-	ended, err := f.fleet.Policies().Await(f.ctx, c.Number, onProgress)
+	ended, err := f.fleet.PolicyClient().Await(f.ctx, c.Number, onProgress)
 	if err != nil || ended.Outcome != policy.Committed {
 		f.Fatalf("%+v, %v", ended, err)
 	}
--- a/internal/control/policyclient/linearizable_test.go
+++ b/internal/control/policyclient/linearizable_test.go
@@ -61,7 +61,7 @@
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
 	call := l.now()
-	s, err := l.fleet.Policies().Status(ctx)
+	s, err := l.fleet.PolicyClient().Status(ctx)
 	if err != nil {
 		return
 	}
@@ -76,13 +76,13 @@
 func (l *operationLog) proposeChange(ctx context.Context, client int, id string) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
-	s, err := l.fleet.Policies().Status(ctx)
+	s, err := l.fleet.PolicyClient().Status(ctx)
 	if err != nil {
 		return
 	}
 	call := l.now()
 	p := policy.Policy{{Kind: policy.HostWeight, Subject: id, Value: 0.5}}
-	c, err := l.fleet.Policies().Propose(ctx, policyclient.Proposal{ID: id, Base: s.Record.Epoch, Policy: p})
+	c, err := l.fleet.PolicyClient().Propose(ctx, policyclient.Proposal{ID: id, Base: s.Record.Epoch, Policy: p})
 	out := output{}
 	end := l.now()
 	var rejected policy.RejectedError
@@ -128,7 +128,7 @@
 	l.Helper()
 	leader := l.fleet.Leader(l.ctx)
 	if leader == nil {
-		leader = l.fleet.Stewards[i%3]
+		leader = l.fleet.PolicyServers[i%3]
 	}
 	before := l.count()
 	inject := []func() error{
@@ -139,7 +139,7 @@
 	undo := []func() error{
 		leader.Start,
 		func() error { leader.Process().Continue(); return nil },
-		l.fleet.MendStewards,
+		l.fleet.MendPolicyServers,
 	}
 	if err := inject[i%3](); err != nil {
 		l.Fatal(err)
@@ -151,7 +151,7 @@
 	if err := undo[i%3](); err != nil {
 		l.Fatal(err)
 	}
-	if err := l.fleet.Led(l.ctx); err != nil {
+	if err := l.fleet.AwaitLeader(l.ctx); err != nil {
 		l.Fatal(err)
 	}
 }
@@ -160,7 +160,7 @@
 // suspended and isolated, is as if it had happened one after the other.
 func TestRecordIsLinearizable(t *testing.T) {
 	t.Parallel()
-	servers := processtest.StewardTerms{Count: 3, Lease: 3000, Limit: 5000, Beat: 50}
+	servers := processtest.PolicyConfig{Servers: 3, Lease: 3000, ChangeTimeout: 5000, Heartbeat: 50}
 	l := &operationLog{fleetTest: startFleet(t, 2, 10, servers), startedAt: time.Now()}
 	ctx, stop := context.WithCancel(l.ctx)
 	var wait sync.WaitGroup
--- a/internal/control/policyclient/outage_test.go
+++ b/internal/control/policyclient/outage_test.go
@@ -19,7 +19,7 @@
 // disk does not serve.
 func TestServingWithoutQuorum(t *testing.T) {
 	f := startFleet(t, 4, 60, threeServers)
-	servers := f.fleet.Stewards
+	servers := f.fleet.PolicyServers
 	f.awaitApplied(f.propose(closeS1Text))
 	f.checkFrom = unixMilliseconds()
 	f.awaitServed(20)
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	second := f.propose(closeS3Text)
-	var followers []*processtest.Steward
+	var followers []*processtest.PolicyServer
 	for _, s := range servers {
 		if s != leader {
 			followers = append(followers, s)
@@ -36,12 +36,12 @@
 		}
 	}
 	staleDisk := filepath.Join(t.TempDir(), "old")
-	if err := followers[0].Copy(staleDisk); err != nil {
+	if err := followers[0].CopyState(staleDisk); err != nil {
 		t.Fatal(err)
 	}
 	f.fleet.Gatherers[3].Process().Continue()
 	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
-	if _, err := f.fleet.Policies().Status(ctx); err == nil {
+	if _, err := f.fleet.PolicyClient().Status(ctx); err == nil {
 		t.Error("one policy server of three says that it is the leader")
 	}
 	cancel()
@@ -54,7 +54,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := f.fleet.Led(f.ctx); err != nil {
+	if err := f.fleet.AwaitLeader(f.ctx); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitApplied(second)
@@ -80,10 +80,10 @@
 }
 
 // checkStaleDisk restarts a policy server with an earlier copy of its disk: the others know that it has voted since.
-func (f *fleetTest) checkStaleDisk(s *processtest.Steward, staleDisk string) {
+func (f *fleetTest) checkStaleDisk(s *processtest.PolicyServer, staleDisk string) {
 	f.Helper()
 	s.Process().Kill()
-	if err := s.Paste(staleDisk); err != nil {
+	if err := s.RestoreState(staleDisk); err != nil {
 		f.Fatal(err)
 	}
 	if err := s.Start(); err != nil {
@@ -113,7 +113,7 @@
 	if err := leader.Isolate(false); err != nil {
 		t.Fatal(err)
 	}
-	for _, s := range f.fleet.Stewards {
+	for _, s := range f.fleet.PolicyServers {
 		for i, g := range f.fleet.Gatherers {
 			if (s == leader) != (i < 2) {
 				link := f.fleet.Link(g.Name + ":" + s.Name)
@@ -132,7 +132,7 @@
 	second := f.propose(closeS3Text)
 	f.awaitApplied(second)
 	f.awaitServed(30)
-	if err := f.fleet.MendStewards(); err != nil {
+	if err := f.fleet.MendPolicyServers(); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitStatus("all apply the second change", func(s *policyapi.Status) bool {
--- a/internal/control/policyclient/tighten_test.go
+++ b/internal/control/policyclient/tighten_test.go
@@ -15,7 +15,7 @@
 func TestNonIdempotentByPolicy(t *testing.T) {
 	t.Parallel()
 	servers := threeServers
-	servers.Floor = "no-copies\nindex any once-only least 75%\nfurther share 0% free 0\ncold 20%\n"
+	servers.Fallback = "no-copies\nindex any once-only least 75%\nfurther share 0% free 0\ncold 20%\n"
 	f := startFleet(t, 4, 80, servers)
 	for _, name := range []string{"s1", "s2", "s5"} {
 		f.fleet.Servers[name].Slow(30)
@@ -45,16 +45,16 @@
 	before, meanwhile, after := 0, 0, 0
 	for _, s := range sends {
 		switch {
-		case s.Index != "any":
-		case s.At < tightened && s.Again:
+		case s.Class != "any":
+		case s.At < tightened && s.Repeated:
 			before++
-		case s.Taken > tightened && s.At < loosening:
+		case s.AdmittedAt > tightened && s.At < loosening:
 			meanwhile++
-			if s.Again {
+			if s.Repeated {
 				t.Errorf("%s sent a shard request of %s again while the class was non-idempotent, "+
-					"%.0f ms after its query was admitted", s.Gatherer, s.Index, s.At-s.Taken)
+					"%.0f ms after its query was admitted", s.Gatherer, s.Class, s.At-s.AdmittedAt)
 			}
-		case s.Taken > loosened && s.Again:
+		case s.AdmittedAt > loosened && s.Repeated:
 			after++
 		}
 	}
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -39,7 +39,7 @@
 	Operator string // text put into each gatherer's operator's file
 	State    bool   // gatherers have a state folder
 	Report   bool   // and tell of themselves
-	Stewards StewardTerms
+	Policy   PolicyConfig
 	MemoryMB float64 // what the platform says that each may use, 192 unless told
 }
 
@@ -47,7 +47,7 @@
 type Fleet struct {
 	Scenario          *Scenario
 	Gatherers         []*Gatherer
-	Stewards          []*Steward
+	PolicyServers     []*PolicyServer
 	Front             *Front
 	*experiment.Fleet // the servers and discovery
 
@@ -154,10 +154,10 @@
 		id := discovery.Number(name)
 		s.Watch(func(seen shards.Seen) { f.see(id, seen) })
 	}
-	if err = f.layStewards(); err != nil {
+	if err = f.layPolicyServers(); err != nil {
 		return nil, err
 	}
-	if err = f.startStewards(ctx); err != nil {
+	if err = f.startPolicyServers(ctx); err != nil {
 		return nil, err
 	}
 	for i := range sc.Gatherers.Count {
@@ -298,7 +298,7 @@
 		processes = append(processes, g.processes...)
 		g.mu.Unlock()
 	}
-	for _, w := range f.Stewards {
+	for _, w := range f.PolicyServers {
 		w.mu.Lock()
 		processes = append(processes, w.processes...)
 		w.mu.Unlock()
@@ -321,7 +321,7 @@
 		wait.Go(g.close)
 	}
 	wait.Wait()
-	for _, w := range f.Stewards {
+	for _, w := range f.PolicyServers {
 		wait.Go(func() { f.end(w.Process()) })
 	}
 	wait.Wait()
@@ -461,7 +461,7 @@
 	if g.Reports != "" {
 		fmt.Fprintf(&operator, "report listen %s\n", g.Reports)
 	}
-	governed, err := g.governed()
+	governed, err := g.policyDirectives()
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/processtest/stewards.go
+++ b/internal/testbed/processtest/policyservers.go
@@ -18,18 +18,18 @@
 	"yokeroute/internal/rulecheck"
 )
 
-// StewardTerms are the stewards of a fleet, none where Count is 0.
-type StewardTerms struct {
-	Count int
-	Floor string  // text of the gatherers' floor
-	Lease float64 // milliseconds
-	Limit float64
-	Beat  float64
+// PolicyConfig are the stewards of a fleet, none where Count is 0.
+type PolicyConfig struct {
+	Servers       int
+	Fallback      string  // text of the gatherers' floor
+	Lease         float64 // milliseconds
+	ChangeTimeout float64
+	Heartbeat     float64
 }
 
-// Steward is one steward of a fleet, through all of its processes. Ways to it are links: those of gatherers G:W1, and
+// PolicyServer is one steward of a fleet, through all of its processes. Ways to it are links: those of gatherers G:W1, and
 // among stewards W1:W2 for the log and W1:W2.http beside it.
-type Steward struct {
+type PolicyServer struct {
 	Name   string
 	Folder string
 	Binary string
@@ -43,19 +43,19 @@
 	started   int
 }
 
-// layStewards lays the stewards' addresses and links, before anything starts.
-func (f *Fleet) layStewards() error {
-	t := f.terms.Stewards
-	for i := range t.Count {
-		w := &Steward{Name: fmt.Sprint("w", i+1), fleet: f, Binary: f.terms.Binary, HTTP: fmt.Sprintf("%s.%d:8700", f.base, 230+i), Raft: fmt.Sprintf("%s.%d:8701", f.base, 230+i)}
+// layPolicyServers lays the stewards' addresses and links, before anything starts.
+func (f *Fleet) layPolicyServers() error {
+	t := f.terms.Policy
+	for i := range t.Servers {
+		w := &PolicyServer{Name: fmt.Sprint("w", i+1), fleet: f, Binary: f.terms.Binary, HTTP: fmt.Sprintf("%s.%d:8700", f.base, 230+i), Raft: fmt.Sprintf("%s.%d:8701", f.base, 230+i)}
 		w.Folder = filepath.Join(f.terms.Folder, w.Name)
 		if err := os.MkdirAll(w.Folder, 0o755); err != nil {
 			return err
 		}
-		f.Stewards = append(f.Stewards, w)
+		f.PolicyServers = append(f.PolicyServers, w)
 	}
-	for _, w := range f.Stewards {
-		for _, o := range f.Stewards {
+	for _, w := range f.PolicyServers {
+		for _, o := range f.PolicyServers {
 			if w == o {
 				continue
 			}
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// startStewards starts all of them, side by side: none serves before another is there.
-func (f *Fleet) startStewards(ctx context.Context) error {
-	for _, w := range f.Stewards {
+// startPolicyServers starts all of them, side by side: none serves before another is there.
+func (f *Fleet) startPolicyServers(ctx context.Context) error {
+	for _, w := range f.PolicyServers {
 		if err := w.Start(); err != nil {
 			return err
 		}
 	}
-	return f.Led(ctx)
+	return f.AwaitLeader(ctx)
 }
 
-// Led waits until a steward leads.
-func (f *Fleet) Led(ctx context.Context) error {
-	if len(f.Stewards) == 0 {
+// AwaitLeader waits until a steward leads.
+func (f *Fleet) AwaitLeader(ctx context.Context) error {
+	if len(f.PolicyServers) == 0 {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, 100*time.Second)
@@ -91,28 +91,28 @@
 	err := process.WaitUntil(ctx, "a steward leads", func() bool {
 		one, end := context.WithTimeout(ctx, 2*time.Second)
 		defer end()
-		_, last = f.Policies().Status(one)
+		_, last = f.PolicyClient().Status(one)
 		return last == nil
 	})
 	return errors.Join(err, last)
 }
 
-// Policies asks whichever steward leads.
-func (f *Fleet) Policies() *policyclient.Client {
+// PolicyClient asks whichever steward leads.
+func (f *Fleet) PolicyClient() *policyclient.Client {
 	c := &policyclient.Client{}
-	for _, w := range f.Stewards {
+	for _, w := range f.PolicyServers {
 		c.Servers = append(c.Servers, w.HTTP)
 	}
 	return c
 }
 
 // Leader is the steward that leads, nil where none is known to.
-func (f *Fleet) Leader(ctx context.Context) *Steward {
-	s, err := f.Policies().Status(ctx)
+func (f *Fleet) Leader(ctx context.Context) *PolicyServer {
+	s, err := f.PolicyClient().Status(ctx)
 	if err != nil {
 		return nil
 	}
-	for _, w := range f.Stewards {
+	for _, w := range f.PolicyServers {
 		if w.Name == s.Server {
 			return w
 		}
@@ -120,12 +120,12 @@
 	return nil
 }
 
-// file is its steward's file.
-func (w *Steward) file() string {
-	t := w.fleet.terms.Stewards
+// configText is its steward's file.
+func (w *PolicyServer) configText() string {
+	t := w.fleet.terms.Policy
 	var b strings.Builder
-	fmt.Fprintf(&b, "steward %s in state listen %s raft %s\nlease %gms limit %gms\nbeat %gms\n", w.Name, w.HTTP, w.Raft, t.Lease, t.Limit, t.Beat)
-	for _, o := range w.fleet.Stewards {
+	fmt.Fprintf(&b, "steward %s in state listen %s raft %s\nlease %gms limit %gms\nbeat %gms\n", w.Name, w.HTTP, w.Raft, t.Lease, t.ChangeTimeout, t.Heartbeat)
+	for _, o := range w.fleet.PolicyServers {
 		raft, http := o.Raft, o.HTTP
 		if o != w {
 			raft, http = w.fleet.Link(w.Name+":"+o.Name).Address(), w.fleet.Link(w.Name+":"+o.Name+".http").Address()
@@ -136,12 +136,12 @@
 }
 
 // Start starts a process of it and does not wait.
-func (w *Steward) Start() error {
+func (w *PolicyServer) Start() error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.started++
 	file := filepath.Join(w.Folder, "steward.conf")
-	if err := os.WriteFile(file, []byte(w.file()), 0o644); err != nil {
+	if err := os.WriteFile(file, []byte(w.configText()), 0o644); err != nil {
 		return err
 	}
 	p, err := process.Start(fmt.Sprintf("%s.%d", w.Name, w.started), w.Binary, []string{"steward", file}, nil)
@@ -153,20 +153,20 @@
 }
 
 // Process is its newest process.
-func (w *Steward) Process() *process.Process {
+func (w *PolicyServer) Process() *process.Process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.process
 }
 
 // StateFolder is what lasts of it.
-func (w *Steward) StateFolder() string { return filepath.Join(w.Folder, "state") }
+func (w *PolicyServer) StateFolder() string { return filepath.Join(w.Folder, "state") }
 
-// Copy keeps its disk as it is; it must not run meanwhile. Paste puts it back.
-func (w *Steward) Copy(to string) error { return os.CopyFS(to, os.DirFS(w.StateFolder())) }
+// CopyState keeps its disk as it is; it must not run meanwhile. Paste puts it back.
+func (w *PolicyServer) CopyState(to string) error { return os.CopyFS(to, os.DirFS(w.StateFolder())) }
 
-// Paste puts a disk back that Copy has kept.
-func (w *Steward) Paste(from string) error {
+// RestoreState puts a disk back that Copy has kept.
+func (w *PolicyServer) RestoreState(from string) error {
 	if err := os.RemoveAll(w.StateFolder()); err != nil {
 		return err
 	}
@@ -174,7 +174,7 @@
 }
 
 // Isolate cuts a steward off from the other stewards, or from the gatherers as well.
-func (w *Steward) Isolate(gatherers bool) error {
+func (w *PolicyServer) Isolate(gatherers bool) error {
 	f := w.fleet
 	all := append(f.Links(w.Name+":*"), f.Links("w*:"+w.Name)...)
 	all = append(all, f.Links("w*:"+w.Name+".http")...)
@@ -189,7 +189,7 @@
 }
 
 // Mend mends all links of stewards.
-func (f *Fleet) MendStewards() error {
+func (f *Fleet) MendPolicyServers() error {
 	var errs []error
 	for _, k := range append(f.Links("w*:*"), f.Links("g*:w*")...) {
 		errs = append(errs, k.Mend())
@@ -197,14 +197,14 @@
 	return errors.Join(errs...)
 }
 
-// governed are the lines of a gatherer's operator's file that have it follow the stewards.
-func (g *Gatherer) governed() (string, error) {
+// policyDirectives are the lines of a gatherer's operator's file that have it follow the stewards.
+func (g *Gatherer) policyDirectives() (string, error) {
 	f := g.fleet
-	if len(f.Stewards) == 0 {
+	if len(f.PolicyServers) == 0 {
 		return "", nil
 	}
 	var b strings.Builder
-	for _, w := range f.Stewards {
+	for _, w := range f.PolicyServers {
 		k, err := f.link(g.Name, w.Name, w.HTTP)
 		if err != nil {
 			return "", err
@@ -212,17 +212,17 @@
 		fmt.Fprintf(&b, "steward %s %s\n", w.Name, k.Address())
 	}
 	b.WriteString("policy floor floor.conf\n")
-	return b.String(), os.WriteFile(filepath.Join(g.Folder, "floor.conf"), []byte(f.terms.Stewards.Floor), 0o644)
+	return b.String(), os.WriteFile(filepath.Join(g.Folder, "floor.conf"), []byte(f.terms.Policy.Fallback), 0o644)
 }
 
 // Send is a part call whose bytes began to go.
 type Send struct {
-	At       float64 // Unix milliseconds
-	Gatherer string
-	Server   string
-	Index    string
-	Taken    float64 // when its lookup was
-	Again    bool    // its part was called before, and that call may have run by then
+	At         float64 // Unix milliseconds
+	Gatherer   string
+	Server     string
+	Class      string
+	AdmittedAt float64 // when its lookup was
+	Repeated   bool    // its part was called before, and that call may have run by then
 }
 
 // Sends are all part calls of all processes, in the order of their times. Processes that still serve have to be ended
