--- a/internal/control/policyclient/fleet_test.go
+++ b/internal/control/policyclient/fleet_test.go
@@ -52,7 +52,12 @@
 )
 
 // threeServers have times that a machine full of other tests can keep.
-var threeServers = processtest.PolicyConfig{Servers: 3, Lease: 3000, ChangeTimeout: 60_000, Heartbeat: 50}
+var threeServers = processtest.PolicyConfig{
+	Servers:       3,
+	Lease:         3 * time.Second,
+	ChangeTimeout: time.Minute,
+	Heartbeat:     50 * time.Millisecond,
+}
 
 // fleetTest is a fleet of processes with policy servers, under load.
 type fleetTest struct {
--- a/internal/control/policyclient/linearizable_test.go
+++ b/internal/control/policyclient/linearizable_test.go
@@ -13,7 +13,6 @@
 
 	"yokeroute/internal/control/policyclient"
 	"yokeroute/internal/process"
-	"yokeroute/internal/testbed/processtest"
 	"yokeroute/logic/policy"
 )
 
@@ -160,7 +159,8 @@
 // suspended and isolated, is as if it had happened one after the other.
 func TestRecordIsLinearizable(t *testing.T) {
 	t.Parallel()
-	servers := processtest.PolicyConfig{Servers: 3, Lease: 3000, ChangeTimeout: 5000, Heartbeat: 50}
+	servers := threeServers
+	servers.ChangeTimeout = 5 * time.Second
 	l := &operationLog{fleetTest: startFleet(t, 2, 10, servers), startedAt: time.Now()}
 	ctx, stop := context.WithCancel(l.ctx)
 	var wait sync.WaitGroup
--- a/internal/testbed/processtest/policyservers.go
+++ b/internal/testbed/processtest/policyservers.go
@@ -1,34 +1,44 @@
 package processtest
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
 	"os"
 	"path/filepath"
-	"slices"
 	"strings"
 	"sync"
 	"time"
 
 	"yokeroute/internal/control/policyclient"
-	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/process"
-	"yokeroute/internal/rulecheck"
 )
 
-// PolicyConfig are the stewards of a fleet, none where Count is 0.
+const (
+	// Policy servers have addresses of the fleet from this host number on.
+	firstPolicyHost = 230
+	policyHTTPPort  = 8700
+	policyRaftPort  = 8701
+
+	leaderTimeout = 100 * time.Second // for the election of a leader after a start
+	statusTimeout = 2 * time.Second
+
+	policyServerFile   = "steward.conf"
+	policyStateFolder  = "state"
+	fallbackPolicyFile = "floor.conf"
+)
+
+// PolicyConfig configures the policy servers of a fleet.
 type PolicyConfig struct {
-	Servers       int
-	Fallback      string  // text of the gatherers' floor
-	Lease         float64 // milliseconds
-	ChangeTimeout float64
-	Heartbeat     float64
+	Servers       int    // 0 for a fleet without policies
+	Fallback      string // text of the gatherers' fallback policy
+	Lease         time.Duration
+	ChangeTimeout time.Duration
+	Heartbeat     time.Duration
 }
 
-// PolicyServer is one steward of a fleet, through all of its processes. Ways to it are links: those of gatherers G:W1, and
-// among stewards W1:W2 for the log and W1:W2.http beside it.
+// PolicyServer is one policy server of a fleet, through all of its processes. Connections to it go through links: those
+// of gatherers are named G:W1, those of policy servers W1:W2 for raft and W1:W2.http for the protocol.
 type PolicyServer struct {
 	Name   string
 	Folder string
@@ -43,26 +53,33 @@
 	started   int
 }
 
-// layPolicyServers lays the stewards' addresses and links, before anything starts.
+// layPolicyServers assigns addresses to the policy servers and lays the links between them, before anything starts.
 func (f *Fleet) layPolicyServers() error {
-	t := f.terms.Policy
-	for i := range t.Servers {
-		w := &PolicyServer{Name: fmt.Sprint("w", i+1), fleet: f, Binary: f.terms.Binary, HTTP: fmt.Sprintf("%s.%d:8700", f.base, 230+i), Raft: fmt.Sprintf("%s.%d:8701", f.base, 230+i)}
-		w.Folder = filepath.Join(f.terms.Folder, w.Name)
-		if err := os.MkdirAll(w.Folder, 0o755); err != nil {
+	for i := range f.terms.Policy.Servers {
+		host := fmt.Sprintf("%s.%d", f.base, firstPolicyHost+i)
+		name := fmt.Sprint("w", i+1)
+		s := &PolicyServer{
+			Name:   name,
+			Folder: filepath.Join(f.terms.Folder, name),
+			Binary: f.terms.Binary,
+			HTTP:   fmt.Sprintf("%s:%d", host, policyHTTPPort),
+			Raft:   fmt.Sprintf("%s:%d", host, policyRaftPort),
+			fleet:  f,
+		}
+		if err := os.MkdirAll(s.Folder, 0o755); err != nil {
 			return err
 		}
-		f.PolicyServers = append(f.PolicyServers, w)
+		f.PolicyServers = append(f.PolicyServers, s)
 	}
-	for _, w := range f.PolicyServers {
-		for _, o := range f.PolicyServers {
-			if w == o {
+	for _, from := range f.PolicyServers {
+		for _, to := range f.PolicyServers {
+			if from == to {
 				continue
 			}
-			if _, err := f.link(w.Name, o.Name, o.Raft); err != nil {
+			if _, err := f.link(from.Name, to.Name, to.Raft); err != nil {
 				return err
 			}
-			if _, err := f.link(w.Name, o.Name+".http", o.HTTP); err != nil {
+			if _, err := f.link(from.Name, to.Name+".http", to.HTTP); err != nil {
 				return err
 			}
 		}
@@ -70,199 +87,157 @@
 	return nil
 }
 
-// startPolicyServers starts all of them, side by side: none serves before another is there.
+// startPolicyServers starts all policy servers side by side, as none serves before another has answered.
 func (f *Fleet) startPolicyServers(ctx context.Context) error {
-	for _, w := range f.PolicyServers {
-		if err := w.Start(); err != nil {
+	for _, s := range f.PolicyServers {
+		if err := s.Start(); err != nil {
 			return err
 		}
 	}
 	return f.AwaitLeader(ctx)
 }
 
-// AwaitLeader waits until a steward leads.
+// AwaitLeader waits until a policy server is the leader, where the fleet has any.
 func (f *Fleet) AwaitLeader(ctx context.Context) error {
 	if len(f.PolicyServers) == 0 {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, 100*time.Second)
+	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
 	var last error
-	err := process.WaitUntil(ctx, "a steward leads", func() bool {
-		one, end := context.WithTimeout(ctx, 2*time.Second)
-		defer end()
-		_, last = f.PolicyClient().Status(one)
+	err := process.WaitUntil(ctx, "a policy server leads", func() bool {
+		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
+		defer cancel()
+		_, last = f.PolicyClient().Status(ctx)
 		return last == nil
 	})
 	return errors.Join(err, last)
 }
 
-// PolicyClient asks whichever steward leads.
+// PolicyClient returns a client of all policy servers.
 func (f *Fleet) PolicyClient() *policyclient.Client {
 	c := &policyclient.Client{}
-	for _, w := range f.PolicyServers {
-		c.Servers = append(c.Servers, w.HTTP)
+	for _, s := range f.PolicyServers {
+		c.Servers = append(c.Servers, s.HTTP)
 	}
 	return c
 }
 
-// Leader is the steward that leads, nil where none is known to.
+// Leader returns the policy server that is the leader, nil where none is known to be.
 func (f *Fleet) Leader(ctx context.Context) *PolicyServer {
-	s, err := f.PolicyClient().Status(ctx)
+	status, err := f.PolicyClient().Status(ctx)
 	if err != nil {
 		return nil
 	}
-	for _, w := range f.PolicyServers {
-		if w.Name == s.Server {
-			return w
+	for _, s := range f.PolicyServers {
+		if s.Name == status.Server {
+			return s
 		}
 	}
 	return nil
 }
 
-// configText is its steward's file.
-func (w *PolicyServer) configText() string {
-	t := w.fleet.terms.Policy
+// configText returns the text of the server's configuration file.
+func (s *PolicyServer) configText() string {
+	c := s.fleet.terms.Policy
 	var b strings.Builder
-	fmt.Fprintf(&b, "steward %s in state listen %s raft %s\nlease %gms limit %gms\nbeat %gms\n", w.Name, w.HTTP, w.Raft, t.Lease, t.ChangeTimeout, t.Heartbeat)
-	for _, o := range w.fleet.PolicyServers {
-		raft, http := o.Raft, o.HTTP
-		if o != w {
-			raft, http = w.fleet.Link(w.Name+":"+o.Name).Address(), w.fleet.Link(w.Name+":"+o.Name+".http").Address()
+	fmt.Fprintf(&b, "steward %s in %s listen %s raft %s\n", s.Name, policyStateFolder, s.HTTP, s.Raft)
+	fmt.Fprintf(&b, "lease %s limit %s\n", millisecondsText(c.Lease), millisecondsText(c.ChangeTimeout))
+	fmt.Fprintf(&b, "beat %s\n", millisecondsText(c.Heartbeat))
+	for _, peer := range s.fleet.PolicyServers {
+		raft, http := peer.Raft, peer.HTTP
+		if peer != s {
+			raft = s.fleet.Link(s.Name + ":" + peer.Name).Address()
+			http = s.fleet.Link(s.Name + ":" + peer.Name + ".http").Address()
 		}
-		fmt.Fprintf(&b, "peer %s raft %s http %s\n", o.Name, raft, http)
+		fmt.Fprintf(&b, "peer %s raft %s http %s\n", peer.Name, raft, http)
 	}
 	return b.String()
 }
 
-// Start starts a process of it and does not wait.
-func (w *PolicyServer) Start() error {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.started++
-	file := filepath.Join(w.Folder, "steward.conf")
-	if err := os.WriteFile(file, []byte(w.configText()), 0o644); err != nil {
+func millisecondsText(d time.Duration) string {
+	return fmt.Sprintf("%gms", float64(d)/float64(time.Millisecond))
+}
+
+// Start starts a process of the server and does not wait for it.
+func (s *PolicyServer) Start() error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.started++
+	file := filepath.Join(s.Folder, policyServerFile)
+	if err := os.WriteFile(file, []byte(s.configText()), 0o644); err != nil {
 		return err
 	}
-	p, err := process.Start(fmt.Sprintf("%s.%d", w.Name, w.started), w.Binary, []string{"steward", file}, nil)
+	name := fmt.Sprintf("%s.%d", s.Name, s.started)
+	p, err := process.Start(name, s.Binary, []string{"policy-server", file}, nil)
 	if err != nil {
 		return err
 	}
-	w.process, w.processes = p, append(w.processes, p)
+	s.process = p
+	s.processes = append(s.processes, p)
 	return nil
 }
 
-// Process is its newest process.
-func (w *PolicyServer) Process() *process.Process {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.process
+// Process returns the server's latest process.
+func (s *PolicyServer) Process() *process.Process {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.process
 }
 
-// StateFolder is what lasts of it.
-func (w *PolicyServer) StateFolder() string { return filepath.Join(w.Folder, "state") }
+// StateFolder returns the folder of the server's stored state.
+func (s *PolicyServer) StateFolder() string { return filepath.Join(s.Folder, policyStateFolder) }
 
-// CopyState keeps its disk as it is; it must not run meanwhile. Paste puts it back.
-func (w *PolicyServer) CopyState(to string) error { return os.CopyFS(to, os.DirFS(w.StateFolder())) }
+// CopyState copies the server's stored state to a folder, while it does not run.
+func (s *PolicyServer) CopyState(to string) error { return os.CopyFS(to, os.DirFS(s.StateFolder())) }
 
-// RestoreState puts a disk back that Copy has kept.
-func (w *PolicyServer) RestoreState(from string) error {
-	if err := os.RemoveAll(w.StateFolder()); err != nil {
+// RestoreState replaces the server's stored state by a copy.
+func (s *PolicyServer) RestoreState(from string) error {
+	if err := os.RemoveAll(s.StateFolder()); err != nil {
 		return err
 	}
-	return os.CopyFS(w.StateFolder(), os.DirFS(from))
+	return os.CopyFS(s.StateFolder(), os.DirFS(from))
 }
 
-// Isolate cuts a steward off from the other stewards, or from the gatherers as well.
-func (w *PolicyServer) Isolate(gatherers bool) error {
-	f := w.fleet
-	all := append(f.Links(w.Name+":*"), f.Links("w*:"+w.Name)...)
-	all = append(all, f.Links("w*:"+w.Name+".http")...)
+// Isolate cuts the server off from the other policy servers, and from the gatherers where that is wanted.
+func (s *PolicyServer) Isolate(gatherers bool) error {
+	f := s.fleet
+	links := append(f.Links(s.Name+":*"), f.Links("w*:"+s.Name)...)
+	links = append(links, f.Links("w*:"+s.Name+".http")...)
 	if gatherers {
-		all = append(all, f.Links("g*:"+w.Name)...)
+		links = append(links, f.Links("g*:"+s.Name)...)
 	}
 	var errs []error
-	for _, k := range all {
-		errs = append(errs, k.Cut(true))
+	for _, link := range links {
+		errs = append(errs, link.Cut(true))
 	}
 	return errors.Join(errs...)
 }
 
-// Mend mends all links of stewards.
+// MendPolicyServers restores all links of policy servers.
 func (f *Fleet) MendPolicyServers() error {
 	var errs []error
-	for _, k := range append(f.Links("w*:*"), f.Links("g*:w*")...) {
-		errs = append(errs, k.Mend())
+	for _, link := range append(f.Links("w*:*"), f.Links("g*:w*")...) {
+		errs = append(errs, link.Mend())
 	}
 	return errors.Join(errs...)
 }
 
-// policyDirectives are the lines of a gatherer's operator's file that have it follow the stewards.
+// policyDirectives returns the directives by which a gatherer polls the policy servers, and writes its fallback policy.
 func (g *Gatherer) policyDirectives() (string, error) {
 	f := g.fleet
 	if len(f.PolicyServers) == 0 {
 		return "", nil
 	}
 	var b strings.Builder
-	for _, w := range f.PolicyServers {
-		k, err := f.link(g.Name, w.Name, w.HTTP)
+	for _, s := range f.PolicyServers {
+		link, err := f.link(g.Name, s.Name, s.HTTP)
 		if err != nil {
 			return "", err
 		}
-		fmt.Fprintf(&b, "steward %s %s\n", w.Name, k.Address())
-	}
-	b.WriteString("policy floor floor.conf\n")
-	return b.String(), os.WriteFile(filepath.Join(g.Folder, "floor.conf"), []byte(f.terms.Policy.Fallback), 0o644)
-}
-
-// Send is a part call whose bytes began to go.
-type Send struct {
-	At         float64 // Unix milliseconds
-	Gatherer   string
-	Server     string
-	Class      string
-	AdmittedAt float64 // when its lookup was
-	Repeated   bool    // its part was called before, and that call may have run by then
-}
-
-// Sends are all part calls of all processes, in the order of their times. Processes that still serve have to be ended
-// before, by Close.
-func (f *Fleet) Sends() (all []Send, err error) {
-	names := map[uint32]string{}
-	for name := range f.Servers {
-		names[discovery.Number(name)] = name
-	}
-	sources, done, err := f.sources()
-	defer done()
-	if err != nil {
-		return nil, err
-	}
-	for _, source := range sources {
-		unix, gatherer := 0.0, f.Gatherers[source.Gatherer-1].Name
-		type part struct {
-			lookup uint64
-			shard  int
-		}
-		taken, ran := map[uint64]rulecheck.Event{}, map[part]int{} // calls of parts that may have run
-		err := rulecheck.Read(source.From, func(h rulecheck.Header) error { unix = h.Unix; return nil }, func(e rulecheck.Event) {
-			at := part{e.Lookup, e.Shard}
-			switch e.Kind {
-			case rulecheck.Taken:
-				taken[e.Lookup] = e
-			case rulecheck.Sent:
-				lk := taken[e.Lookup]
-				all = append(all, Send{unix + e.At, gatherer, names[e.Server], lk.Index, unix + lk.At, ran[at] > 0})
-				ran[at]++
-			case rulecheck.Ended:
-				if rulecheck.Unrun(e.Outcome) {
-					ran[at]--
-				}
-			}
-		})
-		if err != nil && !errors.Is(err, rulecheck.ErrCut) {
-			return nil, fmt.Errorf("%s: %w", source.Name, err)
-		}
+		fmt.Fprintf(&b, "steward %s %s\n", s.Name, link.Address())
 	}
-	slices.SortFunc(all, func(a, b Send) int { return cmp.Compare(a.At, b.At) })
-	return all, nil
+	fmt.Fprintf(&b, "policy floor %s\n", fallbackPolicyFile)
+	file := filepath.Join(g.Folder, fallbackPolicyFile)
+	return b.String(), os.WriteFile(file, []byte(f.terms.Policy.Fallback), 0o644)
 }
