--- a/internal/testbed/scale/figures.go
+++ b/internal/testbed/scale/figures.go
@@ -63,9 +63,9 @@
 }
 
 // PolicyFigures measures policies at numbers of gatherers, with one fault in each change.
-func PolicyFigures(ctx context.Context, t PolicyTerms, gatherers []int, folder func() (string, error), say Progress) ([]Figure, error) {
+func PolicyFigures(ctx context.Context, t PolicyConfig, gatherers []int, folder func() (string, error), say Progress) ([]Figure, error) {
 	const per = "gatherer"
-	name := func(what string) string { return fmt.Sprintf("policy, %d stewards, %s: %s", t.Stewards, t.Fault, what) }
+	name := func(what string) string { return fmt.Sprintf("policy, %d stewards, %s: %s", t.Servers, t.Fault, what) }
 	start := newFigure(name("start of all at once"), per, "s", DesignGatherers, 0)
 	leader := newFigure(name("leader at rest"), per, "cores", DesignGatherers, 0)
 	leaderMemory := newFigure(name("leader's memory"), per, "MB", DesignGatherers, 0)
@@ -79,7 +79,7 @@
 	unfinished := newFigure(name("changes not everywhere within 40 s"), per, "", DesignGatherers, 0)
 	changing := newFigure(name("leader during changes"), per, "cores", DesignGatherers, 0)
 	for _, n := range gatherers {
-		say("policies: %d stewards, %d hollow gatherers, %d changes, fault %s", t.Stewards, n, t.Changes, t.Fault)
+		say("policies: %d stewards, %d hollow gatherers, %d changes, fault %s", t.Servers, n, t.Changes, t.Fault)
 		var err error
 		if t.Folder, err = folder(); err != nil {
 			return nil, err
@@ -90,25 +90,25 @@
 			return nil, err
 		}
 		size := float64(n)
-		start.add(size, c.Start.Seconds())
-		if t.Rest > 0 {
-			leader.add(size, c.RestLeader)
+		start.add(size, c.StartTime.Seconds())
+		if t.IdleTime > 0 {
+			leader.add(size, c.IdleLeaderCores)
 			leaderMemory.add(size, c.LeaderMB)
-			each.add(size, c.RestEach)
-			bytes.add(size, c.RestBytes)
-			memory.add(size, c.EachBytes/(1<<20))
+			each.add(size, c.IdleGathererCores)
+			bytes.add(size, c.IdleGathererBytes)
+			memory.add(size, c.GathererMemory/(1<<20))
 		}
-		for i := range c.InForce {
+		for i := range c.AppliedTimes {
 			middle.add(size, c.P50[i].Seconds())
 			late.add(size, c.P99[i].Seconds())
-			last.add(size, c.InForce[i].Seconds())
+			last.add(size, c.AppliedTimes[i].Seconds())
 		}
-		for _, back := range c.Returned {
+		for _, back := range c.ReturnTimes {
 			returned.add(size, back.Seconds())
 		}
 		if t.Changes > 0 {
 			unfinished.add(size, float64(c.Unfinished))
-			changing.add(size, c.ChangeCores)
+			changing.add(size, c.LeaderCoresInChanges)
 		}
 	}
 	figures := []*Figure{start, leader, leaderMemory, each, bytes, memory, middle, late, last, unfinished, changing}
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		terms := PolicyTerms{Stewards: 1, Changes: 1, Rest: 100 * time.Millisecond, Fault: NoFault, Binary: binary}
+		terms := PolicyConfig{Servers: 1, Changes: 1, IdleTime: 100 * time.Millisecond, Fault: NoFault, Binary: binary}
 		figures, err := PolicyFigures(t.Context(), terms, []int{3}, func() (string, error) { return t.TempDir(), nil }, quiet)
 		measured(t, figures, err)
 	})
@@ -107,7 +107,7 @@
 			_, err := Decide(t.Context(), DecisionTerms{Servers: 1, Replicas: 1, Rate: 1, Seconds: 1})
 			return err
 		},
-		"0 stewards": func() error { _, err := Policies(t.Context(), PolicyTerms{Gatherers: 1}); return err },
+		"0 stewards": func() error { _, err := Policies(t.Context(), PolicyConfig{Gatherers: 1}); return err },
 	} {
 		if err := measure(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
