--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -23,7 +23,7 @@
 	decisions "yokeroute/logic/policy"
 )
 
-// PolicyFault is what befalls the fleet while a change is made.
+// PolicyFault is a fault that is injected while a change is made.
 type PolicyFault string
 
 // The faults.
@@ -40,33 +40,33 @@
 // PolicyFaults are all of them, in the order in which they are measured.
 var PolicyFaults = []PolicyFault{NoFault, OneKilled, OneStopped, ManyKilled, LeaderKilled, LeaderStopped, RegionCut}
 
-// PolicyConfig are stewards as processes and hollow gatherers in this one, which follow them over HTTP.
+// PolicyConfig describes policy servers as processes, and hollow gatherers in this process that poll them over HTTP.
 type PolicyConfig struct {
 	Servers   int
 	Gatherers int
 	Changes   int           // in a row
 	IdleTime  time.Duration // measured with nothing to do
 	Fault     PolicyFault   // in each change
-	Binary    string        // the gatherer's program, which holds the stewards as well
+	Binary    string        // the gatherer's program, which contains the policy server
 	Folder    string        // for their state
 }
 
 // PolicyCost is what it came to.
 type PolicyCost struct {
-	StartTime            time.Duration // until all gatherers that started at once went by the stewards' word
-	IdleLeaderCores      float64       // cores of the steward that leads
+	StartTime            time.Duration // until all gatherers, which start at once, hold a lease
+	IdleLeaderCores      float64       // cores of the leader
 	IdleGathererCores    float64       // cores of one gatherer
 	IdleGathererBytes    float64       // read and written by one gatherer, a second
 	LeaderMB             float64
 	GathererMemory       float64 // memory of one gatherer
 	AppliedTimes         []time.Duration
 	P50, P99             []time.Duration // of gatherers, by change
-	ReturnTimes          []time.Duration // until a region that was cut off went by the stewards' word again
+	ReturnTimes          []time.Duration // until a region that was cut off holds leases again
 	Unfinished           int             // changes that were given up, or not everywhere within the wait
 	LeaderCoresInChanges float64         // of the leader while changes were made
 }
 
-// Times of the stewards of a scale test: those that operators' pages recommend.
+// Times of the policy servers: those that operators' pages recommend.
 const (
 	policyLease         = 10_000.0
 	policyChangeTimeout = 60_000.0
@@ -79,7 +79,7 @@
 	policyRaftPort      = 8701
 )
 
-// policyFleet is the stewards and the hollow gatherers of one measurement.
+// policyFleet is the policy servers and the hollow gatherers of one scale test.
 type policyFleet struct {
 	config        PolicyConfig
 	ctx           context.Context
@@ -87,8 +87,8 @@
 	servers       []operator.PolicyServer
 	client        *policyclient.Client
 	gatherers     []*hollowGatherer
-	relays        []*processtest.Link     // of the region that is cut off, one to each steward
-	cutOffServers []operator.PolicyServer // the stewards as that region reaches them
+	relays        []*processtest.Link     // of the region that is cut off, one to each policy server
+	cutOffServers []operator.PolicyServer // the policy servers as that region reaches them
 	isCut         bool
 	returnTimes   []time.Duration // of the region
 	log           *logrus.Logger
@@ -97,7 +97,7 @@
 // hollowGatherer is the control side of a gatherer without clients: the real lease and the real poller.
 type hollowGatherer struct {
 	lease    *policylease.Lease
-	isCutOff bool // it stands in the region that is cut off
+	isCutOff bool // it is in the region that is cut off
 	stop     context.CancelFunc
 	ended    chan struct{}
 
@@ -106,13 +106,13 @@
 	appliedAt time.Time // when
 }
 
-// loopbackAddress is a loopback address for one steward of this process; processes don't share any.
-func loopbackAddress(steward int) string {
+// loopbackAddress returns an address for one policy server of this process. Processes do not share any.
+func loopbackAddress(server int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 64+(pid>>8)%64, pid%256, 1+steward)
+	return fmt.Sprintf("127.%d.%d.%d", 64+(pid>>8)%64, pid%256, 1+server)
 }
 
-// startPolicyFleet starts the stewards and waits until one leads.
+// startPolicyFleet starts the policy servers and waits until one is the leader.
 func startPolicyFleet(ctx context.Context, t PolicyConfig) (*policyFleet, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -132,7 +132,7 @@
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			return f, err
 		}
-		p, err := process.Start(s.Name, t.Binary, []string{"steward", "--log-level", "error", file}, nil)
+		p, err := process.Start(s.Name, t.Binary, []string{"policy-server", "--log-level", "error", file}, nil)
 		if err != nil {
 			return f, err
 		}
@@ -143,7 +143,7 @@
 	}
 	waiting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return f, process.WaitUntil(waiting, "a steward leads", func() bool {
+	return f, process.WaitUntil(waiting, "a policy server leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
 		defer end()
 		_, err := f.client.Status(one)
@@ -151,7 +151,7 @@
 	})
 }
 
-// layRelays lays a relay to each steward where a region is to be cut off.
+// layRelays lays a relay to each policy server where a region is to be cut off.
 func (f *policyFleet) layRelays() error {
 	if f.config.Fault != RegionCut {
 		return nil
@@ -183,7 +183,7 @@
 	}
 }
 
-// leader is the process of the steward that leads.
+// leader returns the process of the leader.
 func (f *policyFleet) leader() (*process.Process, error) {
 	s, err := f.client.Status(f.ctx)
 	if err != nil {
@@ -194,7 +194,7 @@
 			return f.processes[i], nil
 		}
 	}
-	return nil, fmt.Errorf("no steward is named %s", s.Server)
+	return nil, fmt.Errorf("no policy server is named %s", s.Server)
 }
 
 // fallbackPolicy forbids what the policies of a scale test may.
@@ -259,10 +259,10 @@
 	return h.appliedAt, h.epoch >= epoch
 }
 
-// holdsLease reports whether it goes by the stewards' word.
+// holdsLease reports whether the gatherer holds a lease.
 func (h *hollowGatherer) holdsLease() bool { return h.lease.State().ExpiresAt > 0 }
 
-// change proposes a policy, does what befalls the fleet, and waits until the policy is in force at all that are left.
+// change proposes a policy, injects the fault, and waits until all reachable gatherers apply the policy.
 func (f *policyFleet) change(number int) (times []time.Duration, err error) {
 	status, err := f.client.Status(f.ctx)
 	if err != nil {
@@ -384,11 +384,11 @@
 	}
 }
 
-// awaitLeases waits until all gatherers go by the stewards' word.
+// awaitLeases waits until all gatherers hold a lease.
 func (f *policyFleet) awaitLeases() error {
 	waiting, cancel := context.WithTimeout(f.ctx, startTimeout)
 	defer cancel()
-	return process.WaitUntil(waiting, "all gatherers go by the stewards' word", func() bool {
+	return process.WaitUntil(waiting, "all gatherers hold a lease", func() bool {
 		for _, h := range f.gatherers {
 			if !h.holdsLease() {
 				return false
@@ -475,7 +475,7 @@
 		}
 		c.addTimes(times)
 		if f.config.Fault == LeaderKilled {
-			break // the next one would have to wait for a steward that nobody starts
+			break // the next one would wait for a policy server that nobody starts
 		}
 	}
 	if leader.Alive() && !leader.Stopped() {
