--- a/internal/control/rollout/controller.go
+++ b/internal/control/rollout/controller.go
@@ -28,7 +28,7 @@
 	strategy rollout.Strategy
 	now      func() float64 // Unix milliseconds
 
-	journal      *statedir.Run
+	journal      *statedir.RunFolder
 	fencingToken uint64
 	runID        string           // by which gatherers know this rollout
 	lastCommand  string           // the operator's last one that was taken
@@ -77,8 +77,8 @@
 // openJournal takes the lock of the plan's folder and a fencing token.
 func (c *Controller) openJournal(takeOver bool) error {
 	var err error
-	c.journal, err = statedir.OpenRun(c.plan.Folder, takeOver)
-	if errors.Is(err, statedir.ErrHeld) {
+	c.journal, err = statedir.OpenRunFolder(c.plan.Folder, takeOver)
+	if errors.Is(err, statedir.ErrLocked) {
 		holder := "unknown"
 		if s, err := ReadStatus(c.plan.Folder); err == nil {
 			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.ObservedAt)/1000)
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	c.fencingToken = c.journal.Fence
+	c.fencingToken = c.journal.FencingToken
 	return nil
 }
 
@@ -166,7 +166,7 @@
 		records = append(records, record)
 		return nil
 	})
-	if errors.Is(err, statedir.ErrDamaged) {
+	if errors.Is(err, statedir.ErrRecordsLost) {
 		return fmt.Errorf("%w; docs/operate/rollout.md tells how to go back by hand", err)
 	}
 	if err != nil {
--- a/internal/control/rollout/round.go
+++ b/internal/control/rollout/round.go
@@ -63,7 +63,7 @@
 // runRound observes all gatherers, has the strategy decide, and starts the steps that were decided on. The status is
 // nil where an error came before it was known.
 func (c *Controller) runRound(ctx context.Context) (*Status, error) {
-	if err := c.journal.Mine(); err != nil {
+	if err := c.journal.CheckSuperseded(); err != nil {
 		return nil, err
 	}
 	if err := c.reports.claimAll(ctx, c.runID, c.fencingToken); err != nil {
@@ -161,7 +161,7 @@
 // runStep makes a step, unless the rollout is another controller's by now. A gatherer that can't be reached holds no
 // claim that could be asked for.
 func (c *Controller) runStep(ctx context.Context, g int, to rollout.Variant) error {
-	if err := c.journal.Mine(); err != nil {
+	if err := c.journal.CheckSuperseded(); err != nil {
 		return err
 	}
 	if err := c.reports.claim(ctx, g, c.runID, c.fencingToken); claimRefused(err) {
@@ -172,7 +172,7 @@
 
 // applyCommand takes the operator's command, where there is a new one.
 func (c *Controller) applyCommand() error {
-	stamped, err := c.journal.Word()
+	stamped, err := c.journal.Command()
 	if err != nil || stamped == c.lastCommand {
 		return err
 	}
@@ -194,5 +194,5 @@
 
 // SendCommand leaves an operator's command for the controller, the one of now or the next one.
 func SendCommand(folder, command string) error {
-	return statedir.Say(folder, command, time.Now().UnixNano())
+	return statedir.SendCommand(folder, command, time.Now().UnixNano())
 }
--- a/internal/control/rollout/status.go
+++ b/internal/control/rollout/status.go
@@ -139,14 +139,14 @@
 	if err != nil {
 		return err
 	}
-	if err := c.journal.Put(statusFile, text); err != nil {
+	if err := c.journal.WriteFile(statusFile, text); err != nil {
 		return err
 	}
 	line, err := json.Marshal(c.sampleOf(s))
 	if err != nil {
 		return err
 	}
-	return c.journal.Add(historyFile, line)
+	return c.journal.AppendLine(historyFile, line)
 }
 
 // sampleOf is the history's line of a status.
@@ -205,7 +205,7 @@
 
 // JournalLines returns the journal of a rollout's folder as operators read it.
 func JournalLines(folder string) (lines []string, err error) {
-	err = statedir.ReadRun(folder, func(text []byte) error {
+	err = statedir.ReadRunJournal(folder, func(text []byte) error {
 		record, err := decodeRecord(text)
 		if err != nil {
 			return err
--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -13,7 +13,7 @@
 // piece is what the module decides on in place of a shard request where a map says who owns which keys: the request,
 // or some of its keys.
 type piece struct {
-	ownership.Held
+	ownership.Piece
 	replaced bool // others stand for its keys
 }
 
@@ -22,15 +22,15 @@
 	a.owned = true
 	a.keys = pc.Range
 	a.segment = pc.Segment
-	a.ownedSince = pc.Since
-	a.usesRetryBudget = a.usesRetryBudget || pc.Called && a.number == 0
-	pc.Out++
+	a.ownedSince = pc.OwnedSince
+	a.usesRetryBudget = a.usesRetryBudget || pc.Attempted && a.number == 0
+	pc.InFlight++
 }
 
 // coversShardRequest reports whether a piece stands for all of its shard request.
 func (q *Query) coversShardRequest(i int) bool {
 	for j := range q.pieces {
-		if j != i && !q.pieces[j].replaced && q.pieces[j].Part == q.pieces[i].Part {
+		if j != i && !q.pieces[j].replaced && q.pieces[j].Request == q.pieces[i].Request {
 			return false
 		}
 	}
@@ -39,21 +39,21 @@
 
 // ownershipState is what the picker knows of who owns which keys.
 type ownershipState struct {
-	ownership.Follower
-	index         *ownership.Index
-	shards        int // that the keys are divided into
-	serverNames   map[uint32]string
-	ownedSets     map[string][]int // replica sets of the segments that a server owns, by its name
-	mapRequested  chan struct{}    // has a value while the map that is known is not the newest
-	parked        int              // pieces that wait for a map
-	refusedPieces int              // by servers that do not own them, since the last round
+	ownership.Tracker
+	index          *ownership.ReplicaSetIndex
+	shards         int // that the keys are divided into
+	serverNames    map[uint32]string
+	ownedSets      map[string][]int // replica sets of the segments that a server owns, by its name
+	mapRequested   chan struct{}    // has a value while the map that is known is not the newest
+	deferred       int              // pieces that wait for another map
+	rejectedPieces int              // by servers that do not own them, since the last round
 }
 
 // EnableOwnership has queries sent to the owners of their keys, by the maps that are handed in, of maxSegments at
 // most. The module's settings must be those of OwnershipSettings.
 func (p *Picker) EnableOwnership(maxSegments, shards int) {
 	p.ownership = &ownershipState{
-		index:        ownership.NewIndex(maxSegments),
+		index:        ownership.NewReplicaSetIndex(maxSegments),
 		shards:       shards,
 		serverNames:  map[uint32]string{},
 		mapRequested: make(chan struct{}, 1),
@@ -64,7 +64,7 @@
 // its writer another one.
 func OwnershipSettings(settings *gather.Settings, maxSegments int) *gather.Settings {
 	s := settings.Clone()
-	s.ReplicaSets = ownership.NewIndex(maxSegments).Nowhere() + 1
+	s.ReplicaSets = ownership.NewReplicaSetIndex(maxSegments).NoOwner() + 1
 	s.ReplicaSetsPerShard = 1
 	return s
 }
@@ -96,7 +96,7 @@
 // Map is the newest map known, and whether sources contradict each other. It must be called on the goroutine that
 // runs rounds.
 func (p *Picker) Map() (m *ownership.Map, contradicted bool) {
-	return p.ownership.Map, p.ownership.Doubt > 0
+	return p.ownership.Map, p.ownership.ConflictEpoch > 0
 }
 
 func (o *ownershipState) requestMap() {
@@ -107,7 +107,7 @@
 }
 
 // applyMapUpdates takes over updates of the map and puts into the endpoint lists which segments each server owns. It
-// reports whether the map, or the trust in it, has changed.
+// reports whether the map, or whether it is trusted, has changed.
 func (p *Picker) applyMapUpdates(in *inbox) bool {
 	o := p.ownership
 	changed := false
@@ -116,8 +116,8 @@
 			changed = true
 		}
 	}
-	if changed && o.Doubt > 0 && o.Map != nil && o.Map.Epoch > o.Doubt {
-		o.requestMap() // as a full one, this map ends the doubt
+	if changed && o.ConflictEpoch > 0 && o.Map != nil && o.Map.Epoch > o.ConflictEpoch {
+		o.requestMap() // as a full one, this map ends the conflict
 	}
 	if in.serverNames != nil {
 		o.serverNames = in.serverNames
@@ -126,10 +126,10 @@
 		return false
 	}
 	if changed {
-		if o.index.Take(o.Map) {
+		if o.index.Update(o.Map) {
 			p.log.Error("segment map: too many segments, the last ones are not served")
 		}
-		o.ownedSets = o.index.Holds(o.Map)
+		o.ownedSets = o.index.ByHost(o.Map)
 	}
 	if changed || in.serverNames != nil {
 		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: p.endpoints.all()})
@@ -143,18 +143,18 @@
 	return changed
 }
 
-// applyMapUpdate takes over one update. It reports whether the map, or the trust in it, has changed.
+// applyMapUpdate takes over one update. It reports whether the map, or whether it is trusted, has changed.
 func (p *Picker) applyMapUpdate(update *mapUpdate) bool {
 	o := p.ownership
-	var verdict ownership.Verdict
+	var result ownership.UpdateResult
 	var err error
 	if update.full != nil {
-		verdict, err = o.Reset(update.full)
+		result, err = o.ApplyMap(update.full)
 	} else {
-		verdict, err = o.Take(update.change)
+		result, err = o.ApplyChange(update.change)
 	}
-	log := p.log.WithField("verdict", string(verdict))
-	switch verdict {
+	log := p.log.WithField("result", string(result))
+	switch result {
 	case ownership.Applied:
 		log.WithField("epoch", o.Map.Epoch).Info("segment map: new epoch")
 		if p.store != nil {
@@ -163,14 +163,14 @@
 			}
 		}
 		return true
-	case ownership.Contradicts:
+	case ownership.Conflict:
 		log.WithError(err).Error("segment map: contradicting sources, non-idempotent queries wait for a later epoch")
 		o.requestMap()
 		return true
-	case ownership.Garbled:
+	case ownership.Invalid:
 		log.WithError(err).Warn("segment map: invalid update, requesting the full map")
 		o.requestMap()
-	case ownership.Skipped:
+	case ownership.Gap:
 		log.Debug("segment map: epochs missed, requesting the full map")
 		o.requestMap()
 	}
@@ -183,7 +183,7 @@
 	ranges := make([]ownership.Range, len(query.ShardRequests))
 	weights := make([]float64, len(query.ShardRequests))
 	for i, r := range query.ShardRequests {
-		ranges[i] = ownership.Slot(r.Shard, o.shards)
+		ranges[i] = ownership.ShardRange(r.Shard, o.shards)
 		weights[i] = r.Weight
 	}
 	m := o.Map
@@ -193,53 +193,53 @@
 	query.pieces = make([]piece, 0, len(query.ShardRequests))
 	query.values = query.values[:0]
 	query.attempts = query.attempts[:0]
-	for _, fresh := range m.Begin(ranges, weights, p.nonIdempotent(query) && o.Doubt > 0) {
-		p.addPiece(in, query, fresh)
+	for _, added := range m.Split(ranges, weights, p.nonIdempotent(query) && o.ConflictEpoch > 0) {
+		p.addPiece(in, query, added)
 	}
 }
 
 // addPiece hands one piece to the module.
-func (p *Picker) addPiece(in *gather.Round, query *Query, fresh ownership.Fresh) {
-	held := ownership.Held{
-		ID:     p.intake.allocate(1),
-		Part:   fresh.Part,
-		Range:  fresh.Range,
-		Weight: fresh.Weight,
-		Called: fresh.Again,
-		Parked: fresh.Parked,
+func (p *Picker) addPiece(in *gather.Round, query *Query, added ownership.NewPiece) {
+	owned := ownership.Piece{
+		ID:         p.intake.allocate(1),
+		Request:    added.Request,
+		Range:      added.Range,
+		Weight:     added.Weight,
+		Attempted:  added.Retry,
+		DeferredAt: added.DeferredAt,
 	}
-	replicaSet := p.ownership.assignSegment(&held, fresh.Segment, p.settings.Class(query.Class).Effect)
-	p.queries.requests[held.ID] = requestRef{query, len(query.pieces)}
-	query.pieces = append(query.pieces, piece{Held: held})
+	replicaSet := p.ownership.assignSegment(&owned, added.Segment, p.settings.Class(query.Class).Effect)
+	p.queries.requests[owned.ID] = requestRef{query, len(query.pieces)}
+	query.pieces = append(query.pieces, piece{Piece: owned})
 	query.values = append(query.values, nil)
 	query.attempts = append(query.attempts, nil)
-	request := &query.ShardRequests[fresh.Part]
-	share := fresh.Weight / max(request.Weight, minPieceShare)
+	request := &query.ShardRequests[added.Request]
+	share := added.Weight / max(request.Weight, minPieceShare)
 	in.Requests = append(in.Requests, gather.ShardRequest{
-		ID:     held.ID,
+		ID:     owned.ID,
 		Number: query.id,
 		Shard:  replicaSet,
-		Weight: fresh.Weight,
+		Weight: added.Weight,
 		Cost:   request.Cost * share,
 		Key:    request.Key,
-		Retry:  fresh.Again,
+		Retry:  added.Retry,
 	})
 }
 
 // assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set
 // that stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds
 // them.
-func (o *ownershipState) assignSegment(held *ownership.Held, segment int, effect gather.Effect) (replicaSet int) {
+func (o *ownershipState) assignSegment(owned *ownership.Piece, segment int, effect gather.Effect) (replicaSet int) {
 	if o.Map != nil {
-		held.Since = o.Map.Epoch
+		owned.OwnedSince = o.Map.Epoch
 	}
 	if segment < 0 {
-		return o.index.Nowhere()
+		return o.index.NoOwner()
 	}
 	s := &o.Map.Segments[segment]
-	held.Segment = s.Name
-	held.Since = s.Since
-	all, writer := o.index.Groups(s.Name)
+	owned.Segment = s.Name
+	owned.OwnedSince = s.OwnedSince
+	all, writer := o.index.ReplicaSets(s.Name)
 	if effect == gather.Idempotent {
 		return all
 	}
@@ -247,10 +247,10 @@
 }
 
 // reassignPieces gives the pieces of open queries to their present owners, where the map has changed or pieces are
-// parked or were refused.
+// deferred or were rejected.
 func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
 	o := p.ownership
-	if o.Map == nil || !mapChanged && o.parked == 0 && o.refusedPieces == 0 {
+	if o.Map == nil || !mapChanged && o.deferred == 0 && o.rejectedPieces == 0 {
 		return
 	}
 	ids := make([]uint64, 0, len(p.queries.byID))
@@ -258,36 +258,36 @@
 		ids = append(ids, id)
 	}
 	slices.Sort(ids) // the module must not depend on a map's order
-	o.parked = 0
+	o.deferred = 0
 	for _, id := range ids {
 		p.reassignPiecesOf(in, p.queries.byID[id], now)
 	}
-	if o.refusedPieces > 0 {
+	if o.rejectedPieces > 0 {
 		o.requestMap()
-		o.refusedPieces = 0
+		o.rejectedPieces = 0
 	}
 }
 
 func (p *Picker) reassignPiecesOf(in *gather.Round, query *Query, now float64) {
 	o := p.ownership
-	held := make([]ownership.Held, 0, len(query.pieces))
+	current := make([]ownership.Piece, 0, len(query.pieces))
 	for i := range query.pieces {
 		if !query.pieces[i].replaced {
-			held = append(held, query.pieces[i].Held)
+			current = append(current, query.pieces[i].Piece)
 		}
 	}
-	replaced, fresh := o.Map.Rehome(held, p.nonIdempotent(query), o.Doubt == 0, now)
+	replaced, added := o.Map.Reassign(current, p.nonIdempotent(query), o.ConflictEpoch == 0, now)
 	for _, id := range replaced {
 		query.pieces[p.queries.requests[id].index].replaced = true
 		delete(p.queries.requests, id)
 	}
 	in.Superseded = append(in.Superseded, replaced...)
-	for _, f := range fresh {
-		p.addPiece(in, query, f)
+	for _, next := range added {
+		p.addPiece(in, query, next)
 	}
 	for i := range query.pieces {
-		if pc := &query.pieces[i]; !pc.replaced && pc.Parked > 0 {
-			o.parked++
+		if pc := &query.pieces[i]; !pc.replaced && pc.DeferredAt > 0 {
+			o.deferred++
 		}
 	}
 }
@@ -295,17 +295,17 @@
 // recordPieceEnd notes the end of an attempt at a piece.
 func (p *Picker) recordPieceEnd(end *attemptEnd) {
 	pc := &end.attempt.query.pieces[end.attempt.index]
-	pc.Out--
+	pc.InFlight--
 	switch {
 	case end.outcome == gather.Succeeded:
-		pc.In = true
+		pc.Answered = true
 	case end.outcome == gather.NotOwner:
-		pc.Refused = true
-		p.ownership.refusedPieces++
+		pc.Rejected = true
+		p.ownership.rejectedPieces++
 	case !end.outcome.NeverExecuted():
-		pc.MayRun = true
+		pc.MayHaveRun = true
 	}
 	if end.attempt.WriteStarted() {
-		pc.Called = true
+		pc.Attempted = true
 	}
 }
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -17,13 +17,13 @@
 	readings uint64 // of the own file
 }
 
-// addPolicy adds the operators' policy. A fallback policy or a file that does not fit the platform's settings is an
-// error: without one the gatherer would do what the rest of the fleet counts on it not to.
+// addPolicy adds the operators' policy. A fallback policy or a file that the platform's settings rule out is an error:
+// without it the gatherer would do what the rest of the fleet counts on it not to do.
 func (a *assembly) addPolicy() error {
 	var err error
 	switch {
 	case a.own.FallbackPolicy != "":
-		a.policy, err = a.followPolicyServers()
+		a.policy, err = a.pollPolicyServers()
 	case a.own.Policy != "":
 		a.policy, err = a.readOwnPolicy()
 	default:
@@ -37,6 +37,10 @@
 	return nil
 }
 
+func (a *assembly) leaseConfig() policylease.Config {
+	return policylease.Config{Platform: a.settings, Clock: a.Picker.Now, OnChange: a.Picker.Wake}
+}
+
 // readOwnPolicy makes the policy of a file of the gatherer's own.
 func (a *assembly) readOwnPolicy() (*policyPart, error) {
 	p := &policyPart{lease: policylease.New(a.leaseConfig())}
@@ -48,20 +52,20 @@
 }
 
 // reread applies the gatherer's own policy file.
-func (p *policyPart) reread(file *operator.File) error {
-	if file.Policy == "" {
+func (p *policyPart) reread(own *operator.File) error {
+	if own.Policy == "" {
 		return nil
 	}
-	own, err := policyfile.Read(file.Policy)
+	read, err := policyfile.Read(own.Policy)
 	if err != nil {
 		return err
 	}
 	p.readings++
-	return p.lease.Hold(own, p.readings)
+	return p.lease.Hold(read, p.readings)
 }
 
-// followPolicyServers makes the policy of the policy servers, with the fallback policy for the time without a lease.
-func (a *assembly) followPolicyServers() (*policyPart, error) {
+// pollPolicyServers makes the policy of the policy servers, with the fallback policy for the time without a lease.
+func (a *assembly) pollPolicyServers() (*policyPart, error) {
 	fallback, err := policyfile.Read(a.own.FallbackPolicy)
 	if err == nil {
 		err = policylease.Validate(a.settings, fallback)
@@ -76,8 +80,8 @@
 	config := a.leaseConfig()
 	config.Fallback = fallback
 	config.Revision = revision
-	p := &policyPart{lease: policylease.New(config)}
-	poller := policylease.NewPoller(p.lease, policylease.PollerConfig{
+	lease := policylease.New(config)
+	poller := policylease.NewPoller(lease, policylease.PollerConfig{
 		Servers:     a.own.PolicyServers,
 		Member:      policy.Member{Name: a.config.Name, Zone: a.settings.Zone, Fallback: fallback},
 		Incarnation: process.Identity(a.Picker.Now()),
@@ -86,12 +90,7 @@
 		Log:         a.log,
 	})
 	a.hooks.run = append(a.hooks.run, poller.Run)
-	return p, nil
-}
-
-// leaseConfig is the configuration of a lease without a fallback policy.
-func (a *assembly) leaseConfig() policylease.Config {
-	return policylease.Config{Platform: a.settings, Clock: a.Picker.Now, OnChange: a.Picker.Wake}
+	return &policyPart{lease: lease}, nil
 }
 
 // state is what reports contain of the policy.
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -109,8 +109,8 @@
 		draining()
 	}
 	err := s.server.Shutdown(context.WithoutCancel(ctx))
-	l.Close() // by Shutdown already, unless Serve had not begun
-	<-served
+	l.Close()    // by Shutdown already, unless Serve had not begun
+	_ = <-served // nil: its listener was closed
 	return err
 }
 
--- a/internal/gatherer/trace/file.go
+++ b/internal/gatherer/trace/file.go
@@ -188,7 +188,7 @@
 	for _, request := range query.ShardRequests {
 		part := rulecheck.Part{Shard: request.Shard, Weight: request.Weight}
 		if r.shards > 0 {
-			part.Keys = keyRange(ownership.Slot(request.Shard, r.shards))
+			part.Keys = keyRange(ownership.ShardRange(request.Shard, r.shards))
 		}
 		e.Parts = append(e.Parts, part)
 	}
--- /dev/null
+++ b/internal/storage/statedir/kept_test.go
@@ -0,0 +1,193 @@
+package statedir
+
+import (
+	"bytes"
+	"io/fs"
+	"maps"
+	"os"
+	"path/filepath"
+	"slices"
+	"testing"
+
+	"yokeroute/logic/ownership"
+)
+
+// The folders in testdata/kept are those of the version that wrote them. None may be changed: a gatherer that is
+// replaced by a newer or an older one goes on with its folder.
+
+// keptCopy is a copy of a kept folder: opening one may write to it.
+func keptCopy(t *testing.T, name string) string {
+	t.Helper()
+	return copyDir(t, filepath.Join("testdata", "kept", name))
+}
+
+// files are all files below a folder, by their path in it.
+func files(t *testing.T, folder string) map[string][]byte {
+	t.Helper()
+	all := map[string][]byte{}
+	err := fs.WalkDir(os.DirFS(folder), ".", func(path string, entry fs.DirEntry, err error) error {
+		if err != nil || entry.IsDir() {
+			return err
+		}
+		all[path], err = os.ReadFile(filepath.Join(folder, path))
+		return err
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return all
+}
+
+// wantFolder compares all files of a folder with a kept one, byte for byte.
+func wantFolder(t *testing.T, folder, name string) {
+	t.Helper()
+	got, want := files(t, folder), files(t, filepath.Join("testdata", "kept", name))
+	if !slices.Equal(slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want))) {
+		t.Errorf("%s: written %v, kept %v", name, slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
+	}
+	for path, text := range want {
+		if !bytes.Equal(got[path], text) {
+			t.Errorf("%s: %s: written %q, kept %q", name, path, got[path], text)
+		}
+	}
+}
+
+func keptMap(t *testing.T) *ownership.Map {
+	t.Helper()
+	half := uint64(1) << 63
+	m, err := ownership.NewMap(7, []ownership.Segment{
+		{Name: "a", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h-01", "h-02"}, OwnedSince: 3},
+		{Name: "b", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return m
+}
+
+// writeGatherer writes the folder of a gatherer: a snapshot with a map and two names, a journal of four records behind
+// it, and the hand-over.
+func writeGatherer(t *testing.T, folder string) {
+	t.Helper()
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	g, _, err := OpenGathererState(folder, 300, 1e12, 1_796_000_000_000)
+	must(err)
+	must(g.SaveMap(keptMap(t)))
+	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25)) // past 300 bytes: a snapshot
+	must(g.RecordSent([]string{"third", "<&> \"name\""}, 1_796_000_000_001))
+	must(g.RecordNotRun("second"))
+	must(g.RecordSent([]string{"late"}, 1_796_000_000_500.5))
+	must(g.Close())
+	h, err := OpenHandover(folder)
+	must(err)
+	must(h.SetDraining(map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}))
+}
+
+// TestKeptGathererFolderIsReadAndWrittenAsBefore opens a gatherer's folder as it was kept, and writes the same values to the same bytes.
+func TestKeptGathererFolderIsReadAndWrittenAsBefore(t *testing.T) {
+	const now = 1_796_000_001_000
+	folder := keptCopy(t, "gatherer")
+	g, found, err := OpenGathererState(folder, 300, 1e12, now)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 || found.UnknownUntil != 0 {
+		t.Errorf("found %+v", found)
+	}
+	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true, "late": true, "never": false} {
+		if got := g.MayHaveRun(name, true, now); got != want {
+			t.Errorf("%s may have run: %t, want %t", name, got, want)
+		}
+	}
+	m, want := g.Map(), keptMap(t)
+	if m.Epoch != want.Epoch || m.Checksum != want.Checksum || len(m.Segments) != 2 || m.Segments[0].Range != want.Segments[0].Range ||
+		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].OwnedSince != 3 || m.Segments[1].Name != "b" {
+		t.Errorf("map %+v", m)
+	}
+	g.Close()
+	h, err := OpenHandover(folder)
+	if err != nil || !maps.Equal(h.Draining, map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}) {
+		t.Errorf("hand-over %+v, %v", h, err)
+	}
+	wantFolder(t, folder, "gatherer") // reading changes nothing
+	written := t.TempDir()
+	writeGatherer(t, written)
+	wantFolder(t, written, "gatherer")
+}
+
+// TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in half a record: what stands before it is there.
+func TestKeptFolderWithIncompleteRecordIsRead(t *testing.T) {
+	folder := keptCopy(t, "gatherer")
+	path := singleFile(t, folder, journalPrefix)
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(path, text[:len(text)-3], 0o644); err != nil {
+		t.Fatal(err)
+	}
+	g, found, err := OpenGathererState(folder, 300, 1e12, 1_796_000_001_000)
+	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 || g.MayHaveRun("late", false, 1_796_000_001_000) {
+		t.Errorf("found %+v, %v", found, err)
+	}
+}
+
+// writeRun writes the folder of a run that two processes carried out, one after the other.
+func writeRun(t *testing.T, folder string) {
+	t.Helper()
+	must := func(err error) {
+		t.Helper()
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+	first, err := OpenRunFolder(folder, false)
+	must(err)
+	must(first.Recover(func([]byte) error { return nil }))
+	must(first.Append([]byte(`{"stage":1}`)))
+	must(first.Append([]byte(`{"stage":2}`)))
+	first.Close()
+	must(SendCommand(folder, "pause", 1_796_000_000_000))
+	second, err := OpenRunFolder(folder, false)
+	must(err)
+	must(second.Recover(func([]byte) error { return nil }))
+	must(second.Append([]byte(`{"stage":3}`)))
+	must(second.WriteFile("status.json", []byte(`{"phase":"paused"}`)))
+	must(second.AppendLine("history", []byte(`{"event":"paused"}`)))
+	must(second.AppendLine("history", []byte(`{"event":"resumed"}`)))
+	second.Close()
+}
+
+// TestKeptRunFolderIsReadAndWrittenAsBefore reads and takes over a run's folder as it was kept, and writes the same values to the same bytes.
+func TestKeptRunFolderIsReadAndWrittenAsBefore(t *testing.T) {
+	var seen []string
+	see := func(record []byte) error {
+		seen = append(seen, string(record))
+		return nil
+	}
+	want := []string{`{"stage":1}`, `{"stage":2}`, `{"stage":3}`}
+	folder := keptCopy(t, "run")
+	if err := ReadRunJournal(folder, see); err != nil || !slices.Equal(seen, want) {
+		t.Errorf("read %q, %v", seen, err)
+	}
+	seen = nil
+	r, err := OpenRunFolder(folder, false)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer r.Close()
+	if err := r.Recover(see); err != nil || !slices.Equal(seen, want) || r.FencingToken != 3 {
+		t.Errorf("taken over as %d with %q, %v", r.FencingToken, seen, err)
+	}
+	if word, err := r.Command(); err != nil || word != "pause 1796000000000" {
+		t.Errorf("the operator's word is %q, %v", word, err)
+	}
+	written := t.TempDir()
+	writeRun(t, written)
+	wantFolder(t, written, "run")
+}
--- a/internal/testbed/processtest/sends.go
+++ b/internal/testbed/processtest/sends.go
@@ -25,7 +25,7 @@
 func (f *Fleet) Sends() ([]Send, error) {
 	servers := map[uint32]string{}
 	for name := range f.Servers {
-		servers[discovery.Number(name)] = name
+		servers[discovery.ServerID(name)] = name
 	}
 	sources, done, err := f.sources()
 	defer done()
