--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -12,9 +12,9 @@
 
 	"github.com/spf13/cobra"
 
-	"yokeroute/internal/control/rollout/emulated"
-	"yokeroute/internal/control/rollout/live"
 	"yokeroute/internal/testbed/processtest"
+	"yokeroute/internal/testbed/rolloutlive"
+	"yokeroute/internal/testbed/rolloutsim"
 	"yokeroute/logic/rollout"
 )
 
@@ -32,7 +32,7 @@
 }
 
 func rolloutsCommand() *cobra.Command {
-	terms := emulated.Terms{}
+	terms := rolloutsim.Terms{}
 	var runs, workers int
 	var interval, length float64
 	var kinds, judges []string
@@ -42,14 +42,14 @@
 	cmd := &cobra.Command{Use: "rollouts", Short: "play rollouts of good and bad versions over an emulated fleet, and count what comes of them", Args: cobra.NoArgs,
 		Example: "  yokeroute-testbed rollouts --runs 1000\n  yokeroute-testbed rollouts --runs 100 --kinds good,tail --judges ours,plain,at-once --gatherers 60\n  yokeroute-testbed rollouts --hunt 200",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			all := append([]string{"good"}, slices.Sorted(maps.Keys(emulated.Bad))...)
+			all := append([]string{"good"}, slices.Sorted(maps.Keys(rolloutsim.Bad))...)
 			if len(kinds) == 0 {
 				kinds = all
 			}
 			if err := oneOf("kinds", kinds, all); err != nil {
 				return err
 			}
-			by := map[string]func(p rollout.Plan) rollout.Strategy{"ours": nil, "plain": emulated.Plain, "at-once": emulated.AtOnce}
+			by := map[string]func(p rollout.Plan) rollout.Strategy{"ours": nil, "plain": rolloutsim.Plain, "at-once": rolloutsim.AtOnce}
 			if err := oneOf("judges", judges, judgeNames); err != nil {
 				return err
 			}
@@ -57,15 +57,15 @@
 				return fmt.Errorf("--runs %d, --gatherers %d, --zones %d: at least 1, 10 and 1 are needed", runs, terms.Gatherers, terms.Zones)
 			}
 			if hunt > 0 {
-				return huntRollouts(cmd, emulated.HuntTerms{Good: good, Drawn: hunt, Each: 4, Sure: 20, Workers: workers, Seed: terms.Seed})
+				return huntRollouts(cmd, rolloutsim.HuntTerms{Good: good, Drawn: hunt, Each: 4, Sure: 20, Workers: workers, Seed: terms.Seed})
 			}
 			terms.Interval, terms.Length = interval*1000, length*60_000
-			var rows []emulated.Row
+			var rows []rolloutsim.Row
 			for _, kind := range kinds {
 				for _, j := range judges {
 					one := terms
 					one.Kind = kind
-					row := emulated.Many(one, j, by[j], runs, workers)
+					row := rolloutsim.Many(one, j, by[j], runs, workers)
 					rows = append(rows, row)
 					fmt.Fprintf(cmd.ErrOrStderr(), "%s by %s: %d passed, %d stopped\n", kind, j, row.Passed, row.Stopped)
 				}
@@ -99,9 +99,9 @@
 }
 
 // huntRollouts searches, and prints what was found as lines to keep. Status 1: something was.
-func huntRollouts(cmd *cobra.Command, h emulated.HuntTerms) error {
+func huntRollouts(cmd *cobra.Command, h rolloutsim.HuntTerms) error {
 	h.Seen = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
-	found := emulated.Hunt(h)
+	found := rolloutsim.Hunt(h)
 	for _, w := range found {
 		w.Why = nil
 		if err := json.NewEncoder(cmd.OutOrStdout()).Encode(w); err != nil {
@@ -127,8 +127,8 @@
 				return err
 			}
 			by := map[string]func(p rollout.Plan, at rollout.Position) rollout.Strategy{"ours": nil,
-				"plain":   func(p rollout.Plan, _ rollout.Position) rollout.Strategy { return emulated.Plain(p) },
-				"at-once": func(p rollout.Plan, _ rollout.Position) rollout.Strategy { return emulated.AtOnce(p) }}
+				"plain":   func(p rollout.Plan, _ rollout.Position) rollout.Strategy { return rolloutsim.Plain(p) },
+				"at-once": func(p rollout.Plan, _ rollout.Position) rollout.Strategy { return rolloutsim.AtOnce(p) }}
 			if err := oneOf("judges", judges, judgeNames); err != nil {
 				return err
 			}
@@ -141,7 +141,7 @@
 					if err != nil {
 						return err
 					}
-					o, err := live.Play(cmd.Context(), live.Terms{Gatherers: gatherers, Rate: rate, Kind: k, Seed: seed, Folder: folder, Limit: 10 * time.Minute, Judge: by[j]})
+					o, err := rolloutlive.Play(cmd.Context(), rolloutlive.Terms{Gatherers: gatherers, Rate: rate, Kind: k, Seed: seed, Folder: folder, Limit: 10 * time.Minute, Judge: by[j]})
 					os.RemoveAll(folder)
 					if err != nil {
 						return err
--- a/internal/control/rollout/live/live.go
+++ b/internal/testbed/rolloutlive/live.go
@@ -1,6 +1,6 @@
 // Package live plays rollouts over real processes on loopback, by several judges: what a bad version costs where it is
 // found, and how long a good one takes. Versions are programs of their own: the gatherer as it is, and package worse's.
-package live
+package rolloutlive
 
 import (
 	"context"
--- a/internal/control/rollout/emulated/fleet.go
+++ b/internal/testbed/rolloutsim/fleet.go
@@ -6,7 +6,7 @@
 // ask there, and what a version does to it falls on old and new alike. Figures from it are of the deciding, not of any
 // gatherer's latency. Traffic is skewed (some gatherers get several times the mean), gatherers differ for good, links
 // and reports fail by themselves.
-package emulated
+package rolloutsim
 
 import (
 	"fmt"
--- a/internal/control/rollout/emulated/play.go
+++ b/internal/testbed/rolloutsim/play.go
@@ -1,4 +1,4 @@
-package emulated
+package rolloutsim
 
 import (
 	"fmt"
