--- a/internal/testbed/rolloutsim/kept_test.go
+++ b/internal/testbed/rolloutsim/kept_test.go
@@ -8,20 +8,20 @@
 	"path/filepath"
 	"slices"
 	"testing"
-
-	"yokeroute/logic/rollout"
 )
 
-// TestOutcomesStayAsTheyWere: each kind of version, by each judge, ends with the same reason, at the same time and with
+// TestOutcomesStayAsTheyWere: each version, by each strategy, ends with the same reason, at the same time and with
 // the same harm as when the kept outcomes were written. A change of any figure of the decisions shows here.
 func TestOutcomesStayAsTheyWere(t *testing.T) {
 	t.Parallel()
-	judges := map[string]func(p rollout.Plan) rollout.Strategy{"ours": nil, "plain": Plain, "at once": AtOnce}
+	strategies := map[string]NewStrategy{"ours": nil, "plain": FixedThresholds, "at once": AllAtOnce}
 	var out bytes.Buffer
-	for _, kind := range append(slices.Sorted(maps.Keys(Bad)), "good") {
-		for _, judge := range slices.Sorted(maps.Keys(judges)) {
-			o := Play(terms(kind), judges[judge])
-			line, err := json.Marshal([]any{judge, o.Kind, o.Seed, o.End, o.Stage, o.Why, o.Time, o.Harmed, o.Found, o.MostOut})
+	for _, version := range append(slices.Sorted(maps.Keys(BadVersions)), "good") {
+		for _, name := range slices.Sorted(maps.Keys(strategies)) {
+			o := Run(testScenario(version), strategies[name])
+			line, err := json.Marshal([]any{
+				name, o.Version, o.Seed, o.Phase, o.Stage, o.Reason, o.Time, o.Harmed, o.FoundAtShare, o.MaxInProgress,
+			})
 			if err != nil {
 				t.Fatal(err)
 			}
