--- a/internal/config/platform/config.go
+++ b/internal/config/platform/config.go
@@ -1,5 +1,5 @@
-// Package config is the one place where what the platform tells a gatherer is read, checked and given
-// defaults. Every error names the key at fault.
+// Package platform reads, checks and completes the configuration that the platform gives a gatherer. Errors name the
+// key at fault.
 package platform
 
 import (
@@ -16,29 +16,29 @@
 	"yokeroute/internal/version"
 )
 
-// Limits are what the platform allows a gatherer.
+// Limits are the resources that the platform allows a gatherer.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB float64 `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// The limits of a platform that states none.
+// defaults are the limits of a platform that states none.
 var defaults = Limits{Cores: 1, MemoryMB: 192, Sockets: 1024}
 
-// Config is all that a gatherer is told at its start.
+// Config is a gatherer's configuration.
 type Config struct {
 	Name           string
 	Listen         string
 	Discovery      string
 	Seed           uint64
 	Limits         Limits
-	KnownEndpoints *discovery.Reply // nil where nothing was known
+	KnownEndpoints *discovery.Response // nil where nothing was known
 	Settings       *gather.Settings
 	Checksum       string // fingerprint of the text that was read
 }
 
-// Load reads the file; name and addresses that it lacks come from the environment.
+// Load reads the file at path. Name and addresses that it lacks come from the environment.
 func Load(path string, env func(string) string) (*Config, error) {
 	if path == "" {
 		return nil, errors.New("NODE_CONFIG: not set, and no file given")
@@ -92,10 +92,10 @@
 		return nil, fmt.Errorf("limits.sockets: %d, at least %d are needed", l.Sockets, minSockets)
 	}
 	if len(file.Known) > 0 && string(file.Known) != "null" {
-		if c.KnownEndpoints, err = discovery.Parse(file.Known); err != nil {
+		if c.KnownEndpoints, err = discovery.ParseResponse(file.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
-		c.KnownEndpoints.Whole = true // it is the list as this gatherer last held it
+		c.KnownEndpoints.Full = true // it is the list as this gatherer last held it
 	}
 	if len(file.Settings) == 0 {
 		return nil, errors.New("settings: missing")
@@ -106,5 +106,5 @@
 	return c, nil
 }
 
-// minSockets leaves a few for clients beside what the process itself holds open.
+// minSockets leaves a few descriptors for clients beside those that the process itself holds.
 const minSockets = 32
--- a/internal/gatherer/dispatch/harness_test.go
+++ b/internal/gatherer/dispatch/harness_test.go
@@ -76,8 +76,8 @@
 			change(s)
 		}
 	})
-	whole, least := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
-	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: whole, MinShare: least, FirstPassShare: 0.3, TrialShare: 0.5}})
+	completeShare, minShare := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
+	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: completeShare, MinShare: minShare, FirstPassShare: 0.3, TrialShare: 0.5}})
 	p.clock.override = func() float64 { return p.schedule.lastAt + 4 } // what is reported before a round came just before it
 	p.runRound(1000)
 	for id := uint32(10); id < 16; id++ {
@@ -113,7 +113,8 @@
 	return n
 }
 
-// Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the rest.
+// Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the
+// rest.
 func newOwnershipPicker(t *testing.T, change func(s *gather.Settings)) (*Picker, *ownership.Map) {
 	p := newPicker(t, func(s *gather.Settings) {
 		for _, name := range []string{"any", "all"} {
@@ -135,7 +136,7 @@
 	}
 	p.SetServerNames(names)
 	half := uint64(1) << 63
-	m, err := ownership.First(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
+	m, err := ownership.NewMap(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: half - 1}, Owners: []string{"h0", "h1"}},
 		{Name: "s1", Range: ownership.Range{Lo: half, Hi: ^uint64(0)}, Owners: []string{"h2", "h3"}}})
 	if err != nil {
 		t.Fatal(err)
@@ -172,15 +173,15 @@
 	return next
 }
 
-// checkKeysCoveredOnce reports whether hits cover all keys of a query's parts, none twice.
+// checkKeysCoveredOnce reports whether hits cover all keys of a query's shard requests, none twice.
 func checkKeysCoveredOnce(query *Query, hits []Hit) error {
-	for _, pt := range query.ShardRequests {
+	for _, request := range query.ShardRequests {
 		var got []ownership.Range
 		for _, h := range hits {
-			if h.Shard != pt.Shard {
+			if h.Shard != request.Shard {
 				continue
 			}
-			r := ownership.Slot(pt.Shard, 4)
+			r := ownership.ShardRange(request.Shard, 4)
 			if h.Keys != nil {
 				r = *h.Keys
 			}
@@ -192,18 +193,18 @@
 			}
 			return 1
 		})
-		want := ownership.Slot(pt.Shard, 4)
+		want := ownership.ShardRange(request.Shard, 4)
 		from := want.Lo
 		for i, r := range got {
 			if r.Lo != from {
-				return fmt.Errorf("shard %d: keys %v, %s comes where %016x should", pt.Shard, got, r.Text(), from)
+				return fmt.Errorf("shard %d: keys %v, %s comes where %016x should", request.Shard, got, r.Text(), from)
 			}
 			if from = r.Hi + 1; i == len(got)-1 && r.Hi != want.Hi {
-				return fmt.Errorf("shard %d: keys %v end before %s", pt.Shard, got, want.Text())
+				return fmt.Errorf("shard %d: keys %v end before %s", request.Shard, got, want.Text())
 			}
 		}
 		if len(got) == 0 {
-			return fmt.Errorf("shard %d: no keys", pt.Shard)
+			return fmt.Errorf("shard %d: no keys", request.Shard)
 		}
 	}
 	return nil
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -28,7 +28,7 @@
 		_, attempts = submitAndRun(p, 1015+10*float64(i), "all", fmt.Sprint("o", i), 4)
 		for _, c := range attempts {
 			if want := uint32(10 + c.Shard()/2*2); c.Server != want || !c.NonIdempotent() {
-				t.Errorf("a non-idempotent part of shard %d goes to server %d", c.Shard(), c.Server)
+				t.Errorf("a non-idempotent shard request of shard %d goes to server %d", c.Shard(), c.Server)
 			}
 		}
 		answerAll(p, attempts)
@@ -49,7 +49,7 @@
 		}
 		attempts[0].BeginWrite()
 		attempts[0].EndWrite()
-		c, err := m.Move("s0", []string{"h4"})
+		c, err := m.MoveSegment("s0", []string{"h4"})
 		applyChange(t, p, m, c, err)
 		if o := p.runRound(1015); len(o.Send) > 0 {
 			t.Fatal("sent again while an attempt is out")
@@ -86,21 +86,21 @@
 		query := newQuery("any", 2, 3000)
 		query.ID = "a"
 		p.submit(query)
-		at := ownership.Slot(0, 4).Lo + ownership.Slot(0, 4).Hi/4
-		split, err := m.Split("s0", at, "l", "r")
+		at := ownership.ShardRange(0, 4).Lo + ownership.ShardRange(0, 4).Hi/4
+		split, err := m.SplitSegment("s0", at, "l", "r")
 		var attempts []*Attempt
 		if when == "before sending" {
 			m = applyChange(t, p, m, split, err)
-			c, err := m.Move("r", []string{"h5"})
+			c, err := m.MoveSegment("r", []string{"h5"})
 			applyChange(t, p, m, c, err)
 			attempts = p.runRound(1010).Send
 			if len(attempts) != 3 {
-				t.Fatalf("%d attempts of two parts, one of which is split", len(attempts))
+				t.Fatalf("%d attempts of two shard requests, one of which is split", len(attempts))
 			}
 		} else {
 			attempts = p.runRound(1010).Send
 			m = applyChange(t, p, m, split, err)
-			c, err := m.Move("r", []string{"h5"})
+			c, err := m.MoveSegment("r", []string{"h5"})
 			applyChange(t, p, m, c, err)
 			if more := p.runRound(1015).Send; len(more) > 0 {
 				t.Fatal("sent again while attempts are out")
@@ -139,16 +139,16 @@
 			s.FindClass("any").MinShare = 0.4
 			s.FindClass("any").PartialValue = 0.8
 		})
-		c, err := m.Move("s1", nil)
+		c, err := m.MoveSegment("s1", nil)
 		m = applyChange(t, p, m, c, err)
 		query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 		if len(attempts) != 2 {
-			t.Fatalf("%d attempts, the keys of two parts are unowned", len(attempts))
+			t.Fatalf("%d attempts, the keys of two shard requests are unowned", len(attempts))
 		}
 		answerAll(p, attempts)
 		if back {
 			p.runRound(1020)
-			c, err := m.Move("s1", []string{"h4"})
+			c, err := m.MoveSegment("s1", []string{"h4"})
 			applyChange(t, p, m, c, err)
 		}
 		for now := 1025.0; now < 1600; now += 5 {
@@ -160,7 +160,7 @@
 		}
 	}
 	p, m := newOwnershipPicker(t, nil)
-	c, err := m.Move("s1", nil)
+	c, err := m.MoveSegment("s1", nil)
 	applyChange(t, p, m, c, err)
 	query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 	answerAll(p, attempts)
@@ -168,7 +168,7 @@
 		p.runRound(now)
 	}
 	if v, done := takeResult(query); !done || v.Kind == Served {
-		t.Errorf("a query that needs all parts: %+v, %t", v, done)
+		t.Errorf("a query that needs all shards: %+v, %t", v, done)
 	}
 }
 
@@ -179,14 +179,14 @@
 		s.FindClass("any").CompleteShare = 0.75
 		s.FindClass("any").MinShare = 0.75
 	})
-	split, err := m.Split("s0", ownership.Slot(1, 4).Lo, "l", "r")
+	split, err := m.SplitSegment("s0", ownership.ShardRange(1, 4).Lo, "l", "r")
 	m = applyChange(t, p, m, split, err)
 	p.runRound(1005)
 	query, attempts := submitAndRun(p, 1010, "any", "a", 4)
 	if len(attempts) < 3 {
 		t.Fatalf("%d attempts", len(attempts))
 	}
-	merge, err := m.Merge("l", "r", "s2")
+	merge, err := m.MergeSegments("l", "r", "s2")
 	applyChange(t, p, m, merge, err)
 	p.runRound(1015)
 	for i, c := range attempts {
@@ -227,16 +227,16 @@
 		some[0].EndWrite()
 		queries, attempts = append(queries, query), append(attempts, some...)
 	}
-	c, err := m.Move("s0", []string{"h4"})
+	c, err := m.MoveSegment("s0", []string{"h4"})
 	applyChange(t, p, m, c, err)
 	for _, c := range attempts {
 		p.Report(c, gather.NotOwner, nil)
 	}
-	further := 0
+	retries := 0
 	for now := 1045.0; now < 1400; now += 5 {
 		for _, c := range p.runRound(now).Send {
 			if c.BeginWrite() {
-				further++
+				retries++
 				c.EndWrite()
 				p.Report(c, gather.Succeeded, []byte("x"))
 			} else {
@@ -244,8 +244,8 @@
 			}
 		}
 	}
-	if further != 3 {
-		t.Errorf("%d attempts after a refusal within a window that allows 3", further)
+	if retries != 3 {
+		t.Errorf("%d attempts after a refusal within a window that allows 3", retries)
 	}
 	satisfied := 0
 	for _, query := range queries {
@@ -264,7 +264,7 @@
 	p, m := newOwnershipPicker(t, nil)
 	query, attempts := submitAndRun(p, 1010, "any", "a", 1)
 	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}}})
-	c, err := m.Move("s0", []string{"h4"})
+	c, err := m.MoveSegment("s0", []string{"h4"})
 	m = applyChange(t, p, m, c, err)
 	p.Report(attempts[0], gather.NotOwner, nil)
 	for now := 1015.0; now < 1100; now += 5 {
@@ -272,7 +272,7 @@
 			t.Fatalf("an attempt to server %d, which drains", o.Send[0].Server)
 		}
 	}
-	c, err = m.Move("s0", []string{"h5"})
+	c, err = m.MoveSegment("s0", []string{"h5"})
 	applyChange(t, p, m, c, err)
 	again := p.runRound(1105).Send
 	if len(again) != 1 || again[0].Server != 15 {
@@ -289,27 +289,27 @@
 // until a later map, others do not.
 func TestContradictingMapsHoldBackNonIdempotent(t *testing.T) {
 	p, m := newOwnershipPicker(t, nil)
-	one, err := m.Move("s0", []string{"h4"})
+	one, err := m.MoveSegment("s0", []string{"h4"})
 	mustChange(t, one, err)
-	other, err := m.Move("s0", []string{"h5"})
+	other, err := m.MoveSegment("s0", []string{"h5"})
 	next := applyChange(t, p, m, one, nil)
 	applyChange(t, p, m, other, err)
 	p.runRound(1005)
 	select {
 	case <-p.MapRequested():
 	default:
-		t.Error("the whole map is not asked for")
+		t.Error("the full map is not asked for")
 	}
 	once, attempts := submitAndRun(p, 1010, "all", "a", 1)
 	if len(attempts) > 0 {
-		t.Fatal("a non-idempotent part is sent though two owners may believe it theirs")
+		t.Fatal("a non-idempotent shard request is sent though two owners may believe it theirs")
 	}
 	_, attempts = submitAndRun(p, 1015, "any", "b", 1)
 	if len(attempts) != 1 || attempts[0].Server != 14 {
-		t.Errorf("an idempotent part: %v", attempts)
+		t.Errorf("an idempotent shard request: %v", attempts)
 	}
 	answerAll(p, attempts)
-	c, err := next.Move("s1", []string{"h2"})
+	c, err := next.MoveSegment("s1", []string{"h2"})
 	after, _ := next.Apply(mustChange(t, c, err))
 	p.SetMap(after)
 	attempts = p.runRound(1100).Send
@@ -328,6 +328,7 @@
 // each key once; a non-idempotent shard request is never sent again where an earlier attempt may have run, nor its
 // query rejected; each query has one result.
 func TestMovingSegmentsKeepTheRules(t *testing.T) {
+	const lostShare, rejectedShare = 0.04, 0.04 // of attempts
 	for seed := range uint64(8) {
 		p, m := newOwnershipPicker(t, func(s *gather.Settings) { s.RetryBudgetFloor = 1000.0 })
 		chance := pcg.New(seed)
@@ -343,8 +344,8 @@
 		var outs []out
 		held := map[*Query][]*asked{}
 		truth := m // what hosts go by
-		var told1 []ownership.Change
-		admitted, ends, whole, moves, name := 0, 0, 0, 0, 0
+		var updates []ownership.Change
+		admitted, ends, complete, moves, name := 0, 0, 0, 0, 0
 		for now := 1010.0; now < 13000; now += 5 {
 			if chance.Float64() < 0.12 && now < 11000 {
 				i := draw(len(truth.Segments))
@@ -364,32 +365,32 @@
 				switch kind {
 				case 0:
 					if s.Hi-s.Lo > 1000 && len(truth.Segments) < 14 {
-						c, err = truth.Split(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)), fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
+						c, err = truth.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)), fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
 					}
 				case 1:
 					if i+1 < len(truth.Segments) {
-						c, err = truth.Merge(s.Name, truth.Segments[i+1].Name, fmt.Sprint("n", name))
+						c, err = truth.MergeSegments(s.Name, truth.Segments[i+1].Name, fmt.Sprint("n", name))
 					}
 				case 2:
-					c, err = truth.Move(s.Name, []string{fmt.Sprint("h", draw(6))})
+					c, err = truth.MoveSegment(s.Name, []string{fmt.Sprint("h", draw(6))})
 				default:
 					if chance.Float64() < 0.3 {
-						c, err = truth.Move(s.Name, nil)
+						c, err = truth.MoveSegment(s.Name, nil)
 					}
 				}
 				if err == nil {
 					truth, _ = truth.Apply(c)
-					told1 = append(told1, c)
+					updates = append(updates, c)
 					moves++
 				}
 			}
 			if chance.Float64() < 0.3 || now > 11000 { // news comes late, one at a time, sometimes twice
-				if len(told1) > 0 {
-					p.ApplyMapChange(told1[0])
+				if len(updates) > 0 {
+					p.ApplyMapChange(updates[0])
 					if chance.Float64() < 0.2 {
-						p.ApplyMapChange(told1[0])
+						p.ApplyMapChange(updates[0])
 					}
-					told1 = told1[1:]
+					updates = updates[1:]
 				}
 			}
 			if chance.Float64() < 0.3 && now < 11500 {
@@ -415,14 +416,14 @@
 					return &asked{}
 				}()
 				i := truth.Find(segment)
-				owns := i >= 0 && truth.Segments[i].Since == since && slices.Contains(truth.Segments[i].Owners, fmt.Sprint("h", o.c.Server-10))
+				owns := i >= 0 && truth.Segments[i].OwnedSince == since && slices.Contains(truth.Segments[i].Owners, fmt.Sprint("h", o.c.Server-10))
 				switch {
 				case !owns:
 					a.mayRun = false
 					p.Report(o.c, gather.NotOwner, nil)
-				case chance.Float64() < 0.04:
+				case chance.Float64() < lostShare:
 					p.Report(o.c, []gather.Outcome{gather.ConnectionReset, gather.Failed, gather.TimedOut}[draw(3)], nil)
-				case chance.Float64() < 0.04:
+				case chance.Float64() < rejectedShare:
 					a.mayRun = false
 					p.Report(o.c, gather.Rejected, nil)
 				default:
@@ -462,7 +463,7 @@
 				ends++
 				delete(held, query)
 				if v.Kind == Served && v.Complete {
-					whole++
+					complete++
 					if err := checkKeysCoveredOnce(query, v.Hits); err != nil {
 						t.Fatalf("seed %d at %g: %s: %v", seed, now, query.ID, err)
 					}
@@ -477,11 +478,11 @@
 				}
 			}
 		}
-		if ends != admitted || admitted < 400 || whole < admitted/3 || moves < 80 {
-			t.Errorf("seed %d: %d of %d queries answered, %d complete, %d moves", seed, ends, admitted, whole, moves)
+		if ends != admitted || admitted < 400 || complete < admitted/3 || moves < 80 {
+			t.Errorf("seed %d: %d of %d queries answered, %d complete, %d moves", seed, ends, admitted, complete, moves)
 		}
-		if p.intake.held != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
-			t.Errorf("seed %d: %d held, %d queries, %d parts", seed, p.intake.held, len(p.queries.byID), len(p.queries.requests))
+		if p.intake.open != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
+			t.Errorf("seed %d: %d open, %d queries, %d shard requests", seed, p.intake.open, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
 }
--- a/internal/gatherer/frontend/conntracker_test.go
+++ b/internal/gatherer/frontend/conntracker_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"io"
 	"net"
 	"net/http"
@@ -40,11 +41,11 @@
 	c.onStateChange(usual, http.StateNew)
 	c.onStateChange(usual, http.StateActive)
 	c.onStateChange(usual, http.StateIdle)
-	asking, _ := open("POST ")
-	c.onStateChange(asking, http.StateNew)
+	sending, _ := open("POST ")
+	c.onStateChange(sending, http.StateNew)
 	silent, far := open("")
 	c.onStateChange(silent, http.StateNew)
-	for _, conn := range []net.Conn{asking, silent} {
+	for _, conn := range []net.Conn{sending, silent} {
 		p := c.entries[conn]
 		p.since = p.since.Add(-firstByteTimeout)
 		c.entries[conn] = p
@@ -52,16 +53,16 @@
 	last, _ := open("")
 	c.onStateChange(last, http.StateNew)
 	far.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := far.Read(make([]byte, 1)); err != io.EOF {
+	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the silent one is still open: %v", err)
 	}
-	for name, conn := range map[string]net.Conn{"idle": usual, "asking": asking, "last": last} {
+	for name, conn := range map[string]net.Conn{"idle": usual, "sending": sending, "last": last} {
 		if c.uncounted[conn] {
 			t.Errorf("the %s one was closed", name)
 		}
 	}
-	// Nothing is silent for long now. A client that has just come is about to ask: closed then, its request
-	// fails, where one between two requests just comes again.
+	// Nothing is silent for long now. A client that has just come is about to send: closed then, its request
+	// fails, where one between two requests just connects again.
 	next, _ := open("")
 	c.onStateChange(next, http.StateNew)
 	if !c.uncounted[usual] || c.uncounted[last] || c.uncounted[next] {
@@ -69,7 +70,7 @@
 	}
 	c.onStateChange(next, http.StateActive)
 	c.onStateChange(last, http.StateActive)
-	c.onStateChange(asking, http.StateActive)
+	c.onStateChange(sending, http.StateActive)
 	var more []net.Conn // all in use: a few more may come, for an answer that says so, and then none
 	for range 3 {
 		near, _ := open("POST ")
@@ -115,11 +116,11 @@
 	c.onStateChange(a, http.StateIdle)
 	c.onStateChange(b, http.StateIdle)
 	d := open()
-	if _, err := far[0].Read(make([]byte, 1)); err != io.EOF {
+	if _, err := far[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the one idle longest is not closed: %v", err)
 	}
 	if c.overloaded() {
-		t.Error("crowded, though one was closed")
+		t.Error("overloaded, though one was closed")
 	}
 	c.onStateChange(a, http.StateClosed)
 	c.onStateChange(b, http.StateActive)
--- a/internal/gatherer/frontend/request_test.go
+++ b/internal/gatherer/frontend/request_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"fmt"
 	"io"
 	"net"
@@ -18,21 +19,21 @@
 // connection usable afterwards; the picker gets none of them.
 func TestInvalidRequestIsRejectedWithItsStatus(t *testing.T) {
 	f, _, address := startServer(t, 10, nil)
-	change := func(old, new string) string { return post("/find", strings.Replace(headers, old, new, 1), shardsBody) }
-	body := func(old, new string) string { return post("/find", headers, strings.Replace(shardsBody, old, new, 1)) }
+	change := func(from, to string) string { return post("/find", strings.Replace(headers, from, to, 1), shardsBody) }
+	body := func(from, to string) string { return post("/find", headers, strings.Replace(shardsBody, from, to, 1)) }
 	for _, c := range []struct {
 		name, text string
 		want       int
 	}{
 		{"not HTTP", "hello\r\n\r\n", 400},
-		{"unknown index", post("/sing", headers, shardsBody), 404},
-		{"no index", post("/", headers, shardsBody), 404},
+		{"unknown class", post("/sing", headers, shardsBody), 404},
+		{"no class", post("/", headers, shardsBody), 404},
 		{"GET", "GET /find HTTP/1.1\r\n" + headers + "\r\n", 405},
-		{"a mark that cannot be passed on", post("/mark", headers, shardsBody), 501},
+		{"an idempotency-keyed class", post("/mark", headers, shardsBody), 501},
 		{"no id", change("X-Request-ID: a1\r\n", ""), 400},
 		{"id with a space", change("a1", "a 1"), 400},
 		{"id too long", change("a1", strings.Repeat("a", 200)), 400},
-		{"unknown customer", change("acme", "other"), 400},
+		{"unknown tenant", change("acme", "other"), 400},
 		{"no time-out", change("X-Timeout-Ms: 480\r\n", ""), 400},
 		{"time-out zero", change("480", "0"), 400},
 		{"time-out negative", change("480", "-5"), 400},
@@ -45,7 +46,7 @@
 		{"two ids", change("X-Request-ID: a1", "X-Request-ID: a1\r\nX-Request-ID: a2"), 400},
 		{"id not in ASCII", change("a1", "\u00e4"), 400},
 		{"no JSON", post("/find", headers, "{"), 400},
-		{"no shardsBody", post("/find", headers, `{"shards":[],"q":"x"}`), 400},
+		{"no shards", post("/find", headers, `{"shards":[],"q":"x"}`), 400},
 		{"no text", body(`,"q":"c41e"`, ""), 400},
 		{"text no text", body(`"c41e"`, "7"), 400},
 		{"no shard", body(`"shard":3,`, ""), 400},
@@ -148,7 +149,7 @@
 			defer c.Close()
 			io.WriteString(c, text)
 			c.SetReadDeadline(start.Add(3 * time.Second))
-			if _, err := c.Read(make([]byte, 1)); err != nil && err != io.EOF {
+			if _, err := c.Read(make([]byte, 1)); err != nil && !errors.Is(err, io.EOF) {
 				done <- fmt.Sprintf("%q: %v", text, err)
 			}
 			done <- ""
@@ -183,7 +184,7 @@
 	conn, _ := connPair(t)
 	conn.ahead.overflow = true
 	defer func() {
-		if fault := recover(); fault != http.ErrAbortHandler {
+		if fault := recover(); fault != http.ErrAbortHandler { //nolint:errorlint // net/http compares it in the same way
 			t.Errorf("handled as %v", fault)
 		}
 	}()
