--- /dev/null
+++ b/internal/gatherer/service/fixture_test.go
@@ -0,0 +1,110 @@
+package service
+
+import (
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/testbed/experiment"
+	"yokeroute/internal/testbed/standin/shards"
+)
+
+// settings are a platform's, with lists that are pushed.
+const settings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
+ "classes":[{"name":"any","effect":"pure","goalTime":300000,"hardLimit":1000000,"lateValue":0.1},
+  {"name":"once","effect":"side_effect","goalTime":300000,"hardLimit":1000000}],
+ "domain":{"cells":2,"inARow":1,"shards":12,"partsACall":16,"completeFrom":[0.75,1],"classFloor":[0.75,1]},
+ "limits":{"cancel":true,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":100,"attemptsCap":3,
+  "secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000},
+ "rules":{"budgetShare":0.05,"extraFloor":6,"resendSpan":1000000,"drainGrace":250000,"answerSlack":5000000,
+  "cold":5000000,"coldShare":0.2,"fall":2000000,"fallMultiple":3}}`
+
+// text is a gatherer's configuration.
+func text(listen, discovery, settings string) string {
+	return fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","settings":%s}`, listen, discovery, settings)
+}
+
+// startGatherer runs a gatherer before a fleet of six, by a configuration that the caller may turn into another; end
+// ends it as a planned restart does.
+func startGatherer(
+	t *testing.T, own *operator.File, machine func(i int) experiment.Machine, turned func(text string) string,
+) (fleet *experiment.Fleet, address string, end func()) {
+	t.Helper()
+	var machines []experiment.Machine
+	for i := range 6 {
+		machines = append(machines, machine(i))
+	}
+	fleet, err := experiment.StartFleet(machines)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(fleet.Close)
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	configured := turned(text(l.Addr().String(), fleet.Directory.Address(), settings))
+	c, err := platform.Parse([]byte(configured), func(string) string { return "" })
+	if err != nil {
+		t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	s, err := New(c, own, log)
+	if err != nil {
+		t.Fatal(err)
+	}
+	ctx, stop := context.WithCancel(t.Context())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx, l) }()
+	return fleet, l.Addr().String(), func() {
+		stop()
+		if err := <-done; err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// serveUnderLoad runs a gatherer with an operator's file before a fleet of six, under a load, through whatever the
+// caller does to it, and ends it as a planned restart does.
+func serveUnderLoad(t *testing.T, own *operator.File, during func(f *experiment.Fleet)) *experiment.Outcome {
+	t.Helper()
+	fleet, address, end := startGatherer(t, own, func(i int) experiment.Machine {
+		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{
+			Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Brief: 1, Seed: uint64(i),
+		}}
+	}, func(text string) string { return text })
+	outs := make(chan *experiment.Outcome, 2)
+	playing, enough := context.WithCancel(t.Context())
+	for _, load := range []experiment.Load{
+		{Origin: "any", Index: "any", Rate: 120, Parts: 4, Seed: 0},
+		{Origin: "once", Index: "once", Rate: 40, Parts: 2, Seed: 1},
+	} {
+		load.Address = address
+		load.Shards = 12
+		load.Wait = 500 * time.Millisecond
+		go func() { outs <- experiment.Play(playing, load, 2500*time.Millisecond, 300*time.Millisecond) }()
+	}
+	during(fleet)
+	all := experiment.NewOutcome()
+	for range 2 {
+		all.Add(<-outs)
+	}
+	enough()
+	end()
+	return all
+}
+
+// plainMachine is a machine that answers fast.
+func plainMachine(i int) experiment.Machine {
+	return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{
+		Cores: 2, Work: 2, Queue: 40, Seed: uint64(i),
+	}}
+}
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -10,8 +10,6 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/shards"
 )
 
 // TestKeptConfigIsRead: a configuration of the platform is read key by key as it was when its format began.
@@ -20,7 +18,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "g7" || c.Listen != "127.0.0.1:8001" || c.Discovery != "127.0.0.1:9001" || c.Seed != 0xdeadbeef || c.Limits != (platform.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 512}) {
+	if c.Name != "g7" || c.Listen != "127.0.0.1:8001" || c.Discovery != "127.0.0.1:9001" || c.Seed != 0xdeadbeef ||
+		c.Limits != (platform.Limits{Cores: 0.5, MemoryMB: 64, Sockets: 512}) {
 		t.Errorf("%+v", c)
 	}
 	if c.Checksum != "fcaf128cf5aab831" {
@@ -29,16 +28,16 @@
 	if c.KnownEndpoints == nil || c.KnownEndpoints.Revision != 12 {
 		t.Fatalf("known: %+v", c.KnownEndpoints)
 	}
-	if marked := c.KnownEndpoints.MarkDraining(map[string]float64{"s1": 1796168000000, "s2": 1796168000000, "s3": 0}); marked != 1 {
+	stored := map[string]float64{"s1": 1796168000000, "s2": 1796168000000, "s3": 0}
+	if marked := c.KnownEndpoints.MarkDraining(stored); marked != 1 {
 		t.Errorf("%d of the known servers were marked as draining, one of them was in service", marked)
 	}
 }
 
 // TestAdminPathsKeepTheirBytes: what a gatherer says on its own paths is what it was.
 func TestAdminPathsKeepTheirBytes(t *testing.T) {
-	_, address, end := start(t, &operator.File{BackgroundShare: 0.05, TracesKept: 4, TraceShare: 1}, func(i int) experiment.Machine {
-		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{Cores: 2, Work: 2, Queue: 40, Seed: uint64(i)}}
-	}, func(text string) string { return text })
+	own := &operator.File{BackgroundShare: 0.05, TracesKept: 4, TraceShare: 1}
+	_, address, end := startGatherer(t, own, plainMachine, func(text string) string { return text })
 	defer end()
 	get := func(path string) string {
 		resp, err := http.Get("http://" + address + path)
--- a/internal/gatherer/service/migrated_test.go
+++ b/internal/gatherer/service/migration_test.go
@@ -13,11 +13,11 @@
 	"yokeroute/internal/testbed/standin/shards"
 )
 
-// TestMigrated moves a configuration to a fleet whose servers tell their load only when asked, whose list is asked
-// for and which allows no second copies. What comes out serves; a server that hangs is seen by what it tells, and
-// no part has two calls out at once.
-func TestMigrated(t *testing.T) {
-	fleet, address, end := start(t, &operator.File{}, func(i int) experiment.Machine {
+// TestMigratedConfigurationServes moves a configuration to a fleet whose servers tell their load only when asked,
+// whose list is asked for and which allows no second copies. What comes out serves; a server that hangs is seen by
+// what it tells, and no part has two calls out at once.
+func TestMigratedConfigurationServes(t *testing.T) {
+	fleet, address, end := startGatherer(t, &operator.File{}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: []string{"a", "b"}[i%2], Kind: "k", Group: i,
 			Terms: shards.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Seed: uint64(i)}}
 	}, func(text string) string {
@@ -36,7 +36,9 @@
 	}
 	hung := fleet.Servers["m2"]
 	hung.Hang(true)
-	load := experiment.Load{Origin: "any", Address: address, Index: "any", Rate: 60, Parts: 4, Shards: 6, Wait: 1500 * time.Millisecond, Seed: 1}
+	load := experiment.Load{
+		Origin: "any", Address: address, Index: "any", Rate: 60, Parts: 4, Shards: 6, Wait: 1500 * time.Millisecond, Seed: 1,
+	}
 	out := experiment.Play(t.Context(), load, 3*time.Second, time.Second)
 	end()
 	if out.Sent < 100 || out.Satisfied < out.Sent*95/100 || out.Failed > 0 {
--- a/internal/gatherer/service/loads_test.go
+++ b/internal/gatherer/service/platformsettings_test.go
@@ -7,8 +7,9 @@
 	"yokeroute/internal/config/platform"
 )
 
-// TestNewShape: a configuration of the shape that the gatherers move to reaches the module whole.
-func TestNewShape(t *testing.T) {
+// TestSettingsOfPulledLoadReportsAreRead: a configuration of the shape that the gatherers move to reaches the module
+// whole.
+func TestSettingsOfPulledLoadReportsAreRead(t *testing.T) {
 	moved := strings.NewReplacer(
 		`"pushed"`, `"on_request"`, `"secondCopies":true`, `"secondCopies":false,"probes":true`,
 		`"tick":5000`, `"tick":5000,"loadInfo":{"how":"pull","fields":["backlog","recent_ms"]}`).Replace(settings)
@@ -22,15 +23,16 @@
 	}
 }
 
-// TestNewFaults: settings that the move brought in are checked, and named.
-func TestNewFaults(t *testing.T) {
+// TestFaultySettingsOfPulledLoadReportsAreNamed: settings that the move brought in are checked, and named.
+func TestFaultySettingsOfPulledLoadReportsAreNamed(t *testing.T) {
 	for from, want := range map[string][2]string{
 		`"discovery":"pushed"`: {`"discovery":"shouted"`, "settings.discovery: "},
 		`"tick":5000`:          {`"tick":5000,"loadInfo":{"how":"asked"}`, "settings.loadInfo.how: "},
 		`"hardLimit":1000000`:  {`"hardLimit":-1`, "settings.classes: "},
 	} {
 		wrong := text("127.0.0.1:0", "127.0.0.1:1", strings.Replace(settings, from, want[0], 1))
-		if _, err := platform.Parse([]byte(wrong), func(string) string { return "" }); err == nil || !strings.Contains(err.Error(), want[1]) {
+		_, err := platform.Parse([]byte(wrong), func(string) string { return "" })
+		if err == nil || !strings.Contains(err.Error(), want[1]) {
 			t.Errorf("%s: %v, want %s", want[0], err, want[1])
 		}
 	}
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -273,10 +273,10 @@
 	return op
 }
 
-// TestMoving moves segments all the time under load: splits, merges and moves, some undone halfway, with hosts cut off
+// TestSegmentsMoveWithoutDuplicates moves segments all the time under load: splits, merges and moves, some undone halfway, with hosts cut off
 // from the authority, killed, and answers lost. No claim runs twice, none that was nacked has run, no key is given
 // twice, histories of claims are linearizable, and whole answers cover each key once.
-func TestMoving(t *testing.T) {
+func TestSegmentsMoveWithoutDuplicates(t *testing.T) {
 	logs := &standin.Logs{}
 	f := startFarm(t, 6, 2, logs, "")
 	for _, a := range f.addresses {
@@ -476,9 +476,9 @@
 	return twice
 }
 
-// TestCutOffOwner: an owner that is cut off still believes it owns; a gatherer with the old map goes on asking it. With
+// TestCutOffOwnerDoesNotRunWhatMoved: an owner that is cut off still believes it owns; a gatherer with the old map goes on asking it. With
 // the fence nothing runs there; without it a key is given twice, which this test sees.
-func TestCutOffOwner(t *testing.T) {
+func TestCutOffOwnerDoesNotRunWhatMoved(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
 		logs := &standin.Logs{Unfenced: unfenced}
 		f := startFarm(t, 3, 2, logs, "")
@@ -516,10 +516,10 @@
 	}
 }
 
-// TestOldMap: a gatherer that restarts with a map three epochs old, while the authority is silent, runs nothing at those
+// TestRestartWithAnOldMapRunsNothingTwice: a gatherer that restarts with a map three epochs old, while the authority is silent, runs nothing at those
 // who own its keys no longer; it serves again when the authority does. A once-only lookup that may have run before
 // the crash is aborted when its client asks again.
-func TestOldMap(t *testing.T) {
+func TestRestartWithAnOldMapRunsNothingTwice(t *testing.T) {
 	logs, dir := &standin.Logs{}, t.TempDir()
 	f := startFarm(t, 4, 1, logs, dir)
 	f.ready(f.addresses[0])
@@ -569,10 +569,10 @@
 	}
 }
 
-// TestLies: an authority tells one gatherer of a change that never was, and later of another one in the same epoch. Once-
+// TestContradictingAuthorityStopsNonIdempotentQueries: an authority tells one gatherer of a change that never was, and later of another one in the same epoch. Once-
 // only lookups stop when that comes to light, reads go on, and all go on with a later epoch. News that makes no sense
 // changes nothing.
-func TestLies(t *testing.T) {
+func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
 	f := startFarm(t, 3, 1, &standin.Logs{}, "")
 	f.ready(f.addresses[0])
 	began := time.Now()
