--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -113,7 +113,7 @@
 
 // check checks the flags, and fills in all versions.
 func (o *simulationOptions) check() error {
-	all := append([]string{"good"}, slices.Sorted(maps.Keys(rolloutsim.BadVersions))...)
+	all := append([]string{"good"}, slices.Sorted(maps.Keys(rolloutsim.HarmfulVersions))...)
 	if len(o.versions) == 0 {
 		o.versions = all
 	}
@@ -211,7 +211,7 @@
 				return err
 			}
 			rules := "kept"
-			if !out.RulesKept {
+			if !out.RulesHold {
 				rules = "BROKEN"
 			}
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s by %s: %s after %.0f s\n", version, name, out.Phase, out.Seconds)
--- a/internal/control/rollout/directives.go
+++ b/internal/control/rollout/directives.go
@@ -39,11 +39,11 @@
 	}
 }
 
-// keepLine makes a directive's lines known to validate, before they are taken.
-func (p *Plan) keepLine(name string, take func(v *directive.Values) error) func(v *directive.Values) error {
+// recordLine records a directive's lines for validate, before they are applied.
+func (p *Plan) recordLine(name string, apply func(v *directive.Values) error) func(v *directive.Values) error {
 	return func(v *directive.Values) error {
 		p.directiveLines[name] = append(p.directiveLines[name], v)
-		return take(v)
+		return apply(v)
 	}
 }
 
@@ -104,7 +104,7 @@
 		},
 		Help:    "A gatherer of the fleet. All of it stands in the plan.",
 		Example: "gatherer g1 zone north report 127.0.0.1:8101 config run/g1.json operator run/g1.conf",
-		Apply: p.keepLine("gatherer", func(v *directive.Values) error {
+		Apply: p.recordLine("gatherer", func(v *directive.Values) error {
 			p.Gatherers = append(p.Gatherers, rollout.Gatherer{Name: v.Text("name"), Zone: v.Text("zone")})
 			p.Processes = append(p.Processes, GathererProcess{
 				ReportAddress: v.Text("report"),
@@ -128,7 +128,7 @@
 		},
 		Help:    "A stage: one of count, share and zone. Each holds those before it.",
 		Example: "stage few share 10% least 2min",
-		Apply: p.keepLine("stage", func(v *directive.Values) error {
+		Apply: p.recordLine("stage", func(v *directive.Values) error {
 			p.Stages = append(p.Stages, rollout.Stage{
 				Name:           v.Text("name"),
 				Count:          int(v.Number("count", 0)),
@@ -149,7 +149,7 @@
 		Help: "How many gatherers may be out at once, those counted that died by themselves or can't be reached. " +
 			"One unless told.",
 		Example: "out 2 zone 1",
-		Apply: p.keepLine("out", func(v *directive.Values) error {
+		Apply: p.recordLine("out", func(v *directive.Values) error {
 			p.MaxUnavailable = int(v.Number("most", 0))
 			p.MaxUnavailablePerZone = int(v.Number("zone", 0))
 			return nil
@@ -187,7 +187,7 @@
 		},
 		Help:    "How long is waited. 30min unless told.",
 		Example: "limit 30min then back rough 2min",
-		Apply: p.keepLine("limit", func(v *directive.Values) error {
+		Apply: p.recordLine("limit", func(v *directive.Values) error {
 			p.StageLimit = v.Number("stage", 0)
 			p.MaxDisturbance = v.Number("rough", 0)
 			if v.Text("then") == "stop" {
@@ -211,7 +211,7 @@
 		},
 		Help:    "What has to be found. 5% unless told; a quarter of it is borne.",
 		Example: "harm 5% fresh 30% cost 25%",
-		Apply: p.keepLine("harm", func(v *directive.Values) error {
+		Apply: p.recordLine("harm", func(v *directive.Values) error {
 			p.Harm = v.Number("value", 0)
 			p.WarmUpHarm = v.Number("fresh", 0)
 			p.ExtraCost = v.Number("cost", 0)
@@ -279,8 +279,8 @@
 	{Name: "version", Kind: directive.Text, Help: "as `yokeroute version` has it"},
 }
 
-// takeRelease takes the line of a side.
-func takeRelease(to *Release) func(v *directive.Values) error {
+// applyRelease takes the line of a side.
+func applyRelease(to *Release) func(v *directive.Values) error {
 	return func(v *directive.Values) error {
 		*to = Release{
 			Program:  pathOf(v, "program"),
@@ -301,7 +301,7 @@
 		Name: "old", Once: true, Options: releaseFields,
 		Help:    "What gatherers serve as before. What stands here is what they are told by.",
 		Example: "old program releases/41/yokeroute",
-		Apply:   p.keepLine("old", takeRelease(&p.Old)),
+		Apply:   p.recordLine("old", applyRelease(&p.Old)),
 	}
 }
 
@@ -310,12 +310,12 @@
 		Name: "new", Once: true, Options: releaseFields,
 		Help:    "What they are to serve as.",
 		Example: "new program releases/42/yokeroute operator new.conf",
-		Apply:   p.keepLine("new", takeRelease(&p.New)),
+		Apply:   p.recordLine("new", applyRelease(&p.New)),
 	}
 }
 
-// takeCommand takes the line of a step's command.
-func (p *Plan) takeCommand(to rollout.Variant) func(v *directive.Values) error {
+// applyStepCommand takes the line of a step's command.
+func (p *Plan) applyStepCommand(to rollout.Variant) func(v *directive.Values) error {
 	return func(v *directive.Values) error {
 		p.Commands[to] = StepCommand{Args: v.List("command"), Timeout: durationOf(v, "limit", defaultStepTimeout)}
 		return nil
@@ -335,7 +335,7 @@
 			"what it could; what the gatherer is it tells itself. It may run twice for one gatherer. " +
 			"Without it the built-in runner does it, for processes on this machine.",
 		Example: `step-new ./deploy.sh "{name}" "{to}" limit 30s`,
-		Apply:   p.keepLine("step-new", p.takeCommand(rollout.New)),
+		Apply:   p.recordLine("step-new", p.applyStepCommand(rollout.New)),
 	}
 }
 
@@ -346,7 +346,7 @@
 		Options: []directive.Field{stepTimeoutField},
 		Help:    "The same for making it old again.",
 		Example: `step-old ./deploy.sh "{name}" "{to}" limit 30s`,
-		Apply:   p.keepLine("step-old", p.takeCommand(rollout.Old)),
+		Apply:   p.recordLine("step-old", p.applyStepCommand(rollout.Old)),
 	}
 }
 
@@ -357,7 +357,7 @@
 		Help: "How the built-in runner changes a gatherer: its files are replaced, " +
 			"then its process is ended by SIGTERM and started anew, or told by SIGHUP. restart unless told.",
 		Example: "runner hangup",
-		Apply: p.keepLine("runner", func(v *directive.Values) error {
+		Apply: p.recordLine("runner", func(v *directive.Values) error {
 			p.ReloadOnly = v.Text("how") == "hangup"
 			return nil
 		}),
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -68,7 +68,7 @@
 	{Kind: rollout.StepEnded, Gatherer: "g1", Target: rollout.New},
 	{Kind: rollout.StepStarted, Gatherer: "g2", Target: rollout.New},
 	{Kind: rollout.StepEnded, Gatherer: "g2", Target: rollout.New, Message: "step of g2: exit status 1: no room"},
-	{Kind: rollout.CommandTaken, Command: "back 1796168075012746800"},
+	{Kind: rollout.CommandApplied, Command: "back 1796168075012746800"},
 	{Kind: rollout.PositionChanged,
 		Position: &rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}},
 	{Kind: rollout.StepStarted, Gatherer: "g1", Target: rollout.Old},
--- a/internal/control/rollout/round.go
+++ b/internal/control/rollout/round.go
@@ -177,7 +177,7 @@
 		return err
 	}
 	c.lastCommand = stamped
-	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandTaken, Command: stamped}); err != nil {
+	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandApplied, Command: stamped}); err != nil {
 		return err
 	}
 	const reason = "by the operator's word"
--- a/internal/gatherer/report/checkpoint.go
+++ b/internal/gatherer/report/checkpoint.go
@@ -19,7 +19,7 @@
 // checkpoint is all counts at one time. Reports since a checkpoint let a reader lose an answer without losing counts.
 type checkpoint struct {
 	id                string
-	takenAt           float64
+	createdAt         float64
 	classes           map[string]*ClassStats // changed by nobody
 	connectionsOpened int64
 	cpuTime           float64
@@ -94,7 +94,7 @@
 	}
 	d.Classes = maps.Clone(classes)
 	return checkpoint{
-		takenAt:           d.ReportedAt,
+		createdAt:         d.ReportedAt,
 		classes:           classes,
 		connectionsOpened: d.ConnectionsOpened,
 		cpuTime:           d.CPUTime,
@@ -104,7 +104,7 @@
 // subtract makes a report of all counts one of those since a checkpoint.
 func (d *Document) subtract(from *checkpoint) {
 	d.SinceCheckpoint = from.id
-	d.Interval = d.ReportedAt - from.takenAt
+	d.Interval = d.ReportedAt - from.createdAt
 	d.ConnectionsOpened -= from.connectionsOpened
 	d.CPUTime = max(d.CPUTime-from.cpuTime, 0)
 	for name, stats := range d.Classes {
--- a/internal/gatherer/report/collector_test.go
+++ b/internal/gatherer/report/collector_test.go
@@ -51,7 +51,7 @@
 		t.Errorf("value %g, want %g", s.EarnedValue, want)
 	}
 	o := d.Classes["once"]
-	if o.Queries != 4 || o.Rejected != 1 || o.Failed != 1 || o.InternalErrors != 1 || o.ClientGone != 1 ||
+	if o.Queries != 4 || o.Rejected != 1 || o.Failed != 1 || o.InternalErrors != 1 || o.ClientDisconnected != 1 ||
 		o.EarnedValue != 0 {
 		t.Errorf("%+v", o)
 	}
--- a/internal/gatherer/report/document.go
+++ b/internal/gatherer/report/document.go
@@ -63,21 +63,21 @@
 
 // ClassStats counts what became of the queries of one class, and of their attempts at shard servers.
 type ClassStats struct {
-	Queries         int64            `json:"ended"`
-	Served          int64            `json:"satisfied"` // completely
-	ServedPartly    int64            `json:"partial"`
-	Rejected        int64            `json:"nacked"`
-	Failed          int64            `json:"aborted"`
-	InternalErrors  int64            `json:"broken"` // the decision module failed while it had them
-	ClientGone      int64            `json:"left"`
-	WithinObjective int64            `json:"in_aim"` // served, completely or partly, within the latency objective
-	EarnedValue     float64          `json:"value"`  // summed up, from 0 to 1 for a query
-	ShardRequests   int64            `json:"parts"`
-	Attempts        int64            `json:"calls"`   // written to a connection
-	ExtraAttempts   int64            `json:"further"` // of Attempts: retries and hedged requests
-	AttemptTime     float64          `json:"waited"`  // milliseconds in flight, summed up
-	Outcomes        map[string]int64 `json:"outcomes"`
-	Latency         Histogram        `json:"took"` // of served queries
+	Queries            int64            `json:"ended"`
+	Served             int64            `json:"satisfied"` // completely
+	ServedPartly       int64            `json:"partial"`
+	Rejected           int64            `json:"nacked"`
+	Failed             int64            `json:"aborted"`
+	InternalErrors     int64            `json:"broken"` // the decision module failed while it had them
+	ClientDisconnected int64            `json:"left"`
+	WithinObjective    int64            `json:"in_aim"` // served, completely or partly, within the latency objective
+	EarnedValue        float64          `json:"value"`  // summed up, from 0 to 1 for a query
+	ShardRequests      int64            `json:"parts"`
+	Attempts           int64            `json:"calls"`   // written to a connection
+	ExtraAttempts      int64            `json:"further"` // of Attempts: retries and hedged requests
+	AttemptTime        float64          `json:"waited"`  // milliseconds in flight, summed up
+	Outcomes           map[string]int64 `json:"outcomes"`
+	Latency            Histogram        `json:"took"` // of served queries
 }
 
 func newClassStats() *ClassStats {
@@ -101,7 +101,7 @@
 	d.Rejected -= earlier.Rejected
 	d.Failed -= earlier.Failed
 	d.InternalErrors -= earlier.InternalErrors
-	d.ClientGone -= earlier.ClientGone
+	d.ClientDisconnected -= earlier.ClientDisconnected
 	d.WithinObjective -= earlier.WithinObjective
 	d.ShardRequests -= earlier.ShardRequests
 	d.Attempts -= earlier.Attempts
@@ -171,7 +171,7 @@
 		return d.wrong("index "+class, "null")
 	}
 	for _, n := range []int64{
-		s.Queries, s.Served, s.ServedPartly, s.Rejected, s.Failed, s.InternalErrors, s.ClientGone,
+		s.Queries, s.Served, s.ServedPartly, s.Rejected, s.Failed, s.InternalErrors, s.ClientDisconnected,
 		s.WithinObjective, s.ShardRequests, s.Attempts, s.ExtraAttempts,
 	} {
 		if n < 0 {
--- a/internal/gatherer/report/events.go
+++ b/internal/gatherer/report/events.go
@@ -66,7 +66,7 @@
 	case dispatch.Failed:
 		stats.Failed++
 	case dispatch.Abandoned:
-		stats.ClientGone++
+		stats.ClientDisconnected++
 	default:
 		stats.InternalErrors++
 	}
--- a/internal/gatherer/report/metrics.go
+++ b/internal/gatherer/report/metrics.go
@@ -83,7 +83,7 @@
 		"nacked":    stats.Rejected,
 		"aborted":   stats.Failed,
 		"broken":    stats.InternalErrors,
-		"left":      stats.ClientGone,
+		"left":      stats.ClientDisconnected,
 	} {
 		s.counter(queriesDesc, float64(n), class, end)
 	}
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -109,9 +109,8 @@
 		draining()
 	}
 	err := s.server.Shutdown(context.WithoutCancel(ctx))
-	l.Close()    // by Shutdown already, unless Serve had not begun
-	_ = <-served // nil: its listener was closed
-	return err
+	l.Close() // by Shutdown already, unless Serve had not begun
+	return errors.Join(err, <-served)
 }
 
 // closeParts gives back what the parts hold, the last one first.
--- a/internal/testbed/rolloutlive/run.go
+++ b/internal/testbed/rolloutlive/run.go
@@ -40,7 +40,7 @@
 	MaxNew       int        // gatherers, at any time
 	Lost         float64    // operations that earned nothing since the controller's start
 	ExpectedLoss float64    // the same, at the rate before the rollout
-	RulesKept    bool       // on the joined traces
+	RulesHold    bool       // on the joined traces
 	MemoryMB     [2]float64 // of a gatherer at the end: mean and greatest
 }
 
@@ -106,7 +106,7 @@
 	}
 	r.fleet.Close()
 	joint, err := r.fleet.Check()
-	r.outcome.RulesKept = err == nil && joint.Kept()
+	r.outcome.RulesHold = err == nil && joint.Kept()
 	return r.outcome, err
 }
 
--- a/internal/testbed/rolloutsim/fleet.go
+++ b/internal/testbed/rolloutsim/fleet.go
@@ -46,12 +46,12 @@
 }
 
 const (
-	usualMemory   = 18.0 // MB of a process that has served for a while
+	steadyMemory  = 18.0 // MB of a process that has served for a while
 	initialMemory = 12.0 // MB
 )
 
 func newFleet(s Scenario) *fleet {
-	f := &fleet{scenario: s, random: pcg.New(s.Seed*7919 + 13), effect: BadVersions[s.Version]}
+	f := &fleet{scenario: s, random: pcg.New(s.Seed*7919 + 13), effect: HarmfulVersions[s.Version]}
 	if s.CustomEffect != nil {
 		f.effect = *s.CustomEffect
 	}
@@ -65,7 +65,7 @@
 			latencyFactor: math.Exp(0.08 * f.gauss()),
 			variant:       rollout.Old,
 			startedAt:     -60 * millisPerMinute,
-			memory:        usualMemory * math.Exp(0.1*f.gauss()),
+			memory:        steadyMemory * math.Exp(0.1*f.gauss()),
 		})
 	}
 	f.drawFaults()
--- a/internal/testbed/rolloutsim/kept_test.go
+++ b/internal/testbed/rolloutsim/kept_test.go
@@ -16,7 +16,7 @@
 	t.Parallel()
 	strategies := map[string]NewStrategy{"ours": nil, "plain": FixedThresholds, "at once": AllAtOnce}
 	var out bytes.Buffer
-	for _, version := range append(slices.Sorted(maps.Keys(BadVersions)), "good") {
+	for _, version := range append(slices.Sorted(maps.Keys(HarmfulVersions)), "good") {
 		for _, name := range slices.Sorted(maps.Keys(strategies)) {
 			o := Run(testScenario(version), strategies[name])
 			line, err := json.Marshal([]any{
--- a/internal/testbed/rolloutsim/run_test.go
+++ b/internal/testbed/rolloutsim/run_test.go
@@ -24,9 +24,9 @@
 	}
 }
 
-// TestBadVersionsAreFound: each version that does worse is found, most before half of the fleet has it.
-func TestBadVersionsAreFound(t *testing.T) {
-	for _, version := range slices.Sorted(maps.Keys(BadVersions)) {
+// TestHarmfulVersionsAreFound: each version that does worse is found, most before half of the fleet has it.
+func TestHarmfulVersionsAreFound(t *testing.T) {
+	for _, version := range slices.Sorted(maps.Keys(HarmfulVersions)) {
 		t.Run(version, func(t *testing.T) {
 			t.Parallel()
 			if s := RunMany(testScenario(version), "ours", nil, 5, 2); s.Passed > 0 || s.FoundAtShare > 0.6 {
--- a/internal/testbed/rolloutsim/sample.go
+++ b/internal/testbed/rolloutsim/sample.go
@@ -66,7 +66,7 @@
 }
 
 func (f *fleet) growMemory(g *gatherer) {
-	g.memory += (usualMemory - g.memory) * 0.02
+	g.memory += (steadyMemory - g.memory) * 0.02
 	if g.variant == rollout.New && f.effect.MemoryGrowth > 0 {
 		g.memory *= 1 + f.effect.MemoryGrowth*f.scenario.Interval/millisPerMinute
 	}
--- a/internal/testbed/rolloutsim/scenario.go
+++ b/internal/testbed/rolloutsim/scenario.go
@@ -17,7 +17,7 @@
 	Interval     float64 `json:"Interval"` // between observations
 	TimeLimit    float64 `json:"Length"`   // after which an unfinished rollout is abandoned
 	FaultRate    float64 `json:"Troubles"` // of the fleet's own faults, in ten minutes
-	Version      string  `json:"Kind"`     // of the new: good, or one of BadVersions
+	Version      string  `json:"Kind"`     // of the new: good, or one of HarmfulVersions
 	EffectScale  float64 `json:"Size"`     // of what is bad of it, 1 for the table's
 	Seed         uint64  `json:"Seed"`
 	CustomEffect *Effect `json:"Own"` // in place of Version's
@@ -78,8 +78,8 @@
 	e.CrashRate *= by
 }
 
-// BadVersions are the versions that do worse, one way each, at sizes that an operator would want found.
-var BadVersions = map[string]Effect{
+// HarmfulVersions are the versions that do worse, one way each, at sizes that an operator would want found.
+var HarmfulVersions = map[string]Effect{
 	"loses":        {Loss: 0.08},
 	"aborts":       {Fail: 0.08},
 	"one-index":    {Loss: 0.15, Class: 3},
--- a/internal/testbed/rolloutsim/search.go
+++ b/internal/testbed/rolloutsim/search.go
@@ -151,15 +151,15 @@
 		CustomEffect: &Effect{},
 	}
 	if !good {
-		*s.CustomEffect = d.badEffect(Plan(s), s.Zones)
+		*s.CustomEffect = d.harmfulEffect(Plan(s), s.Zones)
 	}
 	return s
 }
 
-// badEffect draws the effect of a bad version. It harms by at least half as much again as the plan says has to be
+// harmfulEffect draws the effect of a bad version. It harms by at least half as much again as the plan says has to be
 // found, from the start or from some time on, in all classes and zones or in one, and may have something better beside
 // it.
-func (d drawer) badEffect(p rollout.Plan, zones int) Effect {
+func (d drawer) harmfulEffect(p rollout.Plan, zones int) Effect {
 	e := d.harm(p)
 	if e.Connections == 0 && d.oneIn(3) {
 		e.Class = 1 + int(d.Uint32()%3)
--- a/internal/testbed/rolloutsim/strategies.go
+++ b/internal/testbed/rolloutsim/strategies.go
@@ -43,9 +43,9 @@
 // fixedThresholds is the baseline strategy of fixed times and thresholds: a stage is observed for its time, then the
 // totals of old and new are compared.
 type fixedThresholds struct {
-	plan       rollout.Plan
-	stepper    *rollout.Decider // for its steps and bounds alone
-	olds, news variantTotals
+	plan                 rollout.Plan
+	stepper              *rollout.Decider // for its steps and bounds alone
+	oldTotals, newTotals variantTotals
 }
 
 // FixedThresholds returns that strategy.
@@ -78,8 +78,8 @@
 		d.Reason = reason
 		d.Steps = nil
 	}
-	s.olds = variantTotals{}
-	s.news = variantTotals{}
+	s.oldTotals = variantTotals{}
+	s.newTotals = variantTotals{}
 	return d
 }
 
@@ -89,9 +89,9 @@
 		if !sample.Reachable || sample.Variant != rollout.Old && sample.Variant != rollout.New {
 			continue
 		}
-		side := &s.olds
+		side := &s.oldTotals
 		if sample.Variant == rollout.New {
-			side = &s.news
+			side = &s.newTotals
 		}
 		for class := range sample.Classes {
 			side.add(&sample.Classes[class])
@@ -102,7 +102,7 @@
 // harm returns what the new do worse, empty for nothing: they lose more of the value by the plan's harm, have twice as
 // many queries in the latency tail, or send more attempts by the plan's cost.
 func (s *fixedThresholds) harm() string {
-	n, o := &s.news, &s.olds
+	n, o := &s.newTotals, &s.oldTotals
 	switch {
 	case n.queries == 0 || o.queries == 0:
 		return ""
--- a/logic/rollout/baseline.go
+++ b/logic/rollout/baseline.go
@@ -125,7 +125,7 @@
 		if one.total[m] < minHalfCount || other.total[m] < minHalfCount {
 			continue
 		}
-		pooled := (one.bad[m] + other.bad[m]) / (one.total[m] + other.total[m])
+		pooled := (one.events[m] + other.events[m]) / (one.total[m] + other.total[m])
 		difference := one.rate(m) - other.rate(m)
 		if m == attemptsPerRequest {
 			difference /= max(pooled, 1e-9)
@@ -219,7 +219,7 @@
 	if news.total[m] < minHalfCount || olds.total[m] < minHalfCount {
 		return 0, 0
 	}
-	pooled := (news.bad[m] + olds.bad[m]) / (news.total[m] + olds.total[m])
+	pooled := (news.events[m] + olds.events[m]) / (news.total[m] + olds.total[m])
 	difference := news.rate(m) - olds.rate(m)
 	if m == attemptsPerRequest {
 		difference /= max(b.attemptsPerRequest[class], 1e-9)
@@ -237,7 +237,7 @@
 	for class, name := range p.Classes {
 		sum := b.total(class)
 		queries := sum.total[lostValue]
-		earned := 100 * (1 - sum.bad[lostValue]/max(queries, 1))
+		earned := 100 * (1 - sum.events[lostValue]/max(queries, 1))
 		parts = append(parts, fmt.Sprintf("%s earns %.1f%% (%.0f lookups)", name, earned, queries))
 	}
 	return strings.Join(parts, ", ")
--- a/logic/rollout/compare.go
+++ b/logic/rollout/compare.go
@@ -56,24 +56,24 @@
 
 // interval is an observation sorted for comparison.
 type interval struct {
-	olds, news  []variantTally // by zone
-	warmingUp   []int          // gatherers that have just started as new
-	unreachable []float64      // by zone
-	gatherers   []float64      // by zone
-	disturbed   []bool         // by zone
+	oldSide, newSide []variantTally // by zone
+	warmingUp        []int          // gatherers that have just started as new
+	unreachable      []float64      // by zone
+	gatherers        []float64      // by zone
+	disturbed        []bool         // by zone
 }
 
 func newInterval(zones, classes int) *interval {
 	in := &interval{
-		olds:        make([]variantTally, zones),
-		news:        make([]variantTally, zones),
+		oldSide:     make([]variantTally, zones),
+		newSide:     make([]variantTally, zones),
 		unreachable: make([]float64, zones),
 		gatherers:   make([]float64, zones),
 		disturbed:   make([]bool, zones),
 	}
 	for z := range zones {
-		in.olds[z].classes = make([]tally, classes)
-		in.news[z].classes = make([]tally, classes)
+		in.oldSide[z].classes = make([]tally, classes)
+		in.newSide[z].classes = make([]tally, classes)
 	}
 	return in
 }
@@ -120,13 +120,13 @@
 	if d.requested[g] != Unknown && !firstReport {
 		return
 	}
-	side := &in.olds[z]
+	side := &in.oldSide[z]
 	switch {
 	case s.Variant == New && warmingUp:
 		in.warmingUp = append(in.warmingUp, g)
 		return
 	case s.Variant == New:
-		side = &in.news[z]
+		side = &in.newSide[z]
 	case warmingUp && s.Uptime < o.Now-d.baseline.startedAt: // an old one that was restarted warms up as well
 		return
 	}
@@ -142,7 +142,7 @@
 func (d *Decider) updateDisturbance(in *interval, now float64) {
 	disturbed := false
 	for z := range in.disturbed {
-		if d.isDisturbed(z, &in.olds[z]) || in.unreachable[z] > unreachableShare*in.gatherers[z] {
+		if d.isDisturbed(z, &in.oldSide[z]) || in.unreachable[z] > unreachableShare*in.gatherers[z] {
 			d.disturbedUntil[z] = now + disturbanceHold
 			disturbed = true
 		}
@@ -185,8 +185,8 @@
 		if in.disturbed[z] && !isCost {
 			continue
 		}
-		older, zoneOffset, zoneError := &in.olds[z].classes[class], offset, offsetError
-		if in.olds[z].gatherers == 0 && in.news[z].gatherers > 0 {
+		older, zoneOffset, zoneError := &in.oldSide[z].classes[class], offset, offsetError
+		if in.oldSide[z].gatherers == 0 && in.newSide[z].gatherers > 0 {
 			var found bool
 			if older, found = in.oldOfOtherZones(z, class); !found {
 				continue
@@ -197,7 +197,7 @@
 			zoneError += d.stageThresholds(m).detectable / 2
 		}
 		key := comparisonKey{m, class, 1 + z}
-		if diff, ok := d.nextDifference(key, &in.news[z].classes[class], older); ok {
+		if diff, ok := d.nextDifference(key, &in.newSide[z].classes[class], older); ok {
 			d.updateComparison(key, zoneOffset, zoneError, diff)
 			diff.value += offset - zoneOffset // the offset over all zones is subtracted from the pooled one
 			differences = append(differences, diff)
@@ -213,12 +213,12 @@
 // wider error, and disturbed zones are left out.
 func (in *interval) oldOfOtherZones(zone, class int) (sum *tally, found bool) {
 	sum = &tally{}
-	for z := range in.olds {
-		if z == zone || in.disturbed[z] || in.olds[z].gatherers == 0 {
+	for z := range in.oldSide {
+		if z == zone || in.disturbed[z] || in.oldSide[z].gatherers == 0 {
 			continue
 		}
 		found = true
-		sum.merge(&in.olds[z].classes[class])
+		sum.merge(&in.oldSide[z].classes[class])
 	}
 	return sum, found
 }
@@ -234,7 +234,7 @@
 		var own tally
 		own.add(&s.Classes[class], d.baseline.latencyLimits[class])
 		key := comparisonKey{metricCount, class, 1 + len(d.zoneNames) + g}
-		if diff, ok := d.nextDifference(key, &own, &in.olds[z].classes[class]); ok {
+		if diff, ok := d.nextDifference(key, &own, &in.oldSide[z].classes[class]); ok {
 			c := &d.warmUps[class]
 			c.queries += diff.queries
 			c.difference.add(diff.value)
@@ -262,7 +262,7 @@
 		return difference{}, false
 	}
 	for side, t := range [2]*tally{newer, older} {
-		pending[side].put(m, t.total[m], t.bad[m])
+		pending[side].put(m, t.total[m], t.events[m])
 	}
 	news, olds := pending[0], pending[1]
 	enough := float64(minQueries)
@@ -277,7 +277,7 @@
 	if m == attemptsPerRequest {
 		value /= max(d.baseline.attemptsPerRequest[k.class], 1e-9)
 	}
-	pooled := (news.bad[m] + olds.bad[m]) / (news.total[m] + olds.total[m])
+	pooled := (news.events[m] + olds.events[m]) / (news.total[m] + olds.total[m])
 	variance := rateVariance(m, max(pooled, minVarianceRate)) * d.baseline.overdispersionOf(k.class, m)
 	stdDev := math.Sqrt(variance * (1/news.total[m] + 1/olds.total[m]))
 	return difference{value, stdDev, news.total[m]}, true
@@ -351,12 +351,12 @@
 // compareGauges compares connections and memory of an average gatherer, relative to the old ones'.
 func (d *Decider) compareGauges(in *interval) {
 	var news, olds variantTally
-	for z := range in.olds {
-		news.gatherers += in.news[z].gatherers
-		olds.gatherers += in.olds[z].gatherers
+	for z := range in.oldSide {
+		news.gatherers += in.newSide[z].gatherers
+		olds.gatherers += in.oldSide[z].gatherers
 		for k := range gaugeCount {
-			news.gauges[k] += in.news[z].gauges[k]
-			olds.gauges[k] += in.olds[z].gauges[k]
+			news.gauges[k] += in.newSide[z].gauges[k]
+			olds.gauges[k] += in.oldSide[z].gauges[k]
 		}
 	}
 	if news.gatherers == 0 || olds.gatherers == 0 {
--- a/logic/rollout/decider.go
+++ b/logic/rollout/decider.go
@@ -37,7 +37,7 @@
 	gaveUp            []bool   // it did not come up as new in all attempts
 	incarnation       []string // as last reported
 	incarnationBefore []string // as of the last step's start
-	lastSeenNew       []bool   // it served as new when it was last reachable
+	wasNew            []bool   // it served as new when it was last reachable
 }
 
 // NewDecider returns a decider for a plan with its defaults that passed Check, at the position that an
@@ -57,7 +57,7 @@
 		gaveUp:            make([]bool, n),
 		incarnation:       make([]string, n),
 		incarnationBefore: make([]string, n),
-		lastSeenNew:       make([]bool, n),
+		wasNew:            make([]bool, n),
 	}
 	for _, g := range p.Gatherers {
 		d.zoneOf = append(d.zoneOf, slices.Index(d.zoneNames, g.Zone))
@@ -179,10 +179,10 @@
 		changed := d.incarnation[g] != "" && s.Incarnation != d.incarnation[g]
 		byStep := d.requested[g] != Unknown || s.Step == Running
 		if changed && !byStep && (s.Variant == New || s.Variant == Old) {
-			d.exits.update(float64(news)/float64(max(news+olds, 1)), d.lastSeenNew[g] || s.Variant == New)
+			d.exits.update(float64(news)/float64(max(news+olds, 1)), d.wasNew[g] || s.Variant == New)
 		}
 		d.incarnation[g] = s.Incarnation
-		d.lastSeenNew[g] = s.Variant == New
+		d.wasNew[g] = s.Variant == New
 	}
 }
 
--- a/logic/rollout/journal.go
+++ b/logic/rollout/journal.go
@@ -34,7 +34,7 @@
 	PositionChanged   RecordKind = "at"
 	StepStarted       RecordKind = "step"    // written before the step starts
 	StepEnded         RecordKind = "stepped" // well or not
-	CommandTaken      RecordKind = "word"    // an operator's command
+	CommandApplied    RecordKind = "word"    // an operator's command
 )
 
 // Describe is the record as operators read it.
@@ -91,7 +91,7 @@
 			unfinished[record.Gatherer] = i
 		case StepEnded:
 			delete(unfinished, record.Gatherer)
-		case CommandTaken:
+		case CommandApplied:
 			r.Command = record.Command
 		default:
 			return r, fmt.Errorf("%w: record %d is of the unknown kind %q", ErrRecord, i+1, record.Kind)
--- a/logic/rollout/journal_test.go
+++ b/logic/rollout/journal_test.go
@@ -15,7 +15,7 @@
 		{Kind: StepStarted, Gatherer: "a", Target: New},
 		{Kind: StepStarted, Gatherer: "b", Target: New},
 		{Kind: StepEnded, Gatherer: "a", Target: New},
-		{Kind: CommandTaken, Command: "back 7"},
+		{Kind: CommandApplied, Command: "back 7"},
 		{Kind: PositionChanged, Position: &Position{Phase: RollingBack, Stage: 1, Reason: "x"}},
 		{Kind: StepStarted, Gatherer: "a", Target: Old},
 		{Kind: StepEnded, Gatherer: "b", Message: "no"},
--- a/logic/rollout/metric.go
+++ b/logic/rollout/metric.go
@@ -66,13 +66,13 @@
 
 // tally sums up the counts of one request class over gatherers and intervals, metric by metric.
 type tally struct {
-	total [metricCount]float64 // what the metric is a rate of
-	bad   [metricCount]float64
+	total  [metricCount]float64 // what the metric is a rate of
+	events [metricCount]float64
 }
 
-func (t *tally) put(m metric, total, bad float64) {
+func (t *tally) put(m metric, total, events float64) {
 	t.total[m] += total
-	t.bad[m] += bad
+	t.events[m] += events
 }
 
 // add adds a gatherer's counts. The limits are the latencies of slowQueries and latencyTail, in tenths of a
@@ -101,7 +101,7 @@
 		for i, m := range [2]metric{slowQueries, latencyTail} {
 			t.total[m] += float64(bar.Count)
 			if bar.From > limits[i] {
-				t.bad[m] += float64(bar.Count)
+				t.events[m] += float64(bar.Count)
 			}
 		}
 	}
@@ -111,11 +111,11 @@
 func (t *tally) merge(o *tally) {
 	for m := range metricCount {
 		t.total[m] += o.total[m]
-		t.bad[m] += o.bad[m]
+		t.events[m] += o.events[m]
 	}
 }
 
-func (t *tally) rate(m metric) float64 { return t.bad[m] / max(t.total[m], 1e-9) }
+func (t *tally) rate(m metric) float64 { return t.events[m] / max(t.total[m], 1e-9) }
 
 // rateVariance is the variance of a metric for one query, if queries were independent. Attempts for a shard
 // request are none, one or two, for which a fixed figure is near enough.
--- a/logic/rollout/steps.go
+++ b/logic/rollout/steps.go
@@ -44,7 +44,7 @@
 	if s.Reachable {
 		return s.Variant == v
 	}
-	return v == New && d.lastSeenNew[g] && d.requested[g] == Unknown
+	return v == New && d.wasNew[g] && d.requested[g] == Unknown
 }
 
 // planSteps returns the steps that may start now, and the gatherers of the target that are not yet changed.
@@ -172,7 +172,7 @@
 		if d.gaveUp[g] {
 			names = append(names, d.plan.Gatherers[g].Name)
 		}
-		if d.attempts[g] > 0 || d.gaveUp[g] || d.lastSeenNew[g] {
+		if d.attempts[g] > 0 || d.gaveUp[g] || d.wasNew[g] {
 			tried++
 		}
 	}
