--- a/internal/control/rollout/directives.go
+++ b/internal/control/rollout/directives.go
@@ -26,9 +26,9 @@
 func (p *Plan) directives() *directive.Table {
 	return &directive.Table{
 		Name: "rollout plan",
-		Intro: "How a fleet of gatherers goes from an old version or old settings to new ones in stages: " +
-			"`yokeroute rollout run FILE`. In names of files and in commands {name} and {zone} stand for " +
-			"a gatherer's; names of files are relative to the plan.",
+		Intro: "A plan takes a fleet of gatherers from an old version or old settings to new ones in stages: " +
+			"`yokeroute rollout run FILE`. In file names and commands {name} and {zone} stand for a gatherer's; " +
+			"file names are relative to the plan.",
 		Directives: []*directive.Directive{
 			p.rolloutDirective(), p.gathererDirective(), p.stageDirective(),
 			p.outDirective(), p.watchDirective(), p.limitDirective(),
@@ -78,8 +78,8 @@
 		Name: "rollout", Once: true,
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "in", Kind: directive.Text, Required: true, Help: "folder of its journal; one rollout has one"},
-			{Name: "every", Kind: directive.Duration, Min: 50, Max: 600_000, Help: "gatherers are asked; 5s"},
+			{Name: "in", Kind: directive.Text, Required: true, Help: "folder of the journal, one for each rollout"},
+			{Name: "every", Kind: directive.Duration, Min: 50, Max: 600_000, Help: "interval between observations; 5s"},
 		},
 		Help:    "Names the rollout.",
 		Example: "rollout release-42 in rollout-42 every 5s",
@@ -95,14 +95,14 @@
 func (p *Plan) gathererDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "gatherer",
-		Args: []directive.Field{{Name: "name", Kind: directive.Name, Help: "as the gatherer tells it"}},
+		Args: []directive.Field{{Name: "name", Kind: directive.Name, Help: "as in the gatherer's reports"}},
 		Options: []directive.Field{
-			{Name: "zone", Kind: directive.Name, Help: "none unless told"},
-			{Name: "report", Kind: directive.Address, Required: true, Help: "where it tells of itself"},
-			{Name: "config", Kind: directive.Text, Help: "file that its process reads, for the built-in runner"},
-			{Name: "operator", Kind: directive.Text, Help: "the same, of the operator's file"},
+			{Name: "zone", Kind: directive.Name, Help: "default: none"},
+			{Name: "report", Kind: directive.Address, Required: true, Help: "address of its reports"},
+			{Name: "config", Kind: directive.Text, Help: "configuration file of its process, for the built-in runner"},
+			{Name: "operator", Kind: directive.Text, Help: "operator's file of its process, for the built-in runner"},
 		},
-		Help:    "A gatherer of the fleet. All of it stands in the plan.",
+		Help:    "A gatherer. The plan names the whole fleet.",
 		Example: "gatherer g1 zone north report 127.0.0.1:8101 config run/g1.json operator run/g1.conf",
 		Apply: p.recordLine("gatherer", func(v *directive.Values) error {
 			p.Gatherers = append(p.Gatherers, rollout.Gatherer{Name: v.Text("name"), Zone: v.Text("zone")})
@@ -121,12 +121,12 @@
 		Name: "stage",
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new then"},
+			{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new at its end"},
 			shareField("share", "of the gatherers"),
-			{Name: "zone", Kind: directive.Name, Help: "all gatherers of it, and those before"},
-			durationField("least", "for which it is watched once all of it serve; 60s"),
+			{Name: "zone", Kind: directive.Name, Help: "all gatherers of the zone, and those of the stages before"},
+			durationField("least", "for which it is observed once all of it serve as new; 60s"),
 		},
-		Help:    "A stage: one of count, share and zone. Each holds those before it.",
+		Help:    "A stage, by one of count, share and zone. Each includes those before it.",
 		Example: "stage few share 10% least 2min",
 		Apply: p.recordLine("stage", func(v *directive.Values) error {
 			p.Stages = append(p.Stages, rollout.Stage{
@@ -144,10 +144,10 @@
 func (p *Plan) outDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "out", Once: true,
-		Args:    []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of all"}},
-		Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; as of all"}},
-		Help: "How many gatherers may be out at once, those counted that died by themselves or can't be reached. " +
-			"One unless told.",
+		Args:    []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of the fleet"}},
+		Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; default: as for the fleet"}},
+		Help: "How many gatherers may be unavailable at once, those included that failed by themselves or " +
+			"can't be reached. Default: one.",
 		Example: "out 2 zone 1",
 		Apply: p.recordLine("out", func(v *directive.Values) error {
 			p.MaxUnavailable = int(v.Number("most", 0))
@@ -161,11 +161,11 @@
 	return &directive.Directive{
 		Name: "watch", Once: true,
 		Options: []directive.Field{
-			durationField("baseline", "before the first change; 30s"),
-			durationField("fresh", "after its start for which a gatherer is judged apart; 15s"),
-			durationField("settle", "within which a changed one has to serve as what it was made; 30s"),
+			durationField("baseline", "observation before the first change; 30s"),
+			durationField("fresh", "warm-up after a start, during which a gatherer is evaluated apart; 15s"),
+			durationField("settle", "time within which a changed gatherer has to serve as its new version; 30s"),
 		},
-		Help:    "How gatherers are watched.",
+		Help:    "How gatherers are observed.",
 		Example: "watch baseline 1min fresh 15s settle 30s",
 		Apply: func(v *directive.Values) error {
 			p.BaselineTime = v.Number("baseline", 0)
@@ -179,13 +179,13 @@
 func (p *Plan) limitDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "limit", Once: true,
-		Args: []directive.Field{{Name: "stage", Kind: directive.Duration, Min: 1, Help: "that a stage may last"}},
+		Args: []directive.Field{{Name: "stage", Kind: directive.Duration, Min: 1, Help: "longest duration of a stage"}},
 		Options: []directive.Field{
-			{Name: "then", Kind: directive.Choice, Choices: []string{"back", "stop"}, Help: "back"},
-			durationField("rough", "that the old may do worse since a stage began, "+
-				"before it is taken for the new's doing; 2min"),
+			{Name: "then", Kind: directive.Choice, Choices: []string{"back", "stop"}, Help: "default: back"},
+			durationField("rough", "time for which the old gatherers may do worse during a stage "+
+				"before the new version is blamed; 2min"),
 		},
-		Help:    "How long is waited. 30min unless told.",
+		Help:    "Limits of time. Default: 30min.",
 		Example: "limit 30min then back rough 2min",
 		Apply: p.recordLine("limit", func(v *directive.Values) error {
 			p.StageLimit = v.Number("stage", 0)
@@ -203,13 +203,13 @@
 		Name: "harm", Once: true,
 		Args: []directive.Field{{
 			Name: "value", Kind: directive.Share, Min: minHarm,
-			Help: "of what lookups could earn, lost more than by the old",
+			Help: "of the value that queries could earn, lost beyond the old gatherers' loss",
 		}},
 		Options: []directive.Field{
-			shareField("fresh", "the same of gatherers that have just started; 30%"),
-			shareField("cost", "part calls, connections or memory more than the old ones'; 25%"),
+			shareField("fresh", "the same for gatherers that warm up; 30%"),
+			shareField("cost", "attempts, connections or memory beyond the old gatherers'; 25%"),
 		},
-		Help:    "What has to be found. 5% unless told; a quarter of it is borne.",
+		Help:    "Harm that has to be found; a quarter of it is tolerated. Default: 5%.",
 		Example: "harm 5% fresh 30% cost 25%",
 		Apply: p.recordLine("harm", func(v *directive.Values) error {
 			p.Harm = v.Number("value", 0)
@@ -224,10 +224,10 @@
 	return &directive.Directive{
 		Name: "chance", Once: true,
 		Options: []directive.Field{
-			shareField("stop", "that a rollout of a version as good as the old is stopped; 1%"),
-			shareField("pass", "that a stage passes one that does the harm; 5%"),
+			shareField("stop", "of stopping a rollout of a version as good as the old; 1%"),
+			shareField("pass", "of passing a stage with a version that does the harm; 5%"),
 		},
-		Help:    "What chance may do.",
+		Help:    "Probabilities of wrong decisions.",
 		Example: "chance stop 1% pass 5%",
 		Apply: func(v *directive.Values) error {
 			p.FalseStopRate = v.Number("stop", 0)
@@ -241,13 +241,13 @@
 	return &directive.Directive{
 		Name: "evidence", Once: true,
 		Args: []directive.Field{{
-			Name: "lookups", Kind: directive.Count, Min: 1, Help: "of each index at new gatherers, in a stage",
+			Name: "lookups", Kind: directive.Count, Min: 1, Help: "of each class at new gatherers, in a stage",
 		}},
 		Options: []directive.Field{
-			shareField("judged", "of the lookups from which an index is judged by itself; 2%"),
-			{Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "to change a gatherer; 2"},
+			shareField("judged", "of the queries from which a class is evaluated by itself; 2%"),
+			{Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "attempts to change a gatherer; 2"},
 		},
-		Help:    "The least that a stage passes on. 100 unless told.",
+		Help:    "Least evidence with which a stage passes. Default: 100.",
 		Example: "evidence 200 judged 2% tries 2",
 		Apply: func(v *directive.Values) error {
 			p.MinQueries = v.Number("lookups", 0)
@@ -263,7 +263,7 @@
 	return &directive.Directive{
 		Name: "seed", Once: true,
 		Args:    []directive.Field{{Name: "seed", Kind: directive.Count, Max: maxSeed}},
-		Help:    "Of the order in which gatherers are changed; 0 unless told.",
+		Help:    "Seed of the order in which gatherers are changed. Default: 0.",
 		Example: "seed 7",
 		Apply: func(v *directive.Values) error {
 			p.Seed = uint64(v.Number("seed", 0))
@@ -276,7 +276,7 @@
 	{Name: "program", Kind: directive.Text, Help: "file of the program"},
 	{Name: "config", Kind: directive.Text, Help: "file of the platform's configuration"},
 	{Name: "operator", Kind: directive.Text, Help: "operator's file"},
-	{Name: "version", Kind: directive.Text, Help: "as `yokeroute version` has it"},
+	{Name: "version", Kind: directive.Text, Help: "as printed by `yokeroute version`"},
 }
 
 // applyRelease takes the line of a side.
@@ -299,7 +299,7 @@
 func (p *Plan) oldDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "old", Once: true, Options: releaseFields,
-		Help:    "What gatherers serve as before. What stands here is what they are told by.",
+		Help:    "What gatherers run before. They are classified by the fields given here.",
 		Example: "old program releases/41/yokeroute",
 		Apply:   p.recordLine("old", applyRelease(&p.Old)),
 	}
@@ -308,7 +308,7 @@
 func (p *Plan) newDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "new", Once: true, Options: releaseFields,
-		Help:    "What they are to serve as.",
+		Help:    "What gatherers run afterwards.",
 		Example: "new program releases/42/yokeroute operator new.conf",
 		Apply:   p.recordLine("new", applyRelease(&p.New)),
 	}
@@ -322,18 +322,18 @@
 	}
 }
 
-var stepTimeoutField = durationField("limit", "after which it is ended and has failed; 1min")
+var stepTimeoutField = durationField("limit", "time after which it is killed and has failed; 1min")
 
 func (p *Plan) stepNewDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "step-new", Once: true,
 		Args: []directive.Field{{
-			Name: "command", Kind: directive.Words, Help: "and its words; {to} is new, {fence} a number that grows",
+			Name: "command", Kind: directive.Words, Help: "with its arguments; {to} is new, {fence} grows with each controller",
 		}},
 		Options: []directive.Field{stepTimeoutField},
-		Help: "A command that makes a gatherer new, run in the plan's folder. Status 0 says that it did " +
-			"what it could; what the gatherer is it tells itself. It may run twice for one gatherer. " +
-			"Without it the built-in runner does it, for processes on this machine.",
+		Help: "Command that makes a gatherer new, run in the plan's folder. Exit status 0 says that it did " +
+			"what it could; which version the gatherer runs comes from its own report. It may run twice for " +
+			"one gatherer. Default: the built-in runner, for processes on this machine.",
 		Example: `step-new ./deploy.sh "{name}" "{to}" limit 30s`,
 		Apply:   p.recordLine("step-new", p.applyStepCommand(rollout.New)),
 	}
@@ -342,9 +342,9 @@
 func (p *Plan) stepOldDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "step-old", Once: true,
-		Args:    []directive.Field{{Name: "command", Kind: directive.Words, Help: "and its words"}},
+		Args:    []directive.Field{{Name: "command", Kind: directive.Words, Help: "with its arguments"}},
 		Options: []directive.Field{stepTimeoutField},
-		Help:    "The same for making it old again.",
+		Help:    "Command that makes a gatherer old again.",
 		Example: `step-old ./deploy.sh "{name}" "{to}" limit 30s`,
 		Apply:   p.recordLine("step-old", p.applyStepCommand(rollout.Old)),
 	}
@@ -354,8 +354,8 @@
 	return &directive.Directive{
 		Name: "runner", Once: true,
 		Args: []directive.Field{{Name: "how", Kind: directive.Choice, Choices: []string{"restart", "hangup"}}},
-		Help: "How the built-in runner changes a gatherer: its files are replaced, " +
-			"then its process is ended by SIGTERM and started anew, or told by SIGHUP. restart unless told.",
+		Help: "How the built-in runner changes a gatherer: it replaces the files, then restarts the process by " +
+			"SIGTERM, or sends SIGHUP. Default: restart.",
 		Example: "runner hangup",
 		Apply: p.recordLine("runner", func(v *directive.Values) error {
 			p.ReloadOnly = v.Text("how") == "hangup"
