--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -99,7 +99,12 @@
 
 // addShardServers adds the connections to shard servers.
 func (a *assembly) addShardServers() error {
-	a.pool = shardcall.New(a.config.Settings, shardServerSockets(a.config.Limits), a.Picker, a.log)
+	a.pool = shardcall.New(shardcall.Config{
+		Settings: a.config.Settings,
+		MaxConns: shardServerSockets(a.config.Limits),
+		Reporter: a.Picker,
+		Log:      a.log,
+	})
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
 		a.pool.SetEndpoints(addresses)
 	})
--- a/internal/gatherer/shardcall/errors.go
+++ b/internal/gatherer/shardcall/errors.go
@@ -7,24 +7,25 @@
 	"yokeroute/gather"
 )
 
-// Stage is how far a part call had come when it ended.
+// Stage is how far an attempt had come when it ended without a value.
 type Stage int
 
+// The stages.
 const (
 	NotSent    Stage = iota // it had become forbidden before its first byte
-	Connecting              // the connection was refused or never came up
-	Writing                 // the connection broke before the frame's last byte
-	Written                 // the connection broke or lost its framing after that
-	Rejected                // the shard server said busy
-	Failed                  // the shard server said err
-	TimedOut                // no answer while it was waited for
-	Cancelled               // the module gave it up after it was written
-	NotOwner                // the shard server said moved: the keys are not its, under that epoch
-	stageCount              // how many there are
+	Connecting              // the connection was refused or did not come up
+	Writing                 // the connection ended before the frame's last byte
+	Written                 // the connection ended or was misused after that
+	Rejected                // the server answered busy
+	Failed                  // the server answered err
+	TimedOut                // no answer in time
+	Cancelled               // by the decisions, after it was written
+	NotOwner                // the server answered moved: it does not own the keys under that epoch
+	stageCount
 )
 
-// outcomeOfStage says what each stage proves, for the module. It is the one place where that is said: a once-only
-// part is sent again only on the word of this table. Where the frame's last byte may be out, it may have run.
+// outcomeOfStage says what a stage proves. It is the only place that does: whether a non-idempotent request is sent
+// again depends on it. From the frame's last byte on, the attempt may have run.
 var outcomeOfStage = [stageCount]gather.Outcome{
 	NotSent:    gather.NotSent,
 	Connecting: gather.ConnectFailed,
@@ -37,23 +38,24 @@
 	NotOwner:   gather.NotOwner,
 }
 
-// Error tells how far a part call had come, and why it went no further.
+// Error is the end of an attempt without a value.
 type Error struct {
 	Stage Stage
 	Err   error
 }
 
-func (e *Error) Error() string { return fmt.Sprintf("part call ended at stage %d: %v", e.Stage, e.Err) }
+func (e *Error) Error() string { return fmt.Sprintf("attempt ended at stage %d: %v", e.Stage, e.Err) }
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Outcome is what the module is told of a part call that ended so; one that is no *Error may have run.
+// Outcome is what the decisions learn of an attempt that ended with this error, nil for a value. An error that is no
+// *Error proves nothing: the attempt may have run.
 func Outcome(err error) gather.Outcome {
-	var e *Error
-	switch {
-	case err == nil:
+	if err == nil {
 		return gather.Succeeded
-	case errors.As(err, &e) && e.Stage >= 0 && e.Stage < stageCount:
+	}
+	var e *Error
+	if errors.As(err, &e) && e.Stage >= 0 && e.Stage < stageCount {
 		return outcomeOfStage[e.Stage]
 	}
 	return gather.ConnectionReset
@@ -61,14 +63,14 @@
 
 var (
 	errNotAllowed   = errors.New("no longer allowed")
-	errRejected     = errors.New("shard server is busy")
-	errFailed       = errors.New("shard server failed")
-	errNotOwner     = errors.New("keys are not the shard server's")
-	errTimedOut     = errors.New("time is up")
-	errCancelled    = errors.New("given up")
-	errConnIdle     = errors.New("idle")
-	errConnRetired  = errors.New("shard server has gone or moved")
-	errConnSilent   = errors.New("connection has been silent")
-	errFrameRefused = errors.New("shard server could not use a frame")
-	errNotListed    = errors.New("shard server is not on the list")
+	errRejected     = errors.New("server is busy")
+	errFailed       = errors.New("server failed")
+	errNotOwner     = errors.New("server does not own the keys")
+	errTimedOut     = errors.New("timed out")
+	errCancelled    = errors.New("cancelled")
+	errConnIdle     = errors.New("connection idle")
+	errConnRetired  = errors.New("server is removed or has another address")
+	errConnSilent   = errors.New("connection silent")
+	errFrameRefused = errors.New("server refused a frame")
+	errNotListed    = errors.New("server is not listed")
 )
--- a/internal/gatherer/shardcall/crossings_test.go
+++ b/internal/gatherer/shardcall/faults_test.go
@@ -29,7 +29,7 @@
 		}
 		d.mu.Lock()
 		for _, one := range d.attempts {
-			if one.conn != nil && one.conn.inFlight[one.id] == one && !one.written {
+			if one.inFlight() && !one.written {
 				a = one
 			}
 		}
--- a/internal/gatherer/shardcall/agree_test.go
+++ b/internal/gatherer/shardcall/handshake_test.go
@@ -14,7 +14,7 @@
 // anew or could not be reached; one that does not know the question is none that answers first passes.
 func TestHandshakeOncePerServerProcess(t *testing.T) {
 	found := make(chan string, 10)
-	p := New(&gather.Settings{ConnectTimeout: 1000.0}, 100, nil, discardLog())
+	p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000.0}, MaxConns: 100, Log: discardLog()})
 	p.EnableFirstPass(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
 	p.handshakeRetryDelay = 10 * time.Millisecond
 	start := func(brief float64) *shards.Server {
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -136,7 +136,7 @@
 	})
 	t.Run("agreement on first passes", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, discardLog())
+		p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000}, MaxConns: 100, Log: discardLog()})
 		p.EnableFirstPass(func(uint32, bool) {})
 		p.SetEndpoints([]Address{{ID: 1, HostPort: shard.Address()}})
 		conn := shard.Take()
@@ -306,7 +306,7 @@
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
 			found := make(chan bool, 1)
-			p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, discardLog())
+			p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000}, MaxConns: 100, Log: discardLog()})
 			p.EnableFirstPass(func(_ uint32, yes bool) { found <- yes })
 			p.SetEndpoints([]Address{{ID: 1, HostPort: shard.Address()}})
 			conn := shard.Take()
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -1,11 +1,10 @@
-// Package shardcall carries part calls to shard servers and tells how each one ended.
+// Package shardcall carries attempts to shard servers over TCP, and reports how each one ended.
 //
-// It speaks frames on plain TCP, which http.Transport cannot: docs/sockets.md shows it. It decides nothing:
-// which server is asked, when and how often is the module's word.
+// The frames are those of docs/sockets.md, which http.Transport cannot carry. The package decides nothing: which server
+// gets an attempt, when and how often is the decision module's to say.
 package shardcall
 
 import (
-	"errors"
 	"math"
 	"net"
 	"slices"
@@ -18,214 +17,247 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// Reporter hears how part calls ended and what came of probes; it must not block.
+// defaultConnectTimeout applies where the settings have no ConnectTimeout. It also bounds the write of a cancel frame or
+// a health check, which must not be without a limit.
+const defaultConnectTimeout = time.Second
+
+// Reporter takes the ends of attempts and health checks. It must not block.
 type Reporter interface {
-	Report(c *dispatch.Attempt, outcome gather.Outcome, value []byte)
-	ReportHealthCheck(s gather.HealthCheckResult)
+	Report(a *dispatch.Attempt, outcome gather.Outcome, value []byte)
+	ReportHealthCheck(result gather.HealthCheckResult)
 }
 
-// Address is where a server of the list is reached.
+// Address is where a listed server is reached.
 type Address struct {
 	ID        uint32
 	Name      string // by which discovery knows it
 	HostPort  string
 	State     gather.State
-	StartedAt float64 // as in the list
+	StartedAt float64 // as in gather.Endpoint
+}
+
+// Config is what a Pool needs.
+type Config struct {
+	Settings *gather.Settings
+	// MaxConns is how many connections there may be before one that is idle is closed for a new one.
+	MaxConns int
+	Reporter Reporter
+	Log      *logrus.Logger
 }
 
-// Pool holds the connections to all shard servers. One lock guards it all: there are a few hundred part calls
-// a second at the most, and none holds it while it waits for the network.
+// Pool holds the connections to all shard servers. Its one lock is never held while a goroutine waits for the network.
 type Pool struct {
-	reporter         Reporter
-	log              *logrus.Logger
-	connectTimeout   time.Duration
-	idleTimeout      time.Duration
-	silenceTimeout   time.Duration
-	lateAnswerWindow time.Duration // for which an answer may still come after its part was given up
-	dial             func(address string) (net.Conn, error)
-	drainGrace       time.Duration // after a drain is told, in which a first byte may still go
-	hedgingAllowed   bool          // two calls of a part may be out at once
-	requestsPerFrame int
-	streamsPerConn   int
-	maxConns         int // connections open at once
+	reporter Reporter
+	log      *logrus.Logger
+	limits   limits
+	dial     func(address string) (net.Conn, error)
 
 	mu                  sync.Mutex
 	openConns           int
 	openedConns         int64
-	onFirstPassSupport  func(server uint32, yes bool) // nil where first passes are not used
-	handshakeSlots      chan struct{}
-	handshakeRetryDelay time.Duration // after which a server that could not be reached is asked again
 	servers             map[uint32]*server
 	attempts            map[*dispatch.Attempt]*attempt
+	onFirstPassSupport  func(server uint32, supported bool) // nil where first passes are not used
+	handshakeSlots      chan struct{}
+	handshakeRetryDelay time.Duration
 }
 
-// server is one shard server and the connections to it that may take calls.
+// limits are what the settings say about connections.
+type limits struct {
+	maxConns         int
+	connectTimeout   time.Duration
+	idleTimeout      time.Duration
+	silenceTimeout   time.Duration // after which a connection with attempts in flight gets no new ones
+	lateAnswerWindow time.Duration // in which an answer may still arrive after its attempt has ended
+	drainGrace       time.Duration // after a drain is known, in which a first byte may still be written
+	hedgingAllowed   bool          // two attempts of a shard request may be in flight at once
+	requestsPerFrame int
+	streamsPerConn   int
+}
+
+// server is a shard server and its connections that may get attempts.
 type server struct {
 	Address
 	conns     []*conn
 	handshake *handshake
 }
 
-// Connections tells how many are open, and how many were opened so far.
-func (p *Pool) Connections() (open int, opened int64) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.openConns, p.openedConns
-}
-
-// retire leaves all connections without new calls.
-func (s *server) retire() {
-	for _, c := range slices.Clone(s.conns) {
-		c.retire(errConnRetired)
+// New returns a pool without connections.
+func New(config Config) *Pool {
+	p := &Pool{
+		reporter: config.Reporter,
+		log:      config.Log,
+		limits:   newLimits(config.Settings, config.MaxConns),
+		servers:  map[uint32]*server{},
+		attempts: map[*dispatch.Attempt]*attempt{},
 	}
+	p.dial = func(address string) (net.Conn, error) {
+		return net.DialTimeout("tcp", address, p.limits.connectTimeout)
+	}
+	return p
 }
 
-// attempt is a part call between its decision and its end.
-type attempt struct {
-	decision   *dispatch.Attempt
-	id         string
-	server     *server
-	conn       *conn
-	timeout    *time.Timer
-	written    bool
-	cancelling bool // given up: it ends once the shard server has been told
-}
-
-// defaultConnectTimeout is how long a connection may take to come up, and a word that a part is given up to be written, where the
-// terms tell nothing of it: without it the one would wait for ever and the other not at all.
-const defaultConnectTimeout = time.Second
-
-// New makes a pool that keeps the limits in the terms, and to so many connections where it can.
-func New(settings *gather.Settings, most int, reporter Reporter, log *logrus.Logger) *Pool {
-	span := func(ms float64) time.Duration { return time.Duration(ms * 1e6) }
-	p := &Pool{reporter: reporter, maxConns: most, log: log, connectTimeout: span(settings.ConnectTimeout),
-		drainGrace: span(settings.DrainGrace), hedgingAllowed: settings.HedgingAllowed, requestsPerFrame: max(settings.RequestsPerCall, 1), streamsPerConn: settings.StreamsPerConnection,
-		servers: map[uint32]*server{}, attempts: map[*dispatch.Attempt]*attempt{}}
-	p.dial = func(address string) (net.Conn, error) { return net.DialTimeout("tcp", address, p.connectTimeout) }
-	if p.connectTimeout == 0 {
-		p.connectTimeout = defaultConnectTimeout
+func newLimits(settings *gather.Settings, maxConns int) limits {
+	l := limits{
+		maxConns:         maxConns,
+		connectTimeout:   milliseconds(settings.ConnectTimeout),
+		idleTimeout:      math.MaxInt64,
+		silenceTimeout:   math.MaxInt64,
+		drainGrace:       milliseconds(settings.DrainGrace),
+		hedgingAllowed:   settings.HedgingAllowed,
+		requestsPerFrame: max(settings.RequestsPerCall, 1),
+		streamsPerConn:   settings.StreamsPerConnection,
+	}
+	if l.connectTimeout == 0 {
+		l.connectTimeout = defaultConnectTimeout
 	}
-	// A connection that has stood idle for the time in the terms swallows what is written to it. It is closed
-	// before that by the time that setting one up may take, against a call that crosses the other side's close.
-	p.idleTimeout = math.MaxInt64
-	if settings.IdleTimeout > 0 {
-		p.idleTimeout = max(span(settings.IdleTimeout)-p.connectTimeout, span(settings.IdleTimeout)/2)
+	if l.streamsPerConn < 1 { // unlimited
+		l.streamsPerConn = math.MaxInt32
 	}
-	if p.streamsPerConn < 1 { // no limit is told
-		p.streamsPerConn = math.MaxInt32
+	// A server closes a connection that has been idle for this time. The pool does so first, by as much as a connection
+	// may take to come up, so that no frame is written into the server's close.
+	if idle := milliseconds(settings.IdleTimeout); idle > 0 {
+		l.idleTimeout = max(idle-l.connectTimeout, idle/2)
 	}
-	// On a machine that vanished, and where a connection has fallen silent, only a new one shows what is there.
-	p.silenceTimeout = math.MaxInt64
-	if ms := dispatch.SilenceTimeout(settings); ms < 1e9 {
-		p.silenceTimeout = time.Duration(ms * 1e6)
+	// A connection to a machine that has vanished stays open and silent. Only a new one shows what is there.
+	if silence := dispatch.SilenceTimeout(settings); silence < maxMilliseconds {
+		l.silenceTimeout = milliseconds(silence)
 	}
 	for i := range settings.Classes {
-		p.lateAnswerWindow = max(p.lateAnswerWindow, 2*span(settings.Classes[i].Deadline))
+		l.lateAnswerWindow = max(l.lateAnswerWindow, 2*milliseconds(settings.Classes[i].Deadline))
 	}
-	return p
+	return l
+}
+
+// maxMilliseconds is beyond what any timeout comes to, and fits into a time.Duration.
+const maxMilliseconds = 1e9
+
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+
+// Connections returns how many connections are open, and how many were opened so far.
+func (p *Pool) Connections() (open int, opened int64) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.openConns, p.openedConns
 }
 
-// SetEndpoints takes over the addresses of all servers that are on the list. Those of servers that have left it, or
-// that are found elsewhere now, take no new calls; what is out on them may still be answered.
+// SetEndpoints takes over the addresses of all listed servers. Connections to servers that have left the list or have
+// another address get no new attempts; those in flight may still be answered.
 func (p *Pool) SetEndpoints(list []Address) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	listed := make(map[uint32]bool, len(list))
-	for _, a := range list {
-		listed[a.ID] = true
-		s := p.servers[a.ID]
+	for _, address := range list {
+		listed[address.ID] = true
+		s := p.servers[address.ID]
 		if s == nil {
 			s = &server{}
-			p.servers[a.ID] = s
-		} else if s.HostPort != a.HostPort {
-			s.retire()
+			p.servers[address.ID] = s
+		} else if s.HostPort != address.HostPort {
+			s.retireConns()
 		}
-		s.Address = a
+		s.Address = address
 		p.limitWritesInProgress(s)
 		p.startHandshake(s)
 	}
 	for id, s := range p.servers {
-		if !listed[id] || s.State == gather.Removed {
-			s.State = gather.Removed
-			p.limitWritesInProgress(s)
-			s.retire()
-			delete(p.servers, id)
+		if listed[id] && s.State != gather.Removed {
+			continue
 		}
+		s.State = gather.Removed
+		p.limitWritesInProgress(s)
+		s.retireConns()
+		delete(p.servers, id)
 	}
 }
 
-// limitWritesInProgress bounds what is being written to a server that takes nothing new: where not even the first byte has gone,
-// since the server had stopped reading, it must not go once the grace is over. Half of that is left to it.
+// limitWritesInProgress bounds the frames that are being written to a server that drains or is removed: one of which the
+// server has not read the first byte must not begin once the drain grace is over. Half of the grace is left to it.
 func (p *Pool) limitWritesInProgress(s *server) {
 	if s.State == gather.Running {
 		return
 	}
-	until := time.Now().Add(p.drainGrace / 2)
+	deadline := time.Now().Add(p.limits.drainGrace / 2)
 	for _, a := range p.attempts {
-		if c := a.conn; a.server == s && c != nil && c.inFlight[a.id] == a && !a.written && until.Before(c.writeDeadline) {
-			c.writeDeadline = until
-			c.nc.SetWriteDeadline(until)
+		if a.server != s || !a.inFlight() || a.written {
+			continue
+		}
+		if c := a.conn; deadline.Before(c.writeDeadline) {
+			c.writeDeadline = deadline
+			c.nc.SetWriteDeadline(deadline)
 		}
 	}
 }
 
-// Execute does what a round has ordered. It does not wait for the network.
-func (p *Pool) Execute(o dispatch.Actions) {
+// retireConns leaves all connections without new attempts.
+func (s *server) retireConns() {
+	for _, c := range slices.Clone(s.conns) {
+		c.retire(errConnRetired)
+	}
+}
+
+// Execute carries out the decisions of a round. It does not wait for the network.
+func (p *Pool) Execute(actions dispatch.Actions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// What ends goes first, against giving up a part of the same name that is only now asked for.
-	for _, call := range o.StopWriting {
-		p.stopWriting(call)
+	// Ends come first, so that none of them hits a new attempt with the same ID.
+	for _, decision := range actions.StopWriting {
+		p.stopWriting(decision)
 	}
-	for _, call := range o.Cancel {
-		p.cancelLocked(call, Cancelled, errCancelled)
+	for _, decision := range actions.Cancel {
+		p.cancelLocked(decision, Cancelled, errCancelled)
 	}
-	for _, id := range o.CheckHealth {
+	for _, id := range actions.CheckHealth {
 		p.startHealthCheck(id)
 	}
-	type turn struct { // calls of a first pass travel in frames of their own
-		*server
-		first bool
-	}
-	var order []turn
-	turns := map[turn][]*attempt{}
-	for _, call := range o.Send {
-		a := &attempt{decision: call, id: call.ID(), server: p.servers[call.Server]}
-		p.attempts[call] = a
+	p.send(actions.Send)
+}
+
+// batch names the attempts of a round that may share frames: those to one server and of one kind of pass.
+type batch struct {
+	server    *server
+	firstPass bool
+}
+
+// send groups new attempts into frames and leaves these for their connections.
+func (p *Pool) send(decisions []*dispatch.Attempt) {
+	var order []batch
+	batches := map[batch][]*attempt{}
+	for _, decision := range decisions {
+		a := p.newAttempt(decision)
 		if a.server == nil {
 			p.finish(a, &Error{NotSent, errNotListed}, nil)
 			continue
 		}
-		a.timeout = time.AfterFunc(time.Duration(call.Timeout*1e6), func() { p.cancel(call, TimedOut, errTimedOut) })
-		t := turn{a.server, call.FirstPass()}
-		if turns[t] == nil {
-			order = append(order, t)
+		b := batch{a.server, decision.FirstPass()}
+		if batches[b] == nil {
+			order = append(order, b)
 		}
-		turns[t] = append(turns[t], a)
+		batches[b] = append(batches[b], a)
 	}
-	for _, t := range order {
-		for calls := turns[t]; len(calls) > 0; {
-			n := min(len(calls), p.requestsPerFrame)
-			p.connFor(t.server, n).enqueue(outgoing{attempts: calls[:n:n]})
-			calls = calls[n:]
+	for _, b := range order {
+		for attempts := range slices.Chunk(batches[b], p.limits.requestsPerFrame) {
+			p.connFor(b.server, len(attempts)).enqueue(outgoing{attempts: attempts})
 		}
 	}
 }
 
-// connFor gives a connection with room for so many parts, opening one only where none has.
-func (p *Pool) connFor(s *server, n int) *conn {
+// connFor returns a connection with room for so many requests. It opens one only where none has.
+func (p *Pool) connFor(s *server, requests int) *conn {
 	for _, c := range slices.Clone(s.conns) {
-		if c.silence() > p.silenceTimeout || len(c.pendingChecks) >= maxPendingChecks {
+		if c.silence() > p.limits.silenceTimeout || len(c.pendingChecks) >= maxPendingChecks {
 			c.retire(errConnSilent)
 		}
 	}
 	for _, c := range s.conns {
-		if c.reserved == 0 || c.reserved+n <= p.streamsPerConn {
+		if c.reserved == 0 || c.reserved+requests <= p.limits.streamsPerConn {
 			return c
 		}
 	}
-	p.closeIdleConn()
-	c := &conn{pool: p, server: s, address: s.HostPort, inFlight: map[string]*attempt{}, wake: make(chan struct{}, 1)}
+	if p.openConns >= p.limits.maxConns {
+		p.closeIdleConn()
+	}
+	c := newConn(p, s)
 	s.conns = append(s.conns, c)
 	p.openConns++
 	p.openedConns++
@@ -233,12 +265,9 @@
 	return c
 }
 
-// closeIdleConn closes a connection without calls where as many are open as the process may have. Where each has
-// some, one more is opened all the same: the kernel then says whether there is a socket for it.
+// closeIdleConn closes one connection without attempts. Where there is none, the limit is exceeded: whether there is
+// another socket is then the kernel's to say.
 func (p *Pool) closeIdleConn() {
-	if p.openConns < p.maxConns {
-		return
-	}
 	for _, s := range p.servers {
 		for _, c := range s.conns {
 			if c.reserved == 0 {
@@ -248,71 +277,3 @@
 		}
 	}
 }
-
-// stopWriting keeps a call from being written. One that is being written to a server that has stopped reading would
-// hold up its lookup's answer: it gets no more time, which breaks off nothing that the kernel still takes.
-func (p *Pool) stopWriting(call *dispatch.Attempt) {
-	a := p.attempts[call]
-	switch {
-	case a == nil || a.written:
-	case a.conn == nil || a.conn.inFlight[a.id] != a:
-		p.finish(a, &Error{NotSent, errNotAllowed}, nil)
-	default:
-		a.conn.nc.SetWriteDeadline(time.Now())
-	}
-}
-
-func (p *Pool) cancel(call *dispatch.Attempt, stage Stage, err error) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.cancelLocked(call, stage, err)
-}
-
-// cancelLocked gives up a call that is still out; one whose bytes have not begun to go was never sent.
-func (p *Pool) cancelLocked(call *dispatch.Attempt, stage Stage, err error) {
-	a := p.attempts[call]
-	if a == nil {
-		return
-	}
-	if a.conn == nil || a.conn.inFlight[a.id] != a {
-		p.finish(a, &Error{NotSent, err}, nil)
-		return
-	}
-	c := a.conn
-	if !a.written { // its lookup's answer waits for the write, and must not wait for a server that has stopped reading
-		c.nc.SetWriteDeadline(time.Now())
-	}
-	// Where no second copy may be out, its part is called again once this one's end is reported: not before the
-	// server could read of it, or the connection has ended.
-	if stage == Cancelled && !p.hedgingAllowed {
-		if !a.cancelling {
-			a.cancelling = true
-			c.enqueue(outgoing{cancelID: a.id, cancelled: a})
-		}
-		return
-	}
-	p.finish(a, &Error{stage, err}, nil)
-	c.enqueue(outgoing{cancelID: a.id})
-}
-
-// finish reports a call, once, and frees its place. The lock is held.
-func (p *Pool) finish(a *attempt, err error, value []byte) {
-	if p.attempts[a.decision] != a {
-		return
-	}
-	delete(p.attempts, a.decision)
-	if a.timeout != nil {
-		a.timeout.Stop()
-	}
-	if c := a.conn; c != nil {
-		if c.inFlight[a.id] == a {
-			delete(c.inFlight, a.id)
-			c.pauseSilence()
-			if e := (*Error)(nil); errors.As(err, &e) && (e.Stage == Cancelled || e.Stage == TimedOut) {
-				c.expectLateAnswer(a.id)
-			}
-		}
-		c.release()
-	}
-	p.reporter.Report(a.decision, Outcome(err), value)
-}
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -68,7 +68,7 @@
 	}
 	d := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100), checks: make(chan gather.HealthCheckResult, 100)}
 	setUp(d.picker)
-	d.Pool = New(settings, 100, d, discardLog())
+	d.Pool = New(Config{Settings: settings, MaxConns: 100, Reporter: d, Log: discardLog()})
 	d.setEndpoint(address, gather.Running)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
@@ -223,13 +223,13 @@
 
 // TestLateAnswerIDsAreBounded bounds the names of parts that were given up and never answered.
 func TestLateAnswerIDsAreBounded(t *testing.T) {
-	c := &conn{pool: &Pool{lateAnswerWindow: time.Nanosecond}}
+	late := lateAnswers{window: time.Nanosecond}
 	for range 1000 {
-		c.expectLateAnswer(time.Now().String())
+		late.expect(time.Now().String(), time.Now())
 		time.Sleep(2 * time.Nanosecond)
 	}
-	if n := len(c.lateIDs) + len(c.olderLateIDs); n > 10 {
-		t.Errorf("%d names kept", n)
+	if n := late.count(); n > 10 {
+		t.Errorf("%d IDs are kept", n)
 	}
 }
 
@@ -478,7 +478,7 @@
 func TestIdleConnectionClosesForANewOneAtTheLimit(t *testing.T) {
 	one, two := standin.NewShard(t), standin.NewShard(t)
 	d := newHarness(t, one.Address(), nil)
-	d.maxConns = 1
+	d.limits.maxConns = 1
 	done := d.submit(t.Context(), "a", 1, 2000)
 	conn := one.Take()
 	conn.Read()
--- /dev/null
+++ b/internal/gatherer/shardcall/writer.go
@@ -0,0 +1,148 @@
+package shardcall
+
+import (
+	"errors"
+	"net"
+	"os"
+	"time"
+
+	"yokeroute/gather"
+)
+
+// minRemaining is the least time, in milliseconds, that a request can state.
+const minRemaining = 1
+
+var errClosedMeanwhile = errors.New("connection was closed meanwhile")
+
+// writeLoop writes what is queued until the connection is closed.
+func (c *conn) writeLoop(nc net.Conn) {
+	defer c.recoverPanic()
+	var buf []byte
+	for range c.wake {
+		for frame, more := c.dequeue(); more; frame, more = c.dequeue() {
+			var err error
+			if buf, err = c.writeFrame(nc, buf[:0], frame); err != nil {
+				c.close(err)
+			}
+			buf = reusable(buf)
+		}
+	}
+}
+
+func (c *conn) dequeue() (frame outgoing, ok bool) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	if len(c.queue) == 0 {
+		return outgoing{}, false
+	}
+	frame = c.queue[0]
+	c.queue = c.queue[1:]
+	return frame, true
+}
+
+func (c *conn) writeFrame(nc net.Conn, buf []byte, frame outgoing) ([]byte, error) {
+	switch {
+	case frame.cancelID != "":
+		return c.writeCancel(nc, buf, frame)
+	case frame.check != nil:
+		return c.writeHealthCheck(nc, buf, frame.check)
+	}
+	return c.writeRequests(nc, buf, frame.attempts)
+}
+
+func (c *conn) writeCancel(nc net.Conn, buf []byte, frame outgoing) ([]byte, error) {
+	buf = appendCancelFrame(buf, frame.cancelID)
+	nc.SetWriteDeadline(time.Now().Add(c.pool.limits.connectTimeout))
+	_, err := nc.Write(buf)
+	if frame.cancelled != nil && err == nil {
+		c.pool.mu.Lock()
+		defer c.pool.mu.Unlock()
+		c.pool.finish(frame.cancelled, &Error{Cancelled, errCancelled}, nil)
+	}
+	return buf, err
+}
+
+func (c *conn) writeHealthCheck(nc net.Conn, buf []byte, check *healthCheck) ([]byte, error) {
+	if !c.beginHealthCheck(check) {
+		return buf, nil
+	}
+	buf = finishFrame(beginFrame(buf, frameLoad), len(buf))
+	nc.SetWriteDeadline(time.Now().Add(c.pool.limits.connectTimeout))
+	_, err := nc.Write(buf)
+	return buf, err
+}
+
+// writeRequests writes the requests of one call, except for those that have become forbidden meanwhile.
+func (c *conn) writeRequests(nc net.Conn, buf []byte, attempts []*attempt) ([]byte, error) {
+	allowed := c.beginWrite(attempts)
+	if len(allowed) == 0 {
+		return buf, nil
+	}
+	buf = appendRequestFrame(buf, allowed)
+	n, err := nc.Write(buf)
+	c.endWrite(allowed, n == len(buf), err)
+	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
+		return buf, nil // stopped before its first byte, after which another frame may follow
+	}
+	return buf, err
+}
+
+// beginWrite returns the attempts that may be written now, and bounds their frame's write by the longest of their times.
+func (c *conn) beginWrite(attempts []*attempt) (allowed []*attempt) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	longest := time.Duration(0)
+	for _, a := range attempts {
+		if c.pool.attempts[a.decision] != a {
+			continue // it has ended
+		}
+		if a.decision.Remaining() < minRemaining {
+			c.pool.finish(a, &Error{NotSent, errTimedOut}, nil)
+			continue
+		}
+		if !c.maySend(a) || !a.decision.BeginWrite() {
+			c.pool.finish(a, &Error{NotSent, errNotAllowed}, nil)
+			continue
+		}
+		if len(c.inFlight) == 0 {
+			c.silentSince = time.Now()
+		}
+		c.inFlight[a.id] = a
+		allowed = append(allowed, a)
+		longest = max(longest, milliseconds(a.decision.Remaining()))
+	}
+	if len(allowed) > 0 {
+		c.writeDeadline = time.Now().Add(longest)
+		c.nc.SetWriteDeadline(c.writeDeadline) // under the lock, so that it does not undo a stopWriting
+	}
+	return allowed
+}
+
+// maySend reports whether the connection can still carry an attempt. A server that drains gets nothing new, drain grace
+// or not; and where a server has another address now, an unrelated one may listen at the old.
+func (c *conn) maySend(a *attempt) bool {
+	switch {
+	case c.closed, c.unusable:
+		return false
+	case c.server.State != gather.Running, c.server.HostPort != c.address:
+		return false
+	}
+	return c.inFlight[a.id] == nil
+}
+
+// endWrite notes how far the write of a frame came. A server uses a frame entirely or not at all.
+func (c *conn) endWrite(attempts []*attempt, complete bool, err error) {
+	c.pool.mu.Lock()
+	defer c.pool.mu.Unlock()
+	for _, a := range attempts {
+		a.decision.EndWrite()
+		switch {
+		case err != nil && !complete:
+			c.pool.finish(a, &Error{Writing, err}, nil)
+		case c.closed:
+			c.pool.finish(a, &Error{Written, errors.Join(err, errClosedMeanwhile)}, nil)
+		default:
+			a.written = true
+		}
+	}
+}
--- a/internal/testbed/scale/connections.go
+++ b/internal/testbed/scale/connections.go
@@ -126,7 +126,7 @@
 		},
 	}
 	picker := dispatch.New(1, settings, log)
-	pool := shardcall.New(settings, count, picker, log)
+	pool := shardcall.New(shardcall.Config{Settings: settings, MaxConns: count, Reporter: picker, Log: log})
 	list, addresses := gather.EndpointList{Full: true}, make([]shardcall.Address, count)
 	lk := &dispatch.Query{ID: "scale", Class: "find", Deadline: picker.Now() + 60_000, Payload: []byte("q")}
 	for i := range count {
