--- a/internal/control/rollout/claims.go
+++ b/internal/control/rollout/claims.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yokeroute/internal/gatherer/report"
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -28,7 +28,7 @@
 
 // claimRefused reports whether a claim was refused. One that was not answered is not: the gatherer may hold nothing.
 func claimRefused(err error) bool {
-	return errors.Is(err, errClaimed) || errors.Is(err, statedir.ErrSuperseded)
+	return errors.Is(err, errClaimed) || errors.Is(err, runfolder.ErrSuperseded)
 }
 
 // claimRequest is the body of a claim.
@@ -66,7 +66,7 @@
 	}
 	name := c.plan.Gatherers[g].Name
 	if holder.RunID == runID { // found here before the folder of the rollout was looked at again
-		return fmt.Errorf("%w: gatherer %s is held by controller %d", statedir.ErrSuperseded, name, holder.FencingToken)
+		return fmt.Errorf("%w: gatherer %s is held by controller %d", runfolder.ErrSuperseded, name, holder.FencingToken)
 	}
 	return fmt.Errorf("gatherer %s %w: %s, controller %d", name, errClaimed, holder.RunID, holder.FencingToken)
 }
--- a/internal/control/rollout/claims_test.go
+++ b/internal/control/rollout/claims_test.go
@@ -10,7 +10,7 @@
 	"testing"
 
 	"yokeroute/internal/gatherer/report"
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -45,7 +45,7 @@
 	}{
 		{"one", 2, nil, ""},
 		{"one", 3, nil, ""},
-		{"one", 1, statedir.ErrSuperseded, "another controller has taken this over: gatherer g1 is held by controller 2"},
+		{"one", 1, runfolder.ErrSuperseded, "another controller has taken this over: gatherer g1 is held by controller 2"},
 		{"other", 9, errClaimed, "gatherer g1 is being changed by another run: one, controller 2"},
 	} {
 		err := client.claim(context.Background(), 0, c.runID, c.fencingToken)
--- a/internal/control/rollout/controller.go
+++ b/internal/control/rollout/controller.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -28,7 +28,7 @@
 	strategy rollout.Strategy
 	now      func() float64 // Unix milliseconds
 
-	journal      *statedir.RunFolder
+	journal      *runfolder.Folder
 	fencingToken uint64
 	runID        string           // by which gatherers know this rollout
 	lastCommand  string           // the operator's last one that was taken
@@ -77,8 +77,8 @@
 // openJournal takes the lock of the plan's folder and a fencing token.
 func (c *Controller) openJournal(takeOver bool) error {
 	var err error
-	c.journal, err = statedir.OpenRunFolder(c.plan.Folder, takeOver)
-	if errors.Is(err, statedir.ErrLocked) {
+	c.journal, err = runfolder.Open(c.plan.Folder, takeOver)
+	if errors.Is(err, runfolder.ErrLocked) {
 		holder := "unknown"
 		if s, err := ReadStatus(c.plan.Folder); err == nil {
 			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.ObservedAt)/1000)
@@ -166,7 +166,7 @@
 		records = append(records, record)
 		return nil
 	})
-	if errors.Is(err, statedir.ErrRecordsLost) {
+	if errors.Is(err, runfolder.ErrRecordsLost) {
 		return fmt.Errorf("%w; docs/operate/rollout.md tells how to go back by hand", err)
 	}
 	if err != nil {
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -16,7 +16,7 @@
 
 	"yokeroute/internal/gatherer/report"
 	"yokeroute/internal/process"
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -95,7 +95,7 @@
 // writeFolder has a controller with a clock that stands write a rollout's folder.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
-	own, err := statedir.OpenRunFolder(folder, false)
+	own, err := runfolder.Open(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -139,7 +139,7 @@
 			t.Fatal(err)
 		}
 	}
-	if err := statedir.SendCommand(folder, "stop", 1796168075012746801); err != nil {
+	if err := runfolder.SendCommand(folder, "stop", 1796168075012746801); err != nil {
 		t.Fatal(err)
 	}
 }
@@ -204,7 +204,7 @@
 			t.Errorf("record %d reads %q, want %q", i, line, keptLines[i])
 		}
 	}
-	own, err := statedir.OpenRunFolder(folder, false)
+	own, err := runfolder.Open(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/rollout/round.go
+++ b/internal/control/rollout/round.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -194,5 +194,5 @@
 
 // SendCommand leaves an operator's command for the controller, the one of now or the next one.
 func SendCommand(folder, command string) error {
-	return statedir.SendCommand(folder, command, time.Now().UnixNano())
+	return runfolder.SendCommand(folder, command, time.Now().UnixNano())
 }
--- a/internal/control/rollout/status.go
+++ b/internal/control/rollout/status.go
@@ -8,7 +8,7 @@
 	"path/filepath"
 	"time"
 
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -205,7 +205,7 @@
 
 // JournalLines returns the journal of a rollout's folder as operators read it.
 func JournalLines(folder string) (lines []string, err error) {
-	err = statedir.ReadRunJournal(folder, func(text []byte) error {
+	err = runfolder.ReadJournal(folder, func(text []byte) error {
 		record, err := decodeRecord(text)
 		if err != nil {
 			return err
--- /dev/null
+++ b/internal/storage/runfolder/runfolder.go
@@ -0,0 +1,252 @@
+// Package runfolder keeps a long operation, such as a rollout, that one process at a time carries out and that outlives
+// it. Its folder holds a lock, a fencing token that grows with each process, a journal for each token, the operator's
+// last command and files for readers.
+//
+// A process that is stopped keeps the lock. Another one may take over without it, by a higher token, and the process
+// with the lower one finds that out before each step. None writes into another's journal, so that one that was stopped
+// in the middle of a write does no harm when it goes on.
+package runfolder
+
+import (
+	"errors"
+	"fmt"
+	"io/fs"
+	"os"
+	"path/filepath"
+	"strconv"
+	"strings"
+
+	"golang.org/x/sys/unix"
+
+	"yokeroute/internal/storage/statedir"
+)
+
+// Names of files and folders.
+const (
+	lockFile       = "lock"
+	tokenFile      = "controller"
+	commandFile    = "word"
+	journalsFolder = "journal"
+)
+
+// maxJournalBytes bounds a journal before a snapshot replaces it.
+const maxJournalBytes = 1 << 20
+
+var (
+	// ErrLocked is an operation that another process carries out.
+	ErrLocked = errors.New("is carried out by another process")
+	// ErrSuperseded is an operation that a later process has taken over.
+	ErrSuperseded = errors.New("another controller has taken this over")
+	// ErrRecordsLost is a journal that does not tell what was done.
+	ErrRecordsLost = errors.New("records are lost; what was done cannot be told")
+)
+
+// Folder is an open run folder.
+type Folder struct {
+	FencingToken uint64 // of this process, from 1
+
+	path    string
+	lock    *os.File // nil where the folder was taken over without it
+	journal *statedir.Journal
+}
+
+// Open takes the folder's lock and the next fencing token. With takeOver it goes on without the lock where another
+// process holds it. Close releases what is held.
+func Open(path string, takeOver bool) (*Folder, error) {
+	if err := os.MkdirAll(path, 0o755); err != nil {
+		return nil, err
+	}
+	f := &Folder{path: path}
+	if err := f.takeLock(); err != nil && !(takeOver && errors.Is(err, ErrLocked)) {
+		return nil, err
+	}
+	if err := f.takeToken(); err != nil {
+		f.Close()
+		return nil, err
+	}
+	return f, nil
+}
+
+func (f *Folder) takeLock() error {
+	file, err := os.OpenFile(f.file(lockFile), os.O_RDWR|os.O_CREATE, 0o644)
+	if err != nil {
+		return err
+	}
+	err = unix.Flock(int(file.Fd()), unix.LOCK_EX|unix.LOCK_NB)
+	if err == nil {
+		f.lock = file
+		return nil
+	}
+	file.Close()
+	if errors.Is(err, unix.EWOULDBLOCK) {
+		return ErrLocked
+	}
+	return fmt.Errorf("%s: %w", file.Name(), err)
+}
+
+func (f *Folder) takeToken() error {
+	previous, err := readToken(f.path)
+	if err != nil {
+		return err
+	}
+	f.FencingToken = previous + 1
+	return statedir.WriteFileAtomic(f.file(tokenFile), fmt.Appendf(nil, "%d\n", f.FencingToken))
+}
+
+func (f *Folder) file(name string) string { return filepath.Join(f.path, name) }
+
+// readToken returns the highest token taken so far, 0 for none.
+func readToken(path string) (uint64, error) {
+	name := filepath.Join(path, tokenFile)
+	text, err := os.ReadFile(name)
+	if errors.Is(err, fs.ErrNotExist) {
+		return 0, nil
+	}
+	if err != nil {
+		return 0, err
+	}
+	token, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
+	if err != nil {
+		return 0, fmt.Errorf("%s: is no number of a controller: %w", name, err)
+	}
+	return token, nil
+}
+
+// CheckSuperseded returns ErrSuperseded once a later process has taken over. It must be called before each step that
+// must not be done twice.
+func (f *Folder) CheckSuperseded() error {
+	token, err := readToken(f.path)
+	if err == nil && token != f.FencingToken {
+		return fmt.Errorf("%w: its number is %d, this one's %d", ErrSuperseded, token, f.FencingToken)
+	}
+	return err
+}
+
+// journalFolder is the journal's folder of the process with a token.
+func journalFolder(path string, token uint64) string {
+	return filepath.Join(path, journalsFolder, strconv.FormatUint(token, 10))
+}
+
+// Recover hands the records of the process before to see, the oldest first, and begins this one's journal with them. A
+// damaged journal is ErrRecordsLost.
+func (f *Folder) Recover(see func(record []byte) error) error {
+	records, err := f.previousRecords()
+	if err != nil {
+		return err
+	}
+	for _, record := range records {
+		if err := see(record); err != nil {
+			return err
+		}
+	}
+	f.journal, _, err = statedir.OpenJournal(journalFolder(f.path, f.FencingToken), maxJournalBytes,
+		func([]byte) error { return nil })
+	if err != nil {
+		return err
+	}
+	return f.journal.Snapshot(func(put func([]byte) error) error {
+		for _, record := range records {
+			if err := put(record); err != nil {
+				return err
+			}
+		}
+		return nil
+	})
+}
+
+// previousRecords returns the records of the newest journal before this process's that holds any.
+func (f *Folder) previousRecords() (records [][]byte, err error) {
+	for token := f.FencingToken - 1; token > 0 && len(records) == 0; token-- {
+		folder := journalFolder(f.path, token)
+		if _, err := os.Stat(folder); err != nil {
+			continue // that process was killed before it had written anything
+		}
+		journal, found, err := statedir.OpenJournal(folder, maxJournalBytes, func(record []byte) error {
+			records = append(records, record)
+			return nil
+		})
+		if err != nil {
+			return nil, fmt.Errorf("%s: %w", folder, err)
+		}
+		journal.Close()
+		if found.Damaged {
+			return nil, fmt.Errorf("%s: %w", folder, ErrRecordsLost)
+		}
+	}
+	return records, nil
+}
+
+// Append stores a record. It is not safe for concurrent use.
+func (f *Folder) Append(record []byte) error {
+	if err := f.CheckSuperseded(); err != nil {
+		return err
+	}
+	return f.journal.Append(record)
+}
+
+// WriteFile replaces a file for readers.
+func (f *Folder) WriteFile(name string, content []byte) error {
+	if err := f.CheckSuperseded(); err != nil {
+		return err
+	}
+	return statedir.WriteFileAtomic(f.file(name), content)
+}
+
+// AppendLine appends a line to a file for readers.
+func (f *Folder) AppendLine(name string, line []byte) error {
+	file, err := os.OpenFile(f.file(name), os.O_WRONLY|os.O_CREATE|os.O_APPEND, 0o644)
+	if err != nil {
+		return err
+	}
+	_, err = file.Write(append(line, '\n'))
+	return errors.Join(err, file.Close())
+}
+
+// Command is the operator's last command, empty for none.
+func (f *Folder) Command() (string, error) {
+	text, err := os.ReadFile(f.file(commandFile))
+	if errors.Is(err, fs.ErrNotExist) {
+		return "", nil
+	}
+	return string(text), err
+}
+
+// SendCommand leaves a command for the process that carries out the operation, or for the next one. The stamp tells it
+// from the same command sent before.
+func SendCommand(path, command string, stamp int64) error {
+	if _, err := os.Stat(filepath.Join(path, tokenFile)); err != nil {
+		return err
+	}
+	return statedir.WriteFileAtomic(filepath.Join(path, commandFile), fmt.Appendf(nil, "%s %d", command, stamp))
+}
+
+// Close closes the journal and releases the lock.
+func (f *Folder) Close() {
+	if f.journal != nil {
+		f.journal.Close()
+	}
+	if f.lock != nil {
+		f.lock.Close() // which releases it
+	}
+}
+
+// ReadJournal hands the newest records of an operation to see, while a process may write them.
+func ReadJournal(path string, see func(record []byte) error) error {
+	token, err := readToken(path)
+	if err != nil {
+		return err
+	}
+	for n := 0; token > 0 && n == 0; token-- {
+		if _, err := os.Stat(journalFolder(path, token)); err != nil {
+			continue
+		}
+		err := statedir.ReadJournal(journalFolder(path, token), func(record []byte) error {
+			n++
+			return see(record)
+		})
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/storage/statedir/handover.go
+++ b/internal/storage/statedir/handover.go
@@ -11,17 +11,17 @@
 	"slices"
 )
 
-// handoverFormat is the first word of a hand-over; a reader of another form leaves it alone and starts without.
-const handoverFormat = "yokeroute handover 1"
-
-// handoverFile is its file in the state folder.
-const handoverFile = "handover"
+const (
+	// handoverFormat is in the document, with the number of its format.
+	handoverFormat = "yokeroute handover 1"
+	handoverFile   = "handover"
+)
 
-// Handover is what a gatherer tells its successor, whose own list may be older: which servers it has heard to drain.
-// It is rewritten whole with each such news, so that it is there after a kill too.
+// Handover is what a gatherer leaves to its next process, whose endpoint list may be older: which servers drain. It is
+// stored with each change, so that it is there after a kill as well.
 type Handover struct {
 	path     string
-	Draining map[string]float64 // by name: since when the process that drains has been up, in Unix milliseconds
+	Draining map[string]float64 // by name: since when the draining process is up, in Unix milliseconds
 }
 
 type handoverDocument struct {
@@ -29,8 +29,8 @@
 	Draining map[string]float64 `json:"draining"`
 }
 
-// OpenHandover reads what an earlier process has left in a folder; there may be nothing. An error says what cannot be
-// read; the hand-over is then empty, and fit for use.
+// OpenHandover reads the handover of an earlier process, if there is one. With an error about its content the handover
+// is returned empty, and may be used.
 func OpenHandover(folder string) (*Handover, error) {
 	h := &Handover{path: filepath.Join(folder, handoverFile), Draining: map[string]float64{}}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -40,23 +40,23 @@
 	if errors.Is(err, fs.ErrNotExist) {
 		return h, nil
 	}
-	var read handoverDocument
+	var document handoverDocument
 	if err == nil {
-		err = json.Unmarshal(text, &read)
+		err = json.Unmarshal(text, &document)
 	}
-	if err == nil && read.Format != handoverFormat {
-		err = fmt.Errorf("the form is %.40q, this reader knows %q", read.Format, handoverFormat)
+	if err == nil && document.Format != handoverFormat {
+		err = fmt.Errorf("format %.40q, supported is %q", document.Format, handoverFormat)
 	}
 	if err != nil {
 		return h, fmt.Errorf("%s: %w", h.path, err)
 	}
-	if read.Draining != nil {
-		h.Draining = read.Draining
+	if document.Draining != nil {
+		h.Draining = document.Draining
 	}
 	return h, nil
 }
 
-// SetDraining puts down which servers drain now; it writes only what is news.
+// SetDraining stores which servers drain, if that has changed.
 func (h *Handover) SetDraining(draining map[string]float64) error {
 	if maps.Equal(h.Draining, draining) {
 		return nil
@@ -71,25 +71,3 @@
 
 // DrainingNames are the servers that drain, in order.
 func (h *Handover) DrainingNames() []string { return slices.Sorted(maps.Keys(h.Draining)) }
-
-// WriteFileAtomic puts a text in a file's place: a reader, and a crash, find the old one or the new one whole.
-func WriteFileAtomic(name string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(name), ".writing-*")
-	if err != nil {
-		return err
-	}
-	defer os.Remove(f.Name()) // where it was not renamed
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Chmod(0o644), f.Sync(), f.Close()); err != nil {
-		return err
-	}
-	if err := os.Rename(f.Name(), name); err != nil {
-		return err
-	}
-	dir, err := os.Open(filepath.Dir(name))
-	if err != nil {
-		return err
-	}
-	defer dir.Close()
-	return dir.Sync()
-}
