--- a/cmd/yokeroute/segments.go
+++ b/cmd/yokeroute/segments.go
@@ -269,7 +269,7 @@
 			}
 			fmt.Fprintf(w, "\nto back out before step 4: nobody owns these keys in epoch %d, and who had them has them again in epoch %d\n", c.Epoch, c.Epoch+1)
 			if out != "" {
-				if err := os.WriteFile(out, []byte(segments.WriteMap(next, shards)), 0o644); err != nil {
+				if err := os.WriteFile(out, []byte(segments.FormatMap(next, shards)), 0o644); err != nil {
 					return err
 				}
 				fmt.Fprintf(w, "the map of epoch %d is in %s\n", c.Epoch, out)
--- a/internal/control/segments/kept_test.go
+++ b/internal/control/segments/kept_test.go
@@ -101,10 +101,10 @@
 			t.Errorf("%s: read %+v, %d shards, %v", name, got, shards, err)
 		}
 	}
-	if written, want := WriteMap(keptMap(t), 18), string(kept(t, "written.conf")); written != want {
+	if written, want := FormatMap(keptMap(t), 18), string(kept(t, "written.conf")); written != want {
 		t.Errorf("written %s, kept %s", written, want)
 	}
-	if written, want := WriteMap(keptMap(t), 0), string(kept(t, "written-without-shards.conf")); written != want {
+	if written, want := FormatMap(keptMap(t), 0), string(kept(t, "written-without-shards.conf")); written != want {
 		t.Errorf("written %s, kept %s", written, want)
 	}
 }
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -27,7 +27,7 @@
 	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
-	again, _, err := ParseMap("again.conf", WriteMap(m, shards))
+	again, _, err := ParseMap("again.conf", FormatMap(m, shards))
 	if err != nil || !reflect.DeepEqual(again, m) {
 		t.Errorf("written and read: %+v, %v", again, err)
 	}
@@ -199,7 +199,7 @@
 		if err != nil {
 			return
 		}
-		again, _, err := ParseMap("again.conf", WriteMap(m, shards))
+		again, _, err := ParseMap("again.conf", FormatMap(m, shards))
 		if err != nil || !reflect.DeepEqual(again.Segments, m.Segments) && len(m.Segments) > 0 {
 			t.Fatalf("%v: %+v, then %+v", err, m, again)
 		}
