--- a/internal/control/segments/document.go
+++ b/internal/control/segments/document.go
@@ -1,5 +1,5 @@
-// Package segments reads segment maps, from an operator's file or from an authority that serves changes over HTTP. Which
-// of them are believed is package ownership's to decide.
+// Package segments reads segment maps, from an operator's file or from an authority that serves changes over HTTP.
+// Which of them are believed is package ownership's to decide.
 package segments
 
 import (
@@ -94,8 +94,8 @@
 
 func formatChecksum(checksum uint64) string { return fmt.Sprintf("%0*x", checksumDigits, checksum) }
 
-// ParseResponse reads a response and checks its form. One that has a fault is refused altogether, and the error names the
-// field.
+// ParseResponse reads a response and checks its form. One that has a fault is refused altogether, and the error names
+// the field.
 func ParseResponse(text []byte) (*Response, error) {
 	var document responseDocument
 	if err := json.Unmarshal(text, &document); err != nil {
--- a/internal/gatherer/discovery/endpoints.go
+++ b/internal/gatherer/discovery/endpoints.go
@@ -7,7 +7,8 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// maxRemovedNames bounds the servers of which it is remembered that they are removed, in case a list is older than that.
+// maxRemovedNames bounds the servers of which it is remembered that they are removed, in case a list is older than
+// that.
 const maxRemovedNames = 1024
 
 // endpointTable is the endpoint list, put together from full lists and changes. Its users synchronize.
--- a/internal/gatherer/discovery/fulllist.go
+++ b/internal/gatherer/discovery/fulllist.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// fullListHedgeDelay is after which the full list is requested once more, beside the requests before. An agent never
-	// answers a request that it takes while it hangs, not even once it runs again. The delay is under half of the
-	// shortest drain grace that a platform is known to give, 250 ms.
+	// fullListHedgeDelay is after which the full list is requested once more, beside the requests before. An agent
+	// never answers a request that it takes while it hangs, not even once it runs again. The delay is under half of
+	// the shortest drain grace that a platform is known to give, 250 ms.
 	fullListHedgeDelay = 100 * time.Millisecond
-	// maxFullListRequests bounds these requests. The oldest keeps its time, for an agent that is slow; the others make
-	// room for new ones.
+	// maxFullListRequests bounds these requests. The oldest keeps its time, for an agent that is slow; the others
+	// make room for new ones.
 	maxFullListRequests = 5
 	// fullListBodyTimeout bounds the transfer of a full list.
 	fullListBodyTimeout = 10 * time.Second
@@ -48,9 +48,9 @@
 	}
 }
 
-// makeRoom cancels a request that has no answer yet, where there are as many as there may be. It reports whether there
-// is room for one more.
-func (l *fullListRequests) makeRoom() bool {
+// reserveSlot cancels a request that has no answer yet, where there are as many as there may be. It reports whether
+// there is room for one more.
+func (l *fullListRequests) reserveSlot() bool {
 	if len(l.inFlight) < maxFullListRequests {
 		return true
 	}
@@ -74,7 +74,7 @@
 // startFullListRequest makes one more request for the full list, if there is room for it.
 func (w *Watcher) startFullListRequest(url string) {
 	l := w.fullList
-	if !l.makeRoom() {
+	if !l.reserveSlot() {
 		return
 	}
 	ctx, cancel := context.WithCancel(l.ctx)
@@ -90,8 +90,8 @@
 	})
 }
 
-// requestFullList makes hedged requests for the full list until one is answered, or until headerTimeout is over. Those
-// in flight then go on, and the next call takes their answers.
+// requestFullList makes hedged requests for the full list until one is answered, or until headerTimeout is over.
+// Those in flight then go on, and the next call takes their answers.
 func (w *Watcher) requestFullList(ctx context.Context, url string) (*Response, error) {
 	if w.fullList == nil {
 		w.fullList = &fullListRequests{results: make(chan fullListResult)}
--- a/internal/gatherer/discovery/response.go
+++ b/internal/gatherer/discovery/response.go
@@ -1,5 +1,5 @@
-// Package discovery watches the list of shard servers. A discovery agent serves it over HTTP: the full list, and by long
-// polls what has changed since a revision.
+// Package discovery watches the list of shard servers. A discovery agent serves it over HTTP: the full list, and by
+// long polls what has changed since a revision.
 package discovery
 
 import (
@@ -64,8 +64,8 @@
 }
 
 // MarkDraining marks servers as draining that a list, which may be old, shows as running. The map gives for each of
-// their names since when the draining process is up, in Unix milliseconds; a later process of that name is another one.
-// The result is how many were marked.
+// their names since when the draining process is up, in Unix milliseconds; a later process of that name is another
+// one. The result is how many were marked.
 func (r *Response) MarkDraining(draining map[string]float64) (marked int) {
 	for i := range r.members {
 		m := &r.members[i]
@@ -124,8 +124,9 @@
 // hexDigitsOfID is how many digits behind the last dash of a server's name are its number.
 const hexDigitsOfID = 8
 
-// ServerID is the number by which the decisions know a server. Round robin goes by it, so that it has to be the same at
-// all gatherers and after each start: a name that ends in a dash and eight hex digits has these, others are hashed.
+// ServerID is the number by which the decisions know a server. Round robin goes by it, so that it has to be the same
+// at all gatherers and after each start: a name that ends in a dash and eight hex digits has these, others are
+// hashed.
 func ServerID(name string) uint32 {
 	dash := strings.LastIndexByte(name, '-')
 	if dash >= 0 && len(name)-dash-1 == hexDigitsOfID {
--- a/internal/gatherer/discovery/watcher.go
+++ b/internal/gatherer/discovery/watcher.go
@@ -18,8 +18,9 @@
 )
 
 const (
-	// watchDuration is after which the agent answers a long poll without a change. The rules of a drain count a change
-	// as known two seconds after a watch that missed it, so that it is short; polls cost the machine's own agent nothing.
+	// watchDuration is after which the agent answers a long poll without a change. The rules of a drain count a
+	// change as known two seconds after a watch that missed it, so that it is short; polls cost the machine's own
+	// agent nothing.
 	watchDuration = 2 * time.Second
 	// headerTimeout is how long an agent may take to begin its answer, beyond watchDuration.
 	headerTimeout = time.Second
@@ -44,8 +45,8 @@
 // Config is what a Watcher needs.
 type Config struct {
 	Address string // of the discovery agent, host:port
-	// OnChange is called with each list, change or failure, and with the addresses of all listed servers. Calls do not
-	// overlap.
+	// OnChange is called with each list, change or failure, and with the addresses of all listed servers. Calls do
+	// not overlap.
 	OnChange func(list gather.EndpointList, all []shardcall.Address)
 	// RefreshRequested has a value when a list is wanted before the next regular poll. It may be nil.
 	RefreshRequested <-chan struct{}
@@ -165,8 +166,8 @@
 	w.client.CloseIdleConnections()
 }
 
-// canResume reports whether a watch may begin from the known revision, without a full list before it. Its first answer
-// is then what has changed since; that spares a shared service a full list.
+// canResume reports whether a watch may begin from the known revision, without a full list before it. Its first
+// answer is then what has changed since; that spares a shared service a full list.
 func (w *Watcher) canResume() bool {
 	return w.config.SharedService && len(w.endpoints.addresses) > 0
 }
@@ -244,7 +245,8 @@
 	}
 }
 
-// poll requests the full list where it is needed, otherwise what has changed. It ends early where the address changes.
+// poll requests the full list where it is needed, otherwise what has changed. It ends early where the address
+// changes.
 func (w *Watcher) poll(ctx context.Context, url string, addressChanged <-chan struct{}) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
--- a/internal/gatherer/shardcall/attempt.go
+++ b/internal/gatherer/shardcall/attempt.go
@@ -33,8 +33,8 @@
 // inFlight reports whether the attempt's frame is being written or is written.
 func (a *attempt) inFlight() bool { return a.conn != nil && a.conn.inFlight[a.id] == a }
 
-// stopWriting keeps an attempt of an ended query from being written. The query's answer waits for a write in progress,
-// so that a server that has stopped reading would delay it: such a write gets no more time.
+// stopWriting keeps an attempt of an ended query from being written. The query's answer waits for a write in
+// progress, so that a server that has stopped reading would delay it: such a write gets no more time.
 func (p *Pool) stopWriting(decision *dispatch.Attempt) {
 	a := p.attempts[decision]
 	switch {
@@ -65,8 +65,8 @@
 	if !a.written { // its query's answer must not wait for a server that has stopped reading
 		a.conn.nc.SetWriteDeadline(time.Now())
 	}
-	// Without hedging, the next attempt of this shard request follows the report of this one's end. That must not come
-	// before the server can read of the cancellation, or the connection has ended.
+	// Without hedging, the next attempt of this shard request follows the report of this one's end. That must not
+	// come before the server can read of the cancellation, or the connection has ended.
 	if stage == Cancelled && !p.limits.hedgingAllowed {
 		if !a.cancelling {
 			a.cancelling = true
--- a/internal/gatherer/shardcall/conn.go
+++ b/internal/gatherer/shardcall/conn.go
@@ -16,8 +16,8 @@
 	check     *healthCheck
 }
 
-// conn is one connection to a shard server, with a goroutine that writes and one that reads. The pool's lock guards its
-// fields.
+// conn is one connection to a shard server, with a goroutine that writes and one that reads. The pool's lock guards
+// its fields.
 type conn struct {
 	pool    *Pool
 	server  *server
--- a/internal/gatherer/shardcall/frame.go
+++ b/internal/gatherer/shardcall/frame.go
@@ -69,8 +69,8 @@
 	return buf
 }
 
-// appendRequestFrame appends the requests of one call, which are all of a first pass or none. Each states the time that
-// it has left at present: it may have waited for its connection or behind other frames.
+// appendRequestFrame appends the requests of one call, which are all of a first pass or none. Each states the time
+// that it has left at present: it may have waited for its connection or behind other frames.
 func appendRequestFrame(buf []byte, attempts []*attempt) []byte {
 	start := len(buf)
 	letter := byte(frameRequests)
@@ -99,7 +99,8 @@
 	return finishFrame(buf, start)
 }
 
-// appendOwnership appends the keys that are requested, their segment and its epoch, as docs/protocol-owners.md has it.
+// appendOwnership appends the keys that are requested, their segment and its epoch, as docs/protocol-owners.md has
+// it.
 func appendOwnership(buf []byte, a *attempt) []byte {
 	keys, segment, ownedSince, _ := a.decision.Ownership()
 	buf = append(buf, ",s="...)
@@ -143,9 +144,9 @@
 	return buf[0], buf[1:], buf, nil
 }
 
-// parseAnswer reads an answer frame's body. All that a decision depends on is checked; a load report that can't be read
-// is ignored. The value is a copy, since the frame's buffer is reused. Clients get it as text, so that one that is not,
-// such as the start of the next frame behind a wrong length, is refused.
+// parseAnswer reads an answer frame's body. All that a decision depends on is checked; a load report that can't be
+// read is ignored. The value is a copy, since the frame's buffer is reused. Clients get it as text, so that one that
+// is not, such as the start of the next frame behind a wrong length, is refused.
 func parseAnswer(body []byte) (answer, error) {
 	line, value, found := bytes.Cut(body, []byte{'\n'})
 	words := bytes.SplitN(line, []byte{' '}, 4)
--- a/internal/gatherer/shardcall/handshake.go
+++ b/internal/gatherer/shardcall/handshake.go
@@ -10,8 +10,8 @@
 	"yokeroute/gather"
 )
 
-// The handshake of docs/protocol-two-phase.md finds out whether a server answers first passes. It goes by a connection of
-// its own, so that a server that does not know the frame closes none with attempts.
+// The handshake of docs/protocol-two-phase.md finds out whether a server answers first passes. It goes by a
+// connection of its own, so that a server that does not know the frame closes none with attempts.
 const (
 	firstPassExtension = "two-phase 1"
 	handshakeTimeout   = 2 * time.Second
@@ -25,8 +25,8 @@
 	startedAt float64
 }
 
-// EnableFirstPass has the pool find out of each listed server, once for each of its processes, whether it answers first
-// passes. It must be called before SetEndpoints.
+// EnableFirstPass has the pool find out of each listed server, once for each of its processes, whether it answers
+// first passes. It must be called before SetEndpoints.
 func (p *Pool) EnableFirstPass(onSupport func(server uint32, supported bool)) {
 	p.onFirstPassSupport = onSupport
 	p.handshakeSlots = make(chan struct{}, maxHandshakes)
@@ -68,8 +68,8 @@
 	}
 }
 
-// shakeHands makes one handshake. A server that refuses the frame, closes the connection over it or answers half a frame
-// supports no first passes. One that can't be reached or does not answer is an error, since that shows nothing.
+// shakeHands makes one handshake. A server that refuses the frame, closes the connection over it or answers half a
+// frame supports no first passes. One that can't be reached or does not answer is an error, since that shows nothing.
 func (p *Pool) shakeHands(address string) (supported bool, err error) {
 	nc, err := p.dial(address)
 	if err != nil {
@@ -89,8 +89,8 @@
 	return err == nil && letter == frameHandshake && string(body) == firstPassExtension, nil
 }
 
-// revokeFirstPass repeats the handshake with a server that refused a frame while a first pass was in flight: it may be
-// of another version by now. Until then it gets no first passes.
+// revokeFirstPass repeats the handshake with a server that refused a frame while a first pass was in flight: it may
+// be of another version by now. Until then it gets no first passes.
 func (p *Pool) revokeFirstPass(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gatherer/shardcall/healthcheck.go
+++ b/internal/gatherer/shardcall/healthcheck.go
@@ -27,8 +27,8 @@
 	finished  bool
 }
 
-// startHealthCheck queues a health check on a connection that attempts use as well. Without an answer within the connect
-// timeout it has failed. The lock must be held.
+// startHealthCheck queues a health check on a connection that attempts use as well. Without an answer within the
+// connect timeout it has failed. The lock must be held.
 func (p *Pool) startHealthCheck(id uint32) {
 	check := &healthCheck{server: id, startedAt: time.Now()}
 	s := p.servers[id]
@@ -45,8 +45,8 @@
 	c.enqueue(outgoing{check: check})
 }
 
-// finishHealthCheck reports the end of a health check, once. The load report is nil where none arrived. The lock must be
-// held.
+// finishHealthCheck reports the end of a health check, once. The load report is nil where none arrived. The lock must
+// be held.
 func (p *Pool) finishHealthCheck(check *healthCheck, report []byte) {
 	if check.finished {
 		return
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -1,7 +1,7 @@
 // Package shardcall carries attempts to shard servers over TCP, and reports how each one ended.
 //
-// The frames are those of docs/sockets.md, which http.Transport cannot carry. The package decides nothing: which server
-// gets an attempt, when and how often is the decision module's to say.
+// The frames are those of docs/sockets.md, which http.Transport cannot carry. The package decides nothing: which
+// server gets an attempt, when and how often is the decision module's to say.
 package shardcall
 
 import (
@@ -17,8 +17,8 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// defaultConnectTimeout applies where the settings have no ConnectTimeout. It also bounds the write of a cancel frame or
-// a health check, which must not be without a limit.
+// defaultConnectTimeout applies where the settings have no ConnectTimeout. It also bounds the write of a cancel frame
+// or a health check, which must not be without a limit.
 const defaultConnectTimeout = time.Second
 
 // Reporter takes the ends of attempts and health checks. It must not block.
@@ -45,7 +45,8 @@
 	Log      *logrus.Logger
 }
 
-// Pool holds the connections to all shard servers. Its one lock is never held while a goroutine waits for the network.
+// Pool holds the connections to all shard servers. Its one lock is never held while a goroutine waits for the
+// network.
 type Pool struct {
 	reporter Reporter
 	log      *logrus.Logger
@@ -114,8 +115,8 @@
 	if l.streamsPerConn < 1 { // unlimited
 		l.streamsPerConn = math.MaxInt32
 	}
-	// A server closes a connection that has been idle for this time. The pool does so first, by as much as a connection
-	// may take to come up, so that no frame is written into the server's close.
+	// A server closes a connection that has been idle for this time. The pool does so first, by as much as a
+	// connection may take to come up, so that no frame is written into the server's close.
 	if idle := milliseconds(settings.IdleTimeout); idle > 0 {
 		l.idleTimeout = max(idle-l.connectTimeout, idle/2)
 	}
@@ -171,8 +172,9 @@
 	}
 }
 
-// limitWritesInProgress bounds the frames that are being written to a server that drains or is removed: one of which the
-// server has not read the first byte must not begin once the drain grace is over. Half of the grace is left to it.
+// limitWritesInProgress bounds the frames that are being written to a server that drains or is removed: one of which
+// the server has not read the first byte must not begin once the drain grace is over. Half of the grace is left to
+// it.
 func (p *Pool) limitWritesInProgress(s *server) {
 	if s.State == gather.Running {
 		return
--- a/internal/gatherer/shardcall/reader.go
+++ b/internal/gatherer/shardcall/reader.go
@@ -50,8 +50,8 @@
 	return fmt.Errorf("frame of unknown kind %q", letter)
 }
 
-// handleAnswer ends the attempt that an answer is for. An answer to an ended attempt, and a repeated one, are ignored.
-// Any other ID is damaged: the answer that it stands for will not arrive, so that the connection ends.
+// handleAnswer ends the attempt that an answer is for. An answer to an ended attempt, and a repeated one, are
+// ignored. Any other ID is damaged: the answer that it stands for will not arrive, so that the connection ends.
 func (c *conn) handleAnswer(ans answer, more bool) error {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -64,8 +64,8 @@
 		c.late.remove(ans.id)
 		return nil
 	}
-	// Where no other answer is awaited, bytes behind this one are noise. The next attempt goes elsewhere, since reading
-	// them may end this connection.
+	// Where no other answer is awaited, bytes behind this one are noise. The next attempt goes elsewhere, since
+	// reading them may end this connection.
 	if more && len(c.inFlight) == 1 && c.late.count() == 0 {
 		c.unusable = true
 		c.retired = true
--- a/internal/gatherer/shardcall/writer.go
+++ b/internal/gatherer/shardcall/writer.go
@@ -87,7 +87,8 @@
 	return buf, err
 }
 
-// beginWrite returns the attempts that may be written now, and bounds their frame's write by the longest of their times.
+// beginWrite returns the attempts that may be written now, and bounds their frame's write by the longest of their
+// times.
 func (c *conn) beginWrite(attempts []*attempt) (allowed []*attempt) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -118,8 +119,8 @@
 	return allowed
 }
 
-// maySend reports whether the connection can still carry an attempt. A server that drains gets nothing new, drain grace
-// or not; and where a server has another address now, an unrelated one may listen at the old.
+// maySend reports whether the connection can still carry an attempt. A server that drains gets nothing new, drain
+// grace or not; and where a server has another address now, an unrelated one may listen at the old.
 func (c *conn) maySend(a *attempt) bool {
 	switch {
 	case c.closed, c.unusable:
--- a/internal/storage/runfolder/runfolder.go
+++ b/internal/storage/runfolder/runfolder.go
@@ -1,10 +1,10 @@
-// Package runfolder keeps a long operation, such as a rollout, that one process at a time carries out and that outlives
-// it. Its folder holds a lock, a fencing token that grows with each process, a journal for each token, the operator's
-// last command and files for readers.
+// Package runfolder keeps a long operation, such as a rollout, that one process at a time carries out and that
+// outlives it. Its folder holds a lock, a fencing token that grows with each process, a journal for each token, the
+// operator's last command and files for readers.
 //
 // A process that is stopped keeps the lock. Another one may take over without it, by a higher token, and the process
-// with the lower one finds that out before each step. None writes into another's journal, so that one that was stopped
-// in the middle of a write does no harm when it goes on.
+// with the lower one finds that out before each step. None writes into another's journal, so that one that was
+// stopped in the middle of a write does no harm when it goes on.
 package runfolder
 
 import (
@@ -50,24 +50,24 @@
 	journal *statedir.Journal
 }
 
-// Open takes the folder's lock and the next fencing token. With takeOver it goes on without the lock where another
+// Open takes the folder's lock and the next fencing token. With force it goes on without the lock where another
 // process holds it. Close releases what is held.
-func Open(path string, takeOver bool) (*Folder, error) {
+func Open(path string, force bool) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
 	}
 	f := &Folder{path: path}
-	if err := f.takeLock(); err != nil && !(takeOver && errors.Is(err, ErrLocked)) {
+	if err := f.acquireLock(); err != nil && !(force && errors.Is(err, ErrLocked)) {
 		return nil, err
 	}
-	if err := f.takeToken(); err != nil {
+	if err := f.acquireToken(); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Folder) takeLock() error {
+func (f *Folder) acquireLock() error {
 	file, err := os.OpenFile(f.file(lockFile), os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
 		return err
@@ -84,7 +84,7 @@
 	return fmt.Errorf("%s: %w", file.Name(), err)
 }
 
-func (f *Folder) takeToken() error {
+func (f *Folder) acquireToken() error {
 	previous, err := readToken(f.path)
 	if err != nil {
 		return err
@@ -127,15 +127,15 @@
 	return filepath.Join(path, journalsFolder, strconv.FormatUint(token, 10))
 }
 
-// Recover hands the records of the process before to see, the oldest first, and begins this one's journal with them. A
-// damaged journal is ErrRecordsLost.
-func (f *Folder) Recover(see func(record []byte) error) error {
+// Recover hands the records of the process before to visit, the oldest first, and begins this one's journal with them.
+// A damaged journal is ErrRecordsLost.
+func (f *Folder) Recover(visit func(record []byte) error) error {
 	records, err := f.previousRecords()
 	if err != nil {
 		return err
 	}
 	for _, record := range records {
-		if err := see(record); err != nil {
+		if err := visit(record); err != nil {
 			return err
 		}
 	}
@@ -211,8 +211,8 @@
 	return string(text), err
 }
 
-// SendCommand leaves a command for the process that carries out the operation, or for the next one. The stamp tells it
-// from the same command sent before.
+// SendCommand leaves a command for the process that carries out the operation, or for the next one. The stamp tells
+// it from the same command sent before.
 func SendCommand(path, command string, stamp int64) error {
 	if _, err := os.Stat(filepath.Join(path, tokenFile)); err != nil {
 		return err
@@ -230,8 +230,8 @@
 	}
 }
 
-// ReadJournal hands the newest records of an operation to see, while a process may write them.
-func ReadJournal(path string, see func(record []byte) error) error {
+// ReadJournal hands the newest records of an operation to visit, while a process may write them.
+func ReadJournal(path string, visit func(record []byte) error) error {
 	token, err := readToken(path)
 	if err != nil {
 		return err
@@ -242,7 +242,7 @@
 		}
 		err := statedir.ReadJournal(journalFolder(path, token), func(record []byte) error {
 			n++
-			return see(record)
+			return visit(record)
 		})
 		if err != nil {
 			return err
--- a/internal/storage/statedir/gathererstate.go
+++ b/internal/storage/statedir/gathererstate.go
@@ -33,8 +33,8 @@
 	Claims   int // queries that may have run
 	Epoch    uint64
 	Duration time.Duration
-	// UnknownUntil is until when queries of before the start may be missing, in Unix milliseconds. It is 0 where all are
-	// known.
+	// UnknownUntil is until when queries of before the start may be missing, in Unix milliseconds. It is 0 where all
+	// are known.
 	UnknownUntil float64
 }
 
@@ -109,14 +109,15 @@
 	g.claims = g.claims[n:]
 }
 
-// MayHaveRun reports whether a query of this ID may have run. Repeated is set for one that its client marked as a repeat.
+// MayHaveRun reports whether a query of this ID may have run. Repeated is set for one that its client marked as a
+// repeat.
 func (g *GathererState) MayHaveRun(id string, repeated bool, now float64) bool {
 	_, known := g.sentAt[id]
 	return known || repeated && now < g.unknownUntil
 }
 
-// RecordSent stores the IDs of queries before any byte of them is sent. After an error they may not be stored, and must
-// not be sent.
+// RecordSent stores the IDs of queries before any byte of them is sent. After an error they may not be stored, and
+// must not be sent.
 func (g *GathererState) RecordSent(ids []string, now float64) error {
 	g.dropExpired(now)
 	var records [][]byte
--- a/internal/storage/statedir/handover.go
+++ b/internal/storage/statedir/handover.go
@@ -17,8 +17,8 @@
 	handoverFile   = "handover"
 )
 
-// Handover is what a gatherer leaves to its next process, whose endpoint list may be older: which servers drain. It is
-// stored with each change, so that it is there after a kill as well.
+// Handover is what a gatherer leaves to its next process, whose endpoint list may be older: which servers drain. It
+// is stored with each change, so that it is there after a kill as well.
 type Handover struct {
 	path     string
 	Draining map[string]float64 // by name: since when the draining process is up, in Unix milliseconds
@@ -29,8 +29,8 @@
 	Draining map[string]float64 `json:"draining"`
 }
 
-// OpenHandover reads the handover of an earlier process, if there is one. With an error about its content the handover
-// is returned empty, and may be used.
+// OpenHandover reads the handover of an earlier process, if there is one. With an error about its content the
+// handover is returned empty, and may be used.
 func OpenHandover(folder string) (*Handover, error) {
 	h := &Handover{path: filepath.Join(folder, handoverFile), Draining: map[string]float64{}}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
--- a/internal/storage/statedir/journal.go
+++ b/internal/storage/statedir/journal.go
@@ -1,8 +1,8 @@
-// Package statedir keeps what must outlast a process, on a disk that does: a journal of records with checksums, which a
-// snapshot replaces now and then, and on it a gatherer's state and its handover to the next process.
+// Package statedir keeps what must outlast a process, on a disk that does: a journal of records with checksums, which
+// a snapshot replaces now and then, and on it a gatherer's state and its handover to the next process.
 //
-// A record is there after a crash once Append has returned. What a crash left incomplete, at any byte, is cut off, and
-// is told apart from damage. The time to recover is bounded by a snapshot and one journal.
+// A record is there after a crash once Append has returned. What a crash left incomplete, at any byte, is cut off,
+// and is told apart from damage. The time to recover is bounded by a snapshot and one journal.
 package statedir
 
 import (
@@ -13,8 +13,8 @@
 	"path/filepath"
 )
 
-// Files of a folder, by generation: a snapshot of all that was before it, and a journal of what came after it. Files that
-// are being written have another name.
+// Files of a folder, by generation: a snapshot of all that was before it, and a journal of what came after it. Files
+// that are being written have another name.
 const (
 	snapshotPrefix  = "snapshot-"
 	journalPrefix   = "journal-"
@@ -41,8 +41,8 @@
 	Empty     bool  // there was nothing
 }
 
-// OpenJournal opens a folder, or creates it, and hands its records to load, the oldest first. An error of load ends it.
-// Once the journal is larger than maxBytes, a snapshot is due.
+// OpenJournal opens a folder, or creates it, and hands its records to load, the oldest first. An error of load ends
+// it. Once the journal is larger than maxBytes, a snapshot is due.
 func OpenJournal(folder string, maxBytes int64, load func(record []byte) error) (*Journal, Recovery, error) {
 	var found Recovery
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -92,8 +92,8 @@
 	return nil
 }
 
-// Append stores records by one write, and returns once they are on the disk. After an error the content of the disk is
-// unknown: nothing more can be written until the folder is opened anew.
+// Append stores records by one write, and returns once they are on the disk. After an error the content of the disk
+// is unknown: nothing more can be written until the folder is opened anew.
 func (j *Journal) Append(records ...[]byte) error {
 	if j.failure != nil {
 		return j.failure
--- a/internal/storage/statedir/record.go
+++ b/internal/storage/statedir/record.go
@@ -32,8 +32,8 @@
 	return append(buf, record...)
 }
 
-// recordChecksum covers a record and its place, so that a record of an older file, which a disk may return in place of a
-// newer one, does not fit.
+// recordChecksum covers a record and its place, so that a record of an older file, which a disk may return in place
+// of a newer one, does not fit.
 func recordChecksum(generation uint64, offset int64, record []byte) uint64 {
 	var place [16]byte
 	binary.LittleEndian.PutUint64(place[:], generation)
--- a/internal/storage/statedir/recovery.go
+++ b/internal/storage/statedir/recovery.go
@@ -54,24 +54,24 @@
 	return errors.Join(file.Truncate(size), j.sync(file))
 }
 
-// readRecords hands the readable records of a journal to see, and returns the size of these.
-func readRecords(file io.Reader, generation uint64, see func(record []byte) error) (size int64, err error) {
+// readRecords hands the readable records of a journal to visit, and returns the size of these.
+func readRecords(file io.Reader, generation uint64, visit func(record []byte) error) (size int64, err error) {
 	reader := bufio.NewReader(file)
 	for {
 		record, err := readRecord(reader, generation, size)
 		if err != nil {
 			return size, nil
 		}
-		if err := see(record); err != nil {
+		if err := visit(record); err != nil {
 			return size, err
 		}
 		size += recordHeaderBytes + int64(len(record))
 	}
 }
 
-// hasLaterRecord looks for a readable record in a range that begins with an unreadable one. A crash tears the last write
-// alone, so that a record behind it means that the disk has lost what was before. A write of several records that was
-// torn out of order is reported as well, which errs on the safe side.
+// hasLaterRecord looks for a readable record in a range that begins with an unreadable one. A crash tears the last
+// write alone, so that a record behind it means that the disk has lost what was before. A write of several records
+// that was torn out of order is reported as well, which errs on the safe side.
 func hasLaterRecord(file *os.File, generation uint64, from, to int64) bool {
 	if to-from > maxScanBytes {
 		return true
@@ -95,9 +95,9 @@
 	return false
 }
 
-// ReadJournal hands the readable records of a folder to see, the oldest first, and changes nothing: another process may
-// be writing it.
-func ReadJournal(folder string, see func(record []byte) error) error {
+// ReadJournal hands the readable records of a folder to visit, the oldest first, and changes nothing: another process
+// may be writing it.
+func ReadJournal(folder string, visit func(record []byte) error) error {
 	generations, err := listGenerations(folder)
 	if err != nil {
 		return err
@@ -107,14 +107,14 @@
 		if err != nil {
 			continue
 		}
-		return readGeneration(folder, generation, records, see)
+		return readGeneration(folder, generation, records, visit)
 	}
 	return nil
 }
 
-func readGeneration(folder string, generation uint64, records [][]byte, see func(record []byte) error) error {
+func readGeneration(folder string, generation uint64, records [][]byte, visit func(record []byte) error) error {
 	for _, record := range records {
-		if err := see(record); err != nil {
+		if err := visit(record); err != nil {
 			return err
 		}
 	}
@@ -123,6 +123,6 @@
 		return err
 	}
 	defer file.Close()
-	_, err = readRecords(file, generation, see) // to its end, or to the record that is being written
+	_, err = readRecords(file, generation, visit) // to its end, or to the record that is being written
 	return err
 }
--- a/internal/storage/statedir/snapshot.go
+++ b/internal/storage/statedir/snapshot.go
@@ -60,7 +60,8 @@
 	}
 }
 
-// writeSnapshot begins the next generation. The files of the present one are removed once the new ones are on the disk.
+// writeSnapshot begins the next generation. The files of the present one are removed once the new ones are on the
+// disk.
 func (j *Journal) writeSnapshot(write func(put func([]byte) error) error) error {
 	generation := j.generation + 1
 	temporary, err := j.writeSnapshotFile(generation, write)
--- a/logic/ownership/host.go
+++ b/logic/ownership/host.go
@@ -2,24 +2,24 @@
 
 import "slices"
 
-// SegmentLog is the record of what ran in a segment. It outlives its owner: whoever owns the segment writes to it
-// and reads it. The fence is the epoch from which its newest owner holds it; what older ones still write is
-// refused.
+// SegmentLog is the record of what ran in a segment. It outlives the owners, which write and read it. It
+// takes nothing under an epoch other than that of the newest owner.
 type SegmentLog struct {
 	Epoch  uint64
-	Sealed bool // by the newest owner's order: nothing more is written under this fence
+	Sealed bool // by the newest owner: it takes nothing more under this epoch
 }
 
-// Append reports whether the log takes a record of an owner who holds the segment since an epoch.
-func (l *SegmentLog) Append(since uint64) bool { return since == l.Epoch && !l.Sealed }
+// Append reports whether the log takes a record of a host that owns the segment since an epoch.
+func (l *SegmentLog) Append(ownedSince uint64) bool { return ownedSince == l.Epoch && !l.Sealed }
 
-// RaiseEpoch sets the fence for a new owner. It reports whether this is the newest.
-func (l *SegmentLog) RaiseEpoch(since uint64) bool {
-	if since < l.Epoch {
+// RaiseEpoch fences off the owners before a new one. It reports whether that is the newest.
+func (l *SegmentLog) RaiseEpoch(epoch uint64) bool {
+	if epoch < l.Epoch {
 		return false
 	}
-	if since > l.Epoch {
-		l.Epoch, l.Sealed = since, false
+	if epoch > l.Epoch {
+		l.Epoch = epoch
+		l.Sealed = false
 	}
 	return true
 }
@@ -29,30 +29,29 @@
 	Name string
 	Range
 	OwnedSince uint64
-	Sealed     bool // it takes no more once-only calls: the segment is being handed over
+	Sealed     bool // it is being handed over, and takes no non-idempotent requests
 	Writer     bool
 }
 
-// Request is a piece as it comes to a host.
+// Request is a piece of a shard request as it arrives at a host.
 type Request struct {
 	Segment    string
-	OwnedSince uint64 // under which the gatherer cut it
+	OwnedSince uint64 // by the gatherer's map
 	Range
 	NonIdempotent bool
 }
 
-// Admission is what a host does with a call.
+// Admission is what a host does with a request.
 type Admission int
 
-// The answers. Moved proves that the call never ran here.
+// The admissions.
 const (
 	Admitted Admission = iota
-	NotOwner
+	NotOwner           // it proves that the request has not run here
 )
 
-// Host decides what a host runs, from what it believes to own. It may be wrong: a host that was cut off
-// believes in an epoch that has passed. What it then runs of a once-only index is stopped by the segment's
-// log.
+// Host decides which requests a host admits, by what it believes to own. A host that was cut off may be
+// wrong. What it then admits of non-idempotent requests is refused by the segment's log.
 type Host struct{ Segments []OwnedSegment }
 
 func (h *Host) find(name string) *OwnedSegment {
@@ -64,101 +63,40 @@
 	return nil
 }
 
-// Admit decides about a call. Once-only calls that it lets run still have to be taken by the segment's log.
-func (h *Host) Admit(c Request) Admission {
-	o := h.find(c.Segment)
-	if o == nil || o.OwnedSince != c.OwnedSince || !c.Within(o.Range) || c.NonIdempotent && (o.Sealed || !o.Writer) {
+// Admit decides on a request. A non-idempotent one that is admitted still needs the segment's log to take it.
+func (h *Host) Admit(r Request) Admission {
+	owned := h.find(r.Segment)
+	if owned == nil || owned.OwnedSince != r.OwnedSince || !r.Within(owned.Range) {
+		return NotOwner
+	}
+	if r.NonIdempotent && (owned.Sealed || !owned.Writer) {
 		return NotOwner
 	}
 	return Admitted
 }
 
-// Acquire makes a host own a segment; what it owned under that name, or of its keys, it owns no longer.
-func (h *Host) Acquire(o OwnedSegment) {
-	h.Segments = slices.DeleteFunc(h.Segments, func(was OwnedSegment) bool {
-		return was.OwnedSince <= o.OwnedSince && (was.Name == o.Name || was.Overlaps(o.Range))
+// Acquire makes the host an owner of a segment, in place of what it owned under that name or of its keys.
+func (h *Host) Acquire(segment OwnedSegment) {
+	h.Segments = slices.DeleteFunc(h.Segments, func(owned OwnedSegment) bool {
+		replaced := owned.Name == segment.Name || owned.Overlaps(segment.Range)
+		return replaced && owned.OwnedSince <= segment.OwnedSince
 	})
-	if was := h.find(o.Name); was == nil {
-		h.Segments = append(h.Segments, o)
+	if h.find(segment.Name) == nil {
+		h.Segments = append(h.Segments, segment)
 	}
 }
 
-// Seal has a host take no more once-only calls of a segment, before it is handed over.
+// Seal has the host admit no more non-idempotent requests of a segment. It reports whether the host owns it.
 func (h *Host) Seal(name string) bool {
-	o := h.find(name)
-	if o != nil {
-		o.Sealed = true
+	owned := h.find(name)
+	if owned == nil {
+		return false
 	}
-	return o != nil
+	owned.Sealed = true
+	return true
 }
 
-// Release has a host own a segment no longer.
+// Release ends the host's ownership of a segment.
 func (h *Host) Release(name string) {
-	h.Segments = slices.DeleteFunc(h.Segments, func(o OwnedSegment) bool { return o.Name == name })
-}
-
-// Step is a step of a hand-over. They are taken in this order, each of which may fail and be taken again;
-// up to Publish the hand-over can be undone, by handing the segments back to who had them in a further
-// epoch.
-type Step int
-
-// The steps.
-const (
-	Seal    Step = iota // the old owners take no more once-only calls
-	Fence               // the logs of what comes are raised to the new epoch, those of what goes are closed
-	Accept              // the new owners own what comes
-	Publish             // the map of the new epoch is told to gatherers
-	Release             // the old owners own it no longer
-	Done
-)
-
-// Handover is a change that is being carried out.
-type Handover struct {
-	Change
-	Previous []Segment // that go
-	Step     Step
-}
-
-// NewHandover begins to carry a change of a map out.
-func NewHandover(m *Map, c Change) Handover {
-	h := Handover{Change: c}
-	for _, name := range c.Removed {
-		if i := m.Find(name); i >= 0 {
-			h.Previous = append(h.Previous, m.Segments[i])
-		}
-	}
-	return h
-}
-
-// CanProceed reports whether the next step may go ahead though old owners could not be reached for this one: a
-// host that is cut off can't be sealed, and need not be, since its log refuses it from the next step on.
-// New owners have to be reached: else its keys would belong to nobody who knows.
-func (h *Handover) CanProceed(old, new bool) bool {
-	switch h.Step {
-	case Seal, Release:
-		return true
-	case Accept:
-		return new
-	}
-	return old || new
-}
-
-// Revert are the changes by which a hand-over that was not published is taken back: its epoch is told as
-// one in which nobody owns the segments, against a new owner that has accepted them in it, and in the next
-// one the old owners have them again, under a fence that the new one's has not.
-func (h *Handover) Revert(m *Map) ([]Change, error) {
-	none, back := slices.Clone(h.Previous), slices.Clone(h.Previous)
-	for i := range none {
-		none[i].Owners = nil
-	}
-	first, err := m.newChange("undo "+h.Reason+": owned by nobody", h.Removed, none...)
-	if err != nil {
-		return nil, err
-	}
-	between, err := m.Apply(first)
-	if err != nil {
-		return nil, err
-	}
-	second, err := between.newChange("undo "+h.Reason, h.Removed, back...)
-	return []Change{first, second}, err
+	h.Segments = slices.DeleteFunc(h.Segments, func(owned OwnedSegment) bool { return owned.Name == name })
 }
--- /dev/null
+++ b/logic/ownership/range.go
@@ -0,0 +1,62 @@
+package ownership
+
+import (
+	"fmt"
+	"strconv"
+	"strings"
+)
+
+const maxKey = ^uint64(0)
+
+// keyDigits is the length of a key in hex digits.
+const keyDigits = 16
+
+// keySpace is how many keys there are.
+const keySpace = 1 << 64
+
+// Range is the keys from Lo to Hi, both included, so that all keys are one range.
+type Range struct{ Lo, Hi uint64 }
+
+// All is the range of all keys.
+var All = Range{0, maxKey}
+
+// ShardRange is the keys of one shard. Clients divide the keys evenly into so many shards.
+func ShardRange(shard, shards int) Range {
+	if shards <= 1 {
+		return All
+	}
+	width := maxKey/uint64(shards) + 1
+	lo := uint64(shard) * width
+	r := Range{lo, lo + width - 1}
+	if shard == shards-1 || r.Hi < r.Lo { // rounding shortens the last shard
+		r.Hi = maxKey
+	}
+	return r
+}
+
+// Fraction is the range's share of all keys.
+func (r Range) Fraction() float64 { return (float64(r.Hi-r.Lo) + 1) / keySpace }
+
+// Overlaps reports whether two ranges share a key.
+func (r Range) Overlaps(o Range) bool { return r.Lo <= o.Hi && o.Lo <= r.Hi }
+
+// Within reports whether another range has all keys of this one.
+func (r Range) Within(o Range) bool { return r.Lo >= o.Lo && r.Hi <= o.Hi }
+
+// Text is the range in files and documents: two keys with a dash between. It is not named String, which types
+// that embed a Range would inherit.
+func (r Range) Text() string { return fmt.Sprintf("%016x-%016x", r.Lo, r.Hi) }
+
+// ParseRange parses what Text returns.
+func ParseRange(text string) (Range, error) {
+	lo, hi, found := strings.Cut(text, "-")
+	first, errFirst := strconv.ParseUint(lo, 16, 64)
+	last, errLast := strconv.ParseUint(hi, 16, 64)
+	if !found || len(lo) != keyDigits || len(hi) != keyDigits || errFirst != nil || errLast != nil {
+		return Range{}, fmt.Errorf("%q is no range of keys; write sixteen hex digits, a dash, sixteen more", text)
+	}
+	if last < first {
+		return Range{}, fmt.Errorf("the range %s ends before it begins", text)
+	}
+	return Range{first, last}, nil
+}
