--- a/cmd/yokeroute/segments_test.go
+++ b/cmd/yokeroute/segments_test.go
@@ -15,8 +15,8 @@
 	`{"Name":"search-b","Lo":13835058055282163712,"Hi":16140901064495857663,"Owners":["h-04","h-01"],"Since":6}]}
 `
 
-// TestSegmentCommands goes from the worked example to a moved map and back, and wants a clear no told from bad input.
-func TestSegmentCommands(t *testing.T) {
+// TestSegmentCommandsShowCheckAndPlan goes from the worked example to a moved map and back, and wants a clear no told from bad input.
+func TestSegmentCommandsShowCheckAndPlan(t *testing.T) {
 	example := filepath.Join("..", "..", "examples", "segments", "farm.conf")
 	dir := t.TempDir()
 	next := filepath.Join(dir, "next.conf")
