--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same verdict always
+func init() { flag.Set("rapid.seed", "20261201") } // the same draws in each run
 
 // drawMap draws a first map with gaps and unowned segments.
 func drawMap(t *rapid.T) *Map {
@@ -42,7 +42,7 @@
 	return m
 }
 
-// drawChange draws a change that a map can take, or none.
+// drawChange draws a change, and whether the map can take it.
 func drawChange(t *rapid.T, m *Map, n int) (c Change, ok bool) {
 	if len(m.Segments) == 0 {
 		return c, false
@@ -66,8 +66,8 @@
 	return c, err == nil
 }
 
-// TestOverlapsPartitionARange holds the parting of a range against a search key by key: at the borders of all segments the piece that
-// has a key is of the segment that has it; pieces lie in a row, cover the range, and share it out.
+// TestOverlapsPartitionARange compares the overlaps of a range with a search for the owner of each key at a segment's
+// border. The overlaps are consecutive, cover the range and have shares that add up to 1.
 func TestOverlapsPartitionARange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
@@ -82,11 +82,11 @@
 		sum, from := 0.0, r.Lo
 		for i, p := range pieces {
 			if p.Lo != from || p.Hi < p.Lo || p.Hi > r.Hi {
-				t.Fatalf("piece %s where %016x should begin, of %s", p.Text(), from, r.Text())
+				t.Fatalf("overlap %s, one from %016x on is due, of %s", p.Text(), from, r.Text())
 			}
 			sum += p.Share
 			if from = p.Hi + 1; i == len(pieces)-1 && p.Hi != r.Hi {
-				t.Fatalf("the last piece is %s of %s", p.Text(), r.Text())
+				t.Fatalf("the last overlap is %s of %s", p.Text(), r.Text())
 			}
 		}
 		if math.Abs(sum-1) > 1e-9 {
@@ -108,13 +108,13 @@
 			}
 			at := slices.IndexFunc(pieces, func(p Overlap) bool { return key >= p.Lo && key <= p.Hi })
 			if pieces[at].Segment != owner {
-				t.Fatalf("key %016x is of segment %d, its piece of %d", key, owner, pieces[at].Segment)
+				t.Fatalf("key %016x is in segment %d, its overlap says %d", key, owner, pieces[at].Segment)
 			}
 		}
 	})
 }
 
-// TestShardRangesPartitionAllKeys: shards part all keys, evenly and without a gap.
+// TestShardRangesPartitionAllKeys wants shards to divide all keys evenly, without a gap.
 func TestShardRangesPartitionAllKeys(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 18, 1000, 65536} {
 		from := uint64(0)
@@ -131,8 +131,8 @@
 	}
 }
 
-// TestReassignByMapAndState: through any chain of changes no keys of a lookup are lost or asked for twice, weights keep their sum, a
-// once-only piece that may have run is left alone, and so is what is in or out.
+// TestReassignByMapAndState draws chains of changes. The pieces of a query always cover its keys once, and weights keep
+// their sum. A non-idempotent piece that may have run stays, and so does one that is answered or in flight.
 func TestReassignByMapAndState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
@@ -176,13 +176,13 @@
 			for _, id := range retired {
 				i := slices.IndexFunc(held, func(h Piece) bool { return h.ID == id })
 				if h := held[i]; h.Answered || h.InFlight > 0 || once && h.MayHaveRun {
-					t.Fatalf("retired: %+v", h)
+					t.Fatalf("replaced: %+v", h)
 				}
 				held = slices.Delete(held, i, i+1)
 			}
 			for _, f := range fresh {
 				if once && !trusted && f.Segment >= 0 {
-					t.Fatalf("%+v though nobody is trusted", f)
+					t.Fatalf("%+v is sent though the map is not trusted", f)
 				}
 				hold(f)
 			}
@@ -203,20 +203,20 @@
 				from := r.Lo
 				for _, h := range mine {
 					if h.Lo != from {
-						t.Fatalf("part %d: %s where %016x should be", part, h.Text(), from)
+						t.Fatalf("request %d: piece %s, one from %016x on is due", part, h.Text(), from)
 					}
 					from = h.Hi + 1
 				}
 				if len(mine) == 0 || mine[len(mine)-1].Hi != r.Hi || math.Abs(sum-weights[part]) > 1e-9 {
-					t.Fatalf("part %d: %d pieces of weight %g", part, len(mine), sum)
+					t.Fatalf("request %d: %d pieces of weight %g", part, len(mine), sum)
 				}
 			}
 		}
 	})
 }
 
-// TestTrackerAppliesOnlyWhatFollows hands news late, twice, out of order and in gaps, with whole maps in between: what is believed is always
-// one of the true maps, never an older one than before, and the newest once all is told.
+// TestTrackerAppliesOnlyWhatFollows hands in changes late, repeatedly, out of order and with gaps, and full maps between.
+// The tracker's map is always a true one, never older than before, and the newest at the end.
 func TestTrackerAppliesOnlyWhatFollows(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		truth := []*Map{drawMap(t)}
@@ -234,7 +234,7 @@
 		last := uint64(0)
 		see := func(v UpdateResult, err error) {
 			if v == Conflict {
-				t.Fatalf("true news: %v", err)
+				t.Fatalf("a true update is a conflict: %v", err)
 			}
 			if f.Map == nil {
 				return
@@ -253,12 +253,13 @@
 		}
 		see(f.ApplyMap(truth[len(truth)-1]))
 		if f.Map.Epoch != uint64(len(truth)) || f.ConflictEpoch != 0 {
-			t.Fatalf("epoch %d of %d, doubt %d", f.Map.Epoch, len(truth), f.ConflictEpoch)
+			t.Fatalf("epoch %d of %d, conflict %d", f.Map.Epoch, len(truth), f.ConflictEpoch)
 		}
 	})
 }
 
-// TestTrackerReportsConflictingSources: of two stories the first stays, and what is doubtful ends with a later whole map alone.
+// TestTrackerReportsConflictingSources hands in two changes of one epoch. The first stays, and only a later full map ends
+// the conflict.
 func TestTrackerReportsConflictingSources(t *testing.T) {
 	m, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
 	if err != nil {
@@ -272,21 +273,21 @@
 		t.Fatal(v)
 	}
 	if v, err := f.ApplyChange(other); v != Conflict || err == nil || f.ConflictEpoch != 2 || f.Map.Segments[0].Owners[0] != "b" {
-		t.Errorf("%v, %v, doubt %d", v, err, f.ConflictEpoch)
+		t.Errorf("%v, %v, conflict %d", v, err, f.ConflictEpoch)
 	}
 	if v, _ := f.ApplyChange(one); v != Duplicate || f.ConflictEpoch == 0 {
-		t.Errorf("%v, doubt %d", v, f.ConflictEpoch)
+		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
 	}
 	again, _ := m.Apply(one)
 	if v, _ := f.ApplyMap(again); v != Duplicate || f.ConflictEpoch == 0 {
-		t.Errorf("%v, doubt %d", v, f.ConflictEpoch)
+		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
 	}
 	next, _ := again.MoveSegment("s", []string{"a"})
 	later, _ := again.Apply(next)
 	if v, _ := f.ApplyMap(later); v != Applied || f.ConflictEpoch != 0 {
-		t.Errorf("%v, doubt %d", v, f.ConflictEpoch)
+		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
 	}
-	// A map whose segments overlap, from a source that is otherwise right.
+	// Invalid updates of a source that is otherwise right.
 	broken := &Map{Epoch: 9, Checksum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}}, {Name: "y", Range: Range{9, 20}}}}
 	if v, err := f.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") || f.Map.Epoch != 3 {
 		t.Errorf("%v, %v", v, err)
@@ -299,8 +300,8 @@
 	}
 }
 
-// TestHostAdmitsOnlyWhatItOwns: a host runs what it owns under the epoch under which it does, and refuses all else; a log takes nothing
-// of an older epoch, nor after it was closed.
+// TestHostAdmitsOnlyWhatItOwns wants a host to admit only keys that it owns, under the epoch since which it does. A log
+// takes nothing under an older epoch, nor once it is sealed.
 func TestHostAdmitsOnlyWhatItOwns(t *testing.T) {
 	var h Host
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 3, Writer: true})
@@ -317,15 +318,15 @@
 	}
 	h.Seal("s")
 	if h.Admit(Request{"s", 3, Range{100, 200}, true}) != NotOwner || h.Admit(Request{"s", 3, Range{100, 200}, false}) != Admitted {
-		t.Error("a sealed segment takes no once-only calls, and others")
+		t.Error("a sealed segment admits idempotent requests alone")
 	}
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 5, Writer: false})
 	if h.Admit(Request{"s", 5, Range{100, 200}, true}) != NotOwner {
-		t.Error("who is not the writer runs a once-only call")
+		t.Error("a host that is not the writer admits a non-idempotent request")
 	}
 	h.Acquire(OwnedSegment{Name: "u", Range: Range{150, 300}, OwnedSince: 4})
 	if len(h.Segments) != 2 || h.find("s") == nil {
-		t.Errorf("an older order undoes a newer: %+v", h.Segments)
+		t.Errorf("an older segment replaces a newer: %+v", h.Segments)
 	}
 	h.Acquire(OwnedSegment{Name: "u", Range: Range{150, 300}, OwnedSince: 6})
 	if len(h.Segments) != 1 {
@@ -341,8 +342,8 @@
 	}
 }
 
-// TestReplicaSetIndexReusesNumbersLast: numbers are one segment's at a time, are found again for segments that stay, and are not used again at
-// once.
+// TestReplicaSetIndexReusesNumbersLast wants each number used by one segment at a time, kept by segments that stay, and
+// not reused at once.
 func TestReplicaSetIndexReusesNumbersLast(t *testing.T) {
 	x := NewReplicaSetIndex(3)
 	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}}, {Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
@@ -353,7 +354,7 @@
 	c, _ := m.SplitSegment("a", 5, "a1", "a2")
 	m, _ = m.Apply(c)
 	if x.Update(m) {
-		t.Error("three segments in three numbers are too many")
+		t.Error("three segments are too many for three numbers")
 	}
 	if a, w := x.ReplicaSets("b"); a != all || w != writer {
 		t.Error("a segment that stays has another number")
@@ -362,7 +363,7 @@
 	for _, name := range []string{"a1", "a2", "b"} {
 		a, w := x.ReplicaSets(name)
 		if seen[a] || seen[w] || a == x.NoOwner() {
-			t.Errorf("%s has the groups %d and %d", name, a, w)
+			t.Errorf("%s has the replica sets %d and %d", name, a, w)
 		}
 		seen[a], seen[w] = true, true
 	}
@@ -377,11 +378,11 @@
 		t.Errorf("%v", holds)
 	}
 	if a, _ := x.ReplicaSets("b2"); a != x.NoOwner() {
-		t.Error("a segment without a number is asked somewhere")
+		t.Error("a segment without a number has a replica set")
 	}
 }
 
-// BenchmarkSplit tells what parting a lookup costs, by the size of the map.
+// BenchmarkSplit divides a query of eight shard requests, by the size of the map.
 func BenchmarkSplit(b *testing.B) {
 	for _, n := range []int{4, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
