--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -21,7 +21,7 @@
 
 const validMapFile = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
 
-// TestMapFileFormatsAndErrors: a map file reads as it is written, and each mistake is one message with its place.
+// TestMapFileFormatsAndErrors reads a map file, formats it, and wants one message with its place for each mistake.
 func TestMapFileFormatsAndErrors(t *testing.T) {
 	m, shards, err := ParseMap("m.conf", validMapFile)
 	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
@@ -54,7 +54,8 @@
 	}
 }
 
-// TestResponsesAreCheckedAndNameTheField: replies read as they are written; a bad one is refused whole, with the field.
+// TestResponsesAreCheckedAndNameTheField reads encoded responses, and wants a faulty one refused with the name of the
+// field.
 func TestResponsesAreCheckedAndNameTheField(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	split, err := m.SplitSegment("a", 5, "c", "d")
@@ -81,7 +82,7 @@
 	}
 }
 
-// recordingReceiver keeps what it is told.
+// recordingReceiver records what the watcher hands over.
 type recordingReceiver struct {
 	mu     sync.Mutex
 	epochs []string
@@ -99,8 +100,8 @@
 func (p *recordingReceiver) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
 func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.behind }
 
-// TestWatcherRequestsFullMapThenChanges: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
-// a watch waits; through an authority that fails and one that sends what can't be read.
+// TestWatcherRequestsFullMapThenChanges watches an authority that fails first. The full map comes first, then
+// changes, and the full map again as soon as the receiver requests it, though a long poll waits.
 func TestWatcherRequestsFullMapThenChanges(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	next, err := m.MoveSegment("a", []string{"h-9"})
@@ -145,7 +146,7 @@
 		select {
 		case <-p.told:
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing more is told")
+			t.Fatal("nothing more is handed over")
 		}
 	}
 	wait()
@@ -156,11 +157,11 @@
 	stop()
 	<-done
 	if got := strings.Join(p.epochs, ", "); got != "map 7, change 8, map 7" {
-		t.Errorf("told %s", got)
+		t.Errorf("handed over %s", got)
 	}
 }
 
-// FuzzParseResponse reads whatever an authority sends; what is read and written again reads the same, and a follower takes it
+// FuzzParseResponse reads arbitrary responses. What is read and encoded again reads the same, and a tracker takes it
 // without harm.
 func FuzzParseResponse(f *testing.F) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
@@ -190,7 +191,7 @@
 	})
 }
 
-// FuzzParseMap reads whatever stands in a map file.
+// FuzzParseMap reads arbitrary map files.
 func FuzzParseMap(f *testing.F) {
 	f.Add(validMapFile)
 	f.Add("epoch 1\nsegment \"a\" keys 0000000000000000-ffffffffffffffff\n")
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -22,9 +22,9 @@
 	"yokeroute/logic/backoff"
 )
 
-// A list that goes quiet, is cut, comes late or is behind: each forced by the agent.
+// Faults of the agent, which the tests force: it hangs, truncates, is slow or is behind.
 
-// startWatcher runs a follower of an agent until the test ends; what it tells comes on the channel.
+// startWatcher runs a watcher of an agent until the test ends. Its lists arrive on the channel.
 func startWatcher(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
@@ -48,7 +48,7 @@
 	return f, told
 }
 
-// nextList is the list told next, whatever failures come before it.
+// nextList is the next list, after any failures.
 func nextList(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
 	limit := time.After(20 * time.Second)
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood: the first call for the list is answered only once many more have been made: an agent that takes longer
-// than a second for each. All of them were given up after a second, and nothing was ever learnt.
+// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood polls an agent that takes longer than the header timeout for each
+// answer. The oldest request is kept in flight for that.
 func TestAgentSlowerThanTheHeaderTimeoutIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	slow := make(chan struct{})
@@ -85,11 +85,12 @@
 		}
 	})
 	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("told %+v", l)
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestListThatArrivesInPiecesIsUnderstood: the list comes in pieces, one with each further call that is made, for longer than a second in all.
+// TestListThatArrivesInPiecesIsUnderstood polls an agent that sends the list in pieces, for longer than the header
+// timeout in all.
 func TestListThatArrivesInPiecesIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
@@ -113,11 +114,11 @@
 		}
 	})
 	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("told %+v", l)
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestFullListRequestsInFlightAreBounded: an agent that answers nothing holds a bounded number of calls.
+// TestFullListRequestsInFlightAreBounded polls an agent that answers nothing.
 func TestFullListRequestsInFlightAreBounded(t *testing.T) {
 	var calls, open, most atomic.Int32
 	enough := make(chan struct{})
@@ -132,13 +133,13 @@
 		open.Add(-1)
 	})
 	<-enough
-	if n := most.Load(); n > 6 { // five, and the agent may notice late that one was given up
+	if n := most.Load(); n > 6 { // five, and the agent may notice a cancellation late
 		t.Errorf("%d calls open at once", n)
 	}
 }
 
-// TestTruncatedAnswerIsDiscarded: an answer that ends half-way teaches nothing, whether it has a length, comes in chunks or has neither and is
-// reset, also right before its last byte. The list is asked for again at once.
+// TestTruncatedAnswerIsDiscarded ends answers early at several places, with a length, in chunks or with neither, by
+// an end or a reset. The full list is requested again at once.
 func TestTruncatedAnswerIsDiscarded(t *testing.T) {
 	for how, head := range map[string]string{
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(fullDocument)),
@@ -148,7 +149,7 @@
 		for _, reset := range []bool{false, true} {
 			for _, at := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
 				if at == len(fullDocument) && !(how == "none" && reset) {
-					continue // it is whole there, and what ends it says so
+					continue // it is complete there, and its end says so
 				}
 				var calls atomic.Int32
 				_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
@@ -172,18 +173,18 @@
 					c.Close()
 				})
 				if l := <-told; !l.Failed || len(l.Endpoints) > 0 {
-					t.Errorf("%s, cut at %d, reset %v: told %+v", how, at, reset, l)
+					t.Errorf("%s, cut at %d, reset %v: notified of %+v", how, at, reset, l)
 				}
 				if l := nextList(t, told); len(l.Endpoints) != 2 {
-					t.Errorf("%s, cut at %d: then told %+v", how, at, l)
+					t.Errorf("%s, cut at %d: then notified of %+v", how, at, l)
 				}
 			}
 		}
 	}
 }
 
-// TestDrainDuringASilentWatchIsNoticedInTime: a watch is taken and never answered, and a server begins to drain right then. It counts as told 6 s
-// after that.
+// TestDrainDuringASilentWatchIsNoticedInTime has an agent hang on a watch just as a server begins to drain. The rules
+// count the drain as known 6 s later.
 func TestDrainDuringASilentWatchIsNoticedInTime(t *testing.T) {
 	var calls atomic.Int32
 	silent := make(chan time.Time, 1)
@@ -205,11 +206,11 @@
 	from := <-silent
 	l := nextList(t, told)
 	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
-		t.Errorf("told %+v after %v", l, time.Since(from))
+		t.Errorf("notified of %+v after %v", l, time.Since(from))
 	}
 }
 
-// TestStalledWatchFallsBackToTheFullList: a watch's answer begins and does not go on. The whole list is asked for instead.
+// TestStalledWatchFallsBackToTheFullList has an agent stop in the middle of a watch's answer.
 func TestStalledWatchFallsBackToTheFullList(t *testing.T) {
 	var calls atomic.Int32
 	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
@@ -227,12 +228,12 @@
 	})
 	nextList(t, told)
 	if l := nextList(t, told); !l.Full {
-		t.Errorf("told %+v", l)
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestChangeOfAnOlderRevisionIsDiscarded: a watch is answered with a change of a version before its own. It teaches nothing; the whole list is
-// asked for.
+// TestChangeOfAnOlderRevisionIsDiscarded answers a watch with a change before its revision. The full list is
+// requested instead.
 func TestChangeOfAnOlderRevisionIsDiscarded(t *testing.T) {
 	var calls atomic.Int32
 	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
@@ -247,14 +248,15 @@
 	})
 	nextList(t, told)
 	if l := <-told; !l.Failed {
-		t.Errorf("told %+v", l)
+		t.Errorf("notified of %+v", l)
 	}
 	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("then told %+v", l)
+		t.Errorf("then notified of %+v", l)
 	}
 }
 
-// TestUnreachableAgentIsPolledUntilItAnswers: nobody listens at the address, then one answers 503 for a while, then the list is there.
+// TestUnreachableAgentIsPolledUntilItAnswers polls an address where nobody listens, then an agent that answers 503
+// for a while.
 func TestUnreachableAgentIsPolledUntilItAnswers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -274,7 +276,7 @@
 	}).Run(ctx)
 	for range 5 {
 		if l := <-told; !l.Failed {
-			t.Errorf("told %+v", l)
+			t.Errorf("notified of %+v", l)
 		}
 	}
 	if l, err = net.Listen("tcp", address); err != nil {
@@ -295,12 +297,12 @@
 	defer agent.Close()
 	go agent.Serve(l)
 	if l := nextList(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
-		t.Errorf("told %+v after %d calls", l, calls.Load())
+		t.Errorf("notified of %+v after %d calls", l, calls.Load())
 	}
 }
 
-// TestSetAddressTakesEffectWhileRequestsAreUnanswered: SIGHUP moves the list while calls to an agent that is silent are open. The new one is asked at once,
-// and what the old one had told of drains holds where the new one is behind.
+// TestSetAddressTakesEffectWhileRequestsAreUnanswered moves the watch while an agent hangs. The new one is asked at
+// once, and drains that the old one reported hold where the new one is behind.
 func TestSetAddressTakesEffectWhileRequestsAreUnanswered(t *testing.T) {
 	var calls atomic.Int32
 	open := make(chan struct{})
@@ -309,7 +311,7 @@
 		switch n := calls.Add(1); {
 		case n == 1:
 			io.WriteString(w, drained)
-		case n == 2: // the watch ends in an error, and the calls for a new one are not answered
+		case n == 2: // the watch fails, and the requests for the full list are not answered
 			w.WriteHeader(http.StatusInternalServerError)
 		default:
 			if n == 5 {
@@ -331,11 +333,11 @@
 	defer second.CloseClientConnections()
 	f.SetAddress(address(second))
 	if l := nextList(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
-		t.Errorf("told %+v", l)
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestOlderListRevertsNoDrainAndNoRemoval goes through words on one server, one after the other: which states result.
+// TestOlderListRevertsNoDrainAndNoRemoval applies sequences of responses on one server.
 func TestOlderListRevertsNoDrainAndNoRemoval(t *testing.T) {
 	at := func(revision int, whole bool, phase string, up int) string {
 		member := ""
@@ -348,7 +350,7 @@
 	for _, c := range []struct {
 		name  string
 		words []string
-		want  []gather.State // after each; Gone where it is not on the list
+		want  []gather.State // after each; Removed where it is not listed
 	}{
 		{"a drain, then an older whole list", []string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
 		{"an end, then an older whole list", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 9)}, []gather.State{0, 2, 2}},
@@ -381,13 +383,13 @@
 				told = s.State
 			}
 			if state != c.want[i] || told != c.want[i] {
-				t.Errorf("%s: after word %d it is %v, told as %v, want %v", c.name, i, state, told, c.want[i])
+				t.Errorf("%s: after response %d it is %v, notified as %v, want %v", c.name, i, state, told, c.want[i])
 			}
 		}
 	}
 }
 
-// TestRemovedNamesAreBounded: what is kept of servers that are gone is bounded.
+// TestRemovedNamesAreBounded removes more servers than are remembered as removed.
 func TestRemovedNamesAreBounded(t *testing.T) {
 	f := New(Config{
 		Address:  "127.0.0.1:1",
@@ -401,11 +403,11 @@
 		f.Apply(r)
 	}
 	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames || !slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
-		t.Errorf("%d facts, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
+		t.Errorf("%d observations, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
 	}
 }
 
-// newSharedWatcher follows the list of a service that answers only when asked; it knows a list already.
+// newSharedWatcher returns a watcher of a shared service, with a list that is known already.
 func newSharedWatcher(t *testing.T, agent *httptest.Server) *Watcher {
 	t.Helper()
 	log := logrus.New()
@@ -424,9 +426,9 @@
 	return f
 }
 
-// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff: a service that answers only when asked refuses all calls for a while. It is asked by one call at a
-// time, ever more seldom, and with what is newer than the last list; it was asked twenty times a second, by up to five
-// calls at once, for the whole list, so that a few gatherers together kept it from answering any.
+// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff has a shared service refuse requests for a while. Requests
+// are made one at a time, with growing pauses, for what follows the known revision: a few gatherers that polled
+// without pauses would keep it from recovering.
 func TestSharedServiceIsPolledOneRequestAtATimeWithBackoff(t *testing.T) {
 	const refusals = 5
 	type call struct {
@@ -473,7 +475,7 @@
 	}
 }
 
-// TestStaleSharedServiceIsAskedForItsFullList: the service has not come as far as the list that was known. Its whole list is asked for.
+// TestStaleSharedServiceIsAskedForItsFullList has a shared service be behind the known revision.
 func TestStaleSharedServiceIsAskedForItsFullList(t *testing.T) {
 	asked := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -490,7 +492,7 @@
 	}
 }
 
-// fleetDocument is a whole list of so many servers, an entry a line.
+// fleetDocument is a full list of so many servers, one a line.
 func fleetDocument(servers int) string {
 	var b strings.Builder
 	b.WriteString(`{"revision":44,"complete":true,"members":[`)
@@ -505,8 +507,7 @@
 	return b.String()
 }
 
-// TestListOfTheDesignSizeIsUnderstood: the list of the largest fleet that is planned for is read; it was over the bound, and such a gatherer
-// never served.
+// TestListOfTheDesignSizeIsUnderstood reads the list of the largest fleet that is planned for.
 func TestListOfTheDesignSizeIsUnderstood(t *testing.T) {
 	const servers = 28_000
 	text := fleetDocument(servers)
@@ -521,11 +522,12 @@
 		io.WriteString(w, text)
 	})
 	if l := nextList(t, told); len(l.Endpoints) != servers {
-		t.Errorf("%d servers were told", len(l.Endpoints))
+		t.Errorf("%d servers are listed", len(l.Endpoints))
 	}
 }
 
-// TestOversizedListIsReportedOnceAndDiscarded: a list over the bound is told at error level, once, and the one before stays in force.
+// TestOversizedListIsReportedOnceAndDiscarded serves a list over the limit. It is logged once at error level, and the
+// list before stays in force.
 func TestOversizedListIsReportedOnceAndDiscarded(t *testing.T) {
 	text := fleetDocument(maxMembers + 1)
 	var calls atomic.Int32
@@ -570,17 +572,17 @@
 		if e.Level == logrus.ErrorLevel {
 			errors++
 			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(maxMembers)) {
-				t.Errorf("said %q", text)
+				t.Errorf("logged %q", text)
 			}
 		}
 	}
 	if errors != 1 {
-		t.Errorf("said %d times at error level", errors)
+		t.Errorf("logged %d times at error level", errors)
 	}
 }
 
-// TestNamesWithEqualNumbersGetDistinctIDs: two names that come to one number are two servers, through an end, a return and a name whose own
-// number has been given away.
+// TestNamesWithEqualNumbersGetDistinctIDs lists two names with one number, through a removal, a return and a name
+// whose own number is taken.
 func TestNamesWithEqualNumbersGetDistinctIDs(t *testing.T) {
 	const first, second, third = "s-0000002a", "t-0000002a", "s-0000002b"
 	if ServerID(first) != ServerID(second) || ServerID(third) != ServerID(first)+1 {
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -49,7 +49,8 @@
 	}
 }
 
-// TestServerIDsAreStableAndDistinct wants numbers that are the same at each gatherer and after each start, and no two servers with one.
+// TestServerIDsAreStableAndDistinct wants IDs that are the same at each gatherer and after each start, and distinct
+// ones for two servers.
 func TestServerIDsAreStableAndDistinct(t *testing.T) {
 	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
 		if got := ServerID(name); name != "s-7" && got != want {
@@ -62,7 +63,8 @@
 	}
 }
 
-// TestWatcherNotifiesOfListsChangesAndFailures plays an agent through a day: whole list, change, bad answers of several kinds, whole list again.
+// TestWatcherNotifiesOfListsChangesAndFailures plays an agent that sends the full list, a change, several kinds of
+// bad answers, and the full list again.
 func TestWatcherNotifiesOfListsChangesAndFailures(t *testing.T) {
 	replies := []struct {
 		query, body string
@@ -72,7 +74,7 @@
 		{"index=41&wait=2000", changeDocument, 200},
 		{"index=43&wait=2000", `{"revision":44,`, 200},
 		{"", "", 500},
-		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older one takes no end back, see TestOlder
+		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older list reverts no removal
 		{"index=45&wait=2000", "", 0},
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -114,11 +116,11 @@
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 	}
 	if !reflect.DeepEqual(told, want) {
-		t.Errorf("told %+v\nwant %+v", told, want)
+		t.Errorf("notified of %+v\nwant %+v", told, want)
 	}
 }
 
-// TestAgentThatAnswersAtOnceIsPolledWithPauses guards against asking without a pause an agent that answers at once whatever it is asked.
+// TestAgentThatAnswersAtOnceIsPolledWithPauses polls an agent that answers at once instead of holding a long poll.
 func TestAgentThatAnswersAtOnceIsPolledWithPauses(t *testing.T) {
 	for _, body := range []string{`{"revision":1,"complete":true}`, `{"revision":1,"complete":false}`} {
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
@@ -142,7 +144,7 @@
 	}
 }
 
-// TestSilentAgentCountsAsFailedAndIsPolledAgain wants an agent that says nothing to count as one that does not answer, and asked again.
+// TestSilentAgentCountsAsFailedAndIsPolledAgain polls an agent that accepts requests and does not answer.
 func TestSilentAgentCountsAsFailedAndIsPolledAgain(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	calls := make(chan struct{}, 10)
@@ -168,9 +170,9 @@
 	<-calls
 }
 
-// TestFullListIsTakenFromWhicheverRequestIsAnswered wants an agent that never answers what it took while it was silent found as soon as it speaks again: further
-// calls are made while the first is open. One that is slow is heard all the same: its answer to the first call, which
-// comes after the third, is the one taken.
+// TestFullListIsTakenFromWhicheverRequestIsAnswered polls an agent that never answers requests from its outage, and
+// one that is slow. Further requests are made while the first is in flight, and the first answer counts, even one to
+// the oldest request.
 func TestFullListIsTakenFromWhicheverRequestIsAnswered(t *testing.T) {
 	for _, answered := range []int{3, 1} {
 		ctx, stop := context.WithCancel(t.Context())
@@ -208,8 +210,8 @@
 	}
 }
 
-// TestSetAddressCancelsTheWatchAndRequestsTheFullList wants a watch that waits at the old agent broken off, and the whole list asked of the new one first:
-// numbers of versions mean nothing across agents.
+// TestSetAddressCancelsTheWatchAndRequestsTheFullList moves a watch to another agent. Revisions do not compare across
+// agents, so that the new one is asked for its full list first.
 func TestSetAddressCancelsTheWatchAndRequestsTheFullList(t *testing.T) {
 	asked := make(chan string, 10)
 	agent := func(name string) *httptest.Server {
@@ -244,7 +246,7 @@
 			t.Errorf("call %d is %s, want %s", i, got, want)
 		}
 	}
-	f.SetAddress(address(next)) // as it is: the watch goes on
+	f.SetAddress(address(next)) // the same address: the watch goes on
 	stop()
 	<-ended
 	if failed || len(asked) > 0 {
@@ -252,8 +254,8 @@
 	}
 }
 
-// TestRemovedEndpointsAreNotKept guards against keeping all servers that there ever were, where each is replaced by one of a new name:
-// told as gone in a change, or just missing from a whole list.
+// TestRemovedEndpointsAreNotKept replaces each server by one of a new name, by a change or by a full list that lacks
+// it. Nothing of the removed ones is kept.
 func TestRemovedEndpointsAreNotKept(t *testing.T) {
 	all := 0
 	f := New(Config{
--- a/internal/gatherer/shardcall/faults_test.go
+++ b/internal/gatherer/shardcall/faults_test.go
@@ -17,10 +17,10 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// What comes between the decision on a part call and its bytes: each forced by a server that reads no further, or by a
-// gate at the setting up of its connection.
+// Faults between the decision on an attempt and its bytes. Each is forced by a server that reads no further, or by a gate
+// in the setup of its connection.
 
-// waitForWrite waits until a call's frame is being written, and gives it.
+// waitForWrite waits until an attempt's frame is being written, and returns the attempt.
 func (d *harness) waitForWrite(t *testing.T) (a *attempt) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); a == nil; time.Sleep(time.Millisecond) {
@@ -38,8 +38,9 @@
 	return a
 }
 
-// TestFrameNotBegunIsDroppedAfterDrainGrace: a server has stopped reading, so that not a byte of a frame has gone, when it is told to drain,
-// is gone or is missing from the list. Nothing of the frame may go once it reads again; the call never ran.
+// TestFrameNotBegunIsDroppedAfterDrainGrace has a server stop reading before the first byte of a frame, and then
+// drain, be removed or be missing from the list. Nothing of the frame may be written once the server reads again, and
+// the attempt never ran.
 func TestFrameNotBegunIsDroppedAfterDrainGrace(t *testing.T) {
 	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Draining}},
 		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
@@ -66,8 +67,8 @@
 	}
 }
 
-// TestFrameBegunBeforeDrainIsAnswered: bytes have gone when the drain is told, and the server reads on within the grace: the call is
-// one from before the drain, and is answered.
+// TestFrameBegunBeforeDrainIsAnswered has a server drain in the middle of a frame and read on within the grace. The
+// attempt began before the drain, and is answered.
 func TestFrameBegunBeforeDrainIsAnswered(t *testing.T) {
 	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
 	theirs := d.connectByPipe()
@@ -78,11 +79,11 @@
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)-1))
 	(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
 	if v := <-done; v.Kind != dispatch.Served {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 }
 
-// connectByGate gives the server a connection that comes up once the gate is opened.
+// connectByGate gives the server a connection that comes up once the gate is closed.
 func (d *harness) connectByGate() (gate chan struct{}, theirs net.Conn) {
 	ours, theirs := net.Pipe()
 	gate = make(chan struct{})
@@ -93,8 +94,8 @@
 	return gate, theirs
 }
 
-// TestConnectionThatComesUpLateSendsNothingObsolete: while a connection comes up its calls' reason ends: the client goes, the lookup's time is up, the
-// server drains, is gone, or is found elsewhere. Nothing goes on it when it is up.
+// TestConnectionThatComesUpLateSendsNothingObsolete ends the reason for an attempt while its connection comes up: the
+// client leaves, the query's time is over, or the server drains, is removed or has another address.
 func TestConnectionThatComesUpLateSendsNothingObsolete(t *testing.T) {
 	for name, end := range map[string]func(d *harness, leave func()){
 		"client gone": func(d *harness, leave func()) { leave() },
@@ -107,7 +108,7 @@
 		gate, theirs := d.connectByGate()
 		ctx, leave := context.WithCancel(t.Context())
 		done := d.submit(ctx, "a", 1, map[bool]float64{true: 50, false: 60000}[name == "time up"])
-		for n := 0; n == 0; time.Sleep(time.Millisecond) { // it waits for its connection
+		for n := 0; n == 0; time.Sleep(time.Millisecond) { // the attempt waits for its connection
 			d.mu.Lock()
 			n = d.openConns
 			d.mu.Unlock()
@@ -116,7 +117,7 @@
 		switch name {
 		case "client gone", "time up":
 			<-done
-		default: // a lookup that runs on: its call is dropped at the write
+		default: // the query goes on, and its attempt is dropped at the write
 		}
 		close(gate)
 		theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
@@ -130,8 +131,8 @@
 	}
 }
 
-// TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt: where no second copy may be out, a part that is given up ends for the decisions only when
-// its server could read that it is: a call elsewhere would be a second one out at once. It may still be answered.
+// TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt cancels an attempt without hedging. It ends once the
+// cancellation is written, since another attempt follows; until then it may be answered.
 func TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
@@ -155,7 +156,7 @@
 		}
 		d.mu.Unlock()
 		d.cancel(a.decision, Cancelled, errCancelled)
-		d.cancel(a.decision, Cancelled, errCancelled) // once more changes nothing
+		d.cancel(a.decision, Cancelled, errCancelled) // a repetition changes nothing
 		if len(d.results) > 0 {
 			t.Error("reported before the server could read of it")
 		}
@@ -168,7 +169,7 @@
 		frame()
 		d.expectResult(t, "a.0", gather.Cancelled)
 	}
-	// A server that does not read of it: its connection is ended, which gives the call up as well.
+	// A server that does not read the cancellation: the end of its connection ends the attempt.
 	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 		s.ConnectTimeout = 50.0
 		s.FindClass("i").Effect = gather.Idempotent
@@ -193,8 +194,8 @@
 	}
 }
 
-// TestQueryEndDoesNotWaitForCancelledWrite: a call is given up while its server reads no further, and its lookup ends later. The answer
-// must not wait for the write, which had all of the call's time.
+// TestQueryEndDoesNotWaitForCancelledWrite cancels an attempt whose server reads no further, and ends its query
+// later. The answer must not wait for the write.
 func TestQueryEndDoesNotWaitForCancelledWrite(t *testing.T) {
 	for _, copies := range []bool{false, true} {
 		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
@@ -211,13 +212,13 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the lookup's end waits for the server")
+			t.Fatal("the end of the query waits for the server")
 		}
 	}
 }
 
-// TestConnectionEndAfterEachByteOfAFrame: the connection ends after each number of a frame's bytes. Before the last one the frame was never used;
-// from it on it may have been.
+// TestConnectionEndAfterEachByteOfAFrame ends a connection after each number of a frame's bytes. Before the last byte
+// the attempt never ran; after it, it may have.
 func TestConnectionEndAfterEachByteOfAFrame(t *testing.T) {
 	length := math.MaxInt
 	for n := 0; n <= length; n++ {
@@ -237,8 +238,8 @@
 	}
 }
 
-// TestAnswerWithoutEndTimesOut: an answer begins and goes on byte by byte without an end. Its part ends with its time, and the next
-// call gets another connection; nothing of it is served.
+// TestAnswerWithoutEndTimesOut has an answer arrive byte by byte without an end. The attempt times out, and the next
+// one uses another connection.
 func TestAnswerWithoutEndTimesOut(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
@@ -259,7 +260,7 @@
 		}
 	}()
 	if v := <-done; v.Kind != dispatch.Failed {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 	done = d.submit(t.Context(), "b", 1, 5000)
 	next := shard.Take()
@@ -268,12 +269,12 @@
 	}
 	next.Answer("b.0", "ok", "w")
 	if v := <-done; v.Kind != dispatch.Served {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 }
 
-// TestCancelFrameHasTimeWithoutConnectTimeout: terms that tell no time for a connection still leave one for a word that a part is given up; it had
-// none, and the connection ended with every part that was.
+// TestCancelFrameHasTimeWithoutConnectTimeout cancels an attempt where the settings have no connect timeout, which
+// also bounds the write of the cancel frame.
 func TestCancelFrameHasTimeWithoutConnectTimeout(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
@@ -291,7 +292,8 @@
 	}
 }
 
-// TestAbandonedQueriesSendNothingOnALateConnection: many lookups wait for one connection, and all their clients go at once. Nothing goes on it.
+// TestAbandonedQueriesSendNothingOnALateConnection has many queries wait for one connection while all their clients
+// leave.
 func TestAbandonedQueriesSendNothingOnALateConnection(t *testing.T) {
 	const many = 200
 	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
@@ -310,7 +312,7 @@
 	leave()
 	for _, verdict := range done {
 		if v := <-verdict; v.Kind != dispatch.Abandoned {
-			t.Errorf("verdict %+v", v)
+			t.Errorf("result %+v", v)
 		}
 	}
 	close(gate)
@@ -325,7 +327,8 @@
 	}
 }
 
-// TestAbandonedQueryBehindAStuckFrameSendsNothing: a client goes while its call waits behind a frame that is stuck. Nothing of it follows that frame.
+// TestAbandonedQueryBehindAStuckFrameSendsNothing has a client leave while its attempt waits behind a frame that is
+// stuck.
 func TestAbandonedQueryBehindAStuckFrameSendsNothing(t *testing.T) {
 	d := newHarness(t, "127.0.0.1:1", nil)
 	theirs := d.connectByPipe()
@@ -341,7 +344,7 @@
 	}
 	leave()
 	if v := <-done; v.Kind != dispatch.Abandoned {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 	d.expectResult(t, "b.0", gather.NotSent)
 	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
@@ -351,7 +354,7 @@
 	}
 }
 
-// timeLeftInNextFrame is the time in milliseconds that the first part of the next frame tells its server.
+// timeLeftInNextFrame is the time, in milliseconds, that the first request of the next frame states.
 func timeLeftInNextFrame(t *testing.T, theirs *standin.Conn) int {
 	t.Helper()
 	frame := theirs.Read()
@@ -366,8 +369,8 @@
 	return told
 }
 
-// TestFrameCarriesTheTimeLeftAtItsWrite: a call waits for its connection, or behind a frame that its server does not read on. What it
-// then tells is what is left of its time, not what was left when it was decided on.
+// TestFrameCarriesTheTimeLeftAtItsWrite delays an attempt behind its connection or a stuck frame. It states the time
+// left at its write, not at its decision.
 func TestFrameCarriesTheTimeLeftAtItsWrite(t *testing.T) {
 	const wait, waited = 60000, 300 * time.Millisecond
 	for _, queued := range []bool{false, true} {
--- a/internal/gatherer/shardcall/handshake_test.go
+++ b/internal/gatherer/shardcall/handshake_test.go
@@ -10,8 +10,9 @@
 	"yokeroute/internal/testbed/standin/shards"
 )
 
-// TestHandshakeOncePerServerProcess wants each process of a server asked once, on a connection of its own, and again when it has started
-// anew or could not be reached; one that does not know the question is none that answers first passes.
+// TestHandshakeOncePerServerProcess wants one handshake with each process of a server, on a connection of its own,
+// repeated after a restart or where the server could not be reached. A server that does not know the frame answers no
+// first passes.
 func TestHandshakeOncePerServerProcess(t *testing.T) {
 	found := make(chan string, 10)
 	p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000.0}, MaxConns: 100, Log: discardLog()})
@@ -44,7 +45,7 @@
 	if f := <-found; f != "3 true" {
 		t.Errorf("found %s", f)
 	}
-	conn.Write('H', "two-phase 2") // an extension of another time
+	conn.Write('H', "two-phase 2") // another version of the extension
 	if f := <-found; f != "4 false" {
 		t.Errorf("found %s", f)
 	}
--- a/internal/gatherer/shardcall/healthcheck_test.go
+++ b/internal/gatherer/shardcall/healthcheck_test.go
@@ -8,13 +8,13 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// checkHealth asks for a load and gives back what came of it.
+// checkHealth makes a health check and returns its result.
 func (d *harness) checkHealth() gather.HealthCheckResult {
 	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 	return <-d.checks
 }
 
-// TestLoadReportIsParsed: what a server tells of its load, and what is made of words that can't be read.
+// TestLoadReportIsParsed reads load reports, with parts that can't be read.
 func TestLoadReportIsParsed(t *testing.T) {
 	for _, c := range []struct {
 		told             string
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestHealthCheckEndsOnceWithoutAnAnswer: a probe ends once where the server is not there, not on the list, silent, or breaks off; a late
-// answer is not taken for the next one's.
+// TestHealthCheckEndsOnceWithoutAnAnswer makes health checks of a server that is not there, not listed, silent, or
+// ends its connection. A late answer does not count for the next check.
 func TestHealthCheckEndsOnceWithoutAnAnswer(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
@@ -82,11 +82,11 @@
 		t.Errorf("draining: %+v", s)
 	}
 	if len(d.checks) > 0 {
-		t.Errorf("told twice: %+v", <-d.checks)
+		t.Errorf("reported twice: %+v", <-d.checks)
 	}
 }
 
-// TestConnectionWithUnansweredChecksIsReplaced: a connection that never answers probes is left for a new one before they pile up.
+// TestConnectionWithUnansweredChecksIsReplaced makes health checks that are never answered on one connection.
 func TestConnectionWithUnansweredChecksIsReplaced(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
@@ -104,7 +104,7 @@
 	defer d.mu.Unlock()
 	for _, c := range d.servers[7].conns {
 		if len(c.pendingChecks) > maxPendingChecks {
-			t.Errorf("%d answers are owed", len(c.pendingChecks))
+			t.Errorf("%d checks are pending", len(c.pendingChecks))
 		}
 	}
 }
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// newFirstPassHarness has lookups go in two phases, to a server that answers first passes.
+// newFirstPassHarness has queries go in two passes, to a server that answers first passes.
 func newFirstPassHarness(t *testing.T, shard *standin.Shard) (*harness, *standin.Conn) {
 	change := func(s *gather.Settings) {
 		keptRetrySettings(s)
@@ -174,7 +174,7 @@
 		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
 		p.SetAnswersFirstPass(7, true)
 	})
-	done := d.submit(t.Context(), "before", 1, keptWait) // the budget for further calls is known after a first round
+	done := d.submit(t.Context(), "before", 1, keptWait) // the retry budget is known after a first round
 	conn := shard.Take()
 	conn.Read()
 	conn.Answer("before.0", "ok", "v")
@@ -183,7 +183,7 @@
 	return d, conn
 }
 
-// newOwnershipHarness has lookups sent to who owns their keys: shard 3 of 16 is a segment of the server's.
+// newOwnershipHarness has queries sent to the owners of their keys: shard 3 of 16 is a segment of the server.
 func newOwnershipHarness(t *testing.T, shard *standin.Shard, effect gather.Effect) *harness {
 	keys := ownership.ShardRange(3, 16)
 	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, OwnedSince: 4}})
@@ -202,7 +202,7 @@
 	})
 }
 
-// submitForShard sends a lookup of one shard on its way.
+// submitForShard submits a query of one shard request.
 func (d *harness) submitForShard(t *testing.T, shard int) <-chan dispatch.Result {
 	lk := &dispatch.Query{ID: "a", Class: "i", Deadline: d.picker.Now() + keptWait, Payload: []byte("text of a"),
 		ShardRequests: []dispatch.ShardRequest{{Shard: shard, Weight: 1}}}
@@ -211,7 +211,7 @@
 	return done
 }
 
-// TestKeptReplyFramesEndAttemptsAsBefore has a shard server answer a call with kept bytes: how the call ends.
+// TestKeptReplyFramesEndAttemptsAsBefore has a server answer a request with kept bytes.
 func TestKeptReplyFramesEndAttemptsAsBefore(t *testing.T) {
 	for name, want := range map[string]result{
 		"A-ok":                  {"a.0", gather.Succeeded, "value"},
@@ -270,12 +270,12 @@
 			t.Errorf("ended as %+v, want %+v", got, want)
 		}
 		if v := <-done; v.Kind != dispatch.Served || !v.Complete || fmt.Sprint(v.EmptyShards) != "[0]" {
-			t.Errorf("verdict %+v", v)
+			t.Errorf("result %+v", v)
 		}
 	})
 }
 
-// TestKeptLoadReportsAreReadAsBefore has a shard server answer a health check with kept bytes: what is read.
+// TestKeptLoadReportsAreReadAsBefore has a server answer a health check with kept bytes.
 func TestKeptLoadReportsAreReadAsBefore(t *testing.T) {
 	for name, want := range map[string]gather.HealthCheckResult{
 		"L-load":             {Server: 7, Succeeded: true, QueueLength: 7, Latency: 61.5},
@@ -300,7 +300,7 @@
 	}
 }
 
-// TestKeptHandshakeFramesAreReadAsBefore has a shard server answer the question for first passes with kept bytes: what is found.
+// TestKeptHandshakeFramesAreReadAsBefore has a server answer the handshake with kept bytes.
 func TestKeptHandshakeFramesAreReadAsBefore(t *testing.T) {
 	for name, want := range map[string]bool{"H-two-phase-1": true, "H-two-phase-2": false, "H-E": false} {
 		t.Run(name, func(t *testing.T) {
@@ -319,7 +319,7 @@
 	}
 }
 
-// TestKeptFramesAreWhole checks the kept files themselves: what a gatherer sends is a row of frames without a rest.
+// TestKeptFramesAreWhole checks the kept files themselves: each is a sequence of complete frames.
 func TestKeptFramesAreWhole(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "sent", "*"))
 	if err != nil || len(files) == 0 {
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -18,8 +18,8 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// harness is a pool with a facade before it, whose reports a test can read. The module behind it has one
-// index with replicas by group; with one server the decisions are plain.
+// harness is a pool with a picker, whose reports a test can read. With one class and one server its decisions are
+// plain.
 type harness struct {
 	*Pool
 	picker  *dispatch.Picker
@@ -53,7 +53,7 @@
 	return newHarnessWith(t, address, change, func(*dispatch.Picker) {})
 }
 
-// newHarnessWith has the facade set up by the test before its first round.
+// newHarnessWith has the picker set up by the test before its first round.
 func newHarnessWith(t *testing.T, address string, change func(s *gather.Settings), setUp func(*dispatch.Picker)) *harness {
 	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, CancelAllowed: true, Tick: 1.0,
@@ -95,7 +95,7 @@
 	return d.openConns
 }
 
-// submit sends a lookup of so many parts on its way and gives back how it will end.
+// submit submits a query of so many shard requests. Its result arrives on the channel.
 func (d *harness) submit(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Result {
 	lk := &dispatch.Query{ID: id, Class: "i", Deadline: d.picker.Now() + wait, Payload: []byte("text of " + id)}
 	for shard := range parts {
@@ -113,7 +113,8 @@
 	}
 }
 
-// TestAttemptEndsAtItsStageWithTheOutcomeThatItProves breaks a call at each stage. What it proves about having run is the rule against two effects.
+// TestAttemptEndsAtItsStageWithTheOutcomeThatItProves ends an attempt at each stage. Rule 2 depends on what that
+// proves about having run.
 func TestAttemptEndsAtItsStageWithTheOutcomeThatItProves(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -133,7 +134,7 @@
 		{"length too long", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) }, gather.ConnectionReset, true},
 		{"length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) }, gather.ConnectionReset, true},
 		{"frame cut off", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() }, gather.ConnectionReset, true},
-		// The answer that this one stands for will not come: waiting for it would take all of the lookup's time.
+		// The answer that this one stands for will not arrive, and waiting would take all of the query's time.
 		{"answer for a name never asked", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") }, gather.ConnectionReset, true},
 		{"score that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") }, gather.ConnectionReset, true},
 		{"report that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") }, gather.Succeeded, false},
@@ -155,10 +156,10 @@
 			d.expectResult(t, "a.0", c.want)
 			v := <-done
 			if (v.Kind == dispatch.Served) != (c.want == gather.Succeeded) {
-				t.Errorf("verdict %+v", v)
+				t.Errorf("result %+v", v)
 			}
 			if v.Kind == dispatch.Rejected && !c.want.NeverExecuted() {
-				t.Error("nacked, though it may have run")
+				t.Error("rejected, though it may have run")
 			}
 			if c.broken {
 				return
@@ -169,14 +170,14 @@
 			}
 			conn.Answer("b.0", "ok", "w")
 			if v := <-done; v.Kind != dispatch.Served || string(v.Hits[0].Value) != "w" {
-				t.Errorf("verdict %+v", v)
+				t.Errorf("result %+v", v)
 			}
 		})
 	}
 }
 
-// TestBytesBehindAnAnswerDoNotAffectTheNextCall has a good answer bring what does not belong to it. The answer counts, and so must the next
-// call's: what can't be read would end the connection under it.
+// TestBytesBehindAnAnswerDoNotAffectTheNextCall sends noise behind a good answer. The answer counts, and the next
+// attempt uses another connection.
 func TestBytesBehindAnAnswerDoNotAffectTheNextCall(t *testing.T) {
 	for _, more := range []string{"\x81\xfe\x7b\x5d\xe7", "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"} {
 		shard := standin.NewShard(t)
@@ -186,7 +187,7 @@
 		conn.Read()
 		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+more) // in one write
 		if v := <-done; v.Kind != dispatch.Served {
-			t.Errorf("verdict %+v", v)
+			t.Errorf("result %+v", v)
 		}
 		done = d.submit(t.Context(), "b", 1, 2000)
 		next := shard.Take()
@@ -195,7 +196,7 @@
 		}
 		next.Answer("b.0", "ok", "w")
 		if v := <-done; v.Kind != dispatch.Served {
-			t.Errorf("verdict %+v", v)
+			t.Errorf("result %+v", v)
 		}
 		if f := conn.Read(); f.Letter != 0 {
 			t.Errorf("frame %+v on the connection of no further use", f)
@@ -203,7 +204,7 @@
 	}
 }
 
-// TestRepeatedAnswerDoesNotAffectTheNextCall wants a second copy of an answer, or one for a part given up, to spoil nothing of the next call.
+// TestRepeatedAnswerDoesNotAffectTheNextCall repeats an answer while another request is in flight.
 func TestRepeatedAnswerDoesNotAffectTheNextCall(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), nil)
@@ -217,11 +218,11 @@
 	conn.Answer("a.0", "ok", "v")
 	conn.Answer("b.0", "ok", "w")
 	if v := <-done; v.Kind != dispatch.Served || string(v.Hits[0].Value) != "w" {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 }
 
-// TestLateAnswerIDsAreBounded bounds the names of parts that were given up and never answered.
+// TestLateAnswerIDsAreBounded expects many late answers that never arrive.
 func TestLateAnswerIDsAreBounded(t *testing.T) {
 	late := lateAnswers{window: time.Nanosecond}
 	for range 1000 {
@@ -233,7 +234,7 @@
 	}
 }
 
-// TestReadFrameDropsLargeBuffers guards against connections that each hold on to the largest frame that they ever carried.
+// TestReadFrameDropsLargeBuffers wants a connection not to keep the buffer of its largest frame.
 func TestReadFrameDropsLargeBuffers(t *testing.T) {
 	big := append([]byte{0, 0, 1, 0, 'A'}, make([]byte, 1<<16-1)...)
 	r := bufio.NewReader(bytes.NewReader(append(big, 1, 0, 0, 0, 'P')))
@@ -253,19 +254,19 @@
 	done := d.submit(t.Context(), "a", 1, 2000)
 	d.expectResult(t, "a.0", gather.ConnectFailed)
 	if v := <-done; v.Kind != dispatch.Rejected {
-		t.Errorf("verdict %+v: it never ran, so that the client may come again", v)
+		t.Errorf("result %+v: it never ran, so that the client may retry", v)
 	}
 }
 
-// connectByPipe gives the server a connection over a pipe, which takes just as many bytes as are read.
+// connectByPipe gives the server a connection over a pipe, which takes as many bytes as are read.
 func (d *harness) connectByPipe() net.Conn {
 	ours, theirs := net.Pipe()
 	d.dial = func(string) (net.Conn, error) { return ours, nil }
 	return theirs
 }
 
-// TestPartlyWrittenFrameNeverRan guards against calling a frame that went out in part one that may have run, and against
-// calling one that went out whole one that never ran.
+// TestPartlyWrittenFrameNeverRan ends a connection before and after a frame's last byte. Only in the second case may
+// the attempt have run.
 func TestPartlyWrittenFrameNeverRan(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -287,9 +288,8 @@
 	}
 }
 
-// TestQueryEndDoesNotWaitForServerThatStoppedReading guards against an answer that waits for a server that has stopped reading: the frame that is being
-// written when its lookup ends is broken off. Where the call's end waits for the server to be told, it ends as what that
-// proves: a frame that went out in part was never used.
+// TestQueryEndDoesNotWaitForServerThatStoppedReading ends a query whose frame is stuck. The write is stopped; where
+// the attempt's end waits for the cancellation, a frame that was written in part still proves that it never ran.
 func TestQueryEndDoesNotWaitForServerThatStoppedReading(t *testing.T) {
 	for _, c := range []struct {
 		callOff, copies bool
@@ -307,14 +307,14 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the lookup's end waits for the server")
+			t.Fatal("the end of the query waits for the server")
 		}
 		d.expectResult(t, "a.0", c.want)
 	}
 }
 
-// TestRequestsOfOneRoundShareFrames looks at what travels together: parts of one turn, up to the number in the terms, on as few
-// connections as have room.
+// TestRequestsOfOneRoundShareFrames sends six requests in one round. They share frames up to the limit of the
+// settings, on as few connections as have room.
 func TestRequestsOfOneRoundShareFrames(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), nil)
@@ -335,21 +335,21 @@
 	for range 3 {
 		f := <-frames
 		if len(f.Parts) != 2 {
-			t.Errorf("frame of %d parts", len(f.Parts))
+			t.Errorf("frame of %d requests", len(f.Parts))
 		}
 		for _, p := range f.Parts {
 			seen[p.ID] = true
 		}
 	}
 	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Served || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
-		t.Errorf("asked %v, verdict %+v", seen, v)
+		t.Errorf("asked %v, result %+v", seen, v)
 	}
 	if n := d.openConnections(); n != 2 {
 		t.Errorf("%d connections", n)
 	}
 }
 
-// TestAttemptForbiddenWhileConnectingIsNotSent holds a call back while its connection is set up and makes it forbidden meanwhile.
+// TestAttemptForbiddenWhileConnectingIsNotSent makes an attempt forbidden while its connection is set up.
 func TestAttemptForbiddenWhileConnectingIsNotSent(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -357,7 +357,7 @@
 	}{
 		{"client has gone", func(_ *harness, leave func()) { leave() }},
 		{"server drains", func(d *harness, _ func()) { d.setEndpoint(d.servers[7].HostPort, gather.Draining) }},
-		// Where it was, another may be by now, which does not hold the shard.
+		// At the old address another server may listen by now, which does not hold the shard.
 		{"server moves", func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Running) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -393,7 +393,8 @@
 	}
 }
 
-// TestCancelledAttemptEndsAtOnceAndNotifiesServer wants the shard server told, the call ended at once, and a late answer ignored.
+// TestCancelledAttemptEndsAtOnceAndNotifiesServer wants the server notified of a cancellation, the attempt ended at
+// once and a late answer ignored.
 func TestCancelledAttemptEndsAtOnceAndNotifiesServer(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), nil)
@@ -403,7 +404,7 @@
 	conn.Read()
 	leave()
 	if v := <-done; v.Kind != dispatch.Abandoned {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 	d.expectResult(t, "a.0", gather.Cancelled)
 	if f := conn.Read(); f.Letter != 'X' || f.Body != "a.0" {
@@ -415,12 +416,12 @@
 	conn.Answer("b.0", "ok", "v")
 	d.expectResult(t, "b.0", gather.Succeeded)
 	if v := <-done; len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
-		t.Errorf("verdict %+v", v)
+		t.Errorf("result %+v", v)
 	}
 }
 
-// TestUnansweredAttemptTimesOutAndNextUsesNewConnection wants an answer that never comes to end in time, and the next call on a new connection: the old
-// one may lead to a machine that has vanished.
+// TestUnansweredAttemptTimesOutAndNextUsesNewConnection leaves an attempt without an answer. The old connection may
+// lead to a machine that has vanished.
 func TestUnansweredAttemptTimesOutAndNextUsesNewConnection(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
@@ -430,7 +431,7 @@
 	done := d.submit(t.Context(), "a", 1, 60)
 	shard.Take().Read()
 	if v := <-done; v.Kind != dispatch.Failed {
-		t.Errorf("verdict %+v: it may have run", v)
+		t.Errorf("result %+v: it may have run", v)
 	}
 	d.submit(t.Context(), "b", 1, 2000)
 	if f := shard.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
@@ -438,7 +439,8 @@
 	}
 }
 
-// TestSilentConnectionIsReplacedBeforeTheLatencyObjective wants that well before the soft deadline: what goes out meanwhile is lost on the same connection.
+// TestSilentConnectionIsReplacedBeforeTheLatencyObjective wants a silent connection replaced well before the latency
+// objective, since what is sent on it meanwhile is lost.
 func TestSilentConnectionIsReplacedBeforeTheLatencyObjective(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 500.0 })
@@ -452,8 +454,8 @@
 	}
 }
 
-// TestIdleConnectionClosesBeforeTheServersLimit wants a connection closed before the shard server's own idle limit, against a call that is
-// written into its close.
+// TestIdleConnectionClosesBeforeTheServersLimit wants an idle connection closed before the server closes it, so that
+// no frame is written into that.
 func TestIdleConnectionClosesBeforeTheServersLimit(t *testing.T) {
 	shard := standin.NewShard(t)
 	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
@@ -474,7 +476,7 @@
 	}
 }
 
-// TestIdleConnectionClosesForANewOneAtTheLimit wants an idle connection closed for a new one where as many are open as the process may have.
+// TestIdleConnectionClosesForANewOneAtTheLimit opens a connection where as many are open as the limit says.
 func TestIdleConnectionClosesForANewOneAtTheLimit(t *testing.T) {
 	one, two := standin.NewShard(t), standin.NewShard(t)
 	d := newHarness(t, one.Address(), nil)
@@ -496,7 +498,7 @@
 	}
 }
 
-// TestServerWithNewAddressIsReachedThere wants a server that is found elsewhere reached there, and one that has gone left alone.
+// TestServerWithNewAddressIsReachedThere gives a server another address while an attempt is in flight at the old one.
 func TestServerWithNewAddressIsReachedThere(t *testing.T) {
 	before, after := standin.NewShard(t), standin.NewShard(t)
 	d := newHarness(t, before.Address(), nil)
@@ -510,7 +512,7 @@
 	}
 	conn.Answer("a.0", "ok", "v")
 	if v := <-done; v.Kind != dispatch.Served {
-		t.Errorf("verdict %+v: what was out may still be answered", v)
+		t.Errorf("result %+v: attempts in flight may still be answered", v)
 	}
 	if f := conn.Read(); f.Letter != 0 {
 		t.Errorf("frame %+v on the connection to where it was", f)
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -17,8 +17,8 @@
 	return g, r
 }
 
-// TestClaimsAndMapSurviveACrash: names and the map are known after a crash, through snapshots, for as long as they are kept; one of which
-// nothing ran is free again.
+// TestClaimsAndMapSurviveACrash wants claims and the map back after a crash, through snapshots, for the retention. A
+// query of which nothing ran may run again.
 func TestClaimsAndMapSurviveACrash(t *testing.T) {
 	dir := t.TempDir()
 	g, r := openState(t, dir, 0)
@@ -32,7 +32,7 @@
 	if err := g.SaveMap(m); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 200 { // past several snapshots
+	for i := range 200 { // over several snapshots
 		if err := g.RecordSent([]string{fmt.Sprint("a", i), fmt.Sprint("b", i)}, float64(i)); err != nil {
 			t.Fatal(err)
 		}
@@ -61,7 +61,8 @@
 	}
 }
 
-// TestRepeatsMayHaveRunWhereRecordsAreMissing: without a disk, or where records are lost, a repeat may have run until all names would be forgotten.
+// TestRepeatsMayHaveRunWhereRecordsAreMissing opens a state without a folder, and one with lost records. A query that
+// is marked as a repeat may have run until the retention is over.
 func TestRepeatsMayHaveRunWhereRecordsAreMissing(t *testing.T) {
 	g, r, err := OpenGathererState("", 0, 1000, 5000)
 	if err != nil || r.UnknownUntil != 6000 {
@@ -94,7 +95,7 @@
 	}
 }
 
-// TestJournalOfAnotherProgramIsRefused: a folder of another program is refused, not taken for empty.
+// TestJournalOfAnotherProgramIsRefused opens a folder of another program, which must not be taken for an empty one.
 func TestJournalOfAnotherProgramIsRefused(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := OpenJournal(dir, 100, nil)
@@ -108,8 +109,8 @@
 	}
 }
 
-// TestClaimThatWasNotWrittenIsUnknown: a name that could not be written down is not taken for known the next time: its calls must not go then
-// either.
+// TestClaimThatWasNotWrittenIsUnknown has the disk refuse a claim. It must not count as stored when it is recorded
+// again.
 func TestClaimThatWasNotWrittenIsUnknown(t *testing.T) {
 	g, _ := openState(t, t.TempDir(), 0)
 	if err := g.RecordSent([]string{"a"}, 1); err != nil {
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/statedir/journal_test.go
@@ -13,7 +13,7 @@
 	"yokeroute/internal/pcg"
 )
 
-// openJournal opens a folder and gives its records.
+// openJournal opens a folder and returns its records.
 func openJournal(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
 	t.Helper()
 	var got []string
@@ -40,7 +40,7 @@
 	return to
 }
 
-// singleFile gives the one file of a folder whose name begins so.
+// singleFile returns the one file of a folder with a prefix.
 func singleFile(t testing.TB, dir, prefix string) string {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
@@ -50,8 +50,8 @@
 	return names[0]
 }
 
-// TestJournalCutAtAnyByteKeepsWhatStandsBefore cuts a journal off at every byte: what was appended before the cut is there, nothing else is, no damage is
-// told, and what is appended from then on is there as well.
+// TestJournalCutAtAnyByteKeepsWhatStandsBefore cuts a journal at each byte. The records before the cut are there and
+// no others, no damage is reported, and what is appended afterwards is there as well.
 func TestJournalCutAtAnyByteKeepsWhatStandsBefore(t *testing.T) {
 	dir := t.TempDir()
 	j, _, r := openJournal(t, dir, 1<<20)
@@ -94,8 +94,8 @@
 	}
 }
 
-// TestDamageOfAnyByteIsDetected changes every byte of a journal and of a snapshot: what is read is a beginning of what was written, and
-// where something behind the damage could still be read, it says that records are lost.
+// TestDamageOfAnyByteIsDetected changes each byte of a journal and of a snapshot. What is read is a prefix of what
+// was written, and lost records are reported where a later one is readable.
 func TestDamageOfAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, 1<<20)
@@ -147,8 +147,8 @@
 	}
 }
 
-// TestCrashAtAnySyncLosesNothingAcknowledged stops the disk at every moment at which something was just made to last, also within the putting of a
-// snapshot in place, and opens what is there: no record that was acknowledged is ever missing, and none is told twice.
+// TestCrashAtAnySyncLosesNothingAcknowledged copies the folder at each sync, also amid a snapshot, and opens the
+// copies. No acknowledged record is missing, and none is there twice.
 func TestCrashAtAnySyncLosesNothingAcknowledged(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, 200)
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestFailingDiskStopsTheJournal: a disk that fails at any call stops the journal rather than letting it go on; what was acknowledged before
-// is there afterwards.
+// TestFailingDiskStopsTheJournal has the disk fail from each of its calls on. The journal stops, and what was
+// acknowledged is there afterwards.
 func TestFailingDiskStopsTheJournal(t *testing.T) {
 	for fails := range 12 {
 		dir := t.TempDir()
@@ -235,14 +235,14 @@
 	}
 }
 
-// TestInvalidRecordsAndFoldersAreRefused: records that can't be, and a folder that is a file.
+// TestInvalidRecordsAndFoldersAreRefused appends records of invalid sizes, and opens a file as a folder.
 func TestInvalidRecordsAndFoldersAreRefused(t *testing.T) {
 	j, _, _ := openJournal(t, t.TempDir(), 100)
 	if err := j.Append(nil); err == nil {
-		t.Error("an empty record is taken")
+		t.Error("an empty record is appended")
 	}
 	if err := j.Append(make([]byte, maxRecordBytes+1)); err == nil {
-		t.Error("a record that is too long is taken")
+		t.Error("a record that is too long is appended")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
@@ -251,7 +251,7 @@
 	}
 }
 
-// FuzzOpenJournal reads whatever stands in a journal behind a good snapshot.
+// FuzzOpenJournal reads arbitrary bytes in a journal behind a valid snapshot.
 func FuzzOpenJournal(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, 1, 0, []byte("a")), 1, 13, []byte("bc")))
 	f.Add([]byte{255, 255, 255, 255, 0})
@@ -279,7 +279,7 @@
 	})
 }
 
-// FuzzSnapshot reads whatever stands in a snapshot.
+// FuzzSnapshot reads arbitrary bytes as a snapshot.
 func FuzzSnapshot(f *testing.F) {
 	f.Add([]byte(snapshotHeader))
 	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1, int64(len(snapshotHeader))+13, nil))
@@ -302,7 +302,7 @@
 	})
 }
 
-// BenchmarkOpenGathererState tells what opening a folder takes, by how many claims it holds, and how large it is.
+// BenchmarkOpenGathererState opens a folder, by the number of claims in it, and reports its size.
 func BenchmarkOpenGathererState(b *testing.B) {
 	for _, claims := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(claims), func(b *testing.B) {
@@ -339,7 +339,7 @@
 	}
 }
 
-// BenchmarkRecordSent tells what writing a once-only lookup down takes, the disk included.
+// BenchmarkRecordSent records queries, with the disk's sync.
 func BenchmarkRecordSent(b *testing.B) {
 	for _, together := range []int{1, 16} {
 		b.Run(fmt.Sprint(together), func(b *testing.B) {
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -20,7 +20,7 @@
 
 // message is a request or a response in transit.
 type message struct {
-	kind     string // call or reply
+	kind     string // request or response
 	gatherer int    // its number
 	host     int
 	request  Request
