--- a/cmd/yokeroute/segments.go
+++ b/cmd/yokeroute/segments.go
@@ -139,10 +139,10 @@
 		if len(s.Owners) > 1 {
 			others = strings.Join(s.Owners[1:], " ")
 		}
-		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", s.Name, s.Range.Text(), formatPercent(s.Fraction()),
+		fmt.Fprintf(table, "%s\t%s\t%s\t%s\t%d\t%s\t%s\n", s.Name, s.Text(), formatPercent(s.Fraction()),
 			formatShards(s.Range, shards), s.OwnedSince, writerOf(s.Owners), others)
 	}
-	table.Flush()
+	_ = table.Flush() // a failed write to standard output has nobody to go to
 	unowned := m.UnownedRanges()
 	if len(unowned) == 0 || host != "" {
 		return
--- a/cmd/yokeroute/segmentscheck.go
+++ b/cmd/yokeroute/segmentscheck.go
@@ -107,7 +107,7 @@
 			}
 			moved += overlap.Fraction()
 			lines = append(lines, fmt.Sprintf("%s, %s of all keys: from %s to %s",
-				overlap.Range.Text(), formatPercent(overlap.Fraction()), from, to))
+				overlap.Text(), formatPercent(overlap.Fraction()), from, to))
 		}
 	}
 	return append(lines, fmt.Sprintf("%d segments, then %d; %s of all keys have another writer",
--- a/internal/control/segments/document.go
+++ b/internal/control/segments/document.go
@@ -89,7 +89,7 @@
 }
 
 func newSegmentDocument(s ownership.Segment) segmentDocument {
-	return segmentDocument{s.Name, s.Range.Text(), s.Owners, s.OwnedSince}
+	return segmentDocument{s.Name, s.Text(), s.Owners, s.OwnedSince}
 }
 
 func formatChecksum(checksum uint64) string { return fmt.Sprintf("%0*x", checksumDigits, checksum) }
--- a/internal/control/segments/mapfile.go
+++ b/internal/control/segments/mapfile.go
@@ -152,7 +152,7 @@
 		fmt.Fprintf(&b, "shards %d\n", shards)
 	}
 	for _, s := range m.Segments {
-		fmt.Fprintf(&b, "segment %s keys %s", s.Name, s.Range.Text())
+		fmt.Fprintf(&b, "segment %s keys %s", s.Name, s.Text())
 		if len(s.Owners) > 0 {
 			fmt.Fprintf(&b, " on %s", strings.Join(s.Owners, " "))
 		}
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -70,14 +70,14 @@
 	var calls atomic.Int32
 	slow := make(chan struct{})
 	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
-		switch n := calls.Add(1); {
-		case n == 1:
+		switch calls.Add(1) {
+		case 1:
 			select {
 			case <-slow:
 				io.WriteString(w, fullDocument)
 			case <-r.Context().Done():
 			}
-		case n == 14:
+		case 14:
 			close(slow)
 			fallthrough
 		default:
@@ -94,7 +94,7 @@
 func TestListThatArrivesInPiecesIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
-	text := strings.Replace(fullDocument, ",", ",\n  ", -1) // indented as well
+	text := strings.ReplaceAll(fullDocument, ",", ",\n  ") // indented as well
 	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			piece <- struct{}{}
@@ -122,7 +122,7 @@
 func TestFullListRequestsInFlightAreBounded(t *testing.T) {
 	var calls, open, most atomic.Int32
 	enough := make(chan struct{})
-	startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	startWatcher(t, func(_ http.ResponseWriter, r *http.Request) {
 		if n := open.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -148,7 +148,7 @@
 	} {
 		for _, reset := range []bool{false, true} {
 			for _, at := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
-				if at == len(fullDocument) && !(how == "none" && reset) {
+				if at == len(fullDocument) && (how != "none" || !reset) {
 					continue // it is complete there, and its end says so
 				}
 				var calls atomic.Int32
@@ -308,10 +308,10 @@
 	open := make(chan struct{})
 	drained := strings.Replace(fullDocument, "in_service", "terminating", 1)
 	f, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
-		switch n := calls.Add(1); {
-		case n == 1:
+		switch n := calls.Add(1); n {
+		case 1:
 			io.WriteString(w, drained)
-		case n == 2: // the watch fails, and the requests for the full list are not answered
+		case 2: // the watch fails, and the requests for the full list are not answered
 			w.WriteHeader(http.StatusInternalServerError)
 		default:
 			if n == 5 {
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -125,7 +125,7 @@
 	for _, body := range []string{`{"revision":1,"complete":true}`, `{"revision":1,"complete":false}`} {
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		calls := 0
-		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			calls++
 			io.WriteString(w, body)
 		}))
--- a/internal/gatherer/shardcall/attempt.go
+++ b/internal/gatherer/shardcall/attempt.go
@@ -42,7 +42,7 @@
 	case !a.inFlight():
 		p.finish(a, &Error{NotSent, errNotAllowed}, nil)
 	default:
-		a.conn.nc.SetWriteDeadline(time.Now())
+		setWriteDeadline(a.conn.nc, time.Now())
 	}
 }
 
@@ -63,7 +63,7 @@
 		return
 	}
 	if !a.written { // its query's answer must not wait for a server that has stopped reading
-		a.conn.nc.SetWriteDeadline(time.Now())
+		setWriteDeadline(a.conn.nc, time.Now())
 	}
 	// Without hedging, the next attempt of this shard request follows the report of this one's end. That must not
 	// come before the server can read of the cancellation, or the connection has ended.
--- a/internal/gatherer/shardcall/faults_test.go
+++ b/internal/gatherer/shardcall/faults_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"encoding/binary"
+	"errors"
 	"fmt"
 	"io"
 	"math"
@@ -98,8 +99,8 @@
 // client leaves, the query's time is over, or the server drains, is removed or has another address.
 func TestConnectionThatComesUpLateSendsNothingObsolete(t *testing.T) {
 	for name, end := range map[string]func(d *harness, leave func()){
-		"client gone": func(d *harness, leave func()) { leave() },
-		"time up":     func(d *harness, _ func()) {},
+		"client gone": func(_ *harness, leave func()) { leave() },
+		"time up":     func(*harness, func()) {},
 		"draining":    func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Draining) },
 		"gone":        func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Removed) },
 		"moved":       func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:2", gather.Running) },
@@ -189,7 +190,7 @@
 	}
 	d.cancel(a.decision, Cancelled, errCancelled)
 	d.expectResult(t, "a.0", gather.ConnectionReset)
-	if n, err := theirs.Read(make([]byte, 1)); err != io.EOF {
+	if n, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("%d bytes, %v: the connection is still open", n, err)
 	}
 }
--- a/internal/gatherer/shardcall/handshake.go
+++ b/internal/gatherer/shardcall/handshake.go
@@ -76,7 +76,9 @@
 		return false, err
 	}
 	defer nc.Close()
-	nc.SetDeadline(time.Now().Add(handshakeTimeout))
+	if err := nc.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
+		return false, err
+	}
 	hello := append(beginFrame(nil, frameHandshake), firstPassExtension...)
 	if _, err := nc.Write(finishFrame(hello, 0)); err != nil {
 		return false, fmt.Errorf("handshake not written: %w", err)
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -186,7 +186,7 @@
 		}
 		if c := a.conn; deadline.Before(c.writeDeadline) {
 			c.writeDeadline = deadline
-			c.nc.SetWriteDeadline(deadline)
+			setWriteDeadline(c.nc, deadline)
 		}
 	}
 }
--- a/internal/gatherer/shardcall/writer.go
+++ b/internal/gatherer/shardcall/writer.go
@@ -29,6 +29,10 @@
 	}
 }
 
+// setWriteDeadline bounds the write in progress and those after it. It fails only on a closed connection, which the write
+// reports as well.
+func setWriteDeadline(nc net.Conn, deadline time.Time) { _ = nc.SetWriteDeadline(deadline) }
+
 func (c *conn) dequeue() (frame outgoing, ok bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -52,7 +56,7 @@
 
 func (c *conn) writeCancel(nc net.Conn, buf []byte, frame outgoing) ([]byte, error) {
 	buf = appendCancelFrame(buf, frame.cancelID)
-	nc.SetWriteDeadline(time.Now().Add(c.pool.limits.connectTimeout))
+	setWriteDeadline(nc, time.Now().Add(c.pool.limits.connectTimeout))
 	_, err := nc.Write(buf)
 	if frame.cancelled != nil && err == nil {
 		c.pool.mu.Lock()
@@ -67,7 +71,7 @@
 		return buf, nil
 	}
 	buf = finishFrame(beginFrame(buf, frameLoad), len(buf))
-	nc.SetWriteDeadline(time.Now().Add(c.pool.limits.connectTimeout))
+	setWriteDeadline(nc, time.Now().Add(c.pool.limits.connectTimeout))
 	_, err := nc.Write(buf)
 	return buf, err
 }
@@ -114,7 +118,7 @@
 	}
 	if len(allowed) > 0 {
 		c.writeDeadline = time.Now().Add(longest)
-		c.nc.SetWriteDeadline(c.writeDeadline) // under the lock, so that it does not undo a stopWriting
+		setWriteDeadline(c.nc, c.writeDeadline) // under the lock, so that it does not undo a stopWriting
 	}
 	return allowed
 }
--- a/internal/storage/runfolder/runfolder.go
+++ b/internal/storage/runfolder/runfolder.go
@@ -57,7 +57,7 @@
 		return nil, err
 	}
 	f := &Folder{path: path}
-	if err := f.acquireLock(); err != nil && !(force && errors.Is(err, ErrLocked)) {
+	if err := f.acquireLock(); err != nil && (!force || !errors.Is(err, ErrLocked)) {
 		return nil, err
 	}
 	if err := f.acquireToken(); err != nil {
@@ -168,7 +168,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", folder, err)
 		}
-		journal.Close()
+		_ = journal.Close() // all of it is read
 		if found.Damaged {
 			return nil, fmt.Errorf("%s: %w", folder, ErrRecordsLost)
 		}
@@ -223,7 +223,7 @@
 // Close closes the journal and releases the lock.
 func (f *Folder) Close() {
 	if f.journal != nil {
-		f.journal.Close()
+		_ = f.journal.Close() // each append is on the disk already
 	}
 	if f.lock != nil {
 		f.lock.Close() // which releases it
--- a/internal/storage/statedir/file.go
+++ b/internal/storage/statedir/file.go
@@ -12,7 +12,7 @@
 	if err != nil {
 		return err
 	}
-	defer os.Remove(file.Name()) // unless it was renamed
+	defer func() { _ = os.Remove(file.Name()) }() // unless it was renamed
 	_, err = file.Write(content)
 	if err = errors.Join(err, file.Chmod(0o644), file.Sync(), file.Close()); err != nil {
 		return err
--- a/internal/storage/statedir/gathererrecord.go
+++ b/internal/storage/statedir/gathererrecord.go
@@ -49,7 +49,7 @@
 // segmentMap is the map that was recorded. Its checksum is 0 where the record holds none.
 func (r *mapRecord) segmentMap() *ownership.Map {
 	m := &ownership.Map{Epoch: r.Epoch}
-	fmt.Sscanf(r.Checksum, "%x", &m.Checksum)
+	_, _ = fmt.Sscanf(r.Checksum, "%x", &m.Checksum)
 	for _, s := range r.Segments {
 		m.Segments = append(m.Segments, ownership.Segment{
 			Name:       s.Name,
--- a/internal/storage/statedir/record.go
+++ b/internal/storage/statedir/record.go
@@ -39,8 +39,8 @@
 	binary.LittleEndian.PutUint64(place[:], generation)
 	binary.LittleEndian.PutUint64(place[8:], uint64(offset))
 	h := xxhash.New()
-	h.Write(place[:])
-	h.Write(record)
+	_, _ = h.Write(place[:]) // never fails
+	_, _ = h.Write(record)
 	return h.Sum64()
 }
 
--- a/internal/storage/statedir/snapshot.go
+++ b/internal/storage/statedir/snapshot.go
@@ -66,7 +66,7 @@
 	generation := j.generation + 1
 	temporary, err := j.writeSnapshotFile(generation, write)
 	if temporary != "" {
-		defer os.Remove(temporary) // unless it was renamed
+		defer func() { _ = os.Remove(temporary) }() // unless it was renamed
 	}
 	if err != nil {
 		return err
@@ -97,7 +97,7 @@
 		return "", err
 	}
 	out := bufio.NewWriter(file)
-	out.WriteString(snapshotHeader) // an error stays in the writer until Flush
+	_, _ = out.WriteString(snapshotHeader) // an error stays in the writer until Flush
 	offset := int64(len(snapshotHeader))
 	put := func(record []byte) error {
 		stored := appendRecord(nil, generation, offset, record)
@@ -140,7 +140,7 @@
 		ours := strings.HasPrefix(name, snapshotPrefix) || strings.HasPrefix(name, journalPrefix) ||
 			strings.HasPrefix(name, temporaryPrefix)
 		if ours && !slices.Contains(current, name) {
-			os.Remove(filepath.Join(j.folder, name))
+			_ = os.Remove(filepath.Join(j.folder, name))
 		}
 	}
 }
--- a/logic/ownership/segmentmap.go
+++ b/logic/ownership/segmentmap.go
@@ -129,7 +129,7 @@
 	h := xxhash.New()
 	fmt.Fprintf(h, "%d %d\n", previous, m.Epoch)
 	for _, s := range m.Segments {
-		fmt.Fprintf(h, "%s %s %d %s\n", s.Name, s.Range.Text(), s.OwnedSince, strings.Join(s.Owners, ","))
+		fmt.Fprintf(h, "%s %s %d %s\n", s.Name, s.Text(), s.OwnedSince, strings.Join(s.Owners, ","))
 	}
 	return h.Sum64()
 }
