--- a/cmd/yokeroute/segments_test.go
+++ b/cmd/yokeroute/segments_test.go
@@ -34,17 +34,24 @@
 		fail string // no, or words of the error
 		want []string
 	}{
-		{"segments show " + example, "", []string{"epoch 7, 4 segments", "resolve-b  4000000000000000-7fffffffffffffff  25.000%  4-7     5      h-02", "unowned:", "shards 14-15"}},
+		{"segments show " + example, "", []string{"epoch 7, 4 segments",
+			"resolve-b  4000000000000000-7fffffffffffffff  25.000%  4-7     5      h-02", "unowned:", "shards 14-15"}},
 		{"segments show --host h-04 " + example, "", []string{"search-a", "search-b"}},
 		{"segments show -o json " + example, "", []string{`"Name":"resolve-a"`, farmDocument}},
 		{"segments check " + example, "no", []string{"1 ranges are unowned, the first is e000000000000000"}},
 		{"segments check " + whole, "", []string{"reads well: epoch 7, 2 segments"}},
-		{"segments plan-move " + example + " resolve-b --to h-03,h-01 --out " + next, "", []string{"makes epoch 8", "from h-02 to h-03", "1. seal: h-02, h-03 take no more once-only calls of shards 4-7", "in epoch 9"}},
-		{"segments check " + example + " " + next, "", []string{"from h-02 to h-03", "25.000% of all keys have another writer"}},
+		{"segments plan-move " + example + " resolve-b --to h-03,h-01 --out " + next, "",
+			[]string{"makes epoch 8", "from h-02 to h-03",
+				"1. seal: h-02, h-03 take no more once-only calls of shards 4-7", "in epoch 9"}},
+		{"segments check " + example + " " + next, "",
+			[]string{"from h-02 to h-03", "25.000% of all keys have another writer"}},
 		{"segments check " + next + " " + example, "no", []string{"does not come after epoch 8"}},
-		{"segments check " + whole + " " + sly, "no", []string{"segment a is owned otherwise than before and still says since epoch 7"}},
-		{"segments plan-move " + example + " resolve-b --split 6000000000000000 --into x,y", "", []string{"split resolve-b before 6000000000000000 into x and y"}},
-		{"segments plan-move " + example + " resolve-a --merge resolve-b --into resolve", "", []string{"merge resolve-a and resolve-b into resolve", "from h-02 to h-01"}},
+		{"segments check " + whole + " " + sly, "no",
+			[]string{"segment a is owned otherwise than before and still says since epoch 7"}},
+		{"segments plan-move " + example + " resolve-b --split 6000000000000000 --into x,y", "",
+			[]string{"split resolve-b before 6000000000000000 into x and y"}},
+		{"segments plan-move " + example + " resolve-a --merge resolve-b --into resolve", "",
+			[]string{"merge resolve-a and resolve-b into resolve", "from h-02 to h-01"}},
 		{"segments plan-move " + example + " resolve-a --merge search-a", "no neighbours", nil},
 		{"segments plan-move " + example + " resolve-b --split 4000000000000000", "can't be split before", nil},
 		{"segments plan-move " + example + " resolve-b --split 4", "sixteen hex digits", nil},
@@ -57,7 +64,8 @@
 		switch {
 		case c.fail == "" && err != nil, c.fail == "no" && !errors.Is(err, errNegative):
 			t.Errorf("%s: %v\n%s", c.args, err, out)
-		case c.fail != "" && c.fail != "no" && (err == nil || errors.Is(err, errNegative) || !strings.Contains(err.Error(), c.fail)):
+		case c.fail != "" && c.fail != "no" &&
+			(err == nil || errors.Is(err, errNegative) || !strings.Contains(err.Error(), c.fail)):
 			t.Errorf("%s: %v", c.args, err)
 		}
 		for _, want := range c.want {
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -24,7 +24,8 @@
 // TestMapFileFormatsAndErrors reads a map file, formats it, and wants one message with its place for each mistake.
 func TestMapFileFormatsAndErrors(t *testing.T) {
 	m, shards, err := ParseMap("m.conf", validMapFile)
-	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
+	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 ||
+		m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
 	again, _, err := ParseMap("again.conf", FormatMap(m, shards))
@@ -39,12 +40,14 @@
 		{"epoch 7\nsegment a keys 0000000000000000-8000000000000000 on h\nsegment b keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segments "a" and "b" both own the key 8000000000000000`},
 		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff\nsegment a keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segment "a" is there twice`},
 		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h h\n", "is empty or there twice"},
-		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h since 9\n", `m.conf:2:1: segment "a" is owned since epoch 9, the map's is 7`},
+		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h since 9\n",
+			`m.conf:2:1: segment "a" is owned since epoch 9, the map's is 7`},
 		{"epoch -1\n", `"-1"`},
 		{"epoch 1\nepoch 2\n", "stands already at m.conf:1:1"},
 		{"epoc 1\n", "did you mean epoch?"},
 	} {
-		if _, _, err := ParseMap("m.conf", c.text); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if _, _, err := ParseMap("m.conf", c.text); err == nil || !strings.Contains(err.Error(), c.want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", c.text, err)
 		}
 	}
@@ -76,7 +79,8 @@
 		{`"epoch":7`, `"epoch":-7`, "epoch"},
 		{`{`, ``, "invalid"},
 	} {
-		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil ||
+			!strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
@@ -174,7 +178,9 @@
 			return
 		}
 		again, err := ParseResponse(r.Encode())
-		if err != nil || again.Full != nil && (again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) || len(again.Changes) != len(r.Changes) {
+		if err != nil || again.Full != nil &&
+			(again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) ||
+			len(again.Changes) != len(r.Changes) {
 			t.Fatalf("%v: %+v, then %+v", err, r, again)
 		}
 		follower := ownership.Tracker{}
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -342,7 +342,8 @@
 	at := func(revision int, whole bool, phase string, up int) string {
 		member := ""
 		if phase != "" {
-			member = fmt.Sprintf(`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":%d}`, phase, up)
+			member = fmt.Sprintf(`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":%d}`,
+				phase, up)
 		}
 		return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, whole, member)
 	}
@@ -352,16 +353,27 @@
 		words []string
 		want  []gather.State // after each; Removed where it is not listed
 	}{
-		{"a drain, then an older whole list", []string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
-		{"an end, then an older whole list", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 9)}, []gather.State{0, 2, 2}},
-		{"an end that names no start", []string{at(5, true, run, 9), at(6, false, gone, 0), at(5, true, run, 9)}, []gather.State{0, 2, 2}},
-		{"a later process", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 10)}, []gather.State{0, 2, 0}},
-		{"an older list of the process before", []string{at(5, true, drain, 9), at(6, false, run, 10), at(5, true, drain, 9)}, []gather.State{1, 0, 0}},
-		{"a drain taken back by a change", []string{at(5, true, run, 9), at(6, false, drain, 9), at(7, false, run, 9)}, []gather.State{0, 1, 0}},
-		{"a drain taken back by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)}, []gather.State{1, 0}},
-		{"a list that lacks it, then one that has it", []string{at(5, true, run, 9), at(6, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 2, 0}},
-		{"a drain, a list that lacks it, an older one", []string{at(5, true, run, 9), at(6, false, drain, 9), at(7, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
-		{"an agent that begins anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9), at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
+		{"a drain, then an older whole list",
+			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
+		{"an end, then an older whole list", []string{at(5, true, run, 9), at(6, false, gone, 9),
+			at(5, true, run, 9)}, []gather.State{0, 2, 2}},
+		{"an end that names no start", []string{at(5, true, run, 9), at(6, false, gone, 0), at(5, true, run, 9)},
+			[]gather.State{0, 2, 2}},
+		{"a later process", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 10)},
+			[]gather.State{0, 2, 0}},
+		{"an older list of the process before",
+			[]string{at(5, true, drain, 9), at(6, false, run, 10), at(5, true, drain, 9)}, []gather.State{1, 0, 0}},
+		{"a drain taken back by a change", []string{at(5, true, run, 9), at(6, false, drain, 9),
+			at(7, false, run, 9)}, []gather.State{0, 1, 0}},
+		{"a drain taken back by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)},
+			[]gather.State{1, 0}},
+		{"a list that lacks it, then one that has it",
+			[]string{at(5, true, run, 9), at(6, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 2, 0}},
+		{"a drain, a list that lacks it, an older one",
+			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(7, true, "", 0),
+				at(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
+		{"an agent that begins anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9),
+			at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
@@ -396,13 +408,15 @@
 		OnChange: func(gather.EndpointList, []shardcall.Address) {},
 	})
 	for i := range 3 * maxRemovedNames {
-		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`,
+			i, i))
 		if err != nil {
 			t.Fatal(err)
 		}
 		f.Apply(r)
 	}
-	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames || !slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
+	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames ||
+		!slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
 		t.Errorf("%d observations, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
 	}
 }
@@ -603,9 +617,11 @@
 		revision++
 		var entries []string
 		for _, name := range names {
-			entries = append(entries, fmt.Sprintf(`{"id":"%s","host_port":"%s:1","cell":0,"phase":"%s"}`, name, name, phase))
+			entries = append(entries, fmt.Sprintf(`{"id":"%s","host_port":"%s:1","cell":0,"phase":"%s"}`, name,
+				name, phase))
 		}
-		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(entries, ",")))
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete,
+			strings.Join(entries, ",")))
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/gatherer/discovery/kept_test.go
+++ b/internal/gatherer/discovery/kept_test.go
@@ -14,7 +14,8 @@
 // The documents in testdata/kept are in the forms that discovery sends, and learnt.txt is what a gatherer of the version
 // that kept them learns from each. None may be changed.
 
-var keptStates = map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}
+var keptStates = map[gather.State]string{gather.Running: "running", gather.Draining: "draining",
+	gather.Removed: "gone"}
 
 // TestKeptDocumentsAreReadAsBefore reads documents of all forms, one after the other, and compares what is handed on with the kept text.
 func TestKeptDocumentsAreReadAsBefore(t *testing.T) {
@@ -30,7 +31,8 @@
 				s.ID, s.ReplicaSet, s.Zone, s.Kind, s.Size, keptStates[s.State], s.StartedAt)
 		}
 		for _, a := range all {
-			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort, keptStates[a.State], a.StartedAt)
+			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort,
+				keptStates[a.State], a.StartedAt)
 		}
 	}})
 	for _, file := range files {
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -37,8 +37,10 @@
 		{"no revision", `{"complete":true}`, "no revision"},
 		{"no id", `{"revision":1,"members":[{"phase":"in_service"}]}`, "members[0]: no id"},
 		{"unknown phase", `{"revision":1,"members":[{"id":"s","phase":"odd"}]}`, `members[0]: phase "odd"`},
-		{"no cell", `{"revision":1,"members":[{"id":"s","phase":"in_service","host_port":"h:1"}]}`, "members[0]: no cell"},
-		{"no address", `{"revision":1,"members":[{"id":"s","phase":"in_service","cell":0}]}`, "members[0]: host_port"},
+		{"no cell", `{"revision":1,"members":[{"id":"s","phase":"in_service","host_port":"h:1"}]}`,
+			"members[0]: no cell"},
+		{"no address", `{"revision":1,"members":[{"id":"s","phase":"in_service","cell":0}]}`,
+			"members[0]: host_port"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseResponse([]byte(c.text))
@@ -52,7 +54,8 @@
 // TestServerIDsAreStableAndDistinct wants IDs that are the same at each gatherer and after each start, and distinct
 // ones for two servers.
 func TestServerIDsAreStableAndDistinct(t *testing.T) {
-	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
+	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e,
+		"s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
 		if got := ServerID(name); name != "s-7" && got != want {
 			t.Errorf("%s is %#x, want %#x", name, got, want)
 		}
@@ -106,7 +109,8 @@
 	f.Run(ctx)
 	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
-	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
+	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7},
+		{ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
 	left := both[1:]
 	want := []news{
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
@@ -269,8 +273,10 @@
 			t.Fatal(err)
 		}
 		f.Apply(r)
-		if all != 1 || len(f.endpoints.idByName) != 1 || len(f.endpoints.nameByID) != 1 || len(f.endpoints.addresses) != 1 || len(f.endpoints.order) != 1 {
-			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.endpoints.idByName), len(f.endpoints.nameByID), len(f.endpoints.addresses), len(f.endpoints.order))
+		if all != 1 || len(f.endpoints.idByName) != 1 || len(f.endpoints.nameByID) != 1 ||
+			len(f.endpoints.addresses) != 1 || len(f.endpoints.order) != 1 {
+			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all,
+				len(f.endpoints.idByName), len(f.endpoints.nameByID), len(f.endpoints.addresses), len(f.endpoints.order))
 		}
 	}
 }
--- a/internal/gatherer/shardcall/faults_test.go
+++ b/internal/gatherer/shardcall/faults_test.go
@@ -43,7 +43,8 @@
 // drain, be removed or be missing from the list. Nothing of the frame may be written once the server reads again, and
 // the attempt never ran.
 func TestFrameNotBegunIsDroppedAfterDrainGrace(t *testing.T) {
-	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Draining}},
+	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1",
+		State: gather.Draining}},
 		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
 		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.DrainGrace = 100.0
@@ -232,7 +233,8 @@
 			length = 4 + int(binary.LittleEndian.Uint32(frame))
 		}
 		theirs.Close()
-		d.expectResult(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset, false: gather.ConnectFailed}[n == length])
+		d.expectResult(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset,
+			false: gather.ConnectFailed}[n == length])
 		if v := <-done; v.Kind == dispatch.Served {
 			t.Errorf("after %d bytes: %+v", n, v)
 		}
--- a/internal/gatherer/shardcall/handshake_test.go
+++ b/internal/gatherer/shardcall/handshake_test.go
@@ -28,7 +28,8 @@
 	}
 	fresh, old, gone, silent := start(1), start(0), start(1), standin.NewShard(t)
 	gone.Kill()
-	list := []Address{{ID: 1, HostPort: fresh.Address()}, {ID: 2, HostPort: old.Address()}, {ID: 3, HostPort: gone.Address()}, {ID: 4, HostPort: silent.Address()}}
+	list := []Address{{ID: 1, HostPort: fresh.Address()}, {ID: 2, HostPort: old.Address()},
+		{ID: 3, HostPort: gone.Address()}, {ID: 4, HostPort: silent.Address()}}
 	p.SetEndpoints(list)
 	p.SetEndpoints(list)
 	first, second := <-found, <-found
--- a/internal/gatherer/shardcall/healthcheck_test.go
+++ b/internal/gatherer/shardcall/healthcheck_test.go
@@ -38,7 +38,8 @@
 				}
 				conn.Write('L', c.told)
 			}()
-			if s := d.checkHealth(); s.Server != 7 || s.Succeeded != c.passed || s.QueueLength != c.waiting || s.Latency != c.latency || s.Elapsed <= 0 {
+			if s := d.checkHealth(); s.Server != 7 || s.Succeeded != c.passed || s.QueueLength != c.waiting ||
+				s.Latency != c.latency || s.Elapsed <= 0 {
 				t.Errorf("%+v", s)
 			}
 		})
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -151,7 +151,8 @@
 		wantSent(t, conn, "S-two-parts")
 		nothingMore(t, conn, "S-two-parts")
 	})
-	for effect, name := range map[gather.Effect]string{gather.Idempotent: "O-idempotent", gather.NonIdempotent: "O-once-only"} {
+	for effect, name := range map[gather.Effect]string{gather.Idempotent: "O-idempotent",
+		gather.NonIdempotent: "O-once-only"} {
 		t.Run("keys with owners, "+string(effect), func(t *testing.T) {
 			shard := standin.NewShard(t)
 			d := newOwnershipHarness(t, shard, effect)
@@ -170,7 +171,8 @@
 		s.Classes[0].LatencyObjective = 2000
 	}
 	d := newHarnessWith(t, shard.Address(), change, func(p *dispatch.Picker) {
-		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1, FirstPassShare: 0.3, TrialShare: 0.5}})
+		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1,
+			FirstPassShare: 0.3, TrialShare: 0.5}})
 		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
 		p.SetAnswersFirstPass(7, true)
 	})
@@ -186,7 +188,8 @@
 // newOwnershipHarness has queries sent to the owners of their keys: shard 3 of 16 is a segment of the server.
 func newOwnershipHarness(t *testing.T, shard *standin.Shard, effect gather.Effect) *harness {
 	keys := ownership.ShardRange(3, 16)
-	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, OwnedSince: 4}})
+	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"},
+		OwnedSince: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -54,19 +54,22 @@
 }
 
 // newHarnessWith has the picker set up by the test before its first round.
-func newHarnessWith(t *testing.T, address string, change func(s *gather.Settings), setUp func(*dispatch.Picker)) *harness {
+func newHarnessWith(t *testing.T, address string, change func(s *gather.Settings),
+	setUp func(*dispatch.Picker)) *harness {
 	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, CancelAllowed: true, Tick: 1.0,
 		ConnectTimeout: 2000.0, IdleTimeout: 30000.0, RequestsPerCall: 2, StreamsPerConnection: 4,
 		MaxAttempts: 1, CallCost: 1.0,
 		Classes: []gather.Class{
-			{Name: "i", LatencyObjective: 2000.0, CompleteShare: 1.0, MinShare: 1.0, LateValue: 0.1, Effect: gather.NonIdempotent},
+			{Name: "i", LatencyObjective: 2000.0, CompleteShare: 1.0, MinShare: 1.0, LateValue: 0.1,
+				Effect: gather.NonIdempotent},
 		},
 	}
 	if change != nil {
 		change(settings)
 	}
-	d := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100), checks: make(chan gather.HealthCheckResult, 100)}
+	d := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100),
+		checks: make(chan gather.HealthCheckResult, 100)}
 	setUp(d.picker)
 	d.Pool = New(Config{Settings: settings, MaxConns: 100, Reporter: d, Log: discardLog()})
 	d.setEndpoint(address, gather.Running)
@@ -127,20 +130,33 @@
 		{"failed", func(c *standin.Conn, id string) { c.Answer(id, "err", "") }, gather.Failed, false},
 		{"ended after the frame", func(c *standin.Conn, _ string) { c.Close() }, gather.ConnectionReset, true},
 		{"reset after the frame", func(c *standin.Conn, _ string) { c.Reset() }, gather.ConnectionReset, true},
-		{"frame that could not be used", func(c *standin.Conn, _ string) { c.Write('E', "no such shard") }, gather.ConnectionReset, true},
+		{"frame that could not be used", func(c *standin.Conn, _ string) { c.Write('E', "no such shard") },
+			gather.ConnectionReset, true},
 		{"unknown letter", func(c *standin.Conn, _ string) { c.Write('Z', "") }, gather.ConnectionReset, true},
-		{"unknown ending", func(c *standin.Conn, id string) { c.Answer(id, "maybe", "") }, gather.ConnectionReset, true},
-		{"answer without its line", func(c *standin.Conn, id string) { c.Write('A', id) }, gather.ConnectionReset, true},
-		{"length too long", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) }, gather.ConnectionReset, true},
-		{"length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) }, gather.ConnectionReset, true},
-		{"frame cut off", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() }, gather.ConnectionReset, true},
+		{"unknown ending", func(c *standin.Conn, id string) { c.Answer(id, "maybe", "") }, gather.ConnectionReset,
+			true},
+		{"answer without its line", func(c *standin.Conn, id string) { c.Write('A', id) }, gather.ConnectionReset,
+			true},
+		{"length too long", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) },
+			gather.ConnectionReset, true},
+		{"length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) },
+			gather.ConnectionReset, true},
+		{"frame cut off", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() },
+			gather.ConnectionReset, true},
 		// The answer that this one stands for will not arrive, and waiting would take all of the query's time.
-		{"answer for a name never asked", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") }, gather.ConnectionReset, true},
-		{"score that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") }, gather.ConnectionReset, true},
-		{"report that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") }, gather.Succeeded, false},
+		{"answer for a name never asked", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") },
+			gather.ConnectionReset, true},
+		{"score that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") },
+			gather.ConnectionReset, true},
+		{"report that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") },
+			gather.Succeeded, false},
 		{"no report", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1\nv") }, gather.Succeeded, false},
-		{"value with the next frame in it", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\nv\x08\x00\x00\x00Ab.0") }, gather.ConnectionReset, true},
-		{"value that is no text", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\n\xff\xfe") }, gather.ConnectionReset, true},
+		{"value with the next frame in it", func(c *standin.Conn,
+			id string) {
+			c.Write('A', id+" ok 1 -\nv\x08\x00\x00\x00Ab.0")
+		}, gather.ConnectionReset, true},
+		{"value that is no text", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\n\xff\xfe") },
+			gather.ConnectionReset, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shard := standin.NewShard(t)
@@ -272,9 +288,11 @@
 		name  string
 		whole bool
 		want  gather.Outcome
-	}{{"broken before the last byte", false, gather.ConnectFailed}, {"broken after it", true, gather.ConnectionReset}} {
+	}{{"broken before the last byte", false, gather.ConnectFailed}, {"broken after it", true,
+		gather.ConnectionReset}} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
+			d := newHarness(t, "127.0.0.1:1",
+				func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
 			theirs := d.connectByPipe()
 			d.submit(t.Context(), "a", 1, 2000)
 			head := make([]byte, 5)
@@ -341,7 +359,8 @@
 			seen[p.ID] = true
 		}
 	}
-	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Served || len(v.Hits) != 6 || string(v.Hits[5].Value) != "a.5" {
+	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Served || len(v.Hits) != 6 ||
+		string(v.Hits[5].Value) != "a.5" {
 		t.Errorf("asked %v, result %+v", seen, v)
 	}
 	if n := d.openConnections(); n != 2 {
@@ -487,7 +506,8 @@
 	conn.Answer("a.0", "ok", "v")
 	<-done
 	d.SetEndpoints([]Address{{ID: 7, HostPort: one.Address()}, {ID: 8, HostPort: two.Address()}})
-	d.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
+	d.picker.UpdateEndpoints(gather.EndpointList{Full: true,
+		Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
 	d.submit(t.Context(), "b", 1, 2000)
 	two.Take().Read()
 	if n := d.openConnections(); n != 1 {
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/statedir/journal_test.go
@@ -81,7 +81,8 @@
 		for kept < len(ends) && ends[kept] <= int64(n) {
 			kept++
 		}
-		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Empty || (r.TornBytes > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
+		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Empty ||
+			(r.TornBytes > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
 			t.Fatalf("cut at %d: %d records of %d, %+v", n, len(got), kept, r)
 		}
 		if err := j.Append([]byte("more")); err != nil {
@@ -162,8 +163,10 @@
 		crashed := copyDir(t, dir)
 		after, got, r := openJournal(t, crashed, 200)
 		after.Close()
-		if r.Damaged || len(got) < len(acknowledged) || len(got) > len(pending) || !slices.Equal(got, pending[:len(got)]) {
-			t.Fatalf("a crash after %d records of which %d were acknowledged: %d are there, %+v", len(pending), len(acknowledged), len(got), r)
+		if r.Damaged || len(got) < len(acknowledged) || len(got) > len(pending) ||
+			!slices.Equal(got, pending[:len(got)]) {
+			t.Fatalf("a crash after %d records of which %d were acknowledged: %d are there, %+v", len(pending),
+				len(acknowledged), len(got), r)
 		}
 		return nil
 	}
@@ -229,7 +232,8 @@
 			t.Fatalf("%d calls: %v", fails, failed)
 		}
 		j.Close()
-		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) || !slices.Equal(got[:len(acknowledged)], acknowledged) {
+		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) ||
+			!slices.Equal(got[:len(acknowledged)], acknowledged) {
 			t.Fatalf("%d calls: %d of %d acknowledged records are there", fails, len(got), len(acknowledged))
 		}
 	}
@@ -266,14 +270,16 @@
 			t.Fatal(err)
 		}
 		j, got, r := openJournal(t, dir, 100)
-		if len(got) == 0 || got[0] != "first" || r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
+		if len(got) == 0 || got[0] != "first" ||
+			r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
 			t.Fatalf("%q, %+v", got, r)
 		}
 		if err := j.Append([]byte("last")); err != nil {
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, again, r := openJournal(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" || r.TornBytes > 0 {
+		if _, again, r := openJournal(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" ||
+			r.TornBytes > 0 {
 			t.Fatalf("%q after %q, %+v", again, got, r)
 		}
 	})
@@ -282,7 +288,8 @@
 // FuzzSnapshot reads arbitrary bytes as a snapshot.
 func FuzzSnapshot(f *testing.F) {
 	f.Add([]byte(snapshotHeader))
-	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1, int64(len(snapshotHeader))+13, nil))
+	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1,
+		int64(len(snapshotHeader))+13, nil))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, snapshotPrefix+"0000000000000001"), text, 0o600); err != nil {
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -96,17 +96,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 || found.UnknownUntil != 0 {
+	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 ||
+		found.UnknownUntil != 0 {
 		t.Errorf("found %+v", found)
 	}
-	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true, "late": true, "never": false} {
+	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true,
+		"late": true, "never": false} {
 		if got := g.MayHaveRun(name, true, now); got != want {
 			t.Errorf("%s may have run: %t, want %t", name, got, want)
 		}
 	}
 	m, want := g.Map(), keptMap(t)
-	if m.Epoch != want.Epoch || m.Checksum != want.Checksum || len(m.Segments) != 2 || m.Segments[0].Range != want.Segments[0].Range ||
-		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].OwnedSince != 3 || m.Segments[1].Name != "b" {
+	if m.Epoch != want.Epoch || m.Checksum != want.Checksum || len(m.Segments) != 2 ||
+		m.Segments[0].Range != want.Segments[0].Range ||
+		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].OwnedSince != 3 ||
+		m.Segments[1].Name != "b" {
 		t.Errorf("map %+v", m)
 	}
 	g.Close()
@@ -132,7 +136,8 @@
 		t.Fatal(err)
 	}
 	g, found, err := OpenGathererState(folder, 300, 1e12, 1_796_000_001_000)
-	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 || g.MayHaveRun("late", false, 1_796_000_001_000) {
+	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 ||
+		g.MayHaveRun("late", false, 1_796_000_001_000) {
 		t.Errorf("found %+v, %v", found, err)
 	}
 }
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -106,7 +106,8 @@
 		if m.ran {
 			ran = 1
 		}
-		wire[i] = m.kind[:1] + m.request.Segment + string([]byte{byte(m.gatherer), byte(m.host), byte(m.request.OwnedSince), ran})
+		wire[i] = m.kind[:1] + m.request.Segment + string([]byte{byte(m.gatherer), byte(m.host),
+			byte(m.request.OwnedSince), ran})
 	}
 	slices.Sort(wire) // messages have no order
 	for _, w := range wire {
@@ -166,7 +167,9 @@
 				seg := mp.Segments[p[0].Segment]
 				do(func(c *modelState) {
 					c.gatherers[i].inFlight, c.gatherers[i].attempts = true, g.attempts+1
-					c.messages = append(c.messages, message{kind: "request", gatherer: i, host: slices.Index(hostNames, seg.Owners[0]), request: Request{seg.Name, seg.OwnedSince, m.key, true}})
+					c.messages = append(c.messages,
+						message{kind: "request", gatherer: i, host: slices.Index(hostNames, seg.Owners[0]),
+							request: Request{seg.Name, seg.OwnedSince, m.key, true}})
 				})
 			}
 		}
@@ -186,7 +189,8 @@
 		do(func(c *modelState) {
 			drop(c, i)
 			if msg.kind == "request" {
-				c.messages = append(c.messages, message{kind: "response", gatherer: msg.gatherer, host: msg.host, ran: m.execute(c, msg)})
+				c.messages = append(c.messages,
+					message{kind: "response", gatherer: msg.gatherer, host: msg.host, ran: m.execute(c, msg)})
 				return
 			}
 			g := &c.gatherers[msg.gatherer]
@@ -215,7 +219,8 @@
 func ownedByMap(mp *Map, h int) (host Host) {
 	for _, s := range mp.Segments {
 		if slices.Contains(s.Owners, hostNames[h]) {
-			host.Acquire(OwnedSegment{Name: s.Name, Range: s.Range, OwnedSince: s.OwnedSince, Writer: s.Owners[0] == hostNames[h]})
+			host.Acquire(OwnedSegment{Name: s.Name, Range: s.Range, OwnedSince: s.OwnedSince,
+				Writer: s.Owners[0] == hostNames[h]})
 		}
 	}
 	return host
@@ -258,7 +263,8 @@
 	case Accept:
 		for _, seg := range m.change.Added {
 			h := slices.Index(hostNames, seg.Owners[0])
-			s.hosts[h].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince, Writer: true})
+			s.hosts[h].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince,
+				Writer: true})
 			if h == hostB {
 				s.copies[hostB] = s.copies[hostA]
 			}
@@ -312,7 +318,8 @@
 	m.raiseLogs(s, Change{Epoch: c.Epoch, Removed: names, Added: c.Added})
 	if s.reverted == 1 {
 		for _, seg := range c.Added {
-			s.hosts[hostA].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince, Writer: true})
+			s.hosts[hostA].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince,
+				Writer: true})
 		}
 	}
 	s.published = append(s.published, fmt.Sprint("undone", s.reverted))
@@ -345,7 +352,8 @@
 	if why == "move" {
 		m.change, err = first.MoveSegment("s", []string{"b"})
 	} else { // the right half goes to b
-		m.change, err = first.newChange("split", []string{"s"}, Segment{Name: "l", Range: Range{0, 1<<63 - 1}, Owners: []string{"a"}},
+		m.change, err = first.newChange("split", []string{"s"},
+			Segment{Name: "l", Range: Range{0, 1<<63 - 1}, Owners: []string{"a"}},
 			Segment{Name: "r", Range: Range{1 << 63, ^uint64(0)}, Owners: []string{"b"}})
 	}
 	if err != nil {
@@ -363,7 +371,8 @@
 	between, _ := first.Apply(undone[0])
 	back, _ := between.Apply(undone[1])
 	m.maps = map[string]*Map{"old": first, "new": next, "undone0": between, "undone1": back}
-	start := &modelState{handover: hand, published: []string{"old"}, logs: map[string]SegmentLog{"s": {Epoch: 1}}, grantedTo: map[string]int{}}
+	start := &modelState{handover: hand, published: []string{"old"}, logs: map[string]SegmentLog{"s": {Epoch: 1}},
+		grantedTo: map[string]int{}}
 	start.hosts[hostA] = ownedByMap(first, hostA)
 	queue := []*modelState{start}
 	m.seen[start.key()] = true
--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -52,7 +52,8 @@
 	var err error
 	switch rapid.IntRange(0, 3).Draw(t, "kind") {
 	case 0:
-		c, err = m.SplitSegment(s.Name, rapid.Uint64Range(s.Lo, s.Hi).Draw(t, "at"), fmt.Sprint("n", n, "a"), fmt.Sprint("n", n, "b"))
+		c, err = m.SplitSegment(s.Name, rapid.Uint64Range(s.Lo, s.Hi).Draw(t, "at"), fmt.Sprint("n", n, "a"),
+			fmt.Sprint("n", n, "b"))
 	case 1:
 		if i+1 == len(m.Segments) {
 			return c, false
@@ -140,7 +141,8 @@
 		var held []Piece
 		next := uint64(0)
 		hold := func(f NewPiece) {
-			h := Piece{ID: next, Request: f.Request, Range: f.Range, Weight: f.Weight, Attempted: f.Retry, DeferredAt: f.DeferredAt, OwnedSince: m.Epoch}
+			h := Piece{ID: next, Request: f.Request, Range: f.Range, Weight: f.Weight, Attempted: f.Retry,
+				DeferredAt: f.DeferredAt, OwnedSince: m.Epoch}
 			if next++; f.Segment >= 0 {
 				h.Segment, h.OwnedSince = m.Segments[f.Segment].Name, m.Segments[f.Segment].OwnedSince
 			}
@@ -272,7 +274,8 @@
 	if v, _ := f.ApplyChange(one); v != Applied {
 		t.Fatal(v)
 	}
-	if v, err := f.ApplyChange(other); v != Conflict || err == nil || f.ConflictEpoch != 2 || f.Map.Segments[0].Owners[0] != "b" {
+	if v, err := f.ApplyChange(other); v != Conflict || err == nil || f.ConflictEpoch != 2 ||
+		f.Map.Segments[0].Owners[0] != "b" {
 		t.Errorf("%v, %v, conflict %d", v, err, f.ConflictEpoch)
 	}
 	if v, _ := f.ApplyChange(one); v != Duplicate || f.ConflictEpoch == 0 {
@@ -288,14 +291,17 @@
 		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
 	}
 	// Invalid updates of a source that is otherwise right.
-	broken := &Map{Epoch: 9, Checksum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}}, {Name: "y", Range: Range{9, 20}}}}
-	if v, err := f.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") || f.Map.Epoch != 3 {
+	broken := &Map{Epoch: 9, Checksum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}},
+		{Name: "y", Range: Range{9, 20}}}}
+	if v, err := f.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") ||
+		f.Map.Epoch != 3 {
 		t.Errorf("%v, %v", v, err)
 	}
 	wrong := next
 	wrong.Epoch, wrong.PreviousChecksum = 4, later.Checksum
 	wrong.Removed = []string{"t"}
-	if v, err := f.ApplyChange(wrong); v != Invalid || f.ConflictEpoch != 0 || !strings.Contains(err.Error(), `"t", which is no segment`) {
+	if v, err := f.ApplyChange(wrong); v != Invalid || f.ConflictEpoch != 0 ||
+		!strings.Contains(err.Error(), `"t", which is no segment`) {
 		t.Errorf("%v, %v", v, err)
 	}
 }
@@ -309,15 +315,18 @@
 		call Request
 		want Admission
 	}{
-		{Request{"s", 3, Range{100, 200}, true}, Admitted}, {Request{"s", 3, Range{120, 130}, false}, Admitted}, {Request{"s", 2, Range{120, 130}, false}, NotOwner},
-		{Request{"s", 4, Range{120, 130}, false}, NotOwner}, {Request{"t", 3, Range{120, 130}, false}, NotOwner}, {Request{"s", 3, Range{99, 130}, false}, NotOwner},
+		{Request{"s", 3, Range{100, 200}, true}, Admitted}, {Request{"s", 3, Range{120, 130}, false},
+			Admitted}, {Request{"s", 2, Range{120, 130}, false}, NotOwner},
+		{Request{"s", 4, Range{120, 130}, false}, NotOwner}, {Request{"t", 3, Range{120, 130}, false},
+			NotOwner}, {Request{"s", 3, Range{99, 130}, false}, NotOwner},
 	} {
 		if got := h.Admit(c.call); got != c.want {
 			t.Errorf("%+v: %d", c.call, got)
 		}
 	}
 	h.Seal("s")
-	if h.Admit(Request{"s", 3, Range{100, 200}, true}) != NotOwner || h.Admit(Request{"s", 3, Range{100, 200}, false}) != Admitted {
+	if h.Admit(Request{"s", 3, Range{100, 200}, true}) != NotOwner ||
+		h.Admit(Request{"s", 3, Range{100, 200}, false}) != Admitted {
 		t.Error("a sealed segment admits idempotent requests alone")
 	}
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 5, Writer: false})
@@ -333,7 +342,8 @@
 		t.Errorf("owns %+v", h.Segments)
 	}
 	l := SegmentLog{Epoch: 3}
-	if !l.Append(3) || l.Append(2) || l.Append(4) || l.RaiseEpoch(2) || !l.RaiseEpoch(5) || l.Append(3) || !l.Append(5) {
+	if !l.Append(3) || l.Append(2) || l.Append(4) || l.RaiseEpoch(2) || !l.RaiseEpoch(5) || l.Append(3) ||
+		!l.Append(5) {
 		t.Errorf("%+v", l)
 	}
 	l.Sealed = true
@@ -346,7 +356,8 @@
 // not reused at once.
 func TestReplicaSetIndexReusesNumbersLast(t *testing.T) {
 	x := NewReplicaSetIndex(3)
-	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}}, {Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
+	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}},
+		{Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
 	if x.Update(m) {
 		t.Error("full")
 	}
@@ -374,7 +385,8 @@
 	}
 	holds := x.ByHost(m)
 	a1, w1 := x.ReplicaSets("b1")
-	if !slices.Contains(holds["g"], a1) || !slices.Contains(holds["g"], w1) || !slices.Contains(holds["h"], a1) || slices.Contains(holds["h"], w1) {
+	if !slices.Contains(holds["g"], a1) || !slices.Contains(holds["g"], w1) || !slices.Contains(holds["h"], a1) ||
+		slices.Contains(holds["h"], w1) {
 		t.Errorf("%v", holds)
 	}
 	if a, _ := x.ReplicaSets("b2"); a != x.NoOwner() {
@@ -388,7 +400,8 @@
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			var segments []Segment
 			for i := range n {
-				segments = append(segments, Segment{Name: fmt.Sprint("s", i), Range: ShardRange(i, n), Owners: []string{"h"}})
+				segments = append(segments, Segment{Name: fmt.Sprint("s", i), Range: ShardRange(i, n),
+					Owners: []string{"h"}})
 			}
 			m, _ := NewMap(1, segments)
 			var ranges []Range
