--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -146,8 +146,9 @@
 	})
 	t.Run("first pass", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d, conn := newFirstPassHarness(t, shard)
+		d := newFirstPassHarness(t, shard)
 		d.submit(t.Context(), "a", 2, keptWait)
+		conn := shard.Take()
 		wantSent(t, conn, "S-two-parts")
 		nothingMore(t, conn, "S-two-parts")
 	})
@@ -165,7 +166,7 @@
 }
 
 // newFirstPassHarness has queries go in two passes, to a server that answers first passes.
-func newFirstPassHarness(t *testing.T, shard *standin.Shard) (*harness, *standin.Conn) {
+func newFirstPassHarness(t *testing.T, shard *standin.Shard) *harness {
 	change := func(s *gather.Settings) {
 		keptRetrySettings(s)
 		s.Classes[0].LatencyObjective = 2000
@@ -176,13 +177,8 @@
 		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
 		p.SetAnswersFirstPass(7, true)
 	})
-	done := d.submit(t.Context(), "before", 1, keptWait) // the retry budget is known after a first round
-	conn := shard.Take()
-	conn.Read()
-	conn.Answer("before.0", "ok", "v")
-	<-done
-	<-d.results
-	return d, conn
+	d.picker.EndpointViews(t.Context()) // once it returns a round has run, and the retry budget is known
+	return d
 }
 
 // newOwnershipHarness has queries sent to the owners of their keys: shard 3 of 16 is a segment of the server.
@@ -265,8 +261,9 @@
 	}
 	t.Run("S-none", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d, conn := newFirstPassHarness(t, shard)
+		d := newFirstPassHarness(t, shard)
 		done := d.submit(t.Context(), "a", 1, keptWait)
+		conn := shard.Take()
 		wantSent(t, conn, "S-one-part")
 		conn.Conn.Write(keptFrames(t, "received", "S-none"))
 		if got, want := <-d.results, (result{"a.0~", gather.Succeeded, "none v1"}); got != want {
