--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -88,21 +88,21 @@
 
 // recordingReceiver records what the watcher hands over.
 type recordingReceiver struct {
-	mu     sync.Mutex
-	epochs []string
-	behind chan struct{}
-	told   chan bool
+	mu           sync.Mutex
+	epochs       []string
+	mapRequested chan struct{}
+	received     chan bool
 }
 
 func (p *recordingReceiver) add(text string) {
 	p.mu.Lock()
 	p.epochs = append(p.epochs, text)
 	p.mu.Unlock()
-	p.told <- true
+	p.received <- true
 }
 func (p *recordingReceiver) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
 func (p *recordingReceiver) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
-func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.behind }
+func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.mapRequested }
 
 // TestWatcherRequestsFullMapThenChanges watches an authority that fails first. The full map comes first, then
 // changes, and the full map again as soon as the receiver requests it, though a long poll waits.
@@ -113,12 +113,12 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	fails, asked := 2, 0
+	fails, requests := 2, 0
 	release := make(chan bool, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		asked++
-		n := asked
+		requests++
+		n := requests
 		mu.Unlock()
 		switch {
 		case n <= fails && n%2 == 1:
@@ -138,7 +138,7 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := &recordingReceiver{behind: make(chan struct{}, 1), told: make(chan bool, 100)}
+	p := &recordingReceiver{mapRequested: make(chan struct{}, 1), received: make(chan bool, 100)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
@@ -148,7 +148,7 @@
 	wait := func() {
 		t.Helper()
 		select {
-		case <-p.told:
+		case <-p.received:
 		case <-time.After(10 * time.Second):
 			t.Fatal("nothing more is handed over")
 		}
@@ -156,7 +156,7 @@
 	wait()
 	release <- true
 	wait()
-	p.behind <- struct{}{}
+	p.mapRequested <- struct{}{}
 	wait()
 	stop()
 	<-done
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -25,36 +25,36 @@
 // Faults of the agent, which the tests force: it hangs, truncates, is slow or is behind.
 
 // startWatcher runs a watcher of an agent until the test ends. Its lists arrive on the channel.
-func startWatcher(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
+func startWatcher(t *testing.T, handle http.HandlerFunc) (watcher *Watcher, lists chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told = make(chan gather.EndpointList, 1000)
-	f = New(Config{
+	lists = make(chan gather.EndpointList, 1000)
+	watcher = New(Config{
 		Address:  address(agent),
-		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { lists <- l },
 		Log:      log,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		stop()
 		<-ended
 		agent.CloseClientConnections()
 		agent.Close()
 	})
-	return f, told
+	return watcher, lists
 }
 
 // nextList is the next list, after any failures.
-func nextList(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
+func nextList(t *testing.T, lists chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
 		select {
-		case l := <-told:
+		case l := <-lists:
 			if !l.Failed {
 				return l
 			}
@@ -69,7 +69,7 @@
 func TestAgentSlowerThanTheHeaderTimeoutIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	slow := make(chan struct{})
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch calls.Add(1) {
 		case 1:
 			select {
@@ -84,7 +84,7 @@
 			<-r.Context().Done()
 		}
 	})
-	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("notified of %+v", l)
 	}
 }
@@ -95,7 +95,7 @@
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
 	text := strings.ReplaceAll(fullDocument, ",", ",\n  ") // indented as well
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			piece <- struct{}{}
 			<-r.Context().Done()
@@ -113,7 +113,7 @@
 			}
 		}
 	})
-	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("notified of %+v", l)
 	}
 }
@@ -134,7 +134,7 @@
 	})
 	<-enough
 	if n := most.Load(); n > 6 { // five, and the agent may notice a cancellation late
-		t.Errorf("%d calls open at once", n)
+		t.Errorf("%d requests in flight at once", n)
 	}
 }
 
@@ -152,7 +152,7 @@
 					continue // it is complete there, and its end says so
 				}
 				var calls atomic.Int32
-				_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+				_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 					if calls.Add(1) > 1 {
 						if r.URL.RawQuery != "" {
 							<-r.Context().Done()
@@ -172,10 +172,10 @@
 					}
 					c.Close()
 				})
-				if l := <-told; !l.Failed || len(l.Endpoints) > 0 {
+				if l := <-lists; !l.Failed || len(l.Endpoints) > 0 {
 					t.Errorf("%s, cut at %d, reset %v: notified of %+v", how, at, reset, l)
 				}
-				if l := nextList(t, told); len(l.Endpoints) != 2 {
+				if l := nextList(t, lists); len(l.Endpoints) != 2 {
 					t.Errorf("%s, cut at %d: then notified of %+v", how, at, l)
 				}
 			}
@@ -189,7 +189,7 @@
 	var calls atomic.Int32
 	silent := make(chan time.Time, 1)
 	drained := strings.Replace(strings.Replace(fullDocument, "in_service", "terminating", 1), "41", "42", 1)
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			io.WriteString(w, fullDocument)
@@ -202,9 +202,9 @@
 			<-r.Context().Done()
 		}
 	})
-	nextList(t, told)
+	nextList(t, lists)
 	from := <-silent
-	l := nextList(t, told)
+	l := nextList(t, lists)
 	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
 		t.Errorf("notified of %+v after %v", l, time.Since(from))
 	}
@@ -213,7 +213,7 @@
 // TestStalledWatchFallsBackToTheFullList has an agent stop in the middle of a watch's answer.
 func TestStalledWatchFallsBackToTheFullList(t *testing.T) {
 	var calls atomic.Int32
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 2 {
 			io.WriteString(w, changeDocument[:len(changeDocument)/2])
 			w.(http.Flusher).Flush()
@@ -226,8 +226,8 @@
 		}
 		io.WriteString(w, fullDocument)
 	})
-	nextList(t, told)
-	if l := nextList(t, told); !l.Full {
+	nextList(t, lists)
+	if l := nextList(t, lists); !l.Full {
 		t.Errorf("notified of %+v", l)
 	}
 }
@@ -236,7 +236,7 @@
 // requested instead.
 func TestChangeOfAnOlderRevisionIsDiscarded(t *testing.T) {
 	var calls atomic.Int32
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 2:
 			io.WriteString(w, strings.Replace(changeDocument, "43", "40", 1))
@@ -246,11 +246,11 @@
 			<-r.Context().Done()
 		}
 	})
-	nextList(t, told)
-	if l := <-told; !l.Failed {
+	nextList(t, lists)
+	if l := <-lists; !l.Failed {
 		t.Errorf("notified of %+v", l)
 	}
-	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
+	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
 		t.Errorf("then notified of %+v", l)
 	}
 }
@@ -266,16 +266,16 @@
 	l.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told := make(chan gather.EndpointList, 1000)
+	lists := make(chan gather.EndpointList, 1000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go New(Config{
 		Address:  address,
-		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { lists <- l },
 		Log:      log,
 	}).Run(ctx)
 	for range 5 {
-		if l := <-told; !l.Failed {
+		if l := <-lists; !l.Failed {
 			t.Errorf("notified of %+v", l)
 		}
 	}
@@ -296,8 +296,8 @@
 	})}
 	defer agent.Close()
 	go agent.Serve(l)
-	if l := nextList(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
-		t.Errorf("notified of %+v after %d calls", l, calls.Load())
+	if l := nextList(t, lists); len(l.Endpoints) != 2 || calls.Load() <= 20 {
+		t.Errorf("notified of %+v after %d requests", l, calls.Load())
 	}
 }
 
@@ -307,7 +307,7 @@
 	var calls atomic.Int32
 	open := make(chan struct{})
 	drained := strings.Replace(fullDocument, "in_service", "terminating", 1)
-	f, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	watcher, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); n {
 		case 1:
 			io.WriteString(w, drained)
@@ -320,7 +320,7 @@
 			<-r.Context().Done()
 		}
 	})
-	nextList(t, told)
+	nextList(t, lists)
 	<-open
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -331,71 +331,73 @@
 	}))
 	defer second.Close()
 	defer second.CloseClientConnections()
-	f.SetAddress(address(second))
-	if l := nextList(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
+	watcher.SetAddress(address(second))
+	if l := nextList(t, lists); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("notified of %+v", l)
 	}
 }
 
 // TestOlderListRevertsNoDrainAndNoRemoval applies sequences of responses on one server.
 func TestOlderListRevertsNoDrainAndNoRemoval(t *testing.T) {
-	at := func(revision int, whole bool, phase string, up int) string {
+	at := func(revision int, full bool, phase string, up int) string {
 		member := ""
 		if phase != "" {
 			member = fmt.Sprintf(`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":%d}`,
 				phase, up)
 		}
-		return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, whole, member)
+		return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, full, member)
 	}
-	const run, drain, gone = "in_service", "terminating", "terminated"
+	const run, drain, removed = "in_service", "terminating", "terminated"
 	for _, c := range []struct {
-		name  string
-		words []string
-		want  []gather.State // after each; Removed where it is not listed
+		name      string
+		responses []string
+		want      []gather.State // after each; Removed where it is not listed
 	}{
-		{"a drain, then an older whole list",
+		{"a drain, then an older full list",
 			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
-		{"an end, then an older whole list", []string{at(5, true, run, 9), at(6, false, gone, 9),
+		{"a removal, then an older full list", []string{at(5, true, run, 9), at(6, false, removed, 9),
 			at(5, true, run, 9)}, []gather.State{0, 2, 2}},
-		{"an end that names no start", []string{at(5, true, run, 9), at(6, false, gone, 0), at(5, true, run, 9)},
+		{"a removal that names no start", []string{at(5, true, run, 9), at(6, false, removed, 0),
+			at(5, true, run, 9)},
 			[]gather.State{0, 2, 2}},
-		{"a later process", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 10)},
+		{"a later process", []string{at(5, true, run, 9), at(6, false, removed, 9), at(5, true, run, 10)},
 			[]gather.State{0, 2, 0}},
 		{"an older list of the process before",
 			[]string{at(5, true, drain, 9), at(6, false, run, 10), at(5, true, drain, 9)}, []gather.State{1, 0, 0}},
-		{"a drain taken back by a change", []string{at(5, true, run, 9), at(6, false, drain, 9),
+		{"a drain reverted by a change", []string{at(5, true, run, 9), at(6, false, drain, 9),
 			at(7, false, run, 9)}, []gather.State{0, 1, 0}},
-		{"a drain taken back by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)},
+		{"a drain reverted by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)},
 			[]gather.State{1, 0}},
 		{"a list that lacks it, then one that has it",
 			[]string{at(5, true, run, 9), at(6, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 2, 0}},
 		{"a drain, a list that lacks it, an older one",
 			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(7, true, "", 0),
 				at(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
-		{"an agent that begins anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9),
+		{"an agent that starts anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9),
 			at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
-		f := New(Config{
+		watcher := New(Config{
 			Address:  "127.0.0.1:1",
 			OnChange: func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a },
 		})
-		for i, text := range c.words {
+		for i, text := range c.responses {
 			r, err := ParseResponse([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Apply(r)
-			state, told := gather.Removed, gather.Removed
+			watcher.Apply(r)
+			state, listed := gather.Removed, gather.Removed
 			for _, a := range all {
 				state = a.State
 			}
 			for _, s := range list.Endpoints {
-				told = s.State
+				listed = s.State
 			}
-			if state != c.want[i] || told != c.want[i] {
-				t.Errorf("%s: after response %d it is %v, notified as %v, want %v", c.name, i, state, told, c.want[i])
+			if state != c.want[i] || listed != c.want[i] {
+				t.Errorf("%s: after response %d it is %v, notified as %v, want %v", c.name, i, state, listed,
+					c.want[i])
 			}
 		}
 	}
@@ -403,7 +405,7 @@
 
 // TestRemovedNamesAreBounded removes more servers than are remembered as removed.
 func TestRemovedNamesAreBounded(t *testing.T) {
-	f := New(Config{
+	watcher := New(Config{
 		Address:  "127.0.0.1:1",
 		OnChange: func(gather.EndpointList, []shardcall.Address) {},
 	})
@@ -413,11 +415,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(r)
+		watcher.Apply(r)
 	}
-	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames ||
-		!slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
-		t.Errorf("%d observations, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
+	if len(watcher.endpoints.observations) > maxRemovedNames ||
+		len(watcher.endpoints.removedNames) > maxRemovedNames ||
+		!slices.Contains(watcher.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
+		t.Errorf("%d observations, %d names", len(watcher.endpoints.observations),
+			len(watcher.endpoints.removedNames))
 	}
 }
 
@@ -426,18 +430,18 @@
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(agent),
 		OnChange: func(gather.EndpointList, []shardcall.Address) {},
 		Log:      log,
 	})
-	f.config.SharedService = true
+	watcher.config.SharedService = true
 	known, err := ParseResponse([]byte(fullDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Apply(known)
-	return f
+	watcher.Apply(known)
+	return watcher
 }
 
 // TestSharedServiceIsPolledOneRequestAtATimeWithBackoff has a shared service refuse requests for a while. Requests
@@ -464,10 +468,10 @@
 		<-r.Context().Done()
 	}))
 	defer agent.Close()
-	f := newSharedWatcher(t, agent)
+	watcher := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	for end := time.Now().Add(20 * time.Second); len(calls) <= refusals && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -476,33 +480,34 @@
 	var before time.Time
 	for n := range refusals + 1 {
 		c := <-calls
-		if want := "index=" + strconv.FormatInt(f.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query, want) {
-			t.Errorf("call %d asks for %q, not from %q on", n, c.query, want)
+		if want := "index=" + strconv.FormatInt(watcher.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query,
+			want) {
+			t.Errorf("request %d is %q, not from %q on", n, c.query, want)
 		}
 		if least := time.Duration(backoff.Pause(n, 0)) * time.Millisecond; n > 0 && c.at.Sub(before) < least {
-			t.Errorf("call %d comes %s after the one before, at least %s are due", n, c.at.Sub(before), least)
+			t.Errorf("request %d follows after %s, at least %s are due", n, c.at.Sub(before), least)
 		}
 		before = c.at
 	}
 	if most.Load() != 1 {
-		t.Errorf("%d calls were out at once", most.Load())
+		t.Errorf("%d requests were in flight at once", most.Load())
 	}
 }
 
 // TestStaleSharedServiceIsAskedForItsFullList has a shared service be behind the known revision.
 func TestStaleSharedServiceIsAskedForItsFullList(t *testing.T) {
-	asked := make(chan string, 100)
+	queries := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		io.WriteString(w, `{"revision":0,"complete":false,"members":[]}`)
 	}))
 	defer agent.Close()
-	f := newSharedWatcher(t, agent)
+	watcher := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go f.Run(ctx)
-	if first, second := <-asked, <-asked; first == "" || second != "" {
-		t.Errorf("asked for %q, then for %q", first, second)
+	go watcher.Run(ctx)
+	if first, second := <-queries, <-queries; first == "" || second != "" {
+		t.Errorf("requested %q, then %q", first, second)
 	}
 }
 
@@ -528,14 +533,14 @@
 	if len(text) <= 4<<20 {
 		t.Errorf("a list of %d bytes shows nothing", len(text))
 	}
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
 		io.WriteString(w, text)
 	})
-	if l := nextList(t, told); len(l.Endpoints) != servers {
+	if l := nextList(t, lists); len(l.Endpoints) != servers {
 		t.Errorf("%d servers are listed", len(l.Endpoints))
 	}
 }
@@ -563,21 +568,21 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	said := logtest.NewLocal(log)
-	told := make(chan []shardcall.Address, 100)
+	lists := make(chan []shardcall.Address, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(agent),
-		OnChange: func(_ gather.EndpointList, all []shardcall.Address) { told <- all },
+		OnChange: func(_ gather.EndpointList, all []shardcall.Address) { lists <- all },
 		Log:      log,
 	})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	<-again
 	stop()
 	agent.CloseClientConnections()
 	<-ended
-	for range len(told) {
-		if all := <-told; len(all) != 2 {
+	for range len(lists) {
+		if all := <-lists; len(all) != 2 {
 			t.Errorf("%d servers are held", len(all))
 		}
 	}
@@ -603,7 +608,7 @@
 		t.Fatal("they are not alike")
 	}
 	held := map[string]uint32{}
-	f := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
+	watcher := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
 		clear(held)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
@@ -625,7 +630,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(r)
+		watcher.Apply(r)
 		numbers := map[uint32]bool{}
 		for _, id := range held {
 			numbers[id] = true
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -60,9 +60,9 @@
 			t.Errorf("%s is %#x, want %#x", name, got, want)
 		}
 	}
-	f := New(Config{Address: "127.0.0.1:1"})
-	if a, b, c := f.endpoints.assignID("s-00000005"), f.endpoints.assignID("t-00000005"), f.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
-		t.Errorf("numbers %d, %d, %d", a, b, c)
+	watcher := New(Config{Address: "127.0.0.1:1"})
+	if a, b, c := watcher.endpoints.assignID("s-00000005"), watcher.endpoints.assignID("t-00000005"), watcher.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
+		t.Errorf("IDs %d, %d, %d", a, b, c)
 	}
 }
 
@@ -85,7 +85,7 @@
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		want := replies[step]
 		if r.URL.Path != "/api/targets" || r.URL.RawQuery != want.query {
-			t.Errorf("call %d asks for %v, want %q", step, r.URL, want.query)
+			t.Errorf("request %d is for %v, want %q", step, r.URL, want.query)
 		}
 		if want.status == 0 {
 			stop()
@@ -98,29 +98,29 @@
 	defer agent.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	type news struct {
+	type notification struct {
 		list gather.EndpointList
 		all  []shardcall.Address
 	}
-	var told []news
-	f := New(Config{Address: address(agent), OnChange: func(l gather.EndpointList, all []shardcall.Address) {
-		told = append(told, news{l, all})
+	var got []notification
+	watcher := New(Config{Address: address(agent), OnChange: func(l gather.EndpointList, all []shardcall.Address) {
+		got = append(got, notification{l, all})
 	}, Log: log})
-	f.Run(ctx)
+	watcher.Run(ctx)
 	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
 	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7},
 		{ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
 	left := both[1:]
-	want := []news{
+	want := []notification{
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 		{gather.EndpointList{Endpoints: []gather.Endpoint{{ID: first.ID, State: gather.Removed}}}, left},
 		{gather.EndpointList{Failed: true}, left},
 		{gather.EndpointList{Failed: true}, left},
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 	}
-	if !reflect.DeepEqual(told, want) {
-		t.Errorf("notified of %+v\nwant %+v", told, want)
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("notified of %+v\nwant %+v", got, want)
 	}
 }
 
@@ -143,7 +143,7 @@
 		agent.Close()
 		stop()
 		if calls < 2 || calls > 15 {
-			t.Errorf("%d calls in half a second", calls)
+			t.Errorf("%d requests in half a second", calls)
 		}
 	}
 }
@@ -161,15 +161,15 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := make(chan bool, 10)
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(agent),
 		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed },
 		Log:      log,
 	})
-	go f.Run(ctx)
+	go watcher.Run(ctx)
 	<-calls
 	if !<-failed {
-		t.Error("told a list")
+		t.Error("notified of a list")
 	}
 	<-calls
 }
@@ -199,15 +199,15 @@
 		}))
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		told := make(chan gather.EndpointList, 100)
-		f := New(Config{
+		got := make(chan gather.EndpointList, 100)
+		watcher := New(Config{
 			Address:  address(agent),
-			OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+			OnChange: func(l gather.EndpointList, _ []shardcall.Address) { got <- l },
 			Log:      log,
 		})
-		go f.Run(ctx)
-		if l := <-told; l.Failed || !l.Full || len(l.Endpoints) != 2 {
-			t.Errorf("call %d answered: told %+v first", answered, l)
+		go watcher.Run(ctx)
+		if l := <-got; l.Failed || !l.Full || len(l.Endpoints) != 2 {
+			t.Errorf("call %d answered: got %+v first", answered, l)
 		}
 		stop()
 		agent.Close()
@@ -215,12 +215,12 @@
 }
 
 // TestSetAddressCancelsTheWatchAndRequestsTheFullList moves a watch to another agent. Revisions do not compare across
-// agents, so that the new one is asked for its full list first.
+// agents, so that the new one is requests for its full list first.
 func TestSetAddressCancelsTheWatchAndRequestsTheFullList(t *testing.T) {
-	asked := make(chan string, 10)
+	requests := make(chan string, 10)
 	agent := func(name string) *httptest.Server {
 		a := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name + r.URL.RawQuery
+			requests <- name + r.URL.RawQuery
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 				return
@@ -234,27 +234,27 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := false
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(old),
 		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed },
 		Log:      log,
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	for i, want := range []string{"old?", "old?index=41&wait=2000", "new?", "new?index=41&wait=2000"} {
 		if i == 2 {
-			f.SetAddress(address(next))
+			watcher.SetAddress(address(next))
 		}
-		if got := <-asked; got != want {
-			t.Errorf("call %d is %s, want %s", i, got, want)
+		if got := <-requests; got != want {
+			t.Errorf("request %d is %s, want %s", i, got, want)
 		}
 	}
-	f.SetAddress(address(next)) // the same address: the watch goes on
+	watcher.SetAddress(address(next)) // the same address: the watch goes on
 	stop()
 	<-ended
-	if failed || len(asked) > 0 {
-		t.Errorf("failed %v, %d calls more", failed, len(asked))
+	if failed || len(requests) > 0 {
+		t.Errorf("failed %v, %d more requests", failed, len(requests))
 	}
 }
 
@@ -262,7 +262,7 @@
 // it. Nothing of the removed ones is kept.
 func TestRemovedEndpointsAreNotKept(t *testing.T) {
 	all := 0
-	f := New(Config{
+	watcher := New(Config{
 		Address:  "127.0.0.1:1",
 		OnChange: func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) },
 	})
@@ -272,11 +272,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(r)
-		if all != 1 || len(f.endpoints.idByName) != 1 || len(f.endpoints.nameByID) != 1 ||
-			len(f.endpoints.addresses) != 1 || len(f.endpoints.order) != 1 {
-			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all,
-				len(f.endpoints.idByName), len(f.endpoints.nameByID), len(f.endpoints.addresses), len(f.endpoints.order))
+		watcher.Apply(r)
+		if all != 1 || len(watcher.endpoints.idByName) != 1 || len(watcher.endpoints.nameByID) != 1 ||
+			len(watcher.endpoints.addresses) != 1 || len(watcher.endpoints.order) != 1 {
+			t.Fatalf("after %d: %d listed, %d names, %d IDs, %d addresses, %d in order", i, all,
+				len(watcher.endpoints.idByName), len(watcher.endpoints.nameByID), len(watcher.endpoints.addresses), len(watcher.endpoints.order))
 		}
 	}
 }
