--- a/internal/control/policylease/revisionfile.go
+++ b/internal/control/policylease/revisionfile.go
@@ -8,7 +8,7 @@
 	"os"
 	"path/filepath"
 
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/atomicfile"
 	"yokeroute/logic/policy"
 )
 
@@ -69,5 +69,5 @@
 	if err != nil {
 		return err
 	}
-	return statedir.WriteFileAtomic(filepath.Join(folder, revisionFile), text)
+	return atomicfile.Write(filepath.Join(folder, revisionFile), text)
 }
--- a/internal/control/rollout/commandstep.go
+++ b/internal/control/rollout/commandstep.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"yokeroute/internal/process"
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/atomicfile"
 	"yokeroute/logic/rollout"
 )
 
@@ -130,7 +130,7 @@
 	if err := os.MkdirAll(filepath.Dir(file), 0o755); err != nil {
 		return err
 	}
-	return statedir.WriteFileAtomic(file, fmt.Appendf(nil, "%d %s\n", pid, startTicks))
+	return atomicfile.Write(file, fmt.Appendf(nil, "%d %s\n", pid, startTicks))
 }
 
 // readProcessFile reads what writeProcessFile wrote; ok is false where there is nothing to read.
--- a/internal/control/rollout/processstep.go
+++ b/internal/control/rollout/processstep.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"yokeroute/internal/process"
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/atomicfile"
 	"yokeroute/logic/rollout"
 )
 
@@ -58,7 +58,7 @@
 		if err != nil {
 			return err
 		}
-		if err := statedir.WriteFileAtomic(file.to, text); err != nil {
+		if err := atomicfile.Write(file.to, text); err != nil {
 			return err
 		}
 	}
--- a/internal/storage/statedir/file.go
+++ b/internal/storage/atomicfile/atomicfile.go
@@ -1,4 +1,5 @@
-package statedir
+// Package atomicfile replaces files at once.
+package atomicfile
 
 import (
 	"errors"
@@ -6,9 +7,12 @@
 	"path/filepath"
 )
 
-// WriteFileAtomic replaces a file, so that readers, also those after a crash, find its old content or its new one.
-func WriteFileAtomic(name string, content []byte) error {
-	file, err := os.CreateTemp(filepath.Dir(name), temporaryPrefix+"*")
+// temporaryPattern is the name of a file that is being written.
+const temporaryPattern = ".writing-*"
+
+// Write replaces a file, so that readers, also those after a crash, find its old content or its new one.
+func Write(name string, content []byte) error {
+	file, err := os.CreateTemp(filepath.Dir(name), temporaryPattern)
 	if err != nil {
 		return err
 	}
--- a/internal/storage/statedir/journal.go
+++ b/internal/storage/journal/journal.go
@@ -1,9 +1,8 @@
-// Package statedir keeps what must outlast a process, on a disk that does: a journal of records with checksums, which
-// a snapshot replaces now and then, and on it a gatherer's state and its handover to the next process.
+// Package journal keeps records in a folder: a journal of them with checksums, which a snapshot replaces now and then.
 //
-// A record is there after a crash once Append has returned. What a crash left incomplete, at any byte, is cut off,
-// and is told apart from damage. The time to recover is bounded by a snapshot and one journal.
-package statedir
+// A record is there after a crash once Append has returned. What a crash left incomplete, at any byte, is cut off, and is
+// told apart from damage. The time to recover is bounded by a snapshot and one journal.
+package journal
 
 import (
 	"errors"
@@ -32,7 +31,15 @@
 	sync       func(*os.File) error
 }
 
-// Recovery is what was found in a folder.
+// Config is what a Journal needs.
+type Config struct {
+	Folder   string                    // created where it is missing
+	MaxBytes int64                     // of the journal; beyond it a snapshot is due
+	Load     func(record []byte) error // takes the records that are found, the oldest first; an error ends Open
+	Sync     func(*os.File) error      // writes a file through to the disk, (*os.File).Sync if nil
+}
+
+// Recovery is what Open found.
 type Recovery struct {
 	Records   int   // handed to load
 	BytesRead int64 // of the files
@@ -41,20 +48,22 @@
 	Empty     bool  // there was nothing
 }
 
-// OpenJournal opens a folder, or creates it, and hands its records to load, the oldest first. An error of load ends
-// it. Once the journal is larger than maxBytes, a snapshot is due.
-func OpenJournal(folder string, maxBytes int64, load func(record []byte) error) (*Journal, Recovery, error) {
+// Open opens a folder and hands its records to config.Load.
+func Open(config Config) (*Journal, Recovery, error) {
 	var found Recovery
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+	if err := os.MkdirAll(config.Folder, 0o755); err != nil {
 		return nil, found, err
 	}
-	generations, err := listGenerations(folder)
+	generations, err := listGenerations(config.Folder)
 	if err != nil {
 		return nil, found, err
 	}
 	found.Empty = len(generations) == 0
-	j := &Journal{folder: folder, maxBytes: maxBytes, sync: (*os.File).Sync}
-	if err := j.loadSnapshot(generations, load, &found); err != nil {
+	j := &Journal{folder: config.Folder, maxBytes: config.MaxBytes, sync: config.Sync}
+	if j.sync == nil {
+		j.sync = (*os.File).Sync
+	}
+	if err := j.loadSnapshot(generations, config.Load, &found); err != nil {
 		return nil, found, err
 	}
 	if j.generation == 0 { // nothing is readable: go on behind all that is there
@@ -63,7 +72,7 @@
 		}
 		return j, found, j.writeSnapshot(func(func([]byte) error) error { return nil })
 	}
-	if err := j.replay(load, &found); err != nil {
+	if err := j.replay(config.Load, &found); err != nil {
 		return nil, found, err
 	}
 	j.removeOldFiles()
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -1,4 +1,4 @@
-package statedir
+package journal
 
 import (
 	"bytes"
@@ -9,15 +9,16 @@
 	"path/filepath"
 	"slices"
 	"testing"
-
-	"yokeroute/internal/pcg"
 )
 
 // openJournal opens a folder and returns its records.
 func openJournal(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
 	t.Helper()
 	var got []string
-	j, r, err := OpenJournal(dir, most, func(rec []byte) error { got = append(got, string(rec)); return nil })
+	j, r, err := Open(Config{Folder: dir, MaxBytes: most, Load: func(rec []byte) error {
+		got = append(got, string(rec))
+		return nil
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -250,13 +251,13 @@
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
-	if _, _, err := OpenJournal(file, 100, nil); err == nil {
+	if _, _, err := Open(Config{Folder: file, MaxBytes: 100}); err == nil {
 		t.Error("a file is taken for a folder")
 	}
 }
 
-// FuzzOpenJournal reads arbitrary bytes in a journal behind a valid snapshot.
-func FuzzOpenJournal(f *testing.F) {
+// FuzzOpen reads arbitrary bytes in a journal behind a valid snapshot.
+func FuzzOpen(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, 1, 0, []byte("a")), 1, 13, []byte("bc")))
 	f.Add([]byte{255, 255, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -308,62 +309,3 @@
 		}
 	})
 }
-
-// BenchmarkOpenGathererState opens a folder, by the number of claims in it, and reports its size.
-func BenchmarkOpenGathererState(b *testing.B) {
-	for _, claims := range []int{1000, 10_000, 100_000} {
-		b.Run(fmt.Sprint(claims), func(b *testing.B) {
-			dir := b.TempDir()
-			g, _, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
-			if err != nil {
-				b.Fatal(err)
-			}
-			g.journal.sync = func(*os.File) error { return nil }
-			chance := pcg.New(1)
-			for i := range claims {
-				name := fmt.Sprintf("%08x%08x", chance.Uint32(), chance.Uint32())
-				if err := g.RecordSent([]string{name}, 1_000_000+float64(i)/1000); err != nil {
-					b.Fatal(err)
-				}
-			}
-			g.Close()
-			size := int64(0)
-			entries, _ := os.ReadDir(dir)
-			for _, e := range entries {
-				info, _ := e.Info()
-				size += info.Size()
-			}
-			b.ResetTimer()
-			for range b.N {
-				g, r, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
-				if err != nil || r.Claims != claims {
-					b.Fatal(r, err)
-				}
-				g.Close()
-			}
-			b.ReportMetric(float64(size)/float64(claims), "B/claim")
-		})
-	}
-}
-
-// BenchmarkRecordSent records queries, with the disk's sync.
-func BenchmarkRecordSent(b *testing.B) {
-	for _, together := range []int{1, 16} {
-		b.Run(fmt.Sprint(together), func(b *testing.B) {
-			g, _, err := OpenGathererState(b.TempDir(), 4<<20, 600_000, 0)
-			if err != nil {
-				b.Fatal(err)
-			}
-			for i := range b.N {
-				var names []string
-				for k := range together {
-					names = append(names, fmt.Sprint(i, "-", k))
-				}
-				if err := g.RecordSent(names, float64(i)); err != nil {
-					b.Fatal(err)
-				}
-			}
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*together), "us/lookup")
-		})
-	}
-}
--- a/internal/storage/statedir/record.go
+++ b/internal/storage/journal/record.go
@@ -1,4 +1,4 @@
-package statedir
+package journal
 
 import (
 	"encoding/binary"
--- a/internal/storage/statedir/recovery.go
+++ b/internal/storage/journal/recovery.go
@@ -1,4 +1,4 @@
-package statedir
+package journal
 
 import (
 	"bufio"
@@ -95,9 +95,9 @@
 	return false
 }
 
-// ReadJournal hands the readable records of a folder to visit, the oldest first, and changes nothing: another process
+// Read hands the readable records of a folder to visit, the oldest first, and changes nothing: another process
 // may be writing it.
-func ReadJournal(folder string, visit func(record []byte) error) error {
+func Read(folder string, visit func(record []byte) error) error {
 	generations, err := listGenerations(folder)
 	if err != nil {
 		return err
--- a/internal/storage/runfolder/runfolder.go
+++ b/internal/storage/runfolder/runfolder.go
@@ -18,7 +18,8 @@
 
 	"golang.org/x/sys/unix"
 
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/atomicfile"
+	"yokeroute/internal/storage/journal"
 )
 
 // Names of files and folders.
@@ -47,7 +48,7 @@
 
 	path    string
 	lock    *os.File // nil where the folder was taken over without it
-	journal *statedir.Journal
+	journal *journal.Journal
 }
 
 // Open takes the folder's lock and the next fencing token. With force it goes on without the lock where another
@@ -90,7 +91,7 @@
 		return err
 	}
 	f.FencingToken = previous + 1
-	return statedir.WriteFileAtomic(f.file(tokenFile), fmt.Appendf(nil, "%d\n", f.FencingToken))
+	return atomicfile.Write(f.file(tokenFile), fmt.Appendf(nil, "%d\n", f.FencingToken))
 }
 
 func (f *Folder) file(name string) string { return filepath.Join(f.path, name) }
@@ -139,8 +140,11 @@
 			return err
 		}
 	}
-	f.journal, _, err = statedir.OpenJournal(journalFolder(f.path, f.FencingToken), maxJournalBytes,
-		func([]byte) error { return nil })
+	f.journal, _, err = journal.Open(journal.Config{
+		Folder:   journalFolder(f.path, f.FencingToken),
+		MaxBytes: maxJournalBytes,
+		Load:     func([]byte) error { return nil },
+	})
 	if err != nil {
 		return err
 	}
@@ -161,14 +165,18 @@
 		if _, err := os.Stat(folder); err != nil {
 			continue // that process was killed before it had written anything
 		}
-		journal, found, err := statedir.OpenJournal(folder, maxJournalBytes, func(record []byte) error {
-			records = append(records, record)
-			return nil
+		previous, found, err := journal.Open(journal.Config{
+			Folder:   folder,
+			MaxBytes: maxJournalBytes,
+			Load: func(record []byte) error {
+				records = append(records, record)
+				return nil
+			},
 		})
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", folder, err)
 		}
-		_ = journal.Close() // all of it is read
+		_ = previous.Close() // all of it is read
 		if found.Damaged {
 			return nil, fmt.Errorf("%s: %w", folder, ErrRecordsLost)
 		}
@@ -189,7 +197,7 @@
 	if err := f.CheckSuperseded(); err != nil {
 		return err
 	}
-	return statedir.WriteFileAtomic(f.file(name), content)
+	return atomicfile.Write(f.file(name), content)
 }
 
 // AppendLine appends a line to a file for readers.
@@ -217,7 +225,7 @@
 	if _, err := os.Stat(filepath.Join(path, tokenFile)); err != nil {
 		return err
 	}
-	return statedir.WriteFileAtomic(filepath.Join(path, commandFile), fmt.Appendf(nil, "%s %d", command, stamp))
+	return atomicfile.Write(filepath.Join(path, commandFile), fmt.Appendf(nil, "%s %d", command, stamp))
 }
 
 // Close closes the journal and releases the lock.
@@ -240,7 +248,7 @@
 		if _, err := os.Stat(journalFolder(path, token)); err != nil {
 			continue
 		}
-		err := statedir.ReadJournal(journalFolder(path, token), func(record []byte) error {
+		err := journal.Read(journalFolder(path, token), func(record []byte) error {
 			n++
 			return visit(record)
 		})
--- a/internal/storage/statedir/gathererstate.go
+++ b/internal/storage/statedir/gathererstate.go
@@ -1,3 +1,5 @@
+// Package statedir keeps what a gatherer must know after a restart, in a directory on a disk that lasts: which
+// non-idempotent queries may have run, the newest segment map, and which servers drain.
 package statedir
 
 import (
@@ -7,14 +9,15 @@
 	"slices"
 	"time"
 
+	"yokeroute/internal/storage/journal"
 	"yokeroute/logic/ownership"
 )
 
 // GathererState is what a gatherer must know after a crash: the newest segment map, and the IDs of the non-idempotent
 // queries that may have run, for as long as their clients may repeat them.
 type GathererState struct {
-	journal      *Journal // nil without a folder
-	retention    float64  // of IDs, in milliseconds
+	journal      *journal.Journal // nil without a folder
+	retention    float64          // of IDs, in milliseconds
 	sentAt       map[string]float64
 	claims       []claim // with those of which nothing has run, the oldest first
 	segmentMap   *ownership.Map
@@ -29,7 +32,7 @@
 
 // RecoveredState is what was found in a folder.
 type RecoveredState struct {
-	Recovery
+	journal.Recovery
 	Claims   int // queries that may have run
 	Epoch    uint64
 	Duration time.Duration
@@ -53,7 +56,11 @@
 	}
 	startedAt := time.Now()
 	var err error
-	g.journal, found.Recovery, err = OpenJournal(folder, maxJournalBytes, g.load)
+	g.journal, found.Recovery, err = journal.Open(journal.Config{
+		Folder:   folder,
+		MaxBytes: maxJournalBytes,
+		Load:     g.load,
+	})
 	if err != nil {
 		return nil, found, fmt.Errorf("state in %s: %w", folder, err)
 	}
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -3,8 +3,11 @@
 import (
 	"fmt"
 	"os"
+	"path/filepath"
 	"testing"
 
+	"yokeroute/internal/pcg"
+	"yokeroute/internal/storage/journal"
 	"yokeroute/logic/ownership"
 )
 
@@ -86,7 +89,7 @@
 		d.RecordSent([]string{fmt.Sprint(i)}, 0)
 	}
 	d.Close()
-	path := singleFile(t, dir, journalPrefix)
+	path := singleFile(t, dir, "journal-")
 	text, _ := os.ReadFile(path)
 	text[40] ^= 1
 	os.WriteFile(path, text, 0o600)
@@ -98,7 +101,7 @@
 // TestJournalOfAnotherProgramIsRefused opens a folder of another program, which must not be taken for an empty one.
 func TestJournalOfAnotherProgramIsRefused(t *testing.T) {
 	dir := t.TempDir()
-	j, _, err := OpenJournal(dir, 100, nil)
+	j, _, err := journal.Open(journal.Config{Folder: dir, MaxBytes: 100})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,11 +115,12 @@
 // TestClaimThatWasNotWrittenIsUnknown has the disk refuse a claim. It must not count as stored when it is recorded
 // again.
 func TestClaimThatWasNotWrittenIsUnknown(t *testing.T) {
-	g, _ := openState(t, t.TempDir(), 0)
+	dir := t.TempDir()
+	g, _ := openState(t, dir, 0)
 	if err := g.RecordSent([]string{"a"}, 1); err != nil {
 		t.Fatal(err)
 	}
-	g.journal.sync = func(*os.File) error { return os.ErrPermission }
+	withSync(t, g, dir, func(*os.File) error { return os.ErrPermission })
 	for i := range 3 {
 		if err := g.RecordSent([]string{"a", "b"}, float64(2+i)); err == nil {
 			t.Error("a name that is not on the disk counts as written")
@@ -126,3 +130,97 @@
 		t.Error("b never went, a may have")
 	}
 }
+
+func copyDir(t testing.TB, from string) string {
+	t.Helper()
+	to := t.TempDir()
+	if err := os.CopyFS(to, os.DirFS(from)); err != nil {
+		t.Fatal(err)
+	}
+	return to
+}
+
+// singleFile returns the one file of a folder with a prefix.
+func singleFile(t testing.TB, dir, prefix string) string {
+	t.Helper()
+	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
+	if len(names) != 1 {
+		t.Fatalf("%d files %s in %s", len(names), prefix, dir)
+	}
+	return names[0]
+}
+
+// withSync replaces the journal of a state by one of the same folder whose files are synced otherwise.
+func withSync(t testing.TB, g *GathererState, folder string, sync func(*os.File) error) {
+	t.Helper()
+	g.journal.Close()
+	var err error
+	g.journal, _, err = journal.Open(journal.Config{
+		Folder:   folder,
+		MaxBytes: 4 << 20,
+		Load:     func([]byte) error { return nil },
+		Sync:     sync,
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+}
+
+// BenchmarkOpenGathererState opens a folder, by the number of claims in it, and reports its size.
+func BenchmarkOpenGathererState(b *testing.B) {
+	for _, claims := range []int{1000, 10_000, 100_000} {
+		b.Run(fmt.Sprint(claims), func(b *testing.B) {
+			dir := b.TempDir()
+			g, _, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
+			if err != nil {
+				b.Fatal(err)
+			}
+			withSync(b, g, dir, func(*os.File) error { return nil })
+			chance := pcg.New(1)
+			for i := range claims {
+				name := fmt.Sprintf("%08x%08x", chance.Uint32(), chance.Uint32())
+				if err := g.RecordSent([]string{name}, 1_000_000+float64(i)/1000); err != nil {
+					b.Fatal(err)
+				}
+			}
+			g.Close()
+			size := int64(0)
+			entries, _ := os.ReadDir(dir)
+			for _, e := range entries {
+				info, _ := e.Info()
+				size += info.Size()
+			}
+			b.ResetTimer()
+			for range b.N {
+				g, r, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
+				if err != nil || r.Claims != claims {
+					b.Fatal(r, err)
+				}
+				g.Close()
+			}
+			b.ReportMetric(float64(size)/float64(claims), "B/claim")
+		})
+	}
+}
+
+// BenchmarkRecordSent records queries, with the disk's sync.
+func BenchmarkRecordSent(b *testing.B) {
+	for _, together := range []int{1, 16} {
+		b.Run(fmt.Sprint(together), func(b *testing.B) {
+			g, _, err := OpenGathererState(b.TempDir(), 4<<20, 600_000, 0)
+			if err != nil {
+				b.Fatal(err)
+			}
+			for i := range b.N {
+				var names []string
+				for k := range together {
+					names = append(names, fmt.Sprint(i, "-", k))
+				}
+				if err := g.RecordSent(names, float64(i)); err != nil {
+					b.Fatal(err)
+				}
+			}
+			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*together), "us/lookup")
+		})
+	}
+}
--- a/internal/storage/statedir/handover.go
+++ b/internal/storage/statedir/handover.go
@@ -9,6 +9,8 @@
 	"os"
 	"path/filepath"
 	"slices"
+
+	"yokeroute/internal/storage/atomicfile"
 )
 
 const (
@@ -66,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	return WriteFileAtomic(h.path, text)
+	return atomicfile.Write(h.path, text)
 }
 
 // DrainingNames are the servers that drain, in order.
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -127,7 +127,7 @@
 // TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in half a record: what stands before it is there.
 func TestKeptFolderWithIncompleteRecordIsRead(t *testing.T) {
 	folder := keptCopy(t, "gatherer")
-	path := singleFile(t, folder, journalPrefix)
+	path := singleFile(t, folder, "journal-")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/testbed/processtest/result.go
+++ b/internal/testbed/processtest/result.go
@@ -14,7 +14,7 @@
 	"yokeroute/internal/htmlreport"
 	"yokeroute/internal/process"
 	"yokeroute/internal/rulecheck"
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/atomicfile"
 )
 
 // ResultForm is the first word of a fleet's results, ResultFile their file in a folder.
@@ -71,7 +71,7 @@
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	return statedir.WriteFileAtomic(filepath.Join(folder, ResultFile), append(text, '\n'))
+	return atomicfile.Write(filepath.Join(folder, ResultFile), append(text, '\n'))
 }
 
 // LoadResult reads a folder of results.
