--- a/cmd/yokeroute/segmentsmove.go
+++ b/cmd/yokeroute/segmentsmove.go
@@ -77,7 +77,7 @@
 	if o.out == "" {
 		return nil
 	}
-	if err := os.WriteFile(o.out, []byte(segments.WriteMap(next, shards)), publicFileMode); err != nil {
+	if err := os.WriteFile(o.out, []byte(segments.FormatMap(next, shards)), publicFileMode); err != nil {
 		return err
 	}
 	fmt.Fprintf(w, "the map of epoch %d is in %s\n", change.Epoch, o.out)
