--- a/cmd/yokeroute-testbed/scalepolicies.go
+++ b/cmd/yokeroute-testbed/scalepolicies.go
@@ -17,7 +17,7 @@
 
 // scalePoliciesOptions are the flags of scale policies.
 type scalePoliciesOptions struct {
-	terms     scale.PolicyTerms
+	terms     scale.PolicyConfig
 	gatherers []int
 	idle      float64 // seconds
 	fault     string
@@ -38,7 +38,7 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&options.terms.Binary, "binary", gathererProgram(), "the gatherer's program")
-	flags.IntVar(&options.terms.Stewards, "stewards", defaultPolicyServers, "that agree")
+	flags.IntVar(&options.terms.Servers, "stewards", defaultPolicyServers, "that agree")
 	flags.IntSliceVar(&options.gatherers, "gatherers", []int{300, 900, 1800, 3600}, "hollow gatherers")
 	flags.IntVar(&options.terms.Changes, "changes", defaultPolicyChanges, "in a row")
 	flags.Float64Var(&options.idle, "rest", defaultPolicyIdleSeconds,
@@ -58,7 +58,7 @@
 		return err
 	}
 	o.terms.Fault = scale.PolicyFault(o.fault)
-	o.terms.Rest = time.Duration(o.idle * float64(time.Second))
+	o.terms.IdleTime = time.Duration(o.idle * float64(time.Second))
 	base, err := os.MkdirTemp("", "yokeroute-testbed-scale-")
 	if err != nil {
 		return err
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -136,7 +136,7 @@
 	})
 	t.Run("agreement on first passes", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, discardLog())
+		p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000}, MaxConns: 100, Log: discardLog()})
 		p.EnableFirstPass(func(uint32, bool) {})
 		p.SetEndpoints([]Address{{ID: 1, HostPort: shard.Address()}})
 		conn := shard.Take()
@@ -146,12 +146,14 @@
 	})
 	t.Run("first pass", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d, conn := newFirstPassHarness(t, shard)
+		d := newFirstPassHarness(t, shard)
 		d.submit(t.Context(), "a", 2, keptWait)
+		conn := shard.Take()
 		wantSent(t, conn, "S-two-parts")
 		nothingMore(t, conn, "S-two-parts")
 	})
-	for effect, name := range map[gather.Effect]string{gather.Idempotent: "O-idempotent", gather.NonIdempotent: "O-once-only"} {
+	for effect, name := range map[gather.Effect]string{gather.Idempotent: "O-idempotent",
+		gather.NonIdempotent: "O-once-only"} {
 		t.Run("keys with owners, "+string(effect), func(t *testing.T) {
 			shard := standin.NewShard(t)
 			d := newOwnershipHarness(t, shard, effect)
@@ -163,30 +165,27 @@
 	}
 }
 
-// newFirstPassHarness has lookups go in two phases, to a server that answers first passes.
-func newFirstPassHarness(t *testing.T, shard *standin.Shard) (*harness, *standin.Conn) {
+// newFirstPassHarness has queries go in two passes, to a server that answers first passes.
+func newFirstPassHarness(t *testing.T, shard *standin.Shard) *harness {
 	change := func(s *gather.Settings) {
 		keptRetrySettings(s)
 		s.Classes[0].LatencyObjective = 2000
 	}
 	d := newHarnessWith(t, shard.Address(), change, func(p *dispatch.Picker) {
-		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1, FirstPassShare: 0.3, TrialShare: 0.5}})
+		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1,
+			FirstPassShare: 0.3, TrialShare: 0.5}})
 		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
 		p.SetAnswersFirstPass(7, true)
 	})
-	done := d.submit(t.Context(), "before", 1, keptWait) // the budget for further calls is known after a first round
-	conn := shard.Take()
-	conn.Read()
-	conn.Answer("before.0", "ok", "v")
-	<-done
-	<-d.results
-	return d, conn
+	d.picker.EndpointViews(t.Context()) // once it returns a round has run, and the retry budget is known
+	return d
 }
 
-// newOwnershipHarness has lookups sent to who owns their keys: shard 3 of 16 is a segment of the server's.
+// newOwnershipHarness has queries sent to the owners of their keys: shard 3 of 16 is a segment of the server.
 func newOwnershipHarness(t *testing.T, shard *standin.Shard, effect gather.Effect) *harness {
 	keys := ownership.ShardRange(3, 16)
-	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"}, OwnedSince: 4}})
+	m, err := ownership.NewMap(5, []ownership.Segment{{Name: "seg-3", Range: keys, Owners: []string{"h-01"},
+		OwnedSince: 4}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -202,7 +201,7 @@
 	})
 }
 
-// submitForShard sends a lookup of one shard on its way.
+// submitForShard submits a query of one shard request.
 func (d *harness) submitForShard(t *testing.T, shard int) <-chan dispatch.Result {
 	lk := &dispatch.Query{ID: "a", Class: "i", Deadline: d.picker.Now() + keptWait, Payload: []byte("text of a"),
 		ShardRequests: []dispatch.ShardRequest{{Shard: shard, Weight: 1}}}
@@ -211,7 +210,7 @@
 	return done
 }
 
-// TestKeptReplyFramesEndAttemptsAsBefore has a shard server answer a call with kept bytes: how the call ends.
+// TestKeptReplyFramesEndAttemptsAsBefore has a server answer a request with kept bytes.
 func TestKeptReplyFramesEndAttemptsAsBefore(t *testing.T) {
 	for name, want := range map[string]result{
 		"A-ok":                  {"a.0", gather.Succeeded, "value"},
@@ -262,20 +261,21 @@
 	}
 	t.Run("S-none", func(t *testing.T) {
 		shard := standin.NewShard(t)
-		d, conn := newFirstPassHarness(t, shard)
+		d := newFirstPassHarness(t, shard)
 		done := d.submit(t.Context(), "a", 1, keptWait)
+		conn := shard.Take()
 		wantSent(t, conn, "S-one-part")
 		conn.Conn.Write(keptFrames(t, "received", "S-none"))
 		if got, want := <-d.results, (result{"a.0~", gather.Succeeded, "none v1"}); got != want {
 			t.Errorf("ended as %+v, want %+v", got, want)
 		}
 		if v := <-done; v.Kind != dispatch.Served || !v.Complete || fmt.Sprint(v.EmptyShards) != "[0]" {
-			t.Errorf("verdict %+v", v)
+			t.Errorf("result %+v", v)
 		}
 	})
 }
 
-// TestKeptLoadReportsAreReadAsBefore has a shard server answer a health check with kept bytes: what is read.
+// TestKeptLoadReportsAreReadAsBefore has a server answer a health check with kept bytes.
 func TestKeptLoadReportsAreReadAsBefore(t *testing.T) {
 	for name, want := range map[string]gather.HealthCheckResult{
 		"L-load":             {Server: 7, Succeeded: true, QueueLength: 7, Latency: 61.5},
@@ -300,13 +300,13 @@
 	}
 }
 
-// TestKeptHandshakeFramesAreReadAsBefore has a shard server answer the question for first passes with kept bytes: what is found.
+// TestKeptHandshakeFramesAreReadAsBefore has a server answer the handshake with kept bytes.
 func TestKeptHandshakeFramesAreReadAsBefore(t *testing.T) {
 	for name, want := range map[string]bool{"H-two-phase-1": true, "H-two-phase-2": false, "H-E": false} {
 		t.Run(name, func(t *testing.T) {
 			shard := standin.NewShard(t)
 			found := make(chan bool, 1)
-			p := New(&gather.Settings{ConnectTimeout: 1000}, 100, nil, discardLog())
+			p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000}, MaxConns: 100, Log: discardLog()})
 			p.EnableFirstPass(func(_ uint32, yes bool) { found <- yes })
 			p.SetEndpoints([]Address{{ID: 1, HostPort: shard.Address()}})
 			conn := shard.Take()
@@ -319,7 +319,7 @@
 	}
 }
 
-// TestKeptFramesAreWhole checks the kept files themselves: what a gatherer sends is a row of frames without a rest.
+// TestKeptFramesAreWhole checks the kept files themselves: each is a sequence of complete frames.
 func TestKeptFramesAreWhole(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "sent", "*"))
 	if err != nil || len(files) == 0 {
