--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -64,7 +64,7 @@
 	p.SetTime(at, lost)
 	units := p.Units(rows)
 	loads := p.Loads(units)
-	r.MaxUtilisation, r.Cost, r.Demand = p.MaxUtilisation(loads), p.cost(units), p.demand
+	r.MaxUtilisation, r.Cost, r.Demand = p.MaxUtilisation(loads), p.totalCost(units), p.demand
 	halls := make([]ZoneReport, len(p.zoneLimits))
 	could, most := make([]int64, len(p.capacity)), r.MaxUtilisation
 	for i, row := range p.rows {
--- a/logic/balance/solve.go
+++ b/logic/balance/solve.go
@@ -164,7 +164,7 @@
 			gone[i] = slices.Contains(lost, h.Name)
 		}
 		problem.SetTime(s.From, gone)
-		s.MaxUtilisation, s.Cost = problem.MaxUtilisation(problem.Loads(units)), problem.cost(units)
+		s.MaxUtilisation, s.Cost = problem.MaxUtilisation(problem.Loads(units)), problem.totalCost(units)
 		return units
 	}
 	for i := range p.Steps {
@@ -191,13 +191,3 @@
 		}
 	}
 }
-
-// cost is what a solution costs, in thousandths a second.
-func (p *Problem) cost(units [][]int64) (cost int64) {
-	for i, r := range p.rows {
-		for j, h := range p.replicas[r.segment] {
-			cost += units[i][j] * (p.zoneCosts[r.zone][p.zoneOf[h]] + p.model.Hosts[h].Cost)
-		}
-	}
-	return cost
-}
