--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -11,8 +11,8 @@
 	"yokeroute/logic/placement"
 )
 
-// best is the reference answer: every way to share out whole units, row by row, keeping for each vector of loads
-// the least cost and change. It shares no arithmetic with the solver but the model.
+// best is the reference answer: every way to share out whole units, row by row, keeping for each vector of
+// loads the least cost and change. It shares no arithmetic with the solver but the model.
 type best struct {
 	u            placement.Ratio
 	cost, change int64
@@ -109,8 +109,8 @@
 
 var whole = flag.Bool("whole", false, "go through the enumerated family whole, not by every seventh of it")
 
-// TestEnumerated goes through a family of small models whole: up to three hosts in two halls, two segments on all
-// sets of hosts, small capacities, demands, prices and limits.
+// TestEnumerated goes through a family of small models whole: up to three hosts in two halls, two segments
+// on all sets of hosts, small capacities, demands, prices and limits.
 func TestEnumerated(t *testing.T) {
 	count, fitting := 0, 0
 	for caps := range 4 * 4 * 4 {
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// TestColdRising: at no instant does a plan give a cold host more than is safe of it by the slowest clock, and
-// while it warms the weights rise.
+// TestColdRising: at no instant does a plan give a cold host more than is safe of it by the slowest clock,
+// and while it warms the weights rise.
 func TestColdRising(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := two()
@@ -119,8 +119,8 @@
 	})
 }
 
-// TestHalfHall: the weights made ready for the loss of half a hall fill no host more than solving again would, and
-// the plan's own, laid on what is left, would.
+// TestHalfHall: the weights made ready for the loss of half a hall fill no host more than solving again
+// would, and the plan's own, laid on what is left, would.
 func TestHalfHall(t *testing.T) {
 	m := two()
 	m.Hosts[0].Cost, m.Hosts[1].Cost = 5, 3
@@ -170,7 +170,8 @@
 	}
 }
 
-// TestLeft: a plan none of whose hosts are there gives no weights, so that plain turns go; one that is too old, too.
+// TestLeft: a plan none of whose hosts are there gives no weights, so that plain turns go; one that is too
+// old, too.
 func TestLeft(t *testing.T) {
 	plan := solve(t, two())
 	f := placement.ActivePlan{Plan: plan, MaxAge: 1000}
@@ -259,8 +260,8 @@
 func (*several) Subscribe()             {}
 func (*several) CheckHealth(uint32)     {}
 
-// TestSeveral lets uneven gatherers follow one plan beside a host that warms up, and wants the host never sent more
-// than rule 4 allows in any window, by all of them together; and more than nothing.
+// TestSeveral lets uneven gatherers follow one plan beside a host that warms up, and wants the host never
+// sent more than rule 4 allows in any window, by all of them together; and more than nothing.
 func TestSeveral(t *testing.T) {
 	m := two()
 	cold := &m.Hosts[2]
--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -8,26 +8,26 @@
 	"yokeroute/logic/placement"
 )
 
-// HostReport is what a plan gives a host and why.
+// HostReport is what a plan gives a host, and why. Rates are in units.
 type HostReport struct {
 	Name         string  `json:"Name"`
 	Zone         string  `json:"Hall"`
 	Capacity     int64   `json:"Capacity"` // when warm
-	SafeCapacity int64   `json:"Can"`      // units, at the moment
-	Load         int64   `json:"Load"`     // units, at the moment
+	SafeCapacity int64   `json:"Can"`      // at the moment
+	Load         int64   `json:"Load"`
 	Utilisation  float64 `json:"Use"`
 	Reason       string  `json:"Why"`
 }
 
-// ZoneReport is what a plan gives a hall.
+// ZoneReport is what a plan gives a zone. Rates are in units.
 type ZoneReport struct {
 	Name          string `json:"Name"`
 	SafeCapacity  int64  `json:"Can"`
 	Load          int64  `json:"Load"`
-	LoadLimit     int64  `json:"Most"` // -1 for any
+	LoadLimit     int64  `json:"Most"` // -1 for any load
 	IsBinding     bool   `json:"Binds"`
-	LocalDemand   int64  `json:"Own"`      // units that its own gatherers ask for
-	CrossZoneLoad int64  `json:"Crossing"` // units that come from other halls' gatherers
+	LocalDemand   int64  `json:"Own"`      // of its own gatherers
+	CrossZoneLoad int64  `json:"Crossing"` // from gatherers of other zones
 }
 
 // Report explains a plan's weights at a moment, or those of a case.
@@ -35,105 +35,149 @@
 	At             float64         `json:"At"`
 	CaseName       string          `json:"Case"`
 	MaxUtilisation placement.Ratio `json:"Greatest"`
-	Cost           int64           `json:"Cost"`     // thousandths a second
-	CrossZoneLoad  int64           `json:"Crossing"` // units that cross halls
+	Cost           int64           `json:"Cost"` // thousandths a second
+	CrossZoneLoad  int64           `json:"Crossing"`
 	Demand         int64           `json:"Asked"`
 	Hosts          []HostReport    `json:"Hosts"`
 	Zones          []ZoneReport    `json:"Halls"`
-	// Bottleneck is why the greatest utilisation cannot be less; nil where nothing is asked for.
+	// Bottleneck proves that the maximum utilisation cannot be less. It is nil without demand, and where
+	// hosts are filled beyond their capacity.
 	Bottleneck       *placement.Infeasibility `json:"Bottleneck"`
 	UnservedSegments []string                 `json:"Dark"`
 }
 
-// Explain tells why each host has its weight. Name is that of a case, empty for the plan's own weights.
-func Explain(plan *placement.Plan, at float64, name string) (*Report, error) {
-	rows, lost := plan.RowsAt(at), make([]bool, len(plan.Model.Hosts))
-	r := &Report{At: at, CaseName: name}
-	if name != "" {
-		i := slices.IndexFunc(plan.Cases, func(c placement.Case) bool { return c.Name == name })
+// Explain explains the weights of a plan at a moment, or those of a case if it names one.
+func Explain(plan *placement.Plan, at float64, caseName string) (*Report, error) {
+	r := &Report{At: at, CaseName: caseName}
+	rows := plan.RowsAt(at)
+	lost := make([]bool, len(plan.Model.Hosts))
+	if caseName != "" {
+		i := slices.IndexFunc(plan.Cases, func(c placement.Case) bool { return c.Name == caseName })
 		if i < 0 {
-			return nil, fmt.Errorf("the plan has no case %q", name)
+			return nil, fmt.Errorf("the plan has no case %q", caseName)
 		}
 		c := &plan.Cases[i]
-		rows, r.UnservedSegments = plan.CaseRows(c, at), c.UnservedSegments
-		for j, h := range plan.Model.Hosts {
-			lost[j] = slices.Contains(c.LostHosts, h.Name)
+		rows = plan.CaseRows(c, at)
+		r.UnservedSegments = c.UnservedSegments
+		for j := range plan.Model.Hosts {
+			lost[j] = slices.Contains(c.LostHosts, plan.Model.Hosts[j].Name)
 		}
 	}
 	p := NewProblem(plan.Model)
 	p.SetTime(at, lost)
-	units := p.Units(rows)
-	loads := p.Loads(units)
-	r.MaxUtilisation, r.Cost, r.Demand = p.MaxUtilisation(loads), p.totalCost(units), p.demand
-	halls := make([]ZoneReport, len(p.zoneLimits))
-	could, most := make([]int64, len(p.capacity)), r.MaxUtilisation
-	for i, row := range p.rows {
-		halls[row.zone].LocalDemand += row.rate
-		for j, h := range p.replicas[row.segment] {
-			could[h] += row.rate
-			if p.zoneOf[h] != row.zone {
-				halls[p.zoneOf[h]].CrossZoneLoad += units[i][j]
-				r.CrossZoneLoad += units[i][j]
+	e := explanation{Problem: p, report: r, units: p.Units(rows)}
+	e.loads = p.Loads(e.units)
+	r.MaxUtilisation = p.MaxUtilisation(e.loads)
+	r.Cost = p.totalCost(e.units)
+	r.Demand = p.demand
+	if r.MaxUtilisation.Load <= r.MaxUtilisation.Capacity {
+		r.Bottleneck = p.Bottleneck(at, r.MaxUtilisation)
+	}
+	e.reportZones()
+	e.reportHosts()
+	return r, nil
+}
+
+// explanation is a report while it is written.
+type explanation struct {
+	*Problem
+	report *Report
+	units  [][]int64
+	loads  []int64
+}
+
+func (e *explanation) reportZones() {
+	zones := make([]ZoneReport, len(e.zoneLimits))
+	for i, row := range e.rows {
+		zones[row.zone].LocalDemand += row.rate
+		for j, h := range e.replicas[row.segment] {
+			if zone := e.zoneOf[h]; zone != row.zone {
+				zones[zone].CrossZoneLoad += e.units[i][j]
+				e.report.CrossZoneLoad += e.units[i][j]
 			}
 		}
 	}
-	for h, hall := range p.zoneOf {
-		halls[hall].Load += loads[h]
-		halls[hall].SafeCapacity += p.capacity[h]
+	for h, zone := range e.zoneOf {
+		zones[zone].Load += e.loads[h]
+		zones[zone].SafeCapacity += e.capacity[h]
 	}
-	for i := range p.zoneLimits {
-		h := &halls[i]
-		h.Name, h.LoadLimit, h.IsBinding = plan.Model.Zones[i].Name, p.zoneLimits[i], p.zoneLimits[i] >= 0 && h.Load >= p.zoneLimits[i]
+	for i, limit := range e.zoneLimits {
+		z := &zones[i]
+		z.Name = e.model.Zones[i].Name
+		z.LoadLimit = limit
+		z.IsBinding = limit >= 0 && z.Load >= limit
 	}
-	r.Zones = halls
-	if most.Load <= most.Capacity { // beyond capacity there is a clash, not a bottleneck
-		r.Bottleneck = p.Bottleneck(at, most)
-	}
-	tight := map[string]bool{}
-	if r.Bottleneck != nil {
-		for _, l := range r.Bottleneck.Limits {
-			tight[l.Name] = true
+	e.report.Zones = zones
+}
+
+func (e *explanation) reportHosts() {
+	inBottleneck := map[string]bool{}
+	if e.report.Bottleneck != nil {
+		for _, limit := range e.report.Bottleneck.Limits {
+			inBottleneck[limit.Name] = true
 		}
 	}
-	for i, h := range plan.Model.Hosts {
-		line := HostReport{Name: h.Name, Zone: h.Zone, Capacity: h.Capacity, SafeCapacity: p.capacity[i], Load: loads[i]}
-		if p.capacity[i] > 0 {
-			line.Utilisation = float64(loads[i]) / float64(p.capacity[i])
+	possibleLoads := e.possibleLoads()
+	for i := range e.model.Hosts {
+		h := &e.model.Hosts[i]
+		line := HostReport{
+			Name:         h.Name,
+			Zone:         h.Zone,
+			Capacity:     h.Capacity,
+			SafeCapacity: e.capacity[i],
+			Load:         e.loads[i],
+			Reason:       e.reason(i, possibleLoads[i], inBottleneck[h.Name]),
+		}
+		if e.capacity[i] > 0 {
+			line.Utilisation = float64(e.loads[i]) / float64(e.capacity[i])
 		}
-		line.Reason = p.explainWeight(i, &h, lost[i], at, loads[i], could[i], most, tight[h.Name], r.Zones[p.zoneOf[i]].IsBinding)
-		r.Hosts = append(r.Hosts, line)
+		e.report.Hosts = append(e.report.Hosts, line)
 	}
-	return r, nil
 }
 
-// explainWeight tells which limit gives a host its weight.
-func (p *Problem) explainWeight(i int, h *placement.Host, lost bool, at float64, load, could int64,
-	most placement.Ratio, tight, hall bool) string {
-	cold := ""
-	if p.capacity[i] < h.Capacity {
-		cold = fmt.Sprintf("; still cold, %.0f%% of it is safe", 100*float64(p.capacity[i])/float64(max(h.Capacity, 1)))
+// possibleLoads returns for each host the demand for all of its segments.
+func (e *explanation) possibleLoads() []int64 {
+	possible := make([]int64, len(e.capacity))
+	for _, row := range e.rows {
+		for _, h := range e.replicas[row.segment] {
+			possible[h] += row.rate
+		}
 	}
+	return possible
+}
+
+// reason says which limit gives a host its weight.
+func (e *explanation) reason(host int, possibleLoad int64, inBottleneck bool) string {
+	h := &e.model.Hosts[host]
+	capacity := e.capacity[host]
+	load := e.loads[host]
+	isFull := load >= e.report.MaxUtilisation.MaxLoad(capacity)
+	reason := "other replicas cost less"
 	switch {
-	case lost:
+	case e.lost[host]:
 		return "lost in this case"
 	case h.State == gather.Draining:
 		return "draining"
 	case h.State == gather.Removed:
 		return "gone"
-	case h.StartedAt > at-p.model.ClockSkew:
+	case h.StartedAt > e.report.At-e.model.ClockSkew:
 		return "not started yet"
-	case could == 0:
+	case possibleLoad == 0:
 		return "holds nothing that is asked for"
-	case p.capacity[i] == 0:
-		return "can take nothing now" + cold
-	case load >= most.MaxLoad(p.capacity[i]) && tight:
-		return "as full as the fullest: part of the bottleneck" + cold
-	case load >= most.MaxLoad(p.capacity[i]):
-		return "filled up to the greatest utilisation: cheapest for what comes to it" + cold
-	case load == could:
-		return "takes all that may come to it" + cold
-	case hall:
-		return "its hall is at its limit" + cold
+	case capacity == 0:
+		reason = "can take nothing now"
+	case isFull && inBottleneck:
+		reason = "as full as the fullest: part of the bottleneck"
+	case isFull:
+		reason = "filled up to the greatest utilisation: cheapest for what comes to it"
+	case load == possibleLoad:
+		reason = "takes all that may come to it"
+	case e.report.Zones[e.zoneOf[host]].IsBinding:
+		reason = "its hall is at its limit"
+	}
+	if capacity < h.Capacity {
+		share := float64(capacity) / float64(max(h.Capacity, 1))
+		reason += fmt.Sprintf("; still cold, %.0f%% of it is safe", 100*share)
 	}
-	return "other replicas cost less" + cold
+	return reason
 }
--- a/logic/balance/infeasibility.go
+++ b/logic/balance/infeasibility.go
@@ -7,7 +7,8 @@
 	"yokeroute/logic/placement"
 )
 
-// Infeasibility proves that demand does not fit what hosts and zones can take now. It returns nil where it does.
+// Infeasibility proves that demand does not fit what hosts and zones can take now. It returns nil where it
+// does.
 func (p *Problem) Infeasibility(at float64) *placement.Infeasibility {
 	return p.prove(at, func(h int) int64 { return p.capacity[h] })
 }
@@ -25,7 +26,8 @@
 
 // shortfall distributes the demand of the marked rows, and returns how much does not fit, with the cut that
 // proves it.
-func (p *Problem) shortfall(marked []bool, capacity func(host int) int64) (short int64, n *network, cut []bool) {
+func (p *Problem) shortfall(marked []bool, capacity func(host int) int64) (
+	short int64, n *network, cut []bool) {
 	n = p.resetNetwork(false, nil)
 	for i, arc := range n.rowArcs {
 		if marked[i] {
@@ -84,8 +86,8 @@
 	return proof
 }
 
-// dropSegments unmarks the rows of each segment that a proof does not need, the lightest first, so that few and
-// heavy ones remain.
+// dropSegments unmarks the rows of each segment that a proof does not need, the lightest first, so that few
+// and heavy ones remain.
 func (p *Problem) dropSegments(marked []bool, capacity func(host int) int64) []bool {
 	const maxTried = 300 // segments; with more the proof stays as it is
 	var segments []int
@@ -158,8 +160,8 @@
 
 func (c components) join(a, b int) { c[c.find(a)] = c.find(b) }
 
-// smallestComponent marks the rows of one component of a cut. Components have no host and no zone in common.
-// Of those whose demand does not fit by itself, it takes the one of fewest rows.
+// smallestComponent marks the rows of one component of a cut. Components have no host and no zone in
+// common. Of those whose demand does not fit by itself, it takes the one of fewest rows.
 func (p *Problem) smallestComponent(n *network, cut []bool) []bool {
 	c := p.cutComponents(n, cut)
 	short := map[int]int64{}
@@ -212,8 +214,9 @@
 	return c
 }
 
-// AddRelaxations finds, for each limit of a proof, whether raising it alone by the shortfall lets everything fit.
-// It leaves out hosts that would not be able to take that much even when they are warm and running.
+// AddRelaxations finds, for each limit of a proof, whether raising it alone by the shortfall lets
+// everything fit. It leaves out hosts that would not be able to take that much even when they are warm and
+// running.
 func (p *Problem) AddRelaxations(proof *placement.Infeasibility) {
 	for i, limit := range proof.Limits {
 		to := limit.Capacity + proof.Shortfall
--- a/logic/balance/linear_test.go
+++ b/logic/balance/linear_test.go
@@ -12,8 +12,9 @@
 	"yokeroute/logic/placement"
 )
 
-// linear is the least greatest utilisation in fractions of units, by the simplex method: a second witness that has
-// nothing in common with flows. Variables are the share of each row at each host, the utilisation, and slacks.
+// linear is the least greatest utilisation in fractions of units, by the simplex method: a second witness
+// that has nothing in common with flows. Variables are the share of each row at each host, the utilisation,
+// and slacks.
 func linear(p *Problem) (float64, error) {
 	var shares [][2]int
 	for i, r := range p.rows {
@@ -61,7 +62,8 @@
 	return p
 }
 
-// TestLinear wants whole units never better than fractions, and worse by less than one unit of the smallest host.
+// TestLinear wants whole units never better than fractions, and worse by less than one unit of the smallest
+// host.
 func TestLinear(t *testing.T) {
 	r := rand.New(rand.NewSource(4))
 	compared := 0
--- a/logic/balance/network.go
+++ b/logic/balance/network.go
@@ -21,10 +21,10 @@
 	inForceArcs  [][]int // the same for what the plan in force gave, -1 for nothing
 }
 
-// resetNetwork returns the problem's network without flow, in which hosts take nothing yet. With costs there are
-// two arcs from a row to a host: one for what the plan in force gave it, at one unit of change less, and one for
-// what is more, at one unit of change, so that the second rank of the cost sums up the change. The network is
-// built once, since a solve resets it for each of thousands of losses.
+// resetNetwork returns the problem's network without flow, in which hosts take nothing yet. With costs
+// there are two arcs from a row to a host: one for what the plan in force gave it, at one unit of change
+// less, and one for what is more, at one unit of change, so that the second rank of the cost sums up the
+// change. The network is built once, since a solve resets it for each of thousands of losses.
 func (p *Problem) resetNetwork(withCosts bool, inForce [][]int64) *network {
 	cached := &p.networks[0]
 	if withCosts {
--- a/logic/balance/problem.go
+++ b/logic/balance/problem.go
@@ -1,8 +1,8 @@
 // Package balance works out weights: how demand is distributed among the hosts that hold what is asked for.
 //
-// For a model of package placement it finds the least maximum utilisation, then the least cost, then the least
-// change from the plan in force, in whole units and exactly; where nothing fits, the proof of it; and ahead of
-// time the weights for hosts that warm up and for losses. What it may never do is said there.
+// For a model of package placement it finds the least maximum utilisation, then the least cost, then the
+// least change from the plan in force, in whole units and exactly; where nothing fits, the proof of it; and
+// ahead of time the weights for hosts that warm up and for losses. What it may never do is said there.
 package balance
 
 import (
@@ -18,8 +18,8 @@
 	rate    int64
 }
 
-// Problem is a model by the numbers of its entries, with what its hosts can take at one moment. A solution is the
-// units of each row and replica.
+// Problem is a model by the numbers of its entries, with what its hosts can take at one moment. A solution
+// is the units of each row and replica.
 type Problem struct {
 	model      *placement.Model
 	zoneOf     []int   // of each host
@@ -66,8 +66,8 @@
 	return p
 }
 
-// compileZoneCosts returns the costs from zone to zone. One that is given holds in the other direction too, unless
-// that one is given as well.
+// compileZoneCosts returns the costs from zone to zone. One that is given holds in the other direction too,
+// unless that one is given as well.
 func compileZoneCosts(m *placement.Model, zones map[string]int) [][]int64 {
 	costs := make([][]int64, len(m.Zones))
 	for i := range costs {
@@ -129,8 +129,8 @@
 	p.networks = [2]*network{}
 }
 
-// MoveReplica moves a replica of a segment to another host. Unlike SetHosts it keeps the networks, for searches
-// that go through thousands of placements. Their solves must be without a plan in force.
+// MoveReplica moves a replica of a segment to another host. Unlike SetHosts it keeps the networks, for
+// searches that go through thousands of placements. Their solves must be without a plan in force.
 func (p *Problem) MoveReplica(segment, slot, host int) {
 	p.replicas[segment][slot] = host
 	for k, n := range p.networks {
--- a/logic/balance/solution.go
+++ b/logic/balance/solution.go
@@ -7,9 +7,9 @@
 	"yokeroute/logic/placement"
 )
 
-// MinCost distributes all demand at no more than the ratio: at the least cost, and among equals with the least
-// change from the units in force. All demand has to fit, as MinUtilisation has found. It returns the units of
-// each row and replica, the cost in thousandths a second and the change in units a second.
+// MinCost distributes all demand at no more than the ratio: at the least cost, and among equals with the
+// least change from the units in force. All demand has to fit, as MinUtilisation has found. It returns the
+// units of each row and replica, the cost in thousandths a second and the change in units a second.
 func (p *Problem) MinCost(u placement.Ratio, overload bool, inForce [][]int64) (
 	units [][]int64, cost, change int64) {
 	n := p.resetNetwork(true, inForce)
--- a/logic/balance/utilisation.go
+++ b/logic/balance/utilisation.go
@@ -9,13 +9,13 @@
 // idle is the ratio of hosts without load.
 var idle = placement.Ratio{Load: 0, Capacity: 1}
 
-// MinUtilisation returns the least maximum utilisation at which all demand finds a host, or false where even
-// full hosts are not enough. If overload, hosts may be filled beyond their capacity and zones beyond their
-// limits, for what is left after a loss.
+// MinUtilisation returns the least maximum utilisation at which all demand finds a host, or false where
+// even full hosts are not enough. If overload, hosts may be filled beyond their capacity and zones beyond
+// their limits, for what is left after a loss.
 //
-// It rises from a lower bound: while demand is left over, a minimum cut names rows that have nowhere else to go
-// than its hosts, and the least ratio at which these could take them is the next bound. So the first ratio that
-// is enough is the least one, exactly.
+// It rises from a lower bound: while demand is left over, a minimum cut names rows that have nowhere else
+// to go than its hosts, and the least ratio at which these could take them is the next bound. So the first
+// ratio that is enough is the least one, exactly.
 func (p *Problem) MinUtilisation(overload bool) (placement.Ratio, bool) {
 	n := p.resetNetwork(false, nil)
 	if overload {
@@ -36,8 +36,8 @@
 	return u, true
 }
 
-// cutDemand returns the hosts of a minimum cut, and the demand that has nowhere else to go: that of its rows,
-// less what its full zones take.
+// cutDemand returns the hosts of a minimum cut, and the demand that has nowhere else to go: that of its
+// rows, less what its full zones take.
 func (n *network) cutDemand() (hosts []int, need int64) {
 	cut := n.Reachable(n.source)
 	for i, r := range n.problem.rows {
@@ -58,8 +58,8 @@
 	return hosts, need
 }
 
-// MinUtilisationOn returns the least ratio at which so many units fit on these hosts alone. It may be above one.
-// It returns false where they can take nothing.
+// MinUtilisationOn returns the least ratio at which so many units fit on these hosts alone. It may be above
+// one. It returns false where they can take nothing.
 func (p *Problem) MinUtilisationOn(hosts []int, need int64) (placement.Ratio, bool) {
 	if need == 0 {
 		return idle, true
@@ -81,8 +81,8 @@
 	for _, h := range hosts {
 		fitting += u.MaxLoad(p.capacity[h])
 	}
-	// From there each host takes its next whole unit at a ratio of its own. They are gone through in order; fewer
-	// units are missing than there are hosts, since each is rounded down by less than one.
+	// From there each host takes its next whole unit at a ratio of its own. They are gone through in order;
+	// fewer units are missing than there are hosts, since each is rounded down by less than one.
 	var next []placement.Ratio
 	for _, h := range hosts {
 		if capacity := p.capacity[h]; capacity > 0 {
@@ -110,8 +110,8 @@
 	return 0
 }
 
-// MaxUtilisation returns the greatest utilisation among hosts. One that may take nothing and has a load counts
-// as if it could take one unit.
+// MaxUtilisation returns the greatest utilisation among hosts. One that may take nothing and has a load
+// counts as if it could take one unit.
 func (p *Problem) MaxUtilisation(loads []int64) placement.Ratio {
 	greatest := idle
 	for h, load := range loads {
