--- a/internal/control/policyclient/fleet_test.go
+++ b/internal/control/policyclient/fleet_test.go
@@ -174,11 +174,25 @@
 	}
 }
 
+// awaitRequestsAt waits until a server has received one more request.
+func (f *fleetTest) awaitRequestsAt(server string) {
+	f.Helper()
+	received := func() int { return f.fleet.Servers[server].Counts().Parts }
+	before := received()
+	err := process.WaitUntil(f.ctx, server+" receives a request", func() bool { return received() > before })
+	if err != nil {
+		f.Fatal(err)
+	}
+}
+
 // check ends the fleet and checks that all processes together kept the rules, and that no gatherer did what the
 // policy of another forbade: of each pair of hosts, all sends to the first, which a change closed, came before all to
 // the second, which it opened.
 func (f *fleetTest) check(pairs ...[2]string) {
 	f.Helper()
+	for _, pair := range pairs {
+		f.awaitRequestsAt(pair[1])
+	}
 	f.stopLoad()
 	if _, err := f.fleet.Verdict(); err != nil {
 		f.Error(err)
