--- a/internal/control/rollout/controller.go
+++ b/internal/control/rollout/controller.go
@@ -42,8 +42,8 @@
 	steps      sync.WaitGroup      // in progress
 }
 
-// Open begins a rollout, or continues one that was begun in the plan's folder. All files of both releases are checked
-// and the gatherers claimed first: nothing is begun where that fails. With takeOver it takes a rollout over from a
+// Open begins a rollout, or continues one from the plan's folder. All files of both releases are checked
+// and the gatherers claimed first: nothing is started where that fails. With takeOver it takes a rollout over from a
 // process that holds it and stands still; that one does nothing any more, should it go on.
 func Open(ctx context.Context, p *Plan, takeOver bool, log *logrus.Logger) (*Controller, error) {
 	return OpenWithOverrides(ctx, p, takeOver, log, Overrides{})
--- a/internal/control/rollout/directives.go
+++ b/internal/control/rollout/directives.go
@@ -55,7 +55,7 @@
 	return directive.Field{Name: name, Kind: directive.Share, Min: minShare, Help: help}
 }
 
-// pathOf is the absolute path of a file that is named relative to the plan: processes are told apart by it.
+// pathOf is the absolute path of a file that is named relative to the plan: processes are identified by it.
 func pathOf(v *directive.Values, field string) string {
 	name := v.RelativePath(field)
 	if name == "" || filepath.IsAbs(name) {
@@ -290,7 +290,7 @@
 		}
 		if *to == (Release{}) {
 			return v.Errorf("program",
-				"wants a program, a version, a config or an operator's file by which its gatherers are told")
+				"wants a program, a version, a config or an operator's file by which its gatherers are classified")
 		}
 		return nil
 	}
--- a/internal/control/rollout/reportclient.go
+++ b/internal/control/rollout/reportclient.go
@@ -107,7 +107,7 @@
 		return nil, err
 	}
 	if d.Name != c.plan.Gatherers[g].Name {
-		return nil, fmt.Errorf("is %q, which tells there", d.Name)
+		return nil, fmt.Errorf("is %q, which reports there", d.Name)
 	}
 	return d, nil
 }
--- a/internal/control/rollout/round.go
+++ b/internal/control/rollout/round.go
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	c.logDecision(d)
-	// The status is published before the steps start: after a kill it tells what was about to be done.
+	// The status is published before the steps start: after a kill it shows what was about to be done.
 	s := c.buildStatus(&o, d)
 	if err := c.publish(s); err != nil {
 		return s, err
--- a/internal/control/rollout/validate.go
+++ b/internal/control/rollout/validate.go
@@ -54,7 +54,7 @@
 	for i, process := range v.Processes {
 		address := process.ReportAddress
 		if other := names[address]; other != "" {
-			v.add("gatherer", i, "gatherer %s tells at %s, as %s does", v.Gatherers[i].Name, address, other)
+			v.add("gatherer", i, "gatherer %s reports at %s, as %s does", v.Gatherers[i].Name, address, other)
 		}
 		names[address] = v.Gatherers[i].Name
 	}
@@ -63,7 +63,7 @@
 func (v *validator) validateReleases() {
 	switch {
 	case v.Old == (Release{}) || v.New == (Release{}):
-		v.add("new", -1, "does not tell old from new; write old and new with a program, a version or files")
+		v.add("new", -1, "does not distinguish old from new; write old and new with a program, a version or files")
 	case v.Old == v.New:
 		v.add("new", -1, "old and new are the same")
 	}
@@ -74,7 +74,7 @@
 		{"version", v.Old.Version, v.New.Version},
 	} {
 		if (field.old == "") != (field.new == "") {
-			v.add("new", -1, "a %s stands at one of old and new alone; what is told of one has to be told of the other",
+			v.add("new", -1, "a %s is given for one of old and new alone; give it for both",
 				field.name)
 		}
 	}
--- a/internal/gatherer/service/handover.go
+++ b/internal/gatherer/service/handover.go
@@ -25,7 +25,7 @@
 		return err
 	}
 	if err != nil {
-		a.log.WithError(err).Warn("handover: stored drains can't be read; discovery will tell")
+		a.log.WithError(err).Warn("handover: stored drains can't be read")
 	}
 	a.handover = &handover{stored, a.log}
 	a.hooks.endpoints = append(a.hooks.endpoints, a.handover.store)
@@ -39,7 +39,7 @@
 	}
 }
 
-// store stores which servers drain. What earlier processes stored stays until discovery itself has told.
+// store stores which servers drain. What earlier processes stored stays until discovery itself has reported it.
 func (h *handover) store(event gather.EndpointList, addresses []shardcall.Address) {
 	if event.Failed {
 		return
--- a/internal/gatherer/service/reports.go
+++ b/internal/gatherer/service/reports.go
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// setFiles has reports tell the fingerprints of the operator's file and of the files that it names.
+// setFiles has reports contain the fingerprints of the operator's file and of the files that it names.
 func setFiles(collector *report.Collector, own *operator.File) {
 	collector.SetFile("operator", own.Checksum)
 	for kind, name := range map[string]string{
--- a/logic/rollout/baseline.go
+++ b/logic/rollout/baseline.go
@@ -143,7 +143,7 @@
 	return sum
 }
 
-// precise reports whether a class is known well enough for two halves of the fleet to be told apart by a
+// precise reports whether a class is known well enough for two halves of the fleet to be distinguished by a
 // quarter of the harm. The gatherers' own differences are subtracted later on, and an error in them stays
 // for a whole stage.
 func (b *baseline) precise(p *Plan, class int) bool {
@@ -231,7 +231,7 @@
 	return difference * shrinkage, standardError
 }
 
-// summary tells operators what was learned.
+// summary is what was learned, for operators.
 func (b *baseline) summary(p *Plan) string {
 	var parts []string
 	for class, name := range p.Classes {
