--- a/internal/control/rollout/plan_test.go
+++ b/internal/control/rollout/plan_test.go
@@ -43,7 +43,7 @@
 		},
 		{
 			head + stages + "step-new ./x\nstep-old ./x\nold version 1\nnew operator x\n",
-			"a operator is given for one of old and new alone; give it for both",
+			"operator is given for one of old and new alone; give it for both",
 		},
 		{
 			head + "gatherer g1 zone north report 127.0.0.1:9\n" + stages + tail,
--- a/internal/control/rollout/validate.go
+++ b/internal/control/rollout/validate.go
@@ -74,7 +74,7 @@
 		{"version", v.Old.Version, v.New.Version},
 	} {
 		if (field.old == "") != (field.new == "") {
-			v.add("new", -1, "a %s is given for one of old and new alone; give it for both",
+			v.add("new", -1, "%s is given for one of old and new alone; give it for both",
 				field.name)
 		}
 	}
--- /dev/null
+++ b/internal/gatherer/service/farm_test.go
@@ -0,0 +1,210 @@
+package service
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"net"
+	"net/http"
+	"slices"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"yokeroute/internal/config/operator"
+	"yokeroute/internal/config/platform"
+	"yokeroute/internal/testbed/standin/directory"
+	standin "yokeroute/internal/testbed/standin/owners"
+	"yokeroute/logic/ownership"
+)
+
+const ownedSettings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
+ "classes":[{"name":"find","effect":"pure","goalTime":400000,"hardLimit":1500000,"lateValue":0.1},
+  {"name":"claim","effect":"side_effect","goalTime":400000,"hardLimit":1500000}],
+ "domain":{"cells":1,"inARow":1,"shards":4,"partsACall":16,"completeFrom":[1,1],"classFloor":[1,1]},
+ "limits":{"cancel":true,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":1000,"attemptsCap":4,
+  "secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000},
+ "rules":{"budgetShare":0.1,"extraFloor":20,"resendSpan":1000000,"drainGrace":250000,"answerSlack":20000}}`
+
+// farm is hosts with their authority and discovery, and gatherers before them.
+type farm struct {
+	t         *testing.T
+	hosts     []*standin.Host
+	authority *standin.Authority
+	directory *directory.Server
+	addresses []string
+	stops     []func()
+}
+
+// start starts so many hosts, which own four segments at first, two each.
+func startFarm(t *testing.T, hosts, gatherers int, logs *standin.Logs, state string) *farm {
+	t.Helper()
+	f := &farm{t: t}
+	var members []directory.Member
+	for i := range hosts {
+		h, err := standin.NewHost(fmt.Sprint("h", i), logs, 3*time.Millisecond)
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(h.Close)
+		f.hosts = append(f.hosts, h)
+		members = append(members, directory.Member{
+			ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1,
+		})
+	}
+	var list []ownership.Segment
+	for i := range 4 {
+		list = append(list, ownership.Segment{
+			Name: fmt.Sprint("s", i), Range: ownership.ShardRange(i, 4),
+			Owners: []string{f.hosts[i%hosts].Name, f.hosts[(i+1)%hosts].Name},
+		})
+	}
+	first, err := ownership.NewMap(1, list)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if f.authority, err = standin.Start(first, f.hosts, logs); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.authority.Close)
+	if f.directory, err = directory.Start(members); err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(f.directory.Close)
+	for i := range gatherers {
+		f.gatherer(uint64(i+1), state)
+	}
+	return f
+}
+
+// gatherer starts one more and waits until it answers a query completely.
+func (f *farm) gatherer(seed uint64, state string) (stop func()) {
+	f.t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	configured := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`,
+		l.Addr(), f.directory.Address(), seed, ownedSettings)
+	c, err := platform.Parse([]byte(configured), func(string) string { return "" })
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	own := &operator.File{BackgroundShare: 0.05, MaxSegments: 256, SegmentAuthority: f.authority.Address()}
+	if state != "" {
+		own.State = state
+		own.NameRetention = 60_000
+		own.JournalMaxBytes = 1 << 20
+	}
+	s, err := New(c, own, log)
+	if err != nil {
+		f.t.Fatal(err)
+	}
+	ctx, cancel := context.WithCancel(context.Background())
+	done := make(chan error, 1)
+	go func() { done <- s.Run(ctx, l) }()
+	once := sync.OnceFunc(func() {
+		cancel()
+		if err := <-done; err != nil {
+			f.t.Error(err)
+		}
+	})
+	f.t.Cleanup(once)
+	f.addresses = append(f.addresses, l.Addr().String())
+	f.stops = append(f.stops, once)
+	return once
+}
+
+// ready waits until a gatherer answers a query completely.
+func (f *farm) ready(address string) {
+	f.t.Helper()
+	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
+		id := fmt.Sprint("ready-", time.Now().UnixNano())
+		if a := sendOwned(address, "find", id, []int{0, 1, 2, 3}, "read"); a.status == http.StatusOK {
+			return
+		}
+	}
+	f.t.Fatal("the gatherer is never ready")
+}
+
+type answer struct {
+	status   int
+	Complete bool
+	Hits     []struct {
+		Shard int
+		Keys  string
+		Doc   string
+	}
+}
+
+// sendOwned sends a query and returns its answer; status 0 is none.
+func sendOwned(address, index, id string, shards []int, text string) (a answer) {
+	var body strings.Builder
+	for i, s := range shards {
+		fmt.Fprintf(&body, `%.*s{"shard":%d,"weight":%.6f}`, min(i, 1), ",", s, 1/float64(len(shards)))
+	}
+	query := strings.NewReader(fmt.Sprintf(`{"shards":[%s],"q":%q}`, body.String(), text))
+	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/"+index, query)
+	if err != nil {
+		return a
+	}
+	req.Header.Set("X-Request-ID", id)
+	req.Header.Set("X-Timeout-Ms", "1500")
+	resp, err := http.DefaultClient.Do(req)
+	if err != nil {
+		return a
+	}
+	defer resp.Body.Close()
+	all, err := io.ReadAll(resp.Body)
+	if err != nil {
+		return a
+	}
+	a.status = resp.StatusCode
+	if a.status == http.StatusOK && json.Unmarshal(all, &a) != nil {
+		a.status = 0
+	}
+	return a
+}
+
+// reads checks that a complete answer covers all keys of its shards, each once, by its documents.
+func (a *answer) reads(shards []int) error {
+	var got []ownership.Range
+	for _, h := range a.Hits {
+		r, err := ownership.ParseRange(strings.Fields(h.Doc)[0])
+		if err != nil {
+			return err
+		}
+		got = append(got, r)
+	}
+	slices.SortFunc(got, func(x, y ownership.Range) int {
+		if x.Lo < y.Lo {
+			return -1
+		}
+		return 1
+	})
+	for i, s := range shards {
+		want := ownership.ShardRange(s, 4)
+		for from := want.Lo; ; {
+			if len(got) == 0 || got[0].Lo != from || got[0].Hi > want.Hi {
+				return fmt.Errorf("shard %d of %d: what was read is not all of %s, once", s, i, want.Text())
+			}
+			hi := got[0].Hi
+			if got = got[1:]; hi == want.Hi {
+				break
+			}
+			from = hi + 1
+		}
+	}
+	if len(got) > 0 {
+		return fmt.Errorf("%d documents too many", len(got))
+	}
+	return nil
+}
+
+var errUndo = fmt.Errorf("undone")
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -1,27 +1,17 @@
 package service
 
 import (
-	"context"
-	"encoding/json"
 	"flag"
 	"fmt"
-	"io"
-	"net"
 	"net/http"
-	"slices"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/config/operator"
-	"yokeroute/internal/config/platform"
 	"yokeroute/internal/control/segments"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/testbed/standin/directory"
 	standin "yokeroute/internal/testbed/standin/owners"
 	"yokeroute/logic/ownership"
 )
@@ -32,257 +22,17 @@
 	still  = flag.Bool("still", false, "nothing moves, to compare with")
 )
 
-const ownedSettings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
- "classes":[{"name":"find","effect":"pure","goalTime":400000,"hardLimit":1500000,"lateValue":0.1},{"name":"claim","effect":"side_effect","goalTime":400000,"hardLimit":1500000}],
- "domain":{"cells":1,"inARow":1,"shards":4,"partsACall":16,"completeFrom":[1,1],"classFloor":[1,1]},
- "limits":{"cancel":true,"connectTimeout":250000,"idleClose":15000000,"streamsPerConn":1000,"attemptsCap":4,"secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000},
- "rules":{"budgetShare":0.1,"extraFloor":20,"resendSpan":1000000,"drainGrace":250000,"answerSlack":20000}}`
-
-// farm is hosts with their authority and discovery, and gatherers before them.
-type farm struct {
-	t         *testing.T
-	hosts     []*standin.Host
-	authority *standin.Authority
-	directory *directory.Server
-	addresses []string
-	stops     []func()
-}
-
-// start starts so many hosts, which own four segments at first, two each.
-func startFarm(t *testing.T, hosts, gatherers int, logs *standin.Logs, state string) *farm {
-	t.Helper()
-	f := &farm{t: t}
-	var members []directory.Member
-	for i := range hosts {
-		h, err := standin.NewHost(fmt.Sprint("h", i), logs, 3*time.Millisecond)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(h.Close)
-		f.hosts = append(f.hosts, h)
-		members = append(members, directory.Member{ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1})
-	}
-	var list []ownership.Segment
-	for i := range 4 {
-		list = append(list, ownership.Segment{Name: fmt.Sprint("s", i), Range: ownership.ShardRange(i, 4), Owners: []string{f.hosts[i%hosts].Name, f.hosts[(i+1)%hosts].Name}})
-	}
-	first, err := ownership.NewMap(1, list)
-	if err != nil {
-		t.Fatal(err)
-	}
-	if f.authority, err = standin.Start(first, f.hosts, logs); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(f.authority.Close)
-	if f.directory, err = directory.Start(members); err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(f.directory.Close)
-	for i := range gatherers {
-		f.gatherer(uint64(i+1), state)
-	}
-	return f
-}
-
-// gatherer starts one more and waits until it answers a whole lookup.
-func (f *farm) gatherer(seed uint64, state string) (stop func()) {
-	f.t.Helper()
-	l, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	c, err := platform.Parse([]byte(fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`, l.Addr(), f.directory.Address(), seed, ownedSettings)), func(string) string { return "" })
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	log := logrus.New()
-	log.SetOutput(io.Discard)
-	own := &operator.File{BackgroundShare: 0.05, MaxSegments: 256, SegmentAuthority: f.authority.Address()}
-	if state != "" {
-		own.State, own.NameRetention, own.JournalMaxBytes = state, 60_000, 1<<20
-	}
-	s, err := New(c, own, log)
-	if err != nil {
-		f.t.Fatal(err)
-	}
-	ctx, cancel := context.WithCancel(context.Background())
-	done := make(chan error, 1)
-	go func() { done <- s.Run(ctx, l) }()
-	once := sync.OnceFunc(func() {
-		cancel()
-		if err := <-done; err != nil {
-			f.t.Error(err)
-		}
-	})
-	f.t.Cleanup(once)
-	f.addresses = append(f.addresses, l.Addr().String())
-	f.stops = append(f.stops, once)
-	return once
-}
-
-// ready waits until a gatherer answers a whole lookup.
-func (f *farm) ready(address string) {
-	f.t.Helper()
-	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
-		if a := ask(address, "find", fmt.Sprint("ready-", time.Now().UnixNano()), []int{0, 1, 2, 3}, "read"); a.status == http.StatusOK {
-			return
-		}
-	}
-	f.t.Fatal("the gatherer is never ready")
-}
-
-type answer struct {
-	status   int
-	Complete bool
-	Hits     []struct {
-		Shard int
-		Keys  string
-		Doc   string
-	}
-}
-
-// ask sends a lookup and gives its answer; status 0 is none.
-func ask(address, index, id string, shards []int, text string) (a answer) {
-	var body strings.Builder
-	for i, s := range shards {
-		fmt.Fprintf(&body, `%.*s{"shard":%d,"weight":%.6f}`, min(i, 1), ",", s, 1/float64(len(shards)))
-	}
-	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/"+index, strings.NewReader(fmt.Sprintf(`{"shards":[%s],"q":%q}`, body.String(), text)))
-	if err != nil {
-		return a
-	}
-	req.Header.Set("X-Request-ID", id)
-	req.Header.Set("X-Timeout-Ms", "1500")
-	resp, err := http.DefaultClient.Do(req)
-	if err != nil {
-		return a
-	}
-	defer resp.Body.Close()
-	all, err := io.ReadAll(resp.Body)
-	if err != nil {
-		return a
-	}
-	a.status = resp.StatusCode
-	if a.status == http.StatusOK && json.Unmarshal(all, &a) != nil {
-		a.status = 0
-	}
-	return a
-}
-
-// reads checks that a whole answer covers all keys of its shards, each once, as its documents tell.
-func (a *answer) reads(shards []int) error {
-	var got []ownership.Range
-	for _, h := range a.Hits {
-		r, err := ownership.ParseRange(strings.Fields(h.Doc)[0])
-		if err != nil {
-			return err
-		}
-		got = append(got, r)
-	}
-	slices.SortFunc(got, func(x, y ownership.Range) int {
-		if x.Lo < y.Lo {
-			return -1
-		}
-		return 1
-	})
-	for i, s := range shards {
-		want := ownership.ShardRange(s, 4)
-		for from := want.Lo; ; {
-			if len(got) == 0 || got[0].Lo != from || got[0].Hi > want.Hi {
-				return fmt.Errorf("shard %d of %d: what was read is not all of %s, once", s, i, want.Text())
-			}
-			hi := got[0].Hi
-			if got = got[1:]; hi == want.Hi {
-				break
-			}
-			from = hi + 1
-		}
-	}
-	if len(got) > 0 {
-		return fmt.Errorf("%d documents too many", len(got))
-	}
-	return nil
-}
-
-// claimInput and claimOutput are an operation on one key, for the check of histories.
-type claimInput struct {
-	key uint64
-	who string
-}
-
-var claims = porcupine.Model{
-	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
-		byKey := map[uint64][]porcupine.Operation{}
-		var keys []uint64
-		for _, op := range history {
-			k := op.Input.(claimInput).key
-			if byKey[k] == nil {
-				keys = append(keys, k)
-			}
-			byKey[k] = append(byKey[k], op)
-		}
-		var parts [][]porcupine.Operation
-		for _, k := range keys {
-			parts = append(parts, byKey[k])
-		}
-		return parts
-	},
-	Init: func() any { return "" },
-	Step: func(state, input, output any) (bool, any) {
-		has, who := state.(string), input.(claimInput).who
-		switch output.(string) {
-		case "given":
-			return has == "", who
-		case "held":
-			return has != "", has
-		case "never": // nacked: it had no effect
-			return true, has
-		}
-		if has == "" { // aborted, or no answer: it may have had its effect, or not; if not it may be put last
-			return true, who
-		}
-		return true, has
-	},
-}
-
-// outcome is what a claim's client learnt.
-func outcome(a answer) string {
-	switch a.status {
-	case http.StatusOK:
-		for _, h := range a.Hits {
-			if h.Doc == "given" || h.Doc == "held" {
-				return h.Doc
-			}
-		}
-		return "lost"
-	case http.StatusServiceUnavailable:
-		return "never"
-	}
-	return "unknown"
-}
-
-// claim makes one claim and records it.
-func claim(address, id string, key uint64, began time.Time) porcupine.Operation {
-	shard := 0
-	for ownership.ShardRange(shard, 4).Hi < key {
-		shard++
-	}
-	op := porcupine.Operation{Input: claimInput{key, id}, Call: time.Since(began).Nanoseconds()}
-	got := outcome(ask(address, "claim", id, []int{shard}, fmt.Sprintf("claim %016x %s", key, id)))
-	op.Output, op.Return = got, time.Since(began).Nanoseconds()
-	return op
-}
-
-// TestSegmentsMoveWithoutDuplicates moves segments all the time under load: splits, merges and moves, some undone halfway, with hosts cut off
-// from the authority, killed, and answers lost. No claim runs twice, none that was nacked has run, no key is given
-// twice, histories of claims are linearizable, and whole answers cover each key once.
+// TestSegmentsMoveWithoutDuplicates moves segments all the time under load: splits, merges and moves, some undone
+// halfway, with hosts cut off from the authority, killed, and answers lost. No claim runs twice, none that was
+// rejected has run, no key is given twice, histories of claims are linearizable, and complete answers cover each key
+// once.
 func TestSegmentsMoveWithoutDuplicates(t *testing.T) {
 	logs := &standin.Logs{}
 	f := startFarm(t, 6, 2, logs, "")
 	for _, a := range f.addresses {
 		f.ready(a)
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	stop := make(chan bool)
 	var mu sync.Mutex
 	var history []porcupine.Operation
@@ -301,7 +51,7 @@
 				address := f.addresses[int(chance.Uint32())%2]
 				id := fmt.Sprintf("c%d-%d", client, n)
 				if client%3 == 0 {
-					a := ask(address, "find", id, []int{0, 1, 2, 3}, "read")
+					a := sendOwned(address, "find", id, []int{0, 1, 2, 3}, "read")
 					mu.Lock()
 					counts[fmt.Sprint("find ", a.status, " ", a.Complete)]++
 					if a.status == http.StatusOK && a.Complete {
@@ -314,7 +64,7 @@
 				}
 				key := uint64(chance.Uint32()%64) << 58 // of 64 keys, so that claims meet
 				key += uint64(n / 40)                   // and of others later on
-				op := claim(address, id, key, began)
+				op := claim(address, id, key, startedAt)
 				op.ClientId = client
 				mu.Lock()
 				counts["claim "+op.Output.(string)]++
@@ -327,7 +77,7 @@
 	if *still {
 		time.Sleep(*moving)
 	} else {
-		moves, undone = f.disturb(began)
+		moves, undone = f.disturb(startedAt)
 	}
 	close(stop)
 	wait.Wait()
@@ -349,12 +99,12 @@
 }
 
 // disturb hands segments over, with faults, until the time is up.
-func (f *farm) disturb(began time.Time) (moves, undone int) {
+func (f *farm) disturb(startedAt time.Time) (moves, undone int) {
 	chance := pcg.New(7)
 	draw := func(n int) int { return int(chance.Uint32() % uint32(n)) }
 	name := 0
 	var cut, killed *standin.Host
-	for time.Since(began) < *moving {
+	for time.Since(startedAt) < *moving {
 		m := f.authority.Map()
 		i := draw(len(m.Segments))
 		s := m.Segments[i]
@@ -431,53 +181,8 @@
 	return moves, undone
 }
 
-var errUndo = fmt.Errorf("undone")
-
-// check holds what ran against what clients learnt.
-func check(t *testing.T, ran []standin.Ran, history []porcupine.Operation) {
-	t.Helper()
-	if twice := duplicates(ran); len(twice) > 0 {
-		t.Errorf("%d claims ran, or keys were given, twice: %v", len(twice), twice[:min(len(twice), 5)])
-	}
-	by := map[string]bool{}
-	for _, r := range ran {
-		by[r.By] = true
-	}
-	for _, op := range history {
-		if who := op.Input.(claimInput).who; op.Output == "never" && by[who] {
-			t.Errorf("%s was nacked and has run", who)
-		}
-	}
-	// A claim whose end is not known may take effect at any time later.
-	for i := range history {
-		if history[i].Output == "unknown" {
-			history[i].Return = 1 << 62
-		}
-	}
-	if result, _ := porcupine.CheckOperationsVerbose(claims, history, 20*time.Second); result != porcupine.Ok {
-		t.Errorf("the history of %d claims is not linearizable: %v", len(history), result)
-	}
-}
-
-// duplicates are claims that ran twice and keys that were given twice.
-func duplicates(ran []standin.Ran) (twice []string) {
-	claims, keys := map[string]int{}, map[uint64]string{}
-	for _, r := range ran {
-		if claims[r.By]++; claims[r.By] > 1 {
-			twice = append(twice, fmt.Sprintf("%s ran %d times", r.By, claims[r.By]))
-		}
-		if r.Given {
-			if first := keys[r.Key]; first != "" {
-				twice = append(twice, fmt.Sprintf("key %016x to %s and to %s at %s", r.Key, first, r.By, r.Host))
-			}
-			keys[r.Key] = r.By
-		}
-	}
-	return twice
-}
-
-// TestCutOffOwnerDoesNotRunWhatMoved: an owner that is cut off still believes it owns; a gatherer with the old map goes on asking it. With
-// the fence nothing runs there; without it a key is given twice, which this test sees.
+// TestCutOffOwnerDoesNotRunWhatMoved: an owner that is cut off still believes it owns; a gatherer with the old map
+// goes on asking it. With the fence nothing runs there; without it a key is given twice, which this test sees.
 func TestCutOffOwnerDoesNotRunWhatMoved(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
 		logs := &standin.Logs{Unfenced: unfenced}
@@ -497,12 +202,13 @@
 		if err := f.authority.Carry(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
-		began := time.Now()
-		old := claim(f.addresses[1], "late", 5, began)
+		startedAt := time.Now()
+		old := claim(f.addresses[1], "late", 5, startedAt)
 		f.authority.Silence(false)
 		f.ready(f.addresses[0])
 		for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
-			if op := claim(f.addresses[0], fmt.Sprint("new-", time.Now().UnixNano()), 5, began); op.Output == "given" || !unfenced && op.Output == "held" {
+			op := claim(f.addresses[0], fmt.Sprint("new-", time.Now().UnixNano()), 5, startedAt)
+			if op.Output == "given" || !unfenced && op.Output == "held" {
 				break
 			}
 		}
@@ -516,15 +222,15 @@
 	}
 }
 
-// TestRestartWithAnOldMapRunsNothingTwice: a gatherer that restarts with a map three epochs old, while the authority is silent, runs nothing at those
-// who own its keys no longer; it serves again when the authority does. A once-only lookup that may have run before
-// the crash is aborted when its client asks again.
+// TestRestartWithAnOldMapRunsNothingTwice: a gatherer that restarts with a map three epochs old, while the authority
+// is silent, runs nothing at those who own its keys no longer; it serves again when the authority does. A once-only
+// lookup that may have run before the crash is aborted when its client asks again.
 func TestRestartWithAnOldMapRunsNothingTwice(t *testing.T) {
 	logs, dir := &standin.Logs{}, t.TempDir()
 	f := startFarm(t, 4, 1, logs, dir)
 	f.ready(f.addresses[0])
-	began := time.Now()
-	if op := claim(f.addresses[0], "before", 7, began); op.Output != "given" {
+	startedAt := time.Now()
+	if op := claim(f.addresses[0], "before", 7, startedAt); op.Output != "given" {
 		t.Fatalf("%v", op.Output)
 	}
 	f.stops[0]()
@@ -543,25 +249,26 @@
 	f.gatherer(9, dir)
 	address := f.addresses[1]
 	for until := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until it has a list
-		if a := ask(address, "find", fmt.Sprint("x", time.Now().UnixNano()), []int{2}, "read"); a.status == http.StatusOK {
+		id := fmt.Sprint("x", time.Now().UnixNano())
+		if a := sendOwned(address, "find", id, []int{2}, "read"); a.status == http.StatusOK {
 			break
 		}
 		if time.Now().After(until) {
 			t.Fatal("segments that have not moved are not served")
 		}
 	}
-	if a := ask(address, "find", "all", []int{0, 1, 2, 3}, "read"); a.status == http.StatusOK && a.Complete {
+	if a := sendOwned(address, "find", "all", []int{0, 1, 2, 3}, "read"); a.status == http.StatusOK && a.Complete {
 		t.Error("whole by a map three epochs old")
 	}
-	if op := claim(address, "stale", 8, began); op.Output != "never" {
+	if op := claim(address, "stale", 8, startedAt); op.Output != "never" {
 		t.Errorf("a claim by a map three epochs old: %v", op.Output)
 	}
-	if op := claim(address, "before", 7, began); op.Output != "unknown" {
+	if op := claim(address, "before", 7, startedAt); op.Output != "unknown" {
 		t.Errorf("a once-only lookup asked again after the crash: %v", op.Output)
 	}
 	f.authority.Silence(false)
 	f.ready(address)
-	if op := claim(address, "after", 8, began); op.Output != "given" {
+	if op := claim(address, "after", 8, startedAt); op.Output != "given" {
 		t.Errorf("%v", op.Output)
 	}
 	if twice := duplicates(logs.Ran()); len(twice) > 0 {
@@ -569,18 +276,18 @@
 	}
 }
 
-// TestContradictingAuthorityStopsNonIdempotentQueries: an authority tells one gatherer of a change that never was, and later of another one in the same epoch. Once-
-// only lookups stop when that comes to light, reads go on, and all go on with a later epoch. News that makes no sense
-// changes nothing.
+// TestContradictingAuthorityStopsNonIdempotentQueries: an authority tells one gatherer of a change that never was, and
+// later of another one in the same epoch. Once- only lookups stop when that comes to light, reads go on, and all go on
+// with a later epoch. News that makes no sense changes nothing.
 func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
 	f := startFarm(t, 3, 1, &standin.Logs{}, "")
 	f.ready(f.addresses[0])
-	began := time.Now()
+	startedAt := time.Now()
 	n := 0
 	try := func(key uint64, want string) {
 		t.Helper()
 		for until := time.Now().Add(8 * time.Second); time.Now().Before(until); {
-			if n++; claim(f.addresses[0], fmt.Sprint("l", n), key+uint64(n), began).Output == want {
+			if n++; claim(f.addresses[0], fmt.Sprint("l", n), key+uint64(n), startedAt).Output == want {
 				return
 			}
 		}
@@ -617,7 +324,7 @@
 	try(1, "never") // refused, and so the map is asked for whole
 	other := ownership.ShardRange(1, 4).Lo
 	try(other, "never") // of a segment of which no lie was told
-	if a := ask(f.addresses[0], "find", "r", []int{1}, "read"); a.status != http.StatusOK || !a.Complete {
+	if a := sendOwned(f.addresses[0], "find", "r", []int{1}, "read"); a.status != http.StatusOK || !a.Complete {
 		t.Errorf("reads: %+v", a)
 	}
 	next := f.authority.Map()
