--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -7,7 +7,6 @@
 	"maps"
 	"os"
 	"slices"
-	"strings"
 	"text/tabwriter"
 	"time"
 
@@ -28,16 +27,6 @@
 
 var strategyNames = []string{"ours", "plain", "at-once"}
 
-// oneOf is an error where a flag's words are not all among the known.
-func oneOf(flag string, given, known []string) error {
-	for _, word := range given {
-		if !slices.Contains(known, word) {
-			return fmt.Errorf("--%s %q: is none of %s", flag, word, strings.Join(known, ", "))
-		}
-	}
-	return nil
-}
-
 // simulationOptions are the flags of the command that runs rollouts in virtual time.
 type simulationOptions struct {
 	scenario        rolloutsim.Scenario
@@ -83,7 +72,7 @@
 	flags.IntVar(&o.searchSamples, "hunt", 0, "draw so many fleets and bad versions instead, and tell which pass, made small")
 	flags.BoolVar(&o.searchGood, "good", false, "with --hunt: draw good versions, and tell which are stopped")
 	flags.IntVar(&o.workers, "workers", 0, "rollouts played side by side; one a core unless told")
-	flags.StringVarP(&o.output, "output", "o", "text", "form of the answer: text or json")
+	addOutputFlag(cmd, &o.output)
 }
 
 func (o *simulationOptions) run(cmd *cobra.Command) error {
@@ -105,7 +94,7 @@
 			fmt.Fprintf(cmd.ErrOrStderr(), "%s by %s: %d passed, %d stopped\n", version, name, s.Passed, s.Stopped)
 		}
 	}
-	if o.output == "json" {
+	if o.output == outputJSON {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(summaries)
 	}
 	return printSummaries(cmd.OutOrStdout(), summaries)
@@ -117,10 +106,10 @@
 	if len(o.versions) == 0 {
 		o.versions = all
 	}
-	if err := oneOf("kinds", o.versions, all); err != nil {
+	if err := checkChoices("kinds", o.versions, all); err != nil {
 		return err
 	}
-	if err := oneOf("judges", o.strategies, strategyNames); err != nil {
+	if err := checkChoices("judges", o.strategies, strategyNames); err != nil {
 		return err
 	}
 	if o.runs < 1 || o.scenario.Gatherers < 10 || o.scenario.Zones < 1 {
@@ -195,10 +184,10 @@
 }
 
 func (o *liveOptions) run(cmd *cobra.Command) error {
-	if err := oneOf("kinds", o.versions, []string{"good", "dies", "leaks", "spins"}); err != nil {
+	if err := checkChoices("kinds", o.versions, []string{"good", "dies", "leaks", "spins"}); err != nil {
 		return err
 	}
-	if err := oneOf("judges", o.strategies, strategyNames); err != nil {
+	if err := checkChoices("judges", o.strategies, strategyNames); err != nil {
 		return err
 	}
 	defer processtest.Unbuild()
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -21,13 +21,14 @@
 
 const validMapFile = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
 
-// TestMapFileFormatsAndErrors: a map file reads as it is written, and each mistake is one message with its place.
+// TestMapFileFormatsAndErrors reads a map file, formats it, and wants one message with its place for each mistake.
 func TestMapFileFormatsAndErrors(t *testing.T) {
 	m, shards, err := ParseMap("m.conf", validMapFile)
-	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 || m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
+	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 ||
+		m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
-	again, _, err := ParseMap("again.conf", WriteMap(m, shards))
+	again, _, err := ParseMap("again.conf", FormatMap(m, shards))
 	if err != nil || !reflect.DeepEqual(again, m) {
 		t.Errorf("written and read: %+v, %v", again, err)
 	}
@@ -39,12 +40,14 @@
 		{"epoch 7\nsegment a keys 0000000000000000-8000000000000000 on h\nsegment b keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segments "a" and "b" both own the key 8000000000000000`},
 		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff\nsegment a keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segment "a" is there twice`},
 		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h h\n", "is empty or there twice"},
-		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h since 9\n", `m.conf:2:1: segment "a" is owned since epoch 9, the map's is 7`},
+		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h since 9\n",
+			`m.conf:2:1: segment "a" is owned since epoch 9, the map's is 7`},
 		{"epoch -1\n", `"-1"`},
 		{"epoch 1\nepoch 2\n", "stands already at m.conf:1:1"},
 		{"epoc 1\n", "did you mean epoch?"},
 	} {
-		if _, _, err := ParseMap("m.conf", c.text); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
+		if _, _, err := ParseMap("m.conf", c.text); err == nil || !strings.Contains(err.Error(), c.want) ||
+			strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q: %v", c.text, err)
 		}
 	}
@@ -54,7 +57,8 @@
 	}
 }
 
-// TestResponsesAreCheckedAndNameTheField: replies read as they are written; a bad one is refused whole, with the field.
+// TestResponsesAreCheckedAndNameTheField reads encoded responses, and wants a faulty one refused with the name of the
+// field.
 func TestResponsesAreCheckedAndNameTheField(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	split, err := m.SplitSegment("a", 5, "c", "d")
@@ -75,32 +79,33 @@
 		{`"epoch":7`, `"epoch":-7`, "epoch"},
 		{`{`, ``, "invalid"},
 	} {
-		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil ||
+			!strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v", c.new, err)
 		}
 	}
 }
 
-// recordingReceiver keeps what it is told.
+// recordingReceiver records what the watcher hands over.
 type recordingReceiver struct {
-	mu     sync.Mutex
-	epochs []string
-	behind chan struct{}
-	told   chan bool
+	mu           sync.Mutex
+	epochs       []string
+	mapRequested chan struct{}
+	received     chan bool
 }
 
 func (p *recordingReceiver) add(text string) {
 	p.mu.Lock()
 	p.epochs = append(p.epochs, text)
 	p.mu.Unlock()
-	p.told <- true
+	p.received <- true
 }
 func (p *recordingReceiver) ApplyMapChange(c ownership.Change) { p.add(fmt.Sprint("change ", c.Epoch)) }
 func (p *recordingReceiver) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
-func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.behind }
+func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.mapRequested }
 
-// TestWatcherRequestsFullMapThenChanges: the whole map first, then changes as they come; whole again when the picker is behind, at once, though
-// a watch waits; through an authority that fails and one that sends what can't be read.
+// TestWatcherRequestsFullMapThenChanges watches an authority that fails first. The full map comes first, then
+// changes, and the full map again as soon as the receiver requests it, though a long poll waits.
 func TestWatcherRequestsFullMapThenChanges(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	next, err := m.MoveSegment("a", []string{"h-9"})
@@ -108,12 +113,12 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	fails, asked := 2, 0
+	fails, requests := 2, 0
 	release := make(chan bool, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		asked++
-		n := asked
+		requests++
+		n := requests
 		mu.Unlock()
 		switch {
 		case n <= fails && n%2 == 1:
@@ -133,7 +138,7 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := &recordingReceiver{behind: make(chan struct{}, 1), told: make(chan bool, 100)}
+	p := &recordingReceiver{mapRequested: make(chan struct{}, 1), received: make(chan bool, 100)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
@@ -143,24 +148,24 @@
 	wait := func() {
 		t.Helper()
 		select {
-		case <-p.told:
+		case <-p.received:
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing more is told")
+			t.Fatal("nothing more is handed over")
 		}
 	}
 	wait()
 	release <- true
 	wait()
-	p.behind <- struct{}{}
+	p.mapRequested <- struct{}{}
 	wait()
 	stop()
 	<-done
 	if got := strings.Join(p.epochs, ", "); got != "map 7, change 8, map 7" {
-		t.Errorf("told %s", got)
+		t.Errorf("handed over %s", got)
 	}
 }
 
-// FuzzParseResponse reads whatever an authority sends; what is read and written again reads the same, and a follower takes it
+// FuzzParseResponse reads arbitrary responses. What is read and encoded again reads the same, and a tracker takes it
 // without harm.
 func FuzzParseResponse(f *testing.F) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
@@ -173,7 +178,9 @@
 			return
 		}
 		again, err := ParseResponse(r.Encode())
-		if err != nil || again.Full != nil && (again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) || len(again.Changes) != len(r.Changes) {
+		if err != nil || again.Full != nil &&
+			(again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) ||
+			len(again.Changes) != len(r.Changes) {
 			t.Fatalf("%v: %+v, then %+v", err, r, again)
 		}
 		follower := ownership.Tracker{}
@@ -190,7 +197,7 @@
 	})
 }
 
-// FuzzParseMap reads whatever stands in a map file.
+// FuzzParseMap reads arbitrary map files.
 func FuzzParseMap(f *testing.F) {
 	f.Add(validMapFile)
 	f.Add("epoch 1\nsegment \"a\" keys 0000000000000000-ffffffffffffffff\n")
@@ -199,7 +206,7 @@
 		if err != nil {
 			return
 		}
-		again, _, err := ParseMap("again.conf", WriteMap(m, shards))
+		again, _, err := ParseMap("again.conf", FormatMap(m, shards))
 		if err != nil || !reflect.DeepEqual(again.Segments, m.Segments) && len(m.Segments) > 0 {
 			t.Fatalf("%v: %+v, then %+v", err, m, again)
 		}
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -22,39 +22,39 @@
 	"yokeroute/logic/backoff"
 )
 
-// A list that goes quiet, is cut, comes late or is behind: each forced by the agent.
+// Faults of the agent, which the tests force: it hangs, truncates, is slow or is behind.
 
-// startWatcher runs a follower of an agent until the test ends; what it tells comes on the channel.
-func startWatcher(t *testing.T, handle http.HandlerFunc) (f *Watcher, told chan gather.EndpointList) {
+// startWatcher runs a watcher of an agent until the test ends. Its lists arrive on the channel.
+func startWatcher(t *testing.T, handle http.HandlerFunc) (watcher *Watcher, lists chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told = make(chan gather.EndpointList, 1000)
-	f = New(Config{
+	lists = make(chan gather.EndpointList, 1000)
+	watcher = New(Config{
 		Address:  address(agent),
-		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { lists <- l },
 		Log:      log,
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	t.Cleanup(func() {
 		stop()
 		<-ended
 		agent.CloseClientConnections()
 		agent.Close()
 	})
-	return f, told
+	return watcher, lists
 }
 
-// nextList is the list told next, whatever failures come before it.
-func nextList(t *testing.T, told chan gather.EndpointList) gather.EndpointList {
+// nextList is the next list, after any failures.
+func nextList(t *testing.T, lists chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
 	limit := time.After(20 * time.Second)
 	for {
 		select {
-		case l := <-told:
+		case l := <-lists:
 			if !l.Failed {
 				return l
 			}
@@ -64,37 +64,38 @@
 	}
 }
 
-// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood: the first call for the list is answered only once many more have been made: an agent that takes longer
-// than a second for each. All of them were given up after a second, and nothing was ever learnt.
+// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood polls an agent that takes longer than the header timeout for each
+// answer. The oldest request is kept in flight for that.
 func TestAgentSlowerThanTheHeaderTimeoutIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	slow := make(chan struct{})
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
-		switch n := calls.Add(1); {
-		case n == 1:
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+		switch calls.Add(1) {
+		case 1:
 			select {
 			case <-slow:
 				io.WriteString(w, fullDocument)
 			case <-r.Context().Done():
 			}
-		case n == 14:
+		case 14:
 			close(slow)
 			fallthrough
 		default:
 			<-r.Context().Done()
 		}
 	})
-	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("told %+v", l)
+	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestListThatArrivesInPiecesIsUnderstood: the list comes in pieces, one with each further call that is made, for longer than a second in all.
+// TestListThatArrivesInPiecesIsUnderstood polls an agent that sends the list in pieces, for longer than the header
+// timeout in all.
 func TestListThatArrivesInPiecesIsUnderstood(t *testing.T) {
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
-	text := strings.Replace(fullDocument, ",", ",\n  ", -1) // indented as well
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	text := strings.ReplaceAll(fullDocument, ",", ",\n  ") // indented as well
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			piece <- struct{}{}
 			<-r.Context().Done()
@@ -112,16 +113,16 @@
 			}
 		}
 	})
-	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("told %+v", l)
+	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestFullListRequestsInFlightAreBounded: an agent that answers nothing holds a bounded number of calls.
+// TestFullListRequestsInFlightAreBounded polls an agent that answers nothing.
 func TestFullListRequestsInFlightAreBounded(t *testing.T) {
 	var calls, open, most atomic.Int32
 	enough := make(chan struct{})
-	startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	startWatcher(t, func(_ http.ResponseWriter, r *http.Request) {
 		if n := open.Add(1); n > most.Load() {
 			most.Store(n)
 		}
@@ -132,13 +133,13 @@
 		open.Add(-1)
 	})
 	<-enough
-	if n := most.Load(); n > 6 { // five, and the agent may notice late that one was given up
-		t.Errorf("%d calls open at once", n)
+	if n := most.Load(); n > 6 { // five, and the agent may notice a cancellation late
+		t.Errorf("%d requests in flight at once", n)
 	}
 }
 
-// TestTruncatedAnswerIsDiscarded: an answer that ends half-way teaches nothing, whether it has a length, comes in chunks or has neither and is
-// reset, also right before its last byte. The list is asked for again at once.
+// TestTruncatedAnswerIsDiscarded ends answers early at several places, with a length, in chunks or with neither, by
+// an end or a reset. The full list is requested again at once.
 func TestTruncatedAnswerIsDiscarded(t *testing.T) {
 	for how, head := range map[string]string{
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(fullDocument)),
@@ -147,11 +148,11 @@
 	} {
 		for _, reset := range []bool{false, true} {
 			for _, at := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
-				if at == len(fullDocument) && !(how == "none" && reset) {
-					continue // it is whole there, and what ends it says so
+				if at == len(fullDocument) && (how != "none" || !reset) {
+					continue // it is complete there, and its end says so
 				}
 				var calls atomic.Int32
-				_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+				_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 					if calls.Add(1) > 1 {
 						if r.URL.RawQuery != "" {
 							<-r.Context().Done()
@@ -171,24 +172,24 @@
 					}
 					c.Close()
 				})
-				if l := <-told; !l.Failed || len(l.Endpoints) > 0 {
-					t.Errorf("%s, cut at %d, reset %v: told %+v", how, at, reset, l)
+				if l := <-lists; !l.Failed || len(l.Endpoints) > 0 {
+					t.Errorf("%s, cut at %d, reset %v: notified of %+v", how, at, reset, l)
 				}
-				if l := nextList(t, told); len(l.Endpoints) != 2 {
-					t.Errorf("%s, cut at %d: then told %+v", how, at, l)
+				if l := nextList(t, lists); len(l.Endpoints) != 2 {
+					t.Errorf("%s, cut at %d: then notified of %+v", how, at, l)
 				}
 			}
 		}
 	}
 }
 
-// TestDrainDuringASilentWatchIsNoticedInTime: a watch is taken and never answered, and a server begins to drain right then. It counts as told 6 s
-// after that.
+// TestDrainDuringASilentWatchIsNoticedInTime has an agent hang on a watch just as a server begins to drain. The rules
+// count the drain as known 6 s later.
 func TestDrainDuringASilentWatchIsNoticedInTime(t *testing.T) {
 	var calls atomic.Int32
 	silent := make(chan time.Time, 1)
 	drained := strings.Replace(strings.Replace(fullDocument, "in_service", "terminating", 1), "41", "42", 1)
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			io.WriteString(w, fullDocument)
@@ -201,18 +202,18 @@
 			<-r.Context().Done()
 		}
 	})
-	nextList(t, told)
+	nextList(t, lists)
 	from := <-silent
-	l := nextList(t, told)
+	l := nextList(t, lists)
 	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
-		t.Errorf("told %+v after %v", l, time.Since(from))
+		t.Errorf("notified of %+v after %v", l, time.Since(from))
 	}
 }
 
-// TestStalledWatchFallsBackToTheFullList: a watch's answer begins and does not go on. The whole list is asked for instead.
+// TestStalledWatchFallsBackToTheFullList has an agent stop in the middle of a watch's answer.
 func TestStalledWatchFallsBackToTheFullList(t *testing.T) {
 	var calls atomic.Int32
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 2 {
 			io.WriteString(w, changeDocument[:len(changeDocument)/2])
 			w.(http.Flusher).Flush()
@@ -225,17 +226,17 @@
 		}
 		io.WriteString(w, fullDocument)
 	})
-	nextList(t, told)
-	if l := nextList(t, told); !l.Full {
-		t.Errorf("told %+v", l)
+	nextList(t, lists)
+	if l := nextList(t, lists); !l.Full {
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestChangeOfAnOlderRevisionIsDiscarded: a watch is answered with a change of a version before its own. It teaches nothing; the whole list is
-// asked for.
+// TestChangeOfAnOlderRevisionIsDiscarded answers a watch with a change before its revision. The full list is
+// requested instead.
 func TestChangeOfAnOlderRevisionIsDiscarded(t *testing.T) {
 	var calls atomic.Int32
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 2:
 			io.WriteString(w, strings.Replace(changeDocument, "43", "40", 1))
@@ -245,16 +246,17 @@
 			<-r.Context().Done()
 		}
 	})
-	nextList(t, told)
-	if l := <-told; !l.Failed {
-		t.Errorf("told %+v", l)
+	nextList(t, lists)
+	if l := <-lists; !l.Failed {
+		t.Errorf("notified of %+v", l)
 	}
-	if l := nextList(t, told); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("then told %+v", l)
+	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
+		t.Errorf("then notified of %+v", l)
 	}
 }
 
-// TestUnreachableAgentIsPolledUntilItAnswers: nobody listens at the address, then one answers 503 for a while, then the list is there.
+// TestUnreachableAgentIsPolledUntilItAnswers polls an address where nobody listens, then an agent that answers 503
+// for a while.
 func TestUnreachableAgentIsPolledUntilItAnswers(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -264,17 +266,17 @@
 	l.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	told := make(chan gather.EndpointList, 1000)
+	lists := make(chan gather.EndpointList, 1000)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	go New(Config{
 		Address:  address,
-		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { lists <- l },
 		Log:      log,
 	}).Run(ctx)
 	for range 5 {
-		if l := <-told; !l.Failed {
-			t.Errorf("told %+v", l)
+		if l := <-lists; !l.Failed {
+			t.Errorf("notified of %+v", l)
 		}
 	}
 	if l, err = net.Listen("tcp", address); err != nil {
@@ -294,22 +296,22 @@
 	})}
 	defer agent.Close()
 	go agent.Serve(l)
-	if l := nextList(t, told); len(l.Endpoints) != 2 || calls.Load() <= 20 {
-		t.Errorf("told %+v after %d calls", l, calls.Load())
+	if l := nextList(t, lists); len(l.Endpoints) != 2 || calls.Load() <= 20 {
+		t.Errorf("notified of %+v after %d requests", l, calls.Load())
 	}
 }
 
-// TestSetAddressTakesEffectWhileRequestsAreUnanswered: SIGHUP moves the list while calls to an agent that is silent are open. The new one is asked at once,
-// and what the old one had told of drains holds where the new one is behind.
+// TestSetAddressTakesEffectWhileRequestsAreUnanswered moves the watch while an agent hangs. The new one is asked at
+// once, and drains that the old one reported hold where the new one is behind.
 func TestSetAddressTakesEffectWhileRequestsAreUnanswered(t *testing.T) {
 	var calls atomic.Int32
 	open := make(chan struct{})
 	drained := strings.Replace(fullDocument, "in_service", "terminating", 1)
-	f, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
-		switch n := calls.Add(1); {
-		case n == 1:
+	watcher, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+		switch n := calls.Add(1); n {
+		case 1:
 			io.WriteString(w, drained)
-		case n == 2: // the watch ends in an error, and the calls for a new one are not answered
+		case 2: // the watch fails, and the requests for the full list are not answered
 			w.WriteHeader(http.StatusInternalServerError)
 		default:
 			if n == 5 {
@@ -318,7 +320,7 @@
 			<-r.Context().Done()
 		}
 	})
-	nextList(t, told)
+	nextList(t, lists)
 	<-open
 	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -329,104 +331,122 @@
 	}))
 	defer second.Close()
 	defer second.CloseClientConnections()
-	f.SetAddress(address(second))
-	if l := nextList(t, told); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
-		t.Errorf("told %+v", l)
+	watcher.SetAddress(address(second))
+	if l := nextList(t, lists); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
+		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestOlderListRevertsNoDrainAndNoRemoval goes through words on one server, one after the other: which states result.
+// TestOlderListRevertsNoDrainAndNoRemoval applies sequences of responses on one server.
 func TestOlderListRevertsNoDrainAndNoRemoval(t *testing.T) {
-	at := func(revision int, whole bool, phase string, up int) string {
+	at := func(revision int, full bool, phase string, up int) string {
 		member := ""
 		if phase != "" {
-			member = fmt.Sprintf(`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":%d}`, phase, up)
+			member = fmt.Sprintf(`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":%d}`,
+				phase, up)
 		}
-		return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, whole, member)
+		return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, full, member)
 	}
-	const run, drain, gone = "in_service", "terminating", "terminated"
+	const run, drain, removed = "in_service", "terminating", "terminated"
 	for _, c := range []struct {
-		name  string
-		words []string
-		want  []gather.State // after each; Gone where it is not on the list
+		name      string
+		responses []string
+		want      []gather.State // after each; Removed where it is not listed
 	}{
-		{"a drain, then an older whole list", []string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
-		{"an end, then an older whole list", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 9)}, []gather.State{0, 2, 2}},
-		{"an end that names no start", []string{at(5, true, run, 9), at(6, false, gone, 0), at(5, true, run, 9)}, []gather.State{0, 2, 2}},
-		{"a later process", []string{at(5, true, run, 9), at(6, false, gone, 9), at(5, true, run, 10)}, []gather.State{0, 2, 0}},
-		{"an older list of the process before", []string{at(5, true, drain, 9), at(6, false, run, 10), at(5, true, drain, 9)}, []gather.State{1, 0, 0}},
-		{"a drain taken back by a change", []string{at(5, true, run, 9), at(6, false, drain, 9), at(7, false, run, 9)}, []gather.State{0, 1, 0}},
-		{"a drain taken back by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)}, []gather.State{1, 0}},
-		{"a list that lacks it, then one that has it", []string{at(5, true, run, 9), at(6, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 2, 0}},
-		{"a drain, a list that lacks it, an older one", []string{at(5, true, run, 9), at(6, false, drain, 9), at(7, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
-		{"an agent that begins anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9), at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
+		{"a drain, then an older full list",
+			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
+		{"a removal, then an older full list", []string{at(5, true, run, 9), at(6, false, removed, 9),
+			at(5, true, run, 9)}, []gather.State{0, 2, 2}},
+		{"a removal that names no start", []string{at(5, true, run, 9), at(6, false, removed, 0),
+			at(5, true, run, 9)},
+			[]gather.State{0, 2, 2}},
+		{"a later process", []string{at(5, true, run, 9), at(6, false, removed, 9), at(5, true, run, 10)},
+			[]gather.State{0, 2, 0}},
+		{"an older list of the process before",
+			[]string{at(5, true, drain, 9), at(6, false, run, 10), at(5, true, drain, 9)}, []gather.State{1, 0, 0}},
+		{"a drain reverted by a change", []string{at(5, true, run, 9), at(6, false, drain, 9),
+			at(7, false, run, 9)}, []gather.State{0, 1, 0}},
+		{"a drain reverted by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)},
+			[]gather.State{1, 0}},
+		{"a list that lacks it, then one that has it",
+			[]string{at(5, true, run, 9), at(6, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 2, 0}},
+		{"a drain, a list that lacks it, an older one",
+			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(7, true, "", 0),
+				at(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
+		{"an agent that starts anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9),
+			at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
-		f := New(Config{
+		watcher := New(Config{
 			Address:  "127.0.0.1:1",
 			OnChange: func(l gather.EndpointList, a []shardcall.Address) { list, all = l, a },
 		})
-		for i, text := range c.words {
+		for i, text := range c.responses {
 			r, err := ParseResponse([]byte(text))
 			if err != nil {
 				t.Fatal(err)
 			}
-			f.Apply(r)
-			state, told := gather.Removed, gather.Removed
+			watcher.Apply(r)
+			state, listed := gather.Removed, gather.Removed
 			for _, a := range all {
 				state = a.State
 			}
 			for _, s := range list.Endpoints {
-				told = s.State
+				listed = s.State
 			}
-			if state != c.want[i] || told != c.want[i] {
-				t.Errorf("%s: after word %d it is %v, told as %v, want %v", c.name, i, state, told, c.want[i])
+			if state != c.want[i] || listed != c.want[i] {
+				t.Errorf("%s: after response %d it is %v, notified as %v, want %v", c.name, i, state, listed,
+					c.want[i])
 			}
 		}
 	}
 }
 
-// TestRemovedNamesAreBounded: what is kept of servers that are gone is bounded.
+// TestRemovedNamesAreBounded removes more servers than are remembered as removed.
 func TestRemovedNamesAreBounded(t *testing.T) {
-	f := New(Config{
+	watcher := New(Config{
 		Address:  "127.0.0.1:1",
 		OnChange: func(gather.EndpointList, []shardcall.Address) {},
 	})
 	for i := range 3 * maxRemovedNames {
-		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`, i, i))
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"members":[{"id":"s-%d","phase":"terminated"}]}`,
+			i, i))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(r)
+		watcher.Apply(r)
 	}
-	if len(f.endpoints.observations) > maxRemovedNames || len(f.endpoints.removedNames) > maxRemovedNames || !slices.Contains(f.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
-		t.Errorf("%d facts, %d names", len(f.endpoints.observations), len(f.endpoints.removedNames))
+	if len(watcher.endpoints.observations) > maxRemovedNames ||
+		len(watcher.endpoints.removedNames) > maxRemovedNames ||
+		!slices.Contains(watcher.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
+		t.Errorf("%d observations, %d names", len(watcher.endpoints.observations),
+			len(watcher.endpoints.removedNames))
 	}
 }
 
-// newSharedWatcher follows the list of a service that answers only when asked; it knows a list already.
+// newSharedWatcher returns a watcher of a shared service, with a list that is known already.
 func newSharedWatcher(t *testing.T, agent *httptest.Server) *Watcher {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(agent),
 		OnChange: func(gather.EndpointList, []shardcall.Address) {},
 		Log:      log,
 	})
-	f.config.SharedService = true
+	watcher.config.SharedService = true
 	known, err := ParseResponse([]byte(fullDocument))
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Apply(known)
-	return f
+	watcher.Apply(known)
+	return watcher
 }
 
-// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff: a service that answers only when asked refuses all calls for a while. It is asked by one call at a
-// time, ever more seldom, and with what is newer than the last list; it was asked twenty times a second, by up to five
-// calls at once, for the whole list, so that a few gatherers together kept it from answering any.
+// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff has a shared service refuse requests for a while. Requests
+// are made one at a time, with growing pauses, for what follows the known revision: a few gatherers that polled
+// without pauses would keep it from recovering.
 func TestSharedServiceIsPolledOneRequestAtATimeWithBackoff(t *testing.T) {
 	const refusals = 5
 	type call struct {
@@ -448,10 +468,10 @@
 		<-r.Context().Done()
 	}))
 	defer agent.Close()
-	f := newSharedWatcher(t, agent)
+	watcher := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	for end := time.Now().Add(20 * time.Second); len(calls) <= refusals && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
@@ -460,37 +480,38 @@
 	var before time.Time
 	for n := range refusals + 1 {
 		c := <-calls
-		if want := "index=" + strconv.FormatInt(f.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query, want) {
-			t.Errorf("call %d asks for %q, not from %q on", n, c.query, want)
+		if want := "index=" + strconv.FormatInt(watcher.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query,
+			want) {
+			t.Errorf("request %d is %q, not from %q on", n, c.query, want)
 		}
 		if least := time.Duration(backoff.Pause(n, 0)) * time.Millisecond; n > 0 && c.at.Sub(before) < least {
-			t.Errorf("call %d comes %s after the one before, at least %s are due", n, c.at.Sub(before), least)
+			t.Errorf("request %d follows after %s, at least %s are due", n, c.at.Sub(before), least)
 		}
 		before = c.at
 	}
 	if most.Load() != 1 {
-		t.Errorf("%d calls were out at once", most.Load())
+		t.Errorf("%d requests were in flight at once", most.Load())
 	}
 }
 
-// TestStaleSharedServiceIsAskedForItsFullList: the service has not come as far as the list that was known. Its whole list is asked for.
+// TestStaleSharedServiceIsAskedForItsFullList has a shared service be behind the known revision.
 func TestStaleSharedServiceIsAskedForItsFullList(t *testing.T) {
-	asked := make(chan string, 100)
+	queries := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		queries <- r.URL.RawQuery
 		io.WriteString(w, `{"revision":0,"complete":false,"members":[]}`)
 	}))
 	defer agent.Close()
-	f := newSharedWatcher(t, agent)
+	watcher := newSharedWatcher(t, agent)
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	go f.Run(ctx)
-	if first, second := <-asked, <-asked; first == "" || second != "" {
-		t.Errorf("asked for %q, then for %q", first, second)
+	go watcher.Run(ctx)
+	if first, second := <-queries, <-queries; first == "" || second != "" {
+		t.Errorf("requested %q, then %q", first, second)
 	}
 }
 
-// fleetDocument is a whole list of so many servers, an entry a line.
+// fleetDocument is a full list of so many servers, one a line.
 func fleetDocument(servers int) string {
 	var b strings.Builder
 	b.WriteString(`{"revision":44,"complete":true,"members":[`)
@@ -505,27 +526,27 @@
 	return b.String()
 }
 
-// TestListOfTheDesignSizeIsUnderstood: the list of the largest fleet that is planned for is read; it was over the bound, and such a gatherer
-// never served.
+// TestListOfTheDesignSizeIsUnderstood reads the list of the largest fleet that is planned for.
 func TestListOfTheDesignSizeIsUnderstood(t *testing.T) {
 	const servers = 28_000
 	text := fleetDocument(servers)
 	if len(text) <= 4<<20 {
 		t.Errorf("a list of %d bytes shows nothing", len(text))
 	}
-	_, told := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
+	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
 		io.WriteString(w, text)
 	})
-	if l := nextList(t, told); len(l.Endpoints) != servers {
-		t.Errorf("%d servers were told", len(l.Endpoints))
+	if l := nextList(t, lists); len(l.Endpoints) != servers {
+		t.Errorf("%d servers are listed", len(l.Endpoints))
 	}
 }
 
-// TestOversizedListIsReportedOnceAndDiscarded: a list over the bound is told at error level, once, and the one before stays in force.
+// TestOversizedListIsReportedOnceAndDiscarded serves a list over the limit. It is logged once at error level, and the
+// list before stays in force.
 func TestOversizedListIsReportedOnceAndDiscarded(t *testing.T) {
 	text := fleetDocument(maxMembers + 1)
 	var calls atomic.Int32
@@ -547,21 +568,21 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	said := logtest.NewLocal(log)
-	told := make(chan []shardcall.Address, 100)
+	lists := make(chan []shardcall.Address, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(agent),
-		OnChange: func(_ gather.EndpointList, all []shardcall.Address) { told <- all },
+		OnChange: func(_ gather.EndpointList, all []shardcall.Address) { lists <- all },
 		Log:      log,
 	})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	<-again
 	stop()
 	agent.CloseClientConnections()
 	<-ended
-	for range len(told) {
-		if all := <-told; len(all) != 2 {
+	for range len(lists) {
+		if all := <-lists; len(all) != 2 {
 			t.Errorf("%d servers are held", len(all))
 		}
 	}
@@ -570,24 +591,24 @@
 		if e.Level == logrus.ErrorLevel {
 			errors++
 			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(maxMembers)) {
-				t.Errorf("said %q", text)
+				t.Errorf("logged %q", text)
 			}
 		}
 	}
 	if errors != 1 {
-		t.Errorf("said %d times at error level", errors)
+		t.Errorf("logged %d times at error level", errors)
 	}
 }
 
-// TestNamesWithEqualNumbersGetDistinctIDs: two names that come to one number are two servers, through an end, a return and a name whose own
-// number has been given away.
+// TestNamesWithEqualNumbersGetDistinctIDs lists two names with one number, through a removal, a return and a name
+// whose own number is taken.
 func TestNamesWithEqualNumbersGetDistinctIDs(t *testing.T) {
 	const first, second, third = "s-0000002a", "t-0000002a", "s-0000002b"
 	if ServerID(first) != ServerID(second) || ServerID(third) != ServerID(first)+1 {
 		t.Fatal("they are not alike")
 	}
 	held := map[string]uint32{}
-	f := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
+	watcher := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
 		clear(held)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
@@ -601,13 +622,15 @@
 		revision++
 		var entries []string
 		for _, name := range names {
-			entries = append(entries, fmt.Sprintf(`{"id":"%s","host_port":"%s:1","cell":0,"phase":"%s"}`, name, name, phase))
+			entries = append(entries, fmt.Sprintf(`{"id":"%s","host_port":"%s:1","cell":0,"phase":"%s"}`, name,
+				name, phase))
 		}
-		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete, strings.Join(entries, ",")))
+		r, err := ParseResponse(fmt.Appendf(nil, `{"revision":%d,"complete":%t,"members":[%s]}`, revision, complete,
+			strings.Join(entries, ",")))
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(r)
+		watcher.Apply(r)
 		numbers := map[uint32]bool{}
 		for _, id := range held {
 			numbers[id] = true
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -37,8 +37,10 @@
 		{"no revision", `{"complete":true}`, "no revision"},
 		{"no id", `{"revision":1,"members":[{"phase":"in_service"}]}`, "members[0]: no id"},
 		{"unknown phase", `{"revision":1,"members":[{"id":"s","phase":"odd"}]}`, `members[0]: phase "odd"`},
-		{"no cell", `{"revision":1,"members":[{"id":"s","phase":"in_service","host_port":"h:1"}]}`, "members[0]: no cell"},
-		{"no address", `{"revision":1,"members":[{"id":"s","phase":"in_service","cell":0}]}`, "members[0]: host_port"},
+		{"no cell", `{"revision":1,"members":[{"id":"s","phase":"in_service","host_port":"h:1"}]}`,
+			"members[0]: no cell"},
+		{"no address", `{"revision":1,"members":[{"id":"s","phase":"in_service","cell":0}]}`,
+			"members[0]: host_port"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			_, err := ParseResponse([]byte(c.text))
@@ -49,20 +51,23 @@
 	}
 }
 
-// TestServerIDsAreStableAndDistinct wants numbers that are the same at each gatherer and after each start, and no two servers with one.
+// TestServerIDsAreStableAndDistinct wants IDs that are the same at each gatherer and after each start, and distinct
+// ones for two servers.
 func TestServerIDsAreStableAndDistinct(t *testing.T) {
-	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e, "s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
+	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e,
+		"s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
 		if got := ServerID(name); name != "s-7" && got != want {
 			t.Errorf("%s is %#x, want %#x", name, got, want)
 		}
 	}
-	f := New(Config{Address: "127.0.0.1:1"})
-	if a, b, c := f.endpoints.assignID("s-00000005"), f.endpoints.assignID("t-00000005"), f.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
-		t.Errorf("numbers %d, %d, %d", a, b, c)
+	watcher := New(Config{Address: "127.0.0.1:1"})
+	if a, b, c := watcher.endpoints.assignID("s-00000005"), watcher.endpoints.assignID("t-00000005"), watcher.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
+		t.Errorf("IDs %d, %d, %d", a, b, c)
 	}
 }
 
-// TestWatcherNotifiesOfListsChangesAndFailures plays an agent through a day: whole list, change, bad answers of several kinds, whole list again.
+// TestWatcherNotifiesOfListsChangesAndFailures plays an agent that sends the full list, a change, several kinds of
+// bad answers, and the full list again.
 func TestWatcherNotifiesOfListsChangesAndFailures(t *testing.T) {
 	replies := []struct {
 		query, body string
@@ -72,7 +77,7 @@
 		{"index=41&wait=2000", changeDocument, 200},
 		{"index=43&wait=2000", `{"revision":44,`, 200},
 		{"", "", 500},
-		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older one takes no end back, see TestOlder
+		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older list reverts no removal
 		{"index=45&wait=2000", "", 0},
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -80,7 +85,7 @@
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		want := replies[step]
 		if r.URL.Path != "/api/targets" || r.URL.RawQuery != want.query {
-			t.Errorf("call %d asks for %v, want %q", step, r.URL, want.query)
+			t.Errorf("request %d is for %v, want %q", step, r.URL, want.query)
 		}
 		if want.status == 0 {
 			stop()
@@ -93,37 +98,38 @@
 	defer agent.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	type news struct {
+	type notification struct {
 		list gather.EndpointList
 		all  []shardcall.Address
 	}
-	var told []news
-	f := New(Config{Address: address(agent), OnChange: func(l gather.EndpointList, all []shardcall.Address) {
-		told = append(told, news{l, all})
+	var got []notification
+	watcher := New(Config{Address: address(agent), OnChange: func(l gather.EndpointList, all []shardcall.Address) {
+		got = append(got, notification{l, all})
 	}, Log: log})
-	f.Run(ctx)
+	watcher.Run(ctx)
 	first := gather.Endpoint{ID: 0x5be2a07c, ReplicaSet: 3, Zone: "a", Kind: "m", Size: 1.5, StartedAt: 7}
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
-	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7}, {ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
+	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7},
+		{ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
 	left := both[1:]
-	want := []news{
+	want := []notification{
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 		{gather.EndpointList{Endpoints: []gather.Endpoint{{ID: first.ID, State: gather.Removed}}}, left},
 		{gather.EndpointList{Failed: true}, left},
 		{gather.EndpointList{Failed: true}, left},
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 	}
-	if !reflect.DeepEqual(told, want) {
-		t.Errorf("told %+v\nwant %+v", told, want)
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("notified of %+v\nwant %+v", got, want)
 	}
 }
 
-// TestAgentThatAnswersAtOnceIsPolledWithPauses guards against asking without a pause an agent that answers at once whatever it is asked.
+// TestAgentThatAnswersAtOnceIsPolledWithPauses polls an agent that answers at once instead of holding a long poll.
 func TestAgentThatAnswersAtOnceIsPolledWithPauses(t *testing.T) {
 	for _, body := range []string{`{"revision":1,"complete":true}`, `{"revision":1,"complete":false}`} {
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		calls := 0
-		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 			calls++
 			io.WriteString(w, body)
 		}))
@@ -137,12 +143,12 @@
 		agent.Close()
 		stop()
 		if calls < 2 || calls > 15 {
-			t.Errorf("%d calls in half a second", calls)
+			t.Errorf("%d requests in half a second", calls)
 		}
 	}
 }
 
-// TestSilentAgentCountsAsFailedAndIsPolledAgain wants an agent that says nothing to count as one that does not answer, and asked again.
+// TestSilentAgentCountsAsFailedAndIsPolledAgain polls an agent that accepts requests and does not answer.
 func TestSilentAgentCountsAsFailedAndIsPolledAgain(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	calls := make(chan struct{}, 10)
@@ -155,22 +161,22 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := make(chan bool, 10)
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(agent),
 		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed <- l.Failed },
 		Log:      log,
 	})
-	go f.Run(ctx)
+	go watcher.Run(ctx)
 	<-calls
 	if !<-failed {
-		t.Error("told a list")
+		t.Error("notified of a list")
 	}
 	<-calls
 }
 
-// TestFullListIsTakenFromWhicheverRequestIsAnswered wants an agent that never answers what it took while it was silent found as soon as it speaks again: further
-// calls are made while the first is open. One that is slow is heard all the same: its answer to the first call, which
-// comes after the third, is the one taken.
+// TestFullListIsTakenFromWhicheverRequestIsAnswered polls an agent that never answers requests from its outage, and
+// one that is slow. Further requests are made while the first is in flight, and the first answer counts, even one to
+// the oldest request.
 func TestFullListIsTakenFromWhicheverRequestIsAnswered(t *testing.T) {
 	for _, answered := range []int{3, 1} {
 		ctx, stop := context.WithCancel(t.Context())
@@ -193,28 +199,28 @@
 		}))
 		log := logrus.New()
 		log.SetOutput(io.Discard)
-		told := make(chan gather.EndpointList, 100)
-		f := New(Config{
+		got := make(chan gather.EndpointList, 100)
+		watcher := New(Config{
 			Address:  address(agent),
-			OnChange: func(l gather.EndpointList, _ []shardcall.Address) { told <- l },
+			OnChange: func(l gather.EndpointList, _ []shardcall.Address) { got <- l },
 			Log:      log,
 		})
-		go f.Run(ctx)
-		if l := <-told; l.Failed || !l.Full || len(l.Endpoints) != 2 {
-			t.Errorf("call %d answered: told %+v first", answered, l)
+		go watcher.Run(ctx)
+		if l := <-got; l.Failed || !l.Full || len(l.Endpoints) != 2 {
+			t.Errorf("call %d answered: got %+v first", answered, l)
 		}
 		stop()
 		agent.Close()
 	}
 }
 
-// TestSetAddressCancelsTheWatchAndRequestsTheFullList wants a watch that waits at the old agent broken off, and the whole list asked of the new one first:
-// numbers of versions mean nothing across agents.
+// TestSetAddressCancelsTheWatchAndRequestsTheFullList moves a watch to another agent. Revisions do not compare across
+// agents, so that the new one is requests for its full list first.
 func TestSetAddressCancelsTheWatchAndRequestsTheFullList(t *testing.T) {
-	asked := make(chan string, 10)
+	requests := make(chan string, 10)
 	agent := func(name string) *httptest.Server {
 		a := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-			asked <- name + r.URL.RawQuery
+			requests <- name + r.URL.RawQuery
 			if r.URL.RawQuery != "" {
 				<-r.Context().Done()
 				return
@@ -228,35 +234,35 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	failed := false
-	f := New(Config{
+	watcher := New(Config{
 		Address:  address(old),
 		OnChange: func(l gather.EndpointList, _ []shardcall.Address) { failed = failed || l.Failed },
 		Log:      log,
 	})
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
-	go func() { f.Run(ctx); close(ended) }()
+	go func() { watcher.Run(ctx); close(ended) }()
 	for i, want := range []string{"old?", "old?index=41&wait=2000", "new?", "new?index=41&wait=2000"} {
 		if i == 2 {
-			f.SetAddress(address(next))
+			watcher.SetAddress(address(next))
 		}
-		if got := <-asked; got != want {
-			t.Errorf("call %d is %s, want %s", i, got, want)
+		if got := <-requests; got != want {
+			t.Errorf("request %d is %s, want %s", i, got, want)
 		}
 	}
-	f.SetAddress(address(next)) // as it is: the watch goes on
+	watcher.SetAddress(address(next)) // the same address: the watch goes on
 	stop()
 	<-ended
-	if failed || len(asked) > 0 {
-		t.Errorf("failed %v, %d calls more", failed, len(asked))
+	if failed || len(requests) > 0 {
+		t.Errorf("failed %v, %d more requests", failed, len(requests))
 	}
 }
 
-// TestRemovedEndpointsAreNotKept guards against keeping all servers that there ever were, where each is replaced by one of a new name:
-// told as gone in a change, or just missing from a whole list.
+// TestRemovedEndpointsAreNotKept replaces each server by one of a new name, by a change or by a full list that lacks
+// it. Nothing of the removed ones is kept.
 func TestRemovedEndpointsAreNotKept(t *testing.T) {
 	all := 0
-	f := New(Config{
+	watcher := New(Config{
 		Address:  "127.0.0.1:1",
 		OnChange: func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) },
 	})
@@ -266,9 +272,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		f.Apply(r)
-		if all != 1 || len(f.endpoints.idByName) != 1 || len(f.endpoints.nameByID) != 1 || len(f.endpoints.addresses) != 1 || len(f.endpoints.order) != 1 {
-			t.Fatalf("after %d: %d told, %d names, %d numbers, %d held, %d in order", i, all, len(f.endpoints.idByName), len(f.endpoints.nameByID), len(f.endpoints.addresses), len(f.endpoints.order))
+		watcher.Apply(r)
+		if all != 1 || len(watcher.endpoints.idByName) != 1 || len(watcher.endpoints.nameByID) != 1 ||
+			len(watcher.endpoints.addresses) != 1 || len(watcher.endpoints.order) != 1 {
+			t.Fatalf("after %d: %d listed, %d names, %d IDs, %d addresses, %d in order", i, all,
+				len(watcher.endpoints.idByName), len(watcher.endpoints.nameByID), len(watcher.endpoints.addresses), len(watcher.endpoints.order))
 		}
 	}
 }
--- a/internal/storage/statedir/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -1,4 +1,4 @@
-package statedir
+package journal
 
 import (
 	"bytes"
@@ -9,15 +9,16 @@
 	"path/filepath"
 	"slices"
 	"testing"
-
-	"yokeroute/internal/pcg"
 )
 
-// openJournal opens a folder and gives its records.
+// openJournal opens a folder and returns its records.
 func openJournal(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
 	t.Helper()
 	var got []string
-	j, r, err := OpenJournal(dir, most, func(rec []byte) error { got = append(got, string(rec)); return nil })
+	j, r, err := Open(Config{Folder: dir, MaxBytes: most, Load: func(rec []byte) error {
+		got = append(got, string(rec))
+		return nil
+	}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -40,7 +41,7 @@
 	return to
 }
 
-// singleFile gives the one file of a folder whose name begins so.
+// singleFile returns the one file of a folder with a prefix.
 func singleFile(t testing.TB, dir, prefix string) string {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
@@ -50,8 +51,8 @@
 	return names[0]
 }
 
-// TestJournalCutAtAnyByteKeepsWhatStandsBefore cuts a journal off at every byte: what was appended before the cut is there, nothing else is, no damage is
-// told, and what is appended from then on is there as well.
+// TestJournalCutAtAnyByteKeepsWhatStandsBefore cuts a journal at each byte. The records before the cut are there and
+// no others, no damage is reported, and what is appended afterwards is there as well.
 func TestJournalCutAtAnyByteKeepsWhatStandsBefore(t *testing.T) {
 	dir := t.TempDir()
 	j, _, r := openJournal(t, dir, 1<<20)
@@ -81,7 +82,8 @@
 		for kept < len(ends) && ends[kept] <= int64(n) {
 			kept++
 		}
-		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Empty || (r.TornBytes > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
+		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Empty ||
+			(r.TornBytes > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
 			t.Fatalf("cut at %d: %d records of %d, %+v", n, len(got), kept, r)
 		}
 		if err := j.Append([]byte("more")); err != nil {
@@ -94,8 +96,8 @@
 	}
 }
 
-// TestDamageOfAnyByteIsDetected changes every byte of a journal and of a snapshot: what is read is a beginning of what was written, and
-// where something behind the damage could still be read, it says that records are lost.
+// TestDamageOfAnyByteIsDetected changes each byte of a journal and of a snapshot. What is read is a prefix of what
+// was written, and lost records are reported where a later one is readable.
 func TestDamageOfAnyByteIsDetected(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, 1<<20)
@@ -147,8 +149,8 @@
 	}
 }
 
-// TestCrashAtAnySyncLosesNothingAcknowledged stops the disk at every moment at which something was just made to last, also within the putting of a
-// snapshot in place, and opens what is there: no record that was acknowledged is ever missing, and none is told twice.
+// TestCrashAtAnySyncLosesNothingAcknowledged copies the folder at each sync, also amid a snapshot, and opens the
+// copies. No acknowledged record is missing, and none is there twice.
 func TestCrashAtAnySyncLosesNothingAcknowledged(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, 200)
@@ -162,8 +164,10 @@
 		crashed := copyDir(t, dir)
 		after, got, r := openJournal(t, crashed, 200)
 		after.Close()
-		if r.Damaged || len(got) < len(acknowledged) || len(got) > len(pending) || !slices.Equal(got, pending[:len(got)]) {
-			t.Fatalf("a crash after %d records of which %d were acknowledged: %d are there, %+v", len(pending), len(acknowledged), len(got), r)
+		if r.Damaged || len(got) < len(acknowledged) || len(got) > len(pending) ||
+			!slices.Equal(got, pending[:len(got)]) {
+			t.Fatalf("a crash after %d records of which %d were acknowledged: %d are there, %+v", len(pending),
+				len(acknowledged), len(got), r)
 		}
 		return nil
 	}
@@ -194,8 +198,8 @@
 	}
 }
 
-// TestFailingDiskStopsTheJournal: a disk that fails at any call stops the journal rather than letting it go on; what was acknowledged before
-// is there afterwards.
+// TestFailingDiskStopsTheJournal has the disk fail from each of its calls on. The journal stops, and what was
+// acknowledged is there afterwards.
 func TestFailingDiskStopsTheJournal(t *testing.T) {
 	for fails := range 12 {
 		dir := t.TempDir()
@@ -229,30 +233,31 @@
 			t.Fatalf("%d calls: %v", fails, failed)
 		}
 		j.Close()
-		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) || !slices.Equal(got[:len(acknowledged)], acknowledged) {
+		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) ||
+			!slices.Equal(got[:len(acknowledged)], acknowledged) {
 			t.Fatalf("%d calls: %d of %d acknowledged records are there", fails, len(got), len(acknowledged))
 		}
 	}
 }
 
-// TestInvalidRecordsAndFoldersAreRefused: records that can't be, and a folder that is a file.
+// TestInvalidRecordsAndFoldersAreRefused appends records of invalid sizes, and opens a file as a folder.
 func TestInvalidRecordsAndFoldersAreRefused(t *testing.T) {
 	j, _, _ := openJournal(t, t.TempDir(), 100)
 	if err := j.Append(nil); err == nil {
-		t.Error("an empty record is taken")
+		t.Error("an empty record is appended")
 	}
 	if err := j.Append(make([]byte, maxRecordBytes+1)); err == nil {
-		t.Error("a record that is too long is taken")
+		t.Error("a record that is too long is appended")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
-	if _, _, err := OpenJournal(file, 100, nil); err == nil {
+	if _, _, err := Open(Config{Folder: file, MaxBytes: 100}); err == nil {
 		t.Error("a file is taken for a folder")
 	}
 }
 
-// FuzzOpenJournal reads whatever stands in a journal behind a good snapshot.
-func FuzzOpenJournal(f *testing.F) {
+// FuzzOpen reads arbitrary bytes in a journal behind a valid snapshot.
+func FuzzOpen(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, 1, 0, []byte("a")), 1, 13, []byte("bc")))
 	f.Add([]byte{255, 255, 255, 255, 0})
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -266,23 +271,26 @@
 			t.Fatal(err)
 		}
 		j, got, r := openJournal(t, dir, 100)
-		if len(got) == 0 || got[0] != "first" || r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
+		if len(got) == 0 || got[0] != "first" ||
+			r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
 			t.Fatalf("%q, %+v", got, r)
 		}
 		if err := j.Append([]byte("last")); err != nil {
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, again, r := openJournal(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" || r.TornBytes > 0 {
+		if _, again, r := openJournal(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" ||
+			r.TornBytes > 0 {
 			t.Fatalf("%q after %q, %+v", again, got, r)
 		}
 	})
 }
 
-// FuzzSnapshot reads whatever stands in a snapshot.
+// FuzzSnapshot reads arbitrary bytes as a snapshot.
 func FuzzSnapshot(f *testing.F) {
 	f.Add([]byte(snapshotHeader))
-	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1, int64(len(snapshotHeader))+13, nil))
+	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1,
+		int64(len(snapshotHeader))+13, nil))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		dir := t.TempDir()
 		if err := os.WriteFile(filepath.Join(dir, snapshotPrefix+"0000000000000001"), text, 0o600); err != nil {
@@ -301,62 +309,3 @@
 		}
 	})
 }
-
-// BenchmarkOpenGathererState tells what opening a folder takes, by how many claims it holds, and how large it is.
-func BenchmarkOpenGathererState(b *testing.B) {
-	for _, claims := range []int{1000, 10_000, 100_000} {
-		b.Run(fmt.Sprint(claims), func(b *testing.B) {
-			dir := b.TempDir()
-			g, _, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
-			if err != nil {
-				b.Fatal(err)
-			}
-			g.journal.sync = func(*os.File) error { return nil }
-			chance := pcg.New(1)
-			for i := range claims {
-				name := fmt.Sprintf("%08x%08x", chance.Uint32(), chance.Uint32())
-				if err := g.RecordSent([]string{name}, 1_000_000+float64(i)/1000); err != nil {
-					b.Fatal(err)
-				}
-			}
-			g.Close()
-			size := int64(0)
-			entries, _ := os.ReadDir(dir)
-			for _, e := range entries {
-				info, _ := e.Info()
-				size += info.Size()
-			}
-			b.ResetTimer()
-			for range b.N {
-				g, r, err := OpenGathererState(dir, 4<<20, 600_000, 1_000_000)
-				if err != nil || r.Claims != claims {
-					b.Fatal(r, err)
-				}
-				g.Close()
-			}
-			b.ReportMetric(float64(size)/float64(claims), "B/claim")
-		})
-	}
-}
-
-// BenchmarkRecordSent tells what writing a once-only lookup down takes, the disk included.
-func BenchmarkRecordSent(b *testing.B) {
-	for _, together := range []int{1, 16} {
-		b.Run(fmt.Sprint(together), func(b *testing.B) {
-			g, _, err := OpenGathererState(b.TempDir(), 4<<20, 600_000, 0)
-			if err != nil {
-				b.Fatal(err)
-			}
-			for i := range b.N {
-				var names []string
-				for k := range together {
-					names = append(names, fmt.Sprint(i, "-", k))
-				}
-				if err := g.RecordSent(names, float64(i)); err != nil {
-					b.Fatal(err)
-				}
-			}
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*together), "us/lookup")
-		})
-	}
-}
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -96,17 +96,21 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 || found.UnknownUntil != 0 {
+	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 ||
+		found.UnknownUntil != 0 {
 		t.Errorf("found %+v", found)
 	}
-	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true, "late": true, "never": false} {
+	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true,
+		"late": true, "never": false} {
 		if got := g.MayHaveRun(name, true, now); got != want {
 			t.Errorf("%s may have run: %t, want %t", name, got, want)
 		}
 	}
 	m, want := g.Map(), keptMap(t)
-	if m.Epoch != want.Epoch || m.Checksum != want.Checksum || len(m.Segments) != 2 || m.Segments[0].Range != want.Segments[0].Range ||
-		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].OwnedSince != 3 || m.Segments[1].Name != "b" {
+	if m.Epoch != want.Epoch || m.Checksum != want.Checksum || len(m.Segments) != 2 ||
+		m.Segments[0].Range != want.Segments[0].Range ||
+		!slices.Equal(m.Segments[0].Owners, want.Segments[0].Owners) || m.Segments[0].OwnedSince != 3 ||
+		m.Segments[1].Name != "b" {
 		t.Errorf("map %+v", m)
 	}
 	g.Close()
@@ -123,7 +127,7 @@
 // TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in half a record: what stands before it is there.
 func TestKeptFolderWithIncompleteRecordIsRead(t *testing.T) {
 	folder := keptCopy(t, "gatherer")
-	path := singleFile(t, folder, journalPrefix)
+	path := singleFile(t, folder, "journal-")
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -132,62 +136,8 @@
 		t.Fatal(err)
 	}
 	g, found, err := OpenGathererState(folder, 300, 1e12, 1_796_000_001_000)
-	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 || g.MayHaveRun("late", false, 1_796_000_001_000) {
+	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 ||
+		g.MayHaveRun("late", false, 1_796_000_001_000) {
 		t.Errorf("found %+v, %v", found, err)
 	}
 }
-
-// writeRun writes the folder of a run that two processes carried out, one after the other.
-func writeRun(t *testing.T, folder string) {
-	t.Helper()
-	must := func(err error) {
-		t.Helper()
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
-	first, err := OpenRunFolder(folder, false)
-	must(err)
-	must(first.Recover(func([]byte) error { return nil }))
-	must(first.Append([]byte(`{"stage":1}`)))
-	must(first.Append([]byte(`{"stage":2}`)))
-	first.Close()
-	must(SendCommand(folder, "pause", 1_796_000_000_000))
-	second, err := OpenRunFolder(folder, false)
-	must(err)
-	must(second.Recover(func([]byte) error { return nil }))
-	must(second.Append([]byte(`{"stage":3}`)))
-	must(second.WriteFile("status.json", []byte(`{"phase":"paused"}`)))
-	must(second.AppendLine("history", []byte(`{"event":"paused"}`)))
-	must(second.AppendLine("history", []byte(`{"event":"resumed"}`)))
-	second.Close()
-}
-
-// TestKeptRunFolderIsReadAndWrittenAsBefore reads and takes over a run's folder as it was kept, and writes the same values to the same bytes.
-func TestKeptRunFolderIsReadAndWrittenAsBefore(t *testing.T) {
-	var seen []string
-	see := func(record []byte) error {
-		seen = append(seen, string(record))
-		return nil
-	}
-	want := []string{`{"stage":1}`, `{"stage":2}`, `{"stage":3}`}
-	folder := keptCopy(t, "run")
-	if err := ReadRunJournal(folder, see); err != nil || !slices.Equal(seen, want) {
-		t.Errorf("read %q, %v", seen, err)
-	}
-	seen = nil
-	r, err := OpenRunFolder(folder, false)
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer r.Close()
-	if err := r.Recover(see); err != nil || !slices.Equal(seen, want) || r.FencingToken != 3 {
-		t.Errorf("taken over as %d with %q, %v", r.FencingToken, seen, err)
-	}
-	if word, err := r.Command(); err != nil || word != "pause 1796000000000" {
-		t.Errorf("the operator's word is %q, %v", word, err)
-	}
-	written := t.TempDir()
-	writeRun(t, written)
-	wantFolder(t, written, "run")
-}
