--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -109,9 +109,9 @@
 
 var whole = flag.Bool("whole", false, "go through the enumerated family whole, not by every seventh of it")
 
-// TestEnumerated goes through a family of small models whole: up to three hosts in two halls, two segments
-// on all sets of hosts, small capacities, demands, prices and limits.
-func TestEnumerated(t *testing.T) {
+// TestSolveEqualsBruteForceOnEnumeratedModels goes through a family of small models whole: up to three hosts
+// in two halls, two segments on all sets of hosts, small capacities, demands, prices and limits.
+func TestSolveEqualsBruteForceOnEnumeratedModels(t *testing.T) {
 	count, fitting := 0, 0
 	for caps := range 4 * 4 * 4 {
 		for on := range 7 * 7 {
@@ -192,7 +192,7 @@
 // CI goes through the first of these; the long run is in docs/results.md.
 var seeded = flag.Int("seeded", 2500, "how many drawn models to hold to brute force")
 
-func TestDrawn(t *testing.T) {
+func TestSolveEqualsBruteForceOnDrawnModels(t *testing.T) {
 	r := rand.New(rand.NewSource(15))
 	fitting := 0
 	for range *seeded {
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -39,8 +39,9 @@
 	return plan
 }
 
-// TestByOneUnit: what fits exactly is planned full, and one unit more is a clash of one unit.
-func TestByOneUnit(t *testing.T) {
+// TestOneUnitTooManyIsInfeasible: what fits exactly is planned full, and one unit more is a clash of one
+// unit.
+func TestOneUnitTooManyIsInfeasible(t *testing.T) {
 	m := two()
 	m.Demands[0].Rate = 340
 	if plan := solve(t, m); plan.Steps[0].MaxUtilisation.Load != plan.Steps[0].MaxUtilisation.Capacity {
@@ -70,9 +71,9 @@
 	}
 }
 
-// TestColdRising: at no instant does a plan give a cold host more than is safe of it by the slowest clock,
-// and while it warms the weights rise.
-func TestColdRising(t *testing.T) {
+// TestHostsWarmingUpGetNoMoreThanIsSafe: at no instant does a plan give a cold host more than is safe of it
+// by the slowest clock, and while it warms the weights rise.
+func TestHostsWarmingUpGetNoMoreThanIsSafe(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := two()
 		m.ClockSkew = float64(rapid.IntRange(0, 800).Draw(t, "clocks"))
@@ -119,9 +120,9 @@
 	})
 }
 
-// TestHalfHall: the weights made ready for the loss of half a hall fill no host more than solving again
-// would, and the plan's own, laid on what is left, would.
-func TestHalfHall(t *testing.T) {
+// TestHalfZoneCaseIsAsGoodAsSolvingAgain: the weights made ready for the loss of half a hall fill no host
+// more than solving again would, and the plan's own, laid on what is left, would.
+func TestHalfZoneCaseIsAsGoodAsSolvingAgain(t *testing.T) {
 	m := two()
 	m.Hosts[0].Cost, m.Hosts[1].Cost = 5, 3
 	plan := solve(t, m)
@@ -150,8 +151,9 @@
 	}
 }
 
-// TestOneHall: a segment that stands in one hall only goes dark with it, and the case says so.
-func TestOneHall(t *testing.T) {
+// TestSegmentOfOneZoneIsUnservedWithoutIt: a segment that stands in one hall only goes dark with it, and
+// the case says so.
+func TestSegmentOfOneZoneIsUnservedWithoutIt(t *testing.T) {
 	m := two()
 	m.Segments = append(m.Segments, placement.Segment{Name: "b", ReplicaSet: 1, Hosts: []string{"n1", "n2"}})
 	m.Demands = append(m.Demands, placement.Demand{Segment: "b", Zone: "south", Rate: 7})
@@ -170,9 +172,9 @@
 	}
 }
 
-// TestLeft: a plan none of whose hosts are there gives no weights, so that plain turns go; one that is too
-// old, too.
-func TestLeft(t *testing.T) {
+// TestPlanWithoutItsHostsGivesNoWeights: a plan none of whose hosts are there gives no weights, so that
+// plain turns go; one that is too old, too.
+func TestPlanWithoutItsHostsGivesNoWeights(t *testing.T) {
 	plan := solve(t, two())
 	f := placement.ActivePlan{Plan: plan, MaxAge: 1000}
 	s := f.At(plan.Model.At+10, func(string) bool { return false })
@@ -188,8 +190,9 @@
 	}
 }
 
-// TestTime: a solve that runs out of its time says so, or names the losses that it is not ready for.
-func TestTime(t *testing.T) {
+// TestSolveOutOfTimeNamesOmittedCases: a solve that runs out of its time says so, or names the losses that
+// it is not ready for.
+func TestSolveOutOfTimeNamesOmittedCases(t *testing.T) {
 	for work := range 8 {
 		left := work
 		plan, clash, err := Solve(two(), nil, func() bool { left--; return left >= 0 })
@@ -202,8 +205,9 @@
 	}
 }
 
-// TestSameOrder: entries in another order, with costs that tie, give the same plan to the letter.
-func TestSameOrder(t *testing.T) {
+// TestOrderOfEntriesDoesNotMatter: entries in another order, with costs that tie, give the same plan to the
+// letter.
+func TestOrderOfEntriesDoesNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := two()
 		m.Hosts[2].StartedAt, m.Hosts[2].WarmupTime = m.At-10, 5000
@@ -232,7 +236,7 @@
 	})
 }
 
-// out is a part call on its way in TestSeveral.
+// out is a part call on its way in TestGatherersTogetherKeepAHostWarmingUpSafe.
 type out struct {
 	g    int
 	at   float64
@@ -260,9 +264,10 @@
 func (*several) Subscribe()             {}
 func (*several) CheckHealth(uint32)     {}
 
-// TestSeveral lets uneven gatherers follow one plan beside a host that warms up, and wants the host never
-// sent more than rule 4 allows in any window, by all of them together; and more than nothing.
-func TestSeveral(t *testing.T) {
+// TestGatherersTogetherKeepAHostWarmingUpSafe lets uneven gatherers follow one plan beside a host that
+// warms up, and wants the host never sent more than rule 4 allows in any window, by all of them together;
+// and more than nothing.
+func TestGatherersTogetherKeepAHostWarmingUpSafe(t *testing.T) {
 	m := two()
 	cold := &m.Hosts[2]
 	cold.StartedAt, cold.WarmupTime, cold.InitialCapacityShare = m.At, 10000, 0.2
--- a/logic/balance/linear_test.go
+++ b/logic/balance/linear_test.go
@@ -62,9 +62,9 @@
 	return p
 }
 
-// TestLinear wants whole units never better than fractions, and worse by less than one unit of the smallest
-// host.
-func TestLinear(t *testing.T) {
+// TestWholeUnitsAreWithinOneOfTheLinearProgram wants whole units never better than fractions, and worse by
+// less than one unit of the smallest host.
+func TestWholeUnitsAreWithinOneOfTheLinearProgram(t *testing.T) {
 	r := rand.New(rand.NewSource(4))
 	compared := 0
 	for range 300 {
--- a/logic/placing/placing_test.go
+++ b/logic/placing/placing_test.go
@@ -183,7 +183,7 @@
 // CI goes through the first of these; the long run is in docs/results.md.
 var seeded = flag.Int("seeded", 250, "how many drawn models to hold to brute force")
 
-func TestDrawn(t *testing.T) {
+func TestPlacementEqualsBruteForceOnDrawnModels(t *testing.T) {
 	r := rand.New(rand.NewSource(16))
 	kinds := map[InfeasibilityKind]int{}
 	for i := range *seeded {
