--- a/logic/placing/branch.go
+++ b/logic/placing/branchandbound.go
@@ -48,38 +48,70 @@
 	bound value
 }
 
+// extend places the segments from the i-th in the order on. It reports whether it has gone through all of them.
 func (b *branchAndBound) extend(i int) bool {
 	if i == len(b.order) {
-		return true // its value was found when its last segment was placed
+		return true // the value was found when the last segment was placed
 	}
 	if !b.hasTime() {
 		return false
 	}
-	s := b.order[i]
+	segment := b.order[i]
+	for _, c := range b.choices(segment, i) {
+		if b.found && b.acceptAny {
+			return true
+		}
+		if b.found && !c.bound.less(b.best) {
+			continue
+		}
+		b.place(segment, c.hosts, 1)
+		isDone := b.extend(i + 1)
+		b.place(segment, c.hosts, -1)
+		b.placed[segment] = nil
+		if !isDone {
+			return false
+		}
+	}
+	return true
+}
+
+// place puts a segment on hosts, or counts it off them with a step of -1.
+func (b *branchAndBound) place(segment int, hosts []int, step int) {
+	b.placed[segment] = hosts
+	b.moved += step * b.moves(segment, hosts)
+	for _, h := range hosts {
+		b.segmentsOn[h] += step
+	}
+}
+
+// choices returns the sets of hosts for a segment that may lead to something better than the best known, the most
+// promising first. Of the last segment it returns none, as its placements are complete: it keeps the best one.
+func (b *branchAndBound) choices(segment, i int) []choice {
 	var choices []choice
-	for _, hosts := range b.hostSets(s, i) {
-		copied := b.moved + b.moves(s, hosts)
-		if copied+b.forcedMoves[i+1] > b.maxMoves() {
+	for _, hosts := range b.hostSets(segment, i) {
+		moves := b.moved + b.moves(segment, hosts) + b.forcedMoves[i+1]
+		if moves > b.maxMoves() {
 			continue
 		}
 		b.attempts++
-		b.placed[s] = hosts
+		b.placed[segment] = hosts
 		v, fits := b.bound(i + 1)
-		b.placed[s] = nil
-		if v.moves = copied + b.forcedMoves[i+1]; !fits || b.found && !v.less(b.best) {
+		b.placed[segment] = nil
+		v.moves = moves
+		if !fits || b.found && !v.less(b.best) {
 			continue
 		}
-		if i+1 == len(b.order) {
-			b.best, b.found = v, true
-			b.placed[s] = hosts
-			b.places = slices.Clone(b.placed)
-			b.placed[s] = nil
-			if b.acceptAny {
-				return true
-			}
+		if i+1 < len(b.order) {
+			choices = append(choices, choice{hosts, v})
 			continue
 		}
-		choices = append(choices, choice{hosts, v})
+		b.best = v
+		b.found = true
+		b.places = slices.Clone(b.placed)
+		b.places[segment] = hosts
+		if b.acceptAny {
+			return nil
+		}
 	}
 	slices.SortStableFunc(choices, func(x, y choice) int {
 		switch {
@@ -90,29 +122,7 @@
 		}
 		return 0
 	})
-	for _, c := range choices {
-		if b.found && b.acceptAny {
-			return true
-		}
-		if b.found && !c.bound.less(b.best) {
-			continue
-		}
-		b.placed[s] = c.hosts
-		b.moved += b.moves(s, c.hosts)
-		for _, h := range c.hosts {
-			b.segmentsOn[h]++
-		}
-		done := b.extend(i + 1)
-		for _, h := range c.hosts {
-			b.segmentsOn[h]--
-		}
-		b.moved -= b.moves(s, c.hosts)
-		b.placed[s] = nil
-		if !done {
-			return false
-		}
-	}
-	return true
+	return choices
 }
 
 // bound is what can come at best of the segments placed so far, the others going anywhere. The cost counts
--- a/logic/placing/misfit.go
+++ b/logic/placing/infeasibility.go
@@ -101,76 +101,145 @@
 	return hosts[:min(want, len(hosts))]
 }
 
-// findInfeasibility finds the misfits that show without a search.
+// findInfeasibility finds why no placement can fit, where that shows without a search.
 func findInfeasibility(m *placement.Model) *Infeasibility {
-	there := runningHosts(m)
-	replicas, room, endless, forced := int64(0), int64(0), false, int64(0)
-	for _, h := range m.Hosts {
-		if h.State == gather.Running {
-			room += int64(h.MaxSegments)
-			endless = endless || h.MaxSegments == 0
-		}
+	if f := checkHosts(m); f != nil {
+		return f
 	}
-	p, _ := warmProblem(m)
-	asked := p.SegmentDemands()
+	if f := checkSlots(m); f != nil {
+		return f
+	}
+	if f := checkMoves(m); f != nil {
+		return f
+	}
+	p, at := warmProblem(OneSegmentModel(m))
+	if proof := p.Infeasibility(at); proof != nil {
+		p.AddRelaxations(proof)
+		return &Infeasibility{Kind: DemandTooHigh, Proof: proof}
+	}
+	return checkSegmentDemands(m)
+}
+
+// checkHosts checks that there are as many hosts as each segment has replicas.
+func checkHosts(m *placement.Model) *Infeasibility {
+	hosts := runningHosts(m)
 	for i := range m.Segments {
 		s := &m.Segments[i]
 		want := wantedReplicas(s)
-		if want > len(there) {
-			return &Infeasibility{Kind: TooFewHosts, Segment: s.Name, Need: int64(want), Available: int64(len(there)),
-				Hosts: there, Relaxations: []string{fmt.Sprintf("%d replicas of %s", len(there), s.Name),
-					fmt.Sprintf("%d hosts more", want-len(there))}}
+		if want <= len(hosts) {
+			continue
 		}
-		replicas += int64(want)
-		if len(s.Hosts) > 0 {
-			kept := 0
-			for _, h := range s.Hosts {
-				if slices.Contains(there, h) {
-					kept++
-				}
-			}
-			forced += int64(max(want-kept, 0))
+		return &Infeasibility{
+			Kind:      TooFewHosts,
+			Segment:   s.Name,
+			Need:      int64(want),
+			Available: int64(len(hosts)),
+			Hosts:     hosts,
+			Relaxations: []string{
+				fmt.Sprintf("%d replicas of %s", len(hosts), s.Name),
+				fmt.Sprintf("%d hosts more", want-len(hosts)),
+			},
 		}
 	}
-	if !endless && replicas > room {
-		return &Infeasibility{Kind: TooFewSlots, Need: replicas, Available: room, Hosts: there,
-			Relaxations: []string{fmt.Sprintf("hosts with room for %d segments more", replicas-room),
-				fmt.Sprintf("%d replicas fewer", replicas-room)}}
+	return nil
+}
+
+// checkSlots checks that the hosts have room for all replicas.
+func checkSlots(m *placement.Model) *Infeasibility {
+	slots := int64(0)
+	for i := range m.Hosts {
+		h := &m.Hosts[i]
+		if h.State != gather.Running {
+			continue
+		}
+		if h.MaxSegments == 0 { // it has room for any number
+			return nil
+		}
+		slots += int64(h.MaxSegments)
+	}
+	replicas := int64(0)
+	for i := range m.Segments {
+		replicas += int64(wantedReplicas(&m.Segments[i]))
 	}
-	if m.MaxMoves >= 0 && forced > int64(m.MaxMoves) {
-		return &Infeasibility{Kind: TooManyMoves, Need: forced, Available: int64(m.MaxMoves),
-			Relaxations: []string{fmt.Sprintf("most-moved %d", forced)}}
+	if replicas <= slots {
+		return nil
 	}
-	whole, at := warmProblem(OneSegmentModel(m))
-	if c := whole.Infeasibility(at); c != nil {
-		whole.AddRelaxations(c)
-		return &Infeasibility{Kind: DemandTooHigh, Proof: c}
+	return &Infeasibility{
+		Kind:      TooFewSlots,
+		Need:      replicas,
+		Available: slots,
+		Hosts:     runningHosts(m),
+		Relaxations: []string{
+			fmt.Sprintf("hosts with room for %d segments more", replicas-slots),
+			fmt.Sprintf("%d replicas fewer", replicas-slots),
+		},
 	}
-	for i, s := range m.Segments {
-		hosts, can := largestHosts(m, p, wantedReplicas(&s)), int64(0)
-		var names []string
+}
+
+// checkMoves checks that no more replicas have to move than may.
+func checkMoves(m *placement.Model) *Infeasibility {
+	if m.MaxMoves < 0 {
+		return nil
+	}
+	hosts := runningHosts(m)
+	moves := int64(0)
+	for i := range m.Segments {
+		s := &m.Segments[i]
+		if len(s.Hosts) == 0 { // new: putting it somewhere moves nothing
+			continue
+		}
+		remaining := 0
+		for _, h := range s.Hosts {
+			if slices.Contains(hosts, h) {
+				remaining++
+			}
+		}
+		moves += int64(max(wantedReplicas(s)-remaining, 0))
+	}
+	if moves <= int64(m.MaxMoves) {
+		return nil
+	}
+	return &Infeasibility{
+		Kind:        TooManyMoves,
+		Need:        moves,
+		Available:   int64(m.MaxMoves),
+		Relaxations: []string{fmt.Sprintf("most-moved %d", moves)},
+	}
+}
+
+// checkSegmentDemands checks that each segment's demand fits the largest hosts, as many as it has replicas.
+func checkSegmentDemands(m *placement.Model) *Infeasibility {
+	p, _ := warmProblem(m)
+	demands := p.SegmentDemands()
+	for i := range m.Segments {
+		s := &m.Segments[i]
+		hosts := largestHosts(m, p, wantedReplicas(s))
+		capacity := sumCapacity(p, hosts)
+		if demands[i] <= capacity {
+			continue
+		}
+		f := &Infeasibility{Kind: SegmentDemandTooHigh, Segment: s.Name, Need: demands[i], Available: capacity}
 		for _, h := range hosts {
-			can += p.Capacity(h)
-			names = append(names, m.Hosts[h].Name)
+			f.Hosts = append(f.Hosts, m.Hosts[h].Name)
 		}
-		if asked[i] > can {
-			bad := &Infeasibility{Kind: SegmentDemandTooHigh, Segment: s.Name, Need: asked[i], Available: can, Hosts: names}
-			for want := wantedReplicas(&s) + 1; want <= len(there); want++ {
-				more := int64(0)
-				for _, h := range largestHosts(m, p, want) {
-					more += p.Capacity(h)
-				}
-				if more >= asked[i] {
-					bad.Relaxations = append(bad.Relaxations, fmt.Sprintf("%d replicas of %s", want, s.Name))
-					break
-				}
+		for want := wantedReplicas(s) + 1; want <= len(runningHosts(m)); want++ {
+			if sumCapacity(p, largestHosts(m, p, want)) >= demands[i] {
+				f.Relaxations = append(f.Relaxations, fmt.Sprintf("%d replicas of %s", want, s.Name))
+				break
 			}
-			return bad
 		}
+		return f
 	}
 	return nil
 }
 
+func sumCapacity(p *balance.Problem, hosts []int) (sum int64) {
+	for _, h := range hosts {
+		sum += p.Capacity(h)
+	}
+	return sum
+}
+
 // conflictingLimits finds limits that clash together: those that have to be lifted last, one after the other, until
 // something fits. Each is looked at by the same full search as the placement itself.
 func (j *job) conflictingLimits() *Infeasibility {
