--- a/logic/placing/localsearch.go
+++ b/logic/placing/localsearch.go
@@ -31,69 +31,6 @@
 	savedFlow   []int64
 }
 
-// initialPlacement puts each segment where it is, as far as that is allowed, and fills up: to halls that it is not in
-// yet and then to the host that is asked for least, the heaviest segments first.
-func (j *job) initialPlacement() ([][]int, bool) {
-	places := make([][]int, len(j.wanted))
-	held := make([]int, len(j.model.Hosts))
-	load := make([]float64, len(j.model.Hosts))
-	put := func(s, h int) {
-		places[s] = append(places[s], h)
-		held[h]++
-		load[h] += float64(j.demands[s]) / float64(j.wanted[s])
-	}
-	for _, s := range j.order {
-		for _, h := range j.currentHosts[s] {
-			if len(places[s]) < j.wanted[s] && slices.Contains(j.usable, h) && held[h] < j.maxSegments(h) {
-				put(s, h)
-			}
-		}
-	}
-	for _, s := range j.order {
-		for len(places[s]) < j.wanted[s] || !j.inEnoughZones(s, places[s]) {
-			in := make([]bool, len(j.model.Zones))
-			seen := 0
-			for _, h := range places[s] {
-				if !in[j.problem.Zone(h)] {
-					seen++
-				}
-				in[j.problem.Zone(h)] = true
-			}
-			best, least := -1, math.Inf(1)
-			for _, h := range j.usable {
-				if held[h] >= j.maxSegments(h) || slices.Contains(places[s], h) || seen < j.minZones[s] && in[j.problem.Zone(h)] {
-					continue
-				}
-				if u := (load[h] + float64(j.demands[s])/float64(j.wanted[s])) / max(float64(j.problem.Capacity(h)), 0.1); u < least {
-					best, least = h, u
-				}
-			}
-			if best < 0 {
-				return nil, false
-			}
-			if len(places[s]) == j.wanted[s] { // one in a hall that has two makes room for the new hall
-				at := slices.IndexFunc(places[s], func(h int) bool {
-					n := 0
-					for _, o := range places[s] {
-						if j.problem.Zone(o) == j.problem.Zone(h) {
-							n++
-						}
-					}
-					return n > 1
-				})
-				if at < 0 {
-					return nil, false
-				}
-				held[places[s][at]]--
-				load[places[s][at]] -= float64(j.demands[s]) / float64(j.wanted[s])
-				places[s] = slices.Delete(places[s], at, at+1)
-			}
-			put(s, best)
-		}
-	}
-	return places, true
-}
-
 // search gives the best placement that a search of the job's effort finds.
 func (j *job) search(seed uint64, bound placement.Ratio) (best [][]int, v value, found bool) {
 	places, ok := j.initialPlacement()
@@ -225,63 +162,82 @@
 	return false
 }
 
-// reduceShortfall takes replicas from hosts that are too full, by the cut that proves it, to hosts that have room. A
-// change that makes nothing better is kept one time in eight, against standing before a step that takes two.
+// slot is one replica of a segment.
+type slot struct{ segment, index int }
+
+// reduceShortfall moves replicas from hosts that are too full, by the cut that proves it, to hosts that have room.
+// Now and then it keeps a change that makes nothing better, since some improvements take two steps, or one that
+// makes it worse, to leave a local minimum.
 func (h *localSearch) reduceShortfall(until int) {
+	const worseOneIn = 4 // rounds without a change
 	for h.shortfall > 0 && h.attempts < until && h.hasTime() {
-		cut := h.network.Reachable(0)
-		var from [][2]int
-		for s := range h.places {
-			for slot, host := range h.places[s] {
-				if cut[2+s] && cut[h.hosts+host] {
-					from = append(from, [2]int{s, slot})
-				}
-			}
-		}
-		var to []int
-		for _, host := range h.usable {
-			if !cut[h.hosts+host] && h.segmentsOn[host] < h.maxSegments(host) {
-				to = append(to, host)
-			}
-		}
+		from, to := h.candidates()
 		if len(from) == 0 || len(to) == 0 {
 			h.swap(from)
 			continue
 		}
-		changed := false
-		for range 32 {
-			f, host := from[h.randomIndex(len(from))], to[h.randomIndex(len(to))]
-			if h.attempts >= until || !h.isAllowed(f[0], f[1], host) {
-				h.attempts++ // against looking for ever where nothing is allowed
-				continue
-			}
-			before := h.shortfall
-			if h.tryMove(f[0], f[1], host, func() bool {
-				return h.shortfall < before || h.shortfall == before && h.randomIndex(8) == 0
-			}) {
-				changed = true
-				break
-			}
+		if h.moveAny(from, to, until) || h.swap(from) || h.randomIndex(worseOneIn) != 0 {
+			continue
+		}
+		f, host := from[h.randomIndex(len(from))], to[h.randomIndex(len(to))]
+		if h.isAllowed(f.segment, f.index, host) {
+			h.tryMove(f.segment, f.index, host, func() bool { return true })
 		}
-		if !changed && !h.swap(from) && h.randomIndex(4) == 0 {
-			// Against going round in one valley: one change that is worse is kept.
-			f, host := from[h.randomIndex(len(from))], to[h.randomIndex(len(to))]
-			if h.isAllowed(f[0], f[1], host) {
-				h.tryMove(f[0], f[1], host, func() bool { return true })
+	}
+}
+
+// candidates returns the replicas whose segments and hosts are on the full side of the cut, and the hosts on the
+// other side that have room.
+func (h *localSearch) candidates() (from []slot, to []int) {
+	cut := h.network.Reachable(0)
+	for s := range h.places {
+		for i, host := range h.places[s] {
+			if cut[2+s] && cut[h.hosts+host] {
+				from = append(from, slot{s, i})
 			}
 		}
 	}
+	for _, host := range h.usable {
+		if !cut[h.hosts+host] && h.segmentsOn[host] < h.maxSegments(host) {
+			to = append(to, host)
+		}
+	}
+	return from, to
+}
+
+// moveAny moves one of the replicas to one of the hosts. It keeps a change that reduces the shortfall, and some that
+// leave it as it is. It reports whether it has kept one.
+func (h *localSearch) moveAny(from []slot, to []int, until int) bool {
+	const (
+		maxMoves   = 32
+		equalOneIn = 8 // changes that leave the shortfall as it is
+	)
+	for range maxMoves {
+		f, host := from[h.randomIndex(len(from))], to[h.randomIndex(len(to))]
+		if h.attempts >= until || !h.isAllowed(f.segment, f.index, host) {
+			h.attempts++ // so that the search ends where nothing is allowed
+			continue
+		}
+		before := h.shortfall
+		isKept := h.tryMove(f.segment, f.index, host, func() bool {
+			return h.shortfall < before || h.shortfall == before && h.randomIndex(equalOneIn) == 0
+		})
+		if isKept {
+			return true
+		}
+	}
+	return false
 }
 
 // swap exchanges the hosts of two replicas, where hosts are full of segments. It reports whether it was kept.
-func (h *localSearch) swap(from [][2]int) bool {
+func (h *localSearch) swap(from []slot) bool {
 	if len(from) == 0 {
-		from = append(from, [2]int{h.randomIndex(len(h.places)), 0})
+		from = append(from, slot{h.randomIndex(len(h.places)), 0})
 	}
 	for range 16 {
 		f := from[h.randomIndex(len(from))]
-		s, o := f[0], h.randomIndex(len(h.places))
-		slot, other := f[1], h.randomIndex(len(h.places[o]))
+		s, o := f.segment, h.randomIndex(len(h.places))
+		slot, other := f.index, h.randomIndex(len(h.places[o]))
 		a, b := h.places[s][slot], h.places[o][other]
 		h.attempts++
 		if s == o || a == b || slices.Contains(h.places[s], b) || slices.Contains(h.places[o], a) {
