--- a/cmd/yokeroute-testbed/rollouts.go
+++ b/cmd/yokeroute-testbed/rollouts.go
@@ -217,7 +217,7 @@
 	if err != nil {
 		return rolloutlive.Outcome{}, err
 	}
-	defer os.RemoveAll(folder)
+	defer removeTemporary(folder)
 	return rolloutlive.Run(cmd.Context(), rolloutlive.Config{
 		Gatherers: o.gatherers,
 		QueryRate: o.queryRate,
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -1,4 +1,4 @@
-// Package processes is a rig for a fleet of real processes of the program: gatherers on loopback addresses of their
+// Package processtest is a rig for a fleet of real processes of the program: gatherers on loopback addresses of their
 // own, a relay on every way between processes, a front that asks as clients do, shard servers and discovery by the
 // stand-ins that there are, and faults between all of them by a seeded timeline. Each gatherer records its trace;
 // joined with what the servers truly ran they show whether the fleet kept the six rules (package rules).
