--- a/internal/rulecheck/trace.go
+++ b/internal/rulecheck/trace.go
@@ -1,4 +1,4 @@
-// Package rules checks the six rules on a trace of what gatherers took, sent, heard and answered. A trace comes
+// Package rulecheck checks the six rules on a trace of what gatherers took, sent, heard and answered. A trace comes
 // from the emulator, which knows what ran where, or from a gatherer that serves and records, which does not; what a
 // trace cannot show is reported as not checked, and a trace that is cut off never passes.
 package rulecheck
