--- a/cmd/yokeroute-testbed/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -184,7 +184,7 @@
 	}
 	_, err = emulator.Run(sc, emulator.Options{Seed: seed, Variant: v, Unruled: true, Trace: func(h rulecheck.Header) (func(rulecheck.Event), func(float64, string) error) {
 		w := rulecheck.NewWriter(f, h)
-		return w.See, w.End
+		return w.Write, w.Close
 	}})
 	return errors.Join(err, f.Close())
 }
@@ -444,7 +444,7 @@
 			} else {
 				verdict(cmd, report)
 			}
-			if !report.Kept() {
+			if !report.Passed() {
 				return errNegative
 			}
 			return nil
@@ -457,20 +457,20 @@
 // verdict says in words what a check has found.
 func verdict(cmd *cobra.Command, r *rulecheck.Report) {
 	out := cmd.OutOrStdout()
-	fmt.Fprintf(out, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Lookups, r.Calls, r.Finals[rulecheck.Answered], r.Finals[rulecheck.Nacked], r.Finals[rulecheck.Aborted])
+	fmt.Fprintf(out, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Queries, r.Attempts, r.FinalAnswers[rulecheck.QueryServed], r.FinalAnswers[rulecheck.QueryRejected], r.FinalAnswers[rulecheck.QueryFailed])
 	for rule := 1; rule <= 6; rule++ {
 		switch {
 		case r.Counts[rule] > 0:
 			fmt.Fprintf(out, "rule %d: BROKEN %d times\n", rule, r.Counts[rule])
 		case r.Unchecked[rule] != "":
 			fmt.Fprintf(out, "rule %d: not checked: %s\n", rule, r.Unchecked[rule])
-		case r.Near[rule].Share > 0:
-			fmt.Fprintf(out, "rule %d: kept; nearest at %.0f%% of its limit, at %.0f ms: %s\n", rule, 100*r.Near[rule].Share, r.Near[rule].At, r.Near[rule].Words)
+		case r.ClosestToLimit[rule].Share > 0:
+			fmt.Fprintf(out, "rule %d: kept; nearest at %.0f%% of its limit, at %.0f ms: %s\n", rule, 100*r.ClosestToLimit[rule].Share, r.ClosestToLimit[rule].At, r.ClosestToLimit[rule].Message)
 		default:
 			fmt.Fprintf(out, "rule %d: kept\n", rule)
 		}
 	}
-	for _, b := range r.Breaks {
+	for _, b := range r.Violations {
 		fmt.Fprintln(out, " ", b)
 	}
 	if r.Incomplete != "" {
@@ -482,7 +482,7 @@
 func story(cmd *cobra.Command, text []byte, number uint64) error {
 	out, begin, seen := cmd.OutOrStdout(), 0.0, false
 	err := rulecheck.Read(bytes.NewReader(text), func(rulecheck.Header) error { return nil }, func(e rulecheck.Event) {
-		if e.Lookup != number {
+		if e.Query != number {
 			return
 		}
 		if !seen {
@@ -490,25 +490,25 @@
 		}
 		at := e.At - begin
 		pass := ""
-		if e.First {
+		if e.FirstPass {
 			pass = ", first pass"
 		}
 		switch e.Kind {
-		case rulecheck.Taken:
-			fmt.Fprintf(out, "%9.3f ms  taken by gatherer %d: %s, %d parts, %.0f ms\n", at, e.Gatherer, e.Index, len(e.Parts), e.Until-e.At)
-		case rulecheck.Sent:
-			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d to server %d%s\n", at, e.Shard, e.Call+1, e.Server, pass)
-		case rulecheck.Ran:
+		case rulecheck.QueryAdmitted:
+			fmt.Fprintf(out, "%9.3f ms  taken by gatherer %d: %s, %d parts, %.0f ms\n", at, e.Gatherer, e.Class, len(e.ShardRequests), e.Deadline-e.At)
+		case rulecheck.AttemptSent:
+			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d to server %d%s\n", at, e.Shard, e.Attempt+1, e.Server, pass)
+		case rulecheck.WorkStarted:
 			fmt.Fprintf(out, "%9.3f ms  shard %d: server %d begins its work%s\n", at, e.Shard, e.Server, pass)
-		case rulecheck.Ended:
-			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d: %s%s\n", at, e.Shard, e.Call+1, e.Outcome, pass)
-		case rulecheck.Answered:
-			fmt.Fprintf(out, "%9.3f ms  answered, whole %t, shards %v\n", at, e.Whole, e.In)
+		case rulecheck.AttemptEnded:
+			fmt.Fprintf(out, "%9.3f ms  shard %d: call %d: %s%s\n", at, e.Shard, e.Attempt+1, e.Outcome, pass)
+		case rulecheck.QueryServed:
+			fmt.Fprintf(out, "%9.3f ms  answered, whole %t, shards %v\n", at, e.Complete, e.IncludedShards)
 		default:
 			fmt.Fprintf(out, "%9.3f ms  %s\n", at, e.Kind)
 		}
 	})
-	if err != nil && !errors.Is(err, rulecheck.ErrCut) {
+	if err != nil && !errors.Is(err, rulecheck.ErrTruncated) {
 		return err
 	}
 	if !seen {
--- a/internal/control/rollout/live/live.go
+++ b/internal/control/rollout/live/live.go
@@ -135,7 +135,7 @@
 	stop()
 	f.Close()
 	joint, err := f.Check()
-	out.Kept = err == nil && joint.Kept()
+	out.Kept = err == nil && joint.Passed()
 	return out, err
 }
 
--- a/internal/control/rollout/outcomes_test.go
+++ b/internal/control/rollout/outcomes_test.go
@@ -61,8 +61,8 @@
 	if err != nil || !strings.Contains(string(page), "<svg") || !strings.Contains(string(page), "making g") {
 		t.Errorf("%v: %.300s", err, page)
 	}
-	if j := s.finish(); j.Lookups < 500 || j.Finals[rulecheck.Answered] < 400 {
-		t.Errorf("%d lookups, %v", j.Lookups, j.Finals)
+	if j := s.finish(); j.Queries < 500 || j.FinalAnswers[rulecheck.QueryServed] < 400 {
+		t.Errorf("%d lookups, %v", j.Queries, j.FinalAnswers)
 	}
 }
 
--- a/internal/control/rollout/scene_test.go
+++ b/internal/control/rollout/scene_test.go
@@ -243,7 +243,7 @@
 }
 
 // finish ends the load and the fleet, and checks that all processes together kept the rules.
-func (s *scene) finish() *rulecheck.Joint {
+func (s *scene) finish() *rulecheck.JoinedReport {
 	s.Helper()
 	s.stop()
 	j, err := s.fleet.Verdict()
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -119,11 +119,11 @@
 		f.Servers["m1"].Hang(false)
 	})
 	r := checkFile(t, file)
-	if !r.Kept() {
-		t.Errorf("%v %s", r.Breaks, r.Incomplete)
+	if !r.Passed() {
+		t.Errorf("%v %s", r.Violations, r.Incomplete)
 	}
-	if r.Lookups < all.Sent*9/10 || r.Calls < 2*all.Sent || r.Finals[rulecheck.Answered] == 0 {
-		t.Errorf("%d lookups sent, %d recorded with %d calls, %v", all.Sent, r.Lookups, r.Calls, r.Finals)
+	if r.Queries < all.Sent*9/10 || r.Attempts < 2*all.Sent || r.FinalAnswers[rulecheck.QueryServed] == 0 {
+		t.Errorf("%d lookups sent, %d recorded with %d calls, %v", all.Sent, r.Queries, r.Attempts, r.FinalAnswers)
 	}
 	if len(r.Unchecked) != 1 || r.Unchecked[4] == "" {
 		t.Errorf("not checked: %v", r.Unchecked)
@@ -135,7 +135,7 @@
 func TestRecordEnds(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
 	serve(t, &operator.File{Record: file, RecordMaxBytes: 8192, BackgroundShare: 0.05}, func(*experiment.Fleet) {})
-	if r := checkFile(t, file); r.Kept() || !strings.Contains(r.Incomplete, "8192 bytes") {
+	if r := checkFile(t, file); r.Passed() || !strings.Contains(r.Incomplete, "8192 bytes") {
 		t.Errorf("%+v", r)
 	}
 	if info, err := os.Stat(file); err != nil || info.Size() > 10_000 {
--- a/internal/gatherer/trace/file.go
+++ b/internal/gatherer/trace/file.go
@@ -75,25 +75,25 @@
 
 func header(settings *gather.Settings, startedAt float64) rulecheck.Header {
 	h := rulecheck.Header{
-		Source:  source,
-		Unix:    startedAt,
-		Grace:   settings.DrainGrace,
-		Slack:   settings.AnswerSlack,
-		Indexes: map[string]rulecheck.Index{},
+		Recorder:      source,
+		UnixStart:     startedAt,
+		DrainGrace:    settings.DrainGrace,
+		DeadlineSlack: settings.AnswerSlack,
+		Classes:       map[string]rulecheck.Class{},
 	}
 	if settings.RetryBudgetWindow > 0 {
 		h.Budget = &rulecheck.Budget{
-			Span:  settings.RetryBudgetWindow,
-			Free:  settings.RetryBudgetFloor,
-			Share: settings.RetryBudgetRatio,
+			Window:      settings.RetryBudgetWindow,
+			FreeRetries: settings.RetryBudgetFloor,
+			Ratio:       settings.RetryBudgetRatio,
 		}
 	}
 	for _, class := range settings.Classes {
-		h.Indexes[class.Name] = rulecheck.Index{
-			Effect: string(class.Effect),
-			Window: class.IdempotencyWindow,
-			Whole:  class.CompleteShare,
-			Least:  class.MinShare,
+		h.Classes[class.Name] = rulecheck.Class{
+			Effect:            string(class.Effect),
+			IdempotencyWindow: class.IdempotencyWindow,
+			CompleteShare:     class.CompleteShare,
+			MinShare:          class.MinShare,
 		}
 	}
 	return h
@@ -121,11 +121,11 @@
 	// Two goroutines may come here in another order than they read the clock.
 	r.lastEventAt = max(at-r.startedAt, r.lastEventAt)
 	e.At = r.lastEventAt
-	r.w.See(e)
+	r.w.Write(e)
 	if r.flushEach {
 		r.w.Flush()
 	}
-	if r.w.Bytes() > r.maxBytes {
+	if r.w.BytesWritten() > r.maxBytes {
 		r.finish(at, fmt.Sprintf("the record reached its %d bytes with %d lookups open", r.maxBytes, len(r.open)))
 	}
 }
@@ -136,7 +136,7 @@
 	if reason == "" {
 		r.end = endClosed
 	}
-	if err := errors.Join(r.w.End(max(at-r.startedAt, r.lastEventAt), reason), r.f.Close()); err != nil {
+	if err := errors.Join(r.w.Close(max(at-r.startedAt, r.lastEventAt), reason), r.f.Close()); err != nil {
 		r.end = err.Error()
 	}
 }
@@ -160,7 +160,7 @@
 		listed[s.ID] = true
 		if state, known := r.endpoints[s.ID]; !known || state != s.State {
 			r.endpoints[s.ID] = s.State
-			r.write(at, rulecheck.Event{Kind: rulecheck.Told, Server: s.ID, State: stateTexts[s.State]})
+			r.write(at, rulecheck.Event{Kind: rulecheck.EndpointStateLearned, Server: s.ID, State: stateTexts[s.State]})
 		}
 	}
 	if !list.Full {
@@ -168,7 +168,7 @@
 	}
 	for id := range r.endpoints {
 		if !listed[id] {
-			r.write(at, rulecheck.Event{Kind: rulecheck.Told, Server: id, State: stateTexts[gather.Removed]})
+			r.write(at, rulecheck.Event{Kind: rulecheck.EndpointStateLearned, Server: id, State: stateTexts[gather.Removed]})
 			delete(r.endpoints, id)
 		}
 	}
@@ -179,18 +179,18 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := rulecheck.Event{
-		Kind:   rulecheck.Taken,
-		Lookup: r.nextNumber,
-		Name:   query.ID,
-		Index:  query.Class,
-		Until:  query.Deadline - r.startedAt,
+		Kind:      rulecheck.QueryAdmitted,
+		Query:     r.nextNumber,
+		QueryName: query.ID,
+		Class:     query.Class,
+		Deadline:  query.Deadline - r.startedAt,
 	}
 	for _, request := range query.ShardRequests {
-		part := rulecheck.Part{Shard: request.Shard, Weight: request.Weight}
+		part := rulecheck.ShardRequest{Shard: request.Shard, Weight: request.Weight}
 		if r.shards > 0 {
 			part.Keys = keyRange(ownership.ShardRange(request.Shard, r.shards))
 		}
-		e.Parts = append(e.Parts, part)
+		e.ShardRequests = append(e.ShardRequests, part)
 	}
 	r.open[query] = r.nextNumber
 	r.nextNumber++
@@ -208,7 +208,7 @@
 	if !open {
 		return
 	}
-	r.write(at, attemptEvent(rulecheck.Sent, number, attempt))
+	r.write(at, attemptEvent(rulecheck.AttemptSent, number, attempt))
 }
 
 // AttemptEnded implements dispatch.DecisionObserver.
@@ -221,20 +221,20 @@
 	if !open || !attempt.WriteStarted() {
 		return
 	}
-	e := attemptEvent(rulecheck.Ended, number, attempt)
+	e := attemptEvent(rulecheck.AttemptEnded, number, attempt)
 	e.Outcome = outcome.String()
-	e.Empty = attempt.FirstPass() && outcome == gather.Succeeded && summary.Empty
+	e.ProvenEmpty = attempt.FirstPass() && outcome == gather.Succeeded && summary.Empty
 	r.write(attempt.DecidedAt()+latency, e)
 }
 
-func attemptEvent(kind rulecheck.Kind, query uint64, attempt *dispatch.Attempt) rulecheck.Event {
+func attemptEvent(kind rulecheck.EventKind, query uint64, attempt *dispatch.Attempt) rulecheck.Event {
 	e := rulecheck.Event{
-		Kind:   kind,
-		Lookup: query,
-		Shard:  attempt.Shard(),
-		Server: attempt.Server,
-		Call:   attempt.Number(),
-		First:  attempt.FirstPass(),
+		Kind:      kind,
+		Query:     query,
+		Shard:     attempt.Shard(),
+		Server:    attempt.Server,
+		Attempt:   attempt.Number(),
+		FirstPass: attempt.FirstPass(),
 	}
 	if keys, _, _, owned := attempt.Ownership(); owned {
 		e.Keys = keyRange(keys)
@@ -242,7 +242,7 @@
 	return e
 }
 
-func keyRange(r ownership.Range) *rulecheck.Keys { return &rulecheck.Keys{Lo: r.Lo, Hi: r.Hi} }
+func keyRange(r ownership.Range) *rulecheck.KeyRange { return &rulecheck.KeyRange{Lo: r.Lo, Hi: r.Hi} }
 
 // FirstPassEnded implements dispatch.DecisionObserver. The rules do not regard passes.
 func (r *File) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
@@ -259,7 +259,7 @@
 		return
 	}
 	delete(r.open, query)
-	e := rulecheck.Event{Kind: resultEvents[result.Kind], Lookup: number, Whole: result.Complete}
+	e := rulecheck.Event{Kind: resultEvents[result.Kind], Query: number, Complete: result.Complete}
 	if result.Kind == dispatch.Served {
 		r.addShards(&e, result)
 	}
@@ -267,27 +267,27 @@
 }
 
 // The events of results.
-var resultEvents = map[dispatch.ResultKind]rulecheck.Kind{
-	dispatch.Served:        rulecheck.Answered,
-	dispatch.Rejected:      rulecheck.Nacked,
-	dispatch.Failed:        rulecheck.Aborted,
-	dispatch.InternalError: rulecheck.Aborted,
-	dispatch.Abandoned:     rulecheck.Left,
+var resultEvents = map[dispatch.ResultKind]rulecheck.EventKind{
+	dispatch.Served:        rulecheck.QueryServed,
+	dispatch.Rejected:      rulecheck.QueryRejected,
+	dispatch.Failed:        rulecheck.QueryFailed,
+	dispatch.InternalError: rulecheck.QueryFailed,
+	dispatch.Abandoned:     rulecheck.QueryAbandoned,
 }
 
 // addShards adds the shards that a result stands for: those with hits, with their keys where a map says who owns
 // which, and then those that were proved empty.
 func (r *File) addShards(e *rulecheck.Event, result dispatch.Result) {
 	for _, hit := range result.Hits {
-		e.In = append(e.In, hit.Shard)
+		e.IncludedShards = append(e.IncludedShards, hit.Shard)
 		if r.shards == 0 {
 			continue
 		}
-		var keys *rulecheck.Keys
+		var keys *rulecheck.KeyRange
 		if hit.Keys != nil {
 			keys = keyRange(*hit.Keys)
 		}
-		e.InKeys = append(e.InKeys, keys)
+		e.IncludedKeys = append(e.IncludedKeys, keys)
 	}
-	e.In = append(e.In, result.EmptyShards...)
+	e.IncludedShards = append(e.IncludedShards, result.EmptyShards...)
 }
--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -10,10 +10,10 @@
 )
 
 func header() Header {
-	return Header{Source: "test", Truth: true, Grace: 250, Slack: 20, Budget: &Budget{Span: 2000, Free: 2, Share: 0.1},
-		Cold: &Cold{Share: 0.2, Time: 10_000, Span: 1000, Multiple: 3}, Servers: map[uint32]Server{1: {4}, 2: {4}, 3: {4}},
-		Indexes: map[string]Index{"any": {Effect: "idempotent", Whole: 0.75, Least: 0.5}, "once": {Effect: "once-only", Whole: 1, Least: 1},
-			"mark": {Effect: "fingerprinted", Window: 300, Whole: 1, Least: 1}}}
+	return Header{Recorder: "test", GroundTruth: true, DrainGrace: 250, DeadlineSlack: 20, Budget: &Budget{Window: 2000, FreeRetries: 2, Ratio: 0.1},
+		SlowStart: &SlowStart{InitialShare: 0.2, Duration: 10_000, Window: 1000, OverloadFactor: 3}, Servers: map[uint32]Server{1: {4}, 2: {4}, 3: {4}},
+		Classes: map[string]Class{"any": {Effect: "idempotent", CompleteShare: 0.75, MinShare: 0.5}, "once": {Effect: "once-only", CompleteShare: 1, MinShare: 1},
+			"mark": {Effect: "fingerprinted", IdempotencyWindow: 300, CompleteShare: 1, MinShare: 1}}}
 }
 
 // script writes events in a short form, a word each, parted by blanks; lines by semicolons:
@@ -31,7 +31,7 @@
 			continue
 		}
 		num := func(i int) (f float64) { fmt.Sscan(w[i], &f); return f }
-		e := Event{At: num(0), Kind: Kind(w[1]), Gatherer: 1}
+		e := Event{At: num(0), Kind: EventKind(w[1]), Gatherer: 1}
 		for _, word := range w {
 			if k := keysOf(word); k != nil && !strings.Contains(word, ":") {
 				e.Keys = k
@@ -40,33 +40,33 @@
 		has := func(word string) bool { return strings.Contains(line, " "+word) }
 		switch e.Kind {
 		case "start":
-			e.Kind, e.Server = Started, uint32(num(2))
-		case Came:
+			e.Kind, e.Server = ServerStarted, uint32(num(2))
+		case WorkArrived:
 			e.Server, e.Work = uint32(num(2)), num(3)
-		case Told:
+		case EndpointStateLearned:
 			e.Server, e.State = uint32(num(2)), w[3]
-		case Died:
+		case GathererStopped:
 		default:
-			e.Lookup = uint64(num(2))
+			e.Query = uint64(num(2))
 		}
 		switch e.Kind {
-		case Taken:
-			e.Index, e.Until = w[3], num(4)
+		case QueryAdmitted:
+			e.Class, e.Deadline = w[3], num(4)
 			for i := range int(num(5)) {
-				e.Parts = append(e.Parts, Part{Shard: i, Weight: 1 / num(5), Keys: &Keys{0, 99}})
+				e.ShardRequests = append(e.ShardRequests, ShardRequest{Shard: i, Weight: 1 / num(5), Keys: &KeyRange{0, 99}})
 			}
-		case Sent:
-			e.Shard, e.Server, e.Call, e.First = int(num(3)), uint32(num(4)), int(num(5)), has("first")
-		case Ended:
-			e.Shard, e.Call, e.Outcome, e.First, e.Empty = int(num(3)), int(num(4)), w[5], has("first"), has("empty")
-		case Answered:
-			e.Whole = w[3] == "whole"
+		case AttemptSent:
+			e.Shard, e.Server, e.Attempt, e.FirstPass = int(num(3)), uint32(num(4)), int(num(5)), has("first")
+		case AttemptEnded:
+			e.Shard, e.Attempt, e.Outcome, e.FirstPass, e.ProvenEmpty = int(num(3)), int(num(4)), w[5], has("first"), has("empty")
+		case QueryServed:
+			e.Complete = w[3] == "whole"
 			for _, word := range w[4:] {
 				shard, keys, _ := strings.Cut(word, ":")
 				n, _ := strconv.Atoi(shard)
-				e.In, e.InKeys = append(e.In, n), append(e.InKeys, keysOf(keys))
+				e.IncludedShards, e.IncludedKeys = append(e.IncludedShards, n), append(e.IncludedKeys, keysOf(keys))
 			}
-		case Ran:
+		case WorkStarted:
 			e.Shard = int(num(3))
 		}
 		events = append(events, e)
@@ -74,8 +74,8 @@
 	return events
 }
 
-func keysOf(word string) *Keys {
-	var k Keys
+func keysOf(word string) *KeyRange {
+	var k KeyRange
 	if n, _ := fmt.Sscanf(word, "%d..%d", &k.Lo, &k.Hi); n < 2 {
 		return nil
 	}
@@ -83,15 +83,15 @@
 }
 
 func check(t *testing.T, h Header, text string, over float64) *Report {
-	c, err := New(h)
+	c, err := NewChecker(h)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range script(text) {
-		c.See(e)
+		c.Observe(e)
 	}
 	if over >= 0 {
-		c.See(Event{At: over, Kind: Over})
+		c.Observe(Event{At: over, Kind: TraceEnd})
 	}
 	return c.Report()
 }
@@ -173,13 +173,13 @@
 			r := check(t, header(), c.text, 20000)
 			for rule, n := range r.Counts {
 				if rule != c.rule {
-					t.Errorf("rule %d is broken %d times: %v", rule, n, r.Breaks)
+					t.Errorf("rule %d is broken %d times: %v", rule, n, r.Violations)
 				}
 			}
-			if c.rule > 0 && (r.Counts[c.rule] == 0 || r.Kept()) {
+			if c.rule > 0 && (r.Counts[c.rule] == 0 || r.Passed()) {
 				t.Errorf("rule %d counts as kept", c.rule)
 			}
-			if c.rule == 0 && !r.Kept() {
+			if c.rule == 0 && !r.Passed() {
 				t.Errorf("incomplete: %q", r.Incomplete)
 			}
 		})
@@ -201,9 +201,9 @@
 // TestUnchecked: what a trace cannot show is said, and is not counted as a break.
 func TestUnchecked(t *testing.T) {
 	h := header()
-	h.Truth, h.Budget = false, nil
+	h.GroundTruth, h.Budget = false, nil
 	r := check(t, h, "0 start 1; 0 told 1 running; 0 came 1 99999;"+further(1, 0, 30), 9000)
-	if !r.Kept() || r.Unchecked[4] == "" || r.Unchecked[6] == "" || len(r.Unchecked) != 2 {
+	if !r.Passed() || r.Unchecked[4] == "" || r.Unchecked[6] == "" || len(r.Unchecked) != 2 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -221,7 +221,7 @@
 		"an unknown kind":  {"5 dance 1", 900, `"dance"`},
 		"an unknown index": {"5 take 1 none 900 1", 900, `"none"`},
 	} {
-		if r := check(t, header(), c.text, c.over); r.Kept() || !strings.Contains(r.Incomplete, c.want) || len(r.Counts) > 0 {
+		if r := check(t, header(), c.text, c.over); r.Passed() || !strings.Contains(r.Incomplete, c.want) || len(r.Counts) > 0 {
 			t.Errorf("%s: %+v", name, r)
 		}
 	}
@@ -234,32 +234,32 @@
 	w := NewWriter(&file, header())
 	events := script("0 take 1 any 900 4; 0 send 1 0 1 0; 0 send 1 1 1 0; 0 send 1 2 2 0; 9 end 1 0 0 answered; 9 end 1 1 0 answered; 9 end 1 2 0 answered; 10 answer 1 whole 0 1 2")
 	for _, e := range events {
-		w.See(e)
+		w.Write(e)
 	}
-	if err := w.End(900, ""); err != nil {
+	if err := w.Close(900, ""); err != nil {
 		t.Fatal(err)
 	}
 	text := file.Bytes()
 	r, err := Check(bytes.NewReader(text))
-	if err != nil || !r.Kept() || r.Lookups != 1 || r.Calls != 3 {
+	if err != nil || !r.Passed() || r.Queries != 1 || r.Attempts != 3 {
 		t.Fatalf("%+v, %v", r, err)
 	}
 	head := bytes.IndexByte(text, '\n')
 	for n := range text {
 		r, err := Check(bytes.NewReader(text[:n]))
-		if n > head && (err != nil || r.Kept() || !strings.Contains(r.Incomplete, "cut off")) || n <= head && err == nil {
+		if n > head && (err != nil || r.Passed() || !strings.Contains(r.Incomplete, "cut off")) || n <= head && err == nil {
 			t.Fatalf("cut at %d of %d: %+v, %v", n, len(text), r, err)
 		}
 		changed := bytes.Clone(text)
 		changed[n] ^= 1
-		if r, err := Check(bytes.NewReader(changed)); err == nil && r.Kept() {
+		if r, err := Check(bytes.NewReader(changed)); err == nil && r.Passed() {
 			t.Fatalf("byte %d changed from %q: passes", n, text[n])
 		}
 	}
 	if _, err := Check(bytes.NewReader(append(bytes.Clone(text), "{}\n"...))); err == nil {
 		t.Error("passes with a line behind its last")
 	}
-	if _, err := Check(strings.NewReader(`{"trace":"yokeroute trace 9"}` + "\n")); err == nil || errors.Is(err, ErrCut) {
+	if _, err := Check(strings.NewReader(`{"trace":"yokeroute trace 9"}` + "\n")); err == nil || errors.Is(err, ErrTruncated) {
 		t.Errorf("another form: %v", err)
 	}
 }
--- a/internal/rulecheck/join.go
+++ b/internal/rulecheck/join.go
@@ -14,32 +14,32 @@
 type Source struct {
 	Name     string // for messages
 	Gatherer int    // from 1
-	From     io.Reader
+	Trace    io.Reader
 }
 
-// Truth is what servers took and ran, told by who plays them. Its events are of the kinds Came, Ran and Started, their
+// GroundTruth is what servers took and ran, told by who plays them. Its events are of the kinds Came, Ran and Started, their
 // times Unix milliseconds; a lookup's name stands in Name in place of its number.
-type Truth struct {
-	Cold    *Cold
-	Servers map[uint32]Server
-	Events  []Event
+type GroundTruth struct {
+	SlowStart *SlowStart
+	Servers   map[uint32]Server
+	Events    []Event
 }
 
-// Joint is what a check of several processes' traces has found.
-type Joint struct {
+// JoinedReport is what a check of several processes' traces has found.
+type JoinedReport struct {
 	*Report
-	Killed  int            `json:"killed"`  // traces that are cut off, as those of killed processes are
-	Of      map[int]string `json:"of"`      // gatherers' names, by number
-	Busiest Near           `json:"busiest"` // the fleet's further part calls over what all gatherers together may make
-	Unknown int            `json:"unknown"` // parts at servers that no trace has sent; any at all is a fault of the records
+	KilledProcesses int            `json:"killed"`  // traces that are cut off, as those of killed processes are
+	GathererNames   map[int]string `json:"of"`      // gatherers' names, by number
+	PeakBudgetUse   LimitUse       `json:"busiest"` // the fleet's further part calls over what all gatherers together may make
+	UnknownRequests int            `json:"unknown"` // parts at servers that no trace has sent; any at all is a fault of the records
 }
 
-// JoinTerms are how traces are joined.
-type JoinTerms struct {
-	Operation func(name string) string // the operation that a lookup's name is a try of; nil takes each name for one of its own
-	// Slack is by how many milliseconds more than the traces say a final answer may pass its client's time: processes
+// JoinOptions are how traces are joined.
+type JoinOptions struct {
+	OperationOf func(name string) string // the operation that a lookup's name is a try of; nil takes each name for one of its own
+	// DeadlineSlack is by how many milliseconds more than the traces say a final answer may pass its client's time: processes
 	// that were stopped, or that shared too few cores, answer late without a fault of their own.
-	Slack float64
+	DeadlineSlack float64
 }
 
 // source is a trace as it was read.
@@ -59,24 +59,24 @@
 //
 // A trace that is cut off is that of a process that was killed: what it held dies with it. One that tells no Unix time
 // or other indexes than the rest is an error that names it.
-func Join(sources []Source, truth *Truth, terms JoinTerms) (*Joint, error) {
+func Join(sources []Source, truth *GroundTruth, terms JoinOptions) (*JoinedReport, error) {
 	if len(sources) == 0 {
 		return nil, errors.New("no traces to join")
 	}
 	var all []*source
 	for _, s := range sources {
 		one := &source{Source: s}
-		err := Read(s.From, func(h Header) error { one.head = h; return nil }, func(e Event) { one.events = append(one.events, e) })
-		if err != nil && !errors.Is(err, ErrCut) {
+		err := Read(s.Trace, func(h Header) error { one.head = h; return nil }, func(e Event) { one.events = append(one.events, e) })
+		if err != nil && !errors.Is(err, ErrTruncated) {
 			return nil, fmt.Errorf("%s: %w", s.Name, err)
 		}
 		one.cut = err != nil
 		switch {
-		case one.cut && one.head.Form == "":
+		case one.cut && one.head.Format == "":
 			continue // killed before its first line: it served nothing
-		case one.head.Unix == 0:
+		case one.head.UnixStart == 0:
 			return nil, fmt.Errorf("%s: tells no Unix time of its beginning, and cannot be joined", s.Name)
-		case len(all) > 0 && !reflect.DeepEqual(one.head.Indexes, all[0].head.Indexes):
+		case len(all) > 0 && !reflect.DeepEqual(one.head.Classes, all[0].head.Classes):
 			return nil, fmt.Errorf("%s: has other indexes than %s", s.Name, all[0].Name)
 		}
 		all = append(all, one)
@@ -84,16 +84,16 @@
 	if len(all) == 0 {
 		return nil, errors.New("no trace has a first line")
 	}
-	j := &joiner{joint: &Joint{Of: map[int]string{}}, operation: terms.Operation, owner: map[string]uint64{}, ran: map[string]ranAt{}}
+	j := &joiner{joint: &JoinedReport{GathererNames: map[int]string{}}, operation: terms.OperationOf, owner: map[string]uint64{}, ran: map[string]ranAt{}}
 	if j.operation == nil {
 		j.operation = func(name string) string { return name }
 	}
-	return j.join(all, truth, terms.Slack)
+	return j.join(all, truth, terms.DeadlineSlack)
 }
 
 // joiner is the work of joining.
 type joiner struct {
-	joint     *Joint
+	joint     *JoinedReport
 	operation func(string) string
 	owner     map[string]uint64 // lookups by name
 	lookups   []joined
@@ -113,35 +113,35 @@
 	at     float64
 }
 
-func (j *joiner) join(all []*source, truth *Truth, slack float64) (*Joint, error) {
-	zero := all[0].head.Unix
+func (j *joiner) join(all []*source, truth *GroundTruth, slack float64) (*JoinedReport, error) {
+	zero := all[0].head.UnixStart
 	for _, s := range all {
-		zero = min(zero, s.head.Unix)
+		zero = min(zero, s.head.UnixStart)
 	}
 	head := all[0].head
-	head.Source, head.Unix, head.Begin = fmt.Sprintf("%d traces joined", len(all)), zero, 0
-	head.Slack += slack
+	head.Recorder, head.UnixStart, head.StartedAt = fmt.Sprintf("%d traces joined", len(all)), zero, 0
+	head.DeadlineSlack += slack
 	if truth != nil {
-		head.Truth, head.Cold, head.Servers = true, truth.Cold, truth.Servers
+		head.GroundTruth, head.SlowStart, head.Servers = true, truth.SlowStart, truth.Servers
 	}
 	var events []Event
 	for _, s := range all {
-		events = append(events, j.renumber(s, s.head.Unix-zero)...)
-		j.joint.Of[s.Gatherer] = s.Name
+		events = append(events, j.renumber(s, s.head.UnixStart-zero)...)
+		j.joint.GathererNames[s.Gatherer] = s.Name
 		if s.cut {
-			j.joint.Killed++
+			j.joint.KilledProcesses++
 		}
 	}
 	if truth != nil {
 		for _, e := range truth.Events {
 			e.At -= zero
-			if e.Kind != Started {
-				id, known := j.owner[e.Name]
+			if e.Kind != ServerStarted {
+				id, known := j.owner[e.QueryName]
 				if !known {
-					j.joint.Unknown++
+					j.joint.UnknownRequests++
 					continue
 				}
-				e.Lookup, e.Gatherer = id, j.lookups[id-1].gatherer
+				e.Query, e.Gatherer = id, j.lookups[id-1].gatherer
 			}
 			if e.At >= 0 {
 				events = append(events, e)
@@ -150,7 +150,7 @@
 	}
 	slices.SortStableFunc(events, func(a, b Event) int { return cmp.Compare(a.At, b.At) })
 	var err error
-	if j.c, err = New(head); err != nil {
+	if j.c, err = NewChecker(head); err != nil {
 		return nil, err
 	}
 	j.c.further = j.busiest
@@ -159,10 +159,10 @@
 		last = e.At
 		j.see(e)
 	}
-	j.c.See(Event{At: last, Kind: Over})
+	j.c.Observe(Event{At: last, Kind: TraceEnd})
 	j.joint.Report = j.c.Report()
-	if j.joint.Unknown > 0 {
-		j.joint.Incomplete = cmp.Or(j.joint.Incomplete, fmt.Sprintf("servers took %d parts that no trace has sent", j.joint.Unknown))
+	if j.joint.UnknownRequests > 0 {
+		j.joint.Incomplete = cmp.Or(j.joint.Incomplete, fmt.Sprintf("servers took %d parts that no trace has sent", j.joint.UnknownRequests))
 	}
 	return j.joint, nil
 }
@@ -176,39 +176,39 @@
 		e.At += shift
 		e.Gatherer = s.Gatherer
 		last = max(last, e.At)
-		if e.Kind == Over {
+		if e.Kind == TraceEnd {
 			continue // with a record's reason, if it has one: the joined one goes on
 		}
-		if e.Kind == Taken {
-			e.Until += shift
-			j.lookups = append(j.lookups, joined{e.Name, s.Gatherer, e.Index})
-			ids[e.Lookup] = uint64(len(j.lookups))
-			j.owner[e.Name] = uint64(len(j.lookups))
+		if e.Kind == QueryAdmitted {
+			e.Deadline += shift
+			j.lookups = append(j.lookups, joined{e.QueryName, s.Gatherer, e.Class})
+			ids[e.Query] = uint64(len(j.lookups))
+			j.owner[e.QueryName] = uint64(len(j.lookups))
 		}
-		if e.Lookup > 0 {
-			e.Lookup = ids[e.Lookup]
+		if e.Query > 0 {
+			e.Query = ids[e.Query]
 		}
 		out = append(out, e)
 	}
-	return append(out, Event{At: last, Kind: Died, Gatherer: s.Gatherer})
+	return append(out, Event{At: last, Kind: GathererStopped, Gatherer: s.Gatherer})
 }
 
 // see checks what only all traces together show, and hands the event on.
 func (j *joiner) see(e Event) {
-	j.c.See(e)
-	if e.Kind != Ran || e.Lookup == 0 || e.Lookup > uint64(len(j.lookups)) {
+	j.c.Observe(e)
+	if e.Kind != WorkStarted || e.Query == 0 || e.Query > uint64(len(j.lookups)) {
 		return
 	}
-	lk := &j.lookups[e.Lookup-1]
-	if j.c.head.Indexes[lk.index].Effect != "once-only" {
+	lk := &j.lookups[e.Query-1]
+	if j.c.head.Classes[lk.index].Effect != "once-only" {
 		return
 	}
 	key := fmt.Sprint(j.operation(lk.name), " ", e.Shard, " ", e.Keys)
-	if before, again := j.ran[key]; again && before.lookup != e.Lookup {
+	if before, again := j.ran[key]; again && before.lookup != e.Query {
 		first := j.lookups[before.lookup-1]
 		j.c.broken(2, &e, "operation %s, shard %d: a once-only part runs as %s of gatherer %d, and ran at %.3f ms as %s of gatherer %d", j.operation(lk.name), e.Shard, lk.name, lk.gatherer, before.at, first.name, first.gatherer)
 	}
-	j.ran[key] = ranAt{e.Lookup, e.At}
+	j.ran[key] = ranAt{e.Query, e.At}
 }
 
 // busiest notes how much of the budget of all gatherers together the window that ends now has used.
@@ -219,7 +219,7 @@
 		further += made
 		allowed += may
 	}
-	if share := further / max(allowed, eps); share > j.joint.Busiest.Share {
-		j.joint.Busiest = Near{share, now, fmt.Sprintf("%g further part calls of %.1f in a window, all gatherers together", further, allowed)}
+	if share := further / max(allowed, eps); share > j.joint.PeakBudgetUse.Share {
+		j.joint.PeakBudgetUse = LimitUse{share, now, fmt.Sprintf("%g further part calls of %.1f in a window, all gatherers together", further, allowed)}
 	}
 }
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -51,7 +51,7 @@
 		t.Fatal(err)
 	}
 	defer trace.Close()
-	if r, err := rulecheck.Check(trace); err != nil || !r.Kept() || r.Lookups < 5 {
+	if r, err := rulecheck.Check(trace); err != nil || !r.Passed() || r.Queries < 5 {
 		t.Errorf("trace 1: %v, %+v", err, r)
 	}
 	told, err := os.Open(kept("report-1.json"))
--- a/internal/testbed/emulator/clients.go
+++ b/internal/testbed/emulator/clients.go
@@ -225,19 +225,19 @@
 func (w *World) take(g *gatherer, lk *lookup, until float64) {
 	k := lk.ask
 	p := &dispatch.Query{ID: fmt.Sprint(lk.number), Class: k.ix.Name, Tenant: k.customer.Name, Deadline: w.begin + until + g.offset, Retried: k.tried > 1, Tag: lk}
-	parts := make([]rulecheck.Part, 0, len(k.parts))
+	parts := make([]rulecheck.ShardRequest, 0, len(k.parts))
 	for _, pt := range k.parts {
 		p.ShardRequests = append(p.ShardRequests, dispatch.ShardRequest{Shard: pt.shard, Weight: pt.weight, Cost: pt.hint})
 		p.Cost += pt.hint
-		part := rulecheck.Part{Shard: pt.shard, Weight: pt.weight}
+		part := rulecheck.ShardRequest{Shard: pt.shard, Weight: pt.weight}
 		if w.owned != nil {
 			all := ownership.ShardRange(pt.shard, w.sc.Layout.Shards)
-			part.Keys = &rulecheck.Keys{Lo: all.Lo, Hi: all.Hi}
+			part.Keys = &rulecheck.KeyRange{Lo: all.Lo, Hi: all.Hi}
 		}
 		parts = append(parts, part)
 	}
 	lk.pick = p
-	w.see(rulecheck.Event{Kind: rulecheck.Taken, Gatherer: g.number, Lookup: lk.number, Index: k.ix.Name, Until: until, Parts: parts})
+	w.see(rulecheck.Event{Kind: rulecheck.QueryAdmitted, Gatherer: g.number, Query: lk.number, Class: k.ix.Name, Deadline: until, ShardRequests: parts})
 	g.taken++
 	if !g.picker.Submit(p) { // more than a gatherer may hold
 		lk.over = true
@@ -260,25 +260,25 @@
 
 // answered carries a lookup's final answer to its client.
 func (w *World) answered(g *gatherer, lk *lookup, v dispatch.Result) {
-	e := rulecheck.Event{Gatherer: g.number, Lookup: lk.number}
+	e := rulecheck.Event{Gatherer: g.number, Query: lk.number}
 	switch v.Kind {
 	case dispatch.Abandoned:
-		e.Kind = rulecheck.Left
+		e.Kind = rulecheck.QueryAbandoned
 	case dispatch.Served:
-		e.Kind, e.Whole = rulecheck.Answered, v.Complete
+		e.Kind, e.Complete = rulecheck.QueryServed, v.Complete
 		for _, h := range v.Hits {
-			e.In = append(e.In, h.Shard)
+			e.IncludedShards = append(e.IncludedShards, h.Shard)
 			if h.Keys != nil {
-				e.InKeys = append(e.InKeys, &rulecheck.Keys{Lo: h.Keys.Lo, Hi: h.Keys.Hi})
+				e.IncludedKeys = append(e.IncludedKeys, &rulecheck.KeyRange{Lo: h.Keys.Lo, Hi: h.Keys.Hi})
 			} else if w.owned != nil {
-				e.InKeys = append(e.InKeys, nil)
+				e.IncludedKeys = append(e.IncludedKeys, nil)
 			}
 		}
-		e.In = append(e.In, v.EmptyShards...)
+		e.IncludedShards = append(e.IncludedShards, v.EmptyShards...)
 	case dispatch.Rejected:
-		e.Kind = rulecheck.Nacked
+		e.Kind = rulecheck.QueryRejected
 	default:
-		e.Kind = rulecheck.Aborted
+		e.Kind = rulecheck.QueryFailed
 	}
 	if v.Kind == dispatch.InternalError {
 		w.broken++
--- a/internal/testbed/emulator/cold_test.go
+++ b/internal/testbed/emulator/cold_test.go
@@ -28,12 +28,12 @@
 						"trouble crash at 6s for 1s servers %d\n%s", cores, gatherers, work, work, falls, span, cold, more)
 					for seed := range uint64(2) {
 						r := play(t, parse(t, day), Options{Seed: 1 + seed, Variant: Ours})
-						near := r.Rules.Near[4]
+						near := r.Rules.ClosestToLimit[4]
 						if near.Share > bound || near.Share == 0 {
-							t.Errorf("seed %d: %.2f of what cold servers bear, %.2f with chance: %s", 1+seed, near.Share, bound, near.Words)
+							t.Errorf("seed %d: %.2f of what cold servers bear, %.2f with chance: %s", 1+seed, near.Share, bound, near.Message)
 						}
 						for rule, times := range r.Rules.Counts {
-							t.Errorf("seed %d: rule %d broken %d times: %v", 1+seed, rule, times, r.Rules.Breaks[0])
+							t.Errorf("seed %d: rule %d broken %d times: %v", 1+seed, rule, times, r.Rules.Violations[0])
 						}
 					}
 				})
--- a/internal/testbed/emulator/emulator_test.go
+++ b/internal/testbed/emulator/emulator_test.go
@@ -56,7 +56,7 @@
 	var out bytes.Buffer
 	o.Trace = func(h rulecheck.Header) (func(rulecheck.Event), func(float64, string) error) {
 		w := rulecheck.NewWriter(&out, h)
-		return w.See, w.End
+		return w.Write, w.Close
 	}
 	r := play(t, sc, o)
 	text, err := json.Marshal(r)
@@ -144,8 +144,8 @@
 			for _, v := range []string{"ours", "two-choices"} {
 				variant, _ := VariantOf(v)
 				r := play(t, parse(t, farm+line(kind)), Options{Seed: 3, Variant: variant})
-				if !r.Rules.Kept() {
-					t.Errorf("%s: %v %s", v, r.Rules.Breaks, r.Rules.Incomplete)
+				if !r.Rules.Passed() {
+					t.Errorf("%s: %v %s", v, r.Rules.Violations, r.Rules.Incomplete)
 				}
 				felt = felt || r.Latency != calm[v].Latency || r.Gain != calm[v].Gain
 			}
@@ -153,8 +153,8 @@
 				t.Error("nothing is felt of it")
 			}
 			both := play(t, parse(t, farm+line(kind)+line(kinds[(i+7)%len(kinds)])), Options{Seed: 4, Variant: Ours})
-			if !both.Rules.Kept() {
-				t.Errorf("with %s: %v %s", kinds[(i+7)%len(kinds)], both.Rules.Breaks, both.Rules.Incomplete)
+			if !both.Rules.Passed() {
+				t.Errorf("with %s: %v %s", kinds[(i+7)%len(kinds)], both.Rules.Violations, both.Rules.Incomplete)
 			}
 		})
 	}
@@ -218,8 +218,8 @@
 	for _, cancel := range []string{"nothing", "waiting", "running"} {
 		r := play(t, parse(t, fmt.Sprintf(day, cancel)), Options{Seed: 1, Variant: v})
 		wasted[cancel], worked[cancel] = r.Wasted, r.Servers[0].Use
-		if r.Satisfied > 0 || !r.Rules.Kept() {
-			t.Errorf("%s: %g satisfied, %v", cancel, r.Satisfied, r.Rules.Breaks)
+		if r.Satisfied > 0 || !r.Rules.Passed() {
+			t.Errorf("%s: %g satisfied, %v", cancel, r.Satisfied, r.Rules.Violations)
 		}
 	}
 	if wasted["nothing"] < 0.99 || wasted["waiting"] < 0.99 || worked["running"] > 0.5*worked["nothing"] || worked["waiting"] > worked["nothing"] {
@@ -234,16 +234,16 @@
 	careless := Variant{Name: "careless", Module: func(seed uint64, terms gatherTerms, look Look) gatherModule { return newCareless(seed, terms) }}
 	r := play(t, parse(t, day), Options{Seed: 2, Variant: careless})
 	if r.Fallen == 0 || r.Rules.Counts[4] == 0 {
-		t.Errorf("%d fallen, %v, %v, %v, %v", r.Fallen, r.Rules.Counts, r.Rules.Near, r.Ends, r.Servers)
+		t.Errorf("%d fallen, %v, %v, %v, %v", r.Fallen, r.Rules.Counts, r.Rules.ClosestToLimit, r.Ends, r.Servers)
 	}
 	for other := range r.Rules.Counts {
 		if other != 4 {
-			t.Errorf("rule %d broken too: %v", other, r.Rules.Breaks)
+			t.Errorf("rule %d broken too: %v", other, r.Rules.Violations)
 		}
 	}
-	if r := play(t, parse(t, day), Options{Seed: 2, Variant: Ours}); r.Fallen > 0 || !r.Rules.Kept() {
-		t.Errorf("ours: %d fallen, %v", r.Fallen, r.Rules.Breaks)
-	} else if near := r.Rules.Near[4].Share; near == 0 {
+	if r := play(t, parse(t, day), Options{Seed: 2, Variant: Ours}); r.Fallen > 0 || !r.Rules.Passed() {
+		t.Errorf("ours: %d fallen, %v", r.Fallen, r.Rules.Violations)
+	} else if near := r.Rules.ClosestToLimit[4].Share; near == 0 {
 		t.Error("nothing was sent to the cold server")
 	}
 }
@@ -251,8 +251,8 @@
 // TestClocks: gatherers whose clocks differ by seconds keep the rules through a release.
 func TestClocks(t *testing.T) {
 	sc := parse(t, strings.Replace(farm, "gatherers 3", "gatherers 6 clock 5s", 1)+"trouble release at 3s for 10s servers 0.5 waves 4\n")
-	if r := play(t, sc, Options{Seed: 9, Variant: Ours}); !r.Rules.Kept() || r.Gain < 0.9 {
-		t.Errorf("gain %g, %v", r.Gain, r.Rules.Breaks)
+	if r := play(t, sc, Options{Seed: 9, Variant: Ours}); !r.Rules.Passed() || r.Gain < 0.9 {
+		t.Errorf("gain %g, %v", r.Gain, r.Rules.Violations)
 	}
 }
 
@@ -310,8 +310,8 @@
 	one, _ := VariantOf("one-phase")
 	two := play(t, parse(t, day), Options{Seed: 1, Variant: Ours})
 	plain := play(t, parse(t, day), Options{Seed: 1, Variant: one})
-	if !two.Rules.Kept() || !plain.Rules.Kept() {
-		t.Errorf("%v, %v", two.Rules.Breaks, plain.Rules.Breaks)
+	if !two.Rules.Passed() || !plain.Rules.Passed() {
+		t.Errorf("%v, %v", two.Rules.Violations, plain.Rules.Violations)
 	}
 	if two.Causes["first pass"] < 7 || plain.Causes["first pass"] > 0 || two.Servers[0].Use > 0.5*plain.Servers[0].Use {
 		t.Errorf("%v and %v, use %g and %g", two.Causes, plain.Causes, two.Servers[0].Use, plain.Servers[0].Use)
@@ -322,7 +322,7 @@
 func TestWeights(t *testing.T) {
 	plain := play(t, parse(t, farm), Options{Seed: 1, Variant: Ours})
 	planned := play(t, parse(t, farm+"weights on\n"), Options{Seed: 1, Variant: Ours})
-	if planned.Crossing > 0.2 || plain.Crossing > 0.2 || !planned.Rules.Kept() || planned.Gain < 0.99 {
+	if planned.Crossing > 0.2 || plain.Crossing > 0.2 || !planned.Rules.Passed() || planned.Gain < 0.99 {
 		t.Errorf("crossing %g and %g, gain %g", plain.Crossing, planned.Crossing, planned.Gain)
 	}
 }
@@ -336,10 +336,10 @@
 	near := 0.0
 	for seed := range uint64(4) {
 		r := play(t, parse(t, strings.ReplaceAll(day, "%%", "%")), Options{Seed: seed, Variant: Ours})
-		if !r.Rules.Kept() {
-			t.Errorf("seed %d: %v %s", seed, r.Rules.Breaks, r.Rules.Incomplete)
+		if !r.Rules.Passed() {
+			t.Errorf("seed %d: %v %s", seed, r.Rules.Violations, r.Rules.Incomplete)
 		}
-		near = max(near, r.Rules.Near[6].Share)
+		near = max(near, r.Rules.ClosestToLimit[6].Share)
 	}
 	if near < 0.95 {
 		t.Errorf("no window came nearer than %g to its budget", near)
--- a/internal/testbed/emulator/gatherer.go
+++ b/internal/testbed/emulator/gatherer.go
@@ -51,9 +51,9 @@
 	conn     *conn
 	task     *task
 	work     float64
-	keys     *rulecheck.Keys // nil for all of the shard's
-	empty    bool            // the part holds nothing,
-	mistaken bool            // and its summary does not say so
+	keys     *rulecheck.KeyRange // nil for all of the shard's
+	empty    bool                // the part holds nothing,
+	mistaken bool                // and its summary does not say so
 	written  bool
 	came     bool
 	ran      bool
@@ -115,7 +115,7 @@
 	}
 	g.alive = false
 	g.epoch++
-	w.see(rulecheck.Event{Kind: rulecheck.Died, Gatherer: g.number})
+	w.see(rulecheck.Event{Kind: rulecheck.GathererStopped, Gatherer: g.number})
 	for _, c := range g.conns {
 		if c != nil {
 			w.close(c)
@@ -200,7 +200,7 @@
 		a := &attempt{g: g, epoch: g.epoch, lk: lk, call: c, work: p.work, empty: p.empty, mistaken: p.mistaken}
 		if w.owned != nil {
 			keys, _, _, _ := c.Ownership()
-			a.keys = &rulecheck.Keys{Lo: keys.Lo, Hi: keys.Hi}
+			a.keys = &rulecheck.KeyRange{Lo: keys.Lo, Hi: keys.Hi}
 			a.work *= keys.Fraction() / ownership.ShardRange(c.Shard(), w.sc.Layout.Shards).Fraction()
 		}
 		if c.FirstPass() {
@@ -262,8 +262,8 @@
 		a.conn.out = slices.Delete(a.conn.out, i, i+1)
 	}
 	if a.written {
-		w.see(rulecheck.Event{Kind: rulecheck.Ended, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.FirstPass(),
-			Outcome: outcome.String(), Keys: a.keys, Empty: a.call.FirstPass() && outcome == gather.Succeeded && a.empty && !a.mistaken})
+		w.see(rulecheck.Event{Kind: rulecheck.AttemptEnded, Gatherer: a.g.number, Query: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Attempt: a.call.Number(), FirstPass: a.call.FirstPass(),
+			Outcome: outcome.String(), Keys: a.keys, ProvenEmpty: a.call.FirstPass() && outcome == gather.Succeeded && a.empty && !a.mistaken})
 	}
 	w.ended[outcome]++
 	a.g.picker.Report(a.call, outcome, text)
@@ -271,7 +271,7 @@
 }
 
 func (w *World) sentEvent(a *attempt) {
-	w.see(rulecheck.Event{Kind: rulecheck.Sent, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Call: a.call.Number(), First: a.call.FirstPass(), Keys: a.keys})
+	w.see(rulecheck.Event{Kind: rulecheck.AttemptSent, Gatherer: a.g.number, Query: a.lk.number, Shard: a.call.Shard(), Server: a.call.Server, Attempt: a.call.Number(), FirstPass: a.call.FirstPass(), Keys: a.keys})
 	if a.g.hall != a.conn.s.hall {
 		w.crossed++
 	}
@@ -306,7 +306,7 @@
 func (w *World) hear(g *gatherer, s *server, entry gather.Endpoint) {
 	g.known[s.number] = entry
 	state := map[gather.State]string{gather.Running: "running", gather.Draining: "draining", gather.Removed: "gone"}[entry.State]
-	w.see(rulecheck.Event{Kind: rulecheck.Told, Gatherer: g.number, Server: s.id, State: state})
+	w.see(rulecheck.Event{Kind: rulecheck.EndpointStateLearned, Gatherer: g.number, Server: s.id, State: state})
 	g.picker.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{entry}})
 	w.round(g)
 }
--- a/internal/testbed/emulator/owned_test.go
+++ b/internal/testbed/emulator/owned_test.go
@@ -29,8 +29,8 @@
 	for seed := range uint64(3) {
 		still := play(t, parse(t, strings.Replace(ownedDay, "every 500ms", "", 1)), Options{Seed: seed, Variant: Ours})
 		r := play(t, parse(t, ownedDay), Options{Seed: seed, Variant: Ours})
-		if !r.Rules.Kept() || !still.Rules.Kept() {
-			t.Errorf("seed %d: %v %s; %v", seed, r.Rules.Breaks, r.Rules.Incomplete, still.Rules.Breaks)
+		if !r.Rules.Passed() || !still.Rules.Passed() {
+			t.Errorf("seed %d: %v %s; %v", seed, r.Rules.Violations, r.Rules.Incomplete, still.Rules.Violations)
 		}
 		if r.Handed < 20 || r.Undone < 2 || r.Refused == 0 || still.Refused > 0 {
 			t.Errorf("seed %d: %d handed over, %d undone, %d refused; %d refused where nothing moves", seed, r.Handed, r.Undone, r.Refused, still.Refused)
@@ -49,8 +49,8 @@
 			t.Parallel()
 			for seed := range uint64(2) {
 				r := play(t, parse(t, ownedDay+"trouble "+trouble+"\n"), Options{Seed: 10*seed + uint64(i), Variant: Ours})
-				if !r.Rules.Kept() {
-					t.Errorf("seed %d: %v %s", seed, r.Rules.Breaks, r.Rules.Incomplete)
+				if !r.Rules.Passed() {
+					t.Errorf("seed %d: %v %s", seed, r.Rules.Violations, r.Rules.Incomplete)
 				}
 				if r.Handed < 10 {
 					t.Errorf("seed %d: %d handed over", seed, r.Handed)
--- a/internal/testbed/emulator/result.go
+++ b/internal/testbed/emulator/result.go
@@ -256,7 +256,7 @@
 // Short is what of a day falls short of what was expected of it, rules first; empty where nothing does.
 func (r *Result) Short(sc *Scenario) (short []string) {
 	if r.Rules != nil {
-		for _, b := range r.Rules.Breaks {
+		for _, b := range r.Rules.Violations {
 			short = append(short, b.String())
 		}
 		if r.Rules.Incomplete != "" {
--- a/internal/testbed/emulator/scenario.go
+++ b/internal/testbed/emulator/scenario.go
@@ -588,11 +588,11 @@
 
 // Header is that of a trace of the day; servers are added as they are dealt out.
 func (s *Scenario) Header() rulecheck.Header {
-	h := rulecheck.Header{Source: "emulator, " + s.Name, Truth: true, Grace: s.Rules.Grace, Slack: s.Rules.Slack, Indexes: map[string]rulecheck.Index{}, Servers: map[uint32]rulecheck.Server{},
-		Budget: &rulecheck.Budget{Span: s.Rules.Span, Free: s.Rules.Free, Share: s.Rules.Share},
-		Cold:   &rulecheck.Cold{Share: s.Rules.ColdFrom, Time: s.Rules.ColdTime, Span: s.Rules.FallSpan, Multiple: s.Rules.FallTimes}}
+	h := rulecheck.Header{Recorder: "emulator, " + s.Name, GroundTruth: true, DrainGrace: s.Rules.Grace, DeadlineSlack: s.Rules.Slack, Classes: map[string]rulecheck.Class{}, Servers: map[uint32]rulecheck.Server{},
+		Budget:    &rulecheck.Budget{Window: s.Rules.Span, FreeRetries: s.Rules.Free, Ratio: s.Rules.Share},
+		SlowStart: &rulecheck.SlowStart{InitialShare: s.Rules.ColdFrom, Duration: s.Rules.ColdTime, Window: s.Rules.FallSpan, OverloadFactor: s.Rules.FallTimes}}
 	for _, ix := range s.Indexes {
-		h.Indexes[ix.Name] = rulecheck.Index{Effect: ix.Effect, Window: ix.Window, Whole: ix.Need, Least: ix.Least}
+		h.Classes[ix.Name] = rulecheck.Class{Effect: ix.Effect, IdempotencyWindow: ix.Window, CompleteShare: ix.Need, MinShare: ix.Least}
 	}
 	return h
 }
--- a/internal/testbed/emulator/server.go
+++ b/internal/testbed/emulator/server.go
@@ -95,7 +95,7 @@
 		return
 	}
 	s.started, s.fell = w.now, false
-	w.see(rulecheck.Event{Kind: rulecheck.Started, Server: s.id})
+	w.see(rulecheck.Event{Kind: rulecheck.ServerStarted, Server: s.id})
 	if s.silent { // a machine that is back resets what it does not know
 		for _, g := range w.gatherers {
 			if c := g.conns[s.number]; c != nil && c.epoch != s.epoch {
@@ -117,7 +117,7 @@
 	for _, a := range calls {
 		s.parts++
 		a.came = true
-		w.see(rulecheck.Event{Kind: rulecheck.Came, Gatherer: c.g.number, Server: s.id, Work: a.work})
+		w.see(rulecheck.Event{Kind: rulecheck.WorkArrived, Gatherer: c.g.number, Server: s.id, Work: a.work})
 		if w.pushes(s, a.work) {
 			return
 		}
@@ -151,7 +151,7 @@
 }
 
 func (w *World) ran(s *server, a *attempt) {
-	w.see(rulecheck.Event{Kind: rulecheck.Ran, Gatherer: a.g.number, Lookup: a.lk.number, Shard: a.call.Shard(), Server: s.id, First: a.call.FirstPass(), Keys: a.keys})
+	w.see(rulecheck.Event{Kind: rulecheck.WorkStarted, Gatherer: a.g.number, Query: a.lk.number, Shard: a.call.Shard(), Server: s.id, FirstPass: a.call.FirstPass(), Keys: a.keys})
 }
 
 // pushes notes work sent to a server and reports whether it falls over for it.
--- a/internal/testbed/emulator/world.go
+++ b/internal/testbed/emulator/world.go
@@ -112,7 +112,7 @@
 	}
 	if !o.Unruled {
 		var err error
-		if w.checker, err = rulecheck.New(w.header); err != nil {
+		if w.checker, err = rulecheck.NewChecker(w.header); err != nil {
 			return nil, err
 		}
 	}
@@ -153,7 +153,7 @@
 	for _, k := range w.asks {
 		w.settle(k)
 	}
-	w.see(rulecheck.Event{Kind: rulecheck.Over})
+	w.see(rulecheck.Event{Kind: rulecheck.TraceEnd})
 	if end != nil {
 		return end(w.now, "")
 	}
@@ -171,9 +171,9 @@
 func (w *World) see(e rulecheck.Event) {
 	e.At = w.now
 	if w.checker != nil {
-		w.checker.See(e)
+		w.checker.Observe(e)
 	}
-	if w.trace != nil && e.Kind != rulecheck.Over {
+	if w.trace != nil && e.Kind != rulecheck.TraceEnd {
 		w.trace(e)
 	}
 }
--- a/internal/testbed/processtest/crossings_test.go
+++ b/internal/testbed/processtest/crossings_test.go
@@ -36,13 +36,13 @@
 	if all.Operations < 400 || all.Endings[Satisfied] < all.Operations/2 {
 		t.Errorf("%+v", all)
 	}
-	if len(j.Unchecked) > 0 || j.Killed < 5 {
-		t.Errorf("%d killed, not checked: %v", j.Killed, j.Unchecked)
+	if len(j.Unchecked) > 0 || j.KilledProcesses < 5 {
+		t.Errorf("%d killed, not checked: %v", j.KilledProcesses, j.Unchecked)
 	}
-	near := j.Near[4]
+	near := j.ClosestToLimit[4]
 	n := 2.0 * 2 * 1000 / 8 // falls, cores and span over the work of a part: of a warm server, where chance counts least
 	if bound := 1 + (2*math.Sqrt(n)+2)/n; near.Share > bound || near.Share == 0 {
-		t.Errorf("%.2f of what cold servers bear, %.2f with chance: %s", near.Share, bound, near.Words)
+		t.Errorf("%.2f of what cold servers bear, %.2f with chance: %s", near.Share, bound, near.Message)
 	}
-	t.Logf("cold servers: %.2f of what they bear; %s", near.Share, near.Words)
+	t.Logf("cold servers: %.2f of what they bear; %s", near.Share, near.Message)
 }
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -58,7 +58,7 @@
 	mu     sync.Mutex
 	links  map[string]*Link
 	order  []string
-	truth  rulecheck.Truth
+	truth  rulecheck.GroundTruth
 	faults []error
 	said   []string
 	began  time.Time
@@ -138,7 +138,7 @@
 	if f.base, f.guard, err = addresses(); err != nil {
 		return nil, err
 	}
-	f.truth = rulecheck.Truth{Servers: map[uint32]rulecheck.Server{}, Cold: sc.Header().Cold}
+	f.truth = rulecheck.GroundTruth{Servers: map[uint32]rulecheck.Server{}, SlowStart: sc.Header().SlowStart}
 	var machines []experiment.Machine
 	for i, m := range sc.Machines() {
 		name := fmt.Sprint("s", i+1)
@@ -208,10 +208,10 @@
 
 // see takes what a server tells of a part.
 func (f *Fleet) see(id uint32, seen shards.Seen) {
-	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.Kind(seen.What), Server: id, Shard: seen.Shard, First: seen.Brief, Work: seen.Work}
-	e.Name = strings.TrimSuffix(seen.ID, "~")
-	if dot := strings.LastIndexByte(e.Name, '.'); dot >= 0 {
-		e.Name = e.Name[:dot]
+	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.EventKind(seen.What), Server: id, Shard: seen.Shard, FirstPass: seen.Brief, Work: seen.Work}
+	e.QueryName = strings.TrimSuffix(seen.ID, "~")
+	if dot := strings.LastIndexByte(e.QueryName, '.'); dot >= 0 {
+		e.QueryName = e.QueryName[:dot]
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -339,7 +339,7 @@
 // Check joins the traces of all processes with what the servers ran, and checks the rules. Processes that still serve
 // have to be ended before, by Close. That answers come in time is not judged: a process that was stopped gives none,
 // and under the race detector on few cores none is sure to.
-func (f *Fleet) Check() (*rulecheck.Joint, error) {
+func (f *Fleet) Check() (*rulecheck.JoinedReport, error) {
 	sources, done, err := f.sources()
 	defer done()
 	if err != nil {
@@ -349,14 +349,14 @@
 	truth := f.truth
 	truth.Events = slices.Clone(f.truth.Events)
 	f.mu.Unlock()
-	return rulecheck.Join(sources, &truth, rulecheck.JoinTerms{Operation: Operation, Slack: 60_000})
+	return rulecheck.Join(sources, &truth, rulecheck.JoinOptions{OperationOf: Operation, DeadlineSlack: 60_000})
 }
 
 // sources are the traces of all processes, once they are whole; done closes them.
 func (f *Fleet) sources() (all []rulecheck.Source, done func(), err error) {
 	done = func() {
 		for _, s := range all {
-			s.From.(*os.File).Close()
+			s.Trace.(*os.File).Close()
 		}
 	}
 	for _, g := range f.Gatherers {
@@ -369,18 +369,18 @@
 			if err != nil {
 				return all, done, err
 			}
-			all = append(all, rulecheck.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, From: file})
+			all = append(all, rulecheck.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, Trace: file})
 		}
 	}
 	return all, done, nil
 }
 
 // Verdict ends a fleet and says what went wrong: faults of its processes, and rules that they broke together.
-func (f *Fleet) Verdict() (*rulecheck.Joint, error) {
+func (f *Fleet) Verdict() (*rulecheck.JoinedReport, error) {
 	f.Close()
 	j, err := f.Check()
-	if err == nil && !j.Kept() {
-		err = fmt.Errorf("%v; %s", j.Breaks, j.Incomplete)
+	if err == nil && !j.Passed() {
+		err = fmt.Errorf("%v; %s", j.Violations, j.Incomplete)
 	}
 	return j, errors.Join(f.Faults(), err)
 }
--- a/internal/testbed/processtest/fleet_test.go
+++ b/internal/testbed/processtest/fleet_test.go
@@ -62,7 +62,7 @@
 }
 
 // end ends a fleet and checks that every rule was kept by all of its processes together, and that none had a fault.
-func end(t testing.TB, f *Fleet) *rulecheck.Joint {
+func end(t testing.TB, f *Fleet) *rulecheck.JoinedReport {
 	t.Helper()
 	f.Close()
 	if err := f.Faults(); err != nil {
@@ -72,8 +72,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !j.Kept() {
-		t.Errorf("%v; %s", j.Breaks, j.Incomplete)
+	if !j.Passed() {
+		t.Errorf("%v; %s", j.Violations, j.Incomplete)
 	}
 	return j
 }
@@ -112,8 +112,8 @@
 	if all.Operations < 80 || all.Value < all.Asked/3 || all.Endings[Satisfied] == 0 {
 		t.Errorf("%+v", all)
 	}
-	if j.Killed < 2 || j.Lookups < all.Endings[Satisfied] || j.Calls < j.Lookups || len(j.Unchecked) > 0 {
-		t.Errorf("%d killed, %d lookups, %d calls, not checked: %v", j.Killed, j.Lookups, j.Calls, j.Unchecked)
+	if j.KilledProcesses < 2 || j.Queries < all.Endings[Satisfied] || j.Attempts < j.Queries || len(j.Unchecked) > 0 {
+		t.Errorf("%d killed, %d lookups, %d calls, not checked: %v", j.KilledProcesses, j.Queries, j.Attempts, j.Unchecked)
 	}
 	if len(f.Said()) < 20 {
 		t.Errorf("%v", f.Said())
@@ -292,8 +292,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if j.Counts[2] != 1 || len(j.Breaks) != 1 || !strings.Contains(j.Breaks[0].Words, "careless-1 of gatherer 2") || !strings.Contains(j.Breaks[0].Words, "careless-0 of gatherer 1") {
-		t.Errorf("%v %v", j.Counts, j.Breaks)
+	if j.Counts[2] != 1 || len(j.Violations) != 1 || !strings.Contains(j.Violations[0].Message, "careless-1 of gatherer 2") || !strings.Contains(j.Violations[0].Message, "careless-0 of gatherer 1") {
+		t.Errorf("%v %v", j.Counts, j.Violations)
 	}
 	for _, g := range f.Gatherers {
 		file, err := os.Open(g.traces[0].file)
--- a/internal/testbed/processtest/result.go
+++ b/internal/testbed/processtest/result.go
@@ -34,12 +34,12 @@
 	P99     map[string]int64         `json:"p99"` // microseconds of satisfied tries, by index
 	Series  *Series                  `json:"series"`
 	Uses    map[string]process.Usage `json:"uses"`
-	Rules   *rulecheck.Joint         `json:"rules"`
+	Rules   *rulecheck.JoinedReport  `json:"rules"`
 	Faults  string                   `json:"faults,omitempty"` // of processes and of the rig
 }
 
 // Kept reports whether every rule was kept and no process had a fault.
-func (r *Result) Kept() bool { return r.Faults == "" && r.Rules != nil && r.Rules.Kept() }
+func (r *Result) Kept() bool { return r.Faults == "" && r.Rules != nil && r.Rules.Passed() }
 
 // Finish ends a fleet and gives what its day came to.
 func (f *Fleet) Finish() (*Result, error) {
@@ -99,7 +99,7 @@
 			t.Endings[Satisfied], t.Endings[Partial], t.Endings[Nacked], t.Endings[Failed], t.Endings[Lost], t.Endings[Refused], 100*t.Value/max(t.Asked, 1e-9), float64(r.P99[name])/1000))
 	}
 	if j := r.Rules; j != nil {
-		lines = append(lines, fmt.Sprintf("joined traces: %d lookups, %d part calls, %d processes killed", j.Lookups, j.Calls, j.Killed))
+		lines = append(lines, fmt.Sprintf("joined traces: %d lookups, %d part calls, %d processes killed", j.Queries, j.Attempts, j.KilledProcesses))
 		for rule := 1; rule <= 6; rule++ {
 			switch {
 			case j.Counts[rule] > 0:
@@ -108,13 +108,13 @@
 				lines = append(lines, fmt.Sprintf("rule %d: not checked: %s", rule, j.Unchecked[rule]))
 			}
 		}
-		for _, b := range j.Breaks {
+		for _, b := range j.Violations {
 			lines = append(lines, "  "+b.String())
 		}
 		if j.Incomplete != "" {
 			lines = append(lines, "not whole: "+j.Incomplete)
 		}
-		if j.Kept() {
+		if j.Passed() {
 			lines = append(lines, "every rule kept")
 		}
 	}
--- a/internal/testbed/processtest/stewards.go
+++ b/internal/testbed/processtest/stewards.go
@@ -244,22 +244,22 @@
 			shard  int
 		}
 		taken, ran := map[uint64]rulecheck.Event{}, map[part]int{} // calls of parts that may have run
-		err := rulecheck.Read(source.From, func(h rulecheck.Header) error { unix = h.Unix; return nil }, func(e rulecheck.Event) {
-			at := part{e.Lookup, e.Shard}
+		err := rulecheck.Read(source.Trace, func(h rulecheck.Header) error { unix = h.UnixStart; return nil }, func(e rulecheck.Event) {
+			at := part{e.Query, e.Shard}
 			switch e.Kind {
-			case rulecheck.Taken:
-				taken[e.Lookup] = e
-			case rulecheck.Sent:
-				lk := taken[e.Lookup]
-				all = append(all, Send{unix + e.At, gatherer, names[e.Server], lk.Index, unix + lk.At, ran[at] > 0})
+			case rulecheck.QueryAdmitted:
+				taken[e.Query] = e
+			case rulecheck.AttemptSent:
+				lk := taken[e.Query]
+				all = append(all, Send{unix + e.At, gatherer, names[e.Server], lk.Class, unix + lk.At, ran[at] > 0})
 				ran[at]++
-			case rulecheck.Ended:
-				if rulecheck.Unrun(e.Outcome) {
+			case rulecheck.AttemptEnded:
+				if rulecheck.NeverRan(e.Outcome) {
 					ran[at]--
 				}
 			}
 		})
-		if err != nil && !errors.Is(err, rulecheck.ErrCut) {
+		if err != nil && !errors.Is(err, rulecheck.ErrTruncated) {
 			return nil, fmt.Errorf("%s: %w", source.Name, err)
 		}
 	}
--- a/internal/testbed/study/lawless_test.go
+++ b/internal/testbed/study/lawless_test.go
@@ -7,7 +7,7 @@
 	"yokeroute/logic/baselines"
 )
 
-var breakOf6 = rulecheck.Break{Rule: 6, Words: "seven part calls too many"}
+var breakOf6 = rulecheck.Violation{Rule: 6, Message: "seven part calls too many"}
 
 // lawless takes once-only indexes for idempotent ones: it breaks rule 2 wherever a call is cut.
 var lawless = emulator.Variant{Name: "lawless", Module: func(seed uint64, settings *gather.Settings, _ emulator.Look) gather.Module {
--- a/internal/testbed/study/phases.go
+++ b/internal/testbed/study/phases.go
@@ -83,7 +83,7 @@
 			cases[n].One += first[i].Result.InAim / float64(s.Seeds)
 			cases[n].Two += second[i].Result.InAim / float64(s.Seeds)
 			cases[n].Firsts += second[i].Result.Causes["first pass"] / float64(s.Seeds)
-			if r := second[i].Result.Rules; !r.Kept() {
+			if r := second[i].Result.Rules; !r.Passed() {
 				return nil, fmt.Errorf("%s, seed %d: %v %s", cases[n].Words, second[i].Seed, r.Counts, r.Incomplete)
 			}
 		}
--- a/internal/testbed/study/report.go
+++ b/internal/testbed/study/report.go
@@ -59,7 +59,7 @@
 			if one.Result.Rules == nil {
 				continue
 			}
-			for _, b := range one.Result.Rules.Breaks[:min(len(one.Result.Rules.Breaks), 3)] {
+			for _, b := range one.Result.Rules.Violations[:min(len(one.Result.Rules.Violations), 3)] {
 				v.Breaks = append(v.Breaks, name+", "+row(one)+": "+b.String())
 			}
 		}
--- a/internal/testbed/study/study_test.go
+++ b/internal/testbed/study/study_test.go
@@ -176,7 +176,7 @@
 	}
 	r.Scenarios["small"] = "<script>alert(1)</script>"
 	r.Rows[0].Result.Rules.Counts[6] = 1
-	r.Rows[0].Result.Rules.Breaks = append(r.Rows[0].Result.Rules.Breaks, breakOf6)
+	r.Rows[0].Result.Rules.Violations = append(r.Rows[0].Result.Rules.Violations, breakOf6)
 	if page, err = r.Report(); err != nil || strings.Contains(string(page), "<script>") || !strings.Contains(string(page), "seven part calls too many") {
 		t.Errorf("%v", err)
 	}
