--- a/internal/rulecheck/check_test.go
+++ b/internal/rulecheck/check_test.go
@@ -93,7 +93,7 @@
 	if over >= 0 {
 		c.Observe(Event{At: over, Kind: TraceEnd})
 	}
-	return c.Report()
+	return c.Finish()
 }
 
 // further is a lookup whose part is sent so many times beyond its first, from a time on.
--- a/internal/testbed/emulator/result.go
+++ b/internal/testbed/emulator/result.go
@@ -203,7 +203,7 @@
 	}
 	r.Fallen, r.Rounds, r.Faults = w.fallen, w.rounds, w.broken
 	if w.checker != nil {
-		r.Rules = w.checker.Report()
+		r.Rules = w.checker.Finish()
 	}
 }
 
