--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -32,9 +32,14 @@
 
 // Outcome is how the lookups of a load ended.
 type Outcome struct {
-	Sent, Satisfied, Whole, Nacked, Aborted, Failed int
-	InAim                                           int                     // satisfied within the soft deadline
-	Took                                            *hdrhistogram.Histogram `json:"-"`
+	Sent      int                     `json:"Sent"`
+	Satisfied int                     `json:"Satisfied"`
+	Whole     int                     `json:"Whole"`
+	Nacked    int                     `json:"Nacked"`
+	Aborted   int                     `json:"Aborted"`
+	Failed    int                     `json:"Failed"`
+	InAim     int                     `json:"InAim"` // satisfied within the soft deadline
+	Took      *hdrhistogram.Histogram `json:"-"`
 }
 
 // Add sums up outcomes.
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -12,21 +12,23 @@
 
 // Sample is what a fleet and its gatherers came to under a load.
 type Sample struct {
-	Greatest     float64 // greatest utilisation among machines that are there
-	Crossing     float64 // share of part calls that crossed halls
-	Median, P99  float64 // of part calls, milliseconds at the machine
-	LookupMedian float64 // milliseconds at the client
-	LookupP99    float64
-	Satisfied    float64 // shares of lookups
-	Whole, Aim   float64 // answered whole; satisfied within the soft deadline
-	Nacked       float64
-	Aborted      float64
-	CPU          float64 // seconds of all gatherers for 1,000 lookups
-	MemoryMB     float64 // the greatest resident memory of a gatherer
-	Parts        float64 // part calls a lookup,
-	Briefs       float64 // of these in first passes
-	Work         float64 // milliseconds of cores a lookup
-	Wasted       float64 // share of parts worked on for nobody
+	Greatest     float64 `json:"Greatest"` // the highest utilization of a machine that is on the list
+	Crossing     float64 `json:"Crossing"` // the share of attempts that crossed zones
+	Median       float64 `json:"Median"`   // of attempts, milliseconds at the machine
+	P99          float64 `json:"P99"`
+	LookupMedian float64 `json:"LookupMedian"` // of queries, milliseconds at the client
+	LookupP99    float64 `json:"LookupP99"`
+	Satisfied    float64 `json:"Satisfied"` // shares of queries, as the next four
+	Whole        float64 `json:"Whole"`
+	Aim          float64 `json:"Aim"` // served within the latency objective
+	Nacked       float64 `json:"Nacked"`
+	Aborted      float64 `json:"Aborted"`
+	CPU          float64 `json:"CPU"`      // seconds of all gatherers for 1,000 queries
+	MemoryMB     float64 `json:"MemoryMB"` // the highest resident memory of a gatherer
+	Parts        float64 `json:"Parts"`    // shard requests a query
+	Briefs       float64 `json:"Briefs"`   // those of first passes among them
+	Work         float64 `json:"Work"`     // milliseconds of cores a query
+	Wasted       float64 `json:"Wasted"`   // the share of shard requests executed after their cancellation
 }
 
 // Measure plays loads on gatherers of a fleet and takes what comes of it; machines in gone don't count as used.
--- a/internal/testbed/experiment/phases.go
+++ b/internal/testbed/experiment/phases.go
@@ -26,20 +26,20 @@
 
 // PhaseRow is what one way came to on one day.
 type PhaseRow struct {
-	Day   string
-	Way   string // one phase, or two where they gain
-	Prune float64
-	Case  PhaseCase
+	Day   string    `json:"Day"`
+	Way   string    `json:"Way"` // one phase, or two where they gain
+	Prune float64   `json:"Prune"`
+	Case  PhaseCase `json:"Case"`
 	Sample
 }
 
 // PhaseCase is what a day is like beside its kind.
 type PhaseCase struct {
-	Rate  float64 // share of what the fleet can do in one phase
-	Brief float64 // work of a first pass's part over one in full
-	False float64 // share of empty segments told as not empty
-	Parts int
-	AnyN  bool
+	Rate  float64 `json:"Rate"`  // over the fleet's capacity in one phase
+	Brief float64 `json:"Brief"` // the work of a first pass's request over that of a full one
+	False float64 `json:"False"` // the false-positive rate of summaries
+	Parts int     `json:"Parts"`
+	AnyN  bool    `json:"AnyN"`
 }
 
 var plainCase = PhaseCase{Rate: 0.5, Brief: 0.1, False: 0.01, Parts: 8}
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -28,8 +28,9 @@
 
 // PlanRow is what one variant came to in one round and phase.
 type PlanRow struct {
-	Variant, Phase string
-	Round          int
+	Variant string `json:"Variant"`
+	Phase   string `json:"Phase"`
+	Round   int    `json:"Round"`
 	Sample
 }
 
