--- a/cmd/yokeroute/main_test.go
+++ b/cmd/yokeroute/main_test.go
@@ -20,8 +20,8 @@
 	"time"
 
 	"yokeroute/internal/testbed/standin"
-	"yokeroute/internal/testbed/standin/directory"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 func configure(t *testing.T, listen, discovery string) string {
@@ -301,22 +301,22 @@
 // dies and one that garbles among them, while the content changes, and wants each answer true: what a part is said
 // to hold, or proved not to, is so at a version that was in force while the lookup was held.
 func TestServeTwoPhases(t *testing.T) {
-	content := &shards.Content{Queries: 60, Holds: 0.3, False: 0.2, Seed: 5}
-	var members []directory.Member
-	var fleet []*shards.Server
+	content := &shardserver.Content{Queries: 60, Holds: 0.3, False: 0.2, Seed: 5}
+	var members []discoveryserver.Member
+	var fleet []*shardserver.Server
 	for i := range 6 {
-		s, err := shards.Start(shards.Terms{Cores: 8, Work: 4, Brief: 0.5, Queue: 1000, Seed: uint64(i)}, nil)
+		s, err := shardserver.Start(shardserver.Terms{Cores: 8, Work: 4, Brief: 0.5, Queue: 1000, Seed: uint64(i)}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
 		s.Hold(content)
 		fleet = append(fleet, s)
-		members = append(members, directory.Member{ID: fmt.Sprint("m-", i), HostPort: s.Address(), Cell: i % 2, Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: fmt.Sprint("m-", i), HostPort: s.Address(), Cell: i % 2, Phase: "in_service", Size: 1})
 	}
 	fleet[0].Speak(0)
 	fleet[1].Garble(0.3)
-	list, err := directory.Start(members)
+	list, err := discoveryserver.Start(members)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -461,18 +461,18 @@
 // TestServePlan wants lookups to go by a plan's weights, by those of another after SIGHUP, by plain turns without
 // one, and a faulty one to change nothing.
 func TestServePlan(t *testing.T) {
-	var members []directory.Member
-	fleet := map[string]*shards.Server{}
+	var members []discoveryserver.Member
+	fleet := map[string]*shardserver.Server{}
 	for _, name := range []string{"n-1", "s-1"} {
-		s, err := shards.Start(shards.Terms{Cores: 4, Work: servePlanWork, Queue: 100}, nil)
+		s, err := shardserver.Start(shardserver.Terms{Cores: 4, Work: servePlanWork, Queue: 100}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
 		fleet[name] = s
-		members = append(members, directory.Member{ID: name, HostPort: s.Address(), Locality: "hall", Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: name, HostPort: s.Address(), Locality: "hall", Phase: "in_service", Size: 1})
 	}
-	list, err := directory.Start(members)
+	list, err := discoveryserver.Start(members)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/service/migrated_test.go
+++ b/internal/gatherer/service/migrated_test.go
@@ -10,7 +10,7 @@
 	"yokeroute/internal/config/migrate"
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // TestMigrated moves a configuration to a fleet whose servers tell their load only when asked, whose list is asked
@@ -19,7 +19,7 @@
 func TestMigrated(t *testing.T) {
 	fleet, address, end := start(t, &operator.File{}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: []string{"a", "b"}[i%2], Kind: "k", Group: i,
-			Terms: shards.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Seed: uint64(i)}}
+			Terms: shardserver.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Seed: uint64(i)}}
 	}, func(text string) string {
 		old := filepath.Join(t.TempDir(), "old.json")
 		if err := os.WriteFile(old, []byte(text), 0o600); err != nil {
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -21,8 +21,8 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/control/segments"
 	"yokeroute/internal/pcg"
-	"yokeroute/internal/testbed/standin/directory"
-	standin "yokeroute/internal/testbed/standin/owners"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	standin "yokeroute/internal/testbed/standin/segmentserver"
 	"yokeroute/logic/ownership"
 )
 
@@ -43,7 +43,7 @@
 	t         *testing.T
 	hosts     []*standin.Host
 	authority *standin.Authority
-	directory *directory.Server
+	directory *discoveryserver.Server
 	addresses []string
 	stops     []func()
 }
@@ -52,7 +52,7 @@
 func startFarm(t *testing.T, hosts, gatherers int, logs *standin.Logs, state string) *farm {
 	t.Helper()
 	f := &farm{t: t}
-	var members []directory.Member
+	var members []discoveryserver.Member
 	for i := range hosts {
 		h, err := standin.NewHost(fmt.Sprint("h", i), logs, 3*time.Millisecond)
 		if err != nil {
@@ -60,7 +60,7 @@
 		}
 		t.Cleanup(h.Close)
 		f.hosts = append(f.hosts, h)
-		members = append(members, directory.Member{ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1})
 	}
 	var list []ownership.Segment
 	for i := range 4 {
@@ -74,7 +74,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.authority.Close)
-	if f.directory, err = directory.Start(members); err != nil {
+	if f.directory, err = discoveryserver.Start(members); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.directory.Close)
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -18,7 +18,7 @@
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 const settings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
@@ -75,7 +75,7 @@
 func serve(t *testing.T, own *operator.File, trouble func(f *experiment.Fleet)) *experiment.Outcome {
 	t.Helper()
 	fleet, address, end := start(t, own, func(i int) experiment.Machine {
-		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Brief: 1, Seed: uint64(i)}}
+		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shardserver.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Brief: 1, Seed: uint64(i)}}
 	}, func(text string) string { return text })
 	outs := make(chan *experiment.Outcome, 2)
 	playing, enough := context.WithCancel(t.Context())
--- a/internal/gatherer/service/settings_test.go
+++ b/internal/gatherer/service/settings_test.go
@@ -11,7 +11,7 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // sites are settings of three shapes of deployment: lists pushed with customers, lists asked for without second copies,
@@ -88,7 +88,7 @@
 			t.Run(site+", "+name, func(t *testing.T) {
 				t.Parallel()
 				_, address, end := start(t, &operator.File{BackgroundShare: 0.05}, func(i int) experiment.Machine {
-					return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{Cores: 2, Work: 2, Queue: 40, Seed: uint64(i)}}
+					return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shardserver.Terms{Cores: 2, Work: 2, Queue: 40, Seed: uint64(i)}}
 				}, func(c string) string { return strings.Replace(c, settings, change(t, text, with), 1) })
 				for end := false; !end; {
 					resp, err := http.Get("http://" + address + "/-/ready")
--- a/internal/gatherer/shardcall/agree_test.go
+++ b/internal/gatherer/shardcall/agree_test.go
@@ -7,7 +7,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/testbed/standin"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // TestHandshakeOncePerServerProcess wants each process of a server asked once, on a connection of its own, and again when it has started
@@ -17,8 +17,8 @@
 	p := New(&gather.Settings{ConnectTimeout: 1000.0}, 100, nil, discardLog())
 	p.EnableFirstPass(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
 	p.handshakeRetryDelay = 10 * time.Millisecond
-	start := func(brief float64) *shards.Server {
-		s, err := shards.Start(shards.Terms{Cores: 1, Work: 1, Brief: brief}, nil)
+	start := func(brief float64) *shardserver.Server {
+		s, err := shardserver.Start(shardserver.Terms{Cores: 1, Work: 1, Brief: brief}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -24,7 +24,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 	"yokeroute/internal/gatherer/service"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 	"yokeroute/logic/twopass"
 )
 
@@ -81,7 +81,7 @@
 	for set := range sets {
 		for i := range replicas {
 			machines = append(machines, experiment.Machine{Name: fmt.Sprintf("%s-%d%d", []string{"north", "south"}[i%2], set, i), Hall: []string{"north", "south"}[i%2], Kind: "stand-in", Group: set,
-				Terms: shards.Terms{Cores: 2, Work: work, Spread: 0.5, Queue: 100, Brief: 2, Seed: terms.Seed + uint64(len(machines))}})
+				Terms: shardserver.Terms{Cores: 2, Work: work, Spread: 0.5, Queue: 100, Brief: 2, Seed: terms.Seed + uint64(len(machines))}})
 		}
 	}
 	fleet, err := experiment.StartFleet(machines)
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -13,22 +13,22 @@
 	"time"
 
 	"yokeroute/internal/process"
-	"yokeroute/internal/testbed/standin/directory"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // Machine is one shard server of a fleet.
 type Machine struct {
 	Name, Hall, Kind string
 	Group            int
-	shards.Terms
+	shardserver.Terms
 }
 
 // Fleet is a running fleet with its discovery.
 type Fleet struct {
 	Machines  []Machine
-	Servers   map[string]*shards.Server
-	Directory *directory.Server
+	Servers   map[string]*shardserver.Server
+	Directory *discoveryserver.Server
 
 	mu sync.Mutex
 	up map[string]float64 // when a machine last started, Unix milliseconds; long ago for one that is not there
@@ -36,10 +36,10 @@
 
 // StartFleet starts all machines and a discovery that lists them.
 func StartFleet(machines []Machine) (*Fleet, error) {
-	f := &Fleet{Machines: machines, Servers: map[string]*shards.Server{}, up: map[string]float64{}}
-	var members []directory.Member
+	f := &Fleet{Machines: machines, Servers: map[string]*shardserver.Server{}, up: map[string]float64{}}
+	var members []discoveryserver.Member
 	for _, m := range machines {
-		s, err := shards.Start(m.Terms, nil)
+		s, err := shardserver.Start(m.Terms, nil)
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -48,23 +48,23 @@
 		members = append(members, f.member(m, "in_service"))
 	}
 	var err error
-	if f.Directory, err = directory.Start(members); err != nil {
+	if f.Directory, err = discoveryserver.Start(members); err != nil {
 		f.Close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *Fleet) member(m Machine, phase string) directory.Member {
+func (f *Fleet) member(m Machine, phase string) discoveryserver.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return directory.Member{ID: m.Name, HostPort: f.Servers[m.Name].Address(), Locality: m.Hall, Flavor: m.Kind, Cell: m.Group,
+	return discoveryserver.Member{ID: m.Name, HostPort: f.Servers[m.Name].Address(), Locality: m.Hall, Flavor: m.Kind, Cell: m.Group,
 		Phase: phase, Size: 1, UpSince: f.up[m.Name]}
 }
 
 // Tell changes the phase of machines on the list.
 func (f *Fleet) Tell(phase string, names ...string) {
-	var changed []directory.Member
+	var changed []discoveryserver.Member
 	for _, m := range f.Machines {
 		for _, name := range names {
 			if m.Name == name {
--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -7,7 +7,7 @@
 
 	"github.com/HdrHistogram/hdrhistogram-go"
 
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // Sample is what a fleet and its gatherers came to under a load.
@@ -33,7 +33,7 @@
 
 // Measure plays loads on gatherers of a fleet and takes what comes of it; machines in gone don't count as used.
 func Measure(ctx context.Context, fleet *Fleet, nodes []*Node, loads []Load, length, aim time.Duration, gone map[string]bool) (s Sample) {
-	before, origins := map[string]shards.Counts{}, map[string]map[string]int{}
+	before, origins := map[string]shardserver.Counts{}, map[string]map[string]int{}
 	for name, m := range fleet.Servers {
 		before[name], origins[name] = m.Counts(), m.Origins()
 		m.Took(hdrhistogram.New(1, 60_000_000, 3)) // what came earlier does not count
--- a/internal/testbed/experiment/phases.go
+++ b/internal/testbed/experiment/phases.go
@@ -7,7 +7,7 @@
 	"text/tabwriter"
 	"time"
 
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // PhaseTerms are those of a comparison of lookups in one phase with lookups that may go in two.
@@ -86,7 +86,7 @@
 	for set := range phaseSets {
 		for i := range phaseReplicas {
 			machines = append(machines, Machine{Name: fmt.Sprintf("m-%d%d", set, i), Hall: "hall", Kind: "m", Group: set,
-				Terms: shards.Terms{Cores: phaseCores, Work: phaseWork, Spread: 0.5, Queue: 400, Brief: c.Brief * phaseWork, Seed: seed + uint64(len(machines))}})
+				Terms: shardserver.Terms{Cores: phaseCores, Work: phaseWork, Spread: 0.5, Queue: 400, Brief: c.Brief * phaseWork, Seed: seed + uint64(len(machines))}})
 		}
 	}
 	fleet, err := StartFleet(machines)
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	defer fleet.Close()
-	content := &shards.Content{Queries: phaseQueries, Holds: 1 - prune, False: c.False, Seed: seed}
+	content := &shardserver.Content{Queries: phaseQueries, Holds: 1 - prune, False: c.False, Seed: seed}
 	for _, s := range fleet.Servers {
 		s.Hold(content)
 	}
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -10,7 +10,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/config/placementfile"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 	"yokeroute/logic/balance"
 )
 
@@ -43,7 +43,7 @@
 	for _, hall := range kinds {
 		for group := range 3 {
 			for i, k := range hall.kinds {
-				m := Machine{Hall: hall.hall, Group: group, Kind: "big", Terms: shards.Terms{Cores: 6, Work: 20, Spread: 0.5, Queue: 400, Seed: seed + uint64(len(fleet))}}
+				m := Machine{Hall: hall.hall, Group: group, Kind: "big", Terms: shardserver.Terms{Cores: 6, Work: 20, Spread: 0.5, Queue: 400, Seed: seed + uint64(len(fleet))}}
 				if k == 's' {
 					m.Kind, m.Cores = "small", 2
 				}
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -28,8 +28,8 @@
 	"yokeroute/internal/process"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/directory"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // Terms are what a fleet is started with beside its scenario.
@@ -143,7 +143,7 @@
 	for i, m := range sc.Machines() {
 		name := fmt.Sprint("s", i+1)
 		machines = append(machines, experiment.Machine{Name: name, Hall: sc.Halls[m.Hall], Kind: m.Kind.Name, Group: m.Set,
-			Terms: shards.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
+			Terms: shardserver.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
 				Brief: sc.Indexes[0].Work * 0.1, Keeps: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
 		f.truth.Servers[discovery.ServerID(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
 	}
@@ -152,7 +152,7 @@
 	}
 	for name, s := range f.Servers {
 		id := discovery.ServerID(name)
-		s.Watch(func(seen shards.Seen) { f.see(id, seen) })
+		s.Watch(func(seen shardserver.Seen) { f.see(id, seen) })
 	}
 	if err = f.layStewards(); err != nil {
 		return nil, err
@@ -207,7 +207,7 @@
 }
 
 // see takes what a server tells of a part.
-func (f *Fleet) see(id uint32, seen shards.Seen) {
+func (f *Fleet) see(id uint32, seen shardserver.Seen) {
 	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.EventKind(seen.What), Server: id, Shard: seen.Shard, FirstPass: seen.Brief, Work: seen.Work}
 	e.QueryName = strings.TrimSuffix(seen.ID, "~")
 	if dot := strings.LastIndexByte(e.QueryName, '.'); dot >= 0 {
@@ -631,7 +631,7 @@
 }
 
 // entry is an entry of the list as the gatherer's agent tells it: each server's address is that of its own link there.
-func (g *Gatherer) entry(m directory.Member) directory.Member {
+func (g *Gatherer) entry(m discoveryserver.Member) discoveryserver.Member {
 	if k, err := g.fleet.link(g.Name, m.ID, m.HostPort); err == nil {
 		m.HostPort = k.Address()
 	}
@@ -639,7 +639,7 @@
 }
 
 // Members are the list as a gatherer's agent would tell it.
-func (f *Fleet) Members(g *Gatherer) []directory.Member {
+func (f *Fleet) Members(g *Gatherer) []discoveryserver.Member {
 	all := f.Directory.Members()
 	for i := range all {
 		all[i] = g.entry(all[i])
--- a/internal/testbed/scale/lists.go
+++ b/internal/testbed/scale/lists.go
@@ -14,7 +14,7 @@
 	"yokeroute/gather"
 	"yokeroute/internal/gatherer/discovery"
 	"yokeroute/internal/gatherer/shardcall"
-	"yokeroute/internal/testbed/standin/directory"
+	"yokeroute/internal/testbed/standin/discoveryserver"
 )
 
 // ListCost is what the list of shard servers costs one gatherer, over HTTP from a stand-in for discovery.
@@ -42,10 +42,10 @@
 )
 
 // listMembers is a list of so many servers.
-func listMembers(servers int) []directory.Member {
-	members := make([]directory.Member, servers)
+func listMembers(servers int) []discoveryserver.Member {
+	members := make([]discoveryserver.Member, servers)
 	for i := range members {
-		members[i] = directory.Member{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), HostPort: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, listedPort),
+		members[i] = discoveryserver.Member{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), HostPort: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, listedPort),
 			Locality: fmt.Sprintf("region-%d/zone-%d", i%DesignRegions, i%DesignZones), Flavor: "m2", Cell: i / 3, Phase: "in_service", Size: 1, UpSince: 1.7e12 + float64(i)}
 	}
 	return members
@@ -99,7 +99,7 @@
 	}
 	members := listMembers(servers)
 	c = ListCost{Servers: servers, WholeBytes: listBytes(members), ChangeBytes: listBytes(members[:1]), ZoneBytes: listBytes(members[:servers/serversAZone])}
-	agent, err := directory.Start(members)
+	agent, err := discoveryserver.Start(members)
 	if err != nil {
 		return c, err
 	}
@@ -154,7 +154,7 @@
 }
 
 // listBytes is the length of an answer of discovery that holds the entries.
-func listBytes(members []directory.Member) int {
+func listBytes(members []discoveryserver.Member) int {
 	text, err := json.Marshal(members)
 	if err != nil {
 		return 0
--- a/internal/testbed/standin/directory/directory.go
+++ b/internal/testbed/standin/discoveryserver/directory.go
@@ -1,5 +1,5 @@
 // Package directory is a stand-in for discovery: the platform's list of servers over HTTP, with watches, on loopback.
-package directory
+package discoveryserver
 
 import (
 	"encoding/json"
--- a/internal/testbed/standin/owners/owners.go
+++ b/internal/testbed/standin/segmentserver/owners.go
@@ -2,7 +2,7 @@
 // that outlive hosts, hosts that speak the platform's frames with keys (docs/protocol-owners.md), and the map of who
 // owns what told over HTTP. Any step of a hand-over can be held up, and hosts be killed, cut off from the authority or
 // from the logs.
-package owners
+package segmentserver
 
 import (
 	"bufio"
@@ -18,7 +18,7 @@
 	"time"
 
 	"yokeroute/internal/control/segments"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 	"yokeroute/logic/ownership"
 )
 
@@ -216,7 +216,7 @@
 
 // part is one piece of a call as it came.
 type part struct {
-	shards.Part
+	shardserver.Part
 	ownership.Request
 }
 
@@ -232,7 +232,7 @@
 		if err != nil || length < 0 || length > len(rest) {
 			return nil, fmt.Errorf("a part's line %.80q", line)
 		}
-		p := part{Part: shards.Part{ID: words[0], Text: rest[:length]}}
+		p := part{Part: shardserver.Part{ID: words[0], Text: rest[:length]}}
 		for _, item := range strings.Split(words[2], ",") {
 			key, value, _ := strings.Cut(item, "=")
 			switch key {
@@ -275,7 +275,7 @@
 	}
 	r := bufio.NewReaderSize(c, 32<<10)
 	for {
-		letter, body, err := shards.ReadFrame(r)
+		letter, body, err := shardserver.ReadFrame(r)
 		if err != nil {
 			return
 		}
--- a/internal/testbed/standin/shards/content.go
+++ b/internal/testbed/standin/shardserver/content.go
@@ -1,4 +1,4 @@
-package shards
+package shardserver
 
 import (
 	"encoding/binary"
--- a/internal/testbed/standin/shards/shards.go
+++ b/internal/testbed/standin/shardserver/shards.go
@@ -1,7 +1,7 @@
 // Package shards is a stand-in for shard servers: it speaks the platform's frames on loopback and takes the time
 // that a machine of so many cores would take, without using its CPU. It can be drained, killed, hung, slowed and
 // made to fail, and keeps count of what it was asked and did.
-package shards
+package shardserver
 
 import (
 	"bufio"
