--- a/cmd/yokeroute-testbed/demo.go
+++ b/cmd/yokeroute-testbed/demo.go
@@ -13,7 +13,7 @@
 )
 
 func demoCommand() *cobra.Command {
-	terms := demo.Terms{}
+	terms := demo.Options{}
 	var plain bool
 	var length time.Duration
 	cmd := &cobra.Command{Use: "demo", Short: "show a gatherer at work before stand-in shard servers, on loopback", Args: cobra.NoArgs,
@@ -35,14 +35,14 @@
 			out := cmd.OutOrStdout()
 			fmt.Fprintf(out, "a gatherer serves on http://%s; ask it:\n\n%s\n\n", d.Address, d.Curl())
 			if plain || !isatty.IsTerminal(os.Stdout.Fd()) {
-				d.Plain(ctx, out)
+				d.WriteLines(ctx, out)
 			} else {
-				err = d.Screen(ctx)
+				err = d.RunScreen(ctx)
 			}
 			if closed := d.Close(); err == nil {
 				err = closed
 			}
-			fmt.Fprintln(out, d.Counts.Line())
+			fmt.Fprintln(out, d.Counts.Summary())
 			return err
 		}}
 	cmd.Flags().StringVar(&terms.Listen, "listen", "127.0.0.1:8000", "where the gatherer takes lookups; another port is used where this one is taken")
--- a/cmd/yokeroute-testbed/loopback.go
+++ b/cmd/yokeroute-testbed/loopback.go
@@ -12,13 +12,13 @@
 )
 
 func phasesCommand() *cobra.Command {
-	terms := experiment.PhaseTerms{}
+	terms := experiment.PhaseOptions{}
 	search := study.PhaseSearch{}
 	var form string
 	cmd := &cobra.Command{Use: "phases", Short: "compare lookups in one phase with lookups that may go in two", Args: cobra.NoArgs,
 		Example: "  bin/yokeroute-testbed phases --days calm --prune 0,0.5,0.95\n  bin/yokeroute-testbed phases --search 160",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			terms.Seen = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+			terms.Progress = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 			if search.Cases > 0 {
 				if search.Seeds < 2 {
 					return fmt.Errorf("--seeds %d: two at least tell anything", search.Seeds)
@@ -46,9 +46,9 @@
 			return nil
 		}}
 	cmd.Flags().StringVar(&terms.Binary, "gatherer", beside(), "the gatherer's program")
-	cmd.Flags().DurationVar(&terms.Warm, "warm", 4*time.Second, "time for learning before anything is measured")
-	cmd.Flags().DurationVar(&terms.Length, "length", 8*time.Second, "time that is measured")
-	cmd.Flags().Float64SliceVar(&terms.Prune, "prune", []float64{0, 0.25, 0.5, 0.75, 0.95}, "shares of segments in which a query finds nothing")
+	cmd.Flags().DurationVar(&terms.WarmUp, "warm", 4*time.Second, "time for learning before anything is measured")
+	cmd.Flags().DurationVar(&terms.Duration, "length", 8*time.Second, "time that is measured")
+	cmd.Flags().Float64SliceVar(&terms.EmptyShares, "prune", []float64{0, 0.25, 0.5, 0.75, 0.95}, "shares of segments in which a query finds nothing")
 	cmd.Flags().StringSliceVar(&terms.Days, "days", experiment.PhaseDays, "kinds of days")
 	cmd.Flags().IntVar(&search.Cases, "search", 0, "cases drawn and played by the emulator instead, for the one worst for two phases")
 	cmd.Flags().IntVar(&search.Seeds, "seeds", 6, "days of each case of a search")
@@ -58,12 +58,12 @@
 }
 
 func plansCommand() *cobra.Command {
-	terms := experiment.PlanTerms{}
+	terms := experiment.PlanOptions{}
 	var form string
 	cmd := &cobra.Command{Use: "plans", Short: "compare plain turns with plans on an uneven fleet, through the loss of half a hall", Args: cobra.NoArgs,
 		Example: "  bin/yokeroute-testbed plans --rounds 3",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			terms.Seen = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
+			terms.Progress = func(format string, args ...any) { fmt.Fprintf(cmd.ErrOrStderr(), format+"\n", args...) }
 			rows, err := experiment.Plans(cmd.Context(), terms)
 			if err != nil {
 				return err
@@ -75,10 +75,10 @@
 			return nil
 		}}
 	cmd.Flags().StringVar(&terms.Binary, "gatherer", beside(), "the gatherer's program")
-	cmd.Flags().DurationVar(&terms.Calm, "calm", 10*time.Second, "length of the calm phase")
-	cmd.Flags().DurationVar(&terms.After, "after", 10*time.Second, "length of the phase after the loss")
+	cmd.Flags().DurationVar(&terms.BeforeLoss, "calm", 10*time.Second, "length of the calm phase")
+	cmd.Flags().DurationVar(&terms.AfterLoss, "after", 10*time.Second, "length of the phase after the loss")
 	cmd.Flags().Float64Var(&terms.Rate, "rate", 1500, "parts a second")
-	cmd.Flags().Float64Var(&terms.Small, "small", 100, "parts a second that the plan counts on from a small machine, which can answer 100")
+	cmd.Flags().Float64Var(&terms.SmallCapacity, "small", 100, "parts a second that the plan counts on from a small machine, which can answer 100")
 	cmd.Flags().IntVar(&terms.Rounds, "rounds", 3, "how often each variant runs, in turns")
 	cmd.Flags().Uint64Var(&terms.Seed, "seed", 1, "of loads and machines")
 	cmd.Flags().StringVarP(&form, "output", "o", "text", "form of the answer: text or json")
--- a/cmd/yokeroute-testbed/scale.go
+++ b/cmd/yokeroute-testbed/scale.go
@@ -76,7 +76,7 @@
 func scaleDecisionsCommand() *cobra.Command {
 	var out scaleOutput
 	var servers, parts []int
-	t := scale.DecisionTerms{}
+	t := scale.DecisionOptions{}
 	cmd := &cobra.Command{Use: "decisions", Short: "the decision module: processor time a query, longest round, memory", Args: cobra.NoArgs,
 		Example: "  yokeroute-testbed scale decisions --servers 20,300,3000 --parts 8 --seconds 2\n  yokeroute-testbed scale decisions --servers 300,3000,9000,28000 --parts 640",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -101,7 +101,7 @@
 	var gatherers []int
 	var rest float64
 	var fault string
-	t := scale.PolicyTerms{}
+	t := scale.PolicyOptions{}
 	cmd := &cobra.Command{Use: "policies", Short: "stewards as processes and hollow gatherers that follow them: at rest, at a start, in changes with a fault", Args: cobra.NoArgs,
 		Example: "  yokeroute-testbed scale policies --gatherers 100,200 --changes 2 --rest 1\n  yokeroute-testbed scale policies --stewards 5 --gatherers 300,900,1800,3600 --changes 100 --fault none",
 		RunE: func(cmd *cobra.Command, _ []string) error {
@@ -112,7 +112,7 @@
 			if err := oneOf("fault", []string{fault}, known); err != nil {
 				return err
 			}
-			t.Fault, t.Rest = scale.PolicyFault(fault), time.Duration(rest*float64(time.Second))
+			t.Fault, t.IdleTime = scale.PolicyFault(fault), time.Duration(rest*float64(time.Second))
 			base, err := os.MkdirTemp("", "yokeroute-testbed-scale-")
 			if err != nil {
 				return err
@@ -126,7 +126,7 @@
 			return out.print(cmd, figures)
 		}}
 	cmd.Flags().StringVar(&t.Binary, "binary", beside(), "the gatherer's program")
-	cmd.Flags().IntVar(&t.Stewards, "stewards", 3, "that agree")
+	cmd.Flags().IntVar(&t.PolicyServers, "stewards", 3, "that agree")
 	cmd.Flags().IntSliceVar(&gatherers, "gatherers", []int{300, 900, 1800, 3600}, "hollow gatherers")
 	cmd.Flags().IntVar(&t.Changes, "changes", 10, "in a row")
 	cmd.Flags().Float64Var(&rest, "rest", 10, "seconds that are measured with nothing to do")
--- a/cmd/yokeroute/crossings_test.go
+++ b/cmd/yokeroute/crossings_test.go
@@ -169,7 +169,7 @@
 	held, hung := ask(address, "a"), ask(address, "b")
 	conn := shard.Take()
 	for parts := 0; parts < 2; { // in one frame or in two
-		parts += len(conn.Read().Parts)
+		parts += len(conn.Read().Requests)
 	}
 	waitFor(t, "accepted", 5*time.Second, func() bool { return p.get("/-/healthy") == 200 }) // after early, in order
 	p.signal(t, syscall.SIGTERM)
--- a/cmd/yokeroute/main_test.go
+++ b/cmd/yokeroute/main_test.go
@@ -242,7 +242,7 @@
 	ended, log := start(t, configure(t, address, agent), address)
 	first := ask(address, "a")
 	conn := shard.Take()
-	if f := conn.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "a.2" || f.Parts[0].Shard != 2 || f.Parts[0].Text != "c41e" {
+	if f := conn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "a.2" || f.Requests[0].Shard != 2 || f.Requests[0].Payload != "c41e" {
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.2", "ok", "5be2")
@@ -301,21 +301,21 @@
 // dies and one that garbles among them, while the content changes, and wants each answer true: what a part is said
 // to hold, or proved not to, is so at a version that was in force while the lookup was held.
 func TestServeTwoPhases(t *testing.T) {
-	content := &shardserver.Content{Queries: 60, Holds: 0.3, False: 0.2, Seed: 5}
+	content := &shardserver.Content{Queries: 60, HitShare: 0.3, FalsePositiveRate: 0.2, Seed: 5}
 	var members []discoveryserver.Member
 	var fleet []*shardserver.Server
 	for i := range 6 {
-		s, err := shardserver.Start(shardserver.Terms{Cores: 8, Work: 4, Brief: 0.5, Queue: 1000, Seed: uint64(i)}, nil)
+		s, err := shardserver.Start(shardserver.Config{Cores: 8, MeanWork: 4, FirstPassWork: 0.5, QueueLimit: 1000, Seed: uint64(i)}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		s.Hold(content)
+		s.SetContent(content)
 		fleet = append(fleet, s)
-		members = append(members, discoveryserver.Member{ID: fmt.Sprint("m-", i), HostPort: s.Address(), Cell: i % 2, Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: fmt.Sprint("m-", i), HostPort: s.Address(), ReplicaSet: i % 2, Phase: "in_service", Size: 1})
 	}
-	fleet[0].Speak(0)
-	fleet[1].Garble(0.3)
+	fleet[0].SetFirstPassWork(0)
+	fleet[1].SetGarbledShare(0.3)
 	list, err := discoveryserver.Start(members)
 	if err != nil {
 		t.Fatal(err)
@@ -329,7 +329,7 @@
 	os.WriteFile(operators, []byte("two-phase find trials 50%\ntrace keep 1000\n"), 0o600)
 	ended, log := start(t, path, address, "--operator", operators)
 	for _, s := range fleet { // all have been asked whether they know first passes
-		for s.Counts().Hellos == 0 {
+		for s.Counts().Handshakes == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -362,7 +362,7 @@
 		}
 		has := func(shard int, want bool) (ever bool) {
 			for v := before; v <= content.Version(); v++ {
-				ever = ever || content.Has(query, shard, v) == want
+				ever = ever || content.Matches(query, shard, v) == want
 			}
 			return ever
 		}
@@ -384,21 +384,21 @@
 			time.Sleep(2 * time.Millisecond)
 			switch {
 			case i%10 == 5:
-				content.Change()
+				content.NextVersion()
 			case round == 2 && i == 20:
 				fleet[3].Kill()
 			case round == 3 && i == 20:
-				fleet[3].Revive()
+				fleet[3].Restart()
 			}
 		}
 		wait.Wait()
 	}
 	briefs := 0
 	for _, s := range fleet {
-		briefs += s.Counts().Briefs
+		briefs += s.Counts().FirstPassRequests
 	}
-	if briefs < 200 || fleet[0].Counts().Briefs > 0 {
-		t.Errorf("%d parts of first passes, %d of them at an old build", briefs, fleet[0].Counts().Briefs)
+	if briefs < 200 || fleet[0].Counts().FirstPassRequests > 0 {
+		t.Errorf("%d parts of first passes, %d of them at an old build", briefs, fleet[0].Counts().FirstPassRequests)
 	}
 	out, err := execute(t, "explain", "lookup", "--gatherer", address, "-o", "json")
 	if err != nil || strings.Count(out, `"two":true`) < 20 {
@@ -464,13 +464,13 @@
 	var members []discoveryserver.Member
 	fleet := map[string]*shardserver.Server{}
 	for _, name := range []string{"n-1", "s-1"} {
-		s, err := shardserver.Start(shardserver.Terms{Cores: 4, Work: servePlanWork, Queue: 100}, nil)
+		s, err := shardserver.Start(shardserver.Config{Cores: 4, MeanWork: servePlanWork, QueueLimit: 100}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
 		fleet[name] = s
-		members = append(members, discoveryserver.Member{ID: name, HostPort: s.Address(), Locality: "hall", Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: name, HostPort: s.Address(), Zone: "hall", Phase: "in_service", Size: 1})
 	}
 	list, err := discoveryserver.Start(members)
 	if err != nil {
@@ -494,14 +494,14 @@
 	await(t, log, "weights in force") // the list may be known before them
 	n := 0
 	went := func() string {
-		before := map[string]int{"n-1": fleet["n-1"].Counts().Parts, "s-1": fleet["s-1"].Counts().Parts}
+		before := map[string]int{"n-1": fleet["n-1"].Counts().Requests, "s-1": fleet["s-1"].Counts().Requests}
 		for range 6 {
 			n++
 			if got := <-ask(address, fmt.Sprint("x", n)); !strings.Contains(got, "c41e") {
 				t.Fatalf("answer %s", got)
 			}
 		}
-		return fmt.Sprint(fleet["n-1"].Counts().Parts-before["n-1"], " ", fleet["s-1"].Counts().Parts-before["s-1"])
+		return fmt.Sprint(fleet["n-1"].Counts().Requests-before["n-1"], " ", fleet["s-1"].Counts().Requests-before["s-1"])
 	}
 	if got := went(); got != "6 0" {
 		t.Errorf("parts %s", got)
--- a/internal/control/policyclient/tighten_test.go
+++ b/internal/control/policyclient/tighten_test.go
@@ -18,7 +18,7 @@
 	servers.Floor = "no-copies\nindex any once-only least 75%\nfurther share 0% free 0\ncold 20%\n"
 	f := startFleet(t, 4, 80, servers)
 	for _, name := range []string{"s1", "s2", "s5"} {
-		f.fleet.Servers[name].Slow(30)
+		f.fleet.Servers[name].SetSlowdown(30)
 	}
 	resets, stopResets := f.resetConnections()
 	defer stopResets()
--- a/internal/control/rollout/outcomes_test.go
+++ b/internal/control/rollout/outcomes_test.go
@@ -28,7 +28,7 @@
 	})
 	// In the midst of a stage: troubles of the fleet's own.
 	for _, name := range []string{"s1", "s4"} {
-		s.fleet.Servers[name].Slow(6)
+		s.fleet.Servers[name].SetSlowdown(6)
 	}
 	g := s.fleet.Gatherers[11]
 	link, err := s.fleet.ReportLink(s.fleet.Gatherers[7])
@@ -43,7 +43,7 @@
 		}
 	}
 	for _, name := range []string{"s1", "s4"} {
-		s.fleet.Servers[name].Slow(1)
+		s.fleet.Servers[name].SetSlowdown(1)
 	}
 	if err := link.Mend(); err != nil {
 		t.Fatal(err)
--- a/internal/control/rollout/steppers_test.go
+++ b/internal/control/rollout/steppers_test.go
@@ -25,7 +25,7 @@
 		text, err := os.ReadFile(filepath.Join(g.StateFolder(), "handover"))
 		return err == nil && strings.Contains(string(text), `"s1"`)
 	}
-	s.fleet.Tell("terminating", "s1")
+	s.fleet.SetPhase("terminating", "s1")
 	if err := process.WaitUntil(s.ctx, "the drain is written down", heard); err != nil {
 		t.Fatal(err)
 	}
@@ -45,8 +45,8 @@
 	if err := g.Start(s.ctx); err != nil {
 		t.Fatal(err)
 	}
-	others := func() int { return s.fleet.Servers["s3"].Counts().Parts + s.fleet.Servers["s5"].Counts().Parts }
-	before, other := s.fleet.Servers["s1"].Counts().Parts, others()
+	others := func() int { return s.fleet.Servers["s3"].Counts().Requests + s.fleet.Servers["s5"].Counts().Requests }
+	before, other := s.fleet.Servers["s1"].Counts().Requests, others()
 	for i := range 30 {
 		body := strings.NewReader(`{"shards":[{"shard":0,"weight":1}],"q":"x"}`)
 		req, err := http.NewRequest(http.MethodPost, "http://"+g.Address+"/any", body)
@@ -61,7 +61,7 @@
 		}
 		resp.Body.Close()
 	}
-	if n := s.fleet.Servers["s1"].Counts().Parts - before; n > 0 || others() == other {
+	if n := s.fleet.Servers["s1"].Counts().Requests - before; n > 0 || others() == other {
 		t.Errorf("%d parts went to a server that was heard to drain; others got %d: %s", n, others()-other, g.Process().Log())
 	}
 }
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -37,7 +37,7 @@
 // TestAdminPathsKeepTheirBytes: what a gatherer says on its own paths is what it was.
 func TestAdminPathsKeepTheirBytes(t *testing.T) {
 	_, address, end := start(t, &operator.File{BackgroundShare: 0.05, TracesKept: 4, TraceShare: 1}, func(i int) experiment.Machine {
-		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shardserver.Terms{Cores: 2, Work: 2, Queue: 40, Seed: uint64(i)}}
+		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: "a", Kind: "k", ReplicaSet: i % 2, Config: shardserver.Config{Cores: 2, MeanWork: 2, QueueLimit: 40, Seed: uint64(i)}}
 	}, func(text string) string { return text })
 	defer end()
 	get := func(path string) string {
--- a/internal/gatherer/service/migrated_test.go
+++ b/internal/gatherer/service/migrated_test.go
@@ -18,8 +18,8 @@
 // no part has two calls out at once.
 func TestMigrated(t *testing.T) {
 	fleet, address, end := start(t, &operator.File{}, func(i int) experiment.Machine {
-		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: []string{"a", "b"}[i%2], Kind: "k", Group: i,
-			Terms: shardserver.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Seed: uint64(i)}}
+		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: []string{"a", "b"}[i%2], Kind: "k", ReplicaSet: i,
+			Config: shardserver.Config{Cores: 2, MeanWork: 8, WorkVariation: 0.5, QueueLimit: 40, Seed: uint64(i)}}
 	}, func(text string) string {
 		old := filepath.Join(t.TempDir(), "old.json")
 		if err := os.WriteFile(old, []byte(text), 0o600); err != nil {
@@ -32,25 +32,25 @@
 		return string(moved.Text)
 	})
 	for _, s := range fleet.Servers {
-		s.Tell(20)
+		s.ReportLoad(20)
 	}
 	hung := fleet.Servers["m2"]
-	hung.Hang(true)
-	load := experiment.Load{Origin: "any", Address: address, Index: "any", Rate: 60, Parts: 4, Shards: 6, Wait: 1500 * time.Millisecond, Seed: 1}
+	hung.SetHung(true)
+	load := experiment.Load{Origin: "any", Address: address, Class: "any", Rate: 60, ShardRequests: 4, Shards: 6, Deadline: 1500 * time.Millisecond, Seed: 1}
 	out := experiment.Play(t.Context(), load, 3*time.Second, time.Second)
 	end()
-	if out.Sent < 100 || out.Satisfied < out.Sent*95/100 || out.Failed > 0 {
+	if out.Sent < 100 || out.Served < out.Sent*95/100 || out.Errors > 0 {
 		t.Errorf("%+v", out)
 	}
 	loads, parts := 0, 0
 	for _, s := range fleet.Servers {
-		loads += s.Counts().Loads
-		parts += s.Counts().Parts
+		loads += s.Counts().LoadReports
+		parts += s.Counts().Requests
 	}
 	if loads == 0 {
 		t.Error("no load was asked for")
 	}
-	if n := hung.Counts().Parts; n > parts/20 {
+	if n := hung.Counts().Requests; n > parts/20 {
 		t.Errorf("the hung server got %d of %d parts", n, parts)
 	}
 }
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -49,7 +49,7 @@
 }
 
 // start starts so many hosts, which own four segments at first, two each.
-func startFarm(t *testing.T, hosts, gatherers int, logs *standin.Logs, state string) *farm {
+func startFarm(t *testing.T, hosts, gatherers int, logs *standin.SegmentLogs, state string) *farm {
 	t.Helper()
 	f := &farm{t: t}
 	var members []discoveryserver.Member
@@ -60,7 +60,7 @@
 		}
 		t.Cleanup(h.Close)
 		f.hosts = append(f.hosts, h)
-		members = append(members, discoveryserver.Member{ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: h.Name, HostPort: h.Address(), Zone: "a", Phase: "in_service", Size: 1})
 	}
 	var list []ownership.Segment
 	for i := range 4 {
@@ -70,7 +70,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.authority, err = standin.Start(first, f.hosts, logs); err != nil {
+	if f.authority, err = standin.StartAuthority(first, f.hosts, logs); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.authority.Close)
@@ -277,7 +277,7 @@
 // from the authority, killed, and answers lost. No claim runs twice, none that was nacked has run, no key is given
 // twice, histories of claims are linearizable, and whole answers cover each key once.
 func TestMoving(t *testing.T) {
-	logs := &standin.Logs{}
+	logs := &standin.SegmentLogs{}
 	f := startFarm(t, 6, 2, logs, "")
 	for _, a := range f.addresses {
 		f.ready(a)
@@ -337,7 +337,7 @@
 	for _, w := range wrong {
 		t.Error(w)
 	}
-	ran := logs.Ran()
+	ran := logs.Executions()
 	check(t, ran, history)
 	if counts["claim lost"] > 0 {
 		t.Errorf("%d claims were answered whole by nobody who has their key", counts["claim lost"])
@@ -377,9 +377,9 @@
 		case 0:
 			if cut == nil {
 				cut = f.hosts[draw(len(f.hosts))]
-				cut.Cut(true)
+				cut.SetAuthorityDisconnected(true)
 			} else {
-				cut.Cut(false)
+				cut.SetAuthorityDisconnected(false)
 				cut = nil
 			}
 		case 1:
@@ -387,17 +387,17 @@
 				killed = f.hosts[draw(len(f.hosts))]
 				killed.Kill()
 			} else {
-				if err := killed.Revive(); err != nil {
+				if err := killed.Restart(); err != nil {
 					f.t.Error(err)
 				}
 				killed = nil
 			}
 		case 2:
-			f.hosts[draw(len(f.hosts))].Lose(1 + draw(3))
+			f.hosts[draw(len(f.hosts))].DropAnswers(1 + draw(3))
 		}
 		h := ownership.NewHandover(m, c)
 		for step := ownership.Fence; step <= ownership.Done; step++ { // a step at a time, with calls in between
-			if err = f.authority.Carry(&h, step); err != nil {
+			if err = f.authority.RunUntil(&h, step); err != nil {
 				break
 			}
 			time.Sleep(time.Duration(1+draw(8)) * time.Millisecond)
@@ -407,13 +407,13 @@
 			}
 		}
 		if err != nil && h.Step <= ownership.Publish {
-			for f.authority.Undo(&h) != nil { // until those who had the segments can be reached again
+			for f.authority.Revert(&h) != nil { // until those who had the segments can be reached again
 				if cut != nil {
-					cut.Cut(false)
+					cut.SetAuthorityDisconnected(false)
 					cut = nil
 				}
 				if killed != nil {
-					if err := killed.Revive(); err != nil {
+					if err := killed.Restart(); err != nil {
 						f.t.Error(err)
 					}
 					killed = nil
@@ -426,7 +426,7 @@
 		time.Sleep(time.Duration(20+draw(60)) * time.Millisecond)
 	}
 	if killed != nil {
-		killed.Revive()
+		killed.Restart()
 	}
 	return moves, undone
 }
@@ -434,14 +434,14 @@
 var errUndo = fmt.Errorf("undone")
 
 // check holds what ran against what clients learnt.
-func check(t *testing.T, ran []standin.Ran, history []porcupine.Operation) {
+func check(t *testing.T, ran []standin.Execution, history []porcupine.Operation) {
 	t.Helper()
 	if twice := duplicates(ran); len(twice) > 0 {
 		t.Errorf("%d claims ran, or keys were given, twice: %v", len(twice), twice[:min(len(twice), 5)])
 	}
 	by := map[string]bool{}
 	for _, r := range ran {
-		by[r.By] = true
+		by[r.Claimant] = true
 	}
 	for _, op := range history {
 		if who := op.Input.(claimInput).who; op.Output == "never" && by[who] {
@@ -460,17 +460,17 @@
 }
 
 // duplicates are claims that ran twice and keys that were given twice.
-func duplicates(ran []standin.Ran) (twice []string) {
+func duplicates(ran []standin.Execution) (twice []string) {
 	claims, keys := map[string]int{}, map[uint64]string{}
 	for _, r := range ran {
-		if claims[r.By]++; claims[r.By] > 1 {
-			twice = append(twice, fmt.Sprintf("%s ran %d times", r.By, claims[r.By]))
+		if claims[r.Claimant]++; claims[r.Claimant] > 1 {
+			twice = append(twice, fmt.Sprintf("%s ran %d times", r.Claimant, claims[r.Claimant]))
 		}
-		if r.Given {
+		if r.Granted {
 			if first := keys[r.Key]; first != "" {
-				twice = append(twice, fmt.Sprintf("key %016x to %s and to %s at %s", r.Key, first, r.By, r.Host))
+				twice = append(twice, fmt.Sprintf("key %016x to %s and to %s at %s", r.Key, first, r.Claimant, r.Host))
 			}
-			keys[r.Key] = r.By
+			keys[r.Key] = r.Claimant
 		}
 	}
 	return twice
@@ -480,33 +480,33 @@
 // the fence nothing runs there; without it a key is given twice, which this test sees.
 func TestCutOffOwner(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
-		logs := &standin.Logs{Unfenced: unfenced}
+		logs := &standin.SegmentLogs{WithoutFencing: unfenced}
 		f := startFarm(t, 3, 2, logs, "")
 		for _, a := range f.addresses {
 			f.ready(a)
 		}
 		// The second gatherer hears of nothing any more.
-		f.authority.Silence(true)
-		f.hosts[0].Cut(true)
+		f.authority.SetSilent(true)
+		f.hosts[0].SetAuthorityDisconnected(true)
 		m := f.authority.Map()
 		c, err := m.MoveSegment("s0", []string{"h2"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		h := ownership.NewHandover(m, c)
-		if err := f.authority.Carry(&h, ownership.Done); err != nil {
+		if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
 		old := claim(f.addresses[1], "late", 5, began)
-		f.authority.Silence(false)
+		f.authority.SetSilent(false)
 		f.ready(f.addresses[0])
 		for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			if op := claim(f.addresses[0], fmt.Sprint("new-", time.Now().UnixNano()), 5, began); op.Output == "given" || !unfenced && op.Output == "held" {
 				break
 			}
 		}
-		twice := duplicates(logs.Ran())
+		twice := duplicates(logs.Executions())
 		if !unfenced && (len(twice) > 0 || old.Output == "given") {
 			t.Errorf("%v, the old owner's answer was %v", twice, old.Output)
 		}
@@ -520,7 +520,7 @@
 // who own its keys no longer; it serves again when the authority does. A once-only lookup that may have run before
 // the crash is aborted when its client asks again.
 func TestOldMap(t *testing.T) {
-	logs, dir := &standin.Logs{}, t.TempDir()
+	logs, dir := &standin.SegmentLogs{}, t.TempDir()
 	f := startFarm(t, 4, 1, logs, dir)
 	f.ready(f.addresses[0])
 	began := time.Now()
@@ -528,7 +528,7 @@
 		t.Fatalf("%v", op.Output)
 	}
 	f.stops[0]()
-	f.authority.Silence(true)
+	f.authority.SetSilent(true)
 	for i := range 3 { // to hosts that have none of it, one after the other
 		m := f.authority.Map()
 		c, err := m.MoveSegment("s0", []string{f.hosts[[]int{2, 3, 2}[i]].Name})
@@ -536,7 +536,7 @@
 			t.Fatal(err)
 		}
 		h := ownership.NewHandover(m, c)
-		if err := f.authority.Carry(&h, ownership.Done); err != nil {
+		if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -559,12 +559,12 @@
 	if op := claim(address, "before", 7, began); op.Output != "unknown" {
 		t.Errorf("a once-only lookup asked again after the crash: %v", op.Output)
 	}
-	f.authority.Silence(false)
+	f.authority.SetSilent(false)
 	f.ready(address)
 	if op := claim(address, "after", 8, began); op.Output != "given" {
 		t.Errorf("%v", op.Output)
 	}
-	if twice := duplicates(logs.Ran()); len(twice) > 0 {
+	if twice := duplicates(logs.Executions()); len(twice) > 0 {
 		t.Error(twice)
 	}
 }
@@ -573,7 +573,7 @@
 // only lookups stop when that comes to light, reads go on, and all go on with a later epoch. News that makes no sense
 // changes nothing.
 func TestLies(t *testing.T) {
-	f := startFarm(t, 3, 1, &standin.Logs{}, "")
+	f := startFarm(t, 3, 1, &standin.SegmentLogs{}, "")
 	f.ready(f.addresses[0])
 	began := time.Now()
 	n := 0
@@ -594,7 +594,7 @@
 	nonsense := lie
 	nonsense.Checksum++
 	tell := func(c ownership.Change) { // in place of the changes that there are; a whole map is told as it is
-		f.authority.Twist(func(r *segments.Response) *segments.Response {
+		f.authority.RewriteResponses(func(r *segments.Response) *segments.Response {
 			if r.Full != nil {
 				return r
 			}
@@ -610,10 +610,10 @@
 		t.Fatal(err)
 	}
 	h := ownership.NewHandover(m, c)
-	if err := f.authority.Carry(&h, ownership.Done); err != nil {
+	if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
-	f.authority.Twist(nil)
+	f.authority.RewriteResponses(nil)
 	try(1, "never") // refused, and so the map is asked for whole
 	other := ownership.ShardRange(1, 4).Lo
 	try(other, "never") // of a segment of which no lie was told
@@ -625,7 +625,7 @@
 		t.Fatal(err)
 	}
 	h = ownership.NewHandover(next, c)
-	if err := f.authority.Carry(&h, ownership.Done); err != nil {
+	if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
 	try(other, "given")
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := platform.Parse([]byte(turned(text(l.Addr().String(), fleet.Directory.Address(), settings))), func(string) string { return "" })
+	c, err := platform.Parse([]byte(turned(text(l.Addr().String(), fleet.Discovery.Address(), settings))), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,13 +75,13 @@
 func serve(t *testing.T, own *operator.File, trouble func(f *experiment.Fleet)) *experiment.Outcome {
 	t.Helper()
 	fleet, address, end := start(t, own, func(i int) experiment.Machine {
-		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shardserver.Terms{Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Brief: 1, Seed: uint64(i)}}
+		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: "a", Kind: "k", ReplicaSet: i % 2, Config: shardserver.Config{Cores: 2, MeanWork: 8, WorkVariation: 0.5, QueueLimit: 40, FirstPassWork: 1, Seed: uint64(i)}}
 	}, func(text string) string { return text })
 	outs := make(chan *experiment.Outcome, 2)
 	playing, enough := context.WithCancel(t.Context())
 	for i, index := range []string{"any", "once"} {
 		go func() {
-			outs <- experiment.Play(playing, experiment.Load{Origin: index, Address: address, Index: index, Rate: []float64{120, 40}[i], Parts: []int{4, 2}[i], Shards: 12, Wait: 500 * time.Millisecond, Seed: uint64(i)},
+			outs <- experiment.Play(playing, experiment.Load{Origin: index, Address: address, Class: index, Rate: []float64{120, 40}[i], ShardRequests: []int{4, 2}[i], Shards: 12, Deadline: 500 * time.Millisecond, Seed: uint64(i)},
 				2500*time.Millisecond, 300*time.Millisecond)
 		}()
 	}
@@ -104,19 +104,19 @@
 		wait := func() { time.Sleep(250 * time.Millisecond) } // what happens in between is load, not a condition waited for
 		wait()
 		f.Servers["m0"].Kill()
-		f.Servers["m1"].Hang(true)
+		f.Servers["m1"].SetHung(true)
 		wait()
-		f.Tell("terminating", "m2")
-		f.Servers["m3"].Fail(0.5)
+		f.SetPhase("terminating", "m2")
+		f.Servers["m3"].SetFailureShare(0.5)
 		wait()
-		if err := f.Servers["m0"].Revive(); err != nil {
+		if err := f.Servers["m0"].Restart(); err != nil {
 			t.Error(err)
 		}
-		f.Restarted("m0")
-		f.Servers["m5"].Slow(10)
+		f.AnnounceRestart("m0")
+		f.Servers["m5"].SetSlowdown(10)
 		wait()
-		f.Tell("terminated", "m2")
-		f.Servers["m1"].Hang(false)
+		f.SetPhase("terminated", "m2")
+		f.Servers["m1"].SetHung(false)
 	})
 	r := checkFile(t, file)
 	if !r.Passed() {
--- a/internal/gatherer/service/settings_test.go
+++ b/internal/gatherer/service/settings_test.go
@@ -88,7 +88,7 @@
 			t.Run(site+", "+name, func(t *testing.T) {
 				t.Parallel()
 				_, address, end := start(t, &operator.File{BackgroundShare: 0.05}, func(i int) experiment.Machine {
-					return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shardserver.Terms{Cores: 2, Work: 2, Queue: 40, Seed: uint64(i)}}
+					return experiment.Machine{Name: fmt.Sprint("m", i), Zone: "a", Kind: "k", ReplicaSet: i % 2, Config: shardserver.Config{Cores: 2, MeanWork: 2, QueueLimit: 40, Seed: uint64(i)}}
 				}, func(c string) string { return strings.Replace(c, settings, change(t, text, with), 1) })
 				for end := false; !end; {
 					resp, err := http.Get("http://" + address + "/-/ready")
--- a/internal/gatherer/shardcall/agree_test.go
+++ b/internal/gatherer/shardcall/agree_test.go
@@ -18,7 +18,7 @@
 	p.EnableFirstPass(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
 	p.handshakeRetryDelay = 10 * time.Millisecond
 	start := func(brief float64) *shardserver.Server {
-		s, err := shardserver.Start(shardserver.Terms{Cores: 1, Work: 1, Brief: brief}, nil)
+		s, err := shardserver.Start(shardserver.Config{Cores: 1, MeanWork: 1, FirstPassWork: brief}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -35,10 +35,10 @@
 		t.Errorf("found %s, %s", first, second)
 	}
 	conn := silent.Take()
-	if f := conn.Read(); f.Letter != 'H' || f.Body != "two-phase 1" {
+	if f := conn.Read(); f.Type != 'H' || f.Body != "two-phase 1" {
 		t.Errorf("asked by %+v", f)
 	}
-	if err := gone.Revive(); err != nil {
+	if err := gone.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	if f := <-found; f != "3 true" {
@@ -48,16 +48,16 @@
 	if f := <-found; f != "4 false" {
 		t.Errorf("found %s", f)
 	}
-	if n := fresh.Counts().Hellos + old.Counts().Hellos; n != 2 {
+	if n := fresh.Counts().Handshakes + old.Counts().Handshakes; n != 2 {
 		t.Errorf("asked %d times", n)
 	}
-	old.Speak(1)
+	old.SetFirstPassWork(1)
 	list[1].StartedAt = 7
 	p.SetEndpoints(list)
 	if f := <-found; f != "2 true" {
 		t.Errorf("found %s of a process that has started anew", f)
 	}
-	if fresh.Counts().Hellos != 1 || len(found) > 0 {
+	if fresh.Counts().Handshakes != 1 || len(found) > 0 {
 		t.Errorf("asked again without need")
 	}
 }
--- a/internal/gatherer/shardcall/crossings_test.go
+++ b/internal/gatherer/shardcall/crossings_test.go
@@ -263,7 +263,7 @@
 	}
 	done = d.submit(t.Context(), "b", 1, 5000)
 	next := shard.Take()
-	if f := next.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+	if f := next.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
 	next.Answer("b.0", "ok", "w")
@@ -286,7 +286,7 @@
 	conn.Read()
 	leave()
 	<-done
-	if f := conn.Read(); f.Letter != 'X' || f.Body != "a.0" {
+	if f := conn.Read(); f.Type != 'X' || f.Body != "a.0" {
 		t.Errorf("frame %+v", f)
 	}
 }
@@ -355,13 +355,13 @@
 func timeLeftInNextFrame(t *testing.T, theirs *standin.Conn) int {
 	t.Helper()
 	frame := theirs.Read()
-	if len(frame.Parts) == 0 {
+	if len(frame.Requests) == 0 {
 		t.Fatalf("frame %+v", frame)
 	}
-	text, found := strings.CutPrefix(frame.Parts[0].List, "d=")
+	text, found := strings.CutPrefix(frame.Requests[0].Attributes, "d=")
 	told, err := strconv.Atoi(text)
 	if !found || err != nil {
-		t.Fatalf("part %+v", frame.Parts[0])
+		t.Fatalf("part %+v", frame.Requests[0])
 	}
 	return told
 }
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -147,8 +147,8 @@
 			done := d.submit(t.Context(), "a", 1, 2000)
 			conn := shard.Take()
 			f := conn.Read()
-			if len(f.Parts) != 1 || f.Parts[0].ID != "a.0" || f.Parts[0].Text != "text of a" ||
-				!strings.HasPrefix(f.Parts[0].List, "d=") {
+			if len(f.Requests) != 1 || f.Requests[0].ID != "a.0" || f.Requests[0].Payload != "text of a" ||
+				!strings.HasPrefix(f.Requests[0].Attributes, "d=") {
 				t.Fatalf("frame %+v", f)
 			}
 			c.act(conn, "a.0")
@@ -164,7 +164,7 @@
 				return
 			}
 			done = d.submit(t.Context(), "b", 1, 2000)
-			if f := conn.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+			if f := conn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 				t.Errorf("the connection was not used again: %+v", f)
 			}
 			conn.Answer("b.0", "ok", "w")
@@ -190,14 +190,14 @@
 		}
 		done = d.submit(t.Context(), "b", 1, 2000)
 		next := shard.Take()
-		if f := next.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+		if f := next.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 			t.Errorf("frame %+v on the next connection", f)
 		}
 		next.Answer("b.0", "ok", "w")
 		if v := <-done; v.Kind != dispatch.Served {
 			t.Errorf("verdict %+v", v)
 		}
-		if f := conn.Read(); f.Letter != 0 {
+		if f := conn.Read(); f.Type != 0 {
 			t.Errorf("frame %+v on the connection of no further use", f)
 		}
 	}
@@ -323,8 +323,8 @@
 	for range 2 {
 		conn := shard.Take()
 		go func() {
-			for f := conn.Read(); f.Letter != 0; f = conn.Read() {
-				for _, p := range f.Parts {
+			for f := conn.Read(); f.Type != 0; f = conn.Read() {
+				for _, p := range f.Requests {
 					conn.Answer(p.ID, "ok", p.ID)
 				}
 				frames <- f
@@ -334,10 +334,10 @@
 	seen := map[string]bool{}
 	for range 3 {
 		f := <-frames
-		if len(f.Parts) != 2 {
-			t.Errorf("frame of %d parts", len(f.Parts))
+		if len(f.Requests) != 2 {
+			t.Errorf("frame of %d parts", len(f.Requests))
 		}
-		for _, p := range f.Parts {
+		for _, p := range f.Requests {
 			seen[p.ID] = true
 		}
 	}
@@ -382,10 +382,10 @@
 			d.setEndpoint(shard.Address(), gather.Running)
 			d.submit(t.Context(), "b", 1, 2000)
 			f := shard.Take().Read()
-			for f.Letter == 0 {
+			for f.Type == 0 {
 				f = shard.Take().Read()
 			}
-			if len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+			if len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 				t.Errorf("the first frame was %+v", f)
 			}
 			leave()
@@ -406,7 +406,7 @@
 		t.Errorf("verdict %+v", v)
 	}
 	d.expectResult(t, "a.0", gather.Cancelled)
-	if f := conn.Read(); f.Letter != 'X' || f.Body != "a.0" {
+	if f := conn.Read(); f.Type != 'X' || f.Body != "a.0" {
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.0", "ok", "late")
@@ -433,7 +433,7 @@
 		t.Errorf("verdict %+v: it may have run", v)
 	}
 	d.submit(t.Context(), "b", 1, 2000)
-	if f := shard.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+	if f := shard.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
 }
@@ -447,7 +447,7 @@
 	<-done
 	d.submit(t.Context(), "b", 1, 2000)
 	shard.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
-	if f := shard.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+	if f := shard.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
 }
@@ -466,7 +466,7 @@
 	conn.Answer("a.0", "ok", "v")
 	<-done
 	start := time.Now()
-	if f := conn.Read(); f.Letter != 0 || time.Since(start) > 900*time.Millisecond {
+	if f := conn.Read(); f.Type != 0 || time.Since(start) > 900*time.Millisecond {
 		t.Errorf("frame %+v after %v", f, time.Since(start))
 	}
 	if n := d.openConnections(); n != 0 {
@@ -491,7 +491,7 @@
 	if n := d.openConnections(); n != 1 {
 		t.Fatalf("%d connections", n)
 	}
-	if f := conn.Read(); f.Letter != 0 {
+	if f := conn.Read(); f.Type != 0 {
 		t.Errorf("frame %+v", f)
 	}
 }
@@ -505,14 +505,14 @@
 	conn.Read()
 	d.setEndpoint(after.Address(), gather.Running)
 	d.submit(t.Context(), "b", 1, 2000)
-	if f := after.Take().Read(); len(f.Parts) != 1 || f.Parts[0].ID != "b.0" {
+	if f := after.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.0", "ok", "v")
 	if v := <-done; v.Kind != dispatch.Served {
 		t.Errorf("verdict %+v: what was out may still be answered", v)
 	}
-	if f := conn.Read(); f.Letter != 0 {
+	if f := conn.Read(); f.Type != 0 {
 		t.Errorf("frame %+v on the connection to where it was", f)
 	}
 }
--- a/internal/gatherer/shardcall/probe_test.go
+++ b/internal/gatherer/shardcall/probe_test.go
@@ -33,7 +33,7 @@
 			d := newHarness(t, shard.Address(), nil)
 			go func() {
 				conn := shard.Take()
-				if f := conn.Read(); f.Letter != 'L' || f.Body != "" {
+				if f := conn.Read(); f.Type != 'L' || f.Body != "" {
 					t.Errorf("frame %+v", f)
 				}
 				conn.Write('L', c.told)
@@ -58,7 +58,7 @@
 	conn := <-conns
 	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 	for range 2 {
-		if f := conn.Read(); f.Letter != 'L' {
+		if f := conn.Read(); f.Type != 'L' {
 			t.Fatalf("frame %+v", f)
 		}
 	}
--- a/internal/testbed/demo/demo.go
+++ b/internal/testbed/demo/demo.go
@@ -28,8 +28,8 @@
 	"yokeroute/logic/twopass"
 )
 
-// Terms are what a demonstration is like.
-type Terms struct {
+// Options are what a demonstration is like.
+type Options struct {
 	Listen string  // where the gatherer takes lookups
 	Rate   float64 // lookups a second of the light traffic, 0 for none
 	Seed   uint64
@@ -44,20 +44,20 @@
 	service *service.Service
 	names   map[uint32]string
 	ids     []uint32 // of the servers, by name
-	log     *ring
+	log     *logBuffer
 	stop    context.CancelFunc
 	done    chan error
 	load    sync.WaitGroup
 
-	mu    sync.Mutex
-	state map[string]string // what was done to a machine, by its name
+	mu     sync.Mutex
+	faults map[string]string // what was done to a machine, by its name
 }
 
 // Counts are what the gatherer has decided; they are for reading while it goes on.
 type Counts struct {
-	Lookups, Satisfied, Partial, Nacked, Aborted, Left atomic.Int64
-	Calls, Further, Beyond                             atomic.Int64 // Beyond are calls beyond the n of an any-n lookup
-	Answered, Failed, GivenUp                          atomic.Int64 // ends of calls
+	Queries, Complete, Partial, Rejected, Failed, Abandoned atomic.Int64
+	Attempts, Retries, BeyondQuorum                         atomic.Int64 // Beyond are calls beyond the n of an any-n lookup
+	AttemptsSucceeded, AttemptsFailed, AttemptsCancelled    atomic.Int64 // ends of calls
 }
 
 // The fleet of the demonstration: two halls, two sets of three machines.
@@ -76,19 +76,19 @@
  "rules":{"budgetShare":0.05,"extraFloor":10,"resendSpan":2000000,"drainGrace":250000,"answerSlack":20000,"cold":10000000,"coldShare":0.2,"fall":2000000,"fallMultiple":3}}`
 
 // Start starts everything and waits until the gatherer is ready.
-func Start(terms Terms) (*Demo, error) {
+func Start(terms Options) (*Demo, error) {
 	var machines []experiment.Machine
 	for set := range sets {
 		for i := range replicas {
-			machines = append(machines, experiment.Machine{Name: fmt.Sprintf("%s-%d%d", []string{"north", "south"}[i%2], set, i), Hall: []string{"north", "south"}[i%2], Kind: "stand-in", Group: set,
-				Terms: shardserver.Terms{Cores: 2, Work: work, Spread: 0.5, Queue: 100, Brief: 2, Seed: terms.Seed + uint64(len(machines))}})
+			machines = append(machines, experiment.Machine{Name: fmt.Sprintf("%s-%d%d", []string{"north", "south"}[i%2], set, i), Zone: []string{"north", "south"}[i%2], Kind: "stand-in", ReplicaSet: set,
+				Config: shardserver.Config{Cores: 2, MeanWork: work, WorkVariation: 0.5, QueueLimit: 100, FirstPassWork: 2, Seed: terms.Seed + uint64(len(machines))}})
 		}
 	}
 	fleet, err := experiment.StartFleet(machines)
 	if err != nil {
 		return nil, err
 	}
-	d := &Demo{Fleet: fleet, names: map[uint32]string{}, log: &ring{}, done: make(chan error, 1), state: map[string]string{}}
+	d := &Demo{Fleet: fleet, names: map[uint32]string{}, log: &logBuffer{}, done: make(chan error, 1), faults: map[string]string{}}
 	l, err := net.Listen("tcp", terms.Listen)
 	if err != nil { // the address is taken: any other will do, since it is printed
 		if l, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
@@ -97,7 +97,7 @@
 		}
 	}
 	d.Address = l.Addr().String()
-	text, err := json.Marshal(map[string]any{"name": "demo", "listen": d.Address, "discovery": fleet.Directory.Address(), "seed": fmt.Sprintf("%x", terms.Seed), "settings": json.RawMessage(settings)})
+	text, err := json.Marshal(map[string]any{"name": "demo", "listen": d.Address, "discovery": fleet.Discovery.Address(), "seed": fmt.Sprintf("%x", terms.Seed), "settings": json.RawMessage(settings)})
 	if err != nil {
 		return nil, err
 	}
@@ -123,8 +123,8 @@
 	if terms.Rate > 0 {
 		for i, index := range []string{"find", "search", "claim"} {
 			d.load.Go(func() {
-				experiment.Play(ctx, experiment.Load{Origin: fmt.Sprint("light", i), Address: d.Address, Index: index, Rate: terms.Rate * []float64{0.5, 0.3, 0.2}[i], Parts: []int{4, 8, 2}[i], Shards: segments,
-					Wait: 2 * time.Second, Seed: terms.Seed + uint64(i)}, 1000*time.Hour, 400*time.Millisecond)
+				experiment.Play(ctx, experiment.Load{Origin: fmt.Sprint("light", i), Address: d.Address, Class: index, Rate: terms.Rate * []float64{0.5, 0.3, 0.2}[i], ShardRequests: []int{4, 8, 2}[i], Shards: segments,
+					Deadline: 2 * time.Second, Seed: terms.Seed + uint64(i)}, 1000*time.Hour, 400*time.Millisecond)
 			})
 		}
 	}
@@ -147,11 +147,11 @@
 
 // Machine is one machine as the gatherer knows it, and as it is.
 type Machine struct {
-	Name, Hall string
-	Set        int
-	Doing      string // what was done to it, empty for nothing
+	Name, Zone string
+	ReplicaSet int
+	Fault      string // what was done to it, empty for nothing
 	gather.EndpointView
-	Use float64 // share of its cores' time that it works, lately
+	Utilization float64 // share of its cores' time that it works, lately
 }
 
 // Machines are all machines; those that the gatherer does not list have no figures.
@@ -168,40 +168,40 @@
 		if !listed {
 			v.State = gather.Removed
 		}
-		list = append(list, Machine{Name: m.Name, Hall: m.Hall, Set: m.Group, Doing: d.state[m.Name], EndpointView: v})
+		list = append(list, Machine{Name: m.Name, Zone: m.Zone, ReplicaSet: m.ReplicaSet, Fault: d.faults[m.Name], EndpointView: v})
 	}
 	return list
 }
 
-// Troubles are what can be done to a machine, with the key for each.
-var Troubles = []struct{ Key, Name, Help string }{
+// Faults are what can be done to a machine, with the key for each.
+var Faults = []struct{ Key, Name, Help string }{
 	{"k", "killed", "kill"}, {"h", "hung", "hang"}, {"s", "slow", "slow by 5"}, {"f", "failing", "fail half"}, {"d", "draining", "drain"}, {"r", "", "repair"},
 }
 
-// Do does something to a machine, by its key, after undoing what was done before.
-func (d *Demo) Do(machine, key string) {
+// ApplyFault does something to a machine, by its key, after undoing what was done before.
+func (d *Demo) ApplyFault(machine, key string) {
 	s := d.Fleet.Servers[machine]
 	d.mu.Lock()
-	was := d.state[machine]
-	for _, t := range Troubles {
+	was := d.faults[machine]
+	for _, t := range Faults {
 		if t.Key == key {
-			d.state[machine] = t.Name
+			d.faults[machine] = t.Name
 		}
 	}
 	d.mu.Unlock()
 	switch was {
 	case "killed":
-		if s.Revive() == nil {
-			d.Fleet.Restarted(machine)
+		if s.Restart() == nil {
+			d.Fleet.AnnounceRestart(machine)
 		}
 	case "hung":
-		s.Hang(false)
+		s.SetHung(false)
 	case "slow":
-		s.Slow(1)
+		s.SetSlowdown(1)
 	case "failing":
-		s.Fail(0)
+		s.SetFailureShare(0)
 	case "draining":
-		d.Fleet.Tell("in_service", machine)
+		d.Fleet.SetPhase("in_service", machine)
 	}
 	switch key {
 	case "k":
@@ -209,118 +209,118 @@
 		go func() { // discovery is late, as in life
 			time.Sleep(2 * time.Second)
 			d.mu.Lock()
-			dead := d.state[machine] == "killed"
+			dead := d.faults[machine] == "killed"
 			d.mu.Unlock()
 			if dead {
-				d.Fleet.Tell("terminated", machine)
+				d.Fleet.SetPhase("terminated", machine)
 			}
 		}()
 	case "h":
-		s.Hang(true)
+		s.SetHung(true)
 	case "s":
-		s.Slow(5)
+		s.SetSlowdown(5)
 	case "f":
-		s.Fail(0.5)
+		s.SetFailureShare(0.5)
 	case "d":
-		d.Fleet.Tell("terminating", machine)
+		d.Fleet.SetPhase("terminating", machine)
 	}
 }
 
-// Lines are the newest lines of the gatherer's log.
-func (d *Demo) Lines(n int) []string { return d.log.last(n) }
+// LogLines are the newest lines of the gatherer's log.
+func (d *Demo) LogLines(n int) []string { return d.log.last(n) }
 
 // counter counts what is decided; it is a pick.Tracer.
-type counter struct{ d *Demo }
+type counter struct{ demo *Demo }
 
 func (c counter) QueryAdmitted(*dispatch.Query, *twopass.Decision, float64) {
-	c.d.Counts.Lookups.Add(1)
+	c.demo.Counts.Queries.Add(1)
 }
 
 func (c counter) AttemptDecided(call *dispatch.Attempt, _ float64) {
-	n := &c.d.Counts
-	n.Calls.Add(1)
+	n := &c.demo.Counts
+	n.Attempts.Add(1)
 	switch lk := call.Query(); {
 	case call.Number() > 0:
-		n.Further.Add(1)
+		n.Retries.Add(1)
 	case lk.Class == "search" && 4*call.ShardsAttempted() > 3*len(lk.ShardRequests):
-		n.Beyond.Add(1)
+		n.BeyondQuorum.Add(1)
 	}
 }
 
 func (c counter) AttemptEnded(_ *dispatch.Attempt, outcome gather.Outcome, _ float64, _ *twopass.Summary) {
 	switch outcome {
 	case gather.Succeeded:
-		c.d.Counts.Answered.Add(1)
+		c.demo.Counts.AttemptsSucceeded.Add(1)
 	case gather.Cancelled, gather.NotSent:
-		c.d.Counts.GivenUp.Add(1)
+		c.demo.Counts.AttemptsCancelled.Add(1)
 	default:
-		c.d.Counts.Failed.Add(1)
+		c.demo.Counts.AttemptsFailed.Add(1)
 	}
 }
 
 func (c counter) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
 func (c counter) QueryDecided(_ *dispatch.Query, v dispatch.Result, _ float64) {
-	n := &c.d.Counts
+	n := &c.demo.Counts
 	switch {
 	case v.Kind == dispatch.Served && v.Complete:
-		n.Satisfied.Add(1)
+		n.Complete.Add(1)
 	case v.Kind == dispatch.Served:
 		n.Partial.Add(1)
 	case v.Kind == dispatch.Rejected:
-		n.Nacked.Add(1)
+		n.Rejected.Add(1)
 	case v.Kind == dispatch.Abandoned:
-		n.Left.Add(1)
+		n.Abandoned.Add(1)
 	default:
-		n.Aborted.Add(1)
+		n.Failed.Add(1)
 	}
 }
 
-// Line is the counts in a line.
-func (c *Counts) Line() string {
-	return fmt.Sprintf("lookups %d: satisfied %d, in part %d, nacked %d, aborted %d; part calls %d: further %d, beyond n %d; answered %d, failed %d, given up %d", c.Lookups.Load(), c.Satisfied.Load(), c.Partial.Load(),
-		c.Nacked.Load(), c.Aborted.Load(), c.Calls.Load(), c.Further.Load(), c.Beyond.Load(), c.Answered.Load(), c.Failed.Load(), c.GivenUp.Load())
+// Summary is the counts in a line.
+func (c *Counts) Summary() string {
+	return fmt.Sprintf("lookups %d: satisfied %d, in part %d, nacked %d, aborted %d; part calls %d: further %d, beyond n %d; answered %d, failed %d, given up %d", c.Queries.Load(), c.Complete.Load(), c.Partial.Load(),
+		c.Rejected.Load(), c.Failed.Load(), c.Attempts.Load(), c.Retries.Load(), c.BeyondQuorum.Load(), c.AttemptsSucceeded.Load(), c.AttemptsFailed.Load(), c.AttemptsCancelled.Load())
 }
 
-// ring keeps the newest lines of a log.
-type ring struct {
-	mu    sync.Mutex
-	lines []string
-	rest  []byte
+// logBuffer keeps the newest lines of a log.
+type logBuffer struct {
+	mu          sync.Mutex
+	lines       []string
+	partialLine []byte
 }
 
-func (r *ring) Write(p []byte) (int, error) {
+func (r *logBuffer) Write(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.rest = append(r.rest, p...)
+	r.partialLine = append(r.partialLine, p...)
 	for {
-		i := bytes.IndexByte(r.rest, '\n')
+		i := bytes.IndexByte(r.partialLine, '\n')
 		if i < 0 {
 			return len(p), nil
 		}
-		r.lines = append(r.lines, string(r.rest[:i]))
-		r.rest = r.rest[i+1:]
+		r.lines = append(r.lines, string(r.partialLine[:i]))
+		r.partialLine = r.partialLine[i+1:]
 		if len(r.lines) > 100 {
 			r.lines = slices.Delete(r.lines, 0, 50)
 		}
 	}
 }
 
-func (r *ring) last(n int) []string {
+func (r *logBuffer) last(n int) []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return slices.Clone(r.lines[max(len(r.lines)-n, 0):])
 }
 
-// Plain writes a line a second until ctx ends, for where there is no terminal.
-func (d *Demo) Plain(ctx context.Context, w io.Writer) {
+// WriteLines writes a line a second until ctx ends, for where there is no terminal.
+func (d *Demo) WriteLines(ctx context.Context, w io.Writer) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Second):
 		}
-		fmt.Fprintln(w, d.Counts.Line())
+		fmt.Fprintln(w, d.Counts.Summary())
 		var words []string
 		for _, m := range d.Machines(ctx) {
 			words = append(words, fmt.Sprintf("%s s=%.0fms f=%.2f q=%d", m.Name, m.Latency, m.FailureShare, m.InFlight))
--- a/internal/testbed/demo/demo_test.go
+++ b/internal/testbed/demo/demo_test.go
@@ -49,7 +49,7 @@
 
 // TestDemo: the curl that it prints is answered with 200, also with a server killed; what is done to a server shows.
 func TestDemo(t *testing.T) {
-	d, err := Start(Terms{Listen: "127.0.0.1:0", Rate: 40, Seed: 1})
+	d, err := Start(Options{Listen: "127.0.0.1:0", Rate: 40, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -66,23 +66,23 @@
 		t.Errorf("the printed curl is answered with %d", status)
 	}
 	first := d.Fleet.Machines[0].Name
-	d.Do(first, "d")
-	until(t, d, "a drained machine shows as draining", func(all []Machine) bool { return all[0].State == gather.Draining && all[0].Doing == "draining" })
-	d.Do(first, "k")
+	d.ApplyFault(first, "d")
+	until(t, d, "a drained machine shows as draining", func(all []Machine) bool { return all[0].State == gather.Draining && all[0].Fault == "draining" })
+	d.ApplyFault(first, "k")
 	until(t, d, "a killed machine leaves the list", func(all []Machine) bool { return all[0].State == gather.Removed })
 	if status := ask(t, d.Curl(), "by-hand-2"); status != http.StatusOK {
 		t.Errorf("with a server killed the curl is answered with %d", status)
 	}
-	d.Do(first, "r")
+	d.ApplyFault(first, "r")
 	until(t, d, "a repaired machine is back, cold", func(all []Machine) bool { return all[0].State == gather.Running && all[0].CapacityShare < 1 })
 
 	// The screen takes keys and new figures without a terminal.
-	s := &screen{d: d, ctx: t.Context(), width: 100}
-	s.Update(drawn(d.Machines(t.Context())))
+	s := &screen{demo: d, ctx: t.Context(), width: 100}
+	s.Update(machinesUpdated(d.Machines(t.Context())))
 	s.Update(tea.KeyMsg{Type: tea.KeyDown})
 	_, cmd := s.Update(tea.KeyMsg{Type: tea.KeyRunes, Runes: []rune{'s'}})
 	cmd()
-	s.Update(drawn(d.Machines(t.Context())))
+	s.Update(machinesUpdated(d.Machines(t.Context())))
 	view := s.View()
 	for _, want := range []string{"curl -i http://", "server", first, "slow", "satisfied", "q quit"} {
 		if !strings.Contains(view, want) {
@@ -96,14 +96,14 @@
 	var plain strings.Builder
 	ctx, stop := context.WithTimeout(t.Context(), 1500*time.Millisecond)
 	defer stop()
-	d.Plain(ctx, &plain)
+	d.WriteLines(ctx, &plain)
 	if !strings.Contains(plain.String(), "lookups") || !strings.Contains(plain.String(), "f=") {
 		t.Errorf("lines: %q", plain.String())
 	}
 	if err := d.Close(); err != nil {
 		t.Error(err)
 	}
-	if n := d.Counts.Satisfied.Load(); n < 20 {
+	if n := d.Counts.Complete.Load(); n < 20 {
 		t.Errorf("%d satisfied", n)
 	}
 }
--- a/internal/testbed/experiment/fleet.go
+++ b/internal/testbed/experiment/fleet.go
@@ -19,27 +19,27 @@
 
 // Machine is one shard server of a fleet.
 type Machine struct {
-	Name, Hall, Kind string
-	Group            int
-	shardserver.Terms
+	Name, Zone, Kind string
+	ReplicaSet       int
+	shardserver.Config
 }
 
 // Fleet is a running fleet with its discovery.
 type Fleet struct {
 	Machines  []Machine
 	Servers   map[string]*shardserver.Server
-	Directory *discoveryserver.Server
+	Discovery *discoveryserver.Server
 
-	mu sync.Mutex
-	up map[string]float64 // when a machine last started, Unix milliseconds; long ago for one that is not there
+	mu        sync.Mutex
+	startedAt map[string]float64 // when a machine last started, Unix milliseconds; long ago for one that is not there
 }
 
 // StartFleet starts all machines and a discovery that lists them.
 func StartFleet(machines []Machine) (*Fleet, error) {
-	f := &Fleet{Machines: machines, Servers: map[string]*shardserver.Server{}, up: map[string]float64{}}
+	f := &Fleet{Machines: machines, Servers: map[string]*shardserver.Server{}, startedAt: map[string]float64{}}
 	var members []discoveryserver.Member
 	for _, m := range machines {
-		s, err := shardserver.Start(m.Terms, nil)
+		s, err := shardserver.Start(m.Config, nil)
 		if err != nil {
 			f.Close()
 			return nil, err
@@ -48,7 +48,7 @@
 		members = append(members, f.member(m, "in_service"))
 	}
 	var err error
-	if f.Directory, err = discoveryserver.Start(members); err != nil {
+	if f.Discovery, err = discoveryserver.Start(members); err != nil {
 		f.Close()
 		return nil, err
 	}
@@ -58,12 +58,12 @@
 func (f *Fleet) member(m Machine, phase string) discoveryserver.Member {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return discoveryserver.Member{ID: m.Name, HostPort: f.Servers[m.Name].Address(), Locality: m.Hall, Flavor: m.Kind, Cell: m.Group,
-		Phase: phase, Size: 1, UpSince: f.up[m.Name]}
+	return discoveryserver.Member{ID: m.Name, HostPort: f.Servers[m.Name].Address(), Zone: m.Zone, Kind: m.Kind, ReplicaSet: m.ReplicaSet,
+		Phase: phase, Size: 1, StartedAt: f.startedAt[m.Name]}
 }
 
-// Tell changes the phase of machines on the list.
-func (f *Fleet) Tell(phase string, names ...string) {
+// SetPhase changes the phase of machines on the list.
+func (f *Fleet) SetPhase(phase string, names ...string) {
 	var changed []discoveryserver.Member
 	for _, m := range f.Machines {
 		for _, name := range names {
@@ -72,15 +72,15 @@
 			}
 		}
 	}
-	f.Directory.Change(changed...)
+	f.Discovery.Update(changed...)
 }
 
-// Restarted puts a machine that has just been revived on the list, as a process that has just started.
-func (f *Fleet) Restarted(name string) {
+// AnnounceRestart puts a machine that has just been revived on the list, as a process that has just started.
+func (f *Fleet) AnnounceRestart(name string) {
 	f.mu.Lock()
-	f.up[name] = float64(time.Now().UnixMilli())
+	f.startedAt[name] = float64(time.Now().UnixMilli())
 	f.mu.Unlock()
-	f.Tell("in_service", name)
+	f.SetPhase("in_service", name)
 }
 
 // Close ends all of it.
@@ -88,13 +88,13 @@
 	for _, s := range f.Servers {
 		s.Close()
 	}
-	if f.Directory != nil {
-		f.Directory.Close()
+	if f.Discovery != nil {
+		f.Discovery.Close()
 	}
 }
 
-// Node is a gatherer in a process of its own.
-type Node struct {
+// Gatherer is a gatherer in a process of its own.
+type Gatherer struct {
 	*process.Process
 	Address string
 	dir     string
@@ -103,30 +103,30 @@
 // settings are what the platform would tell of this fleet.
 type settings map[string]any
 
-// NodeTerms are what one gatherer is told.
-type NodeTerms struct {
-	Name, Hall string
-	Number, Of int
-	Discovery  string
-	Settings   settings // without the gatherer's own
-	Operator   string   // text of an operator's file, empty for none
-	Files      map[string]string
-	MemoryMB   float64
-	Cores      float64
+// GathererConfig are what one gatherer is told.
+type GathererConfig struct {
+	Name, Zone        string
+	Number, Gatherers int
+	Discovery         string
+	Settings          settings // without the gatherer's own
+	Operator          string   // text of an operator's file, empty for none
+	Files             map[string]string
+	MemoryMB          float64
+	Cores             float64
 }
 
-// StartNode starts a gatherer and waits until it is ready.
-func StartNode(binary string, terms NodeTerms) (*Node, error) {
+// StartGatherer starts a gatherer and waits until it is ready.
+func StartGatherer(binary string, terms GathererConfig) (*Gatherer, error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	n := &Node{Address: free.Addr().String()}
+	n := &Gatherer{Address: free.Addr().String()}
 	free.Close()
 	if n.dir, err = os.MkdirTemp("", "yokeroute-testbed"); err != nil {
 		return nil, err
 	}
-	own := settings{"balancers": terms.Of, "myNumber": terms.Number, "zone": terms.Hall}
+	own := settings{"balancers": terms.Gatherers, "myNumber": terms.Number, "zone": terms.Zone}
 	for key, value := range terms.Settings {
 		own[key] = value
 	}
@@ -154,7 +154,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
-	err = process.WaitUntil(ctx, terms.Name+" is ready", func() bool { return !n.Alive() || Answers(n.Address) })
+	err = process.WaitUntil(ctx, terms.Name+" is ready", func() bool { return !n.Alive() || IsReady(n.Address) })
 	if err == nil && !n.Alive() {
 		err = fmt.Errorf("gatherer %s ended at its start: %v", terms.Name, n.Err())
 	}
@@ -165,12 +165,12 @@
 	return n, nil
 }
 
-// straight keeps no connections, which a gatherer that ends would wait for.
-var straight = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
+// probeClient keeps no connections, which a gatherer that ends would wait for.
+var probeClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: time.Second}
 
-// Answers reports whether a gatherer says that it takes lookups.
-func Answers(address string) bool {
-	resp, err := straight.Get("http://" + address + "/-/ready")
+// IsReady reports whether a gatherer says that it takes lookups.
+func IsReady(address string) bool {
+	resp, err := probeClient.Get("http://" + address + "/-/ready")
 	if err != nil {
 		return false
 	}
@@ -179,7 +179,7 @@
 }
 
 // Close ends the process as a planned restart does, by force after some seconds.
-func (n *Node) Close() {
+func (n *Gatherer) Close() {
 	ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
 	defer cancel()
 	if n.Terminate(ctx) != nil {
--- a/internal/testbed/experiment/load.go
+++ b/internal/testbed/experiment/load.go
@@ -18,44 +18,44 @@
 
 // Load is lookups that come at random times, whether or not earlier ones are answered.
 type Load struct {
-	Origin  string // what the names of its lookups begin with
-	Address string // of the gatherer
-	Index   string
-	Rate    float64 // lookups a second
-	Parts   int
-	Shards  int // parts are at neighbouring ones from a drawn one on
-	Wait    time.Duration
-	Seed    uint64
-	Queries int                    // the text is one of so many, q0 and so on; 0 for a new one each time
-	Pick    func(draw float64) int // first shard for a draw from 0 to 1, nil for all alike
+	Origin        string // what the names of its lookups begin with
+	Address       string // of the gatherer
+	Class         string
+	Rate          float64 // lookups a second
+	ShardRequests int
+	Shards        int // parts are at neighbouring ones from a drawn one on
+	Deadline      time.Duration
+	Seed          uint64
+	Queries       int                    // the text is one of so many, q0 and so on; 0 for a new one each time
+	FirstShard    func(draw float64) int // first shard for a draw from 0 to 1, nil for all alike
 }
 
 // Outcome is how the lookups of a load ended.
 type Outcome struct {
-	Sent      int                     `json:"Sent"`
-	Satisfied int                     `json:"Satisfied"`
-	Whole     int                     `json:"Whole"`
-	Nacked    int                     `json:"Nacked"`
-	Aborted   int                     `json:"Aborted"`
-	Failed    int                     `json:"Failed"`
-	InAim     int                     `json:"InAim"` // satisfied within the soft deadline
-	Took      *hdrhistogram.Histogram `json:"-"`
+	Sent            int                     `json:"Sent"`
+	Served          int                     `json:"Satisfied"`
+	Complete        int                     `json:"Whole"`
+	Rejected        int                     `json:"Nacked"`
+	Failed          int                     `json:"Aborted"`
+	Errors          int                     `json:"Failed"`
+	WithinObjective int                     `json:"InAim"` // satisfied within the soft deadline
+	Latency         *hdrhistogram.Histogram `json:"-"`
 }
 
 // Add sums up outcomes.
 func (o *Outcome) Add(other *Outcome) {
 	o.Sent += other.Sent
-	o.Satisfied += other.Satisfied
-	o.Whole += other.Whole
-	o.Nacked += other.Nacked
-	o.Aborted += other.Aborted
+	o.Served += other.Served
+	o.Complete += other.Complete
+	o.Rejected += other.Rejected
 	o.Failed += other.Failed
-	o.InAim += other.InAim
-	o.Took.Merge(other.Took)
+	o.Errors += other.Errors
+	o.WithinObjective += other.WithinObjective
+	o.Latency.Merge(other.Latency)
 }
 
 // NewOutcome is one of no lookups.
-func NewOutcome() *Outcome { return &Outcome{Took: hdrhistogram.New(1, 60_000_000, 3)} }
+func NewOutcome() *Outcome { return &Outcome{Latency: hdrhistogram.New(1, 60_000_000, 3)} }
 
 // Play sends a load for a while and waits for its answers. Aim is the soft deadline.
 func Play(ctx context.Context, load Load, length, aim time.Duration) *Outcome {
@@ -74,8 +74,8 @@
 		}
 		draw := chance.Float64()
 		first := int(draw * float64(load.Shards))
-		if load.Pick != nil {
-			first = load.Pick(draw)
+		if load.FirstShard != nil {
+			first = load.FirstShard(draw)
 		}
 		time.Sleep(time.Until(next))
 		wait.Add(1)
@@ -83,26 +83,26 @@
 		go func() {
 			defer wait.Done()
 			began := time.Now()
-			status, whole := load.ask(ctx, client, n, first)
+			status, whole := load.send(ctx, client, n, first)
 			took := time.Since(began)
 			mu.Lock()
 			defer mu.Unlock()
 			switch status {
 			case http.StatusOK:
-				out.Satisfied++
-				out.Took.RecordValue(took.Microseconds())
+				out.Served++
+				out.Latency.RecordValue(took.Microseconds())
 				if whole {
-					out.Whole++
+					out.Complete++
 				}
 				if took <= aim {
-					out.InAim++
+					out.WithinObjective++
 				}
 			case http.StatusServiceUnavailable, http.StatusTooManyRequests:
-				out.Nacked++
+				out.Rejected++
 			case http.StatusGatewayTimeout:
-				out.Aborted++
-			default:
 				out.Failed++
+			default:
+				out.Errors++
 			}
 		}()
 	}
@@ -124,18 +124,18 @@
 	return body.String()
 }
 
-// ask sends one lookup; the status is 0 where no answer came.
-func (l *Load) ask(ctx context.Context, client *http.Client, n, first int) (status int, whole bool) {
+// send sends one lookup; the status is 0 where no answer came.
+func (l *Load) send(ctx context.Context, client *http.Client, n, first int) (status int, whole bool) {
 	query := n
 	if l.Queries > 0 {
 		query = int(uint64(n) * 0x9e3779b97f4a7c15 >> 33 % uint64(l.Queries))
 	}
-	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Address+"/"+l.Index, strings.NewReader(Body(first, l.Parts, l.Shards, fmt.Sprint("q", query))))
+	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+l.Address+"/"+l.Class, strings.NewReader(Body(first, l.ShardRequests, l.Shards, fmt.Sprint("q", query))))
 	if err != nil {
 		return 0, false
 	}
 	req.Header.Set("X-Request-ID", fmt.Sprintf("%s-%x-%d", l.Origin, l.Seed, n))
-	req.Header.Set("X-Timeout-Ms", fmt.Sprint(l.Wait.Milliseconds()))
+	req.Header.Set("X-Timeout-Ms", fmt.Sprint(l.Deadline.Milliseconds()))
 	resp, err := client.Do(req)
 	if err != nil {
 		return 0, false
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -14,16 +14,16 @@
 	"yokeroute/logic/balance"
 )
 
-// PlanTerms are those of a comparison of plain turns with plans.
-type PlanTerms struct {
-	Binary string        // of the gatherer
-	Calm   time.Duration // before half a hall is lost, and
-	After  time.Duration // after that
-	Rate   float64       // parts a second
-	Rounds int
-	Small  float64 // parts a second that the plan's file gives a small machine; it can answer 100
-	Seed   uint64
-	Seen   func(format string, args ...any) // progress
+// PlanOptions are those of a comparison of plain turns with plans.
+type PlanOptions struct {
+	Binary        string        // of the gatherer
+	BeforeLoss    time.Duration // before half a hall is lost, and
+	AfterLoss     time.Duration // after that
+	Rate          float64       // parts a second
+	Rounds        int
+	SmallCapacity float64 // parts a second that the plan's file gives a small machine; it can answer 100
+	Seed          uint64
+	Progress      func(format string, args ...any) // progress
 }
 
 // PlanRow is what one variant came to in one round and phase.
@@ -31,7 +31,7 @@
 	Variant string `json:"Variant"`
 	Phase   string `json:"Phase"`
 	Round   int    `json:"Round"`
-	Sample
+	Measurement
 }
 
 // planFleet is uneven: two halls, the south two machines short, two kinds of machines, three sets of six segments.
@@ -43,7 +43,7 @@
 	for _, hall := range kinds {
 		for group := range 3 {
 			for i, k := range hall.kinds {
-				m := Machine{Hall: hall.hall, Group: group, Kind: "big", Terms: shardserver.Terms{Cores: 6, Work: 20, Spread: 0.5, Queue: 400, Seed: seed + uint64(len(fleet))}}
+				m := Machine{Zone: hall.hall, ReplicaSet: group, Kind: "big", Config: shardserver.Config{Cores: 6, MeanWork: 20, WorkVariation: 0.5, QueueLimit: 400, Seed: seed + uint64(len(fleet))}}
 				if k == 's' {
 					m.Kind, m.Cores = "small", 2
 				}
@@ -55,7 +55,7 @@
 	return fleet
 }
 
-const planFile = `from-list
+const placementText = `from-list
 hall north
 hall south
 kind big capacity 300/s cost 1
@@ -77,13 +77,13 @@
 var PlanVariants = []string{"plain turns", "plan", "solved again"}
 
 // Plans compares them on the same fleet, in turns, and through the loss of half a hall.
-func Plans(ctx context.Context, terms PlanTerms) ([]PlanRow, error) {
+func Plans(ctx context.Context, terms PlanOptions) ([]PlanRow, error) {
 	var rows []PlanRow
 	for round := range terms.Rounds {
 		for i := range PlanVariants {
 			variant := PlanVariants[(i+round)%len(PlanVariants)]
-			terms.Seen("round %d of %d: %s", round+1, terms.Rounds, variant)
-			got, err := planRun(ctx, terms, variant, round)
+			terms.Progress("round %d of %d: %s", round+1, terms.Rounds, variant)
+			got, err := runPlanRound(ctx, terms, variant, round)
 			if err != nil {
 				return nil, err
 			}
@@ -93,7 +93,7 @@
 	return rows, nil
 }
 
-func planRun(ctx context.Context, terms PlanTerms, variant string, round int) ([]PlanRow, error) {
+func runPlanRound(ctx context.Context, terms PlanOptions, variant string, round int) ([]PlanRow, error) {
 	seed := terms.Seed + 1000*uint64(round)
 	fleet, err := StartFleet(planFleet(seed))
 	if err != nil {
@@ -102,14 +102,14 @@
 	defer fleet.Close()
 	// Gatherers of the north ask for three fifths.
 	shares := map[string]float64{"north": 0.6, "south": 0.4}
-	file := fmt.Sprintf(planFile, terms.Small)
+	file := fmt.Sprintf(placementText, terms.SmallCapacity)
 	for _, hall := range []string{"north", "south"} {
 		file += fmt.Sprintf("demand * %s %.0f/s\n", hall, terms.Rate*shares[hall]/3)
 	}
-	node := NodeTerms{Of: 2, Discovery: fleet.Directory.Address(), Settings: planSettings()}
+	node := GathererConfig{Gatherers: 2, Discovery: fleet.Discovery.Address(), Settings: planSettings()}
 	switch variant {
 	case "plan":
-		text, err := planFor(fleet, file)
+		text, err := solvePlan(fleet, file)
 		if err != nil {
 			return nil, err
 		}
@@ -117,15 +117,15 @@
 	case "solved again":
 		node.Operator, node.Files = "placement halls.conf\nbackground cpu 5%\n", map[string]string{"halls.conf": file}
 	}
-	var nodes []*Node
+	var nodes []*Gatherer
 	defer func() {
 		for _, n := range nodes {
 			n.Close()
 		}
 	}()
 	for i, hall := range []string{"north", "south"} {
-		node.Name, node.Hall, node.Number = fmt.Sprint("n", i), hall, i
-		n, err := StartNode(terms.Binary, node)
+		node.Name, node.Zone, node.Number = fmt.Sprint("n", i), hall, i
+		n, err := StartGatherer(terms.Binary, node)
 		if err != nil {
 			return nil, err
 		}
@@ -134,10 +134,10 @@
 	phase := func(name string, length time.Duration, gone map[string]bool) PlanRow {
 		var loads []Load
 		for i, hall := range []string{"north", "south"} {
-			loads = append(loads, Load{Origin: hall, Address: nodes[i].Address, Index: "find", Rate: terms.Rate * shares[hall] / 3, Parts: 3, Shards: 18,
-				Wait: 2 * time.Second, Seed: seed + uint64(i) + uint64(len(name))})
+			loads = append(loads, Load{Origin: hall, Address: nodes[i].Address, Class: "find", Rate: terms.Rate * shares[hall] / 3, ShardRequests: 3, Shards: 18,
+				Deadline: 2 * time.Second, Seed: seed + uint64(i) + uint64(len(name))})
 		}
-		return PlanRow{Variant: variant, Phase: name, Round: round, Sample: Measure(ctx, fleet, nodes, loads, length, 400*time.Millisecond, gone)}
+		return PlanRow{Variant: variant, Phase: name, Round: round, Measurement: Measure(ctx, fleet, nodes, loads, length, 400*time.Millisecond, gone)}
 	}
 	time.Sleep(500 * time.Millisecond)
 	if variant == "solved again" {
@@ -149,7 +149,7 @@
 			}
 		}
 	}
-	calm := phase("calm", terms.Calm, nil)
+	calm := phase("calm", terms.BeforeLoss, nil)
 	// Half of the north goes; discovery tells of it a second later. What happens in between is counted too.
 	lost := []string{"n-00", "n-11", "n-20", "n-22"}
 	gone := map[string]bool{}
@@ -157,13 +157,13 @@
 		gone[name] = true
 		fleet.Servers[name].Kill()
 	}
-	told := time.AfterFunc(time.Second, func() { fleet.Tell("terminated", lost...) })
+	told := time.AfterFunc(time.Second, func() { fleet.SetPhase("terminated", lost...) })
 	defer told.Stop()
-	return []PlanRow{calm, phase("half of a hall lost", terms.After, gone)}, ctx.Err()
+	return []PlanRow{calm, phase("half of a hall lost", terms.AfterLoss, gone)}, ctx.Err()
 }
 
-// planFor solves a from-list file for a fleet, as yokeroute plan solve would its own hosts.
-func planFor(fleet *Fleet, text string) (string, error) {
+// solvePlan solves a from-list file for a fleet, as yokeroute plan solve would its own hosts.
+func solvePlan(fleet *Fleet, text string) (string, error) {
 	now := float64(time.Now().UnixMilli())
 	f, err := placementfile.Parse("halls.conf", text, now)
 	if err != nil {
@@ -172,7 +172,7 @@
 	var list []placementfile.Listed
 	for i, m := range fleet.Machines {
 		l := placementfile.Listed{Name: m.Name}
-		l.ID, l.ReplicaSet, l.Zone, l.Kind = uint32(i), m.Group, m.Hall, m.Kind
+		l.ID, l.ReplicaSet, l.Zone, l.Kind = uint32(i), m.ReplicaSet, m.Zone, m.Kind
 		list = append(list, l)
 	}
 	model, err := f.WithList(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
@@ -207,11 +207,11 @@
 				return median(values)
 			}
 			fmt.Fprintf(tab, "%s\t%s\t%.1f%%\t%.1f%%\t%.1f\t%.1f\t%.1f\t%.1f\t%.2f%%\t%.2f%%\t%.2f%%\t%.3f\t%.3f\t%.1f\n", phase, variant,
-				100*of(func(r PlanRow) float64 { return r.Greatest }), 100*of(func(r PlanRow) float64 { return r.Crossing }),
-				of(func(r PlanRow) float64 { return r.Median }), of(func(r PlanRow) float64 { return r.P99 }),
-				of(func(r PlanRow) float64 { return r.LookupMedian }), of(func(r PlanRow) float64 { return r.LookupP99 }),
-				100*of(func(r PlanRow) float64 { return r.Satisfied }), 100*of(func(r PlanRow) float64 { return r.Nacked }),
-				100*of(func(r PlanRow) float64 { return r.Aborted }), of(func(r PlanRow) float64 { return r.Parts }),
+				100*of(func(r PlanRow) float64 { return r.MaxUtilization }), 100*of(func(r PlanRow) float64 { return r.CrossZoneShare }),
+				of(func(r PlanRow) float64 { return r.AttemptMedian }), of(func(r PlanRow) float64 { return r.AttemptP99 }),
+				of(func(r PlanRow) float64 { return r.QueryMedian }), of(func(r PlanRow) float64 { return r.QueryP99 }),
+				100*of(func(r PlanRow) float64 { return r.Served }), 100*of(func(r PlanRow) float64 { return r.Rejected }),
+				100*of(func(r PlanRow) float64 { return r.Failed }), of(func(r PlanRow) float64 { return r.Requests }),
 				of(func(r PlanRow) float64 { return r.CPU }), of(func(r PlanRow) float64 { return r.MemoryMB }))
 		}
 	}
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -142,9 +142,9 @@
 	var machines []experiment.Machine
 	for i, m := range sc.Machines() {
 		name := fmt.Sprint("s", i+1)
-		machines = append(machines, experiment.Machine{Name: name, Hall: sc.Halls[m.Hall], Kind: m.Kind.Name, Group: m.Set,
-			Terms: shardserver.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
-				Brief: sc.Indexes[0].Work * 0.1, Keeps: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
+		machines = append(machines, experiment.Machine{Name: name, Zone: sc.Halls[m.Hall], Kind: m.Kind.Name, ReplicaSet: m.Set,
+			Config: shardserver.Config{Cores: m.Kind.Cores, MeanWork: sc.Indexes[0].Work / m.Kind.Speed, WorkVariation: sc.Indexes[0].Spread, CallWork: m.Kind.Call, QueueLimit: m.Kind.Queue,
+				FirstPassWork: sc.Indexes[0].Work * 0.1, KeepsCancelledWork: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
 		f.truth.Servers[discovery.ServerID(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
 	}
 	if f.Fleet, err = experiment.StartFleet(machines); err != nil {
@@ -152,7 +152,7 @@
 	}
 	for name, s := range f.Servers {
 		id := discovery.ServerID(name)
-		s.Watch(func(seen shardserver.Seen) { f.see(id, seen) })
+		s.OnEvent(func(seen shardserver.Event) { f.see(id, seen) })
 	}
 	if err = f.layStewards(); err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 		if g.agent, err = net.Listen("tcp", f.base+".2:0"); err != nil {
 			return nil, err
 		}
-		f.Directory.View(g.agent, g.entry)
+		f.Discovery.ServeView(g.agent, g.entry)
 		if _, err := f.link(g.Name, "discovery", g.agent.Addr().String()); err != nil {
 			return nil, err
 		}
@@ -207,8 +207,8 @@
 }
 
 // see takes what a server tells of a part.
-func (f *Fleet) see(id uint32, seen shardserver.Seen) {
-	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.EventKind(seen.What), Server: id, Shard: seen.Shard, FirstPass: seen.Brief, Work: seen.Work}
+func (f *Fleet) see(id uint32, seen shardserver.Event) {
+	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.EventKind(seen.Kind), Server: id, Shard: seen.Shard, FirstPass: seen.FirstPass, Work: seen.Work}
 	e.QueryName = strings.TrimSuffix(seen.ID, "~")
 	if dot := strings.LastIndexByte(e.QueryName, '.'); dot >= 0 {
 		e.QueryName = e.QueryName[:dot]
@@ -524,7 +524,7 @@
 	return err
 }
 
-func (g *Gatherer) answers() bool { return experiment.Answers(g.Address) }
+func (g *Gatherer) answers() bool { return experiment.IsReady(g.Address) }
 
 // Serves reports whether its newest process runs and is not stopped.
 func (g *Gatherer) Serves() bool {
@@ -640,7 +640,7 @@
 
 // Members are the list as a gatherer's agent would tell it.
 func (f *Fleet) Members(g *Gatherer) []discoveryserver.Member {
-	all := f.Directory.Members()
+	all := f.Discovery.Members()
 	for i := range all {
 		all[i] = g.entry(all[i])
 	}
--- a/internal/testbed/processtest/timeline.go
+++ b/internal/testbed/processtest/timeline.go
@@ -83,7 +83,7 @@
 			case "servers":
 				f.doServer(name, ft, end)
 			case "discovery":
-				f.Directory.Silence(!end)
+				f.Discovery.SetSilent(!end)
 			}
 			mu.Lock()
 			defer mu.Unlock()
@@ -150,27 +150,27 @@
 		if !end {
 			s.Kill()
 			time.Sleep(lag) // discovery is late, as in life
-			f.Tell("terminated", name)
+			f.SetPhase("terminated", name)
 			return
 		}
-		if err := s.Revive(); err != nil {
+		if err := s.Restart(); err != nil {
 			f.fault(err)
 			return
 		}
 		time.Sleep(lag)
-		f.Restarted(name)
+		f.AnnounceRestart(name)
 	case "hang":
-		s.Hang(!end)
+		s.SetHung(!end)
 	case "slow":
-		s.Slow(1 + onlyIf(!end, ft.Times-1))
+		s.SetSlowdown(1 + onlyIf(!end, ft.Times-1))
 	case "fail":
-		s.Fail(onlyIf(!end, ft.Share))
+		s.SetFailureShare(onlyIf(!end, ft.Share))
 	case "drain":
 		if end {
-			f.Tell("in_service", name)
+			f.SetPhase("in_service", name)
 			return
 		}
-		f.Tell("terminating", name)
+		f.SetPhase("terminating", name)
 	}
 }
 
--- a/internal/testbed/scale/connections.go
+++ b/internal/testbed/scale/connections.go
@@ -20,19 +20,19 @@
 type ConnectionCost struct {
 	Connections int
 	Open        int     // that the pool holds, each with a descriptor
-	Bytes       float64 // heap and stacks of each, of the pool's side and of the far side together
-	Bare        float64 // the same of a bare connection, which nobody reads on the near side
+	PooledBytes float64 // heap and stacks of each, of the pool's side and of the far side together
+	BareBytes   float64 // the same of a bare connection, which nobody reads on the near side
 }
 
 const connectionWait = 60 * time.Second
 
-// farSide takes connections and answers each part of a frame with one value.
-type farSide struct{ net.Listener }
+// echoServer takes connections and answers each part of a frame with one value.
+type echoServer struct{ net.Listener }
 
-func startFarSide() (farSide, error) {
+func startEchoServer() (echoServer, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return farSide{}, err
+		return echoServer{}, err
 	}
 	go func() {
 		for {
@@ -40,14 +40,14 @@
 			if err != nil {
 				return
 			}
-			go answerParts(c)
+			go serveEcho(c)
 		}
 	}()
-	return farSide{l}, nil
+	return echoServer{l}, nil
 }
 
-// answerParts answers frames until the connection ends.
-func answerParts(c net.Conn) {
+// serveEcho answers frames until the connection ends.
+func serveEcho(c net.Conn) {
 	defer c.Close()
 	var head [4]byte
 	for {
@@ -69,12 +69,12 @@
 	}
 }
 
-// Connections opens so many connections, to one shard server each, by one lookup, and measures them at rest.
-func Connections(ctx context.Context, count int) (c ConnectionCost, err error) {
+// MeasureConnections opens so many connections, to one shard server each, by one lookup, and measures them at rest.
+func MeasureConnections(ctx context.Context, count int) (c ConnectionCost, err error) {
 	if count < 1 {
 		return c, fmt.Errorf("connections: %d, at least 1 is needed", count)
 	}
-	far, err := startFarSide()
+	far, err := startEchoServer()
 	if err != nil {
 		return c, err
 	}
@@ -83,20 +83,20 @@
 	if err != nil {
 		return c, err
 	}
-	c = ConnectionCost{Connections: count, Bare: bare}
-	before := memory()
+	c = ConnectionCost{Connections: count, BareBytes: bare}
+	before := memoryBytes()
 	pool, err := pooledConnections(ctx, far.Addr().String(), count)
 	if err != nil {
 		return c, err
 	}
-	c.Bytes = (memory() - before) / float64(count)
+	c.PooledBytes = (memoryBytes() - before) / float64(count)
 	c.Open, _ = pool.Connections()
 	return c, nil
 }
 
 // bareConnections is the memory of a connection with nothing around it.
 func bareConnections(address string, count int) (float64, error) {
-	before := memory()
+	before := memoryBytes()
 	held := make([]net.Conn, 0, count)
 	defer func() {
 		for _, c := range held {
@@ -110,7 +110,7 @@
 		}
 		held = append(held, c)
 	}
-	return (memory() - before) / float64(count), nil
+	return (memoryBytes() - before) / float64(count), nil
 }
 
 // pooledConnections has a pool call so many servers.
--- a/internal/testbed/scale/figures.go
+++ b/internal/testbed/scale/figures.go
@@ -9,15 +9,15 @@
 // Progress is told of each measurement before it begins.
 type Progress func(format string, args ...any)
 
-func ms(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
+func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
 // newFigure is a figure without measurements.
 func newFigure(name, per, unit string, design, budget float64) *Figure {
 	return &Figure{Name: name, Per: per, Unit: unit, Design: design, Budget: budget}
 }
 
-// fitted fits all figures.
-func fitted(figures ...*Figure) []Figure {
+// fitAll fits all figures.
+func fitAll(figures ...*Figure) []Figure {
 	all := make([]Figure, 0, len(figures))
 	for _, f := range figures {
 		f.fit()
@@ -28,22 +28,22 @@
 
 // DecisionFigures measures the decisions at sizes of the fleet with the same parts a query, or at numbers of parts with
 // the same fleet where only one size is given.
-func DecisionFigures(ctx context.Context, t DecisionTerms, servers, parts []int, say Progress) ([]Figure, error) {
+func DecisionFigures(ctx context.Context, t DecisionOptions, servers, parts []int, say Progress) ([]Figure, error) {
 	per, design := "server", float64(DesignServers)
 	if len(servers) == 1 {
-		per, design = "part", DesignParts
+		per, design = "part", DesignShardRequests
 	}
 	processor := newFigure("decisions: processor time a query", per, "ms", design, 0)
 	cores := newFigure("decisions: cores", per, "cores", design, 0)
 	allocated := newFigure("decisions: allocations a query", per, "", design, 0)
-	longest := newFigure("decisions: longest round", per, "ms", design, ms(BudgetAnswer))
-	landing := newFigure("decisions: round in which a query lands, p99", per, "ms", design, ms(BudgetAnswer))
+	longest := newFigure("decisions: longest round", per, "ms", design, milliseconds(BudgetAnswer))
+	landing := newFigure("decisions: round in which a query lands, p99", per, "ms", design, milliseconds(BudgetAnswer))
 	memory := newFigure("decisions: heap", per, "MB", design, 0)
 	for _, s := range servers {
 		for _, p := range parts {
-			t.Servers, t.Parts = s, p
+			t.Servers, t.ShardRequests = s, p
 			say("decisions: %d servers, %d parts a query, %.0f queries a second", s, p, t.Rate)
-			c, err := Decide(ctx, t)
+			c, err := MeasureDecisions(ctx, t)
 			if err != nil {
 				return nil, err
 			}
@@ -51,71 +51,73 @@
 			if per == "part" {
 				size = float64(p)
 			}
-			processor.add(size, ms(c.Processor))
+			processor.add(size, milliseconds(c.Processor))
 			cores.add(size, c.Processor.Seconds()*t.Rate)
 			allocated.add(size, c.Allocated)
-			longest.add(size, ms(c.Longest))
-			landing.add(size, ms(c.Late))
-			memory.add(size, float64(c.Live)/(1<<20))
+			longest.add(size, milliseconds(c.LongestRound))
+			landing.add(size, milliseconds(c.QueryRoundP99))
+			memory.add(size, float64(c.HeapBytes)/(1<<20))
 		}
 	}
-	return fitted(processor, cores, allocated, longest, landing, memory), nil
+	return fitAll(processor, cores, allocated, longest, landing, memory), nil
 }
 
 // PolicyFigures measures policies at numbers of gatherers, with one fault in each change.
-func PolicyFigures(ctx context.Context, t PolicyTerms, gatherers []int, folder func() (string, error), say Progress) ([]Figure, error) {
+func PolicyFigures(ctx context.Context, t PolicyOptions, gatherers []int, folder func() (string, error), say Progress) ([]Figure, error) {
 	const per = "gatherer"
-	name := func(what string) string { return fmt.Sprintf("policy, %d stewards, %s: %s", t.Stewards, t.Fault, what) }
+	name := func(what string) string {
+		return fmt.Sprintf("policy, %d stewards, %s: %s", t.PolicyServers, t.Fault, what)
+	}
 	start := newFigure(name("start of all at once"), per, "s", DesignGatherers, 0)
 	leader := newFigure(name("leader at rest"), per, "cores", DesignGatherers, 0)
 	leaderMemory := newFigure(name("leader's memory"), per, "MB", DesignGatherers, 0)
 	each := newFigure(name("a gatherer at rest"), per, "cores", DesignGatherers, BudgetControlCPU)
 	bytes := newFigure(name("a gatherer's bytes at rest"), per, "B/s", DesignGatherers, BudgetControlBytes)
 	memory := newFigure(name("a gatherer's memory"), per, "MB", DesignGatherers, float64(BudgetControlMemory)/(1<<20))
-	middle := newFigure(name("in force, median gatherer"), per, "s", DesignGatherers, BudgetInForce.Seconds())
-	late := newFigure(name("in force, 99th percentile"), per, "s", DesignGatherers, BudgetInForce.Seconds())
-	last := newFigure(name("in force everywhere"), per, "s", DesignGatherers, BudgetInForce.Seconds())
-	returned := newFigure(name("a region that was cut off is back"), per, "s", DesignGatherers, BudgetInForce.Seconds())
+	middle := newFigure(name("in force, median gatherer"), per, "s", DesignGatherers, BudgetChange.Seconds())
+	late := newFigure(name("in force, 99th percentile"), per, "s", DesignGatherers, BudgetChange.Seconds())
+	last := newFigure(name("in force everywhere"), per, "s", DesignGatherers, BudgetChange.Seconds())
+	returned := newFigure(name("a region that was cut off is back"), per, "s", DesignGatherers, BudgetChange.Seconds())
 	unfinished := newFigure(name("changes not everywhere within 40 s"), per, "", DesignGatherers, 0)
 	changing := newFigure(name("leader during changes"), per, "cores", DesignGatherers, 0)
 	for _, n := range gatherers {
-		say("policies: %d stewards, %d hollow gatherers, %d changes, fault %s", t.Stewards, n, t.Changes, t.Fault)
+		say("policies: %d stewards, %d hollow gatherers, %d changes, fault %s", t.PolicyServers, n, t.Changes, t.Fault)
 		var err error
 		if t.Folder, err = folder(); err != nil {
 			return nil, err
 		}
 		t.Gatherers = n
-		c, err := Policies(ctx, t)
+		c, err := MeasurePolicies(ctx, t)
 		if err != nil {
 			return nil, err
 		}
 		size := float64(n)
-		start.add(size, c.Start.Seconds())
-		if t.Rest > 0 {
-			leader.add(size, c.RestLeader)
+		start.add(size, c.StartTime.Seconds())
+		if t.IdleTime > 0 {
+			leader.add(size, c.IdleLeaderCores)
 			leaderMemory.add(size, c.LeaderMB)
-			each.add(size, c.RestEach)
-			bytes.add(size, c.RestBytes)
-			memory.add(size, c.EachBytes/(1<<20))
+			each.add(size, c.IdleGathererCores)
+			bytes.add(size, c.IdleGathererBytes)
+			memory.add(size, c.GathererMemory/(1<<20))
 		}
-		for i := range c.InForce {
+		for i := range c.AppliedEverywhere {
 			middle.add(size, c.P50[i].Seconds())
 			late.add(size, c.P99[i].Seconds())
-			last.add(size, c.InForce[i].Seconds())
+			last.add(size, c.AppliedEverywhere[i].Seconds())
 		}
-		for _, back := range c.Returned {
+		for _, back := range c.RegionRecovery {
 			returned.add(size, back.Seconds())
 		}
 		if t.Changes > 0 {
 			unfinished.add(size, float64(c.Unfinished))
-			changing.add(size, c.ChangeCores)
+			changing.add(size, c.ChangeLeaderCores)
 		}
 	}
 	figures := []*Figure{start, leader, leaderMemory, each, bytes, memory, middle, late, last, unfinished, changing}
-	if t.Fault == RegionCut {
+	if t.Fault == RegionDisconnected {
 		figures = append(figures, returned)
 	}
-	return fitted(figures...), nil
+	return fitAll(figures...), nil
 }
 
 // ListFigures measures the list of shard servers at sizes of the fleet.
@@ -124,7 +126,7 @@
 	figure := func(what, unit string, budget float64) *Figure {
 		return newFigure("list: "+what, per, unit, DesignServers, budget)
 	}
-	inForce := BudgetInForce.Seconds()
+	inForce := BudgetChange.Seconds()
 	bytes, atBudget := figure("whole, bytes", "B", 0), figure("whole, time at 2 KB/s", "s", inForce)
 	zone, zoneAtBudget := figure("a zone, bytes", "B", 0), figure("a zone, time at 2 KB/s", "s", inForce)
 	startCPU, startTold := figure("start, processor time", "ms", 0), figure("start, until told", "s", inForce)
@@ -134,25 +136,25 @@
 	memory := figure("memory", "MB", float64(BudgetControlMemory)/(1<<20))
 	for _, n := range servers {
 		say("lists: %d servers", n)
-		c, err := Lists(ctx, n)
+		c, err := MeasureLists(ctx, n)
 		if err != nil {
 			return nil, err
 		}
 		size := float64(n)
-		bytes.add(size, float64(c.WholeBytes))
-		atBudget.add(size, float64(c.WholeBytes)/BudgetControlBytes)
+		bytes.add(size, float64(c.FullBytes))
+		atBudget.add(size, float64(c.FullBytes)/BudgetControlBytes)
 		zone.add(size, float64(c.ZoneBytes))
 		zoneAtBudget.add(size, float64(c.ZoneBytes)/BudgetControlBytes)
-		startCPU.add(size, ms(c.StartCPU))
-		startTold.add(size, c.StartTold.Seconds())
-		changeCPU.add(size, ms(c.ChangeCPU))
-		changeTold.add(size, c.ChangeTold.Seconds())
-		zoneCPU.add(size, ms(c.ZoneCPU))
-		zoneTold.add(size, c.ZoneTold.Seconds())
-		returned.add(size, c.ReturnTold.Seconds())
+		startCPU.add(size, milliseconds(c.StartCPU))
+		startTold.add(size, c.StartTime.Seconds())
+		changeCPU.add(size, milliseconds(c.ChangeCPU))
+		changeTold.add(size, c.ChangeTime.Seconds())
+		zoneCPU.add(size, milliseconds(c.ZoneCPU))
+		zoneTold.add(size, c.ZoneTime.Seconds())
+		returned.add(size, c.RecoveryTime.Seconds())
 		memory.add(size, float64(c.Memory)/(1<<20))
 	}
-	return fitted(bytes, atBudget, zone, zoneAtBudget, startCPU, startTold, changeCPU, changeTold, zoneCPU, zoneTold, returned, memory), nil
+	return fitAll(bytes, atBudget, zone, zoneAtBudget, startCPU, startTold, changeCPU, changeTold, zoneCPU, zoneTold, returned, memory), nil
 }
 
 // ConnectionFigures measures connections to shard servers at rest.
@@ -163,15 +165,15 @@
 	open := newFigure("connections: descriptors", per, "", DesignServers, 0)
 	for _, n := range counts {
 		say("connections: %d", n)
-		c, err := Connections(ctx, n)
+		c, err := MeasureConnections(ctx, n)
 		if err != nil {
 			return nil, err
 		}
-		memory.add(float64(n), c.Bytes*float64(n)/(1<<20))
-		bare.add(float64(n), c.Bare*float64(n)/(1<<20))
+		memory.add(float64(n), c.PooledBytes*float64(n)/(1<<20))
+		bare.add(float64(n), c.BareBytes*float64(n)/(1<<20))
 		open.add(float64(n), float64(c.Open))
 	}
-	return fitted(memory, bare, open), nil
+	return fitAll(memory, bare, open), nil
 }
 
 // ReportFigures measures a round of questions for reports.
@@ -182,13 +184,13 @@
 	took := newFigure("reports: time of a round", per, "s", DesignGatherers, 0)
 	for _, n := range gatherers {
 		say("reports: %d hollow gatherers", n)
-		c, err := Reports(ctx, n)
+		c, err := MeasureReports(ctx, n)
 		if err != nil {
 			return nil, err
 		}
-		each.add(float64(n), ms(c.Each)*float64(n))
-		bytes.add(float64(n), c.Bytes*float64(n))
-		took.add(float64(n), c.Took.Seconds())
+		each.add(float64(n), milliseconds(c.ProcessorTime)*float64(n))
+		bytes.add(float64(n), c.ReportBytes*float64(n))
+		took.add(float64(n), c.RoundTime.Seconds())
 	}
-	return fitted(each, bytes, took), nil
+	return fitAll(each, bytes, took), nil
 }
--- a/internal/testbed/scale/lists.go
+++ b/internal/testbed/scale/lists.go
@@ -19,52 +19,52 @@
 
 // ListCost is what the list of shard servers costs one gatherer, over HTTP from a stand-in for discovery.
 type ListCost struct {
-	Servers     int
-	WholeBytes  int           // of the whole list
-	StartCPU    time.Duration // to read and take over the whole list, the stand-in's work included
-	StartTold   time.Duration
-	ChangeBytes int // of a change of one server
-	ChangeCPU   time.Duration
-	ChangeTold  time.Duration
-	ZoneBytes   int // of a change of one server in twelve
-	ZoneCPU     time.Duration
-	ZoneTold    time.Duration
-	ReturnTold  time.Duration // after discovery was silent
-	Memory      uint64        // that the list takes in a gatherer
+	Servers      int
+	FullBytes    int           // of the whole list
+	StartCPU     time.Duration // to read and take over the whole list, the stand-in's work included
+	StartTime    time.Duration
+	ChangeBytes  int // of a change of one server
+	ChangeCPU    time.Duration
+	ChangeTime   time.Duration
+	ZoneBytes    int // of a change of one server in twelve
+	ZoneCPU      time.Duration
+	ZoneTime     time.Duration
+	RecoveryTime time.Duration // after discovery was silent
+	Memory       uint64        // that the list takes in a gatherer
 }
 
 // Of a list: a server's capacity and where one listens, and how long a measurement may wait for a list to be told.
 const (
-	listedPort   = 8000
-	listWait     = 60 * time.Second
-	listSilence  = 2 * time.Second
-	serversAZone = DesignZones // one in so many stands in the zone that is lost
+	listPort    = 8000
+	listTimeout = 60 * time.Second
+	silentTime  = 2 * time.Second
+	zoneDivisor = DesignZones // one in so many stands in the zone that is lost
 )
 
 // listMembers is a list of so many servers.
 func listMembers(servers int) []discoveryserver.Member {
 	members := make([]discoveryserver.Member, servers)
 	for i := range members {
-		members[i] = discoveryserver.Member{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), HostPort: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, listedPort),
-			Locality: fmt.Sprintf("region-%d/zone-%d", i%DesignRegions, i%DesignZones), Flavor: "m2", Cell: i / 3, Phase: "in_service", Size: 1, UpSince: 1.7e12 + float64(i)}
+		members[i] = discoveryserver.Member{ID: fmt.Sprintf("s-%08x", uint32(i)*2654435761), HostPort: fmt.Sprintf("10.%d.%d.%d:%d", i>>16, i>>8&255, i&255, listPort),
+			Zone: fmt.Sprintf("region-%d/zone-%d", i%DesignRegions, i%DesignZones), Kind: "m2", ReplicaSet: i / 3, Phase: "in_service", Size: 1, StartedAt: 1.7e12 + float64(i)}
 	}
 	return members
 }
 
 // listReader is the reader of one gatherer's list, with what it was told.
 type listReader struct {
-	told chan gather.EndpointList
-	stop context.CancelFunc
-	done chan struct{}
+	received chan gather.EndpointList
+	stop     context.CancelFunc
+	done     chan struct{}
 }
 
 func startListReader(ctx context.Context, address string) *listReader {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	r := &listReader{told: make(chan gather.EndpointList, 1024), done: make(chan struct{})}
+	r := &listReader{received: make(chan gather.EndpointList, 1024), done: make(chan struct{})}
 	follower := discovery.New(discovery.Config{Address: address, OnChange: func(l gather.EndpointList, _ []shardcall.Address) {
 		if l.Full || len(l.Endpoints) > 0 {
-			r.told <- l
+			r.received <- l
 		}
 	}, Log: log})
 	ctx, r.stop = context.WithCancel(ctx)
@@ -75,16 +75,16 @@
 	return r
 }
 
-// next waits until so many entries have been told.
-func (r *listReader) next(ctx context.Context, entries int) error {
-	limit := time.NewTimer(listWait)
+// awaitEntries waits until so many entries have been told.
+func (r *listReader) awaitEntries(ctx context.Context, entries int) error {
+	limit := time.NewTimer(listTimeout)
 	defer limit.Stop()
 	for entries > 0 {
 		select {
-		case l := <-r.told:
+		case l := <-r.received:
 			entries -= len(l.Endpoints)
 		case <-limit.C:
-			return fmt.Errorf("lists: %d entries were not told within %s", entries, listWait)
+			return fmt.Errorf("lists: %d entries were not told within %s", entries, listTimeout)
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -92,13 +92,13 @@
 	return nil
 }
 
-// Lists measures what a list of so many servers costs.
-func Lists(ctx context.Context, servers int) (c ListCost, err error) {
-	if servers < serversAZone {
-		return c, fmt.Errorf("lists: %d servers, at least %d are needed", servers, serversAZone)
+// MeasureLists measures what a list of so many servers costs.
+func MeasureLists(ctx context.Context, servers int) (c ListCost, err error) {
+	if servers < zoneDivisor {
+		return c, fmt.Errorf("lists: %d servers, at least %d are needed", servers, zoneDivisor)
 	}
 	members := listMembers(servers)
-	c = ListCost{Servers: servers, WholeBytes: listBytes(members), ChangeBytes: listBytes(members[:1]), ZoneBytes: listBytes(members[:servers/serversAZone])}
+	c = ListCost{Servers: servers, FullBytes: listBytes(members), ChangeBytes: listBytes(members[:1]), ZoneBytes: listBytes(members[:servers/zoneDivisor])}
 	agent, err := discoveryserver.Start(members)
 	if err != nil {
 		return c, err
@@ -117,10 +117,10 @@
 	step := func(entries int, do func()) (used, told time.Duration, err error) {
 		began, from := processorTime(), time.Now()
 		do()
-		err = reader.next(ctx, entries)
+		err = reader.awaitEntries(ctx, entries)
 		return processorTime() - began, time.Since(from), err
 	}
-	if c.StartCPU, c.StartTold, err = step(servers, func() { reader = startListReader(ctx, agent.Address()) }); err != nil {
+	if c.StartCPU, c.StartTime, err = step(servers, func() { reader = startListReader(ctx, agent.Address()) }); err != nil {
 		return c, err
 	}
 	runtime.GC()
@@ -131,24 +131,24 @@
 		for i := range changed {
 			changed[i].Phase = "terminating"
 		}
-		return func() { agent.Change(changed...) }
+		return func() { agent.Update(changed...) }
 	}
-	if c.ChangeCPU, c.ChangeTold, err = step(1, drain(1)); err != nil {
+	if c.ChangeCPU, c.ChangeTime, err = step(1, drain(1)); err != nil {
 		return c, err
 	}
-	zone := servers / serversAZone
-	if c.ZoneCPU, c.ZoneTold, err = step(zone, drain(zone)); err != nil {
+	zone := servers / zoneDivisor
+	if c.ZoneCPU, c.ZoneTime, err = step(zone, drain(zone)); err != nil {
 		return c, err
 	}
-	agent.Silence(true)
+	agent.SetSilent(true)
 	select {
 	case <-ctx.Done():
 		return c, ctx.Err()
-	case <-time.After(listSilence):
+	case <-time.After(silentTime):
 	}
-	_, c.ReturnTold, err = step(1, func() {
-		agent.Silence(false)
-		agent.Change(members[servers-1])
+	_, c.RecoveryTime, err = step(1, func() {
+		agent.SetSilent(false)
+		agent.Update(members[servers-1])
 	})
 	return c, err
 }
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -28,82 +28,82 @@
 
 // The faults.
 const (
-	NoFault       PolicyFault = "none"
-	LeaderKilled  PolicyFault = "leader-killed"
-	LeaderStopped PolicyFault = "leader-stopped" // by SIGSTOP
-	ManyKilled    PolicyFault = "many-killed"    // one gatherer in twelve, at once
-	OneKilled     PolicyFault = "one-killed"
-	OneEnded      PolicyFault = "one-ended"  // a planned end
-	RegionCut     PolicyFault = "region-cut" // one region in three, by relays, for a minute
+	NoFault            PolicyFault = "none"
+	LeaderKilled       PolicyFault = "leader-killed"
+	LeaderPaused       PolicyFault = "leader-stopped" // by SIGSTOP
+	ManyKilled         PolicyFault = "many-killed"    // one gatherer in twelve, at once
+	OneKilled          PolicyFault = "one-killed"
+	OneStopped         PolicyFault = "one-ended"  // a planned end
+	RegionDisconnected PolicyFault = "region-cut" // one region in three, by relays, for a minute
 )
 
 // PolicyFaults are all of them, in the order in which they are measured.
-var PolicyFaults = []PolicyFault{NoFault, OneKilled, OneEnded, ManyKilled, LeaderKilled, LeaderStopped, RegionCut}
-
-// PolicyTerms are stewards as processes and hollow gatherers in this one, which follow them over HTTP.
-type PolicyTerms struct {
-	Stewards  int
-	Gatherers int
-	Changes   int           // in a row
-	Rest      time.Duration // measured with nothing to do
-	Fault     PolicyFault   // in each change
-	Binary    string        // the gatherer's program, which holds the stewards as well
-	Folder    string        // for their state
+var PolicyFaults = []PolicyFault{NoFault, OneKilled, OneStopped, ManyKilled, LeaderKilled, LeaderPaused, RegionDisconnected}
+
+// PolicyOptions are stewards as processes and hollow gatherers in this one, which follow them over HTTP.
+type PolicyOptions struct {
+	PolicyServers int
+	Gatherers     int
+	Changes       int           // in a row
+	IdleTime      time.Duration // measured with nothing to do
+	Fault         PolicyFault   // in each change
+	Binary        string        // the gatherer's program, which holds the stewards as well
+	Folder        string        // for their state
 }
 
 // PolicyCost is what it came to.
 type PolicyCost struct {
-	Start       time.Duration // until all gatherers that started at once went by the stewards' word
-	RestLeader  float64       // cores of the steward that leads
-	RestEach    float64       // cores of one gatherer
-	RestBytes   float64       // read and written by one gatherer, a second
-	LeaderMB    float64
-	EachBytes   float64 // memory of one gatherer
-	InForce     []time.Duration
-	P50, P99    []time.Duration // of gatherers, by change
-	Returned    []time.Duration // until a region that was cut off went by the stewards' word again
-	Unfinished  int             // changes that were given up, or not everywhere within the wait
-	ChangeCores float64         // of the leader while changes were made
+	StartTime         time.Duration // until all gatherers that started at once went by the stewards' word
+	IdleLeaderCores   float64       // cores of the steward that leads
+	IdleGathererCores float64       // cores of one gatherer
+	IdleGathererBytes float64       // read and written by one gatherer, a second
+	LeaderMB          float64
+	GathererMemory    float64 // memory of one gatherer
+	AppliedEverywhere []time.Duration
+	P50, P99          []time.Duration // of gatherers, by change
+	RegionRecovery    []time.Duration // until a region that was cut off went by the stewards' word again
+	Unfinished        int             // changes that were given up, or not everywhere within the wait
+	ChangeLeaderCores float64         // of the leader while changes were made
 }
 
 // Times of the stewards of a scale test: those that operators' pages recommend.
 const (
-	stewardLease   = 10_000.0
-	stewardLimit   = 60_000.0
-	stewardBeat    = 100.0
-	longestChange  = 40 * time.Second
-	longestStart   = 90 * time.Second
-	regionCut      = time.Minute
-	manyShare      = 12 // one gatherer in so many
-	stewardPort    = 8700
-	stewardLogPort = 8701
+	leaseMillis       = 10_000.0
+	leaseLimitMillis  = 60_000.0
+	heartbeatMillis   = 100.0
+	changeTimeout     = 40 * time.Second
+	startTimeout      = 90 * time.Second
+	disconnectTime    = time.Minute
+	manyKilledDivisor = 12 // one gatherer in so many
+	policyServerPort  = 8700
+	raftPort          = 8701
 )
 
 // policyFleet is the stewards and the hollow gatherers of one measurement.
 type policyFleet struct {
-	terms    PolicyTerms
-	ctx      context.Context
-	stewards []*process.Process
-	names    []operator.PolicyServer
-	client   *policyclient.Client
-	hollow   []*hollowGatherer
-	relays   []*processtest.Link     // of the region that is cut off, one to each steward
-	far      []operator.PolicyServer // the stewards as that region reaches them
-	cut      bool
-	returned []time.Duration // of the region
-	log      *logrus.Logger
+	options       PolicyOptions
+	ctx           context.Context
+	processes     []*process.Process
+	servers       []operator.PolicyServer
+	client        *policyclient.Client
+	gatherers     []*simulatedGatherer
+	relays        []*processtest.Link     // of the region that is cut off, one to each steward
+	remoteServers []operator.PolicyServer // the stewards as that region reaches them
+	disconnected  bool
+	recoveries    []time.Duration // of the region
+	log           *logrus.Logger
 }
 
-// hollowGatherer is the control side of a gatherer without clients: the real lease and the real poller.
-type hollowGatherer struct {
-	lease *policylease.Lease
-	far   bool // it stands in the region that is cut off
-	stop  context.CancelFunc
-	ended chan struct{}
+// simulatedGatherer is the control side of a gatherer without clients: the real lease and the real poller.
+type simulatedGatherer struct {
+	lease  *policylease.Lease
+	remote bool // it stands in the region that is cut off
+	stop   context.CancelFunc
+	done   chan struct{}
 
-	mu    sync.Mutex
-	epoch uint64    // that it has come to
-	at    time.Time // when
+	mu        sync.Mutex
+	epoch     uint64    // that it has come to
+	appliedAt time.Time // when
 }
 
 // loopbackAddress is a loopback address for one steward of this process; processes don't share any.
@@ -113,22 +113,22 @@
 }
 
 // startPolicyFleet starts the stewards and waits until one leads.
-func startPolicyFleet(ctx context.Context, t PolicyTerms) (*policyFleet, error) {
+func startPolicyFleet(ctx context.Context, t PolicyOptions) (*policyFleet, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &policyFleet{terms: t, ctx: ctx, client: &policyclient.Client{}, log: log}
+	f := &policyFleet{options: t, ctx: ctx, client: &policyclient.Client{}, log: log}
 	var peers strings.Builder
-	for i := range t.Stewards {
+	for i := range t.PolicyServers {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
-		address := fmt.Sprintf("%s:%d", host, stewardPort)
-		f.names = append(f.names, operator.PolicyServer{Name: name, Address: address})
+		address := fmt.Sprintf("%s:%d", host, policyServerPort)
+		f.servers = append(f.servers, operator.PolicyServer{Name: name, Address: address})
 		f.client.Servers = append(f.client.Servers, address)
-		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, stewardLogPort, address)
+		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, raftPort, address)
 	}
-	for i, s := range f.names {
+	for i, s := range f.servers {
 		file := filepath.Join(t.Folder, s.Name+".conf")
 		text := fmt.Sprintf("steward %s in %s-state listen %s raft %s:%d\nlease %gms limit %gms\nbeat %gms\n%s", s.Name, s.Name, s.Address,
-			loopbackAddress(i), stewardLogPort, stewardLease, stewardLimit, stewardBeat, peers.String())
+			loopbackAddress(i), raftPort, leaseMillis, leaseLimitMillis, heartbeatMillis, peers.String())
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			return f, err
 		}
@@ -136,12 +136,12 @@
 		if err != nil {
 			return f, err
 		}
-		f.stewards = append(f.stewards, p)
+		f.processes = append(f.processes, p)
 	}
-	if err := f.layRelays(); err != nil {
+	if err := f.startRelays(); err != nil {
 		return f, err
 	}
-	waiting, cancel := context.WithTimeout(ctx, longestStart)
+	waiting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	return f, process.WaitUntil(waiting, "a steward leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
@@ -151,31 +151,31 @@
 	})
 }
 
-// layRelays lays a relay to each steward where a region is to be cut off.
-func (f *policyFleet) layRelays() error {
-	if f.terms.Fault != RegionCut {
+// startRelays lays a relay to each steward where a region is to be cut off.
+func (f *policyFleet) startRelays() error {
+	if f.options.Fault != RegionDisconnected {
 		return nil
 	}
-	for i, s := range f.names {
+	for i, s := range f.servers {
 		relay, err := processtest.NewLink("region", s.Name, "127.0.0.1", s.Address, uint64(i))
 		if err != nil {
 			return err
 		}
 		f.relays = append(f.relays, relay)
-		f.far = append(f.far, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
+		f.remoteServers = append(f.remoteServers, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
 	}
 	return nil
 }
 
 // close ends all of it.
 func (f *policyFleet) close() {
-	for _, h := range f.hollow {
-		h.end()
+	for _, h := range f.gatherers {
+		h.crash()
 	}
 	for _, relay := range f.relays {
 		relay.Close()
 	}
-	for _, p := range f.stewards {
+	for _, p := range f.processes {
 		if p.Stopped() {
 			p.Continue()
 		}
@@ -189,38 +189,38 @@
 	if err != nil {
 		return nil, err
 	}
-	for i, n := range f.names {
+	for i, n := range f.servers {
 		if n.Name == s.Server {
-			return f.stewards[i], nil
+			return f.processes[i], nil
 		}
 	}
 	return nil, fmt.Errorf("no steward is named %s", s.Server)
 }
 
-// hollowFloor forbids what the policies of a scale test may.
-var hollowFloor = decisions.Policy{{Kind: decisions.NoHedging}}
+// testFallback forbids what the policies of a scale test may.
+var testFallback = decisions.Policy{{Kind: decisions.NoHedging}}
 
-// startHollow starts one gatherer's control side.
-func (f *policyFleet) startHollow(number int) *hollowGatherer {
+// startGatherer starts one gatherer's control side.
+func (f *policyFleet) startGatherer(number int) *simulatedGatherer {
 	start := time.Now()
 	clock := func() float64 { return float64(time.Since(start)) / 1e6 }
-	h := &hollowGatherer{ended: make(chan struct{}), far: len(f.far) > 0 && number%DesignRegions == 0}
-	stewards := f.names
-	if h.far {
-		stewards = f.far
+	h := &simulatedGatherer{done: make(chan struct{}), remote: len(f.remoteServers) > 0 && number%DesignRegions == 0}
+	stewards := f.servers
+	if h.remote {
+		stewards = f.remoteServers
 	}
 	h.lease = policylease.New(policylease.Config{
 		Platform: &gather.Settings{},
-		Fallback: hollowFloor,
+		Fallback: testFallback,
 		Clock:    clock,
-		OnChange: func() { h.changed(clock()) },
+		OnChange: func() { h.recordChange(clock()) },
 	})
 	poller := policylease.NewPoller(h.lease, policylease.PollerConfig{
 		Servers: stewards,
 		Member: decisions.Member{
 			Name:     fmt.Sprintf("g%05d", number),
 			Zone:     fmt.Sprint("z", number%DesignZones),
-			Fallback: hollowFloor,
+			Fallback: testFallback,
 		},
 		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano()),
 		Log:         f.log,
@@ -228,39 +228,39 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		poller.Run(ctx)
 	}()
 	return h
 }
 
-// changed notes how far the gatherer has come, and settles: it has no lookups in hand.
-func (h *hollowGatherer) changed(now float64) {
+// recordChange notes how far the gatherer has come, and settles: it has no lookups in hand.
+func (h *simulatedGatherer) recordChange(now float64) {
 	way, _ := h.lease.Effective(now)
 	h.lease.MarkDrained(way)
 	state := h.lease.State()
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if state.Applied.Epoch > h.epoch && state.Applied.Pending == 0 {
-		h.epoch, h.at = state.Applied.Epoch, time.Now()
+		h.epoch, h.appliedAt = state.Applied.Epoch, time.Now()
 	}
 }
 
-// end ends it as a crash does: nothing is given back.
-func (h *hollowGatherer) end() {
+// crash ends it as a crash does: nothing is given back.
+func (h *simulatedGatherer) crash() {
 	h.stop()
-	<-h.ended
+	<-h.done
 }
 
-// reached reports whether it has come to an epoch, and when.
-func (h *hollowGatherer) reached(epoch uint64) (time.Time, bool) {
+// appliedEpoch reports whether it has come to an epoch, and when.
+func (h *simulatedGatherer) appliedEpoch(epoch uint64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.at, h.epoch >= epoch
+	return h.appliedAt, h.epoch >= epoch
 }
 
-// leased reports whether it goes by the stewards' word.
-func (h *hollowGatherer) leased() bool { return h.lease.State().ExpiresAt > 0 }
+// hasLease reports whether it goes by the stewards' word.
+func (h *simulatedGatherer) hasLease() bool { return h.lease.State().ExpiresAt > 0 }
 
 // change proposes a policy, does what befalls the fleet, and waits until the policy is in force at all that are left.
 func (f *policyFleet) change(number int) (times []time.Duration, err error) {
@@ -270,23 +270,23 @@
 	}
 	var p decisions.Policy
 	if number%2 == 0 {
-		p = hollowFloor
+		p = testFallback
 	}
-	waiting, cancel := context.WithTimeout(f.ctx, longestChange)
+	waiting, cancel := context.WithTimeout(f.ctx, changeTimeout)
 	defer cancel()
 	proposed := time.Now()
 	change, err := f.client.Propose(waiting, policyclient.Proposal{Base: status.Record.Epoch, Policy: p, Reason: "scale"})
 	if err != nil {
 		return nil, err
 	}
-	undo, err := f.befall(number)
+	undo, err := f.injectFault(number)
 	if err != nil {
 		return nil, err
 	}
 	defer undo()
 	err = process.WaitUntil(waiting, "the change is in force everywhere", func() bool {
-		for _, h := range f.near() {
-			if _, there := h.reached(change.Number); !there {
+		for _, h := range f.connectedGatherers() {
+			if _, there := h.appliedEpoch(change.Number); !there {
 				return false
 			}
 		}
@@ -295,31 +295,31 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, h := range f.near() {
-		at, _ := h.reached(change.Number)
+	for _, h := range f.connectedGatherers() {
+		at, _ := h.appliedEpoch(change.Number)
 		times = append(times, at.Sub(proposed))
 	}
 	return times, nil
 }
 
-// near are the gatherers that are not cut off.
-func (f *policyFleet) near() []*hollowGatherer {
-	if !f.cut {
-		return f.hollow
+// connectedGatherers are the gatherers that are not cut off.
+func (f *policyFleet) connectedGatherers() []*simulatedGatherer {
+	if !f.disconnected {
+		return f.gatherers
 	}
-	var near []*hollowGatherer
-	for _, h := range f.hollow {
-		if !h.far {
+	var near []*simulatedGatherer
+	for _, h := range f.gatherers {
+		if !h.remote {
 			near = append(near, h)
 		}
 	}
 	return near
 }
 
-// cutRegion cuts the region's relays; undo mends them once the minute is over, and waits until the region is back.
-func (f *policyFleet) cutRegion() (undo func(), err error) {
+// disconnectRegion cuts the region's relays; undo mends them once the minute is over, and waits until the region is back.
+func (f *policyFleet) disconnectRegion() (undo func(), err error) {
 	from := time.Now()
-	f.cut = true
+	f.disconnected = true
 	for _, relay := range f.relays {
 		if err := relay.Cut(true); err != nil {
 			return func() {}, err
@@ -328,57 +328,57 @@
 	return func() {
 		select {
 		case <-f.ctx.Done():
-		case <-time.After(time.Until(from.Add(regionCut))):
+		case <-time.After(time.Until(from.Add(disconnectTime))):
 		}
 		for _, relay := range f.relays {
 			if err := relay.Mend(); err != nil {
 				f.log.WithError(err).Error("relay")
 			}
 		}
-		f.cut = false
+		f.disconnected = false
 		mended := time.Now()
 		if f.awaitLeases() == nil {
-			f.returned = append(f.returned, time.Since(mended))
+			f.recoveries = append(f.recoveries, time.Since(mended))
 		}
 	}, nil
 }
 
-// befall brings the fault about; what it gives undoes it once the change is over.
-func (f *policyFleet) befall(number int) (undo func(), err error) {
+// injectFault brings the fault about; what it gives undoes it once the change is over.
+func (f *policyFleet) injectFault(number int) (undo func(), err error) {
 	undo = func() {}
-	switch f.terms.Fault {
-	case LeaderKilled, LeaderStopped:
+	switch f.options.Fault {
+	case LeaderKilled, LeaderPaused:
 		leader, err := f.leader()
 		if err != nil {
 			return undo, err
 		}
-		if f.terms.Fault == LeaderStopped {
+		if f.options.Fault == LeaderPaused {
 			return func() { leader.Continue() }, leader.Stop(f.ctx)
 		}
 		leader.Kill()
 		return undo, nil
-	case RegionCut:
-		return f.cutRegion()
-	case OneKilled, OneEnded:
+	case RegionDisconnected:
+		return f.disconnectRegion()
+	case OneKilled, OneStopped:
 		return f.crash(number, 1), nil
 	case ManyKilled:
-		return f.crash(number, max(len(f.hollow)/manyShare, 1)), nil
+		return f.crash(number, max(len(f.gatherers)/manyKilledDivisor, 1)), nil
 	}
 	return undo, nil
 }
 
 // crash ends gatherers; undo starts others in their place.
 func (f *policyFleet) crash(number, many int) (undo func()) {
-	gone := f.hollow[:many]
-	f.hollow = f.hollow[many:]
+	gone := f.gatherers[:many]
+	f.gatherers = f.gatherers[many:]
 	var wait sync.WaitGroup
 	for _, h := range gone {
-		wait.Go(h.end)
+		wait.Go(h.crash)
 	}
 	wait.Wait()
 	return func() {
 		for i := range gone {
-			f.hollow = append(f.hollow, f.startHollow(100_000*(number+1)+i))
+			f.gatherers = append(f.gatherers, f.startGatherer(100_000*(number+1)+i))
 		}
 		f.awaitLeases()
 	}
@@ -386,11 +386,11 @@
 
 // awaitLeases waits until all gatherers go by the stewards' word.
 func (f *policyFleet) awaitLeases() error {
-	waiting, cancel := context.WithTimeout(f.ctx, longestStart)
+	waiting, cancel := context.WithTimeout(f.ctx, startTimeout)
 	defer cancel()
 	return process.WaitUntil(waiting, "all gatherers go by the stewards' word", func() bool {
-		for _, h := range f.hollow {
-			if !h.leased() {
+		for _, h := range f.gatherers {
+			if !h.hasLease() {
 				return false
 			}
 		}
@@ -398,10 +398,10 @@
 	})
 }
 
-// Policies measures what the policies of a whole fleet cost at rest and while they change.
-func Policies(ctx context.Context, t PolicyTerms) (c PolicyCost, err error) {
-	if t.Stewards < 1 || t.Stewards > 9 || t.Gatherers < 1 || t.Changes < 0 {
-		return c, fmt.Errorf("policies: %d stewards, %d gatherers, %d changes: 1 to 9, at least 1 and at least 0 can be", t.Stewards, t.Gatherers, t.Changes)
+// MeasurePolicies measures what the policies of a whole fleet cost at rest and while they change.
+func MeasurePolicies(ctx context.Context, t PolicyOptions) (c PolicyCost, err error) {
+	if t.PolicyServers < 1 || t.PolicyServers > 9 || t.Gatherers < 1 || t.Changes < 0 {
+		return c, fmt.Errorf("policies: %d stewards, %d gatherers, %d changes: 1 to 9, at least 1 and at least 0 can be", t.PolicyServers, t.Gatherers, t.Changes)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -410,58 +410,58 @@
 	if err != nil {
 		return c, err
 	}
-	before := memory()
+	before := memoryBytes()
 	began := time.Now()
 	for i := range t.Gatherers {
-		f.hollow = append(f.hollow, f.startHollow(i))
+		f.gatherers = append(f.gatherers, f.startGatherer(i))
 	}
 	if err := f.awaitLeases(); err != nil {
 		return c, err
 	}
-	c.Start = time.Since(began)
-	if err := f.rest(&c, before); err != nil {
+	c.StartTime = time.Since(began)
+	if err := f.measureIdle(&c, before); err != nil {
 		return c, err
 	}
-	return c, f.changes(&c)
+	return c, f.measureChanges(&c)
 }
 
-// rest measures the fleet with nothing to do.
-func (f *policyFleet) rest(c *PolicyCost, before float64) error {
-	if f.terms.Rest <= 0 {
+// measureIdle measures the fleet with nothing to do.
+func (f *policyFleet) measureIdle(c *PolicyCost, before float64) error {
+	if f.options.IdleTime <= 0 {
 		return nil
 	}
 	leader, err := f.leader()
 	if err != nil {
 		return err
 	}
-	n := float64(len(f.hollow))
-	used, own, bytes, began := leader.Usage(), processorTime(), transferred(), time.Now()
+	n := float64(len(f.gatherers))
+	used, own, bytes, began := leader.Usage(), processorTime(), transferredBytes(), time.Now()
 	select {
 	case <-f.ctx.Done():
 		return f.ctx.Err()
-	case <-time.After(f.terms.Rest):
+	case <-time.After(f.options.IdleTime):
 	}
 	seconds := time.Since(began).Seconds()
 	after := leader.Usage()
-	c.RestLeader, c.LeaderMB = (after.CPU-used.CPU)/seconds, after.Memory
-	c.RestEach = (processorTime() - own).Seconds() / seconds / n
-	c.RestBytes = (transferred() - bytes) / seconds / n
-	c.EachBytes = (memory() - before) / n
+	c.IdleLeaderCores, c.LeaderMB = (after.CPU-used.CPU)/seconds, after.Memory
+	c.IdleGathererCores = (processorTime() - own).Seconds() / seconds / n
+	c.IdleGathererBytes = (transferredBytes() - bytes) / seconds / n
+	c.GathererMemory = (memoryBytes() - before) / n
 	return nil
 }
 
-// changes makes the changes, one behind the other.
-func (f *policyFleet) changes(c *PolicyCost) error {
-	if f.terms.Changes == 0 {
+// measureChanges makes the changes, one behind the other.
+func (f *policyFleet) measureChanges(c *PolicyCost) error {
+	if f.options.Changes == 0 {
 		return nil
 	}
 	leader, err := f.leader()
 	if err != nil {
 		return err
 	}
-	defer func() { c.Returned = f.returned }()
+	defer func() { c.RegionRecovery = f.recoveries }()
 	used, began := leader.Usage(), time.Now()
-	for number := range f.terms.Changes {
+	for number := range f.options.Changes {
 		times, err := f.change(number)
 		if f.ctx.Err() != nil {
 			return f.ctx.Err()
@@ -473,19 +473,19 @@
 		if err != nil {
 			return err
 		}
-		c.note(times)
-		if f.terms.Fault == LeaderKilled {
+		c.add(times)
+		if f.options.Fault == LeaderKilled {
 			break // the next one would have to wait for a steward that nobody starts
 		}
 	}
 	if leader.Alive() && !leader.Stopped() {
-		c.ChangeCores = (leader.Usage().CPU - used.CPU) / time.Since(began).Seconds()
+		c.ChangeLeaderCores = (leader.Usage().CPU - used.CPU) / time.Since(began).Seconds()
 	}
 	return nil
 }
 
-// note books when a change was in force at each gatherer.
-func (c *PolicyCost) note(times []time.Duration) {
+// add books when a change was in force at each gatherer.
+func (c *PolicyCost) add(times []time.Duration) {
 	seconds := make([]float64, 0, len(times))
 	for _, t := range times {
 		seconds = append(seconds, t.Seconds())
@@ -493,11 +493,11 @@
 	at := func(share float64) time.Duration {
 		return time.Duration(stats.Quantile(seconds, share) * float64(time.Second))
 	}
-	c.InForce, c.P50, c.P99 = append(c.InForce, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
+	c.AppliedEverywhere, c.P50, c.P99 = append(c.AppliedEverywhere, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
 }
 
-// transferred is how many bytes this process has read and written so far.
-func transferred() float64 {
+// transferredBytes is how many bytes this process has read and written so far.
+func transferredBytes() float64 {
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
 		return 0
--- a/internal/testbed/scale/reports.go
+++ b/internal/testbed/scale/reports.go
@@ -16,23 +16,23 @@
 
 // ReportCost is what asking many gatherers for their reports costs, once each.
 type ReportCost struct {
-	Gatherers int
-	Each      time.Duration // processor time a report, of who asks and who is asked together
-	Bytes     float64       // a report
-	Took      time.Duration // all of them
+	Gatherers     int
+	ProcessorTime time.Duration // processor time a report, of who asks and who is asked together
+	ReportBytes   float64       // a report
+	RoundTime     time.Duration // all of them
 }
 
-// reportsAtOnce is how many gatherers a controller asks side by side.
-const reportsAtOnce = 64
+// parallelReports is how many gatherers a controller asks side by side.
+const parallelReports = 64
 
-// noPool is the connections of a hollow gatherer.
-type noPool struct{}
+// emptyPool is the connections of a hollow gatherer.
+type emptyPool struct{}
 
 // Connections are none.
-func (noPool) Connections() (open int, opened int64) { return 0, 0 }
+func (emptyPool) Connections() (open int, opened int64) { return 0, 0 }
 
-// Reports measures a round of questions to so many hollow gatherers, each with its own listener.
-func Reports(ctx context.Context, gatherers int) (c ReportCost, err error) {
+// MeasureReports measures a round of questions to so many hollow gatherers, each with its own listener.
+func MeasureReports(ctx context.Context, gatherers int) (c ReportCost, err error) {
 	if gatherers < 1 {
 		return c, fmt.Errorf("reports: %d gatherers, at least 1 is needed", gatherers)
 	}
@@ -42,10 +42,10 @@
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
-	settings := &gather.Settings{Classes: []gather.Class{{Name: "find", LatencyObjective: softDeadline, CompleteShare: 1.0}}}
+	settings := &gather.Settings{Classes: []gather.Class{{Name: "find", LatencyObjective: latencyObjective, CompleteShare: 1.0}}}
 	var addresses []string
 	for i := range gatherers {
-		counter := report.NewCollector(fmt.Sprint("g", i), settings, func() float64 { return 0 }, noPool{})
+		counter := report.NewCollector(fmt.Sprint("g", i), settings, func() float64 { return 0 }, emptyPool{})
 		s, err := report.Listen("127.0.0.1:0", counter, func() bool { return true }, log)
 		if err != nil {
 			return c, err
@@ -55,7 +55,7 @@
 	}
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	began, from := processorTime(), time.Now()
-	total, err := askAll(ctx, client, addresses)
+	total, err := fetchAll(ctx, client, addresses)
 	if err != nil {
 		return c, err
 	}
@@ -63,15 +63,15 @@
 	return ReportCost{gatherers, (processorTime() - began) / n, float64(total) / float64(gatherers), time.Since(from)}, nil
 }
 
-// askAll asks each address for its report, so many side by side, and gives the bytes of all answers.
-func askAll(ctx context.Context, client *http.Client, addresses []string) (total int64, err error) {
+// fetchAll asks each address for its report, so many side by side, and gives the bytes of all answers.
+func fetchAll(ctx context.Context, client *http.Client, addresses []string) (total int64, err error) {
 	var mu sync.Mutex
 	var wait sync.WaitGroup
 	next := make(chan string)
-	for range reportsAtOnce {
+	for range parallelReports {
 		wait.Go(func() {
 			for address := range next {
-				n, failed := askReport(ctx, client, address)
+				n, failed := fetchReport(ctx, client, address)
 				mu.Lock()
 				total += n
 				if failed != nil {
@@ -89,7 +89,7 @@
 	return total, err
 }
 
-func askReport(ctx context.Context, client *http.Client, address string) (int64, error) {
+func fetchReport(ctx context.Context, client *http.Client, address string) (int64, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+report.ReportPath, nil)
 	if err != nil {
 		return 0, err
--- a/internal/testbed/scale/scale.go
+++ b/internal/testbed/scale/scale.go
@@ -13,12 +13,12 @@
 
 // The design size: what the operators told for the next two years.
 const (
-	DesignGatherers = 3600
-	DesignServers   = 28_000
-	DesignParts     = 640
-	DesignZones     = 12
-	DesignRegions   = 3
-	DesignQueryRate = 550_000.0 / DesignGatherers // a second and gatherer
+	DesignGatherers     = 3600
+	DesignServers       = 28_000
+	DesignShardRequests = 640
+	DesignZones         = 12
+	DesignRegions       = 3
+	DesignQueryRate     = 550_000.0 / DesignGatherers // a second and gatherer
 )
 
 // Budgets of a gatherer's control work, of a change, and of an answer.
@@ -26,7 +26,7 @@
 	BudgetControlCPU    = 0.022 // of a core
 	BudgetControlMemory = 64 << 20
 	BudgetControlBytes  = 2000.0 // a second
-	BudgetInForce       = 6 * time.Second
+	BudgetChange        = 6 * time.Second
 	BudgetAnswer        = 58 * time.Millisecond
 )
 
@@ -35,11 +35,11 @@
 	Processor   time.Duration
 	Allocations uint64
 	Bytes       uint64 // allocated
-	Live        uint64 // heap in use after it, once collected
+	HeapBytes   uint64 // heap in use after it, once collected
 }
 
-// spent runs a piece of work and gives what it cost. Nothing else should run in the process meanwhile.
-func spent(work func()) Cost {
+// measureCost runs a piece of work and gives what it cost. Nothing else should run in the process meanwhile.
+func measureCost(work func()) Cost {
 	var before, after, live runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -52,8 +52,8 @@
 	return Cost{used, after.Mallocs - before.Mallocs, after.TotalAlloc - before.TotalAlloc, live.HeapAlloc}
 }
 
-// memory is what this process holds of heap and stacks, once collected. What the kernel holds for it is not counted.
-func memory() float64 {
+// memoryBytes is what this process holds of heap and stacks, once collected. What the kernel holds for it is not counted.
+func memoryBytes() float64 {
 	var m runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&m)
--- a/internal/testbed/scale/scale_test.go
+++ b/internal/testbed/scale/scale_test.go
@@ -71,7 +71,7 @@
 // TestShort is the short form of all measurements.
 func TestShort(t *testing.T) {
 	t.Run("decisions", func(t *testing.T) {
-		figures, err := DecisionFigures(t.Context(), DecisionTerms{Replicas: 3, Rate: 20, Seconds: 0.5, Seed: 1}, []int{20, 60}, []int{8}, quiet)
+		figures, err := DecisionFigures(t.Context(), DecisionOptions{Replicas: 3, Rate: 20, Seconds: 0.5, Seed: 1}, []int{20, 60}, []int{8}, quiet)
 		measured(t, figures, err)
 	})
 	t.Run("lists", func(t *testing.T) {
@@ -91,7 +91,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		terms := PolicyTerms{Stewards: 1, Changes: 1, Rest: 100 * time.Millisecond, Fault: NoFault, Binary: binary}
+		terms := PolicyOptions{PolicyServers: 1, Changes: 1, IdleTime: 100 * time.Millisecond, Fault: NoFault, Binary: binary}
 		figures, err := PolicyFigures(t.Context(), terms, []int{3}, func() (string, error) { return t.TempDir(), nil }, quiet)
 		measured(t, figures, err)
 	})
@@ -100,14 +100,14 @@
 // TestBadSizes: what can't be measured is told with its bound.
 func TestBadSizes(t *testing.T) {
 	for want, measure := range map[string]func() error{
-		"0 servers, at least 12": func() error { _, err := Lists(t.Context(), 0); return err },
-		"connections: 0":         func() error { _, err := Connections(t.Context(), 0); return err },
-		"reports: 0 gatherers":   func() error { _, err := Reports(t.Context(), 0); return err },
+		"0 servers, at least 12": func() error { _, err := MeasureLists(t.Context(), 0); return err },
+		"connections: 0":         func() error { _, err := MeasureConnections(t.Context(), 0); return err },
+		"reports: 0 gatherers":   func() error { _, err := MeasureReports(t.Context(), 0); return err },
 		"0 parts": func() error {
-			_, err := Decide(t.Context(), DecisionTerms{Servers: 1, Replicas: 1, Rate: 1, Seconds: 1})
+			_, err := MeasureDecisions(t.Context(), DecisionOptions{Servers: 1, Replicas: 1, Rate: 1, Seconds: 1})
 			return err
 		},
-		"0 stewards": func() error { _, err := Policies(t.Context(), PolicyTerms{Gatherers: 1}); return err },
+		"0 stewards": func() error { _, err := MeasurePolicies(t.Context(), PolicyOptions{Gatherers: 1}); return err },
 	} {
 		if err := measure(); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
--- a/internal/testbed/scale/unchanged_test.go
+++ b/internal/testbed/scale/unchanged_test.go
@@ -14,23 +14,23 @@
 		t.Skip("others may fuse multiplications, and the hashes were taken without")
 	}
 	for _, c := range []struct {
-		DecisionTerms
+		DecisionOptions
 		large bool
 		want  uint64
 	}{
-		{DecisionTerms{Servers: 60, Parts: 8, Replicas: 3, Rate: 100, Seconds: 10, Seed: 1}, false, 0x3a265b5328f2d269},
-		{DecisionTerms{Servers: 3000, Parts: 64, Replicas: 3, Rate: 50, Seconds: 6, Seed: 2}, false, 0x7d7b359e014661cc},
-		{DecisionTerms{Servers: 700, Parts: 64, Replicas: 43, Rate: 50, Seconds: 6, Seed: 3}, false, 0xc8a70d60d499a332},
-		{DecisionTerms{Servers: DesignServers, Parts: DesignParts, Replicas: 3, Rate: DesignQueryRate, Seconds: 8, Seed: 4}, true, 0xcc061ef74eda6dae},
+		{DecisionOptions{Servers: 60, ShardRequests: 8, Replicas: 3, Rate: 100, Seconds: 10, Seed: 1}, false, 0x3a265b5328f2d269},
+		{DecisionOptions{Servers: 3000, ShardRequests: 64, Replicas: 3, Rate: 50, Seconds: 6, Seed: 2}, false, 0x7d7b359e014661cc},
+		{DecisionOptions{Servers: 700, ShardRequests: 64, Replicas: 43, Rate: 50, Seconds: 6, Seed: 3}, false, 0xc8a70d60d499a332},
+		{DecisionOptions{Servers: DesignServers, ShardRequests: DesignShardRequests, Replicas: 3, Rate: DesignQueryRate, Seconds: 8, Seed: 4}, true, 0xcc061ef74eda6dae},
 	} {
 		if c.large && os.Getenv("YOKEROUTE_DESIGN_SIZE") == "" {
 			continue
 		}
-		t.Run(fmt.Sprintf("%d-servers-%d-parts", c.Servers, c.Parts), func(t *testing.T) {
-			q := newQueryLoad(c.DecisionTerms)
+		t.Run(fmt.Sprintf("%d-servers-%d-parts", c.Servers, c.ShardRequests), func(t *testing.T) {
+			q := newQueryLoad(c.DecisionOptions)
 			q.run(t.Context(), c.Seconds)
-			if got := q.written.Sum64(); got != c.want {
-				t.Errorf("%d calls come to %#x, before it was %#x", q.sent, got, c.want)
+			if got := q.decisions.Sum64(); got != c.want {
+				t.Errorf("%d calls come to %#x, before it was %#x", q.attemptsSent, got, c.want)
 			}
 		})
 	}
--- a/internal/testbed/standin/discoveryserver/directory.go
+++ b/internal/testbed/standin/discoveryserver/directory.go
@@ -14,26 +14,26 @@
 
 // Member is one entry of the list, as discovery words it.
 type Member struct {
-	ID       string  `json:"id"`
-	HostPort string  `json:"host_port"`
-	Locality string  `json:"locality"`
-	Flavor   string  `json:"flavor"`
-	Cell     int     `json:"cell"`
-	Phase    string  `json:"phase"` // in_service, terminating or, among changes, terminated
-	Size     float64 `json:"size"`
-	UpSince  float64 `json:"up_since_ms"`
+	ID         string  `json:"id"`
+	HostPort   string  `json:"host_port"`
+	Zone       string  `json:"locality"`
+	Kind       string  `json:"flavor"`
+	ReplicaSet int     `json:"cell"`
+	Phase      string  `json:"phase"` // in_service, terminating or, among changes, terminated
+	Size       float64 `json:"size"`
+	StartedAt  float64 `json:"up_since_ms"`
 }
 
 // Server answers gatherers.
 type Server struct {
-	http *http.Server
-	l    net.Listener
+	http     *http.Server
+	listener net.Listener
 
 	mu       sync.Mutex
 	revision int64
 	members  []Member
 	changes  []change // every change, against watches that come late
-	news     chan struct{}
+	changed  chan struct{}
 	silent   bool
 }
 
@@ -48,26 +48,26 @@
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{l: l, revision: 1, members: slices.Clone(members), news: make(chan struct{})}
+	s := &Server{listener: l, revision: 1, members: slices.Clone(members), changed: make(chan struct{})}
 	s.http = &http.Server{Handler: s.handler(func(m Member) Member { return m })}
 	go s.http.Serve(l)
 	return s, nil
 }
 
-// View answers on a listener of its own with entries as one gatherer has them: where it reaches a server may be its
+// ServeView answers on a listener of its own with entries as one gatherer has them: where it reaches a server may be its
 // own affair. It ends with its listener.
-func (s *Server) View(l net.Listener, entry func(Member) Member) {
+func (s *Server) ServeView(l net.Listener, entry func(Member) Member) {
 	go (&http.Server{Handler: s.handler(entry)}).Serve(l)
 }
 
 // Address is where it is reached.
-func (s *Server) Address() string { return s.l.Addr().String() }
+func (s *Server) Address() string { return s.listener.Addr().String() }
 
 // Close ends it.
 func (s *Server) Close() { s.http.Close() }
 
-// Change takes entries over: new ones, or what they are now. One that is terminated leaves the list.
-func (s *Server) Change(members ...Member) {
+// Update takes entries over: new ones, or what they are now. One that is terminated leaves the list.
+func (s *Server) Update(members ...Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.revision++
@@ -84,8 +84,8 @@
 			s.members = append(s.members, m)
 		}
 	}
-	close(s.news)
-	s.news = make(chan struct{})
+	close(s.changed)
+	s.changed = make(chan struct{})
 }
 
 // Members is the list as it stands.
@@ -95,8 +95,8 @@
 	return slices.Clone(s.members)
 }
 
-// Silence makes it answer nothing, or answer again.
-func (s *Server) Silence(on bool) {
+// SetSilent makes it answer nothing, or answer again.
+func (s *Server) SetSilent(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = on
@@ -128,7 +128,7 @@
 	defer until.Stop()
 	for {
 		s.mu.Lock()
-		answer, news, silent := reply{Revision: s.revision, Members: []Member{}}, s.news, s.silent
+		answer, news, silent := reply{Revision: s.revision, Members: []Member{}}, s.changed, s.silent
 		if !watch || after > s.revision {
 			answer.Complete, answer.Members = true, slices.Clone(s.members)
 		} else {
@@ -147,13 +147,13 @@
 			answer.Members[i] = entry(answer.Members[i])
 		}
 		if answer.Complete || len(answer.Members) > 0 {
-			s.say(w, answer)
+			s.writeReply(w, answer)
 			return
 		}
 		select {
 		case <-news:
 		case <-until.C:
-			s.say(w, answer)
+			s.writeReply(w, answer)
 			return
 		case <-r.Context().Done():
 			return
@@ -161,7 +161,7 @@
 	}
 }
 
-func (s *Server) say(w http.ResponseWriter, answer reply) {
+func (s *Server) writeReply(w http.ResponseWriter, answer reply) {
 	w.Header().Set("Content-Type", "application/json")
 	json.NewEncoder(w).Encode(answer) // an error is a gatherer that has gone
 }
--- a/internal/testbed/standin/segmentserver/owners.go
+++ b/internal/testbed/standin/segmentserver/owners.go
@@ -22,31 +22,31 @@
 	"yokeroute/logic/ownership"
 )
 
-// Ran is one claim that ran.
-type Ran struct {
-	Part  string // its name on the wire
-	Key   uint64
-	By    string // who claims
-	Given bool   // the key was free
-	Host  string
+// Execution is one claim that ran.
+type Execution struct {
+	RequestID string // its name on the wire
+	Key       uint64
+	Claimant  string // who claims
+	Granted   bool   // the key was free
+	Host      string
 }
 
-// Logs are what ran in each segment. They outlive hosts and can be reached by all that are not cut off.
-type Logs struct {
-	Unfenced bool // records of any epoch are taken, as if there were no fence: for showing that it is needed
+// SegmentLogs are what ran in each segment. They outlive hosts and can be reached by all that are not cut off.
+type SegmentLogs struct {
+	WithoutFencing bool // records of any epoch are taken, as if there were no fence: for showing that it is needed
 
-	mu   sync.Mutex
-	logs map[string]*ownership.SegmentLog
-	held map[uint64]string // who has a key
-	ran  []Ran
+	mu         sync.Mutex
+	logs       map[string]*ownership.SegmentLog
+	claims     map[uint64]string // who has a key
+	executions []Execution
 }
 
 // append writes a claim into a segment's log, under the epoch from which its owner holds the segment.
-func (l *Logs) append(segment string, since uint64, part string, key uint64, by, host string, view map[uint64]string) (given, taken bool) {
+func (l *SegmentLogs) append(segment string, since uint64, part string, key uint64, by, host string, view map[uint64]string) (given, taken bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	held := l.held
-	if l.Unfenced { // each host goes by what it has seen itself
+	held := l.claims
+	if l.WithoutFencing { // each host goes by what it has seen itself
 		held = view
 	} else if log := l.logs[segment]; log == nil || !log.Append(since) {
 		return false, false
@@ -54,20 +54,20 @@
 	_, has := held[key]
 	if !has {
 		held[key] = by
-		l.held[key] = by
+		l.claims[key] = by
 	}
-	l.ran = append(l.ran, Ran{part, key, by, !has, host})
+	l.executions = append(l.executions, Execution{part, key, by, !has, host})
 	return !has, true
 }
 
-// Ran are all claims that ran, in their order.
-func (l *Logs) Ran() []Ran {
+// Executions are all claims that ran, in their order.
+func (l *SegmentLogs) Executions() []Execution {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return slices.Clone(l.ran)
+	return slices.Clone(l.executions)
 }
 
-func (l *Logs) raise(c ownership.Change) {
+func (l *SegmentLogs) raiseEpochs(c ownership.Change) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, name := range c.Removed {
@@ -89,39 +89,39 @@
 
 // Host is one machine.
 type Host struct {
-	Name string
-	Work time.Duration // that a part takes
-
-	logs *Logs
-
-	mu       sync.Mutex
-	l        net.Listener
-	address  string
-	conns    map[net.Conn]bool
-	own      ownership.Host
-	draining bool
-	cut      bool // the authority can't reach it
-	noLogs   bool // it can't reach the logs
-	silent   int  // so many answers more are lost
-	view     map[uint64]string
-	moved    int
-	busy     int
+	Name     string
+	WorkTime time.Duration // that a part takes
+
+	logs *SegmentLogs
+
+	mu                    sync.Mutex
+	listener              net.Listener
+	address               string
+	conns                 map[net.Conn]bool
+	owned                 ownership.Host
+	draining              bool
+	authorityDisconnected bool // the authority can't reach it
+	logsDisconnected      bool // it can't reach the logs
+	answersToDrop         int  // so many answers more are lost
+	seenClaims            map[uint64]string
+	notOwnerCount         int
+	rejected              int
 }
 
 // NewHost starts a host that owns nothing.
-func NewHost(name string, logs *Logs, work time.Duration) (*Host, error) {
-	h := &Host{Name: name, Work: work, logs: logs, address: "127.0.0.1:0", view: map[uint64]string{}}
-	return h, h.Revive()
+func NewHost(name string, logs *SegmentLogs, work time.Duration) (*Host, error) {
+	h := &Host{Name: name, WorkTime: work, logs: logs, address: "127.0.0.1:0", seenClaims: map[uint64]string{}}
+	return h, h.Restart()
 }
 
-// Revive starts a killed host again at its old address. It believes what it believed before.
-func (h *Host) Revive() error {
+// Restart starts a killed host again at its old address. It believes what it believed before.
+func (h *Host) Restart() error {
 	l, err := net.Listen("tcp", h.Address())
 	if err != nil {
 		return err
 	}
 	h.mu.Lock()
-	h.l, h.address, h.conns = l, l.Addr().String(), map[net.Conn]bool{}
+	h.listener, h.address, h.conns = l, l.Addr().String(), map[net.Conn]bool{}
 	h.mu.Unlock()
 	go func() {
 		for {
@@ -130,7 +130,7 @@
 				return
 			}
 			h.mu.Lock()
-			if h.l != l {
+			if h.listener != l {
 				h.mu.Unlock()
 				c.Close()
 				return
@@ -154,11 +154,11 @@
 func (h *Host) Kill() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.l == nil {
+	if h.listener == nil {
 		return
 	}
-	h.l.Close()
-	h.l = nil
+	h.listener.Close()
+	h.listener = nil
 	for c := range h.conns {
 		c.(*net.TCPConn).SetLinger(0)
 		c.Close()
@@ -166,62 +166,62 @@
 	h.conns = nil
 }
 
-func (h *Host) set(change func()) {
+func (h *Host) update(change func()) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	change()
 }
 
-// Cut cuts the authority off from it, or lets it through again.
-func (h *Host) Cut(on bool) { h.set(func() { h.cut = on }) }
+// SetAuthorityDisconnected cuts the authority off from it, or lets it through again.
+func (h *Host) SetAuthorityDisconnected(on bool) { h.update(func() { h.authorityDisconnected = on }) }
 
-// CutLogs cuts it off from the logs, or lets it through again.
-func (h *Host) CutLogs(on bool) { h.set(func() { h.noLogs = on }) }
+// SetLogsDisconnected cuts it off from the logs, or lets it through again.
+func (h *Host) SetLogsDisconnected(on bool) { h.update(func() { h.logsDisconnected = on }) }
 
-// Drain lets it turn away what is new.
-func (h *Host) Drain(on bool) { h.set(func() { h.draining = on }) }
+// SetDraining lets it turn away what is new.
+func (h *Host) SetDraining(on bool) { h.update(func() { h.draining = on }) }
 
-// Lose loses its next answers.
-func (h *Host) Lose(answers int) { h.set(func() { h.silent = answers }) }
+// DropAnswers loses its next answers.
+func (h *Host) DropAnswers(answers int) { h.update(func() { h.answersToDrop = answers }) }
 
-// Moved is how many parts it has refused since it did not own their keys.
-func (h *Host) Moved() int {
+// NotOwnerCount is how many parts it has refused since it did not own their keys.
+func (h *Host) NotOwnerCount() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.moved
+	return h.notOwnerCount
 }
 
-// Owns is what it believes to own.
-func (h *Host) Owns() []ownership.OwnedSegment {
+// OwnedSegments is what it believes to own.
+func (h *Host) OwnedSegments() []ownership.OwnedSegment {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return slices.Clone(h.own.Segments)
+	return slices.Clone(h.owned.Segments)
 }
 
-var errCut = errors.New("the host can't be reached")
+var errUnreachable = errors.New("the host can't be reached")
 
-// order has the authority tell a host something.
-func (h *Host) order(do func(own *ownership.Host)) error {
+// command has the authority tell a host something.
+func (h *Host) command(do func(own *ownership.Host)) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.cut || h.l == nil {
-		return errCut
+	if h.authorityDisconnected || h.listener == nil {
+		return errUnreachable
 	}
-	do(&h.own)
+	do(&h.owned)
 	return nil
 }
 
 // Close ends it.
 func (h *Host) Close() { h.Kill() }
 
-// part is one piece of a call as it came.
-type part struct {
-	shardserver.Part
+// shardRequest is one piece of a call as it came.
+type shardRequest struct {
+	shardserver.ShardRequest
 	ownership.Request
 }
 
-// parse takes a call's body apart: the platform's lines with keys in their lists.
-func parse(body string) (parts []part, err error) {
+// parseShardRequests takes a call's body apart: the platform's lines with keys in their lists.
+func parseShardRequests(body string) (parts []shardRequest, err error) {
 	for body != "" {
 		line, rest, found := strings.Cut(body, "\n")
 		words := strings.Fields(line)
@@ -232,7 +232,7 @@
 		if err != nil || length < 0 || length > len(rest) {
 			return nil, fmt.Errorf("a part's line %.80q", line)
 		}
-		p := part{Part: shardserver.Part{ID: words[0], Text: rest[:length]}}
+		p := shardRequest{ShardRequest: shardserver.ShardRequest{ID: words[0], Payload: rest[:length]}}
 		for _, item := range strings.Split(words[2], ",") {
 			key, value, _ := strings.Cut(item, "=")
 			switch key {
@@ -281,13 +281,13 @@
 		}
 		switch letter {
 		case 'O':
-			parts, err := parse(body)
+			parts, err := parseShardRequests(body)
 			if err != nil {
 				send('E', err.Error())
 				return
 			}
 			for _, p := range parts {
-				go h.take(p, send)
+				go h.handle(p, send)
 			}
 		case 'X':
 		case 'P':
@@ -301,28 +301,28 @@
 	}
 }
 
-// take answers one piece.
-func (h *Host) take(p part, send func(letter byte, body string)) {
+// handle answers one piece.
+func (h *Host) handle(p shardRequest, send func(letter byte, body string)) {
 	h.mu.Lock()
-	answer := h.own.Admit(p.Request)
+	answer := h.owned.Admit(p.Request)
 	end, value := "ok", ""
 	switch {
 	case answer == ownership.NotOwner:
-		h.moved++
+		h.notOwnerCount++
 		end = "moved"
 	case h.draining:
-		h.busy++
+		h.rejected++
 		end = "busy"
 	}
 	h.mu.Unlock()
 	if end == "ok" {
-		time.Sleep(h.Work) // between deciding to run it and its effect, so that a hand-over can come in between
-		end, value = h.run(&p)
+		time.Sleep(h.WorkTime) // between deciding to run it and its effect, so that a hand-over can come in between
+		end, value = h.execute(&p)
 	}
 	h.mu.Lock()
-	lost := h.silent > 0
+	lost := h.answersToDrop > 0
 	if lost {
-		h.silent--
+		h.answersToDrop--
 	}
 	h.mu.Unlock()
 	if !lost {
@@ -330,10 +330,10 @@
 	}
 }
 
-// run does a piece's work. The text of a claim is `claim KEY WHO`; it is given by whoever has the key among its keys.
+// execute does a piece's work. The text of a claim is `claim KEY WHO`; it is given by whoever has the key among its keys.
 // Any other text reads, and says which keys were read where.
-func (h *Host) run(p *part) (end, value string) {
-	words := strings.Fields(p.Text)
+func (h *Host) execute(p *shardRequest) (end, value string) {
+	words := strings.Fields(p.Payload)
 	if len(words) != 3 || words[0] != "claim" {
 		return "ok", fmt.Sprintf("%s %s@%d on %s", p.Range.Text(), p.Segment, p.OwnedSince, h.Name)
 	}
@@ -345,12 +345,12 @@
 		return "ok", "not here"
 	}
 	h.mu.Lock()
-	cut := h.noLogs
+	cut := h.logsDisconnected
 	h.mu.Unlock()
 	if cut {
 		return "busy", "" // nothing was written, so that nothing has run
 	}
-	given, taken := h.logs.append(p.Segment, p.OwnedSince, p.ID, key, words[2], h.Name, h.view)
+	given, taken := h.logs.append(p.Segment, p.OwnedSince, p.ID, key, words[2], h.Name, h.seenClaims)
 	switch {
 	case !taken:
 		return "moved", ""
@@ -362,48 +362,48 @@
 
 // Authority hands segments over and tells who owns what.
 type Authority struct {
-	Logs  *Logs
-	http  *http.Server
-	l     net.Listener
-	hosts map[string]*Host
+	Logs     *SegmentLogs
+	http     *http.Server
+	listener net.Listener
+	hosts    map[string]*Host
 
 	mu      sync.Mutex
-	m       *ownership.Map
+	current *ownership.Map
 	changes []ownership.Change
-	news    chan struct{}
+	changed chan struct{}
 	silent  bool
-	twist   func(r *segments.Response) *segments.Response // what is told in place of the truth, nil for the truth
+	rewrite func(r *segments.Response) *segments.Response // what is told in place of the truth, nil for the truth
 }
 
-// Start starts an authority over hosts, with a first map, which the hosts are told.
-func Start(first *ownership.Map, hosts []*Host, logs *Logs) (*Authority, error) {
+// StartAuthority starts an authority over hosts, with a first map, which the hosts are told.
+func StartAuthority(first *ownership.Map, hosts []*Host, logs *SegmentLogs) (*Authority, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	logs.logs, logs.held = map[string]*ownership.SegmentLog{}, map[uint64]string{}
-	a := &Authority{Logs: logs, l: l, hosts: map[string]*Host{}, m: first, news: make(chan struct{})}
+	logs.logs, logs.claims = map[string]*ownership.SegmentLog{}, map[uint64]string{}
+	a := &Authority{Logs: logs, listener: l, hosts: map[string]*Host{}, current: first, changed: make(chan struct{})}
 	for _, h := range hosts {
 		a.hosts[h.Name] = h
 	}
 	for _, s := range first.Segments {
 		logs.logs[s.Name] = &ownership.SegmentLog{Epoch: s.OwnedSince}
-		a.accept(s)
+		a.acquire(s)
 	}
 	a.http = &http.Server{Handler: http.HandlerFunc(a.handle)}
 	go a.http.Serve(l)
 	return a, nil
 }
 
-// accept has the owners of a segment own it.
-func (a *Authority) accept(s ownership.Segment) error {
+// acquire has the owners of a segment own it.
+func (a *Authority) acquire(s ownership.Segment) error {
 	var errs []error
 	for i, name := range s.Owners {
 		h := a.hosts[name]
 		if h == nil {
 			return fmt.Errorf("no host %q", name)
 		}
-		errs = append(errs, h.order(func(own *ownership.Host) {
+		errs = append(errs, h.command(func(own *ownership.Host) {
 			own.Acquire(ownership.OwnedSegment{Name: s.Name, Range: s.Range, OwnedSince: s.OwnedSince, Writer: i == 0})
 		}))
 	}
@@ -411,7 +411,7 @@
 }
 
 // Address is where it is asked.
-func (a *Authority) Address() string { return a.l.Addr().String() }
+func (a *Authority) Address() string { return a.listener.Addr().String() }
 
 // Close ends it.
 func (a *Authority) Close() { a.http.Close() }
@@ -420,42 +420,42 @@
 func (a *Authority) Map() *ownership.Map {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.m
+	return a.current
 }
 
-// Silence lets it answer nobody, or answer again.
-func (a *Authority) Silence(on bool) {
+// SetSilent lets it answer nobody, or answer again.
+func (a *Authority) SetSilent(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.silent = on
 }
 
-// Twist changes what it tells: nil tells the truth again.
-func (a *Authority) Twist(twist func(r *segments.Response) *segments.Response) {
+// RewriteResponses changes what it tells: nil tells the truth again.
+func (a *Authority) RewriteResponses(twist func(r *segments.Response) *segments.Response) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.twist = twist
-	close(a.news)
-	a.news = make(chan struct{})
+	a.rewrite = twist
+	close(a.changed)
+	a.changed = make(chan struct{})
 }
 
-// Carry takes the steps of a hand-over up to one and not that. Old hosts that can't be reached are passed by where
+// RunUntil takes the steps of a hand-over up to one and not that. Old hosts that can't be reached are passed by where
 // that is safe; an error says which step could not be taken, and it can be tried again or undone.
-func (a *Authority) Carry(h *ownership.Handover, until ownership.Step) error {
+func (a *Authority) RunUntil(h *ownership.Handover, until ownership.Step) error {
 	for h.Step < until {
 		var old, new error
 		switch h.Step {
 		case ownership.Seal:
 			for _, s := range h.Previous {
 				for _, name := range s.Owners {
-					old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Seal(s.Name) }))
+					old = errors.Join(old, a.hosts[name].command(func(own *ownership.Host) { own.Seal(s.Name) }))
 				}
 			}
 		case ownership.Fence:
-			a.Logs.raise(h.Change)
+			a.Logs.raiseEpochs(h.Change)
 		case ownership.Accept:
 			for _, s := range h.Added {
-				new = errors.Join(new, a.accept(s))
+				new = errors.Join(new, a.acquire(s))
 			}
 		case ownership.Publish:
 			if err := a.Publish(h.Change); err != nil {
@@ -466,7 +466,7 @@
 			for _, s := range h.Previous {
 				for _, name := range s.Owners {
 					if i := next.Find(s.Name); i < 0 || !slices.Contains(next.Segments[i].Owners, name) {
-						old = errors.Join(old, a.hosts[name].order(func(own *ownership.Host) { own.Release(s.Name) }))
+						old = errors.Join(old, a.hosts[name].command(func(own *ownership.Host) { own.Release(s.Name) }))
 					}
 				}
 			}
@@ -479,8 +479,8 @@
 	return nil
 }
 
-// Undo takes back a hand-over that was not published.
-func (a *Authority) Undo(h *ownership.Handover) error {
+// Revert takes back a hand-over that was not published.
+func (a *Authority) Revert(h *ownership.Handover) error {
 	changes, err := h.Revert(a.Map())
 	if err != nil {
 		return err
@@ -488,7 +488,7 @@
 	for _, c := range changes {
 		one := ownership.NewHandover(a.Map(), c)
 		one.Step = ownership.Fence
-		if err := a.Carry(&one, ownership.Done); err != nil {
+		if err := a.RunUntil(&one, ownership.Done); err != nil {
 			return err
 		}
 	}
@@ -499,14 +499,14 @@
 func (a *Authority) Publish(c ownership.Change) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	next, err := a.m.Apply(c)
+	next, err := a.current.Apply(c)
 	if err != nil {
 		return err
 	}
-	a.m = next
+	a.current = next
 	a.changes = append(a.changes, c)
-	close(a.news)
-	a.news = make(chan struct{})
+	close(a.changed)
+	a.changed = make(chan struct{})
 	return nil
 }
 
@@ -518,10 +518,10 @@
 	until := time.After(time.Duration(wait) * time.Millisecond)
 	for {
 		a.mu.Lock()
-		silent, news, twist := a.silent, a.news, a.twist
+		silent, news, twist := a.silent, a.changed, a.rewrite
 		reply := &segments.Response{}
 		if after == 0 || len(a.changes) > 0 && after+1 < a.changes[0].Epoch {
-			reply.Full = a.m
+			reply.Full = a.current
 		} else {
 			for _, c := range a.changes {
 				if c.Epoch > after {
--- a/internal/testbed/standin/shardserver/content.go
+++ b/internal/testbed/standin/shardserver/content.go
@@ -15,18 +15,18 @@
 // in which segment. Its summaries are Bloom filters, so that a part may be told to hold something that holds
 // nothing, never the other way round.
 type Content struct {
-	Queries int
-	Holds   float64 // share of segments in which a query finds something
-	False   float64 // share of empty segments that a summary calls not empty; 0 is an exact one
-	Seed    uint64
+	Queries           int
+	HitShare          float64 // share of segments in which a query finds something
+	FalsePositiveRate float64 // share of empty segments that a summary calls not empty; 0 is an exact one
+	Seed              uint64
 
 	mu      sync.Mutex
 	version int
 	filters map[int]*bloom.BloomFilter // by segment, of the version
 }
 
-// Change makes all segments hold something else from now on.
-func (c *Content) Change() {
+// NextVersion makes all segments hold something else from now on.
+func (c *Content) NextVersion() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.version++
@@ -40,8 +40,8 @@
 	return c.version
 }
 
-// Has reports whether a query finds anything in a segment, at a version.
-func (c *Content) Has(query string, segment, version int) bool {
+// Matches reports whether a query finds anything in a segment, at a version.
+func (c *Content) Matches(query string, segment, version int) bool {
 	var key [24]byte
 	binary.LittleEndian.PutUint64(key[:], c.Seed)
 	binary.LittleEndian.PutUint64(key[8:], uint64(segment))
@@ -49,7 +49,7 @@
 	d := xxhash.New()
 	d.Write(key[:])
 	d.WriteString(query)
-	return float64(d.Sum64()>>11)/(1<<53) < c.Holds
+	return float64(d.Sum64()>>11)/(1<<53) < c.HitShare
 }
 
 // filter is a segment's summary. The lock is held.
@@ -60,9 +60,9 @@
 	if c.filters == nil {
 		c.filters = map[int]*bloom.BloomFilter{}
 	}
-	f := bloom.NewWithEstimates(uint(max(float64(c.Queries)*c.Holds, 1)), max(c.False, 1e-9))
+	f := bloom.NewWithEstimates(uint(max(float64(c.Queries)*c.HitShare, 1)), max(c.FalsePositiveRate, 1e-9))
 	for q := range c.Queries {
-		if name := "q" + strconv.Itoa(q); c.Has(name, segment, c.version) {
+		if name := "q" + strconv.Itoa(q); c.Matches(name, segment, c.version) {
 			f.AddString(name)
 		}
 	}
@@ -71,32 +71,32 @@
 }
 
 // Summary is the answer to a first pass.
-func (c *Content) Summary(p Part) []byte {
+func (c *Content) Summary(p ShardRequest) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	may := c.Has(p.Text, p.Shard, c.version)
-	if !may && c.False > 0 {
-		may = c.filter(p.Shard).TestString(p.Text)
+	may := c.Matches(p.Payload, p.Shard, c.version)
+	if !may && c.FalsePositiveRate > 0 {
+		may = c.filter(p.Shard).TestString(p.Payload)
 	}
 	if !may {
 		return fmt.Appendf(nil, "none v%d", c.version)
 	}
 	// What a server can know: how often its filter is right when it says yes.
-	likely := c.Holds / (c.Holds + c.False*(1-c.Holds))
-	return fmt.Appendf(nil, "some %d %.3f v%d", 1+len(p.Text)%5, likely, c.version)
+	likely := c.HitShare / (c.HitShare + c.FalsePositiveRate*(1-c.HitShare))
+	return fmt.Appendf(nil, "some %d %.3f v%d", 1+len(p.Payload)%5, likely, c.version)
 }
 
 // Answer is the answer to a call in full: empty where the segment holds nothing.
-func (c *Content) Answer(p Part) []byte {
+func (c *Content) Answer(p ShardRequest) []byte {
 	v := c.Version()
-	if !c.Has(p.Text, p.Shard, v) {
+	if !c.Matches(p.Payload, p.Shard, v) {
 		return []byte{}
 	}
-	return fmt.Appendf(nil, "%d:%s:v%d", p.Shard, p.Text, v)
+	return fmt.Appendf(nil, "%d:%s:v%d", p.Shard, p.Payload, v)
 }
 
-// Lookup is the name of the lookup that the part is of.
-func (p Part) Lookup() string {
+// QueryName is the name of the lookup that the part is of.
+func (p ShardRequest) QueryName() string {
 	name, _, _ := strings.Cut(p.ID, ".")
 	return name
 }
--- a/internal/testbed/standin/shardserver/shards.go
+++ b/internal/testbed/standin/shardserver/shards.go
@@ -21,147 +21,151 @@
 	"yokeroute/internal/pcg"
 )
 
-// Terms are what a machine is like.
-type Terms struct {
-	Cores    int
-	Work     float64 // milliseconds of one core that a part takes on average
-	Spread   float64 // standard deviation of that over the mean; the distribution is lognormal
-	CallWork float64 // milliseconds of one core that a call costs beside its parts
-	Queue    int     // parts that wait; further ones are turned away
-	Keeps    bool    // work goes on after a part was given up
-	Brief    float64 // milliseconds of one core that a part of a first pass takes; 0 for a machine that knows no first passes
-	Seed     uint64
+// Config are what a machine is like.
+type Config struct {
+	Cores              int
+	MeanWork           float64 // milliseconds of one core that a part takes on average
+	WorkVariation      float64 // standard deviation of that over the mean; the distribution is lognormal
+	CallWork           float64 // milliseconds of one core that a call costs beside its parts
+	QueueLimit         int     // parts that wait; further ones are turned away
+	KeepsCancelledWork bool    // work goes on after a part was given up
+	FirstPassWork      float64 // milliseconds of one core that a part of a first pass takes; 0 for a machine that knows no first passes
+	Seed               uint64
 }
 
-// Extension is how first passes are agreed on.
-const Extension = "two-phase 1"
+// FirstPassExtension is how first passes are agreed on.
+const FirstPassExtension = "two-phase 1"
 
-// Part is one part of a call as it came.
-type Part struct {
-	ID    string // the lookup's name, a dot, the shard
-	Shard int
-	Text  string
+// ShardRequest is one part of a call as it came.
+type ShardRequest struct {
+	ID      string // the lookup's name, a dot, the shard
+	Shard   int
+	Payload string
 }
 
-// Seen is what became of a part at a server, for who checks what truly ran.
-type Seen struct {
+// Event is what became of a part at a server, for who checks what truly ran.
+type Event struct {
 	At   time.Time
-	What string // came, ran, or started: the process, with no part
-	Part
-	Brief bool    // of a first pass
-	Work  float64 // milliseconds of one core
+	Kind string // came, ran, or started: the process, with no part
+	ShardRequest
+	FirstPass bool    // of a first pass
+	Work      float64 // milliseconds of one core
 }
 
 // Counts are what a server was asked and did.
 type Counts struct {
-	Calls, Parts        int     // that came
-	Answered, Busy      int     // parts
-	Failed, GivenUp     int     // parts
-	Briefs              int     // parts of first passes that came; they count among the parts as well
-	Hellos              int     // askings whether it knows first passes
-	Loads               int     // askings for its load
-	Wasted              int     // parts whose work was done though nobody waited for it any more
-	Worked              float64 // milliseconds of all cores together
-	Connections, Opened int
+	Calls, Requests                int     // that came
+	Answered, Rejected             int     // parts
+	Failed, Cancelled              int     // parts
+	FirstPassRequests              int     // parts of first passes that came; they count among the parts as well
+	Handshakes                     int     // askings whether it knows first passes
+	LoadReports                    int     // askings for its load
+	Wasted                         int     // parts whose work was done though nobody waited for it any more
+	WorkDone                       float64 // milliseconds of all cores together
+	Connections, ConnectionsOpened int
 }
 
 // Server is one machine.
 type Server struct {
-	terms Terms
-	ran   func(Part) []byte
-	sums  func(Part) []byte // the value of a part of a first pass
-
-	mu       sync.Mutex
-	l        net.Listener
-	address  string
-	chance   *pcg.Source
-	conns    map[*conn]bool
-	waiting  []*task
-	busy     int
-	slow     float64 // times that work takes
-	failing  float64 // share of parts that fail at once
-	garbled  float64 // share of first passes' parts that are answered by what can't be read
-	draining bool
-	tells    bool    // it tells its load,
-	latency  float64 // and this as the latency of its calls
-	hung     bool
-	counts   Counts
-	seen     func(Seen)
-	took     *hdrhistogram.Histogram // microseconds from a part's coming to its answer
-	origin   map[string]int          // parts by what stands before the first dash of their lookup's name
+	config  Config
+	answer  func(ShardRequest) []byte
+	summary func(ShardRequest) []byte // the value of a part of a first pass
+
+	mu              sync.Mutex
+	listener        net.Listener
+	address         string
+	random          *pcg.Source
+	conns           map[*conn]bool
+	queue           []*task
+	busyCores       int
+	slowdown        float64 // times that work takes
+	failureShare    float64 // share of parts that fail at once
+	garbledShare    float64 // share of first passes' parts that are answered by what can't be read
+	draining        bool
+	reportsLoad     bool    // it tells its load,
+	reportedLatency float64 // and this as the latency of its calls
+	hung            bool
+	counts          Counts
+	onEvent         func(Event)
+	latencies       *hdrhistogram.Histogram // microseconds from a part's coming to its answer
+	byOrigin        map[string]int          // parts by what stands before the first dash of their lookup's name
 }
 
 // task is a part that waits or is worked on.
 type task struct {
-	Part
-	on    *conn
-	came  time.Time
-	work  float64
-	brief bool // of a first pass
-	off   bool
-	begun bool
+	ShardRequest
+	conn       *conn
+	receivedAt time.Time
+	work       float64
+	firstPass  bool // of a first pass
+	cancelled  bool
+	started    bool
 }
 
 type conn struct {
 	net.Conn
-	s     *Server
-	write sync.Mutex
-	tasks map[string]*task
+	server  *Server
+	writeMu sync.Mutex
+	tasks   map[string]*task
 }
 
 // Start starts a machine on a free port of loopback. Ran gives the value of a part when its work is done; nil
 // gives the shard's number and the text.
-func Start(terms Terms, ran func(Part) []byte) (*Server, error) {
+func Start(terms Config, ran func(ShardRequest) []byte) (*Server, error) {
 	if ran == nil {
-		ran = func(p Part) []byte { return fmt.Appendf(nil, "%d:%s", p.Shard, p.Text) }
+		ran = func(p ShardRequest) []byte { return fmt.Appendf(nil, "%d:%s", p.Shard, p.Payload) }
 	}
-	some := func(Part) []byte { return []byte("some 1 1 v0") }
-	s := &Server{terms: terms, ran: ran, sums: some, chance: pcg.New(terms.Seed), conns: map[*conn]bool{}, slow: 1, origin: map[string]int{},
-		took: hdrhistogram.New(1, 60_000_000, 3), address: "127.0.0.1:0"}
-	return s, s.Revive()
+	some := func(ShardRequest) []byte { return []byte("some 1 1 v0") }
+	s := &Server{config: terms, answer: ran, summary: some, random: pcg.New(terms.Seed), conns: map[*conn]bool{}, slowdown: 1, byOrigin: map[string]int{},
+		latencies: hdrhistogram.New(1, 60_000_000, 3), address: "127.0.0.1:0"}
+	return s, s.Restart()
 }
 
-// Hold gives the machine's parts the values of a content, in first passes too.
-func (s *Server) Hold(c *Content) { s.set(func() { s.ran, s.sums = c.Answer, c.Summary }) }
+// SetContent gives the machine's parts the values of a content, in first passes too.
+func (s *Server) SetContent(c *Content) {
+	s.update(func() { s.answer, s.summary = c.Answer, c.Summary })
+}
 
-// Garble makes a share of the answers to first passes unreadable.
-func (s *Server) Garble(share float64) { s.set(func() { s.garbled = share }) }
+// SetGarbledShare makes a share of the answers to first passes unreadable.
+func (s *Server) SetGarbledShare(share float64) { s.update(func() { s.garbledShare = share }) }
 
-// Watch has all that comes, runs and starts told, in its order; it must neither block nor call the server.
-func (s *Server) Watch(seen func(Seen)) { s.set(func() { s.seen = seen }) }
+// OnEvent has all that comes, runs and starts told, in its order; it must neither block nor call the server.
+func (s *Server) OnEvent(seen func(Event)) { s.update(func() { s.onEvent = seen }) }
 
-// see tells what became of a part. The lock is held.
-func (s *Server) see(what string, p Part, brief bool, work float64) {
-	if s.seen != nil {
-		s.seen(Seen{time.Now(), what, p, brief, work})
+// notify tells what became of a part. The lock is held.
+func (s *Server) notify(what string, p ShardRequest, brief bool, work float64) {
+	if s.onEvent != nil {
+		s.onEvent(Event{time.Now(), what, p, brief, work})
 	}
 }
 
-// Speak makes it know first passes that take so much work, or none for 0: another build of it.
-func (s *Server) Speak(brief float64) { s.set(func() { s.terms.Brief = brief }) }
+// SetFirstPassWork makes it know first passes that take so much work, or none for 0: another build of it.
+func (s *Server) SetFirstPassWork(brief float64) { s.update(func() { s.config.FirstPassWork = brief }) }
 
-// Tell makes it tell its load when it is asked: parts waiting, and what its calls took lately.
-func (s *Server) Tell(latency float64) { s.set(func() { s.tells, s.latency = true, latency }) }
+// ReportLoad makes it tell its load when it is asked: parts waiting, and what its calls took lately.
+func (s *Server) ReportLoad(latency float64) {
+	s.update(func() { s.reportsLoad, s.reportedLatency = true, latency })
+}
 
-// load is its report.
-func (s *Server) load() string {
+// loadReport is its report.
+func (s *Server) loadReport() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.counts.Loads++; !s.tells {
+	if s.counts.LoadReports++; !s.reportsLoad {
 		return "-"
 	}
-	return fmt.Sprintf("queue=%d,latency_ms=%g", len(s.waiting), s.latency)
+	return fmt.Sprintf("queue=%d,latency_ms=%g", len(s.queue), s.reportedLatency)
 }
 
-// Revive starts a killed machine again at its old address.
-func (s *Server) Revive() error {
+// Restart starts a killed machine again at its old address.
+func (s *Server) Restart() error {
 	l, err := net.Listen("tcp", s.address)
 	if err != nil {
 		return err
 	}
 	s.mu.Lock()
-	s.l, s.address = l, l.Addr().String()
-	s.see("started", Part{}, false, 0)
+	s.listener, s.address = l, l.Addr().String()
+	s.notify("started", ShardRequest{}, false, 0)
 	s.mu.Unlock()
 	go func() {
 		for {
@@ -169,17 +173,17 @@
 			if err != nil {
 				return
 			}
-			c := &conn{Conn: nc, s: s, tasks: map[string]*task{}}
+			c := &conn{Conn: nc, server: s, tasks: map[string]*task{}}
 			s.mu.Lock()
-			if s.l != l {
+			if s.listener != l {
 				s.mu.Unlock()
 				nc.Close()
 				return
 			}
 			s.conns[c] = true
-			s.counts.Opened++
+			s.counts.ConnectionsOpened++
 			s.mu.Unlock()
-			go c.read()
+			go c.serve()
 		}
 	}()
 	return nil
@@ -196,34 +200,34 @@
 func (s *Server) Kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.l == nil {
+	if s.listener == nil {
 		return
 	}
-	s.l.Close()
-	s.l = nil
+	s.listener.Close()
+	s.listener = nil
 	for c := range s.conns {
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
 		for _, t := range c.tasks {
-			t.off = true
+			t.cancelled = true
 		}
 	}
-	s.conns, s.waiting = map[*conn]bool{}, nil
+	s.conns, s.queue = map[*conn]bool{}, nil
 }
 
-// Drain lets it turn away what is new, or take it again.
-func (s *Server) Drain(on bool) { s.set(func() { s.draining = on }) }
+// SetDraining lets it turn away what is new, or take it again.
+func (s *Server) SetDraining(on bool) { s.update(func() { s.draining = on }) }
 
-// Hang lets it take parts and answer none, or go on.
-func (s *Server) Hang(on bool) { s.set(func() { s.hung = on }) }
+// SetHung lets it take parts and answer none, or go on.
+func (s *Server) SetHung(on bool) { s.update(func() { s.hung = on }) }
 
-// Slow makes all work that begins from now on take so many times as long.
-func (s *Server) Slow(times float64) { s.set(func() { s.slow = times }) }
+// SetSlowdown makes all work that begins from now on take so many times as long.
+func (s *Server) SetSlowdown(times float64) { s.update(func() { s.slowdown = times }) }
 
-// Fail makes a share of the parts fail at once.
-func (s *Server) Fail(share float64) { s.set(func() { s.failing = share }) }
+// SetFailureShare makes a share of the parts fail at once.
+func (s *Server) SetFailureShare(share float64) { s.update(func() { s.failureShare = share }) }
 
-func (s *Server) set(change func()) {
+func (s *Server) update(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
@@ -238,40 +242,40 @@
 	return c
 }
 
-// Origins are its parts by what stands before the first dash of their lookup's name.
-func (s *Server) Origins() map[string]int {
+// RequestsByOrigin are its parts by what stands before the first dash of their lookup's name.
+func (s *Server) RequestsByOrigin() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	of := map[string]int{}
-	for name, n := range s.origin {
+	for name, n := range s.byOrigin {
 		of[name] = n
 	}
 	return of
 }
 
-// Took adds to a histogram the microseconds from each answered part's coming to its answer, and forgets them.
-func (s *Server) Took(into *hdrhistogram.Histogram) {
+// TakeLatencies adds to a histogram the microseconds from each answered part's coming to its answer, and forgets them.
+func (s *Server) TakeLatencies(into *hdrhistogram.Histogram) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	into.Merge(s.took)
-	s.took.Reset()
+	into.Merge(s.latencies)
+	s.latencies.Reset()
 }
 
 // Close ends it.
 func (s *Server) Close() { s.Kill() }
 
-// longestFrame bounds what one frame may hold.
-const longestFrame = 1 << 20
+// maxFrameBytes bounds what one frame may hold.
+const maxFrameBytes = 1 << 20
 
-// read takes frames until the connection ends.
-func (c *conn) read() {
+// serve takes frames until the connection ends.
+func (c *conn) serve() {
 	defer func() {
-		c.s.mu.Lock()
-		delete(c.s.conns, c)
+		c.server.mu.Lock()
+		delete(c.server.conns, c)
 		for _, t := range c.tasks {
-			c.s.giveUp(t)
+			c.server.cancelTask(t)
 		}
-		c.s.mu.Unlock()
+		c.server.mu.Unlock()
 		c.Close()
 	}()
 	r := bufio.NewReaderSize(c, 32<<10)
@@ -280,39 +284,39 @@
 		if err != nil {
 			return
 		}
-		c.s.mu.Lock()
-		speaks := c.s.terms.Brief > 0
+		c.server.mu.Lock()
+		speaks := c.server.config.FirstPassWork > 0
 		if letter == 'H' {
-			c.s.counts.Hellos++
+			c.server.counts.Handshakes++
 		}
-		c.s.mu.Unlock()
+		c.server.mu.Unlock()
 		if (letter == 'S' || letter == 'H') && !speaks {
 			letter = 0 // as one that has never heard of it
 		}
 		switch letter {
 		case 'Q', 'S':
-			parts, err := ParseCall(body)
+			parts, err := ParseShardRequests(body)
 			if err != nil {
 				c.send('E', err.Error())
 				return
 			}
-			c.s.take(c, parts, letter == 'S')
+			c.server.receive(c, parts, letter == 'S')
 		case 'H':
-			if body != Extension {
+			if body != FirstPassExtension {
 				c.send('E', "an extension that is not known here")
 				return
 			}
-			c.send('H', Extension)
+			c.send('H', FirstPassExtension)
 		case 'X':
-			c.s.mu.Lock()
+			c.server.mu.Lock()
 			if t := c.tasks[body]; t != nil {
-				c.s.giveUp(t)
+				c.server.cancelTask(t)
 			}
-			c.s.mu.Unlock()
+			c.server.mu.Unlock()
 		case 'P':
 			c.send('P', "ok")
 		case 'L':
-			c.send('L', c.s.load())
+			c.send('L', c.server.loadReport())
 		default:
 			c.send('E', fmt.Sprintf("a frame with the letter %q", letter))
 			return
@@ -327,7 +331,7 @@
 		return 0, "", err
 	}
 	n := binary.LittleEndian.Uint32(head[:])
-	if n < 1 || n > longestFrame {
+	if n < 1 || n > maxFrameBytes {
 		return 0, "", fmt.Errorf("a frame of %d bytes", n)
 	}
 	text := make([]byte, n)
@@ -337,8 +341,8 @@
 	return text[0], string(text[1:]), nil
 }
 
-// ParseCall takes a call's body apart.
-func ParseCall(body string) (parts []Part, err error) {
+// ParseShardRequests takes a call's body apart.
+func ParseShardRequests(body string) (parts []ShardRequest, err error) {
 	for body != "" {
 		line, rest, found := strings.Cut(body, "\n")
 		words := strings.Fields(line)
@@ -350,7 +354,7 @@
 		if err := errors.Join(err1, err2); err != nil || length < 0 || length > len(rest) {
 			return nil, fmt.Errorf("a part's line %.80q", line)
 		}
-		parts = append(parts, Part{ID: words[0], Shard: shard, Text: rest[:length]})
+		parts = append(parts, ShardRequest{ID: words[0], Shard: shard, Payload: rest[:length]})
 		body = rest[length:]
 	}
 	if len(parts) == 0 {
@@ -362,122 +366,122 @@
 func (c *conn) send(letter byte, body string) {
 	text := binary.LittleEndian.AppendUint32(make([]byte, 0, 5+len(body)), uint32(1+len(body)))
 	text = append(append(text, letter), body...)
-	c.write.Lock()
-	defer c.write.Unlock()
+	c.writeMu.Lock()
+	defer c.writeMu.Unlock()
 	c.SetWriteDeadline(time.Now().Add(5 * time.Second)) // against one that does not read
 	c.Write(text)
 }
 
-// answer ends a part on the wire.
-func (c *conn) answer(id, end string, value []byte) {
+// sendAnswer ends a part on the wire.
+func (c *conn) sendAnswer(id, end string, value []byte) {
 	c.send('A', id+" "+end+" 1 -\n"+string(value))
 }
 
-// take takes the parts of a call. The call's own work is done with its first part.
-func (s *Server) take(c *conn, parts []Part, brief bool) {
+// receive takes the parts of a call. The call's own work is done with its first part.
+func (s *Server) receive(c *conn, parts []ShardRequest, brief bool) {
 	s.mu.Lock()
 	s.counts.Calls++
-	extra := s.terms.CallWork
+	extra := s.config.CallWork
 	var busy, failed []string
 	for _, p := range parts {
-		s.counts.Parts++
+		s.counts.Requests++
 		if brief {
-			s.counts.Briefs++
+			s.counts.FirstPassRequests++
 		}
 		from, _, _ := strings.Cut(p.ID, "-")
-		s.origin[from]++
+		s.byOrigin[from]++
 		switch {
-		case s.draining || s.terms.Queue > 0 && len(s.waiting) >= s.terms.Queue:
-			s.counts.Busy++
+		case s.draining || s.config.QueueLimit > 0 && len(s.queue) >= s.config.QueueLimit:
+			s.counts.Rejected++
 			busy = append(busy, p.ID)
-			s.see("came", p, brief, s.terms.Work)
-		case s.failing > 0 && s.chance.Float64() < s.failing:
+			s.notify("came", p, brief, s.config.MeanWork)
+		case s.failureShare > 0 && s.random.Float64() < s.failureShare:
 			s.counts.Failed++
 			failed = append(failed, p.ID)
-			s.see("came", p, brief, s.terms.Work)
-			s.see("ran", p, brief, 0) // it may have
+			s.notify("came", p, brief, s.config.MeanWork)
+			s.notify("ran", p, brief, 0) // it may have
 		default:
-			t := &task{Part: p, on: c, came: time.Now(), work: extra + s.draw(brief), brief: brief}
+			t := &task{ShardRequest: p, conn: c, receivedAt: time.Now(), work: extra + s.drawWork(brief), firstPass: brief}
 			extra = 0
 			c.tasks[p.ID] = t
-			s.see("came", p, brief, t.work)
-			s.waiting = append(s.waiting, t)
+			s.notify("came", p, brief, t.work)
+			s.queue = append(s.queue, t)
 		}
 	}
-	s.next()
+	s.startTasks()
 	s.mu.Unlock()
 	for _, id := range busy {
-		c.answer(id, "busy", nil)
+		c.sendAnswer(id, "busy", nil)
 	}
 	for _, id := range failed {
-		c.answer(id, "err", nil)
+		c.sendAnswer(id, "err", nil)
 	}
 }
 
-// draw is the work of one part, lognormal by Box and Muller.
-func (s *Server) draw(brief bool) float64 {
-	work := s.terms.Work
+// drawWork is the work of one part, lognormal by Box and Muller.
+func (s *Server) drawWork(brief bool) float64 {
+	work := s.config.MeanWork
 	if brief {
-		work = s.terms.Brief
+		work = s.config.FirstPassWork
 	}
-	if s.terms.Spread == 0 {
+	if s.config.WorkVariation == 0 {
 		return work
 	}
-	sigma2 := math.Log(1 + s.terms.Spread*s.terms.Spread)
-	z := math.Sqrt(-2*math.Log(1-s.chance.Float64())) * math.Cos(2*math.Pi*s.chance.Float64())
+	sigma2 := math.Log(1 + s.config.WorkVariation*s.config.WorkVariation)
+	z := math.Sqrt(-2*math.Log(1-s.random.Float64())) * math.Cos(2*math.Pi*s.random.Float64())
 	return work * math.Exp(math.Sqrt(sigma2)*z-sigma2/2)
 }
 
-// next begins work while cores are free. The lock is held.
-func (s *Server) next() {
-	for s.busy < s.terms.Cores && len(s.waiting) > 0 && !s.hung {
-		t := s.waiting[0]
-		s.waiting = s.waiting[1:]
-		if t.off {
+// startTasks begins work while cores are free. The lock is held.
+func (s *Server) startTasks() {
+	for s.busyCores < s.config.Cores && len(s.queue) > 0 && !s.hung {
+		t := s.queue[0]
+		s.queue = s.queue[1:]
+		if t.cancelled {
 			continue
 		}
-		t.begun = true
-		s.see("ran", t.Part, t.brief, t.work)
-		s.busy++
-		took := t.work * s.slow
-		time.AfterFunc(time.Duration(took*1e6), func() { s.done(t, took) })
+		t.started = true
+		s.notify("ran", t.ShardRequest, t.firstPass, t.work)
+		s.busyCores++
+		took := t.work * s.slowdown
+		time.AfterFunc(time.Duration(took*1e6), func() { s.finishTask(t, took) })
 	}
 }
 
-// done ends a part's work.
-func (s *Server) done(t *task, took float64) {
+// finishTask ends a part's work.
+func (s *Server) finishTask(t *task, took float64) {
 	s.mu.Lock()
-	s.busy--
-	s.counts.Worked += took
-	s.next()
-	alive := s.conns[t.on] && t.on.tasks[t.ID] == t && !t.off && !s.hung
+	s.busyCores--
+	s.counts.WorkDone += took
+	s.startTasks()
+	alive := s.conns[t.conn] && t.conn.tasks[t.ID] == t && !t.cancelled && !s.hung
 	if alive {
-		delete(t.on.tasks, t.ID)
+		delete(t.conn.tasks, t.ID)
 		s.counts.Answered++
-		s.took.RecordValue(time.Since(t.came).Microseconds())
+		s.latencies.RecordValue(time.Since(t.receivedAt).Microseconds())
 	} else {
 		s.counts.Wasted++
 	}
-	value := s.ran
-	if t.brief {
-		value = s.sums
-		if s.garbled > 0 && s.chance.Float64() < s.garbled {
-			value = func(Part) []byte { return []byte("some -3 7 v1") }
+	value := s.answer
+	if t.firstPass {
+		value = s.summary
+		if s.garbledShare > 0 && s.random.Float64() < s.garbledShare {
+			value = func(ShardRequest) []byte { return []byte("some -3 7 v1") }
 		}
 	}
 	s.mu.Unlock()
-	if text := value(t.Part); alive {
-		t.on.answer(t.ID, "ok", text)
+	if text := value(t.ShardRequest); alive {
+		t.conn.sendAnswer(t.ID, "ok", text)
 	}
 }
 
-// giveUp takes a part off; work that has begun goes on. The lock is held.
-func (s *Server) giveUp(t *task) {
-	if !t.off {
-		s.counts.GivenUp++
+// cancelTask takes a part off; work that has begun goes on. The lock is held.
+func (s *Server) cancelTask(t *task) {
+	if !t.cancelled {
+		s.counts.Cancelled++
 	}
-	if t.off = true; s.terms.Keeps && !t.begun {
-		t.off = false // it is worked on all the same, for nobody
+	if t.cancelled = true; s.config.KeepsCancelledWork && !t.started {
+		t.cancelled = false // it is worked on all the same, for nobody
 	}
-	delete(t.on.tasks, t.ID)
+	delete(t.conn.tasks, t.ID)
 }
--- a/internal/testbed/standin/standin.go
+++ b/internal/testbed/standin/standin.go
@@ -12,17 +12,17 @@
 	"testing"
 )
 
-// Part is one part of a call as it came.
-type Part struct {
-	ID, List, Text string
-	Shard          int
+// ShardRequest is one part of a call as it came.
+type ShardRequest struct {
+	ID, Attributes, Payload string
+	Shard                   int
 }
 
 // Frame is one frame as it came.
 type Frame struct {
-	Letter byte
-	Body   string
-	Parts  []Part
+	Type     byte
+	Body     string
+	Requests []ShardRequest
 }
 
 // Shard is a listener that a test drives by hand.
@@ -74,8 +74,8 @@
 	if _, err := io.ReadFull(c.r, body); err != nil {
 		return Frame{}
 	}
-	f := Frame{Letter: body[0], Body: string(body[1:])}
-	for rest := f.Body; f.Letter == 'Q' && rest != ""; {
+	f := Frame{Type: body[0], Body: string(body[1:])}
+	for rest := f.Body; f.Type == 'Q' && rest != ""; {
 		line, after, _ := strings.Cut(rest, "\n")
 		words := strings.Fields(line)
 		if len(words) != 4 {
@@ -84,7 +84,7 @@
 		}
 		length, _ := strconv.Atoi(words[3])
 		shard, _ := strconv.Atoi(words[1])
-		f.Parts = append(f.Parts, Part{ID: words[0], List: words[2], Text: after[:length], Shard: shard})
+		f.Requests = append(f.Requests, ShardRequest{ID: words[0], Attributes: words[2], Payload: after[:length], Shard: shard})
 		rest = after[length:]
 	}
 	return f
