--- a/internal/testbed/standin/shardserver/content.go
+++ b/internal/testbed/standin/shardserver/content.go
@@ -11,21 +11,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Content is what the segments of a fleet hold, drawn by a seed: which of so many queries, q0 to qN, find anything
-// in which segment. Its summaries are Bloom filters, so that a part may be told to hold something that holds
-// nothing, never the other way round.
+// Content is what the segments of a fleet hold: it says which of so many queries, q0 to qN, match in which segment, by
+// a seed. Its summaries are Bloom filters: they may have false positives, never false negatives.
 type Content struct {
 	Queries           int
-	HitShare          float64 // share of segments in which a query finds something
-	FalsePositiveRate float64 // share of empty segments that a summary calls not empty; 0 is an exact one
+	HitShare          float64 // the share of segments in which a query matches
+	FalsePositiveRate float64 // of summaries; 0 for exact ones
 	Seed              uint64
 
 	mu      sync.Mutex
 	version int
-	filters map[int]*bloom.BloomFilter // by segment, of the version
+	filters map[int]*bloom.BloomFilter // of the version, by segment
 }
 
-// NextVersion makes all segments hold something else from now on.
+// NextVersion changes what all segments hold.
 func (c *Content) NextVersion() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,26 +32,30 @@
 	c.filters = nil
 }
 
-// Version is that of the content as it is now.
+// Version returns the version of what the segments hold now.
 func (c *Content) Version() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.version
 }
 
-// Matches reports whether a query finds anything in a segment, at a version.
+// Matches reports whether a query matches in a segment at a version.
 func (c *Content) Matches(query string, segment, version int) bool {
 	var key [24]byte
 	binary.LittleEndian.PutUint64(key[:], c.Seed)
 	binary.LittleEndian.PutUint64(key[8:], uint64(segment))
 	binary.LittleEndian.PutUint64(key[16:], uint64(version))
 	d := xxhash.New()
-	d.Write(key[:])
-	d.WriteString(query)
-	return float64(d.Sum64()>>11)/(1<<53) < c.HitShare
+	_, _ = d.Write(key[:]) // a hash accepts any bytes
+	_, _ = d.WriteString(query)
+	const randomBits = 53 // those of a float64's mantissa
+	return float64(d.Sum64()>>(64-randomBits))/(1<<randomBits) < c.HitShare
 }
 
-// filter is a segment's summary. The lock is held.
+// minFalsePositiveRate keeps the filters of exact summaries finite.
+const minFalsePositiveRate = 1e-9
+
+// filter returns a segment's filter. The lock is held.
 func (c *Content) filter(segment int) *bloom.BloomFilter {
 	if f := c.filters[segment]; f != nil {
 		return f
@@ -60,7 +63,8 @@
 	if c.filters == nil {
 		c.filters = map[int]*bloom.BloomFilter{}
 	}
-	f := bloom.NewWithEstimates(uint(max(float64(c.Queries)*c.HitShare, 1)), max(c.FalsePositiveRate, 1e-9))
+	items := uint(max(float64(c.Queries)*c.HitShare, 1))
+	f := bloom.NewWithEstimates(items, max(c.FalsePositiveRate, minFalsePositiveRate))
 	for q := range c.Queries {
 		if name := "q" + strconv.Itoa(q); c.Matches(name, segment, c.version) {
 			f.AddString(name)
@@ -70,33 +74,33 @@
 	return f
 }
 
-// Summary is the answer to a first pass.
-func (c *Content) Summary(p ShardRequest) []byte {
+// Summary returns the answer to a first pass.
+func (c *Content) Summary(r ShardRequest) []byte {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	may := c.Matches(p.Payload, p.Shard, c.version)
-	if !may && c.FalsePositiveRate > 0 {
-		may = c.filter(p.Shard).TestString(p.Payload)
+	positive := c.Matches(r.Payload, r.Shard, c.version)
+	if !positive && c.FalsePositiveRate > 0 {
+		positive = c.filter(r.Shard).TestString(r.Payload)
 	}
-	if !may {
+	if !positive {
 		return fmt.Appendf(nil, "none v%d", c.version)
 	}
-	// What a server can know: how often its filter is right when it says yes.
-	likely := c.HitShare / (c.HitShare + c.FalsePositiveRate*(1-c.HitShare))
-	return fmt.Appendf(nil, "some %d %.3f v%d", 1+len(p.Payload)%5, likely, c.version)
+	// How often its filter is right about a positive is what a server can know.
+	precision := c.HitShare / (c.HitShare + c.FalsePositiveRate*(1-c.HitShare))
+	return fmt.Appendf(nil, "some %d %.3f v%d", 1+len(r.Payload)%5, precision, c.version)
 }
 
-// Answer is the answer to a call in full: empty where the segment holds nothing.
-func (c *Content) Answer(p ShardRequest) []byte {
-	v := c.Version()
-	if !c.Matches(p.Payload, p.Shard, v) {
+// Answer returns the answer to a full request, empty if nothing matches.
+func (c *Content) Answer(r ShardRequest) []byte {
+	version := c.Version()
+	if !c.Matches(r.Payload, r.Shard, version) {
 		return []byte{}
 	}
-	return fmt.Appendf(nil, "%d:%s:v%d", p.Shard, p.Payload, v)
+	return fmt.Appendf(nil, "%d:%s:v%d", r.Shard, r.Payload, version)
 }
 
-// QueryName is the name of the lookup that the part is of.
-func (p ShardRequest) QueryName() string {
-	name, _, _ := strings.Cut(p.ID, ".")
+// QueryName returns the name of the shard request's query.
+func (r ShardRequest) QueryName() string {
+	name, _, _ := strings.Cut(r.ID, ".")
 	return name
 }
--- a/internal/testbed/standin/standin.go
+++ b/internal/testbed/standin/standin.go
@@ -1,37 +1,39 @@
-// Package standin is what the tests put in place of shard servers and discovery, on loopback.
+// Package standin is a shard server for tests that drive each frame by hand, on loopback. Its folders hold stand-ins
+// that run by themselves.
 package standin
 
 import (
 	"bufio"
-	"encoding/binary"
 	"fmt"
-	"io"
 	"net"
 	"strconv"
-	"strings"
 	"testing"
+
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
-// ShardRequest is one part of a call as it came.
+// ShardRequest is one shard request of a call.
 type ShardRequest struct {
-	ID, Attributes, Payload string
-	Shard                   int
+	ID         string
+	Attributes string // the third field of its line
+	Payload    string
+	Shard      int
 }
 
-// Frame is one frame as it came.
+// Frame is one frame of a gatherer.
 type Frame struct {
-	Type     byte
+	Type     byte // 0 at the end of the connection
 	Body     string
-	Requests []ShardRequest
+	Requests []ShardRequest // of a call
 }
 
-// Shard is a listener that a test drives by hand.
+// Shard is a listener whose connections a test drives.
 type Shard struct {
 	net.Listener
 	t *testing.T
 }
 
-// Conn is one connection that it has accepted.
+// Conn is one accepted connection.
 type Conn struct {
 	net.Conn
 	t *testing.T
@@ -45,66 +47,60 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	return &Shard{l, t}
+	return &Shard{Listener: l, t: t}
 }
 
-// Address is where it is reached.
+// Address returns the address that it listens on.
 func (s *Shard) Address() string { return s.Addr().String() }
 
-// Take waits for the next connection.
+// Take waits for the next connection. It is closed when the test ends.
 func (s *Shard) Take() *Conn {
 	nc, err := s.Accept()
 	if err != nil {
 		s.t.Fatal(err)
 	}
 	s.t.Cleanup(func() { nc.Close() })
-	return &Conn{nc, s.t, bufio.NewReader(nc)}
+	return NewConn(s.t, nc)
 }
 
-// NewConn takes a connection that something else has accepted.
-func NewConn(t *testing.T, nc net.Conn) *Conn { return &Conn{nc, t, bufio.NewReader(nc)} }
+// NewConn returns a connection that something else has accepted.
+func NewConn(t *testing.T, nc net.Conn) *Conn { return &Conn{Conn: nc, t: t, r: bufio.NewReader(nc)} }
 
-// Read waits for the next frame; at the connection's end its letter is 0.
+// Read waits for the next frame. At the end of the connection its type is 0.
 func (c *Conn) Read() Frame {
-	var head [4]byte
-	if _, err := io.ReadFull(c.r, head[:]); err != nil {
+	frameType, body, err := shardserver.ReadFrame(c.r)
+	if err != nil {
 		return Frame{}
 	}
-	body := make([]byte, binary.LittleEndian.Uint32(head[:]))
-	if _, err := io.ReadFull(c.r, body); err != nil {
-		return Frame{}
+	f := Frame{Type: frameType, Body: body}
+	if f.Type != 'Q' {
+		return f
 	}
-	f := Frame{Type: body[0], Body: string(body[1:])}
-	for rest := f.Body; f.Type == 'Q' && rest != ""; {
-		line, after, _ := strings.Cut(rest, "\n")
-		words := strings.Fields(line)
-		if len(words) != 4 {
-			c.t.Errorf("a part's line: %q", line)
-			return f
-		}
-		length, _ := strconv.Atoi(words[3])
-		shard, _ := strconv.Atoi(words[1])
-		f.Requests = append(f.Requests, ShardRequest{ID: words[0], Attributes: words[2], Payload: after[:length], Shard: shard})
-		rest = after[length:]
+	err = shardserver.VisitShardRequests(body, func(fields [4]string, payload string) error {
+		shard, _ := strconv.Atoi(fields[1])
+		f.Requests = append(f.Requests, ShardRequest{ID: fields[0], Attributes: fields[2], Payload: payload, Shard: shard})
+		return nil
+	})
+	if err != nil {
+		c.t.Errorf("call: %v", err)
 	}
 	return f
 }
 
 // Write sends a frame.
-func (c *Conn) Write(letter byte, body string) {
-	text := binary.LittleEndian.AppendUint32(nil, uint32(1+len(body)))
-	if _, err := c.Conn.Write(append(append(text, letter), body...)); err != nil {
+func (c *Conn) Write(frameType byte, body string) {
+	if _, err := c.Conn.Write(shardserver.EncodeFrame(frameType, body)); err != nil {
 		c.t.Log(err)
 	}
 }
 
-// Answer ends a part.
+// Answer ends a shard request.
 func (c *Conn) Answer(id, end, value string) {
 	c.Write('A', fmt.Sprintf("%s %s 1 -\n%s", id, end, value))
 }
 
-// Reset breaks the connection the hard way.
+// Reset resets the connection.
 func (c *Conn) Reset() {
-	c.Conn.(*net.TCPConn).SetLinger(0)
+	shardserver.ResetOnClose(c.Conn)
 	c.Close()
 }
