--- a/cmd/yokeroute/rollout.go
+++ b/cmd/yokeroute/rollout.go
@@ -102,16 +102,12 @@
 	addOutputFlag(cmd, &o.output)
 	cmd.Flags().BoolVar(&o.takeOver, "take-over", false,
 		"from a process that carries it out and stands still; that one does nothing any more, should it go on")
-	cmd.Flags().StringVar(&o.logLevel, "log-level", "info", "least level that is logged: debug, info, warning, error")
-}
-
-func addOutputFlag(cmd *cobra.Command, output *string) {
-	cmd.Flags().StringVarP(output, "output", "o", "text", "form of the answer: text or json")
+	addLogLevelFlag(cmd, &o.logLevel)
 }
 
 // runController carries a rollout out until it ends or the process is told to end.
 func (o *controllerOptions) runController(cmd *cobra.Command, p *rollout.Plan) error {
-	log, err := logger(cmd.ErrOrStderr(), o.logLevel)
+	log, err := newLogger(cmd.ErrOrStderr(), o.logLevel)
 	if err != nil {
 		return err
 	}
@@ -239,9 +235,9 @@
 // printStatus writes a status as text or JSON.
 func printStatus(w io.Writer, s *rollout.Status, output string) error {
 	switch output {
-	case "json":
+	case outputJSON:
 		return json.NewEncoder(w).Encode(s)
-	case "text":
+	case outputText:
 	default:
 		return fmt.Errorf("--output %q: is neither text nor json", output)
 	}
--- a/internal/control/rollout/round.go
+++ b/internal/control/rollout/round.go
@@ -8,7 +8,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"yokeroute/internal/storage/statedir"
+	"yokeroute/internal/storage/runfolder"
 	"yokeroute/logic/rollout"
 )
 
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	c.logDecision(d)
-	// The status is published before the steps start: after a kill it tells what was about to be done.
+	// The status is published before the steps start: after a kill it shows what was about to be done.
 	s := c.buildStatus(&o, d)
 	if err := c.publish(s); err != nil {
 		return s, err
@@ -177,7 +177,7 @@
 		return err
 	}
 	c.lastCommand = stamped
-	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandTaken, Command: stamped}); err != nil {
+	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandApplied, Command: stamped}); err != nil {
 		return err
 	}
 	const reason = "by the operator's word"
@@ -194,5 +194,5 @@
 
 // SendCommand leaves an operator's command for the controller, the one of now or the next one.
 func SendCommand(folder, command string) error {
-	return statedir.SendCommand(folder, command, time.Now().UnixNano())
+	return runfolder.SendCommand(folder, command, time.Now().UnixNano())
 }
--- a/internal/gatherer/service/migrated_test.go
+++ b/internal/gatherer/service/migration_test.go
@@ -13,11 +13,11 @@
 	"yokeroute/internal/testbed/standin/shardserver"
 )
 
-// TestMigrated moves a configuration to a fleet whose servers tell their load only when asked, whose list is asked
-// for and which allows no second copies. What comes out serves; a server that hangs is seen by what it tells, and
-// no part has two calls out at once.
-func TestMigrated(t *testing.T) {
-	fleet, address, end := start(t, &operator.File{}, func(i int) experiment.Machine {
+// TestMigratedConfigurationServes moves a configuration to a fleet whose servers tell their load only when asked,
+// whose list is asked for and which allows no second copies. What comes out serves; a server that hangs is seen by
+// what it tells, and no part has two calls out at once.
+func TestMigratedConfigurationServes(t *testing.T) {
+	fleet, address, end := startGatherer(t, &operator.File{}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: []string{"a", "b"}[i%2], Kind: "k", ReplicaSet: i,
 			Config: shardserver.Config{Cores: 2, MeanWork: 8, WorkVariation: 0.5, QueueLimit: 40, Seed: uint64(i)}}
 	}, func(text string) string {
@@ -36,7 +36,9 @@
 	}
 	hung := fleet.Servers["m2"]
 	hung.SetHung(true)
-	load := experiment.Load{Origin: "any", Address: address, Class: "any", Rate: 60, ShardRequests: 4, Shards: 6, Deadline: 1500 * time.Millisecond, Seed: 1}
+	load := experiment.Load{
+		Origin: "any", Address: address, Class: "any", Rate: 60, ShardRequests: 4, Shards: 6, Deadline: 1500 * time.Millisecond, Seed: 1,
+	}
 	out := experiment.Play(t.Context(), load, 3*time.Second, time.Second)
 	end()
 	if out.Sent < 100 || out.Served < out.Sent*95/100 || out.Errors > 0 {
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -169,13 +169,13 @@
 	if err != nil {
 		return "", err
 	}
-	var list []placementfile.Listed
+	var list []placementfile.NamedEndpoint
 	for i, m := range fleet.Machines {
-		l := placementfile.Listed{Name: m.Name}
+		l := placementfile.NamedEndpoint{Name: m.Name}
 		l.ID, l.ReplicaSet, l.Zone, l.Kind = uint32(i), m.ReplicaSet, m.Zone, m.Kind
 		list = append(list, l)
 	}
-	model, err := f.WithList(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
+	model, err := f.WithEndpoints(list, &gather.Settings{ReplicaSets: 3, ReplicaSetsPerShard: 1}, now)
 	if err != nil {
 		return "", err
 	}
@@ -184,7 +184,7 @@
 		return "", err
 	}
 	if clash != nil {
-		return "", fmt.Errorf("nothing fits: %s", clash.Words(func(n int64) string { return fmt.Sprint(n) }))
+		return "", fmt.Errorf("nothing fits: %s", clash.Describe(func(n int64) string { return fmt.Sprint(n) }))
 	}
 	var b strings.Builder
 	err = placementfile.WritePlan(&b, plan)
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -23,7 +23,7 @@
 	decisions "yokeroute/logic/policy"
 )
 
-// PolicyFault is what befalls the fleet while a change is made.
+// PolicyFault is a fault that is injected while a change is made.
 type PolicyFault string
 
 // The faults.
@@ -40,99 +40,99 @@
 // PolicyFaults are all of them, in the order in which they are measured.
 var PolicyFaults = []PolicyFault{NoFault, OneKilled, OneStopped, ManyKilled, LeaderKilled, LeaderPaused, RegionDisconnected}
 
-// PolicyOptions are stewards as processes and hollow gatherers in this one, which follow them over HTTP.
-type PolicyOptions struct {
-	PolicyServers int
-	Gatherers     int
-	Changes       int           // in a row
-	IdleTime      time.Duration // measured with nothing to do
-	Fault         PolicyFault   // in each change
-	Binary        string        // the gatherer's program, which holds the stewards as well
-	Folder        string        // for their state
+// PolicyConfig describes policy servers as processes, and hollow gatherers in this process that poll them over HTTP.
+type PolicyConfig struct {
+	Servers   int
+	Gatherers int
+	Changes   int           // in a row
+	IdleTime  time.Duration // measured with nothing to do
+	Fault     PolicyFault   // in each change
+	Binary    string        // the gatherer's program, which contains the policy server
+	Folder    string        // for their state
 }
 
 // PolicyCost is what it came to.
 type PolicyCost struct {
-	StartTime         time.Duration // until all gatherers that started at once went by the stewards' word
-	IdleLeaderCores   float64       // cores of the steward that leads
-	IdleGathererCores float64       // cores of one gatherer
-	IdleGathererBytes float64       // read and written by one gatherer, a second
-	LeaderMB          float64
-	GathererMemory    float64 // memory of one gatherer
-	AppliedEverywhere []time.Duration
-	P50, P99          []time.Duration // of gatherers, by change
-	RegionRecovery    []time.Duration // until a region that was cut off went by the stewards' word again
-	Unfinished        int             // changes that were given up, or not everywhere within the wait
-	ChangeLeaderCores float64         // of the leader while changes were made
+	StartTime            time.Duration // until all gatherers, which start at once, hold a lease
+	IdleLeaderCores      float64       // cores of the leader
+	IdleGathererCores    float64       // cores of one gatherer
+	IdleGathererBytes    float64       // read and written by one gatherer, a second
+	LeaderMB             float64
+	GathererMemory       float64 // memory of one gatherer
+	AppliedTimes         []time.Duration
+	P50, P99             []time.Duration // of gatherers, by change
+	ReturnTimes          []time.Duration // until a region that was cut off holds leases again
+	Unfinished           int             // changes that were given up, or not everywhere within the wait
+	LeaderCoresInChanges float64         // of the leader while changes were made
 }
 
-// Times of the stewards of a scale test: those that operators' pages recommend.
+// Times of the policy servers: those that operators' pages recommend.
 const (
-	leaseMillis       = 10_000.0
-	leaseLimitMillis  = 60_000.0
-	heartbeatMillis   = 100.0
-	changeTimeout     = 40 * time.Second
-	startTimeout      = 90 * time.Second
-	disconnectTime    = time.Minute
-	manyKilledDivisor = 12 // one gatherer in so many
-	policyServerPort  = 8700
-	raftPort          = 8701
+	policyLease         = 10_000.0
+	policyChangeTimeout = 60_000.0
+	policyHeartbeat     = 100.0
+	changeTimeout       = 40 * time.Second
+	startTimeout        = 90 * time.Second
+	regionCutTime       = time.Minute
+	killedShare         = 12 // one gatherer in so many
+	policyHTTPPort      = 8700
+	policyRaftPort      = 8701
 )
 
-// policyFleet is the stewards and the hollow gatherers of one measurement.
+// policyFleet is the policy servers and the hollow gatherers of one scale test.
 type policyFleet struct {
-	options       PolicyOptions
+	config        PolicyConfig
 	ctx           context.Context
 	processes     []*process.Process
 	servers       []operator.PolicyServer
 	client        *policyclient.Client
 	gatherers     []*simulatedGatherer
-	relays        []*processtest.Link     // of the region that is cut off, one to each steward
-	remoteServers []operator.PolicyServer // the stewards as that region reaches them
-	disconnected  bool
-	recoveries    []time.Duration // of the region
+	relays        []*processtest.Link     // of the region that is cut off, one to each policy server
+	cutOffServers []operator.PolicyServer // the policy servers as that region reaches them
+	isCut         bool
+	returnTimes   []time.Duration // of the region
 	log           *logrus.Logger
 }
 
 // simulatedGatherer is the control side of a gatherer without clients: the real lease and the real poller.
 type simulatedGatherer struct {
-	lease  *policylease.Lease
-	remote bool // it stands in the region that is cut off
-	stop   context.CancelFunc
-	done   chan struct{}
+	lease    *policylease.Lease
+	isCutOff bool // it is in the region that is cut off
+	stop     context.CancelFunc
+	done     chan struct{}
 
 	mu        sync.Mutex
 	epoch     uint64    // that it has come to
 	appliedAt time.Time // when
 }
 
-// loopbackAddress is a loopback address for one steward of this process; processes don't share any.
-func loopbackAddress(steward int) string {
+// loopbackAddress returns an address for one policy server of this process. Processes do not share any.
+func loopbackAddress(server int) string {
 	pid := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 64+(pid>>8)%64, pid%256, 1+steward)
+	return fmt.Sprintf("127.%d.%d.%d", 64+(pid>>8)%64, pid%256, 1+server)
 }
 
-// startPolicyFleet starts the stewards and waits until one leads.
-func startPolicyFleet(ctx context.Context, t PolicyOptions) (*policyFleet, error) {
+// startPolicyFleet starts the policy servers and waits until one is the leader.
+func startPolicyFleet(ctx context.Context, t PolicyConfig) (*policyFleet, error) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	f := &policyFleet{options: t, ctx: ctx, client: &policyclient.Client{}, log: log}
+	f := &policyFleet{config: t, ctx: ctx, client: &policyclient.Client{}, log: log}
 	var peers strings.Builder
-	for i := range t.PolicyServers {
+	for i := range t.Servers {
 		name, host := fmt.Sprint("s", i+1), loopbackAddress(i)
-		address := fmt.Sprintf("%s:%d", host, policyServerPort)
+		address := fmt.Sprintf("%s:%d", host, policyHTTPPort)
 		f.servers = append(f.servers, operator.PolicyServer{Name: name, Address: address})
 		f.client.Servers = append(f.client.Servers, address)
-		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, raftPort, address)
+		fmt.Fprintf(&peers, "peer %s raft %s:%d http %s\n", name, host, policyRaftPort, address)
 	}
 	for i, s := range f.servers {
 		file := filepath.Join(t.Folder, s.Name+".conf")
 		text := fmt.Sprintf("steward %s in %s-state listen %s raft %s:%d\nlease %gms limit %gms\nbeat %gms\n%s", s.Name, s.Name, s.Address,
-			loopbackAddress(i), raftPort, leaseMillis, leaseLimitMillis, heartbeatMillis, peers.String())
+			loopbackAddress(i), policyRaftPort, policyLease, policyChangeTimeout, policyHeartbeat, peers.String())
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
 			return f, err
 		}
-		p, err := process.Start(s.Name, t.Binary, []string{"steward", "--log-level", "error", file}, nil)
+		p, err := process.Start(s.Name, t.Binary, []string{"policy-server", "--log-level", "error", file}, nil)
 		if err != nil {
 			return f, err
 		}
@@ -143,7 +143,7 @@
 	}
 	waiting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	return f, process.WaitUntil(waiting, "a steward leads", func() bool {
+	return f, process.WaitUntil(waiting, "a policy server leads", func() bool {
 		one, end := context.WithTimeout(waiting, 2*time.Second)
 		defer end()
 		_, err := f.client.Status(one)
@@ -151,9 +151,9 @@
 	})
 }
 
-// startRelays lays a relay to each steward where a region is to be cut off.
+// startRelays lays a relay to each policy server where a region is to be cut off.
 func (f *policyFleet) startRelays() error {
-	if f.options.Fault != RegionDisconnected {
+	if f.config.Fault != RegionDisconnected {
 		return nil
 	}
 	for i, s := range f.servers {
@@ -162,7 +162,7 @@
 			return err
 		}
 		f.relays = append(f.relays, relay)
-		f.remoteServers = append(f.remoteServers, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
+		f.cutOffServers = append(f.cutOffServers, operator.PolicyServer{Name: s.Name, Address: relay.Address()})
 	}
 	return nil
 }
@@ -183,7 +183,7 @@
 	}
 }
 
-// leader is the process of the steward that leads.
+// leader returns the process of the leader.
 func (f *policyFleet) leader() (*process.Process, error) {
 	s, err := f.client.Status(f.ctx)
 	if err != nil {
@@ -194,33 +194,33 @@
 			return f.processes[i], nil
 		}
 	}
-	return nil, fmt.Errorf("no steward is named %s", s.Server)
+	return nil, fmt.Errorf("no policy server is named %s", s.Server)
 }
 
-// testFallback forbids what the policies of a scale test may.
-var testFallback = decisions.Policy{{Kind: decisions.NoHedging}}
+// fallbackPolicy forbids what the policies of a scale test may.
+var fallbackPolicy = decisions.Policy{{Kind: decisions.NoHedging}}
 
 // startGatherer starts one gatherer's control side.
 func (f *policyFleet) startGatherer(number int) *simulatedGatherer {
 	start := time.Now()
 	clock := func() float64 { return float64(time.Since(start)) / 1e6 }
-	h := &simulatedGatherer{done: make(chan struct{}), remote: len(f.remoteServers) > 0 && number%DesignRegions == 0}
+	h := &simulatedGatherer{done: make(chan struct{}), isCutOff: len(f.cutOffServers) > 0 && number%DesignRegions == 0}
 	stewards := f.servers
-	if h.remote {
-		stewards = f.remoteServers
+	if h.isCutOff {
+		stewards = f.cutOffServers
 	}
 	h.lease = policylease.New(policylease.Config{
 		Platform: &gather.Settings{},
-		Fallback: testFallback,
+		Fallback: fallbackPolicy,
 		Clock:    clock,
-		OnChange: func() { h.recordChange(clock()) },
+		OnChange: func() { h.onChange(clock()) },
 	})
 	poller := policylease.NewPoller(h.lease, policylease.PollerConfig{
 		Servers: stewards,
 		Member: decisions.Member{
 			Name:     fmt.Sprintf("g%05d", number),
 			Zone:     fmt.Sprint("z", number%DesignZones),
-			Fallback: testFallback,
+			Fallback: fallbackPolicy,
 		},
 		Incarnation: fmt.Sprintf("%d-%d", number, start.UnixNano()),
 		Log:         f.log,
@@ -234,8 +234,8 @@
 	return h
 }
 
-// recordChange notes how far the gatherer has come, and settles: it has no lookups in hand.
-func (h *simulatedGatherer) recordChange(now float64) {
+// onChange notes how far the gatherer has come, and settles: it has no lookups in hand.
+func (h *simulatedGatherer) onChange(now float64) {
 	way, _ := h.lease.Effective(now)
 	h.lease.MarkDrained(way)
 	state := h.lease.State()
@@ -259,10 +259,10 @@
 	return h.appliedAt, h.epoch >= epoch
 }
 
-// hasLease reports whether it goes by the stewards' word.
-func (h *simulatedGatherer) hasLease() bool { return h.lease.State().ExpiresAt > 0 }
+// holdsLease reports whether the gatherer holds a lease.
+func (h *simulatedGatherer) holdsLease() bool { return h.lease.State().ExpiresAt > 0 }
 
-// change proposes a policy, does what befalls the fleet, and waits until the policy is in force at all that are left.
+// change proposes a policy, injects the fault, and waits until all reachable gatherers apply the policy.
 func (f *policyFleet) change(number int) (times []time.Duration, err error) {
 	status, err := f.client.Status(f.ctx)
 	if err != nil {
@@ -270,7 +270,7 @@
 	}
 	var p decisions.Policy
 	if number%2 == 0 {
-		p = testFallback
+		p = fallbackPolicy
 	}
 	waiting, cancel := context.WithTimeout(f.ctx, changeTimeout)
 	defer cancel()
@@ -285,7 +285,7 @@
 	}
 	defer undo()
 	err = process.WaitUntil(waiting, "the change is in force everywhere", func() bool {
-		for _, h := range f.connectedGatherers() {
+		for _, h := range f.reachable() {
 			if _, there := h.appliedEpoch(change.Number); !there {
 				return false
 			}
@@ -295,21 +295,21 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, h := range f.connectedGatherers() {
+	for _, h := range f.reachable() {
 		at, _ := h.appliedEpoch(change.Number)
 		times = append(times, at.Sub(proposed))
 	}
 	return times, nil
 }
 
-// connectedGatherers are the gatherers that are not cut off.
-func (f *policyFleet) connectedGatherers() []*simulatedGatherer {
-	if !f.disconnected {
+// reachable are the gatherers that are not cut off.
+func (f *policyFleet) reachable() []*simulatedGatherer {
+	if !f.isCut {
 		return f.gatherers
 	}
 	var near []*simulatedGatherer
 	for _, h := range f.gatherers {
-		if !h.remote {
+		if !h.isCutOff {
 			near = append(near, h)
 		}
 	}
@@ -319,7 +319,7 @@
 // disconnectRegion cuts the region's relays; undo mends them once the minute is over, and waits until the region is back.
 func (f *policyFleet) disconnectRegion() (undo func(), err error) {
 	from := time.Now()
-	f.disconnected = true
+	f.isCut = true
 	for _, relay := range f.relays {
 		if err := relay.Cut(true); err != nil {
 			return func() {}, err
@@ -328,17 +328,17 @@
 	return func() {
 		select {
 		case <-f.ctx.Done():
-		case <-time.After(time.Until(from.Add(disconnectTime))):
+		case <-time.After(time.Until(from.Add(regionCutTime))):
 		}
 		for _, relay := range f.relays {
 			if err := relay.Mend(); err != nil {
 				f.log.WithError(err).Error("relay")
 			}
 		}
-		f.disconnected = false
+		f.isCut = false
 		mended := time.Now()
 		if f.awaitLeases() == nil {
-			f.recoveries = append(f.recoveries, time.Since(mended))
+			f.returnTimes = append(f.returnTimes, time.Since(mended))
 		}
 	}, nil
 }
@@ -346,13 +346,13 @@
 // injectFault brings the fault about; what it gives undoes it once the change is over.
 func (f *policyFleet) injectFault(number int) (undo func(), err error) {
 	undo = func() {}
-	switch f.options.Fault {
+	switch f.config.Fault {
 	case LeaderKilled, LeaderPaused:
 		leader, err := f.leader()
 		if err != nil {
 			return undo, err
 		}
-		if f.options.Fault == LeaderPaused {
+		if f.config.Fault == LeaderPaused {
 			return func() { leader.Continue() }, leader.Stop(f.ctx)
 		}
 		leader.Kill()
@@ -360,15 +360,15 @@
 	case RegionDisconnected:
 		return f.disconnectRegion()
 	case OneKilled, OneStopped:
-		return f.crash(number, 1), nil
+		return f.crashGatherers(number, 1), nil
 	case ManyKilled:
-		return f.crash(number, max(len(f.gatherers)/manyKilledDivisor, 1)), nil
+		return f.crashGatherers(number, max(len(f.gatherers)/killedShare, 1)), nil
 	}
 	return undo, nil
 }
 
-// crash ends gatherers; undo starts others in their place.
-func (f *policyFleet) crash(number, many int) (undo func()) {
+// crashGatherers ends gatherers; undo starts others in their place.
+func (f *policyFleet) crashGatherers(number, many int) (undo func()) {
 	gone := f.gatherers[:many]
 	f.gatherers = f.gatherers[many:]
 	var wait sync.WaitGroup
@@ -384,13 +384,13 @@
 	}
 }
 
-// awaitLeases waits until all gatherers go by the stewards' word.
+// awaitLeases waits until all gatherers hold a lease.
 func (f *policyFleet) awaitLeases() error {
 	waiting, cancel := context.WithTimeout(f.ctx, startTimeout)
 	defer cancel()
-	return process.WaitUntil(waiting, "all gatherers go by the stewards' word", func() bool {
+	return process.WaitUntil(waiting, "all gatherers hold a lease", func() bool {
 		for _, h := range f.gatherers {
-			if !h.hasLease() {
+			if !h.holdsLease() {
 				return false
 			}
 		}
@@ -399,9 +399,9 @@
 }
 
 // MeasurePolicies measures what the policies of a whole fleet cost at rest and while they change.
-func MeasurePolicies(ctx context.Context, t PolicyOptions) (c PolicyCost, err error) {
-	if t.PolicyServers < 1 || t.PolicyServers > 9 || t.Gatherers < 1 || t.Changes < 0 {
-		return c, fmt.Errorf("policies: %d stewards, %d gatherers, %d changes: 1 to 9, at least 1 and at least 0 can be", t.PolicyServers, t.Gatherers, t.Changes)
+func MeasurePolicies(ctx context.Context, t PolicyConfig) (c PolicyCost, err error) {
+	if t.Servers < 1 || t.Servers > 9 || t.Gatherers < 1 || t.Changes < 0 {
+		return c, fmt.Errorf("policies: %d stewards, %d gatherers, %d changes: 1 to 9, at least 1 and at least 0 can be", t.Servers, t.Gatherers, t.Changes)
 	}
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -427,7 +427,7 @@
 
 // measureIdle measures the fleet with nothing to do.
 func (f *policyFleet) measureIdle(c *PolicyCost, before float64) error {
-	if f.options.IdleTime <= 0 {
+	if f.config.IdleTime <= 0 {
 		return nil
 	}
 	leader, err := f.leader()
@@ -439,7 +439,7 @@
 	select {
 	case <-f.ctx.Done():
 		return f.ctx.Err()
-	case <-time.After(f.options.IdleTime):
+	case <-time.After(f.config.IdleTime):
 	}
 	seconds := time.Since(began).Seconds()
 	after := leader.Usage()
@@ -452,16 +452,16 @@
 
 // measureChanges makes the changes, one behind the other.
 func (f *policyFleet) measureChanges(c *PolicyCost) error {
-	if f.options.Changes == 0 {
+	if f.config.Changes == 0 {
 		return nil
 	}
 	leader, err := f.leader()
 	if err != nil {
 		return err
 	}
-	defer func() { c.RegionRecovery = f.recoveries }()
+	defer func() { c.ReturnTimes = f.returnTimes }()
 	used, began := leader.Usage(), time.Now()
-	for number := range f.options.Changes {
+	for number := range f.config.Changes {
 		times, err := f.change(number)
 		if f.ctx.Err() != nil {
 			return f.ctx.Err()
@@ -473,19 +473,19 @@
 		if err != nil {
 			return err
 		}
-		c.add(times)
-		if f.options.Fault == LeaderKilled {
-			break // the next one would have to wait for a steward that nobody starts
+		c.addTimes(times)
+		if f.config.Fault == LeaderKilled {
+			break // the next one would wait for a policy server that nobody starts
 		}
 	}
 	if leader.Alive() && !leader.Stopped() {
-		c.ChangeLeaderCores = (leader.Usage().CPU - used.CPU) / time.Since(began).Seconds()
+		c.LeaderCoresInChanges = (leader.Usage().CPU - used.CPU) / time.Since(began).Seconds()
 	}
 	return nil
 }
 
-// add books when a change was in force at each gatherer.
-func (c *PolicyCost) add(times []time.Duration) {
+// addTimes books when a change was in force at each gatherer.
+func (c *PolicyCost) addTimes(times []time.Duration) {
 	seconds := make([]float64, 0, len(times))
 	for _, t := range times {
 		seconds = append(seconds, t.Seconds())
@@ -493,7 +493,7 @@
 	at := func(share float64) time.Duration {
 		return time.Duration(stats.Quantile(seconds, share) * float64(time.Second))
 	}
-	c.AppliedEverywhere, c.P50, c.P99 = append(c.AppliedEverywhere, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
+	c.AppliedTimes, c.P50, c.P99 = append(c.AppliedTimes, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
 }
 
 // transferredBytes is how many bytes this process has read and written so far.
--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -8,129 +8,176 @@
 	"yokeroute/logic/placement"
 )
 
-// HostLine is what a plan gives a host and why.
-type HostLine struct {
-	Name, Hall string
-	Capacity   int64 // when warm
-	Can, Load  int64 // units, at the moment
-	Use        float64
-	Why        string
+// HostReport is what a plan gives a host, and why. Rates are in units.
+type HostReport struct {
+	Name         string  `json:"Name"`
+	Zone         string  `json:"Hall"`
+	Capacity     int64   `json:"Capacity"` // when warm
+	SafeCapacity int64   `json:"Can"`      // at the moment
+	Load         int64   `json:"Load"`
+	Utilisation  float64 `json:"Use"`
+	Reason       string  `json:"Why"`
 }
 
-// HallLine is what a plan gives a hall.
-type HallLine struct {
-	Name      string
-	Can, Load int64
-	Most      int64 // -1 for any
-	Binds     bool
-	Own       int64 // units that its own gatherers ask for
-	Crossing  int64 // units that come from other halls' gatherers
+// ZoneReport is what a plan gives a zone. Rates are in units.
+type ZoneReport struct {
+	Name          string `json:"Name"`
+	SafeCapacity  int64  `json:"Can"`
+	Load          int64  `json:"Load"`
+	LoadLimit     int64  `json:"Most"` // -1 for any load
+	IsBinding     bool   `json:"Binds"`
+	LocalDemand   int64  `json:"Own"`      // of its own gatherers
+	CrossZoneLoad int64  `json:"Crossing"` // from gatherers of other zones
 }
 
 // Report explains a plan's weights at a moment, or those of a case.
 type Report struct {
-	At       float64
-	Case     string
-	Greatest placement.Ratio
-	Cost     int64 // thousandths a second
-	Crossing int64 // units that cross halls
-	Asked    int64
-	Hosts    []HostLine
-	Halls    []HallLine
-	// Bottleneck is why the greatest utilisation cannot be less; nil where nothing is asked for.
-	Bottleneck *placement.Clash
-	Dark       []string
+	At             float64         `json:"At"`
+	CaseName       string          `json:"Case"`
+	MaxUtilisation placement.Ratio `json:"Greatest"`
+	Cost           int64           `json:"Cost"` // thousandths a second
+	CrossZoneLoad  int64           `json:"Crossing"`
+	Demand         int64           `json:"Asked"`
+	Hosts          []HostReport    `json:"Hosts"`
+	Zones          []ZoneReport    `json:"Halls"`
+	// Bottleneck proves that the maximum utilisation cannot be less. It is nil without demand, and where
+	// hosts are filled beyond their capacity.
+	Bottleneck       *placement.Infeasibility `json:"Bottleneck"`
+	UnservedSegments []string                 `json:"Dark"`
 }
 
-// Explain tells why each host has its weight. Name is that of a case, empty for the plan's own weights.
-func Explain(plan *placement.Plan, at float64, name string) (*Report, error) {
-	rows, lost := plan.RowsAt(at), make([]bool, len(plan.Model.Hosts))
-	r := &Report{At: at, Case: name}
-	if name != "" {
-		i := slices.IndexFunc(plan.Cases, func(c placement.Case) bool { return c.Name == name })
+// Explain explains the weights of a plan at a moment, or those of a case if it names one.
+func Explain(plan *placement.Plan, at float64, caseName string) (*Report, error) {
+	r := &Report{At: at, CaseName: caseName}
+	rows := plan.RowsAt(at)
+	lost := make([]bool, len(plan.Model.Hosts))
+	if caseName != "" {
+		i := slices.IndexFunc(plan.Cases, func(c placement.Case) bool { return c.Name == caseName })
 		if i < 0 {
-			return nil, fmt.Errorf("the plan has no case %q", name)
+			return nil, fmt.Errorf("the plan has no case %q", caseName)
 		}
 		c := &plan.Cases[i]
-		rows, r.Dark = plan.RowsOf(c, at), c.Dark
-		for j, h := range plan.Model.Hosts {
-			lost[j] = slices.Contains(c.Lost, h.Name)
+		rows = plan.CaseRows(c, at)
+		r.UnservedSegments = c.UnservedSegments
+		for j := range plan.Model.Hosts {
+			lost[j] = slices.Contains(c.LostHosts, plan.Model.Hosts[j].Name)
 		}
 	}
 	p := NewProblem(plan.Model)
-	p.Set(at, lost)
-	units := p.Units(rows)
-	loads := p.Loads(units)
-	r.Greatest, r.Cost, r.Asked = p.Greatest(loads), p.cost(units), p.total
-	halls := make([]HallLine, len(p.most))
-	could, most := make([]int64, len(p.caps)), r.Greatest
-	for i, row := range p.rows {
-		halls[row.hall].Own += row.rate
-		for j, h := range p.replicas[row.segment] {
-			could[h] += row.rate
-			if p.hallOf[h] != row.hall {
-				halls[p.hallOf[h]].Crossing += units[i][j]
-				r.Crossing += units[i][j]
+	p.SetTime(at, lost)
+	e := explanation{Problem: p, report: r, units: p.Units(rows)}
+	e.loads = p.Loads(e.units)
+	r.MaxUtilisation = p.MaxUtilisation(e.loads)
+	r.Cost = p.totalCost(e.units)
+	r.Demand = p.demand
+	if r.MaxUtilisation.Load <= r.MaxUtilisation.Capacity {
+		r.Bottleneck = p.Bottleneck(at, r.MaxUtilisation)
+	}
+	e.reportZones()
+	e.reportHosts()
+	return r, nil
+}
+
+// explanation is a report while it is written.
+type explanation struct {
+	*Problem
+	report *Report
+	units  [][]int64
+	loads  []int64
+}
+
+func (e *explanation) reportZones() {
+	zones := make([]ZoneReport, len(e.zoneLimits))
+	for i, row := range e.rows {
+		zones[row.zone].LocalDemand += row.rate
+		for j, h := range e.replicas[row.segment] {
+			if zone := e.zoneOf[h]; zone != row.zone {
+				zones[zone].CrossZoneLoad += e.units[i][j]
+				e.report.CrossZoneLoad += e.units[i][j]
 			}
 		}
 	}
-	for h, hall := range p.hallOf {
-		halls[hall].Load += loads[h]
-		halls[hall].Can += p.caps[h]
+	for h, zone := range e.zoneOf {
+		zones[zone].Load += e.loads[h]
+		zones[zone].SafeCapacity += e.capacity[h]
 	}
-	for i := range p.most {
-		h := &halls[i]
-		h.Name, h.Most, h.Binds = plan.Model.Halls[i].Name, p.most[i], p.most[i] >= 0 && h.Load >= p.most[i]
+	for i, limit := range e.zoneLimits {
+		z := &zones[i]
+		z.Name = e.model.Zones[i].Name
+		z.LoadLimit = limit
+		z.IsBinding = limit >= 0 && z.Load >= limit
 	}
-	r.Halls = halls
-	if most.Load <= most.Capacity { // beyond capacity there is a clash, not a bottleneck
-		r.Bottleneck = p.Bottleneck(at, most)
-	}
-	tight := map[string]bool{}
-	if r.Bottleneck != nil {
-		for _, l := range r.Bottleneck.Limits {
-			tight[l.Name] = true
+	e.report.Zones = zones
+}
+
+func (e *explanation) reportHosts() {
+	inBottleneck := map[string]bool{}
+	if e.report.Bottleneck != nil {
+		for _, limit := range e.report.Bottleneck.Limits {
+			inBottleneck[limit.Name] = true
 		}
 	}
-	for i, h := range plan.Model.Hosts {
-		line := HostLine{Name: h.Name, Hall: h.Hall, Capacity: h.Capacity, Can: p.caps[i], Load: loads[i]}
-		if p.caps[i] > 0 {
-			line.Use = float64(loads[i]) / float64(p.caps[i])
+	possibleLoads := e.possibleLoads()
+	for i := range e.model.Hosts {
+		h := &e.model.Hosts[i]
+		line := HostReport{
+			Name:         h.Name,
+			Zone:         h.Zone,
+			Capacity:     h.Capacity,
+			SafeCapacity: e.capacity[i],
+			Load:         e.loads[i],
+			Reason:       e.reason(i, possibleLoads[i], inBottleneck[h.Name]),
+		}
+		if e.capacity[i] > 0 {
+			line.Utilisation = float64(e.loads[i]) / float64(e.capacity[i])
 		}
-		line.Why = p.why(i, &h, lost[i], at, loads[i], could[i], most, tight[h.Name], r.Halls[p.hallOf[i]].Binds)
-		r.Hosts = append(r.Hosts, line)
+		e.report.Hosts = append(e.report.Hosts, line)
 	}
-	return r, nil
 }
 
-// why tells which limit gives a host its weight.
-func (p *Problem) why(i int, h *placement.Host, lost bool, at float64, load, could int64,
-	most placement.Ratio, tight, hall bool) string {
-	cold := ""
-	if p.caps[i] < h.Capacity {
-		cold = fmt.Sprintf("; still cold, %.0f%% of it is safe", 100*float64(p.caps[i])/float64(max(h.Capacity, 1)))
+// possibleLoads returns for each host the demand for all of its segments.
+func (e *explanation) possibleLoads() []int64 {
+	possible := make([]int64, len(e.capacity))
+	for _, row := range e.rows {
+		for _, h := range e.replicas[row.segment] {
+			possible[h] += row.rate
+		}
 	}
+	return possible
+}
+
+// reason says which limit gives a host its weight.
+func (e *explanation) reason(host int, possibleLoad int64, inBottleneck bool) string {
+	h := &e.model.Hosts[host]
+	capacity := e.capacity[host]
+	load := e.loads[host]
+	isFull := load >= e.report.MaxUtilisation.MaxLoad(capacity)
+	reason := "other replicas cost less"
 	switch {
-	case lost:
+	case e.lost[host]:
 		return "lost in this case"
 	case h.State == gather.Draining:
 		return "draining"
 	case h.State == gather.Removed:
 		return "gone"
-	case h.Started > at-p.m.Clocks:
+	case h.StartedAt > e.report.At-e.model.ClockSkew:
 		return "not started yet"
-	case could == 0:
+	case possibleLoad == 0:
 		return "holds nothing that is asked for"
-	case p.caps[i] == 0:
-		return "can take nothing now" + cold
-	case load >= most.Of(p.caps[i]) && tight:
-		return "as full as the fullest: part of the bottleneck" + cold
-	case load >= most.Of(p.caps[i]):
-		return "filled up to the greatest utilisation: cheapest for what comes to it" + cold
-	case load == could:
-		return "takes all that may come to it" + cold
-	case hall:
-		return "its hall is at its limit" + cold
+	case capacity == 0:
+		reason = "can take nothing now"
+	case isFull && inBottleneck:
+		reason = "as full as the fullest: part of the bottleneck"
+	case isFull:
+		reason = "filled up to the greatest utilisation: cheapest for what comes to it"
+	case load == possibleLoad:
+		reason = "takes all that may come to it"
+	case e.report.Zones[e.zoneOf[host]].IsBinding:
+		reason = "its hall is at its limit"
+	}
+	if capacity < h.Capacity {
+		share := float64(capacity) / float64(max(h.Capacity, 1))
+		reason += fmt.Sprintf("; still cold, %.0f%% of it is safe", 100*share)
 	}
-	return "other replicas cost less" + cold
+	return reason
 }
--- a/logic/placement/diff.go
+++ b/logic/placement/diff.go
@@ -10,153 +10,198 @@
 
 // Change is what differs between two plans, in meaning.
 type Change struct {
-	Greatest, GreatestBefore Ratio
-	Cost, CostBefore         int64
-	Halls                    []Delta // those whose load differs
-	Hosts                    []Delta // those whose load differs by over a tenth
-	Moved                    int64   // units that go to another host than before
-	Came, Left               []string
-	Copies, Drops            []string // replicas, as "segment on host"
-	Demand                   []Delta  // segments that are asked for more or less
+	MaxUtilisation       Ratio    `json:"Greatest"`
+	MaxUtilisationBefore Ratio    `json:"GreatestBefore"`
+	Cost                 int64    `json:"Cost"`
+	CostBefore           int64    `json:"CostBefore"`
+	Zones                []Delta  `json:"Halls"` // those whose load differs
+	Hosts                []Delta  `json:"Hosts"` // those whose load differs by over a tenth
+	MovedRate            int64    `json:"Moved"` // units that go to another host than before
+	AddedHosts           []string `json:"Came"`
+	RemovedHosts         []string `json:"Left"`
+	AddedReplicas        []string `json:"Copies"` // replicas, as "segment on host"
+	RemovedReplicas      []string `json:"Drops"`  // replicas, as "segment on host"
+	Demand               []Delta  `json:"Demand"` // segments that are asked for more or less
 }
 
 // Delta is a rate before and now, in units.
 type Delta struct {
-	Name        string
-	Before, Now int64
+	Name   string `json:"Name"`
+	Before int64  `json:"Before"`
+	Now    int64  `json:"Now"`
 }
 
-// tenth reports whether a rate changed by over a tenth of what it was.
-func (d Delta) tenth() bool {
+// overTenth reports whether a rate changed by over a tenth of what it was.
+func (d Delta) overTenth() bool {
 	return math.Abs(float64(d.Now-d.Before)) > 0.1*float64(d.Before)
 }
 
 // Diff compares the weights that hold at a moment in two plans of the same unit.
 func Diff(before, now *Plan, at float64) *Change {
-	c := &Change{GreatestBefore: stepAt(before.Steps, at).Greatest, Greatest: stepAt(now.Steps, at).Greatest,
-		CostBefore: stepAt(before.Steps, at).Cost, Cost: stepAt(now.Steps, at).Cost}
-	type side struct {
-		hosts, halls, demand map[string]int64
-		cells                map[[3]string]int64
-		on                   map[string]bool
-	}
-	of := func(p *Plan) side {
-		s := side{map[string]int64{}, map[string]int64{}, map[string]int64{}, map[[3]string]int64{},
-			map[string]bool{}}
-		hall := map[string]string{}
-		for _, h := range p.Model.Hosts {
-			hall[h.Name], s.hosts[h.Name] = h.Hall, 0
-		}
-		for _, d := range p.Model.Demands {
-			s.demand[d.Segment] += d.Rate
-		}
-		for _, seg := range p.Model.Segments {
-			for _, h := range seg.On {
-				s.on[seg.Name+" on "+h] = true
-			}
-		}
-		for _, r := range p.RowsAt(at) {
-			for _, w := range r.Weights {
-				s.hosts[w.Host] += w.Rate
-				s.halls[hall[w.Host]] += w.Rate
-				s.cells[[3]string{r.Segment, r.Hall, w.Host}] = w.Rate
-			}
-		}
-		return s
-	}
-	a, b := of(before), of(now)
-	deltas := func(a, b map[string]int64, keep func(Delta) bool) (list []Delta) {
-		names := maps.Clone(a)
-		maps.Copy(names, b)
-		for _, name := range slices.Sorted(maps.Keys(names)) {
-			if d := (Delta{name, a[name], b[name]}); d.Before != d.Now && keep(d) {
-				list = append(list, d)
-			}
+	stepBefore := stepAt(before.Steps, at)
+	stepNow := stepAt(now.Steps, at)
+	a := summarise(before, stepBefore)
+	b := summarise(now, stepNow)
+	anyChange := func(Delta) bool { return true }
+	return &Change{
+		MaxUtilisation:       stepNow.MaxUtilisation,
+		MaxUtilisationBefore: stepBefore.MaxUtilisation,
+		Cost:                 stepNow.Cost,
+		CostBefore:           stepBefore.Cost,
+		Zones:                deltas(a.zoneLoads, b.zoneLoads, anyChange),
+		Hosts:                deltas(a.hostLoads, b.hostLoads, Delta.overTenth),
+		MovedRate:            movedRate(a.rates, b.rates),
+		AddedHosts:           missingFrom(a.hostLoads, b.hostLoads),
+		RemovedHosts:         missingFrom(b.hostLoads, a.hostLoads),
+		AddedReplicas:        missingFrom(a.replicas, b.replicas),
+		RemovedReplicas:      missingFrom(b.replicas, a.replicas),
+		Demand:               deltas(a.demand, b.demand, anyChange),
+	}
+}
+
+// rateKey is a segment's row for a zone, and a host of it.
+type rateKey struct{ segment, zone, host string }
+
+// summary is what plans are compared by, in units.
+type summary struct {
+	hostLoads map[string]int64
+	zoneLoads map[string]int64
+	demand    map[string]int64 // by segment
+	rates     map[rateKey]int64
+	replicas  map[string]bool // "segment on host"
+}
+
+func summarise(p *Plan, step *Step) summary {
+	s := summary{
+		hostLoads: map[string]int64{},
+		zoneLoads: map[string]int64{},
+		demand:    map[string]int64{},
+		rates:     map[rateKey]int64{},
+		replicas:  map[string]bool{},
+	}
+	zoneOf := map[string]string{}
+	for i := range p.Model.Hosts {
+		h := &p.Model.Hosts[i]
+		zoneOf[h.Name] = h.Zone
+		s.hostLoads[h.Name] = 0
+	}
+	for _, d := range p.Model.Demands {
+		s.demand[d.Segment] += d.Rate
+	}
+	for _, segment := range p.Model.Segments {
+		for _, host := range segment.Hosts {
+			s.replicas[segment.Name+" on "+host] = true
 		}
-		return list
-	}
-	c.Halls = deltas(a.halls, b.halls, func(Delta) bool { return true })
-	c.Hosts = deltas(a.hosts, b.hosts, Delta.tenth)
-	c.Demand = deltas(a.demand, b.demand, func(Delta) bool { return true })
-	more, less := int64(0), int64(0)
-	for cell, rate := range a.cells {
-		less += max(rate-b.cells[cell], 0)
-	}
-	for cell, rate := range b.cells {
-		more += max(rate-a.cells[cell], 0)
-	}
-	c.Moved = min(more, less)
-	missing := func(in, from []string) (list []string) {
-		for _, name := range from {
-			if _, there := slices.BinarySearch(in, name); !there {
-				list = append(list, name)
-			}
+	}
+	for _, r := range step.Rows {
+		for _, w := range r.Weights {
+			s.hostLoads[w.Host] += w.Rate
+			s.zoneLoads[zoneOf[w.Host]] += w.Rate
+			s.rates[rateKey{r.Segment, r.Zone, w.Host}] = w.Rate
 		}
-		return list
 	}
-	hostsA, hostsB := slices.Sorted(maps.Keys(a.hosts)), slices.Sorted(maps.Keys(b.hosts))
-	c.Came, c.Left = missing(hostsA, hostsB), missing(hostsB, hostsA)
-	onA, onB := slices.Sorted(maps.Keys(a.on)), slices.Sorted(maps.Keys(b.on))
-	c.Copies, c.Drops = missing(onA, onB), missing(onB, onA)
-	return c
+	return s
 }
 
-// Words tells a change line by line, what matters most first; rate puts units into words.
-func (c *Change) Words(rate func(int64) string) []string {
-	var lines []string
-	say := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
-	if c.Greatest.Less(c.GreatestBefore) || c.GreatestBefore.Less(c.Greatest) {
-		say("greatest utilisation goes from %.1f%% to %.1f%%", 100*c.GreatestBefore.Float(), 100*c.Greatest.Float())
-	}
-	few := func(names []string) string {
-		if len(names) > 8 {
-			return strings.Join(names[:8], " ") + fmt.Sprintf(" and %d more", len(names)-8)
+// deltas returns what differs, in the order of names.
+func deltas(before, now map[string]int64, isRelevant func(Delta) bool) (list []Delta) {
+	names := maps.Clone(before)
+	maps.Copy(names, now)
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		d := Delta{Name: name, Before: before[name], Now: now[name]}
+		if d.Before != d.Now && isRelevant(d) {
+			list = append(list, d)
 		}
-		return strings.Join(names, " ")
 	}
-	if len(c.Came) > 0 {
-		say("%s new: %s", count(len(c.Came), "host"), few(c.Came))
+	return list
+}
+
+// movedRate returns the units that go to another host than before. Demand that came or went has not moved.
+func movedRate(before, now map[rateKey]int64) int64 {
+	added, removed := int64(0), int64(0)
+	for key, rate := range before {
+		removed += max(rate-now[key], 0)
+	}
+	for key, rate := range now {
+		added += max(rate-before[key], 0)
 	}
-	if len(c.Left) > 0 {
-		say("%s gone: %s", count(len(c.Left), "host"), few(c.Left))
+	return min(added, removed)
+}
+
+// missingFrom returns the names that a map lacks of another, in their order.
+func missingFrom[V any](known, names map[string]V) (list []string) {
+	for _, name := range slices.Sorted(maps.Keys(names)) {
+		if _, found := known[name]; !found {
+			list = append(list, name)
+		}
 	}
-	for _, d := range c.Halls {
+	return list
+}
+
+// Describe describes a change line by line, what matters most first. Rate writes units as a rate.
+func (c *Change) Describe(rate func(int64) string) []string {
+	var lines []string
+	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
+	if c.MaxUtilisation.Less(c.MaxUtilisationBefore) || c.MaxUtilisationBefore.Less(c.MaxUtilisation) {
+		add("greatest utilisation goes from %.1f%% to %.1f%%",
+			100*c.MaxUtilisationBefore.Float(), 100*c.MaxUtilisation.Float())
+	}
+	lines = append(lines, describeNames(c.AddedHosts, "host", "new")...)
+	lines = append(lines, describeNames(c.RemovedHosts, "host", "gone")...)
+	for _, d := range c.Zones {
 		if d.Now > d.Before {
-			say("%s takes %s more", d.Name, rate(d.Now-d.Before))
+			add("%s takes %s more", d.Name, rate(d.Now-d.Before))
 		} else {
-			say("%s takes %s less", d.Name, rate(d.Before-d.Now))
+			add("%s takes %s less", d.Name, rate(d.Before-d.Now))
 		}
 	}
 	if len(c.Hosts) > 0 {
-		var names []string
-		for _, d := range c.Hosts {
-			names = append(names, fmt.Sprintf("%s (%s to %s)", d.Name, rate(d.Before), rate(d.Now)))
-		}
-		verb := "change"
-		if len(names) == 1 {
-			verb = "changes"
-		}
-		say("%s %s by over a tenth: %s", count(len(c.Hosts), "host"), verb, few(names))
-	}
-	if c.Moved > 0 {
-		say("%s go to another host than before", rate(c.Moved))
-	}
-	if len(c.Copies) > 0 {
-		say("%s to copy: %s", count(len(c.Copies), "replica"), few(c.Copies))
+		lines = append(lines, describeHostLoads(c.Hosts, rate))
 	}
-	if len(c.Drops) > 0 {
-		say("%s to drop: %s", count(len(c.Drops), "replica"), few(c.Drops))
+	if c.MovedRate > 0 {
+		add("%s go to another host than before", rate(c.MovedRate))
 	}
+	lines = append(lines, describeNames(c.AddedReplicas, "replica", "to copy")...)
+	lines = append(lines, describeNames(c.RemovedReplicas, "replica", "to drop")...)
 	for _, d := range c.Demand {
-		say("demand for %s goes from %s to %s", d.Name, rate(d.Before), rate(d.Now))
+		add("demand for %s goes from %s to %s", d.Name, rate(d.Before), rate(d.Now))
 	}
 	if c.Cost != c.CostBefore {
-		say("cost goes from %g to %g a second", float64(c.CostBefore)/1000, float64(c.Cost)/1000)
+		add("cost goes from %g to %g a second", float64(c.CostBefore)/CostUnits, float64(c.Cost)/CostUnits)
 	}
 	return lines
 }
 
-func count(n int, what string) string {
+// describeNames returns a line that counts and lists names, none without names.
+func describeNames(names []string, noun, what string) []string {
+	if len(names) == 0 {
+		return nil
+	}
+	return []string{fmt.Sprintf("%s %s: %s", pluralise(len(names), noun), what, firstNames(names))}
+}
+
+func describeHostLoads(hosts []Delta, rate func(int64) string) string {
+	var names []string
+	for _, d := range hosts {
+		names = append(names, fmt.Sprintf("%s (%s to %s)", d.Name, rate(d.Before), rate(d.Now)))
+	}
+	verb := "change"
+	if len(names) == 1 {
+		verb = "changes"
+	}
+	return fmt.Sprintf("%s %s by over a tenth: %s", pluralise(len(hosts), "host"), verb, firstNames(names))
+}
+
+// firstNames lists the first names, and counts the others.
+func firstNames(names []string) string {
+	const listed = 8
+	if len(names) <= listed {
+		return strings.Join(names, " ")
+	}
+	return strings.Join(names[:listed], " ") + fmt.Sprintf(" and %d more", len(names)-listed)
+}
+
+func pluralise(n int, what string) string {
 	if n == 1 {
 		return "1 " + what
 	}
--- a/logic/rollout/baseline.go
+++ b/logic/rollout/baseline.go
@@ -125,7 +125,7 @@
 		if one.total[m] < minHalfCount || other.total[m] < minHalfCount {
 			continue
 		}
-		pooled := (one.bad[m] + other.bad[m]) / (one.total[m] + other.total[m])
+		pooled := (one.events[m] + other.events[m]) / (one.total[m] + other.total[m])
 		difference := one.rate(m) - other.rate(m)
 		if m == attemptsPerRequest {
 			difference /= max(pooled, 1e-9)
@@ -143,7 +143,7 @@
 	return sum
 }
 
-// precise reports whether a class is known well enough for two halves of the fleet to be told apart by a
+// precise reports whether a class is known well enough for two halves of the fleet to be distinguished by a
 // quarter of the harm. The gatherers' own differences are subtracted later on, and an error in them stays
 // for a whole stage.
 func (b *baseline) precise(p *Plan, class int) bool {
@@ -219,7 +219,7 @@
 	if news.total[m] < minHalfCount || olds.total[m] < minHalfCount {
 		return 0, 0
 	}
-	pooled := (news.bad[m] + olds.bad[m]) / (news.total[m] + olds.total[m])
+	pooled := (news.events[m] + olds.events[m]) / (news.total[m] + olds.total[m])
 	difference := news.rate(m) - olds.rate(m)
 	if m == attemptsPerRequest {
 		difference /= max(b.attemptsPerRequest[class], 1e-9)
@@ -231,13 +231,13 @@
 	return difference * shrinkage, standardError
 }
 
-// summary tells operators what was learned.
+// summary is what was learned, for operators.
 func (b *baseline) summary(p *Plan) string {
 	var parts []string
 	for class, name := range p.Classes {
 		sum := b.total(class)
 		queries := sum.total[lostValue]
-		earned := 100 * (1 - sum.bad[lostValue]/max(queries, 1))
+		earned := 100 * (1 - sum.events[lostValue]/max(queries, 1))
 		parts = append(parts, fmt.Sprintf("%s earns %.1f%% (%.0f lookups)", name, earned, queries))
 	}
 	return strings.Join(parts, ", ")
