--- a/cmd/yokeroute-testbed/demo.go
+++ b/cmd/yokeroute-testbed/demo.go
@@ -17,7 +17,7 @@
 
 // demoOptions are the flags of demo.
 type demoOptions struct {
-	terms    demo.Terms
+	terms    demo.Options
 	plain    bool
 	duration time.Duration // 0 for until it is ended
 }
@@ -58,11 +58,11 @@
 	out := cmd.OutOrStdout()
 	fmt.Fprintf(out, "a gatherer serves on http://%s; ask it:\n\n%s\n\n", d.Address, d.Curl())
 	if o.plain || !isatty.IsTerminal(os.Stdout.Fd()) {
-		d.Plain(ctx, out)
+		d.WriteLines(ctx, out)
 	} else {
-		err = d.Screen(ctx)
+		err = d.RunScreen(ctx)
 	}
 	closeErr := d.Close()
-	fmt.Fprintln(out, d.Counts.Line())
+	fmt.Fprintln(out, d.Counts.Summary())
 	return errors.Join(err, closeErr)
 }
--- a/cmd/yokeroute-testbed/phases.go
+++ b/cmd/yokeroute-testbed/phases.go
@@ -21,7 +21,7 @@
 
 // phasesOptions are the flags of phases.
 type phasesOptions struct {
-	terms  experiment.PhaseTerms
+	terms  experiment.PhaseOptions
 	search study.PhaseSearch
 	output string
 }
@@ -48,9 +48,9 @@
 func (o *phasesOptions) addFlags(cmd *cobra.Command) {
 	flags := cmd.Flags()
 	flags.StringVar(&o.terms.Binary, "gatherer", gathererProgram(), "the gatherer's program")
-	flags.DurationVar(&o.terms.Warm, "warm", defaultPhasesWarmup, "time for learning before anything is measured")
-	flags.DurationVar(&o.terms.Length, "length", defaultPhasesDuration, "time that is measured")
-	flags.Float64SliceVar(&o.terms.Prune, "prune", []float64{0, 0.25, 0.5, 0.75, 0.95},
+	flags.DurationVar(&o.terms.WarmUp, "warm", defaultPhasesWarmup, "time for learning before anything is measured")
+	flags.DurationVar(&o.terms.Duration, "length", defaultPhasesDuration, "time that is measured")
+	flags.Float64SliceVar(&o.terms.EmptyShares, "prune", []float64{0, 0.25, 0.5, 0.75, 0.95},
 		"shares of segments in which a query finds nothing")
 	flags.StringSliceVar(&o.terms.Days, "days", experiment.PhaseDays, "kinds of days")
 	flags.IntVar(&o.search.Cases, "search", 0,
@@ -80,7 +80,7 @@
 
 // runProcesses measures both ways on processes.
 func (o *phasesOptions) runProcesses(cmd *cobra.Command) error {
-	o.terms.Seen = printProgress(cmd)
+	o.terms.Progress = printProgress(cmd)
 	rows, err := experiment.Phases(cmd.Context(), o.terms)
 	if err != nil {
 		return err
--- a/cmd/yokeroute-testbed/plans.go
+++ b/cmd/yokeroute-testbed/plans.go
@@ -17,7 +17,7 @@
 )
 
 func plansCommand() *cobra.Command {
-	var terms experiment.PlanTerms
+	var terms experiment.PlanOptions
 	var output string
 	cmd := &cobra.Command{
 		Use:     "plans",
@@ -25,7 +25,7 @@
 		Args:    cobra.NoArgs,
 		Example: "  bin/yokeroute-testbed plans --rounds 3",
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			terms.Seen = printProgress(cmd)
+			terms.Progress = printProgress(cmd)
 			rows, err := experiment.Plans(cmd.Context(), terms)
 			if err != nil {
 				return err
@@ -39,10 +39,10 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&terms.Binary, "gatherer", gathererProgram(), "the gatherer's program")
-	flags.DurationVar(&terms.Calm, "calm", defaultPlansPhase, "length of the calm phase")
-	flags.DurationVar(&terms.After, "after", defaultPlansPhase, "length of the phase after the loss")
+	flags.DurationVar(&terms.BeforeLoss, "calm", defaultPlansPhase, "length of the calm phase")
+	flags.DurationVar(&terms.AfterLoss, "after", defaultPlansPhase, "length of the phase after the loss")
 	flags.Float64Var(&terms.Rate, "rate", defaultPlansRate, "parts a second")
-	flags.Float64Var(&terms.Small, "small", defaultPlansSmallRate,
+	flags.Float64Var(&terms.SmallCapacity, "small", defaultPlansSmallRate,
 		"parts a second that the plan counts on from a small machine, which can answer 100")
 	flags.IntVar(&terms.Rounds, "rounds", defaultPlansRounds, "how often each variant runs, in turns")
 	flags.Uint64Var(&terms.Seed, "seed", 1, "of loads and machines")
--- a/cmd/yokeroute-testbed/replay.go
+++ b/cmd/yokeroute-testbed/replay.go
@@ -63,7 +63,7 @@
 	} else {
 		printRuleReport(cmd.OutOrStdout(), report)
 	}
-	if !report.Kept() {
+	if !report.Passed() {
 		return errNegative
 	}
 	return nil
@@ -91,8 +91,8 @@
 
 // printRuleReport prints the result of a check of the six rules.
 func printRuleReport(w io.Writer, r *rulecheck.Report) {
-	fmt.Fprintf(w, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Lookups, r.Calls,
-		r.Finals[rulecheck.Answered], r.Finals[rulecheck.Nacked], r.Finals[rulecheck.Aborted])
+	fmt.Fprintf(w, "%d lookups, %d part calls; %d answered, %d nacked, %d aborted\n", r.Queries, r.Attempts,
+		r.FinalAnswers[rulecheck.QueryServed], r.FinalAnswers[rulecheck.QueryRejected], r.FinalAnswers[rulecheck.QueryFailed])
 	const rules = 6
 	for rule := 1; rule <= rules; rule++ {
 		switch {
@@ -100,14 +100,14 @@
 			fmt.Fprintf(w, "rule %d: BROKEN %d times\n", rule, r.Counts[rule])
 		case r.Unchecked[rule] != "":
 			fmt.Fprintf(w, "rule %d: not checked: %s\n", rule, r.Unchecked[rule])
-		case r.Near[rule].Share > 0:
+		case r.ClosestToLimit[rule].Share > 0:
 			fmt.Fprintf(w, "rule %d: kept; nearest at %.0f%% of its limit, at %.0f ms: %s\n",
-				rule, 100*r.Near[rule].Share, r.Near[rule].At, r.Near[rule].Words)
+				rule, 100*r.ClosestToLimit[rule].Share, r.ClosestToLimit[rule].At, r.ClosestToLimit[rule].Message)
 		default:
 			fmt.Fprintf(w, "rule %d: kept\n", rule)
 		}
 	}
-	for _, violation := range r.Breaks {
+	for _, violation := range r.Violations {
 		fmt.Fprintln(w, " ", violation)
 	}
 	if r.Incomplete != "" {
@@ -128,7 +128,7 @@
 	h := queryHistory{out: w, query: query}
 	acceptHeader := func(rulecheck.Header) error { return nil }
 	err := rulecheck.Read(bytes.NewReader(text), acceptHeader, h.print)
-	if err != nil && !errors.Is(err, rulecheck.ErrCut) {
+	if err != nil && !errors.Is(err, rulecheck.ErrTruncated) {
 		return err
 	}
 	if !h.found {
@@ -138,7 +138,7 @@
 }
 
 func (h *queryHistory) print(e rulecheck.Event) {
-	if e.Lookup != h.query {
+	if e.Query != h.query {
 		return
 	}
 	if !h.found {
@@ -147,21 +147,21 @@
 	}
 	at := e.At - h.startedAt
 	pass := ""
-	if e.First {
+	if e.FirstPass {
 		pass = ", first pass"
 	}
 	switch e.Kind {
-	case rulecheck.Taken:
+	case rulecheck.QueryAdmitted:
 		fmt.Fprintf(h.out, "%9.3f ms  taken by gatherer %d: %s, %d parts, %.0f ms\n",
-			at, e.Gatherer, e.Index, len(e.Parts), e.Until-e.At)
-	case rulecheck.Sent:
-		fmt.Fprintf(h.out, "%9.3f ms  shard %d: call %d to server %d%s\n", at, e.Shard, e.Call+1, e.Server, pass)
-	case rulecheck.Ran:
+			at, e.Gatherer, e.Class, len(e.ShardRequests), e.Deadline-e.At)
+	case rulecheck.AttemptSent:
+		fmt.Fprintf(h.out, "%9.3f ms  shard %d: call %d to server %d%s\n", at, e.Shard, e.Attempt+1, e.Server, pass)
+	case rulecheck.WorkStarted:
 		fmt.Fprintf(h.out, "%9.3f ms  shard %d: server %d begins its work%s\n", at, e.Shard, e.Server, pass)
-	case rulecheck.Ended:
-		fmt.Fprintf(h.out, "%9.3f ms  shard %d: call %d: %s%s\n", at, e.Shard, e.Call+1, e.Outcome, pass)
-	case rulecheck.Answered:
-		fmt.Fprintf(h.out, "%9.3f ms  answered, whole %t, shards %v\n", at, e.Whole, e.In)
+	case rulecheck.AttemptEnded:
+		fmt.Fprintf(h.out, "%9.3f ms  shard %d: call %d: %s%s\n", at, e.Shard, e.Attempt+1, e.Outcome, pass)
+	case rulecheck.QueryServed:
+		fmt.Fprintf(h.out, "%9.3f ms  answered, whole %t, shards %v\n", at, e.Complete, e.IncludedShards)
 	default:
 		fmt.Fprintf(h.out, "%9.3f ms  %s\n", at, e.Kind)
 	}
--- a/cmd/yokeroute-testbed/run.go
+++ b/cmd/yokeroute-testbed/run.go
@@ -89,7 +89,7 @@
 	}
 	startTrace := func(h rulecheck.Header) (func(rulecheck.Event), func(float64, string) error) {
 		w := rulecheck.NewWriter(f, h)
-		return w.See, w.End
+		return w.Write, w.Close
 	}
 	_, err = emulator.Run(scenario, emulator.Options{Seed: seed, Variant: v, Unruled: true, Trace: startTrace})
 	return errors.Join(err, f.Close())
--- a/cmd/yokeroute-testbed/scaledecisions.go
+++ b/cmd/yokeroute-testbed/scaledecisions.go
@@ -13,7 +13,7 @@
 
 // scaleDecisionsOptions are the flags of scale decisions.
 type scaleDecisionsOptions struct {
-	terms         scale.DecisionTerms
+	terms         scale.DecisionOptions
 	servers       []int
 	shardRequests []int // a query
 	output        string
--- a/cmd/yokeroute/serve_test.go
+++ b/cmd/yokeroute/serve_test.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"yokeroute/internal/testbed/standin"
-	"yokeroute/internal/testbed/standin/directory"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // startDiscovery starts a discovery agent that lists one server and never reports a change. It sends on watched when
@@ -116,7 +116,7 @@
 	ended, log := startServe(t, writeConfig(t, address, agent), address)
 	first := sendQuery(address, "a")
 	conn := shard.Take()
-	if f := conn.Read(); len(f.Parts) != 1 || f.Parts[0].ID != "a.2" || f.Parts[0].Shard != 2 || f.Parts[0].Text != "c41e" {
+	if f := conn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "a.2" || f.Requests[0].Shard != 2 || f.Requests[0].Payload != "c41e" {
 		t.Errorf("frame %+v", f)
 	}
 	conn.Answer("a.2", "ok", "5be2")
@@ -178,18 +178,18 @@
 // TestServeFollowsPlanInForce: queries follow a plan's weights, those of another plan after SIGHUP, and plain round
 // robin without one. A faulty plan changes nothing.
 func TestServeFollowsPlanInForce(t *testing.T) {
-	var members []directory.Member
-	fleet := map[string]*shards.Server{}
+	var members []discoveryserver.Member
+	fleet := map[string]*shardserver.Server{}
 	for _, name := range []string{"n-1", "s-1"} {
-		s, err := shards.Start(shards.Terms{Cores: 4, Work: servePlanWork, Queue: 100}, nil)
+		s, err := shardserver.Start(shardserver.Config{Cores: 4, MeanWork: servePlanWork, QueueLimit: 100}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
 		fleet[name] = s
-		members = append(members, directory.Member{ID: name, HostPort: s.Address(), Locality: "hall", Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: name, HostPort: s.Address(), Zone: "hall", Phase: "in_service", Size: 1})
 	}
-	list, err := directory.Start(members)
+	list, err := discoveryserver.Start(members)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -211,14 +211,14 @@
 	awaitLog(t, log, "weights in force") // the list may be known before them
 	n := 0
 	went := func() string {
-		before := map[string]int{"n-1": fleet["n-1"].Counts().Parts, "s-1": fleet["s-1"].Counts().Parts}
+		before := map[string]int{"n-1": fleet["n-1"].Counts().Requests, "s-1": fleet["s-1"].Counts().Requests}
 		for range 6 {
 			n++
 			if got := <-sendQuery(address, fmt.Sprint("x", n)); !strings.Contains(got, "c41e") {
 				t.Fatalf("answer %s", got)
 			}
 		}
-		return fmt.Sprint(fleet["n-1"].Counts().Parts-before["n-1"], " ", fleet["s-1"].Counts().Parts-before["s-1"])
+		return fmt.Sprint(fleet["n-1"].Counts().Requests-before["n-1"], " ", fleet["s-1"].Counts().Requests-before["s-1"])
 	}
 	if got := went(); got != "6 0" {
 		t.Errorf("parts %s", got)
--- a/cmd/yokeroute/twophase_test.go
+++ b/cmd/yokeroute/twophase_test.go
@@ -14,8 +14,8 @@
 	"testing"
 	"time"
 
-	"yokeroute/internal/testbed/standin/directory"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // TestCheckConfigRejectsUnfitTwoPhaseClasses: check-config names the line and column of each class that cannot be
@@ -50,22 +50,22 @@
 // that a shard holds, or does not hold, was so at a version of the content that was current while the query was in
 // flight.
 func TestTwoPhaseAnswersAreTrueWhileContentChanges(t *testing.T) {
-	content := &shards.Content{Queries: 60, Holds: 0.3, False: 0.2, Seed: 5}
-	var members []directory.Member
-	var fleet []*shards.Server
+	content := &shardserver.Content{Queries: 60, HitShare: 0.3, FalsePositiveRate: 0.2, Seed: 5}
+	var members []discoveryserver.Member
+	var fleet []*shardserver.Server
 	for i := range 6 {
-		s, err := shards.Start(shards.Terms{Cores: 8, Work: 4, Brief: 0.5, Queue: 1000, Seed: uint64(i)}, nil)
+		s, err := shardserver.Start(shardserver.Config{Cores: 8, MeanWork: 4, FirstPassWork: 0.5, QueueLimit: 1000, Seed: uint64(i)}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer s.Close()
-		s.Hold(content)
+		s.SetContent(content)
 		fleet = append(fleet, s)
-		members = append(members, directory.Member{ID: fmt.Sprint("m-", i), HostPort: s.Address(), Cell: i % 2, Phase: "in_service", Size: 1})
+		members = append(members, discoveryserver.Member{ID: fmt.Sprint("m-", i), HostPort: s.Address(), ReplicaSet: i % 2, Phase: "in_service", Size: 1})
 	}
-	fleet[0].Speak(0)
-	fleet[1].Garble(0.3)
-	list, err := directory.Start(members)
+	fleet[0].SetFirstPassWork(0)
+	fleet[1].SetGarbledShare(0.3)
+	list, err := discoveryserver.Start(members)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,7 +78,7 @@
 	os.WriteFile(operators, []byte("two-phase find trials 50%\ntrace keep 1000\n"), 0o600)
 	ended, log := startServe(t, path, address, "--operator", operators)
 	for _, s := range fleet { // all have been asked whether they know first passes
-		for s.Counts().Hellos == 0 {
+		for s.Counts().Handshakes == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -111,7 +111,7 @@
 		}
 		has := func(shard int, want bool) (ever bool) {
 			for v := before; v <= content.Version(); v++ {
-				ever = ever || content.Has(query, shard, v) == want
+				ever = ever || content.Matches(query, shard, v) == want
 			}
 			return ever
 		}
@@ -133,21 +133,21 @@
 			time.Sleep(2 * time.Millisecond)
 			switch {
 			case i%10 == 5:
-				content.Change()
+				content.NextVersion()
 			case round == 2 && i == 20:
 				fleet[3].Kill()
 			case round == 3 && i == 20:
-				fleet[3].Revive()
+				fleet[3].Restart()
 			}
 		}
 		wait.Wait()
 	}
 	briefs := 0
 	for _, s := range fleet {
-		briefs += s.Counts().Briefs
+		briefs += s.Counts().FirstPassRequests
 	}
-	if briefs < 200 || fleet[0].Counts().Briefs > 0 {
-		t.Errorf("%d parts of first passes, %d of them at an old build", briefs, fleet[0].Counts().Briefs)
+	if briefs < 200 || fleet[0].Counts().FirstPassRequests > 0 {
+		t.Errorf("%d parts of first passes, %d of them at an old build", briefs, fleet[0].Counts().FirstPassRequests)
 	}
 	out, err := execute(t, "explain", "lookup", "--gatherer", address, "-o", "json")
 	if err != nil || strings.Count(out, `"two":true`) < 20 {
--- a/internal/control/policyclient/fleet_test.go
+++ b/internal/control/policyclient/fleet_test.go
@@ -177,7 +177,7 @@
 // awaitRequestsAt waits until a server has received one more request.
 func (f *fleetTest) awaitRequestsAt(server string) {
 	f.Helper()
-	received := func() int { return f.fleet.Servers[server].Counts().Parts }
+	received := func() int { return f.fleet.Servers[server].Counts().Requests }
 	before := received()
 	err := process.WaitUntil(f.ctx, server+" receives a request", func() bool { return received() > before })
 	if err != nil {
--- a/internal/gatherer/service/claims_test.go
+++ b/internal/gatherer/service/claims_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/anishathalye/porcupine"
 
-	standin "yokeroute/internal/testbed/standin/owners"
+	standin "yokeroute/internal/testbed/standin/segmentserver"
 	"yokeroute/logic/ownership"
 )
 
@@ -82,14 +82,14 @@
 }
 
 // check holds what ran against what clients learnt.
-func check(t *testing.T, ran []standin.Ran, history []porcupine.Operation) {
+func check(t *testing.T, ran []standin.Execution, history []porcupine.Operation) {
 	t.Helper()
 	if twice := duplicates(ran); len(twice) > 0 {
 		t.Errorf("%d claims ran, or keys were given, twice: %v", len(twice), twice[:min(len(twice), 5)])
 	}
 	by := map[string]bool{}
 	for _, r := range ran {
-		by[r.By] = true
+		by[r.Claimant] = true
 	}
 	for _, op := range history {
 		if who := op.Input.(claimInput).who; op.Output == "never" && by[who] {
@@ -108,17 +108,17 @@
 }
 
 // duplicates are claims that ran twice and keys that were given twice.
-func duplicates(ran []standin.Ran) (twice []string) {
+func duplicates(ran []standin.Execution) (twice []string) {
 	claims, keys := map[string]int{}, map[uint64]string{}
 	for _, r := range ran {
-		if claims[r.By]++; claims[r.By] > 1 {
-			twice = append(twice, fmt.Sprintf("%s ran %d times", r.By, claims[r.By]))
+		if claims[r.Claimant]++; claims[r.Claimant] > 1 {
+			twice = append(twice, fmt.Sprintf("%s ran %d times", r.Claimant, claims[r.Claimant]))
 		}
-		if r.Given {
+		if r.Granted {
 			if first := keys[r.Key]; first != "" {
-				twice = append(twice, fmt.Sprintf("key %016x to %s and to %s at %s", r.Key, first, r.By, r.Host))
+				twice = append(twice, fmt.Sprintf("key %016x to %s and to %s at %s", r.Key, first, r.Claimant, r.Host))
 			}
-			keys[r.Key] = r.By
+			keys[r.Key] = r.Claimant
 		}
 	}
 	return twice
--- a/internal/gatherer/service/farm_test.go
+++ b/internal/gatherer/service/farm_test.go
@@ -17,8 +17,8 @@
 
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
-	"yokeroute/internal/testbed/standin/directory"
-	standin "yokeroute/internal/testbed/standin/owners"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	standin "yokeroute/internal/testbed/standin/segmentserver"
 	"yokeroute/logic/ownership"
 )
 
@@ -35,16 +35,16 @@
 	t         *testing.T
 	hosts     []*standin.Host
 	authority *standin.Authority
-	directory *directory.Server
+	directory *discoveryserver.Server
 	addresses []string
 	stops     []func()
 }
 
 // start starts so many hosts, which own four segments at first, two each.
-func startFarm(t *testing.T, hosts, gatherers int, logs *standin.Logs, state string) *farm {
+func startFarm(t *testing.T, hosts, gatherers int, logs *standin.SegmentLogs, state string) *farm {
 	t.Helper()
 	f := &farm{t: t}
-	var members []directory.Member
+	var members []discoveryserver.Member
 	for i := range hosts {
 		h, err := standin.NewHost(fmt.Sprint("h", i), logs, 3*time.Millisecond)
 		if err != nil {
@@ -52,8 +52,8 @@
 		}
 		t.Cleanup(h.Close)
 		f.hosts = append(f.hosts, h)
-		members = append(members, directory.Member{
-			ID: h.Name, HostPort: h.Address(), Locality: "a", Phase: "in_service", Size: 1,
+		members = append(members, discoveryserver.Member{
+			ID: h.Name, HostPort: h.Address(), Zone: "a", Phase: "in_service", Size: 1,
 		})
 	}
 	var list []ownership.Segment
@@ -67,11 +67,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if f.authority, err = standin.Start(first, f.hosts, logs); err != nil {
+	if f.authority, err = standin.StartAuthority(first, f.hosts, logs); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.authority.Close)
-	if f.directory, err = directory.Start(members); err != nil {
+	if f.directory, err = discoveryserver.Start(members); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(f.directory.Close)
--- a/internal/gatherer/service/fixture_test.go
+++ b/internal/gatherer/service/fixture_test.go
@@ -13,7 +13,7 @@
 	"yokeroute/internal/config/operator"
 	"yokeroute/internal/config/platform"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // settings are a platform's, with lists that are pushed.
@@ -50,7 +50,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configured := turned(text(l.Addr().String(), fleet.Directory.Address(), settings))
+	configured := turned(text(l.Addr().String(), fleet.Discovery.Address(), settings))
 	c, err := platform.Parse([]byte(configured), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -77,19 +77,19 @@
 func serveUnderLoad(t *testing.T, own *operator.File, during func(f *experiment.Fleet)) *experiment.Outcome {
 	t.Helper()
 	fleet, address, end := startGatherer(t, own, func(i int) experiment.Machine {
-		return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{
-			Cores: 2, Work: 8, Spread: 0.5, Queue: 40, Brief: 1, Seed: uint64(i),
+		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: "a", Kind: "k", ReplicaSet: i % 2, Config: shardserver.Config{
+			Cores: 2, MeanWork: 8, WorkVariation: 0.5, QueueLimit: 40, FirstPassWork: 1, Seed: uint64(i),
 		}}
 	}, func(text string) string { return text })
 	outs := make(chan *experiment.Outcome, 2)
 	playing, enough := context.WithCancel(t.Context())
 	for _, load := range []experiment.Load{
-		{Origin: "any", Index: "any", Rate: 120, Parts: 4, Seed: 0},
-		{Origin: "once", Index: "once", Rate: 40, Parts: 2, Seed: 1},
+		{Origin: "any", Class: "any", Rate: 120, ShardRequests: 4, Seed: 0},
+		{Origin: "once", Class: "once", Rate: 40, ShardRequests: 2, Seed: 1},
 	} {
 		load.Address = address
 		load.Shards = 12
-		load.Wait = 500 * time.Millisecond
+		load.Deadline = 500 * time.Millisecond
 		go func() { outs <- experiment.Play(playing, load, 2500*time.Millisecond, 300*time.Millisecond) }()
 	}
 	during(fleet)
@@ -104,7 +104,7 @@
 
 // plainMachine is a machine that answers fast.
 func plainMachine(i int) experiment.Machine {
-	return experiment.Machine{Name: fmt.Sprint("m", i), Hall: "a", Kind: "k", Group: i % 2, Terms: shards.Terms{
-		Cores: 2, Work: 2, Queue: 40, Seed: uint64(i),
+	return experiment.Machine{Name: fmt.Sprint("m", i), Zone: "a", Kind: "k", ReplicaSet: i % 2, Config: shardserver.Config{
+		Cores: 2, MeanWork: 2, QueueLimit: 40, Seed: uint64(i),
 	}}
 }
--- a/internal/gatherer/service/record_test.go
+++ b/internal/gatherer/service/record_test.go
@@ -25,26 +25,26 @@
 		wait := func() { time.Sleep(250 * time.Millisecond) } // what happens in between is load, not a condition waited for
 		wait()
 		f.Servers["m0"].Kill()
-		f.Servers["m1"].Hang(true)
+		f.Servers["m1"].SetHung(true)
 		wait()
-		f.Tell("terminating", "m2")
-		f.Servers["m3"].Fail(0.5)
+		f.SetPhase("terminating", "m2")
+		f.Servers["m3"].SetFailureShare(0.5)
 		wait()
-		if err := f.Servers["m0"].Revive(); err != nil {
+		if err := f.Servers["m0"].Restart(); err != nil {
 			t.Error(err)
 		}
-		f.Restarted("m0")
-		f.Servers["m5"].Slow(10)
+		f.AnnounceRestart("m0")
+		f.Servers["m5"].SetSlowdown(10)
 		wait()
-		f.Tell("terminated", "m2")
-		f.Servers["m1"].Hang(false)
+		f.SetPhase("terminated", "m2")
+		f.Servers["m1"].SetHung(false)
 	})
 	r := checkFile(t, file)
-	if !r.Kept() {
-		t.Errorf("%v %s", r.Breaks, r.Incomplete)
+	if !r.Passed() {
+		t.Errorf("%v %s", r.Violations, r.Incomplete)
 	}
-	if r.Lookups < all.Sent*9/10 || r.Calls < 2*all.Sent || r.Finals[rulecheck.Answered] == 0 {
-		t.Errorf("%d lookups sent, %d recorded with %d calls, %v", all.Sent, r.Lookups, r.Calls, r.Finals)
+	if r.Queries < all.Sent*9/10 || r.Attempts < 2*all.Sent || r.FinalAnswers[rulecheck.QueryServed] == 0 {
+		t.Errorf("%d lookups sent, %d recorded with %d calls, %v", all.Sent, r.Queries, r.Attempts, r.FinalAnswers)
 	}
 	if len(r.Unchecked) != 1 || r.Unchecked[4] == "" {
 		t.Errorf("not checked: %v", r.Unchecked)
@@ -56,7 +56,7 @@
 func TestRecordSaysThatItsBoundIsReached(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
 	serveUnderLoad(t, &operator.File{Record: file, RecordMaxBytes: 8192, BackgroundShare: 0.05}, func(*experiment.Fleet) {})
-	if r := checkFile(t, file); r.Kept() || !strings.Contains(r.Incomplete, "8192 bytes") {
+	if r := checkFile(t, file); r.Passed() || !strings.Contains(r.Incomplete, "8192 bytes") {
 		t.Errorf("%+v", r)
 	}
 	if info, err := os.Stat(file); err != nil || info.Size() > 10_000 {
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -12,7 +12,7 @@
 
 	"yokeroute/internal/control/segments"
 	"yokeroute/internal/pcg"
-	standin "yokeroute/internal/testbed/standin/owners"
+	standin "yokeroute/internal/testbed/standin/segmentserver"
 	"yokeroute/logic/ownership"
 )
 
@@ -27,7 +27,7 @@
 // rejected has run, no key is given twice, histories of claims are linearizable, and complete answers cover each key
 // once.
 func TestSegmentsMoveWithoutDuplicates(t *testing.T) {
-	logs := &standin.Logs{}
+	logs := &standin.SegmentLogs{}
 	f := startFarm(t, 6, 2, logs, "")
 	for _, a := range f.addresses {
 		f.ready(a)
@@ -87,7 +87,7 @@
 	for _, w := range wrong {
 		t.Error(w)
 	}
-	ran := logs.Ran()
+	ran := logs.Executions()
 	check(t, ran, history)
 	if counts["claim lost"] > 0 {
 		t.Errorf("%d claims were answered whole by nobody who has their key", counts["claim lost"])
@@ -127,9 +127,9 @@
 		case 0:
 			if cut == nil {
 				cut = f.hosts[draw(len(f.hosts))]
-				cut.Cut(true)
+				cut.SetAuthorityDisconnected(true)
 			} else {
-				cut.Cut(false)
+				cut.SetAuthorityDisconnected(false)
 				cut = nil
 			}
 		case 1:
@@ -137,17 +137,17 @@
 				killed = f.hosts[draw(len(f.hosts))]
 				killed.Kill()
 			} else {
-				if err := killed.Revive(); err != nil {
+				if err := killed.Restart(); err != nil {
 					f.t.Error(err)
 				}
 				killed = nil
 			}
 		case 2:
-			f.hosts[draw(len(f.hosts))].Lose(1 + draw(3))
+			f.hosts[draw(len(f.hosts))].DropAnswers(1 + draw(3))
 		}
 		h := ownership.NewHandover(m, c)
 		for step := ownership.Fence; step <= ownership.Done; step++ { // a step at a time, with calls in between
-			if err = f.authority.Carry(&h, step); err != nil {
+			if err = f.authority.RunUntil(&h, step); err != nil {
 				break
 			}
 			time.Sleep(time.Duration(1+draw(8)) * time.Millisecond)
@@ -157,13 +157,13 @@
 			}
 		}
 		if err != nil && h.Step <= ownership.Publish {
-			for f.authority.Undo(&h) != nil { // until those who had the segments can be reached again
+			for f.authority.Revert(&h) != nil { // until those who had the segments can be reached again
 				if cut != nil {
-					cut.Cut(false)
+					cut.SetAuthorityDisconnected(false)
 					cut = nil
 				}
 				if killed != nil {
-					if err := killed.Revive(); err != nil {
+					if err := killed.Restart(); err != nil {
 						f.t.Error(err)
 					}
 					killed = nil
@@ -176,7 +176,7 @@
 		time.Sleep(time.Duration(20+draw(60)) * time.Millisecond)
 	}
 	if killed != nil {
-		killed.Revive()
+		killed.Restart()
 	}
 	return moves, undone
 }
@@ -185,26 +185,26 @@
 // goes on asking it. With the fence nothing runs there; without it a key is given twice, which this test sees.
 func TestCutOffOwnerDoesNotRunWhatMoved(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
-		logs := &standin.Logs{Unfenced: unfenced}
+		logs := &standin.SegmentLogs{WithoutFencing: unfenced}
 		f := startFarm(t, 3, 2, logs, "")
 		for _, a := range f.addresses {
 			f.ready(a)
 		}
 		// The second gatherer hears of nothing any more.
-		f.authority.Silence(true)
-		f.hosts[0].Cut(true)
+		f.authority.SetSilent(true)
+		f.hosts[0].SetAuthorityDisconnected(true)
 		m := f.authority.Map()
 		c, err := m.MoveSegment("s0", []string{"h2"})
 		if err != nil {
 			t.Fatal(err)
 		}
 		h := ownership.NewHandover(m, c)
-		if err := f.authority.Carry(&h, ownership.Done); err != nil {
+		if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
 		startedAt := time.Now()
 		old := claim(f.addresses[1], "late", 5, startedAt)
-		f.authority.Silence(false)
+		f.authority.SetSilent(false)
 		f.ready(f.addresses[0])
 		for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			op := claim(f.addresses[0], fmt.Sprint("new-", time.Now().UnixNano()), 5, startedAt)
@@ -212,7 +212,7 @@
 				break
 			}
 		}
-		twice := duplicates(logs.Ran())
+		twice := duplicates(logs.Executions())
 		if !unfenced && (len(twice) > 0 || old.Output == "given") {
 			t.Errorf("%v, the old owner's answer was %v", twice, old.Output)
 		}
@@ -226,7 +226,7 @@
 // is silent, runs nothing at those who own its keys no longer; it serves again when the authority does. A once-only
 // lookup that may have run before the crash is aborted when its client asks again.
 func TestRestartWithAnOldMapRunsNothingTwice(t *testing.T) {
-	logs, dir := &standin.Logs{}, t.TempDir()
+	logs, dir := &standin.SegmentLogs{}, t.TempDir()
 	f := startFarm(t, 4, 1, logs, dir)
 	f.ready(f.addresses[0])
 	startedAt := time.Now()
@@ -234,7 +234,7 @@
 		t.Fatalf("%v", op.Output)
 	}
 	f.stops[0]()
-	f.authority.Silence(true)
+	f.authority.SetSilent(true)
 	for i := range 3 { // to hosts that have none of it, one after the other
 		m := f.authority.Map()
 		c, err := m.MoveSegment("s0", []string{f.hosts[[]int{2, 3, 2}[i]].Name})
@@ -242,7 +242,7 @@
 			t.Fatal(err)
 		}
 		h := ownership.NewHandover(m, c)
-		if err := f.authority.Carry(&h, ownership.Done); err != nil {
+		if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -266,12 +266,12 @@
 	if op := claim(address, "before", 7, startedAt); op.Output != "unknown" {
 		t.Errorf("a once-only lookup asked again after the crash: %v", op.Output)
 	}
-	f.authority.Silence(false)
+	f.authority.SetSilent(false)
 	f.ready(address)
 	if op := claim(address, "after", 8, startedAt); op.Output != "given" {
 		t.Errorf("%v", op.Output)
 	}
-	if twice := duplicates(logs.Ran()); len(twice) > 0 {
+	if twice := duplicates(logs.Executions()); len(twice) > 0 {
 		t.Error(twice)
 	}
 }
@@ -280,7 +280,7 @@
 // later of another one in the same epoch. Once- only lookups stop when that comes to light, reads go on, and all go on
 // with a later epoch. News that makes no sense changes nothing.
 func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
-	f := startFarm(t, 3, 1, &standin.Logs{}, "")
+	f := startFarm(t, 3, 1, &standin.SegmentLogs{}, "")
 	f.ready(f.addresses[0])
 	startedAt := time.Now()
 	n := 0
@@ -301,7 +301,7 @@
 	nonsense := lie
 	nonsense.Checksum++
 	tell := func(c ownership.Change) { // in place of the changes that there are; a whole map is told as it is
-		f.authority.Twist(func(r *segments.Response) *segments.Response {
+		f.authority.RewriteResponses(func(r *segments.Response) *segments.Response {
 			if r.Full != nil {
 				return r
 			}
@@ -317,10 +317,10 @@
 		t.Fatal(err)
 	}
 	h := ownership.NewHandover(m, c)
-	if err := f.authority.Carry(&h, ownership.Done); err != nil {
+	if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
-	f.authority.Twist(nil)
+	f.authority.RewriteResponses(nil)
 	try(1, "never") // refused, and so the map is asked for whole
 	other := ownership.ShardRange(1, 4).Lo
 	try(other, "never") // of a segment of which no lie was told
@@ -332,7 +332,7 @@
 		t.Fatal(err)
 	}
 	h = ownership.NewHandover(next, c)
-	if err := f.authority.Carry(&h, ownership.Done); err != nil {
+	if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
 	try(other, "given")
--- a/internal/gatherer/shardcall/handshake_test.go
+++ b/internal/gatherer/shardcall/handshake_test.go
@@ -7,7 +7,7 @@
 
 	"yokeroute/gather"
 	"yokeroute/internal/testbed/standin"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // TestHandshakeOncePerServerProcess wants one handshake with each process of a server, on a connection of its own,
@@ -18,8 +18,8 @@
 	p := New(Config{Settings: &gather.Settings{ConnectTimeout: 1000.0}, MaxConns: 100, Log: discardLog()})
 	p.EnableFirstPass(func(server uint32, yes bool) { found <- fmt.Sprint(server, yes) })
 	p.handshakeRetryDelay = 10 * time.Millisecond
-	start := func(brief float64) *shards.Server {
-		s, err := shards.Start(shards.Terms{Cores: 1, Work: 1, Brief: brief}, nil)
+	start := func(brief float64) *shardserver.Server {
+		s, err := shardserver.Start(shardserver.Config{Cores: 1, MeanWork: 1, FirstPassWork: brief}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -37,10 +37,10 @@
 		t.Errorf("found %s, %s", first, second)
 	}
 	conn := silent.Take()
-	if f := conn.Read(); f.Letter != 'H' || f.Body != "two-phase 1" {
+	if f := conn.Read(); f.Type != 'H' || f.Body != "two-phase 1" {
 		t.Errorf("asked by %+v", f)
 	}
-	if err := gone.Revive(); err != nil {
+	if err := gone.Restart(); err != nil {
 		t.Fatal(err)
 	}
 	if f := <-found; f != "3 true" {
@@ -50,16 +50,16 @@
 	if f := <-found; f != "4 false" {
 		t.Errorf("found %s", f)
 	}
-	if n := fresh.Counts().Hellos + old.Counts().Hellos; n != 2 {
+	if n := fresh.Counts().Handshakes + old.Counts().Handshakes; n != 2 {
 		t.Errorf("asked %d times", n)
 	}
-	old.Speak(1)
+	old.SetFirstPassWork(1)
 	list[1].StartedAt = 7
 	p.SetEndpoints(list)
 	if f := <-found; f != "2 true" {
 		t.Errorf("found %s of a process that has started anew", f)
 	}
-	if fresh.Counts().Hellos != 1 || len(found) > 0 {
+	if fresh.Counts().Handshakes != 1 || len(found) > 0 {
 		t.Errorf("asked again without need")
 	}
 }
--- a/internal/testbed/emulator/result.go
+++ b/internal/testbed/emulator/result.go
@@ -203,7 +203,7 @@
 	}
 	r.Fallen, r.Rounds, r.Faults = w.fallen, w.rounds, w.broken
 	if w.checker != nil {
-		r.Rules = w.checker.Report()
+		r.Rules = w.checker.Finish()
 	}
 }
 
@@ -256,7 +256,7 @@
 // Short is what of a day falls short of what was expected of it, rules first; empty where nothing does.
 func (r *Result) Short(sc *Scenario) (short []string) {
 	if r.Rules != nil {
-		for _, b := range r.Rules.Breaks {
+		for _, b := range r.Rules.Violations {
 			short = append(short, b.String())
 		}
 		if r.Rules.Incomplete != "" {
--- a/internal/testbed/processtest/fleet.go
+++ b/internal/testbed/processtest/fleet.go
@@ -28,8 +28,8 @@
 	"yokeroute/internal/process"
 	"yokeroute/internal/rulecheck"
 	"yokeroute/internal/testbed/experiment"
-	"yokeroute/internal/testbed/standin/directory"
-	"yokeroute/internal/testbed/standin/shards"
+	"yokeroute/internal/testbed/standin/discoveryserver"
+	"yokeroute/internal/testbed/standin/shardserver"
 )
 
 // Terms are what a fleet is started with beside its scenario.
@@ -58,7 +58,7 @@
 	mu     sync.Mutex
 	links  map[string]*Link
 	order  []string
-	truth  rulecheck.Truth
+	truth  rulecheck.GroundTruth
 	faults []error
 	said   []string
 	began  time.Time
@@ -138,13 +138,13 @@
 	if f.base, f.guard, err = addresses(); err != nil {
 		return nil, err
 	}
-	f.truth = rulecheck.Truth{Servers: map[uint32]rulecheck.Server{}, Cold: sc.Header().Cold}
+	f.truth = rulecheck.GroundTruth{Servers: map[uint32]rulecheck.Server{}, SlowStart: sc.Header().SlowStart}
 	var machines []experiment.Machine
 	for i, m := range sc.Machines() {
 		name := fmt.Sprint("s", i+1)
-		machines = append(machines, experiment.Machine{Name: name, Hall: sc.Halls[m.Hall], Kind: m.Kind.Name, Group: m.Set,
-			Terms: shards.Terms{Cores: m.Kind.Cores, Work: sc.Indexes[0].Work / m.Kind.Speed, Spread: sc.Indexes[0].Spread, CallWork: m.Kind.Call, Queue: m.Kind.Queue,
-				Brief: sc.Indexes[0].Work * 0.1, Keeps: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
+		machines = append(machines, experiment.Machine{Name: name, Zone: sc.Halls[m.Hall], Kind: m.Kind.Name, ReplicaSet: m.Set,
+			Config: shardserver.Config{Cores: m.Kind.Cores, MeanWork: sc.Indexes[0].Work / m.Kind.Speed, WorkVariation: sc.Indexes[0].Spread, CallWork: m.Kind.Call, QueueLimit: m.Kind.Queue,
+				FirstPassWork: sc.Indexes[0].Work * 0.1, KeepsCancelledWork: sc.Rules.Cancel != "waiting" && sc.Rules.Cancel != "running", Seed: sc.Seed*1000 + uint64(i)}})
 		f.truth.Servers[discovery.ServerID(name)] = rulecheck.Server{Capacity: float64(m.Kind.Cores)}
 	}
 	if f.Fleet, err = experiment.StartFleet(machines); err != nil {
@@ -152,7 +152,7 @@
 	}
 	for name, s := range f.Servers {
 		id := discovery.ServerID(name)
-		s.Watch(func(seen shards.Seen) { f.see(id, seen) })
+		s.OnEvent(func(seen shardserver.Event) { f.see(id, seen) })
 	}
 	if err = f.layPolicyServers(); err != nil {
 		return nil, err
@@ -173,7 +173,7 @@
 		if g.agent, err = net.Listen("tcp", f.base+".2:0"); err != nil {
 			return nil, err
 		}
-		f.Directory.View(g.agent, g.entry)
+		f.Discovery.ServeView(g.agent, g.entry)
 		if _, err := f.link(g.Name, "discovery", g.agent.Addr().String()); err != nil {
 			return nil, err
 		}
@@ -207,11 +207,11 @@
 }
 
 // see takes what a server tells of a part.
-func (f *Fleet) see(id uint32, seen shards.Seen) {
-	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.Kind(seen.What), Server: id, Shard: seen.Shard, First: seen.Brief, Work: seen.Work}
-	e.Name = strings.TrimSuffix(seen.ID, "~")
-	if dot := strings.LastIndexByte(e.Name, '.'); dot >= 0 {
-		e.Name = e.Name[:dot]
+func (f *Fleet) see(id uint32, seen shardserver.Event) {
+	e := rulecheck.Event{At: float64(seen.At.UnixNano()) / 1e6, Kind: rulecheck.EventKind(seen.Kind), Server: id, Shard: seen.Shard, FirstPass: seen.FirstPass, Work: seen.Work}
+	e.QueryName = strings.TrimSuffix(seen.ID, "~")
+	if dot := strings.LastIndexByte(e.QueryName, '.'); dot >= 0 {
+		e.QueryName = e.QueryName[:dot]
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -339,7 +339,7 @@
 // Check joins the traces of all processes with what the servers ran, and checks the rules. Processes that still serve
 // have to be ended before, by Close. That answers come in time is not judged: a process that was stopped gives none,
 // and under the race detector on few cores none is sure to.
-func (f *Fleet) Check() (*rulecheck.Joint, error) {
+func (f *Fleet) Check() (*rulecheck.JoinedReport, error) {
 	sources, done, err := f.sources()
 	defer done()
 	if err != nil {
@@ -349,14 +349,14 @@
 	truth := f.truth
 	truth.Events = slices.Clone(f.truth.Events)
 	f.mu.Unlock()
-	return rulecheck.Join(sources, &truth, rulecheck.JoinTerms{Operation: Operation, Slack: 60_000})
+	return rulecheck.Join(sources, &truth, rulecheck.JoinOptions{OperationOf: Operation, DeadlineSlack: 60_000})
 }
 
 // sources are the traces of all processes, once they are whole; done closes them.
 func (f *Fleet) sources() (all []rulecheck.Source, done func(), err error) {
 	done = func() {
 		for _, s := range all {
-			s.From.(*os.File).Close()
+			s.Trace.(*os.File).Close()
 		}
 	}
 	for _, g := range f.Gatherers {
@@ -369,18 +369,18 @@
 			if err != nil {
 				return all, done, err
 			}
-			all = append(all, rulecheck.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, From: file})
+			all = append(all, rulecheck.Source{Name: fmt.Sprintf("%s, process %d", g.Name, i+1), Gatherer: g.Number, Trace: file})
 		}
 	}
 	return all, done, nil
 }
 
 // Verdict ends a fleet and says what went wrong: faults of its processes, and rules that they broke together.
-func (f *Fleet) Verdict() (*rulecheck.Joint, error) {
+func (f *Fleet) Verdict() (*rulecheck.JoinedReport, error) {
 	f.Close()
 	j, err := f.Check()
-	if err == nil && !j.Kept() {
-		err = fmt.Errorf("%v; %s", j.Breaks, j.Incomplete)
+	if err == nil && !j.Passed() {
+		err = fmt.Errorf("%v; %s", j.Violations, j.Incomplete)
 	}
 	return j, errors.Join(f.Faults(), err)
 }
@@ -524,7 +524,7 @@
 	return err
 }
 
-func (g *Gatherer) answers() bool { return experiment.Answers(g.Address) }
+func (g *Gatherer) answers() bool { return experiment.IsReady(g.Address) }
 
 // Serves reports whether its newest process runs and is not stopped.
 func (g *Gatherer) Serves() bool {
@@ -631,7 +631,7 @@
 }
 
 // entry is an entry of the list as the gatherer's agent tells it: each server's address is that of its own link there.
-func (g *Gatherer) entry(m directory.Member) directory.Member {
+func (g *Gatherer) entry(m discoveryserver.Member) discoveryserver.Member {
 	if k, err := g.fleet.link(g.Name, m.ID, m.HostPort); err == nil {
 		m.HostPort = k.Address()
 	}
@@ -639,8 +639,8 @@
 }
 
 // Members are the list as a gatherer's agent would tell it.
-func (f *Fleet) Members(g *Gatherer) []directory.Member {
-	all := f.Directory.Members()
+func (f *Fleet) Members(g *Gatherer) []discoveryserver.Member {
+	all := f.Discovery.Members()
 	for i := range all {
 		all[i] = g.entry(all[i])
 	}
--- a/internal/testbed/processtest/sends.go
+++ b/internal/testbed/processtest/sends.go
@@ -54,32 +54,32 @@
 	admitted := map[uint64]rulecheck.Event{}
 	mayHaveRun := map[shardRequest]int{} // attempts
 	readHeader := func(h rulecheck.Header) error {
-		traceStart = h.Unix
+		traceStart = h.UnixStart
 		return nil
 	}
-	err = rulecheck.Read(source.From, readHeader, func(e rulecheck.Event) {
-		request := shardRequest{query: e.Lookup, shard: e.Shard}
+	err = rulecheck.Read(source.Trace, readHeader, func(e rulecheck.Event) {
+		request := shardRequest{query: e.Query, shard: e.Shard}
 		switch e.Kind {
-		case rulecheck.Taken:
-			admitted[e.Lookup] = e
-		case rulecheck.Sent:
-			query := admitted[e.Lookup]
+		case rulecheck.QueryAdmitted:
+			admitted[e.Query] = e
+		case rulecheck.AttemptSent:
+			query := admitted[e.Query]
 			sends = append(sends, Send{
 				At:         traceStart + e.At,
 				Gatherer:   gatherer,
 				Server:     servers[e.Server],
-				Class:      query.Index,
+				Class:      query.Class,
 				AdmittedAt: traceStart + query.At,
 				Repeated:   mayHaveRun[request] > 0,
 			})
 			mayHaveRun[request]++
-		case rulecheck.Ended:
-			if rulecheck.Unrun(e.Outcome) {
+		case rulecheck.AttemptEnded:
+			if rulecheck.NeverRan(e.Outcome) {
 				mayHaveRun[request]--
 			}
 		}
 	})
-	if err != nil && !errors.Is(err, rulecheck.ErrCut) {
+	if err != nil && !errors.Is(err, rulecheck.ErrTruncated) {
 		return nil, fmt.Errorf("%s: %w", source.Name, err)
 	}
 	return sends, nil
--- a/internal/testbed/rolloutlive/run.go
+++ b/internal/testbed/rolloutlive/run.go
@@ -106,7 +106,7 @@
 	}
 	r.fleet.Close()
 	joint, err := r.fleet.Check()
-	r.outcome.RulesHold = err == nil && joint.Kept()
+	r.outcome.RulesHold = err == nil && joint.Passed()
 	return r.outcome, err
 }
 
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -28,17 +28,17 @@
 
 // The faults.
 const (
-	NoFault       PolicyFault = "none"
-	LeaderKilled  PolicyFault = "leader-killed"
-	LeaderStopped PolicyFault = "leader-stopped" // by SIGSTOP
-	ManyKilled    PolicyFault = "many-killed"    // one gatherer in twelve, at once
-	OneKilled     PolicyFault = "one-killed"
-	OneStopped    PolicyFault = "one-ended"  // a planned end
-	RegionCut     PolicyFault = "region-cut" // one region in three, by relays, for a minute
+	NoFault            PolicyFault = "none"
+	LeaderKilled       PolicyFault = "leader-killed"
+	LeaderPaused       PolicyFault = "leader-stopped" // by SIGSTOP
+	ManyKilled         PolicyFault = "many-killed"    // one gatherer in twelve, at once
+	OneKilled          PolicyFault = "one-killed"
+	OneStopped         PolicyFault = "one-ended"  // a planned end
+	RegionDisconnected PolicyFault = "region-cut" // one region in three, by relays, for a minute
 )
 
 // PolicyFaults are all of them, in the order in which they are measured.
-var PolicyFaults = []PolicyFault{NoFault, OneKilled, OneStopped, ManyKilled, LeaderKilled, LeaderStopped, RegionCut}
+var PolicyFaults = []PolicyFault{NoFault, OneKilled, OneStopped, ManyKilled, LeaderKilled, LeaderPaused, RegionDisconnected}
 
 // PolicyConfig describes policy servers as processes, and hollow gatherers in this process that poll them over HTTP.
 type PolicyConfig struct {
@@ -86,7 +86,7 @@
 	processes     []*process.Process
 	servers       []operator.PolicyServer
 	client        *policyclient.Client
-	gatherers     []*hollowGatherer
+	gatherers     []*simulatedGatherer
 	relays        []*processtest.Link     // of the region that is cut off, one to each policy server
 	cutOffServers []operator.PolicyServer // the policy servers as that region reaches them
 	isCut         bool
@@ -94,12 +94,12 @@
 	log           *logrus.Logger
 }
 
-// hollowGatherer is the control side of a gatherer without clients: the real lease and the real poller.
-type hollowGatherer struct {
+// simulatedGatherer is the control side of a gatherer without clients: the real lease and the real poller.
+type simulatedGatherer struct {
 	lease    *policylease.Lease
 	isCutOff bool // it is in the region that is cut off
 	stop     context.CancelFunc
-	ended    chan struct{}
+	done     chan struct{}
 
 	mu        sync.Mutex
 	epoch     uint64    // that it has come to
@@ -138,7 +138,7 @@
 		}
 		f.processes = append(f.processes, p)
 	}
-	if err := f.layRelays(); err != nil {
+	if err := f.startRelays(); err != nil {
 		return f, err
 	}
 	waiting, cancel := context.WithTimeout(ctx, startTimeout)
@@ -151,9 +151,9 @@
 	})
 }
 
-// layRelays lays a relay to each policy server where a region is to be cut off.
-func (f *policyFleet) layRelays() error {
-	if f.config.Fault != RegionCut {
+// startRelays lays a relay to each policy server where a region is to be cut off.
+func (f *policyFleet) startRelays() error {
+	if f.config.Fault != RegionDisconnected {
 		return nil
 	}
 	for i, s := range f.servers {
@@ -170,7 +170,7 @@
 // close ends all of it.
 func (f *policyFleet) close() {
 	for _, h := range f.gatherers {
-		h.end()
+		h.crash()
 	}
 	for _, relay := range f.relays {
 		relay.Close()
@@ -201,10 +201,10 @@
 var fallbackPolicy = decisions.Policy{{Kind: decisions.NoHedging}}
 
 // startGatherer starts one gatherer's control side.
-func (f *policyFleet) startGatherer(number int) *hollowGatherer {
+func (f *policyFleet) startGatherer(number int) *simulatedGatherer {
 	start := time.Now()
 	clock := func() float64 { return float64(time.Since(start)) / 1e6 }
-	h := &hollowGatherer{ended: make(chan struct{}), isCutOff: len(f.cutOffServers) > 0 && number%DesignRegions == 0}
+	h := &simulatedGatherer{done: make(chan struct{}), isCutOff: len(f.cutOffServers) > 0 && number%DesignRegions == 0}
 	stewards := f.servers
 	if h.isCutOff {
 		stewards = f.cutOffServers
@@ -228,14 +228,14 @@
 	ctx, stop := context.WithCancel(f.ctx)
 	h.stop = stop
 	go func() {
-		defer close(h.ended)
+		defer close(h.done)
 		poller.Run(ctx)
 	}()
 	return h
 }
 
 // onChange notes how far the gatherer has come, and settles: it has no lookups in hand.
-func (h *hollowGatherer) onChange(now float64) {
+func (h *simulatedGatherer) onChange(now float64) {
 	way, _ := h.lease.Effective(now)
 	h.lease.MarkDrained(way)
 	state := h.lease.State()
@@ -246,21 +246,21 @@
 	}
 }
 
-// end ends it as a crash does: nothing is given back.
-func (h *hollowGatherer) end() {
+// crash ends it as a crash does: nothing is given back.
+func (h *simulatedGatherer) crash() {
 	h.stop()
-	<-h.ended
+	<-h.done
 }
 
 // appliedEpoch reports whether it has come to an epoch, and when.
-func (h *hollowGatherer) appliedEpoch(epoch uint64) (time.Time, bool) {
+func (h *simulatedGatherer) appliedEpoch(epoch uint64) (time.Time, bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.appliedAt, h.epoch >= epoch
 }
 
 // holdsLease reports whether the gatherer holds a lease.
-func (h *hollowGatherer) holdsLease() bool { return h.lease.State().ExpiresAt > 0 }
+func (h *simulatedGatherer) holdsLease() bool { return h.lease.State().ExpiresAt > 0 }
 
 // change proposes a policy, injects the fault, and waits until all reachable gatherers apply the policy.
 func (f *policyFleet) change(number int) (times []time.Duration, err error) {
@@ -303,11 +303,11 @@
 }
 
 // reachable are the gatherers that are not cut off.
-func (f *policyFleet) reachable() []*hollowGatherer {
+func (f *policyFleet) reachable() []*simulatedGatherer {
 	if !f.isCut {
 		return f.gatherers
 	}
-	var near []*hollowGatherer
+	var near []*simulatedGatherer
 	for _, h := range f.gatherers {
 		if !h.isCutOff {
 			near = append(near, h)
@@ -316,8 +316,8 @@
 	return near
 }
 
-// cutRegion cuts the region's relays; undo mends them once the minute is over, and waits until the region is back.
-func (f *policyFleet) cutRegion() (undo func(), err error) {
+// disconnectRegion cuts the region's relays; undo mends them once the minute is over, and waits until the region is back.
+func (f *policyFleet) disconnectRegion() (undo func(), err error) {
 	from := time.Now()
 	f.isCut = true
 	for _, relay := range f.relays {
@@ -347,18 +347,18 @@
 func (f *policyFleet) injectFault(number int) (undo func(), err error) {
 	undo = func() {}
 	switch f.config.Fault {
-	case LeaderKilled, LeaderStopped:
+	case LeaderKilled, LeaderPaused:
 		leader, err := f.leader()
 		if err != nil {
 			return undo, err
 		}
-		if f.config.Fault == LeaderStopped {
+		if f.config.Fault == LeaderPaused {
 			return func() { leader.Continue() }, leader.Stop(f.ctx)
 		}
 		leader.Kill()
 		return undo, nil
-	case RegionCut:
-		return f.cutRegion()
+	case RegionDisconnected:
+		return f.disconnectRegion()
 	case OneKilled, OneStopped:
 		return f.crashGatherers(number, 1), nil
 	case ManyKilled:
@@ -373,7 +373,7 @@
 	f.gatherers = f.gatherers[many:]
 	var wait sync.WaitGroup
 	for _, h := range gone {
-		wait.Go(h.end)
+		wait.Go(h.crash)
 	}
 	wait.Wait()
 	return func() {
@@ -398,8 +398,8 @@
 	})
 }
 
-// Policies measures what the policies of a whole fleet cost at rest and while they change.
-func Policies(ctx context.Context, t PolicyConfig) (c PolicyCost, err error) {
+// MeasurePolicies measures what the policies of a whole fleet cost at rest and while they change.
+func MeasurePolicies(ctx context.Context, t PolicyConfig) (c PolicyCost, err error) {
 	if t.Servers < 1 || t.Servers > 9 || t.Gatherers < 1 || t.Changes < 0 {
 		return c, fmt.Errorf("policies: %d stewards, %d gatherers, %d changes: 1 to 9, at least 1 and at least 0 can be", t.Servers, t.Gatherers, t.Changes)
 	}
@@ -410,7 +410,7 @@
 	if err != nil {
 		return c, err
 	}
-	before := memory()
+	before := memoryBytes()
 	began := time.Now()
 	for i := range t.Gatherers {
 		f.gatherers = append(f.gatherers, f.startGatherer(i))
@@ -435,7 +435,7 @@
 		return err
 	}
 	n := float64(len(f.gatherers))
-	used, own, bytes, began := leader.Usage(), processorTime(), transferred(), time.Now()
+	used, own, bytes, began := leader.Usage(), processorTime(), transferredBytes(), time.Now()
 	select {
 	case <-f.ctx.Done():
 		return f.ctx.Err()
@@ -445,8 +445,8 @@
 	after := leader.Usage()
 	c.IdleLeaderCores, c.LeaderMB = (after.CPU-used.CPU)/seconds, after.Memory
 	c.IdleGathererCores = (processorTime() - own).Seconds() / seconds / n
-	c.IdleGathererBytes = (transferred() - bytes) / seconds / n
-	c.GathererMemory = (memory() - before) / n
+	c.IdleGathererBytes = (transferredBytes() - bytes) / seconds / n
+	c.GathererMemory = (memoryBytes() - before) / n
 	return nil
 }
 
@@ -496,8 +496,8 @@
 	c.AppliedTimes, c.P50, c.P99 = append(c.AppliedTimes, at(1)), append(c.P50, at(0.5)), append(c.P99, at(0.99))
 }
 
-// transferred is how many bytes this process has read and written so far.
-func transferred() float64 {
+// transferredBytes is how many bytes this process has read and written so far.
+func transferredBytes() float64 {
 	text, err := os.ReadFile("/proc/self/io")
 	if err != nil {
 		return 0
