--- a/logic/placing/branchandbound.go
+++ b/logic/placing/branchandbound.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// branchAndBound goes through all placements segment by segment and leaves out what can't be better than the best
-// known. What a choice is worth at best comes from letting the segments that are not placed yet go to any
-// host.
+// branchAndBound goes through all placements segment by segment and leaves out what can't be better than
+// the best known. What a choice is worth at best comes from letting the segments that are not placed yet
+// go to any host.
 type branchAndBound struct {
 	*job
 	best      value
@@ -48,7 +48,8 @@
 	bound value
 }
 
-// extend places the segments from the i-th in the order on. It reports whether it has gone through all of them.
+// extend places the segments from the i-th in the order on. It reports whether it has gone through all of
+// them.
 func (b *branchAndBound) extend(i int) bool {
 	if i == len(b.order) {
 		return true // the value was found when the last segment was placed
@@ -84,8 +85,9 @@
 	}
 }
 
-// choices returns the sets of hosts for a segment that may lead to something better than the best known, the most
-// promising first. Of the last segment it returns none, as its placements are complete: it keeps the best one.
+// choices returns the sets of hosts for a segment that may lead to something better than the best known,
+// the most promising first. Of the last segment it returns none, as its placements are complete: it keeps
+// the best one.
 func (b *branchAndBound) choices(segment, i int) []choice {
 	var choices []choice
 	for _, hosts := range b.hostSets(segment, i) {
@@ -140,14 +142,16 @@
 		return value{}, false
 	}
 	v := value{utilisation: u}
-	if last := placed == len(b.order); last || b.found && !u.Less(b.best.utilisation) && !b.best.utilisation.Less(u) {
+	complete := placed == len(b.order)
+	asGoodAsBest := b.found && !u.Less(b.best.utilisation) && !b.best.utilisation.Less(u)
+	if complete || asGoodAsBest {
 		_, v.cost, _ = b.problem.MinCost(u, false, nil)
 	}
 	return v, true
 }
 
-// hostSets are the sets of hosts on which a segment may stand. Of hosts that are alike in all that matters from
-// here on, only the first are taken: the others would give the same again under other names.
+// hostSets are the sets of hosts on which a segment may stand. Of hosts that are alike in all that
+// matters from here on, only the first are taken: the others would give the same again under other names.
 func (b *branchAndBound) hostSets(s, i int) [][]int {
 	var hosts []int
 	for _, h := range b.usable {
@@ -198,7 +202,13 @@
 func (b *branchAndBound) signature(h, i int) string {
 	host := &b.model.Hosts[h]
 	sign := binary.AppendVarint(nil, int64(b.problem.Zone(h)))
-	for _, n := range []int64{b.problem.Capacity(h), host.Cost, int64(b.maxSegments(h)), int64(b.segmentsOn[h])} {
+	figures := []int64{
+		b.problem.Capacity(h),
+		host.Cost,
+		int64(b.maxSegments(h)),
+		int64(b.segmentsOn[h]),
+	}
+	for _, n := range figures {
 		sign = binary.AppendVarint(sign, n)
 	}
 	for k, s := range b.order {
--- a/logic/placing/infeasibility.go
+++ b/logic/placing/infeasibility.go
@@ -14,18 +14,18 @@
 // InfeasibilityKind is why no placement fits.
 type InfeasibilityKind string
 
-// The kinds of misfits.
+// The kinds of infeasibility.
 const (
 	TooFewHosts          InfeasibilityKind = "too few hosts" // for the replicas of a segment
 	TooFewSlots          InfeasibilityKind = "no room"       // for all replicas on the hosts
-	DemandTooHigh        InfeasibilityKind = "too much"      // demand for all hosts together, wherever replicas stand
-	SegmentDemandTooHigh InfeasibilityKind = "too heavy"     // a segment for as many of the largest hosts as it has replicas
+	DemandTooHigh        InfeasibilityKind = "too much"      // demand for all hosts, wherever replicas are
+	SegmentDemandTooHigh InfeasibilityKind = "too heavy"     // a segment, on as many hosts as it has replicas
 	TooManyMoves         InfeasibilityKind = "must move"     // more replicas have to move than may
 	ConflictingLimits    InfeasibilityKind = "together"      // each limit could be kept, but not all of them
 	NotFound             InfeasibilityKind = "not found"     // in the effort given; nothing is proven
 )
 
-// Limits of a placement, as Together names them; a hall's is "hall " and its name.
+// Limits of a placement, as ConflictingLimits names them; a zone's is "hall " and its name.
 const (
 	limitCopies   = "most-moved"
 	limitSpread   = "replicas in different halls"
@@ -40,8 +40,8 @@
 	Need        int64                    `json:"Need"`
 	Available   int64                    `json:"Takes"`
 	Hosts       []string                 `json:"Hosts"`
-	Proof       *placement.Infeasibility `json:"Clash"`  // of TooMuch: of a model in which all segments are one that stands everywhere
-	Limits      []string                 `json:"Limits"` // of Together: no placement keeps these, and without any one of them some does
+	Proof       *placement.Infeasibility `json:"Clash"`  // of DemandTooHigh: of OneSegmentModel
+	Limits      []string                 `json:"Limits"` // of ConflictingLimits: a minimal set
 	Relaxations []string                 `json:"Lifts"`  // what would do by itself
 	Unproven    bool                     `json:"Unproven"`
 	Attempts    int                      `json:"Tries"`
@@ -64,11 +64,12 @@
 	return max(len(s.Hosts), 1)
 }
 
-// OneSegmentModel is the model in which all segments are one that stands on every host: what does not fit it fits no
-// placement.
+// OneSegmentModel is the model in which all segments are one that stands on every host: what does not fit
+// it fits no placement.
 func OneSegmentModel(m *placement.Model) *placement.Model {
 	whole := *m
-	whole.Segments, whole.Demands = []placement.Segment{{Name: "all", ReplicaSet: -1, Hosts: runningHosts(m)}}, nil
+	whole.Segments = []placement.Segment{{Name: "all", ReplicaSet: -1, Hosts: runningHosts(m)}}
+	whole.Demands = nil
 	for _, hall := range m.Zones {
 		sum := int64(0)
 		for _, d := range m.Demands {
@@ -240,8 +241,8 @@
 	return sum
 }
 
-// conflictingLimits finds limits that clash together: those that have to be lifted last, one after the other, until
-// something fits. Each is looked at by the same full search as the placement itself.
+// conflictingLimits finds limits that clash together: those that have to be lifted last, one after the
+// other, until something fits. Each is looked at by the same full search as the placement itself.
 func (j *job) conflictingLimits() *Infeasibility {
 	none := make([]bool, len(j.model.Zones))
 	all := relaxed{zones: none}
@@ -313,7 +314,8 @@
 // sufficientMoves finds how many copies would do.
 func (j *job) sufficientMoves(bad *Infeasibility) string {
 	m := *j.model
-	for m.MaxMoves = j.model.MaxMoves + 1; m.MaxMoves < j.model.MaxMoves+len(j.model.Segments)*MaxExactHosts; m.MaxMoves++ {
+	limit := j.model.MaxMoves + len(j.model.Segments)*MaxExactHosts
+	for m.MaxMoves = j.model.MaxMoves + 1; m.MaxMoves < limit; m.MaxMoves++ {
 		none := relaxed{zones: make([]bool, len(m.Zones))}
 		if newJob(&m, none, j.effort, j.hasTime).isFeasible(none, bad) {
 			return fmt.Sprintf("most-moved %d", m.MaxMoves)
@@ -327,7 +329,8 @@
 	var b strings.Builder
 	switch f.Kind {
 	case TooFewHosts:
-		fmt.Fprintf(&b, "%s is to have %d replicas, and there are %d hosts that run.", f.Segment, f.Need, f.Available)
+		fmt.Fprintf(&b, "%s is to have %d replicas, and there are %d hosts that run.",
+			f.Segment, f.Need, f.Available)
 	case TooFewSlots:
 		fmt.Fprintf(&b, "All segments together are to have %d replicas, and the hosts have room for %d.",
 			f.Need, f.Available)
--- a/logic/placing/initial.go
+++ b/logic/placing/initial.go
@@ -16,9 +16,9 @@
 	load       []float64
 }
 
-// initialPlacement puts each segment where it is, as far as that is allowed, and then fills up, the heaviest
-// segments first: in zones that it is not in yet, on the hosts with the lowest utilisation. It returns false where
-// it finds no place.
+// initialPlacement puts each segment where it is, as far as that is allowed, and then fills up, the
+// heaviest segments first: in zones that it is not in yet, on the hosts with the lowest utilisation. It
+// returns false where it finds no place.
 func (j *job) initialPlacement() (places [][]int, found bool) {
 	p := &initial{
 		job:        j,
@@ -61,8 +61,9 @@
 	p.load[host] += p.replicaLoad(segment)
 }
 
-// leastUtilised returns the host that would have the lowest utilisation with another replica of a segment, -1 where
-// no host may take one. Until the segment is in enough zones, it has to be in a new one.
+// leastUtilised returns the host that would have the lowest utilisation with another replica of a
+// segment, -1 where no host may take one. Until the segment is in enough zones, it has to be in a new
+// one.
 func (p *initial) leastUtilised(segment int) int {
 	usedZones := make([]bool, len(p.model.Zones))
 	count := 0
@@ -88,8 +89,8 @@
 	return best
 }
 
-// removeFromSharedZone removes a replica of a segment from a zone that has two, to make room for one in a new zone.
-// It reports whether there is such a zone.
+// removeFromSharedZone removes a replica of a segment from a zone that has two, to make room for one in a
+// new zone. It reports whether there is such a zone.
 func (p *initial) removeFromSharedZone(segment int) bool {
 	places := p.places[segment]
 	i := slices.IndexFunc(places, func(h int) bool {
--- a/logic/placing/localsearch.go
+++ b/logic/placing/localsearch.go
@@ -11,9 +11,9 @@
 	"yokeroute/logic/placement"
 )
 
-// localSearch is a placement on which a search works: a network at a target ratio in which segments' arcs can be led
-// to other hosts, and how much demand does not fit it. That shortage falls by small steps where the greatest
-// utilisation itself stands still for long, so that the search sees where it gets on.
+// localSearch is a placement on which a search works: a network at a target ratio in which segments' arcs
+// can be led to other hosts, and how much demand does not fit it. That shortage falls by small steps
+// where the greatest utilisation itself stands still for long, so that the search sees where it gets on.
 type localSearch struct {
 	*job
 	random      *pcg.Source
@@ -82,7 +82,12 @@
 
 // newLocalSearch lays out the network of a placement at a target.
 func (j *job) newLocalSearch(places [][]int, target placement.Ratio, chance *pcg.Source) *localSearch {
-	h := &localSearch{job: j, random: chance, segmentsOn: make([]int, len(j.model.Hosts)), hosts: 2 + len(places)}
+	h := &localSearch{
+		job:        j,
+		random:     chance,
+		segmentsOn: make([]int, len(j.model.Hosts)),
+		hosts:      2 + len(places),
+	}
 	h.zones = h.hosts + len(j.model.Hosts)
 	h.network = flow.New(h.zones + len(j.model.Zones))
 	total := int64(0)
@@ -99,8 +104,9 @@
 		h.moved += j.moves(s, hosts)
 	}
 	for host := range j.model.Hosts {
-		most := target.MaxLoad(j.problem.Capacity(host))
-		h.hostArcs = append(h.hostArcs, h.network.AddArc(h.hosts+host, h.zones+j.problem.Zone(host), most, flow.Cost{}))
+		maxLoad := target.MaxLoad(j.problem.Capacity(host))
+		arc := h.network.AddArc(h.hosts+host, h.zones+j.problem.Zone(host), maxLoad, flow.Cost{})
+		h.hostArcs = append(h.hostArcs, arc)
 	}
 	for hall := range j.model.Zones {
 		most := j.problem.ZoneLimit(hall)
@@ -165,9 +171,9 @@
 // slot is one replica of a segment.
 type slot struct{ segment, index int }
 
-// reduceShortfall moves replicas from hosts that are too full, by the cut that proves it, to hosts that have room.
-// Now and then it keeps a change that makes nothing better, since some improvements take two steps, or one that
-// makes it worse, to leave a local minimum.
+// reduceShortfall moves replicas from hosts that are too full, by the cut that proves it, to hosts that
+// have room. Now and then it keeps a change that makes nothing better, since some improvements take two
+// steps, or one that makes it worse, to leave a local minimum.
 func (h *localSearch) reduceShortfall(until int) {
 	const worseOneIn = 4 // rounds without a change
 	for h.shortfall > 0 && h.attempts < until && h.hasTime() {
@@ -186,8 +192,8 @@
 	}
 }
 
-// candidates returns the replicas whose segments and hosts are on the full side of the cut, and the hosts on the
-// other side that have room.
+// candidates returns the replicas whose segments and hosts are on the full side of the cut, and the hosts
+// on the other side that have room.
 func (h *localSearch) candidates() (from []slot, to []int) {
 	cut := h.network.Reachable(0)
 	for s := range h.places {
@@ -205,8 +211,8 @@
 	return from, to
 }
 
-// moveAny moves one of the replicas to one of the hosts. It keeps a change that reduces the shortfall, and some that
-// leave it as it is. It reports whether it has kept one.
+// moveAny moves one of the replicas to one of the hosts. It keeps a change that reduces the shortfall,
+// and some that leave it as it is. It reports whether it has kept one.
 func (h *localSearch) moveAny(from []slot, to []int, until int) bool {
 	const (
 		maxMoves   = 32
@@ -327,12 +333,14 @@
 		h.problem.Capacity(to) > h.problem.Capacity(from) || slices.Contains(h.currentHosts[s], to)
 }
 
-// moveIntoZone tries to put a replica of a segment into a hall, on the three hosts with the most room there.
-func (h *localSearch) moveIntoZone(s, hall int, loads []int64, u placement.Ratio, better func(s, slot, to int) bool) bool {
+// moveIntoZone tries to put a replica of a segment into a zone, on the three hosts with the most room there.
+func (h *localSearch) moveIntoZone(
+	s, zone int, loads []int64, u placement.Ratio, better func(s, slot, to int) bool,
+) bool {
 	room := func(host int) int64 { return u.MaxLoad(h.problem.Capacity(host)) - loads[host] }
 	var to []int
 	for _, host := range h.usable {
-		if h.problem.Zone(host) == hall && room(host) > 0 {
+		if h.problem.Zone(host) == zone && room(host) > 0 {
 			to = append(to, host)
 		}
 	}
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -241,9 +241,9 @@
 	r.Model = &m
 }
 
-// lowerBound is what no placement can be under: the ratio at which all demand as one finds room anywhere, and at
-// which each segment finds it on as many of the largest hosts as it has replicas; and the cost at that ratio
-// of demand that may go anywhere.
+// lowerBound is what no placement can be under: the ratio at which all demand as one finds room anywhere,
+// and at which each segment finds it on as many of the largest hosts as it has replicas; and the cost at
+// that ratio of demand that may go anywhere.
 func (j *job) lowerBound() (placement.Ratio, int64) {
 	p, _ := warmProblem(OneSegmentModel(j.model))
 	p.RelaxLimits(j.relaxed.zones, j.relaxed.capacity)
@@ -252,7 +252,8 @@
 		return placement.Ratio{Load: 1, Capacity: 1}, 0
 	}
 	for s, want := range j.wanted {
-		if own, ok := j.problem.MinUtilisationOn(largestHosts(j.model, j.problem, want), j.demands[s]); ok && u.Less(own) {
+		largest := largestHosts(j.model, j.problem, want)
+		if own, ok := j.problem.MinUtilisationOn(largest, j.demands[s]); ok && u.Less(own) {
 			u = own
 		}
 	}
--- a/logic/policy/kinds.go
+++ b/logic/policy/kinds.go
@@ -27,7 +27,10 @@
 
 // Kinds returns the kinds that this version knows, ordered by name.
 func Kinds() []Kind {
-	return []Kind{Closed, WarmUpShare, RetryAllowance, MinShare, NoHedging, NonIdempotent, RetryShare, HostWeight}
+	return []Kind{
+		Closed, WarmUpShare, RetryAllowance, MinShare,
+		NoHedging, NonIdempotent, RetryShare, HostWeight,
+	}
 }
 
 // subjectKind says what the subject of an entry names.
--- a/logic/policy/record.go
+++ b/logic/policy/record.go
@@ -12,7 +12,7 @@
 	ID            string  `json:"id"`   // the proposer's idempotency key
 	Policy        Policy  `json:"policy"`
 	Reason        string  `json:"why,omitempty"`
-	ProposedAt    float64 `json:"at,omitempty"`  // Unix milliseconds by the leader's clock, shown to operators only
+	ProposedAt    float64 `json:"at,omitempty"`  // Unix milliseconds by the leader's clock, for operators only
 	Outcome       Outcome `json:"end,omitempty"` // empty while the change is pending
 	OutcomeReason string  `json:"word,omitempty"`
 }
--- a/logic/policy/status.go
+++ b/logic/policy/status.go
@@ -23,10 +23,10 @@
 const (
 	StateApplied     MemberState = "holds"        // it applies the committed policy
 	StatePrepared    MemberState = "prepared"     // it has prepared the pending change
-	StateStale       MemberState = "behind"       // it applies an older revision, or has queries in flight that do
+	StateStale       MemberState = "behind"       // its policy or its queries in flight are of an older revision
 	StateDetached    MemberState = "alone"        // it has no lease and applies its fallback policy
 	StateRefusing    MemberState = "refuses"      // it cannot apply the policy
-	StateNotAdmitted MemberState = "not taken in" // its fallback policy permits what is forbidden, or it is too old
+	StateNotAdmitted MemberState = "not taken in" // its fallback policy permits too much, or it is too old
 )
 
 // severity orders states: of several incarnations of one gatherer the most severe state is shown.
--- a/logic/rollout/decision.go
+++ b/logic/rollout/decision.go
@@ -12,7 +12,13 @@
 	Done                    // nothing is left to do
 )
 
-var verdictNames = [...]string{Wait: "wait", Proceed: "go on", Stop: "stop", RollBack: "go back", Done: "done"}
+var verdictNames = [...]string{
+	Wait:     "wait",
+	Proceed:  "go on",
+	Stop:     "stop",
+	RollBack: "go back",
+	Done:     "done",
+}
 
 // String is the verdict's name in status files and for operators.
 func (v Verdict) String() string { return verdictNames[v] }
