--- a/cmd/yokeroute/plan_test.go
+++ b/cmd/yokeroute/plan_test.go
@@ -48,7 +48,7 @@
 		{"plan solve -o xml " + example, "neither text nor json", nil},
 		{"plan solve nowhere.conf", "nowhere.conf", nil},
 		{"reference placement", "", []string{"# The placement file"}},
-		{"reference colours", "none of operator, placement, segments, rollout, policy and steward", nil},
+		{"reference colours", "none of operator, placement, segments, rollout, policy and policy-server", nil},
 	} {
 		args := strings.Fields(strings.ReplaceAll(c.args, "'hall south'", "hall_south"))
 		for i := range args {
--- a/cmd/yokeroute/policy_test.go
+++ b/cmd/yokeroute/policy_test.go
@@ -59,11 +59,11 @@
 		"epoch 41 is in force, told by s1\n",
 		"  closed north/s1\n",
 		"change 44 is being prepared: not prepared yet: g2\n",
-		"gatherer  zone   state         epoch  heard                  version  \n",
-		"g1        north  prepared      41     0.3 s ago              1.2      \n",
-		"g2               behind        41     0.0 s ago                       \n",
-		"g3               alone         0      never by this steward           \n",
-		"g4               refuses       0      0.0 s ago                       no index find\n",
+		"gatherer  zone   state         epoch  heard                 version  \n",
+		"g1        north  prepared      41     0.3 s ago             1.2      \n",
+		"g2               behind        41     0.0 s ago                      \n",
+		"g3               alone         0      never by this server           \n",
+		"g4               refuses       0      0.0 s ago                      no index find\n",
 	} {
 		if !strings.Contains(text, want) {
 			t.Errorf("%q is not in\n%s", want, text)
@@ -107,7 +107,7 @@
 		t.Fatal(err)
 	}
 	for _, name := range []string{"policy-server", "steward"} {
-		if got, _ := runCommand(t, name, "--check", file); got != file+": steward s1 of 1 reads well\n" {
+		if got, _ := runCommand(t, name, "--check", file); got != file+": policy server s1 of 1 reads well\n" {
 			t.Errorf("%s: %s", name, got)
 		}
 	}
--- a/cmd/yokeroute/policyserver.go
+++ b/cmd/yokeroute/policyserver.go
@@ -27,7 +27,7 @@
 				return err
 			}
 			if check {
-				fmt.Fprintf(cmd.OutOrStdout(), "%s: steward %s of %d reads well\n",
+				fmt.Fprintf(cmd.OutOrStdout(), "%s: policy server %s of %d reads well\n",
 					args[0], config.Name, len(config.Peers))
 				return nil
 			}
--- a/cmd/yokeroute/policystatus.go
+++ b/cmd/yokeroute/policystatus.go
@@ -56,7 +56,7 @@
 	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "gatherer\tzone\tstate\tepoch\theard\tversion\t")
 	for _, m := range members {
-		polled := "never by this steward"
+		polled := "never by this server"
 		if m.SinceLastPoll >= 0 {
 			polled = fmt.Sprintf("%.1f s ago", m.SinceLastPoll/1000)
 		}
--- a/internal/control/policyclient/outage_test.go
+++ b/internal/control/policyclient/outage_test.go
@@ -94,7 +94,7 @@
 	if err := p.Wait(f.ctx); err != nil {
 		f.Fatal(err)
 	}
-	if !strings.Contains(p.Log(), "the disk is older than this steward") {
+	if !strings.Contains(p.Log(), "the disk is older than this policy server") {
 		f.Errorf("%v: %s", p.Err(), p.Log())
 	}
 }
--- a/internal/control/policyserver/config.go
+++ b/internal/control/policyserver/config.go
@@ -55,9 +55,9 @@
 	case c.Name == "":
 		return fmt.Errorf("has no line that names it; write steward NAME in FOLDER listen ADDRESS raft ADDRESS")
 	case !slices.ContainsFunc(c.Peers, func(p Peer) bool { return p.Name == c.Name }):
-		return fmt.Errorf("steward %s is not among the peers; write a peer line for it as for the others", c.Name)
+		return fmt.Errorf("policy server %s is not among the peers; write a peer line for it as for the others", c.Name)
 	case len(c.Peers)%2 == 0:
-		return fmt.Errorf("names %d stewards; an even number bears no more losses than one less", len(c.Peers))
+		return fmt.Errorf("names %d policy servers; an even number bears no more losses than one less", len(c.Peers))
 	case c.Lease < minHeartbeatsInLease*c.Heartbeat:
 		return fmt.Errorf("a lease of %g ms is too short for heartbeats of %g ms: ten of them at least",
 			milliseconds(c.Lease), milliseconds(c.Heartbeat))
--- a/internal/control/policyserver/config_test.go
+++ b/internal/control/policyserver/config_test.go
@@ -17,8 +17,8 @@
 	for text, want := range map[string]string{
 		own + peers: "",
 		peers:       "has no line that names it",
-		strings.Replace(own, "s1", "s9", 1) + peers:                 "steward s9 is not among the peers",
-		own + peers + "peer s4 raft 127.0.0.1:7 http 127.0.0.1:8\n": "names 4 stewards",
+		strings.Replace(own, "s1", "s9", 1) + peers:                 "policy server s9 is not among the peers",
+		own + peers + "peer s4 raft 127.0.0.1:7 http 127.0.0.1:8\n": "names 4 policy servers",
 		own + peers + "peer s3 raft 127.0.0.1:7 http 127.0.0.1:8\n": "s.conf:5:6: \"s3\": is given twice",
 		own + peers + "lease 500ms\nbeat 100ms\n":                   "too short for heartbeats",
 		own + peers + "leas 500ms\n":                                "did you mean lease?",
@@ -37,6 +37,6 @@
 func TestReferencePage(t *testing.T) {
 	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-steward.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != Reference() {
-		t.Errorf("%s is not what yokeroute reference steward prints: %v", page, err)
+		t.Errorf("%s is not what yokeroute reference policy-server prints: %v", page, err)
 	}
 }
--- a/internal/control/policyserver/directives.go
+++ b/internal/control/policyserver/directives.go
@@ -6,8 +6,8 @@
 	"yokeroute/internal/config/directive"
 )
 
-const intro = "What one steward of a fleet's policies needs to know: `yokeroute policy-server FILE`. " +
-	"Each has a file of its own; three stewards bear the loss of one, five of two."
+const intro = "What one policy server of a fleet needs to know: `yokeroute policy-server FILE`. " +
+	"Each has a file of its own; three policy servers bear the loss of one, five of two."
 
 // Bounds of times in a configuration file, in milliseconds.
 const (
@@ -20,7 +20,7 @@
 
 // Directives returns the table of directives, which fill the configuration.
 func (c *Config) Directives() *directive.Table {
-	return &directive.Table{Name: "steward's file", Intro: intro, Directives: []*directive.Directive{
+	return &directive.Table{Name: "policy server's file", Intro: intro, Directives: []*directive.Directive{
 		c.serverDirective(),
 		c.peerDirective(),
 		c.leaseDirective(),
@@ -39,9 +39,9 @@
 			{Name: "in", Kind: directive.Text, Required: true, Help: "folder on a lasting disk"},
 			{Name: "listen", Kind: directive.Address, Required: true,
 				Help: "for gatherers and operators; whoever reaches it may change policies"},
-			{Name: "raft", Kind: directive.Address, Required: true, Help: "for the other stewards"},
+			{Name: "raft", Kind: directive.Address, Required: true, Help: "for the other policy servers"},
 		},
-		Help:    "Names the steward.",
+		Help:    "Names the policy server.",
 		Example: "steward s1 in steward-s1 listen 127.0.0.1:8700 raft 127.0.0.1:8701",
 		Apply: func(v *directive.Values) error {
 			c.Name = v.Text("name")
@@ -58,11 +58,11 @@
 		Name: "peer",
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "raft", Kind: directive.Address, Required: true, Help: "where this steward reaches it"},
+			{Name: "raft", Kind: directive.Address, Required: true, Help: "where this policy server reaches it"},
 			{Name: "http", Kind: directive.Address, Required: true,
-				Help: "the same, for what stewards ask each other beside their log"},
+				Help: "the same, for what policy servers ask each other beside their log"},
 		},
-		Help: "A steward of the fleet. All of them stand in each file, this one as well; " +
+		Help: "A policy server of the fleet. All of them stand in each file, this one as well; " +
 			"who they are is settled at the first start.",
 		Example: "peer s2 raft 127.0.0.1:8711 http 127.0.0.1:8710",
 		Apply: func(v *directive.Values) error {
@@ -100,7 +100,7 @@
 		Name: "beat",
 		Once: true,
 		Args: []directive.Field{{Name: "time", Kind: directive.Duration, Min: minHeartbeatMillis, Max: maxHeartbeatMillis}},
-		Help: "Between two heartbeats of the steward that leads, 100ms unless told; " +
+		Help: "Between two heartbeats of the leader, 100ms unless told; " +
 			"after ten of them unheard another is elected.",
 		Example: "beat 100ms",
 		Apply: func(v *directive.Values) error {
@@ -114,7 +114,7 @@
 	return &directive.Directive{
 		Name: "joins",
 		Once: true,
-		Help: "This steward is new among others that run: it begins no log, " +
+		Help: "This policy server is new among others that run: it begins no log, " +
 			"and waits until `yokeroute policy server add` takes it in.",
 		Example: "joins",
 		Apply: func(*directive.Values) error {
--- a/internal/control/policyserver/incarnations.go
+++ b/internal/control/policyserver/incarnations.go
@@ -16,7 +16,7 @@
 )
 
 // ErrStaleDisk reports a policy server that was started with a disk from before some of its earlier incarnations.
-var ErrStaleDisk = errors.New("the disk is older than this steward: it was started since then. " +
+var ErrStaleDisk = errors.New("the disk is older than this policy server: it was started since then. " +
 	"It may have voted in ways that it does not remember; replace it under a new name: docs/operate/policy.md")
 
 const (
@@ -124,7 +124,7 @@
 			continue
 		}
 		if before >= own {
-			return false, fmt.Errorf("steward %s: %w (start %d here, %s knows of start %d)",
+			return false, fmt.Errorf("policy server %s: %w (start %d here, %s knows of start %d)",
 				c.Name, ErrStaleDisk, own, p.Name, before)
 		}
 		answered = true
--- a/logic/policy/leader.go
+++ b/logic/policy/leader.go
@@ -125,14 +125,14 @@
 	case len(missing) > 0:
 		return nil, "not prepared yet: " + suggest.Join(missing)
 	}
-	return nil, fmt.Sprintf("a steward that has just begun to lead waits for %.0f s, "+
-		"since who asked the one before it may act by its word", math.Ceil((earlierLeasesEnd-now)/1000))
+	return nil, fmt.Sprintf("a new leader waits for %.0f s, "+
+		"since leases of the one before it may still hold", math.Ceil((earlierLeasesEnd-now)/1000))
 }
 
 // timeoutReason says why a change was not prepared in time.
 func (l *Leader) timeoutReason(missing []string) string {
 	if len(missing) == 0 {
-		return "the stewards' lead went from one to another too often"
+		return "leadership changed too often"
 	}
 	return fmt.Sprintf("not prepared within %.0f s: %s", l.ChangeTimeout/1000, suggest.Join(missing))
 }
--- a/logic/policy/leader_test.go
+++ b/logic/policy/leader_test.go
@@ -117,7 +117,7 @@
 	}
 	later := NewLeader(t.Record, 1000, 5000, 6000)
 	everywhere, missing := later.AppliedEverywhere(6500, later.MemberStatuses(6500))
-	if everywhere || !strings.Contains(fmt.Sprint(missing), "steward that led before") {
+	if everywhere || !strings.Contains(fmt.Sprint(missing), "polled the leader before") {
 		t.Errorf("%v, %v", everywhere, missing)
 	}
 }
--- a/logic/policy/status.go
+++ b/logic/policy/status.go
@@ -136,7 +136,7 @@
 // that are detached, and names those that do not. Statuses are those of the same time.
 func (l *Leader) AppliedEverywhere(now float64, statuses []MemberStatus) (everywhere bool, missing []string) {
 	if now <= l.electedAt+l.MaxLeaseAge() { // some may hold a lease of the leader before this one
-		missing = append(missing, "who asked the steward that led before")
+		missing = append(missing, "who polled the leader before this one")
 	}
 	for _, s := range statuses {
 		if s.State == StateStale || s.State == StateRefusing {
