--- a/internal/testbed/experiment/phases.go
+++ b/internal/testbed/experiment/phases.go
@@ -132,11 +132,13 @@
 			Seed: seed + uint64(i), Queries: phaseQueries})
 	}
 	time.Sleep(300 * time.Millisecond)
-	Measure(ctx, fleet, nodes, loads, terms.WarmUp, 400*time.Millisecond, nil)
+	Measure(ctx, fleet, nodes, loads, MeasureOptions{Duration: terms.WarmUp, Objective: latencyObjective})
 	for i := range loads {
 		loads[i].Seed += 50
 	}
-	return &PhaseRow{Day: day, Mode: way, EmptyShare: prune, Case: c, Measurement: Measure(ctx, fleet, nodes, loads, terms.Duration, 400*time.Millisecond, nil)}, nil
+	options := MeasureOptions{Duration: terms.Duration, Objective: latencyObjective}
+	measurement := Measure(ctx, fleet, nodes, loads, options)
+	return &PhaseRow{Day: day, Mode: way, EmptyShare: prune, Case: c, Measurement: measurement}, nil
 }
 
 // WritePhaseRows writes a table.
--- a/internal/testbed/experiment/plans.go
+++ b/internal/testbed/experiment/plans.go
@@ -137,7 +137,9 @@
 			loads = append(loads, Load{Origin: hall, Address: nodes[i].Address, Class: "find", Rate: terms.Rate * shares[hall] / 3, ShardRequests: 3, Shards: 18,
 				Deadline: 2 * time.Second, Seed: seed + uint64(i) + uint64(len(name))})
 		}
-		return PlanRow{Variant: variant, Phase: name, Round: round, Measurement: Measure(ctx, fleet, nodes, loads, length, 400*time.Millisecond, gone)}
+		options := MeasureOptions{Duration: length, Objective: latencyObjective, Lost: gone}
+		measurement := Measure(ctx, fleet, nodes, loads, options)
+		return PlanRow{Variant: variant, Phase: name, Round: round, Measurement: measurement}
 	}
 	time.Sleep(500 * time.Millisecond)
 	if variant == "solved again" {
