--- a/internal/testbed/experiment/outcome.go
+++ b/internal/testbed/experiment/outcome.go
@@ -13,8 +13,11 @@
 	latencyDigits    = 3 // significant
 )
 
-// latencyObjective is that of the experiments' queries, as in their settings.
-const latencyObjective = 400 * time.Millisecond
+// Times of the experiments' queries, as in their settings.
+const (
+	latencyObjective = 400 * time.Millisecond
+	queryDeadline    = 2 * time.Second
+)
 
 func newLatencies() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, maxLatencyMicros, latencyDigits)
--- a/internal/testbed/experiment/phases.go
+++ b/internal/testbed/experiment/phases.go
@@ -10,147 +10,226 @@
 	"yokeroute/internal/testbed/standin/shardserver"
 )
 
-// PhaseOptions are those of a comparison of lookups in one phase with lookups that may go in two.
+// PhaseOptions are the options of a comparison of queries in one phase with queries in two where two gain.
 type PhaseOptions struct {
-	Binary      string
-	WarmUp      time.Duration // before anything is measured, for learning
-	Duration    time.Duration
-	EmptyShares []float64 // shares of segments that a query finds nothing in
-	Days        []string  // of PhaseDays
+	Binary      string        // of the gatherer
+	WarmUp      time.Duration // before the measurement, for learning
+	Duration    time.Duration // of the measurement
+	EmptyShares []float64     // shares of segments in which a query matches nothing
+	Days        []string      // of PhaseDays
 	Seed        uint64
 	Progress    func(format string, args ...any)
 }
 
-// PhaseDays are the kinds of days: calm, one machine five times slower, and more work than the fleet can do.
-var PhaseDays = []string{"calm", "slow server", "jam"}
+// The kinds of days.
+const (
+	dayCalm       = "calm"
+	daySlowServer = "slow server" // one machine is five times slower
+	dayOverload   = "jam"         // more load than the fleet's capacity
+)
+
+// PhaseDays are all kinds of days.
+var PhaseDays = []string{dayCalm, daySlowServer, dayOverload}
+
+// The modes of gatherers.
+const (
+	modeOnePhase = "one phase"
+	modeTwoPhase = "two where they gain"
+)
+
+// Load and fault of the days.
+const (
+	overloadRate   = 1.15 // over the fleet's capacity
+	slowServer     = "m-00"
+	slowdownFactor = 5
+	partialShare   = 0.75 // of an answer that is complete if a partial one suffices
+)
 
-// PhaseRow is what one way came to on one day.
+// PhaseRow is the measurement of one mode on one day.
 type PhaseRow struct {
 	Day        string    `json:"Day"`
-	Mode       string    `json:"Way"` // one phase, or two where they gain
+	Mode       string    `json:"Way"`
 	EmptyShare float64   `json:"Prune"`
 	Case       PhaseCase `json:"Case"`
 	Measurement
 }
 
-// PhaseCase is what a day is like beside its kind.
+// PhaseCase is what a day is like besides its kind.
 type PhaseCase struct {
 	Rate              float64 `json:"Rate"`  // over the fleet's capacity in one phase
 	FirstPassCost     float64 `json:"Brief"` // the work of a first pass's request over that of a full one
-	FalsePositiveRate float64 `json:"False"` // the false-positive rate of summaries
-	ShardRequests     int     `json:"Parts"`
+	FalsePositiveRate float64 `json:"False"` // of summaries
+	ShardRequests     int     `json:"Parts"` // of a query
 	PartialSuffices   bool    `json:"AnyN"`
 }
 
 var plainCase = PhaseCase{Rate: 0.5, FirstPassCost: 0.1, FalsePositiveRate: 0.01, ShardRequests: 8}
 
-// Phases compares both ways, each on the same machines, loads and contents.
-func Phases(ctx context.Context, terms PhaseOptions) (rows []PhaseRow, err error) {
-	for _, day := range terms.Days {
-		for _, prune := range terms.EmptyShares {
-			got, err := comparePhases(ctx, terms, day, prune, plainCase, terms.Seed)
-			if err != nil {
-				return nil, err
+// Phases compares both modes on the same machines, loads and contents.
+func Phases(ctx context.Context, options PhaseOptions) (rows []PhaseRow, err error) {
+	for _, day := range options.Days {
+		for _, emptyShare := range options.EmptyShares {
+			for _, mode := range []string{modeOnePhase, modeTwoPhase} {
+				row := PhaseRow{Day: day, Mode: mode, EmptyShare: emptyShare, Case: plainCase}
+				if day == dayOverload {
+					row.Case.Rate = overloadRate
+				}
+				options.Progress("%s, %.0f%% of the parts empty, load %.2f: %s", day, 100*emptyShare, row.Case.Rate, mode)
+				if row.Measurement, err = runPhaseDay(ctx, options, row); err != nil {
+					return nil, err
+				}
+				rows = append(rows, row)
+			}
+			if ctx.Err() != nil {
+				return nil, ctx.Err()
 			}
-			rows = append(rows, got...)
 		}
 	}
 	return rows, nil
 }
 
-func comparePhases(ctx context.Context, terms PhaseOptions, day string, prune float64, c PhaseCase, seed uint64) (rows []PhaseRow, err error) {
-	for _, way := range []string{"one phase", "two where they gain"} {
-		if day == "jam" {
-			c.Rate = 1.15
-		}
-		terms.Progress("%s, %.0f%% of the parts empty, load %.2f: %s", day, 100*prune, c.Rate, way)
-		row, err := runPhaseDay(ctx, terms, day, way, prune, c, seed)
-		if err != nil {
-			return nil, err
-		}
-		rows = append(rows, *row)
-	}
-	return rows, ctx.Err()
-}
-
-// The fleet of these days: four sets of three machines of four cores that take 20 ms for a part.
+// The fleet of these days.
 const (
-	phaseSets, phaseReplicas, phaseCores = 4, 3, 4
-	phaseWork                            = 20.0
-	phaseShards                          = 24
-	phaseQueries                         = 500
+	phaseSets       = 4
+	phaseReplicas   = 3
+	phaseCores      = 4
+	phaseWork       = 20.0 // milliseconds of a shard request
+	phaseQueueLimit = 400
+	phaseShards     = 24
+	phaseQueries    = 500 // different ones
+	phaseGatherers  = 2
+	phaseZone       = "hall"
 )
 
-func runPhaseDay(ctx context.Context, terms PhaseOptions, day, way string, prune float64, c PhaseCase, seed uint64) (*PhaseRow, error) {
+// startPhaseFleet starts the fleet of a day.
+func startPhaseFleet(row PhaseRow, seed uint64) (*Fleet, error) {
 	var machines []Machine
 	for set := range phaseSets {
 		for i := range phaseReplicas {
-			machines = append(machines, Machine{Name: fmt.Sprintf("m-%d%d", set, i), Zone: "hall", Kind: "m", ReplicaSet: set,
-				Config: shardserver.Config{Cores: phaseCores, MeanWork: phaseWork, WorkVariation: 0.5, QueueLimit: 400, FirstPassWork: c.FirstPassCost * phaseWork, Seed: seed + uint64(len(machines))}})
+			config := shardserver.Config{
+				Cores:         phaseCores,
+				MeanWork:      phaseWork,
+				WorkVariation: 0.5,
+				QueueLimit:    phaseQueueLimit,
+				FirstPassWork: row.Case.FirstPassCost * phaseWork,
+				Seed:          seed + uint64(len(machines)),
+			}
+			name := fmt.Sprintf("m-%d%d", set, i)
+			machines = append(machines, Machine{Name: name, Zone: phaseZone, Kind: "m", ReplicaSet: set, Config: config})
 		}
 	}
 	fleet, err := StartFleet(machines)
 	if err != nil {
 		return nil, err
 	}
-	defer fleet.Close()
-	content := &shardserver.Content{Queries: phaseQueries, HitShare: 1 - prune, FalsePositiveRate: c.FalsePositiveRate, Seed: seed}
+	content := &shardserver.Content{
+		Queries:           phaseQueries,
+		HitShare:          1 - row.EmptyShare,
+		FalsePositiveRate: row.Case.FalsePositiveRate,
+		Seed:              seed,
+	}
 	for _, s := range fleet.Servers {
 		s.SetContent(content)
 	}
-	if day == "slow server" {
-		fleet.Servers["m-00"].SetSlowdown(5)
+	if row.Day == daySlowServer {
+		fleet.Servers[slowServer].SetSlowdown(slowdownFactor)
 	}
-	whole := 1.0
+	return fleet, nil
+}
+
+// completeShare is the weight that makes an answer complete.
+func (c PhaseCase) completeShare() float64 {
 	if c.PartialSuffices {
-		whole = 0.75
+		return partialShare
+	}
+	return 1
+}
+
+// phaseGatherer returns the configuration of a day's gatherers.
+func phaseGatherer(fleet *Fleet, row PhaseRow) GathererConfig {
+	complete := []float64{row.Case.completeShare()}
+	platform := planSettings()
+	platform["classes"] = []any{map[string]any{
+		"name": "search", "effect": "pure", "goalTime": 400_000, "hardLimit": 2_000_000, "lateValue": 0.1,
+	}}
+	platform["domain"] = map[string]any{
+		"cells": phaseSets, "inARow": 1, "shards": phaseShards, "partsACall": 16,
+		"completeFrom": complete, "classFloor": complete,
+	}
+	config := GathererConfig{
+		Gatherers: phaseGatherers,
+		Zone:      phaseZone,
+		Discovery: fleet.Discovery.Address(),
+		Settings:  platform,
 	}
-	told := planSettings()
-	told["classes"] = []any{map[string]any{"name": "search", "effect": "pure", "goalTime": 400_000, "hardLimit": 2_000_000, "lateValue": 0.1}}
-	told["domain"] = map[string]any{"cells": phaseSets, "inARow": 1, "shards": phaseShards, "partsACall": 16, "completeFrom": []float64{whole}, "classFloor": []float64{whole}}
-	node := GathererConfig{Gatherers: 2, Zone: "hall", Discovery: fleet.Discovery.Address(), Settings: told}
-	if way != "one phase" {
-		node.Operator = "two-phase search\n"
+	if row.Mode == modeTwoPhase {
+		config.Operator = "two-phase search\n"
 	}
-	var nodes []*Gatherer
+	return config
+}
+
+// runPhaseDay plays a row's day and measures it.
+func runPhaseDay(ctx context.Context, options PhaseOptions, row PhaseRow) (m Measurement, err error) {
+	fleet, err := startPhaseFleet(row, options.Seed)
+	if err != nil {
+		return m, err
+	}
+	defer fleet.Close()
+	config := phaseGatherer(fleet, row)
+	var gatherers []*Gatherer
 	defer func() {
-		for _, n := range nodes {
-			n.Close()
+		for _, g := range gatherers {
+			g.Close()
 		}
 	}()
-	// A lookup in one phase asks for whole of its parts; the rate is in shares of what the fleet can do of these.
-	rate := c.Rate * phaseSets * phaseReplicas * phaseCores / phaseWork * 1000 / (whole * float64(c.ShardRequests))
+	// In one phase a query needs its complete share of requests; the rate is relative to the capacity for these.
+	const capacity = phaseSets * phaseReplicas * phaseCores / phaseWork * 1000
+	rate := row.Case.Rate * capacity / (row.Case.completeShare() * float64(row.Case.ShardRequests))
 	var loads []Load
-	for i := range 2 {
-		node.Name, node.Number = fmt.Sprint("n", i), i
-		n, err := StartGatherer(terms.Binary, node)
+	for i := range phaseGatherers {
+		config.Name = fmt.Sprint("n", i)
+		config.Number = i
+		g, err := StartGatherer(options.Binary, config)
 		if err != nil {
-			return nil, err
+			return m, err
 		}
-		nodes = append(nodes, n)
-		loads = append(loads, Load{Origin: "hall", Address: n.Address, Class: "search", Rate: rate / 2, ShardRequests: c.ShardRequests, Shards: phaseShards, Deadline: 2 * time.Second,
-			Seed: seed + uint64(i), Queries: phaseQueries})
+		gatherers = append(gatherers, g)
+		loads = append(loads, Load{
+			Origin:        phaseZone,
+			Address:       g.Address,
+			Class:         "search",
+			Rate:          rate / phaseGatherers,
+			ShardRequests: row.Case.ShardRequests,
+			Shards:        phaseShards,
+			Deadline:      queryDeadline,
+			Seed:          options.Seed + uint64(i),
+			Queries:       phaseQueries,
+		})
 	}
-	time.Sleep(300 * time.Millisecond)
-	Measure(ctx, fleet, nodes, loads, MeasureOptions{Duration: terms.WarmUp, Objective: latencyObjective})
+	time.Sleep(phaseSettleTime)
+	Measure(ctx, fleet, gatherers, loads, MeasureOptions{Duration: options.WarmUp, Objective: latencyObjective})
 	for i := range loads {
-		loads[i].Seed += 50
+		loads[i].Seed += measuredSeedOffset
 	}
-	options := MeasureOptions{Duration: terms.Duration, Objective: latencyObjective}
-	measurement := Measure(ctx, fleet, nodes, loads, options)
-	return &PhaseRow{Day: day, Mode: way, EmptyShare: prune, Case: c, Measurement: measurement}, nil
+	measured := MeasureOptions{Duration: options.Duration, Objective: latencyObjective}
+	return Measure(ctx, fleet, gatherers, loads, measured), nil
 }
 
+// phaseSettleTime is what gatherers get to connect before the first load.
+const phaseSettleTime = 300 * time.Millisecond
+
+// measuredSeedOffset separates the seeds of the measured load from those of the warm-up.
+const measuredSeedOffset = 50
+
 // WritePhaseRows writes a table.
 func WritePhaseRows(w io.Writer, rows []PhaseRow) {
 	tab := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(tab, "day\tempty\tload\tway\tin aim\twhole\tnacked\tlookup p50 ms\tp99\tcalls in full\tfirst\twork ms a lookup\tCPU s / 1000")
-	line := func(r PhaseRow) {
-		fmt.Fprintf(tab, "%s\t%.0f%%\t%.2f\t%s\t%.2f%%\t%.2f%%\t%.2f%%\t%.1f\t%.1f\t%.2f\t%.2f\t%.1f\t%.3f\n", r.Day, 100*r.EmptyShare, r.Case.Rate, r.Mode, 100*r.WithinObjective, 100*r.Complete,
-			100*r.Rejected, r.QueryMedian, r.QueryP99, r.Requests-r.FirstPassRequests, r.FirstPassRequests, r.Work, r.CPU)
-	}
+	fmt.Fprintln(tab, "day\tempty\tload\tway\tin aim\twhole\tnacked\tlookup p50 ms\tp99\tcalls in full\tfirst\t"+
+		"work ms a lookup\tCPU s / 1000")
 	for _, r := range rows {
-		line(r)
+		fmt.Fprintf(tab, "%s\t%.0f%%\t%.2f\t%s\t%.2f%%\t%.2f%%\t%.2f%%\t%.1f\t%.1f\t%.2f\t%.2f\t%.1f\t%.3f\n",
+			r.Day, 100*r.EmptyShare, r.Case.Rate, r.Mode, 100*r.WithinObjective, 100*r.Complete, 100*r.Rejected,
+			r.QueryMedian, r.QueryP99, r.Requests-r.FirstPassRequests, r.FirstPassRequests, r.Work, r.CPU)
 	}
-	tab.Flush()
+	_ = tab.Flush() // a failed write to a terminal has nobody to go to
 }
