--- a/internal/testbed/experiment/measure.go
+++ b/internal/testbed/experiment/measure.go
@@ -39,7 +39,9 @@
 }
 
 // Measure plays loads on gatherers of a fleet and measures them meanwhile.
-func Measure(ctx context.Context, fleet *Fleet, gatherers []*Gatherer, loads []Load, options MeasureOptions) Measurement {
+func Measure(
+	ctx context.Context, fleet *Fleet, gatherers []*Gatherer, loads []Load, options MeasureOptions,
+) Measurement {
 	before := takeFleetCounts(fleet)
 	usedCPU := 0.0
 	for _, g := range gatherers {
@@ -104,7 +106,9 @@
 }
 
 // addFleet adds what the machines did since their counts were taken. Requests, FirstPassRequests and Work are sums.
-func (m *Measurement) addFleet(fleet *Fleet, before map[string]machineCounts, lost map[string]bool, elapsedMillis float64) {
+func (m *Measurement) addFleet(
+	fleet *Fleet, before map[string]machineCounts, lost map[string]bool, elapsedMillis float64,
+) {
 	latencies := newLatencies()
 	requests, firstPass, crossed, wasted, answered := 0, 0, 0, 0, 0
 	for _, machine := range fleet.Machines {
--- a/internal/testbed/experiment/numbers.go
+++ b/internal/testbed/experiment/numbers.go
@@ -6,7 +6,7 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// median is the middle of some values, 0 of none.
+// median returns the median of values, 0 without any.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
