--- a/internal/testbed/demo/demo_test.go
+++ b/internal/testbed/demo/demo_test.go
@@ -47,8 +47,8 @@
 	t.Errorf("never: %s", what)
 }
 
-// TestDemo: the curl that it prints is answered with 200, also with a server killed; what is done to a server shows.
-func TestDemo(t *testing.T) {
+// TestPrintedCurlIsServedAndFaultsShowOnTheScreen sends the printed curl, also with a server killed.
+func TestPrintedCurlIsServedAndFaultsShowOnTheScreen(t *testing.T) {
 	d, err := Start(Options{Listen: "127.0.0.1:0", Rate: 40, Seed: 1})
 	if err != nil {
 		t.Fatal(err)
