--- a/cmd/yokeroute-testbed/days.go
+++ b/cmd/yokeroute-testbed/days.go
@@ -123,8 +123,7 @@
 
 func (o *dayOptions) print(cmd *cobra.Command, r *study.Results) error {
 	if o.output != outputJSON {
-		r.Table(cmd.OutOrStdout())
-		return nil
+		return r.Table(cmd.OutOrStdout())
 	}
 	text, err := r.Bytes()
 	if err != nil {
--- a/cmd/yokeroute-testbed/phases.go
+++ b/cmd/yokeroute-testbed/phases.go
@@ -74,8 +74,7 @@
 	if o.output == outputJSON {
 		return json.NewEncoder(cmd.OutOrStdout()).Encode(cases)
 	}
-	study.WritePhases(cmd.OutOrStdout(), cases, shownPhaseCases)
-	return nil
+	return study.WritePhases(cmd.OutOrStdout(), cases, shownPhaseCases)
 }
 
 // runProcesses measures both ways on processes.
--- a/internal/testbed/scale/policies.go
+++ b/internal/testbed/scale/policies.go
@@ -177,7 +177,7 @@
 	}
 	for _, p := range f.processes {
 		if p.Stopped() {
-			p.Continue()
+			_ = p.Continue() // Kill ends it either way
 		}
 		p.Kill()
 	}
@@ -331,9 +331,7 @@
 		case <-time.After(time.Until(from.Add(regionCutTime))):
 		}
 		for _, relay := range f.relays {
-			if err := relay.Mend(); err != nil {
-				f.log.WithError(err).Error("relay")
-			}
+			f.logError("relay: not mended", relay.Mend())
 		}
 		f.isCut = false
 		mended := time.Now()
@@ -353,7 +351,7 @@
 			return undo, err
 		}
 		if f.config.Fault == LeaderPaused {
-			return func() { leader.Continue() }, leader.Stop(f.ctx)
+			return func() { f.logError("policy server: not continued", leader.Continue()) }, leader.Stop(f.ctx)
 		}
 		leader.Kill()
 		return undo, nil
@@ -380,7 +378,14 @@
 		for i := range gone {
 			f.gatherers = append(f.gatherers, f.startGatherer(100_000*(number+1)+i))
 		}
-		f.awaitLeases()
+		f.logError("gatherers: started again", f.awaitLeases())
+	}
+}
+
+// logError logs what went wrong while a fault was undone; the changes after it are measured all the same.
+func (f *policyFleet) logError(event string, err error) {
+	if err != nil {
+		f.log.WithError(err).Error(event)
 	}
 }
 
@@ -503,6 +508,8 @@
 		return 0
 	}
 	read, written := 0.0, 0.0
-	fmt.Sscanf(string(text), "rchar: %f\nwchar: %f", &read, &written)
+	if _, err := fmt.Sscanf(string(text), "rchar: %f\nwchar: %f", &read, &written); err != nil {
+		return 0
+	}
 	return read + written
 }
--- a/internal/testbed/study/compare.go
+++ b/internal/testbed/study/compare.go
@@ -121,7 +121,7 @@
 }
 
 // Table writes what the results show.
-func (r *Results) Table(w io.Writer) {
+func (r *Results) Table(w io.Writer) error {
 	fmt.Fprintf(w, "%s\nbuild: %s\n", r.Title, r.Build)
 	if r.Note != "" {
 		fmt.Fprintf(w, "%s\n", r.Note)
@@ -149,22 +149,23 @@
 				mean(func(r *emulator.Result) float64 { return r.Calls }), 100*mean(func(r *emulator.Result) float64 { return r.Wasted }), 100*mean(func(r *emulator.Result) float64 { return r.Crossing }), kept(rows))
 		}
 	}
-	tab.Flush()
-	if len(r.Pairs) > 0 {
-		fmt.Fprintf(w, "\n%s, difference from %s over the same days (95%%):\n", r.Figure, r.Pairs[0].Than)
-		for _, p := range r.Pairs {
-			clear := "not told apart"
-			if p.Clear() {
-				clear = map[bool]string{true: "better", false: "worse"}[p.Mean > 0]
-			}
-			value := p.Value
-			if value != "" {
-				value += ", "
-			}
-			fmt.Fprintf(tab, "  %s%s\t%+.4f\t%+.4f to %+.4f\t%d days\t%s\n", value, p.Variant, p.Mean, p.Low, p.High, p.Days, clear)
+	if err := tab.Flush(); err != nil || len(r.Pairs) == 0 {
+		return err
+	}
+	fmt.Fprintf(w, "\n%s, difference from %s over the same days (95%%):\n", r.Figure, r.Pairs[0].Than)
+	for _, p := range r.Pairs {
+		verdict := "not told apart"
+		if p.Clear() {
+			verdict = map[bool]string{true: "better", false: "worse"}[p.Mean > 0]
+		}
+		value := p.Value
+		if value != "" {
+			value += ", "
 		}
-		tab.Flush()
+		fmt.Fprintf(tab, "  %s%s\t%+.4f\t%+.4f to %+.4f\t%d days\t%s\n",
+			value, p.Variant, p.Mean, p.Low, p.High, p.Days, verdict)
 	}
+	return tab.Flush()
 }
 
 // kept says which rules the days broke.
--- a/internal/testbed/study/hunt.go
+++ b/internal/testbed/study/hunt.go
@@ -249,10 +249,13 @@
 	return days
 }
 
+// span reads a duration of a scenario file; it is 0 where there is none.
 func span(word string) (ms float64) {
 	var n float64
 	var unit string
-	fmt.Sscanf(word, "%g%s", &n, &unit)
+	if _, err := fmt.Sscanf(word, "%g%s", &n, &unit); err != nil {
+		return 0
+	}
 	return n * map[string]float64{"ms": 1, "s": 1000, "min": 60_000, "h": 3_600_000, "d": 86_400_000}[unit]
 }
 
--- a/internal/testbed/study/phases.go
+++ b/internal/testbed/study/phases.go
@@ -93,7 +93,7 @@
 }
 
 // WritePhases writes the worst cases, the best one and how many were told apart.
-func WritePhases(w io.Writer, cases []PhaseCase, worst int) {
+func WritePhases(w io.Writer, cases []PhaseCase, worst int) error {
 	sum, better, worse := 0.0, 0, 0
 	for _, c := range cases {
 		sum += c.Mean
@@ -117,5 +117,5 @@
 		fmt.Fprintln(tab, "the best:\t\t\t\t\t")
 		line(cases[len(cases)-1])
 	}
-	tab.Flush()
+	return tab.Flush()
 }
--- a/internal/testbed/study/report.go
+++ b/internal/testbed/study/report.go
@@ -44,7 +44,9 @@
 		v.Charts = append(v.Charts, chartView{c.Title, c.Words, template.HTML(svg)})
 	}
 	var table bytes.Buffer
-	r.Table(&table)
+	if err := r.Table(&table); err != nil {
+		return nil, err
+	}
 	for line := range strings.SplitSeq(table.String(), "\n") {
 		if strings.HasPrefix(line, "  ") || strings.TrimSpace(line) == "" {
 			continue
--- a/internal/testbed/study/study.go
+++ b/internal/testbed/study/study.go
@@ -21,6 +21,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
+	"yokeroute/internal/storage/atomicfile"
 	"yokeroute/internal/testbed/emulator"
 )
 
@@ -174,29 +175,13 @@
 		if err != nil {
 			return row, err
 		}
-		if err := replace(file, text); err != nil {
+		if err := atomicfile.Write(file, text); err != nil {
 			return row, err
 		}
 	}
 	return row, nil
 }
 
-// replace writes a file whole or not at all.
-func replace(name string, text []byte) error {
-	f, err := os.CreateTemp(filepath.Dir(name), ".writing-*")
-	if err != nil {
-		return err
-	}
-	_, err = f.Write(text)
-	if err = errors.Join(err, f.Chmod(0o644), f.Close()); err == nil {
-		err = os.Rename(f.Name(), name)
-	}
-	if err != nil {
-		os.Remove(f.Name())
-	}
-	return err
-}
-
 // Bytes are the results as they are written.
 func (r *Results) Bytes() ([]byte, error) {
 	r.Form = Form
@@ -213,12 +198,14 @@
 	if err != nil {
 		return err
 	}
-	if err := replace(filepath.Join(folder, File), text); err != nil {
+	if err := atomicfile.Write(filepath.Join(folder, File), text); err != nil {
 		return err
 	}
 	var table bytes.Buffer
-	r.Table(&table)
-	if err := replace(filepath.Join(folder, "tables.txt"), table.Bytes()); err != nil {
+	if err := r.Table(&table); err != nil {
+		return err
+	}
+	if err := atomicfile.Write(filepath.Join(folder, "tables.txt"), table.Bytes()); err != nil {
 		return err
 	}
 	charts, err := r.Charts()
@@ -226,7 +213,7 @@
 		return err
 	}
 	for _, c := range charts {
-		if err := replace(filepath.Join(folder, c.Name+".svg"), c.SVG); err != nil {
+		if err := atomicfile.Write(filepath.Join(folder, c.Name+".svg"), c.SVG); err != nil {
 			return err
 		}
 	}
--- a/internal/testbed/study/study_test.go
+++ b/internal/testbed/study/study_test.go
@@ -67,7 +67,7 @@
 	folder := t.TempDir()
 	for _, after := range []int{2, 3} {
 		ctx, stop := context.WithCancel(t.Context())
-		_, err := Play(ctx, jobs(t, "ours", "random"), Terms{Workers: 2, Folder: folder, Done: func(done, all int) {
+		_, err := Play(ctx, jobs(t, "ours", "random"), Terms{Workers: 2, Folder: folder, Done: func(done, _ int) {
 			if done >= after {
 				stop()
 			}
