--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -50,15 +50,15 @@
 	}
 	var b best
 	for key, s := range loads {
-		u, hall, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.zoneLimits)), true
+		u, zone, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.zoneLimits)), true
 		for h, load := range []byte(key) {
 			if r := (placement.Ratio{Load: int64(load), Capacity: p.capacity[h]}); load > 0 && u.Less(r) {
 				u = r
 			}
-			hall[p.zoneOf[h]] += int64(load)
+			zone[p.zoneOf[h]] += int64(load)
 		}
 		for i, most := range p.zoneLimits {
-			fits = fits && (most < 0 || hall[i] <= most)
+			fits = fits && (most < 0 || zone[i] <= most)
 		}
 		if fits && (!b.found || u.Less(b.u) || !b.u.Less(u) && (s.cost < b.cost || s.cost == b.cost && s.change < b.change)) {
 			b = best{u, s.cost, s.change, true}
@@ -177,9 +177,9 @@
 			s.Hosts = append(s.Hosts, m.Hosts[h].Name)
 		}
 		m.Segments = append(m.Segments, s)
-		for _, hall := range m.Zones {
+		for _, zone := range m.Zones {
 			if rate := int64(r.Intn(4)); rate > 0 {
-				m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: hall.Name, Rate: rate})
+				m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: zone.Name, Rate: rate})
 			}
 		}
 	}
--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -48,7 +48,7 @@
 // Host is one host of the list.
 type Host struct {
 	Name    string
-	Hall    string
+	Zone    string
 	Address string
 	Groups  []int // of segments that it holds, one at least
 	State   gather.State
@@ -93,7 +93,7 @@
 // Endpoint is a host as proxies see it.
 type Endpoint struct {
 	Name    string
-	Hall    string
+	Zone    string
 	Address string
 	Groups  []int
 	Health  Health
@@ -163,7 +163,7 @@
 func (m *Mind) Resume(endpoints []Endpoint, now float64) {
 	m.begun = now
 	for _, e := range endpoints {
-		h := &host{Host: Host{Name: e.Name, Hall: e.Hall, Address: e.Address, Groups: e.Groups,
+		h := &host{Host: Host{Name: e.Name, Zone: e.Zone, Address: e.Address, Groups: e.Groups,
 			Started: e.Started}, told: e, weight: float64(e.Weight), seenAt: now, toldReady: true}
 		if e.Health == Draining {
 			h.State = gather.Draining
@@ -266,7 +266,7 @@
 		if reweigh || h.fresh { // one that is fresh has no latency yet to hold against the usual one
 			m.weigh(h, usual, now)
 		}
-		e := Endpoint{Name: name, Hall: h.Hall, Address: h.Address, Groups: h.Groups, Weight: h.told.Weight,
+		e := Endpoint{Name: name, Zone: h.Zone, Address: h.Address, Groups: h.Groups, Weight: h.told.Weight,
 			Started: h.Started}
 		switch {
 		case h.State == gather.Draining:
@@ -309,7 +309,7 @@
 }
 
 func same(a, b Endpoint) bool {
-	return a.Name == b.Name && a.Hall == b.Hall && a.Address == b.Address && a.Health == b.Health &&
+	return a.Name == b.Name && a.Zone == b.Zone && a.Address == b.Address && a.Health == b.Health &&
 		a.Weight == b.Weight && a.Started == b.Started && slices.Equal(a.Groups, b.Groups)
 }
 
--- a/logic/hoststate/hoststate_test.go
+++ b/logic/hoststate/hoststate_test.go
@@ -22,7 +22,7 @@
 // The notation of testdata/*.txt, a line each:
 //
 //	cold SHARE TIME                     before all else
-//	host NAME[,NAME] KEY=VALUE ...      what the list says of hosts: hall, groups, state, started, plan
+//	host NAME[,NAME] KEY=VALUE ...      what the list says of hosts: zone, groups, state, started, plan
 //	drop NAME[,NAME]                    they are no longer listed
 //	see WITNESS NAME[,NAME] KEY=VALUE   what a witness sees from now on: s, f, r, rate, out
 //	blind WITNESS                       it sees nothing, and says so; gone: it says nothing any more
@@ -73,14 +73,14 @@
 	for _, name := range strings.Split(names, ",") {
 		h, known := s.hosts[name]
 		if !known {
-			h = Host{Name: name, Hall: "a", Groups: []int{0}, Address: name + ":1"}
+			h = Host{Name: name, Zone: "a", Groups: []int{0}, Address: name + ":1"}
 			s.order = append(s.order, name)
 		}
 		keys, values := pairs(words)
 		for i, k := range keys {
 			switch k {
-			case "hall":
-				h.Hall = values[i]
+			case "zone":
+				h.Zone = values[i]
 			case "groups":
 				h.Groups = nil
 				for _, g := range strings.Split(values[i], "+") {
@@ -260,7 +260,7 @@
 		hosts := make([]Host, n)
 		there := make([]bool, n)
 		for i := range hosts {
-			hosts[i] = Host{Name: fmt.Sprint("h", i), Hall: fmt.Sprint("a", i%2), Groups: []int{i % 3}, Started: 0}
+			hosts[i] = Host{Name: fmt.Sprint("h", i), Zone: fmt.Sprint("a", i%2), Groups: []int{i % 3}, Started: 0}
 			there[i] = true
 		}
 		now := 1e6
@@ -343,21 +343,21 @@
 	})
 }
 
-// TestSplit: halls keep to themselves while they hold their proxies, and not by turns.
+// TestSplit: zones keep to themselves while they hold their proxies, and not by turns.
 func TestSplit(t *testing.T) {
 	var all []Endpoint
-	add := func(hall string, n int) {
+	add := func(zone string, n int) {
 		for range n {
-			all = append(all, Endpoint{Name: fmt.Sprint(hall, len(all)), Hall: hall, Groups: []int{0}, Weight: 100})
+			all = append(all, Endpoint{Name: fmt.Sprint(zone, len(all)), Zone: zone, Groups: []int{0}, Weight: 100})
 		}
 	}
 	add("a", 10)
 	add("b", 10)
 	add("c", 1)
-	h := NewHalls()
+	h := NewZoneSplit()
 	h.Follow(map[string]int{"a": 50, "b": 50, "c": 50}, 0)
-	priority := func(of []Locality, hall string) (p, w uint32) {
-		at := slices.IndexFunc(of, func(l Locality) bool { return l.Hall == hall })
+	priority := func(of []Locality, zone string) (p, w uint32) {
+		at := slices.IndexFunc(of, func(l Locality) bool { return l.Zone == zone })
 		return of[at].Priority, of[at].Weight
 	}
 	if p, _ := priority(h.Split(all, 0, "a"), "b"); p != 1 {
@@ -396,7 +396,7 @@
 		t.Errorf("c's proxies have gone for good: %+v", after)
 	}
 	if l := h.Split(all, 0, "elsewhere"); len(l) != 3 || l[1].Weight == 0 {
-		t.Errorf("from a hall without hosts: %+v", l)
+		t.Errorf("from a zone without hosts: %+v", l)
 	}
 }
 
--- a/logic/placing/bench_test.go
+++ b/logic/placing/bench_test.go
@@ -45,8 +45,8 @@
 			}
 		}
 		m.Segments = append(m.Segments, s)
-		for hall := range 3 {
-			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: fmt.Sprint("hall", hall),
+		for zone := range 3 {
+			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: fmt.Sprint("hall", zone),
 				Rate: int64(0.4 * float64(total) * heavy[i] / sum / 3)})
 		}
 	}
--- a/logic/placing/infeasibility.go
+++ b/logic/placing/infeasibility.go
@@ -70,14 +70,14 @@
 	whole := *m
 	whole.Segments = []placement.Segment{{Name: "all", ReplicaSet: -1, Hosts: runningHosts(m)}}
 	whole.Demands = nil
-	for _, hall := range m.Zones {
+	for _, zone := range m.Zones {
 		sum := int64(0)
 		for _, d := range m.Demands {
-			if d.Zone == hall.Name {
+			if d.Zone == zone.Name {
 				sum += d.Rate
 			}
 		}
-		whole.Demands = append(whole.Demands, placement.Demand{Segment: "all", Zone: hall.Name, Rate: sum})
+		whole.Demands = append(whole.Demands, placement.Demand{Segment: "all", Zone: zone.Name, Rate: sum})
 	}
 	return &whole
 }
--- a/logic/placing/localsearch.go
+++ b/logic/placing/localsearch.go
@@ -108,12 +108,12 @@
 		arc := h.network.AddArc(h.hosts+host, h.zones+j.problem.Zone(host), maxLoad, flow.Cost{})
 		h.hostArcs = append(h.hostArcs, arc)
 	}
-	for hall := range j.model.Zones {
-		most := j.problem.ZoneLimit(hall)
+	for zone := range j.model.Zones {
+		most := j.problem.ZoneLimit(zone)
 		if most < 0 {
 			most = placement.MaxRate
 		}
-		h.zoneArcs = append(h.zoneArcs, h.network.AddArc(h.zones+hall, 1, most, flow.Cost{}))
+		h.zoneArcs = append(h.zoneArcs, h.network.AddArc(h.zones+zone, 1, most, flow.Cost{}))
 	}
 	h.shortfall = total - h.network.Augment(0, 1, total)
 	return h
@@ -271,7 +271,7 @@
 
 func (h *localSearch) randomIndex(n int) int { return int(h.random.Uint32() % uint32(n)) }
 
-// reduceCost tries changes that keep the ratio. First those that promise most: a replica in the hall whose
+// reduceCost tries changes that keep the ratio. First those that promise most: a replica in the zone whose
 // gatherers are sent elsewhere, on the host with the most room. Then any: on cheaper hosts, or back where
 // replicas are now.
 func (h *localSearch) reduceCost(take func([][]int), now func() value) {
@@ -307,11 +307,11 @@
 			return cmp.Compare(slices.Max(crossing[b]), slices.Max(crossing[a]))
 		})
 		for _, s := range order {
-			hall := slices.Index(crossing[s], slices.Max(crossing[s]))
-			if crossing[s][hall] == 0 || !h.hasEffort() {
+			zone := slices.Index(crossing[s], slices.Max(crossing[s]))
+			if crossing[s][zone] == 0 || !h.hasEffort() {
 				break
 			}
-			again = h.moveIntoZone(s, hall, p.Loads(units), u, better) || again
+			again = h.moveIntoZone(s, zone, p.Loads(units), u, better) || again
 		}
 	}
 	for idle := 0; idle < 4*len(h.places)*len(h.usable) && h.hasEffort(); idle++ {
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -1,7 +1,7 @@
 // Package placing works out which hosts hold which segments.
 //
 // It decides, for a model of logic/placement, where the replicas of each segment are put: the least greatest
-// utilisation first, then the least cost, then the fewest copies made. Replicas stand in as many halls as
+// utilisation first, then the least cost, then the fewest copies made. Replicas stand in as many zones as
 // there are, hosts hold no more segments than they have room for, and no more replicas move than the model
 // allows. Up to a dozen hosts the answer is proven best (branch and bound); beyond that it is the best that a
 // search of a stated effort finds, with the gap to a bound that no placement can pass. It may never put a
@@ -77,7 +77,7 @@
 	relaxed      relaxed
 	usable       []int   // hosts that may hold something
 	wanted       []int   // replicas of each segment
-	minZones     []int   // halls in which each has to stand at least
+	minZones     []int   // zones in which each has to stand at least
 	currentHosts [][]int // hosts that hold each now
 	demands      []int64
 	order        []int // segments, the heaviest first
@@ -90,18 +90,18 @@
 	j := &job{model: m, relaxed: free, hasTime: more, effort: effort}
 	j.problem, _ = warmProblem(m)
 	j.problem.RelaxLimits(free.zones, free.capacity)
-	halls := map[string]bool{}
+	zones := map[string]bool{}
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
 			j.usable = append(j.usable, i)
-			halls[h.Zone] = true
+			zones[h.Zone] = true
 		}
 	}
 	for i, s := range m.Segments {
 		j.currentHosts = append(j.currentHosts, slices.Clone(j.problem.Hosts(i)))
 		want := wantedReplicas(&s)
 		j.wanted = append(j.wanted, want)
-		spread := min(want, len(halls))
+		spread := min(want, len(zones))
 		if free.spread {
 			spread = 0
 		}
@@ -144,7 +144,7 @@
 	return len(j.model.Segments)
 }
 
-// inEnoughZones reports whether hosts stand in enough halls for the segment.
+// inEnoughZones reports whether hosts stand in enough zones for the segment.
 func (j *job) inEnoughZones(segment int, hosts []int) bool {
 	if j.minZones[segment] < 2 {
 		return true
@@ -152,8 +152,8 @@
 	seen := make([]bool, len(j.model.Zones))
 	n := 0
 	for _, h := range hosts {
-		if hall := j.problem.Zone(h); !seen[hall] {
-			seen[hall] = true
+		if zone := j.problem.Zone(h); !seen[zone] {
+			seen[zone] = true
 			n++
 		}
 	}
--- a/logic/placing/placing_test.go
+++ b/logic/placing/placing_test.go
@@ -88,8 +88,8 @@
 			}
 		}
 		m.Segments = append(m.Segments, s)
-		for _, hall := range m.Zones {
-			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: hall.Name, Rate: int64(r.Intn(8))})
+		for _, zone := range m.Zones {
+			m.Demands = append(m.Demands, placement.Demand{Segment: s.Name, Zone: zone.Name, Rate: int64(r.Intn(8))})
 		}
 	}
 	return m
