--- a/gather/settings.go
+++ b/gather/settings.go
@@ -85,7 +85,7 @@
 	HedgingForbidden  bool
 }
 
-// Tenant is a customer of the service.
+// Tenant is one of the parties that share the service.
 type Tenant struct {
 	Name          string
 	CapacityShare float64
--- a/internal/gatherer/background/background.go
+++ b/internal/gatherer/background/background.go
@@ -64,7 +64,7 @@
 		log:          log,
 		now:          func() float64 { return float64(time.Since(start)) / float64(time.Millisecond) },
 		wakeups:      make(chan struct{}, 1),
-		queue:        jobs.New(0, jobs.Terms{Share: share, Burst: burstLength, Slice: sliceLength}),
+		queue:        jobs.New(0, jobs.Budget{Share: share, Burst: burstLength, Slice: sliceLength}),
 		tasks:        map[uint64]*task{},
 		replacements: map[string]Job{},
 	}
@@ -140,7 +140,7 @@
 	id, length, idle := s.queue.Next(s.now())
 	if next = s.tasks[id]; next != nil {
 		s.start(next)
-		return id, next, slice{length, s.queue.Off(id)}, 0
+		return id, next, slice{length, s.queue.IsCancelled(id)}, 0
 	}
 	if idle < 0 {
 		return 0, nil, slice{}, maxIdle
@@ -183,7 +183,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	next := s.queue.Ran(s.now(), id, t.cpuUsed, done)
+	next := s.queue.RecordUsage(s.now(), id, t.cpuUsed, done)
 	if !done {
 		return
 	}
