--- a/internal/tlskeys/accesscontrol.go
+++ b/internal/tlskeys/accesscontrol.go
@@ -25,17 +25,17 @@
 	log   *logrus.Logger
 
 	mu    sync.Mutex
-	state *admission.Door
+	state *admission.Controller
 	conns map[uint64]*Conn
 }
 
 // NewAccessControl returns an access control that uses the keys of a store.
 func NewAccessControl(
-	store *Store, limits admission.Terms, rules *admission.Rules, log *logrus.Logger) *AccessControl {
+	store *Store, limits admission.Limits, rules *admission.Rules, log *logrus.Logger) *AccessControl {
 	a := &AccessControl{
 		store: store,
 		log:   log,
-		state: admission.NewDoor(limits, rules),
+		state: admission.NewController(limits, rules),
 		conns: map[uint64]*Conn{},
 	}
 	store.OnReplace(a.replaceKeys)
@@ -47,7 +47,7 @@
 	now := time.Now()
 	trusted := func(id uint64) bool { return k.Trusts(a.conns[id].chain, Client, now) }
 	a.mu.Lock()
-	ends := a.state.Replace(trusted, unixMilliseconds(now))
+	ends := a.state.RotateKeys(trusted, unixMilliseconds(now))
 	a.mu.Unlock()
 	a.close(ends)
 }
@@ -58,9 +58,9 @@
 
 // UpdateRules applies other limits and rules. Connections that the new rules would not admit as they were admitted
 // are closed.
-func (a *AccessControl) UpdateRules(limits admission.Terms, rules *admission.Rules) {
+func (a *AccessControl) UpdateRules(limits admission.Limits, rules *admission.Rules) {
 	a.mu.Lock()
-	ends := a.state.Rule(limits, rules)
+	ends := a.state.Reconfigure(limits, rules)
 	a.mu.Unlock()
 	a.close(ends)
 }
@@ -82,7 +82,7 @@
 			return
 		case <-tick.C:
 			a.mu.Lock()
-			ends := a.state.Sweep(unixMilliseconds(time.Now()))
+			ends := a.state.Expire(unixMilliseconds(time.Now()))
 			a.mu.Unlock()
 			a.close(ends)
 		}
@@ -90,11 +90,11 @@
 }
 
 // close closes connections. The lock must not be held, since Conn.Close takes it.
-func (a *AccessControl) close(ends []admission.End) {
+func (a *AccessControl) close(ends []admission.Termination) {
 	for _, e := range ends {
 		a.mu.Lock()
 		c := a.conns[e.Conn]
-		name, _ := a.state.Who(e.Conn)
+		name, _ := a.state.Identity(e.Conn)
 		a.mu.Unlock()
 		if c == nil {
 			continue
@@ -102,7 +102,7 @@
 		a.log.WithFields(logrus.Fields{
 			"from":   c.RemoteAddr().String(),
 			"name":   name,
-			"reason": e.Why,
+			"reason": e.Reason,
 		}).Info("access control: connection closed")
 		_ = c.Close() // the peer may have closed it before
 	}
@@ -122,7 +122,7 @@
 	c.closeOnce.Do(func() {
 		c.control.mu.Lock()
 		defer c.control.mu.Unlock()
-		c.control.state.Leave(c.id)
+		c.control.state.Remove(c.id)
 		delete(c.control.conns, c.id)
 	})
 	return c.Conn.Close()
@@ -162,7 +162,7 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	id, err := a.state.Knock(from, unixMilliseconds(time.Now()))
+	id, err := a.state.Accept(from, unixMilliseconds(time.Now()))
 	if err != nil {
 		return nil, err
 	}
@@ -190,7 +190,7 @@
 // handshakeConfig returns the configuration of one handshake.
 func (a *AccessControl) handshakeConfig(c *Conn, protocols []string) *tls.Config {
 	a.mu.Lock()
-	generation := a.state.Keys()
+	generation := a.state.KeyGeneration()
 	k := a.store.Keys()
 	a.mu.Unlock()
 	return &tls.Config{
@@ -211,7 +211,7 @@
 	leaf := chain[0]
 	peer := admission.Peer{Names: Names(leaf), Expires: unixMilliseconds(leaf.NotAfter)}
 	a.mu.Lock()
-	name, _, err := a.state.Prove(c.id, peer, generation, unixMilliseconds(time.Now()))
+	name, _, err := a.state.Authenticate(c.id, peer, generation, unixMilliseconds(time.Now()))
 	c.chain = chain
 	a.mu.Unlock()
 	entry := a.log.WithFields(logrus.Fields{"from": c.RemoteAddr().String(), "name": name})
@@ -235,5 +235,5 @@
 	}
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.state.Who(c.id)
+	return a.state.Identity(c.id)
 }
--- a/internal/tlskeys/tlskeys_test.go
+++ b/internal/tlskeys/tlskeys_test.go
@@ -140,7 +140,7 @@
 	files    Files
 }
 
-func (issuer *testAuthority) startServer(terms admission.Terms, rules ...admission.Rule) *testServer {
+func (issuer *testAuthority) startServer(terms admission.Limits, rules ...admission.Rule) *testServer {
 	server := &testServer{testAuthority: issuer, admitted: make(chan string, 100), files: issuer.issue("server", ValidFor(time.Hour), []string{"127.0.0.1"}, Server)}
 	var err error
 	server.store, err = Open(server.files, Server, discardLog())
@@ -211,7 +211,7 @@
 	return s.ClientConfig("127.0.0.1", "echo")
 }
 
-var limits = admission.Terms{Most: 50, Unproven: 10, Prove: 300, Ageing: -1}
+var limits = admission.Limits{MaxConns: 50, MaxUnauthenticated: 10, HandshakeTimeout: 300, RotationPeriod: -1}
 
 // TestUnauthenticatedPeersAreNotAdmitted: a peer is rejected that has no certificate, or one that is expired, of
 // another authority, for another use or under a name that no rule admits, and so is one that speaks plain text or
@@ -276,7 +276,7 @@
 	for server.control.Counts().Open != 1 && time.Now().Before(until) {
 		time.Sleep(5 * time.Millisecond)
 	}
-	if c := server.control.Counts(); c.Open != 1 || c.Unproven != 0 || c.Refused["name"] != 1 {
+	if c := server.control.Counts(); c.Open != 1 || c.Unauthenticated != 0 || c.Rejected["name"] != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -289,7 +289,7 @@
 	if _, err := server.dial(server.client(issuer.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))); err == nil {
 		t.Error("admitted")
 	}
-	if c := server.control.Counts(); c.Refused["address"] != 1 {
+	if c := server.control.Counts(); c.Rejected["address"] != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -341,7 +341,7 @@
 func TestConnectionsEndWhenTheirTimeIsUp(t *testing.T) {
 	issuer := newTestAuthority(t)
 	terms := limits
-	terms.Ageing = 200
+	terms.RotationPeriod = 200
 	server := issuer.startServer(terms, admission.Rule{Name: "*", Roles: admission.Subscriber})
 	config := server.client(issuer.issue("p1", ValidFor(time.Hour), []string{"p1"}, Client))
 	c, err := server.dial(config)
@@ -381,7 +381,7 @@
 		time.Sleep(20 * time.Millisecond)
 	}
 	issuer.noError(err)
-	if c := server.control.Counts(); c.Refused["unproven"] == 0 || c.Open > 50 {
+	if c := server.control.Counts(); c.Rejected["unauthenticated"] == 0 || c.Open > 50 {
 		t.Errorf("%+v", c)
 	}
 }
--- a/logic/admission/admission_test.go
+++ b/logic/admission/controller_test.go
@@ -18,9 +18,9 @@
 	there = netip.MustParseAddr("192.0.2.7")
 )
 
-func TestAdmit(t *testing.T) {
+func TestRulesAdmitByNameAndAddress(t *testing.T) {
 	ten := []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("2001:db8::/32")}
-	rules := NewRules([]Rule{{Name: "proxy-*", Roles: Subscriber, From: ten, Most: 2}, {Name: "proxy-7", Roles: Administrator, From: ten, Most: 5},
+	rules := NewRules([]Rule{{Name: "proxy-*", Roles: Subscriber, From: ten, MaxConns: 2}, {Name: "proxy-7", Roles: Administrator, From: ten, MaxConns: 5},
 		{Name: "*.ops.example", Roles: Administrator}, {Name: "spiffe://yard/*", Roles: Subscriber, From: ten}})
 	for _, c := range []struct {
 		names string
@@ -40,8 +40,8 @@
 		{"nobody", here, `no rule admits "nobody"`},
 		{"", here, "the certificate proves no name"},
 	} {
-		name, roles, most, err := rules.Admit(strings.Fields(c.names), c.from)
-		got := fmt.Sprintf("%s %s %d", name, roles.Text(), most)
+		name, roles, maxConns, err := rules.Admit(strings.Fields(c.names), c.from)
+		got := fmt.Sprintf("%s %s %d", name, roles.Text(), maxConns)
 		if err != nil {
 			got = err.Error()
 		}
@@ -49,7 +49,7 @@
 			t.Errorf("%q from %s: %s, want %s", c.names, c.from, got, c.want)
 		}
 	}
-	if NewRules(nil).MayKnock(here) || !rules.MayKnock(there) || NewRules([]Rule{{Name: "*", From: ten}}).MayKnock(there) {
+	if NewRules(nil).AdmitsAddress(here) || !rules.AdmitsAddress(there) || NewRules([]Rule{{Name: "*", From: ten}}).AdmitsAddress(there) {
 		t.Error("who may knock")
 	}
 	for name, good := range map[string]bool{"*": true, "a*": true, "*a": true, "a*b": false, "*a*": false, "": false, "**": false} {
@@ -59,67 +59,67 @@
 	}
 }
 
-// TestReplace: an authority that is dropped ends its connections at once, the rest are spread; expired ones end in time;
+// TestRotatedKeysAndNewRulesEndConnections: an authority that is dropped ends its connections at once, the rest are spread; expired ones end in time;
 // new rules end what they no longer admit.
-func TestReplace(t *testing.T) {
-	d := NewDoor(Terms{Most: 100, Unproven: 100, Prove: 1000, Ageing: 10_000}, NewRules([]Rule{{Name: "*", Roles: Subscriber}}))
+func TestRotatedKeysAndNewRulesEndConnections(t *testing.T) {
+	d := NewController(Limits{MaxConns: 100, MaxUnauthenticated: 100, HandshakeTimeout: 1000, RotationPeriod: 10_000}, NewRules([]Rule{{Name: "*", Roles: Subscriber}}))
 	var ids []uint64
 	for i := range 10 {
-		id, err := d.Knock(here, 0)
+		id, err := d.Accept(here, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := d.Prove(id, Peer{Names: []string{fmt.Sprint("p", i)}, Expires: 1e6}, 0, 0); err != nil {
+		if _, _, err := d.Authenticate(id, Peer{Names: []string{fmt.Sprint("p", i)}, Expires: 1e6}, 0, 0); err != nil {
 			t.Fatal(err)
 		}
 		ids = append(ids, id)
 	}
-	late, _ := d.Knock(here, 0)
-	ends := d.Replace(func(id uint64) bool { return id != ids[3] }, 100)
-	if len(ends) != 1 || ends[0].Conn != ids[3] {
-		t.Fatalf("%v", ends)
+	late, _ := d.Accept(here, 0)
+	terminations := d.RotateKeys(func(id uint64) bool { return id != ids[3] }, 100)
+	if len(terminations) != 1 || terminations[0].Conn != ids[3] {
+		t.Fatalf("%v", terminations)
 	}
-	d.Leave(ids[3])
-	if _, _, err := d.Prove(late, Peer{Names: []string{"late"}, Expires: 1e6}, 0, 200); err == nil {
+	d.Remove(ids[3])
+	if _, _, err := d.Authenticate(late, Peer{Names: []string{"late"}, Expires: 1e6}, 0, 200); err == nil {
 		t.Error("let in by keys that were replaced")
 	}
-	d.Leave(late)
+	d.Remove(late)
 	ended := 0
 	for now := 100.0; now <= 10_200; now += 100 {
-		gone := d.Sweep(now)
+		gone := d.Expire(now)
 		if len(gone) > 1 {
 			t.Errorf("%d end at once", len(gone))
 		}
 		for _, e := range gone {
-			d.Leave(e.Conn)
+			d.Remove(e.Conn)
 			ended++
 		}
 	}
 	if ended != 9 || d.Counts().Open != 0 {
 		t.Errorf("%d ended, %+v", ended, d.Counts())
 	}
-	id, _ := d.Knock(here, 20_000)
-	if _, _, err := d.Prove(id, Peer{Names: []string{"p"}, Expires: 30_000}, d.Keys(), 20_000); err != nil {
+	id, _ := d.Accept(here, 20_000)
+	if _, _, err := d.Authenticate(id, Peer{Names: []string{"p"}, Expires: 30_000}, d.KeyGeneration(), 20_000); err != nil {
 		t.Fatal(err)
 	}
-	if len(d.Sweep(29_999)) != 0 || len(d.Sweep(30_000)) != 1 {
+	if len(d.Expire(29_999)) != 0 || len(d.Expire(30_000)) != 1 {
 		t.Error("its certificate expires at 30000")
 	}
-	if ends := d.Rule(d.terms, NewRules([]Rule{{Name: "p", Roles: Administrator}})); len(ends) != 1 {
-		t.Errorf("it is no subscriber now: %v", ends)
+	if terminations := d.Reconfigure(d.limits, NewRules([]Rule{{Name: "p", Roles: Administrator}})); len(terminations) != 1 {
+		t.Errorf("it is no subscriber now: %v", terminations)
 	}
-	if ends := d.Rule(d.terms, NewRules([]Rule{{Name: "p", Roles: Administrator | Subscriber}})); len(ends) != 0 {
-		t.Errorf("it may as before: %v", ends)
+	if terminations := d.Reconfigure(d.limits, NewRules([]Rule{{Name: "p", Roles: Administrator | Subscriber}})); len(terminations) != 0 {
+		t.Errorf("it may as before: %v", terminations)
 	}
-	if ends := d.Rule(d.terms, NewRules([]Rule{{Name: "q", Roles: Subscriber}})); len(ends) != 1 {
-		t.Errorf("nobody admits it: %v", ends)
+	if terminations := d.Reconfigure(d.limits, NewRules([]Rule{{Name: "q", Roles: Subscriber}})); len(terminations) != 1 {
+		t.Errorf("nobody admits it: %v", terminations)
 	}
 }
 
-// TestLimits: against a model, no limit is passed and nothing is miscounted.
-func TestLimits(t *testing.T) {
+// TestNoLimitIsPassedAndNothingMiscounted: against a model, no limit is passed and nothing is miscounted.
+func TestNoLimitIsPassedAndNothingMiscounted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewDoor(Terms{Most: 6, Unproven: 3, Prove: 50, Ageing: -1}, NewRules([]Rule{{Name: "a*", Roles: Subscriber, Most: 2}, {Name: "b*", Roles: Subscriber}}))
+		d := NewController(Limits{MaxConns: 6, MaxUnauthenticated: 3, HandshakeTimeout: 50, RotationPeriod: -1}, NewRules([]Rule{{Name: "a*", Roles: Subscriber, MaxConns: 2}, {Name: "b*", Roles: Subscriber}}))
 		now := 0.0
 		var open []uint64
 		names := map[uint64]string{}
@@ -132,14 +132,14 @@
 				return open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
 			}
 			leave := func(id uint64) {
-				d.Leave(id)
+				d.Remove(id)
 				open = slices.DeleteFunc(open, func(o uint64) bool { return o == id })
 				delete(names, id)
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
 				unproven := len(open) - len(names)
-				id, err := d.Knock(here, now)
+				id, err := d.Accept(here, now)
 				if fits := len(open) < 6 && unproven < 3; (err == nil) != fits {
 					t.Fatalf("%d open, %d unproven: %v", len(open), unproven, err)
 				}
@@ -157,7 +157,7 @@
 						same++
 					}
 				}
-				_, _, err := d.Prove(id, Peer{Names: []string{name}, Expires: 1e9}, 0, now)
+				_, _, err := d.Authenticate(id, Peer{Names: []string{name}, Expires: 1e9}, 0, now)
 				if fits := name[0] == 'b' || name[0] == 'a' && same < 2; (err == nil) != fits {
 					t.Fatalf("%s with %d: %v", name, same, err)
 				}
@@ -167,14 +167,14 @@
 			case 2:
 				leave(at())
 			case 3:
-				for _, e := range d.Sweep(now) {
+				for _, e := range d.Expire(now) {
 					if _, proven := names[e.Conn]; proven {
 						t.Fatalf("%v ends", e)
 					}
 					leave(e.Conn)
 				}
 			}
-			if c := d.Counts(); c.Open != len(open) || c.Unproven != len(open)-len(names) {
+			if c := d.Counts(); c.Open != len(open) || c.Unauthenticated != len(open)-len(names) {
 				t.Fatalf("%+v, in truth %d, %d proven", c, len(open), len(names))
 			}
 		}
--- /dev/null
+++ b/logic/admission/rules.go
@@ -0,0 +1,157 @@
+// Package admission decides which connections a TLS listener accepts, which roles they have, how many of them
+// may be open, and when one has to end.
+//
+// Rules admit peers by the names of their certificates and by their addresses; a peer that no rule names is
+// never admitted. Connections that are not authenticated yet have a limit and a timeout of their own, so that
+// a flood of them does not keep known peers out. When keys are rotated, connections of peers that are no
+// longer trusted end at once and the others within the rotation period. The package does no I/O.
+package admission
+
+import (
+	"fmt"
+	"net/netip"
+	"slices"
+	"strings"
+
+	"github.com/gaissmai/bart"
+)
+
+// Role is what a peer may do. Roles are combined by or.
+type Role int
+
+// The roles.
+const (
+	Subscriber    Role = 1 << iota // receives configuration
+	Administrator                  // reads the state of the service
+)
+
+var roleNames = []string{"subscriber", "administrator"}
+
+// RoleNames returns the names that ParseRole accepts.
+func RoleNames() []string { return slices.Clone(roleNames) }
+
+// ParseRole returns the role of a name.
+func ParseRole(name string) (Role, bool) {
+	i := slices.Index(roleNames, name)
+	return 1 << max(i, 0), i >= 0
+}
+
+// Text returns the names of roles.
+func (r Role) Text() string {
+	var all []string
+	for i, name := range roleNames {
+		if r&(1<<i) != 0 {
+			all = append(all, name)
+		}
+	}
+	if len(all) == 0 {
+		return "nothing"
+	}
+	return strings.Join(all, ", ")
+}
+
+// Rule admits peers.
+type Rule struct {
+	Name     string         // of the certificate; a * at its beginning or end matches any non-empty text
+	Roles    Role           // that the peers have
+	From     []netip.Prefix // none for every address
+	MaxConns int            // open connections of one name, 0 for no limit
+}
+
+// matches reports whether the rule's name matches a name. A * matches at least one character, and a dot or
+// slash beside it has to match too: *.example does not match example.
+func (r *Rule) matches(name string) bool {
+	if rest, open := strings.CutSuffix(r.Name, "*"); open {
+		return len(name) > len(rest) && strings.HasPrefix(name, rest) || r.Name == "*" && name != ""
+	}
+	if rest, open := strings.CutPrefix(r.Name, "*"); open {
+		return len(name) > len(rest) && strings.HasSuffix(name, rest)
+	}
+	return r.Name == name
+}
+
+// CheckName validates a rule's name.
+func CheckName(name string) error {
+	switch inner := strings.TrimSuffix(strings.TrimPrefix(name, "*"), "*"); {
+	case name == "":
+		return fmt.Errorf("is empty")
+	case strings.Contains(inner, "*"), len(name) > 1 && len(inner) < len(name)-1:
+		return fmt.Errorf("may have one * at its beginning or at its end")
+	}
+	return nil
+}
+
+// Rules are the rules of a listener. They are immutable and safe for concurrent use.
+type Rules struct {
+	rules []Rule
+	from  []*bart.Lite // by rule, nil for everywhere
+	any   *bart.Lite   // every address that some rule admits, nil for everywhere
+}
+
+// NewRules builds the rules of a listener.
+func NewRules(rules []Rule) *Rules {
+	r := &Rules{rules: slices.Clone(rules), any: &bart.Lite{}}
+	everywhere := false
+	for _, one := range r.rules {
+		var set *bart.Lite
+		for _, p := range one.From {
+			if set == nil {
+				set = &bart.Lite{}
+			}
+			set.Insert(p)
+			r.any.Insert(p)
+		}
+		everywhere = everywhere || set == nil
+		r.from = append(r.from, set)
+	}
+	if everywhere {
+		r.any = nil
+	}
+	return r
+}
+
+// AdmitsAddress reports whether any rule admits peers from an address, before the handshake.
+func (r *Rules) AdmitsAddress(from netip.Addr) bool {
+	return len(r.rules) > 0 && (r.any == nil || r.any.Contains(from.Unmap()))
+}
+
+// Rejection is why a peer is not admitted. Its connection ends.
+type Rejection string
+
+func (r Rejection) Error() string { return string(r) }
+
+// Admit returns the name under which a peer is admitted, its roles, and how many connections the name may have
+// open, 0 for no limit. Names are those of the certificate.
+func (r *Rules) Admit(names []string, from netip.Addr) (name string, roles Role, maxConns int, err error) {
+	if len(names) == 0 {
+		return "", 0, 0, Rejection("the certificate proves no name")
+	}
+	elsewhere := ""
+	for _, proven := range names {
+		for i := range r.rules {
+			if !r.rules[i].matches(proven) {
+				continue
+			}
+			if r.from[i] != nil && !r.from[i].Contains(from.Unmap()) {
+				elsewhere = proven
+				continue
+			}
+			if name == "" {
+				name = proven
+			}
+			if proven == name {
+				roles |= r.rules[i].Roles
+				if m := r.rules[i].MaxConns; m > 0 && (maxConns == 0 || m > maxConns) {
+					maxConns = m
+				}
+			}
+		}
+		if name != "" {
+			return name, roles, maxConns, nil
+		}
+	}
+	if elsewhere != "" {
+		return "", 0, 0, Rejection(fmt.Sprintf("%q may not come from %s", elsewhere, from.Unmap()))
+	}
+	return "", 0, 0, Rejection(fmt.Sprintf("no rule admits %q", names[0]))
+}
