--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -40,7 +40,7 @@
 // dispatch begins an attempt. One of a first pass is put down as if it were a call in full, to which the
 // records compare it: as started earlier, and with less weight.
 func (g *Gatherer) dispatch(r *shardRequest, replica int) {
-	g.replicas.take(g.servers.replicaSet(r.Shard), replica, g.now, g.settings)
+	g.replicas.recordChoice(g.servers.replicaSet(r.Shard), replica, g.now, g.settings)
 	saved := r.query.FullCallExtra
 	a := &attempt{
 		request:   r,
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -17,7 +17,7 @@
 	slowMultiple    = 2.0  // of the least expected latency, above which a replica is passed over
 	requestsPerSlot = 4    // requests of a round that share a call where it has a cost; more would queue up
 	noReplica       = -1
-	neverTaken      = -1.0
+	neverChosen     = -1.0
 )
 
 // replicaPicker chooses the replica for each attempt: round robin, or weighted round robin where an
@@ -45,7 +45,7 @@
 type slot struct {
 	next      int // place of the replica that comes next
 	server    int // that had the last slot,
-	takenAt   float64
+	chosenAt  float64
 	remaining int // and requests of the same round that may still share it
 }
 
@@ -67,7 +67,7 @@
 		leastFailureRound: make([]uint64, sets),
 	}
 	for i := range p.slots {
-		p.slots[i] = slot{next: int(random.Uint32() >> 8), takenAt: neverTaken}
+		p.slots[i] = slot{next: int(random.Uint32() >> 8), chosenAt: neverChosen}
 	}
 	p.endpointsChanged()
 	return p
@@ -89,7 +89,7 @@
 func (p *replicaPicker) next(r *shardRequest, now float64) int {
 	set := p.servers.replicaSet(r.Shard)
 	acceptable := func(server int) bool { return p.usable(server, r, now) && !p.passedOver(server, r, now) }
-	if s := &p.slots[set]; s.takenAt == now && s.remaining > 0 && acceptable(s.server) {
+	if s := &p.slots[set]; s.chosenAt == now && s.remaining > 0 && acceptable(s.server) {
 		return s.server
 	}
 	if server := p.weighted.Next(set, p.servers.inFlight, acceptable); server >= 0 {
@@ -244,17 +244,17 @@
 	return p.servers.get(server).estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
 }
 
-// take notes that a replica was chosen. Where a call has a cost, requests of one round share its slot and
+// recordChoice notes that a replica was chosen. Where a call has a cost, requests of one round share its slot and
 // so its call.
-func (p *replicaPicker) take(set, server int, now float64, settings *gather.Settings) {
-	p.weighted.Take(set, server)
+func (p *replicaPicker) recordChoice(set, server int, now float64, settings *gather.Settings) {
+	p.weighted.RecordChoice(set, server)
 	s := &p.slots[set]
-	if s.takenAt == now && s.server == server {
+	if s.chosenAt == now && s.server == server {
 		s.remaining--
 		return
 	}
 	replicas := p.servers.replicas[set]
-	*s = slot{next: (slices.Index(replicas, server) + 1) % len(replicas), server: server, takenAt: now}
+	*s = slot{next: (slices.Index(replicas, server) + 1) % len(replicas), server: server, chosenAt: now}
 	if settings.CallCost > 0 {
 		s.remaining = min(requestsPerSlot, settings.RequestsPerCall) - 1
 	}
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -126,9 +126,9 @@
 	return fewest
 }
 
-// Take notes that a replica was sent a request: its next slot starts when its share of the set's slots has
+// RecordChoice notes that a replica was sent a request: its next slot starts when its share of the set's slots has
 // passed.
-func (w *Weighted) Take(set, server int) {
+func (w *Weighted) RecordChoice(set, server int) {
 	s := &w.sets[set]
 	i := slices.Index(w.replicas[set], server)
 	if s.shares == nil || s.shares[i] <= 0 {
--- a/logic/roundrobin/roundrobin_test.go
+++ b/logic/roundrobin/roundrobin_test.go
@@ -39,7 +39,7 @@
 		if server < 0 {
 			break
 		}
-		w.Take(0, server)
+		w.RecordChoice(0, server)
 		counts[server]++
 	}
 	return counts
@@ -108,7 +108,7 @@
 		if got := next(); got != 1 {
 			t.Fatalf("with %v in flight the next replica is %d, want 1", inFlight, got)
 		}
-		w.Take(0, 1)
+		w.RecordChoice(0, 1)
 	}
 }
 
@@ -118,6 +118,6 @@
 		if got := w.Next(0, idle, always); got != -1 {
 			t.Errorf("weights that name %s: the next replica is %d, want -1", name, got)
 		}
-		w.Take(0, 0) // has no effect
+		w.RecordChoice(0, 0) // has no effect
 	}
 }
