--- a/logic/admission/rules.go
+++ b/logic/admission/rules.go
@@ -120,8 +120,8 @@
 
 func (r Rejection) Error() string { return string(r) }
 
-// Admit returns the name under which a peer is admitted, its roles, and how many connections the name may have
-// open, 0 for no limit. Names are those of the certificate.
+// Admit returns the name under which a peer is admitted, its roles, and how many connections the name may
+// have open, 0 for no limit. Names are those of the certificate.
 func (r *Rules) Admit(names []string, from netip.Addr) (name string, roles Role, maxConns int, err error) {
 	if len(names) == 0 {
 		return "", 0, 0, Rejection("the certificate proves no name")
--- a/logic/jobs/jobs.go
+++ b/logic/jobs/jobs.go
@@ -1,9 +1,9 @@
 // Package jobs decides which background job runs next beside queries.
 //
-// Jobs have a class and a name. The queue decides which one runs, for how long, or that none may run for a
-// while. Its budget is a token bucket: over any time, jobs get at most their share of that time and one burst.
-// Classes share the budget by weight, by stride scheduling (Waldspurger and Weihl 1995), so that no class
-// starves while a more important one is busy.
+// Jobs have a class and a name. The queue decides which one runs, for how long, or that none may run for
+// a while. Its budget is a token bucket: over any time, jobs get at most their share of that time and one
+// burst. Classes share the budget by weight, by stride scheduling (Waldspurger and Weihl 1995), so that
+// no class starves while a more important one is busy.
 package jobs
 
 import "slices"
@@ -116,9 +116,9 @@
 // Len is how many jobs are not done.
 func (q *Queue) Len() int { return len(q.jobs) }
 
-// Next returns the job that runs now and for how many milliseconds of CPU. Without one it returns ID 0 and
-// after how many milliseconds to call again, negative where there are no jobs. Within a class the job that was
-// added first goes first.
+// Next returns the job that runs now and for how many milliseconds of CPU. Without one it returns ID 0
+// and after how many milliseconds to call again, negative where there are no jobs. Within a class the job
+// that was added first goes first.
 func (q *Queue) Next(now float64) (id uint64, slice, wait float64) {
 	q.refill(now)
 	var best *job
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -244,8 +244,8 @@
 	return p.servers.get(server).estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
 }
 
-// recordChoice notes that a replica was chosen. Where a call has a cost, requests of one round share its slot and
-// so its call.
+// recordChoice notes that a replica was chosen. Where a call has a cost, requests of one round share its
+// slot and so its call.
 func (p *replicaPicker) recordChoice(set, server int, now float64, settings *gather.Settings) {
 	p.weighted.RecordChoice(set, server)
 	s := &p.slots[set]
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -126,8 +126,8 @@
 	return fewest
 }
 
-// RecordChoice notes that a replica was sent a request: its next slot starts when its share of the set's slots has
-// passed.
+// RecordChoice notes that a replica was sent a request: its next slot starts when its share of the set's
+// slots has passed.
 func (w *Weighted) RecordChoice(set, server int) {
 	s := &w.sets[set]
 	i := slices.Index(w.replicas[set], server)
