--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -277,7 +277,7 @@
 }
 
 // TestContradictingAuthorityStopsNonIdempotentQueries: an authority tells one gatherer of a change that never was, and
-// later of another one in the same epoch. Once- only lookups stop when that comes to light, reads go on, and all go on
+// later of another one in the same epoch. Non-idempotent queries stop when that comes to light, reads go on, and all go on
 // with a later epoch. News that makes no sense changes nothing.
 func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
 	f := startFarm(t, 3, 1, &standin.SegmentLogs{}, "")
