--- a/internal/gatherer/dispatch/attempt.go
+++ b/internal/gatherer/dispatch/attempt.go
@@ -13,13 +13,13 @@
 type Attempt struct {
 	Server  uint32
 	Timeout float64 // milliseconds from the decision
-	Tag     any     // the carrier's own
+	Tag     any     // for use by the code that carries out the attempt
 
 	picker          *Picker
-	query           *Query // or its pass
-	index           int    // of the shard request, or of the piece, in the query
+	query           *Query // the client's query, or one of its passes
+	index           int    // index of the shard request, or piece, in the query
 	shard           int
-	moduleID        uint64 // of the shard request, or of the piece
+	moduleID        uint64 // module ID of the shard request or piece
 	number          int
 	decidedAt       float64
 	nonIdempotent   bool
@@ -27,27 +27,29 @@
 	usesRetryBudget bool
 	shardsAttempted int
 
-	// Of a piece: the keys, the segment that holds them, and the epoch since which its owner does.
-	owned      bool
-	keys       ownership.Range
-	segment    string
-	ownedSince uint64
+	// Set for an attempt at a piece: the keys requested, the segment that holds them, and the epoch since which the
+	// segment's owner has held them.
+	hasOwnership bool
+	keys         ownership.Range
+	segment      string
+	ownerSince   uint64
 
-	// Of an idempotency-keyed query: the earlier attempts, and how long a server knows the key of one that ran.
-	earlier           []*Attempt
+	// Set for an idempotency-keyed query: the earlier attempts at the shard request, and how long, in milliseconds, a
+	// server remembers the idempotency key of an attempt that ran.
+	earlierAttempts   []*Attempt
 	idempotencyWindow float64
 
 	cancelled     atomic.Bool
 	ended         atomic.Bool
-	neverExecuted atomic.Bool // set at its end where that proves it
+	neverExecuted atomic.Bool // set when the attempt ends with an outcome that proves it
 	writeStarted  atomic.Bool
 }
 
-// ID names the shard request on the wire; a hedged request bears the same name. In a first pass a mark follows, so
-// that an answer cannot be taken for the other pass's.
+// ID returns the shard request's ID on the wire. A hedged request has the same ID. A first pass adds the suffix "~",
+// so that its answer cannot be mistaken for one from the other pass.
 func (a *Attempt) ID() string {
 	id := a.query.ID + "." + strconv.Itoa(a.shard)
-	if a.owned { // several pieces of a shard request may be in flight at one server
+	if a.hasOwnership { // several pieces of a shard request may be in flight at one server
 		id += "." + strconv.Itoa(a.index)
 	}
 	if a.FirstPass() {
@@ -56,61 +58,63 @@
 	return id
 }
 
-// Query is the client's query.
+// Query returns the client's query.
 func (a *Attempt) Query() *Query { return a.query.root() }
 
-// Pass is the pass that the attempt belongs to.
+// Pass returns the pass that the attempt belongs to.
 func (a *Attempt) Pass() gather.Pass { return a.query.pass.kind }
 
-// FirstPass reports whether the attempt asks for no more than a summary.
+// FirstPass reports whether the attempt belongs to a first pass and thus requests only a summary.
 func (a *Attempt) FirstPass() bool { return a.query.pass.kind == gather.FirstPass }
 
-// Number counts the attempts of its shard request in its pass, from 0.
+// Number returns the attempt's number among those of its shard request in its pass, counted from 0.
 func (a *Attempt) Number() int { return a.number }
 
-// Remaining is how much of its timeout remains, in milliseconds: an attempt may have waited for a connection.
+// Remaining returns how much of the timeout remains, in milliseconds. The timeout runs from the decision, and the
+// attempt may have waited for a connection since.
 func (a *Attempt) Remaining() float64 { return a.decidedAt + a.Timeout - a.picker.Now() }
 
-// DecidedAt is when the module decided on it, on the picker's clock.
+// DecidedAt returns the time at which the module decided on the attempt, on the picker's clock.
 func (a *Attempt) DecidedAt() float64 { return a.decidedAt }
 
-// UsesRetryBudget reports whether it is a retry or a hedged request, which the retry budget counts: one beyond the
-// first of its shard request, or one in full whose attempt in the first pass was lost.
+// UsesRetryBudget reports whether the attempt is a retry or a hedged request, which the retry budget counts: one beyond
+// the first of its shard request, or one in the second pass whose attempt in the first pass was lost.
 func (a *Attempt) UsesRetryBudget() bool { return a.usesRetryBudget }
 
-// OnlyInFlight reports whether no other attempt of its shard request was in flight at the decision.
+// OnlyInFlight reports whether no other attempt of the shard request was in flight when this one was decided on.
 func (a *Attempt) OnlyInFlight() bool { return a.onlyInFlight }
 
-// ShardsAttempted counts the shard requests of its query with an attempt by then, this one included.
+// ShardsAttempted returns how many shard requests of the query had an attempt when this one was decided on, including
+// this one's.
 func (a *Attempt) ShardsAttempted() int { return a.shardsAttempted }
 
-// Shard is the shard requested.
+// Shard returns the shard requested.
 func (a *Attempt) Shard() int { return a.shard }
 
-// Payload is the query's payload.
+// Payload returns the query's payload.
 func (a *Attempt) Payload() []byte { return a.query.Payload }
 
 // NonIdempotent reports whether the attempt must never be executed twice.
 func (a *Attempt) NonIdempotent() bool { return a.nonIdempotent }
 
-// Ownership returns the keys requested, the segment that holds them and the epoch since which its owner does; ok is
-// false where no map says who owns which keys.
+// Ownership returns the keys requested, the segment that holds them and the epoch since which the segment's owner has
+// held them; ok is false if queries are not routed by a segment map.
 func (a *Attempt) Ownership() (keys ownership.Range, segment string, since uint64, ok bool) {
-	return a.keys, a.segment, a.ownedSince, a.owned
+	return a.keys, a.segment, a.ownerSince, a.hasOwnership
 }
 
-// BeginWrite reports whether the attempt may still be written: it may have waited for a connection while its query
-// was decided, the policy changed or the retry budget ran out. Each BeginWrite that returns true needs an EndWrite.
+// BeginWrite reports whether the attempt may still be written. While it waited for a connection, its query may have
+// been decided, the policy changed or the retry budget run out. Each BeginWrite that returns true needs an EndWrite.
 //
-// BeginWrite never blocks: a query that is being sealed is as good as answered, and writers that waited could wait
-// for each other.
+// BeginWrite never blocks: it returns false for a query that is being sealed, whose result is already decided. Writers
+// that blocked here could wait for each other.
 func (a *Attempt) BeginWrite() bool {
 	query := a.query.root()
 	if a.cancelled.Load() || !query.writeGate.TryRLock() {
 		return false
 	}
 	now := a.picker.Now()
-	if query.sealed || a.cancelled.Load() || !a.keyStillKnown(now) || !a.permitted(now) ||
+	if query.sealed || a.cancelled.Load() || !a.idempotencyKeysKnown(now) || !a.permittedByPolicy(now) ||
 		a.usesRetryBudget && !a.picker.retryBudget.charge(now) {
 		query.writeGate.RUnlock()
 		return false
@@ -123,16 +127,16 @@
 	return true
 }
 
-// EndWrite ends what BeginWrite began.
+// EndWrite ends the write that BeginWrite permitted.
 func (a *Attempt) EndWrite() { a.query.root().writeGate.RUnlock() }
 
 // WriteStarted reports whether BeginWrite has returned true.
 func (a *Attempt) WriteStarted() bool { return a.writeStarted.Load() }
 
-// keyStillKnown reports whether the servers still know the idempotency key of every earlier attempt that may have
-// run: the window may end while the attempt waits for its connection.
-func (a *Attempt) keyStillKnown(now float64) bool {
-	for _, e := range a.earlier {
+// idempotencyKeysKnown reports whether the servers still remember the idempotency key of every earlier attempt that may
+// have run. The idempotency window may end while the attempt waits for its connection.
+func (a *Attempt) idempotencyKeysKnown(now float64) bool {
+	for _, e := range a.earlierAttempts {
 		if !e.neverExecuted.Load() && now > e.decidedAt+a.idempotencyWindow-clockTolerance {
 			return false
 		}
@@ -140,8 +144,8 @@
 	return true
 }
 
-// Report reports how an attempt ended, with the value that came. Only the first report of an attempt counts: one that
-// was cancelled may still be answered.
+// Report reports how an attempt ended, with the value received. Only the first report of an attempt counts, because an
+// attempt that was cancelled may still be answered.
 func (p *Picker) Report(a *Attempt, outcome gather.Outcome, value []byte) {
 	if !a.ended.CompareAndSwap(false, true) {
 		return
@@ -151,7 +155,7 @@
 	if a.FirstPass() && outcome == gather.Succeeded {
 		var err error
 		if end.summary, err = twopass.ParseSummary(value); err != nil {
-			p.log.WithError(err).WithField("server", a.Server).Warn("first pass: unreadable summary")
+			p.log.WithError(err).WithField("server", a.Server).Warn("first pass: malformed summary")
 			end.outcome = gather.Failed
 		}
 	}
@@ -163,7 +167,7 @@
 		Outcome:  end.outcome,
 		Finished: end.outcome == gather.Succeeded,
 	}
-	if end.outcome == gather.NotOwner { // no fault of the server's: for the module nothing was sent
+	if end.outcome == gather.NotOwner { // not a fault of the server: the module counts the attempt as not sent
 		result.Outcome = gather.NotSent
 	}
 	p.intake.enqueue(func(in *inbox) {
@@ -172,17 +176,17 @@
 	})
 }
 
-// recordDecided notes an attempt that the module has decided on.
+// recordDecided notifies the two-pass decider and the observers of an attempt that the module has decided on.
 func (p *Picker) recordDecided(a *Attempt) {
 	if p.twoPass.decider != nil {
-		p.twoPass.decider.RecordSent(p.schedule.lastAt, a.FirstPass())
+		p.twoPass.decider.RecordSent(p.schedule.lastRoundAt, a.FirstPass())
 	}
 	for _, o := range p.observers.decisions {
-		o.AttemptDecided(a, p.schedule.lastAt)
+		o.AttemptDecided(a, p.schedule.lastRoundAt)
 	}
 }
 
-// recordEnd keeps what an attempt brought.
+// recordEnd notifies the two-pass decider and the observers of an attempt's end, and stores its value or summary.
 func (p *Picker) recordEnd(now float64, end *attemptEnd) {
 	a, query := end.attempt, end.attempt.query
 	succeeded := end.outcome == gather.Succeeded
--- a/internal/gatherer/dispatch/attempt_test.go
+++ b/internal/gatherer/dispatch/attempt_test.go
@@ -8,8 +8,8 @@
 	"yokeroute/gather"
 )
 
-// TestAbandonedAttemptIsNotWritten has a client go between the decision on an attempt and its first byte: of the
-// first attempt, of a retry. None begins.
+// TestAbandonedAttemptIsNotWritten guards against writing an attempt for a client that disconnected after the attempt
+// was decided on and before its first byte. It covers a first attempt and a retry.
 func TestAbandonedAttemptIsNotWritten(t *testing.T) {
 	now := 1000.0
 	for _, retry := range []bool{false, true} {
@@ -28,41 +28,41 @@
 		now += 5
 		attempts := p.RunRoundNow().Send
 		if len(attempts) != 1 {
-			t.Fatalf("%d attempts", len(attempts))
+			t.Fatalf("%d attempts sent, want 1", len(attempts))
 		}
-		if retry { // it is rejected, so that its shard request is sent again
+		if retry { // reject the first attempt, so that the module sends a retry
 			attempts[0].BeginWrite()
 			attempts[0].EndWrite()
 			p.Report(attempts[0], gather.Rejected, nil)
 			now += 5
 			if attempts = p.RunRoundNow().Send; len(attempts) != 1 || !attempts[0].UsesRetryBudget() {
-				t.Fatalf("%d attempts after one was rejected", len(attempts))
+				t.Fatalf("%d attempts sent after a rejection, want 1 that uses the retry budget", len(attempts))
 			}
 		}
 		leave()
-		if v := <-done; v.Kind != Abandoned {
-			t.Errorf("result %+v", v)
+		if result := <-done; result.Kind != Abandoned {
+			t.Errorf("result %+v, want Abandoned", result)
 		}
 		if attempts[0].BeginWrite() {
-			t.Errorf("retry %v: an attempt begins for a client that has gone", retry)
+			t.Errorf("retry %v: BeginWrite permits an attempt after the client disconnected", retry)
 		}
 	}
 }
 
-// TestRetryOutsideIdempotencyWindowIsNotWritten ends the idempotency window between the decision on a retry and
-// its first byte. The retry goes only while the key of each earlier attempt that may have run is known; one that
-// never ran does not count.
+// TestRetryOutsideIdempotencyWindowIsNotWritten guards against writing a retry after the idempotency window has ended,
+// which may happen between the decision on the retry and its first byte. The servers must still remember the key of
+// each earlier attempt that may have run; an attempt that never ran does not count.
 func TestRetryOutsideIdempotencyWindowIsNotWritten(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		first gather.Outcome
-		late  float64 // the second attempt's first byte, after the first's decision
-		want  bool
+		name       string
+		first      gather.Outcome
+		writeDelay float64 // from the first attempt's decision to the retry's first byte
+		want       bool
 	}{
-		{"within", gather.Failed, 80, true},
-		{"after", gather.Failed, 101, false},
-		{"at its very end", gather.Failed, 100, false},
-		{"after, the first never ran", gather.Rejected, 101, true},
+		{"within the window", gather.Failed, 80, true},
+		{"after the window", gather.Failed, 101, false},
+		{"at the end of the window", gather.Failed, 100, false},
+		{"after the window, first attempt never ran", gather.Rejected, 101, true},
 	} {
 		now := 1000.0
 		p := newPicker(t, func(s *gather.Settings) {
@@ -77,19 +77,19 @@
 		now += 5
 		first := p.RunRoundNow().Send
 		if len(first) != 1 || !first[0].BeginWrite() {
-			t.Fatalf("%s: %d attempts", c.name, len(first))
+			t.Fatalf("%s: %d first attempts, want 1 that may be written", c.name, len(first))
 		}
 		first[0].EndWrite()
-		at := now
+		firstDecidedAt := now
 		p.Report(first[0], c.first, nil)
 		now += 10
 		second := p.RunRoundNow().Send
 		if len(second) != 1 {
-			t.Fatalf("%s: %d attempts after the first ended", c.name, len(second))
+			t.Fatalf("%s: %d attempts after the first ended, want 1", c.name, len(second))
 		}
-		now = at + c.late
+		now = firstDecidedAt + c.writeDelay
 		if got := second[0].BeginWrite(); got != c.want {
-			t.Errorf("%s: begins %v", c.name, got)
+			t.Errorf("%s: BeginWrite returned %v, want the opposite", c.name, got)
 		}
 	}
 }
--- a/internal/gatherer/dispatch/endpoints.go
+++ b/internal/gatherer/dispatch/endpoints.go
@@ -6,13 +6,13 @@
 	"yokeroute/gather"
 )
 
-// endpointTable is the endpoint list as it stands.
+// endpointTable holds the current endpoints.
 type endpointTable struct {
 	byID  map[uint32]gather.Endpoint
-	order []uint32 // in which they were first listed
+	order []uint32 // IDs in the order in which they were first listed
 }
 
-// apply takes over a list or a change. It returns the IDs of endpoints whose process has restarted.
+// apply updates the table by a full list or a delta. It returns the IDs of endpoints whose process has restarted.
 func (t *endpointTable) apply(list *gather.EndpointList) (restarted []uint32) {
 	if list.Full {
 		clear(t.byID)
@@ -36,17 +36,17 @@
 	return restarted
 }
 
-// all are the endpoints in the order in which they were first listed.
-func (t *endpointTable) all() []gather.Endpoint {
-	var all []gather.Endpoint
+// list returns the endpoints in the order in which they were first listed.
+func (t *endpointTable) list() []gather.Endpoint {
+	var listed []gather.Endpoint
 	for _, id := range t.order {
-		all = append(all, t.byID[id])
+		listed = append(listed, t.byID[id])
 	}
-	return all
+	return listed
 }
 
-// rewriteEndpoints replaces each list's endpoints by copies that change has been applied to: a list may be shared
-// with others.
+// rewriteEndpoints replaces the endpoints of each list by copies with change applied to them. It leaves the original
+// slices unmodified, because they may be shared.
 func rewriteEndpoints(lists []gather.EndpointList, change func(e *gather.Endpoint)) {
 	for i := range lists {
 		copies := make([]gather.Endpoint, len(lists[i].Endpoints))
--- a/internal/gatherer/dispatch/harness_test.go
+++ b/internal/gatherer/dispatch/harness_test.go
@@ -21,17 +21,18 @@
 	`"domain":{"cells":2,"inARow":1,"call":27000,"partsACall":16,"classFloor":[0.5,1],"completeFrom":[0.5,1]},` +
 	`"limits":{"attemptsCap":3,"cancel":true,"secondCopies":true,"maxRetryAfter":1000000,"retryAfter":true}}`
 
-func newPicker(t *testing.T, change func(s *gather.Settings)) *Picker {
-	of, err := settings.Read([]byte(settingsText))
+// newPicker returns a picker with two replica sets of three servers each: 10, 12, 14 and 11, 13, 15.
+func newPicker(t *testing.T, configure func(s *gather.Settings)) *Picker {
+	config, err := settings.Read([]byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(of)
+	if configure != nil {
+		configure(config)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := New(5, of, log)
+	p := New(5, config, log)
 	list := gather.EndpointList{Full: true}
 	for i := range uint32(6) {
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: 10 + i, ReplicaSet: int(i % 2)})
@@ -40,6 +41,7 @@
 	return p
 }
 
+// newQuery returns a query with ID a and shard requests of equal weight for shards 0 to shards-1.
 func newQuery(class string, shards int, deadline float64) *Query {
 	query := &Query{ID: "a", Class: class, Deadline: deadline}
 	for shard := range shards {
@@ -48,20 +50,20 @@
 	return query
 }
 
-// runDueRound runs one round and fails where none comes due.
+// runDueRound runs the next due round. It fails the test if none becomes due within 10 s.
 func runDueRound(t *testing.T, p *Picker) Actions {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), 10*time.Second)
 	defer stop()
-	o, err := p.RunRound(ctx)
+	actions, err := p.RunRound(ctx)
 	if err != nil {
-		t.Fatal("no round came due")
+		t.Fatal("no round became due within 10 s")
 	}
-	return o
+	return actions
 }
 
-// runUntilSent runs rounds until one sends an attempt, and returns the first. A round that the module itself has asked
-// for may come before a query that is handed in by another goroutine.
+// runUntilSent runs rounds until one sends an attempt, and returns the first attempt sent. A round that the module
+// requested itself may run before a query that another goroutine submits.
 func runUntilSent(t *testing.T, p *Picker) *Attempt {
 	t.Helper()
 	for {
@@ -71,25 +73,28 @@
 	}
 }
 
+// pickAsync calls Pick on a new goroutine and returns a channel for the result.
 func pickAsync(ctx context.Context, p *Picker, query *Query) <-chan Result {
 	done := make(chan Result, 1)
 	go func() { done <- p.Pick(ctx, query) }()
 	return done
 }
 
-// newTwoPassPicker is a picker whose index any may go in two passes, and always does as far as time and budget allow.
-func newTwoPassPicker(t *testing.T, change func(s *gather.Settings)) *Picker {
+// newTwoPassPicker returns a picker that runs queries of class any in two passes whenever time and the retry budget
+// allow it. All its servers answer first passes.
+func newTwoPassPicker(t *testing.T, configure func(s *gather.Settings)) *Picker {
 	p := newPicker(t, func(s *gather.Settings) {
 		anyClass := s.FindClass("any")
 		anyClass.CompleteShare, anyClass.MinShare, anyClass.LatencyObjective = 1, 1, 400
 		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio, s.CancelAllowed = 2000, 20, 0.05, true
-		if change != nil {
-			change(s)
+		if configure != nil {
+			configure(s)
 		}
 	})
 	completeShare, minShare := p.settings.Class("any").CompleteShare, p.settings.Class("any").MinShare
 	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: completeShare, MinShare: minShare, FirstPassShare: 0.3, TrialShare: 0.5}})
-	p.clock.override = func() float64 { return p.schedule.lastAt + 4 } // what is reported before a round came just before it
+	// With rounds 5 ms apart, input reported between two rounds is timed 1 ms before the second one.
+	p.clock.override = func() float64 { return p.schedule.lastRoundAt + 4 }
 	p.runRound(1000)
 	for id := uint32(10); id < 16; id++ {
 		p.SetAnswersFirstPass(id, true)
@@ -98,7 +103,7 @@
 	return p
 }
 
-// submitTwoPass hands a query in and gives it with its first attempts.
+// submitTwoPass submits a query of class any, runs a round and returns the query and the round's actions.
 func submitTwoPass(p *Picker, now float64, id string, shards int) (*Query, Actions) {
 	query := newQuery("any", shards, now+2000)
 	query.ID = id
@@ -106,41 +111,44 @@
 	return query, p.runRound(now)
 }
 
-func takeResult(query *Query) (Result, bool) {
+// pollResult returns a query's result if it is decided.
+func pollResult(query *Query) (Result, bool) {
 	select {
-	case v := <-query.result:
-		return v, true
+	case result := <-query.result:
+		return result, true
 	default:
 		return Result{}, false
 	}
 }
 
-func countFirstPass(o Actions) (n int) {
-	for _, c := range o.Send {
-		if c.FirstPass() {
+// countFirstPass counts the first-pass attempts among those sent.
+func countFirstPass(actions Actions) (n int) {
+	for _, attempt := range actions.Send {
+		if attempt.FirstPass() {
 			n++
 		}
 	}
 	return n
 }
 
-// Hosts h0 to h5 are the servers 10 to 15. There are four shards; at first segment s0 has shards 0 and 1, s1 the
-// rest.
-func newOwnershipPicker(t *testing.T, change func(s *gather.Settings)) (*Picker, *ownership.Map) {
+// newOwnershipPicker returns a picker that routes by a segment map, and the map. Hosts h0 to h5 are servers 10 to 15.
+// There are four shards: segment s0, owned by h0 and h1, holds shards 0 and 1, and segment s1, owned by h2 and h3,
+// holds the others.
+func newOwnershipPicker(t *testing.T, configure func(s *gather.Settings)) (*Picker, *ownership.Map) {
 	p := newPicker(t, func(s *gather.Settings) {
 		for _, name := range []string{"any", "all"} {
 			class := s.FindClass(name)
 			class.CompleteShare, class.MinShare, class.LatencyObjective = 1, 1, 400
 		}
 		s.RetryBudgetWindow, s.RetryBudgetFloor, s.RetryBudgetRatio, s.CancelAllowed = 2000, 20, 0.05, true
-		if change != nil {
-			change(s)
+		if configure != nil {
+			configure(s)
 		}
 		*s = *OwnershipSettings(s, 16)
 	})
 	p.EnableOwnership(16, 4)
 	p.module.Module = p.module.build(5, p.settings)
-	p.clock.override = func() float64 { return p.schedule.lastAt + 4 }
+	p.clock.override = func() float64 { return p.schedule.lastRoundAt + 4 }
 	names := map[uint32]string{}
 	for i := range uint32(6) {
 		names[10+i] = fmt.Sprint("h", i)
@@ -157,7 +165,7 @@
 	return p, m
 }
 
-// submitAndRun hands a query in and gives it with its first attempts.
+// submitAndRun submits a query, runs a round and returns the query and the attempts sent.
 func submitAndRun(p *Picker, now float64, class, id string, shards int) (*Query, []*Attempt) {
 	query := newQuery(class, shards, now+2000)
 	query.ID = id
@@ -165,7 +173,8 @@
 	return query, p.runRound(now).Send
 }
 
-func mustChange(t *testing.T, c ownership.Change, err error) ownership.Change {
+// requireChange returns c, or fails the test if err is set.
+func requireChange(t *testing.T, c ownership.Change, err error) ownership.Change {
 	t.Helper()
 	if err != nil {
 		t.Fatal(err)
@@ -173,18 +182,18 @@
 	return c
 }
 
-// applyChange applies a change to a map and hands it in.
+// applyChange passes a change to the picker and returns m with the change applied.
 func applyChange(t *testing.T, p *Picker, m *ownership.Map, c ownership.Change, err error) *ownership.Map {
 	t.Helper()
-	next, wrong := m.Apply(mustChange(t, c, err))
-	if wrong != nil {
-		t.Fatal(wrong)
+	next, applyErr := m.Apply(requireChange(t, c, err))
+	if applyErr != nil {
+		t.Fatal(applyErr)
 	}
 	p.ApplyMapChange(c)
 	return next
 }
 
-// checkKeysCoveredOnce reports whether hits cover all keys of a query's shard requests, none twice.
+// checkKeysCoveredOnce returns an error unless the hits cover every key of a query's shard requests exactly once.
 func checkKeysCoveredOnce(query *Query, hits []Hit) error {
 	for _, request := range query.ShardRequests {
 		var got []ownership.Range
@@ -208,24 +217,26 @@
 		from := want.Lo
 		for i, r := range got {
 			if r.Lo != from {
-				return fmt.Errorf("shard %d: keys %v, %s comes where %016x should", request.Shard, got, r.Text(), from)
+				return fmt.Errorf("shard %d: hits cover keys %v: range %s, want it to start at %016x",
+					request.Shard, got, r.Text(), from)
 			}
 			if from = r.Hi + 1; i == len(got)-1 && r.Hi != want.Hi {
-				return fmt.Errorf("shard %d: keys %v end before %s", request.Shard, got, want.Text())
+				return fmt.Errorf("shard %d: hits cover keys %v, want them to end as %s does", request.Shard, got, want.Text())
 			}
 		}
 		if len(got) == 0 {
-			return fmt.Errorf("shard %d: no keys", request.Shard)
+			return fmt.Errorf("shard %d: no hit covers any key", request.Shard)
 		}
 	}
 	return nil
 }
 
+// answerAll reports success for each attempt.
 func answerAll(p *Picker, attempts []*Attempt) {
-	for _, c := range attempts {
-		p.Report(c, gather.Succeeded, []byte("x"))
+	for _, attempt := range attempts {
+		p.Report(attempt, gather.Succeeded, []byte("x"))
 	}
 }
 
-// brokenContext panics under its user.
-type brokenContext struct{ context.Context }
+// panickingContext is a context whose methods panic, because the embedded Context is nil.
+type panickingContext struct{ context.Context }
--- a/internal/gatherer/dispatch/intake.go
+++ b/internal/gatherer/dispatch/intake.go
@@ -7,26 +7,26 @@
 	"yokeroute/logic/twopass"
 )
 
-// inbox is what has been left for the next round.
+// inbox holds the input queued for the next round.
 type inbox struct {
 	gather.Round
 	admitted         []*Query
 	unadmitted       []decidedQuery
 	attemptEnds      []attemptEnd
-	answersFirstPass map[uint32]bool // servers that were found to answer first passes, or not to
+	answersFirstPass map[uint32]bool // check results, keyed by server
 	viewRequests     []chan<- []gather.EndpointView
 	mapUpdates       []mapUpdate
 	serverNames      map[uint32]string
 	pending          bool // a round is due
 }
 
-// decidedQuery is a query that ended before the module knew of it, with its result.
+// decidedQuery is a query that ended before it was passed to the module, with its result.
 type decidedQuery struct {
 	query  *Query
 	result Result
 }
 
-// attemptEnd is the end of an attempt, with the value that came.
+// attemptEnd describes how an attempt ended, with the value received.
 type attemptEnd struct {
 	attempt *Attempt
 	outcome gather.Outcome
@@ -35,24 +35,25 @@
 	summary twopass.Summary
 }
 
-// intake takes input from any goroutine and holds it until the next round.
+// intake accepts input from any goroutine and holds it until the next round.
 type intake struct {
-	maxOpen int           // queries and shard requests, 0 for no limit
-	wake    chan struct{} // has a value once input waits
+	maxOpenRequests int           // limit on open queries and shard requests, 0 for none
+	wake            chan struct{} // holds a value once input is pending
 
-	mu     sync.Mutex
-	inbox  inbox
-	open   int    // queries and shard requests
-	nextID uint64 // of queries, shard requests and pieces, at the module
+	mu           sync.Mutex
+	inbox        inbox
+	openRequests int    // number of open queries and shard requests
+	nextID       uint64 // next module ID for a query, shard request or piece
 
-	spare inbox // the last round's, whose slices are used again; it belongs to the goroutine that runs rounds
+	// spare is the inbox of an earlier round, whose slices are reused. Only the goroutine that runs rounds accesses it.
+	spare inbox
 }
 
 func newIntake(maxOpen int) intake {
-	return intake{maxOpen: maxOpen, wake: make(chan struct{}, 1)}
+	return intake{maxOpenRequests: maxOpen, wake: make(chan struct{}, 1)}
 }
 
-// enqueue has put add to the inbox, and a round run.
+// enqueue calls put to add input to the inbox, and makes a round due.
 func (i *intake) enqueue(put func(in *inbox)) {
 	i.mu.Lock()
 	put(&i.inbox)
@@ -60,18 +61,18 @@
 	i.mu.Unlock()
 	select {
 	case i.wake <- struct{}{}:
-	default: // the owner is woken already
+	default: // a wake-up is already pending
 	}
 }
 
-// pending reports whether input waits.
+// pending reports whether input waits for a round.
 func (i *intake) pending() bool {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	return i.inbox.pending
 }
 
-// drain empties the inbox for a round.
+// drain returns the inbox's contents for a round and leaves the spare inbox in its place.
 func (i *intake) drain() inbox {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -80,7 +81,7 @@
 	return in
 }
 
-// recycle keeps a round's slices for the inbox after the next.
+// recycle clears the slices of a finished round and keeps them as the spare inbox, which the next drain installs.
 func (i *intake) recycle(in *inbox) {
 	clear(in.admitted)
 	clear(in.attemptEnds)
@@ -98,26 +99,26 @@
 	}
 }
 
-// reserve counts a query in with its shard requests and returns the first of as many IDs. It reports false, and
-// counts nothing, beyond the limit.
+// reserve adds size, a query and its shard requests, to the open requests and returns the first of size consecutive
+// IDs. It returns false, and counts nothing, if that would exceed the limit.
 func (i *intake) reserve(size int) (firstID uint64, admitted bool) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	if i.maxOpen > 0 && i.open+size > i.maxOpen {
+	if i.maxOpenRequests > 0 && i.openRequests+size > i.maxOpenRequests {
 		return 0, false
 	}
-	i.open += size
+	i.openRequests += size
 	return i.allocateLocked(size), true
 }
 
-// release counts finished queries and their shard requests out.
+// release subtracts size, finished queries and their shard requests, from the open requests.
 func (i *intake) release(size int) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
-	i.open -= size
+	i.openRequests -= size
 }
 
-// allocate returns the first of so many IDs.
+// allocate returns the first of n consecutive IDs.
 func (i *intake) allocate(n int) uint64 {
 	i.mu.Lock()
 	defer i.mu.Unlock()
--- a/internal/gatherer/dispatch/module.go
+++ b/internal/gatherer/dispatch/module.go
@@ -15,26 +15,26 @@
 	return logic.New(seed, settings)
 }
 
-// moduleHost holds the module and what a new one needs after a panic.
+// moduleHost holds the module and the state needed to build a new one after a panic.
 type moduleHost struct {
 	gather.Module
 	build   ModuleFactory
 	seed    uint64
-	weights [][]gather.Weight // in force
+	weights [][]gather.Weight // weights in effect
 }
 
 func newModuleHost(seed uint64, settings *gather.Settings, build ModuleFactory) moduleHost {
 	return moduleHost{Module: build(seed, settings), build: build, seed: seed}
 }
 
-// restart replaces the module by a new one.
+// restart replaces the module by a new one with another seed.
 func (h *moduleHost) restart(settings *gather.Settings) {
 	h.seed++
 	h.Module = h.build(h.seed, settings)
 }
 
-// answerViews hands the module's view of the endpoints to those who wait for it.
-func (h *moduleHost) answerViews(requests []chan<- []gather.EndpointView) {
+// sendViews sends the module's view of the endpoints to each waiting caller.
+func (h *moduleHost) sendViews(requests []chan<- []gather.EndpointView) {
 	for _, request := range requests {
 		if m, ok := h.Module.(interface{ View() []gather.EndpointView }); ok {
 			request <- m.View()
@@ -43,8 +43,8 @@
 	}
 }
 
-// runModule runs the module. A panic of the module does not end the process: all queries that it held end as internal
-// errors, and a new module goes on from the endpoint list, as after a restart.
+// runModule runs the module. A panic of the module does not end the process: all open queries end with InternalError,
+// and a new module starts from the endpoint list, as after a process restart.
 func (p *Picker) runModule(in *gather.Round) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -68,7 +68,7 @@
 	}
 	p.module.restart(p.settings)
 	p.schedule.wakeAt = math.Inf(1)
-	p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: p.endpoints.all()})
+	p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: p.endpoints.list()})
 	if p.module.weights != nil {
 		p.SetWeights(p.module.weights)
 	}
--- a/internal/gatherer/dispatch/module_test.go
+++ b/internal/gatherer/dispatch/module_test.go
@@ -7,54 +7,53 @@
 	"yokeroute/gather"
 )
 
-// TestModulePanicFailsHeldQueries has the module panic. What it held ends as an internal error, and the next query
-// is served by a module that knows the endpoints.
-func TestModulePanicFailsHeldQueries(t *testing.T) {
+// TestModulePanicFailsOpenQueries guards against a module panic that leaves queries open or loses the endpoints. All
+// open queries must end with InternalError, and a new module must serve the next query.
+func TestModulePanicFailsOpenQueries(t *testing.T) {
 	p := newPicker(t, nil)
 	runDueRound(t, p)
 	done := pickAsync(t.Context(), p, newQuery("all", 2, p.Now()+2000))
 	attempts := runDueRound(t, p).Send
 	bad := newQuery("all", 1, p.Now()+2000)
-	bad.ShardRequests[0].Shard = -1 // the front end rejects such a shard; the module does not expect it
-	worse := pickAsync(t.Context(), p, bad)
-	off := runDueRound(t, p).Cancel
-	if a, b := <-done, <-worse; a.Kind != InternalError || b.Kind != InternalError {
-		t.Errorf("results %+v, %+v", a, b)
+	bad.ShardRequests[0].Shard = -1 // makes the module panic; the front end would reject such a shard
+	badDone := pickAsync(t.Context(), p, bad)
+	cancelled := runDueRound(t, p).Cancel
+	if a, b := <-done, <-badDone; a.Kind != InternalError || b.Kind != InternalError {
+		t.Errorf("results %+v, %+v, want InternalError", a, b)
 	}
-	if len(off) != len(attempts) {
-		t.Errorf("%d of %d attempts cancelled", len(off), len(attempts))
+	if len(cancelled) != len(attempts) {
+		t.Errorf("%d of %d attempts cancelled, want all", len(cancelled), len(attempts))
 	}
-	for _, c := range off {
-		p.Report(c, gather.Cancelled, nil)
+	for _, attempt := range cancelled {
+		p.Report(attempt, gather.Cancelled, nil)
 	}
 	runDueRound(t, p)
 	done = pickAsync(t.Context(), p, newQuery("all", 1, p.Now()+2000))
-	c := runDueRound(t, p).Send[0]
-	p.Report(c, gather.Succeeded, []byte("v"))
-	p.Report(c, gather.ConnectionReset, nil) // only the first counts
+	attempt := runDueRound(t, p).Send[0]
+	p.Report(attempt, gather.Succeeded, []byte("v"))
+	p.Report(attempt, gather.ConnectionReset, nil) // must be ignored: only the first report counts
 	runDueRound(t, p)
-	if v := <-done; v.Kind != Served || len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
-		t.Errorf("result %+v", v)
+	if result := <-done; result.Kind != Served || len(result.Hits) != 1 || string(result.Hits[0].Value) != "v" {
+		t.Errorf("result %+v, want Served with one hit v", result)
 	}
 }
 
-// TestWeightsSurviveModulePanic wants weights to reach the module, and the one that is started after a panic as
-// well.
+// TestWeightsSurviveModulePanic guards against weights that are lost when the module restarts after a panic.
 func TestWeightsSurviveModulePanic(t *testing.T) {
 	p := newPicker(t, nil)
 	runDueRound(t, p)
-	shares := [][]gather.Weight{{{Server: 12, Share: 1}, {Server: 10}, {Server: 14}}}
-	p.SetWeights(shares)
-	to := func() uint32 {
+	weights := [][]gather.Weight{{{Server: 12, Share: 1}, {Server: 10}, {Server: 14}}}
+	p.SetWeights(weights)
+	sendOne := func() uint32 {
 		pickAsync(t.Context(), p, newQuery("all", 1, p.Now()+2000))
-		c := runUntilSent(t, p)
-		p.Report(c, gather.Succeeded, []byte("v"))
+		attempt := runUntilSent(t, p)
+		p.Report(attempt, gather.Succeeded, []byte("v"))
 		runDueRound(t, p)
-		return c.Server
+		return attempt.Server
 	}
 	for range 5 {
-		if s := to(); s != 12 {
-			t.Errorf("sent to %d", s)
+		if s := sendOne(); s != 12 {
+			t.Errorf("sent to server %d, want 12", s)
 		}
 	}
 	bad := newQuery("all", 1, p.Now()+2000)
@@ -63,23 +62,23 @@
 	runDueRound(t, p)
 	<-done
 	for range 5 {
-		if s := to(); s != 12 {
-			t.Errorf("after a panic, sent to %d", s)
+		if s := sendOne(); s != 12 {
+			t.Errorf("after a panic: sent to server %d, want 12", s)
 		}
 	}
 	p.SetWeights([][]gather.Weight{})
 	seen := map[uint32]bool{}
 	for range 6 {
-		seen[to()] = true
+		seen[sendOne()] = true
 	}
 	if len(seen) != 3 {
-		t.Errorf("plain round robin goes to %v", seen)
+		t.Errorf("plain round robin sent to servers %v, want 3 of them", seen)
 	}
 }
 
-// TestModuleWakesItself keeps the module's wake-ups: a query whose shard request is never answered ends in time by
-// itself.
-func TestModuleWakesItself(t *testing.T) {
+// TestUnansweredQueryEndsWithoutInput guards against ignoring the rounds that the module requests. A query whose shard
+// request is never answered must end in time, although no input makes a round due.
+func TestUnansweredQueryEndsWithoutInput(t *testing.T) {
 	p := newPicker(t, nil)
 	runDueRound(t, p)
 	go func() {
@@ -90,8 +89,8 @@
 		}
 	}()
 	start := time.Now()
-	v := p.Pick(t.Context(), newQuery("all", 1, p.Now()+120))
-	if late := time.Since(start) - 120*time.Millisecond; v.Kind != Failed || late > 5*time.Second {
-		t.Errorf("result %+v, %v late", v, late)
+	result := p.Pick(t.Context(), newQuery("all", 1, p.Now()+120))
+	if late := time.Since(start) - 120*time.Millisecond; result.Kind != Failed || late > 5*time.Second {
+		t.Errorf("result %+v, %v after its deadline, want Failed at most 5 s after it", result, late)
 	}
 }
--- a/internal/gatherer/dispatch/nonidempotent.go
+++ b/internal/gatherer/dispatch/nonidempotent.go
@@ -8,36 +8,36 @@
 	"yokeroute/logic/ownership"
 )
 
-// NonIdempotentStore is the durable record of non-idempotent queries that may have run, and of the newest segment
-// map. No two of its methods are called at once.
+// NonIdempotentStore durably records the non-idempotent queries that may have run, and the newest segment map. Its
+// methods are never called concurrently.
 type NonIdempotentStore interface {
-	// MayHaveRun reports whether an attempt of a query of this ID may have run. Retried is set for one that its
-	// client marked as a repeat.
+	// MayHaveRun reports whether an attempt of a query with this ID may have run. Retried is true if the client marked
+	// the query as a retry.
 	MayHaveRun(id string, retried bool, now float64) bool
-	// RecordSent stores the IDs of queries whose first attempts may be sent once it has returned.
+	// RecordSent stores the IDs of queries. Their first attempts may be sent once it has returned.
 	RecordSent(ids []string, now float64) error
-	// RecordNotRun stores that nothing of a query has run. It need not wait for the disk.
+	// RecordNotRun stores that no attempt of a query has run. It need not wait for the disk.
 	RecordNotRun(id string) error
 	// SaveMap stores the newest segment map.
 	SaveMap(m *ownership.Map) error
 }
 
-// SetNonIdempotentStore has non-idempotent queries recorded before the module decides on them. Rounds never wait for
-// the store.
+// SetNonIdempotentStore makes the picker record non-idempotent queries in store before the module decides on them.
+// Rounds never wait for the store.
 func (p *Picker) SetNonIdempotentStore(store NonIdempotentStore) {
 	p.records = newRecordQueue(store, p.settings, p.Now, p.log)
 }
 
-// CloseNonIdempotentStore ends the use of the store once what waits is written. It reports false where ctx ends before
-// that: the disk is still writing.
+// CloseNonIdempotentStore stops accepting new records and waits until all pending ones are written. It returns false if
+// ctx ends first, while the disk is still writing.
 func (p *Picker) CloseNonIdempotentStore(ctx context.Context) bool { return p.records.close(ctx) }
 
 func (p *Picker) nonIdempotent(query *Query) bool {
 	return p.settings.Class(query.Class).Effect == gather.NonIdempotent
 }
 
-// needsRecord reports whether a query has to be recorded before the module may know of it. A policy may have its class
-// be non-idempotent.
+// needsRecord reports whether a query must be recorded before it is passed to the module. A policy can make a class
+// non-idempotent, so the settings in effect decide.
 func (p *Picker) needsRecord(query *Query) bool {
 	if p.records == nil {
 		return false
@@ -49,8 +49,8 @@
 	return settings.Class(query.Class).Effect == gather.NonIdempotent
 }
 
-// rejectUnrecorded rejects a query whose class has become non-idempotent since it came, by a change of policy: it is
-// not recorded. It reports whether it did.
+// rejectUnrecorded rejects a non-idempotent query that is not recorded, because a policy change made its class
+// non-idempotent after the query arrived. It reports whether it rejected the query.
 func (p *Picker) rejectUnrecorded(query *Query) bool {
 	if p.records == nil || query.recorded || !p.nonIdempotent(query) {
 		return false
@@ -60,8 +60,8 @@
 	return true
 }
 
-// pickRecorded picks a query whose ID has to be on the disk before any byte of it is sent. The module does not know of
-// the query until then, so that it takes no wait for the disk for load.
+// pickRecorded is Pick for a query whose ID must be on disk before any byte of it is sent. The module gets the query
+// only after that, so that it does not mistake the wait for the disk for load.
 func (p *Picker) pickRecorded(ctx context.Context, query *Query) Result {
 	record := p.records.request(query)
 	admitted := false
@@ -82,12 +82,12 @@
 	return p.pickAdmitted(ctx, query)
 }
 
-// awaitRecord waits until a query is recorded. Where it can't be, or not in time, or its client leaves, the query ends
-// with a result.
+// awaitRecord waits until a query is recorded. It returns the query's result and true if the query ends instead: it
+// cannot be recorded, or not in time, or its client disconnects.
 func (p *Picker) awaitRecord(ctx context.Context, query *Query, record *record) (result Result, ended bool) {
-	left := query.Deadline - deadlineRounds*p.schedule.interval - p.Now()
-	timeUp := time.NewTimer(time.Duration(left * float64(time.Millisecond)))
-	defer timeUp.Stop()
+	remaining := query.Deadline - deadlineMarginRounds*p.schedule.interval - p.Now()
+	timer := time.NewTimer(time.Duration(remaining * float64(time.Millisecond)))
+	defer timer.Stop()
 	rejected := Result{Kind: Rejected, RetryAfter: p.records.retryAfter[query.Class]}
 	select {
 	case outcome := <-record.outcome:
@@ -95,19 +95,19 @@
 		case recordSucceeded:
 			return Result{}, false
 		case recordMayHaveRun:
-			p.log.WithField("query", query.ID).Warn("non-idempotent query: may have run before, failed")
+			p.log.WithField("query", query.ID).Warn("non-idempotent query: failed, an earlier attempt may have run")
 			return Result{Kind: Failed}, true
 		}
 		return rejected, true
-	case <-timeUp.C:
-		p.log.WithField("query", query.ID).Debug("non-idempotent query: not recorded in time, rejected")
+	case <-timer.C:
+		p.log.WithField("query", query.ID).Debug("non-idempotent query: rejected, not recorded before its deadline")
 		return rejected, true
 	case <-ctx.Done():
 		return Result{Kind: Abandoned}, true
 	}
 }
 
-// observeUnadmitted notifies observers of queries that ended before the module knew of them.
+// observeUnadmitted notifies observers of queries that ended before they were passed to the module.
 func (p *Picker) observeUnadmitted(ended []decidedQuery) {
 	for _, e := range ended {
 		p.observeDecided(e.query, e.result)
--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -7,27 +7,28 @@
 	"yokeroute/logic/ownership"
 )
 
-// minPieceShare keeps a piece's share of its shard request finite where the weight is tiny.
+// minPieceShare is the least weight of a shard request that a piece's weight is divided by. It keeps the piece's share
+// finite if the shard request's weight is tiny.
 const minPieceShare = 1e-9
 
-// piece is what the module decides on in place of a shard request where a map says who owns which keys: the request,
-// or some of its keys.
+// piece is a shard request, or a part of its key range, that the module decides on in place of the shard request when
+// queries are routed by a segment map.
 type piece struct {
 	ownership.Piece
-	replaced bool // others stand for its keys
+	replaced bool // true once other pieces cover its keys
 }
 
-// send notes an attempt at the piece.
-func (pc *piece) send(a *Attempt) {
-	a.owned = true
+// addAttempt records a new attempt at the piece and sets the attempt's ownership fields.
+func (pc *piece) addAttempt(a *Attempt) {
+	a.hasOwnership = true
 	a.keys = pc.Range
 	a.segment = pc.Segment
-	a.ownedSince = pc.OwnedSince
+	a.ownerSince = pc.OwnedSince
 	a.usesRetryBudget = a.usesRetryBudget || pc.Attempted && a.number == 0
 	pc.InFlight++
 }
 
-// coversShardRequest reports whether a piece stands for all of its shard request.
+// coversShardRequest reports whether piece i covers its whole shard request.
 func (q *Query) coversShardRequest(i int) bool {
 	for j := range q.pieces {
 		if j != i && !q.pieces[j].replaced && q.pieces[j].Request == q.pieces[i].Request {
@@ -37,20 +38,20 @@
 	return true
 }
 
-// ownershipState is what the picker knows of who owns which keys.
+// ownershipState holds the picker's knowledge of which servers own which keys.
 type ownershipState struct {
 	ownership.Tracker
-	index          *ownership.ReplicaSetIndex
-	shards         int // that the keys are divided into
-	serverNames    map[uint32]string
-	ownedSets      map[string][]int // replica sets of the segments that a server owns, by its name
-	mapRequested   chan struct{}    // has a value while the map that is known is not the newest
-	deferred       int              // pieces that wait for another map
-	rejectedPieces int              // by servers that do not own them, since the last round
+	index               *ownership.ReplicaSetIndex
+	shards              int // number of shards that the keys are divided into
+	serverNames         map[uint32]string
+	replicaSetsByServer map[string][]int // replica sets of the segments that each server owns, keyed by server name
+	mapRequested        chan struct{}    // receives a value when a newer map is needed
+	deferredPieces      int              // number of pieces that wait for a newer map
+	rejectedPieces      int              // number of pieces rejected since the last round by servers that do not own them
 }
 
-// EnableOwnership has queries sent to the owners of their keys, by the maps that are handed in, of maxSegments at
-// most. The module's settings must be those of OwnershipSettings.
+// EnableOwnership routes queries to the owners of their keys, by the segment maps passed to SetMap and ApplyMapChange.
+// A map has at most maxSegments segments. The module's settings must come from OwnershipSettings.
 func (p *Picker) EnableOwnership(maxSegments, shards int) {
 	p.ownership = &ownershipState{
 		index:        ownership.NewReplicaSetIndex(maxSegments),
@@ -60,8 +61,8 @@
 	}
 }
 
-// OwnershipSettings are a module's settings where so many segments can be owned: each segment is a replica set, and
-// its writer another one.
+// OwnershipSettings returns the settings for a module that routes by segment maps of up to maxSegments segments. Each
+// segment has two replica sets: one with all its owners, one with its writer alone.
 func OwnershipSettings(settings *gather.Settings, maxSegments int) *gather.Settings {
 	s := settings.Clone()
 	s.ReplicaSets = ownership.NewReplicaSetIndex(maxSegments).NoOwner() + 1
@@ -69,32 +70,32 @@
 	return s
 }
 
-// MapRequested returns a channel that has a value when the newest map is needed.
+// MapRequested returns a channel that receives a value when the picker needs the newest full map.
 func (p *Picker) MapRequested() <-chan struct{} { return p.ownership.mapRequested }
 
-// mapUpdate is a change of the map, or a full one.
+// mapUpdate is a change of the segment map, or a full map.
 type mapUpdate struct {
 	change ownership.Change
 	full   *ownership.Map
 }
 
-// ApplyMapChange hands in a change of the map.
+// ApplyMapChange queues a change of the segment map for the next round.
 func (p *Picker) ApplyMapChange(c ownership.Change) {
 	p.intake.enqueue(func(in *inbox) { in.mapUpdates = append(in.mapUpdates, mapUpdate{change: c}) })
 }
 
-// SetMap hands in a full map.
+// SetMap queues a full segment map for the next round.
 func (p *Picker) SetMap(m *ownership.Map) {
 	p.intake.enqueue(func(in *inbox) { in.mapUpdates = append(in.mapUpdates, mapUpdate{full: m}) })
 }
 
-// SetServerNames hands in the names of the listed servers, by which maps know them.
+// SetServerNames queues the names of the listed servers for the next round. Segment maps refer to servers by name.
 func (p *Picker) SetServerNames(names map[uint32]string) {
 	p.intake.enqueue(func(in *inbox) { in.serverNames = names })
 }
 
-// Map is the newest map known, and whether sources contradict each other. It must be called on the goroutine that
-// runs rounds.
+// Map returns the newest known segment map, and whether the sources of maps contradict each other. It must be called on
+// the goroutine that runs rounds.
 func (p *Picker) Map() (m *ownership.Map, contradicted bool) {
 	return p.ownership.Map, p.ownership.ConflictEpoch > 0
 }
@@ -102,12 +103,12 @@
 func (o *ownershipState) requestMap() {
 	select {
 	case o.mapRequested <- struct{}{}:
-	default: // requested already
+	default: // a request is already pending
 	}
 }
 
-// applyMapUpdates takes over updates of the map and puts into the endpoint lists which segments each server owns. It
-// reports whether the map, or whether it is trusted, has changed.
+// applyMapUpdates applies the queued updates of the segment map and writes the replica sets of each server's segments
+// into the endpoint lists. It reports whether the map changed or a conflict between its sources was found.
 func (p *Picker) applyMapUpdates(in *inbox) bool {
 	o := p.ownership
 	changed := false
@@ -117,7 +118,7 @@
 		}
 	}
 	if changed && o.ConflictEpoch > 0 && o.Map != nil && o.Map.Epoch > o.ConflictEpoch {
-		o.requestMap() // as a full one, this map ends the conflict
+		o.requestMap() // only a full map of this later epoch ends the conflict
 	}
 	if in.serverNames != nil {
 		o.serverNames = in.serverNames
@@ -127,23 +128,23 @@
 	}
 	if changed {
 		if o.index.Update(o.Map) {
-			p.log.Error("segment map: too many segments, the last ones are not served")
+			p.log.Error("segment map: too many segments, not serving the last ones")
 		}
-		o.ownedSets = o.index.ByHost(o.Map)
+		o.replicaSetsByServer = o.index.ByHost(o.Map)
 	}
 	if changed || in.serverNames != nil {
-		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: p.endpoints.all()})
+		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Endpoints: p.endpoints.list()})
 	}
 	rewriteEndpoints(in.EndpointLists, func(e *gather.Endpoint) {
-		e.ReplicaSets = o.ownedSets[o.serverNames[e.ID]]
-		if e.ReplicaSets == nil { // nil would stand for its own
+		e.ReplicaSets = o.replicaSetsByServer[o.serverNames[e.ID]]
+		if e.ReplicaSets == nil { // nil would mean the endpoint's own ReplicaSet
 			e.ReplicaSets = []int{}
 		}
 	})
 	return changed
 }
 
-// applyMapUpdate takes over one update. It reports whether the map, or whether it is trusted, has changed.
+// applyMapUpdate applies one update. It reports whether the map changed or a conflict between its sources was found.
 func (p *Picker) applyMapUpdate(update *mapUpdate) bool {
 	o := p.ownership
 	var result ownership.UpdateResult
@@ -162,20 +163,20 @@
 		}
 		return true
 	case ownership.Conflict:
-		log.WithError(err).Error("segment map: contradicting sources, non-idempotent queries wait for a later epoch")
+		log.WithError(err).Error("segment map: conflicting sources, delaying non-idempotent queries until a later epoch")
 		o.requestMap()
 		return true
 	case ownership.Invalid:
 		log.WithError(err).Warn("segment map: invalid update, requesting the full map")
 		o.requestMap()
 	case ownership.Gap:
-		log.Debug("segment map: epochs missed, requesting the full map")
+		log.Debug("segment map: missed epochs, requesting the full map")
 		o.requestMap()
 	}
 	return false
 }
 
-// splitByOwner divides a query's shard requests into pieces by owner and hands them to the module.
+// splitByOwner splits a query's shard requests into pieces by owner and passes the pieces to the module.
 func (p *Picker) splitByOwner(in *gather.Round, query *Query) {
 	o := p.ownership
 	ranges := make([]ownership.Range, len(query.ShardRequests))
@@ -186,7 +187,7 @@
 	}
 	m := o.Map
 	if m == nil {
-		m = &ownership.Map{} // no owner is known
+		m = &ownership.Map{} // an empty map: no keys have a known owner
 	}
 	query.pieces = make([]piece, 0, len(query.ShardRequests))
 	query.values = query.values[:0]
@@ -196,9 +197,9 @@
 	}
 }
 
-// addPiece hands one piece to the module.
+// addPiece adds a piece to a query and passes it to the module.
 func (p *Picker) addPiece(in *gather.Round, query *Query, added ownership.NewPiece) {
-	owned := ownership.Piece{
+	state := ownership.Piece{
 		ID:         p.intake.allocate(1),
 		Request:    added.Request,
 		Range:      added.Range,
@@ -206,15 +207,15 @@
 		Attempted:  added.Retry,
 		DeferredAt: added.DeferredAt,
 	}
-	replicaSet := p.ownership.assignSegment(&owned, added.Segment, p.settings.Class(query.Class).Effect)
-	p.queries.requests[owned.ID] = requestRef{query, len(query.pieces)}
-	query.pieces = append(query.pieces, piece{Piece: owned})
+	replicaSet := p.ownership.assignSegment(&state, added.Segment, p.settings.Class(query.Class).Effect)
+	p.queries.requests[state.ID] = requestRef{query, len(query.pieces)}
+	query.pieces = append(query.pieces, piece{Piece: state})
 	query.values = append(query.values, nil)
 	query.attempts = append(query.attempts, nil)
 	request := &query.ShardRequests[added.Request]
 	share := added.Weight / max(request.Weight, minPieceShare)
 	in.Requests = append(in.Requests, gather.ShardRequest{
-		ID:     owned.ID,
+		ID:     state.ID,
 		Number: query.id,
 		Shard:  replicaSet,
 		Weight: added.Weight,
@@ -224,39 +225,39 @@
 	})
 }
 
-// assignSegment notes the segment that holds a piece's keys, by its place in the map, and returns the replica set
-// that stands for its owners: all of them for an idempotent query, else its writer alone. Below 0 no segment holds
-// them.
-func (o *ownershipState) assignSegment(owned *ownership.Piece, segment int, effect gather.Effect) (replicaSet int) {
+// assignSegment records in a piece's state the segment that holds its keys and returns the replica set of the servers
+// to use: all owners of the segment for an idempotent query, else its writer alone. Segment is an index into the map's
+// segments; below 0, no segment holds the keys.
+func (o *ownershipState) assignSegment(state *ownership.Piece, segment int, effect gather.Effect) (replicaSet int) {
 	if o.Map != nil {
-		owned.OwnedSince = o.Map.Epoch
+		state.OwnedSince = o.Map.Epoch
 	}
 	if segment < 0 {
 		return o.index.NoOwner()
 	}
 	s := &o.Map.Segments[segment]
-	owned.Segment = s.Name
-	owned.OwnedSince = s.OwnedSince
-	all, writer := o.index.ReplicaSets(s.Name)
+	state.Segment = s.Name
+	state.OwnedSince = s.OwnedSince
+	owners, writer := o.index.ReplicaSets(s.Name)
 	if effect == gather.Idempotent {
-		return all
+		return owners
 	}
 	return writer
 }
 
-// reassignPieces gives the pieces of open queries to their present owners, where the map has changed or pieces are
+// reassignPieces assigns the pieces of open queries to their current owners if the map has changed, or if pieces are
 // deferred or were rejected.
 func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
 	o := p.ownership
-	if o.Map == nil || !mapChanged && o.deferred == 0 && o.rejectedPieces == 0 {
+	if o.Map == nil || !mapChanged && o.deferredPieces == 0 && o.rejectedPieces == 0 {
 		return
 	}
 	ids := make([]uint64, 0, len(p.queries.byID))
 	for id := range p.queries.byID {
 		ids = append(ids, id)
 	}
-	slices.Sort(ids) // the module must not depend on a map's order
-	o.deferred = 0
+	slices.Sort(ids) // the module's decisions must not depend on Go's map iteration order
+	o.deferredPieces = 0
 	for _, id := range ids {
 		p.reassignPiecesOf(in, p.queries.byID[id], now)
 	}
@@ -285,12 +286,12 @@
 	}
 	for i := range query.pieces {
 		if pc := &query.pieces[i]; !pc.replaced && pc.DeferredAt > 0 {
-			o.deferred++
+			o.deferredPieces++
 		}
 	}
 }
 
-// recordPieceEnd notes the end of an attempt at a piece.
+// recordPieceEnd records the end of an attempt at a piece.
 func (p *Picker) recordPieceEnd(end *attemptEnd) {
 	pc := &end.attempt.query.pieces[end.attempt.index]
 	pc.InFlight--
--- a/internal/gatherer/dispatch/picker.go
+++ b/internal/gatherer/dispatch/picker.go
@@ -1,9 +1,10 @@
 // Package dispatch runs a decision module for code that serves queries concurrently.
 //
-// A module works in rounds: it takes all that was observed since the last one and writes its decisions. A Picker
-// hides that behind a blocking interface. Pick submits a query and blocks until its result is decided. RunRound
-// blocks until a round is due, runs it and returns the attempts to make and to cancel. Report reports how an attempt
-// ended. One goroutine, the one that calls RunRound, owns the module; all others only leave input for it.
+// A module works in rounds: each round takes all input observed since the previous one and writes the module's
+// decisions. A Picker hides the rounds behind a blocking interface. Pick submits a query and blocks until its result is
+// decided. RunRound blocks until a round is due, runs it and returns the attempts to make and to cancel. Report reports
+// how an attempt ended. The goroutine that calls RunRound owns the module; all other goroutines only queue input for
+// it.
 package dispatch
 
 import (
@@ -17,34 +18,34 @@
 	"yokeroute/logic"
 )
 
-// Picker connects the network and one decision module. What it is set up with, by its Enable, Set and Observe
-// methods, must be in place before the first round, except for what the module is to learn of later: endpoints,
-// weights, server names and the segment map.
+// Picker connects the network to one decision module. Its Enable, Set and Observe methods must be called before the
+// first round, except for those that hand input to the module: endpoints, weights, server names and the segment map
+// may change at any time.
 type Picker struct {
 	log         *logrus.Logger
 	clock       clock
 	intake      intake
 	retryBudget *retryBudget
-	gate        PolicyGate // nil where no policy is followed
+	gate        PolicyGate // nil if no policy is configured
 	observers   observers
-	records     *recordQueue // of non-idempotent queries, nil where nothing outlasts the process
+	records     *recordQueue // records non-idempotent queries, nil without a durable store
 
-	// listRequested has a value when the module requests endpoint lists.
+	// listRequested receives a value when the module requests endpoint lists.
 	listRequested chan struct{}
 
-	// The rest belongs to the goroutine that runs rounds.
+	// Only the goroutine that runs rounds accesses the fields below.
 	settings  *gather.Settings
 	schedule  schedule
 	module    moduleHost
 	endpoints endpointTable
 	queries   queryTable
-	actions   Actions // of the round that runs
+	actions   Actions // collected during the current round
 	twoPass   twoPassState
-	ownership *ownershipState // nil where no map says who owns which keys
+	ownership *ownershipState // nil unless queries are routed by a segment map
 	policy    policyState
 }
 
-// New returns a picker whose module knows only its settings.
+// New returns a picker whose module has its settings, but no endpoints yet.
 func New(seed uint64, settings *gather.Settings, log *logrus.Logger) *Picker {
 	return &Picker{
 		log:           log,
@@ -60,8 +61,8 @@
 	}
 }
 
-// SilenceTimeout is how long nothing may arrive on a connection with attempts in flight before the next attempt gets
-// another connection. The module decides it.
+// SilenceTimeout returns how long, in milliseconds, a connection with attempts in flight may stay silent before the
+// next attempt uses another connection. It is the module's ConnectionSilenceShare of the shortest latency objective.
 func SilenceTimeout(settings *gather.Settings) float64 {
 	shortest := math.Inf(1)
 	for _, class := range settings.ClassNames() {
@@ -70,33 +71,33 @@
 	return logic.ConnectionSilenceShare * shortest
 }
 
-// Now is the module's clock, in milliseconds.
+// Now returns the time on the module's clock, in milliseconds.
 func (p *Picker) Now() float64 { return p.clock.now() }
 
-// EndpointListRequested returns a channel that has a value when the module requests endpoint lists.
+// EndpointListRequested returns a channel that receives a value when the module requests endpoint lists.
 func (p *Picker) EndpointListRequested() <-chan struct{} { return p.listRequested }
 
-// UpdateEndpoints hands in an endpoint list.
+// UpdateEndpoints queues an endpoint list for the next round.
 func (p *Picker) UpdateEndpoints(list gather.EndpointList) {
 	p.intake.enqueue(func(in *inbox) { in.EndpointLists = append(in.EndpointLists, list) })
 }
 
-// SetWeights hands in weights by replica set, empty ones for plain round robin. They belong to the module from then
-// on.
+// SetWeights queues weights, indexed by replica set, for the next round. Empty weights select plain round robin. The
+// module takes ownership of the slices: the caller must not modify them afterwards.
 func (p *Picker) SetWeights(weights [][]gather.Weight) {
 	p.intake.enqueue(func(in *inbox) { in.Weights = weights })
 }
 
-// ReportHealthCheck hands in the result of a health check.
+// ReportHealthCheck queues the result of a health check for the next round.
 func (p *Picker) ReportHealthCheck(result gather.HealthCheckResult) {
 	p.intake.enqueue(func(in *inbox) { in.HealthChecks = append(in.HealthChecks, result) })
 }
 
-// Wake has a round run soon, for a policy gate that has changed while no query comes.
+// Wake makes a round due without any input. A policy gate uses it to have a change applied while no queries arrive.
 func (p *Picker) Wake() { p.intake.enqueue(func(*inbox) {}) }
 
-// Pick submits a query and blocks until its result is decided, or until ctx ends because its client has gone. Once it
-// returns, no byte of an attempt of the query is written any more.
+// Pick submits a query and blocks until its result is decided, or until ctx ends because its client has disconnected.
+// After Pick returns, no byte of any attempt of the query is written.
 func (p *Picker) Pick(ctx context.Context, query *Query) Result {
 	if !p.reserve(query) {
 		return Result{Kind: Rejected}
@@ -107,10 +108,10 @@
 	return p.pickAdmitted(ctx, query)
 }
 
-// pickAdmitted hands a query to the module and blocks until its result is decided, or until ctx ends.
+// pickAdmitted passes a query to the module and blocks until its result is decided, or until ctx ends.
 func (p *Picker) pickAdmitted(ctx context.Context, query *Query) Result {
 	p.admit(query)
-	result := Result{Kind: InternalError} // unless the code below returns
+	result := Result{Kind: InternalError} // the result that observers see if the code below panics
 	defer func() {
 		query.seal()
 		for _, o := range p.observers.wire {
@@ -127,7 +128,8 @@
 	return result
 }
 
-// submit leaves a query for the next round. It reports false where the platform's limit of open requests is reached.
+// submit queues a query for the next round. It returns false if the query would exceed the platform's limit on open
+// requests.
 func (p *Picker) submit(query *Query) bool {
 	if !p.reserve(query) {
 		return false
@@ -136,7 +138,8 @@
 	return true
 }
 
-// reserve counts a query among the open ones. It reports false where the platform's limit of them is reached.
+// reserve adds a query to the open requests and assigns its IDs. It returns false, and counts nothing, if the query
+// would exceed the platform's limit on open requests.
 func (p *Picker) reserve(query *Query) bool {
 	size := query.size()
 	id, admitted := p.intake.reserve(size)
@@ -149,21 +152,21 @@
 	return true
 }
 
-// admit leaves a query for the next round.
+// admit queues a reserved query for the next round.
 func (p *Picker) admit(query *Query) {
 	p.intake.enqueue(func(in *inbox) { in.admitted = append(in.admitted, query) })
 }
 
-// abandon hands in that a query's client has gone.
+// abandon queues the notice that a query's client has disconnected.
 func (p *Picker) abandon(query *Query) {
 	p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, query.id) })
 }
 
-// clock is a picker's time.
+// clock provides a picker's time.
 type clock struct {
 	startedAt     time.Time
 	startedAtUnix float64        // milliseconds
-	override      func() float64 // in place of both, for a stepped picker
+	override      func() float64 // replaces the real clock in a stepped picker
 }
 
 func newClock() clock {
@@ -171,8 +174,8 @@
 	return clock{startedAt: now, startedAtUnix: float64(now.UnixNano()) / float64(time.Millisecond)}
 }
 
-// now is in Unix milliseconds, which compare with the times of discovery, moved on by the monotonic clock, so that a
-// change of the machine's clock does not move the deadlines of open queries.
+// now returns Unix milliseconds, so that its times compare with those in endpoint lists. It advances with the
+// monotonic clock, so that a change of the machine's clock does not move the deadlines of open queries.
 func (c *clock) now() float64 {
 	if c.override != nil {
 		return c.override()
--- a/internal/gatherer/dispatch/policygate.go
+++ b/internal/gatherer/dispatch/policygate.go
@@ -6,54 +6,56 @@
 	"yokeroute/gather"
 )
 
-// PolicyGate says which settings queries are decided by while the operators' policy changes across the fleet, and
-// what may still go out that was decided before a change. Each change begins a generation, by which all queries are
-// decided that are admitted in it.
+// PolicyGate provides the settings for deciding queries while the operators' policy changes across the fleet. It also
+// checks whether attempts and results decided before a change may still be sent. Each change starts a new generation.
+// A query is decided by the generation in which it is admitted.
 type PolicyGate interface {
 	// Effective returns the generation in effect and its settings. It is called at the beginning of each round.
 	Effective(now float64) (generation uint64, settings *gather.Settings)
-	// Blocked reports whether nothing new may go to a server.
+	// Blocked reports whether new attempts to a server are forbidden.
 	Blocked(server uint32) bool
-	// BlockedRevision changes whenever Blocked may have changed for a server without a new generation.
+	// BlockedRevision returns a number that changes whenever Blocked may have changed for a server without a new
+	// generation.
 	BlockedRevision() uint64
-	// Weight is a server's share of the requests that it would get by plain round robin.
+	// Weight returns the fraction of a server's plain round-robin share that the server is to receive.
 	Weight(server uint32) float64
-	// Permits reports whether an attempt may be written. It is called before its first byte, by the goroutine that
-	// writes it.
+	// Permits reports whether an attempt may be written. The goroutine that writes the attempt calls it before the
+	// first byte.
 	Permits(attempt PolicyCheck, now float64) bool
-	// ReviewResult returns the result to give in place of one that was decided: an earlier generation's may not hold
-	// any more. Share is the weight received, mayHaveRun whether a byte of an attempt was written.
+	// ReviewResult returns the result to deliver in place of a decided one, because a result of an earlier generation
+	// may be invalid under the current one. Share is the weight received; mayHaveRun is true if a byte of an attempt
+	// was written.
 	ReviewResult(query PolicyCheck, result Result, share float64, mayHaveRun bool, now float64) Result
-	// MarkDrained says that every open query belongs to a generation or a later one.
+	// MarkDrained reports that every open query belongs to the given generation or a later one.
 	MarkDrained(generation uint64)
 	// Drained reports whether MarkDrained was called for the newest generation.
 	Drained() bool
 }
 
-// PolicyCheck is an attempt that is about to be written, or a query whose result is about to be given, as a policy
-// sees it.
+// PolicyCheck describes, for a policy, an attempt that is about to be written or a query whose result is about to be
+// delivered.
 type PolicyCheck struct {
-	Generation uint64 // that its query was decided by
+	Generation uint64 // generation that the query is decided by
 	Class      string
 
-	// Of an attempt.
+	// The fields below are set for an attempt only.
 	Server          uint32
-	Repeated        bool // its shard request has had an attempt before
-	Hedge           bool // another attempt of its shard request is in flight
+	Repeated        bool // true if the shard request has had an earlier attempt
+	Hedge           bool // true if another attempt of the shard request was in flight at the decision
 	UsesRetryBudget bool
 }
 
-// policyState is what of the policy has been taken over.
+// policyState holds the parts of the policy that the picker has applied.
 type policyState struct {
 	generation      uint64
 	blockedRevision uint64
-	weighted        bool // some server gets less than its share by plain round robin
+	weighted        bool // true if some server's weight differs from plain round robin
 }
 
-// SetPolicyGate has queries decided by a policy.
+// SetPolicyGate makes queries subject to a policy.
 func (p *Picker) SetPolicyGate(gate PolicyGate) { p.gate = gate }
 
-// applyPolicy takes over the policy in effect at the beginning of a round: settings, blocked servers and weights.
+// applyPolicy applies the policy in effect at the beginning of a round: settings, blocked servers and weights.
 func (p *Picker) applyPolicy(in *gather.Round, now float64) {
 	generation, settings := p.gate.Effective(now)
 	blockedRevision := p.gate.BlockedRevision()
@@ -68,14 +70,15 @@
 		p.retryBudget.update(settings)
 	}
 	p.policy.blockedRevision = blockedRevision
-	if all := p.endpoints.all(); len(all) > 0 {
-		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Full: true, Endpoints: all})
+	if listed := p.endpoints.list(); len(listed) > 0 {
+		in.EndpointLists = append(in.EndpointLists, gather.EndpointList{Full: true, Endpoints: listed})
 	}
 	p.drainBlocked(in.EndpointLists)
 	p.applyWeights(in)
 }
 
-// drainBlocked lists blocked servers as draining: nothing new is sent there, and what is in flight is waited for.
+// drainBlocked marks blocked servers as draining in the endpoint lists, so that they get no new attempts while those in
+// flight may finish.
 func (p *Picker) drainBlocked(lists []gather.EndpointList) {
 	blocked := func(e gather.Endpoint) bool { return e.State == gather.Running && p.gate.Blocked(e.ID) }
 	for i := range lists {
@@ -84,7 +87,7 @@
 			if !blocked(e) {
 				continue
 			}
-			if !copied { // the list may be shared with others
+			if !copied { // the endpoints may be shared
 				lists[i].Endpoints = slices.Clone(lists[i].Endpoints)
 				copied = true
 			}
@@ -93,8 +96,8 @@
 	}
 }
 
-// applyWeights hands weights to the module where some server's differs from the others', and plain round robin once
-// none does any more.
+// applyWeights passes weights to the module while some server's weight differs from 1, and restores plain round robin
+// once none does.
 func (p *Picker) applyWeights(in *gather.Round) {
 	replicaSets := max(p.settings.ReplicaSets, 1)
 	weights := make([][]gather.Weight, replicaSets)
@@ -104,9 +107,9 @@
 		if set < 0 || set >= replicaSets {
 			continue
 		}
-		share := p.gate.Weight(id)
-		weighted = weighted || share != 1
-		weights[set] = append(weights[set], gather.Weight{Server: id, Share: share})
+		weight := p.gate.Weight(id)
+		weighted = weighted || weight != 1
+		weights[set] = append(weights[set], gather.Weight{Server: id, Share: weight})
 	}
 	if !weighted && !p.policy.weighted {
 		return
@@ -119,7 +122,7 @@
 	p.module.weights = weights
 }
 
-// reportDrained says which generation the oldest open query belongs to.
+// reportDrained reports the generation of the oldest open query to the policy gate.
 func (p *Picker) reportDrained() {
 	if p.gate.Drained() {
 		return
@@ -134,8 +137,8 @@
 	p.gate.MarkDrained(oldest)
 }
 
-// permitted reports whether the policy allows an attempt at its first byte.
-func (a *Attempt) permitted(now float64) bool {
+// permittedByPolicy reports whether the policy still permits an attempt whose first byte is about to be written.
+func (a *Attempt) permittedByPolicy(now float64) bool {
 	if a.picker.gate == nil {
 		return true
 	}
@@ -149,18 +152,18 @@
 	}, now)
 }
 
-// reviewResult has the policy review a result before it is given.
+// reviewResult returns the result that the policy permits in place of a decided one.
 func (p *Picker) reviewResult(query *Query, result Result) Result {
 	if p.gate == nil || result.Kind != Served && result.Kind != Rejected {
 		return result
 	}
-	share := 0.0
+	receivedWeight := 0.0
 	for _, r := range query.ShardRequests {
 		hit := slices.ContainsFunc(result.Hits, func(h Hit) bool { return h.Shard == r.Shard })
 		if hit || slices.Contains(result.EmptyShards, r.Shard) {
-			share += r.Weight
+			receivedWeight += r.Weight
 		}
 	}
 	check := PolicyCheck{Generation: query.generation, Class: query.Class}
-	return p.gate.ReviewResult(check, result, share, query.mayHaveRun.Load(), p.Now())
+	return p.gate.ReviewResult(check, result, receivedWeight, query.mayHaveRun.Load(), p.Now())
 }
--- a/internal/gatherer/dispatch/query.go
+++ b/internal/gatherer/dispatch/query.go
@@ -10,31 +10,31 @@
 
 // Query is a query as its client sent it.
 type Query struct {
-	ID            string // the client's; the shard requests' wire IDs derive from it
+	ID            string // client's ID, from which the wire IDs of the shard requests are derived
 	Class         string
 	Tenant        string
 	RouteKey      string
-	Cost          float64 // expected work of all shard requests, 0 where it is unknown
-	Deadline      float64 // on the picker's clock
-	Retried       bool    // the client marked it as a repeat
+	Cost          float64 // expected work of all shard requests, 0 if unknown
+	Deadline      float64 // time on the picker's clock
+	Retried       bool    // true if the client marked the query as a retry
 	ShardRequests []ShardRequest
 	Payload       []byte // sent with each shard request
-	Tag           any    // the caller's own
+	Tag           any    // for use by the caller
 
-	id         uint64       // at the module; its shard requests' IDs follow it
-	values     [][]byte     // by shard request, or by piece where there are pieces
-	attempts   [][]*Attempt // likewise
-	pieces     []piece      // nil where no map says who owns which keys
-	pass       pass         // of a query that is one pass of another
+	id         uint64       // module ID; the IDs of the shard requests follow it
+	values     [][]byte     // indexed by shard request, or by piece if pieces is set
+	attempts   [][]*Attempt // indexed like values
+	pieces     []piece      // nil unless the query is routed by a segment map
+	pass       pass         // set if the query is a pass of another query
 	twoPass    *passProgress
 	result     chan Result
 	admittedAt float64
-	generation uint64      // of the policy that it is decided by
-	recorded   bool        // in the store of non-idempotent queries
-	rejected   atomic.Bool // by the module: nothing of it has run
-	mayHaveRun atomic.Bool // a byte of one of its attempts may have been written
+	generation uint64      // policy generation that the query is decided by
+	recorded   bool        // true once its ID is in the store of non-idempotent queries
+	rejected   atomic.Bool // true if the result is Rejected: no attempt has run
+	mayHaveRun atomic.Bool // true once a byte of an attempt may have been written
 
-	// writeGate is held for reading while an attempt is written, so that no byte of one follows the result.
+	// writeGate is read-locked while an attempt is written, so that no byte of an attempt is written after the result.
 	writeGate sync.RWMutex
 	sealed    bool
 }
@@ -43,42 +43,42 @@
 type ShardRequest struct {
 	Shard  int
 	Weight float64 // share of the complete answer
-	Cost   float64 // expected work, 0 where it is unknown
+	Cost   float64 // expected work, 0 if unknown
 	Key    string
 }
 
-// ResultKind is how a query ended.
+// ResultKind says how a query ended.
 type ResultKind int
 
 // The kinds of results.
 const (
 	Served        ResultKind = iota
-	Rejected                 // without any effect
-	Failed                   // it may have had an effect
-	InternalError            // the module panicked while it held the query
-	Abandoned                // the client has gone
+	Rejected                 // the query had no effect
+	Failed                   // the query may have had an effect
+	InternalError            // the module panicked while the query was open
+	Abandoned                // the client disconnected
 )
 
 // Result is a query's final result.
 type Result struct {
 	Kind        ResultKind
 	Complete    bool
-	Hits        []Hit   // received by the time of the decision
-	EmptyShards []int   // proved to hold nothing by a first pass; they count as received
-	RetryAfter  float64 // milliseconds, of a rejected query; 0 is no advice
+	Hits        []Hit   // values received before the result was decided
+	EmptyShards []int   // shards that a first pass proved to hold no match; they count as received
+	RetryAfter  float64 // advice for a rejected query in milliseconds, 0 for none
 }
 
-// Hit is a shard server's value for a shard request.
+// Hit is a value received from a shard server.
 type Hit struct {
 	Shard int
 	Value []byte
-	Keys  *ownership.Range // the shard's keys that it stands for, nil for all of them
+	Keys  *ownership.Range // keys of the shard that the value covers, nil for all
 }
 
-// AdmittedAt is the time of the round that admitted the query, on the picker's clock; 0 before that.
+// AdmittedAt returns the time of the round that admitted the query, on the picker's clock, or 0 before that round.
 func (q *Query) AdmittedAt() float64 { return q.admittedAt }
 
-// Result is the final result, if it is decided. It is for those who step the picker; others wait in Pick.
+// Result returns the final result if it is decided. It is for callers that step the picker; others block in Pick.
 func (q *Query) Result() (Result, bool) {
 	select {
 	case result := <-q.result:
@@ -89,17 +89,17 @@
 	}
 }
 
-// size is what a query counts for among the open requests.
+// size returns how many open requests a query counts as: itself and its shard requests.
 func (q *Query) size() int { return 1 + len(q.ShardRequests) }
 
-// assignID gives a query its ID at the module, and its shard requests those behind it.
+// assignID sets a query's module ID; the IDs of its shard requests follow it.
 func (q *Query) assignID(id uint64) {
 	q.id = id
 	q.values = make([][]byte, len(q.ShardRequests))
 	q.attempts = make([][]*Attempt, len(q.ShardRequests))
 }
 
-// moduleID is the module's ID of a shard request, or of a piece.
+// moduleID returns the module ID of the shard request, or piece, at index i.
 func (q *Query) moduleID(i int) uint64 {
 	if q.pieces != nil {
 		return q.pieces[i].ID
@@ -107,7 +107,8 @@
 	return q.id + 1 + uint64(i)
 }
 
-// shardRequestOf is the index of the shard request that a piece belongs to; without pieces it is i itself.
+// shardRequestOf returns the index of the shard request that piece i belongs to, or i itself if the query is not split
+// into pieces.
 func (q *Query) shardRequestOf(i int) int {
 	if q.pieces != nil {
 		return q.pieces[i].Request
@@ -115,7 +116,7 @@
 	return i
 }
 
-// hits are the values received.
+// hits returns the values received.
 func (q *Query) hits() []Hit {
 	var hits []Hit
 	for i, value := range q.values {
@@ -132,7 +133,7 @@
 	return hits
 }
 
-// seal waits for attempts that are being written and lets none begin afterwards.
+// seal waits until no attempt of the query is being written and prevents any further write.
 func (q *Query) seal() {
 	q.writeGate.Lock()
 	q.sealed = true
@@ -141,12 +142,14 @@
 
 // queryTable holds the queries that the module decides on.
 type queryTable struct {
-	byID     map[uint64]*Query // passes in place of two-pass queries
+	byID     map[uint64]*Query // has the current pass in place of a two-pass query
 	requests map[uint64]requestRef
-	finished []*Query // in this round: until its end their attempts can be cancelled by ID
+	// finished lists the queries that ended in the current round. Their shard requests stay in the table until the end
+	// of the round, so that the module can still cancel attempts by ID.
+	finished []*Query
 }
 
-// requestRef is a shard request, or a piece of one, by its query.
+// requestRef refers to a shard request, or a piece of one, by its query and index.
 type requestRef struct {
 	query *Query
 	index int
@@ -156,13 +159,13 @@
 	return queryTable{byID: map[uint64]*Query{}, requests: map[uint64]requestRef{}}
 }
 
-// releaseFinished forgets the finished queries and returns what they counted for among the open requests.
+// releaseFinished removes the finished queries from the table and returns how many open requests they counted as.
 func (t *queryTable) releaseFinished() (size int) {
 	for _, query := range t.finished {
 		for i := range query.attempts {
 			delete(t.requests, query.moduleID(i))
 		}
-		if query.pass.parent == nil { // a pass counts as its parent
+		if query.pass.parent == nil { // passes are counted with their parent
 			size += query.size()
 		}
 	}
@@ -171,7 +174,7 @@
 	return size
 }
 
-// addToRound hands a query, or a pass of one, to the module.
+// addToRound passes a query, or a pass of one, to the module.
 func (p *Picker) addToRound(in *gather.Round, query *Query) {
 	p.queries.byID[query.id] = query
 	in.Queries = append(in.Queries, gather.Query{
@@ -232,7 +235,7 @@
 	p.deliver(query, result)
 }
 
-// deliver hands a query's result to its client.
+// deliver sends a query's result to the goroutine that waits for it.
 func (p *Picker) deliver(query *Query, result Result) {
 	query.rejected.Store(result.Kind == Rejected)
 	p.observeDecided(query, result)
@@ -241,6 +244,6 @@
 
 func (p *Picker) observeDecided(query *Query, result Result) {
 	for _, o := range p.observers.decisions {
-		o.QueryDecided(query, result, p.schedule.lastAt)
+		o.QueryDecided(query, result, p.schedule.lastRoundAt)
 	}
 }
--- a/internal/gatherer/dispatch/recordpolicy_test.go
+++ b/internal/gatherer/dispatch/recordpolicy_test.go
@@ -7,18 +7,18 @@
 	"yokeroute/gather"
 )
 
-// switchedGate is a policy that has the class any be non-idempotent once it is switched.
+// switchedGate is a policy that uses the initial settings and, once switched is set, the restricted ones.
 type switchedGate struct {
 	PolicyGate
-	plain, restricted *gather.Settings
-	switched          atomic.Bool
+	initial, restricted *gather.Settings
+	switched            atomic.Bool
 }
 
 func (g *switchedGate) Effective(float64) (uint64, *gather.Settings) {
 	if g.switched.Load() {
 		return 2, g.restricted
 	}
-	return 1, g.plain
+	return 1, g.initial
 }
 func (g *switchedGate) Blocked(uint32) bool               { return false }
 func (g *switchedGate) BlockedRevision() uint64           { return 0 }
@@ -30,33 +30,34 @@
 	return r
 }
 
-// TestClassThatAPolicyRestrictsIsRecorded: a query that comes under the policy is recorded, and one that came before it
-// and is not recorded is rejected, never sent.
-func TestClassThatAPolicyRestrictsIsRecorded(t *testing.T) {
+// TestClassMadeNonIdempotentByPolicyIsRecorded guards against sending unrecorded queries of a class that a policy
+// change makes non-idempotent. A query that arrives after the change is recorded before it is sent; one that arrived
+// before it is not recorded and is rejected.
+func TestClassMadeNonIdempotentByPolicyIsRecorded(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	close(store.gate)
-	gate := &switchedGate{plain: p.settings, restricted: p.settings.Clone()}
+	gate := &switchedGate{initial: p.settings, restricted: p.settings.Clone()}
 	gate.restricted.FindClass("any").Effect = gather.NonIdempotent
 	p.SetPolicyGate(gate)
 	p.SetNonIdempotentStore(store)
-	before := newQuery("any", 2, p.Now()+30_000)
-	before.ID = "before"
-	if !p.reserve(before) || p.needsRecord(before) {
-		t.Fatal("an idempotent query has to be recorded")
+	unrecorded := newQuery("any", 2, p.Now()+30_000)
+	unrecorded.ID = "before"
+	if !p.reserve(unrecorded) || p.needsRecord(unrecorded) {
+		t.Fatal("an idempotent query is not reserved, or needs a record")
 	}
 	gate.switched.Store(true)
-	p.admit(before)
+	p.admit(unrecorded)
 	if actions := runDueRound(t, p); len(actions.Send) > 0 {
-		t.Error("sent without a record")
+		t.Error("a query that arrived before the policy change is sent without a record")
 	}
-	if result, ended := takeResult(before); !ended || result.Kind != Rejected || result.RetryAfter <= 0 {
-		t.Errorf("%+v, ended %t", result, ended)
+	if result, ended := pollResult(unrecorded); !ended || result.Kind != Rejected || result.RetryAfter <= 0 {
+		t.Errorf("result %+v, ended %t, want Rejected with RetryAfter", result, ended)
 	}
-	under := newQuery("any", 2, p.Now()+30_000)
-	under.ID = "under"
-	pickAsync(t.Context(), p, under)
+	recorded := newQuery("any", 2, p.Now()+30_000)
+	recorded.ID = "under"
+	pickAsync(t.Context(), p, recorded)
 	attempt := runUntilSent(t, p)
-	if !store.MayHaveRun("under", false, 0) || attempt.Query() != under {
-		t.Error("sent without a record")
+	if !store.MayHaveRun("under", false, 0) || attempt.Query() != recorded {
+		t.Error("a query that arrived after the policy change is sent without a record")
 	}
 }
--- a/internal/gatherer/dispatch/recordqueue.go
+++ b/internal/gatherer/dispatch/recordqueue.go
@@ -16,58 +16,59 @@
 )
 
 const (
-	// maxWaitingSize bounds the queries and shard requests that wait for the disk, where the platform sets no limit of
-	// open requests. That of a platform is used up to maxWaitingShare, so that idempotent queries find room.
+	// maxWaitingSize limits the queries and shard requests that wait for the disk if the platform sets no limit on open
+	// requests. If it does, they may use maxWaitingShare of that limit, so that capacity remains for idempotent queries.
 	maxWaitingSize  = 1 << 16
 	maxWaitingShare = 0.25
 )
 
-// recordState is how far the record of a query has come.
+// recordState is the state of a query's record.
 type recordState int
 
 const (
-	recordWaiting recordState = iota // for the next write
+	recordWaiting recordState = iota // waits for the next write
 	recordWriting
 	recordStored
-	recordEnded // it is of no use any more
+	recordEnded // no longer needed
 )
 
-// record is the entry of one non-idempotent query in the store, from its request to its end.
+// record tracks the store entry of one non-idempotent query, from the request for it until it is no longer needed.
 type record struct {
 	id      string
 	retried bool
-	size    int // of its query
+	size    int // size of its query
 	outcome chan recordOutcome
 	state   recordState // guarded by the queue's mutex
 }
 
-// recordOutcome is what became of the request for a record.
+// recordOutcome is the outcome of a request for a record.
 type recordOutcome int
 
 const (
 	recordSucceeded  recordOutcome = iota
-	recordMayHaveRun               // an attempt of an earlier query of the ID may have run
-	recordFailed                   // nothing is stored, or too many wait already
+	recordMayHaveRun               // an attempt of an earlier query with the same ID may have run
+	recordFailed                   // nothing is stored: the write failed, the queue is full or it is closed
 )
 
-// recordQueue writes to the store on a goroutine of its own. What comes during a write shares the next one.
+// recordQueue writes to the store on a goroutine of its own. All requests that arrive during a write share the next
+// one.
 type recordQueue struct {
 	store    NonIdempotentStore
-	settings *gather.Settings // the platform's
+	settings *gather.Settings // the platform's settings, without a policy
 	log      *logrus.Logger
 	now      func() float64
-	maxSize  int // of the queries that wait for a write or are being written
+	maxSize  int // limit on size
 	worker   *worker.Worker
 
-	// retryAfter is when a client may come again whose query was not recorded, by class.
+	// retryAfter is the Retry-After, in milliseconds, for a query that was not recorded, keyed by class.
 	retryAfter map[string]float64
 
-	mu      sync.Mutex
-	size    int
-	waiting []*record
-	notRun  []string       // IDs of which nothing has run
-	newest  *ownership.Map // to be stored, nil for none
-	closed  bool
+	mu        sync.Mutex
+	size      int
+	waiting   []*record
+	notRun    []string       // IDs of stored queries of which no attempt has run
+	newestMap *ownership.Map // map to store, nil for none
+	closed    bool
 }
 
 func newRecordQueue(
@@ -92,8 +93,8 @@
 	return q
 }
 
-// request has a query recorded by the next write. Each request needs a release once it is known that nothing of the
-// query has run.
+// request queues a query for recording by the next write. Each request needs a release once it is known that no attempt
+// of the query has run.
 func (q *recordQueue) request(query *Query) *record {
 	r := &record{id: query.ID, retried: query.Retried, size: query.size(), outcome: make(chan recordOutcome, 1)}
 	q.mu.Lock()
@@ -109,7 +110,7 @@
 	return r
 }
 
-// release ends the record of a query of which nothing has run and nothing will. It does not wait for the disk.
+// release ends the record of a query of which no attempt has run or will run. It does not wait for the disk.
 func (q *recordQueue) release(r *record) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -117,16 +118,16 @@
 	case recordWaiting:
 		q.size -= r.size
 		q.waiting = slices.DeleteFunc(q.waiting, func(other *record) bool { return other == r })
-	case recordWriting: // the write stores it all the same, finishWrite ends it
+	case recordWriting: // the write stores it nevertheless, and finishWrite removes it
 		q.size -= r.size
 	case recordStored:
-		q.endStoredLocked(r.id)
+		q.removeStoredLocked(r.id)
 	}
 	r.state = recordEnded
 }
 
-// endStoredLocked has a stored ID ended before any other query of the ID is recorded.
-func (q *recordQueue) endStoredLocked(id string) {
+// removeStoredLocked queues a stored ID for removal, which takes place before another query with the ID is recorded.
+func (q *recordQueue) removeStoredLocked(id string) {
 	if q.closed {
 		return
 	}
@@ -134,68 +135,69 @@
 	q.worker.Wake()
 }
 
-// saveMap has the newest map stored by the next write.
+// saveMap queues a segment map, replacing one that waits, for storing by the next write.
 func (q *recordQueue) saveMap(m *ownership.Map) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if q.closed {
 		return
 	}
-	q.newest = m
+	q.newestMap = m
 	q.worker.Wake()
 }
 
-// write stores all that waits. It is the only user of the store.
+// write stores everything that waits. It is the only user of the store.
 func (q *recordQueue) write() {
-	records, notRun, newest := q.nextBatch()
+	records, notRun, newestMap := q.nextBatch()
 	startedAt := time.Now()
 	for _, id := range notRun {
 		if err := q.store.RecordNotRun(id); err != nil {
 			log := q.log.WithError(err).WithField("query", id)
-			log.Error("non-idempotent query: rejection not stored, its ID is in use again after a restart")
+			log.Error("non-idempotent query: rejection not stored, after a restart its ID counts as sent")
 		}
 	}
 	q.writeRecords(records)
-	if newest != nil {
-		if err := q.store.SaveMap(newest); err != nil {
+	if newestMap != nil {
+		if err := q.store.SaveMap(newestMap); err != nil {
 			q.log.WithError(err).Error("segment map: not saved")
 		}
 	}
 	log := q.log.WithFields(logrus.Fields{
 		"queries":  len(records),
 		"released": len(notRun),
-		"map":      newest != nil,
+		"map":      newestMap != nil,
 	})
 	slowwrite.Log(log, "store", startedAt)
 }
 
-// nextBatch empties the queue, but of several queries of one ID the first alone.
-func (q *recordQueue) nextBatch() (records []*record, notRun []string, newest *ownership.Map) {
+// nextBatch takes everything from the queue for one write. Of several queries with the same ID it takes only the first;
+// the others wait for the next write.
+func (q *recordQueue) nextBatch() (records []*record, notRun []string, newestMap *ownership.Map) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	notRun = q.notRun
 	q.notRun = nil
-	newest = q.newest
-	q.newest = nil
-	taken := map[string]bool{}
-	var later []*record
+	newestMap = q.newestMap
+	q.newestMap = nil
+	batchIDs := map[string]bool{}
+	var duplicates []*record
 	for _, r := range q.waiting {
-		if taken[r.id] {
-			later = append(later, r)
+		if batchIDs[r.id] {
+			duplicates = append(duplicates, r)
 			continue
 		}
-		taken[r.id] = true
+		batchIDs[r.id] = true
 		r.state = recordWriting
 		records = append(records, r)
 	}
-	q.waiting = later
-	if len(later) > 0 {
+	q.waiting = duplicates
+	if len(duplicates) > 0 {
 		q.worker.Wake()
 	}
-	return records, notRun, newest
+	return records, notRun, newestMap
 }
 
-// writeRecords stores records by one write.
+// writeRecords stores records in one write.
 func (q *recordQueue) writeRecords(records []*record) {
 	now := q.now()
 	var ids []string
@@ -209,14 +211,14 @@
 	}
 	if len(ids) > 0 {
 		if err := q.store.RecordSent(ids, now); err != nil {
-			q.log.WithError(err).Error("non-idempotent queries: not recorded, not sent")
+			q.log.WithError(err).Error("non-idempotent queries: rejected, recording failed")
 			markFailed(outcomes)
 		}
 	}
 	q.finishWrite(records, outcomes)
 }
 
-// markFailed has a write that failed be the outcome of those that it should have stored.
+// markFailed sets the outcome to recordFailed for every record that a failed write should have stored.
 func markFailed(outcomes []recordOutcome) {
 	for i, outcome := range outcomes {
 		if outcome == recordSucceeded {
@@ -225,7 +227,8 @@
 	}
 }
 
-// finishWrite hands the outcomes of a write to those who wait. A stored record that was released meanwhile ends.
+// finishWrite sends the outcomes of a write to the waiting queries. It removes a stored record that was released during
+// the write.
 func (q *recordQueue) finishWrite(records []*record, outcomes []recordOutcome) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -233,7 +236,7 @@
 		stored := outcomes[i] == recordSucceeded
 		if r.state == recordEnded {
 			if stored {
-				q.endStoredLocked(r.id)
+				q.removeStoredLocked(r.id)
 			}
 			continue
 		}
@@ -246,8 +249,8 @@
 	}
 }
 
-// close takes nothing more and waits until all is written. It reports false where ctx ends before that: the store is
-// in use then.
+// close makes the queue accept nothing more and waits until everything is written. It returns false if ctx ends first;
+// the store is then still in use.
 func (q *recordQueue) close(ctx context.Context) bool {
 	q.mu.Lock()
 	q.closed = true
--- a/internal/gatherer/dispatch/recordqueue_test.go
+++ b/internal/gatherer/dispatch/recordqueue_test.go
@@ -12,40 +12,40 @@
 	"yokeroute/logic/ownership"
 )
 
-// gatedStore is a store in memory whose writes wait until they are let through.
+// gatedStore is a store in memory whose writes block until the test lets them proceed.
 type gatedStore struct {
-	began chan struct{} // has a value for each write that has begun
-	gate  chan struct{} // takes a value for each write, or is closed
-
-	mu     sync.Mutex
-	failed error // of writes
-	sent   map[string]bool
-	writes [][]string // IDs, by write
-	notRun []string
-	epochs []uint64
+	writeStarted chan struct{} // receives a value when a write starts
+	gate         chan struct{} // each write waits for a value, until it is closed
+
+	mu         sync.Mutex
+	writeError error // returned by RecordSent if set
+	recorded   map[string]bool
+	writes     [][]string // IDs of each write
+	notRun     []string
+	epochs     []uint64
 }
 
 func newGatedStore() *gatedStore {
-	return &gatedStore{began: make(chan struct{}, 100), gate: make(chan struct{}), sent: map[string]bool{}}
+	return &gatedStore{writeStarted: make(chan struct{}, 100), gate: make(chan struct{}), recorded: map[string]bool{}}
 }
 
 func (s *gatedStore) MayHaveRun(id string, _ bool, _ float64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.sent[id]
+	return s.recorded[id]
 }
 
 func (s *gatedStore) RecordSent(ids []string, _ float64) error {
-	s.began <- struct{}{}
+	s.writeStarted <- struct{}{}
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.failed != nil {
-		return s.failed
+	if s.writeError != nil {
+		return s.writeError
 	}
 	s.writes = append(s.writes, slices.Clone(ids))
 	for _, id := range ids {
-		s.sent[id] = true
+		s.recorded[id] = true
 	}
 	return nil
 }
@@ -53,13 +53,13 @@
 func (s *gatedStore) RecordNotRun(id string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sent, id)
+	delete(s.recorded, id)
 	s.notRun = append(s.notRun, id)
 	return nil
 }
 
 func (s *gatedStore) SaveMap(m *ownership.Map) error {
-	s.began <- struct{}{}
+	s.writeStarted <- struct{}{}
 	<-s.gate
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,24 +67,24 @@
 	return nil
 }
 
-func (s *gatedStore) fail(err error) {
+func (s *gatedStore) setWriteError(err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.failed = err
+	s.writeError = err
 }
 
-// wire answers the attempts of a picker whose rounds it runs.
-type wire struct {
-	outcome gather.Outcome // of all attempts
+// attemptServer runs a picker's rounds and answers its attempts.
+type attemptServer struct {
+	outcome gather.Outcome // reported for each attempt
 
 	mu      sync.Mutex
-	written []*Query // the query of each attempt
+	written []*Query // the query of each attempt written
 }
 
-// serveRecorded runs rounds of a picker with a store until the test ends.
-func serveRecorded(t *testing.T, p *Picker, store NonIdempotentStore, outcome gather.Outcome) *wire {
+// serveRecorded runs rounds of a picker with a store until the test ends, and reports outcome for each attempt.
+func serveRecorded(t *testing.T, p *Picker, store NonIdempotentStore, outcome gather.Outcome) *attemptServer {
 	p.SetNonIdempotentStore(store)
-	w := &wire{outcome: outcome}
+	w := &attemptServer{outcome: outcome}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -94,7 +94,7 @@
 			if err != nil {
 				return
 			}
-			w.answer(p, actions.Send)
+			w.handleAttempts(p, actions.Send)
 		}
 	}()
 	t.Cleanup(func() {
@@ -104,7 +104,7 @@
 	return w
 }
 
-func (w *wire) answer(p *Picker, attempts []*Attempt) {
+func (w *attemptServer) handleAttempts(p *Picker, attempts []*Attempt) {
 	for _, a := range attempts {
 		if w.outcome == gather.NotSent || !a.BeginWrite() {
 			p.Report(a, gather.NotSent, nil)
@@ -119,7 +119,7 @@
 }
 
 // countWritten counts the attempts of a query that were written.
-func (w *wire) countWritten(query *Query) (n int) {
+func (w *attemptServer) countWritten(query *Query) (n int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, other := range w.written {
@@ -130,110 +130,114 @@
 	return n
 }
 
-// within fails unless a result comes in the time given, and returns it.
-func within(t *testing.T, results <-chan Result, limit time.Duration) Result {
+// awaitResult returns the next result. It fails the test if none arrives within limit.
+func awaitResult(t *testing.T, results <-chan Result, limit time.Duration) Result {
 	t.Helper()
 	select {
 	case result := <-results:
 		return result
 	case <-time.After(limit):
-		t.Fatalf("no result in %v", limit)
+		t.Fatalf("no result within %v", limit)
 		return Result{}
 	}
 }
 
-// eventually waits until a condition holds.
-func eventually(t *testing.T, what string, holds func() bool) {
+// eventually waits until holds returns true. It fails the test if that takes more than 10 s.
+func eventually(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(10 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("%s: not in 10 s", what)
+			t.Fatalf("%s: not within 10 s", condition)
 		}
 	}
 }
 
-func (q *recordQueue) countWaiting() int {
+func (q *recordQueue) waitingCount() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return len(q.waiting)
 }
 
-func (q *recordQueue) countSize() int {
+func (q *recordQueue) waitingSize() int {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.size
 }
 
-func (p *Picker) countOpen() int {
+func (p *Picker) openRequestCount() int {
 	p.intake.mu.Lock()
 	defer p.intake.mu.Unlock()
-	return p.intake.open
+	return p.intake.openRequests
 }
 
 const (
-	longTime  = 10 * time.Second
-	shortTime = time.Second
+	longTimeout  = 10 * time.Second
+	shortTimeout = time.Second
 )
 
-// newNonIdempotentQuery returns one whose deadline is far away.
+// newNonIdempotentQuery returns a non-idempotent query with two shard requests and a deadline in 30 s.
 func newNonIdempotentQuery(p *Picker, id string) *Query {
 	query := newQuery("all", 2, p.Now()+30_000)
 	query.ID = id
 	return query
 }
 
-// TestOfTwoQueriesOfOneIDDuringAWriteOneRuns: the second waits for the first one's record, which tells that it may have
-// run.
-func TestOfTwoQueriesOfOneIDDuringAWriteOneRuns(t *testing.T) {
+// TestOnlyOneOfConcurrentQueriesWithSameIDRuns guards against running several queries with the same ID that arrive
+// during one write. The later ones must wait for the first one's record and fail, because the first may have run.
+func TestOnlyOneOfConcurrentQueriesWithSameIDRuns(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	w := serveRecorded(t, p, store, gather.Succeeded)
 	first, second, third := newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a")
 	results := []<-chan Result{pickAsync(t.Context(), p, first)}
-	<-store.began
-	for _, query := range []*Query{second, third} { // two for the next write
+	<-store.writeStarted
+	for _, query := range []*Query{second, third} { // both wait for the next write
 		results = append(results, pickAsync(t.Context(), p, query))
 	}
-	eventually(t, "both wait", func() bool { return p.records.countWaiting() == 2 })
+	eventually(t, "both later queries wait", func() bool { return p.records.waitingCount() == 2 })
 	close(store.gate)
-	if got := within(t, results[0], longTime); got.Kind != Served {
-		t.Errorf("the first: %+v", got)
+	if got := awaitResult(t, results[0], longTimeout); got.Kind != Served {
+		t.Errorf("first query: %+v, want Served", got)
 	}
 	for _, other := range results[1:] {
-		if got := within(t, other, longTime); got.Kind != Failed {
-			t.Errorf("another of its ID: %+v", got)
+		if got := awaitResult(t, other, longTimeout); got.Kind != Failed {
+			t.Errorf("later query with the same ID: %+v, want Failed", got)
 		}
 	}
 	if w.countWritten(first) != 2 || w.countWritten(second)+w.countWritten(third) != 0 {
-		t.Errorf("%d attempts of the first, %d, %d of the others", w.countWritten(first), w.countWritten(second), w.countWritten(third))
+		t.Errorf("%d attempts of the first query, %d and %d of the later ones, want 2, 0 and 0",
+			w.countWritten(first), w.countWritten(second), w.countWritten(third))
 	}
 }
 
-// TestClientThatLeavesDuringAWriteLeavesNoRecord: it is let go at once, nothing of its query is sent, and a repeat of
-// the ID runs.
-func TestClientThatLeavesDuringAWriteLeavesNoRecord(t *testing.T) {
+// TestQueryAbandonedDuringRecordWriteLeavesNoRecord guards against a client that cannot retry its query after it
+// disconnected during the write of the record. Pick returns at once, no attempt is sent, and a retry with the same ID
+// runs.
+func TestQueryAbandonedDuringRecordWriteLeavesNoRecord(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	w := serveRecorded(t, p, store, gather.Succeeded)
-	left, repeat := newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a")
+	abandoned, repeat := newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a")
 	ctx, leave := context.WithCancel(t.Context())
-	results := pickAsync(ctx, p, left)
-	<-store.began
+	results := pickAsync(ctx, p, abandoned)
+	<-store.writeStarted
 	leave()
-	if got := within(t, results, shortTime); got.Kind != Abandoned {
-		t.Errorf("its client left: %+v", got)
+	if got := awaitResult(t, results, shortTimeout); got.Kind != Abandoned {
+		t.Errorf("abandoned query: %+v, want Abandoned", got)
 	}
 	results = pickAsync(t.Context(), p, repeat)
-	eventually(t, "the repeat waits", func() bool { return p.records.countWaiting() == 1 })
+	eventually(t, "the retry waits", func() bool { return p.records.waitingCount() == 1 })
 	close(store.gate)
-	if got := within(t, results, longTime); got.Kind != Served {
-		t.Errorf("the repeat: %+v", got)
+	if got := awaitResult(t, results, longTimeout); got.Kind != Served {
+		t.Errorf("retry: %+v, want Served", got)
 	}
-	if w.countWritten(left) != 0 || w.countWritten(repeat) != 2 {
-		t.Errorf("%d attempts of the one whose client left, %d of its repeat", w.countWritten(left), w.countWritten(repeat))
+	if w.countWritten(abandoned) != 0 || w.countWritten(repeat) != 2 {
+		t.Errorf("%d attempts of the abandoned query, %d of its retry, want 0 and 2",
+			w.countWritten(abandoned), w.countWritten(repeat))
 	}
 }
 
-// TestClientThatLeavesBeforeAnAttemptIsWrittenLeavesNoRecord: the module has the query, and nothing of it was sent.
-func TestClientThatLeavesBeforeAnAttemptIsWrittenLeavesNoRecord(t *testing.T) {
+// TestQueryAbandonedBeforeAttemptIsWrittenLeavesNoRecord guards against keeping the record of a query whose client
+// disconnected after the module decided on an attempt, but before any attempt was written.
+func TestQueryAbandonedBeforeAttemptIsWrittenLeavesNoRecord(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	p.SetNonIdempotentStore(store)
 	close(store.gate)
@@ -241,118 +245,126 @@
 	results := pickAsync(ctx, p, newNonIdempotentQuery(p, "a"))
 	attempt := runUntilSent(t, p)
 	leave()
-	if got := within(t, results, shortTime); got.Kind != Abandoned {
-		t.Errorf("its client left: %+v", got)
+	if got := awaitResult(t, results, shortTimeout); got.Kind != Abandoned {
+		t.Errorf("abandoned query: %+v, want Abandoned", got)
 	}
 	eventually(t, "no record", func() bool { return !store.MayHaveRun("a", false, 0) })
 	if attempt.BeginWrite() {
-		t.Error("an attempt is written after its client left")
+		t.Error("BeginWrite permits an attempt after the client disconnected")
 	}
 }
 
-// decidedCounter counts the results that observers are told of queries which the module does not know.
-type decidedCounter struct {
+// resultKindObserver passes on the kind of each result that observers are notified of.
+type resultKindObserver struct {
 	DecisionObserver
 	kinds chan ResultKind
 }
 
-func (c decidedCounter) QueryDecided(_ *Query, result Result, _ float64) { c.kinds <- result.Kind }
+func (c resultKindObserver) QueryDecided(_ *Query, result Result, _ float64) { c.kinds <- result.Kind }
 
-// TestDeadlineDuringAWriteIsKept: the query is rejected in time, with advice when to come again, and nothing is sent.
-func TestDeadlineDuringAWriteIsKept(t *testing.T) {
+// TestQueryIsRejectedInTimeDuringRecordWrite guards against a query that waits for the disk beyond its deadline. It
+// must be rejected before the deadline with RetryAfter, no attempt sent, and its record removed.
+func TestQueryIsRejectedInTimeDuringRecordWrite(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
-	observer := decidedCounter{kinds: make(chan ResultKind, 1)}
+	observer := resultKindObserver{kinds: make(chan ResultKind, 1)}
 	p.ObserveDecisions(observer)
 	w := serveRecorded(t, p, store, gather.Succeeded)
 	query := newNonIdempotentQuery(p, "a")
 	query.Deadline = p.Now() + 300
 	results := pickAsync(t.Context(), p, query)
-	<-store.began
-	got := within(t, results, shortTime)
+	<-store.writeStarted
+	got := awaitResult(t, results, shortTimeout)
 	if now := p.Now(); got.Kind != Rejected || got.RetryAfter <= 0 || now >= query.Deadline {
-		t.Errorf("%+v, %.1f ms after the deadline", got, now-query.Deadline)
+		t.Errorf("%+v, %.1f ms after the deadline, want Rejected with RetryAfter before it", got, now-query.Deadline)
 	}
 	if kind := <-observer.kinds; kind != Rejected {
-		t.Errorf("observers are told of kind %d", kind)
+		t.Errorf("observers are notified of result kind %d, want Rejected", kind)
 	}
 	close(store.gate)
-	eventually(t, "the record ends", func() bool {
+	eventually(t, "the record is removed", func() bool {
 		store.mu.Lock()
 		defer store.mu.Unlock()
-		return slices.Equal(store.notRun, []string{"a"}) && !store.sent["a"]
+		return slices.Equal(store.notRun, []string{"a"}) && !store.recorded["a"]
 	})
-	if open, waiting := p.countOpen(), p.records.countSize(); w.countWritten(query) != 0 || open != 0 || waiting != 0 {
-		t.Errorf("%d attempts written, %d open, %d waiting", w.countWritten(query), open, waiting)
+	if open, waiting := p.openRequestCount(), p.records.waitingSize(); w.countWritten(query) != 0 || open != 0 ||
+		waiting != 0 {
+		t.Errorf("%d attempts written, %d open requests, waiting size %d, want 0", w.countWritten(query), open, waiting)
 	}
 }
 
-// TestFailedWriteSendsNothingAndLeavesNoRecord: the client is told to come again, and is served then.
-func TestFailedWriteSendsNothingAndLeavesNoRecord(t *testing.T) {
+// TestFailedRecordWriteRejectsQuery guards against sending a query whose record was not written, and against keeping
+// its ID as sent. The query is rejected with RetryAfter, and a retry is served.
+func TestFailedRecordWriteRejectsQuery(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	w := serveRecorded(t, p, store, gather.Succeeded)
 	close(store.gate)
-	store.fail(errors.New("disk full"))
+	store.setWriteError(errors.New("disk full"))
 	query := newNonIdempotentQuery(p, "a")
-	got := within(t, pickAsync(t.Context(), p, query), longTime)
+	got := awaitResult(t, pickAsync(t.Context(), p, query), longTimeout)
 	if got.Kind != Rejected || got.RetryAfter <= 0 || w.countWritten(query) != 0 {
-		t.Errorf("%+v, %d attempts written", got, w.countWritten(query))
+		t.Errorf("%+v, %d attempts written, want Rejected with RetryAfter and 0", got, w.countWritten(query))
 	}
-	store.fail(nil)
+	store.setWriteError(nil)
 	again := newNonIdempotentQuery(p, "a")
-	if got := within(t, pickAsync(t.Context(), p, again), longTime); got.Kind != Served {
-		t.Errorf("once the disk is well: %+v", got)
+	if got := awaitResult(t, pickAsync(t.Context(), p, again), longTimeout); got.Kind != Served {
+		t.Errorf("retry after the disk recovered: %+v, want Served", got)
 	}
 }
 
-// TestRejectedQueryLeavesNoRecord: the module rejects a query of which nothing was written.
+// TestRejectedQueryLeavesNoRecord guards against keeping the record of a query that the module rejects after none of
+// its attempts was written.
 func TestRejectedQueryLeavesNoRecord(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	serveRecorded(t, p, store, gather.NotSent)
 	close(store.gate)
 	query := newNonIdempotentQuery(p, "a")
 	query.Deadline = p.Now() + 300
-	if got := within(t, pickAsync(t.Context(), p, query), longTime); got.Kind != Rejected {
-		t.Errorf("%+v", got)
+	if got := awaitResult(t, pickAsync(t.Context(), p, query), longTimeout); got.Kind != Rejected {
+		t.Errorf("%+v, want Rejected", got)
 	}
 	eventually(t, "no record", func() bool { return !store.MayHaveRun("a", false, 0) })
 }
 
-// TestQueriesThatWaitShareAWriteAndAreBounded: the fifth of four is rejected at once, and idempotent ones find room.
-func TestQueriesThatWaitShareAWriteAndAreBounded(t *testing.T) {
-	const size = 3 // of a query with its two shard requests
+// TestWaitingQueriesShareOneWriteAndAreBounded checks that queries that arrive during a write share the next one, that
+// a fifth non-idempotent query is rejected at once where four may wait, and that idempotent queries are still admitted.
+func TestWaitingQueriesShareOneWriteAndAreBounded(t *testing.T) {
+	const size = 3 // open requests of one query: itself and its two shard requests
 	p := newPicker(t, func(s *gather.Settings) { s.MaxOpenRequests = 4 * 4 * size })
 	store := newGatedStore()
 	w := serveRecorded(t, p, store, gather.Succeeded)
 	results := []<-chan Result{pickAsync(t.Context(), p, newNonIdempotentQuery(p, "a"))}
-	<-store.began
+	<-store.writeStarted
 	for _, id := range []string{"b", "c", "d"} {
 		results = append(results, pickAsync(t.Context(), p, newNonIdempotentQuery(p, id)))
 	}
-	eventually(t, "three wait", func() bool { return p.records.countWaiting() == 3 })
-	refused := newNonIdempotentQuery(p, "e")
-	if got := within(t, pickAsync(t.Context(), p, refused), shortTime); got.Kind != Rejected || got.RetryAfter <= 0 {
-		t.Errorf("one too many: %+v", got)
+	eventually(t, "three queries wait", func() bool { return p.records.waitingCount() == 3 })
+	excess := newNonIdempotentQuery(p, "e")
+	if got := awaitResult(t, pickAsync(t.Context(), p, excess), shortTimeout); got.Kind != Rejected ||
+		got.RetryAfter <= 0 {
+		t.Errorf("query beyond the limit: %+v, want Rejected with RetryAfter", got)
 	}
 	idempotent := newQuery("any", 2, p.Now()+30_000)
 	idempotent.ID = "f"
-	if got := within(t, pickAsync(t.Context(), p, idempotent), shortTime); got.Kind != Served {
-		t.Errorf("an idempotent query: %+v", got)
+	if got := awaitResult(t, pickAsync(t.Context(), p, idempotent), shortTimeout); got.Kind != Served {
+		t.Errorf("idempotent query: %+v, want Served", got)
 	}
 	close(store.gate)
 	for i, result := range results {
-		if got := within(t, result, longTime); got.Kind != Served {
-			t.Errorf("number %d: %+v", i, got)
+		if got := awaitResult(t, result, longTimeout); got.Kind != Served {
+			t.Errorf("non-idempotent query %d: %+v, want Served", i, got)
 		}
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if len(store.writes) != 2 || w.countWritten(refused) != 0 {
-		t.Errorf("writes of %v, two expected; %d attempts of the refused one", store.writes, w.countWritten(refused))
+	if len(store.writes) != 2 || w.countWritten(excess) != 0 {
+		t.Errorf("writes of IDs %v, want 2 writes; %d attempts of the rejected query, want 0",
+			store.writes, w.countWritten(excess))
 	}
 }
 
-// TestSlowDiskDelaysNoRoundWithANewMap guards against rounds that wait until a new segment map is stored.
-func TestSlowDiskDelaysNoRoundWithANewMap(t *testing.T) {
+// TestSlowDiskDoesNotDelayRoundWithNewMap guards against rounds that wait until a new segment map is stored. Maps that
+// arrive during a write replace each other, so that only the newest is written next.
+func TestSlowDiskDoesNotDelayRoundWithNewMap(t *testing.T) {
 	p, m := newOwnershipPicker(t, nil)
 	store := newGatedStore()
 	p.SetNonIdempotentStore(store)
@@ -369,41 +381,41 @@
 		}()
 		select {
 		case <-ended:
-		case <-time.After(shortTime):
-			t.Error("a round waits for the disk")
+		case <-time.After(shortTimeout):
+			t.Error("a round with a new map waits for the disk")
 			store.gate <- struct{}{}
 			<-ended
 		}
 		if epoch == 0 {
-			<-store.began
+			<-store.writeStarted
 		}
 	}
 	close(store.gate)
 	if !p.CloseNonIdempotentStore(t.Context()) || !slices.Equal(store.epochs, []uint64{2, 4}) {
-		t.Errorf("epochs %v are stored, those of the first write and the newest expected", store.epochs)
+		t.Errorf("maps of epochs %v stored, want those of the first write and the newest: 2 and 4", store.epochs)
 	}
 }
 
-// TestStoreIsNotClosedDuringAWrite: the end of the process does not wait for a disk that hangs, and nothing is taken in
-// any more.
-func TestStoreIsNotClosedDuringAWrite(t *testing.T) {
+// TestStoreIsNotClosedDuringWrite guards against a shutdown that waits for a disk that hangs. Closing returns false
+// when its context ends, and the queue accepts no new record after that.
+func TestStoreIsNotClosedDuringWrite(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	serveRecorded(t, p, store, gather.Succeeded)
 	results := pickAsync(t.Context(), p, newNonIdempotentQuery(p, "a"))
-	<-store.began
+	<-store.writeStarted
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Millisecond)
 	defer cancel()
 	if p.CloseNonIdempotentStore(ctx) {
-		t.Error("closed during a write")
+		t.Error("CloseNonIdempotentStore returned true during a write")
 	}
-	if got := within(t, pickAsync(t.Context(), p, newNonIdempotentQuery(p, "b")), shortTime); got.Kind != Rejected {
-		t.Errorf("after the end: %+v", got)
+	if got := awaitResult(t, pickAsync(t.Context(), p, newNonIdempotentQuery(p, "b")), shortTimeout); got.Kind != Rejected {
+		t.Errorf("query after closing: %+v, want Rejected", got)
 	}
 	close(store.gate)
-	if got := within(t, results, longTime); got.Kind != Served {
-		t.Errorf("recorded before the end: %+v", got)
+	if got := awaitResult(t, results, longTimeout); got.Kind != Served {
+		t.Errorf("query whose write began before closing: %+v, want Served", got)
 	}
 	if !p.CloseNonIdempotentStore(t.Context()) {
-		t.Error("not closed after the write")
+		t.Error("CloseNonIdempotentStore returned false after the write")
 	}
 }
--- a/internal/gatherer/dispatch/recordrandom_test.go
+++ b/internal/gatherer/dispatch/recordrandom_test.go
@@ -13,7 +13,7 @@
 	"yokeroute/logic/ownership"
 )
 
-// randomStore is a disk that takes its time, and fails now and then.
+// randomStore is a store in memory whose writes take a random time and fail at random.
 type randomStore struct {
 	t *testing.T
 
@@ -42,7 +42,7 @@
 	defer s.mu.Unlock()
 	for _, id := range ids {
 		if s.recorded[id] {
-			s.t.Errorf("%s is recorded twice", id)
+			s.t.Errorf("ID %s is recorded twice", id)
 		}
 		s.recorded[id] = true
 	}
@@ -53,7 +53,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.recorded[id] {
-		s.t.Errorf("the record of %s ends, and there is none", id)
+		s.t.Errorf("RecordNotRun for ID %s, which is not recorded", id)
 	}
 	delete(s.recorded, id)
 	return nil
@@ -61,22 +61,23 @@
 
 func (s *randomStore) SaveMap(*ownership.Map) error { return nil }
 
-// TestNonIdempotentQueriesRunOnceBehindTheirRecord plays clients that share IDs, leave, and give little time, beside a
-// disk that is slow and fails. No attempt is written before its ID is recorded, of the queries of an ID one runs, a query
-// that is rejected has not run, and in the end just those IDs are recorded of which one has run.
-func TestNonIdempotentQueriesRunOnceBehindTheirRecord(t *testing.T) {
+// TestNonIdempotentQueriesRunOnceAfterBeingRecorded runs concurrent clients that reuse IDs, disconnect and set short
+// deadlines, with a store that is slow and fails. It checks that no attempt is written before its ID is recorded, that
+// at most one query of each ID runs, that no rejected query has run, and that exactly the IDs that ran are recorded in
+// the end.
+func TestNonIdempotentQueriesRunOnceAfterBeingRecorded(t *testing.T) {
 	const (
 		clients = 16
-		queries = 40 // of each client
+		queries = 40 // queries per client
 		ids     = 150
 	)
 	p := newPicker(t, nil)
 	store := &randomStore{t: t, random: rand.New(rand.NewPCG(1, 0)), recorded: map[string]bool{}}
 	ctx, stop := context.WithCancel(t.Context())
-	var serving, playing sync.WaitGroup
+	var roundsDone, clientsDone sync.WaitGroup
 	p.SetNonIdempotentStore(store)
-	ran := map[string]*Query{} // by ID; it belongs to the goroutine that runs rounds
-	serving.Go(func() {
+	ran := map[string]*Query{} // keyed by ID; only the goroutine that runs rounds accesses it
+	roundsDone.Go(func() {
 		random := rand.New(rand.NewPCG(2, 0))
 		for {
 			actions, err := p.RunRound(ctx)
@@ -84,7 +85,7 @@
 				return
 			}
 			for _, a := range actions.Send {
-				runRandomly(t, p, store, ran, a, random)
+				runOrSkip(t, p, store, ran, a, random)
 			}
 		}
 	})
@@ -92,7 +93,7 @@
 	counts := make([]map[ResultKind]int, clients)
 	for client := range clients {
 		counts[client] = map[ResultKind]int{}
-		playing.Go(func() {
+		clientsDone.Go(func() {
 			random := rand.New(rand.NewPCG(3, uint64(client)))
 			for range queries {
 				query := newNonIdempotentQuery(p, fmt.Sprint(random.IntN(ids)))
@@ -107,13 +108,13 @@
 			}
 		})
 	}
-	playing.Wait()
+	clientsDone.Wait()
 	if !p.CloseNonIdempotentStore(t.Context()) {
-		t.Error("not closed")
+		t.Error("CloseNonIdempotentStore did not finish")
 	}
 	stop()
-	serving.Wait()
-	checkRan(t, ran, rejected, store.recorded)
+	roundsDone.Wait()
+	checkRecordsMatchRuns(t, ran, rejected, store.recorded)
 	total := map[ResultKind]int{}
 	for _, c := range counts {
 		for kind, n := range c {
@@ -121,12 +122,12 @@
 		}
 	}
 	if total[Served] < 10 || total[Rejected] < 10 || total[Failed] < 10 || total[Abandoned] < 10 {
-		t.Errorf("results by kind: %v, ten of each expected", total)
+		t.Errorf("results by kind: %v, want at least 10 each of Served, Rejected, Failed and Abandoned", total)
 	}
 }
 
-// runRandomly runs an attempt, or reports that it was not sent.
-func runRandomly(t *testing.T, p *Picker, store *randomStore, ran map[string]*Query, a *Attempt, random *rand.Rand) {
+// runOrSkip runs an attempt, or reports at random that it was not sent.
+func runOrSkip(t *testing.T, p *Picker, store *randomStore, ran map[string]*Query, a *Attempt, random *rand.Rand) {
 	const notSentShare = 0.3
 	if random.Float64() < notSentShare || !a.BeginWrite() {
 		p.Report(a, gather.NotSent, nil)
@@ -134,33 +135,33 @@
 	}
 	query := a.Query()
 	if !store.MayHaveRun(query.ID, false, 0) {
-		t.Errorf("%s is written before its record", query.ID)
+		t.Errorf("query %s is written before it is recorded", query.ID)
 	}
 	if other := ran[query.ID]; other != nil && other != query {
-		t.Errorf("two queries of ID %s run", query.ID)
+		t.Errorf("two queries with ID %s run", query.ID)
 	}
 	ran[query.ID] = query
 	a.EndWrite()
 	p.Report(a, gather.Succeeded, []byte("x"))
 }
 
-// checkRan checks what ran against the results and the records.
-func checkRan(t *testing.T, ran map[string]*Query, rejected chan *Query, recorded map[string]bool) {
+// checkRecordsMatchRuns checks the queries that ran against the rejected ones and the records.
+func checkRecordsMatchRuns(t *testing.T, ran map[string]*Query, rejected chan *Query, recorded map[string]bool) {
 	t.Helper()
 	close(rejected)
 	for query := range rejected {
 		if ran[query.ID] == query {
-			t.Errorf("a query of ID %s is rejected and has run", query.ID)
+			t.Errorf("query %s was rejected, but has run", query.ID)
 		}
 	}
 	for id := range ran {
 		if !recorded[id] {
-			t.Errorf("%s has run and is not recorded", id)
+			t.Errorf("query %s has run, but is not recorded", id)
 		}
 	}
 	for id := range recorded {
 		if ran[id] == nil {
-			t.Errorf("%s is recorded, and no query of it has run", id)
+			t.Errorf("ID %s is recorded, but no query with it has run", id)
 		}
 	}
 }
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -7,25 +7,28 @@
 	"yokeroute/internal/stats"
 )
 
-// clockTolerance is by how many milliseconds others may time an event differently.
+// clockTolerance is the maximum difference, in milliseconds, assumed between this process's time of an event and that
+// of others.
 const clockTolerance = 1.0
 
-// retryBudget counts retries and hedged requests when their first byte is written. The module counts them when it
-// decides on them, which is earlier by what a new connection takes: attempts that waited together would go together,
-// in a window in which fewer requests were admitted than when they were decided on.
+// retryBudget limits retries and hedged requests. It counts them when their first byte is written. The module counts
+// them when it decides on them, which is earlier by the time that a new connection takes. With the module's count
+// alone, attempts that waited for the same connection would be sent together, in a window in which fewer requests were
+// admitted than in the one in which they were decided on.
 //
-// A nil retryBudget allows everything.
+// A nil retryBudget allows every retry.
 type retryBudget struct {
-	window float64 // milliseconds
+	window float64 // length in milliseconds
 
 	mu       sync.Mutex
-	floor    float64   // retries that are always allowed in a window
-	ratio    float64   // more of them for each request admitted in it
-	admitted []float64 // times of queries and shard requests, in the window
-	charged  []float64 // times of retries, likewise
+	floor    float64   // number of retries allowed in any window
+	ratio    float64   // additional retries per request admitted in the window
+	admitted []float64 // admission times of queries and shard requests in the window
+	charged  []float64 // times of the retries written in the window
 }
 
-// newRetryBudget returns nil where the settings have no budget: the module keeps one of its own, which is no rule.
+// newRetryBudget returns nil if the settings define no retry budget. The module then applies a budget of
+// its own, which need not be enforced on the wire.
 func newRetryBudget(settings *gather.Settings) *retryBudget {
 	if settings.RetryBudgetWindow == 0 {
 		return nil
@@ -37,7 +40,7 @@
 	}
 }
 
-// update takes over a new floor and ratio; what has been counted stays counted.
+// update sets a new floor and ratio. The counts are kept.
 func (b *retryBudget) update(settings *gather.Settings) {
 	if b == nil {
 		return
@@ -48,7 +51,7 @@
 	b.ratio = settings.RetryBudgetRatio
 }
 
-// admit counts a query with its shard requests.
+// admit counts size admitted requests: a query and its shard requests.
 func (b *retryBudget) admit(now float64, size int) {
 	if b == nil {
 		return
@@ -61,7 +64,7 @@
 	}
 }
 
-// charge reports whether one more retry may be written now, and counts it if so.
+// charge reports whether one more retry may be written now, and counts it if it may.
 func (b *retryBudget) charge(now float64) bool {
 	if b == nil {
 		return true
--- a/internal/gatherer/dispatch/round.go
+++ b/internal/gatherer/dispatch/round.go
@@ -8,54 +8,58 @@
 	"yokeroute/gather"
 )
 
-// Actions are what the network has to carry out after a round, in this order.
+// Actions lists what the network layer must carry out after a round, in the order of the fields.
 type Actions struct {
-	StopWriting []*Attempt // of queries that are decided: what is not written completely by now must not be
-	Cancel      []*Attempt // given up; the shard server is notified
-	Send        []*Attempt // new; those to one server may share frames
-	CheckHealth []uint32   // servers whose load is requested
+	// StopWriting lists the unfinished attempts of decided queries. What is not completely written yet must not be
+	// written any more.
+	StopWriting []*Attempt
+	Cancel      []*Attempt // attempts to cancel, notifying their shard servers
+	Send        []*Attempt // new attempts; those to the same server may share frames
+	CheckHealth []uint32   // servers to request a load report from
 }
 
-// schedule says when rounds are due.
+// schedule determines when rounds are due. Times are milliseconds on the picker's clock.
 type schedule struct {
-	interval float64 // between rounds at least
-	lastAt   float64
-	wakeAt   float64 // requested by the module, infinite where it is not
+	interval    float64 // minimum time between rounds
+	lastRoundAt float64
+	wakeAt      float64 // time of the round that the module requested, infinite if it requested none
 }
 
-// nextAt is when the next round is due: an interval after the last one at the earliest.
+// nextAt returns when the next round is due: at once if input is pending, else when the module requested it, but never
+// less than an interval after the previous round.
 func (s *schedule) nextAt(pending bool) float64 {
-	at := s.wakeAt
+	dueAt := s.wakeAt
 	if pending {
-		at = 0
+		dueAt = 0
 	}
-	return max(at, s.lastAt+s.interval)
+	return max(dueAt, s.lastRoundAt+s.interval)
 }
 
-// begin notes that a round begins. It returns for how long it was held up after the time that the module requested.
+// begin records the start of a round. It returns by how many milliseconds the round starts later than the module
+// requested.
 func (s *schedule) begin(now float64) (heldUp float64) {
 	requestedAt := s.nextAt(false)
-	s.lastAt = now
+	s.lastRoundAt = now
 	if s.wakeAt <= now {
 		s.wakeAt = math.Inf(1)
 	}
 	return max(now-requestedAt, 0)
 }
 
-// RunRound blocks until a round is due and runs it on all input that has come. It returns an error only when ctx
-// ends.
+// RunRound blocks until a round is due, runs it on all pending input and returns its actions. It returns an error only
+// if ctx ends.
 func (p *Picker) RunRound(ctx context.Context) (Actions, error) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		at := p.schedule.nextAt(p.intake.pending())
+		dueAt := p.schedule.nextAt(p.intake.pending())
 		now := p.Now()
-		if now >= at {
+		if now >= dueAt {
 			return p.runRound(now), nil
 		}
 		var due <-chan time.Time
-		if !math.IsInf(at, 1) {
-			timer.Reset(time.Duration((at-now)*float64(time.Millisecond)) + 1)
+		if !math.IsInf(dueAt, 1) {
+			timer.Reset(time.Duration((dueAt-now)*float64(time.Millisecond)) + 1)
 			due = timer.C
 		}
 		select {
@@ -67,7 +71,7 @@
 	}
 }
 
-// runRound runs the module once on all input. The order of its steps is part of what the module decides by.
+// runRound runs the module once on all pending input. The order of the steps affects the module's decisions.
 func (p *Picker) runRound(now float64) Actions {
 	in := p.intake.drain()
 	p.actions = Actions{}
@@ -91,13 +95,13 @@
 	for _, query := range in.admitted {
 		p.startQuery(&in.Round, query, now)
 	}
-	p.twoPass.abandonPasses(in.Abandoned)
+	p.twoPass.replaceAbandonedIDs(in.Abandoned)
 	in.Now = now
 	p.runModule(&in.Round)
 	if p.gate != nil {
 		p.reportDrained()
 	}
-	p.module.answerViews(in.viewRequests)
+	p.module.sendViews(in.viewRequests)
 	p.observeUnadmitted(in.unadmitted)
 	for _, id := range in.Abandoned {
 		p.finish(p.queries.byID[id], Result{Kind: Abandoned})
@@ -107,10 +111,10 @@
 	return p.actions
 }
 
-// applyEndpointLists keeps the endpoints for a module that has to restart.
+// applyEndpointLists updates the endpoint table, from which a module that restarts after a panic gets its endpoints.
 func (p *Picker) applyEndpointLists(lists []gather.EndpointList) {
 	for i := range lists {
-		for _, restarted := range p.endpoints.apply(&lists[i]) { // perhaps of another build
+		for _, restarted := range p.endpoints.apply(&lists[i]) { // the new process may run another build
 			delete(p.twoPass.answersFirstPass, restarted)
 		}
 	}
--- a/internal/gatherer/dispatch/slowdisk_test.go
+++ b/internal/gatherer/dispatch/slowdisk_test.go
@@ -8,10 +8,10 @@
 	"yokeroute/logic/ownership"
 )
 
-// slowStore is a store whose disk writes nothing until it is released.
+// slowStore is a store whose writes block until unblock is closed.
 type slowStore struct {
-	writing  chan struct{} // has a value once a write has begun
-	released chan struct{}
+	writeStarted chan struct{} // receives a value when a write starts
+	unblock      chan struct{}
 }
 
 // MayHaveRun implements NonIdempotentStore.
@@ -19,8 +19,8 @@
 
 // RecordSent implements NonIdempotentStore.
 func (s *slowStore) RecordSent([]string, float64) error {
-	s.writing <- struct{}{}
-	<-s.released
+	s.writeStarted <- struct{}{}
+	<-s.unblock
 	return nil
 }
 
@@ -30,8 +30,8 @@
 // SaveMap implements NonIdempotentStore.
 func (s *slowStore) SaveMap(*ownership.Map) error { return nil }
 
-// sendAll runs rounds until ctx ends, and hands on the IDs of the queries whose attempts they send.
-func sendAll(ctx context.Context, p *Picker, sent chan<- string) {
+// runRounds runs rounds until ctx ends and sends the query ID of each attempt to sent.
+func runRounds(ctx context.Context, p *Picker, sent chan<- string) {
 	for {
 		actions, err := p.RunRound(ctx)
 		if err != nil {
@@ -43,17 +43,17 @@
 	}
 }
 
-// TestSlowDiskDelaysNoIdempotentQuery guards against a gatherer that answers nothing while its disk writes the ID of
-// one non-idempotent query: idempotent queries need no record.
-func TestSlowDiskDelaysNoIdempotentQuery(t *testing.T) {
+// TestSlowDiskDoesNotDelayIdempotentQuery guards against a gatherer that stops sending any queries while its disk
+// writes the ID of one non-idempotent query. Idempotent queries need no record.
+func TestSlowDiskDoesNotDelayIdempotentQuery(t *testing.T) {
 	p := newPicker(t, nil)
-	store := &slowStore{writing: make(chan struct{}, 1), released: make(chan struct{})}
+	store := &slowStore{writeStarted: make(chan struct{}, 1), unblock: make(chan struct{})}
 	p.SetNonIdempotentStore(store)
 	ctx, stop := context.WithCancel(t.Context())
 	sent := make(chan string, 100)
 	ended := make(chan struct{})
 	go func() {
-		sendAll(ctx, p, sent)
+		runRounds(ctx, p, sent)
 		close(ended)
 	}()
 	t.Cleanup(func() {
@@ -62,17 +62,17 @@
 	})
 	recorded := newQuery("all", 2, p.Now()+3000)
 	pickAsync(ctx, p, recorded)
-	<-store.writing
+	<-store.writeStarted
 	idempotent := newQuery("any", 2, p.Now()+3000)
 	idempotent.ID = "b"
 	pickAsync(ctx, p, idempotent)
 	select {
 	case id := <-sent:
 		if id != idempotent.ID {
-			t.Errorf("%s is sent before it is recorded", id)
+			t.Errorf("query %s is sent before it is recorded", id)
 		}
 	case <-time.After(time.Second):
-		t.Error("an idempotent query is not sent for 1 s, while the disk writes")
+		t.Error("an idempotent query is not sent within 1 s while the disk writes")
 	}
-	close(store.released)
+	close(store.unblock)
 }
--- a/internal/gatherer/dispatch/stepped.go
+++ b/internal/gatherer/dispatch/stepped.go
@@ -8,9 +8,9 @@
 	"yokeroute/gather"
 )
 
-// NewStepped returns a picker whose rounds the caller runs one by one, on the caller's clock: for models of fleets in
-// virtual time. A nil build stands for the project's own module. No method may be called by two goroutines at once,
-// and RunRound and Pick not at all.
+// NewStepped returns a picker whose rounds the caller runs one by one, on the caller's clock. It is for fleet models
+// that run in virtual time. If build is nil, the picker uses the module of package logic. The methods must not be
+// called concurrently, and RunRound and Pick must not be called at all.
 func NewStepped(
 	seed uint64, settings *gather.Settings, build ModuleFactory, now func() float64, log *logrus.Logger,
 ) *Picker {
@@ -22,19 +22,19 @@
 	return p
 }
 
-// NextRoundAt is when the next round is due; it is infinite where nothing waits.
+// NextRoundAt returns when the next round is due, or infinity if there is neither input nor a requested round.
 func (p *Picker) NextRoundAt() float64 { return p.schedule.nextAt(p.intake.pending()) }
 
-// RunRoundNow runs a round.
+// RunRoundNow runs a round at once, whether or not one is due.
 func (p *Picker) RunRoundNow() Actions { return p.runRound(p.Now()) }
 
-// Submit submits a query for the next round. It reports false where too many requests are open.
+// Submit queues a query for the next round. It returns false if the query would exceed the limit on open requests.
 func (p *Picker) Submit(query *Query) bool { return p.submit(query) }
 
-// Abandon reports that a query's client has gone. The query has its result after the next round.
+// Abandon reports that a query's client has disconnected. The query has its result after the next round.
 func (p *Picker) Abandon(query *Query) { p.abandon(query) }
 
-// EndpointViews is what the module knows of the endpoints after one more round; nil where ctx ends before that.
+// EndpointViews returns the module's view of the endpoints after the next round, or nil if ctx ends before that.
 func (p *Picker) EndpointViews(ctx context.Context) []gather.EndpointView {
 	views := make(chan []gather.EndpointView, 1)
 	p.intake.enqueue(func(in *inbox) { in.viewRequests = append(in.viewRequests, views) })
--- a/internal/gatherer/dispatch/twopass.go
+++ b/internal/gatherer/dispatch/twopass.go
@@ -6,21 +6,23 @@
 	"yokeroute/logic/twopass"
 )
 
-// deadlineRounds is how many rounds before a query's deadline it is ended; a first pass gets them on top.
-const deadlineRounds = 3
+// deadlineMarginRounds is the number of round intervals before its deadline at which a query ends. The deadline of a
+// first pass is extended by as many, so that the first pass itself ends on time.
+const deadlineMarginRounds = 3
 
-// pass makes a query a pass of another one. The module decides on the pass in place of its parent.
+// pass describes one pass of a client's query. The module decides on the pass, which is a Query of its own, in place
+// of the parent.
 type pass struct {
 	parent           *Query // nil for a client's query
 	kind             gather.Pass
 	parentAdmittedAt float64
-	receivedWeight   float64                  // of the parent's shard requests that are not part of the pass
-	fullCallExtra    float64                  // of a first pass
-	parentIndexes    []int                    // of its shard requests, in the parent
-	requests         []twopass.PlannedRequest // of a second pass
+	receivedWeight   float64                  // weight of the parent's shard requests that the pass leaves out
+	fullCallExtra    float64                  // first pass only: how much longer a full request takes
+	parentIndexes    []int                    // for each shard request of the pass, its index in the parent
+	requests         []twopass.PlannedRequest // second pass only: the plan for each shard request
 }
 
-// newPass returns a pass of a query without shard requests.
+// newPass returns a new pass of q that has no shard requests yet.
 func (q *Query) newPass(kind gather.Pass) *Query {
 	return &Query{
 		ID:       q.ID,
@@ -34,13 +36,13 @@
 	}
 }
 
-// addFromParent adds a shard request of the parent.
+// addFromParent adds the parent's shard request at index to the pass.
 func (q *Query) addFromParent(index int) {
 	q.ShardRequests = append(q.ShardRequests, q.pass.parent.ShardRequests[index])
 	q.pass.parentIndexes = append(q.pass.parentIndexes, index)
 }
 
-// root is the client's query.
+// root returns the client's query: the parent of a pass, else q itself.
 func (q *Query) root() *Query {
 	if q.pass.parent != nil {
 		return q.pass.parent
@@ -48,30 +50,30 @@
 	return q
 }
 
-// passProgress is how far a two-pass query has come.
+// passProgress tracks the passes of a two-pass query.
 type passProgress struct {
-	current  *Query // the pass that the module decides on, or is about to get
+	current  *Query // the pass that the module decides on, or that waits for the next round
 	outcomes []twopass.FirstPassOutcome
 }
 
-// twoPassState is what the picker keeps for two-pass queries.
+// twoPassState holds the picker's state for two-pass queries.
 type twoPassState struct {
-	decider          *twopass.Decider // nil where no class is enabled
-	answersFirstPass map[uint32]bool  // by server
+	decider          *twopass.Decider // nil if two-pass decisions are disabled
+	answersFirstPass map[uint32]bool  // keyed by server
 	queries          map[uint64]*Query
-	pending          []*Query // second passes for the next round
-	firstPassShards  []bool   // by shard modulo their number: some replica answers first passes
+	pending          []*Query // second passes that wait for the next round
+	firstPassShards  []bool   // indexed by shard modulo length: true if some replica answers first passes
 	runningServers   int
 }
 
-// EnableTwoPass has queries of some classes decided in one pass or in two.
+// EnableTwoPass lets queries of the given classes run in one pass or in two, as twopass.Decider decides.
 func (p *Picker) EnableTwoPass(classes map[string]twopass.Settings) {
 	p.twoPass.decider = twopass.New(p.module.seed+1, classes)
 	p.twoPass.answersFirstPass = map[uint32]bool{}
 	p.twoPass.queries = map[uint64]*Query{}
 }
 
-// SetAnswersFirstPass hands in whether a server was found to answer first passes.
+// SetAnswersFirstPass queues the result of a check whether a server answers first passes.
 func (p *Picker) SetAnswersFirstPass(server uint32, answers bool) {
 	p.intake.enqueue(func(in *inbox) {
 		if in.answersFirstPass == nil {
@@ -82,7 +84,7 @@
 }
 
 // applyFirstPassServers marks in the endpoint lists which servers answer first passes. A server that has restarted
-// counts as one that does not until it is found to again.
+// counts as not answering them until a new check finds that it does.
 func (p *Picker) applyFirstPassServers(in *inbox) {
 	t := &p.twoPass
 	if t.decider == nil || len(in.EndpointLists) == 0 && len(in.answersFirstPass) == 0 {
@@ -107,7 +109,7 @@
 	t.countServers(&p.endpoints, p.settings)
 }
 
-// countServers counts the running servers and finds the shards of which some replica answers first passes.
+// countServers counts the running servers and determines the shards with a replica that answers first passes.
 func (t *twoPassState) countServers(endpoints *endpointTable, settings *gather.Settings) {
 	replicaSets := max(settings.ReplicaSets, 1)
 	perShard := max(settings.ReplicaSetsPerShard, 1)
@@ -129,12 +131,12 @@
 	}
 }
 
-// answersShard reports whether some replica of a shard answers first passes.
-func (t *twoPassState) answersShard(shard int) bool {
+// shardAnswersFirstPass reports whether some replica of the shard answers first passes.
+func (t *twoPassState) shardAnswersFirstPass(shard int) bool {
 	return len(t.firstPassShards) > 0 && t.firstPassShards[shard%len(t.firstPassShards)]
 }
 
-// startQuery hands an admitted query to the module, or its first pass.
+// startQuery passes an admitted query, or its first pass, to the module.
 func (p *Picker) startQuery(in *gather.Round, query *Query, now float64) {
 	query.admittedAt = now
 	query.generation = p.policy.generation
@@ -142,16 +144,17 @@
 		return
 	}
 	t := &p.twoPass
-	if t.decider == nil || p.ownership != nil || !t.decider.Enabled(query.Class) { // pieces go in one pass
+	if t.decider == nil || p.ownership != nil || !t.decider.Enabled(query.Class) {
+		// Queries that are split into pieces by owner run in one pass too.
 		p.observeAdmitted(query, nil, now)
 		p.addToRound(in, query)
 		return
 	}
-	first := p.firstPassOf(query)
+	firstPass := p.firstPassOf(query)
 	decision := t.decider.Decide(now, twopass.Query{
 		Class:             query.Class,
 		ShardRequests:     len(query.ShardRequests),
-		FirstPassRequests: len(first.ShardRequests),
+		FirstPassRequests: len(firstPass.ShardRequests),
 		Deadline:          query.Deadline,
 		RunningServers:    t.runningServers,
 		RetryBudgetLeft:   p.module.RetryBudgetLeft() - logic.FirstPassRetryReserve*firstPassRequestsIn(in),
@@ -161,53 +164,53 @@
 		p.addToRound(in, query)
 		return
 	}
-	query.twoPass = &passProgress{current: first, outcomes: make([]twopass.FirstPassOutcome, len(query.ShardRequests))}
+	query.twoPass = &passProgress{current: firstPass, outcomes: make([]twopass.FirstPassOutcome, len(query.ShardRequests))}
 	for i, r := range query.ShardRequests {
 		query.twoPass.outcomes[i].Weight = r.Weight
 	}
-	first.Deadline = min(decision.FirstPassDeadline+deadlineRounds*p.schedule.interval, query.Deadline)
-	first.pass.fullCallExtra = decision.FullCallExtra
-	first.assignID(p.intake.allocate(first.size()))
+	firstPass.Deadline = min(decision.FirstPassDeadline+deadlineMarginRounds*p.schedule.interval, query.Deadline)
+	firstPass.pass.fullCallExtra = decision.FullCallExtra
+	firstPass.assignID(p.intake.allocate(firstPass.size()))
 	t.queries[query.id] = query
-	p.addToRound(in, first)
+	p.addToRound(in, firstPass)
 }
 
-func (p *Picker) observeAdmitted(query *Query, decision *twopass.Decision, at float64) {
+func (p *Picker) observeAdmitted(query *Query, decision *twopass.Decision, now float64) {
 	for _, o := range p.observers.decisions {
-		o.QueryAdmitted(query, decision, at)
+		o.QueryAdmitted(query, decision, now)
 	}
 }
 
-// firstPassOf returns a first pass over the shards that answer one. The others count as received: the first pass does
-// not wait for them.
+// firstPassOf returns a first pass over those shards of a query that answer first passes. The weight of the others
+// counts as received, because the first pass does not wait for them.
 func (p *Picker) firstPassOf(query *Query) *Query {
-	first := query.newPass(gather.FirstPass)
+	firstPass := query.newPass(gather.FirstPass)
 	for i, r := range query.ShardRequests {
-		if p.twoPass.answersShard(r.Shard) {
-			first.addFromParent(i)
+		if p.twoPass.shardAnswersFirstPass(r.Shard) {
+			firstPass.addFromParent(i)
 		} else {
-			first.pass.receivedWeight += r.Weight
+			firstPass.pass.receivedWeight += r.Weight
 		}
 	}
-	return first
+	return firstPass
 }
 
-// firstPassRequestsIn counts the shard requests of first passes in a round, for which the module has not held back
-// any retries yet.
+// firstPassRequestsIn counts the shard requests of first passes in a round that the module has not run yet. The module
+// has therefore not yet reserved any of its retry budget for them.
 func firstPassRequestsIn(in *gather.Round) (n float64) {
-	first := map[uint64]bool{}
+	isFirstPass := map[uint64]bool{}
 	for _, query := range in.Queries {
-		first[query.Number] = query.Pass == gather.FirstPass
+		isFirstPass[query.Number] = query.Pass == gather.FirstPass
 	}
 	for _, request := range in.Requests {
-		if first[request.Number] {
+		if isFirstPass[request.Number] {
 			n++
 		}
 	}
 	return n
 }
 
-// addSecondPasses hands the pending second passes to the module.
+// addSecondPasses passes the pending second passes to the module.
 func (p *Picker) addSecondPasses(in *gather.Round) {
 	for _, second := range p.twoPass.pending {
 		p.addToRound(in, second)
@@ -216,8 +219,9 @@
 	p.twoPass.pending = p.twoPass.pending[:0]
 }
 
-// abandonPasses replaces the IDs of two-pass queries by those of the passes that the module decides on.
-func (t *twoPassState) abandonPasses(ids []uint64) {
+// replaceAbandonedIDs replaces the IDs of abandoned two-pass queries by those of their current passes, because the
+// module knows only the passes.
+func (t *twoPassState) replaceAbandonedIDs(ids []uint64) {
 	for i, id := range ids {
 		if query := t.queries[id]; query != nil && query.twoPass.current != nil {
 			ids[i] = query.twoPass.current.id
@@ -225,7 +229,8 @@
 	}
 }
 
-// recordSummary keeps a summary of a first pass. One that comes after the pass has ended proves nothing.
+// recordSummary stores a shard's summary from a first pass. It ignores a summary that arrives after the pass has
+// ended.
 func (q *Query) recordSummary(index int, summary *twopass.Summary) {
 	progress := q.pass.parent.twoPass
 	if progress.current != q {
@@ -237,21 +242,22 @@
 	outcome.Likelihood = summary.Likelihood
 }
 
-// finishPass goes on after a pass has ended: with its parent's result or with the second pass.
-func (p *Picker) finishPass(ended *Query, result Result) {
-	query := ended.pass.parent
-	if result.Kind == InternalError || result.Kind == Abandoned || ended.pass.kind == gather.SecondPass {
+// finishPass continues a two-pass query after one of its passes has ended: it delivers the query's result or starts
+// the second pass.
+func (p *Picker) finishPass(endedPass *Query, result Result) {
+	query := endedPass.pass.parent
+	if result.Kind == InternalError || result.Kind == Abandoned || endedPass.pass.kind == gather.SecondPass {
 		result.EmptyShards = query.emptyShards()
 		p.finishTwoPass(query, result)
 		return
 	}
 	outcomes := query.twoPass.outcomes
-	for i, index := range ended.pass.parentIndexes {
-		outcomes[index].Attempted = len(ended.attempts[i]) > 0
+	for i, index := range endedPass.pass.parentIndexes {
+		outcomes[index].Attempted = len(endedPass.attempts[i]) > 0
 	}
 	plan := p.twoPass.decider.PlanSecondPass(query.Class, outcomes)
 	for _, o := range p.observers.decisions {
-		o.FirstPassEnded(query, &plan, p.schedule.lastAt)
+		o.FirstPassEnded(query, &plan, p.schedule.lastRoundAt)
 	}
 	if plan.Done {
 		p.finishTwoPass(query, Result{Kind: Served, Complete: plan.Complete, EmptyShards: query.emptyShards()})
@@ -260,23 +266,23 @@
 	p.startSecondPass(query, &plan)
 }
 
-// startSecondPass leaves a second pass for the next round.
+// startSecondPass queues a query's second pass for the next round.
 func (p *Picker) startSecondPass(query *Query, plan *twopass.Plan) {
-	second := query.newPass(gather.SecondPass)
-	second.pass.parentAdmittedAt = query.admittedAt
-	second.pass.receivedWeight = plan.ProvedWeight
-	second.pass.requests = plan.Requests
+	secondPass := query.newPass(gather.SecondPass)
+	secondPass.pass.parentAdmittedAt = query.admittedAt
+	secondPass.pass.receivedWeight = plan.ProvedWeight
+	secondPass.pass.requests = plan.Requests
 	for _, planned := range plan.Requests {
-		second.addFromParent(planned.Index)
-		second.Cost += query.ShardRequests[planned.Index].Cost
+		secondPass.addFromParent(planned.Index)
+		secondPass.Cost += query.ShardRequests[planned.Index].Cost
 	}
-	second.assignID(p.intake.allocate(second.size()))
-	query.twoPass.current = second
-	p.twoPass.pending = append(p.twoPass.pending, second)
+	secondPass.assignID(p.intake.allocate(secondPass.size()))
+	query.twoPass.current = secondPass
+	p.twoPass.pending = append(p.twoPass.pending, secondPass)
 	p.Wake()
 }
 
-// emptyShards are the shards that a first pass proved to hold nothing.
+// emptyShards returns the shards that the first pass proved to hold no match.
 func (q *Query) emptyShards() (shards []int) {
 	for i, outcome := range q.twoPass.outcomes {
 		if outcome.Answered && outcome.ProvedEmpty {
--- a/internal/gatherer/dispatch/writer.go
+++ b/internal/gatherer/dispatch/writer.go
@@ -6,7 +6,7 @@
 	"yokeroute/gather"
 )
 
-// writer takes the module's decisions of a round.
+// writer receives the module's decisions during a round.
 type writer struct{ p *Picker }
 
 var _ gather.Writer = writer{}
@@ -27,23 +27,23 @@
 		shard:         query.ShardRequests[query.shardRequestOf(ref.index)].Shard,
 		moduleID:      request,
 		number:        len(query.attempts[ref.index]),
-		decidedAt:     w.p.schedule.lastAt,
+		decidedAt:     w.p.schedule.lastRoundAt,
 		nonIdempotent: w.p.nonIdempotent(query),
 		onlyInFlight:  true,
 	}
 	a.usesRetryBudget = a.number > 0 || query.pass.requests != nil && query.pass.requests[ref.index].Retry
 	if query.pieces != nil {
-		query.pieces[ref.index].send(a)
+		query.pieces[ref.index].addAttempt(a)
 	}
-	earlier := query.attempts[ref.index]
+	earlierAttempts := query.attempts[ref.index]
 	if class := w.p.settings.Class(query.root().Class); class.Effect == gather.IdempotencyKeyed {
-		a.earlier = slices.Clone(earlier)
+		a.earlierAttempts = slices.Clone(earlierAttempts)
 		a.idempotencyWindow = class.IdempotencyWindow
 	}
-	for _, e := range earlier {
+	for _, e := range earlierAttempts {
 		a.onlyInFlight = a.onlyInFlight && e.ended.Load()
 	}
-	query.attempts[ref.index] = append(earlier, a)
+	query.attempts[ref.index] = append(earlierAttempts, a)
 	for _, attempts := range query.attempts {
 		a.shardsAttempted += min(len(attempts), 1)
 	}
@@ -79,14 +79,14 @@
 
 // Wake implements gather.Writer.
 func (w writer) Wake(after float64) {
-	w.p.schedule.wakeAt = min(w.p.schedule.wakeAt, w.p.schedule.lastAt+after)
+	w.p.schedule.wakeAt = min(w.p.schedule.wakeAt, w.p.schedule.lastRoundAt+after)
 }
 
 // Subscribe implements gather.Writer.
 func (w writer) Subscribe() {
 	select {
 	case w.p.listRequested <- struct{}{}:
-	default: // requested already
+	default: // a request is already pending
 	}
 }
 
