--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -372,7 +372,8 @@
 				switch kind {
 				case 0:
 					if s.Hi-s.Lo > 1000 && len(authoritative.Segments) < 14 {
-						c, err = authoritative.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)), fmt.Sprint("n", nextName, "a"), fmt.Sprint("n", nextName, "b"))
+						c, err = authoritative.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)),
+							fmt.Sprint("n", nextName, "a"), fmt.Sprint("n", nextName, "b"))
 					}
 				case 1:
 					if i+1 < len(authoritative.Segments) {
--- a/internal/gatherer/dispatch/picker_test.go
+++ b/internal/gatherer/dispatch/picker_test.go
@@ -89,7 +89,8 @@
 			}
 		}
 		for _, attempt := range actions.Cancel {
-			pickerActions = append(pickerActions, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`, attempt.query.id+1+uint64(attempt.index), attempt.number))
+			pickerActions = append(pickerActions, fmt.Sprintf(`{"cmd":"UndoSend","gathererId":0,"ref":%d,"sendNo":%d}`,
+				attempt.query.id+1+uint64(attempt.index), attempt.number))
 			waiting = append(waiting, scheduledEnd{now + 5, attempt, gather.Cancelled})
 		}
 		for query := range open {
@@ -197,7 +198,9 @@
 	p := newPicker(t, nil)
 	p.runRound(1000)
 	for i := range uint32(2000) {
-		p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}}})
+		p.UpdateEndpoints(gather.EndpointList{
+			Endpoints: []gather.Endpoint{{ID: 100 + i}, {ID: 99 + i, State: gather.Removed}},
+		})
 		query := newQuery("any", 2, 1000+float64(i)*5+1000)
 		p.submit(query)
 		for _, attempt := range p.runRound(1000 + float64(i)*5).Send {
--- a/internal/gatherer/dispatch/twopass_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -209,7 +209,9 @@
 	p.Report(actions.Send[0], gather.Succeeded, []byte("some 1 1 v1"))
 	p.Report(actions.Send[1], gather.ConnectionReset, nil)
 	p.runRound(1015)
-	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: actions.Send[0].Server, ReplicaSet: int(actions.Send[0].Server % 2), State: gather.Draining}}})
+	p.UpdateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{
+		{ID: actions.Send[0].Server, ReplicaSet: int(actions.Send[0].Server % 2), State: gather.Draining},
+	}})
 	for now := 1020.0; now < 1200; now += 5 {
 		for _, attempt := range p.runRound(now).Send {
 			if attempt.Server == actions.Send[0].Server {
@@ -286,7 +288,8 @@
 				if !open[query] {
 					t.Fatalf("seed %d at %g ms: attempt sent after the query's result", seed, now)
 				}
-				key, firstPassKey := requestKey{query, attempt.Shard(), attempt.FirstPass()}, requestKey{query, attempt.Shard(), true}
+				key, firstPassKey := requestKey{query, attempt.Shard(), attempt.FirstPass()},
+					requestKey{query, attempt.Shard(), true}
 				if attempts[key] > 0 || !attempt.FirstPass() && attempts[firstPassKey] > 0 && !answered[firstPassKey] {
 					retries++
 					retriedAt = append(retriedAt, now)
--- a/internal/simwire/day_servers_test.go
+++ b/internal/simwire/day_servers_test.go
@@ -7,51 +7,53 @@
 )
 
 type simulatedAttempt struct {
-	server uint32
-	sentAt int64
-	ended  bool
-	undone bool
+	server    uint32
+	sentAt    int64
+	ended     bool
+	cancelled bool
 }
 
 type simulatedServer struct {
-	id        uint32
-	cell      int
-	zone      string
-	condition string
-	startedAt int64
-	latency   float64 // mean, in microseconds
-	behaviour string
+	id         uint32
+	replicaSet int
+	zone       string
+	condition  string
+	startedAt  int64
+	latency    float64 // mean latency in microseconds
+	behaviour  string
 }
 
-// change tells the instances that a server's condition has changed.
-func (d *simulatedDay) change(s *simulatedServer, condition string) {
+// setCondition changes a server's condition and notifies the subscribed instances. A server that starts may have a new
+// ID.
+func (sim *simulation) setCondition(s *simulatedServer, condition string) {
 	s.condition = condition
 	if condition == "Running" {
-		s.startedAt, s.latency = d.now, 12_000+40_000*d.random.Float64()
-		if d.chance(0.3) { // a machine replaced
+		s.startedAt, s.latency = sim.now, 12_000+40_000*sim.random.Float64()
+		if sim.chance(0.3) { // simulates a replaced machine
 			s.id++
 		}
 	}
-	for _, in := range d.instances {
+	for _, in := range sim.instances {
 		if in.running && in.subscribed {
-			d.schedule(in, d.exponential(50_000), func() { d.roster(in, "D", []*simulatedServer{s}) })
+			sim.schedule(in, sim.exponential(50_000), func() { sim.sendEndpointList(in, "D", []*simulatedServer{s}) })
 		}
 	}
 }
 
-func (d *simulatedDay) roster(in *simulatedInstance, form string, servers []*simulatedServer) {
-	d.version++
+// sendEndpointList sends an instance an endpoint list of the given form, or the failure of its subscription, form X.
+func (sim *simulation) sendEndpointList(in *simulatedInstance, form string, servers []*simulatedServer) {
+	sim.version++
 	if form == "X" {
-		d.event(in, "RosterChange", `,"form":"X","index":%d`, d.version)
+		sim.sendEvent(in, "RosterChange", `,"form":"X","index":%d`, sim.version)
 		return
 	}
-	d.listNo = (d.listNo + 1) % 16
+	sim.listNumber = (sim.listNumber + 1) % 16
 	var members []map[string]any
 	for _, s := range servers {
 		if form != "D" && s.condition == "Deleted" {
 			continue
 		}
-		member := map[string]any{"setNo": s.cell, "scale": 1.5, "rackZone": s.zone, "condition": s.condition,
+		member := map[string]any{"setNo": s.replicaSet, "scale": 1.5, "rackZone": s.zone, "condition": s.condition,
 			"server": s.id, "familyType": "gen-a"}
 		if s.startedAt > 0 {
 			member["startedAt"] = s.startedAt
@@ -60,14 +62,14 @@
 	}
 	text, err := json.Marshal(members)
 	if err != nil {
-		d.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	d.write(`{"cmd":"DefineList","sheet":%d,"members":%s}`, d.listNo, text)
-	d.event(in, "RosterChange", `,"form":"%s","sheet":%d,"index":%d`, form, d.listNo, d.version)
+	sim.write(`{"cmd":"DefineList","sheet":%d,"members":%s}`, sim.listNumber, text)
+	sim.sendEvent(in, "RosterChange", `,"form":"%s","sheet":%d,"index":%d`, form, sim.listNumber, sim.version)
 }
 
-func (d *simulatedDay) server(id uint32) *simulatedServer {
-	for _, s := range d.servers {
+func (sim *simulation) findServer(id uint32) *simulatedServer {
+	for _, s := range sim.servers {
 		if s.id == id {
 			return s
 		}
@@ -75,116 +77,119 @@
 	return nil
 }
 
-// send decides how an attempt ends, and when.
-func (d *simulatedDay) send(in *simulatedInstance, r *simulatedRequest, server uint32, timeout int64) {
+// startAttempt records an attempt, determines how and when it ends, and schedules its end.
+func (sim *simulation) startAttempt(in *simulatedInstance, r *simulatedRequest, server uint32, timeout int64) {
 	number := len(r.attempts)
-	r.attempts = append(r.attempts, &simulatedAttempt{server: server, sentAt: d.now})
-	after := d.exponential(8000) + dayTick
-	verdict := d.rareVerdict(number >= attemptsCap || r.passed)
-	switch s := d.server(server); {
+	r.attempts = append(r.attempts, &simulatedAttempt{server: server, sentAt: sim.now})
+	delay := sim.exponential(8000) + simulationTick
+	verdict := sim.rareVerdict(number >= maxAttempts || r.succeeded)
+	switch s := sim.findServer(server); {
 	case verdict == "cut":
-		after = d.exponential(30_000)
+		delay = sim.exponential(30_000)
 	case verdict != "pass":
 	case s == nil || s.behaviour == "unreachable" || s.condition == "Deleted":
-		after, verdict = 250_000, "no_route"
+		delay, verdict = 250_000, "no_route"
 	case s.behaviour == "full" || s.condition == "Stopping":
 		verdict = "no_room"
-	case s.behaviour == "errs" && d.chance(0.8):
+	case s.behaviour == "errs" && sim.chance(0.8):
 		verdict = "fault"
-	case s.behaviour == "cuts" && d.chance(0.5):
-		after, verdict = d.exponential(60_000), "cut"
+	case s.behaviour == "cuts" && sim.chance(0.5):
+		delay, verdict = sim.exponential(60_000), "cut"
 	case s.behaviour == "silent":
-		after = math.MaxInt32
+		delay = math.MaxInt32
 	default:
-		after = d.exponential(s.latency) + 6000
+		delay = sim.exponential(s.latency) + 6000
 		if s.behaviour == "slow" {
-			after *= 8
+			delay *= 8
 		}
-		if d.chance(0.01) {
-			after *= 20
+		if sim.chance(0.01) {
+			delay *= 20
 		}
-		if busy := d.now - dayStart; busy > 12_500_000 && busy < 15_500_000 {
-			after *= 5
+		if elapsed := sim.now - simulationStart; elapsed > 12_500_000 && elapsed < 15_500_000 {
+			delay *= 5
 		}
 	}
-	if timeout > 0 && after > timeout {
-		after, verdict = timeout, "too_slow"
+	if timeout > 0 && delay > timeout {
+		delay, verdict = timeout, "too_slow"
 	}
-	if d.chance(0.005) {
-		d.schedule(in, after/2, func() {
-			d.event(in, "Started", `,"ref":%d,"server":%d,"waitTime":9250,"sendNo":%d`, r.ref, server, number)
+	if sim.chance(0.005) {
+		sim.schedule(in, delay/2, func() {
+			sim.sendEvent(in, "Started", `,"ref":%d,"server":%d,"waitTime":9250,"sendNo":%d`, r.id, server, number)
 		})
 	}
-	d.schedule(in, after, func() { d.end(in, r, number, verdict) })
+	sim.schedule(in, delay, func() { sim.endAttempt(in, r, number, verdict) })
 }
 
-// rareVerdict is the verdict of an attempt unless its server decides.
-func (d *simulatedDay) rareVerdict(tooLate bool) string {
-	const share = 0.004 // of each
-	if tooLate || d.chance(share) {
+// rareVerdict returns the verdict of a rare event that does not depend on the server, or pass if none occurs. If stale
+// is set, it returns stale_send.
+func (sim *simulation) rareVerdict(stale bool) string {
+	const share = 0.004 // probability of each verdict
+	if stale || sim.chance(share) {
 		return "stale_send"
 	}
-	if d.chance(share) {
+	if sim.chance(share) {
 		return "fault"
 	}
-	if d.chance(share) {
+	if sim.chance(share) {
 		return "cut"
 	}
 	return "pass"
 }
 
-// end tells how an attempt ended, once.
-func (d *simulatedDay) end(in *simulatedInstance, r *simulatedRequest, number int, verdict string) {
+// endAttempt reports how an attempt ended, unless that has been reported already.
+func (sim *simulation) endAttempt(in *simulatedInstance, r *simulatedRequest, number int, verdict string) {
 	a := r.attempts[number]
 	if a.ended {
 		return
 	}
 	a.ended = true
-	r.passed = r.passed || verdict == "pass"
-	fields := fmt.Sprintf(`,"ref":%d,"server":%d,"waitTime":%d,"verdict":"%s"`, r.ref, a.server, d.now-a.sentAt, verdict)
+	r.succeeded = r.succeeded || verdict == "pass"
+	fields := fmt.Sprintf(`,"ref":%d,"server":%d,"waitTime":%d,"verdict":"%s"`, r.id, a.server, sim.now-a.sentAt, verdict)
 	if number > 0 {
 		fields += fmt.Sprintf(`,"sendNo":%d`, number)
 	}
-	if r.passed || r.query.ended || verdict == "stale_send" {
+	if r.succeeded || r.query.ended || verdict == "stale_send" {
 		fields += `,"closed":true`
 	}
-	if d.site.loadReports == "piggyback" && verdict == "pass" {
+	if sim.config.loadReports == "piggyback" && verdict == "pass" {
 		fields += `,"healthInfo":{"recent_ms":14.5,"utilization":0.5}`
 	}
-	d.event(in, "ClosedAttempt", "%s", fields)
+	sim.sendEvent(in, "ClosedAttempt", "%s", fields)
 }
 
-func (d *simulatedDay) inspect(in *simulatedInstance, server uint32) {
-	s, sentAt := d.server(server), d.now
-	after, verdict, report := 1000+d.exponential(4000), "pass", ""
+// answerHealthCheck schedules the result of a health check.
+func (sim *simulation) answerHealthCheck(in *simulatedInstance, server uint32) {
+	s, sentAt := sim.findServer(server), sim.now
+	delay, verdict, report := 1000+sim.exponential(4000), "pass", ""
 	switch {
 	case s == nil || s.behaviour == "unreachable":
-		after, verdict = 250_000, "no_route"
+		delay, verdict = 250_000, "no_route"
 	case s.behaviour == "silent":
-		after, verdict = 400_000, "too_slow"
+		delay, verdict = 400_000, "too_slow"
 	default:
-		report = fmt.Sprintf(`,"healthInfo":{"recent_ms":%.3g,"backlog":%d}`, s.latency/1000, d.random.Uint32()%4)
-		if d.chance(0.1) {
+		report = fmt.Sprintf(`,"healthInfo":{"recent_ms":%.3g,"backlog":%d}`, s.latency/1000, sim.random.Uint32()%4)
+		if sim.chance(0.1) {
 			report = `,"healthInfo":{"utilization":0.3}`
 		}
 	}
-	d.schedule(in, after, func() {
-		d.event(in, "Sampled", `,"server":%d,"waitTime":%d,"verdict":"%s"%s`, server, d.now-sentAt, verdict, report)
+	sim.schedule(in, delay, func() {
+		sim.sendEvent(in, "Sampled", `,"server":%d,"waitTime":%d,"verdict":"%s"%s`, server, sim.now-sentAt, verdict, report)
 	})
 }
 
-// follow answers a subscription, which fails now and then or is broken later.
-func (d *simulatedDay) follow(in *simulatedInstance) {
-	d.schedule(in, 5000+d.exponential(20_000), func() {
-		if d.chance(0.3) {
-			d.roster(in, "X", nil)
+// answerSubscription answers an instance's subscription to endpoint changes. Some subscriptions fail at once, others
+// break later.
+func (sim *simulation) answerSubscription(in *simulatedInstance) {
+	sim.schedule(in, 5000+sim.exponential(20_000), func() {
+		if sim.chance(0.3) {
+			sim.sendEndpointList(in, "X", nil)
 			return
 		}
 		in.subscribed = true
-		d.roster(in, "D", d.servers)
-		d.schedule(in, d.exponential(6_000_000), func() {
+		sim.sendEndpointList(in, "D", sim.servers)
+		sim.schedule(in, sim.exponential(6_000_000), func() {
 			in.subscribed = false
-			d.roster(in, "X", nil)
+			sim.sendEndpointList(in, "X", nil)
 		})
 	})
 }
--- a/internal/simwire/day_test.go
+++ b/internal/simwire/day_test.go
@@ -14,21 +14,21 @@
 	"yokeroute/internal/pcg"
 )
 
-// simulatedDay plays a short seeded day against Serve: instances, clients and shard servers that react to what the
-// decision module writes. Times are microseconds. It records what it sent and what came back.
-type simulatedDay struct {
+// simulation runs a short seeded simulation against Serve: instances, clients and shard servers that react to the
+// decisions of the module. Times are in microseconds. It records the messages sent to Serve and the replies.
+type simulation struct {
 	t      *testing.T
-	site   site
+	config simulationConfig
 	random *pcg.Source
 
-	now       int64
-	batch     int
-	queue     []scheduledEvent // by time, then by the order in which they were scheduled
-	instances []*simulatedInstance
-	servers   []*simulatedServer
-	nextRef   uint64
-	listNo    int
-	version   int
+	now        int64
+	batch      int
+	queue      []scheduledEvent // ordered by time, then by the order of scheduling
+	instances  []*simulatedInstance
+	servers    []*simulatedServer
+	nextID     uint64
+	listNumber int
+	version    int
 
 	toServe   io.Writer
 	fromServe *bufio.Reader
@@ -36,18 +36,18 @@
 	received  bytes.Buffer
 }
 
-// site is what differs between the recorded days.
-type site struct {
-	name         string
-	seed         uint64
-	discovery    string
-	loadReports  string
-	secondCopies bool
-	cancel       bool
-	budget       bool
+// simulationConfig holds what differs between the recorded simulations.
+type simulationConfig struct {
+	name        string
+	seed        uint64
+	discovery   string
+	loadReports string
+	hedging     bool
+	cancel      bool
+	retryBudget bool
 }
 
-var sites = []site{
+var simulationConfigs = []simulationConfig{
 	{"pushed-piggyback", 1, "pushed", "piggyback", true, true, true},
 	{"on-request-pull", 2, "on_request", "pull", true, true, true},
 	{"silent-single-copy", 3, "pushed", "silent", false, true, false},
@@ -55,85 +55,91 @@
 }
 
 const (
-	dayStart      = int64(8_412_250)
-	dayLength     = int64(30_000_000)
-	dayTick       = int64(5_000)
-	dayInstances  = 4
-	dayCells      = 4
-	dayCellsInRow = 2
-	dayServers    = 14
-	attemptsCap   = 3
+	simulationStart     = int64(8_412_250)
+	simulationLength    = int64(30_000_000)
+	simulationTick      = int64(5_000)
+	instanceCount       = 4
+	replicaSetCount     = 4
+	replicaSetsPerShard = 2
+	serverCount         = 14
+	maxAttempts         = 3
 )
 
-// scheduledEvent is something that happens at a time. It is skipped where its instance was killed in the meantime.
+// scheduledEvent is a function to run at a given time. It is skipped if its instance has been killed since it was
+// scheduled.
 type scheduledEvent struct {
 	at          int64
 	instance    *simulatedInstance
 	incarnation int
-	happen      func()
+	run         func()
 }
 
-// settings are those of an instance, in the form of the wire's page.
-func (d *simulatedDay) settings(instance int) string {
+// settings returns the settings of an instance, as sent in the info field of Hello.
+func (sim *simulation) settings(instance int) string {
 	type object = map[string]any
-	var listed []object
-	domain := object{"cells": dayCells, "inARow": dayCellsInRow, "shards": 9, "call": 27000, "partsACall": 16,
+	var classList []object
+	domain := object{"cells": replicaSetCount, "inARow": replicaSetsPerShard, "shards": 9, "call": 27000, "partsACall": 16,
 		"warmKeys": false}
-	var floors, needs, earns, seconds []float64
+	var minShares, completeShares, partialValues, secondSteps []float64
 	for _, c := range classes {
-		listed = append(listed, object{"name": c.name, "effect": c.effect, "group": "all", "goalTime": c.goalTime,
-			"hardLimit": c.hardLimit, "lateValue": c.secondTry, "window": 900_000, "worth": 1.0, "streaming": false})
-		floors, needs = append(floors, c.floor), append(needs, c.need)
-		earns, seconds = append(earns, 0.9), append(seconds, float64(c.secondStep))
+		classList = append(classList, object{"name": c.name, "effect": c.effect, "group": "all",
+			"goalTime": c.latencyObjective, "hardLimit": c.hardLimit, "lateValue": c.lateValue,
+			"window": 900_000, "worth": 1.0, "streaming": false})
+		minShares, completeShares = append(minShares, c.minShare), append(completeShares, c.completeShare)
+		partialValues, secondSteps = append(partialValues, 0.9), append(secondSteps, float64(c.secondStepRequests))
 	}
-	domain["classFloor"], domain["completeFrom"] = floors, needs
-	domain["partialEarns"], domain["secondStep"] = earns, seconds
+	domain["classFloor"], domain["completeFrom"] = minShares, completeShares
+	domain["partialEarns"], domain["secondStep"] = partialValues, secondSteps
 	rules := object{"answerSlack": 20000, "cold": 6_000_000, "coldShare": 0.18, "drainGrace": 250000, "fall": 2_000_000,
 		"fallMultiple": 3.0, "mustAskIn": 10_000_000}
-	if d.site.budget {
+	if sim.config.retryBudget {
 		rules["budgetShare"], rules["extraFloor"], rules["resendSpan"] = 0.1, 10.0, 2_000_000
 	}
-	text, err := json.Marshal(object{"balancers": dayInstances, "myNumber": instance, "tick": dayTick, "classes": listed,
-		"countedBy": "work", "overShareWorth": 0.1, "discovery": d.site.discovery, "zone": "ktm-hall",
-		"weightSource": "rough", "domain": domain, "rules": rules, "unheardOf": object{"x": 1},
+	text, err := json.Marshal(object{"balancers": instanceCount, "myNumber": instance, "tick": simulationTick,
+		"classes": classList, "countedBy": "work", "overShareWorth": 0.1, "discovery": sim.config.discovery,
+		"zone": "ktm-hall", "weightSource": "rough", "domain": domain, "rules": rules, "unheardOf": object{"x": 1},
 		"tenants": []object{{"name": "mainline", "portion": 0.7, "quotaPerS": 21.0}, {"name": "edge", "portion": 0.3}},
-		"limits": object{"attemptsCap": attemptsCap, "cancel": d.site.cancel, "connectTimeout": 250_000,
+		"limits": object{"attemptsCap": maxAttempts, "cancel": sim.config.cancel, "connectTimeout": 250_000,
 			"idleClose": 30_000_000, "maxRetryAfter": 1_000_000, "mostHeld": 131, "probes": true, "retryAfter": true,
-			"secondCopies": d.site.secondCopies, "streamsPerConn": 100},
-		"loadInfo": object{"how": d.site.loadReports, "fields": []string{"recent_ms", "backlog", "utilization"}}})
+			"secondCopies": sim.config.hedging, "streamsPerConn": 100},
+		"loadInfo": object{"how": sim.config.loadReports, "fields": []string{"recent_ms", "backlog", "utilization"}}})
 	if err != nil {
-		d.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	return string(text)
 }
 
-func (d *simulatedDay) schedule(in *simulatedInstance, after int64, happen func()) {
-	e := scheduledEvent{at: d.now + max(after, 0), instance: in, happen: happen}
+// schedule runs a function after a delay; in is nil for an event that concerns no single instance.
+func (sim *simulation) schedule(in *simulatedInstance, delay int64, run func()) {
+	e := scheduledEvent{at: sim.now + max(delay, 0), instance: in, run: run}
 	if in != nil {
 		e.incarnation = in.incarnation
 	}
-	place, _ := slices.BinarySearchFunc(d.queue, e.at, func(o scheduledEvent, at int64) int {
+	index, _ := slices.BinarySearchFunc(sim.queue, e.at, func(o scheduledEvent, at int64) int {
 		if o.at <= at {
 			return -1
 		}
 		return 1
 	})
-	d.queue = slices.Insert(d.queue, place, e)
+	sim.queue = slices.Insert(sim.queue, index, e)
 }
 
-func (d *simulatedDay) chance(of float64) bool { return d.random.Float64() < of }
+// chance returns true with the given probability.
+func (sim *simulation) chance(probability float64) bool { return sim.random.Float64() < probability }
 
-func (d *simulatedDay) exponential(mean float64) int64 {
-	return int64(-mean * math.Log(1-d.random.Float64()))
+// exponential returns an exponentially distributed random number.
+func (sim *simulation) exponential(mean float64) int64 {
+	return int64(-mean * math.Log(1-sim.random.Float64()))
 }
 
-func (d *simulatedDay) ref() uint64 {
-	d.nextRef += 1 + uint64(d.random.Uint32()%7)
-	return d.nextRef
+// newID returns a new ID for a query or shard request. IDs increase in random steps.
+func (sim *simulation) newID() uint64 {
+	sim.nextID += 1 + uint64(sim.random.Uint32()%7)
+	return sim.nextID
 }
 
-// play runs the day and returns what was sent to Serve and what came back.
-func (d *simulatedDay) play() (sent, received []byte) {
+// run runs the simulation and returns the messages sent to Serve and the replies.
+func (sim *simulation) run() (sent, received []byte) {
 	inRead, inWrite := io.Pipe()
 	outRead, outWrite := io.Pipe()
 	served := make(chan error, 1)
@@ -142,143 +148,148 @@
 		outWrite.CloseWithError(io.EOF)
 		served <- err
 	}()
-	d.toServe, d.fromServe = inWrite, bufio.NewReader(outRead)
-	d.now, d.nextRef, d.random = dayStart, 954_068_419_383_748, pcg.New(d.site.seed)
-	d.start()
-	for d.now < dayStart+dayLength {
-		d.runBatch()
+	sim.toServe, sim.fromServe = inWrite, bufio.NewReader(outRead)
+	sim.now, sim.nextID, sim.random = simulationStart, 954_068_419_383_748, pcg.New(sim.config.seed)
+	sim.setUp()
+	for sim.now < simulationStart+simulationLength {
+		sim.runBatch()
 	}
 	if err := inWrite.Close(); err != nil {
-		d.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
 	if err := <-served; err != nil {
-		d.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	return d.sent.Bytes(), d.received.Bytes()
+	return sim.sent.Bytes(), sim.received.Bytes()
 }
 
-// start sets the servers, the instances and the course of the day up.
-func (d *simulatedDay) start() {
+// setUp creates the servers and instances and schedules their faults, replacements and restarts.
+func (sim *simulation) setUp() {
 	zones := []string{"ktm-hall", "patan-hall"}
-	for i := range dayServers {
-		d.servers = append(d.servers, &simulatedServer{id: 51_530_247 + d.random.Uint32()%1_000_000_000, cell: i % dayCells,
-			zone: zones[i/dayCells%2], condition: "Running", latency: 12_000 + 40_000*d.random.Float64()})
+	for i := range serverCount {
+		sim.servers = append(sim.servers, &simulatedServer{id: 51_530_247 + sim.random.Uint32()%1_000_000_000,
+			replicaSet: i % replicaSetCount, zone: zones[i/replicaSetCount%2], condition: "Running",
+			latency: 12_000 + 40_000*sim.random.Float64()})
 	}
-	for id := range dayInstances {
+	for id := range instanceCount {
 		in := &simulatedInstance{id: id}
-		d.instances = append(d.instances, in)
-		d.schedule(nil, int64(id)*40_000, func() { d.hello(in) })
+		sim.instances = append(sim.instances, in)
+		sim.schedule(nil, int64(id)*40_000, func() { sim.startInstance(in) })
 	}
 	behaviours := []string{"silent", "errs", "full", "unreachable", "slow", "cuts", "slow"}
 	for i, behaviour := range behaviours {
-		server := d.servers[d.random.Uint32()%dayServers]
-		d.schedule(nil, int64(3+4*i)*1_000_000, func() { server.behaviour = behaviour })
-		d.schedule(nil, int64(6+4*i)*1_000_000, func() { server.behaviour = "" })
+		server := sim.servers[sim.random.Uint32()%serverCount]
+		sim.schedule(nil, int64(3+4*i)*1_000_000, func() { server.behaviour = behaviour })
+		sim.schedule(nil, int64(6+4*i)*1_000_000, func() { server.behaviour = "" })
 	}
 	for i := range 7 {
-		server := d.servers[d.random.Uint32()%dayServers]
-		d.schedule(nil, int64(2+4*i)*1_000_000, func() { d.change(server, "Stopping") })
-		d.schedule(nil, int64(3+4*i)*1_000_000, func() { d.change(server, "Deleted") })
-		d.schedule(nil, int64(4+4*i)*1_000_000, func() { d.change(server, "Running") })
+		server := sim.servers[sim.random.Uint32()%serverCount]
+		sim.schedule(nil, int64(2+4*i)*1_000_000, func() { sim.setCondition(server, "Stopping") })
+		sim.schedule(nil, int64(3+4*i)*1_000_000, func() { sim.setCondition(server, "Deleted") })
+		sim.schedule(nil, int64(4+4*i)*1_000_000, func() { sim.setCondition(server, "Running") })
 	}
 	for _, at := range []int64{9, 17, 26} {
-		in := d.instances[d.random.Uint32()%dayInstances]
-		d.schedule(nil, at*1_000_000, func() { d.kill(in) })
-		wait := int64(d.random.Uint32()%3) * 300_000 // some start again in the same batch
-		d.schedule(nil, at*1_000_000+wait, func() { d.hello(in) })
+		in := sim.instances[sim.random.Uint32()%instanceCount]
+		sim.schedule(nil, at*1_000_000, func() { sim.killInstance(in) })
+		wait := int64(sim.random.Uint32()%3) * 300_000 // with 0, the instance is killed and restarted in the same batch
+		sim.schedule(nil, at*1_000_000+wait, func() { sim.startInstance(in) })
 	}
 }
 
-func (d *simulatedDay) runBatch() {
-	due := d.now + dayTick
-	if len(d.queue) > 0 {
-		due = max(due, (d.queue[0].at+dayTick-1)/dayTick*dayTick+dayStart%dayTick)
+// runBatch sends the events that are due as one batch and handles the reply.
+func (sim *simulation) runBatch() {
+	dueAt := sim.now + simulationTick
+	if len(sim.queue) > 0 {
+		dueAt = max(dueAt, (sim.queue[0].at+simulationTick-1)/simulationTick*simulationTick+simulationStart%simulationTick)
 	}
-	d.now = due
-	d.batch++
-	d.write(`{"cmd":"BeginBatch","now":%d,"batch":%d}`, d.now, d.batch)
-	for len(d.queue) > 0 && d.queue[0].at <= d.now {
-		e := d.queue[0]
-		d.queue = slices.Delete(d.queue, 0, 1)
+	sim.now = dueAt
+	sim.batch++
+	sim.write(`{"cmd":"BeginBatch","now":%d,"batch":%d}`, sim.now, sim.batch)
+	for len(sim.queue) > 0 && sim.queue[0].at <= sim.now {
+		e := sim.queue[0]
+		sim.queue = slices.Delete(sim.queue, 0, 1)
 		if e.instance == nil || e.instance.running && e.incarnation == e.instance.incarnation {
-			e.happen()
+			e.run()
 		}
 	}
-	d.write(`{"cmd":"YourTurn"}`)
+	sim.write(`{"cmd":"YourTurn"}`)
 	for {
-		line, err := d.fromServe.ReadBytes('\n')
+		line, err := sim.fromServe.ReadBytes('\n')
 		if err != nil {
-			d.t.Fatalf("batch %d: %v", d.batch, err)
+			sim.t.Fatalf("batch %d: reading the reply: %v", sim.batch, err)
 		}
-		d.received.Write(line)
+		sim.received.Write(line)
 		var a action
 		if err := json.Unmarshal(line, &a); err != nil {
-			d.t.Fatalf("batch %d: %q: %v", d.batch, line, err)
+			sim.t.Fatalf("batch %d: reply line %q: %v", sim.batch, line, err)
 		}
 		if a.Cmd == "Ok" {
 			return
 		}
-		d.act(&a)
+		sim.handleAction(&a)
 	}
 }
 
-func (d *simulatedDay) write(format string, args ...any) {
+// write sends a message to Serve and records it.
+func (sim *simulation) write(format string, args ...any) {
 	line := fmt.Sprintf(format, args...) + "\n"
-	d.sent.WriteString(line)
-	if _, err := io.WriteString(d.toServe, line); err != nil {
-		d.t.Fatal(err)
+	sim.sent.WriteString(line)
+	if _, err := io.WriteString(sim.toServe, line); err != nil {
+		sim.t.Fatal(err)
 	}
 }
 
-func (d *simulatedDay) event(in *simulatedInstance, cmd, format string, args ...any) {
-	d.write(`{"cmd":"%s","gathererId":%d%s}`, cmd, in.id, fmt.Sprintf(format, args...))
+// sendEvent sends an event of an instance; format gives its other fields, each after a comma.
+func (sim *simulation) sendEvent(in *simulatedInstance, cmd, format string, args ...any) {
+	sim.write(`{"cmd":"%s","gathererId":%d%s}`, cmd, in.id, fmt.Sprintf(format, args...))
 }
 
-// action is one line of a reply.
+// action is one message of a reply.
 type action struct {
-	Cmd      string `json:"cmd"`
-	Instance int    `json:"gathererId"`
-	Ref      uint64 `json:"ref"`
-	Server   uint32 `json:"server"`
-	Cap      int64  `json:"cap"`
-	SendNo   int    `json:"sendNo"`
-	Pause    int64  `json:"pause"`
-	SleepFor int64  `json:"sleepFor"`
+	Cmd        string `json:"cmd"`
+	Instance   int    `json:"gathererId"`
+	ID         uint64 `json:"ref"`
+	Server     uint32 `json:"server"`
+	Timeout    int64  `json:"cap"`
+	Attempt    int    `json:"sendNo"`
+	RetryAfter int64  `json:"pause"`
+	WakeAfter  int64  `json:"sleepFor"`
 }
 
-func (d *simulatedDay) act(a *action) {
-	in := d.instances[a.Instance]
+// handleAction simulates the reaction to an instance's message.
+func (sim *simulation) handleAction(a *action) {
+	in := sim.instances[a.Instance]
 	switch a.Cmd {
 	case "PassOn":
-		d.send(in, in.requests[a.Ref], a.Server, a.Cap)
+		sim.startAttempt(in, in.requests[a.ID], a.Server, a.Timeout)
 	case "UndoSend":
-		r := in.requests[a.Ref]
-		r.attempts[a.SendNo].undone = true
-		d.schedule(in, 2*dayTick, func() { d.end(in, r, a.SendNo, "undone") })
+		r := in.requests[a.ID]
+		r.attempts[a.Attempt].cancelled = true
+		sim.schedule(in, 2*simulationTick, func() { sim.endAttempt(in, r, a.Attempt, "undone") })
 	case "Schedule":
-		d.schedule(in, a.SleepFor, func() { d.event(in, "DeadlineHit", `,"ctx":"round"`) })
+		sim.schedule(in, a.WakeAfter, func() { sim.sendEvent(in, "DeadlineHit", `,"ctx":"round"`) })
 	case "Inspect":
-		d.inspect(in, a.Server)
+		sim.answerHealthCheck(in, a.Server)
 	case "Follow":
-		d.follow(in)
+		sim.answerSubscription(in)
 	case "SettleQuery":
-		d.settle(in, in.queries[a.Ref])
+		sim.finishQuery(in, in.queries[a.ID])
 	case "PushBack":
-		q := in.queries[a.Ref]
+		q := in.queries[a.ID]
 		q.ended = true
-		again := d.now + max(a.Pause, 50_000)
-		if limit := q.issuedAt + q.class.hardLimit; again < limit {
-			d.schedule(in, again-d.now, func() { d.accept(in, q.class, q.issuedAt, limit, true) })
+		retryAt := sim.now + max(a.RetryAfter, 50_000)
+		if deadline := q.issuedAt + q.class.hardLimit; retryAt < deadline {
+			sim.schedule(in, retryAt-sim.now, func() { sim.submitQuery(in, q.class, q.issuedAt, deadline, true) })
 		}
 	case "EndFailed":
-		in.queries[a.Ref].ended = true
+		in.queries[a.ID].ended = true
 	default:
-		d.t.Fatalf("batch %d: %+v", d.batch, a)
+		sim.t.Fatalf("batch %d: unexpected message %+v", sim.batch, a)
 	}
 }
 
-// linesByKind counts the lines of a recording by the command and, where there is one, the form or verdict.
-func linesByKind(t *testing.T, text []byte) map[string]int {
+// countLinesByKind counts the lines of a recording by command and, if present, form or verdict.
+func countLinesByKind(t *testing.T, text []byte) map[string]int {
 	counts := map[string]int{}
 	for line := range bytes.Lines(text) {
 		var m struct{ Cmd, Form, Verdict string }
@@ -286,8 +297,8 @@
 			t.Fatalf("%q: %v", line, err)
 		}
 		kind := m.Cmd
-		if sub := cmp.Or(m.Form, m.Verdict); sub != "" {
-			kind += " " + sub
+		if detail := cmp.Or(m.Form, m.Verdict); detail != "" {
+			kind += " " + detail
 		}
 		counts[kind]++
 	}
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,18 +8,18 @@
 	"yokeroute/gather"
 )
 
-// notReported stands for a value that a load report does not have.
+// notReported marks a value that a load report lacks.
 const notReported = -1
 
-// addToRound translates an event of an instance.
-func (h *host) addToRound(r *gather.Round, m *message) error {
+// addToRound translates an instance's event and adds it to the instance's round.
+func (s *session) addToRound(r *gather.Round, m *message) error {
 	switch m.Command {
 	case cmdHello, cmdTimer, cmdStreamStarted, cmdPeer:
-		return nil // the round that they bring about is all that is needed of them
+		return nil // these events only make the instance run a round
 	case cmdHealthCheckDone:
 		return addHealthCheck(r, m)
 	case cmdEndpointChange:
-		return h.addEndpointList(r, m)
+		return s.addEndpointList(r, m)
 	case cmdQuery:
 		return addQueryOrRequest(r, m)
 	case cmdResult:
@@ -32,7 +32,7 @@
 
 func addHealthCheck(r *gather.Round, m *message) error {
 	if m.Server == nil {
-		return errors.New("no server")
+		return errors.New("field server is missing")
 	}
 	result := gather.HealthCheckResult{
 		Server:      *m.Server,
@@ -51,7 +51,7 @@
 	return nil
 }
 
-func (h *host) addEndpointList(r *gather.Round, m *message) error {
+func (s *session) addEndpointList(r *gather.Round, m *message) error {
 	list := gather.EndpointList{}
 	switch m.Form {
 	case formDelta:
@@ -60,15 +60,15 @@
 	case formFailed:
 		list.Failed = true
 	default:
-		return fmt.Errorf("unknown form %q", m.Form)
+		return fmt.Errorf("unknown form %q, want D, F, C or X", m.Form)
 	}
 	if !list.Failed {
 		if m.ListNumber == nil {
-			return errors.New("no sheet")
+			return errors.New("field sheet is missing")
 		}
-		endpoints, known := h.endpointLists[*m.ListNumber]
+		endpoints, known := s.endpointLists[*m.ListNumber]
 		if !known {
-			return fmt.Errorf("sheet %d was never defined", *m.ListNumber)
+			return fmt.Errorf("sheet %d is not defined by a DefineList", *m.ListNumber)
 		}
 		list.Endpoints = endpoints
 	}
@@ -81,7 +81,7 @@
 	for _, e := range members {
 		state, known := states[e.Condition]
 		if !known || e.Server == nil {
-			return nil, fmt.Errorf("entry without server or with condition %q", e.Condition)
+			return nil, fmt.Errorf("member has no server or unknown condition %q", e.Condition)
 		}
 		list = append(list, gather.Endpoint{
 			ID:         *e.Server,
@@ -98,7 +98,7 @@
 
 func addQueryOrRequest(r *gather.Round, m *message) error {
 	if m.ID == nil || m.Number == nil || m.Shard == nil {
-		return errors.New("no ref, query or shard")
+		return errors.New("field ref, query or shard is missing")
 	}
 	if *m.Shard >= 0 {
 		r.Requests = append(r.Requests, gather.ShardRequest{
@@ -129,7 +129,7 @@
 	return nil
 }
 
-// tenantName is empty where the value is not a text: sites without tenants send 0.
+// tenantName returns the tenant's name, or "" if value is not a string: simulations without tenants send 0.
 func tenantName(value json.RawMessage) (name string, err error) {
 	if len(value) > 0 && value[0] == '"' {
 		err = json.Unmarshal(value, &name)
@@ -140,7 +140,7 @@
 func addResult(r *gather.Round, m *message) error {
 	outcome, known := outcomes[m.Verdict]
 	if m.ID == nil || m.Server == nil || !known {
-		return fmt.Errorf("no ref or server, or verdict %q", m.Verdict)
+		return fmt.Errorf("field ref or server is missing, or unknown verdict %q", m.Verdict)
 	}
 	r.Results = append(r.Results, gather.AttemptResult{
 		Request:  *m.ID,
@@ -155,7 +155,7 @@
 
 func addAbandoned(r *gather.Round, m *message) error {
 	if m.ID == nil {
-		return errors.New("no ref")
+		return errors.New("field ref is missing")
 	}
 	r.Abandoned = append(r.Abandoned, *m.ID)
 	return nil
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -6,7 +6,7 @@
 	"yokeroute/gather"
 )
 
-// The messages that the simulator sends.
+// Commands of the messages that the simulator sends.
 const (
 	cmdBeginBatch      = "BeginBatch"
 	cmdEndBatch        = "YourTurn"
@@ -14,7 +14,7 @@
 	cmdHello           = "Hello"
 	cmdKill            = "Kill"
 	cmdEndpointChange  = "RosterChange"
-	cmdQuery           = "Accept" // or a shard request
+	cmdQuery           = "Accept" // a query, or a shard request
 	cmdStreamStarted   = "Started"
 	cmdResult          = "ClosedAttempt"
 	cmdAbandoned       = "CancelledByClient"
@@ -23,7 +23,7 @@
 	cmdPeer            = "Peer"
 )
 
-// The messages that an instance writes, and the one that ends a reply.
+// Commands of the messages that an instance writes, and of the one that ends a reply.
 const (
 	cmdSend        = "PassOn"
 	cmdCancel      = "UndoSend"
@@ -37,20 +37,20 @@
 	cmdReplyEnd    = "Ok"
 )
 
-// The forms of an endpoint change.
+// Forms of an endpoint change.
 const (
 	formDelta  = "D"
 	formFull   = "F"
-	formCached = "C" // full, possibly out of date
+	formCached = "C" // a full list that may be out of date
 	formFailed = "X"
 )
 
 const (
 	verdictSucceeded = "pass"
-	timerContext     = "round" // the context of each timer; it has no meaning here
+	timerContext     = "round" // context sent with each timer, not interpreted here
 )
 
-// message holds the fields of all messages that the simulator sends. Times are microseconds.
+// message holds the fields of all messages that the simulator sends. Times are in microseconds.
 type message struct {
 	Command  string          `json:"cmd"`
 	Now      *float64        `json:"now"`
@@ -63,11 +63,11 @@
 	Members    []member `json:"members"`
 	Form       string   `json:"form"`
 
-	ID       *uint64         `json:"ref"` // of a query or shard request
+	ID       *uint64         `json:"ref"` // ID of a query or shard request
 	Class    string          `json:"cls"`
 	Number   *uint64         `json:"query"`
-	Tenant   json.RawMessage `json:"clientGroup"` // a name, or the number 0 for none
-	Shard    *int            `json:"shard"`       // below 0 for a query
+	Tenant   json.RawMessage `json:"clientGroup"` // a name, or the number 0 for no tenant
+	Shard    *int            `json:"shard"`       // shard number, below 0 for a query
 	Cost     float64         `json:"hint"`
 	Write    bool            `json:"update"`
 	Weight   float64         `json:"amount"`
@@ -83,7 +83,7 @@
 	Report  loadReport `json:"healthInfo"`
 }
 
-// loadReport has the values of a load report that the module uses, nil where they are missing.
+// loadReport holds those values of a load report that the module uses. A value is nil if the report lacks it.
 type loadReport struct {
 	QueueLength *float64 `json:"backlog"`
 	LatencyMS   *float64 `json:"recent_ms"`
@@ -100,7 +100,7 @@
 	StartedAt  float64 `json:"startedAt"`
 }
 
-// outcomes are the verdicts of attempts.
+// outcomes maps the verdicts of attempts to outcomes.
 var outcomes = map[string]gather.Outcome{
 	verdictSucceeded: gather.Succeeded,
 	"fault":          gather.Failed,
@@ -112,7 +112,7 @@
 	"stale_send":     gather.NotSent,
 }
 
-// states are the conditions of endpoints.
+// states maps the conditions of endpoints to states.
 var states = map[string]gather.State{
 	"Running":  gather.Running,
 	"Stopping": gather.Draining,
--- a/internal/simwire/recorded_test.go
+++ b/internal/simwire/recorded_test.go
@@ -11,101 +11,103 @@
 	"testing"
 )
 
-var record = flag.Bool("record", false, "record the days of testdata/kept anew")
+var recordFlag = flag.Bool("record", false, "run the simulations again and replace the recordings in testdata/kept")
 
-func keptFile(day, direction string) string {
-	return filepath.Join("testdata", "kept", day+"."+direction+".gz")
+// recordingFile returns the path of a simulation's recording; direction is in for the input, out for the replies.
+func recordingFile(name, direction string) string {
+	return filepath.Join("testdata", "kept", name+"."+direction+".gz")
 }
 
-func readKept(t *testing.T, path string) []byte {
+func readRecording(t *testing.T, path string) []byte {
 	t.Helper()
 	file, err := os.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer file.Close()
-	unzipped, err := gzip.NewReader(file)
+	uncompressed, err := gzip.NewReader(file)
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
-	text, err := io.ReadAll(unzipped)
+	text, err := io.ReadAll(uncompressed)
 	if err != nil {
 		t.Fatalf("%s: %v", path, err)
 	}
 	return text
 }
 
-func writeKept(t *testing.T, path string, text []byte) {
+func writeRecording(t *testing.T, path string, text []byte) {
 	t.Helper()
-	var zipped bytes.Buffer
-	w, _ := gzip.NewWriterLevel(&zipped, gzip.BestCompression) // the level is known
+	var compressed bytes.Buffer
+	w, _ := gzip.NewWriterLevel(&compressed, gzip.BestCompression) // fails only for an invalid level
 	if _, err := w.Write(text); err != nil {
 		t.Fatal(err)
 	}
 	if err := w.Close(); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(path, zipped.Bytes(), 0o644); err != nil {
+	if err := os.WriteFile(path, compressed.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestServeRepliesAsRecorded feeds recorded days to Serve and wants the recorded replies byte for byte. With -record
-// it plays and records the days anew: only for a change that is meant to decide otherwise.
-func TestServeRepliesAsRecorded(t *testing.T) {
+// TestServeRepliesMatchRecordings guards against unintended changes of decisions. It feeds recorded input to Serve and
+// expects the recorded replies byte for byte. With -record it first runs the simulations again and replaces the
+// recordings, which is only for a change that is meant to alter decisions.
+func TestServeRepliesMatchRecordings(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("others may fuse multiplications, and the days were recorded without")
+		t.Skip("recorded on amd64; other architectures may fuse multiplications and additions, which alters results")
 	}
-	for _, s := range sites {
-		t.Run(s.name, func(t *testing.T) {
-			if *record {
-				sent, received := (&simulatedDay{t: t, site: s}).play()
-				writeKept(t, keptFile(s.name, "in"), sent)
-				writeKept(t, keptFile(s.name, "out"), received)
+	for _, config := range simulationConfigs {
+		t.Run(config.name, func(t *testing.T) {
+			if *recordFlag {
+				sent, received := (&simulation{t: t, config: config}).run()
+				writeRecording(t, recordingFile(config.name, "in"), sent)
+				writeRecording(t, recordingFile(config.name, "out"), received)
 			}
 			var got bytes.Buffer
-			if err := Serve(bytes.NewReader(readKept(t, keptFile(s.name, "in"))), &got); err != nil {
+			if err := Serve(bytes.NewReader(readRecording(t, recordingFile(config.name, "in"))), &got); err != nil {
 				t.Fatal(err)
 			}
-			want := readKept(t, keptFile(s.name, "out"))
+			want := readRecording(t, recordingFile(config.name, "out"))
 			if bytes.Equal(got.Bytes(), want) {
 				return
 			}
 			gotLines, wantLines := bytes.Split(got.Bytes(), []byte("\n")), bytes.Split(want, []byte("\n"))
 			for i := range min(len(gotLines), len(wantLines)) {
 				if !bytes.Equal(gotLines[i], wantLines[i]) {
-					t.Fatalf("line %d of the replies: %s, want %s", i+1, gotLines[i], wantLines[i])
+					t.Fatalf("reply line %d: %s, want %s", i+1, gotLines[i], wantLines[i])
 				}
 			}
-			t.Fatalf("%d lines of replies, want %d", len(gotLines), len(wantLines))
+			t.Fatalf("%d reply lines, want %d", len(gotLines), len(wantLines))
 		})
 	}
 }
 
-// TestRecordedDaysHoldEveryKindOfMessage guards against recordings that show little.
-func TestRecordedDaysHoldEveryKindOfMessage(t *testing.T) {
+// TestRecordingsContainEveryKindOfMessage guards against recordings that leave messages of some kind untested.
+func TestRecordingsContainEveryKindOfMessage(t *testing.T) {
 	sent, received := map[string]int{}, map[string]int{}
-	for _, s := range sites {
-		for kind, n := range linesByKind(t, readKept(t, keptFile(s.name, "in"))) {
+	for _, config := range simulationConfigs {
+		for kind, n := range countLinesByKind(t, readRecording(t, recordingFile(config.name, "in"))) {
 			sent[kind] += n
 		}
-		for kind, n := range linesByKind(t, readKept(t, keptFile(s.name, "out"))) {
+		for kind, n := range countLinesByKind(t, readRecording(t, recordingFile(config.name, "out"))) {
 			received[kind] += n
 		}
 	}
-	t.Logf("sent %v, received %v", sent, received)
+	t.Logf("messages sent: %v, received: %v", sent, received)
 	for _, kind := range []string{"Hello", "Kill", "DefineList", "RosterChange C", "RosterChange D", "RosterChange F",
 		"RosterChange X", "Accept", "CancelledByClient", "DeadlineHit", "Started", "Peer", "Sampled pass",
 		"Sampled no_route", "Sampled too_slow", "ClosedAttempt pass", "ClosedAttempt fault", "ClosedAttempt no_room",
 		"ClosedAttempt too_slow", "ClosedAttempt no_route", "ClosedAttempt cut", "ClosedAttempt undone",
 		"ClosedAttempt stale_send"} {
 		if sent[kind] == 0 {
-			t.Errorf("no recording sends %s", kind)
+			t.Errorf("no recording contains a message %s", kind)
 		}
 	}
 	for _, kind := range []string{"PassOn", "UndoSend", "SettleQuery", "PushBack", "EndFailed", "Schedule", "Follow", "Inspect"} {
 		if received[kind] < 5 {
-			t.Errorf("the recordings hold %d replies %s, want some", received[kind], kind)
+			t.Errorf("the recordings contain %d replies %s, want at least 5", received[kind], kind)
 		}
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,9 +1,9 @@
-// Package simwire connects the decision module to the simulator: JSON lines on standard input and output,
-// batches of events for many instances that share nothing. It translates messages and keeps the framing; it
-// decides nothing.
+// Package simwire connects the decision module to the simulator. The protocol is JSON lines on standard input and
+// output: batches of events for many instances that share no state, and a reply to each batch. The package translates
+// messages and checks the framing; all decisions are the module's.
 //
-// The wire's names stand in this package only: the fields' names in the struct tags of message, the values'
-// names in the tables beside it.
+// The protocol's names appear in this package only: field names in the struct tags of message, and values in the tables
+// and constants next to it.
 package simwire
 
 import (
@@ -20,11 +20,11 @@
 )
 
 const (
-	inputBufferBytes  = 1 << 20 // batches run to megabytes
+	inputBufferBytes  = 1 << 20 // a batch may have several megabytes
 	outputBufferBytes = 1 << 16
 )
 
-// instance is one gatherer with the events of the batch.
+// instance is one simulated gatherer, with its events of the open batch.
 type instance struct {
 	module    gather.Module
 	writer    roundWriter
@@ -32,21 +32,21 @@
 	hasEvents bool
 }
 
-// host holds the state of the connection: the instances, the endpoint lists by number, and the open batch.
-type host struct {
+// session holds the state of a connection: the instances, the endpoint lists by number, and the open batch.
+type session struct {
 	out           *bufio.Writer
 	instances     map[int64]*instance
-	order         []int64 // of instances with events, by their first event in the batch
+	order         []int64 // instances with events, in the order of their first event in the batch
 	endpointLists map[int][]gather.Endpoint
 
 	batchOpen bool
 	batch     int64
-	now       float64 // of the batch, in milliseconds
+	now       float64 // time of the batch, in milliseconds
 }
 
-// Serve answers batches until the input ends.
+// Serve replies to batches until the input ends. It returns an error, with the line number, for invalid input.
 func Serve(in io.Reader, out io.Writer) error {
-	h := &host{
+	s := &session{
 		out:           bufio.NewWriterSize(out, outputBufferBytes),
 		instances:     map[int64]*instance{},
 		endpointLists: map[int][]gather.Endpoint{},
@@ -55,13 +55,13 @@
 	for number := 1; ; number++ {
 		line, readErr := lines.ReadBytes('\n')
 		if len(bytes.TrimSpace(line)) > 0 {
-			if err := h.handleLine(line); err != nil {
+			if err := s.handleLine(line); err != nil {
 				return fmt.Errorf("line %d: %w", number, err)
 			}
 		}
 		if errors.Is(readErr, io.EOF) {
-			if h.batchOpen {
-				return fmt.Errorf("line %d: input ends inside batch %d", number, h.batch)
+			if s.batchOpen {
+				return fmt.Errorf("line %d: input ends inside batch %d", number, s.batch)
 			}
 			return nil
 		}
@@ -71,110 +71,111 @@
 	}
 }
 
-func (h *host) handleLine(line []byte) error {
+func (s *session) handleLine(line []byte) error {
 	var m message
 	if err := json.Unmarshal(line, &m); err != nil {
 		return fmt.Errorf("malformed message: %w", err)
 	}
 	switch {
 	case m.Command == "":
-		return errors.New("message without cmd")
+		return errors.New("message has no cmd")
 	case m.Command == cmdBeginBatch:
-		return h.beginBatch(&m)
-	case !h.batchOpen:
+		return s.beginBatch(&m)
+	case !s.batchOpen:
 		return fmt.Errorf("%s outside a batch", m.Command)
 	case m.Command == cmdEndBatch:
-		return h.reply()
+		return s.reply()
 	case m.Command == cmdDefineList:
-		return h.defineList(&m)
+		return s.defineList(&m)
 	}
-	if err := h.handleEvent(&m); err != nil {
+	if err := s.handleEvent(&m); err != nil {
 		return fmt.Errorf("%s: %w", m.Command, err)
 	}
 	return nil
 }
 
-func (h *host) beginBatch(m *message) error {
-	if h.batchOpen || m.Now == nil || m.Batch == nil {
-		return errors.New("BeginBatch inside a batch, or without now or batch")
+func (s *session) beginBatch(m *message) error {
+	if s.batchOpen || m.Now == nil || m.Batch == nil {
+		return errors.New("BeginBatch inside an open batch, or without the fields now and batch")
 	}
-	h.batchOpen = true
-	h.now = milliseconds(*m.Now)
-	h.batch = *m.Batch
+	s.batchOpen = true
+	s.now = milliseconds(*m.Now)
+	s.batch = *m.Batch
 	return nil
 }
 
-// defineList keeps an endpoint list under its number. Events after it mean the newest list of a number.
-func (h *host) defineList(m *message) error {
+// defineList stores an endpoint list under its number, replacing an earlier one. Later events refer to the newest list
+// of a number.
+func (s *session) defineList(m *message) error {
 	if m.ListNumber == nil {
-		return errors.New("DefineList: no sheet")
+		return errors.New("DefineList: field sheet is missing")
 	}
 	list, err := endpoints(m.Members)
 	if err != nil {
 		return fmt.Errorf("DefineList: %w", err)
 	}
-	h.endpointLists[*m.ListNumber] = list
+	s.endpointLists[*m.ListNumber] = list
 	return nil
 }
 
 // handleEvent adds an event to its instance's round.
-func (h *host) handleEvent(m *message) error {
+func (s *session) handleEvent(m *message) error {
 	if m.Instance == nil {
-		return errors.New("no gathererId")
+		return errors.New("field gathererId is missing")
 	}
 	id := *m.Instance
 	switch m.Command {
 	case cmdHello:
-		if err := h.start(id, m); err != nil {
+		if err := s.start(id, m); err != nil {
 			return err
 		}
 	case cmdKill:
-		delete(h.instances, id)
+		delete(s.instances, id)
 		return nil
 	}
-	in := h.instances[id]
+	in := s.instances[id]
 	if in == nil {
 		return fmt.Errorf("instance %d is not running", id)
 	}
 	if !in.hasEvents {
 		in.hasEvents = true
-		h.order = append(h.order, id)
+		s.order = append(s.order, id)
 	}
-	return h.addToRound(&in.round, m)
+	return s.addToRound(&in.round, m)
 }
 
-func (h *host) start(id int64, m *message) error {
+func (s *session) start(id int64, m *message) error {
 	config, err := settings.Read(m.Settings)
 	if err != nil {
 		return err
 	}
-	h.instances[id] = &instance{
+	s.instances[id] = &instance{
 		module: logic.New(m.Seed, config),
-		writer: roundWriter{out: h.out, instance: id},
+		writer: roundWriter{out: s.out, instance: id},
 	}
 	return nil
 }
 
-// reply runs a round of each instance that has events, and closes the batch.
-func (h *host) reply() error {
-	for _, id := range h.order {
-		in := h.instances[id]
+// reply runs a round of each instance that has events, ends the reply and closes the batch.
+func (s *session) reply() error {
+	for _, id := range s.order {
+		in := s.instances[id]
 		if in == nil || !in.hasEvents {
-			continue // killed after its events, or listed twice since it was started again
+			continue // killed after its events, or listed twice because it was restarted
 		}
 		in.hasEvents = false
-		in.round.Now = h.now
+		in.round.Now = s.now
 		runRound(in)
 		clearRound(&in.round)
 	}
-	h.order = h.order[:0]
-	h.batchOpen = false
-	writeBatchEnd(h.out, h.batch)
-	return h.out.Flush()
+	s.order = s.order[:0]
+	s.batchOpen = false
+	writeBatchEnd(s.out, s.batch)
+	return s.out.Flush()
 }
 
-// runRound reports a panic of the module as the wire's own message: a process that has crashed cannot say
-// why.
+// runRound runs the module once. It reports a panic of the module to the simulator by a message, because a process that
+// crashed could not report the cause.
 func runRound(in *instance) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -184,7 +185,7 @@
 	in.module.Round(&in.round, &in.writer)
 }
 
-// clearRound empties a round and keeps its slices' memory.
+// clearRound empties a round and keeps the capacity of its slices for the next one.
 func clearRound(r *gather.Round) {
 	*r = gather.Round{
 		EndpointLists: r.EndpointLists[:0],
--- a/internal/simwire/writer.go
+++ b/internal/simwire/writer.go
@@ -8,28 +8,28 @@
 	"strconv"
 )
 
-// roundWriter writes the decisions of one instance's round, one message each. It is a gather.Writer.
-// Messages are put together by hand, which costs little of the CPU that an instance is charged for.
+// roundWriter is a gather.Writer that writes each decision of one instance's rounds as a message. It assembles the JSON
+// itself, because that takes little of the CPU time that the instance is charged for.
 type roundWriter struct {
 	out      *bufio.Writer
 	instance int64
 }
 
-// write writes a message; fields are alternating texts, each starting with its comma and name, and values.
+// write writes a message with the given fields: alternately a comma with the quoted name and colon, and the value.
 func (w *roundWriter) write(command string, fields ...string) {
 	writeTexts(w.out, `{"cmd":"`, command, `","gathererId":`, strconv.FormatInt(w.instance, 10))
 	writeTexts(w.out, fields...)
 	writeTexts(w.out, "}\n")
 }
 
-// writeBatchEnd ends the reply to a batch.
+// writeBatchEnd writes the message that ends the reply to a batch.
 func writeBatchEnd(out *bufio.Writer, batch int64) {
 	writeTexts(out, `{"cmd":"`, cmdReplyEnd, `","batch":`, strconv.FormatInt(batch, 10), "}\n")
 }
 
 func writeTexts(out *bufio.Writer, texts ...string) {
 	for _, text := range texts {
-		_, _ = out.WriteString(text) // a failure stays with the buffer and is returned by Flush
+		_, _ = out.WriteString(text) // the writer keeps an error, and Flush returns it
 	}
 }
 
@@ -67,7 +67,7 @@
 	w.write(cmdCheckHealth, `,"server":`, decimal(uint64(server)))
 }
 
-// panicked reports to the simulator that the module panicked.
+// panicked reports a panic of the module, with its cause, to the simulator.
 func (w *roundWriter) panicked(cause any) {
 	text, _ := json.Marshal(fmt.Sprint(cause)) // a string always marshals
 	w.write(cmdPanicked, `,"line":`, string(text))
