--- a/internal/gatherer/dispatch/ownership.go
+++ b/internal/gatherer/dispatch/ownership.go
@@ -118,7 +118,7 @@
 		}
 	}
 	if changed && o.ConflictEpoch > 0 && o.Map != nil && o.Map.Epoch > o.ConflictEpoch {
-		o.requestMap() // only a full map of this later epoch ends the conflict
+		o.requestMap() // only a full map of a later epoch ends the conflict
 	}
 	if in.serverNames != nil {
 		o.serverNames = in.serverNames
@@ -245,8 +245,8 @@
 	return writer
 }
 
-// reassignPieces assigns the pieces of open queries to their current owners if the map has changed, or if pieces are
-// deferred or were rejected.
+// reassignPieces assigns the pieces of open queries to their current owners if the map has changed or if some pieces
+// are deferred or were rejected.
 func (p *Picker) reassignPieces(in *gather.Round, mapChanged bool, now float64) {
 	o := p.ownership
 	if o.Map == nil || !mapChanged && o.deferredPieces == 0 && o.rejectedPieces == 0 {
--- a/internal/gatherer/dispatch/picker_test.go
+++ b/internal/gatherer/dispatch/picker_test.go
@@ -18,9 +18,9 @@
 // and one fails fast.
 func TestPickerDecisionsMatchSimulatorWire(t *testing.T) {
 	p := newPicker(t, nil)
-	toHost, in := io.Pipe()
-	out, fromHost := io.Pipe()
-	go simwire.Serve(toHost, fromHost)
+	serveInput, in := io.Pipe()
+	out, serveOutput := io.Pipe()
+	go simwire.Serve(serveInput, serveOutput)
 	defer in.Close()
 	reply := bufio.NewScanner(out)
 	type scheduledEnd struct {
--- a/internal/gatherer/dispatch/recordqueue_test.go
+++ b/internal/gatherer/dispatch/recordqueue_test.go
@@ -326,7 +326,8 @@
 }
 
 // TestWaitingQueriesShareOneWriteAndAreBounded checks that queries that arrive during a write share the next one, that
-// a fifth non-idempotent query is rejected at once where four may wait, and that idempotent queries are still admitted.
+// a fifth non-idempotent query is rejected at once where four may wait or be written, and that idempotent queries are
+// still admitted.
 func TestWaitingQueriesShareOneWriteAndAreBounded(t *testing.T) {
 	const size = 3 // open requests of one query: itself and its two shard requests
 	p := newPicker(t, func(s *gather.Settings) { s.MaxOpenRequests = 4 * 4 * size })
