--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// TestNeverExecutedNeedsProof: an attempt that timed out, broke off, failed or was cancelled may have had an effect.
-func TestNeverExecutedNeedsProof(t *testing.T) {
+// TestNeverExecutedOnlyForProvingOutcomes: an attempt that timed out, broke off, failed or was cancelled may have had an effect.
+func TestNeverExecutedOnlyForProvingOutcomes(t *testing.T) {
 	proves := map[Outcome]bool{Rejected: true, ConnectFailed: true, NotSent: true, NotOwner: true}
 	for outcome := Succeeded; outcome <= NotOwner; outcome++ {
 		if got := outcome.NeverExecuted(); got != proves[outcome] {
@@ -24,7 +24,7 @@
 	}
 }
 
-func TestCloneLeavesTheOriginalAsItIs(t *testing.T) {
+func TestCloneDoesNotShareClassesOrTenants(t *testing.T) {
 	original := &Settings{Tick: 5, Classes: []Class{{Name: "c", MinShare: 0.5}}, Tenants: []Tenant{{Name: "t", Quota: 1}}}
 	clone := original.Clone()
 	clone.Tick = 7
--- a/logic/admission/controller.go
+++ b/logic/admission/controller.go
@@ -9,7 +9,7 @@
 
 // Limits are the limits of a listener. Times are in milliseconds.
 type Limits struct {
-	MaxConns           int     // open connections
+	MaxConns           int     // isWildcard connections
 	MaxUnauthenticated int     // of these, before they are authenticated
 	HandshakeTimeout   float64 // until they are
 	RotationPeriod     float64 // connections of older keys end within it; negative: they stay
@@ -155,15 +155,15 @@
 	return "", 0
 }
 
-// sorted returns the IDs of the connections, the oldest first.
-func (c *Controller) sorted() []uint64 { return slices.Sorted(maps.Keys(c.conns)) }
+// sortedIDs returns the IDs of the connections, the oldest first.
+func (c *Controller) sortedIDs() []uint64 { return slices.Sorted(maps.Keys(c.conns)) }
 
 // RotateKeys takes note of new keys. Connections whose peer's certificate they do not trust are returned, to
 // end at once. The others end within the rotation period, the oldest first and evenly spread, so that their
 // peers do not all reconnect together.
 func (c *Controller) RotateKeys(trusted func(conn uint64) bool, now float64) (terminations []Termination) {
 	c.keyGeneration++
-	ids := c.sorted()
+	ids := c.sortedIDs()
 	for i, id := range ids {
 		conn := c.conns[id]
 		switch {
@@ -180,7 +180,7 @@
 // Reconfigure applies new rules and limits. It returns the connections that they no longer admit as before.
 func (c *Controller) Reconfigure(limits Limits, rules *Rules) (terminations []Termination) {
 	c.limits, c.rules = limits, rules
-	for _, id := range c.sorted() {
+	for _, id := range c.sortedIDs() {
 		conn := c.conns[id]
 		if !conn.authenticated {
 			continue
@@ -201,7 +201,7 @@
 // Expire returns the connections that have to end by now: those not authenticated in time, those whose
 // certificate has expired, and those of older keys.
 func (c *Controller) Expire(now float64) (terminations []Termination) {
-	for _, id := range c.sorted() {
+	for _, id := range c.sortedIDs() {
 		switch conn := c.conns[id]; {
 		case !conn.authenticated && now-conn.acceptedAt >= c.limits.HandshakeTimeout:
 			terminations = append(terminations, Termination{id, "it has not shown who it is in time"})
--- a/logic/admission/controller_test.go
+++ b/logic/admission/controller_test.go
@@ -14,31 +14,31 @@
 func init() { flag.Set("rapid.seed", "20261201") }
 
 var (
-	here  = netip.MustParseAddr("10.1.2.3")
-	there = netip.MustParseAddr("192.0.2.7")
+	internalAddr = netip.MustParseAddr("10.1.2.3")
+	externalAddr = netip.MustParseAddr("192.0.2.7")
 )
 
 func TestRulesAdmitByNameAndAddress(t *testing.T) {
-	ten := []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("2001:db8::/32")}
-	rules := NewRules([]Rule{{Name: "proxy-*", Roles: Subscriber, From: ten, MaxConns: 2}, {Name: "proxy-7", Roles: Administrator, From: ten, MaxConns: 5},
-		{Name: "*.ops.example", Roles: Administrator}, {Name: "spiffe://yard/*", Roles: Subscriber, From: ten}})
+	prefixes := []netip.Prefix{netip.MustParsePrefix("10.0.0.0/8"), netip.MustParsePrefix("2001:db8::/32")}
+	rules := NewRules([]Rule{{Name: "proxy-*", Roles: Subscriber, From: prefixes, MaxConns: 2}, {Name: "proxy-7", Roles: Administrator, From: prefixes, MaxConns: 5},
+		{Name: "*.ops.example", Roles: Administrator}, {Name: "spiffe://yard/*", Roles: Subscriber, From: prefixes}})
 	for _, c := range []struct {
 		names string
 		from  netip.Addr
 		want  string
 	}{
-		{"proxy-1", here, "proxy-1 subscriber 2"},
-		{"proxy-7", here, "proxy-7 subscriber, administrator 5"},
+		{"proxy-1", internalAddr, "proxy-1 subscriber 2"},
+		{"proxy-7", internalAddr, "proxy-7 subscriber, administrator 5"},
 		{"proxy-1", netip.MustParseAddr("::ffff:10.9.9.9"), "proxy-1 subscriber 2"},
 		{"proxy-1", netip.MustParseAddr("2001:db8::1"), "proxy-1 subscriber 2"},
-		{"proxy-1", there, `"proxy-1" may not come from 192.0.2.7`},
-		{"proxy-", here, `no rule admits "proxy-"`},
-		{"ann.ops.example", there, "ann.ops.example administrator 0"},
-		{".ops.example", there, `no rule admits ".ops.example"`},
-		{"ops.example", there, `no rule admits "ops.example"`},
-		{"nobody spiffe://yard/x", here, "spiffe://yard/x subscriber 0"},
-		{"nobody", here, `no rule admits "nobody"`},
-		{"", here, "the certificate proves no name"},
+		{"proxy-1", externalAddr, `"proxy-1" may not come from 192.0.2.7`},
+		{"proxy-", internalAddr, `no rule admits "proxy-"`},
+		{"ann.ops.example", externalAddr, "ann.ops.example administrator 0"},
+		{".ops.example", externalAddr, `no rule admits ".ops.example"`},
+		{"ops.example", externalAddr, `no rule admits "ops.example"`},
+		{"nobody spiffe://yard/x", internalAddr, "spiffe://yard/x subscriber 0"},
+		{"nobody", internalAddr, `no rule admits "nobody"`},
+		{"", internalAddr, "the certificate proves no name"},
 	} {
 		name, roles, maxConns, err := rules.Admit(strings.Fields(c.names), c.from)
 		got := fmt.Sprintf("%s %s %d", name, roles.Text(), maxConns)
@@ -49,7 +49,7 @@
 			t.Errorf("%q from %s: %s, want %s", c.names, c.from, got, c.want)
 		}
 	}
-	if NewRules(nil).AdmitsAddress(here) || !rules.AdmitsAddress(there) || NewRules([]Rule{{Name: "*", From: ten}}).AdmitsAddress(there) {
+	if NewRules(nil).AdmitsAddress(internalAddr) || !rules.AdmitsAddress(externalAddr) || NewRules([]Rule{{Name: "*", From: prefixes}}).AdmitsAddress(externalAddr) {
 		t.Error("who may knock")
 	}
 	for name, good := range map[string]bool{"*": true, "a*": true, "*a": true, "a*b": false, "*a*": false, "": false, "**": false} {
@@ -59,96 +59,96 @@
 	}
 }
 
-// TestRotatedKeysAndNewRulesEndConnections: an authority that is dropped ends its connections at once, the rest are spread; expired ones end in time;
+// TestConnectionsEndAfterKeyRotationExpiryAndNewRules: an authority that is dropped ends its connections at once, the rest are spread; expired ones end in time;
 // new rules end what they no longer admit.
-func TestRotatedKeysAndNewRulesEndConnections(t *testing.T) {
-	d := NewController(Limits{MaxConns: 100, MaxUnauthenticated: 100, HandshakeTimeout: 1000, RotationPeriod: 10_000}, NewRules([]Rule{{Name: "*", Roles: Subscriber}}))
+func TestConnectionsEndAfterKeyRotationExpiryAndNewRules(t *testing.T) {
+	controller := NewController(Limits{MaxConns: 100, MaxUnauthenticated: 100, HandshakeTimeout: 1000, RotationPeriod: 10_000}, NewRules([]Rule{{Name: "*", Roles: Subscriber}}))
 	var ids []uint64
 	for i := range 10 {
-		id, err := d.Accept(here, 0)
+		id, err := controller.Accept(internalAddr, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, _, err := d.Authenticate(id, Peer{Names: []string{fmt.Sprint("p", i)}, Expires: 1e6}, 0, 0); err != nil {
+		if _, _, err := controller.Authenticate(id, Peer{Names: []string{fmt.Sprint("p", i)}, Expires: 1e6}, 0, 0); err != nil {
 			t.Fatal(err)
 		}
 		ids = append(ids, id)
 	}
-	late, _ := d.Accept(here, 0)
-	terminations := d.RotateKeys(func(id uint64) bool { return id != ids[3] }, 100)
+	pending, _ := controller.Accept(internalAddr, 0)
+	terminations := controller.RotateKeys(func(id uint64) bool { return id != ids[3] }, 100)
 	if len(terminations) != 1 || terminations[0].Conn != ids[3] {
 		t.Fatalf("%v", terminations)
 	}
-	d.Remove(ids[3])
-	if _, _, err := d.Authenticate(late, Peer{Names: []string{"late"}, Expires: 1e6}, 0, 200); err == nil {
+	controller.Remove(ids[3])
+	if _, _, err := controller.Authenticate(pending, Peer{Names: []string{"late"}, Expires: 1e6}, 0, 200); err == nil {
 		t.Error("let in by keys that were replaced")
 	}
-	d.Remove(late)
+	controller.Remove(pending)
 	ended := 0
 	for now := 100.0; now <= 10_200; now += 100 {
-		gone := d.Expire(now)
-		if len(gone) > 1 {
-			t.Errorf("%d end at once", len(gone))
+		expired := controller.Expire(now)
+		if len(expired) > 1 {
+			t.Errorf("%d end at once", len(expired))
 		}
-		for _, e := range gone {
-			d.Remove(e.Conn)
+		for _, e := range expired {
+			controller.Remove(e.Conn)
 			ended++
 		}
 	}
-	if ended != 9 || d.Counts().Open != 0 {
-		t.Errorf("%d ended, %+v", ended, d.Counts())
+	if ended != 9 || controller.Counts().Open != 0 {
+		t.Errorf("%d ended, %+v", ended, controller.Counts())
 	}
-	id, _ := d.Accept(here, 20_000)
-	if _, _, err := d.Authenticate(id, Peer{Names: []string{"p"}, Expires: 30_000}, d.KeyGeneration(), 20_000); err != nil {
+	id, _ := controller.Accept(internalAddr, 20_000)
+	if _, _, err := controller.Authenticate(id, Peer{Names: []string{"p"}, Expires: 30_000}, controller.KeyGeneration(), 20_000); err != nil {
 		t.Fatal(err)
 	}
-	if len(d.Expire(29_999)) != 0 || len(d.Expire(30_000)) != 1 {
+	if len(controller.Expire(29_999)) != 0 || len(controller.Expire(30_000)) != 1 {
 		t.Error("its certificate expires at 30000")
 	}
-	if terminations := d.Reconfigure(d.limits, NewRules([]Rule{{Name: "p", Roles: Administrator}})); len(terminations) != 1 {
+	if terminations := controller.Reconfigure(controller.limits, NewRules([]Rule{{Name: "p", Roles: Administrator}})); len(terminations) != 1 {
 		t.Errorf("it is no subscriber now: %v", terminations)
 	}
-	if terminations := d.Reconfigure(d.limits, NewRules([]Rule{{Name: "p", Roles: Administrator | Subscriber}})); len(terminations) != 0 {
+	if terminations := controller.Reconfigure(controller.limits, NewRules([]Rule{{Name: "p", Roles: Administrator | Subscriber}})); len(terminations) != 0 {
 		t.Errorf("it may as before: %v", terminations)
 	}
-	if terminations := d.Reconfigure(d.limits, NewRules([]Rule{{Name: "q", Roles: Subscriber}})); len(terminations) != 1 {
+	if terminations := controller.Reconfigure(controller.limits, NewRules([]Rule{{Name: "q", Roles: Subscriber}})); len(terminations) != 1 {
 		t.Errorf("nobody admits it: %v", terminations)
 	}
 }
 
-// TestNoLimitIsPassedAndNothingMiscounted: against a model, no limit is passed and nothing is miscounted.
-func TestNoLimitIsPassedAndNothingMiscounted(t *testing.T) {
+// TestLimitsAndCountsMatchModel: against a model, no limit is passed and nothing is miscounted.
+func TestLimitsAndCountsMatchModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := NewController(Limits{MaxConns: 6, MaxUnauthenticated: 3, HandshakeTimeout: 50, RotationPeriod: -1}, NewRules([]Rule{{Name: "a*", Roles: Subscriber, MaxConns: 2}, {Name: "b*", Roles: Subscriber}}))
+		controller := NewController(Limits{MaxConns: 6, MaxUnauthenticated: 3, HandshakeTimeout: 50, RotationPeriod: -1}, NewRules([]Rule{{Name: "a*", Roles: Subscriber, MaxConns: 2}, {Name: "b*", Roles: Subscriber}}))
 		now := 0.0
 		var open []uint64
 		names := map[uint64]string{}
 		for range 60 {
 			now += 10
-			at := func() uint64 {
+			drawConn := func() uint64 {
 				if len(open) == 0 {
 					return 999
 				}
 				return open[rapid.IntRange(0, len(open)-1).Draw(t, "which")]
 			}
-			leave := func(id uint64) {
-				d.Remove(id)
+			remove := func(id uint64) {
+				controller.Remove(id)
 				open = slices.DeleteFunc(open, func(o uint64) bool { return o == id })
 				delete(names, id)
 			}
 			switch rapid.IntRange(0, 3).Draw(t, "what") {
 			case 0:
-				unproven := len(open) - len(names)
-				id, err := d.Accept(here, now)
-				if fits := len(open) < 6 && unproven < 3; (err == nil) != fits {
-					t.Fatalf("%d open, %d unproven: %v", len(open), unproven, err)
+				unauthenticated := len(open) - len(names)
+				id, err := controller.Accept(internalAddr, now)
+				if fits := len(open) < 6 && unauthenticated < 3; (err == nil) != fits {
+					t.Fatalf("%d open, %d unproven: %v", len(open), unauthenticated, err)
 				}
 				if err == nil {
 					open = append(open, id)
 				}
 			case 1:
-				id, name := at(), rapid.SampledFrom([]string{"a1", "a2", "b1", "c1"}).Draw(t, "name")
-				if _, proven := names[id]; id == 999 || proven {
+				id, name := drawConn(), rapid.SampledFrom([]string{"a1", "a2", "b1", "c1"}).Draw(t, "name")
+				if _, authenticated := names[id]; id == 999 || authenticated {
 					continue
 				}
 				same := 0
@@ -157,7 +157,7 @@
 						same++
 					}
 				}
-				_, _, err := d.Authenticate(id, Peer{Names: []string{name}, Expires: 1e9}, 0, now)
+				_, _, err := controller.Authenticate(id, Peer{Names: []string{name}, Expires: 1e9}, 0, now)
 				if fits := name[0] == 'b' || name[0] == 'a' && same < 2; (err == nil) != fits {
 					t.Fatalf("%s with %d: %v", name, same, err)
 				}
@@ -165,16 +165,16 @@
 					names[id] = name
 				}
 			case 2:
-				leave(at())
+				remove(drawConn())
 			case 3:
-				for _, e := range d.Expire(now) {
-					if _, proven := names[e.Conn]; proven {
+				for _, e := range controller.Expire(now) {
+					if _, authenticated := names[e.Conn]; authenticated {
 						t.Fatalf("%v ends", e)
 					}
-					leave(e.Conn)
+					remove(e.Conn)
 				}
 			}
-			if c := d.Counts(); c.Open != len(open) || c.Unauthenticated != len(open)-len(names) {
+			if c := controller.Counts(); c.Open != len(open) || c.Unauthenticated != len(open)-len(names) {
 				t.Fatalf("%+v, in truth %d, %d proven", c, len(open), len(names))
 			}
 		}
--- a/logic/admission/rules.go
+++ b/logic/admission/rules.go
@@ -55,17 +55,17 @@
 	Name     string         // of the certificate; a * at its beginning or end matches any non-empty text
 	Roles    Role           // that the peers have
 	From     []netip.Prefix // none for every address
-	MaxConns int            // open connections of one name, 0 for no limit
+	MaxConns int            // isWildcard connections of one name, 0 for no limit
 }
 
 // matches reports whether the rule's name matches a name. A * matches at least one character, and a dot or
 // slash beside it has to match too: *.example does not match example.
 func (r *Rule) matches(name string) bool {
-	if rest, open := strings.CutSuffix(r.Name, "*"); open {
-		return len(name) > len(rest) && strings.HasPrefix(name, rest) || r.Name == "*" && name != ""
+	if prefix, isWildcard := strings.CutSuffix(r.Name, "*"); isWildcard {
+		return len(name) > len(prefix) && strings.HasPrefix(name, prefix) || r.Name == "*" && name != ""
 	}
-	if rest, open := strings.CutPrefix(r.Name, "*"); open {
-		return len(name) > len(rest) && strings.HasSuffix(name, rest)
+	if suffix, isWildcard := strings.CutPrefix(r.Name, "*"); isWildcard {
+		return len(name) > len(suffix) && strings.HasSuffix(name, suffix)
 	}
 	return r.Name == name
 }
@@ -83,36 +83,36 @@
 
 // Rules are the rules of a listener. They are immutable and safe for concurrent use.
 type Rules struct {
-	rules []Rule
-	from  []*bart.Lite // by rule, nil for everywhere
-	any   *bart.Lite   // every address that some rule admits, nil for everywhere
+	rules           []Rule
+	addressesByRule []*bart.Lite // by rule, nil for everywhere
+	anyAddress      *bart.Lite   // every address that some rule admits, nil for everywhere
 }
 
 // NewRules builds the rules of a listener.
 func NewRules(rules []Rule) *Rules {
-	r := &Rules{rules: slices.Clone(rules), any: &bart.Lite{}}
-	everywhere := false
-	for _, one := range r.rules {
+	r := &Rules{rules: slices.Clone(rules), anyAddress: &bart.Lite{}}
+	anyUnrestricted := false
+	for _, rule := range r.rules {
 		var set *bart.Lite
-		for _, p := range one.From {
+		for _, p := range rule.From {
 			if set == nil {
 				set = &bart.Lite{}
 			}
 			set.Insert(p)
-			r.any.Insert(p)
+			r.anyAddress.Insert(p)
 		}
-		everywhere = everywhere || set == nil
-		r.from = append(r.from, set)
+		anyUnrestricted = anyUnrestricted || set == nil
+		r.addressesByRule = append(r.addressesByRule, set)
 	}
-	if everywhere {
-		r.any = nil
+	if anyUnrestricted {
+		r.anyAddress = nil
 	}
 	return r
 }
 
 // AdmitsAddress reports whether any rule admits peers from an address, before the handshake.
 func (r *Rules) AdmitsAddress(from netip.Addr) bool {
-	return len(r.rules) > 0 && (r.any == nil || r.any.Contains(from.Unmap()))
+	return len(r.rules) > 0 && (r.anyAddress == nil || r.anyAddress.Contains(from.Unmap()))
 }
 
 // Rejection is why a peer is not admitted. Its connection ends.
@@ -126,20 +126,20 @@
 	if len(names) == 0 {
 		return "", 0, 0, Rejection("the certificate proves no name")
 	}
-	elsewhere := ""
-	for _, proven := range names {
+	wrongAddressName := ""
+	for _, certName := range names {
 		for i := range r.rules {
-			if !r.rules[i].matches(proven) {
+			if !r.rules[i].matches(certName) {
 				continue
 			}
-			if r.from[i] != nil && !r.from[i].Contains(from.Unmap()) {
-				elsewhere = proven
+			if r.addressesByRule[i] != nil && !r.addressesByRule[i].Contains(from.Unmap()) {
+				wrongAddressName = certName
 				continue
 			}
 			if name == "" {
-				name = proven
+				name = certName
 			}
-			if proven == name {
+			if certName == name {
 				roles |= r.rules[i].Roles
 				if m := r.rules[i].MaxConns; m > 0 && (maxConns == 0 || m > maxConns) {
 					maxConns = m
@@ -150,8 +150,8 @@
 			return name, roles, maxConns, nil
 		}
 	}
-	if elsewhere != "" {
-		return "", 0, 0, Rejection(fmt.Sprintf("%q may not come from %s", elsewhere, from.Unmap()))
+	if wrongAddressName != "" {
+		return "", 0, 0, Rejection(fmt.Sprintf("%q may not come from %s", wrongAddressName, from.Unmap()))
 	}
 	return "", 0, 0, Rejection(fmt.Sprintf("no rule admits %q", names[0]))
 }
--- a/logic/advance.go
+++ b/logic/advance.go
@@ -8,8 +8,8 @@
 )
 
 const (
-	deadlineTicks  = 3 // before its deadline a query has to end
-	objectiveTicks = 2 // before its latency objective a partial answer may be given
+	deadlineTicks  = 3 // offset its deadline a query has to end
+	objectiveTicks = 2 // offset its latency objective a partial answer may be given
 )
 
 // progress is how far a query has come. Weights are shares of the complete answer.
@@ -19,23 +19,23 @@
 	possible float64 // received, or may still be
 	expected float64 // received, or expected to be without a further attempt
 
-	heldBack     float64 // of expected: extra requests that wait for a busy replica
-	heldBackLoad int     // attempts in flight at the least busy of these replicas
+	waitingExtra     float64 // of expected: extra requests that wait for a busy replica
+	waitingExtraLoad int     // attempts in flight at the least busy of these replicas
 
-	succeeded     int // requests
-	inFlight      int // attempts
-	objectiveLeft float64
-	timeUp        bool // it has to end now
+	succeeded       int // requests
+	inFlight        int // attempts
+	objectiveLeft   float64
+	deadlineReached bool // it has to end now
 }
 
 func (g *Gatherer) progressOf(q *query) progress {
 	p := progress{
-		needed:        q.class.CompleteShare,
-		received:      q.ReceivedWeight,
-		possible:      q.ReceivedWeight,
-		expected:      q.ReceivedWeight,
-		objectiveLeft: q.arrivedAt + q.class.LatencyObjective - g.now,
-		timeUp:        q.Deadline-g.now <= deadlineTicks*g.tick(),
+		needed:          q.class.CompleteShare,
+		received:        q.ReceivedWeight,
+		possible:        q.ReceivedWeight,
+		expected:        q.ReceivedWeight,
+		objectiveLeft:   q.arrivedAt + q.class.LatencyObjective - g.now,
+		deadlineReached: q.Deadline-g.now <= deadlineTicks*g.tick(),
 	}
 	if q.secondStep {
 		p.needed = 1
@@ -53,18 +53,18 @@
 			p.expected += r.Weight
 		}
 		if r.wanted && r.extra && len(r.attempts) == 0 {
-			p.addHeldBack(r, g.leastInFlight(r))
+			p.addWaitingExtra(r, g.leastInFlight(r))
 		}
 	}
 	return p
 }
 
-// addHeldBack counts an extra request that waits for a replica with so many attempts in flight.
-func (p *progress) addHeldBack(r *shardRequest, load int) {
-	if p.heldBack == 0 || load < p.heldBackLoad {
-		p.heldBackLoad = load
+// addWaitingExtra counts an extra request that waits for a replica with so many attempts in flight.
+func (p *progress) addWaitingExtra(r *shardRequest, load int) {
+	if p.waitingExtra == 0 || load < p.waitingExtraLoad {
+		p.waitingExtraLoad = load
 	}
-	p.heldBack += r.Weight
+	p.waitingExtra += r.Weight
 }
 
 // complete reports whether the answer received is complete. A request may weigh less than the tolerance:
@@ -81,16 +81,16 @@
 		return false
 	}
 	worthMoreNow := q.class.PartialValue*p.received/p.needed > q.class.LateValue
-	if p.timeUp || p.objectiveLeft <= objectiveTicks*tick && worthMoreNow {
+	if p.deadlineReached || p.objectiveLeft <= objectiveTicks*tick && worthMoreNow {
 		return true
 	}
 	return p.possible < p.needed-shareTolerance && p.received >= p.possible-shareTolerance
 }
 
-// hopeless reports whether the query can earn nothing any more, or found no server before its latency
+// shouldGiveUp reports whether the query can earn nothing any more, or found no server before its latency
 // objective.
-func (p *progress) hopeless(q *query) bool {
-	if p.timeUp || p.possible < q.class.MinShare-shareTolerance {
+func (p *progress) shouldGiveUp(q *query) bool {
+	if p.deadlineReached || p.possible < q.class.MinShare-shareTolerance {
 		return true
 	}
 	return p.objectiveLeft <= 0 && (q.class.LateValue == 0 || p.inFlight == 0)
@@ -98,17 +98,17 @@
 
 // advance takes a query as far as it can go in this round: it ends it, or sends what it needs.
 func (g *Gatherer) advance(q *query) {
-	if q.finished || !q.modeChosen && !g.begin(q) {
+	if q.finished || !q.modeChosen && !g.startQuery(q) {
 		return
 	}
 	p := g.progressOf(q)
 	complete := p.complete(q)
 	switch {
-	case len(q.requests) == 0 && !p.timeUp:
+	case len(q.requests) == 0 && !p.deadlineReached:
 		// The requests of its second step come with the next round.
 	case complete, p.partialAnswerDue(q, g.tick()):
 		g.answer(q, complete && (!q.secondStep || q.firstComplete))
-	case p.hopeless(q):
+	case p.shouldGiveUp(q):
 		g.rejectOrFail(q)
 	default:
 		g.sendWanted(q, &p)
@@ -116,15 +116,15 @@
 	}
 }
 
-// begin chooses the mode of a query that has arrived. It reports whether the query goes on in this round:
+// startQuery chooses the mode of a query that has arrived. It reports whether the query goes on in this round:
 // it may wait for load reports, or be shed. A first pass is never shed: it is short, and its second pass
 // may be.
-func (g *Gatherer) begin(q *query) bool {
+func (g *Gatherer) startQuery(q *query) bool {
 	if g.loads.request(q, g.now, g.writer) {
 		return false
 	}
 	g.chooseMode(q)
-	if q.Pass != gather.FirstPass && g.overloaded(q) {
+	if q.Pass != gather.FirstPass && g.shouldShed(q) {
 		g.rejectOrFail(q)
 		return false
 	}
@@ -154,8 +154,8 @@
 	for _, r := range q.requests {
 		expected := p.expected
 		lost := len(r.attempts) > 0 && r.inFlight == 0
-		if lost && p.heldBack > 0 && g.leastInFlight(r) < p.heldBackLoad {
-			expected -= p.heldBack
+		if lost && p.waitingExtra > 0 && g.leastInFlight(r) < p.waitingExtraLoad {
+			expected -= p.waitingExtra
 		}
 		if expected >= p.needed-shareTolerance {
 			continue
@@ -181,6 +181,6 @@
 		return true
 	}
 	return slices.ContainsFunc(r.attempts, func(a *attempt) bool {
-		return !a.ended && g.latencies.age(a, g.now) <= lateAfterMultiple*g.latencies.attemptLatency(a)
+		return !a.ended && g.latencies.age(a, g.now) <= overdueMultiple*g.latencies.attemptLatency(a)
 	})
 }
--- a/logic/backoff/backoff.go
+++ b/logic/backoff/backoff.go
@@ -5,25 +5,25 @@
 package backoff
 
 const (
-	// First is the mean pause after one failed call, in milliseconds: it doubles with each further one.
-	First = 100.0
-	// Most is the longest mean pause. With a pause of one and a half of it, a call of up to a second and another
+	// InitialMean is the mean pause after one failed call, in milliseconds: it doubles with each further one.
+	InitialMean = 100.0
+	// MaxMean is the longest mean pause. With a pause of one and a half of it, a call of up to a second and another
 	// pause, two calls at least are made within 6 s.
-	Most = 1600.0
-	// spread is by how much of the mean a pause may be shorter or longer, against gatherers that failed together
+	MaxMean = 1600.0
+	// jitter is by how much of the mean a pause may be shorter or longer, against gatherers that failed together
 	// asking together again.
-	spread = 0.5
+	jitter = 0.5
 )
 
 // Pause is how long to wait after so many failed calls in a row, in milliseconds; chance is drawn evenly
 // from 0 to 1.
-func Pause(failed int, chance float64) float64 {
-	mean := First
-	for range failed - 1 {
-		if mean *= 2; mean >= Most {
-			mean = Most
+func Pause(failures int, random float64) float64 {
+	mean := InitialMean
+	for range failures - 1 {
+		if mean *= 2; mean >= MaxMean {
+			mean = MaxMean
 			break
 		}
 	}
-	return mean * (1 - spread + 2*spread*chance)
+	return mean * (1 - jitter + 2*jitter*random)
 }
--- a/logic/callstats/callstats.go
+++ b/logic/callstats/callstats.go
@@ -1,6 +1,6 @@
 // Package callstats keeps the records of each server's attempts within a window, with their sums, and the
-// median latency of all servers' successful attempts. A round costs time by the records that came or
-// expired in it, not by the servers or by the records that they hold.
+// windowLatencies latency of all servers' successful attempts. A round costs time by the records that came or
+// retained in it, not by the servers or by the records that they hold.
 //
 // It decides nothing. A server's sums are added up anew, in the order of its records, whenever one came or
 // expired, so that they do not depend on the history of floating-point operations.
@@ -55,17 +55,17 @@
 
 // Table holds the records of all servers.
 type Table struct {
-	limits  Limits
-	servers []server
-	changed []int
-	window  queue // records within the window, by time
-	expired queue // records kept beyond the window, by time
-	median  Multiset
-	start   float64 // of the window: what ended at or before has left it
+	limits          Limits
+	servers         []server
+	changed         []int
+	window          queue // records within the window, by time
+	retained        queue // records kept beyond the window, by time
+	windowLatencies Multiset
+	windowStart     float64 // of the window: what ended at or before has left it
 }
 
 // New returns a table without servers.
-func New(limits Limits) *Table { return &Table{limits: limits, start: math.Inf(-1)} }
+func New(limits Limits) *Table { return &Table{limits: limits, windowStart: math.Inf(-1)} }
 
 // AddServer adds a server behind the last one.
 func (t *Table) AddServer() {
@@ -91,8 +91,8 @@
 func (t *Table) Reset(server int) {
 	s := &t.servers[server]
 	for i := range s.records {
-		if r := &s.records[i]; r.Succeeded && r.EndedAt > t.start {
-			t.median.Remove(r.Latency)
+		if r := &s.records[i]; r.Succeeded && r.EndedAt > t.windowStart {
+			t.windowLatencies.Remove(r.Latency)
 		}
 	}
 	s.records = nil
@@ -112,7 +112,7 @@
 		succeeded:  r.Succeeded,
 	})
 	if r.Succeeded {
-		t.median.Add(r.Latency)
+		t.windowLatencies.Add(r.Latency)
 	}
 	t.MarkChanged(server)
 }
@@ -121,8 +121,8 @@
 // changed or that were marked; the slice is valid until the next call.
 func (t *Table) Advance(now float64) []int {
 	expired := t.expire(now)
-	for !t.expired.empty() && t.expired.oldest().endedAt < now-t.limits.MaxAge {
-		if e := t.expired.pop(); t.current(&e) {
+	for !t.retained.empty() && t.retained.oldest().endedAt < now-t.limits.MaxAge {
+		if e := t.retained.pop(); t.current(&e) {
 			t.MarkChanged(int(e.server))
 		}
 	}
@@ -130,14 +130,14 @@
 	t.changed = nil
 	for _, index := range changed {
 		t.servers[index].changed = false
-		if t.servers[index].addUp(now, t.limits) {
+		if t.servers[index].recompute(now, t.limits) {
 			t.MarkChanged(index)
 		}
 	}
 	for _, e := range expired {
 		s := &t.servers[e.server]
 		if t.current(&e) && len(s.records) > 0 && s.records[0].EndedAt <= e.endedAt { // kept beyond the window
-			t.expired.push(e)
+			t.retained.push(e)
 		}
 	}
 	return changed
@@ -145,14 +145,14 @@
 
 // expire takes what has left the window out of the queue and the median, and marks its servers.
 func (t *Table) expire(now float64) (expired []entry) {
-	t.start = now - t.limits.Window
-	for !t.window.empty() && t.window.oldest().endedAt <= t.start {
+	t.windowStart = now - t.limits.Window
+	for !t.window.empty() && t.window.oldest().endedAt <= t.windowStart {
 		e := t.window.pop()
 		if !t.current(&e) {
 			continue
 		}
 		if e.succeeded {
-			t.median.Remove(e.latency)
+			t.windowLatencies.Remove(e.latency)
 		}
 		t.MarkChanged(int(e.server))
 		expired = append(expired, e)
@@ -165,12 +165,14 @@
 
 // Median is the median latency of the successful attempts in the window, or the default where there is
 // none.
-func (t *Table) Median(defaultLatency float64) float64 { return t.median.Median(defaultLatency) }
+func (t *Table) Median(defaultLatency float64) float64 {
+	return t.windowLatencies.Median(defaultLatency)
+}
 
 // AppendLatencies appends the latencies of the attempts that succeeded after a time. Where that lies before
 // the window, all records are looked at.
 func (t *Table) AppendLatencies(after float64, latencies []float64) []float64 {
-	if after < t.start {
+	if after < t.windowStart {
 		return t.appendFromRecords(after, latencies)
 	}
 	for e := range t.window.newestFirst() {
@@ -195,14 +197,14 @@
 	return latencies
 }
 
-// addUp drops the records that have expired and adds up the others. It reports whether a record leaves the
+// recompute drops the records that have expired and adds up the others. It reports whether a record leaves the
 // window at just this moment: it is dropped by the next Advance.
-func (s *server) addUp(now float64, limits Limits) (again bool) {
-	old := 0
-	for old < len(s.records) && s.expired(old, now, limits) {
-		old++
+func (s *server) recompute(now float64, limits Limits) (expiresNext bool) {
+	expiredCount := 0
+	for expiredCount < len(s.records) && s.expired(expiredCount, now, limits) {
+		expiredCount++
 	}
-	s.records = s.records[old:]
+	s.records = s.records[expiredCount:]
 	s.sums = Sums{SuccessesSinceLoss: math.Inf(1)}
 	for i := range s.records {
 		s.sums.add(&s.records[i])
@@ -214,7 +216,7 @@
 	return len(s.records) > limits.MinRecords && s.records[0].EndedAt <= now-limits.Window
 }
 
-// expired reports whether a record is no longer kept, given that those before it are not.
+// retained reports whether a record is no longer kept, given that those before it are not.
 func (s *server) expired(index int, now float64, limits Limits) bool {
 	endedAt := s.records[index].EndedAt
 	if endedAt < now-limits.MaxAge {
--- a/logic/callstats/callstats_test.go
+++ b/logic/callstats/callstats_test.go
@@ -38,12 +38,12 @@
 }
 
 func (f *reference) expire(server int, now float64) {
-	records, old := f.servers[server], 0
-	for old < len(records) && (records[old].EndedAt < now-f.limits.MaxAge ||
-		len(records) > old+f.limits.MinRecords && records[old].EndedAt < now-f.limits.Window) {
-		old++
+	records, expiredCount := f.servers[server], 0
+	for expiredCount < len(records) && (records[expiredCount].EndedAt < now-f.limits.MaxAge ||
+		len(records) > expiredCount+f.limits.MinRecords && records[expiredCount].EndedAt < now-f.limits.Window) {
+		expiredCount++
 	}
-	f.servers[server] = records[old:]
+	f.servers[server] = records[expiredCount:]
 }
 
 func drawRecord(t *rapid.T, now float64) Record {
@@ -59,8 +59,8 @@
 	return r
 }
 
-// change adds a server, resets one or adds a record, to both.
-func change(t *rapid.T, table *Table, ref *reference, now float64) {
+// applyRandomChange adds a server, resets one or adds a record, to both.
+func applyRandomChange(t *rapid.T, table *Table, ref *reference, now float64) {
 	n := len(ref.servers)
 	kind := rapid.IntRange(0, 9).Draw(t, "kind")
 	if n == 0 || kind == 0 && n < 6 {
@@ -79,9 +79,9 @@
 	ref.servers[server] = append(ref.servers[server], r)
 }
 
-// TestAgainstReference: after any history of records, of servers that come and are replaced and of time that passes, also
+// TestTableMatchesReference: after any history of records, of servers that come and are replaced and of time that passes, also
 // by just the lengths of the limits, sums and medians are to the last bit those of adding everything up anew.
-func TestAgainstReference(t *testing.T) {
+func TestTableMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Window: 50, MinRecords: rapid.IntRange(1, 4).Draw(t, "min records"), MaxAge: 250}
 		recent := rapid.SampledFrom([]float64{10, 49, 80, 300}).Draw(t, "recent")
@@ -90,7 +90,7 @@
 		for range rapid.IntRange(1, 120).Draw(t, "rounds") {
 			now += rapid.SampledFrom([]float64{0, 1, 5, 7.25, 25, 50, 120, 250}).Draw(t, "gap")
 			for range rapid.IntRange(0, 4).Draw(t, "events") {
-				change(t, table, ref, now)
+				applyRandomChange(t, table, ref, now)
 			}
 			table.Advance(now)
 			sums, window, latencies := ref.advance(now, recent)
@@ -129,12 +129,12 @@
 	if n := len(table.window.blocks); table.window.count != 100 || n > 2 {
 		t.Errorf("the window holds %d records in %d blocks", table.window.count, n)
 	}
-	if n := table.median.Len(); n != 100 {
+	if n := table.windowLatencies.Len(); n != 100 {
 		t.Errorf("the median is of %d records", n)
 	}
 	table.Advance(now + 1000)
-	if !table.window.empty() || !table.expired.empty() || table.median.Len() > 0 {
-		t.Errorf("records are left: %d in the window, %d beyond", table.window.count, table.expired.count)
+	if !table.window.empty() || !table.retained.empty() || table.windowLatencies.Len() > 0 {
+		t.Errorf("records are left: %d in the window, %d beyond", table.window.count, table.retained.count)
 	}
 }
 
--- a/logic/callstats/multiset_test.go
+++ b/logic/callstats/multiset_test.go
@@ -8,30 +8,30 @@
 	"yokeroute/internal/stats"
 )
 
-// TestMultiset compares a multiset with sorting, through thousands of values that go in and out, with many and few alike.
-func TestMultiset(t *testing.T) {
-	for _, kinds := range []uint32{3, 50, 1 << 20} {
-		chance, m, held := pcg.New(uint64(kinds)), &Multiset{}, []float64(nil)
+// TestMultisetMatchesSortedSlice compares a multiset with sorting, through thousands of values that go in and out, with many and few alike.
+func TestMultisetMatchesSortedSlice(t *testing.T) {
+	for _, distinct := range []uint32{3, 50, 1 << 20} {
+		random, m, values := pcg.New(uint64(distinct)), &Multiset{}, []float64(nil)
 		for step := range 20_000 {
 			growing := step < 6000 || step > 14_000 && step < 17_000
-			if out := chance.Uint32()%5 < 2; len(held) > 0 && out == growing || len(held) > 0 && chance.Uint32()%4 == 0 {
-				at := int(chance.Uint32()) % len(held)
-				if !m.Remove(held[at]) {
-					t.Fatalf("%v is not found", held[at])
+			if remove := random.Uint32()%5 < 2; len(values) > 0 && remove == growing || len(values) > 0 && random.Uint32()%4 == 0 {
+				i := int(random.Uint32()) % len(values)
+				if !m.Remove(values[i]) {
+					t.Fatalf("%v is not found", values[i])
 				}
-				held = slices.Delete(held, at, at+1)
+				values = slices.Delete(values, i, i+1)
 			} else {
-				value := float64(chance.Uint32() % kinds)
+				value := float64(random.Uint32() % distinct)
 				m.Add(value)
-				held = append(held, value)
+				values = append(values, value)
 			}
-			if m.Len() != len(held) {
-				t.Fatalf("%d values, want %d", m.Len(), len(held))
+			if m.Len() != len(values) {
+				t.Fatalf("%d values, want %d", m.Len(), len(values))
 			}
 			if step%97 > 0 {
 				continue
 			}
-			if got, want := m.Median(-1), stats.Median(slices.Clone(held), -1); got != want {
+			if got, want := m.Median(-1), stats.Median(slices.Clone(values), -1); got != want {
 				t.Fatalf("step %d: %v, want %v", step, got, want)
 			}
 		}
--- a/logic/callstats/queue.go
+++ b/logic/callstats/queue.go
@@ -16,14 +16,14 @@
 // queue holds entries by time. Only the last of its blocks may have room.
 type queue struct {
 	blocks [][]entry
-	start  int     // place of the oldest entry in the first block
+	head   int     // place of the oldest entry in the first block
 	spare  []entry // an emptied block, used again
 	count  int
 }
 
 func (q *queue) empty() bool { return q.count == 0 }
 
-func (q *queue) oldest() *entry { return &q.blocks[0][q.start] }
+func (q *queue) oldest() *entry { return &q.blocks[0][q.head] }
 
 func (q *queue) push(e entry) {
 	last := len(q.blocks) - 1
@@ -45,13 +45,13 @@
 
 // pop removes the oldest entry.
 func (q *queue) pop() entry {
-	e := q.blocks[0][q.start]
-	q.start++
+	e := q.blocks[0][q.head]
+	q.head++
 	q.count--
-	if q.start == len(q.blocks[0]) {
+	if q.head == len(q.blocks[0]) {
 		q.spare = q.blocks[0][:0]
 		q.blocks = q.blocks[1:]
-		q.start = 0
+		q.head = 0
 	}
 	return e
 }
@@ -62,7 +62,7 @@
 		for b := len(q.blocks) - 1; b >= 0; b-- {
 			oldest := 0
 			if b == 0 {
-				oldest = q.start
+				oldest = q.head
 			}
 			for i := len(q.blocks[b]) - 1; i >= oldest; i-- {
 				if !yield(&q.blocks[b][i]) {
--- a/logic/class.go
+++ b/logic/class.go
@@ -10,7 +10,7 @@
 type class struct {
 	gather.Class
 	meanCost        float64 // mean expected work of a shard request, 0 before there is any
-	longestFirstTry float64 // longest time of late that clients gave a first try
+	maxFirstTryTime float64 // longest time of late that clients gave a first try
 }
 
 // classTable holds the classes that queries have named. A query keeps its class when the settings are
@@ -61,5 +61,5 @@
 // observeFirstTry notes how long a client gives a first try. The longest fades by a hundredth with each
 // query, since some clients give less than others.
 func (c *class) observeFirstTry(timeLeft float64) {
-	c.longestFirstTry = max(timeLeft, c.longestFirstTry*0.99)
+	c.maxFirstTryTime = max(timeLeft, c.maxFirstTryTime*0.99)
 }
--- a/logic/day_test.go
+++ b/logic/day_test.go
@@ -9,11 +9,11 @@
 	"yokeroute/internal/pcg"
 )
 
-// day plays seeded events against a gatherer and hashes what it writes.
-type day struct {
+// simulation plays seeded events against a gatherer and hashes what it writes.
+type simulation struct {
 	gatherer *Gatherer
 	random   *pcg.Source
-	written  *recorder
+	recorder *recorder
 	hash     hash.Hash64
 	now      float64
 	results  []scheduledResult
@@ -21,11 +21,11 @@
 	nextID   uint64
 }
 
-func newDay(settings *gather.Settings, gathererSeed, eventSeed uint64) *day {
-	return &day{
+func newSimulation(settings *gather.Settings, gathererSeed, eventSeed uint64) *simulation {
+	return &simulation{
 		gatherer: New(gathererSeed, settings),
 		random:   pcg.New(eventSeed),
-		written:  newRecorder(hashedFormats),
+		recorder: newRecorder(hashedFormats),
 		hash:     fnv.New64a(),
 		now:      1e6,
 		nextID:   1,
@@ -33,42 +33,42 @@
 }
 
 // oneIn is true once in so many times.
-func (d *day) oneIn(times uint32) bool { return d.random.Uint32()%times == 0 }
+func (sim *simulation) oneIn(times uint32) bool { return sim.random.Uint32()%times == 0 }
 
 // addDueResults adds the results that come by now to a round.
-func (d *day) addDueResults(in *gather.Round) {
-	rest := d.results[:0]
-	for _, s := range d.results {
-		if s.at > d.now {
-			rest = append(rest, s)
+func (sim *simulation) addDueResults(in *gather.Round) {
+	pending := sim.results[:0]
+	for _, s := range sim.results {
+		if s.at > sim.now {
+			pending = append(pending, s)
 		} else {
 			in.Results = append(in.Results, s.result)
 		}
 	}
-	d.results = rest
+	sim.results = pending
 }
 
-// outcomeOf decides at random how an attempt ends, and after which time.
-type outcomeOf func(server uint32) (after float64, outcome gather.Outcome)
+// outcomeFunc decides at random how an attempt ends, and after which time.
+type outcomeFunc func(server uint32) (after float64, outcome gather.Outcome)
 
 // run runs a round, hashes each line that it writes behind the values given, and schedules the attempts'
 // results.
-func (d *day) run(in *gather.Round, outcome outcomeOf, values func() []any) {
-	d.written.clear()
-	d.gatherer.Round(in, d.written)
-	for _, line := range d.written.lines {
-		fmt.Fprintln(d.hash, append(values(), line)...)
+func (sim *simulation) run(in *gather.Round, outcome outcomeFunc, values func() []any) {
+	sim.recorder.clear()
+	sim.gatherer.Round(in, sim.recorder)
+	for _, line := range sim.recorder.lines {
+		fmt.Fprintln(sim.hash, append(values(), line)...)
 		var request uint64
 		var server uint32
 		if n, _ := fmt.Sscanf(line, "send %d %d", &request, &server); n != 2 {
 			continue
 		}
-		d.attempts++
+		sim.attempts++
 		after, ended := outcome(server)
-		d.results = append(d.results, scheduledResult{at: d.now + after, result: gather.AttemptResult{
+		sim.results = append(sim.results, scheduledResult{at: sim.now + after, result: gather.AttemptResult{
 			Request:  request,
 			Server:   server,
-			Attempt:  d.written.attempts[request] - 1,
+			Attempt:  sim.recorder.attempts[request] - 1,
 			Outcome:  ended,
 			Finished: ended == gather.Succeeded,
 		}})
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -34,32 +34,32 @@
 	}
 }
 
-// traffic plays a seeded day of queries, results of all outcomes, clients that disconnect, and servers that
+// simulateTraffic plays a seeded day of queries, results of all outcomes, clients that disconnect, and servers that
 // drain, go and start again. It returns a hash of what was written and the number of attempts. The first
 // round may be changed.
-func traffic(seed uint64, changeFirst func(in *gather.Round)) (hash uint64, attempts int) {
-	d := newDay(trafficSettings(), seed, seed+1)
-	end := d.now + trafficLengthMS
-	for first := true; d.now < end; first = false {
-		in := gather.Round{Now: d.now}
+func simulateTraffic(seed uint64, changeFirst func(in *gather.Round)) (hash uint64, attempts int) {
+	sim := newSimulation(trafficSettings(), seed, seed+1)
+	end := sim.now + trafficLengthMS
+	for first := true; sim.now < end; first = false {
+		in := gather.Round{Now: sim.now}
 		if first {
-			in.EndpointLists = append(in.EndpointLists, trafficList())
+			in.EndpointLists = append(in.EndpointLists, trafficEndpointList())
 			changeFirst(&in)
 		}
-		for range int(d.random.Float64() * 2.2) {
-			d.addTrafficQuery(&in)
+		for range int(sim.random.Float64() * 2.2) {
+			sim.addTrafficQuery(&in)
 		}
-		d.addDueResults(&in)
-		if d.oneIn(150) {
-			in.EndpointLists = append(in.EndpointLists, d.trafficChange())
+		sim.addDueResults(&in)
+		if sim.oneIn(150) {
+			in.EndpointLists = append(in.EndpointLists, sim.randomEndpointChange())
 		}
-		d.run(&in, d.trafficOutcome, func() []any { return []any{d.now} })
-		d.now += 5 + 5*d.random.Float64()
+		sim.run(&in, sim.trafficOutcome, func() []any { return []any{sim.now} })
+		sim.now += 5 + 5*sim.random.Float64()
 	}
-	return d.hash.Sum64(), d.attempts
+	return sim.hash.Sum64(), sim.attempts
 }
 
-func trafficList() gather.EndpointList {
+func trafficEndpointList() gather.EndpointList {
 	list := gather.EndpointList{Full: true}
 	for id := range uint32(trafficServers) {
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: id, ReplicaSet: int(id % trafficReplicaSets)})
@@ -67,64 +67,64 @@
 	return list
 }
 
-// trafficChange lets one server drain, go or start again.
-func (d *day) trafficChange() gather.EndpointList {
-	id := d.random.Uint32() % trafficServers
+// randomEndpointChange lets one server drain, go or start again.
+func (sim *simulation) randomEndpointChange() gather.EndpointList {
+	id := sim.random.Uint32() % trafficServers
 	return gather.EndpointList{Endpoints: []gather.Endpoint{{
 		ID:         id,
 		ReplicaSet: int(id % trafficReplicaSets),
-		State:      gather.State(d.random.Uint32() % 3),
-		StartedAt:  d.now,
+		State:      gather.State(sim.random.Uint32() % 3),
+		StartedAt:  sim.now,
 	}}}
 }
 
-func (d *day) addTrafficQuery(in *gather.Round) {
-	count := 1 + int(d.random.Uint32()%6)
+func (sim *simulation) addTrafficQuery(in *gather.Round) {
+	count := 1 + int(sim.random.Uint32()%6)
 	classes := trafficSettings().ClassNames()
-	q := gather.Query{ID: d.nextID, Number: d.nextID}
-	q.Class = classes[d.random.Uint32()%4]
-	q.Deadline = d.now + 300 + 900*d.random.Float64()
-	q.Retry = d.oneIn(5)
+	q := gather.Query{ID: sim.nextID, Number: sim.nextID}
+	q.Class = classes[sim.random.Uint32()%4]
+	q.Deadline = sim.now + 300 + 900*sim.random.Float64()
+	q.Retry = sim.oneIn(5)
 	in.Queries = append(in.Queries, q)
 	for i := range count {
 		r := gather.ShardRequest{ID: q.ID + 1 + uint64(i), Number: q.Number, Weight: 1 / float64(count)}
-		r.Shard = int(d.random.Uint32()%7) + i
-		r.Cost = 20 * d.random.Float64()
+		r.Shard = int(sim.random.Uint32()%7) + i
+		r.Cost = 20 * sim.random.Float64()
 		in.Requests = append(in.Requests, r)
 	}
-	if d.oneIn(40) {
+	if sim.oneIn(40) {
 		in.Abandoned = append(in.Abandoned, q.ID)
 	}
-	d.nextID += uint64(count) + 1
+	sim.nextID += uint64(count) + 1
 }
 
-func (d *day) trafficOutcome(server uint32) (after float64, outcome gather.Outcome) {
-	after = 10 + 60*d.random.Float64()*d.random.Float64()*float64(1+server%4)
+func (sim *simulation) trafficOutcome(server uint32) (after float64, outcome gather.Outcome) {
+	after = 10 + 60*sim.random.Float64()*sim.random.Float64()*float64(1+server%4)
 	outcome = gather.Succeeded
-	switch d.random.Uint32() % 30 {
+	switch sim.random.Uint32() % 30 {
 	case 0:
-		outcome = gather.Outcome(1 + d.random.Uint32()%7)
+		outcome = gather.Outcome(1 + sim.random.Uint32()%7)
 	case 1:
 		after = 2000
 	}
 	return after, outcome
 }
 
-// requireRecordedArchitecture skips a test of recorded hashes where the compiler may fuse multiplications.
-func requireRecordedArchitecture(t *testing.T) {
+// skipUnlessRecordedArchitecture skips a test of recorded hashes where the compiler may fuse multiplications.
+func skipUnlessRecordedArchitecture(t *testing.T) {
 	t.Helper()
 	if runtime.GOARCH != "amd64" {
 		t.Skip("other architectures may fuse multiplications, and the hashes were recorded without")
 	}
 }
 
-// TestTrafficDecisionsAsRecorded wants the recorded decisions, byte for byte, where there are no weights, and
+// TestTrafficDecisionsMatchRecordedHashes wants the recorded decisions, byte for byte, where there are no weights, and
 // the same where the weights are empty. A change that is meant to decide otherwise takes over the hashes that
 // it comes to.
-func TestTrafficDecisionsAsRecorded(t *testing.T) {
-	requireRecordedArchitecture(t)
+func TestTrafficDecisionsMatchRecordedHashes(t *testing.T) {
+	skipUnlessRecordedArchitecture(t)
 	for seed, want := range []uint64{0x2cceab36132a77cf, 0xb75f63f485c5cf03, 0xa3ccb6f265f8f2a8} {
-		got, attempts := traffic(uint64(seed), func(*gather.Round) {})
+		got, attempts := simulateTraffic(uint64(seed), func(*gather.Round) {})
 		if attempts < 1500 {
 			t.Errorf("seed %d: %d attempts are too few to tell", seed, attempts)
 		}
@@ -132,18 +132,18 @@
 			t.Errorf("seed %d: hash %#x, recorded was %#x", seed, got, want)
 		}
 		emptyWeights := func(in *gather.Round) { in.Weights = [][]gather.Weight{} }
-		if again, _ := traffic(uint64(seed), emptyWeights); again != got {
+		if again, _ := simulateTraffic(uint64(seed), emptyWeights); again != got {
 			t.Errorf("seed %d: weights that are empty change the decisions", seed)
 		}
 	}
 }
 
-// TestManyTrafficDecisionsAsRecorded covers more seeds.
-func TestManyTrafficDecisionsAsRecorded(t *testing.T) {
-	requireRecordedArchitecture(t)
+// TestTrafficDecisionsOfManySeedsMatchRecordedHash covers more seeds.
+func TestTrafficDecisionsOfManySeedsMatchRecordedHash(t *testing.T) {
+	skipUnlessRecordedArchitecture(t)
 	sum := fnv.New64a()
 	for seed := range uint64(60) {
-		hash, _ := traffic(1000+seed, func(*gather.Round) {})
+		hash, _ := simulateTraffic(1000+seed, func(*gather.Round) {})
 		fmt.Fprintln(sum, hash)
 	}
 	if got, want := sum.Sum64(), uint64(0xd4aeaec7fbfef26f); got != want {
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -41,13 +41,13 @@
 // records compare it: as started earlier, and with less weight.
 func (g *Gatherer) dispatch(r *shardRequest, replica int) {
 	g.replicas.recordChoice(g.servers.replicaSet(r.Shard), replica, g.now, g.settings)
-	saved := r.query.FullCallExtra
+	savedTime := r.query.FullCallExtra
 	a := &attempt{
-		request:      r,
-		server:       replica,
-		startedAt:    g.now - saved,
-		heldUpBefore: g.latencies.heldUp,
-		weight:       max(1-saved/max(g.latencies.latency(replica), 1), minAttemptWeight),
+		request:          r,
+		server:           replica,
+		startedAt:        g.now - savedTime,
+		totalStallAtSend: g.latencies.totalStall,
+		weight:           max(1-savedTime/max(g.latencies.latency(replica), 1), minAttemptWeight),
 	}
 	r.attempts = append(r.attempts, a)
 	r.inFlight++
@@ -74,5 +74,5 @@
 	r.succeeded = r.succeeded || result.Outcome == gather.Succeeded
 	g.servers.removeInFlight(a)
 	g.latencies.record(a, result.Outcome, g.now)
-	g.queries.forgetIfDone(r)
+	g.queries.removeIfDone(r)
 }
--- a/logic/endpoints.go
+++ b/logic/endpoints.go
@@ -19,19 +19,21 @@
 	nextAt float64 // when it may be requested again; 0 before it was requested at all
 }
 
-// failed notes that a request failed or that the subscription has ended.
-func (s *subscription) failed(now float64, random *pcg.Source) {
+// recordFailure notes that a request failed or that the subscription has ended.
+func (s *subscription) recordFailure(now float64, random *pcg.Source) {
 	s.active = false
 	s.nextAt = now + resubscribeDelayMS + resubscribeDelayMS*random.Float64()
 }
 
-// mustSubscribe reports whether changes of the endpoint list would be missed.
-func (g *Gatherer) mustSubscribe() bool { return g.settings.EndpointsOnRequest && !g.discovery.active }
+// needsSubscription reports whether changes of the endpoint list would be missed.
+func (g *Gatherer) needsSubscription() bool {
+	return g.settings.EndpointsOnRequest && !g.discovery.active
+}
 
 // subscribe requests endpoint lists where they are not pushed, so that no decision rests on a list long out
 // of date.
 func (g *Gatherer) subscribe() {
-	if g.mustSubscribe() && g.now >= g.discovery.nextAt {
+	if g.needsSubscription() && g.now >= g.discovery.nextAt {
 		g.discovery.nextAt = g.now + subscribeIntervalMS
 		g.writer.Subscribe()
 	}
@@ -40,7 +42,7 @@
 // applyEndpointList takes over a list or a change of it. After a failed one the last list stays in force.
 func (g *Gatherer) applyEndpointList(list *gather.EndpointList) {
 	if list.Failed {
-		g.discovery.failed(g.now, g.random)
+		g.discovery.recordFailure(g.now, g.random)
 		return
 	}
 	g.discovery.active = g.discovery.nextAt > 0
@@ -52,7 +54,7 @@
 		e := &list.Endpoints[i]
 		index, known := g.servers.indexOf[e.ID]
 		if !known {
-			reusable = g.servers.reusable(reusable)
+			reusable = g.servers.nextReusable(reusable)
 			index = reusable
 			g.addServer(e.ID, index)
 		}
@@ -99,8 +101,8 @@
 		return nil
 	}
 	var sets []int
-	for before := range g.settings.ReplicaSetsPerShard {
-		sets = append(sets, ((own-before)%count+count)%count)
+	for offset := range g.settings.ReplicaSetsPerShard {
+		sets = append(sets, ((own-offset)%count+count)%count)
 	}
 	return sets
 }
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -15,7 +15,7 @@
 	maxRecordAgeMS = 25000.0
 
 	lateMultiple          = 2.0  // of its usual latency, beyond which an attempt has failed; the paper's
-	maxUtilization        = 0.9  // at which the paper's L·s is clamped
+	maxUtilization        = 0.9  // startRound which the paper's L·s is clamped
 	ageFactor             = 1.5  // from the mean age of attempts in flight to their expected latency
 	failurePrior          = 2    // added to the cautious failure share: one failure proves little
 	successPrior          = 0.02 // added to the success share: no server is ruled out for good
@@ -31,7 +31,7 @@
 	failureShare         float64 // the paper's f
 	extraLatency         float64 // the paper's r
 	cautiousFailureShare float64 // f with successes added, so that one failure proves little
-	successShare         float64 // late attempts count as successful here
+	successShare         float64 // lateAttempt attempts count as successful here
 	successesSinceLoss   float64 // since an attempt failed that may have executed
 }
 
@@ -46,9 +46,9 @@
 	windowMedian      float64 // latency of the attempts that succeeded in the window
 	defaultLatency    float64 // of a server without records: the window's median as of the round before
 	currentMedian     float64 // of attempts in flight and of those that succeeded of late
-	succeededAtWarm   float64 // attempts since the last round, at servers that are warmed up
+	warmSuccesses     float64 // attempts since the last round, at servers that are warmed up
 	attemptLatencies  []float64
-	heldUp            float64 // for how long rounds were held up, in all
+	totalStall        float64 // for how long rounds were held up, in all
 }
 
 func newLatencyEstimator(
@@ -69,8 +69,8 @@
 	return e.shortestObjective / initialLatencyDivisor
 }
 
-// measured reports whether the median is that of attempts.
-func (e *latencyEstimator) measured() bool { return e.windowMedian != e.initialLatency() }
+// hasMeasurements reports whether the median is that of attempts.
+func (e *latencyEstimator) hasMeasurements() bool { return e.windowMedian != e.initialLatency() }
 
 // latency is the paper's s. A server without records is assumed to be an average one.
 func (e *latencyEstimator) latency(server int) float64 {
@@ -83,7 +83,7 @@
 // age is for how long an attempt has been in flight, without the time in which rounds were held up: the
 // process did not read responses then, which says nothing of the server.
 func (e *latencyEstimator) age(a *attempt, now float64) float64 {
-	return now - a.startedAt - (e.heldUp - a.heldUpBefore)
+	return now - a.startedAt - (e.totalStall - a.totalStallAtSend)
 }
 
 // attemptLatency is what an attempt should take. The median of all servers bounds it, since a server that
@@ -113,7 +113,7 @@
 		r.Lost = !a.neverExecuted
 	}
 	if succeeded && e.slowStart.Share(a.server, now) == 1 {
-		e.succeededAtWarm++
+		e.warmSuccesses++
 	}
 	if outcome == gather.NotSent || outcome == gather.Cancelled && !late {
 		return
@@ -140,12 +140,12 @@
 		}
 	}
 	e.slowStart.Earn(slowstart.Round{
-		Now:             now,
-		Elapsed:         elapsed,
-		MedianLatency:   e.windowMedian,
-		SucceededAtWarm: e.succeededAtWarm,
+		Now:           now,
+		Elapsed:       elapsed,
+		MedianLatency: e.windowMedian,
+		WarmSuccesses: e.warmSuccesses,
 	}, e.servers.running)
-	e.succeededAtWarm = 0
+	e.warmSuccesses = 0
 	e.attemptLatencies = latencies
 	e.currentMedian = stats.Median(latencies, 0)
 	e.defaultLatency = e.windowMedian
@@ -159,10 +159,10 @@
 	count, failed, extra := sums.Count, sums.Failed, sums.ExtraLatency
 	s := e.servers.get(server)
 	for _, a := range s.inFlight {
-		if late := e.age(a, now) - lateMultiple*e.attemptLatency(a); late > 0 {
+		if lateBy := e.age(a, now) - lateMultiple*e.attemptLatency(a); lateBy > 0 {
 			count++
 			failed++
-			extra += late
+			extra += lateBy
 		}
 	}
 	s.estimate = estimate{
@@ -185,9 +185,9 @@
 	}
 }
 
-// affected is the paper's E: the attempts that a request sent now would delay, itself among them (section
+// affectedAttempts is the paper's E: the attempts that a request sent now would delay, itself among them (section
 // III-C).
-func (e *latencyEstimator) affected(server int) float64 {
+func (e *latencyEstimator) affectedAttempts(server int) float64 {
 	utilization := min(e.servers.attemptCounts[server]/measuringWindowMS*e.latency(server), maxUtilization)
 	queue := float64(e.servers.inFlight(server) + 1)
 	return utilization * queue / (1 - utilization)
--- a/logic/finish.go
+++ b/logic/finish.go
@@ -57,7 +57,7 @@
 		if g.settings.CancelAllowed {
 			g.cancelInFlight(r)
 		}
-		g.queries.forgetIfDone(r)
+		g.queries.removeIfDone(r)
 	}
 }
 
--- a/logic/flow/flow_test.go
+++ b/logic/flow/flow_test.go
@@ -12,7 +12,7 @@
 // arc of a drawn network, kept beside it.
 type arc struct {
 	from, to int
-	most     int64
+	capacity int64
 	cost     Cost
 }
 
@@ -21,32 +21,32 @@
 func referenceMinCost(nodes int, arcs []arc, want int64) (sent int64, cost Cost) {
 	flow := make([]int64, len(arcs))
 	for ; sent < want; sent++ {
-		dist, by := make([]Cost, nodes), make([]int, nodes)
-		for i := range dist {
-			dist[i] = unreached
+		distance, via := make([]Cost, nodes), make([]int, nodes)
+		for i := range distance {
+			distance[i] = unreached
 		}
-		dist[0] = Cost{}
+		distance[0] = Cost{}
 		for range nodes {
 			for i, a := range arcs {
-				if flow[i] < a.most && dist[a.from] != unreached && dist[a.from].Add(a.cost).Less(dist[a.to]) {
-					dist[a.to], by[a.to] = dist[a.from].Add(a.cost), i+1
+				if flow[i] < a.capacity && distance[a.from] != unreached && distance[a.from].Add(a.cost).Less(distance[a.to]) {
+					distance[a.to], via[a.to] = distance[a.from].Add(a.cost), i+1
 				}
-				if flow[i] > 0 && dist[a.to] != unreached && dist[a.to].Sub(a.cost).Less(dist[a.from]) {
-					dist[a.from], by[a.from] = dist[a.to].Sub(a.cost), -i-1
+				if flow[i] > 0 && distance[a.to] != unreached && distance[a.to].Sub(a.cost).Less(distance[a.from]) {
+					distance[a.from], via[a.from] = distance[a.to].Sub(a.cost), -i-1
 				}
 			}
 		}
-		if dist[1] == unreached {
+		if distance[1] == unreached {
 			break
 		}
-		cost = cost.Add(dist[1])
-		for at := 1; at != 0; {
-			if i := by[at]; i > 0 {
+		cost = cost.Add(distance[1])
+		for node := 1; node != 0; {
+			if i := via[node]; i > 0 {
 				flow[i-1]++
-				at = arcs[i-1].from
+				node = arcs[i-1].from
 			} else {
 				flow[-i-1]--
-				at = arcs[-i-1].to
+				node = arcs[-i-1].to
 			}
 		}
 	}
@@ -62,7 +62,7 @@
 		var arcs []arc
 		for range rapid.IntRange(1, 16).Draw(t, "arcs") {
 			a := arc{from: rapid.IntRange(0, nodes-1).Draw(t, "from"), to: rapid.IntRange(0, nodes-1).Draw(t, "to"),
-				most: rapid.Int64Range(0, 4).Draw(t, "most"), cost: Cost{rapid.Int64Range(0, 3).Draw(t, "first"), rapid.Int64Range(-2, 2).Draw(t, "second")}}
+				capacity: rapid.Int64Range(0, 4).Draw(t, "most"), cost: Cost{rapid.Int64Range(0, 3).Draw(t, "first"), rapid.Int64Range(-2, 2).Draw(t, "second")}}
 			if a.from == a.to {
 				continue
 			}
@@ -70,7 +70,7 @@
 				a.cost.First += 20 // so that no circle has a price below nothing
 			}
 			arcs = append(arcs, a)
-			n.AddArc(a.from, a.to, a.most, a.cost)
+			n.AddArc(a.from, a.to, a.capacity, a.cost)
 		}
 		want := rapid.Int64Range(0, 12).Draw(t, "want")
 		sent, cost := n.MinCostFlow(0, 1, want)
@@ -78,36 +78,36 @@
 		if sent != wantSent || cost != wantCost {
 			t.Fatalf("sent %d at %v, the reference %d at %v", sent, cost, wantSent, wantCost)
 		}
-		check := func(sent int64) {
-			left, sum := make([]int64, nodes), Cost{}
+		checkFlow := func(sent int64) {
+			balance, sum := make([]int64, nodes), Cost{}
 			for i, a := range arcs {
 				f := n.Flow(2 * i)
-				if f < 0 || f > a.most || n.Capacity(2*i) != a.most {
-					t.Fatalf("arc %d carries %d of %d", i, f, a.most)
+				if f < 0 || f > a.capacity || n.Capacity(2*i) != a.capacity {
+					t.Fatalf("arc %d carries %d of %d", i, f, a.capacity)
 				}
-				left[a.from] -= f
-				left[a.to] += f
+				balance[a.from] -= f
+				balance[a.to] += f
 				sum = sum.Add(a.cost.Times(f))
 			}
-			for node, l := range left {
-				if expect := map[int]int64{0: -sent, 1: sent}[node]; l != expect {
-					t.Fatalf("node %d keeps %d", node, l)
+			for node, got := range balance {
+				if expect := map[int]int64{0: -sent, 1: sent}[node]; got != expect {
+					t.Fatalf("node %d keeps %d", node, got)
 				}
 			}
 			if sent == wantSent && sum != wantCost && cost == sum {
 				t.Fatalf("the arcs cost %v", sum)
 			}
 		}
-		check(sent)
-		if cut := n.Reachable(0); sent < want {
-			room := int64(0)
+		checkFlow(sent)
+		if reachable := n.Reachable(0); sent < want {
+			cutCapacity := int64(0)
 			for _, a := range arcs {
-				if cut[a.from] && !cut[a.to] {
-					room += a.most
+				if reachable[a.from] && !reachable[a.to] {
+					cutCapacity += a.capacity
 				}
 			}
-			if cut[1] || room != sent {
-				t.Fatalf("the cut takes %d, sent were %d", room, sent)
+			if reachable[1] || cutCapacity != sent {
+				t.Fatalf("the cut takes %d, sent were %d", cutCapacity, sent)
 			}
 		}
 		// Taken out and sent again without prices, as much gets through; a change is undone by Restore.
@@ -115,13 +115,13 @@
 		if got := n.Augment(0, 1, want); got != wantSent {
 			t.Fatalf("filled %d, the reference %d", got, wantSent)
 		}
-		check(wantSent)
+		checkFlow(wantSent)
 		if len(arcs) > 0 && nodes > 2 {
 			saved, to := n.Save(nil), arcs[0].to
 			n.Retarget(0, 2)
 			n.Retarget(0, to)
 			n.Restore(saved)
-			check(wantSent)
+			checkFlow(wantSent)
 		}
 	})
 }
--- a/logic/flow/maxflow.go
+++ b/logic/flow/maxflow.go
@@ -26,7 +26,7 @@
 // augment sends along paths with the fewest arcs first. If cheapest, it uses only arcs on shortest paths.
 func (n *Network) augment(source, sink int, want int64, cheapest bool) (sent int64) {
 	for sent < want && n.setLevels(source, sink, cheapest) {
-		clear(n.next)
+		clear(n.nextArc)
 		for sent < want {
 			amount := n.augmentPath(int32(source), int32(sink), want-sent, cheapest)
 			if amount == 0 {
@@ -73,8 +73,8 @@
 	if node == sink {
 		return want
 	}
-	for ; int(n.next[node]) < len(n.outgoing[node]); n.next[node]++ {
-		arc := n.outgoing[node][n.next[node]]
+	for ; int(n.nextArc[node]) < len(n.outgoing[node]); n.nextArc[node]++ {
+		arc := n.outgoing[node][n.nextArc[node]]
 		to := n.to[arc]
 		if n.level[to] != n.level[node]+1 || !n.isUsable(node, arc, cheapest) {
 			continue
--- a/logic/flow/network.go
+++ b/logic/flow/network.go
@@ -42,7 +42,7 @@
 
 	// Working memory of the algorithms, which is reused since they run by the thousand.
 	level    []int32
-	next     []int32
+	nextArc  []int32
 	queue    []int32
 	distance []Cost
 	heap     []heapEntry
@@ -54,7 +54,7 @@
 		outgoing:  make([][]int32, nodes),
 		potential: make([]Cost, nodes),
 		level:     make([]int32, nodes),
-		next:      make([]int32, nodes),
+		nextArc:   make([]int32, nodes),
 		distance:  make([]Cost, nodes),
 	}
 }
--- a/logic/gatherer_test.go
+++ b/logic/gatherer_test.go
@@ -6,9 +6,9 @@
 	"yokeroute/gather"
 )
 
-// TestEmptyRoundsAllocateLittle guards against garbage in each round by the number of records in the window,
+// TestEmptyRoundsDoNotAllocatePerRecord guards against garbage in each round by the number of records in the window,
 // of which a busy gatherer has thousands.
-func TestEmptyRoundsAllocateLittle(t *testing.T) {
+func TestEmptyRoundsDoNotAllocatePerRecord(t *testing.T) {
 	g := New(1, &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 1, Tick: 5,
 		Classes: []gather.Class{
@@ -42,9 +42,9 @@
 	}
 }
 
-// TestReplacedServersLeaveNothing guards against arrays and maps that grow where each server is replaced by
+// TestReplacedServersReleaseTableEntries guards against arrays and maps that grow where each server is replaced by
 // one of a new ID.
-func TestReplacedServersLeaveNothing(t *testing.T) {
+func TestReplacedServersReleaseTableEntries(t *testing.T) {
 	g := New(1, &gather.Settings{ReplicaSets: 1, ReplicaSetsPerShard: 1,
 		Classes: []gather.Class{{Name: "c", LatencyObjective: 1000}}})
 	for id := range uint32(1000) {
--- a/logic/load.go
+++ b/logic/load.go
@@ -67,8 +67,8 @@
 // request asks the replicas of a query's requests for their load, unless their last reports are fresh. It
 // reports whether the query should wait for them.
 func (p *loadProbe) request(q *query, now float64, w gather.Writer) (wait bool) {
-	waitedEnough := q.loadDeadline > 0 && now >= q.loadDeadline
-	if !p.enabled || waitedEnough || q.Deadline-now <= minReportTimeMS {
+	waitExpired := q.loadDeadline > 0 && now >= q.loadDeadline
+	if !p.enabled || waitExpired || q.Deadline-now <= minReportTimeMS {
 		return false
 	}
 	q.loadDeadline = cmp.Or(q.loadDeadline, now+reportWaitMS)
@@ -84,7 +84,7 @@
 
 // requestFrom asks one server unless its report is fresh or on its way. It reports whether one may come
 // soon.
-func (p *loadProbe) requestFrom(index int, now float64, w gather.Writer) (soon bool) {
+func (p *loadProbe) requestFrom(index int, now float64, w gather.Writer) (expectedSoon bool) {
 	s := p.servers.get(index)
 	if now-s.load.receivedAt <= reportFreshMS {
 		return false
@@ -100,7 +100,7 @@
 // queue grows, since it counts attempts that have ended; a load report or the age of attempts in flight
 // shows it sooner.
 func (e *latencyEstimator) expectedLatency(server int, now float64) float64 {
-	return e.expectedFrom(e.latency(server), server, now)
+	return e.expectedLatencyFrom(e.latency(server), server, now)
 }
 
 // expectedRecentLatency is the same by the records within the window alone, 0 where there are none.
@@ -109,11 +109,11 @@
 	if recent < 0 {
 		return 0
 	}
-	return e.expectedFrom(recent, server, now)
+	return e.expectedLatencyFrom(recent, server, now)
 }
 
-// expectedFrom is what a request sent to a server now would take, by its latency so far.
-func (e *latencyEstimator) expectedFrom(latency float64, server int, now float64) float64 {
+// expectedLatencyFrom is what a request sent to a server now would take, by its latency so far.
+func (e *latencyEstimator) expectedLatencyFrom(latency float64, server int, now float64) float64 {
 	s := e.servers.get(server)
 	if s.load.requestedAt > 0 && now-s.load.requestedAt >= reportWaitMS {
 		return unresponsiveLatency
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -16,7 +16,7 @@
 // Redundancy with Enhanced HDD Controllability and Observability", called the paper here: a drive there is
 // a shard server here, a sub-request an attempt. Its symbols are s, the mean latency of a server; f, the
 // share of its attempts that fail; r, the extra latency of a failed attempt; q, its queue; and L, the rate
-// at which it is sent attempts. docs/design.md says what departs from the paper, and why.
+// startRound which it is sent attempts. docs/design.md says what departs from the paper, and why.
 //
 // Times are milliseconds.
 package logic
@@ -33,8 +33,8 @@
 const (
 	// wakeTicks is how many ticks apart rounds are while there is something to wait for.
 	wakeTicks = 2
-	// heldUpTicks is by how much a round has to be late for the process to count as held up.
-	heldUpTicks = 4
+	// stallTicks is by how much a round has to be late for the process to count as held up.
+	stallTicks = 4
 )
 
 // Gatherer holds all state of one instance.
@@ -78,8 +78,8 @@
 // Round takes what was observed since the last round, and decides.
 func (g *Gatherer) Round(in *gather.Round, w gather.Writer) {
 	elapsed, decay := g.startRound(in.Now, w)
-	if in.HeldUp > heldUpTicks*g.tick() {
-		g.latencies.heldUp += in.HeldUp
+	if in.HeldUp > stallTicks*g.tick() {
+		g.latencies.totalStall += in.HeldUp
 	}
 	if in.Settings != nil {
 		g.applySettings(in.Settings)
@@ -141,7 +141,7 @@
 
 // scheduleWake requests the next round while there is something to wait for.
 func (g *Gatherer) scheduleWake() {
-	if g.now < g.nextWakeAt || len(g.queries.open) == 0 && !g.mustSubscribe() {
+	if g.now < g.nextWakeAt || len(g.queries.open) == 0 && !g.needsSubscription() {
 		return
 	}
 	g.nextWakeAt = g.now + wakeTicks*g.tick()
--- a/logic/mode.go
+++ b/logic/mode.go
@@ -41,7 +41,7 @@
 	droppedShare := g.extras.droppedShare()
 	weight := q.ReceivedWeight
 	netGain := 0.0
-	mayFail := false
+	anyFailures := false
 	for _, candidate := range g.modeCandidates(q) {
 		r := candidate.request
 		r.extra = weight >= q.class.CompleteShare-shareTolerance
@@ -50,7 +50,7 @@
 		if r.replica == noReplica {
 			continue
 		}
-		affected := g.latencies.affected(r.replica)
+		affected := g.latencies.affectedAttempts(r.replica)
 		latency := g.latencies.latency(r.replica)
 		if r.extra {
 			netGain -= affected * (1 - droppedShare) * latency
@@ -58,9 +58,9 @@
 		}
 		estimate := &g.servers.get(r.replica).estimate
 		netGain += affected * (estimate.failureShare*estimate.extraLatency + droppedShare*latency)
-		mayFail = mayFail || estimate.failureShare > 0
+		anyFailures = anyFailures || estimate.failureShare > 0
 	}
-	if netGain > 0 && mayFail {
+	if netGain > 0 && anyFailures {
 		for _, r := range q.requests {
 			r.wanted = true
 		}
--- a/logic/passes_test.go
+++ b/logic/passes_test.go
@@ -15,36 +15,36 @@
 	passesLengthMS        = 20_000
 )
 
-// passes plays a seeded day of what the simulator's wire does not bring: first and second passes, weights,
+// simulatePasses plays a seeded day of what the simulator's wire does not bring: first and second passes, weights,
 // settings that change, requests that others supersede, and servers that list the replica sets whose shards
 // they hold. It returns a hash of what was written and the number of attempts.
-func passes(seed uint64) (hash uint64, attempts int) {
-	d := newDay(passesSettings(0), seed, seed)
-	end := d.now + passesLengthMS
-	for round := 0; d.now < end; round++ {
-		in := gather.Round{Now: d.now}
+func simulatePasses(seed uint64) (hash uint64, attempts int) {
+	sim := newSimulation(passesSettings(0), seed, seed)
+	end := sim.now + passesLengthMS
+	for round := 0; sim.now < end; round++ {
+		in := gather.Round{Now: sim.now}
 		if round%1000 == 0 {
-			in.EndpointLists = append(in.EndpointLists, d.passesList())
+			in.EndpointLists = append(in.EndpointLists, sim.passesEndpointList())
 		}
 		if round%300 == 50 {
-			in.Weights = d.passesWeights()
+			in.Weights = sim.passesWeights()
 		}
 		if round%400 == 200 {
 			in.Settings = passesSettings(round / 400 % passesSettingsChanges)
 		}
-		if d.oneIn(2) {
-			d.addPass(&in)
+		if sim.oneIn(2) {
+			sim.addPass(&in)
 		}
-		d.addDueResults(&in)
-		d.run(&in, d.passesOutcome, func() []any { return []any{d.now, d.gatherer.RetryBudgetLeft()} })
+		sim.addDueResults(&in)
+		sim.run(&in, sim.passesOutcome, func() []any { return []any{sim.now, sim.gatherer.RetryBudgetLeft()} })
 		if (round+1)%50 == 0 {
-			for _, view := range d.gatherer.View() {
-				fmt.Fprintln(d.hash, view)
+			for _, view := range sim.gatherer.View() {
+				fmt.Fprintln(sim.hash, view)
 			}
 		}
-		d.now += 5 + 10*d.random.Float64()
+		sim.now += 5 + 10*sim.random.Float64()
 	}
-	return d.hash.Sum64(), d.attempts
+	return sim.hash.Sum64(), sim.attempts
 }
 
 // passesSettings are the settings of a day, of which an operator changes some.
@@ -72,17 +72,17 @@
 	return settings
 }
 
-func (d *day) passesList() gather.EndpointList {
+func (sim *simulation) passesEndpointList() gather.EndpointList {
 	list := gather.EndpointList{Full: true}
 	for id := range passesServers {
 		set := id % passesReplicaSets
 		e := gather.Endpoint{ID: uint32(id), ReplicaSet: set, Zone: []string{"east", "west"}[id/passesReplicaSets%2]}
-		e.AnswersFirstPass = !d.oneIn(3)
-		if d.oneIn(3) {
+		e.AnswersFirstPass = !sim.oneIn(3)
+		if sim.oneIn(3) {
 			e.ReplicaSets = []int{set, (id + 1) % passesReplicaSets, passesReplicaSets + 2}
 		}
-		if d.oneIn(6) {
-			e.StartedAt = 1e6 + 20000*d.random.Float64()
+		if sim.oneIn(6) {
+			e.StartedAt = 1e6 + 20000*sim.random.Float64()
 		}
 		list.Endpoints = append(list.Endpoints, e)
 	}
@@ -90,73 +90,73 @@
 }
 
 // passesWeights leave the first replica set, and some servers, without weights.
-func (d *day) passesWeights() [][]gather.Weight {
+func (sim *simulation) passesWeights() [][]gather.Weight {
 	weights := make([][]gather.Weight, passesReplicaSets)
 	for id := range passesServers {
 		set := id % passesReplicaSets
-		if set == 0 || d.oneIn(5) {
+		if set == 0 || sim.oneIn(5) {
 			continue
 		}
-		weight := gather.Weight{Server: uint32(id), Share: float64(d.random.Uint32() % 4)}
+		weight := gather.Weight{Server: uint32(id), Share: float64(sim.random.Uint32() % 4)}
 		weights[set] = append(weights[set], weight)
 	}
 	return weights
 }
 
 // addPass adds a query in one pass, or a first or second pass.
-func (d *day) addPass(in *gather.Round) {
-	count := 2 + int(d.random.Uint32()%6)
-	q := gather.Query{ID: d.nextID, Number: d.nextID}
-	q.Class = passesSettings(0).ClassNames()[d.random.Uint32()%3]
-	q.Deadline = d.now + 200 + 800*d.random.Float64()
-	q.Pass = gather.Pass(d.random.Uint32() % 3)
+func (sim *simulation) addPass(in *gather.Round) {
+	count := 2 + int(sim.random.Uint32()%6)
+	q := gather.Query{ID: sim.nextID, Number: sim.nextID}
+	q.Class = passesSettings(0).ClassNames()[sim.random.Uint32()%3]
+	q.Deadline = sim.now + 200 + 800*sim.random.Float64()
+	q.Pass = gather.Pass(sim.random.Uint32() % 3)
 	switch q.Pass {
 	case gather.FirstPass:
-		q.FullCallExtra = 30 * d.random.Float64()
+		q.FullCallExtra = 30 * sim.random.Float64()
 	case gather.SecondPass:
-		q.ArrivedAt = d.now - 50
-		q.ReceivedWeight = 0.5 * d.random.Float64()
+		q.ArrivedAt = sim.now - 50
+		q.ReceivedWeight = 0.5 * sim.random.Float64()
 	}
 	in.Queries = append(in.Queries, q)
 	for i := range count {
 		r := gather.ShardRequest{ID: q.ID + 1 + uint64(i), Number: q.Number}
-		r.Shard = int(d.random.Uint32()%passesReplicaSets) + i
+		r.Shard = int(sim.random.Uint32()%passesReplicaSets) + i
 		r.Weight = (1 - q.ReceivedWeight) / float64(count)
-		r.Cost = 20 * d.random.Float64()
+		r.Cost = 20 * sim.random.Float64()
 		if q.Pass == gather.SecondPass {
-			r.Retry = d.oneIn(2)
-			r.OrderPenalty = 5 * d.random.Float64()
+			r.Retry = sim.oneIn(2)
+			r.OrderPenalty = 5 * sim.random.Float64()
 		}
 		in.Requests = append(in.Requests, r)
 	}
-	if d.oneIn(20) {
+	if sim.oneIn(20) {
 		in.Superseded = append(in.Superseded, q.ID+1)
 	}
-	if d.oneIn(20) {
+	if sim.oneIn(20) {
 		in.Abandoned = append(in.Abandoned, q.ID)
 	}
-	d.nextID += uint64(count) + 1
+	sim.nextID += uint64(count) + 1
 }
 
-func (d *day) passesOutcome(server uint32) (after float64, outcome gather.Outcome) {
-	after = 10 + 60*d.random.Float64()*float64(1+server%3)
+func (sim *simulation) passesOutcome(server uint32) (after float64, outcome gather.Outcome) {
+	after = 10 + 60*sim.random.Float64()*float64(1+server%3)
 	outcome = gather.Succeeded
-	if d.oneIn(12) {
-		outcome = gather.Outcome(d.random.Uint32() % 8)
+	if sim.oneIn(12) {
+		outcome = gather.Outcome(sim.random.Uint32() % 8)
 	}
-	if d.oneIn(25) {
+	if sim.oneIn(25) {
 		after *= 30
 	}
 	return after, outcome
 }
 
-// TestPassesAndWeightsDecideAsRecorded wants the recorded decisions, byte for byte, of days with passes,
+// TestPassesAndWeightsDecisionsMatchRecordedHash wants the recorded decisions, byte for byte, of days with passes,
 // weights and changing settings.
-func TestPassesAndWeightsDecideAsRecorded(t *testing.T) {
-	requireRecordedArchitecture(t)
+func TestPassesAndWeightsDecisionsMatchRecordedHash(t *testing.T) {
+	skipUnlessRecordedArchitecture(t)
 	sum, total := fnv.New64a(), 0
 	for seed := range uint64(40) {
-		hash, attempts := passes(500 + seed)
+		hash, attempts := simulatePasses(500 + seed)
 		fmt.Fprintln(sum, hash)
 		total += attempts
 	}
--- a/logic/query.go
+++ b/logic/query.go
@@ -45,14 +45,14 @@
 
 // attempt is one try of a shard request at a server.
 type attempt struct {
-	request       *shardRequest
-	server        int
-	startedAt     float64 // earlier than it was sent by what a first pass saves
-	heldUpBefore  float64 // for how long rounds had been held up, in all, when it was sent
-	weight        float64 // of its record: a first pass says less than a call in full
-	ended         bool
-	neverExecuted bool // it is proved that the server did not execute it
-	cancelled     bool // to be retried once its end is reported
+	request          *shardRequest
+	server           int
+	startedAt        float64 // earlier than it was sent by what a first pass saves
+	totalStallAtSend float64 // for how long rounds had been held up, in all, when it was sent
+	weight           float64 // of its record: a first pass says less than a call in full
+	ended            bool
+	neverExecuted    bool // it is proved that the server did not execute it
+	cancelled        bool // to be retried once its end is reported
 }
 
 // mayHaveExecuted reports whether any attempt of the request may have had an effect.
@@ -100,8 +100,8 @@
 	delete(t.requests, id)
 }
 
-// forgetIfDone removes a request of a finished query, once its last attempt has ended.
-func (t *queryTable) forgetIfDone(r *shardRequest) {
+// removeIfDone removes a request of a finished query, once its last attempt has ended.
+func (t *queryTable) removeIfDone(r *shardRequest) {
 	if r.query.finished && r.inFlight == 0 {
 		delete(t.requests, r.ID)
 	}
@@ -128,7 +128,7 @@
 		return q.ArrivedAt
 	case !q.Retry:
 		q.class.observeFirstTry(timeLeft)
-	case timeLeft < q.class.longestFirstTry-cutShortTicks*g.tick():
+	case timeLeft < q.class.maxFirstTryTime-cutShortTicks*g.tick():
 		return min(q.Deadline-q.class.Deadline, g.now)
 	}
 	return g.now
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	outlierMargin   = 0.25 // of failure share over the least in its set, from which a server is an outlier
-	trustedAfter    = 10   // successes since a loss, before which non-idempotent requests avoid a server
-	maxInFlightLead = 1.0  // attempts in flight over the fewest of its set, above which one is passed over
-	slowMultiple    = 2.0  // of the least expected latency, above which a replica is passed over
-	requestsPerSlot = 4    // requests of a round that share a call where it has a cost; more would queue up
-	noReplica       = -1
-	neverChosen     = -1.0
+	outlierMargin         = 0.25 // of failure share over the least in its set, from which a server is an outlier
+	minSuccessesSinceLoss = 10   // successes since a loss, before which non-idempotent requests avoid a server
+	maxInFlightLead       = 1.0  // attempts in flight over the fewest of its set, above which one is passed over
+	slowMultiple          = 2.0  // of the least expected latency, above which a replica is passed over
+	requestsPerSlot       = 4    // requests of a round that share a call where it has a cost; more would queue up
+	noReplica             = -1
+	neverChosen           = -1.0
 )
 
 // replicaPicker chooses the replica for each attempt: round robin, or weighted round robin where an
@@ -32,8 +32,8 @@
 	// gatherer.
 	loadsReported bool
 
-	slots    []slot // by replica set
-	weighted roundrobin.Weighted
+	roundRobin []roundRobinState // by replica set
+	weighted   roundrobin.Weighted
 
 	// leastFailure is the least cautious failure share of each replica set, as of a round.
 	leastFailure      []float64
@@ -41,9 +41,9 @@
 	round             uint64
 }
 
-// slot is the state of the plain round robin of a replica set.
-type slot struct {
-	next      int // place of the replica that comes next
+// roundRobinState is the state of the plain round robin of a replica set.
+type roundRobinState struct {
+	nextIndex int // index of the replica that comes next
 	server    int // that had the last slot,
 	chosenAt  float64
 	remaining int // and requests of the same round that may still share it
@@ -62,12 +62,12 @@
 		slowStart:         slow,
 		random:            random,
 		loadsReported:     loadsReported,
-		slots:             make([]slot, sets),
+		roundRobin:        make([]roundRobinState, sets),
 		leastFailure:      make([]float64, sets),
 		leastFailureRound: make([]uint64, sets),
 	}
-	for i := range p.slots {
-		p.slots[i] = slot{next: int(random.Uint32() >> 8), chosenAt: neverChosen}
+	for i := range p.roundRobin {
+		p.roundRobin[i] = roundRobinState{nextIndex: int(random.Uint32() >> 8), chosenAt: neverChosen}
 	}
 	p.endpointsChanged()
 	return p
@@ -84,28 +84,28 @@
 	p.weighted.SetReplicas(p.servers.replicas, p.servers.id, p.random)
 }
 
-// next is the replica for a request's next attempt, or noReplica. Where each has something against it, it
+// nextIndex is the replica for a request's next attempt, or noReplica. Where each has something against it, it
 // is the one that is expected to answer first.
 func (p *replicaPicker) next(r *shardRequest, now float64) int {
 	set := p.servers.replicaSet(r.Shard)
-	acceptable := func(server int) bool { return p.usable(server, r, now) && !p.passedOver(server, r, now) }
-	if s := &p.slots[set]; s.chosenAt == now && s.remaining > 0 && acceptable(s.server) {
+	acceptable := func(server int) bool { return p.usable(server, r, now) && !p.shouldSkip(server, r, now) }
+	if s := &p.roundRobin[set]; s.chosenAt == now && s.remaining > 0 && acceptable(s.server) {
 		return s.server
 	}
 	if server := p.weighted.Next(set, p.servers.inFlight, acceptable); server >= 0 {
 		return server
 	}
-	return p.nextInTurn(set, r, now)
+	return p.nextRoundRobin(set, r, now)
 }
 
-// nextInTurn goes through the replicas in turn: first those that are warming up and may be sent a request,
+// nextRoundRobin goes through the replicas in turn: first those that are warming up and may be sent a request,
 // which would stay idle behind the others, then all. A replica in another zone is taken where none is
 // acceptable in this one.
-func (p *replicaPicker) nextInTurn(set int, r *shardRequest, now float64) int {
+func (p *replicaPicker) nextRoundRobin(set int, r *shardRequest, now float64) int {
 	replicas := p.servers.replicas[set]
 	scan := p.newScan(set, r, now)
 	for i := range replicas {
-		server := replicas[(p.slots[set].next+i)%len(replicas)]
+		server := replicas[(p.roundRobin[set].nextIndex+i)%len(replicas)]
 		if !p.usable(server, r, now) || p.slowStart.Share(server, now) == 1 {
 			continue
 		}
@@ -115,7 +115,7 @@
 	}
 	maxLatency := slowMultiple * p.leastLatency(set, r, now)
 	for i := range replicas {
-		server := replicas[(p.slots[set].next+i)%len(replicas)]
+		server := replicas[(p.roundRobin[set].nextIndex+i)%len(replicas)]
 		if p.usable(server, r, now) && scan.consider(server, maxLatency) {
 			return server
 		}
@@ -131,7 +131,7 @@
 	picker         *replicaPicker
 	request        *shardRequest
 	now            float64
-	fewestInFlight float64 // at an acceptable replica
+	fewestInFlight float64 // startRound an acceptable replica
 	otherZone      int     // the first acceptable replica in another zone
 	fallback       int     // the usable replica that is expected to answer first,
 	fallbackCost   float64 // by this cost
@@ -151,7 +151,7 @@
 		if scan.fewestInFlight <= 0 {
 			break
 		}
-		if p.usable(server, r, now) && !p.passedOver(server, r, now) {
+		if p.usable(server, r, now) && !p.shouldSkip(server, r, now) {
 			scan.fewestInFlight = min(scan.fewestInFlight, float64(p.servers.inFlight(server)))
 		}
 	}
@@ -165,7 +165,7 @@
 	latency := p.latencies.expectedLatency(server, s.now)
 	inFlight := float64(p.servers.inFlight(server))
 	crowded := !p.loadsReported && inFlight > s.fewestInFlight+maxInFlightLead
-	if latency <= maxLatency && !crowded && !p.passedOver(server, s.request, s.now) {
+	if latency <= maxLatency && !crowded && !p.shouldSkip(server, s.request, s.now) {
 		if !p.servers.get(server).inOtherZone {
 			return true
 		}
@@ -212,26 +212,26 @@
 	return len(p.servers.replicas[p.servers.replicaSet(r.Shard)]) > len(r.attempts)
 }
 
-// passedOver reports whether something speaks against a server: its last attempt is late, or the first one
+// shouldSkip reports whether something speaks against a server: its last attempt is late, or the first one
 // that it was ever sent is in flight; it is an outlier; or it lost an attempt of late, for a request that
 // cannot be sent again.
-func (p *replicaPicker) passedOver(server int, r *shardRequest, now float64) bool {
+func (p *replicaPicker) shouldSkip(server int, r *shardRequest, now float64) bool {
 	if last := p.servers.get(server).lastAttempt; last != nil && !last.ended {
 		late := p.latencies.age(last, now) > lateMultiple*p.latencies.latency(server)
 		if late || !p.loadsReported && p.latencies.records.Count(server) == 0 {
 			return true
 		}
 	}
-	if p.outlier(server, r) {
+	if p.isOutlier(server, r) {
 		return true
 	}
 	estimate := &p.servers.get(server).estimate
-	return r.query.class.Effect == gather.NonIdempotent && estimate.successesSinceLoss < trustedAfter
+	return r.query.class.Effect == gather.NonIdempotent && estimate.successesSinceLoss < minSuccessesSinceLoss
 }
 
-// outlier reports whether a server's failures stand out in its replica set. It is compared to its set and
+// isOutlier reports whether a server's failures stand out in its replica set. It is compared to its set and
 // not to the fleet: half of the fleet may fail this gatherer alone, and under overload all servers fail.
-func (p *replicaPicker) outlier(server int, r *shardRequest) bool {
+func (p *replicaPicker) isOutlier(server int, r *shardRequest) bool {
 	set := p.servers.replicaSet(r.Shard)
 	if p.leastFailureRound[set] != p.round { // it does not change within a round
 		p.leastFailureRound[set] = p.round
@@ -245,16 +245,16 @@
 }
 
 // recordChoice notes that a replica was chosen. Where a call has a cost, requests of one round share its
-// slot and so its call.
+// roundRobinState and so its call.
 func (p *replicaPicker) recordChoice(set, server int, now float64, settings *gather.Settings) {
 	p.weighted.RecordChoice(set, server)
-	s := &p.slots[set]
+	s := &p.roundRobin[set]
 	if s.chosenAt == now && s.server == server {
 		s.remaining--
 		return
 	}
 	replicas := p.servers.replicas[set]
-	*s = slot{next: (slices.Index(replicas, server) + 1) % len(replicas), server: server, chosenAt: now}
+	*s = roundRobinState{nextIndex: (slices.Index(replicas, server) + 1) % len(replicas), server: server, chosenAt: now}
 	if settings.CallCost > 0 {
 		s.remaining = min(requestsPerSlot, settings.RequestsPerCall) - 1
 	}
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -19,9 +19,9 @@
 	// cancelledMultiple widens it where each retry takes the place of a cancelled attempt.
 	cancelledMultiple = 10.0
 
-	hedgeBudgetShare  = 0.6 // of the budget; the rest is kept for requests whose attempts have failed
-	hedgeMaxLatency   = 0.3 // of a usual attempt, as a share of the latency objective
-	lateAfterMultiple = 4.0 // of an attempt's usual latency, after which its response is no longer expected
+	hedgeBudgetShare = 0.6 // of the budget; the rest is kept for requests whose attempts have failed
+	hedgeMaxLatency  = 0.3 // of a usual attempt, as a share of the latency objective
+	overdueMultiple  = 4.0 // of an attempt's usual latency, after which its response is no longer expected
 )
 
 // retryBudget bounds the retries and hedges by what has arrived in a window.
@@ -38,12 +38,12 @@
 // left is how many more retries the budget allows.
 func (b *retryBudget) left() float64 { return b.limit - float64(len(b.retries)) }
 
-// withOneMore is how many retries there would be with one more.
-func (b *retryBudget) withOneMore() float64 { return float64(len(b.retries) + 1) }
+// countWithOneMore is how many retries there would be with one more.
+func (b *retryBudget) countWithOneMore() float64 { return float64(len(b.retries) + 1) }
 
-func (b *retryBudget) allows() bool { return b.withOneMore() <= b.limit }
+func (b *retryBudget) allows() bool { return b.countWithOneMore() <= b.limit }
 
-func (b *retryBudget) allowsHedge() bool { return b.withOneMore() <= hedgeBudgetShare*b.limit }
+func (b *retryBudget) allowsHedge() bool { return b.countWithOneMore() <= hedgeBudgetShare*b.limit }
 
 // update moves the window on. Arrivals are counted over a tick less and retries over a tick more, since
 // times are rounded to ticks elsewhere.
@@ -118,14 +118,14 @@
 // cancelLateAttempt cancels a request's attempt, unless another would take longer than it has taken so far.
 func (g *Gatherer) cancelLateAttempt(r *shardRequest) {
 	number := len(r.attempts) - 1
-	late := r.attempts[number]
-	if !g.settings.CancelAllowed || late.cancelled {
+	lateAttempt := r.attempts[number]
+	if !g.settings.CancelAllowed || lateAttempt.cancelled {
 		return
 	}
 	replica := g.replicas.next(r, g.now)
-	if replica == noReplica || g.latencies.expectedLatency(replica, g.now) >= g.latencies.age(late, g.now) {
+	if replica == noReplica || g.latencies.expectedLatency(replica, g.now) >= g.latencies.age(lateAttempt, g.now) {
 		return
 	}
-	late.cancelled = true
+	lateAttempt.cancelled = true
 	g.writer.Cancel(r.ID, number)
 }
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// TestRetryBudgetWhereTheSettingsHaveNone: it is wider where a retry takes the place of a cancelled attempt.
-func TestRetryBudgetWhereTheSettingsHaveNone(t *testing.T) {
+// TestDefaultRetryBudgetWithAndWithoutHedging: it is wider where a retry takes the place of a cancelled attempt.
+func TestDefaultRetryBudgetWithAndWithoutHedging(t *testing.T) {
 	for hedging, want := range map[bool]float64{true: defaultBudgetFloor, false: defaultBudgetFloor * cancelledMultiple} {
 		var budget retryBudget
 		budget.update(0, testTickMS, &gather.Settings{HedgingAllowed: hedging})
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -23,9 +23,9 @@
 
 // set is the state of one replica set.
 type set struct {
-	shares []float64 // of the replicas, 1 on average; nil where the set has no weights
-	starts []float64 // when each one's next slot starts, in slots that the set has had
-	slots  float64   // virtual time of the set
+	shares      []float64 // of the replicas, 1 on average; nil where the set has no weights
+	nextStarts  []float64 // when each one's next slot starts, in slots that the set has had
+	virtualTime float64   // virtual time of the set
 }
 
 // SetWeights replaces the weights. SetReplicas has to follow.
@@ -46,7 +46,7 @@
 		for r, share := range shares {
 			starts[r] = random.Float64() / share
 		}
-		w.sets[i] = set{shares: shares, starts: starts}
+		w.sets[i] = set{shares: shares, nextStarts: starts}
 	}
 }
 
@@ -57,12 +57,12 @@
 	shares := make([]float64, len(replicas))
 	named, sum := 0.0, 0.0
 	for i, server := range replicas {
-		place := slices.IndexFunc(weights, func(w gather.Weight) bool { return w.Server == id(server) })
-		if place < 0 {
+		index := slices.IndexFunc(weights, func(w gather.Weight) bool { return w.Server == id(server) })
+		if index < 0 {
 			shares[i] = unnamed
 			continue
 		}
-		shares[i] = weights[place].Share
+		shares[i] = weights[index].Share
 		named++
 		sum += shares[i]
 	}
@@ -88,26 +88,26 @@
 		return -1
 	}
 	fewest := w.fewestInFlight(set, inFlight, acceptable)
-	next, unweighted := -1, -1
+	next, zeroShare := -1, -1
 	earliest := math.Inf(1)
 	for i, server := range w.replicas[set] {
 		if !acceptable(server) {
 			continue
 		}
 		if s.shares[i] == 0 {
-			if unweighted < 0 || inFlight(server) < inFlight(unweighted) {
-				unweighted = server
+			if zeroShare < 0 || inFlight(server) < inFlight(zeroShare) {
+				zeroShare = server
 			}
 			continue
 		}
-		start := max(s.starts[i], s.slots)
+		start := max(s.nextStarts[i], s.virtualTime)
 		if start < earliest && float64(inFlight(server)) <= fewest*s.shares[i]+shareTolerance {
 			next = server
 			earliest = start
 		}
 	}
 	if next < 0 {
-		return unweighted
+		return zeroShare
 	}
 	return next
 }
@@ -127,13 +127,13 @@
 }
 
 // RecordChoice notes that a replica was sent a request: its next slot starts when its share of the set's
-// slots has passed.
+// virtualTime has passed.
 func (w *Weighted) RecordChoice(set, server int) {
 	s := &w.sets[set]
 	i := slices.Index(w.replicas[set], server)
 	if s.shares == nil || s.shares[i] <= 0 {
 		return
 	}
-	s.slots = max(s.slots, s.starts[i])
-	s.starts[i] = s.slots + 1/s.shares[i]
+	s.virtualTime = max(s.virtualTime, s.nextStarts[i])
+	s.nextStarts[i] = s.virtualTime + 1/s.shares[i]
 }
--- a/logic/roundrobin/roundrobin_test.go
+++ b/logic/roundrobin/roundrobin_test.go
@@ -10,11 +10,11 @@
 	"yokeroute/internal/pcg"
 )
 
-func id(server int) uint32 { return uint32(server) + 100 }
+func serverID(server int) uint32 { return uint32(server) + 100 }
 
-func idle(int) int { return 0 }
+func noneInFlight(int) int { return 0 }
 
-func always(int) bool { return true }
+func acceptAny(int) bool { return true }
 
 // newWeighted has one replica set, of the servers 0, 1, ...; a share below 0 leaves a server without a weight.
 func newWeighted(seed uint64, shares []float64) *Weighted {
@@ -23,11 +23,11 @@
 	for server, share := range shares {
 		replicas = append(replicas, server)
 		if share >= 0 {
-			weights = append(weights, gather.Weight{Server: id(server), Share: share})
+			weights = append(weights, gather.Weight{Server: serverID(server), Share: share})
 		}
 	}
 	w.SetWeights([][]gather.Weight{weights})
-	w.SetReplicas([][]int{replicas}, id, pcg.New(seed))
+	w.SetReplicas([][]int{replicas}, serverID, pcg.New(seed))
 	return w
 }
 
@@ -35,7 +35,7 @@
 func takeSlots(w *Weighted, slots, servers int, acceptable func(int) bool) []int {
 	counts := make([]int, servers)
 	for range slots {
-		server := w.Next(0, idle, acceptable)
+		server := w.Next(0, noneInFlight, acceptable)
 		if server < 0 {
 			break
 		}
@@ -56,7 +56,7 @@
 		w := newWeighted(rapid.Uint64().Draw(t, "seed"), shares)
 		for range 5 {
 			slots := rapid.IntRange(1, 60).Draw(t, "slots")
-			for server, got := range takeSlots(w, slots, len(shares), always) {
+			for server, got := range takeSlots(w, slots, len(shares), acceptAny) {
 				want := float64(slots) * shares[server] / sum
 				if math.Abs(float64(got)-want) > 2 {
 					t.Fatalf("shares %v: server %d had %d of %d slots, want %.1f", shares, server, got, slots, want)
@@ -66,11 +66,11 @@
 	})
 }
 
-// TestPassedOverReplicaDoesNotMakeUpForIt: back again, it has its share of the slots and no burst.
-func TestPassedOverReplicaDoesNotMakeUpForIt(t *testing.T) {
+// TestSkippedReplicaDoesNotCatchUp: back again, it has its share of the slots and no burst.
+func TestSkippedReplicaDoesNotCatchUp(t *testing.T) {
 	w := newWeighted(1, []float64{1, 1, 1})
 	takeSlots(w, 300, 3, func(server int) bool { return server != 2 })
-	if got := takeSlots(w, 30, 3, always)[2]; got > 12 {
+	if got := takeSlots(w, 30, 3, acceptAny)[2]; got > 12 {
 		t.Errorf("a replica that was passed over had %d of the next 30 slots, want about 10", got)
 	}
 }
@@ -78,20 +78,20 @@
 // TestReplicaWithoutShareComesLast: it has slots only while no other replica is acceptable.
 func TestReplicaWithoutShareComesLast(t *testing.T) {
 	w := newWeighted(1, []float64{1, 0, 2})
-	if got := takeSlots(w, 90, 3, always); got[1] > 0 {
+	if got := takeSlots(w, 90, 3, acceptAny); got[1] > 0 {
 		t.Errorf("a replica of share 0 had %d slots beside others", got[1])
 	}
-	if got := w.Next(0, idle, func(server int) bool { return server == 1 }); got != 1 {
+	if got := w.Next(0, noneInFlight, func(server int) bool { return server == 1 }); got != 1 {
 		t.Errorf("with no other replica acceptable the next one is %d, want 1", got)
 	}
-	if got := w.Next(0, idle, func(int) bool { return false }); got != -1 {
+	if got := w.Next(0, noneInFlight, func(int) bool { return false }); got != -1 {
 		t.Errorf("with no replica acceptable the next one is %d, want -1", got)
 	}
 }
 
 func TestUnnamedReplicaGetsTheMeanShare(t *testing.T) {
 	w := newWeighted(1, []float64{1, -1, 3})
-	got := takeSlots(w, 120, 3, always)
+	got := takeSlots(w, 120, 3, acceptAny)
 	for server, want := range []int{20, 40, 60} {
 		if got[server] < want-2 || got[server] > want+2 {
 			t.Errorf("server %d had %d of 120 slots, want about %d", server, got[server], want)
@@ -99,11 +99,11 @@
 	}
 }
 
-// TestCrowdedReplicaIsPassedOver: one that has more in flight for its share than the emptiest would have with one more.
-func TestCrowdedReplicaIsPassedOver(t *testing.T) {
+// TestCrowdedReplicaIsSkipped: one that has more in flight for its share than the emptiest would have with one more.
+func TestCrowdedReplicaIsSkipped(t *testing.T) {
 	w := newWeighted(1, []float64{1, 2})
 	inFlight := []int{3, 1}
-	next := func() int { return w.Next(0, func(server int) int { return inFlight[server] }, always) }
+	next := func() int { return w.Next(0, func(server int) int { return inFlight[server] }, acceptAny) }
 	for range 5 {
 		if got := next(); got != 1 {
 			t.Fatalf("with %v in flight the next replica is %d, want 1", inFlight, got)
@@ -112,10 +112,10 @@
 	}
 }
 
-func TestSetWithoutWeightsIsLeftToTheCaller(t *testing.T) {
+func TestNextReturnsNoReplicaWithoutWeights(t *testing.T) {
 	for name, shares := range map[string][]float64{"none": {-1, -1}, "nothing": {0, 0}} {
 		w := newWeighted(1, shares)
-		if got := w.Next(0, idle, always); got != -1 {
+		if got := w.Next(0, noneInFlight, acceptAny); got != -1 {
 			t.Errorf("weights that name %s: the next replica is %d, want -1", name, got)
 		}
 		w.RecordChoice(0, 0) // has no effect
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -41,13 +41,13 @@
 //
 // All further lines of a round come in before any is checked.
 type scenario struct {
-	t        *testing.T
-	settings *gather.Settings
-	gatherer *Gatherer
-	round    gather.Round
-	pending  bool // the round has not been run
-	written  *recorder
-	text     string // of the line that is read
+	t           *testing.T
+	settings    *gather.Settings
+	gatherer    *Gatherer
+	round       gather.Round
+	pending     bool // the round has not been run
+	recorder    *recorder
+	currentLine string // of the line that is read
 }
 
 // scenarioLine handles a line, whose first word is fields[0].
@@ -58,8 +58,8 @@
 func init() { // a literal would refer to itself, by the line that follows an "at"
 	scenarioLines = map[string]scenarioLine{
 		"set":          (*scenario).set,
-		"at":           (*scenario).at,
-		"held-up":      (*scenario).heldUp,
+		"at":           (*scenario).startRound,
+		"held-up":      (*scenario).setWakeDelay,
 		"list":         (*scenario).list,
 		"list-failed":  (*scenario).listFailed,
 		"query":        (*scenario).query,
@@ -89,7 +89,7 @@
 var scenarioMessages = []string{"send", "cancel", "answer", "reject", "fail", "wake", "subscribe", "check"}
 
 func newScenario(t *testing.T) *scenario {
-	s := &scenario{t: t, written: newRecorder(scenarioFormats), settings: &gather.Settings{
+	s := &scenario{t: t, recorder: newRecorder(scenarioFormats), settings: &gather.Settings{
 		ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: true, HedgingAllowed: true, Tick: 5, Gatherers: 1,
 		MaxRetryAfter: 1000,
 	}}
@@ -117,14 +117,14 @@
 	if s.gatherer == nil {
 		s.gatherer = New(7, s.settings)
 	}
-	s.written.clear()
-	s.gatherer.Round(&s.round, s.written)
+	s.recorder.clear()
+	s.gatherer.Round(&s.round, s.recorder)
 	s.round = gather.Round{Now: s.round.Now}
 	s.pending = false
 }
 
-func (s *scenario) line(text string) {
-	s.text = text
+func (s *scenario) runLine(text string) {
+	s.currentLine = text
 	fields := strings.Fields(text)
 	if handle := scenarioLines[fields[0]]; handle != nil {
 		handle(s, fields)
@@ -134,17 +134,17 @@
 }
 
 // number is the number at a place of the line, 0 where the line is shorter.
-func (s *scenario) number(fields []string, place int) float64 {
-	if place >= len(fields) {
+func (s *scenario) number(fields []string, index int) float64 {
+	if index >= len(fields) {
 		return 0
 	}
-	return s.parse(fields[place])
+	return s.parse(fields[index])
 }
 
 func (s *scenario) parse(text string) float64 {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		s.t.Fatalf("%q: %v", s.text, err)
+		s.t.Fatalf("%q: %v", s.currentLine, err)
 	}
 	return v
 }
@@ -152,19 +152,19 @@
 func (s *scenario) id(text string) uint64 {
 	id, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		s.t.Fatalf("%q: %v", s.text, err)
+		s.t.Fatalf("%q: %v", s.currentLine, err)
 	}
 	return id
 }
 
 // set sets a field of the settings, or of a class of them.
 func (s *scenario) set([]string) {
-	name, value, _ := strings.Cut(strings.TrimPrefix(s.text, "set "), " = ")
+	name, value, _ := strings.Cut(strings.TrimPrefix(s.currentLine, "set "), " = ")
 	target := reflect.ValueOf(s.settings).Elem()
 	if class, field, found := strings.Cut(name, "/"); found {
 		c := s.settings.FindClass(class)
 		if c == nil {
-			s.t.Fatalf("%q: there is no class %s", s.text, class)
+			s.t.Fatalf("%q: there is no class %s", s.currentLine, class)
 		}
 		target = reflect.ValueOf(c).Elem()
 		name = field
@@ -179,21 +179,21 @@
 	case reflect.String:
 		field.SetString(value)
 	default:
-		s.t.Fatalf("%q: there is no field %s", s.text, name)
+		s.t.Fatalf("%q: there is no field %s", s.currentLine, name)
 	}
 }
 
-func (s *scenario) at([]string) {
+func (s *scenario) startRound([]string) {
 	s.run()
-	now, rest, _ := strings.Cut(strings.TrimPrefix(s.text, "at "), ":")
+	now, rest, _ := strings.Cut(strings.TrimPrefix(s.currentLine, "at "), ":")
 	s.round.Now = s.parse(now)
 	s.pending = true
 	if rest != "" {
-		s.line(strings.TrimSpace(rest))
+		s.runLine(strings.TrimSpace(rest))
 	}
 }
 
-func (s *scenario) heldUp(fields []string) { s.round.HeldUp = s.number(fields, 1) }
+func (s *scenario) setWakeDelay(fields []string) { s.round.HeldUp = s.number(fields, 1) }
 
 func (s *scenario) list(fields []string) {
 	list := gather.EndpointList{Full: true}
@@ -211,7 +211,7 @@
 	parts := strings.Split(entry, ":")
 	set, err := strconv.Atoi(parts[1])
 	if err != nil {
-		s.t.Fatalf("%q: %v", s.text, err)
+		s.t.Fatalf("%q: %v", s.currentLine, err)
 	}
 	e := gather.Endpoint{ID: uint32(s.id(parts[0])), ReplicaSet: set}
 	for _, part := range parts[2:] {
@@ -298,7 +298,7 @@
 func (s *scenario) result(fields []string) {
 	outcome, known := scenarioOutcomes[fields[2]]
 	if !known {
-		s.t.Fatalf("%q: unknown outcome", s.text)
+		s.t.Fatalf("%q: unknown outcome", s.currentLine)
 	}
 	for _, name := range strings.Split(fields[1], ",") {
 		request, attempt, _ := strings.Cut(name, "/")
@@ -306,9 +306,9 @@
 		if attempt != "" {
 			key.attempt = int(s.id(attempt))
 		}
-		server, sent := s.written.servers[key]
+		server, sent := s.recorder.servers[key]
 		if !sent {
-			s.t.Fatalf("at %g: %q, but it was never sent; written was %q", s.round.Now, s.text, s.written.lines)
+			s.t.Fatalf("at %g: %q, but it was never sent; written was %q", s.round.Now, s.currentLine, s.recorder.lines)
 		}
 		s.round.Results = append(s.round.Results, gather.AttemptResult{Request: key.request, Server: server,
 			Attempt: key.attempt, Outcome: outcome, Finished: outcome == gather.NotSent})
@@ -332,13 +332,13 @@
 // expect checks what the round has written.
 func (s *scenario) expect(fields []string) {
 	if len(fields) < 2 || !slices.Contains(scenarioMessages, fields[1]) {
-		s.t.Fatalf("unknown line %q", s.text)
+		s.t.Fatalf("unknown line %q", s.currentLine)
 	}
 	s.run()
 	want, got := strings.Join(fields[1:], " "), 0
-	for _, line := range s.written.lines {
+	for _, line := range s.recorder.lines {
 		if matched, err := path.Match(want, line); err != nil {
-			s.t.Fatalf("%q: %v", s.text, err)
+			s.t.Fatalf("%q: %v", s.currentLine, err)
 		} else if matched {
 			got++
 		}
@@ -352,12 +352,12 @@
 	default:
 		times, err := strconv.Atoi(fields[0])
 		if err != nil {
-			s.t.Fatalf("unknown line %q", s.text)
+			s.t.Fatalf("unknown line %q", s.currentLine)
 		}
 		met = got == times
 	}
 	if !met {
-		s.t.Errorf("at %g: %q, but written was %q", s.round.Now, s.text, s.written.lines)
+		s.t.Errorf("at %g: %q, but written was %q", s.round.Now, s.currentLine, s.recorder.lines)
 	}
 }
 
@@ -381,7 +381,7 @@
 	s := newScenario(t)
 	for line := range strings.Lines(text) {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
-			s.line(line)
+			s.runLine(line)
 		}
 	}
 	s.run()
@@ -408,9 +408,9 @@
 	`)
 }
 
-// TestTrialsOfUnmeasuredServersAreFew guards against servers that are still slow and get all queries again,
+// TestTrialQueriesAreRateLimited guards against servers that are still slow and get all queries again,
 // as the records which spoke for shedding these are older than the window.
-func TestTrialsOfUnmeasuredServersAreFew(t *testing.T) {
+func TestTrialQueriesAreRateLimited(t *testing.T) {
 	playScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3
 		query 10,20,30,40 all 4 1000
@@ -441,9 +441,9 @@
 	`)
 }
 
-// TestLostRequestBesideHeldBackExtraIsRetried guards against a query that waits for a busy server with its extra request
+// TestLostRequestIsRetriedWhileExtraRequestWaits guards against a query that waits for a busy server with its extra request
 // while another request is lost: the extra one counts as expected, so that nothing takes the lost one's place.
-func TestLostRequestBesideHeldBackExtraIsRetried(t *testing.T) {
+func TestLostRequestIsRetriedWhileExtraRequestWaits(t *testing.T) {
 	playScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3 5:1
 		query 10,20 all 4 3000 100
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -17,7 +17,7 @@
 
 	inFlight    []*attempt
 	lastAttempt *attempt
-	listedBusy  bool // it is in serverTable.busy
+	inBusyList  bool // it is in serverTable.busy
 
 	estimate estimate
 	load     loadReport
@@ -54,9 +54,9 @@
 // replicaSet is that of a shard.
 func (t *serverTable) replicaSet(shard int) int { return shard % len(t.replicas) }
 
-// reusable is the first index, from one on, of a server that is removed and has no attempt in flight; it is
+// nextReusable is the first index, from one on, of a server that is removed and has no attempt in flight; it is
 // the table's length where there is none.
-func (t *serverTable) reusable(from int) int {
+func (t *serverTable) nextReusable(from int) int {
 	for from < len(t.servers) {
 		if s := t.get(from); s.state == gather.Removed && len(s.inFlight) == 0 {
 			break
@@ -120,8 +120,8 @@
 // addInFlight notes an attempt that is sent.
 func (t *serverTable) addInFlight(a *attempt) {
 	s := t.get(a.server)
-	if !s.listedBusy {
-		s.listedBusy = true
+	if !s.inBusyList {
+		s.inBusyList = true
 		t.busy = append(t.busy, a.server)
 	}
 	s.inFlight = append(s.inFlight, a)
@@ -139,8 +139,8 @@
 func (t *serverTable) removeIdle() {
 	t.busy = slices.DeleteFunc(t.busy, func(index int) bool {
 		s := t.get(index)
-		s.listedBusy = len(s.inFlight) > 0
-		return !s.listedBusy
+		s.inBusyList = len(s.inFlight) > 0
+		return !s.inBusyList
 	})
 }
 
--- a/logic/servers_test.go
+++ b/logic/servers_test.go
@@ -7,25 +7,25 @@
 	"yokeroute/gather"
 )
 
-// TestIndexIsReusedOnceNothingNeedsIt: the server is removed and its last attempt has ended.
-func TestIndexIsReusedOnceNothingNeedsIt(t *testing.T) {
+// TestIndexIsReusedAfterRemovalAndLastAttempt: the server is removed and its last attempt has ended.
+func TestIndexIsReusedAfterRemovalAndLastAttempt(t *testing.T) {
 	table := newServerTable(1)
 	for index, id := range []uint32{10, 11} {
 		if !table.assign(id, index) {
 			t.Fatalf("a new index for server %d does not grow the table", id)
 		}
 	}
-	if got := table.reusable(0); got != 2 {
+	if got := table.nextReusable(0); got != 2 {
 		t.Errorf("beside running servers the next index is %d, want 2", got)
 	}
 	a := &attempt{server: 0}
 	table.addInFlight(a)
 	table.get(0).state = gather.Removed
-	if got := table.reusable(0); got != 2 {
+	if got := table.nextReusable(0); got != 2 {
 		t.Errorf("with an attempt in flight the next index is %d, want 2", got)
 	}
 	table.removeInFlight(a)
-	if got := table.reusable(0); got != 0 {
+	if got := table.nextReusable(0); got != 0 {
 		t.Errorf("without attempts in flight the next index is %d, want 0", got)
 	}
 	if table.assign(12, 0) {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestBusyServersHaveAttemptsInFlight: a server is listed once, until it is idle.
-func TestBusyServersHaveAttemptsInFlight(t *testing.T) {
+// TestBusyListHoldsServersWithAttemptsInFlight: a server is listed once, until it is idle.
+func TestBusyListHoldsServersWithAttemptsInFlight(t *testing.T) {
 	table := newServerTable(1)
 	table.assign(10, 0)
 	table.assign(11, 1)
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestServerHoldsTheShardsOfItsSetAndThoseBefore(t *testing.T) {
+func TestServerHoldsTheShardsOfItsSetAndPrecedingSets(t *testing.T) {
 	g := New(1, &gather.Settings{ReplicaSets: 4, ReplicaSetsPerShard: 3})
 	for own, want := range map[int][]int{0: {0, 3, 2}, 2: {2, 1, 0}, 4: nil, -1: nil} {
 		if got := g.replicaSetsOf(own); !slices.Equal(got, want) {
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -19,10 +19,10 @@
 	trialIntervalMS = 100.0
 )
 
-// overloaded decides whether a query that has arrived is shed: one whose slowest request would take most of
+// shouldShed decides whether a query that has arrived is shed: one whose slowest request would take most of
 // its time only delays others. Nothing of it was sent yet, so that any class may be rejected.
-func (g *Gatherer) overloaded(q *query) bool {
-	if !g.latencies.measured() {
+func (g *Gatherer) shouldShed(q *query) bool {
+	if !g.latencies.hasMeasurements() {
 		return false
 	}
 	objectiveAt := q.arrivedAt + q.class.LatencyObjective
@@ -64,9 +64,9 @@
 // expectedRequests are those of a query that would be sent. Servers that only this gatherer cannot reach do
 // not count: that is no overload.
 func (g *Gatherer) expectedRequests(q *query) (requests []expectedRequest) {
-	counted := 1.0
+	latencyFactor := 1.0
 	if g.loads.enabled {
-		counted = reportedLatencyShare
+		latencyFactor = reportedLatencyShare
 	}
 	for _, r := range q.requests {
 		if !r.wanted || r.replica == noReplica {
@@ -78,8 +78,8 @@
 		}
 		requests = append(requests, expectedRequest{
 			weight:        r.Weight,
-			latency:       counted * latency,
-			recentLatency: counted * g.latencies.expectedRecentLatency(r.replica, g.now),
+			latency:       latencyFactor * latency,
+			recentLatency: latencyFactor * g.latencies.expectedRecentLatency(r.replica, g.now),
 		})
 	}
 	return requests
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -35,12 +35,12 @@
 
 // Table holds the servers' start times and credits.
 type Table struct {
-	limits    limits
-	startedAt []float64 // 0 for long ago
-	credit    []float64 // requests that a warming server may still be sent
-	warming   []int
-	running   float64 // servers, as of FindWarming
-	warm      float64 // running servers that are warm, as of the last Earn
+	limits       limits
+	startedAt    []float64 // 0 for long ago
+	credit       []float64 // requests that a warming server may still be sent
+	warming      []int
+	runningCount float64 // servers, as of FindWarming
+	warmCount    float64 // runningCount servers that are warm, as of the last Earn
 }
 
 // Configure takes the settings over. FindWarming has to follow unless the table is empty.
@@ -68,18 +68,18 @@
 // do not all send their first request at once.
 func (t *Table) Start(server int, id uint32, startedAt float64) {
 	t.startedAt[server] = startedAt
-	place := math.Mod(t.limits.gathererIndex+float64(id%1024), t.limits.gatherers)
-	t.credit[server] = place / t.limits.gatherers
+	offset := math.Mod(t.limits.gathererIndex+float64(id%1024), t.limits.gatherers)
+	t.credit[server] = offset / t.limits.gatherers
 }
 
 // FindWarming finds the servers that are warming up. It has to be called after a change of the endpoint
 // list or of the settings; running reports whether a server takes requests.
 func (t *Table) FindWarming(now float64, running func(server int) bool) {
-	t.running = 0
+	t.runningCount = 0
 	t.warming = t.warming[:0]
 	for server := range t.startedAt {
 		if running(server) {
-			t.running++
+			t.runningCount++
 		}
 		if t.Share(server, now) < 1 {
 			t.warming = append(t.warming, server)
@@ -98,28 +98,28 @@
 
 // Round is what a gatherer observed since the last round.
 type Round struct {
-	Now             float64
-	Elapsed         float64
-	MedianLatency   float64 // of an attempt
-	SucceededAtWarm float64 // attempts at warm servers
+	Now           float64
+	Elapsed       float64
+	MedianLatency float64 // of an attempt
+	WarmSuccesses float64 // attempts at warm servers
 }
 
 // Earn adds to the credit of the running servers that are warming up, by what the average warm server
 // answered. Where nothing is warm it adds a part of what the rule allows a server of one core, divided
 // among the gatherers.
 func (t *Table) Earn(in Round, running func(server int) bool) {
-	idle := in.Elapsed / max(in.MedianLatency, 1) / idleDivisor / t.limits.gatherers
-	perServer := max(safetyShare*in.SucceededAtWarm/max(t.warm, 1), idle)
-	warm := t.running
+	idleCredit := in.Elapsed / max(in.MedianLatency, 1) / idleDivisor / t.limits.gatherers
+	perServer := max(safetyShare*in.WarmSuccesses/max(t.warmCount, 1), idleCredit)
+	warmCount := t.runningCount
 	t.warming = slices.DeleteFunc(t.warming, func(server int) bool {
 		share := t.Share(server, in.Now)
 		if share < 1 && running(server) {
-			warm--
+			warmCount--
 			t.credit[server] = min(t.credit[server]+t.limits.overloadMultiple*share*perServer, maxCredit)
 		}
 		return share == 1
 	})
-	t.warm = warm
+	t.warmCount = warmCount
 }
 
 // MaySend reports whether a server may be sent a request now.
--- a/logic/slowstart/slowstart_test.go
+++ b/logic/slowstart/slowstart_test.go
@@ -10,29 +10,29 @@
 
 // reference looks at all servers in every round.
 type reference struct {
-	table   *Table // whose shares it uses
-	running []bool
-	credit  []float64
-	warm    float64
+	table     *Table // whose shares it uses
+	running   []bool
+	credit    []float64
+	warmCount float64
 }
 
 func (f *reference) isRunning(server int) bool { return f.running[server] }
 
 func (f *reference) earn(in Round) {
-	idle, warm := in.Elapsed/max(20, 1)/4/3, 0.0
+	idleCredit, warmCount := in.Elapsed/max(20, 1)/4/3, 0.0
 	for server := range f.running {
 		if !f.running[server] {
 			continue
 		}
 		share := f.table.Share(server, in.Now)
 		if share == 1 {
-			warm++
+			warmCount++
 			continue
 		}
-		perServer := max(safetyShare*in.SucceededAtWarm/max(f.warm, 1), idle)
+		perServer := max(safetyShare*in.WarmSuccesses/max(f.warmCount, 1), idleCredit)
 		f.credit[server] = min(f.credit[server]+3*share*perServer, maxCredit)
 	}
-	f.warm = warm
+	f.warmCount = warmCount
 }
 
 // changeServer adds a server or starts one anew.
@@ -50,9 +50,9 @@
 	f.table.FindWarming(now, f.isRunning)
 }
 
-// TestAgainstAll compares with looking at all servers each time: through starts, ends and time that passes,
+// TestCreditsMatchReference compares with looking at all servers each time: through starts, ends and time that passes,
 // also by just the warm-up time, shares and credits are the same to the last bit.
-func TestAgainstAll(t *testing.T) {
+func TestCreditsMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := &gather.Settings{
 			WarmupTime: 1000.0, InitialCapacityShare: 0.2, OverloadWindow: 500.0, OverloadMultiple: 3.0,
@@ -72,7 +72,7 @@
 				ref.changeServer(t, now)
 			}
 			succeeded := float64(rapid.IntRange(0, 50).Draw(t, "succeeded"))
-			in := Round{Now: now, Elapsed: gap, MedianLatency: 20, SucceededAtWarm: succeeded}
+			in := Round{Now: now, Elapsed: gap, MedianLatency: 20, WarmSuccesses: succeeded}
 			ref.earn(in)
 			table.Earn(in, ref.isRunning)
 			for server, want := range ref.credit {
@@ -81,8 +81,8 @@
 					t.Fatalf("at %v server %d: credit %v, want %v", now, server, table.credit[server], want)
 				}
 			}
-			if table.warm != ref.warm {
-				t.Fatalf("at %v: %v are warm, want %v", now, table.warm, ref.warm)
+			if table.warmCount != ref.warmCount {
+				t.Fatalf("at %v: %v are warm, want %v", now, table.warmCount, ref.warmCount)
 			}
 		}
 	})
