--- a/logic/admission/controller.go
+++ b/logic/admission/controller.go
@@ -9,7 +9,7 @@
 
 // Limits are the limits of a listener. Times are in milliseconds.
 type Limits struct {
-	MaxConns           int     // isWildcard connections
+	MaxConns           int     // open connections
 	MaxUnauthenticated int     // of these, before they are authenticated
 	HandshakeTimeout   float64 // until they are
 	RotationPeriod     float64 // connections of older keys end within it; negative: they stay
--- a/logic/admission/rules.go
+++ b/logic/admission/rules.go
@@ -55,7 +55,7 @@
 	Name     string         // of the certificate; a * at its beginning or end matches any non-empty text
 	Roles    Role           // that the peers have
 	From     []netip.Prefix // none for every address
-	MaxConns int            // isWildcard connections of one name, 0 for no limit
+	MaxConns int            // open connections of one name, 0 for no limit
 }
 
 // matches reports whether the rule's name matches a name. A * matches at least one character, and a dot or
--- a/logic/advance.go
+++ b/logic/advance.go
@@ -8,26 +8,32 @@
 )
 
 const (
-	deadlineTicks  = 3 // offset its deadline a query has to end
-	objectiveTicks = 2 // offset its latency objective a partial answer may be given
+	// deadlineTicks is the number of ticks before its deadline at which a query has to end.
+	deadlineTicks = 3
+	// objectiveTicks is the number of ticks before its latency objective from which a query may be answered
+	// partially.
+	objectiveTicks = 2
 )
 
-// progress is how far a query has come. Weights are shares of the complete answer.
+// progress sums up the state of a query's requests. Weights are shares of the complete answer.
 type progress struct {
-	needed   float64 // for a complete answer
-	received float64
-	possible float64 // received, or may still be
-	expected float64 // received, or expected to be without a further attempt
-
-	waitingExtra     float64 // of expected: extra requests that wait for a busy replica
-	waitingExtraLoad int     // attempts in flight at the least busy of these replicas
-
-	succeeded       int // requests
-	inFlight        int // attempts
-	objectiveLeft   float64
-	deadlineReached bool // it has to end now
+	needed   float64 // weight that makes an answer complete
+	received float64 // weight of the responses received
+	possible float64 // weight that was received or may still be received
+	expected float64 // weight that was received or is expected without a further attempt
+
+	// waitingExtra is the part of expected that belongs to extra requests waiting for a busy replica.
+	waitingExtra float64
+	// waitingExtraLoad is the number of attempts in flight at the least busy of these replicas.
+	waitingExtraLoad int
+
+	succeeded       int     // number of requests that succeeded
+	inFlight        int     // number of attempts in flight
+	objectiveLeft   float64 // time left to the latency objective, negative after it
+	deadlineReached bool    // the deadline is so near that the query has to end now
 }
 
+// progressOf adds up the progress of a query.
 func (g *Gatherer) progressOf(q *query) progress {
 	p := progress{
 		needed:          q.class.CompleteShare,
@@ -59,7 +65,8 @@
 	return p
 }
 
-// addWaitingExtra counts an extra request that waits for a replica with so many attempts in flight.
+// addWaitingExtra counts an extra request that waits for a replica; load is the number of attempts in flight
+// at that replica.
 func (p *progress) addWaitingExtra(r *shardRequest, load int) {
 	if p.waitingExtra == 0 || load < p.waitingExtraLoad {
 		p.waitingExtraLoad = load
@@ -67,15 +74,16 @@
 	p.waitingExtra += r.Weight
 }
 
-// complete reports whether the answer received is complete. A request may weigh less than the tolerance:
-// where all are needed they are counted.
+// complete reports whether the responses received make a complete answer. One request may weigh less than
+// shareTolerance, so where all requests are needed their number is compared as well.
 func (p *progress) complete(q *query) bool {
 	return p.received >= p.needed-shareTolerance &&
 		(p.needed < 1-shareTolerance || p.succeeded == len(q.requests))
 }
 
-// partialAnswerDue reports whether a partial answer is given now: nothing more can be received, the time is
-// up, or the latency objective is and the answer is worth more now than a complete one later.
+// partialAnswerDue reports whether a partial answer is given now: because no further response can be
+// received, because the deadline is reached, or because the latency objective is reached and the partial
+// answer is worth more now than a complete one later.
 func (p *progress) partialAnswerDue(q *query, tick float64) bool {
 	if p.received <= 0 || p.received < q.class.MinShare-shareTolerance {
 		return false
@@ -87,8 +95,8 @@
 	return p.possible < p.needed-shareTolerance && p.received >= p.possible-shareTolerance
 }
 
-// shouldGiveUp reports whether the query can earn nothing any more, or found no server before its latency
-// objective.
+// shouldGiveUp reports whether the query ends without an answer: because it can no longer reach the minimum
+// share or be answered in time, or because it has no attempt in flight when its latency objective has passed.
 func (p *progress) shouldGiveUp(q *query) bool {
 	if p.deadlineReached || p.possible < q.class.MinShare-shareTolerance {
 		return true
@@ -96,7 +104,8 @@
 	return p.objectiveLeft <= 0 && (q.class.LateValue == 0 || p.inFlight == 0)
 }
 
-// advance takes a query as far as it can go in this round: it ends it, or sends what it needs.
+// advance makes all decisions about a query that are due in this round: it ends the query, or sends the
+// attempts that it needs.
 func (g *Gatherer) advance(q *query) {
 	if q.finished || !q.modeChosen && !g.startQuery(q) {
 		return
@@ -105,7 +114,7 @@
 	complete := p.complete(q)
 	switch {
 	case len(q.requests) == 0 && !p.deadlineReached:
-		// The requests of its second step come with the next round.
+		// The requests of the second step arrive in a later round.
 	case complete, p.partialAnswerDue(q, g.tick()):
 		g.answer(q, complete && (!q.secondStep || q.firstComplete))
 	case p.shouldGiveUp(q):
@@ -116,9 +125,8 @@
 	}
 }
 
-// startQuery chooses the mode of a query that has arrived. It reports whether the query goes on in this round:
-// it may wait for load reports, or be shed. A first pass is never shed: it is short, and its second pass
-// may be.
+// startQuery chooses the mode of a query that has arrived. It returns false if the query waits for load
+// reports or was shed. A first pass is never shed: it is short, and its second pass can be shed instead.
 func (g *Gatherer) startQuery(q *query) bool {
 	if g.loads.request(q, g.now, g.writer) {
 		return false
@@ -131,8 +139,9 @@
 	return true
 }
 
-// sendWanted sends the first attempts. Requests that were not wanted make up for lost and late ones: a
-// first attempt costs no retry budget.
+// sendWanted sends the first attempts of the wanted requests. If lost and late requests leave too little
+// weight expected, it adds requests that were not wanted before: unlike a retry, a first attempt costs no
+// retry budget.
 func (g *Gatherer) sendWanted(q *query, p *progress) {
 	for _, r := range q.requests {
 		if !r.wanted && p.expected < p.needed-shareTolerance {
@@ -146,9 +155,9 @@
 	}
 }
 
-// retryLostRequests sends a further attempt of requests whose response is not expected any more, as far as
-// the query needs them. A lost request that has a replica less busy than those of the extra requests does not
-// wait for these.
+// retryLostRequests sends a further attempt of requests whose response is no longer expected, as far as the
+// query needs them. A lost request with a replica less busy than those that the extra requests wait for is
+// retried without waiting for the extra requests.
 func (g *Gatherer) retryLostRequests(q *query, p *progress) {
 	missing := (p.needed - p.received) / p.needed
 	for _, r := range q.requests {
@@ -166,7 +175,7 @@
 	}
 }
 
-// leastInFlight is how many attempts are in flight at the least busy replica of a request.
+// leastInFlight returns the number of attempts in flight at the least busy replica of a request.
 func (g *Gatherer) leastInFlight(r *shardRequest) int {
 	least := math.MaxInt
 	for _, server := range g.servers.replicas[g.servers.replicaSet(r.Shard)] {
@@ -175,7 +184,8 @@
 	return least
 }
 
-// responseExpected reports whether a request needs no further attempt.
+// responseExpected reports whether a request has succeeded or is expected to succeed without a further
+// attempt: its first attempt is about to be sent, or one is in flight and not overdue.
 func (g *Gatherer) responseExpected(r *shardRequest) bool {
 	if r.succeeded || r.wanted && len(r.attempts) == 0 {
 		return true
--- a/logic/callstats/callstats.go
+++ b/logic/callstats/callstats.go
@@ -1,6 +1,6 @@
 // Package callstats keeps the records of each server's attempts within a window, with their sums, and the
-// windowLatencies latency of all servers' successful attempts. A round costs time by the records that came or
-// retained in it, not by the servers or by the records that they hold.
+// median latency of all servers' successful attempts. A round costs time by the records that came or
+// expired in it, not by the servers or by the records that they hold.
 //
 // It decides nothing. A server's sums are added up anew, in the order of its records, whenever one came or
 // expired, so that they do not depend on the history of floating-point operations.
@@ -216,7 +216,7 @@
 	return len(s.records) > limits.MinRecords && s.records[0].EndedAt <= now-limits.Window
 }
 
-// retained reports whether a record is no longer kept, given that those before it are not.
+// expired reports whether a record is no longer kept, given that those before it are not.
 func (s *server) expired(index int, now float64, limits Limits) bool {
 	endedAt := s.records[index].EndedAt
 	if endedAt < now-limits.MaxAge {
--- a/logic/class.go
+++ b/logic/class.go
@@ -6,21 +6,21 @@
 	"yokeroute/gather"
 )
 
-// class is a request class with what was observed of its queries.
+// class is a request class with statistics of its queries.
 type class struct {
 	gather.Class
 	meanCost        float64 // mean expected work of a shard request, 0 before there is any
-	maxFirstTryTime float64 // longest time of late that clients gave a first try
+	maxFirstTryTime float64 // longest recent time between arrival and deadline of a client's first try
 }
 
-// classTable holds the classes that queries have named. A query keeps its class when the settings are
-// replaced.
+// classTable holds the classes that were looked up so far. An open query keeps its class when the settings
+// are replaced.
 type classTable struct {
 	settings *gather.Settings
 	byName   map[string]*class
 }
 
-// configure drops what was observed of the classes, whose settings may have changed.
+// configure replaces the settings and drops all classes with their statistics.
 func (t *classTable) configure(settings *gather.Settings) {
 	t.settings = settings
 	t.byName = map[string]*class{}
@@ -35,7 +35,7 @@
 	return c
 }
 
-// shortestObjective is the shortest latency objective of all classes, infinite where there is no class.
+// shortestObjective returns the shortest latency objective of all classes, +Inf if there is no class.
 func (t *classTable) shortestObjective() float64 {
 	shortest := math.Inf(1)
 	for _, name := range t.settings.ClassNames() {
@@ -44,7 +44,8 @@
 	return shortest
 }
 
-// observeCost moves the mean cost by a hundredth of the difference; the first cost sets it.
+// observeCost updates the moving average of the cost by a hundredth of the difference. The first cost
+// initializes it.
 func (c *class) observeCost(cost float64) {
 	if cost <= 0 {
 		return
@@ -55,11 +56,11 @@
 	c.meanCost += (cost - c.meanCost) / 100
 }
 
-// relativeCost is a request's cost as a multiple of its class's mean, at least 1.
+// relativeCost returns a request's cost as a multiple of its class's mean, at least 1.
 func (c *class) relativeCost(cost float64) float64 { return max(1, cost/max(c.meanCost, 1)) }
 
-// observeFirstTry notes how long a client gives a first try. The longest fades by a hundredth with each
-// query, since some clients give less than others.
+// observeFirstTry records the time between arrival and deadline of a client's first try. The maximum decays
+// by a hundredth with each query, since some clients allow less time than others.
 func (c *class) observeFirstTry(timeLeft float64) {
 	c.maxFirstTryTime = max(timeLeft, c.maxFirstTryTime*0.99)
 }
--- a/logic/day_test.go
+++ b/logic/day_test.go
@@ -9,7 +9,7 @@
 	"yokeroute/internal/pcg"
 )
 
-// simulation plays seeded events against a gatherer and hashes what it writes.
+// simulation runs a gatherer against seeded random events and hashes the decisions that it writes.
 type simulation struct {
 	gatherer *Gatherer
 	random   *pcg.Source
@@ -32,10 +32,10 @@
 	}
 }
 
-// oneIn is true once in so many times.
+// oneIn returns true with a probability of 1/times.
 func (sim *simulation) oneIn(times uint32) bool { return sim.random.Uint32()%times == 0 }
 
-// addDueResults adds the results that come by now to a round.
+// addDueResults adds the scheduled results that are due to a round.
 func (sim *simulation) addDueResults(in *gather.Round) {
 	pending := sim.results[:0]
 	for _, s := range sim.results {
@@ -48,11 +48,11 @@
 	sim.results = pending
 }
 
-// outcomeFunc decides at random how an attempt ends, and after which time.
+// outcomeFunc returns a random outcome for an attempt, and the time after which it ends.
 type outcomeFunc func(server uint32) (after float64, outcome gather.Outcome)
 
-// run runs a round, hashes each line that it writes behind the values given, and schedules the attempts'
-// results.
+// run runs a round, schedules the results of the attempts that it sends, and hashes each line that it writes,
+// preceded by the given values.
 func (sim *simulation) run(in *gather.Round, outcome outcomeFunc, values func() []any) {
 	sim.recorder.clear()
 	sim.gatherer.Round(in, sim.recorder)
@@ -75,7 +75,7 @@
 	}
 }
 
-// scheduledResult is an attempt's result that comes at a time.
+// scheduledResult is an attempt's result and the time at which it arrives.
 type scheduledResult struct {
 	at     float64
 	result gather.AttemptResult
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -15,7 +15,7 @@
 	trafficLengthMS    = 30_000
 )
 
-// trafficSettings have all classes and effects, a retry budget, warming servers and a price of calls.
+// trafficSettings returns settings with classes of every effect, a retry budget, slow start and a call cost.
 func trafficSettings() *gather.Settings {
 	class := gather.Class{LatencyObjective: 400, LateValue: 0.1, CompleteShare: 1, MinShare: 1}
 	anyClass, all, once, keyed := class, class, class, class
@@ -34,9 +34,9 @@
 	}
 }
 
-// simulateTraffic plays a seeded day of queries, results of all outcomes, clients that disconnect, and servers that
-// drain, go and start again. It returns a hash of what was written and the number of attempts. The first
-// round may be changed.
+// simulateTraffic runs seeded random traffic: queries, results of all outcomes, clients that disconnect, and
+// servers that drain, are removed and restart. It returns a hash of the decisions and the number of attempts.
+// changeFirst may change the first round.
 func simulateTraffic(seed uint64, changeFirst func(in *gather.Round)) (hash uint64, attempts int) {
 	sim := newSimulation(trafficSettings(), seed, seed+1)
 	end := sim.now + trafficLengthMS
@@ -67,7 +67,7 @@
 	return list
 }
 
-// randomEndpointChange lets one server drain, go or start again.
+// randomEndpointChange returns a delta in which one server drains, is removed or restarts.
 func (sim *simulation) randomEndpointChange() gather.EndpointList {
 	id := sim.random.Uint32() % trafficServers
 	return gather.EndpointList{Endpoints: []gather.Endpoint{{
@@ -110,35 +110,36 @@
 	return after, outcome
 }
 
-// skipUnlessRecordedArchitecture skips a test of recorded hashes where the compiler may fuse multiplications.
+// skipUnlessRecordedArchitecture skips a test of recorded hashes on architectures on which the compiler may
+// fuse multiplications and additions.
 func skipUnlessRecordedArchitecture(t *testing.T) {
 	t.Helper()
 	if runtime.GOARCH != "amd64" {
-		t.Skip("other architectures may fuse multiplications, and the hashes were recorded without")
+		t.Skip("the hashes were recorded on amd64; compilers for other architectures may fuse multiplications")
 	}
 }
 
-// TestTrafficDecisionsMatchRecordedHashes wants the recorded decisions, byte for byte, where there are no weights, and
-// the same where the weights are empty. A change that is meant to decide otherwise takes over the hashes that
-// it comes to.
+// TestTrafficDecisionsMatchRecordedHashes checks that the decisions without weights are the recorded ones,
+// byte for byte, and that empty weights lead to the same decisions. A change that is meant to alter decisions
+// replaces the recorded hashes by its own.
 func TestTrafficDecisionsMatchRecordedHashes(t *testing.T) {
 	skipUnlessRecordedArchitecture(t)
 	for seed, want := range []uint64{0x2cceab36132a77cf, 0xb75f63f485c5cf03, 0xa3ccb6f265f8f2a8} {
 		got, attempts := simulateTraffic(uint64(seed), func(*gather.Round) {})
 		if attempts < 1500 {
-			t.Errorf("seed %d: %d attempts are too few to tell", seed, attempts)
+			t.Errorf("seed %d: %d attempts sent, want at least 1500", seed, attempts)
 		}
 		if got != want {
-			t.Errorf("seed %d: hash %#x, recorded was %#x", seed, got, want)
+			t.Errorf("seed %d: hash of the decisions = %#x, want %#x as recorded", seed, got, want)
 		}
 		emptyWeights := func(in *gather.Round) { in.Weights = [][]gather.Weight{} }
 		if again, _ := simulateTraffic(uint64(seed), emptyWeights); again != got {
-			t.Errorf("seed %d: weights that are empty change the decisions", seed)
+			t.Errorf("seed %d: empty weights lead to other decisions than no weights", seed)
 		}
 	}
 }
 
-// TestTrafficDecisionsOfManySeedsMatchRecordedHash covers more seeds.
+// TestTrafficDecisionsOfManySeedsMatchRecordedHash checks one recorded hash over the decisions of 60 seeds.
 func TestTrafficDecisionsOfManySeedsMatchRecordedHash(t *testing.T) {
 	skipUnlessRecordedArchitecture(t)
 	sum := fnv.New64a()
@@ -147,6 +148,6 @@
 		fmt.Fprintln(sum, hash)
 	}
 	if got, want := sum.Sum64(), uint64(0xd4aeaec7fbfef26f); got != want {
-		t.Errorf("hash %#x, recorded was %#x", got, want)
+		t.Errorf("hash of the decisions = %#x, want %#x as recorded", got, want)
 	}
 }
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -2,16 +2,17 @@
 
 import "yokeroute/gather"
 
-// maxInFlightForExtra is how many attempts in flight at a server hold an extra request back. The paper's
-// host-side queue starts at two.
+// maxInFlightForExtra is the number of attempts in flight at a server from which an extra request waits. The
+// paper's host-side queue starts at two.
 const maxInFlightForExtra = 1
 
-// minAttemptWeight keeps the attempts of a first pass from having no weight at all.
+// minAttemptWeight is the least weight of an attempt's record, so that a first-pass attempt never has a
+// weight of 0.
 const minAttemptWeight = 5e-5
 
-// sendFirstAttempt sends a request unless there is no replica for it. An extra request waits while its
-// replica is busy, and may be dropped unsent. A second pass's first attempt may be a retry of one of its
-// first pass.
+// sendFirstAttempt sends the first attempt of a request if there is a replica for it. An extra request waits
+// while its replica is busy, and is dropped unsent if the query ends before. The first attempt of a second
+// pass may be a retry of a request of the first pass, and then counts as one.
 func (g *Gatherer) sendFirstAttempt(r *shardRequest) {
 	replica := g.replicas.next(r, g.now)
 	if replica == noReplica || r.extra && g.servers.inFlight(replica) >= maxInFlightForExtra {
@@ -26,7 +27,7 @@
 	g.dispatch(r, replica)
 }
 
-// sendRetry sends a retry or a hedge, and reports whether there was a replica for it.
+// sendRetry sends a retry or a hedged request, and reports whether there was a replica for it.
 func (g *Gatherer) sendRetry(r *shardRequest) bool {
 	replica := g.replicas.next(r, g.now)
 	if replica == noReplica {
@@ -37,8 +38,8 @@
 	return true
 }
 
-// dispatch begins an attempt. One of a first pass is put down as if it were a call in full, to which the
-// records compare it: as started earlier, and with less weight.
+// dispatch sends an attempt. A first-pass attempt takes less time than the full calls that it is compared
+// with, so its start time is set earlier by the time saved, and its record has less weight.
 func (g *Gatherer) dispatch(r *shardRequest, replica int) {
 	g.replicas.recordChoice(g.servers.replicaSet(r.Shard), replica, g.now, g.settings)
 	savedTime := r.query.FullCallExtra
@@ -56,8 +57,8 @@
 	g.writer.Send(r.ID, g.servers.id(replica), r.query.Deadline-g.now)
 }
 
-// recordResult notes how an attempt ended. The result of an attempt that has ended already, or of a request
-// that is not known any more, is ignored.
+// recordResult records the result of an attempt. It ignores the result of an attempt that has ended already
+// and of an unknown request.
 func (g *Gatherer) recordResult(result *gather.AttemptResult) {
 	r := g.queries.requests[result.Request]
 	if r == nil || result.Attempt < 0 || result.Attempt >= len(r.attempts) {
--- a/logic/endpoints.go
+++ b/logic/endpoints.go
@@ -6,32 +6,34 @@
 )
 
 const (
+	// subscribeIntervalMS is the least time between two requests while no response arrives.
 	subscribeIntervalMS = 1000.0
-	// After a failure the next request waits this long, and up to as long again, so that gatherers spread
-	// out.
+	// resubscribeDelayMS is the least delay of the next request after a failure. A random time of up to the
+	// same length is added, so that gatherers do not all subscribe at once.
 	resubscribeDelayMS = 500.0
 )
 
-// subscription is the state of the subscription to endpoint lists, where discovery has to be asked for
-// them.
+// subscription is the state of the subscription to endpoint lists, for deployments in which discovery sends
+// them only to subscribers.
 type subscription struct {
 	active bool
-	nextAt float64 // when it may be requested again; 0 before it was requested at all
+	nextAt float64 // time of the next request, at the earliest; 0 before the first request
 }
 
-// recordFailure notes that a request failed or that the subscription has ended.
+// recordFailure marks the subscription as ended after a failed request or a lost subscription, and schedules
+// the next request.
 func (s *subscription) recordFailure(now float64, random *pcg.Source) {
 	s.active = false
 	s.nextAt = now + resubscribeDelayMS + resubscribeDelayMS*random.Float64()
 }
 
-// needsSubscription reports whether changes of the endpoint list would be missed.
+// needsSubscription reports whether endpoint lists have to be subscribed to and no subscription is active.
 func (g *Gatherer) needsSubscription() bool {
 	return g.settings.EndpointsOnRequest && !g.discovery.active
 }
 
-// subscribe requests endpoint lists where they are not pushed, so that no decision rests on a list long out
-// of date.
+// subscribe requests endpoint lists if a subscription is needed and due, so that decisions are not based on
+// an outdated list.
 func (g *Gatherer) subscribe() {
 	if g.needsSubscription() && g.now >= g.discovery.nextAt {
 		g.discovery.nextAt = g.now + subscribeIntervalMS
@@ -39,7 +41,7 @@
 	}
 }
 
-// applyEndpointList takes over a list or a change of it. After a failed one the last list stays in force.
+// applyEndpointList applies a full endpoint list or a delta. After a failure the last list remains in use.
 func (g *Gatherer) applyEndpointList(list *gather.EndpointList) {
 	if list.Failed {
 		g.discovery.recordFailure(g.now, g.random)
@@ -75,7 +77,7 @@
 	}
 }
 
-// restartServer begins to judge a server's new process, and not by the one before it.
+// restartServer drops the statistics of a server's previous process and starts its slow start.
 func (g *Gatherer) restartServer(e *gather.Endpoint, index int) {
 	g.latencies.records.Reset(index)
 	g.servers.restart(index)
@@ -93,8 +95,8 @@
 	}
 }
 
-// replicaSetsOf are the sets whose shards a server of one set holds: its own and those before it. A server
-// of a set that the settings do not have holds none.
+// replicaSetsOf returns the replica sets whose shards a server of the given set holds: its own and the ones
+// before it, ReplicaSetsPerShard in all. It returns nil for a set that the settings do not have.
 func (g *Gatherer) replicaSetsOf(own int) []int {
 	count := len(g.servers.replicas)
 	if own < 0 || own >= count {
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -8,47 +8,63 @@
 )
 
 const (
-	measuringWindowMS = 5000.0 // the paper's
-	// Where a server has fewer records in the window, older ones count: a small gatherer sends each server
-	// little.
+	// measuringWindowMS is the length of the measuring window; the value is the paper's.
+	measuringWindowMS = 5000.0
+	// minRecords is the number of records that a server keeps even if they are older than the window, up to
+	// maxRecordAgeMS: a small gatherer sends each server few attempts.
 	minRecords     = 4
 	maxRecordAgeMS = 25000.0
 
-	lateMultiple          = 2.0  // of its usual latency, beyond which an attempt has failed; the paper's
-	maxUtilization        = 0.9  // startRound which the paper's L·s is clamped
-	ageFactor             = 1.5  // from the mean age of attempts in flight to their expected latency
-	failurePrior          = 2    // added to the cautious failure share: one failure proves little
-	successPrior          = 0.02 // added to the success share: no server is ruled out for good
-	initialLatencyDivisor = 10   // of the shortest objective: the latency before there is any record
-	initialExtraDivisor   = 2    // of the shortest objective: the paper's r before an attempt has failed
-	unknown               = -1.0
+	// lateMultiple is the multiple of its usual latency above which an attempt is late and counts as failed;
+	// the value is the paper's.
+	lateMultiple = 2.0
+	// maxUtilization is the upper bound of a server's utilization, the paper's L·s.
+	maxUtilization = 0.9
+	// ageFactor multiplied by the mean age of the attempts in flight estimates their latency.
+	ageFactor = 1.5
+	// failurePrior is the number of successes added for the cautious failure share, so that a single failure
+	// does not make it high.
+	failurePrior = 2
+	// successPrior is the number of successes added for the success share, so that it is never 0 and no
+	// server is excluded for good.
+	successPrior = 0.02
+	// The shortest latency objective divided by initialLatencyDivisor is the latency assumed before there is
+	// any record.
+	initialLatencyDivisor = 10
+	// The shortest latency objective divided by initialExtraDivisor is the extra latency, the paper's r,
+	// assumed before any attempt has failed.
+	initialExtraDivisor = 2
+
+	unknown = -1.0 // a latency without records
 )
 
-// estimate is what a server's records and attempts in flight say of it.
+// estimate holds the statistics of a server, by its records and its attempts in flight.
 type estimate struct {
-	latency              float64 // the paper's s: mean of those that succeeded; unknown without any
-	recentLatency        float64 // the same of those in the window alone
-	failureShare         float64 // the paper's f
-	extraLatency         float64 // the paper's r
-	cautiousFailureShare float64 // f with successes added, so that one failure proves little
-	successShare         float64 // lateAttempt attempts count as successful here
-	successesSinceLoss   float64 // since an attempt failed that may have executed
+	latency              float64 // mean latency of successful attempts, the paper's s; unknown without any
+	recentLatency        float64 // mean latency of successful attempts within the window; unknown without any
+	failureShare         float64 // share of failed and late attempts, the paper's f
+	extraLatency         float64 // mean extra latency of failed and late attempts, the paper's r
+	cautiousFailureShare float64 // failureShare with failurePrior successes added
+	successShare         float64 // share of successful attempts, including those that succeeded late
+	successesSinceLoss   float64 // successful attempts since one failed that may have been executed
 }
 
-// latencyEstimator keeps the servers' estimates up to date by the attempts that have ended or are in
-// flight.
+// latencyEstimator updates the servers' estimates from the attempts that have ended or are in flight.
 type latencyEstimator struct {
 	servers   *serverTable
 	slowStart *slowstart.Table
 	records   *callstats.Table
 
-	shortestObjective float64 // of all classes
-	windowMedian      float64 // latency of the attempts that succeeded in the window
-	defaultLatency    float64 // of a server without records: the window's median as of the round before
-	currentMedian     float64 // of attempts in flight and of those that succeeded of late
-	warmSuccesses     float64 // attempts since the last round, at servers that are warmed up
-	attemptLatencies  []float64
-	totalStall        float64 // for how long rounds were held up, in all
+	shortestObjective float64 // shortest latency objective of all classes
+	windowMedian      float64 // median latency of the attempts that succeeded within the window
+	defaultLatency    float64 // assumed for a server without records: windowMedian of the previous round
+
+	// currentMedian is the median latency of the attempts in flight and of those that succeeded within the
+	// last shortestObjective.
+	currentMedian    float64
+	warmSuccesses    float64   // attempts that succeeded since the last round at servers that are warmed up
+	attemptLatencies []float64 // buffer of update, reused between rounds
+	totalStall       float64   // sum of the delays of rounds in which the process was stalled
 }
 
 func newLatencyEstimator(
@@ -64,15 +80,16 @@
 	}
 }
 
-// initialLatency is the latency assumed before there is any record.
+// initialLatency returns the latency assumed before there is any record.
 func (e *latencyEstimator) initialLatency() float64 {
 	return e.shortestObjective / initialLatencyDivisor
 }
 
-// hasMeasurements reports whether the median is that of attempts.
+// hasMeasurements reports whether windowMedian was measured, and is not the initial latency.
 func (e *latencyEstimator) hasMeasurements() bool { return e.windowMedian != e.initialLatency() }
 
-// latency is the paper's s. A server without records is assumed to be an average one.
+// latency returns a server's mean latency, the paper's s. A server without records is assumed to be an
+// average one.
 func (e *latencyEstimator) latency(server int) float64 {
 	if s := e.servers.get(server).estimate.latency; s >= 0 {
 		return s
@@ -80,20 +97,20 @@
 	return e.defaultLatency
 }
 
-// age is for how long an attempt has been in flight, without the time in which rounds were held up: the
-// process did not read responses then, which says nothing of the server.
+// age returns how long an attempt has been in flight, without the time for which the process was stalled: it
+// read no responses in that time, which says nothing about the server.
 func (e *latencyEstimator) age(a *attempt, now float64) float64 {
 	return now - a.startedAt - (e.totalStall - a.totalStallAtSend)
 }
 
-// attemptLatency is what an attempt should take. The median of all servers bounds it, since a server that
-// slows down steadily never takes twice its own s; a request of a high cost may take longer.
+// attemptLatency returns the usual latency of an attempt. It is bounded by the median of all servers, since a
+// server that slows down steadily never takes twice its own s. A request of a high cost may take longer.
 func (e *latencyEstimator) attemptLatency(a *attempt) float64 {
 	return min(e.latency(a.server), e.windowMedian) * a.request.relativeCost()
 }
 
-// record notes an attempt that has ended. One that this side ended before it was late says nothing of the
-// server.
+// record records an attempt that has ended. An attempt that was not sent, or that this gatherer cancelled
+// before it was late, says nothing about the server and is not added to its records.
 func (e *latencyEstimator) record(a *attempt, outcome gather.Outcome, now float64) {
 	e.records.MarkChanged(a.server)
 	succeeded := outcome == gather.Succeeded
@@ -109,7 +126,7 @@
 		Failed:       !succeeded || late,
 	}
 	if !succeeded {
-		r.ExtraLatency += limit // its retry takes its time as well
+		r.ExtraLatency += limit // the retry of a failed attempt takes time as well
 		r.Lost = !a.neverExecuted
 	}
 	if succeeded && e.slowStart.Share(a.server, now) == 1 {
@@ -121,8 +138,8 @@
 	e.records.Add(a.server, r)
 }
 
-// update brings all estimates up to the round. Only servers with attempts in flight, and those whose
-// records changed, are looked at.
+// update updates all estimates to the current round. It visits only the servers with attempts in flight and
+// those whose records have changed.
 func (e *latencyEstimator) update(now, elapsed, decay float64) {
 	e.servers.decayAttemptCounts(decay)
 	changed := e.records.Advance(now)
@@ -152,8 +169,8 @@
 	e.windowMedian = e.records.Median(e.initialLatency())
 }
 
-// estimate works out a server's estimate. An attempt in flight that is late counts as failed, so that a
-// silent server is noticed before its attempts end.
+// estimate computes a server's estimate. A late attempt in flight counts as failed, so that a server that
+// does not respond is noticed before its attempts end.
 func (e *latencyEstimator) estimate(server int, now float64) {
 	sums := e.records.Sums(server)
 	count, failed, extra := sums.Count, sums.Failed, sums.ExtraLatency
@@ -185,8 +202,8 @@
 	}
 }
 
-// affectedAttempts is the paper's E: the attempts that a request sent now would delay, itself among them (section
-// III-C).
+// affectedAttempts returns the paper's E: the number of attempts that a request sent now would delay,
+// including itself (section III-C).
 func (e *latencyEstimator) affectedAttempts(server int) float64 {
 	utilization := min(e.servers.attemptCounts[server]/measuringWindowMS*e.latency(server), maxUtilization)
 	queue := float64(e.servers.inFlight(server) + 1)
--- a/logic/finish.go
+++ b/logic/finish.go
@@ -2,10 +2,12 @@
 
 import "yokeroute/gather"
 
-// minRetryAfterMS is the shortest advice to a client whose query is rejected.
+// minRetryAfterMS is the shortest Retry-After of a query rejected before its latency objective, unless the
+// settings allow only a shorter one.
 const minRetryAfterMS = 400.0
 
-// answer ends a query, or its first step: the query then waits for the requests of its second.
+// answer ends a query or its first step. After the first step of a class with a second step, the query stays
+// open and waits for the requests of the second step.
 func (g *Gatherer) answer(q *query, complete bool) {
 	g.writer.Answer(q.ID, complete)
 	g.finish(q)
@@ -22,8 +24,8 @@
 	})
 }
 
-// rejectOrFail ends a query without an answer. It is rejected if it had no effect, or may be repeated all
-// the same, so that the client may come again.
+// rejectOrFail ends a query without an answer. The query is rejected, so that the client may retry it, if it
+// had no effect or is idempotent. Otherwise it fails.
 func (g *Gatherer) rejectOrFail(q *query) {
 	if q.class.Effect == gather.Idempotent || !q.secondStep && !q.mayHaveExecuted() {
 		g.writer.Reject(q.ID, g.retryAfter(q))
@@ -33,7 +35,8 @@
 	g.finish(q)
 }
 
-// retryAfter is the advice when to come again. After its latency objective a query earns nothing by that.
+// retryAfter returns the Retry-After of a rejected query. After the latency objective a retry earns nothing,
+// and the client is told to wait longer.
 func (g *Gatherer) retryAfter(q *query) float64 {
 	if g.now >= q.arrivedAt+q.class.LatencyObjective {
 		return LateRetryAfter(g.settings, &q.class.Class)
@@ -41,12 +44,14 @@
 	return min(max(minRetryAfterMS, g.latencies.windowMedian), g.settings.MaxRetryAfter)
 }
 
-// LateRetryAfter is the advice for a query of a class that nothing can be earned by any more.
+// LateRetryAfter returns the Retry-After of a rejected query whose retry can earn nothing any more: the
+// deadline of its class, up to MaxRetryAfter.
 func LateRetryAfter(settings *gather.Settings, class *gather.Class) float64 {
 	return min(class.Deadline, settings.MaxRetryAfter)
 }
 
-// finish ends a query's requests: what waits is dropped and what is in flight is cancelled.
+// finish ends a query and its requests: unsent requests are dropped, and attempts in flight are cancelled
+// where the settings allow it.
 func (g *Gatherer) finish(q *query) {
 	q.finished = true
 	delete(g.queries.byNumber, q.Number)
--- a/logic/gatherer_test.go
+++ b/logic/gatherer_test.go
@@ -6,8 +6,8 @@
 	"yokeroute/gather"
 )
 
-// TestEmptyRoundsDoNotAllocatePerRecord guards against garbage in each round by the number of records in the window,
-// of which a busy gatherer has thousands.
+// TestEmptyRoundsDoNotAllocatePerRecord guards against allocations in each round that grow with the number of
+// records in the window, of which a busy gatherer has thousands.
 func TestEmptyRoundsDoNotAllocatePerRecord(t *testing.T) {
 	g := New(1, &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 1, Tick: 5,
@@ -35,15 +35,15 @@
 		round(gather.Round{Now: now, Results: []gather.AttemptResult{result}})
 	}
 	if n := g.latencies.records.Count(0) + g.latencies.records.Count(1); n < 1900 {
-		t.Fatalf("%d records are too few to tell", n)
+		t.Fatalf("%d records in the window, want at least 1900", n)
 	}
 	if n := testing.AllocsPerRun(20, func() { now++; round(gather.Round{Now: now}) }); n > 2 {
-		t.Errorf("%v allocations in a round with nothing in it", n)
+		t.Errorf("an empty round made %v allocations, want at most 2", n)
 	}
 }
 
-// TestReplacedServersReleaseTableEntries guards against arrays and maps that grow where each server is replaced by
-// one of a new ID.
+// TestReplacedServersReleaseTableEntries guards against slices and maps that grow each time a server is
+// replaced by one with a new ID.
 func TestReplacedServersReleaseTableEntries(t *testing.T) {
 	g := New(1, &gather.Settings{ReplicaSets: 1, ReplicaSetsPerShard: 1,
 		Classes: []gather.Class{{Name: "c", LatencyObjective: 1000}}})
@@ -53,7 +53,7 @@
 		g.Round(&in, newRecorder(scenarioFormats))
 	}
 	if table := &g.servers; len(table.servers) > 3 || len(table.indexOf) > 3 || len(table.attemptCounts) > 3 {
-		t.Errorf("%d servers, %d in the map, %d counts", len(table.servers), len(table.indexOf),
-			len(table.attemptCounts))
+		t.Errorf("after 1000 replacements: %d servers, %d indexes, %d attempt counts, want at most 3 of each",
+			len(table.servers), len(table.indexOf), len(table.attemptCounts))
 	}
 }
--- a/logic/load.go
+++ b/logic/load.go
@@ -7,27 +7,29 @@
 )
 
 const (
-	reportWaitMS        = 25.0   // that an arriving query waits for load reports,
-	minReportTimeMS     = 50.0   // unless its deadline is nearer than this
-	reportFreshMS       = 300.0  // for which a load report is not requested again
-	reportValidMS       = 2000.0 // for which a load report is better than none
-	reportTimeoutMS     = 1000.0 // after which an unanswered health check is repeated
-	concurrentWork      = 2.0    // requests that a server is assumed to work on at once
-	maxReportMultiple   = 4.0    // of the median latency, at which a reported latency is clamped
-	unresponsiveLatency = 1e9    // expected latency of a server that does not answer a health check
+	reportWaitMS      = 25.0   // time that an arriving query waits for load reports
+	minReportTimeMS   = 50.0   // time to its deadline up to which a query does not wait for load reports
+	reportFreshMS     = 300.0  // age up to which a load report is not requested again
+	reportValidMS     = 2000.0 // age up to which a load report is used
+	reportTimeoutMS   = 1000.0 // time after which an unanswered health check is repeated
+	concurrentWork    = 2.0    // number of requests that a server is assumed to process at once
+	maxReportMultiple = 4.0    // multiple of the median latency at which a reported latency is clamped
+
+	// unresponsiveLatency is the expected latency of a server that does not answer a health check.
+	unresponsiveLatency = 1e9
 )
 
-// ConnectionSilenceShare is for how much of the shortest latency objective nothing may be received on a
-// connection with attempts in flight before further attempts use another connection.
+// ConnectionSilenceShare is the share of the shortest latency objective for which a connection with attempts
+// in flight may receive nothing. After that, further attempts use another connection.
 const ConnectionSilenceShare = 0.4
 
-// loadReport is a server's load as of its last health check.
+// loadReport is the load that a server reported at its last health check.
 type loadReport struct {
-	requestedAt   float64 // 0 where no health check is pending
-	receivedAt    float64 // -Inf where there is none
+	requestedAt   float64 // time of the pending health check, 0 if there is none
+	receivedAt    float64 // time of the last report, -Inf if there is none
 	queueLength   float64
-	latency       float64 // without waiting in the queue
-	checkDuration float64 // of the health check itself
+	latency       float64 // latency of recent requests without the time in the queue
+	checkDuration float64 // duration of the health check itself
 }
 
 // loadProbe requests load reports where servers publish their load only on a health check.
@@ -43,7 +45,8 @@
 	}
 }
 
-// recordHealthCheck takes a load report over. A failed health check makes a server the last choice.
+// recordHealthCheck stores the load report of a health check. After a failed health check the server is
+// chosen only if there is no other.
 func (p *loadProbe) recordHealthCheck(result *gather.HealthCheckResult, now float64) {
 	index, known := p.servers.indexOf[result.Server]
 	if !known {
@@ -64,8 +67,8 @@
 	}
 }
 
-// request asks the replicas of a query's requests for their load, unless their last reports are fresh. It
-// reports whether the query should wait for them.
+// request sends health checks to the replicas of a query's requests whose load reports are not fresh. It
+// reports whether the query should wait for the reports.
 func (p *loadProbe) request(q *query, now float64, w gather.Writer) (wait bool) {
 	waitExpired := q.loadDeadline > 0 && now >= q.loadDeadline
 	if !p.enabled || waitExpired || q.Deadline-now <= minReportTimeMS {
@@ -82,8 +85,8 @@
 	return wait
 }
 
-// requestFrom asks one server unless its report is fresh or on its way. It reports whether one may come
-// soon.
+// requestFrom sends a health check to a server unless its load report is fresh or a check is pending. It
+// reports whether a report can be expected within reportWaitMS of the check.
 func (p *loadProbe) requestFrom(index int, now float64, w gather.Writer) (expectedSoon bool) {
 	s := p.servers.get(index)
 	if now-s.load.receivedAt <= reportFreshMS {
@@ -96,14 +99,15 @@
 	return now-s.load.requestedAt < reportWaitMS
 }
 
-// expectedLatency is what a request sent to a server now would take. s alone follows seconds late when a
-// queue grows, since it counts attempts that have ended; a load report or the age of attempts in flight
-// shows it sooner.
+// expectedLatency returns the latency expected of a request sent to a server now. The mean latency s alone
+// follows a growing queue with a delay of seconds, since it covers only attempts that have ended; a load
+// report or the age of the attempts in flight shows the queue sooner.
 func (e *latencyEstimator) expectedLatency(server int, now float64) float64 {
 	return e.expectedLatencyFrom(e.latency(server), server, now)
 }
 
-// expectedRecentLatency is the same by the records within the window alone, 0 where there are none.
+// expectedRecentLatency returns the expected latency by the records within the window alone, 0 if there are
+// none.
 func (e *latencyEstimator) expectedRecentLatency(server int, now float64) float64 {
 	recent := e.servers.get(server).estimate.recentLatency
 	if recent < 0 {
@@ -112,7 +116,8 @@
 	return e.expectedLatencyFrom(recent, server, now)
 }
 
-// expectedLatencyFrom is what a request sent to a server now would take, by its latency so far.
+// expectedLatencyFrom returns the latency expected of a request sent to a server now, given the server's mean
+// latency.
 func (e *latencyEstimator) expectedLatencyFrom(latency float64, server int, now float64) float64 {
 	s := e.servers.get(server)
 	if s.load.requestedAt > 0 && now-s.load.requestedAt >= reportWaitMS {
@@ -132,10 +137,10 @@
 	return max(latency, ageFactor*age/max(inFlight, 1))
 }
 
-// reportedLatency is what a load report makes a request take behind a queue. The reported latency is that of
-// the work alone. It is clamped: a server that was slow reports so until it has answered more requests, which
-// nobody would send it. The measured latency holds the way and the queue already, and is not multiplied by
-// the queue once more unless it is all that is known of the work.
+// reportedLatency returns the latency of a request that waits behind a queue, by a load report. The reported
+// latency covers the work alone. It is clamped: a server that was slow reports a high latency until it has
+// answered more requests, and without the clamp no gatherer would send it any. The measured latency includes
+// the network and the queue already, so it is multiplied by the queue only if the report has no latency.
 func (e *latencyEstimator) reportedLatency(measured float64, report *loadReport, queue float64) float64 {
 	measured = min(measured, maxReportMultiple*e.windowMedian)
 	work := min(report.latency, maxReportMultiple*e.windowMedian)
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -1,22 +1,23 @@
-// Package logic decides what a gatherer does with its queries: which requests of a query are sent, to which
-// replica, which are retried or hedged, when a query is answered, and which queries are rejected under
+// Package logic decides what a gatherer does with its queries: which shard requests of a query are sent, to
+// which replica, which are retried or hedged, when a query is answered, and which queries are rejected under
 // overload.
 //
-// A Gatherer is one instance; it shares nothing with others. An adapter hands it, round by round, what was
-// observed (gather.Round), and it writes its decisions to a gather.Writer. It is deterministic: the time is
-// the round's, the random numbers come from the seed, and no decision depends on the iteration order of a
-// map. It does no I/O and starts no goroutine.
+// A Gatherer is one instance and shares no state with others. In each round an adapter passes it the events
+// observed since the last one (gather.Round), and it writes its decisions to a gather.Writer. It is
+// deterministic: the time is taken from the round, the random numbers come from the seed, and no decision
+// depends on the iteration order of a map. It does no I/O and starts no goroutine.
 //
-// It has to keep the rules of the service whatever it decides: each query gets one final answer in time; a
-// request that may have had an effect is repeated only as far as its class allows; nothing is sent to a
-// server that drains; a warming server is sent only what it can bear; an answer counts only what was
-// received; retries stay within their budget.
+// Every decision has to keep the rules of the service: each query gets exactly one final answer before its
+// deadline; a request that may have had an effect is repeated only as far as its class allows; nothing is
+// sent to a draining server; a server that is warming up is sent no more than it has capacity for; an answer
+// counts only responses that were received; retries stay within their budget.
 //
 // The decisions follow Hao et al., "Mitigate HDD Fail-Slow by Pro-actively Utilizing System-level Data
-// Redundancy with Enhanced HDD Controllability and Observability", called the paper here: a drive there is
-// a shard server here, a sub-request an attempt. Its symbols are s, the mean latency of a server; f, the
-// share of its attempts that fail; r, the extra latency of a failed attempt; q, its queue; and L, the rate
-// startRound which it is sent attempts. docs/design.md says what departs from the paper, and why.
+// Redundancy with Enhanced HDD Controllability and Observability", called the paper here. A drive in the
+// paper is a shard server here, and a sub-request is an attempt. The paper's symbols are s, the mean latency
+// of a server; f, the share of its attempts that fail; r, the extra latency of a failed attempt; q, its
+// queue; and L, the rate at which it is sent attempts. docs/design.md lists the differences from the paper
+// and their reasons.
 //
 // Times are milliseconds.
 package logic
@@ -31,13 +32,13 @@
 )
 
 const (
-	// wakeTicks is how many ticks apart rounds are while there is something to wait for.
+	// wakeTicks is the number of ticks between rounds while queries are open or a subscription is needed.
 	wakeTicks = 2
-	// stallTicks is by how much a round has to be late for the process to count as held up.
+	// stallTicks is the delay of a round, in ticks, above which the process counts as stalled.
 	stallTicks = 4
 )
 
-// Gatherer holds all state of one instance.
+// Gatherer holds the state of one gatherer instance. It is not safe for concurrent use.
 type Gatherer struct {
 	settings *gather.Settings
 	random   *pcg.Source
@@ -56,10 +57,10 @@
 	queries   queryTable
 
 	nextWakeAt  float64
-	lastTrialAt float64 // when a query was last admitted for want of recent records
+	lastTrialAt float64 // when a query was last admitted as a trial, for lack of recent records
 }
 
-// New returns a gatherer that knows its settings and nothing of the servers.
+// New returns a gatherer with the given settings and no servers; endpoint lists add them.
 func New(seed uint64, settings *gather.Settings) *Gatherer {
 	g := &Gatherer{
 		settings: settings,
@@ -75,7 +76,7 @@
 	return g
 }
 
-// Round takes what was observed since the last round, and decides.
+// Round applies the events observed since the last round and writes the decisions.
 func (g *Gatherer) Round(in *gather.Round, w gather.Writer) {
 	elapsed, decay := g.startRound(in.Now, w)
 	if in.HeldUp > stallTicks*g.tick() {
@@ -113,8 +114,8 @@
 	g.scheduleWake()
 }
 
-// startRound moves the clock on. It returns the time since the last round, at most the measuring window,
-// and the factor by which counts have decayed in it.
+// startRound advances the clock. It returns the time since the last round, at most the measuring window, and
+// the factor by which counts have decayed in that time.
 func (g *Gatherer) startRound(now float64, w gather.Writer) (elapsed, decay float64) {
 	decay = math.Exp((g.now - now) / measuringWindowMS)
 	g.extras.decay(decay)
@@ -127,8 +128,7 @@
 	return elapsed, decay
 }
 
-// applySettings replaces the settings. Queries that have arrived are decided by the settings at their
-// arrival.
+// applySettings replaces the settings. Open queries keep the class settings from the time of their arrival.
 func (g *Gatherer) applySettings(settings *gather.Settings) {
 	g.settings = settings
 	g.classes.configure(settings)
@@ -136,10 +136,10 @@
 	g.slowStart.FindWarming(g.now, g.servers.running)
 }
 
-// tick is the shortest time between two rounds.
+// tick returns the shortest time between two rounds, at least 1 ms.
 func (g *Gatherer) tick() float64 { return max(g.settings.Tick, 1) }
 
-// scheduleWake requests the next round while there is something to wait for.
+// scheduleWake requests the next round while queries are open or a subscription is needed.
 func (g *Gatherer) scheduleWake() {
 	if g.now < g.nextWakeAt || len(g.queries.open) == 0 && !g.needsSubscription() {
 		return
@@ -148,8 +148,8 @@
 	g.writer.Wake(wakeTicks * g.tick())
 }
 
-// finishAbandoned ends the queries whose clients have disconnected, some in the round in which they
-// arrived.
+// finishAbandoned ends the queries whose clients have disconnected. A client may disconnect in the round in
+// which its query arrived.
 func (g *Gatherer) finishAbandoned(queries []uint64) {
 	for _, q := range g.queries.open {
 		if slices.Contains(queries, q.ID) {
@@ -158,5 +158,5 @@
 	}
 }
 
-// RetryBudgetLeft is how many more retries the budget allowed at the end of the last round.
+// RetryBudgetLeft returns how many more retries the budget allowed at the end of the last round.
 func (g *Gatherer) RetryBudgetLeft() float64 { return g.retries.left() }
--- a/logic/mode.go
+++ b/logic/mode.go
@@ -5,11 +5,12 @@
 	"slices"
 )
 
-// minExtraCount keeps the share of dropped requests defined before there are any.
+// minExtraCount is the least divisor of droppedShare, which avoids a division by zero before there are any
+// extra requests.
 const minExtraCount = 5e-5
 
 // extraRequests counts the extra requests of the assisted mode that were sent, and those that were dropped
-// unsent, decaying over the measuring window.
+// unsent. The counts decay over the measuring window.
 type extraRequests struct {
 	sent    float64
 	dropped float64
@@ -20,22 +21,23 @@
 	e.dropped *= factor
 }
 
-// droppedShare is the paper's c: the share of extra requests that never reach a server.
+// droppedShare returns the paper's c: the share of extra requests that never reach a server.
 func (e *extraRequests) droppedShare() float64 {
 	return e.dropped / max(e.dropped+e.sent, minExtraCount)
 }
 
-// modeCandidate is a request with the replica that is next for it.
+// modeCandidate is a request with the values by which it is ordered.
 type modeCandidate struct {
 	request      *shardRequest
-	failureShare float64 // of the replica, 1 where there is none
-	cost         float64 // with a random fraction, so that equal costs are ordered at random
+	failureShare float64 // failure share of the request's next replica, 1 if there is none
+	cost         float64 // includes a random number below 1, so that equal costs are ordered at random
 }
 
-// chooseMode decides which requests of a query are sent. In normal mode these are the n with the lowest f
-// that make a complete answer; in the paper's system-assisted mode all k are, and the answer is made of the
-// first n. The mode is assisted if the net gain is positive (section III, equations 1 and 4): the sum of
-// E·(f·r + c·s) over the n normal requests, less the sum of E·(1-c)·s over the extra ones.
+// chooseMode decides which requests of a query are sent. In normal mode these are the n requests with the
+// lowest f that make a complete answer. In the paper's system-assisted mode all k requests are sent, and the
+// first n responses make the answer. The mode is assisted if the net gain is positive (section III, equations
+// 1 and 4): the sum of E·(f·r + c·s) over the n normal requests, less the sum of E·(1-c)·s over the extra
+// ones.
 func (g *Gatherer) chooseMode(q *query) {
 	q.modeChosen = true
 	droppedShare := g.extras.droppedShare()
@@ -67,7 +69,7 @@
 	}
 }
 
-// modeCandidates are a query's requests in the order in which they are needed: by f, then by cost.
+// modeCandidates returns a query's requests in the order in which they are sent: by f, then by cost.
 func (g *Gatherer) modeCandidates(q *query) []modeCandidate {
 	candidates := make([]modeCandidate, len(q.requests))
 	for i, r := range q.requests {
--- a/logic/passes_test.go
+++ b/logic/passes_test.go
@@ -15,9 +15,9 @@
 	passesLengthMS        = 20_000
 )
 
-// simulatePasses plays a seeded day of what the simulator's wire does not bring: first and second passes, weights,
-// settings that change, requests that others supersede, and servers that list the replica sets whose shards
-// they hold. It returns a hash of what was written and the number of attempts.
+// simulatePasses runs seeded random events that the simulator's wire protocol does not carry: first and
+// second passes, weights, changed settings, superseded requests, and servers that list the replica sets whose
+// shards they hold. It returns a hash of the decisions and the number of attempts.
 func simulatePasses(seed uint64) (hash uint64, attempts int) {
 	sim := newSimulation(passesSettings(0), seed, seed)
 	end := sim.now + passesLengthMS
@@ -47,7 +47,7 @@
 	return sim.hash.Sum64(), sim.attempts
 }
 
-// passesSettings are the settings of a day, of which an operator changes some.
+// passesSettings returns the settings after one of the operator's changes; 0 is before the first change.
 func passesSettings(change int) *gather.Settings {
 	settings := &gather.Settings{
 		ReplicaSets: passesReplicaSets, ReplicaSetsPerShard: 1, MaxAttempts: 3, CancelAllowed: change != 2,
@@ -89,7 +89,7 @@
 	return list
 }
 
-// passesWeights leave the first replica set, and some servers, without weights.
+// passesWeights returns random weights that leave out the first replica set and some servers.
 func (sim *simulation) passesWeights() [][]gather.Weight {
 	weights := make([][]gather.Weight, passesReplicaSets)
 	for id := range passesServers {
@@ -103,7 +103,7 @@
 	return weights
 }
 
-// addPass adds a query in one pass, or a first or second pass.
+// addPass adds a query that is sent in a single pass, or a first or second pass.
 func (sim *simulation) addPass(in *gather.Round) {
 	count := 2 + int(sim.random.Uint32()%6)
 	q := gather.Query{ID: sim.nextID, Number: sim.nextID}
@@ -150,8 +150,8 @@
 	return after, outcome
 }
 
-// TestPassesAndWeightsDecisionsMatchRecordedHash wants the recorded decisions, byte for byte, of days with passes,
-// weights and changing settings.
+// TestPassesAndWeightsDecisionsMatchRecordedHash checks that the decisions in simulations with passes,
+// weights and changing settings are the recorded ones, byte for byte.
 func TestPassesAndWeightsDecisionsMatchRecordedHash(t *testing.T) {
 	skipUnlessRecordedArchitecture(t)
 	sum, total := fnv.New64a(), 0
@@ -161,9 +161,9 @@
 		total += attempts
 	}
 	if total < 40_000 {
-		t.Errorf("%d attempts are too few to tell", total)
+		t.Errorf("%d attempts sent, want at least 40000", total)
 	}
 	if got, want := sum.Sum64(), uint64(0xfbc9344945d6dcd8); got != want {
-		t.Errorf("hash %#x, recorded was %#x", got, want)
+		t.Errorf("hash of the decisions = %#x, want %#x as recorded", got, want)
 	}
 }
--- a/logic/query.go
+++ b/logic/query.go
@@ -6,11 +6,11 @@
 	"yokeroute/gather"
 )
 
-// shareTolerance is by how much sums of weights may miss a share: weights come rounded.
+// shareTolerance is the tolerance for comparing a sum of weights with a share, since weights are rounded.
 const shareTolerance = 5e-5
 
-// cutShortTicks is by how much a retry's time has to be below the longest first try to count as cut short
-// by the deadline.
+// cutShortTicks is the number of ticks by which the time left of a client's retry has to be below the longest
+// first try for the retry to count as cut short by the deadline.
 const cutShortTicks = 4
 
 // query is an open query, or one step or pass of it.
@@ -21,9 +21,9 @@
 	requests  []*shardRequest
 
 	modeChosen    bool
-	loadDeadline  float64 // the end of its wait for load reports, 0 before it has requested any
+	loadDeadline  float64 // time until which it waits for load reports, 0 before it has requested any
 	secondStep    bool    // its first step was answered
-	firstComplete bool    // and that answer was complete
+	firstComplete bool    // the answer of its first step was complete
 	finished      bool
 }
 
@@ -33,26 +33,27 @@
 	query    *query
 	attempts []*attempt
 
-	// firstAttempt saves an allocation: most requests have one attempt.
+	// firstAttempt is the initial backing array of attempts. It saves an allocation: most requests have one
+	// attempt.
 	firstAttempt [1]*attempt
-	inFlight     int  // attempts that have not ended
-	replica      int  // the next replica when the query's mode was chosen, below 0 for none
-	wanted       bool // it is sent as soon as a server may take it
+	inFlight     int  // number of attempts that have not ended
+	replica      int  // replica that was next when the query's mode was chosen, below 0 if there was none
+	wanted       bool // it is sent as soon as there is a replica for it
 	extra        bool // it is not needed in normal mode
 	succeeded    bool
 	closed       bool // it takes no further attempts
 }
 
-// attempt is one try of a shard request at a server.
+// attempt is an attempt of a shard request at a server.
 type attempt struct {
 	request          *shardRequest
 	server           int
-	startedAt        float64 // earlier than it was sent by what a first pass saves
-	totalStallAtSend float64 // for how long rounds had been held up, in all, when it was sent
-	weight           float64 // of its record: a first pass says less than a call in full
+	startedAt        float64 // time at which it was sent, less the time that a first pass saves
+	totalStallAtSend float64 // value of latencyEstimator.totalStall when it was sent
+	weight           float64 // weight of its record, less than 1 for a first pass
 	ended            bool
-	neverExecuted    bool // it is proved that the server did not execute it
-	cancelled        bool // to be retried once its end is reported
+	neverExecuted    bool // its outcome proves that the server did not execute it
+	cancelled        bool // it was cancelled, and is retried when its end is reported
 }
 
 // mayHaveExecuted reports whether any attempt of the request may have had an effect.
@@ -65,10 +66,10 @@
 	return slices.ContainsFunc(q.requests, (*shardRequest).mayHaveExecuted)
 }
 
-// relativeCost is the request's cost as a multiple of its class's mean, at least 1.
+// relativeCost returns the request's cost as a multiple of its class's mean, at least 1.
 func (r *shardRequest) relativeCost() float64 { return r.query.class.relativeCost(r.Cost) }
 
-// queryTable holds the open queries in the order of their arrival, and all requests that may still get a
+// queryTable holds the open queries in the order of their arrival, and all requests that may still receive a
 // result.
 type queryTable struct {
 	open     []*query
@@ -89,7 +90,7 @@
 	t.open = slices.DeleteFunc(t.open, func(q *query) bool { return q.finished })
 }
 
-// removeRequest removes a request whose keys other requests of its query have taken over.
+// removeRequest removes a request that was replaced by other requests of its query.
 func (t *queryTable) removeRequest(id uint64) {
 	r := t.requests[id]
 	if r == nil {
@@ -100,14 +101,15 @@
 	delete(t.requests, id)
 }
 
-// removeIfDone removes a request of a finished query, once its last attempt has ended.
+// removeIfDone removes a request if its query is finished and its last attempt has ended.
 func (t *queryTable) removeIfDone(r *shardRequest) {
 	if r.query.finished && r.inFlight == 0 {
 		delete(t.requests, r.ID)
 	}
 }
 
-// acceptQueries opens queries. Each is counted for the retry budget, a second pass with its first.
+// acceptQueries adds the queries that have arrived. Each counts for the retry budget, except a second pass,
+// whose query was counted with the first pass.
 func (g *Gatherer) acceptQueries(arrived []gather.Query) {
 	for i := range arrived {
 		q := &query{Query: arrived[i], class: g.classes.get(arrived[i].Class)}
@@ -119,8 +121,8 @@
 	}
 }
 
-// arrivalTime is when a query counts as arrived. A client's retry whose time is cut short by the class's
-// deadline has lost the time of the earlier tries, and counts as arrived with the first of them.
+// arrivalTime returns the time at which a query counts as arrived. A client's retry whose time is cut short
+// by the class's deadline has used up time in earlier tries, and counts as arrived with the first of them.
 func (g *Gatherer) arrivalTime(q *query) float64 {
 	timeLeft := q.Deadline - g.now
 	switch {
@@ -134,10 +136,10 @@
 	return g.now
 }
 
-// acceptRequests adds shard requests to their queries. Those of a second pass were counted for the retry
-// budget with its first pass; a second step needs all of its requests.
+// acceptRequests adds shard requests to their queries. Requests of a second pass do not count for the retry
+// budget, since the first pass counted them. A second step needs all of its requests.
 func (g *Gatherer) acceptRequests(arrived []gather.ShardRequest) {
-	requests := make([]shardRequest, len(arrived)) // in one allocation
+	requests := make([]shardRequest, len(arrived)) // one allocation for all requests
 	for i := range arrived {
 		q := g.queries.byNumber[arrived[i].Number]
 		if q == nil || q.Pass != gather.SecondPass && (!q.modeChosen || q.secondStep) {
--- a/logic/recorder_test.go
+++ b/logic/recorder_test.go
@@ -2,27 +2,27 @@
 
 import "fmt"
 
-// attemptKey names an attempt by its request and its number.
+// attemptKey identifies an attempt by its request and its number.
 type attemptKey struct {
 	request uint64
 	attempt int
 }
 
-// recorder keeps what a gatherer writes as lines of text. It is a gather.Writer.
+// recorder is a gather.Writer that records the decisions as lines of text.
 type recorder struct {
 	formats  messageFormats
 	lines    []string
-	servers  map[attemptKey]uint32 // of the attempts sent
-	attempts map[uint64]int        // how many were sent, by request
+	servers  map[attemptKey]uint32 // server of each attempt sent
+	attempts map[uint64]int        // number of attempts sent, by request
 }
 
-// messageFormats are the texts of the messages whose names differ between scenarios and recorded hashes.
+// messageFormats holds the formats of the messages whose names differ between scenarios and recorded hashes.
 type messageFormats struct{ cancel, reject, fail, checkHealth string }
 
 var (
 	scenarioFormats = messageFormats{"cancel %d %d", "reject %d %g", "fail %d", "check %d"}
 
-	// hashedFormats are part of what recorded hashes were taken over.
+	// hashedFormats are the formats that the recorded hashes were computed with.
 	hashedFormats = messageFormats{"calloff %d %d", "nack %d %g", "abort %d", "probe %d"}
 )
 
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -11,31 +11,43 @@
 )
 
 const (
-	outlierMargin         = 0.25 // of failure share over the least in its set, from which a server is an outlier
-	minSuccessesSinceLoss = 10   // successes since a loss, before which non-idempotent requests avoid a server
-	maxInFlightLead       = 1.0  // attempts in flight over the fewest of its set, above which one is passed over
-	slowMultiple          = 2.0  // of the least expected latency, above which a replica is passed over
-	requestsPerSlot       = 4    // requests of a round that share a call where it has a cost; more would queue up
-	noReplica             = -1
-	neverChosen           = -1.0
+	// outlierMargin is the amount by which a server's failure share has to exceed the lowest in its replica
+	// set for the server to be an outlier.
+	outlierMargin = 0.25
+	// minSuccessesSinceLoss is the number of attempts that have to succeed at a server after it has lost one
+	// before it gets non-idempotent requests again.
+	minSuccessesSinceLoss = 10
+	// maxInFlightLead is the number of attempts in flight beyond the fewest in its set above which a replica
+	// is skipped.
+	maxInFlightLead = 1.0
+	// slowMultiple is the multiple of the lowest expected latency in its set above which a replica is
+	// skipped.
+	slowMultiple = 2.0
+	// requestsPerSlot limits the requests of a round that share a call where a call has a cost; more would
+	// queue up at the server.
+	requestsPerSlot = 4
+
+	noReplica   = -1
+	neverChosen = -1.0
 )
 
-// replicaPicker chooses the replica for each attempt: round robin, or weighted round robin where an
-// operator has set weights, over the replicas that nothing speaks against.
+// replicaPicker chooses the replica for each attempt by round robin, or by weighted round robin where an
+// operator has set weights, among the acceptable replicas.
 type replicaPicker struct {
 	servers   *serverTable
 	latencies *latencyEstimator
 	slowStart *slowstart.Table
 	random    *pcg.Source
 
-	// loadsReported is set where servers' load reports stand in for the attempts in flight of this
-	// gatherer.
+	// loadsReported is set if load is judged by the servers' load reports and not by the attempts of this
+	// gatherer that are in flight.
 	loadsReported bool
 
 	roundRobin []roundRobinState // by replica set
 	weighted   roundrobin.Weighted
 
-	// leastFailure is the least cautious failure share of each replica set, as of a round.
+	// leastFailure caches the lowest cautiousFailureShare of each replica set, computed in the round that
+	// leastFailureRound holds.
 	leastFailure      []float64
 	leastFailureRound []uint64
 	round             uint64
@@ -43,14 +55,14 @@
 
 // roundRobinState is the state of the plain round robin of a replica set.
 type roundRobinState struct {
-	nextIndex int // index of the replica that comes next
-	server    int // that had the last slot,
-	chosenAt  float64
-	remaining int // and requests of the same round that may still share it
+	nextIndex int     // index of the next replica in serverTable.replicas
+	server    int     // server that was chosen last
+	chosenAt  float64 // time of the round in which it was chosen
+	remaining int     // number of requests of the same round that may still share its call
 }
 
-// newReplicaPicker starts each replica set at a random replica, so that not all gatherers start at the same
-// one.
+// newReplicaPicker returns a picker that starts each replica set at a random replica, so that gatherers do
+// not all start at the same one.
 func newReplicaPicker(
 	servers *serverTable, latencies *latencyEstimator, slow *slowstart.Table, random *pcg.Source,
 	loadsReported bool,
@@ -84,8 +96,8 @@
 	p.weighted.SetReplicas(p.servers.replicas, p.servers.id, p.random)
 }
 
-// nextIndex is the replica for a request's next attempt, or noReplica. Where each has something against it, it
-// is the one that is expected to answer first.
+// next returns the replica for a request's next attempt, or noReplica. If every replica would be skipped, it
+// returns the one that is expected to answer first.
 func (p *replicaPicker) next(r *shardRequest, now float64) int {
 	set := p.servers.replicaSet(r.Shard)
 	acceptable := func(server int) bool { return p.usable(server, r, now) && !p.shouldSkip(server, r, now) }
@@ -98,9 +110,9 @@
 	return p.nextRoundRobin(set, r, now)
 }
 
-// nextRoundRobin goes through the replicas in turn: first those that are warming up and may be sent a request,
-// which would stay idle behind the others, then all. A replica in another zone is taken where none is
-// acceptable in this one.
+// nextRoundRobin goes through the replicas in turn: first those that are warming up and may be sent a
+// request, which would otherwise stay idle behind the others, then all. A replica in another zone is returned
+// only if none in this zone is acceptable.
 func (p *replicaPicker) nextRoundRobin(set int, r *shardRequest, now float64) int {
 	replicas := p.servers.replicas[set]
 	scan := p.newScan(set, r, now)
@@ -126,15 +138,15 @@
 	return scan.fallback
 }
 
-// replicaScan is one look through the replicas of a set.
+// replicaScan is the state of one pass over the replicas of a set.
 type replicaScan struct {
 	picker         *replicaPicker
 	request        *shardRequest
 	now            float64
-	fewestInFlight float64 // startRound an acceptable replica
-	otherZone      int     // the first acceptable replica in another zone
-	fallback       int     // the usable replica that is expected to answer first,
-	fallbackCost   float64 // by this cost
+	fewestInFlight float64 // fewest attempts in flight at an acceptable replica
+	otherZone      int     // first acceptable replica in another zone
+	fallback       int     // usable replica with the lowest fallbackCost
+	fallbackCost   float64 // expected latency, weighted by the attempts in flight and the success share
 }
 
 func (p *replicaPicker) newScan(set int, r *shardRequest, now float64) replicaScan {
@@ -158,8 +170,8 @@
 	return scan
 }
 
-// consider reports whether a usable server is acceptable and in this zone. Otherwise it notes what it is
-// good for.
+// consider reports whether a usable server is acceptable and in this zone. Otherwise it records the server as
+// a candidate for otherZone or fallback.
 func (s *replicaScan) consider(server int, maxLatency float64) bool {
 	p := s.picker
 	latency := p.latencies.expectedLatency(server, s.now)
@@ -173,8 +185,8 @@
 			s.otherZone = server
 		}
 	}
-	// A server that rejects at once has a low s and nothing in flight: its success share keeps requests
-	// from herding.
+	// A server that rejects every request at once has a low s and nothing in flight. Dividing by its success
+	// share keeps it from attracting all requests.
 	cost := latency * (inFlight + 1) / p.servers.get(server).estimate.successShare
 	if cost < s.fallbackCost {
 		s.fallback = server
@@ -183,7 +195,7 @@
 	return false
 }
 
-// leastLatency is the least expected latency of the replicas that a request may be sent to.
+// leastLatency returns the lowest expected latency of the replicas that a request may be sent to.
 func (p *replicaPicker) leastLatency(set int, r *shardRequest, now float64) float64 {
 	least := math.Inf(1)
 	for _, server := range p.servers.replicas[set] {
@@ -194,8 +206,9 @@
 	return least
 }
 
-// usable reports whether a request may be sent to a server at all. One that has seen it would only give the
-// same result again; one that rejected it is tried again once all replicas have seen it.
+// usable reports whether a request may be sent to a server at all. A server that has executed the request
+// would only give the same result again. One that rejected it is tried again after every replica has had an
+// attempt.
 func (p *replicaPicker) usable(server int, r *shardRequest, now float64) bool {
 	if r.query.Pass == gather.FirstPass && !p.servers.get(server).answersFirstPass {
 		return false
@@ -212,9 +225,9 @@
 	return len(p.servers.replicas[p.servers.replicaSet(r.Shard)]) > len(r.attempts)
 }
 
-// shouldSkip reports whether something speaks against a server: its last attempt is late, or the first one
-// that it was ever sent is in flight; it is an outlier; or it lost an attempt of late, for a request that
-// cannot be sent again.
+// shouldSkip reports whether a request should avoid a server: its last attempt is late; the first attempt
+// that it was ever sent is in flight; it is an outlier; or the request cannot be sent again and the server
+// has recently lost an attempt.
 func (p *replicaPicker) shouldSkip(server int, r *shardRequest, now float64) bool {
 	if last := p.servers.get(server).lastAttempt; last != nil && !last.ended {
 		late := p.latencies.age(last, now) > lateMultiple*p.latencies.latency(server)
@@ -229,11 +242,12 @@
 	return r.query.class.Effect == gather.NonIdempotent && estimate.successesSinceLoss < minSuccessesSinceLoss
 }
 
-// isOutlier reports whether a server's failures stand out in its replica set. It is compared to its set and
-// not to the fleet: half of the fleet may fail this gatherer alone, and under overload all servers fail.
+// isOutlier reports whether a server's failure share stands out in its replica set. The server is compared
+// with its set and not with the fleet: half of the fleet may be unreachable for this gatherer alone, and
+// under overload all servers fail.
 func (p *replicaPicker) isOutlier(server int, r *shardRequest) bool {
 	set := p.servers.replicaSet(r.Shard)
-	if p.leastFailureRound[set] != p.round { // it does not change within a round
+	if p.leastFailureRound[set] != p.round { // the estimates do not change within a round
 		p.leastFailureRound[set] = p.round
 		p.leastFailure[set] = math.Inf(1)
 		for _, other := range p.servers.replicas[set] {
@@ -244,8 +258,8 @@
 	return p.servers.get(server).estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
 }
 
-// recordChoice notes that a replica was chosen. Where a call has a cost, requests of one round share its
-// roundRobinState and so its call.
+// recordChoice records that a replica was chosen. Where a call has a cost, up to requestsPerSlot requests of
+// one round are sent to it in the same call.
 func (p *replicaPicker) recordChoice(set, server int, now float64, settings *gather.Settings) {
 	p.weighted.RecordChoice(set, server)
 	s := &p.roundRobin[set]
@@ -254,7 +268,11 @@
 		return
 	}
 	replicas := p.servers.replicas[set]
-	*s = roundRobinState{nextIndex: (slices.Index(replicas, server) + 1) % len(replicas), server: server, chosenAt: now}
+	*s = roundRobinState{
+		nextIndex: (slices.Index(replicas, server) + 1) % len(replicas),
+		server:    server,
+		chosenAt:  now,
+	}
 	if settings.CallCost > 0 {
 		s.remaining = min(requestsPerSlot, settings.RequestsPerCall) - 1
 	}
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -7,27 +7,34 @@
 	"yokeroute/internal/stats"
 )
 
-// FirstPassRetryReserve is the share of a retry that is reserved for each first-pass attempt in flight,
-// whose request is retried in the second pass if nothing comes back.
+// FirstPassRetryReserve is the share of a retry that is reserved for each first-pass request in flight: it is
+// retried in the second pass if no response arrives.
 const FirstPassRetryReserve = 0.25
 
 const (
-	// The budget where the deployment sets none, so that retries cannot feed an overload.
+	// The default budget applies if the deployment sets none, so that retries cannot amplify an overload.
 	defaultBudgetWindowMS = 5000.0
 	defaultBudgetFloor    = 3.0
 	defaultBudgetRatio    = 0.1
-	// cancelledMultiple widens it where each retry takes the place of a cancelled attempt.
+	// cancelledMultiple multiplies the default budget where hedging is not allowed and each retry replaces a
+	// cancelled attempt.
 	cancelledMultiple = 10.0
 
-	hedgeBudgetShare = 0.6 // of the budget; the rest is kept for requests whose attempts have failed
-	hedgeMaxLatency  = 0.3 // of a usual attempt, as a share of the latency objective
-	overdueMultiple  = 4.0 // of an attempt's usual latency, after which its response is no longer expected
+	// hedgeBudgetShare is the share of the budget that hedged requests may use up. The remainder is reserved
+	// for requests whose attempts have failed.
+	hedgeBudgetShare = 0.6
+	// hedgeMaxLatency is the share of the latency objective up to which the median latency, times the missing
+	// share of the answer, allows hedged requests.
+	hedgeMaxLatency = 0.3
+	// overdueMultiple is the multiple of an attempt's usual latency after which its response is no longer
+	// expected.
+	overdueMultiple = 4.0
 )
 
-// retryBudget bounds the retries and hedges by what has arrived in a window.
+// retryBudget limits the number of retries and hedged requests by the number of arrivals in a window.
 type retryBudget struct {
-	arrivals []float64 // times of queries and shard requests
-	retries  []float64 // times of retries and hedges
+	arrivals []float64 // times at which queries and shard requests arrived
+	retries  []float64 // times at which retries and hedged requests were sent
 	limit    float64
 }
 
@@ -35,18 +42,18 @@
 
 func (b *retryBudget) countRetry(now float64) { b.retries = append(b.retries, now) }
 
-// left is how many more retries the budget allows.
+// left returns how many more retries the budget allows, negative if it is overdrawn.
 func (b *retryBudget) left() float64 { return b.limit - float64(len(b.retries)) }
 
-// countWithOneMore is how many retries there would be with one more.
+// countWithOneMore returns the number of retries in the window after one more.
 func (b *retryBudget) countWithOneMore() float64 { return float64(len(b.retries) + 1) }
 
 func (b *retryBudget) allows() bool { return b.countWithOneMore() <= b.limit }
 
 func (b *retryBudget) allowsHedge() bool { return b.countWithOneMore() <= hedgeBudgetShare*b.limit }
 
-// update moves the window on. Arrivals are counted over a tick less and retries over a tick more, since
-// times are rounded to ticks elsewhere.
+// update advances the window. Arrivals are counted over one tick less than the window and retries over one
+// tick more, since times are rounded to ticks elsewhere.
 func (b *retryBudget) update(now, tick float64, settings *gather.Settings) {
 	window, floor, ratio := settings.RetryBudgetWindow, settings.RetryBudgetFloor, settings.RetryBudgetRatio
 	if window == 0 {
@@ -61,10 +68,10 @@
 	b.limit = floor + ratio*float64(len(b.arrivals))
 }
 
-// reserve holds back a share of a retry.
+// reserve lowers the limit by a share of a retry until the next update.
 func (b *retryBudget) reserve(share float64) { b.limit -= share }
 
-// updateRetryBudget moves the window on, and reserves what first passes in flight may need.
+// updateRetryBudget advances the window and reserves retries for the first passes in flight.
 func (g *Gatherer) updateRetryBudget() {
 	g.retries.update(g.now, g.tick(), g.settings)
 	for _, q := range g.queries.open {
@@ -79,8 +86,8 @@
 	}
 }
 
-// mayRepeat reports whether a further attempt cannot cause a second effect that the request's class
-// forbids.
+// mayRepeat reports whether a request may have a further attempt: it is open, has not used up its attempts,
+// and its class allows a repetition of those that may have been executed.
 func (g *Gatherer) mayRepeat(r *shardRequest) bool {
 	if r.closed || len(r.attempts) >= g.settings.MaxAttempts {
 		return false
@@ -95,10 +102,11 @@
 	})
 }
 
-// retryNow reports whether a request may have a further attempt now: a retry if its attempts have ended, or
-// a hedge beside a late one. Where none may be in flight beside it, the late attempt is cancelled to be
-// retried later. Missing is the share of the needed answer that is missing: a hedge for the last requests
-// is worth more, since the others' work is lost without them.
+// retryNow reports whether a request may have a further attempt now: a retry if its attempts have ended, or a
+// hedged request beside a late attempt. Where hedging is not allowed, it cancels the late attempt, which is
+// retried when its end is reported. The argument missing is the share of the needed answer that is missing: a
+// hedged request for the last missing responses is worth more, since the work of the others is lost without
+// them.
 func (g *Gatherer) retryNow(r *shardRequest, missing float64) bool {
 	if r.inFlight > 1 || !g.mayRepeat(r) || !g.retries.allows() {
 		return false
@@ -115,7 +123,8 @@
 	return !feedsOverload && g.retries.allowsHedge()
 }
 
-// cancelLateAttempt cancels a request's attempt, unless another would take longer than it has taken so far.
+// cancelLateAttempt cancels a request's last attempt, unless another attempt is expected to take at least as
+// long as this one has taken so far.
 func (g *Gatherer) cancelLateAttempt(r *shardRequest) {
 	number := len(r.attempts) - 1
 	lateAttempt := r.attempts[number]
@@ -123,7 +132,8 @@
 		return
 	}
 	replica := g.replicas.next(r, g.now)
-	if replica == noReplica || g.latencies.expectedLatency(replica, g.now) >= g.latencies.age(lateAttempt, g.now) {
+	if replica == noReplica ||
+		g.latencies.expectedLatency(replica, g.now) >= g.latencies.age(lateAttempt, g.now) {
 		return
 	}
 	lateAttempt.cancelled = true
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -8,8 +8,8 @@
 
 const testTickMS = 5.0
 
-// TestRetryBudgetFollowsItsWindow: arrivals leave it a tick early and retries a tick late, so that it is kept
-// whatever is rounded to ticks.
+// TestRetryBudgetFollowsItsWindow checks that arrivals leave the window a tick early and retries a tick late,
+// so that the budget is not exceeded when times are rounded to ticks.
 func TestRetryBudgetFollowsItsWindow(t *testing.T) {
 	settings := &gather.Settings{RetryBudgetWindow: 1000, RetryBudgetFloor: 2, RetryBudgetRatio: 0.1}
 	var budget retryBudget
@@ -29,7 +29,8 @@
 	} {
 		budget.update(c.now, testTickMS, settings)
 		if budget.limit != c.limit || budget.left() != c.left {
-			t.Errorf("at %v: a limit of %v with %v left, want %v with %v", c.now, budget.limit, budget.left(), c.limit, c.left)
+			t.Errorf("at %v: the limit is %v with %v left, want %v with %v left", c.now, budget.limit, budget.left(),
+				c.limit, c.left)
 		}
 	}
 }
@@ -39,30 +40,34 @@
 	var budget retryBudget
 	budget.update(0, testTickMS, settings)
 	if !budget.allows() || !budget.allowsHedge() {
-		t.Error("an unused budget of two allows no retry or no hedge")
+		t.Error("an unused budget of 2 does not allow a retry and a hedged request")
 	}
 	budget.countRetry(0)
 	if !budget.allows() || budget.allowsHedge() {
-		t.Error("the second of two retries is not allowed, or may be a hedge")
+		t.Error("with 1 of 2 retries used, a retry is not allowed or a hedged request is allowed")
 	}
 	budget.countRetry(0)
 	if budget.allows() {
-		t.Error("a third retry is allowed")
+		t.Error("a third retry is allowed by a budget of 2")
 	}
 	budget.update(0, testTickMS, settings)
 	budget.reserve(0.25)
 	if got := budget.left(); got != -0.25 {
-		t.Errorf("%v retries are left, want -0.25", got)
+		t.Errorf("with a used-up budget and 0.25 reserved, %v retries are left, want -0.25", got)
 	}
 }
 
-// TestDefaultRetryBudgetWithAndWithoutHedging: it is wider where a retry takes the place of a cancelled attempt.
+// TestDefaultRetryBudgetWithAndWithoutHedging checks that the default budget is larger without hedging, where
+// a retry replaces a cancelled attempt.
 func TestDefaultRetryBudgetWithAndWithoutHedging(t *testing.T) {
-	for hedging, want := range map[bool]float64{true: defaultBudgetFloor, false: defaultBudgetFloor * cancelledMultiple} {
+	for hedging, want := range map[bool]float64{
+		true:  defaultBudgetFloor,
+		false: defaultBudgetFloor * cancelledMultiple,
+	} {
 		var budget retryBudget
 		budget.update(0, testTickMS, &gather.Settings{HedgingAllowed: hedging})
 		if budget.limit != want {
-			t.Errorf("hedging allowed %v: a limit of %v, want %v", hedging, budget.limit, want)
+			t.Errorf("with hedging allowed %v, the default limit is %v, want %v", hedging, budget.limit, want)
 		}
 	}
 }
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -127,7 +127,7 @@
 }
 
 // RecordChoice notes that a replica was sent a request: its next slot starts when its share of the set's
-// virtualTime has passed.
+// slots has passed.
 func (w *Weighted) RecordChoice(set, server int) {
 	s := &w.sets[set]
 	i := slices.Index(w.replicas[set], server)
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -13,33 +13,33 @@
 	"yokeroute/gather"
 )
 
-// The notation of testdata/*.txt, a line each:
+// scenario runs a scenario file of testdata/*.txt. A file has one directive per line:
 //
-//	set FIELD = VALUE               of gather.Settings, or CLASS/FIELD, before the first round; a number, yes, no
-//	                                or a word
-//	at MS[: LINE]                   the next round begins; what follows comes in with it
-//	held-up MS                      the round was held up for so long after it was due
+//	set FIELD = VALUE               sets a field of gather.Settings, or CLASS/FIELD of a class, before the
+//	                                first round; VALUE is a number, yes, no or a word
+//	at MS[: LINE]                   starts the next round; the lines that follow add events to it
+//	held-up MS                      delays the round by this time beyond its due time
 //	list SERVER:SET[:STARTED][:draining][:first-pass][:zone=ZONE] ...
-//	                                the full endpoint list; the first one tells how many replica sets there are
+//	                                the full endpoint list; the first one sets the number of replica sets
 //	list-failed                     a call to discovery has failed
 //	query ID,ID.. CLASS REQUESTS DEADLINE [COST]
-//	                                its requests are ID+1.. at shards 0.., of equal weight; each costs 10 more than
-//	                                the one before
-//	client-retry ...                the same for queries that a client repeats
+//	                                queries whose requests are ID+1.. at shards 0.., of equal weight; each
+//	                                costs 10 more than the one before
+//	client-retry ...                the same for queries that a client retries
 //	first-pass ID,ID.. CLASS REQUESTS DEADLINE FULLCALLEXTRA
 //	second-pass ID CLASS REQUESTS DEADLINE RECEIVEDWEIGHT [retry]
 //	                                with retry, its attempts are retries
-//	second-step ID REQUESTS         the requests of its second step, ID+101..
+//	second-step ID REQUESTS         the requests of the query's second step, ID+101..
 //	weights SERVER=SHARE ... / ...  weights by replica set, separated by a slash; none for plain round robin
 //	result REQUEST[/ATTEMPT],.. OUTCOME
 //	load SERVER [QUEUE LATENCY [ELAPSED]]
 //	                                a health check succeeds with a load report; without one it fails
 //	abandoned ID                    the client has disconnected
-//	+ MESSAGE                       the round has written it; * stands for any characters
-//	- MESSAGE                       it has not
-//	N MESSAGE                       it has, N times
+//	+ MESSAGE                       checks that the round has written MESSAGE; * matches any characters
+//	- MESSAGE                       checks that the round has not written MESSAGE
+//	N MESSAGE                       checks that the round has written MESSAGE N times
 //
-// All further lines of a round come in before any is checked.
+// A round runs at its first check or at the next "at", with all events read until then.
 type scenario struct {
 	t           *testing.T
 	settings    *gather.Settings
@@ -47,7 +47,7 @@
 	round       gather.Round
 	pending     bool // the round has not been run
 	recorder    *recorder
-	currentLine string // of the line that is read
+	currentLine string // text of the line that is being read
 }
 
 // scenarioLine handles a line, whose first word is fields[0].
@@ -55,7 +55,7 @@
 
 var scenarioLines map[string]scenarioLine
 
-func init() { // a literal would refer to itself, by the line that follows an "at"
+func init() { // an initializer would be a cycle: the handler of "at" looks up that of the line behind it
 	scenarioLines = map[string]scenarioLine{
 		"set":          (*scenario).set,
 		"at":           (*scenario).startRound,
@@ -85,7 +85,7 @@
 	"not-sent":         gather.NotSent,
 }
 
-// scenarioMessages are the messages that a line may expect.
+// scenarioMessages holds the names of the messages that a line may check for.
 var scenarioMessages = []string{"send", "cancel", "answer", "reject", "fail", "wake", "subscribe", "check"}
 
 func newScenario(t *testing.T) *scenario {
@@ -133,7 +133,7 @@
 	s.expect(fields)
 }
 
-// number is the number at a place of the line, 0 where the line is shorter.
+// number parses the field at an index of the line. It returns 0 if the line is shorter.
 func (s *scenario) number(fields []string, index int) float64 {
 	if index >= len(fields) {
 		return 0
@@ -157,14 +157,14 @@
 	return id
 }
 
-// set sets a field of the settings, or of a class of them.
+// set sets a field of the settings or of one of their classes.
 func (s *scenario) set([]string) {
 	name, value, _ := strings.Cut(strings.TrimPrefix(s.currentLine, "set "), " = ")
 	target := reflect.ValueOf(s.settings).Elem()
 	if class, field, found := strings.Cut(name, "/"); found {
 		c := s.settings.FindClass(class)
 		if c == nil {
-			s.t.Fatalf("%q: there is no class %s", s.currentLine, class)
+			s.t.Fatalf("%q: unknown class %q", s.currentLine, class)
 		}
 		target = reflect.ValueOf(c).Elem()
 		name = field
@@ -179,7 +179,7 @@
 	case reflect.String:
 		field.SetString(value)
 	default:
-		s.t.Fatalf("%q: there is no field %s", s.currentLine, name)
+		s.t.Fatalf("%q: no field %q that can be set", s.currentLine, name)
 	}
 }
 
@@ -308,7 +308,8 @@
 		}
 		server, sent := s.recorder.servers[key]
 		if !sent {
-			s.t.Fatalf("at %g: %q, but it was never sent; written was %q", s.round.Now, s.currentLine, s.recorder.lines)
+			s.t.Fatalf("at %g: %q: the attempt was not sent; the last round wrote %q", s.round.Now, s.currentLine,
+				s.recorder.lines)
 		}
 		s.round.Results = append(s.round.Results, gather.AttemptResult{Request: key.request, Server: server,
 			Attempt: key.attempt, Outcome: outcome, Finished: outcome == gather.NotSent})
@@ -329,10 +330,10 @@
 	s.round.Abandoned = append(s.round.Abandoned, s.id(fields[1]))
 }
 
-// expect checks what the round has written.
+// expect checks the messages that the round has written.
 func (s *scenario) expect(fields []string) {
 	if len(fields) < 2 || !slices.Contains(scenarioMessages, fields[1]) {
-		s.t.Fatalf("unknown line %q", s.currentLine)
+		s.t.Fatalf("%q: unknown directive", s.currentLine)
 	}
 	s.run()
 	want, got := strings.Join(fields[1:], " "), 0
@@ -352,19 +353,19 @@
 	default:
 		times, err := strconv.Atoi(fields[0])
 		if err != nil {
-			s.t.Fatalf("unknown line %q", s.currentLine)
+			s.t.Fatalf("%q: unknown directive, want one that starts with +, - or a number", s.currentLine)
 		}
 		met = got == times
 	}
 	if !met {
-		s.t.Errorf("at %g: %q, but written was %q", s.round.Now, s.currentLine, s.recorder.lines)
+		s.t.Errorf("at %g: check %q failed; the round wrote %q", s.round.Now, s.currentLine, s.recorder.lines)
 	}
 }
 
 func TestScenarios(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scenarios", err)
+		t.Fatal("no scenario files in testdata:", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txt"), func(t *testing.T) {
@@ -387,8 +388,9 @@
 	s.run()
 }
 
-// TestOldRecordsDoNotShedEveryQuery guards against a gatherer that rejects all it gets for up to 25 s, with idle servers: it
-// was slow itself when it measured them, and sends nothing by which it could learn.
+// TestOldRecordsDoNotShedEveryQuery guards against a gatherer that rejects all queries for up to 25 s while
+// the servers are idle: it was slow itself when it measured them, and sends no attempts that would bring
+// newer records.
 func TestOldRecordsDoNotShedEveryQuery(t *testing.T) {
 	playScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3
@@ -397,7 +399,7 @@
 		+ answer 10 true
 		at 1000: query 50 all 4 2000
 		+ reject 50 *
-		# Nothing is in flight, and the window of 5 s has passed.
+		# No attempt is in flight, and the records are older than the window of 5 s.
 		at 7000: query 60 all 2 8000
 		+ send 61 *
 		at 7012: result 61,62 succeeded
@@ -408,30 +410,30 @@
 	`)
 }
 
-// TestTrialQueriesAreRateLimited guards against servers that are still slow and get all queries again,
-// as the records which spoke for shedding these are older than the window.
+// TestTrialQueriesAreRateLimited guards against sending all queries to servers that are still slow, as soon
+// as the records that justified shedding are older than the window.
 func TestTrialQueriesAreRateLimited(t *testing.T) {
 	playScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3
 		query 10,20,30,40 all 4 1000
 		at 950: result 11,12,13,14,21,22,23,24,31,32,33,34,41,42,43,44 succeeded
-		# Server 1 alone is measured anew.
+		# Only server 1 gets a new record.
 		at 6500: query 50 all 1 7500
 		at 6512: result 51 succeeded
 		at 7000: query 60 all 2 8000
 		+ send 62 *
 		at 7012: result 61,62 succeeded
-		# One trial follows another after 100 ms, and of two queries at once one is admitted.
+		# The next trial is admitted 100 ms after the last one, and only one of two queries that arrive together.
 		at 7050: query 70 all 4 8050
 		+ reject 70 *
 		at 7100: query 80,90 all 4 8100
 		4 send 8? *
 		- send 9? *
 		+ reject 90 *
-		# While it is in flight nothing new is known.
+		# While the trial is in flight, no other query is admitted.
 		at 7250: query 100 all 4 8250
 		+ reject 100 *
-		# The servers are as slow as they were.
+		# The servers are still slow.
 		at 8000: result 81,82,83,84 succeeded
 		+ answer 80 true
 		at 8200: query 110 all 4 9200
@@ -441,8 +443,8 @@
 	`)
 }
 
-// TestLostRequestIsRetriedWhileExtraRequestWaits guards against a query that waits for a busy server with its extra request
-// while another request is lost: the extra one counts as expected, so that nothing takes the lost one's place.
+// TestLostRequestIsRetriedWhileExtraRequestWaits guards against a lost request that is not retried because an
+// extra request of its query, which waits for a busy server, counts as expected.
 func TestLostRequestIsRetriedWhileExtraRequestWaits(t *testing.T) {
 	playScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3 5:1
@@ -450,7 +452,7 @@
 		at 100: result 11,12,13,14,21,22 succeeded
 		at 800: result 23,24 failed
 		at 802: query 40,50 all 4 4000 100
-		# Server 4 holds attempts of ours, and hangs from now on.
+		# Server 4 has attempts of this gatherer in flight, and does not respond from now on.
 		at 810: query 30 any 4 2000 100
 		+ send 31 1 *
 		+ send 32 5 *
--- a/logic/servers.go
+++ b/logic/servers.go
@@ -7,34 +7,34 @@
 	"yokeroute/gather"
 )
 
-// server is what is known of one shard server.
+// server holds the state of one shard server.
 type server struct {
 	id               uint32
 	state            gather.State
-	replicaSets      []int // whose shards it holds
+	replicaSets      []int // replica sets whose shards it holds
 	answersFirstPass bool
 	inOtherZone      bool
 
 	inFlight    []*attempt
 	lastAttempt *attempt
-	inBusyList  bool // it is in serverTable.busy
+	inBusyList  bool // the server is listed in serverTable.busy
 
 	estimate estimate
 	load     loadReport
 }
 
-// serverTable holds the servers under a dense index. A removed server's index is used again, so that the
-// table does not grow with each machine that is replaced.
+// serverTable holds the servers by a dense index. The index of a removed server is reused, so that the table
+// does not grow with each machine that is replaced.
 type serverTable struct {
 	servers []server
-	indexOf map[uint32]int
-	busy    []int // servers with attempts in flight at the last round or since
+	indexOf map[uint32]int // index by server ID
+	busy    []int          // servers that have had an attempt in flight since the last removeIdle
 
-	// attemptCounts are attempts sent, decaying over the measuring window: the paper's L times the window.
-	// They stand apart from the servers since they decay in every round.
+	// attemptCounts holds the number of attempts sent to each server, decaying over the measuring window: the
+	// paper's L times the window. It is separate from the servers since all counts decay in every round.
 	attemptCounts []float64
 
-	// replicas are the running servers of each replica set.
+	// replicas holds the running servers of each replica set.
 	replicas [][]int
 }
 
@@ -42,7 +42,7 @@
 	return serverTable{indexOf: map[uint32]int{}, replicas: make([][]int, replicaSets)}
 }
 
-// get returns a server. It stays valid until a server is added.
+// get returns a server. The pointer is valid until a server is added.
 func (t *serverTable) get(index int) *server { return &t.servers[index] }
 
 func (t *serverTable) id(index int) uint32 { return t.servers[index].id }
@@ -51,11 +51,11 @@
 
 func (t *serverTable) inFlight(index int) int { return len(t.servers[index].inFlight) }
 
-// replicaSet is that of a shard.
+// replicaSet returns the replica set of a shard.
 func (t *serverTable) replicaSet(shard int) int { return shard % len(t.replicas) }
 
-// nextReusable is the first index, from one on, of a server that is removed and has no attempt in flight; it is
-// the table's length where there is none.
+// nextReusable returns the first index at or after from of a removed server without attempts in flight, or
+// the table's length if there is none.
 func (t *serverTable) nextReusable(from int) int {
 	for from < len(t.servers) {
 		if s := t.get(from); s.state == gather.Removed && len(s.inFlight) == 0 {
@@ -66,7 +66,7 @@
 	return from
 }
 
-// assign gives a new server an index, and reports whether the table has grown by it.
+// assign assigns an index to a new server, and reports whether the table has grown.
 func (t *serverTable) assign(id uint32, index int) (grown bool) {
 	if index < len(t.servers) {
 		delete(t.indexOf, t.servers[index].id)
@@ -80,7 +80,7 @@
 	return grown
 }
 
-// restart forgets what was observed of a server's earlier process. Attempts in flight go on.
+// restart drops what was observed of a server's previous process. Attempts in flight remain.
 func (t *serverTable) restart(index int) {
 	s := t.get(index)
 	s.lastAttempt = nil
@@ -89,7 +89,7 @@
 	t.attemptCounts[index] = 0
 }
 
-// removeUnlisted marks the servers that a full endpoint list does not name.
+// removeUnlisted marks the servers that a full endpoint list does not contain as removed.
 func (t *serverTable) removeUnlisted(endpoints []gather.Endpoint) {
 	listed := make(map[uint32]bool, len(endpoints))
 	for i := range endpoints {
@@ -102,7 +102,7 @@
 	}
 }
 
-// rebuildReplicas finds the running servers of each replica set.
+// rebuildReplicas recomputes the running servers of each replica set.
 func (t *serverTable) rebuildReplicas() {
 	clear(t.replicas)
 	for i := range t.servers {
@@ -117,7 +117,7 @@
 	}
 }
 
-// addInFlight notes an attempt that is sent.
+// addInFlight records an attempt that is sent.
 func (t *serverTable) addInFlight(a *attempt) {
 	s := t.get(a.server)
 	if !s.inBusyList {
@@ -129,13 +129,13 @@
 	t.attemptCounts[a.server] += a.weight
 }
 
-// removeInFlight notes an attempt that has ended.
+// removeInFlight records that an attempt has ended.
 func (t *serverTable) removeInFlight(a *attempt) {
 	s := t.get(a.server)
 	s.inFlight = slices.DeleteFunc(s.inFlight, func(other *attempt) bool { return other == a })
 }
 
-// removeIdle takes the servers without attempts in flight off the list of busy ones.
+// removeIdle removes the servers without attempts in flight from the busy list.
 func (t *serverTable) removeIdle() {
 	t.busy = slices.DeleteFunc(t.busy, func(index int) bool {
 		s := t.get(index)
@@ -144,7 +144,7 @@
 	})
 }
 
-// decayAttemptCounts lets the counts decay by a factor.
+// decayAttemptCounts multiplies all attempt counts by a factor.
 func (t *serverTable) decayAttemptCounts(factor float64) {
 	for i := range t.attemptCounts {
 		t.attemptCounts[i] *= factor
--- a/logic/servers_test.go
+++ b/logic/servers_test.go
@@ -7,36 +7,38 @@
 	"yokeroute/gather"
 )
 
-// TestIndexIsReusedAfterRemovalAndLastAttempt: the server is removed and its last attempt has ended.
+// TestIndexIsReusedAfterRemovalAndLastAttempt checks that an index is reused only after its server is removed
+// and the server's last attempt has ended.
 func TestIndexIsReusedAfterRemovalAndLastAttempt(t *testing.T) {
 	table := newServerTable(1)
 	for index, id := range []uint32{10, 11} {
 		if !table.assign(id, index) {
-			t.Fatalf("a new index for server %d does not grow the table", id)
+			t.Fatalf("assigning a new index to server %d does not report that the table has grown", id)
 		}
 	}
 	if got := table.nextReusable(0); got != 2 {
-		t.Errorf("beside running servers the next index is %d, want 2", got)
+		t.Errorf("with two running servers the next index is %d, want 2", got)
 	}
 	a := &attempt{server: 0}
 	table.addInFlight(a)
 	table.get(0).state = gather.Removed
 	if got := table.nextReusable(0); got != 2 {
-		t.Errorf("with an attempt in flight the next index is %d, want 2", got)
+		t.Errorf("with an attempt in flight at the removed server the next index is %d, want 2", got)
 	}
 	table.removeInFlight(a)
 	if got := table.nextReusable(0); got != 0 {
-		t.Errorf("without attempts in flight the next index is %d, want 0", got)
+		t.Errorf("without attempts in flight at the removed server the next index is %d, want 0", got)
 	}
 	if table.assign(12, 0) {
-		t.Error("a reused index grows the table")
+		t.Error("assigning a reused index reports that the table has grown")
 	}
 	if _, known := table.indexOf[10]; known || table.indexOf[12] != 0 {
-		t.Errorf("the indexes are %v, want 11 and 12 alone", table.indexOf)
+		t.Errorf("the index holds servers %v, want only 11 and 12", table.indexOf)
 	}
 }
 
-// TestBusyListHoldsServersWithAttemptsInFlight: a server is listed once, until it is idle.
+// TestBusyListHoldsServersWithAttemptsInFlight checks that a server is listed once, and only until it is
+// idle.
 func TestBusyListHoldsServersWithAttemptsInFlight(t *testing.T) {
 	table := newServerTable(1)
 	table.assign(10, 0)
@@ -46,19 +48,19 @@
 		table.addInFlight(a)
 	}
 	if want := []int{0, 1}; !slices.Equal(table.busy, want) {
-		t.Errorf("busy are %v, want %v", table.busy, want)
+		t.Errorf("after three attempts at two servers the busy list is %v, want %v", table.busy, want)
 	}
 	table.removeInFlight(first)
 	table.removeInFlight(other)
 	table.removeIdle()
 	if want := []int{0}; !slices.Equal(table.busy, want) {
-		t.Errorf("busy are %v, want %v", table.busy, want)
+		t.Errorf("with one attempt in flight the busy list is %v, want %v", table.busy, want)
 	}
 	table.removeInFlight(second)
 	table.removeIdle()
 	table.addInFlight(first)
 	if want := []int{0}; !slices.Equal(table.busy, want) {
-		t.Errorf("a server that is busy again makes %v, want %v", table.busy, want)
+		t.Errorf("after a new attempt at an idle server the busy list is %v, want %v", table.busy, want)
 	}
 }
 
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -6,27 +6,29 @@
 )
 
 const (
-	// The expected latency of a query's slowest request, as a share of the time left to its latency
-	// objective, from which queries are shed at random, and from which all are.
+	// A query's slowest request is expected to take some share of the time left to the latency objective.
+	// From shedFromShare on, queries are shed at random with rising probability; from shedAllShare on, all
+	// are.
 	shedFromShare = 0.35
 	shedAllShare  = 0.8
 
-	// reportedLatencyShare is the share of a latency expected by load reports that counts here. They are
-	// not late, as the ends of attempts are, and would shed too much.
+	// reportedLatencyShare is the factor applied here to latencies expected by load reports. Load reports
+	// show a queue without the delay with which ended attempts do, and would shed too much.
 	reportedLatencyShare = 0.5
 
-	// trialIntervalMS is the least time between two queries that are admitted for want of recent records.
+	// trialIntervalMS is the least time between two queries that are admitted for lack of recent records.
 	trialIntervalMS = 100.0
 )
 
-// shouldShed decides whether a query that has arrived is shed: one whose slowest request would take most of
-// its time only delays others. Nothing of it was sent yet, so that any class may be rejected.
+// shouldShed decides whether a query that has arrived is shed: a query whose slowest request would take most
+// of the time left only delays other queries. Nothing of it was sent yet, so queries of any class may be
+// rejected.
 func (g *Gatherer) shouldShed(q *query) bool {
 	if !g.latencies.hasMeasurements() {
 		return false
 	}
 	objectiveAt := q.arrivedAt + q.class.LatencyObjective
-	// Clients that wait less than that leave before their answer, and come again.
+	// A client whose deadline is before the latency objective disconnects at the deadline and retries.
 	timeLeft := max(min(objectiveAt, q.Deadline)-g.now, 1)
 	draw := g.random.Float64()
 	sheds := func(latency float64) bool {
@@ -36,10 +38,9 @@
 	return sheds(slowestLatency(q, requests)) && !g.admitsTrial(q, requests, sheds)
 }
 
-// admitsTrial reports whether a query that would be shed is admitted all the same, as by a half-open circuit
-// breaker: only records older than the window speak for shedding it, and nothing is in flight that would
-// bring newer ones. Such queries are few, so that they delay nobody where the servers are as slow as they
-// were.
+// admitsTrial reports whether a query that would be shed is admitted as a trial, as by a half-open circuit
+// breaker: only records older than the window justify shedding it, and no attempt is in flight that would
+// bring newer records. Trials are few, so that they do not delay other queries if the servers are still slow.
 func (g *Gatherer) admitsTrial(q *query, requests []expectedRequest, sheds func(latency float64) bool) bool {
 	if len(g.servers.busy) > 0 || g.now-g.lastTrialAt < trialIntervalMS {
 		return false
@@ -54,15 +55,15 @@
 	return true
 }
 
-// expectedRequest is what is expected of a request of a query that has arrived.
+// expectedRequest holds the expected latency of a request that would be sent.
 type expectedRequest struct {
 	weight        float64
 	latency       float64
-	recentLatency float64 // by the records within the window alone, 0 where there are none
+	recentLatency float64 // expected by the records within the window alone, 0 if there are none
 }
 
-// expectedRequests are those of a query that would be sent. Servers that only this gatherer cannot reach do
-// not count: that is no overload.
+// expectedRequests returns the requests of a query that would be sent. Requests to servers that do not answer
+// health checks are left out: a server that only this gatherer cannot reach is no sign of overload.
 func (g *Gatherer) expectedRequests(q *query) (requests []expectedRequest) {
 	latencyFactor := 1.0
 	if g.loads.enabled {
@@ -85,7 +86,8 @@
 	return requests
 }
 
-// slowestLatency is that of the slowest request among the fastest that make a complete answer.
+// slowestLatency returns the latency of the slowest request among the fastest ones that make a complete
+// answer. It sorts the requests by latency.
 func slowestLatency(q *query, requests []expectedRequest) float64 {
 	slices.SortFunc(requests, func(a, b expectedRequest) int { return cmp.Compare(a.latency, b.latency) })
 	slowest := 0.0
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -40,7 +40,7 @@
 	credit       []float64 // requests that a warming server may still be sent
 	warming      []int
 	runningCount float64 // servers, as of FindWarming
-	warmCount    float64 // runningCount servers that are warm, as of the last Earn
+	warmCount    float64 // running servers that are warm, as of the last Earn
 }
 
 // Configure takes the settings over. FindWarming has to follow unless the table is empty.
--- a/logic/view.go
+++ b/logic/view.go
@@ -2,7 +2,7 @@
 
 import "yokeroute/gather"
 
-// View is what the gatherer knows of the listed servers, for display.
+// View returns the state of the listed servers, for display.
 func (g *Gatherer) View() []gather.EndpointView {
 	var views []gather.EndpointView
 	for i := range g.servers.servers {
