--- a/gather/endpoint.go
+++ b/gather/endpoint.go
@@ -1,9 +1,9 @@
 package gather
 
-// State is the lifecycle state of an endpoint, as discovery knows it.
+// State is the lifecycle state of an endpoint as listed by discovery.
 type State int
 
-// The states.
+// The lifecycle states of an endpoint.
 const (
 	Running State = iota
 	Draining
@@ -18,44 +18,44 @@
 	Kind             string
 	Size             float64
 	State            State
-	StartedAt        float64 // 0 for long ago
+	StartedAt        float64 // start time of its process, 0 if that is long ago
 	AnswersFirstPass bool
-	// ReplicaSets are those whose shards it holds. Where it is nil, these are its own ReplicaSet and as many before
-	// it as Settings.ReplicaSetsPerShard says.
+	// ReplicaSets holds the replica sets whose shards the server holds. If it is nil, these are its own
+	// ReplicaSet and the ones before it, Settings.ReplicaSetsPerShard in all.
 	ReplicaSets []int
 }
 
-// EndpointList is a message from discovery: the full list, a change of it, or that a call failed.
+// EndpointList is a message from discovery: the full list, a delta, or the failure of a call.
 type EndpointList struct {
 	Full      bool
 	Failed    bool
 	Endpoints []Endpoint
 }
 
-// Weight is a server's share of the requests of a replica set, relative to the others' shares.
+// Weight is a server's share of the requests of a replica set, relative to the shares of the other servers.
 type Weight struct {
 	Server uint32
 	Share  float64
 }
 
-// HealthCheckResult is the end of a health check.
+// HealthCheckResult is the result of a health check, with the load report of the server.
 type HealthCheckResult struct {
 	Server      uint32
 	Elapsed     float64
 	Succeeded   bool
-	QueueLength float64 // requests waiting at the server, below 0 where it does not tell
-	Latency     float64 // of its recent requests without their waiting, below 0 where it does not tell
+	QueueLength float64 // number of requests waiting at the server, below 0 if not reported
+	Latency     float64 // latency of its recent requests without the time in the queue, below 0 if not reported
 }
 
-// EndpointView is what a module knows of a server. It is for display, not for decisions.
+// EndpointView is a module's state of a server, for display and not for decisions.
 type EndpointView struct {
 	Server        uint32
 	ReplicaSet    int
 	State         State
 	Latency       float64
 	FailureShare  float64
-	ExtraLatency  float64 // of failed attempts
-	Rate          float64 // our attempts a second
-	InFlight      int     // our attempts
-	CapacityShare float64 // the least that it has warmed up to
+	ExtraLatency  float64 // mean extra latency of failed attempts
+	Rate          float64 // attempts per second sent by this gatherer
+	InFlight      int     // attempts of this gatherer in flight
+	CapacityShare float64 // least share of its capacity that it has while warming up, 1 when warm
 }
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -2,24 +2,26 @@
 
 import "testing"
 
-// TestOutcomeNamesAreStable: traces and reports of earlier versions hold these names.
+// TestOutcomeNamesAreStable checks the names of the outcomes, which traces and reports of earlier versions
+// contain.
 func TestOutcomeNamesAreStable(t *testing.T) {
 	for outcome, want := range map[Outcome]string{
 		Succeeded: "answered", Failed: "erred", Rejected: "full", TimedOut: "late", ConnectFailed: "unreached",
 		ConnectionReset: "cut", Cancelled: "off", NotSent: "stale", NotOwner: "moved",
 	} {
 		if got := outcome.String(); got != want {
-			t.Errorf("outcome %d is named %q, want %q", outcome, got, want)
+			t.Errorf("Outcome(%d).String() = %q, want %q", outcome, got, want)
 		}
 	}
 }
 
-// TestNeverExecutedOnlyForProvingOutcomes: an attempt that timed out, broke off, failed or was cancelled may have had an effect.
+// TestNeverExecutedOnlyForProvingOutcomes checks that an attempt that timed out, lost its connection, failed
+// or was cancelled counts as possibly executed.
 func TestNeverExecutedOnlyForProvingOutcomes(t *testing.T) {
 	proves := map[Outcome]bool{Rejected: true, ConnectFailed: true, NotSent: true, NotOwner: true}
 	for outcome := Succeeded; outcome <= NotOwner; outcome++ {
 		if got := outcome.NeverExecuted(); got != proves[outcome] {
-			t.Errorf("%v: never executed %v, want %v", outcome, got, proves[outcome])
+			t.Errorf("%v.NeverExecuted() = %v, want %v", outcome, got, proves[outcome])
 		}
 	}
 }
@@ -31,19 +33,19 @@
 	clone.FindClass("c").MinShare = 0.7
 	clone.Tenants[0].Quota = 2
 	if original.Tick != 5 || original.Class("c").MinShare != 0.5 || original.Tenants[0].Quota != 1 {
-		t.Errorf("a change of the clone changed the original to %+v", original)
+		t.Errorf("modifying the clone changed the original to %+v", original)
 	}
 }
 
 func TestFindClassByName(t *testing.T) {
 	s := &Settings{Classes: []Class{{Name: "a"}, {Name: "b", MinShare: 0.5}}}
 	if got := s.Class("b").MinShare; got != 0.5 {
-		t.Errorf("class b has a least share of %v, want 0.5", got)
+		t.Errorf("class b has MinShare %v, want 0.5", got)
 	}
 	if got := s.FindClass("c"); got != nil {
-		t.Errorf("there is a class c: %+v", got)
+		t.Errorf("FindClass of an unknown class = %+v, want nil", got)
 	}
 	if got := s.Class("c"); got != (Class{}) {
-		t.Errorf("an unknown class is %+v, want the zero class", got)
+		t.Errorf("Class of an unknown class = %+v, want the zero Class", got)
 	}
 }
--- a/gather/settings.go
+++ b/gather/settings.go
@@ -5,66 +5,67 @@
 // Effect says whether a request of a class may be executed more than once.
 type Effect string
 
-// The effects. Their texts stand in operators' files and in traces.
+// The effects. Their texts are used in operators' files and in traces.
 const (
 	Idempotent       Effect = "idempotent"
-	IdempotencyKeyed Effect = "fingerprinted" // servers drop a repeat within the class's IdempotencyWindow
+	IdempotencyKeyed Effect = "fingerprinted" // servers drop a repetition within the class's IdempotencyWindow
 	NonIdempotent    Effect = "once-only"
 )
 
-// LoadReportsOnHealthCheck is the value of Settings.LoadReports where servers publish their load only on a health
+// LoadReportsOnHealthCheck is the value of Settings.LoadReports if servers report their load only on a health
 // check.
 const LoadReportsOnHealthCheck = "pull"
 
-// Settings describe a gatherer's deployment. They are shared by all parts of the process and by
-// concurrent goroutines, and never changed: a change works on a Clone. Times are milliseconds.
+// Settings describes a gatherer's deployment. It is shared by concurrent goroutines of the whole process and
+// must not be modified; changes are made to a Clone. Times are milliseconds.
 type Settings struct {
-	Gatherers     int // instances of this gatherer in the fleet
-	GathererIndex int // which of them this one is, from 0
+	Gatherers     int // number of instances of this gatherer in the fleet
+	GathererIndex int // index of this instance among them, from 0
 	Tick          float64
 	Zone          string
 
-	// EndpointsOnRequest is set where discovery sends changes only to who has subscribed.
+	// EndpointsOnRequest is set if discovery sends changes only to subscribers.
 	EndpointsOnRequest bool
-	// DiscoveryInterval is how often the endpoint list has to be requested where it is not pushed.
+	// DiscoveryInterval is the interval at which the endpoint list has to be requested if it is not pushed.
 	DiscoveryInterval float64
-	WeightSource      string // what the endpoints' Size stands for
-	LoadReports       string // how servers publish their load
+	WeightSource      string // meaning of the endpoints' Size
+	LoadReports       string // how servers report their load
 
 	ReplicaSets         int
-	ReplicaSetsPerShard int // consecutive replica sets that hold a shard
+	ReplicaSetsPerShard int // number of consecutive replica sets that hold a shard
 	Shards              int
 
-	CallCost             float64 // work of a call beside that of its requests
+	CallCost             float64 // work of a call in addition to that of its requests
 	RequestsPerCall      int
-	MaxAttempts          int // of one shard request
-	MaxOpenRequests      int // queries and shard requests held at once, 0 for no limit
+	MaxAttempts          int // limit of the attempts of one shard request
+	MaxOpenRequests      int // limit of the open queries and shard requests together, 0 for no limit
 	CancelAllowed        bool
 	HedgingAllowed       bool
 	HealthChecksAllowed  bool
 	ConnectTimeout       float64
 	IdleTimeout          float64
 	StreamsPerConnection int
-	MaxRetryAfter        float64 // 0 where clients get no Retry-After
+	MaxRetryAfter        float64 // longest Retry-After, 0 if clients get none
 
-	AnswerSlack float64 // after a query's deadline in which a final answer still counts
-	DrainGrace  float64 // after the notice of a drain in which sends have to stop
+	AnswerSlack float64 // time after a query's deadline in which a final answer still counts
+	DrainGrace  float64 // time after the notice of a drain within which sending has to stop
 
-	// A server that has started bears InitialCapacityShare of its capacity, and all of it after WarmupTime. It fails
-	// when it is sent OverloadMultiple times what it bears for OverloadWindow.
+	// A server that has just started has InitialCapacityShare of its capacity, and all of it after
+	// WarmupTime. It fails if it is sent OverloadMultiple times the load that it has capacity for during
+	// OverloadWindow.
 	WarmupTime           float64
 	InitialCapacityShare float64
 	OverloadWindow       float64
 	OverloadMultiple     float64
 
-	// Within each RetryBudgetWindow there may be RetryBudgetFloor retries, and RetryBudgetRatio for each request
-	// taken. A window of 0 stands for no budget.
+	// Within each RetryBudgetWindow, RetryBudgetFloor retries are allowed, plus RetryBudgetRatio for each
+	// accepted request. A window of 0 means that the deployment sets no budget.
 	RetryBudgetWindow float64
 	RetryBudgetFloor  float64
 	RetryBudgetRatio  float64
 
 	CountedBy       string  // whether value is counted by request or by work
-	OverQuotaWeight float64 // what a request beyond its tenant's quota is worth, as a share of its class's weight
+	OverQuotaWeight float64 // value of a request beyond its tenant's quota, as a share of its class's weight
 	Classes         []Class
 	Tenants         []Tenant
 }
@@ -74,14 +75,14 @@
 	Name              string
 	LatencyObjective  float64
 	Deadline          float64
-	LateValue         float64 // of an answer between objective and deadline, as a share of the full value
+	LateValue         float64 // value of an answer between objective and deadline, as a share of the full value
 	Effect            Effect
 	IdempotencyWindow float64
 	PriorityWeight    float64
-	CompleteShare     float64 // from which an answer is complete
-	MinShare          float64 // below which none may be given
-	PartialValue      float64
-	FollowUpRequests  float64 // shard requests of the second step, 0 where there is none
+	CompleteShare     float64 // share of the weights from which an answer is complete
+	MinShare          float64 // share of the weights below which no answer may be given
+	PartialValue      float64 // factor for the value of a partial answer
+	FollowUpRequests  float64 // number of shard requests of the second step, 0 if there is none
 	HedgingForbidden  bool
 }
 
@@ -89,10 +90,10 @@
 type Tenant struct {
 	Name          string
 	CapacityShare float64
-	Quota         float64 // requests a second over all gatherers
+	Quota         float64 // requests per second over all gatherers
 }
 
-// Clone is a copy that may be changed.
+// Clone returns a copy that may be modified.
 func (s *Settings) Clone() *Settings {
 	c := *s
 	c.Classes = slices.Clone(s.Classes)
@@ -100,7 +101,7 @@
 	return &c
 }
 
-// Class finds a class by its name; it is the zero Class where there is none.
+// Class returns the class of a name, or the zero Class if there is none.
 func (s *Settings) Class(name string) Class {
 	if c := s.FindClass(name); c != nil {
 		return *c
@@ -108,7 +109,8 @@
 	return Class{}
 }
 
-// FindClass finds a class by its name, nil where there is none. Only a Clone's classes may be changed through it.
+// FindClass returns the class of a name, or nil if there is none. Only a Clone's classes may be modified
+// through the pointer.
 func (s *Settings) FindClass(name string) *Class {
 	for i := range s.Classes {
 		if s.Classes[i].Name == name {
@@ -118,7 +120,7 @@
 	return nil
 }
 
-// ClassNames are the names of all classes, in order.
+// ClassNames returns the names of all classes, in order.
 func (s *Settings) ClassNames() []string {
 	var names []string
 	for i := range s.Classes {
@@ -127,7 +129,7 @@
 	return names
 }
 
-// TenantNames are the names of all tenants, in order.
+// TenantNames returns the names of all tenants, in order.
 func (s *Settings) TenantNames() []string {
 	var names []string
 	for i := range s.Tenants {
