--- a/logic/callstats/callstats.go
+++ b/logic/callstats/callstats.go
@@ -1,56 +1,57 @@
-// Package callstats keeps the records of each server's attempts within a window, with their sums, and the
-// median latency of all servers' successful attempts. A round costs time by the records that came or
-// expired in it, not by the servers or by the records that they hold.
+// Package callstats keeps the records of each server's attempts within a window, their sums, and the median
+// latency of all servers' successful attempts. The cost of a round grows with the number of records that
+// were added or expired in it, not with the number of servers or of their records.
 //
-// It decides nothing. A server's sums are added up anew, in the order of its records, whenever one came or
-// expired, so that they do not depend on the history of floating-point operations.
+// The package makes no decisions. A server's sums are recomputed in the order of its records whenever one was
+// added or expired, so that they do not depend on earlier floating-point operations.
 //
 // Servers have a dense index. Times are milliseconds and must not go back.
 package callstats
 
 import "math"
 
-// Record is how one attempt went.
+// Record is the result of one attempt.
 type Record struct {
 	EndedAt      float64
 	Latency      float64
-	ExtraLatency float64 // over what it should have taken
-	Weight       float64 // 1, or less for an attempt that says less
+	ExtraLatency float64 // latency beyond the usual one
+	Weight       float64 // 1, or less for an attempt that counts less than a full call
 	Succeeded    bool
-	Failed       bool // it did not succeed, or was late
-	Lost         bool // it did not succeed, and may have been executed
+	Failed       bool // the attempt did not succeed, or was late
+	Lost         bool // the attempt did not succeed, and may have been executed
 }
 
-// Sums are those of a server's records, by their weights.
+// Sums holds the weighted sums of a server's records.
 type Sums struct {
 	Count              float64
 	Succeeded          float64
 	Failed             float64
-	Latency            float64 // of those that succeeded
-	ExtraLatency       float64 // of those that failed
-	SuccessesSinceLoss float64 // infinite where none was lost
+	Latency            float64 // latency of the attempts that succeeded
+	ExtraLatency       float64 // extra latency of the attempts that failed
+	SuccessesSinceLoss float64 // number of successes since the last loss, +Inf if none was lost
 	Recent             Recent
 }
 
-// Recent are the sums of the records within the window.
+// Recent holds the weighted sums of the records within the window.
 type Recent struct {
 	Succeeded float64
-	Latency   float64 // of those that succeeded
+	Latency   float64 // latency of the attempts that succeeded
 }
 
-// Limits say which records a server keeps.
+// Limits says which records of a server are kept: those within the window, and the newest MinRecords even if
+// they have left the window, unless they are older than MaxAge.
 type Limits struct {
 	Window     float64
-	MinRecords int     // kept where fewer are in the window,
-	MaxAge     float64 // up to this age
+	MinRecords int
+	MaxAge     float64
 }
 
-// server holds what is kept of one.
+// server holds the records of one server.
 type server struct {
 	records    []Record
 	sums       Sums
-	generation uint32 // counts how often its records were reset
-	changed    bool   // it is listed in Table.changed
+	generation uint32 // number of times that its records were reset
+	changed    bool   // the server is listed in Table.changed
 }
 
 // Table holds the records of all servers.
@@ -58,28 +59,28 @@
 	limits          Limits
 	servers         []server
 	changed         []int
-	window          queue // records within the window, by time
-	retained        queue // records kept beyond the window, by time
-	windowLatencies Multiset
-	windowStart     float64 // of the window: what ended at or before has left it
+	window          queue    // records within the window, by time
+	retained        queue    // records kept beyond the window, by time
+	windowLatencies Multiset // latencies of the successful attempts within the window
+	windowStart     float64  // start of the window; records that ended at or before it are outside
 }
 
 // New returns a table without servers.
 func New(limits Limits) *Table { return &Table{limits: limits, windowStart: math.Inf(-1)} }
 
-// AddServer adds a server behind the last one.
+// AddServer adds a server with the next index.
 func (t *Table) AddServer() {
 	t.servers = append(t.servers, server{})
 	t.MarkChanged(len(t.servers) - 1)
 }
 
-// Count is how many records of a server are kept.
+// Count returns how many records of a server are kept.
 func (t *Table) Count(server int) int { return len(t.servers[server].records) }
 
-// Sums are those of a server as of the last Advance.
+// Sums returns the sums of a server as of the last Advance.
 func (t *Table) Sums(server int) Sums { return t.servers[server].sums }
 
-// MarkChanged lets the next Advance return a server.
+// MarkChanged marks a server so that the next Advance recomputes and returns it.
 func (t *Table) MarkChanged(server int) {
 	if s := &t.servers[server]; !s.changed {
 		s.changed = true
@@ -117,7 +118,7 @@
 	t.MarkChanged(server)
 }
 
-// Advance moves the window on and adds up the sums that have changed. It returns the servers whose records
+// Advance advances the window and recomputes the sums that have changed. It returns the servers whose records
 // changed or that were marked; the slice is valid until the next call.
 func (t *Table) Advance(now float64) []int {
 	expired := t.expire(now)
@@ -143,7 +144,8 @@
 	return changed
 }
 
-// expire takes what has left the window out of the queue and the median, and marks its servers.
+// expire removes the records that have left the window from the queue and from the latencies, and marks their
+// servers.
 func (t *Table) expire(now float64) (expired []entry) {
 	t.windowStart = now - t.limits.Window
 	for !t.window.empty() && t.window.oldest().endedAt <= t.windowStart {
@@ -160,17 +162,17 @@
 	return expired
 }
 
-// current reports whether an entry's server was not reset since.
+// current reports whether an entry's server was not reset since the entry was added.
 func (t *Table) current(e *entry) bool { return t.servers[e.server].generation == e.generation }
 
-// Median is the median latency of the successful attempts in the window, or the default where there is
+// Median returns the median latency of the successful attempts in the window, or the default if there are
 // none.
 func (t *Table) Median(defaultLatency float64) float64 {
 	return t.windowLatencies.Median(defaultLatency)
 }
 
-// AppendLatencies appends the latencies of the attempts that succeeded after a time. Where that lies before
-// the window, all records are looked at.
+// AppendLatencies appends the latencies of the attempts that succeeded after a time. If that time is before
+// the start of the window, it visits all records.
 func (t *Table) AppendLatencies(after float64, latencies []float64) []float64 {
 	if after < t.windowStart {
 		return t.appendFromRecords(after, latencies)
@@ -197,8 +199,8 @@
 	return latencies
 }
 
-// recompute drops the records that have expired and adds up the others. It reports whether a record leaves the
-// window at just this moment: it is dropped by the next Advance.
+// recompute drops the records that have expired and sums up the others. It reports whether a record leaves
+// the window at exactly this time: the next Advance drops it.
 func (s *server) recompute(now float64, limits Limits) (expiresNext bool) {
 	expiredCount := 0
 	for expiredCount < len(s.records) && s.expired(expiredCount, now, limits) {
@@ -216,7 +218,7 @@
 	return len(s.records) > limits.MinRecords && s.records[0].EndedAt <= now-limits.Window
 }
 
-// expired reports whether a record is no longer kept, given that those before it are not.
+// expired reports whether a record is no longer kept, given that the records before it are not.
 func (s *server) expired(index int, now float64, limits Limits) bool {
 	endedAt := s.records[index].EndedAt
 	if endedAt < now-limits.MaxAge {
--- a/logic/callstats/callstats_test.go
+++ b/logic/callstats/callstats_test.go
@@ -11,7 +11,7 @@
 	"yokeroute/internal/stats"
 )
 
-// reference adds up all records of all servers in every round.
+// reference is a simple model of Table that sums up all records of all servers in every round.
 type reference struct {
 	limits  Limits
 	servers [][]Record
@@ -59,7 +59,7 @@
 	return r
 }
 
-// applyRandomChange adds a server, resets one or adds a record, to both.
+// applyRandomChange adds a server, resets one or adds a record, in both the table and the reference.
 func applyRandomChange(t *rapid.T, table *Table, ref *reference, now float64) {
 	n := len(ref.servers)
 	kind := rapid.IntRange(0, 9).Draw(t, "kind")
@@ -79,8 +79,9 @@
 	ref.servers[server] = append(ref.servers[server], r)
 }
 
-// TestTableMatchesReference: after any history of records, of servers that come and are replaced and of time that passes, also
-// by just the lengths of the limits, sums and medians are to the last bit those of adding everything up anew.
+// TestTableMatchesReference checks that sums, medians and latencies are bit for bit those of the reference,
+// after any sequence of added records, added and reset servers, and advanced time. Some time steps are
+// exactly as long as one of the limits.
 func TestTableMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := Limits{Window: 50, MinRecords: rapid.IntRange(1, 4).Draw(t, "min records"), MaxAge: 250}
@@ -97,12 +98,12 @@
 			for server, want := range sums {
 				got, count := table.Sums(server), table.Count(server)
 				if got != want || count != len(ref.servers[server]) {
-					t.Fatalf("at %v server %d: %+v of %d records, want %+v of %d", now, server, got, count, want,
+					t.Fatalf("at %v server %d: sums %+v of %d records, want %+v of %d", now, server, got, count, want,
 						len(ref.servers[server]))
 				}
 			}
 			if got, want := table.Median(-1), stats.Median(slices.Clone(window), -1); got != want {
-				t.Fatalf("at %v: the median is %v, want %v of %v", now, got, want, window)
+				t.Fatalf("at %v: the median is %v, want %v (the median of %v)", now, got, want, window)
 			}
 			got := table.AppendLatencies(now-recent, nil)
 			slices.Sort(got)
@@ -114,7 +115,7 @@
 	})
 }
 
-// TestExpiredRecordsAreReleased guards against queues and servers that hold on to expired records.
+// TestExpiredRecordsAreReleased guards against queues and servers that never release expired records.
 func TestExpiredRecordsAreReleased(t *testing.T) {
 	table := New(Limits{Window: 100, MinRecords: 4, MaxAge: 500})
 	for range 10 {
@@ -127,18 +128,21 @@
 		table.Advance(now)
 	}
 	if n := len(table.window.blocks); table.window.count != 100 || n > 2 {
-		t.Errorf("the window holds %d records in %d blocks", table.window.count, n)
+		t.Errorf("the window holds %d records in %d blocks, want 100 records in at most 2 blocks",
+			table.window.count, n)
 	}
 	if n := table.windowLatencies.Len(); n != 100 {
-		t.Errorf("the median is of %d records", n)
+		t.Errorf("the multiset holds %d latencies, want 100", n)
 	}
 	table.Advance(now + 1000)
 	if !table.window.empty() || !table.retained.empty() || table.windowLatencies.Len() > 0 {
-		t.Errorf("records are left: %d in the window, %d beyond", table.window.count, table.retained.count)
+		t.Errorf("after all records have expired, %d are in the window and %d beyond it, want none",
+			table.window.count, table.retained.count)
 	}
 }
 
-// BenchmarkAdvance measures a round with ten records in fleets of growing size: its cost should not follow them.
+// BenchmarkAdvance measures a round with ten records in fleets of different size. The cost of a round should
+// not depend on the size.
 func BenchmarkAdvance(b *testing.B) {
 	for _, servers := range []int{20, 300, 3000, 28_000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/logic/callstats/multiset.go
+++ b/logic/callstats/multiset.go
@@ -2,17 +2,17 @@
 
 import "slices"
 
-// maxBlock bounds the values of a block, and so what an insertion or removal moves.
+// maxBlock limits the number of values in a block, and so how many values an insertion or removal moves.
 const maxBlock = 512
 
-// Multiset is an ordered multiset of values. Adding, removing and finding the median take time by its
-// number of blocks, where selecting among all values would take time by their number.
+// Multiset is an ordered multiset of values. The time to add or remove a value or to find the median grows
+// with the number of blocks, not with the number of values as a selection among all of them would.
 type Multiset struct {
-	blocks [][]float64 // sorted, none empty, the values of one not above those of the next
+	blocks [][]float64 // sorted and not empty; no value of a block is above one of the next block
 	count  int
 }
 
-// Len is the number of values.
+// Len returns the number of values.
 func (m *Multiset) Len() int { return m.count }
 
 // Add adds a value.
@@ -30,7 +30,7 @@
 	}
 }
 
-// Remove removes one of the values that equal the one given, and reports whether there was any.
+// Remove removes one value equal to the given one, and reports whether there was one.
 func (m *Multiset) Remove(value float64) bool {
 	b := m.findBlock(value)
 	if b == len(m.blocks) {
@@ -48,7 +48,7 @@
 	return true
 }
 
-// Median is the middle value, the upper one of two, or the default where there is none.
+// Median returns the middle value, the upper one of two, or the default if the multiset is empty.
 func (m *Multiset) Median(defaultValue float64) float64 {
 	rank := m.count / 2
 	for _, block := range m.blocks {
@@ -60,7 +60,8 @@
 	return defaultValue
 }
 
-// findBlock is the first block whose greatest value is not below the one given, or the number of blocks.
+// findBlock returns the index of the first block whose greatest value is not below the given one, or the
+// number of blocks.
 func (m *Multiset) findBlock(value float64) int {
 	b, _ := slices.BinarySearchFunc(m.blocks, value, func(block []float64, value float64) int {
 		if block[len(block)-1] < value {
@@ -71,7 +72,7 @@
 	return b
 }
 
-// split divides a block into halves.
+// split splits a block into halves.
 func (m *Multiset) split(b int) {
 	half := len(m.blocks[b]) / 2
 	upper := append(make([]float64, 0, maxBlock), m.blocks[b][half:]...)
--- a/logic/callstats/multiset_test.go
+++ b/logic/callstats/multiset_test.go
@@ -8,7 +8,8 @@
 	"yokeroute/internal/stats"
 )
 
-// TestMultisetMatchesSortedSlice compares a multiset with sorting, through thousands of values that go in and out, with many and few alike.
+// TestMultisetMatchesSortedSlice checks the length and median of a multiset against a sorted slice, while
+// thousands of values are added and removed, with few and with many distinct values.
 func TestMultisetMatchesSortedSlice(t *testing.T) {
 	for _, distinct := range []uint32{3, 50, 1 << 20} {
 		random, m, values := pcg.New(uint64(distinct)), &Multiset{}, []float64(nil)
@@ -17,7 +18,7 @@
 			if remove := random.Uint32()%5 < 2; len(values) > 0 && remove == growing || len(values) > 0 && random.Uint32()%4 == 0 {
 				i := int(random.Uint32()) % len(values)
 				if !m.Remove(values[i]) {
-					t.Fatalf("%v is not found", values[i])
+					t.Fatalf("Remove(%v) did not find the value", values[i])
 				}
 				values = slices.Delete(values, i, i+1)
 			} else {
@@ -26,17 +27,17 @@
 				values = append(values, value)
 			}
 			if m.Len() != len(values) {
-				t.Fatalf("%d values, want %d", m.Len(), len(values))
+				t.Fatalf("Len() = %d, want %d", m.Len(), len(values))
 			}
 			if step%97 > 0 {
 				continue
 			}
 			if got, want := m.Median(-1), stats.Median(slices.Clone(values), -1); got != want {
-				t.Fatalf("step %d: %v, want %v", step, got, want)
+				t.Fatalf("step %d: the median is %v, want %v", step, got, want)
 			}
 		}
 		if m.Remove(-5) {
-			t.Error("a value was taken out that was never put in")
+			t.Error("Remove reports that it removed a value that was never added")
 		}
 	}
 }
--- a/logic/callstats/queue.go
+++ b/logic/callstats/queue.go
@@ -1,6 +1,6 @@
 package callstats
 
-// entry is a record in the order of time of all servers' records.
+// entry is a record in the queue of all servers' records, which is ordered by time.
 type entry struct {
 	endedAt    float64
 	latency    float64
@@ -9,15 +9,15 @@
 	succeeded  bool
 }
 
-// blockLength is how many entries of a queue lie together, so that a long one never moves as a whole when
-// it grows.
+// blockLength is the number of entries in a block of a queue. Blocks avoid copying all entries when a long
+// queue grows.
 const blockLength = 1024
 
-// queue holds entries by time. Only the last of its blocks may have room.
+// queue holds entries in the order of time. Only the last of its blocks may have free space.
 type queue struct {
 	blocks [][]entry
-	head   int     // place of the oldest entry in the first block
-	spare  []entry // an emptied block, used again
+	head   int     // index of the oldest entry in the first block
+	spare  []entry // empty block kept for reuse
 	count  int
 }
 
@@ -43,7 +43,7 @@
 	q.spare = nil
 }
 
-// pop removes the oldest entry.
+// pop removes and returns the oldest entry.
 func (q *queue) pop() entry {
 	e := q.blocks[0][q.head]
 	q.head++
@@ -56,7 +56,7 @@
 	return e
 }
 
-// newestFirst iterates over all entries.
+// newestFirst iterates over all entries from the newest to the oldest.
 func (q *queue) newestFirst() func(yield func(*entry) bool) {
 	return func(yield func(*entry) bool) {
 		for b := len(q.blocks) - 1; b >= 0; b-- {
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -1,5 +1,5 @@
-// Package roundrobin decides which replica of a set comes next where an operator has set weights: weighted
-// round robin by start-time fair queueing. A set without weights is left to its caller.
+// Package roundrobin chooses the next replica of a set for which an operator has set weights, by weighted
+// round robin with start-time fair queueing. The caller chooses the replicas of sets without weights.
 // docs/design/placement.md says where the weights come from.
 package roundrobin
 
@@ -11,7 +11,7 @@
 	"yokeroute/internal/pcg"
 )
 
-// shareTolerance is by how much a share may miss: weights come rounded.
+// shareTolerance is the tolerance for comparing shares, since weights are rounded.
 const shareTolerance = 5e-5
 
 // Weighted holds the state of all replica sets. Servers have a dense index.
@@ -23,17 +23,17 @@
 
 // set is the state of one replica set.
 type set struct {
-	shares      []float64 // of the replicas, 1 on average; nil where the set has no weights
-	nextStarts  []float64 // when each one's next slot starts, in slots that the set has had
-	virtualTime float64   // virtual time of the set
+	shares      []float64 // shares of the replicas, 1 on average; nil if the set has no weights
+	nextStarts  []float64 // virtual time at which the next slot of each replica starts
+	virtualTime float64   // virtual time of the set, in slots that it has had
 }
 
-// SetWeights replaces the weights. SetReplicas has to follow.
+// SetWeights replaces the weights. The caller has to call SetReplicas afterwards.
 func (w *Weighted) SetWeights(weights [][]gather.Weight) { w.weights = weights }
 
-// SetReplicas applies the weights to the replicas that there are. A replica that the weights do not name
-// gets the mean of the others; a set of which they name none, or all with nothing, is left to the caller.
-// Each replica starts at a random time, so that not all gatherers start at the same one.
+// SetReplicas applies the weights to the current replicas. A replica without a weight gets the mean of the
+// others. A set without weights, or with no weight above 0, is left to the caller. The first slot of each
+// replica starts at a random virtual time, so that gatherers do not all start at the same replica.
 func (w *Weighted) SetReplicas(replicas [][]int, id func(server int) uint32, random *pcg.Source) {
 	w.replicas = replicas
 	w.sets = make([]set, len(replicas))
@@ -50,8 +50,8 @@
 	}
 }
 
-// relativeShares are the replicas' shares as multiples of the mean, nil where the weights say nothing of
-// them.
+// relativeShares returns the replicas' shares as multiples of the mean, or nil if no replica has a weight
+// above 0.
 func relativeShares(weights []gather.Weight, replicas []int, id func(server int) uint32) []float64 {
 	const unnamed = -1
 	shares := make([]float64, len(replicas))
@@ -78,10 +78,11 @@
 	return shares
 }
 
-// Next is the acceptable replica of a set whose slot starts first, or -1 where the set has no weights or no
-// acceptable replica. It passes over a replica with more attempts in flight for its share than the emptiest
-// one would have with one more. A replica that was passed over does not make up for it later. One whose
-// share is 0 comes next only where no other is acceptable: weights are no reason to give a request up.
+// Next returns the acceptable replica of a set whose slot starts first, or -1 if the set has no weights or no
+// acceptable replica. It skips a replica that has more attempts in flight in proportion to its share than the
+// least busy one would have with one more. A replica that was skipped does not catch up later. A replica
+// whose share is 0 is returned only if no other is acceptable, so that weights never cause a request to be
+// given up.
 func (w *Weighted) Next(set int, inFlight func(server int) int, acceptable func(server int) bool) int {
 	s := &w.sets[set]
 	if s.shares == nil {
@@ -112,8 +113,8 @@
 	return next
 }
 
-// fewestInFlight is the least number of attempts in flight for its share that a replica would have with one
-// more.
+// fewestInFlight returns the lowest number of attempts in flight in proportion to its share that an
+// acceptable replica would have with one more.
 func (w *Weighted) fewestInFlight(
 	set int, inFlight func(server int) int, acceptable func(server int) bool,
 ) float64 {
@@ -126,8 +127,8 @@
 	return fewest
 }
 
-// RecordChoice notes that a replica was sent a request: its next slot starts when its share of the set's
-// slots has passed.
+// RecordChoice records that a replica was sent a request. The replica's next slot starts after the inverse of
+// its share in virtual time.
 func (w *Weighted) RecordChoice(set, server int) {
 	s := &w.sets[set]
 	i := slices.Index(w.replicas[set], server)
--- a/logic/roundrobin/roundrobin_test.go
+++ b/logic/roundrobin/roundrobin_test.go
@@ -16,7 +16,8 @@
 
 func acceptAny(int) bool { return true }
 
-// newWeighted has one replica set, of the servers 0, 1, ...; a share below 0 leaves a server without a weight.
+// newWeighted returns a Weighted with one replica set, of the servers 0, 1, ...; a server whose share is
+// below 0 has no weight.
 func newWeighted(seed uint64, shares []float64) *Weighted {
 	w := &Weighted{}
 	replicas, weights := []int(nil), []gather.Weight{}
@@ -31,7 +32,7 @@
 	return w
 }
 
-// takeSlots takes slots among the acceptable servers and counts them.
+// takeSlots takes a number of slots among the acceptable servers and returns how many each server got.
 func takeSlots(w *Weighted, slots, servers int, acceptable func(int) bool) []int {
 	counts := make([]int, servers)
 	for range slots {
@@ -45,7 +46,7 @@
 	return counts
 }
 
-// TestSlotsFollowTheShares: in any run of slots, each replica has its share, to within two slots.
+// TestSlotsFollowTheShares checks that in any run of slots each replica gets its share, to within two slots.
 func TestSlotsFollowTheShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := rapid.SliceOfN(rapid.SampledFrom([]float64{0.5, 1, 1, 2, 3}), 1, 6).Draw(t, "shares")
@@ -59,27 +60,29 @@
 			for server, got := range takeSlots(w, slots, len(shares), acceptAny) {
 				want := float64(slots) * shares[server] / sum
 				if math.Abs(float64(got)-want) > 2 {
-					t.Fatalf("shares %v: server %d had %d of %d slots, want %.1f", shares, server, got, slots, want)
+					t.Fatalf("shares %v: server %d got %d of %d slots, want %.1f", shares, server, got, slots, want)
 				}
 			}
 		}
 	})
 }
 
-// TestSkippedReplicaDoesNotCatchUp: back again, it has its share of the slots and no burst.
+// TestSkippedReplicaDoesNotCatchUp checks that a replica that was skipped gets its share of the slots
+// afterwards, without a burst.
 func TestSkippedReplicaDoesNotCatchUp(t *testing.T) {
 	w := newWeighted(1, []float64{1, 1, 1})
 	takeSlots(w, 300, 3, func(server int) bool { return server != 2 })
 	if got := takeSlots(w, 30, 3, acceptAny)[2]; got > 12 {
-		t.Errorf("a replica that was passed over had %d of the next 30 slots, want about 10", got)
+		t.Errorf("a replica that was skipped got %d of the next 30 slots, want about 10", got)
 	}
 }
 
-// TestReplicaWithoutShareComesLast: it has slots only while no other replica is acceptable.
+// TestReplicaWithoutShareComesLast checks that a replica with a share of 0 gets slots only while no other
+// replica is acceptable.
 func TestReplicaWithoutShareComesLast(t *testing.T) {
 	w := newWeighted(1, []float64{1, 0, 2})
 	if got := takeSlots(w, 90, 3, acceptAny); got[1] > 0 {
-		t.Errorf("a replica of share 0 had %d slots beside others", got[1])
+		t.Errorf("with other replicas acceptable a replica of share 0 got %d slots, want 0", got[1])
 	}
 	if got := w.Next(0, noneInFlight, func(server int) bool { return server == 1 }); got != 1 {
 		t.Errorf("with no other replica acceptable the next one is %d, want 1", got)
@@ -94,12 +97,13 @@
 	got := takeSlots(w, 120, 3, acceptAny)
 	for server, want := range []int{20, 40, 60} {
 		if got[server] < want-2 || got[server] > want+2 {
-			t.Errorf("server %d had %d of 120 slots, want about %d", server, got[server], want)
+			t.Errorf("server %d got %d of 120 slots, want about %d", server, got[server], want)
 		}
 	}
 }
 
-// TestCrowdedReplicaIsSkipped: one that has more in flight for its share than the emptiest would have with one more.
+// TestCrowdedReplicaIsSkipped checks that Next skips a replica that has more attempts in flight in proportion
+// to its share than the least busy one would have with one more.
 func TestCrowdedReplicaIsSkipped(t *testing.T) {
 	w := newWeighted(1, []float64{1, 2})
 	inFlight := []int{3, 1}
@@ -113,11 +117,11 @@
 }
 
 func TestNextReturnsNoReplicaWithoutWeights(t *testing.T) {
-	for name, shares := range map[string][]float64{"none": {-1, -1}, "nothing": {0, 0}} {
+	for name, shares := range map[string][]float64{"no weights": {-1, -1}, "only weights of 0": {0, 0}} {
 		w := newWeighted(1, shares)
 		if got := w.Next(0, noneInFlight, acceptAny); got != -1 {
-			t.Errorf("weights that name %s: the next replica is %d, want -1", name, got)
+			t.Errorf("with %s the next replica is %d, want -1", name, got)
 		}
-		w.RecordChoice(0, 0) // has no effect
+		w.RecordChoice(0, 0) // must not panic
 	}
 }
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -1,11 +1,11 @@
-// Package slowstart decides how much a gatherer may send a shard server that is warming up. Such a server
-// bears a share of its capacity that grows with time, and fails if all gatherers together send it more than
-// a multiple of that for a while.
+// Package slowstart limits the requests that a gatherer sends to a shard server that is warming up. Such a
+// server has a share of its capacity that grows with time, and fails if all gatherers together send it more
+// than a multiple of that for some time.
 //
-// The rule has to be kept without communication between gatherers. Each one earns credit for a warming
-// server by the attempts that it sees warm servers answer: over all gatherers, that is a part of what the
-// rule allows, however uneven their traffic is. The cost of a round follows the number of warming servers,
-// not of all.
+// This rule has to be kept without communication between gatherers. Each gatherer earns credit for a warming
+// server from the attempts that warm servers answer to it. The sum over all gatherers is a part of the load
+// that the rule allows, however uneven their traffic is. The cost of a round grows with the number of warming
+// servers, not with the number of all servers.
 //
 // Servers have a dense index. Times are milliseconds.
 package slowstart
@@ -18,16 +18,22 @@
 )
 
 const (
-	safetyShare = 0.6 // of what the rule allows, sent to warming servers where warm ones are fully loaded
-	maxCredit   = 2.0 // requests, so that many gatherers cannot send a burst at once
-	idleDivisor = 4   // of the rule for a server of one core, which is earned where no attempt is answered
+	// safetyShare is the share of the load allowed by the rule that warming servers are sent when warm ones
+	// are fully loaded.
+	safetyShare = 0.6
+	// maxCredit limits the credit of a server, in requests, so that many gatherers cannot send it a burst at
+	// once.
+	maxCredit = 2.0
+	// idleDivisor divides the load that a server of one core can process. The result is the credit earned
+	// while no attempts are answered.
+	idleDivisor = 4
 )
 
-// limits are the settings of the rule.
+// limits holds the settings of the rule.
 type limits struct {
 	warmupTime       float64
-	initialShare     float64 // of its capacity that a server bears at its start
-	overloadWindow   float64 // 0 where there is no such rule
+	initialShare     float64 // share of its capacity that a server has at its start
+	overloadWindow   float64 // 0 if the rule does not apply
 	overloadMultiple float64
 	gatherers        float64
 	gathererIndex    float64
@@ -36,14 +42,14 @@
 // Table holds the servers' start times and credits.
 type Table struct {
 	limits       limits
-	startedAt    []float64 // 0 for long ago
-	credit       []float64 // requests that a warming server may still be sent
+	startedAt    []float64 // start time of each server's process, 0 if that is long ago
+	credit       []float64 // number of requests that a warming server may still be sent
 	warming      []int
-	runningCount float64 // servers, as of FindWarming
-	warmCount    float64 // running servers that are warm, as of the last Earn
+	runningCount float64 // number of running servers as of FindWarming
+	warmCount    float64 // number of running servers that are warm, as of the last Earn
 }
 
-// Configure takes the settings over. FindWarming has to follow unless the table is empty.
+// Configure applies the settings. The caller has to call FindWarming afterwards, unless the table is empty.
 func (t *Table) Configure(settings *gather.Settings) {
 	t.limits = limits{
 		warmupTime:       settings.WarmupTime,
@@ -55,25 +61,25 @@
 	}
 }
 
-// AddServer adds a server behind the last one.
+// AddServer adds a server with the next index.
 func (t *Table) AddServer() {
 	t.startedAt = append(t.startedAt, 0)
 	t.credit = append(t.credit, 0)
 }
 
-// StartedAt is when a server's process started, 0 for long ago.
+// StartedAt returns the start time of a server's process, 0 if that is long ago.
 func (t *Table) StartedAt(server int) float64 { return t.startedAt[server] }
 
-// Start notes that a new process of a server has started. The gatherers' first credits differ, so that they
-// do not all send their first request at once.
+// Start records that a new process of a server has started. The initial credits of the gatherers differ, so
+// that they do not all send their first request at once.
 func (t *Table) Start(server int, id uint32, startedAt float64) {
 	t.startedAt[server] = startedAt
 	offset := math.Mod(t.limits.gathererIndex+float64(id%1024), t.limits.gatherers)
 	t.credit[server] = offset / t.limits.gatherers
 }
 
-// FindWarming finds the servers that are warming up. It has to be called after a change of the endpoint
-// list or of the settings; running reports whether a server takes requests.
+// FindWarming finds the servers that are warming up. It has to be called after each change of the endpoint
+// list or of the settings. The function running reports whether a server accepts requests.
 func (t *Table) FindWarming(now float64, running func(server int) bool) {
 	t.runningCount = 0
 	t.warming = t.warming[:0]
@@ -87,7 +93,7 @@
 	}
 }
 
-// Share is the least share of its capacity that a server may have reached, 1 for a warm one.
+// Share returns the least share of its capacity that a server can have reached, 1 for a warm server.
 func (t *Table) Share(server int, now float64) float64 {
 	age := now - t.startedAt[server]
 	if t.startedAt[server] == 0 || age >= t.limits.warmupTime || t.limits.overloadWindow == 0 {
@@ -96,17 +102,17 @@
 	return t.limits.initialShare + (1-t.limits.initialShare)*max(age, 0)/t.limits.warmupTime
 }
 
-// Round is what a gatherer observed since the last round.
+// Round holds what a gatherer observed since the last round.
 type Round struct {
 	Now           float64
 	Elapsed       float64
-	MedianLatency float64 // of an attempt
-	WarmSuccesses float64 // attempts at warm servers
+	MedianLatency float64 // median latency of an attempt
+	WarmSuccesses float64 // number of attempts that succeeded at warm servers
 }
 
-// Earn adds to the credit of the running servers that are warming up, by what the average warm server
-// answered. Where nothing is warm it adds a part of what the rule allows a server of one core, divided
-// among the gatherers.
+// Earn adds credit to the running servers that are warming up, in proportion to the attempts that the average
+// warm server has answered. The least credit, which applies if no attempts are answered, is a part of what
+// the rule allows a server of one core, divided among the gatherers.
 func (t *Table) Earn(in Round, running func(server int) bool) {
 	idleCredit := in.Elapsed / max(in.MedianLatency, 1) / idleDivisor / t.limits.gatherers
 	perServer := max(safetyShare*in.WarmSuccesses/max(t.warmCount, 1), idleCredit)
@@ -127,5 +133,5 @@
 	return t.credit[server] >= 1 || t.Share(server, now) == 1
 }
 
-// Spend takes a request's work, in requests of mean cost, off a server's credit.
+// Spend subtracts the work of a request, in requests of mean cost, from a server's credit.
 func (t *Table) Spend(server int, work float64) { t.credit[server] -= work }
--- a/logic/slowstart/slowstart_test.go
+++ b/logic/slowstart/slowstart_test.go
@@ -8,9 +8,9 @@
 	"yokeroute/gather"
 )
 
-// reference looks at all servers in every round.
+// reference is a simple model of Table that visits all servers in every round.
 type reference struct {
-	table     *Table // whose shares it uses
+	table     *Table // table under test, for the shares and initial credits
 	running   []bool
 	credit    []float64
 	warmCount float64
@@ -35,7 +35,7 @@
 	f.warmCount = warmCount
 }
 
-// changeServer adds a server or starts one anew.
+// changeServer adds a server or restarts one, in both the table and the reference.
 func (f *reference) changeServer(t *rapid.T, now float64) {
 	server := rapid.IntRange(0, len(f.running)).Draw(t, "server")
 	if server == len(f.running) {
@@ -50,8 +50,9 @@
 	f.table.FindWarming(now, f.isRunning)
 }
 
-// TestCreditsMatchReference compares with looking at all servers each time: through starts, ends and time that passes,
-// also by just the warm-up time, shares and credits are the same to the last bit.
+// TestCreditsMatchReference checks that the credits are bit for bit those of the reference, after any
+// sequence of started, restarted and stopped servers and advanced time. Some time steps are exactly the
+// warm-up time.
 func TestCreditsMatchReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := &gather.Settings{
@@ -78,11 +79,12 @@
 			for server, want := range ref.credit {
 				maySend := table.Share(server, now) == 1 || want >= 1
 				if table.credit[server] != want || table.MaySend(server, now) != maySend {
-					t.Fatalf("at %v server %d: credit %v, want %v", now, server, table.credit[server], want)
+					t.Fatalf("at %v server %d: the credit is %v, want %v and a MaySend that follows from it", now, server,
+						table.credit[server], want)
 				}
 			}
 			if table.warmCount != ref.warmCount {
-				t.Fatalf("at %v: %v are warm, want %v", now, table.warmCount, ref.warmCount)
+				t.Fatalf("at %v: %v servers are warm, want %v", now, table.warmCount, ref.warmCount)
 			}
 		}
 	})
