--- a/logic/admission/rules.go
+++ b/logic/admission/rules.go
@@ -1,10 +1,10 @@
-// Package admission decides which connections a TLS listener accepts, which roles they have, how many of them
-// may be open, and when one has to end.
+// Package admission decides which connections a TLS listener accepts, which roles they have, how many may be
+// open, and when a connection has to end.
 //
-// Rules admit peers by the names of their certificates and by their addresses; a peer that no rule names is
-// never admitted. Connections that are not authenticated yet have a limit and a timeout of their own, so that
-// a flood of them does not keep known peers out. When keys are rotated, connections of peers that are no
-// longer trusted end at once and the others within the rotation period. The package does no I/O.
+// Rules admit peers by the names in their certificates and by their addresses. A peer that matches no rule is
+// never admitted. Connections that are not authenticated yet have a separate limit and a timeout, so that a
+// flood of them does not keep known peers out. When keys are rotated, connections of peers that are no longer
+// trusted end at once, and the others within the rotation period. The package does no I/O.
 package admission
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/gaissmai/bart"
 )
 
-// Role is what a peer may do. Roles are combined by or.
+// Role is a bit set of the permissions of a peer. Roles are combined with a bitwise or.
 type Role int
 
-// The roles.
+// The roles of a peer.
 const (
 	Subscriber    Role = 1 << iota // receives configuration
 	Administrator                  // reads the state of the service
@@ -30,13 +30,13 @@
 // RoleNames returns the names that ParseRole accepts.
 func RoleNames() []string { return slices.Clone(roleNames) }
 
-// ParseRole returns the role of a name.
+// ParseRole returns the role with a name, and whether there is one.
 func ParseRole(name string) (Role, bool) {
 	i := slices.Index(roleNames, name)
 	return 1 << max(i, 0), i >= 0
 }
 
-// Text returns the names of roles.
+// Text returns the names of the roles, separated by commas, or "nothing".
 func (r Role) Text() string {
 	var all []string
 	for i, name := range roleNames {
@@ -50,16 +50,16 @@
 	return strings.Join(all, ", ")
 }
 
-// Rule admits peers.
+// Rule admits the peers with a name.
 type Rule struct {
-	Name     string         // of the certificate; a * at its beginning or end matches any non-empty text
-	Roles    Role           // that the peers have
-	From     []netip.Prefix // none for every address
-	MaxConns int            // open connections of one name, 0 for no limit
+	Name     string         // name in the certificate; a * at its beginning or end matches any non-empty text
+	Roles    Role           // roles that the peers get
+	From     []netip.Prefix // addresses of the peers, none for any address
+	MaxConns int            // limit of open connections of one name, 0 for no limit
 }
 
 // matches reports whether the rule's name matches a name. A * matches at least one character, and a dot or
-// slash beside it has to match too: *.example does not match example.
+// slash next to it has to match as well: *.example does not match example.
 func (r *Rule) matches(name string) bool {
 	if prefix, isWildcard := strings.CutSuffix(r.Name, "*"); isWildcard {
 		return len(name) > len(prefix) && strings.HasPrefix(name, prefix) || r.Name == "*" && name != ""
@@ -81,14 +81,14 @@
 	return nil
 }
 
-// Rules are the rules of a listener. They are immutable and safe for concurrent use.
+// Rules holds the rules of a listener. It is immutable and safe for concurrent use.
 type Rules struct {
 	rules           []Rule
-	addressesByRule []*bart.Lite // by rule, nil for everywhere
-	anyAddress      *bart.Lite   // every address that some rule admits, nil for everywhere
+	addressesByRule []*bart.Lite // addresses that each rule admits, nil for any address
+	anyAddress      *bart.Lite   // addresses that at least one rule admits, nil for any address
 }
 
-// NewRules builds the rules of a listener.
+// NewRules returns the rules of a listener.
 func NewRules(rules []Rule) *Rules {
 	r := &Rules{rules: slices.Clone(rules), anyAddress: &bart.Lite{}}
 	anyUnrestricted := false
@@ -110,21 +110,21 @@
 	return r
 }
 
-// AdmitsAddress reports whether any rule admits peers from an address, before the handshake.
+// AdmitsAddress reports whether any rule admits peers from an address. It is checked before the handshake.
 func (r *Rules) AdmitsAddress(from netip.Addr) bool {
 	return len(r.rules) > 0 && (r.anyAddress == nil || r.anyAddress.Contains(from.Unmap()))
 }
 
-// Rejection is why a peer is not admitted. Its connection ends.
+// Rejection is the error returned for a peer that is not admitted and whose connection has to end.
 type Rejection string
 
 func (r Rejection) Error() string { return string(r) }
 
 // Admit returns the name under which a peer is admitted, its roles, and how many connections the name may
-// have open, 0 for no limit. Names are those of the certificate.
+// have open, 0 for no limit. The argument names holds the names in the peer's certificate.
 func (r *Rules) Admit(names []string, from netip.Addr) (name string, roles Role, maxConns int, err error) {
 	if len(names) == 0 {
-		return "", 0, 0, Rejection("the certificate proves no name")
+		return "", 0, 0, Rejection("the certificate contains no name")
 	}
 	wrongAddressName := ""
 	for _, certName := range names {
@@ -151,7 +151,7 @@
 		}
 	}
 	if wrongAddressName != "" {
-		return "", 0, 0, Rejection(fmt.Sprintf("%q may not come from %s", wrongAddressName, from.Unmap()))
+		return "", 0, 0, Rejection(fmt.Sprintf("%q is not admitted from %s", wrongAddressName, from.Unmap()))
 	}
 	return "", 0, 0, Rejection(fmt.Sprintf("no rule admits %q", names[0]))
 }
--- a/logic/flow/flow_test.go
+++ b/logic/flow/flow_test.go
@@ -7,17 +7,17 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same verdict always
+func init() { flag.Set("rapid.seed", "20261201") } // the tests draw the same networks in each run
 
-// arc of a drawn network, kept beside it.
+// arc is an arc of a randomly drawn network.
 type arc struct {
 	from, to int
 	capacity int64
 	cost     Cost
 }
 
-// referenceMinCost is the reference: one unit at a time along the cheapest path, found by going through all arcs
-// again and again.
+// referenceMinCost computes a flow of the least cost in a simple way: it sends one unit at a time along the
+// cheapest path, which it finds by relaxing all arcs repeatedly.
 func referenceMinCost(nodes int, arcs []arc, want int64) (sent int64, cost Cost) {
 	flow := make([]int64, len(arcs))
 	for ; sent < want; sent++ {
@@ -53,8 +53,9 @@
 	return sent, cost
 }
 
-// TestMinCostFlowEqualsReference holds drawn networks, with prices below nothing among them, to the reference, and the flow
-// to its own laws: no arc over its most, nothing lost on the way, a full cut where it fell short.
+// TestMinCostFlowEqualsReference compares the amount and cost of the flow in random networks, some with
+// negative costs, with the reference. It also checks the flow itself: no arc exceeds its capacity, flow is
+// conserved at each node, and a cut is full if less than wanted was sent.
 func TestMinCostFlowEqualsReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 7).Draw(t, "nodes")
@@ -62,12 +63,12 @@
 		var arcs []arc
 		for range rapid.IntRange(1, 16).Draw(t, "arcs") {
 			a := arc{from: rapid.IntRange(0, nodes-1).Draw(t, "from"), to: rapid.IntRange(0, nodes-1).Draw(t, "to"),
-				capacity: rapid.Int64Range(0, 4).Draw(t, "most"), cost: Cost{rapid.Int64Range(0, 3).Draw(t, "first"), rapid.Int64Range(-2, 2).Draw(t, "second")}}
+				capacity: rapid.Int64Range(0, 4).Draw(t, "capacity"), cost: Cost{rapid.Int64Range(0, 3).Draw(t, "first"), rapid.Int64Range(-2, 2).Draw(t, "second")}}
 			if a.from == a.to {
 				continue
 			}
 			if a.from > a.to {
-				a.cost.First += 20 // so that no circle has a price below nothing
+				a.cost.First += 20 // so that no cycle has a negative cost
 			}
 			arcs = append(arcs, a)
 			n.AddArc(a.from, a.to, a.capacity, a.cost)
@@ -76,14 +77,14 @@
 		sent, cost := n.MinCostFlow(0, 1, want)
 		wantSent, wantCost := referenceMinCost(nodes, arcs, want)
 		if sent != wantSent || cost != wantCost {
-			t.Fatalf("sent %d at %v, the reference %d at %v", sent, cost, wantSent, wantCost)
+			t.Fatalf("MinCostFlow sent %d units at %v, want %d at %v as the reference", sent, cost, wantSent, wantCost)
 		}
 		checkFlow := func(sent int64) {
 			balance, sum := make([]int64, nodes), Cost{}
 			for i, a := range arcs {
 				f := n.Flow(2 * i)
 				if f < 0 || f > a.capacity || n.Capacity(2*i) != a.capacity {
-					t.Fatalf("arc %d carries %d of %d", i, f, a.capacity)
+					t.Fatalf("arc %d carries %d of a capacity of %d", i, f, a.capacity)
 				}
 				balance[a.from] -= f
 				balance[a.to] += f
@@ -91,11 +92,11 @@
 			}
 			for node, got := range balance {
 				if expect := map[int]int64{0: -sent, 1: sent}[node]; got != expect {
-					t.Fatalf("node %d keeps %d", node, got)
+					t.Fatalf("node %d: inflow less outflow is %d", node, got)
 				}
 			}
 			if sent == wantSent && sum != wantCost && cost == sum {
-				t.Fatalf("the arcs cost %v", sum)
+				t.Fatalf("the costs of the arcs add up to %v", sum)
 			}
 		}
 		checkFlow(sent)
@@ -107,13 +108,13 @@
 				}
 			}
 			if reachable[1] || cutCapacity != sent {
-				t.Fatalf("the cut takes %d, sent were %d", cutCapacity, sent)
+				t.Fatalf("the cut has a capacity of %d, but %d units were sent", cutCapacity, sent)
 			}
 		}
-		// Taken out and sent again without prices, as much gets through; a change is undone by Restore.
+		// After a Reset, Augment sends the same amount regardless of cost. Restore undoes a change.
 		n.Reset()
 		if got := n.Augment(0, 1, want); got != wantSent {
-			t.Fatalf("filled %d, the reference %d", got, wantSent)
+			t.Fatalf("Augment sent %d units, want %d", got, wantSent)
 		}
 		checkFlow(wantSent)
 		if len(arcs) > 0 && nodes > 2 {
--- a/logic/flow/maxflow.go
+++ b/logic/flow/maxflow.go
@@ -1,13 +1,14 @@
 package flow
 
-// Augment adds to the flow, whatever it costs, until it has sent so many units more or no path is left. It
-// returns how many it has sent.
+// Augment adds up to want units to the flow, regardless of cost, until no augmenting path is left. It returns
+// how many units it has added.
 func (n *Network) Augment(source, sink int, want int64) int64 {
 	return n.augment(source, sink, want, false)
 }
 
-// Reachable returns which nodes can still be reached from the source. After an Augment that fell short they
-// are one side of a minimum cut: every arc that leaves them is full, which proves that no more can be sent.
+// Reachable reports for each node whether it can be reached from the source in the residual network. After an
+// Augment that added less than wanted, the reachable nodes are one side of a minimum cut: every arc that
+// leaves them is full, which proves that no more can be sent.
 func (n *Network) Reachable(source int) []bool {
 	reached := make([]bool, len(n.outgoing))
 	reached[source] = true
@@ -23,7 +24,8 @@
 	return reached
 }
 
-// augment sends along paths with the fewest arcs first. If cheapest, it uses only arcs on shortest paths.
+// augment sends flow along the paths with the fewest arcs first. If cheapest is set, it uses only arcs whose
+// reduced cost is zero, which are those on cheapest paths.
 func (n *Network) augment(source, sink int, want int64, cheapest bool) (sent int64) {
 	for sent < want && n.setLevels(source, sink, cheapest) {
 		clear(n.nextArc)
@@ -67,8 +69,8 @@
 	return false
 }
 
-// augmentPath sends along one path of rising levels, and returns how much. Arcs that led nowhere are
-// skipped until the levels are set again.
+// augmentPath sends flow along one path of rising levels and returns the amount. Arcs that lead to a dead end
+// are skipped until the levels are set again.
 func (n *Network) augmentPath(node, sink int32, want int64, cheapest bool) int64 {
 	if node == sink {
 		return want
--- a/logic/flow/mincost.go
+++ b/logic/flow/mincost.go
@@ -1,7 +1,7 @@
 package flow
 
-// MinCostFlow sends so many units, or as many as there is capacity for, at the least cost, into a network
-// without flow. Costs may be negative as long as no cycle of arcs has a negative one.
+// MinCostFlow sends want units, or as many as there is capacity for, at the least cost. The network must have
+// no flow yet. Costs may be negative as long as no cycle of arcs has a negative cost.
 func (n *Network) MinCostFlow(source, sink int, want int64) (sent int64, cost Cost) {
 	n.initPotentials(source)
 	for sent < want && n.updatePotentials(source, sink) {
@@ -12,8 +12,8 @@
 	return sent, cost
 }
 
-// initPotentials finds potentials under which no arc has a negative reduced cost: the distances from the
-// source, by the algorithm of Bellman and Ford with a queue.
+// initPotentials computes potentials under which no arc has a negative reduced cost: the distances from the
+// source, by the Bellman-Ford algorithm with a queue.
 func (n *Network) initPotentials(source int) {
 	for i := range n.potential {
 		n.potential[i] = unreached
@@ -41,19 +41,20 @@
 		}
 	}
 	for i, p := range n.potential {
-		if p == unreached { // no flow ever reaches it
+		if p == unreached { // no flow ever reaches the node
 			n.potential[i] = Cost{}
 		}
 	}
 }
 
-// reducedCost returns the cost of an arc that leaves a node, less what the potentials account for.
+// reducedCost returns the reduced cost of an arc that leaves a node: its cost plus the potential of the node
+// less that of the arc's target.
 func (n *Network) reducedCost(node, arc int32) Cost {
 	return n.cost[arc].Add(n.potential[node]).Sub(n.potential[n.to[arc]])
 }
 
-// updatePotentials updates the potentials so that the arcs of shortest paths to the sink have no reduced
-// cost. It reports whether there is any path.
+// updatePotentials updates the potentials so that the arcs of cheapest paths to the sink have a reduced cost
+// of zero. It reports whether there is any path.
 func (n *Network) updatePotentials(source, sink int) bool {
 	n.setDistances(source, sink)
 	farthest := n.distance[sink]
@@ -61,7 +62,7 @@
 		return false
 	}
 	for i, d := range n.distance {
-		if farthest.Less(d) { // unreached ones too: no reduced cost gets negative by it
+		if farthest.Less(d) { // also for unreached nodes; reduced costs do not become negative by this bound
 			d = farthest
 		}
 		n.potential[i] = n.potential[i].Add(d)
@@ -69,8 +70,8 @@
 	return true
 }
 
-// setDistances sets the distances from the source by reduced costs, by Dijkstra's algorithm, until the
-// sink's is final.
+// setDistances computes the distances from the source by reduced cost with Dijkstra's algorithm, until the
+// distance of the sink is final.
 func (n *Network) setDistances(source, sink int) {
 	for i := range n.distance {
 		n.distance[i] = unreached
@@ -99,8 +100,8 @@
 	}
 }
 
-// heapEntry is a node that waits at a distance. The heap is written out, as container/heap would allocate
-// for each entry.
+// heapEntry is a node in the heap with its tentative distance. The heap is implemented here, since
+// container/heap would allocate for each entry.
 type heapEntry struct {
 	distance Cost
 	node     int32
--- a/logic/flow/network.go
+++ b/logic/flow/network.go
@@ -1,16 +1,16 @@
-// Package flow sends whole units through a network at the least cost.
+// Package flow computes maximum flows and minimum-cost flows of integral units in a network.
 //
-// It is the arithmetic under logic/balance and knows nothing of hosts. All numbers are integers, so that a
-// result is exact and the same on every machine; the same arcs added in the same order always give the same
-// flow. The method is successive shortest paths with node potentials, all paths of one length at a time
-// (Ahuja, Magnanti and Orlin, Network Flows, 1993, sections 9.7 and 9.8), and blocking flows by Dinic's
-// levels.
+// Package logic/balance uses it; this package has no notion of hosts. All numbers are integers, so that
+// results are exact and the same on every machine. The same arcs added in the same order always give the same
+// flow. The algorithm is successive shortest paths with node potentials, which handles all paths of one
+// length at a time (Ahuja, Magnanti and Orlin, Network Flows, 1993, sections 9.7 and 9.8), with blocking
+// flows by Dinic's levels.
 package flow
 
 import "math"
 
-// Cost is a cost in two ranks: the second counts only between flows whose first is equal. Two ranks can
-// neither overflow nor get mixed up, as one number with a large factor could.
+// Cost is a lexicographic cost: Second is compared only if First is equal. Unlike a single number with a
+// large factor for First, the two parts cannot overflow into each other.
 type Cost struct{ First, Second int64 }
 
 // Add returns the sum of two costs.
@@ -22,7 +22,7 @@
 // Times returns the cost of n units.
 func (c Cost) Times(n int64) Cost { return Cost{c.First * n, c.Second * n} }
 
-// Less compares by the first rank, then by the second.
+// Less compares by First, then by Second.
 func (c Cost) Less(o Cost) bool {
 	return c.First < o.First || c.First == o.First && c.Second < o.Second
 }
@@ -30,17 +30,17 @@
 // unreached is the distance of a node to which there is no path.
 var unreached = Cost{math.MaxInt64, math.MaxInt64}
 
-// Network is a directed network with a flow in it. Arcs are known by the number that AddArc returns. Each
-// has a reverse arc, along which its flow can be taken back, whose number is the same with the lowest bit
-// flipped.
+// Network is a directed network with a flow. Arcs are identified by the number that AddArc returns. Each arc
+// has a reverse arc, along which its flow can be taken back; its number is that of the arc with the lowest
+// bit flipped.
 type Network struct {
-	outgoing  [][]int32 // arcs that leave each node, reverse arcs included
-	to        []int32
-	residual  []int64 // what an arc can still take
+	outgoing  [][]int32 // arcs that leave each node, including reverse arcs
+	to        []int32   // target node of each arc
+	residual  []int64   // residual capacity of each arc
 	cost      []Cost
 	potential []Cost
 
-	// Working memory of the algorithms, which is reused since they run by the thousand.
+	// The buffers of the algorithms are reused, since the algorithms run thousands of times.
 	level    []int32
 	nextArc  []int32
 	queue    []int32
@@ -48,7 +48,7 @@
 	heap     []heapEntry
 }
 
-// New returns a network of so many nodes, numbered from 0, without arcs.
+// New returns a network without arcs whose nodes are numbered from 0.
 func New(nodes int) *Network {
 	return &Network{
 		outgoing:  make([][]int32, nodes),
@@ -59,7 +59,7 @@
 	}
 }
 
-// AddArc adds an arc with a capacity and a cost a unit, and returns its number.
+// AddArc adds an arc with a capacity and a cost per unit, and returns its number.
 func (n *Network) AddArc(from, to int, capacity int64, cost Cost) int {
 	arc := int32(len(n.to))
 	n.to = append(n.to, int32(to), int32(from))
@@ -70,24 +70,25 @@
 	return int(arc)
 }
 
-// Flow returns what the arc carries.
+// Flow returns the flow on an arc.
 func (n *Network) Flow(arc int) int64 { return n.residual[arc^1] }
 
-// Capacity returns what the arc can carry in all.
+// Capacity returns the capacity of an arc, including the part used by its flow.
 func (n *Network) Capacity(arc int) int64 { return n.residual[arc] + n.residual[arc^1] }
 
-// SetCapacity sets what the arc can carry in all. It may not be less than what it carries.
+// SetCapacity sets the capacity of an arc. It must not be less than the flow on the arc.
 func (n *Network) SetCapacity(arc int, capacity int64) {
 	n.residual[arc] = capacity - n.residual[arc^1]
 }
 
-// SetCost sets the cost of a unit on an arc.
+// SetCost sets the cost per unit of an arc.
 func (n *Network) SetCost(arc int, cost Cost) {
 	n.cost[arc] = cost
 	n.cost[arc^1] = Cost{}.Sub(cost)
 }
 
-// RemoveFlow takes an amount off each arc of a path that carries it.
+// RemoveFlow subtracts an amount from the flow on each arc of a path. Each arc must carry at least the
+// amount.
 func (n *Network) RemoveFlow(amount int64, path ...int) {
 	for _, arc := range path {
 		n.residual[arc] += amount
@@ -104,7 +105,7 @@
 	clear(n.potential)
 }
 
-// Retarget leads an arc to another node. The arc must carry nothing, unless a Restore follows.
+// Retarget changes the target node of an arc. The arc must have no flow, unless a Restore follows.
 func (n *Network) Retarget(arc, to int) {
 	reverse := int32(arc ^ 1)
 	oldNode := n.to[arc]
@@ -120,8 +121,8 @@
 	n.outgoing[to] = append(n.outgoing[to], reverse)
 }
 
-// Save copies the flow into a slice, which it may reuse, for Restore.
+// Save returns a copy of the flow for Restore. It reuses the memory of into if possible.
 func (n *Network) Save(into []int64) []int64 { return append(into[:0], n.residual...) }
 
-// Restore brings back a flow that Save copied. The arcs must lead where they led then.
+// Restore restores a flow that Save has copied. The arcs must have the same targets as then.
 func (n *Network) Restore(saved []int64) { copy(n.residual, saved) }
