--- a/gather/query.go
+++ b/gather/query.go
@@ -13,7 +13,7 @@
 // Query is a query that has arrived, or one pass of it. Its shard requests arrive in the same round.
 type Query struct {
 	ID             uint64
-	Number         uint64 // shared with the query's shard requests
+	Number         uint64 // number that the query shares with its shard requests
 	Class          string
 	Tenant         string
 	Cost           float64 // expected work of all shard requests, 0 if unknown
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -43,7 +43,7 @@
 	settings *gather.Settings
 	random   *pcg.Source
 	now      float64
-	writer   gather.Writer // of the current round
+	writer   gather.Writer // writer of the current round
 
 	classes   classTable
 	servers   serverTable
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -43,7 +43,7 @@
 	// gatherer that are in flight.
 	loadsReported bool
 
-	roundRobin []roundRobinState // by replica set
+	roundRobin []roundRobinState // state of plain round robin by replica set
 	weighted   roundrobin.Weighted
 
 	// leastFailure caches the lowest cautiousFailureShare of each replica set, computed in the round that
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -40,7 +40,7 @@
 	var budget retryBudget
 	budget.update(0, testTickMS, settings)
 	if !budget.allows() || !budget.allowsHedge() {
-		t.Error("an unused budget of 2 does not allow a retry and a hedged request")
+		t.Error("an unused budget of 2 does not allow both a retry and a hedged request")
 	}
 	budget.countRetry(0)
 	if !budget.allows() || budget.allowsHedge() {
