--- a/logic/callstats/queue.go
+++ b/logic/callstats/queue.go
@@ -1,6 +1,6 @@
 package callstats
 
-// entry is a record in the order of time of all servers' records.
+// entry is a record in the queue of all servers' records, which is ordered by time.
 type entry struct {
 	endedAt    float64
 	latency    float64
@@ -9,21 +9,21 @@
 	succeeded  bool
 }
 
-// blockLength is how many entries of a queue lie together, so that a long one never moves as a whole when
-// it grows.
+// blockLength is the number of entries in a block of a queue. Blocks avoid copying all entries when a long
+// queue grows.
 const blockLength = 1024
 
-// queue holds entries by time. Only the last of its blocks may have room.
+// queue holds entries in the order of time. Only the last of its blocks may have free space.
 type queue struct {
 	blocks [][]entry
-	start  int     // place of the oldest entry in the first block
-	spare  []entry // an emptied block, used again
+	head   int     // index of the oldest entry in the first block
+	spare  []entry // empty block kept for reuse
 	count  int
 }
 
 func (q *queue) empty() bool { return q.count == 0 }
 
-func (q *queue) oldest() *entry { return &q.blocks[0][q.start] }
+func (q *queue) oldest() *entry { return &q.blocks[0][q.head] }
 
 func (q *queue) push(e entry) {
 	last := len(q.blocks) - 1
@@ -43,26 +43,26 @@
 	q.spare = nil
 }
 
-// pop removes the oldest entry.
+// pop removes and returns the oldest entry.
 func (q *queue) pop() entry {
-	e := q.blocks[0][q.start]
-	q.start++
+	e := q.blocks[0][q.head]
+	q.head++
 	q.count--
-	if q.start == len(q.blocks[0]) {
+	if q.head == len(q.blocks[0]) {
 		q.spare = q.blocks[0][:0]
 		q.blocks = q.blocks[1:]
-		q.start = 0
+		q.head = 0
 	}
 	return e
 }
 
-// newestFirst iterates over all entries.
+// newestFirst iterates over all entries from the newest to the oldest.
 func (q *queue) newestFirst() func(yield func(*entry) bool) {
 	return func(yield func(*entry) bool) {
 		for b := len(q.blocks) - 1; b >= 0; b-- {
 			oldest := 0
 			if b == 0 {
-				oldest = q.start
+				oldest = q.head
 			}
 			for i := len(q.blocks[b]) - 1; i >= oldest; i-- {
 				if !yield(&q.blocks[b][i]) {
