--- a/logic/rollout/baseline.go
+++ b/logic/rollout/baseline.go
@@ -9,39 +9,40 @@
 )
 
 const (
-	// minHalfCount is how many each of two sets of gatherers needs for their rates to be compared at the
-	// baseline.
-	minHalfCount = 5
+	// minGroupCount is the count (of queries, attempts or shard requests, by metric) that each of two groups
+	// of gatherers needs for their rates to be compared at the baseline.
+	minGroupCount = 5
 
-	// latencyOverdispersion is the overdispersion of the latency metrics. The baseline cannot show it, since
-	// the limits that latencies are held against come from the same latencies.
+	// latencyOverdispersion is the assumed overdispersion of the latency metrics. The baseline cannot measure
+	// it, since the limits that latencies are compared with are derived from the same latencies.
 	latencyOverdispersion = 2.0
 
-	// minBaselineQueries is how many queries of each class the baseline needs.
+	// minBaselineQueries is the number of queries of each class that the baseline needs.
 	minBaselineQueries = 20
 )
 
-// baseline describes the fleet before the first change: what is usual for each class, and by how much
+// baseline describes the fleet before the first change: the usual figures of each class, and by how much
 // gatherers differ without any new version.
 type baseline struct {
 	startedAt          float64
 	complete           bool
 	tallies            [][]tally                 // by gatherer and class
 	latency            []*hdrhistogram.Histogram // by class
-	latencyBars        [][][]hdrhistogram.Bar    // by gatherer and class, until latencyLimits are known
-	latencyLimits      [][2]int64                // by class: median and 95th percentile, once complete
+	latencyBars        [][][]hdrhistogram.Bar    // by gatherer and class; nil once the baseline is complete
+	latencyLimits      [][2]int64                // by class: median and 95th percentile; 0 until complete
 	attemptsPerRequest []float64                 // by class
-	classShare         []float64                 // by class, of the fleet's queries
-	lossByZone         [][]welford               // by zone and class, one value an interval
-	gauges             [gaugeCount]welford       // one value a gatherer and interval
+	classShare         []float64                 // by class: share of the fleet's queries
+	lossByZone         [][]welford               // lost value by zone and class, one sample per interval
+	gauges             [gaugeCount]welford       // one sample per gatherer and interval
 
-	// dispersionSamples are, by class, squared differences of two halves of the fleet in units of the
-	// variance that independent queries would show. Their mean, at least 1, is the overdispersion factor.
+	// dispersionSamples holds, by class, the squared differences of two halves of the fleet, in units of the
+	// variance that independent queries would have. The overdispersion factor is derived from their mean and
+	// is at least 1.
 	dispersionSamples [][metricCount]welford
 	overdispersion    [][metricCount]float64
 }
 
-// newBaseline returns an empty baseline.
+// newBaseline returns a baseline without observations.
 func newBaseline(p *Plan, now float64) *baseline {
 	classes := len(p.Classes)
 	b := &baseline{
@@ -65,25 +66,25 @@
 	return b
 }
 
-// observe adds an interval before the first change. zoneOf is the zone of each gatherer.
+// observe adds an interval before the first change. zoneOf holds the zone of each gatherer.
 func (b *baseline) observe(p *Plan, zoneOf []int, o *Observation) {
 	halves := make([][2]tally, len(p.Classes)) // by class
 	byZone := make([][]tally, len(b.lossByZone))
 	for z := range byZone {
 		byZone[z] = make([]tally, len(p.Classes))
 	}
-	// Each zone is split evenly, so that zones that differ do not show as overdispersion.
-	inZone := make([]int, len(b.lossByZone))
+	// Each zone is split evenly, so that differences between zones do not count as overdispersion.
+	gatherersInZone := make([]int, len(b.lossByZone))
 	for g := range o.Gatherers {
 		s, z := &o.Gatherers[g], zoneOf[g]
 		if !s.Reachable || s.Variant != Old {
 			continue
 		}
-		inZone[z]++
+		gatherersInZone[z]++
 		for class := range min(len(p.Classes), len(s.Classes)) {
 			counts := &s.Classes[class]
 			b.tallies[g][class].add(counts, [2]int64{})
-			halves[class][inZone[z]%2].add(counts, [2]int64{})
+			halves[class][gatherersInZone[z]%2].add(counts, [2]int64{})
 			byZone[z][class].add(counts, [2]int64{})
 			b.addLatency(g, class, counts.Latency)
 		}
@@ -95,14 +96,14 @@
 	}
 	for z := range byZone {
 		for class := range byZone[z] {
-			if byZone[z][class].total[lostValue] >= minHalfCount {
+			if byZone[z][class].total[lostValue] >= minGroupCount {
 				b.lossByZone[z][class].add(byZone[z][class].rate(lostValue))
 			}
 		}
 	}
 }
 
-// addLatency adds a gatherer's latencies of an interval, nil for none.
+// addLatency adds a gatherer's latencies of an interval; latency may be nil.
 func (b *baseline) addLatency(g, class int, latency *hdrhistogram.Histogram) {
 	if latency == nil {
 		return
@@ -119,23 +120,24 @@
 	}
 }
 
-// addDispersion adds a sample of each metric's dispersion from two halves of the fleet in one interval.
-func (b *baseline) addDispersion(class int, one, other *tally) {
+// addDispersion adds a sample of each metric's dispersion, computed from two halves of the fleet in an
+// interval.
+func (b *baseline) addDispersion(class int, firstHalf, secondHalf *tally) {
 	for m := range metricCount {
-		if one.total[m] < minHalfCount || other.total[m] < minHalfCount {
+		if firstHalf.total[m] < minGroupCount || secondHalf.total[m] < minGroupCount {
 			continue
 		}
-		pooled := (one.events[m] + other.events[m]) / (one.total[m] + other.total[m])
-		difference := one.rate(m) - other.rate(m)
+		pooled := (firstHalf.events[m] + secondHalf.events[m]) / (firstHalf.total[m] + secondHalf.total[m])
+		difference := firstHalf.rate(m) - secondHalf.rate(m)
 		if m == attemptsPerRequest {
 			difference /= max(pooled, 1e-9)
 		}
-		size := one.total[m] * other.total[m] / (one.total[m] + other.total[m])
+		size := firstHalf.total[m] * secondHalf.total[m] / (firstHalf.total[m] + secondHalf.total[m])
 		b.dispersionSamples[class][m].add(difference * difference * size / rateVariance(m, pooled))
 	}
 }
 
-// total sums up a class over all gatherers.
+// total returns the sum of a class's counts over all gatherers.
 func (b *baseline) total(class int) (sum tally) {
 	for g := range b.tallies {
 		sum.merge(&b.tallies[g][class])
@@ -143,9 +145,9 @@
 	return sum
 }
 
-// precise reports whether a class is known well enough for two halves of the fleet to be distinguished by a
-// quarter of the harm. The gatherers' own differences are subtracted later on, and an error in them stays
-// for a whole stage.
+// precise reports whether the baseline of a class is precise enough to distinguish two halves of the fleet
+// that differ by a quarter of the plan's harm. The differences between gatherers at the baseline are
+// subtracted from later ones, and an error in them persists for a whole stage.
 func (b *baseline) precise(p *Plan, class int) bool {
 	sum := b.total(class)
 	for _, m := range []metric{lostValue, rejected, failedQueries, extraAttempts} {
@@ -155,18 +157,18 @@
 			return false
 		}
 	}
-	const tailRate = 0.05 // by definition of the 95th percentile
+	const tailRate = 0.05 // by the definition of the 95th percentile
 	variance := tailRate * (1 - tailRate) * latencyOverdispersion / max(sum.total[lostValue], 1)
 	return 2*math.Sqrt(variance) <= p.thresholds(latencyTail).detectable/4
 }
 
-// hasLatencies reports whether a class had latencies at the baseline.
+// hasLatencies reports whether the baseline has latencies of a class.
 func (b *baseline) hasLatencies(class int) bool {
 	histogram := b.latency[class]
 	return histogram != nil && histogram.TotalCount() > 0 || b.total(class).total[latencyTail] > 0
 }
 
-// finish completes the baseline.
+// finish completes the baseline by computing its derived figures.
 func (b *baseline) finish() {
 	b.complete = true
 	queries := 0.0
@@ -182,8 +184,8 @@
 			}
 		}
 		for m := range metricCount {
-			// A few intervals say little about dispersion: the factor starts half as high again and that
-			// margin shrinks with each further one.
+			// Few intervals say little about dispersion, so the factor starts with a margin of one half,
+			// which shrinks with each interval.
 			samples := &b.dispersionSamples[class][m]
 			b.overdispersion[class][m] = max(1, samples.mean) * (1 + 4/(samples.n+8))
 		}
@@ -194,7 +196,7 @@
 	b.latencyBars = nil
 }
 
-// overdispersionOf is a metric's overdispersion factor in a class.
+// overdispersionOf returns a metric's overdispersion factor in a class.
 func (b *baseline) overdispersionOf(class int, m metric) float64 {
 	if factor := b.overdispersion[class][m]; factor > 0 {
 		return factor
@@ -202,36 +204,36 @@
 	return latencyOverdispersion
 }
 
-// offset returns by how much one set of gatherers was worse than another at the baseline, with the standard
-// error. Gatherers differ for good, by traffic and by links, and no version is to be blamed for it.
+// offset returns by how much one group of gatherers was worse than another at the baseline, with the standard
+// error. Gatherers differ permanently by their traffic and their links, which no version is responsible for.
 func (b *baseline) offset(
 	class int, m metric, isNew, isOld func(g int) bool,
 ) (offset, standardError float64) {
-	var news, olds tally
+	var newTally, oldTally tally
 	for g := range b.tallies {
 		switch {
 		case isNew(g):
-			news.merge(&b.tallies[g][class])
+			newTally.merge(&b.tallies[g][class])
 		case isOld(g):
-			olds.merge(&b.tallies[g][class])
+			oldTally.merge(&b.tallies[g][class])
 		}
 	}
-	if news.total[m] < minHalfCount || olds.total[m] < minHalfCount {
+	if newTally.total[m] < minGroupCount || oldTally.total[m] < minGroupCount {
 		return 0, 0
 	}
-	pooled := (news.events[m] + olds.events[m]) / (news.total[m] + olds.total[m])
-	difference := news.rate(m) - olds.rate(m)
+	pooled := (newTally.events[m] + oldTally.events[m]) / (newTally.total[m] + oldTally.total[m])
+	difference := newTally.rate(m) - oldTally.rate(m)
 	if m == attemptsPerRequest {
 		difference /= max(b.attemptsPerRequest[class], 1e-9)
 	}
-	size := news.total[m] * olds.total[m] / (news.total[m] + olds.total[m])
+	size := newTally.total[m] * oldTally.total[m] / (newTally.total[m] + oldTally.total[m])
 	standardError = math.Sqrt(rateVariance(m, pooled) * b.overdispersion[class][m] / size)
-	// The James-Stein estimator shrinks the difference by the part of it that chance explains.
+	// The James-Stein estimator shrinks the difference by the part that chance explains.
 	shrinkage := max(0, 1-standardError*standardError/max(difference*difference, 1e-12))
 	return difference * shrinkage, standardError
 }
 
-// summary is what was learned, for operators.
+// summary describes the baseline for operators.
 func (b *baseline) summary(p *Plan) string {
 	var parts []string
 	for class, name := range p.Classes {
--- a/logic/rollout/claim.go
+++ b/logic/rollout/claim.go
@@ -1,30 +1,30 @@
 package rollout
 
-// Claim is the lease by which one rollout may change a gatherer.
+// Claim is a lease that entitles one rollout to change a gatherer.
 type Claim struct {
 	RunID        string  `json:"run"`
-	FencingToken uint64  `json:"fence"` // of the rollout's controllers: each later one's is higher
+	FencingToken uint64  `json:"fence"` // increases with each controller of the rollout
 	ExpiresAt    float64 `json:"until"` // by the gatherer's clock, Unix milliseconds
 }
 
-// Grant decides over a request for a claim. Held is the one that the gatherer has, nil for none. It returns
-// who holds the gatherer from now on, and whether that is the requester.
+// Grant decides on a request for a claim. current is the claim that the gatherer holds, nil for none. Grant
+// returns the claim that is valid from now on, and whether it is the requested one.
 //
-// Another rollout is refused until the claim expires, since its steps may still be running. A controller of
-// the same rollout with a lower fencing token is refused too: it has been replaced and must not change
-// anything more.
-func Grant(held *Claim, requested Claim, now float64) (holder Claim, granted bool) {
-	if held == nil || held.ExpiresAt <= now {
+// A request from another rollout is rejected until the current claim expires, since steps of the rollout
+// that holds it may still be running. A request from a controller of the same rollout with a lower fencing
+// token is rejected too: that controller has been replaced and must not change anything any more.
+func Grant(current *Claim, requested Claim, now float64) (holder Claim, granted bool) {
+	if current == nil || current.ExpiresAt <= now {
 		return requested, true
 	}
-	if held.RunID != requested.RunID || held.FencingToken > requested.FencingToken {
-		return *held, false
+	if current.RunID != requested.RunID || current.FencingToken > requested.FencingToken {
+		return *current, false
 	}
 	return requested, true
 }
 
 // Release reports whether a request to release a claim frees the gatherer: it has to come from the rollout
-// that holds it, by the controller that took it or a later one.
-func Release(held *Claim, runID string, fencingToken uint64) bool {
-	return held != nil && held.RunID == runID && held.FencingToken <= fencingToken
+// that holds the claim, by the controller that acquired it or by a later one.
+func Release(current *Claim, runID string, fencingToken uint64) bool {
+	return current != nil && current.RunID == runID && current.FencingToken <= fencingToken
 }
--- a/logic/rollout/decider.go
+++ b/logic/rollout/decider.go
@@ -8,45 +8,45 @@
 	"yokeroute/internal/suggest"
 )
 
-// Decider decides one rollout. Its slices are indexed by gatherer unless they say otherwise.
+// Decider makes the decisions of one rollout. Slices are indexed by gatherer unless stated otherwise.
 type Decider struct {
 	plan      Plan
 	zoneNames []string
 	zoneOf    []int
-	order     []int   // in which gatherers are changed
-	targets   [][]int // by stage: gatherers of it and of those before it
+	order     []int   // gatherers in the order in which they are changed
+	targets   [][]int // by stage: its gatherers and those of all stages before it
 	position  Position
-	resumed   bool // some gatherers may be new already
+	resumed   bool // an earlier decider may have changed some gatherers to new already
 
 	stageStarted    bool
 	stageStartedAt  float64
-	evaluatingSince float64 // when all of the stage served as new; 0 before
+	evaluatingSince float64 // since when all gatherers of the stage serve as new; 0 while some don't
 
 	baseline       *baseline
 	comparisons    map[comparisonKey]*comparison
-	pending        map[comparisonKey]*[2]tally // new and old, too few to compare yet
-	warmUps        []comparison                // by class, over all stages: gatherers new and warming up
+	pending        map[comparisonKey]*[2]tally // counts of new and old that are too few to compare yet
+	warmUps        []comparison                // by class, over all stages: new gatherers that are warming up
 	gauges         [gaugeCount]comparison
 	exits          exitEvidence
-	disturbedUntil []float64 // by zone
-	disturbedSince float64   // of any zone without a pause; 0 for none
-	disturbance    string    // of a zone in the last interval, for operators; empty for none
+	disturbedUntil []float64 // by zone: when its latest disturbance stops counting
+	disturbedSince float64   // since when some zone has been disturbed in every interval; 0 for none
+	disturbance    string    // for operators: the disturbance in the last interval; empty for none
 
-	requested         []Variant // of the step in progress; Unknown for none
-	requestedAt       []float64
-	attempts          []int    // steps started in a row
-	gaveUp            []bool   // it did not come up as new in all attempts
-	incarnation       []string // as last reported
-	incarnationBefore []string // as of the last step's start
-	wasNew            []bool   // it served as new when it was last reachable
+	requested         []Variant // target variant of the step in progress; Unknown for none
+	requestedAt       []float64 // when the latest step started
+	attempts          []int     // consecutive steps started without success
+	gaveUp            []bool    // did not start as new in any of the permitted attempts
+	incarnation       []string  // the one last reported
+	incarnationBefore []string  // the one last reported before the latest step started
+	wasNew            []bool    // served as new when it was last reachable
 }
 
-// NewDecider returns a decider for a plan with its defaults that passed Check, at the position that an
-// earlier decider was at. The zero Position is the beginning.
+// NewDecider returns a decider for a plan that has its defaults and has passed Check. The decider continues
+// at the position of an earlier one; the zero Position starts a new rollout.
 func NewDecider(p Plan, at Position) *Decider {
 	resumed := at.Phase != ""
 	if at.Phase == "" || at.Phase == Updating || at.Phase == Evaluating {
-		at.Phase = Baselining // evidence is not kept: the old are observed again
+		at.Phase = Baselining // evidence is not stored, so the old gatherers are observed again
 	}
 	n := len(p.Gatherers)
 	d := &Decider{
@@ -74,7 +74,8 @@
 // Position implements Strategy.
 func (d *Decider) Position() Position { return d.position }
 
-// resetEvidence drops a stage's evidence. That about warming up is kept: it accumulates over all stages.
+// resetEvidence discards a stage's evidence. Evidence about warming up is kept, as it accumulates over all
+// stages.
 func (d *Decider) resetEvidence() {
 	d.pending = map[comparisonKey]*[2]tally{}
 	d.comparisons = map[comparisonKey]*comparison{}
@@ -88,7 +89,7 @@
 	clear(d.gaveUp)
 }
 
-// startStage begins a stage's time and evidence.
+// startStage starts a stage: its time limit, and collecting its evidence.
 func (d *Decider) startStage(now float64) {
 	d.position.Phase = Updating
 	d.resetEvidence()
@@ -156,20 +157,20 @@
 		Reason: fmt.Sprintf(format, args...), Steps: steps}
 }
 
-// rollBack starts a rollback.
+// rollBack starts a rollback and returns the decision.
 func (d *Decider) rollBack(reason string) Decision {
 	d.startRollback(reason)
 	return d.decision(RollBack, nil, "%s", reason)
 }
 
-// stop stops the rollout.
+// stop stops the rollout and returns the decision.
 func (d *Decider) stop(reason string) Decision {
 	d.position.Phase = Stopped
 	d.position.Reason = reason
 	return d.decision(Stop, nil, "%s", reason)
 }
 
-// trackIncarnations keeps which process serves each gatherer, and counts processes that ended without a
+// trackIncarnations records the current process of each gatherer, and counts processes that exited without a
 // step.
 func (d *Decider) trackIncarnations(o *Observation) {
 	for g := range o.Gatherers {
@@ -187,31 +188,31 @@
 	}
 }
 
-// observeBaseline is the phase before the first change.
+// observeBaseline decides in the phase before the first change, in which the old gatherers are observed.
 func (d *Decider) observeBaseline(o *Observation) Decision {
 	if d.baseline == nil {
 		d.baseline = newBaseline(&d.plan, o.Now)
 	}
 	if notOld := d.notOld(o); len(notOld) > 0 && !d.resumed {
-		return d.stop("before the first change some gatherers do not serve as the plan's old ones: " +
+		return d.stop("before the first change some gatherers do not serve as the plan's old variant: " +
 			suggest.Join(notOld))
 	}
 	d.baseline.observe(&d.plan, d.zoneOf, o)
 	elapsed := o.Now - d.baseline.startedAt
 	if elapsed < d.plan.BaselineTime {
-		return d.decision(Wait, nil, "watching the old for %.0f s more before anything is changed",
+		return d.decision(Wait, nil, "observing the old gatherers for %.0f s more before the first change",
 			(d.plan.BaselineTime-elapsed)/1000)
 	}
-	if class := d.unknownClass(); class >= 0 && elapsed < d.plan.StageLimit/4 {
-		return d.decision(Wait, nil, "watching the old: %.0f lookups of %s so far, too few to know them by",
+	if class := d.underObservedClass(); class >= 0 && elapsed < d.plan.StageLimit/4 {
+		return d.decision(Wait, nil, "observing the old gatherers: %.0f lookups of %s so far are too few",
 			d.baseline.total(class).total[lostValue], d.plan.Classes[class])
 	}
 	d.baseline.finish()
 	d.startStage(o.Now)
-	return d.decision(Proceed, nil, "the old are known: %s", d.baseline.summary(&d.plan))
+	return d.decision(Proceed, nil, "the baseline is complete: %s", d.baseline.summary(&d.plan))
 }
 
-// notOld names the gatherers that serve as something else than old and are not being changed.
+// notOld returns the names of the gatherers that serve as another variant than old and are not being changed.
 func (d *Decider) notOld(o *Observation) (names []string) {
 	for g := range o.Gatherers {
 		if s := &o.Gatherers[g]; s.Reachable && s.Variant != Old && s.Step == Idle {
@@ -221,8 +222,8 @@
 	return names
 }
 
-// unknownClass returns the last class of which the baseline has seen too little, -1 for none.
-func (d *Decider) unknownClass() int {
+// underObservedClass returns the last class of which the baseline has too few queries, -1 for none.
+func (d *Decider) underObservedClass() int {
 	all, unknown := 0.0, -1
 	for class := range d.plan.Classes {
 		all += d.baseline.total(class).total[lostValue]
@@ -237,7 +238,7 @@
 	return unknown
 }
 
-// advanceStage changes the gatherers of a stage and evaluates them.
+// advanceStage changes the gatherers of the current stage and evaluates them.
 func (d *Decider) advanceStage(o *Observation) Decision {
 	d.compareVariants(o)
 	if reason := cmp.Or(d.provenHarm(), d.startFailure()); reason != "" {
@@ -273,7 +274,7 @@
 
 func (d *Decider) lastStage() bool { return d.position.Stage == len(d.plan.Stages)-1 }
 
-// passStage goes on to the next stage, or completes the rollout.
+// passStage proceeds to the next stage, or completes the rollout.
 func (d *Decider) passStage(o *Observation) Decision {
 	if d.lastStage() {
 		d.position.Phase = Completed
@@ -282,23 +283,24 @@
 	passed := d.stageName()
 	d.position.Stage++
 	d.startStage(o.Now)
-	return d.decision(Proceed, nil, "stage %s is passed; next is %s", passed, d.stageName())
+	return d.decision(Proceed, nil, "stage %s has passed; the next one is %s", passed, d.stageName())
 }
 
-// lastingDisturbance returns why a disturbance of the old is held against the new, empty where it is not. A
-// disturbance suspends comparisons; one that never ends may be the new version's doing.
+// lastingDisturbance describes a disturbance that has lasted longer than MaxDisturbance, empty for none. It
+// is attributed to the new version: a disturbance suspends comparisons, and one that never ends may be caused
+// by the new version.
 func (d *Decider) lastingDisturbance(o *Observation) string {
-	_, news := o.countVariants()
-	lasted := o.Now - d.disturbedSince
-	if news == 0 || d.disturbedSince <= 0 || lasted <= d.plan.MaxDisturbance {
+	_, newCount := o.countVariants()
+	duration := o.Now - d.disturbedSince
+	if newCount == 0 || d.disturbedSince <= 0 || duration <= d.plan.MaxDisturbance {
 		return ""
 	}
 	return fmt.Sprintf("stage %s: %s, since %.0f s ago without an end; "+
-		"the new may be what harms them", d.stageName(), d.disturbance, lasted/1000)
+		"the new version may be the cause", d.stageName(), d.disturbance, duration/1000)
 }
 
-// endOverdueStage ends a stage that exceeded its limit. The last one is complete where all that is missing
-// can't be changed.
+// endOverdueStage ends a stage that exceeded its time limit. The last stage is complete if none of the
+// missing gatherers can be changed.
 func (d *Decider) endOverdueStage(o *Observation, missing []int) Decision {
 	lacking := d.waitingFor(o, missing)
 	if len(missing) == 0 {
@@ -306,10 +308,10 @@
 	}
 	if d.lastStage() && len(missing) > 0 && len(missing) == d.countUnchangeable(o, missing) {
 		d.position.Phase = Completed
-		return d.decision(Done, nil, "all that can be reached and come up are new; not these: %s",
+		return d.decision(Done, nil, "all gatherers that can be reached and started are new; not these: %s",
 			suggest.Join(d.gathererNames(missing)))
 	}
-	reason := fmt.Sprintf("stage %s lasts longer than its limit of %.0f s: %s", d.stageName(),
+	reason := fmt.Sprintf("stage %s exceeded its limit of %.0f s: %s", d.stageName(),
 		d.plan.StageLimit/1000, lacking)
 	if d.plan.OnStageLimit == Stop {
 		return d.stop(reason)
@@ -317,7 +319,7 @@
 	return d.rollBack(reason)
 }
 
-// continueRollback makes new gatherers old again.
+// continueRollback changes new gatherers back to old, in the reverse order of the plan.
 func (d *Decider) continueRollback(o *Observation) Decision {
 	all := make([]int, len(o.Gatherers))
 	for g := range all {
@@ -333,9 +335,9 @@
 		return d.decision(Done, nil, "restored: %s", d.position.Reason)
 	}
 	if o.Now-d.stageStartedAt > d.plan.StageLimit {
-		return d.stop(fmt.Sprintf("going back is not finished after %.0f s, still not old: %s; "+
-			"it began since %s",
+		return d.stop(fmt.Sprintf("the rollback is not finished after %.0f s, still not old: %s; "+
+			"its reason: %s",
 			d.plan.StageLimit/1000, suggest.Join(d.gathererNames(missing)), d.position.Reason))
 	}
-	return d.decision(Wait, nil, "going back, %s: %s", d.waitingFor(o, missing), d.position.Reason)
+	return d.decision(Wait, nil, "rolling back, %s: %s", d.waitingFor(o, missing), d.position.Reason)
 }
--- a/logic/rollout/decider_test.go
+++ b/logic/rollout/decider_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDeciderPassesAllStagesOfAGoodVersion: a version as good as the old passes all stages, in their order, with no
-// more gatherers unavailable than allowed.
+// TestDeciderPassesAllStagesOfAGoodVersion tests that a version as good as the old one passes all stages in order,
+// with no more gatherers unavailable than allowed.
 func TestDeciderPassesAllStagesOfAGoodVersion(t *testing.T) {
 	f := newFleet(12, nil)
 	reached := map[int]int{}
@@ -19,8 +19,8 @@
 			break
 		}
 	}
-	if f.last.Phase != Completed || f.countNew() != 12 || f.maxInProgress > 2 || reached[0] != 1 || reached[1] != 6 {
-		t.Errorf("%+v, %d new, %d out, %v", f.last, f.countNew(), f.maxInProgress, reached)
+	if f.lastDecision.Phase != Completed || f.countNew() != 12 || f.maxStepsInProgress > 2 || reached[0] != 1 || reached[1] != 6 {
+		t.Errorf("%+v, %d new, %d steps at once, new gatherers by stage %v", f.lastDecision, f.countNew(), f.maxStepsInProgress, reached)
 	}
 }
 
@@ -34,60 +34,61 @@
 	}
 }
 
-// lossByVariant is byVariant for losses.
+// lossByVariant returns a loss rate that depends on the variant alone.
 func lossByVariant(olds, news float64) func(int, Variant, int) float64 {
 	rate := byVariant(olds, news)
 	return func(_ int, v Variant, _ int) float64 { return rate(v) }
 }
 
-// TestDeciderTellsOperatorsWhy: the reason that operators read in each case that holds, stops or rolls back a rollout.
-func TestDeciderTellsOperatorsWhy(t *testing.T) {
+// TestReasonOfEachWaitStopAndRollback tests the phase and the reason that operators read in each case that holds,
+// stops or rolls back a rollout.
+func TestReasonOfEachWaitStopAndRollback(t *testing.T) {
 	for name, c := range map[string]struct {
-		change    func(p *Plan)
-		before    func(f *fleet)
-		intervals int
-		phase     Phase
-		reason    string // part of it
-		news      int
+		changePlan func(p *Plan)
+		setUp      func(f *fleet)
+		intervals  int
+		wantPhase  Phase
+		wantReason string // part of it
+		wantNew    int
 	}{
-		"loses": {
-			before:    func(f *fleet) { f.lossRate = lossByVariant(0.02, 0.4) },
-			intervals: 400, phase: RolledBack,
-			reason: "the new loses more of the value of its lookups than the old",
+		"new version loses value": {
+			setUp:     func(f *fleet) { f.lossRate = lossByVariant(0.02, 0.4) },
+			intervals: 400, wantPhase: RolledBack,
+			wantReason: "the new version loses more of the value of its lookups than the old one",
 		},
-		"one class alone": {
-			before: func(f *fleet) {
+		"new version loses value in one class": {
+			setUp: func(f *fleet) {
 				f.lossRate = func(_ int, v Variant, class int) float64 {
 					return byVariant(0.02, 0.02+0.6*float64(class))(v)
 				}
 			},
-			intervals: 900, phase: RolledBack,
-			reason: "index rare",
+			intervals: 900, wantPhase: RolledBack,
+			wantReason: "index rare",
 		},
-		"more attempts": {
-			before:    func(f *fleet) { f.attempts = byVariant(1, 2.2) },
-			intervals: 600, phase: RolledBack,
-			reason: "makes more part calls for the same lookups",
+		"new version sends more attempts": {
+			setUp:     func(f *fleet) { f.attempts = byVariant(1, 2.2) },
+			intervals: 600, wantPhase: RolledBack,
+			wantReason: "makes more part calls for the same lookups",
 		},
-		"a slow tail": {
-			before:    func(f *fleet) { f.tailRate = byVariant(0.05, 0.4) },
-			intervals: 600, phase: RolledBack,
-			reason: "has more lookups in the slow tail",
+		"new version has a slow tail": {
+			setUp:     func(f *fleet) { f.tailRate = byVariant(0.05, 0.4) },
+			intervals: 600, wantPhase: RolledBack,
+			wantReason: "has more lookups in the slow tail",
 		},
-		"a tail unproved": {
-			change: func(p *Plan) {
+		"harmlessness of the tail is not shown yet": {
+			changePlan: func(p *Plan) {
 				p.MinClassShare = 0.1
 				p.Stages = p.Stages[1:]
 			},
-			before: func(f *fleet) {
+			setUp: func(f *fleet) {
 				f.queries = 13
 				f.tailRate = byVariant(0.05, 0.2)
 			},
-			intervals: 56, phase: Evaluating,
-			reason: "(the slow tail)", news: 6,
+			intervals: 56, wantPhase: Evaluating,
+			wantReason: "(the slow tail)", wantNew: 6,
 		},
-		"both suffer": {
-			before: func(f *fleet) {
+		"old and new lose value for a while": {
+			setUp: func(f *fleet) {
 				f.lossRate = func(int, Variant, int) float64 {
 					if f.countNew() > 0 && f.now < 100_000 {
 						return 0.6
@@ -95,20 +96,20 @@
 					return 0.02
 				}
 			},
-			intervals: 90, phase: Evaluating,
-			reason: "nobody is blamed or passed meanwhile", news: 1,
+			intervals: 90, wantPhase: Evaluating,
+			wantReason: "no comparison and no next stage meanwhile", wantNew: 1,
 		},
-		"gatherers of a zone are away": {
-			before: func(f *fleet) {
+		"gatherers of a zone are unreachable": {
+			setUp: func(f *fleet) {
 				f.restartMillis = 1e9
-				f.exits = func(g int) bool { return g < 6 && g%2 == 0 && f.variant[g] == Old && f.countNew() > 0 }
+				f.exitsNow = func(g int) bool { return g < 6 && g%2 == 0 && f.variant[g] == Old && f.countNew() > 0 }
 			},
-			intervals: 90, phase: Evaluating,
-			reason: "gatherers of the zone a are not reached, since", news: 1,
+			intervals: 90, wantPhase: Evaluating,
+			wantReason: "gatherers of the zone a are unreachable, since", wantNew: 1,
 		},
-		"both suffer without an end": {
-			change: func(p *Plan) { p.MaxDisturbance = 60_000 },
-			before: func(f *fleet) {
+		"old and new lose value without an end": {
+			changePlan: func(p *Plan) { p.MaxDisturbance = 60_000 },
+			setUp: func(f *fleet) {
 				f.lossRate = func(int, Variant, int) float64 {
 					if f.countNew() > 0 {
 						return 0.6
@@ -116,66 +117,67 @@
 					return 0.02
 				}
 			},
-			intervals: 300, phase: RolledBack,
-			reason: "the new may be what harms them",
+			intervals: 300, wantPhase: RolledBack,
+			wantReason: "the new version may be the cause",
 		},
 		"too little evidence": {
-			change:    func(p *Plan) { p.MinQueries = 1e5 },
-			intervals: 160, phase: Evaluating,
-			reason: "lookups at the new so far, 100000 are wanted", news: 1,
+			changePlan: func(p *Plan) { p.MinQueries = 1e5 },
+			intervals:  160, wantPhase: Evaluating,
+			wantReason: "lookups at new gatherers so far, 100000 are required", wantNew: 1,
 		},
 		"too little evidence within the limit": {
-			change: func(p *Plan) {
+			changePlan: func(p *Plan) {
 				p.MinQueries = 1e5
 				p.StageLimit = 200_000
 				p.OnStageLimit = Stop
 			},
-			intervals: 600, phase: Stopped,
-			reason: "lasts longer than its limit of 200 s", news: 1,
+			intervals: 600, wantPhase: Stopped,
+			wantReason: "exceeded its limit of 200 s", wantNew: 1,
 		},
-		"does not come up": {
-			before: func(f *fleet) {
+		"new version does not start": {
+			setUp: func(f *fleet) {
 				for g := range 12 {
 					f.failsToStart[g] = true
 				}
 			},
-			intervals: 300, phase: RolledBack,
-			reason: "the new does not come up",
+			intervals: 300, wantPhase: RolledBack,
+			wantReason: "the new version does not come up",
 		},
-		"another variant before the first change": {
-			before:    func(f *fleet) { f.variant[3] = Other },
-			intervals: 3, phase: Stopped,
-			reason: "g3 (other)",
+		"unknown variant before the first change": {
+			setUp:     func(f *fleet) { f.variant[3] = Other },
+			intervals: 3, wantPhase: Stopped,
+			wantReason: "g3 (other)",
 		},
 		"too many unavailable": {
-			before: func(f *fleet) {
+			setUp: func(f *fleet) {
 				f.unreachable[0] = true
 				f.unreachable[2] = true
 			},
-			intervals: 60, phase: Updating,
-			reason: "no more may be out",
+			intervals: 60, wantPhase: Updating,
+			wantReason: "no more may be out",
 		},
 	} {
-		f := newFleet(12, c.change)
-		if c.before != nil {
-			c.before(f)
+		f := newFleet(12, c.changePlan)
+		if c.setUp != nil {
+			c.setUp(f)
 		}
 		d := f.runUntil(c.intervals, RolledBack, Stopped, Completed)
-		if d.Phase != c.phase || !strings.Contains(d.Reason, c.reason) || f.countNew() != c.news {
+		if d.Phase != c.wantPhase || !strings.Contains(d.Reason, c.wantReason) || f.countNew() != c.wantNew {
 			t.Errorf("%s: %s, %q, %d new at %.0f s", name, d.Phase, d.Reason, f.countNew(), f.now/1000)
 		}
-		if f.maxInProgress > 2 {
-			t.Errorf("%s: %d steps at once", name, f.maxInProgress)
+		if f.maxStepsInProgress > 2 {
+			t.Errorf("%s: %d steps at once", name, f.maxStepsInProgress)
 		}
 	}
 }
 
-// TestStageOfAWholeZoneIsComparedWithOtherZones: a stage that is a whole zone leaves no old gatherers there. It is
-// compared with the old of the other zone by how both have changed, though the zones have always differed.
+// TestStageOfAWholeZoneIsComparedWithOtherZones tests a stage that leaves no old gatherers in a zone. The zone is
+// compared with the old gatherers of the other zone by how much both have changed since the baseline, even though
+// the two zones have always differed.
 func TestStageOfAWholeZoneIsComparedWithOtherZones(t *testing.T) {
 	for _, c := range []struct {
-		harm  float64
-		phase Phase
+		harm      float64
+		wantPhase Phase
 	}{{0, Completed}, {0.5, RolledBack}} {
 		f := newFleet(12, func(p *Plan) {
 			p.Stages = []Stage{
@@ -184,26 +186,26 @@
 			}
 		})
 		f.lossRate = func(g int, kind Variant, _ int) float64 {
-			lost := []float64{0.15, 0.02}[g%2] // zone a has always lost more
+			lossRate := []float64{0.15, 0.02}[g%2] // zone a has always lost more
 			if kind == New {
-				lost += c.harm
+				lossRate += c.harm
 			}
-			return lost
+			return lossRate
 		}
-		if d := f.runUntil(1500, Completed, RolledBack, Stopped); d.Phase != c.phase || c.harm > 0 && f.countNew() > 0 {
+		if d := f.runUntil(1500, Completed, RolledBack, Stopped); d.Phase != c.wantPhase || c.harm > 0 && f.countNew() > 0 {
 			t.Errorf("harm %g: %+v at %.0f s", c.harm, d, f.now/1000)
 		}
 	}
 }
 
-// TestHarmWhileWarmingUpIsFoundOneGathererAtATime: a version that harms only while it warms up is found by the second
-// or third gatherer that starts as it: once the first looks harmful, the next are changed one at a time. A harmless
-// version is not slowed.
-func TestHarmWhileWarmingUpIsFoundOneGathererAtATime(t *testing.T) {
+// TestHarmWhileWarmingUpIsFoundBeforeMostGatherersChange tests that a version which harms only while it warms up is
+// found by the second or third gatherer that starts as new: once the first one seems harmful, further gatherers are
+// changed one at a time. A harmless version is not slowed down.
+func TestHarmWhileWarmingUpIsFoundBeforeMostGatherersChange(t *testing.T) {
 	for _, c := range []struct {
-		harm  float64
-		phase Phase
-		most  int
+		harm      float64
+		wantPhase Phase
+		maxNew    int
 	}{{0.9, RolledBack, 4}, {0, Completed, 12}} {
 		f := newFleet(12, func(p *Plan) { p.MaxUnavailable, p.MaxUnavailablePerZone = 8, 4 })
 		f.lossRate = func(g int, kind Variant, _ int) float64 {
@@ -212,43 +214,44 @@
 			}
 			return 0.02
 		}
-		most := 0
+		greatestNew := 0
 		for range 1500 {
 			d := f.runInterval()
-			most = max(most, f.countNew())
+			greatestNew = max(greatestNew, f.countNew())
 			if d.Phase == Completed || d.Phase == RolledBack {
 				break
 			}
 		}
-		if f.last.Phase != c.phase || most > c.most || c.harm == 0 && f.maxInProgress < 4 {
-			t.Errorf("harm %g: %+v, %d were new, %d out at once", c.harm, f.last, most, f.maxInProgress)
+		if f.lastDecision.Phase != c.wantPhase || greatestNew > c.maxNew || c.harm == 0 && f.maxStepsInProgress < 4 {
+			t.Errorf("harm %g: %+v, at most %d were new, %d steps at once", c.harm, f.lastDecision, greatestNew, f.maxStepsInProgress)
 		}
 	}
 }
 
-// TestStageIsNotPassedWhileNewProcessesEndAgainAndAgain: processes of the new end by themselves, so far apart that a
-// stage's least observation is over before it is proved. No class has enough queries to be judged. The new are rolled
-// back at the first stage. One such end alone, and ends that are as frequent among the old, hold no good version.
-func TestStageIsNotPassedWhileNewProcessesEndAgainAndAgain(t *testing.T) {
+// TestRepeatedExitsOfNewProcessesRollBackTheFirstStage tests new gatherers whose processes exit on their own, at
+// intervals so long that the minimum observation time of a stage passes before the harm is proved, while no class has
+// enough queries to be evaluated. The rollout is rolled back at the first stage. A single exit, or exits that are as
+// frequent among old gatherers, do not hold back a good version.
+func TestRepeatedExitsOfNewProcessesRollBackTheFirstStage(t *testing.T) {
 	for name, c := range map[string]struct {
-		exits   func(f *fleet) func(g int) bool
-		restart float64
-		phase   Phase
-		stage   int
+		exits         func(f *fleet) func(g int) bool
+		restartMillis float64
+		wantPhase     Phase
+		wantStage     int
 	}{
-		"again and again": {
+		"exits soon after each start": {
 			exits: func(f *fleet) func(g int) bool {
 				return func(g int) bool { return f.variant[g] == New && f.uptime[g] >= 3_000 }
 			},
-			restart: 11_000, phase: RolledBack, stage: 0,
+			restartMillis: 11_000, wantPhase: RolledBack, wantStage: 0,
 		},
-		"rarely, up again at once": {
+		"exits rarely, restarts fast": {
 			exits: func(f *fleet) func(g int) bool {
 				return func(g int) bool { return f.variant[g] == New && f.uptime[g] >= 25_000 }
 			},
-			restart: 1_000, phase: RolledBack, stage: 0,
+			restartMillis: 1_000, wantPhase: RolledBack, wantStage: 0,
 		},
-		"once": {
+		"exits once": {
 			exits: func(f *fleet) func(g int) bool {
 				ended := false
 				return func(g int) bool {
@@ -257,33 +260,33 @@
 					return end
 				}
 			},
-			restart: 2_000, phase: Completed, stage: 2,
+			restartMillis: 2_000, wantPhase: Completed, wantStage: 2,
 		},
-		"among the old as well": {
+		"old ones exit as often": {
 			exits: func(f *fleet) func(g int) bool {
 				return func(int) bool { return f.random.Float64() < 0.01 }
 			},
-			restart: 2_000, phase: Completed, stage: 2,
+			restartMillis: 2_000, wantPhase: Completed, wantStage: 2,
 		},
 	} {
 		f := newFleet(12, func(p *Plan) {
 			p.MinClassShare = 1
 			p.Stages[0].MinObservation = 30_000
 		})
-		f.exits = c.exits(f)
-		f.restartMillis = c.restart
+		f.exitsNow = c.exits(f)
+		f.restartMillis = c.restartMillis
 		d := f.runUntil(1500, Completed, RolledBack, Stopped)
-		if d.Phase != c.phase || d.Stage != c.stage {
+		if d.Phase != c.wantPhase || d.Stage != c.wantStage {
 			t.Errorf("%s: %+v at %.0f s", name, d, f.now/1000)
 		}
-		if c.phase == RolledBack && !strings.Contains(d.Reason, "processes end by themselves more often") {
-			t.Errorf("%s: %s", name, d.Reason)
+		if c.wantPhase == RolledBack && !strings.Contains(d.Reason, "processes end by themselves more often") {
+			t.Errorf("%s: reason %q", name, d.Reason)
 		}
 	}
 }
 
-// TestDeciderResumesAtAnEarlierPosition: a decider that starts at an earlier one's position observes the old again,
-// goes on at that stage and undoes nothing.
+// TestDeciderResumesAtAnEarlierPosition tests that a decider which starts at the position of an earlier one observes
+// the old gatherers again, continues at that stage and undoes nothing.
 func TestDeciderResumesAtAnEarlierPosition(t *testing.T) {
 	f := newFleet(12, nil)
 	for range 1000 {
@@ -291,51 +294,52 @@
 			break
 		}
 	}
-	at, news := f.decider.Position(), f.countNew()
-	f.decider = NewDecider(f.plan, at)
+	position, newBefore := f.decider.Position(), f.countNew()
+	f.decider = NewDecider(f.plan, position)
 	if d := f.runInterval(); d.Phase != Baselining || d.Stage != 1 || len(d.Steps) > 0 {
 		t.Errorf("%+v", d)
 	}
-	if d := f.runUntil(1500, Completed, RolledBack, Stopped); d.Phase != Completed || f.countNew() < news {
+	if d := f.runUntil(1500, Completed, RolledBack, Stopped); d.Phase != Completed || f.countNew() < newBefore {
 		t.Errorf("%+v", d)
 	}
 }
 
-// TestStepsNeverExceedTheUnavailabilityBounds: whatever dies, comes back or fails, no step starts that exceeds a
-// bound, over all or in a zone, and a rollback ends once all gatherers answer.
+// TestStepsNeverExceedTheUnavailabilityBounds tests with gatherers that become unreachable and return at random that
+// no step starts which exceeds the limit of unavailable gatherers, overall or in a zone, and that a rollback ends
+// once all gatherers answer.
 func TestStepsNeverExceedTheUnavailabilityBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 14).Draw(t, "gatherers")
 		f := newFleet(n, func(p *Plan) { p.StageLimit = 1e9; p.MaxDisturbance = 1e9; p.BaselineTime = 3000 })
-		turn := rapid.IntRange(5, 120).Draw(t, "back")
+		rollbackInterval := rapid.IntRange(5, 120).Draw(t, "rollback interval")
 		for i := range 160 {
-			if rapid.IntRange(0, 5).Draw(t, "event") == 0 {
-				g := rapid.IntRange(0, n-1).Draw(t, "which")
+			if rapid.IntRange(0, 5).Draw(t, "reachability changes") == 0 {
+				g := rapid.IntRange(0, n-1).Draw(t, "gatherer")
 				f.unreachable[g] = !f.unreachable[g]
 			}
-			if i == turn {
-				f.decider.Command(RollBack, "a word")
+			if i == rollbackInterval {
+				f.decider.Command(RollBack, "by an operator")
 			}
-			before := map[int]bool{}
+			unavailable := map[int]bool{}
 			for g := range f.variant {
-				if _, under := f.stepEnds[g]; under && f.now+1000 < f.stepEnds[g] || f.unreachable[g] {
-					before[g] = true
+				if _, inProgress := f.stepEnds[g]; inProgress && f.now+1000 < f.stepEnds[g] || f.unreachable[g] {
+					unavailable[g] = true
 				}
 			}
 			d := f.runInterval()
-			out, zone := len(before), map[string]int{}
-			for g := range before {
-				zone[f.plan.Gatherers[g].Zone]++
+			total, byZone := len(unavailable), map[string]int{}
+			for g := range unavailable {
+				byZone[f.plan.Gatherers[g].Zone]++
 			}
 			for _, s := range d.Steps {
-				if before[s.Gatherer] {
-					continue // it is out already
+				if unavailable[s.Gatherer] {
+					continue // it is unavailable already
 				}
-				out++
-				zone[f.plan.Gatherers[s.Gatherer].Zone]++
-				most, mostInZone := f.plan.MaxUnavailable, f.plan.MaxUnavailablePerZone
-				if out > most || zone[f.plan.Gatherers[s.Gatherer].Zone] > mostInZone {
-					t.Fatalf("%d out, by zone %v, allowed %d and %d", out, zone, most, mostInZone)
+				total++
+				byZone[f.plan.Gatherers[s.Gatherer].Zone]++
+				maxTotal, maxInZone := f.plan.MaxUnavailable, f.plan.MaxUnavailablePerZone
+				if total > maxTotal || byZone[f.plan.Gatherers[s.Gatherer].Zone] > maxInZone {
+					t.Fatalf("%d unavailable, by zone %v, allowed %d and %d", total, byZone, maxTotal, maxInZone)
 				}
 			}
 		}
@@ -346,7 +350,7 @@
 	})
 }
 
-// BenchmarkDecide is one decision over 300 gatherers in three zones.
+// BenchmarkDecide measures one decision over 300 gatherers in two zones.
 func BenchmarkDecide(b *testing.B) {
 	f := newFleet(300, func(p *Plan) { p.MaxUnavailable, p.MaxUnavailablePerZone = 15, 8 })
 	f.runUntil(60)
--- a/logic/rollout/decision.go
+++ b/logic/rollout/decision.go
@@ -1,14 +1,14 @@
 package rollout
 
-// Verdict is what a decision comes to.
+// Verdict is the kind of a decision.
 type Verdict int
 
 // The verdicts.
 const (
 	Wait     Verdict = iota // something is in progress, or there is too little evidence
 	Proceed                 // a stage is passed, or steps are to be started
-	Stop                    // nothing is changed until an operator says so
-	RollBack                // new gatherers are to be made old again
+	Stop                    // nothing is changed until an operator resumes the rollout or rolls it back
+	RollBack                // new gatherers are to be changed back to old
 	Done                    // nothing is left to do
 )
 
@@ -20,54 +20,55 @@
 	Done:     "done",
 }
 
-// String is the verdict's name in status files and for operators.
+// String returns the verdict's name in status files and for operators.
 func (v Verdict) String() string { return verdictNames[v] }
 
-// Phase is a rollout's phase. Its text stands in journals and status files.
+// Phase is a rollout's phase. Journals and status files store its text.
 type Phase string
 
 // The phases.
 const (
-	Baselining  Phase = "baseline" // the old are observed before anything is changed
-	Updating    Phase = "changing" // gatherers of a stage are changed
-	Evaluating  Phase = "judging"  // all of the stage serve as new and are observed
+	Baselining  Phase = "baseline" // old gatherers are observed before the first change
+	Updating    Phase = "changing" // gatherers of the stage are being changed
+	Evaluating  Phase = "judging"  // all gatherers of the stage serve as new and are observed
 	Stopped     Phase = "stopped"
 	RollingBack Phase = "going back"
 	Completed   Phase = "ended"    // all stages are passed
-	RolledBack  Phase = "restored" // all that could be reached are old again
+	RolledBack  Phase = "restored" // all gatherers are old again
 )
 
-// Final reports whether a rollout in this phase changes nothing any more unless an operator says so.
+// Final reports whether a rollout in this phase changes nothing more without an operator's command.
 func (p Phase) Final() bool { return p == Completed || p == RolledBack || p == Stopped }
 
-// Step is a change of one gatherer.
+// Step is the change of one gatherer to a variant.
 type Step struct {
-	Gatherer int // by its index in the plan
+	Gatherer int // index in Plan.Gatherers
 	To       Variant
 }
 
-// Decision is what follows from an observation.
+// Decision is what a strategy decides after an observation.
 type Decision struct {
 	Verdict Verdict
 	Phase   Phase
 	Stage   int
 	Reason  string // for operators
-	Steps   []Step // to start now
+	Steps   []Step // that the caller starts now
 }
 
-// Position is what of a decider outlasts its process. Evidence does not: a later controller observes again.
+// Position is the part of a decider's state that survives its process. Evidence does not survive: a later
+// controller observes again.
 type Position struct {
 	Phase  Phase
 	Stage  int
-	Reason string `json:"Why"` // of a stop or a rollback
+	Reason string `json:"Why"` // why the rollout was stopped or rolled back
 }
 
-// Strategy decides over a rollout. Decider is the one in service; experiments compare it with others.
+// Strategy makes the decisions of a rollout. Controllers use Decider; experiments compare it with others.
 type Strategy interface {
-	// Decide returns what follows from an observation. It is called once an interval.
+	// Decide returns the decision after an observation. It is called once per interval.
 	Decide(o Observation) Decision
-	// Position returns where the rollout is, for NewDecider of a later process.
+	// Position returns the state that a later process passes to NewDecider.
 	Position() Position
-	// Command takes an operator's command: Stop, RollBack, or Proceed to resume.
+	// Command applies an operator's command: Stop, RollBack, or Proceed to resume.
 	Command(v Verdict, reason string)
 }
--- a/logic/rollout/eprocess.go
+++ b/logic/rollout/eprocess.go
@@ -2,35 +2,36 @@
 
 import "math"
 
-// betSizes are the sizes of the mixture's bets, in standard deviations of a step. Small ones find a small
-// harm over a long time, large ones a large harm at once.
+// betSizes lists the sizes of the mixture's bets, in standard deviations of one interval's difference. Small
+// bets detect a small harm after a long time, large bets detect a large harm at once.
 var betSizes = [...]float64{0.25, 0.5, 1, 2}
 
-// maxStep caps a single step, in standard deviations, so that one odd interval does not decide alone. A
-// capped gain keeps the supermartingale property.
-const maxStep = 3.0
+// maxIncrement caps the difference that a single interval adds, in standard deviations, so that one outlying
+// interval does not decide alone. Capping gains preserves the supermartingale property.
+const maxIncrement = 3.0
 
-// eProcess is the evidence against a hypothesis: an e-process, also called a test martingale, as logarithms
-// by size of bet. Under the hypothesis its value is a nonnegative supermartingale that starts at 1, so that
-// it ever reaches 1/a with a probability of a at most (Ville's inequality). The test stays valid however
-// often it is looked at.
+// eProcess holds the evidence against a hypothesis as an e-process, also called a test martingale: the
+// logarithm of its value for each bet size. Under the hypothesis the value is a nonnegative supermartingale
+// that starts at 1, so the probability that it ever reaches 1/a is at most a (Ville's inequality). The test
+// therefore stays valid however often its value is inspected.
 //
 // The bets are a mixture over their size (H. Robbins, "Statistical methods related to the law of the
 // iterated logarithm", 1970), as R. Johari, L. Pekelis and D. Walsh use it to compare two versions ("Always
-// valid inference", 2015); S. Howard, A. Ramdas, J. McAuliffe and J. Sekhon bound it for sub-Gaussian steps
-// ("Time-uniform, nonparametric, nonasymptotic confidence sequences", 2021). That steps are sub-Gaussian,
-// with the deviation that the baseline showed, is an assumption.
+// valid inference", 2015); S. Howard, A. Ramdas, J. McAuliffe and J. Sekhon bound it for sub-Gaussian
+// increments ("Time-uniform, nonparametric, nonasymptotic confidence sequences", 2021). It is an assumption
+// that increments are sub-Gaussian with the standard deviation that the baseline showed.
 type eProcess [len(betSizes)]float64
 
-// update adds an interval: by how many standard deviations it lay on the far side of the hypothesis.
+// update adds an interval. z is the number of standard deviations by which its difference contradicts the
+// hypothesis, negative if it agrees.
 func (e *eProcess) update(z float64) {
-	z = min(z, maxStep)
+	z = min(z, maxIncrement)
 	for i, size := range betSizes {
 		e[i] += size*z - size*size/2
 	}
 }
 
-// logValue is the logarithm of the mixture's value.
+// logValue returns the logarithm of the mixture's value.
 func (e *eProcess) logValue() float64 {
 	greatest := math.Inf(-1)
 	for _, l := range e {
@@ -43,15 +44,15 @@
 	return greatest + math.Log(sum/float64(len(e)))
 }
 
-// likelihoodRatio is the evidence that events fall on the new more often than by their share of the time:
-// the log likelihood ratio of alternativeRate against chance.
+// likelihoodRatio holds the evidence that events occur on new gatherers more often than their share of the
+// serving time explains: the log likelihood ratio of alternativeRate against equal rates.
 type likelihoodRatio struct{ logValue float64 }
 
-// alternativeRate is how many times the old ones' rate the new ones' is under the alternative.
+// alternativeRate is the new gatherers' rate of events under the alternative, as a multiple of the old ones'.
 const alternativeRate = 5.0
 
-// update adds an event. Share is the new ones' part of the time served, onNew whether the event fell on a
-// new one.
+// update adds an event. share is the new gatherers' share of the serving time; onNew tells whether the event
+// occurred on a new gatherer.
 func (r *likelihoodRatio) update(share float64, onNew bool) {
 	if share <= 0 || share >= 1 {
 		return
--- a/logic/rollout/exits.go
+++ b/logic/rollout/exits.go
@@ -2,34 +2,38 @@
 
 import "fmt"
 
-// exitEvidence is a stage's evidence that new gatherers' processes end by themselves more often than the old
-// ones'.
+// exitEvidence holds a stage's evidence that processes of new gatherers exit on their own more often than
+// those of old gatherers.
 type exitEvidence struct {
-	ratio likelihoodRatio
-	ofNew int // how many of the new have ended
+	ratio    likelihoodRatio
+	newExits int // exits of new gatherers' processes
 }
 
-// suspicious reports whether the new look worse, unproved.
-func (e *exitEvidence) suspicious() bool { return e.ofNew > 0 && e.ratio.logValue > suspicionBar }
+// suspicious reports whether the exits suggest, short of proof, that the new version is worse.
+func (e *exitEvidence) suspicious() bool {
+	return e.newExits > 0 && e.ratio.logValue > suspicionThreshold
+}
 
-// describe is what operators read of it while a stage is watched, empty where nothing is suspicious.
+// describe returns a note for operators about exits in the stage under observation, empty if they are not
+// suspicious.
 func (e *exitEvidence) describe() string {
 	if !e.suspicious() {
 		return ""
 	}
-	return fmt.Sprintf(" (processes of the new that ended by themselves: %d)", e.ofNew)
+	return fmt.Sprintf(" (processes of new gatherers that ended by themselves: %d)", e.newExits)
 }
 
-// addExit adds the end of a process that no step has ended. While the new look worse by it, each end of
-// theirs starts the stage's observation anew: a program that ends again and again is not passed between two
-// ends. By chance this is rare, and costs a stage no more than its least observation.
-func (d *Decider) addExit(o *Observation, ofNew bool) {
-	olds, news := o.countVariants()
-	d.exits.ratio.update(float64(news)/float64(max(news+olds, 1)), ofNew)
-	if !ofNew {
+// addExit adds the exit of a process that was not caused by a step. While exits of new gatherers are
+// suspicious, each further one restarts the stage's observation time, so that a program that keeps exiting
+// does not pass the stage between two exits. By chance this happens rarely, and then it delays a stage by no
+// more than its minimum observation time.
+func (d *Decider) addExit(o *Observation, fromNew bool) {
+	oldCount, newCount := o.countVariants()
+	d.exits.ratio.update(float64(newCount)/float64(max(newCount+oldCount, 1)), fromNew)
+	if !fromNew {
 		return
 	}
-	d.exits.ofNew++
+	d.exits.newExits++
 	if d.exits.suspicious() && d.evaluatingSince > 0 {
 		d.evaluatingSince = o.Now
 	}
--- a/logic/rollout/fleet_test.go
+++ b/logic/rollout/fleet_test.go
@@ -13,30 +13,31 @@
 	stepMillis     = 3000
 )
 
-// fleet fakes gatherers: loss rates by variant, and steps that succeed after a time. Slices and maps are by gatherer.
+// fleet simulates gatherers with loss rates by variant, and steps that end after stepMillis. Slices and maps are
+// indexed by gatherer.
 type fleet struct {
-	plan          Plan
-	decider       *Decider
-	now           float64
-	random        *pcg.Source
-	variant       []Variant
-	uptime        []float64
-	unreachable   map[int]bool
-	exits         func(g int) bool // whether its process ends by itself now
-	restartMillis float64          // until such a process is up again
-	restartEnds   map[int]float64
-	stepEnds      map[int]float64
-	stepTo        map[int]Variant
-	failsToStart  map[int]bool // as new
-	lossRate      func(g int, v Variant, class int) float64
-	attempts      func(v Variant) float64 // for a shard request
-	tailRate      func(v Variant) float64
-	queries       float64 // of the first class, in an interval
-	maxInProgress int     // steps at once, so far
-	last          Decision
+	plan               Plan
+	decider            *Decider
+	now                float64
+	random             *pcg.Source
+	variant            []Variant
+	uptime             []float64
+	unreachable        map[int]bool
+	exitsNow           func(g int) bool // whether its process exits on its own now
+	restartMillis      float64          // time until such a process runs again
+	restartEnds        map[int]float64
+	stepEnds           map[int]float64
+	stepTo             map[int]Variant
+	failsToStart       map[int]bool // whether it fails to start as new
+	lossRate           func(g int, v Variant, class int) float64
+	attempts           func(v Variant) float64 // per shard request
+	tailRate           func(v Variant) float64
+	queries            float64 // of the first class, per interval
+	maxStepsInProgress int     // greatest number of steps at once so far
+	lastDecision       Decision
 }
 
-// newFleet makes a fleet of n gatherers in two zones; change may change its plan.
+// newFleet returns a fleet of n gatherers in two zones. change, if not nil, modifies its plan.
 func newFleet(n int, change func(p *Plan)) *fleet {
 	p := Plan{
 		Name: "t", Classes: []string{"find", "rare"}, Harm: 0.1, MinQueries: 20,
@@ -58,7 +59,7 @@
 		plan: p, decider: NewDecider(p, Position{}), random: pcg.New(5), queries: 40,
 		variant: make([]Variant, n), uptime: make([]float64, n),
 		unreachable: map[int]bool{}, failsToStart: map[int]bool{},
-		exits: func(int) bool { return false }, restartEnds: map[int]float64{},
+		exitsNow: func(int) bool { return false }, restartEnds: map[int]float64{},
 		stepEnds: map[int]float64{}, stepTo: map[int]Variant{},
 		lossRate: func(int, Variant, int) float64 { return 0.02 },
 		attempts: func(Variant) float64 { return 1 },
@@ -71,33 +72,33 @@
 	return f
 }
 
-// runInterval runs one interval, and starts the steps that are decided on.
+// runInterval simulates one interval, and starts the steps of the decision.
 func (f *fleet) runInterval() Decision {
 	f.now += intervalMillis
 	o := Observation{Now: f.now, Gatherers: make([]GathererSample, len(f.variant))}
 	inProgress := 0
 	for g := range f.variant {
 		f.endStep(g)
-		if _, is := f.stepEnds[g]; is {
+		if _, running := f.stepEnds[g]; running {
 			o.Gatherers[g].Step = Running
 			inProgress++
-		} else if !f.unreachable[g] && !f.restarts(g) {
+		} else if !f.unreachable[g] && !f.restarting(g) {
 			o.Gatherers[g] = f.sample(g)
 		}
 	}
-	f.maxInProgress = max(f.maxInProgress, inProgress)
-	f.last = f.decider.Decide(o)
-	for _, s := range f.last.Steps {
+	f.maxStepsInProgress = max(f.maxStepsInProgress, inProgress)
+	f.lastDecision = f.decider.Decide(o)
+	for _, s := range f.lastDecision.Steps {
 		f.stepEnds[s.Gatherer] = f.now + stepMillis
 		f.stepTo[s.Gatherer] = s.To
 	}
-	return f.last
+	return f.lastDecision
 }
 
-// endStep ends a gatherer's step whose time has come.
+// endStep advances a gatherer's uptime, and ends its step if the step's time is over.
 func (f *fleet) endStep(g int) {
 	f.uptime[g] += intervalMillis
-	if end, is := f.stepEnds[g]; !is || f.now < end {
+	if end, running := f.stepEnds[g]; !running || f.now < end {
 		return
 	}
 	delete(f.stepEnds, g)
@@ -107,9 +108,9 @@
 	f.uptime[g] = 0
 }
 
-// restarts reports whether a gatherer's process has ended by itself and is not up again.
-func (f *fleet) restarts(g int) bool {
-	if end, is := f.restartEnds[g]; is {
+// restarting reports whether a gatherer's process has exited on its own and is not running again yet.
+func (f *fleet) restarting(g int) bool {
+	if end, restarting := f.restartEnds[g]; restarting {
 		if f.now < end {
 			return true
 		}
@@ -117,14 +118,14 @@
 		f.uptime[g] = 0
 		return false
 	}
-	if !f.exits(g) {
+	if !f.exitsNow(g) {
 		return false
 	}
 	f.restartEnds[g] = f.now + f.restartMillis
 	return true
 }
 
-// sample draws a gatherer's counts of an interval.
+// sample returns a gatherer's sample of an interval, with counts drawn at random.
 func (f *fleet) sample(g int) GathererSample {
 	v := f.variant[g]
 	s := GathererSample{
@@ -143,7 +144,7 @@
 	return s
 }
 
-// draw draws how many of n come out by a rate.
+// draw returns how many of n events occur at a rate.
 func (f *fleet) draw(n, rate float64) (count float64) {
 	for range int(n) {
 		if f.random.Float64() < rate {
@@ -153,14 +154,14 @@
 	return count
 }
 
-// runUntil runs until one of the phases, or for so many intervals.
+// runUntil runs intervals until a decision is in one of the phases, at most the given number of them.
 func (f *fleet) runUntil(intervals int, phases ...Phase) Decision {
 	for range intervals {
 		if d := f.runInterval(); slices.Contains(phases, d.Phase) {
 			return d
 		}
 	}
-	return f.last
+	return f.lastDecision
 }
 
 func (f *fleet) countNew() (n int) {
--- a/logic/rollout/journal_test.go
+++ b/logic/rollout/journal_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// TestReplayReturnsUnfinishedSteps: a journal is continued from any of its ends: steps that were started and have no
-// recorded end are repeated, in their order, and no others; another plan's journal is refused.
+// TestReplayReturnsUnfinishedSteps tests that a journal which ends after any of its records yields exactly the steps
+// that have a recorded start and no recorded end, in their order, and that another plan's journal is rejected.
 func TestReplayReturnsUnfinishedSteps(t *testing.T) {
-	all := []Record{
+	records := []Record{
 		{Kind: ControllerStarted, PlanSum: "p", FencingToken: 1},
 		{Kind: PositionChanged, Position: &Position{Phase: Updating}},
 		{Kind: StepStarted, Gatherer: "a", Target: New},
@@ -21,33 +21,33 @@
 		{Kind: StepEnded, Gatherer: "b", Message: "no"},
 		{Kind: StepEnded, Gatherer: "a"},
 	}
-	redo := []string{"", "", "", "a", "a b", "b", "b", "b", "b a", "a", ""}
-	for n := range len(all) + 1 {
-		r, err := Replay("p", all[:n])
+	wantUnfinished := []string{"", "", "", "a", "a b", "b", "b", "b", "b a", "a", ""}
+	for n := range len(records) + 1 {
+		recovered, err := Replay("p", records[:n])
 		var names []string
-		for _, rec := range r.UnfinishedSteps {
+		for _, rec := range recovered.UnfinishedSteps {
 			names = append(names, rec.Gatherer)
 		}
-		if err != nil || strings.Join(names, " ") != redo[n] {
-			t.Errorf("after %d records: %v, made again: %v", n, err, names)
+		if err != nil || strings.Join(names, " ") != wantUnfinished[n] {
+			t.Errorf("after %d records: error %v, unfinished steps %v", n, err, names)
 		}
 		phase := Updating
 		if n >= 7 {
 			phase = RollingBack
 		}
-		if n >= 2 && r.Position.Phase != phase || n >= 6 && r.Command != "back 7" {
-			t.Errorf("after %d records: %+v", n, r)
+		if n >= 2 && recovered.Position.Phase != phase || n >= 6 && recovered.Command != "back 7" {
+			t.Errorf("after %d records: %+v", n, recovered)
 		}
 	}
-	if _, err := Replay("q", all); !errors.Is(err, ErrPlanChanged) {
+	if _, err := Replay("q", records); !errors.Is(err, ErrPlanChanged) {
 		t.Errorf("another plan: %v", err)
 	}
 	if _, err := Replay("p", []Record{{Kind: "later"}}); !errors.Is(err, ErrRecord) {
 		t.Errorf("an unknown kind of record: %v", err)
 	}
-	for _, rec := range all {
+	for _, rec := range records {
 		if rec.Describe() == "" {
-			t.Errorf("no description of %+v", rec)
+			t.Errorf("empty description of %+v", rec)
 		}
 	}
 }
--- a/logic/rollout/plan.go
+++ b/logic/rollout/plan.go
@@ -1,12 +1,12 @@
-// Package rollout decides how a fleet of gatherers goes from an old version or old settings to new ones in
-// stages: which gatherer is changed next, whether the new do worse than the old, and when to proceed, wait,
-// stop or roll back.
+// Package rollout decides how a fleet of gatherers moves in stages from an old version or old settings to new
+// ones: which gatherer is changed next, whether new gatherers are worse than old ones, and when to proceed,
+// wait, stop or roll back.
 //
 // It decides from a plan and from what was observed of each gatherer in each interval, by name and zone. It
-// performs no I/O. It may never have more gatherers unavailable at once than the plan allows, those that
-// failed by themselves included; never pass a stage for want of evidence; never take an unreachable gatherer
-// for a good or a bad one; and never blame the new for what strikes the old alike. docs/design/rollout.md
-// has the reasons and the options weighed.
+// performs no I/O. It must never start a step that makes more gatherers unavailable at once than the plan
+// allows, those that failed on their own included; never pass a stage for lack of evidence; never take an
+// unreachable gatherer for a good or a bad one; and never attribute to the new version what affects old
+// gatherers as well. docs/design/rollout.md discusses the reasons and the alternatives.
 package rollout
 
 import (
@@ -16,49 +16,49 @@
 	"yokeroute/internal/pcg"
 )
 
-// Gatherer is one of the fleet.
+// Gatherer is a gatherer of the fleet.
 type Gatherer struct{ Name, Zone string }
 
-// Stage is a step of the rollout towards the whole fleet. One of Count, Share and Zone is set; each stage
-// includes the gatherers of those before it.
+// Stage is a stage of a rollout. Exactly one of Count, Share and Zone is set; each stage includes the
+// gatherers of the stages before it.
 type Stage struct {
 	Name           string
-	Count          int     // gatherers changed
-	Share          float64 // of all gatherers
-	Zone           string  // all gatherers of it
-	MinObservation float64 // milliseconds, from when all of it serve as new
+	Count          int     // number of gatherers that are new after the stage
+	Share          float64 // share of all gatherers that are new after the stage
+	Zone           string  // zone of which all gatherers are new after the stage
+	MinObservation float64 // milliseconds of observation after all of its gatherers serve as new
 }
 
-// Plan is what an operator wants. Times are milliseconds. Defaults replaces zero values.
+// Plan is an operator's plan of a rollout. Times are in milliseconds. Defaults replaces zero values.
 type Plan struct {
 	Name      string
 	Gatherers []Gatherer
 	Stages    []Stage
 	Classes   []string // request classes
-	Seed      uint64   // of the order in which gatherers are changed
+	Seed      uint64   // determines the order in which gatherers are changed
 
-	MaxUnavailable        int // gatherers, for whatever reason
-	MaxUnavailablePerZone int
+	MaxUnavailable        int // gatherers that may be unavailable at once, for any reason
+	MaxUnavailablePerZone int // gatherers of one zone that may be unavailable at once
 
-	BaselineTime   float64 // of observation before the first change
-	WarmUp         float64 // after its start, for which a gatherer is evaluated apart
-	StepTimeout    float64 // within which a changed gatherer has to serve as its new variant
-	StageLimit     float64 // that a stage may last
-	MaxDisturbance float64 // that the old may do worse before it is taken for the new version's doing
-	OnStageLimit   Verdict // RollBack or Stop
+	BaselineTime   float64 // time of observation before the first change
+	WarmUp         float64 // time after its start for which a gatherer is evaluated separately
+	StepTimeout    float64 // time within which a changed gatherer has to serve as its target variant
+	StageLimit     float64 // longest time that a stage may last
+	MaxDisturbance float64 // time after which a disturbance is attributed to the new version
+	OnStageLimit   Verdict // RollBack or Stop: what ends a stage that exceeds StageLimit
 
-	Harm          float64 // loss of value, a share of what queries could earn, that has to be found
-	WarmUpHarm    float64 // the same, that is tolerated of a gatherer that warms up
-	ExtraCost     float64 // attempts, connections or memory beyond the old ones', a share
+	Harm          float64 // loss of value that has to be detected, as a share of what queries could earn
+	WarmUpHarm    float64 // loss of value that is tolerated of a gatherer that is warming up, as a share too
+	ExtraCost     float64 // increase of attempts, connections or memory that has to be detected, as a share
 	FalseStopRate float64 // probability that a rollout of a version as good as the old is stopped
-	FalsePassRate float64 // probability that a stage passes a version that does the harm
-	MinQueries    float64 // of each evaluated class at new gatherers, in a stage
-	MinClassShare float64 // of the fleet's queries, from which a class is evaluated by itself
-	MaxAttempts   int     // to change one gatherer
+	FalsePassRate float64 // probability that a stage passes a version that does Harm
+	MinQueries    float64 // queries of each evaluated class that new gatherers need in a stage
+	MinClassShare float64 // share of the fleet's queries from which on a class is evaluated
+	MaxAttempts   int     // steps that may be tried to change one gatherer to new
 }
 
-// Defaults replaces zero values. The defaults are meant for queries of a second or so and gatherers that are
-// observed every few seconds.
+// Defaults returns the plan with zero values replaced. The defaults are meant for queries of about a second
+// and for gatherers that are observed every few seconds.
 func (p Plan) Defaults() Plan {
 	set := func(field *float64, value float64) {
 		if *field == 0 {
@@ -95,7 +95,7 @@
 	return p
 }
 
-// Zones returns the gatherers' zones, in the order in which they are first named.
+// Zones returns the gatherers' zones, in the order of their first gatherers.
 func (p *Plan) Zones() (zones []string) {
 	for _, g := range p.Gatherers {
 		if !slices.Contains(zones, g.Zone) {
@@ -105,8 +105,8 @@
 	return zones
 }
 
-// Order returns the order in which gatherers are changed: shuffled by the seed, and taking turns between
-// zones, so that each stage has some of each zone and nobody picks the quiet ones.
+// Order returns the order in which gatherers are changed. They are shuffled by the seed and taken from the
+// zones in turn, so that each stage has gatherers of every zone and nobody picks those with little traffic.
 func (p *Plan) Order() []int {
 	random := pcg.New(p.Seed)
 	zones := p.Zones()
@@ -137,9 +137,10 @@
 	return order
 }
 
-// Targets returns the gatherers of a stage and of all before it, in the order in which they are changed.
+// Targets returns the gatherers of a stage and of all stages before it, in the order in which they are
+// changed.
 func (p *Plan) Targets(stage int) []int {
-	const rounding = 1e-9 // so that a share that comes to a whole number is not rounded up
+	const rounding = 1e-9 // keeps a share that yields a whole number from being rounded up
 	order := p.Order()
 	var targets []int
 	for _, s := range p.Stages[:stage+1] {
--- a/logic/rollout/sample.go
+++ b/logic/rollout/sample.go
@@ -2,7 +2,7 @@
 
 import "github.com/HdrHistogram/hdrhistogram-go"
 
-// ClassCounts are one gatherer's counts of one request class over one interval.
+// ClassCounts holds one gatherer's counts of one request class over one interval.
 type ClassCounts struct {
 	Queries       float64
 	EarnedValue   float64 // summed over the queries, each from 0 to 1
@@ -13,8 +13,8 @@
 	ExtraAttempts float64                 // retries and hedged requests
 	Latency       *hdrhistogram.Histogram // of served queries, in tenths of a millisecond; nil for none
 
-	// OverLimit counts, of the Served queries, those above the baseline's median and 95th percentile, where
-	// the observer has counted them itself. Latency is not looked at then.
+	// OverLimit counts those of the Served queries whose latency exceeded the baseline's median and its 95th
+	// percentile. If the observer sets Served and OverLimit, Latency is ignored.
 	OverLimit [2]float64
 	Served    float64
 }
@@ -26,41 +26,41 @@
 const (
 	Idle StepState = iota
 	Running
-	Failed    // it ended with an error, or exceeded its time
-	Succeeded // it ended; which variant the gatherer now is comes from its own report
+	Failed    // the step ended with an error, or exceeded its time
+	Succeeded // the step ended without an error; the gatherer's own report says which variant it serves as
 )
 
-// GathererSample is what was observed of one gatherer in one interval. All but Step and Fault is zero where
-// the gatherer was not reachable.
+// GathererSample holds what was observed of one gatherer in one interval. If the gatherer was not reachable,
+// all fields but Step and Fault are zero.
 type GathererSample struct {
 	Reachable   bool
 	Variant     Variant
 	Ready       bool
 	Incarnation string  // differs with each start of the process
-	Uptime      float64 // milliseconds
+	Uptime      float64 // of the process, in milliseconds
 	Classes     []ClassCounts
-	Connections float64 // open now
-	Memory      float64 // resident now, bytes
+	Connections float64 // currently open
+	Memory      float64 // currently resident, in bytes
 	Step        StepState
-	Fault       string // why it was not reachable or why its step failed, for operators
+	Fault       string // for operators: why the gatherer was not reachable or why its step failed
 }
 
-// Observation is what was observed of all gatherers, in the plan's order.
+// Observation holds what was observed of all gatherers in one interval, in the order of Plan.Gatherers.
 type Observation struct {
-	Now       float64 // milliseconds
+	Now       float64 // time of the observation, in milliseconds
 	Gatherers []GathererSample
 }
 
-// countVariants counts the reachable gatherers of each side.
-func (o *Observation) countVariants() (olds, news int) {
+// countVariants returns how many reachable gatherers serve as old and how many as new.
+func (o *Observation) countVariants() (oldCount, newCount int) {
 	for g := range o.Gatherers {
 		s := &o.Gatherers[g]
 		switch {
 		case s.Reachable && s.Variant == New:
-			news++
+			newCount++
 		case s.Reachable && s.Variant == Old:
-			olds++
+			oldCount++
 		}
 	}
-	return olds, news
+	return oldCount, newCount
 }
--- a/logic/rollout/steps.go
+++ b/logic/rollout/steps.go
@@ -9,7 +9,7 @@
 	"yokeroute/internal/suggest"
 )
 
-// unavailability counts the gatherers that are unavailable, for whatever reason.
+// unavailability counts gatherers that are unavailable for any reason.
 type unavailability struct {
 	total  int
 	byZone []int
@@ -20,7 +20,7 @@
 	u.byZone[zone]++
 }
 
-// unavailable reports whether a gatherer does not serve, or may not in a moment.
+// unavailable reports whether a gatherer does not serve, or may stop serving at any moment because of a step.
 func (d *Decider) unavailable(o *Observation, g int) bool {
 	s := &o.Gatherers[g]
 	changing := d.requested[g] != Unknown && s.Variant != d.requested[g]
@@ -37,9 +37,9 @@
 	return u
 }
 
-// serves reports whether a gatherer serves as a variant. One that is not reachable still counts as new where
-// it last was: it gives no evidence and is unavailable, but nothing has to be done to it.
-func (d *Decider) serves(o *Observation, g int, v Variant) bool {
+// servesAs reports whether a gatherer serves as a variant. An unreachable gatherer that was new when it was
+// last reachable still counts as new: it is unavailable and gives no evidence, but needs no step.
+func (d *Decider) servesAs(o *Observation, g int, v Variant) bool {
 	s := &o.Gatherers[g]
 	if s.Reachable {
 		return s.Variant == v
@@ -47,9 +47,9 @@
 	return v == New && d.wasNew[g] && d.requested[g] == Unknown
 }
 
-// planSteps returns the steps that may start now, and the gatherers of the target that are not yet changed.
-// With substitute, gatherers that can't be reached or don't come up are replaced by the next in the plan's
-// order.
+// planSteps returns the steps that may start now, and the gatherers of the target that are not changed yet.
+// If substitute is set, gatherers that are unreachable or fail to start are replaced by the next ones in the
+// order of changes.
 func (d *Decider) planSteps(
 	o *Observation, target []int, to Variant, substitute bool,
 ) (steps []Step, missing []int) {
@@ -61,14 +61,14 @@
 	}
 	changed := 0
 	for _, g := range candidates {
-		if d.serves(o, g, to) {
+		if d.servesAs(o, g, to) {
 			changed++
 		}
 	}
 	maxInProgress := d.maxInProgress(o, to, len(candidates))
 	inProgress := 0
 	for _, g := range candidates {
-		if d.serves(o, g, to) {
+		if d.servesAs(o, g, to) {
 			continue
 		}
 		if slices.Contains(target, g) {
@@ -89,13 +89,13 @@
 		inProgress++
 		d.startStep(g, to, o.Now)
 	}
-	if changed >= len(target) { // by substitutes
+	if changed >= len(target) { // substitutes count too
 		missing = nil
 	}
 	return steps, missing
 }
 
-// withSubstitutes is a target followed by all other gatherers in the plan's order.
+// withSubstitutes returns a target followed by all other gatherers in the order of changes.
 func (d *Decider) withSubstitutes(target []int) []int {
 	all := slices.Clone(target)
 	for _, g := range d.order {
@@ -106,8 +106,8 @@
 	return all
 }
 
-// maxInProgress is how many steps may be in progress. While warming up looks harmful, gatherers are made new
-// one at a time, each after the one before it has warmed up.
+// maxInProgress returns how many steps may be in progress at once. While warming up is suspected of harm,
+// gatherers are changed to new one at a time, each after the one before it has warmed up.
 func (d *Decider) maxInProgress(o *Observation, to Variant, candidates int) int {
 	if to != New || !d.suspectsWarmUpHarm() {
 		return candidates
@@ -120,8 +120,8 @@
 	return 1
 }
 
-// mayStart reports whether a step of a gatherer may start: one that is unavailable anyway, or whose outage
-// the plan's bounds leave room for.
+// mayStart reports whether a step of a gatherer may start: the gatherer is unavailable anyway, or one more
+// unavailable gatherer is within the plan's limits.
 func (d *Decider) mayStart(o *Observation, g int, to Variant, u *unavailability) bool {
 	s := &o.Gatherers[g]
 	if !s.Reachable || s.Step == Running || d.gaveUp[g] && to == New {
@@ -138,7 +138,7 @@
 	d.attempts[g]++
 }
 
-// closeSteps closes steps that have ended, well or not.
+// closeSteps closes steps that have succeeded, failed or exceeded their timeout.
 func (d *Decider) closeSteps(o *Observation) {
 	for g := range o.Gatherers {
 		s := &o.Gatherers[g]
@@ -155,37 +155,38 @@
 		case s.Step == Failed && elapsed > 0, overdue && s.Reachable:
 			d.gaveUp[g] = d.gaveUp[g] || lastAttempt
 			d.requested[g] = Unknown
-		case overdue: // not reachable: unknown rather than worse, and unavailable until it answers
+		case overdue: // not reachable: its state is unknown, and it stays unavailable until it answers
 			d.gaveUp[g] = d.gaveUp[g] || lastAttempt && s.Step == Succeeded
 			d.requested[g] = Unknown
 		}
 	}
 }
 
-// startFailure returns that the new version does not come up, empty where that is not shown. One machine of
-// a few may be broken, and of many one in twenty.
+// startFailure describes that the new version does not start, empty if that is not shown. As machines may be
+// broken, a single gatherer, or less than one in twenty of many, may fail to start; in a fleet of fewer than
+// three a single failure counts.
 func (d *Decider) startFailure() string {
 	const brokenShare = 0.05
-	var names []string
+	var broken []string
 	tried := 0
 	for g := range d.plan.Gatherers {
 		if d.gaveUp[g] {
-			names = append(names, d.plan.Gatherers[g].Name)
+			broken = append(broken, d.plan.Gatherers[g].Name)
 		}
 		if d.attempts[g] > 0 || d.gaveUp[g] || d.wasNew[g] {
 			tried++
 		}
 	}
-	enough := max(2, int(math.Ceil(brokenShare*float64(tried))))
-	noOther := len(names) == 1 && len(d.plan.Gatherers) < 3
-	if len(names) < enough && !noOther {
+	minBroken := max(2, int(math.Ceil(brokenShare*float64(tried))))
+	smallFleet := len(broken) == 1 && len(d.plan.Gatherers) < 3
+	if len(broken) < minBroken && !smallFleet {
 		return ""
 	}
-	return fmt.Sprintf("the new does not come up: %s, each after %d tries",
-		suggest.Join(names), d.plan.MaxAttempts)
+	return fmt.Sprintf("the new version does not come up: %s, each after %d attempts",
+		suggest.Join(broken), d.plan.MaxAttempts)
 }
 
-// countUnchangeable counts those that are not reachable or do not come up as new.
+// countUnchangeable returns how many of the given gatherers are unreachable or fail to start as new.
 func (d *Decider) countUnchangeable(o *Observation, among []int) (n int) {
 	for _, g := range among {
 		if !o.Gatherers[g].Reachable || d.gaveUp[g] {
@@ -195,7 +196,7 @@
 	return n
 }
 
-// waitingFor tells operators what is waited for.
+// waitingFor describes for operators what the rollout waits for.
 func (d *Decider) waitingFor(o *Observation, missing []int) string {
 	var inProgress, unreachable, notReady []string
 	for g := range o.Gatherers {
@@ -210,13 +211,13 @@
 		}
 	}
 	var parts []string
-	add := func(what string, names []string) {
+	add := func(label string, names []string) {
 		if len(names) > 0 {
-			parts = append(parts, what+suggest.Join(names))
+			parts = append(parts, label+suggest.Join(names))
 		}
 	}
-	add("under way: ", inProgress)
-	add("not reached: ", unreachable)
+	add("steps in progress: ", inProgress)
+	add("unreachable: ", unreachable)
 	add("not ready: ", notReady)
 	if len(missing) > 0 && len(inProgress) == 0 {
 		parts = append(parts, fmt.Sprintf("%d to be changed, and no more may be out", len(missing)))
--- a/logic/rollout/variant.go
+++ b/logic/rollout/variant.go
@@ -1,6 +1,6 @@
 package rollout
 
-// Variant is which side of a rollout a gatherer serves as.
+// Variant is the version, old or new, that a gatherer serves as in a rollout.
 type Variant int
 
 // The variants.
@@ -13,22 +13,22 @@
 
 var variantNames = [...]string{Unknown: "unknown", Old: "old", New: "new", Other: "other"}
 
-// String is the variant's name in status files and for operators.
+// String returns the variant's name in status files and for operators.
 func (v Variant) String() string { return variantNames[v] }
 
-// BuildInfo identifies what a gatherer runs: fingerprints of its program and of the files in force, and its
-// version. An empty field identifies nothing and matches everything.
+// BuildInfo identifies what a gatherer runs: the fingerprints of its program and of the files in effect, and
+// its version. An empty field matches everything.
 type BuildInfo struct{ Program, Config, Operator, Version string }
 
-// matches reports whether a gatherer that reports the given build has every field that b names.
+// matches reports whether the reported build agrees with every field that b sets.
 func (b BuildInfo) matches(reported BuildInfo) bool {
 	same := func(want, got string) bool { return want == "" || want == got }
 	return same(b.Program, reported.Program) && same(b.Config, reported.Config) &&
 		same(b.Operator, reported.Operator) && same(b.Version, reported.Version)
 }
 
-// Classify returns the variant of a gatherer from the build that it reports. A build that matches both sides
-// counts as New, so that nothing is done to it; plans where that could happen are refused earlier.
+// Classify returns the variant of a gatherer that reports a build. A build that matches both the old and the
+// new one counts as New, so that the gatherer is not changed; plans that permit this are rejected earlier.
 func Classify(oldBuild, newBuild, reported BuildInfo) Variant {
 	switch {
 	case newBuild.matches(reported):
@@ -40,6 +40,6 @@
 }
 
 // Restarted reports whether a gatherer's counts since its process started cover the last interval only. They
-// do if the process is another one than in the last report. They do not in the first report of a gatherer,
+// do if the process differs from that of the previous report. They don't in the first report of a gatherer,
 // or if the process has dropped the checkpoint that it was asked for: then they include an unknown past.
 func Restarted(incarnation, previous string) bool { return previous != "" && incarnation != previous }
