--- a/logic/policy/apply.go
+++ b/logic/policy/apply.go
@@ -5,16 +5,17 @@
 	"slices"
 )
 
-// A record keeps maxHistory ended changes with their policies, and up to historySlack more so that they
-// are not copied after each change. Older ones are only counted, as a record lives as long as its fleet.
+// A record keeps maxHistory ended changes with their policies. It keeps up to maxHistoryExcess more, so that
+// the history is not copied after each change. Older changes are only counted, as a record lives as long as
+// its fleet.
 const (
-	maxHistory   = 1000
-	historySlack = maxHistory / 4
+	maxHistory       = 1000
+	maxHistoryExcess = maxHistory / 4
 )
 
 // Command is an entry of the replicated log. One of Propose, Commit, Abandon, Register and Forget is set.
 type Command struct {
-	Propose  *Change `json:"propose,omitempty"` // its Number and Outcome are set by the record
+	Propose  *Change `json:"propose,omitempty"` // Apply sets its Number and Outcome
 	Commit   uint64  `json:"decide,omitempty"`
 	Abandon  uint64  `json:"give-up,omitempty"`
 	Reason   string  `json:"word,omitempty"` // why a change is abandoned
@@ -25,13 +26,14 @@
 // RejectedError reports a command that was rejected and changed nothing.
 type RejectedError struct{ Reason string }
 
-// Error returns the reason.
+// Error implements error.
 func (e RejectedError) Error() string { return e.Reason }
 
 func reject(format string, args ...any) error { return RejectedError{fmt.Sprintf(format, args...)} }
 
-// Apply executes a command. An error is a RejectedError; the record is then unchanged. Commands are
-// idempotent. Lists are never modified in place, so that a shallow copy of the record stays as it was.
+// Apply executes a command and returns the change that it concerns, if any. An error is always a
+// RejectedError, and the record is then unchanged. Commands are idempotent. Slices are never modified in
+// place, so that a shallow copy of the record remains valid.
 func (r *Record) Apply(c Command) (*Change, error) {
 	switch {
 	case c.Propose != nil:
@@ -45,10 +47,10 @@
 	case c.Forget != "":
 		return nil, r.forget(c.Forget)
 	}
-	return nil, reject("an empty command")
+	return nil, reject("the command is empty")
 }
 
-// propose makes a change the pending one.
+// propose makes a change the pending one. A repeated proposal returns the earlier change.
 func (r *Record) propose(c Change) (*Change, error) {
 	if earlier := r.Find(c.ID); earlier != nil && c.ID != "" {
 		return earlier, nil
@@ -62,8 +64,8 @@
 	case len(Diff(r.Policy, c.Policy)) == 0:
 		return nil, reject("changes nothing")
 	}
-	// A member without a lease applies its fallback policy and cannot be reached, so no policy may forbid
-	// what that policy permits.
+	// A member without a lease applies its fallback policy and may be unreachable, so no policy may forbid
+	// what a fallback policy permits.
 	for _, m := range r.Members {
 		violations, unknown := m.conflicts(c.Policy)
 		if len(violations) > 0 {
@@ -82,10 +84,10 @@
 	return r.Pending, nil
 }
 
-// finish ends the pending change.
+// finish ends the pending change with an outcome.
 func (r *Record) finish(number uint64, outcome Outcome, reason string) (*Change, error) {
 	if r.Pending == nil || r.Pending.Number != number {
-		for i := range r.History { // the command is a duplicate
+		for i := range r.History { // the command may be a duplicate
 			if h := &r.History[i]; h.Number == number && h.Outcome == outcome {
 				return h, nil
 			}
@@ -102,15 +104,15 @@
 		r.Policy = c.Policy
 	}
 	r.History = append(r.History, c)
-	if excess := len(r.History) - maxHistory; excess > historySlack {
+	if excess := len(r.History) - maxHistory; excess > maxHistoryExcess {
 		r.History = slices.Clone(r.History[excess:])
 		r.TrimmedChanges += uint64(excess)
 	}
 	return &r.History[len(r.History)-1], nil
 }
 
-// register adds or replaces a member. One whose fallback policy permits what is forbidden is rejected,
-// since it would do that without a lease.
+// register adds or replaces a member. A member whose fallback policy permits what the committed or the
+// pending policy forbids is rejected, since it would do that without a lease.
 func (r *Record) register(m Member) error {
 	policies := []Policy{r.Policy}
 	if r.Pending != nil {
--- a/logic/policy/compare.go
+++ b/logic/policy/compare.go
@@ -13,33 +13,34 @@
 	return min(a, b)
 }
 
-// Intersect returns the loosest policy that permits only what both of two policies permit. The tighter of
-// two values is defined for every kind; without that, no policy could be in effect between two others.
+// Intersect returns the loosest policy that permits only what both of two policies permit. It always exists,
+// as the tighter of two values is defined for every kind. Otherwise no policy could be in effect while a
+// change from one policy to another is prepared.
 func Intersect(p, q Policy) Policy {
-	both := make(Policy, 0, len(p)+len(q))
+	intersection := make(Policy, 0, len(p)+len(q))
 	i, j := 0, 0
 	for i < len(p) && j < len(q) {
 		switch order := compareEntries(p[i], q[j]); {
 		case order < 0:
-			both = append(both, p[i])
+			intersection = append(intersection, p[i])
 			i++
 		case order > 0:
-			both = append(both, q[j])
+			intersection = append(intersection, q[j])
 			j++
 		default:
 			e := p[i]
 			e.Value = tighter(e.Kind, e.Value, q[j].Value)
-			both = append(both, e)
+			intersection = append(intersection, e)
 			i++
 			j++
 		}
 	}
-	both = append(both, p[i:]...)
-	return append(both, q[j:]...)
+	intersection = append(intersection, p[i:]...)
+	return append(intersection, q[j:]...)
 }
 
-// Violations returns the entries of q that p does not satisfy; none where q permits all that p permits.
-// Advisory kinds are left out.
+// Violations returns the entries of q that p does not satisfy. There are none if q permits everything that p
+// permits. Advisory kinds are ignored.
 func Violations(p, q Policy) (violations []Entry) {
 	for _, e := range q {
 		if !traits[e.Kind].advisory && !p.satisfies(e) {
@@ -56,22 +57,22 @@
 	case e.Kind == Closed && p.Has(Closed, zone+"/"), e.Kind == NoHedging && p.Has(NoHedging, ""):
 		return true
 	}
-	own, found := p.find(e.Kind, e.Subject)
+	entry, found := p.find(e.Kind, e.Subject)
 	if !found {
 		return false
 	}
-	return traits[e.Kind].flag || tighter(e.Kind, own.Value, e.Value) == own.Value
+	return traits[e.Kind].flag || tighter(e.Kind, entry.Value, e.Value) == entry.Value
 }
 
-// Difference is one difference between two policies, described for operators.
+// Difference describes one difference between two policies for operators.
 type Difference struct {
 	Tightens bool
 	Text     string
 }
 
-// Diff describes what a change from one policy to another means.
+// Diff returns the differences that a change from one policy to another makes.
 func Diff(from, to Policy) (differences []Difference) {
-	for _, e := range Intersect(from, to) { // each kind and subject that occurs in either, once
+	for _, e := range Intersect(from, to) { // has each kind and subject of either policy once
 		before, existed := from.find(e.Kind, e.Subject)
 		after, exists := to.find(e.Kind, e.Subject)
 		if existed == exists && before.Value == after.Value {
@@ -82,7 +83,7 @@
 	return differences
 }
 
-// describe returns the difference that a change to one entry makes.
+// describe returns the description of a change of one entry.
 func describe(e Entry, existed, exists bool, before, after float64) Difference {
 	t := traits[e.Kind]
 	newValue := ""
@@ -108,7 +109,7 @@
 	return d
 }
 
-// describeSubject returns the subject of an entry as the beginning of a description.
+// describeSubject returns the subject of an entry as the prefix of a description, empty if it has none.
 func describeSubject(e Entry) string {
 	switch traits[e.Kind].subject {
 	case classSubject:
--- a/logic/policy/compare_test.go
+++ b/logic/policy/compare_test.go
@@ -9,47 +9,47 @@
 	"pgregory.net/rapid"
 )
 
-// sameEntries reports whether two policies have the same entries; one of them may be nil.
+// sameEntries reports whether two policies have the same entries. A nil policy equals an empty one.
 func sameEntries(p, q Policy) bool {
 	return reflect.DeepEqual(append(Policy{}, p...), append(Policy{}, q...))
 }
 
-// TestIntersect: an intersection is within both policies and is the loosest that is. It is commutative,
-// associative and idempotent, and ordered.
-func TestIntersect(t *testing.T) {
+// TestIntersectIsTheLoosestPolicyWithinBoth tests that an intersection permits only what both policies permit and is
+// the loosest such policy, that it is ordered, and that Intersect is commutative, associative and idempotent.
+func TestIntersectIsTheLoosestPolicyWithinBoth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, q, r := drawPolicy(t, "p"), drawPolicy(t, "q"), drawPolicy(t, "r")
-		both := Intersect(p, q)
-		if !reflect.DeepEqual(both, Intersect(q, p)) || !sameEntries(p, Intersect(p, p)) {
-			t.Fatalf("%v, %v: %v", p, q, both)
+		intersection := Intersect(p, q)
+		if !reflect.DeepEqual(intersection, Intersect(q, p)) || !sameEntries(p, Intersect(p, p)) {
+			t.Fatalf("Intersect is not commutative or not idempotent for %v and %v: %v", p, q, intersection)
 		}
-		if ordered, err := New(both); err != nil || !sameEntries(ordered, both) {
-			t.Fatalf("%v is out of order: %v", both, err)
+		if ordered, err := New(intersection); err != nil || !sameEntries(ordered, intersection) {
+			t.Fatalf("%v is out of order: %v", intersection, err)
 		}
-		if v := append(Violations(both, p), Violations(both, q)...); len(v) > 0 {
+		if v := append(Violations(intersection, p), Violations(intersection, q)...); len(v) > 0 {
 			t.Fatalf("the intersection of %v and %v permits what one forbids: %v", p, q, v)
 		}
-		if len(Violations(r, p))+len(Violations(r, q)) == 0 && len(Violations(r, both)) > 0 {
-			t.Fatalf("%v is within both and not within their intersection %v", r, both)
+		if len(Violations(r, p))+len(Violations(r, q)) == 0 && len(Violations(r, intersection)) > 0 {
+			t.Fatalf("%v is within both and not within their intersection %v", r, intersection)
 		}
-		if !reflect.DeepEqual(Intersect(both, r), Intersect(p, Intersect(q, r))) {
-			t.Fatalf("%v, %v, %v: the order counts", p, q, r)
+		if !reflect.DeepEqual(Intersect(intersection, r), Intersect(p, Intersect(q, r))) {
+			t.Fatalf("Intersect is not associative for %v, %v and %v", p, q, r)
 		}
 		for _, host := range []string{"s1", "s2"} {
 			for _, zone := range []string{"north", "south"} {
-				if both.Closes(zone, host) != (p.Closes(zone, host) || q.Closes(zone, host)) {
-					t.Fatalf("%s/%s: %v, %v", zone, host, p, q)
+				if intersection.Closes(zone, host) != (p.Closes(zone, host) || q.Closes(zone, host)) {
+					t.Fatalf("%s/%s is closed wrongly in the intersection of %v and %v", zone, host, p, q)
 				}
 			}
 		}
 		if len(Diff(p, p)) > 0 || (len(Diff(p, q)) == 0) != slices.Equal(p, q) || len(Diff(p, q)) != len(Diff(q, p)) {
-			t.Fatalf("%v, %v: %v", p, q, Diff(p, q))
+			t.Fatalf("wrong number of differences between %v and %v: %v", p, q, Diff(p, q))
 		}
 	})
 }
 
-// TestDiffDescribesEachDifference: operators read what a change does to each entry, and whether it
-// tightens.
+// TestDiffDescribesEachDifference tests that Diff describes what a change does to each entry, and whether it
+// tightens the policy.
 func TestDiffDescribesEachDifference(t *testing.T) {
 	from := mustNew(t,
 		Entry{Kind: MinShare, Subject: "find", Value: 0.5},
--- a/logic/policy/kinds.go
+++ b/logic/policy/kinds.go
@@ -1,27 +1,27 @@
 package policy
 
-// Kind says what an entry of a policy restricts. Its texts are those of the protocol.
+// Kind identifies what an entry of a policy restricts. Its values are those of the protocol.
 type Kind string
 
-// The kinds of entries. A gatherer refuses a change that holds a kind it does not know, and the change is
-// abandoned.
+// The kinds of entries. A gatherer refuses a change that contains a kind it does not know, and the change is
+// then abandoned.
 const (
-	// NonIdempotent makes queries of a class non-idempotent: no shard request that may have run is sent
-	// again.
+	// NonIdempotent makes queries of a class non-idempotent: a shard request that may have been executed is
+	// not sent again.
 	NonIdempotent Kind = "once-only"
 	// NoHedging forbids two requests for one shard at the same time, for a class or for all.
 	NoHedging Kind = "no-copies"
-	// MinShare is the min share of a class, below which no answer is given.
+	// MinShare is the minimum share of a class, below which no answer is given.
 	MinShare Kind = "least"
-	// RetryShare bounds retries and hedges, as a share of the admitted queries and shard requests.
+	// RetryShare limits retries and hedged requests to a share of the admitted queries and shard requests.
 	RetryShare Kind = "budget-share"
-	// RetryAllowance is the number of retries and hedges that are permitted beyond that share.
+	// RetryAllowance is the number of retries and hedged requests that are permitted beyond RetryShare.
 	RetryAllowance Kind = "budget-free"
-	// WarmUpShare is the share of their usual traffic that servers which are warming up are sent.
+	// WarmUpShare is the share of their usual traffic that servers receive while they are warming up.
 	WarmUpShare Kind = "cold"
 	// Closed stops new requests to a zone (subject ZONE/) or to a host (subject ZONE/HOST).
 	Closed Kind = "closed"
-	// HostWeight is the share of its usual traffic that a host is sent.
+	// HostWeight is the share of its usual traffic that a host receives.
 	HostWeight Kind = "turns"
 )
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// subjectKind says what the subject of an entry names.
+// subjectKind identifies what the subject of an entry names.
 type subjectKind string
 
 const (
@@ -43,16 +43,16 @@
 	hostSubject  subjectKind = "host"
 )
 
-// kindTraits describe a kind of entry.
+// kindTraits holds the properties of a kind of entry.
 type kindTraits struct {
 	subject         subjectKind
-	flag            bool // the entry has no value
-	higherIsTighter bool // of two values; otherwise the lower one is tighter
+	flag            bool // entries have no value
+	higherIsTighter bool // the higher of two values is tighter; otherwise the lower one is
 	advisory        bool // no rule depends on it, so a fallback policy need not have it
 	maxValue        float64
-	tightenText     string // says that a change tightens the entry
-	loosenText      string // says that a change loosens it
-	removeText      string // says that a change removes it
+	tightenText     string // describes a change that tightens the entry
+	loosenText      string // describes a change that loosens the entry
+	removeText      string // describes a change that removes the entry
 }
 
 const maxRetryAllowance = 1e6
--- a/logic/policy/leader.go
+++ b/logic/policy/leader.go
@@ -10,46 +10,48 @@
 	"yokeroute/internal/suggest"
 )
 
-// maxClockDrift bounds by how much the clocks of two machines may differ in rate: some forty times the
+// maxClockDrift limits by how much the rates of two machines' clocks may differ. It is some forty times the
 // tolerance of an ordinary quartz.
 const maxClockDrift = 0.02
 
 // Leader decides when a policy change commits. It runs on the raft leader only, and knows what gatherers
-// have reported since that election. Times are milliseconds of the server's own monotonic clock.
+// have reported since that server was elected. All times are in milliseconds of the server's own monotonic
+// clock.
 type Leader struct {
 	Record        *Record
-	Lease         float64 // granted with each update
-	ChangeTimeout float64 // after which a change that is not prepared everywhere is abandoned
+	Lease         float64 // duration of the lease that each update grants
+	ChangeTimeout float64 // time after which a change that is not prepared everywhere is abandoned
 
 	electedAt     float64
-	pendingNumber uint64     // the pending change that was seen last
-	pendingSince  float64    // when it was first seen
+	pendingNumber uint64     // the latest pending change that was seen
+	pendingSince  float64    // when pendingNumber was first seen
 	instances     []instance // ordered by name and incarnation
 }
 
-// instance is one incarnation of a gatherer. Two can exist under one name: one that hangs, and its
+// instance is one incarnation of a gatherer. There can be two of the same name: one that hangs, and its
 // replacement.
 type instance struct {
 	name        string
 	incarnation string
 	heartbeat   Heartbeat
 	polledAt    float64
-	// startedDuring is the change that was pending at its first poll, if it had no lease then. It never
-	// received an update without that change, so it applies the fallback policy or the intersection.
+	// startedDuring is the change that was pending at the instance's first poll if it had no lease then, else
+	// 0. Such an instance has never received an update without that change, so it applies the fallback policy
+	// or the intersection.
 	startedDuring uint64
 }
 
-// NewLeader returns the decisions of a server that was elected now.
+// NewLeader returns a Leader for a server that was elected now.
 func NewLeader(r *Record, lease, changeTimeout, now float64) *Leader {
 	return &Leader{Record: r, Lease: lease, ChangeTimeout: changeTimeout, electedAt: now}
 }
 
-// MaxLeaseAge is the longest time after its last poll for which a gatherer may hold a lease by any clock.
-// After it the gatherer applies its fallback policy.
+// MaxLeaseAge returns the longest time after its last poll for which a gatherer may hold a lease, allowing
+// for clock drift. After that time the gatherer applies its fallback policy.
 func (l *Leader) MaxLeaseAge() float64 { return l.Lease * (1 + maxClockDrift) }
 
-// Handle processes a heartbeat and returns the update to answer it with. The caller has verified its
-// leadership after the heartbeat arrived: a deposed leader must grant no lease.
+// Handle processes a heartbeat and returns the update to answer it with. The caller must verify its
+// leadership after the heartbeat has arrived, since a deposed leader must not grant a lease.
 func (l *Leader) Handle(now float64, h Heartbeat) Update {
 	update := l.Record.Update()
 	polling := instance{name: h.Name, incarnation: h.Incarnation}
@@ -70,7 +72,7 @@
 	return update
 }
 
-// hasPrepared reports whether an incarnation cannot do what a pending change forbids.
+// hasPrepared reports whether an instance is certain not to do what a pending change forbids.
 func (in *instance) hasPrepared(number uint64) bool {
 	if in.startedDuring == number {
 		return true
@@ -78,8 +80,8 @@
 	return in.heartbeat.Applied.Pending == number && in.heartbeat.Drained
 }
 
-// live returns the incarnations that may hold a lease, ordered by name, and forgets those that polled
-// long ago.
+// live returns the instances that may hold a lease, ordered by name. It removes those whose last poll is
+// longer ago than the longest lease and ChangeTimeout together.
 func (l *Leader) live(now float64) []instance {
 	l.instances = slices.DeleteFunc(l.instances, func(in instance) bool {
 		return now > in.polledAt+l.MaxLeaseAge()+l.ChangeTimeout
@@ -93,8 +95,8 @@
 	return live
 }
 
-// Decide returns the command that commits or abandons the pending change, nil while it has to wait; and
-// what it waits for, for operators.
+// Decide returns the command that commits or abandons the pending change. While the change has to wait, the
+// command is nil and waitingFor describes for operators what it waits for.
 func (l *Leader) Decide(now float64) (c *Command, waitingFor string) {
 	change := l.Record.Pending
 	if change == nil {
@@ -115,7 +117,7 @@
 		}
 	}
 	missing = slices.Compact(missing)
-	// A gatherer that has not polled this leader may hold a lease of the one before.
+	// A gatherer that has not polled this leader may hold a lease that the previous leader granted.
 	earlierLeasesEnd := l.electedAt + l.MaxLeaseAge()
 	switch {
 	case len(missing) == 0 && now > earlierLeasesEnd:
@@ -126,10 +128,10 @@
 		return nil, "not prepared yet: " + suggest.Join(missing)
 	}
 	return nil, fmt.Sprintf("a new leader waits for %.0f s, "+
-		"since leases of the one before it may still hold", math.Ceil((earlierLeasesEnd-now)/1000))
+		"as leases of the previous leader may still be valid", math.Ceil((earlierLeasesEnd-now)/1000))
 }
 
-// timeoutReason says why a change was not prepared in time.
+// timeoutReason describes why a change was not prepared in time.
 func (l *Leader) timeoutReason(missing []string) string {
 	if len(missing) == 0 {
 		return "leadership changed too often"
--- a/logic/policy/leader_test.go
+++ b/logic/policy/leader_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// leaderTest sends heartbeats to a leader.
+// leaderTest sends heartbeats to a leader and checks its decisions.
 type leaderTest struct {
 	*testing.T
 	*Leader
@@ -20,9 +20,9 @@
 	return t.Handle(now, h)
 }
 
-// decides checks the leader's decision: the change that it commits or abandons, 0 for neither, and the
-// reason.
-func (t leaderTest) decides(now float64, commit, abandon uint64, reason string) {
+// checkDecision checks the leader's decision: the number of the change that it commits or abandons, 0 for
+// neither, and a part of the reason.
+func (t leaderTest) checkDecision(now float64, commit, abandon uint64, reason string) {
 	t.Helper()
 	command, waitingFor := t.Decide(now)
 	got := Command{}
@@ -31,11 +31,11 @@
 		waitingFor += command.Reason
 	}
 	if got.Commit != commit || got.Abandon != abandon || !strings.Contains(waitingFor, reason) {
-		t.Errorf("at %g: %+v, %q", now, got, waitingFor)
+		t.Errorf("at %g: command %+v, reason %q", now, got, waitingFor)
 	}
 }
 
-// newLeaderTest returns a leader with a lease of a second, a timeout of five, and three members.
+// newLeaderTest returns a leader with a lease of 1 second, a change timeout of 5 seconds, and three members.
 func newLeaderTest(t *testing.T) leaderTest {
 	record := &Record{Epoch: 1, LastEnded: 1, Policy: oldPolicy}
 	for _, name := range []string{"g1", "g2", "g3"} {
@@ -46,20 +46,20 @@
 	return leaderTest{t, NewLeader(record, 1000, 5000, 0)}
 }
 
-// TestLeaderDecides: a leader waits for all gatherers that may hold a lease, abandons a change that one
-// refuses or that is not prepared in time, and names who is missing.
-func TestLeaderDecides(test *testing.T) {
+// TestLeaderCommitsOrAbandonsThePendingChange tests that a leader waits for all gatherers that may hold a lease,
+// names those that it waits for, and abandons a change that a gatherer refuses or that is not prepared in time.
+func TestLeaderCommitsOrAbandonsThePendingChange(test *testing.T) {
 	t := newLeaderTest(test)
-	t.decides(0, 0, 0, "")
-	held := Heartbeat{Applied: Revision{Epoch: 1, LastEnded: 1}, Drained: true}
+	t.checkDecision(0, 0, 0, "")
+	applied := Heartbeat{Applied: Revision{Epoch: 1, LastEnded: 1}, Drained: true}
 	for _, g := range []string{"g1", "g2", "g3"} {
-		if u := t.poll(10, g, "a", held); u.Lease != 1000 {
+		if u := t.poll(10, g, "a", applied); u.Lease != 1000 {
 			t.Errorf("%+v", u)
 		}
 	}
-	stranger := Heartbeat{Member: Member{Name: "stranger", KnownKinds: Kinds()}, Incarnation: "a"}
-	if u := t.Handle(10, stranger); u.Lease != 0 {
-		t.Errorf("a lease for one that is not registered: %+v", u)
+	unregistered := Heartbeat{Member: Member{Name: "stranger", KnownKinds: Kinds()}, Incarnation: "a"}
+	if u := t.Handle(10, unregistered); u.Lease != 0 {
+		t.Errorf("a gatherer that is not registered got a lease: %+v", u)
 	}
 	if _, err := t.Record.Apply(Command{Propose: &Change{Base: 1, ID: "x", Policy: newPolicy}}); err != nil {
 		t.Fatal(err)
@@ -67,17 +67,17 @@
 	number := t.Record.Pending.Number
 	prepared := Heartbeat{Applied: Revision{Epoch: 1, LastEnded: 1, Pending: number}, Drained: true}
 	undrained := Heartbeat{Applied: prepared.Applied}
-	t.decides(20, 0, 0, "not prepared yet: g1, g2, g3, stranger")
+	t.checkDecision(20, 0, 0, "not prepared yet: g1, g2, g3, stranger")
 	t.poll(30, "g1", "a", prepared)
 	t.poll(30, "g2", "a", undrained)
-	t.decides(40, 0, 0, "not prepared yet: g2, g3, stranger")
+	t.checkDecision(40, 0, 0, "not prepared yet: g2, g3, stranger")
 	t.poll(50, "g2", "a", prepared)
-	// A new incarnation has received nothing without the change; the one before it may still hold a lease.
+	// A new incarnation has received no update without the change; the previous one may still hold a lease.
 	t.poll(50, "g3", "b", Heartbeat{Drained: true})
-	t.decides(60, 0, 0, "not prepared yet: g3, stranger")
-	t.decides(1025, 0, 0, "not prepared yet: g3") // a clock may run fast
+	t.checkDecision(60, 0, 0, "not prepared yet: g3, stranger")
+	t.checkDecision(1025, 0, 0, "not prepared yet: g3") // the leader's clock may be fast
 	t.poll(1026, "g1", "a", prepared)
-	t.decides(1031, number, 0, "")
+	t.checkDecision(1031, number, 0, "")
 	statuses := t.MemberStatuses(1031)
 	if len(statuses) != 3 || statuses[0].State != StatePrepared || statuses[2].State != StatePrepared {
 		t.Errorf("%+v", statuses)
@@ -86,19 +86,19 @@
 	refusing := prepared
 	refusing.RefusedChange = number
 	t.poll(1040, "g1", "a", refusing)
-	t.decides(1050, 0, number, "g1 refuses it: no such index")
-	t.poll(1060, "g1", "a", held)
-	t.decides(5019, number, 0, "") // all leases have expired by then
-	t.poll(5019, "g1", "a", held)
-	t.decides(5021, 0, number, "not prepared within 5 s: g1")
+	t.checkDecision(1050, 0, number, "g1 refuses it: no such index")
+	t.poll(1060, "g1", "a", applied)
+	t.checkDecision(5019, number, 0, "") // all leases have expired by then
+	t.poll(5019, "g1", "a", applied)
+	t.checkDecision(5021, 0, number, "not prepared within 5 s: g1")
 	if _, err := t.Record.Apply(Command{Abandon: number}); err != nil {
 		t.Fatal(err)
 	}
-	t.reportsStatus(number)
+	t.checkStatuses(number)
 }
 
-// reportsStatus goes on after a change was abandoned.
-func (t leaderTest) reportsStatus(number uint64) {
+// checkStatuses checks the gatherers' statuses after the change was abandoned.
+func (t leaderTest) checkStatuses(number uint64) {
 	t.Helper()
 	if everywhere, missing := t.AppliedEverywhere(5022, t.MemberStatuses(5022)); everywhere || len(missing) != 1 {
 		t.Errorf("%v, %v", everywhere, missing)
@@ -111,13 +111,13 @@
 	if statuses[0].State != StateApplied || statuses[1].State != StateDetached || statuses[1].SinceLastPoll < 4900 {
 		t.Errorf("%+v", statuses)
 	}
-	t.poll(5030, "g2", "c", Heartbeat{Drained: true}) // one that restarts each second is not missing
+	t.poll(5030, "g2", "c", Heartbeat{Drained: true}) // a gatherer that restarts every second is not missing
 	if everywhere, missing := t.AppliedEverywhere(5031, t.MemberStatuses(5031)); !everywhere {
 		t.Errorf("%v", missing)
 	}
-	later := NewLeader(t.Record, 1000, 5000, 6000)
-	everywhere, missing := later.AppliedEverywhere(6500, later.MemberStatuses(6500))
-	if everywhere || !strings.Contains(fmt.Sprint(missing), "polled the leader before") {
+	newLeader := NewLeader(t.Record, 1000, 5000, 6000)
+	everywhere, missing := newLeader.AppliedEverywhere(6500, newLeader.MemberStatuses(6500))
+	if everywhere || !strings.Contains(fmt.Sprint(missing), "polled the previous leader") {
 		t.Errorf("%v, %v", everywhere, missing)
 	}
 }
--- a/logic/policy/lease.go
+++ b/logic/policy/lease.go
@@ -1,7 +1,7 @@
 package policy
 
-// LeaseHolder decides which policy is in effect in one gatherer. Times are milliseconds of the gatherer's
-// own monotonic clock.
+// LeaseHolder decides which policy is in effect in one gatherer. All times are in milliseconds of the
+// gatherer's own monotonic clock.
 type LeaseHolder struct {
 	fallback Policy
 	validate func(Policy) error // checks a policy against the platform's settings; nil accepts every policy
@@ -9,9 +9,9 @@
 	revision  Revision
 	effective Policy // the committed policy, its intersection with the pending one, or the fallback policy
 	leased    bool
-	expiresAt float64 // of the lease; it only grows, as polls are sent one after the other
+	expiresAt float64 // when the lease expires; never decreases, as polls are sequential
 
-	generation      uint64 // counts the policies that were in effect
+	generation      uint64 // incremented with each policy that takes effect
 	oldestPermitted uint64 // the oldest generation whose decisions may still be carried out
 
 	refusedChange   uint64
@@ -20,7 +20,7 @@
 	rejectedUpdates uint64
 }
 
-// NewLeaseHolder returns a holder without a lease. Revision is the one that an earlier incarnation has
+// NewLeaseHolder returns a holder without a lease. revision is the one that an earlier incarnation has
 // stored.
 func NewLeaseHolder(fallback Policy, revision Revision, validate func(Policy) error) *LeaseHolder {
 	return &LeaseHolder{
@@ -33,9 +33,9 @@
 	}
 }
 
-// Handle processes the answer to a poll that was sent at sentAt. It returns the revision, which the
-// caller stores where it has advanced, and whether the update was accepted: one that is older than the
-// revision is not.
+// Handle processes the answer to a poll that was sent at sentAt. It returns the current revision, which the
+// caller stores if it has advanced, and whether the update was accepted. An update that is older than the
+// revision is not accepted, and neither is one whose committed policy cannot be applied.
 func (h *LeaseHolder) Handle(sentAt, now float64, u Update) (revision Revision, advanced, accepted bool) {
 	h.expire(now)
 	if h.revision.newerThan(&u) {
@@ -43,8 +43,8 @@
 		return h.revision, false, false
 	}
 	next := u.Revision()
-	// A policy that contradicts the platform's settings or has an unknown kind cannot be applied. The
-	// fallback policy is at least as tight.
+	// A committed policy that contradicts the platform's settings or has an unknown kind cannot be applied.
+	// The fallback policy takes its place, as it is at least as tight.
 	if err := h.check(u.Policy); err != nil {
 		h.refusedChange = u.Epoch
 		h.refusalReason = err.Error()
@@ -52,8 +52,8 @@
 		return h.revision, false, false
 	}
 	effective := h.prepare(&u)
-	// The leader did not wait for this gatherer where a change was committed that it never prepared: its
-	// lease must have expired by the leader's clock.
+	// If a change was committed that this gatherer never prepared, the leader did not wait for it: its lease
+	// must have expired by the leader's clock.
 	if h.leased && next.Epoch > h.revision.Epoch && h.revision.Pending != next.Epoch {
 		h.expiredLeases++
 		h.fallBack()
@@ -61,8 +61,8 @@
 	advanced = next != h.revision
 	h.revision = next
 	refused := h.refusedChange > 0 && h.refusedChange == next.Pending
-	// An update that arrives after its lease has no effect, and neither has one without a lease before it
-	// whose pending change cannot be applied.
+	// An update that arrives after its own lease has expired has no effect. Neither has an update whose
+	// pending change cannot be applied, if no lease is held.
 	if sentAt+u.Lease <= now || refused && !h.leased {
 		return h.revision, advanced, true
 	}
@@ -70,7 +70,7 @@
 	return h.revision, advanced, true
 }
 
-// prepare returns the policy that an update puts in effect, and notes whether its pending change is
+// prepare returns the policy that an update puts into effect, and records whether its pending change is
 // refused.
 func (h *LeaseHolder) prepare(u *Update) Policy {
 	h.refusedChange = 0
@@ -85,7 +85,7 @@
 	return Intersect(u.Policy, u.Pending.Policy)
 }
 
-// renew extends the lease, and puts a policy in effect where it has changed or no lease was held.
+// renew extends the lease. It puts the policy into effect if the policy has changed or no lease was held.
 func (h *LeaseHolder) renew(expiresAt float64, effective Policy, changed bool) {
 	acquired := !h.leased
 	h.leased = true
@@ -94,12 +94,12 @@
 		h.effective = effective
 		h.generation++
 	}
-	if acquired { // every policy permits what the fallback policy does
+	if acquired { // every policy permits what the fallback policy permits
 		h.oldestPermitted = h.generation
 	}
 }
 
-// check reports why a policy cannot be applied by this gatherer.
+// check returns an error if this gatherer cannot apply a policy.
 func (h *LeaseHolder) check(p Policy) error {
 	if unknown := p.UnknownKinds(); len(unknown) > 0 {
 		return reject("the kind %s is not known to this version", unknown[0])
@@ -110,7 +110,7 @@
 	return h.validate(p)
 }
 
-// expire ends a lease whose time is over.
+// expire ends the lease if its time is over.
 func (h *LeaseHolder) expire(now float64) {
 	if h.leased && now >= h.expiresAt {
 		h.expiredLeases++
@@ -118,7 +118,8 @@
 	}
 }
 
-// fallBack puts the fallback policy in effect. Decisions of earlier generations are then not permitted.
+// fallBack ends the lease and puts the fallback policy into effect. Decisions of earlier generations are no
+// longer permitted.
 func (h *LeaseHolder) fallBack() {
 	h.leased = false
 	h.effective = h.fallback
@@ -132,14 +133,14 @@
 	return h.effective, h.generation
 }
 
-// Permits reports whether what was decided in a generation may be carried out now. Where not, the caller
+// Permits reports whether what was decided in a generation may still be carried out. If not, the caller
 // checks it against the policy in effect.
 func (h *LeaseHolder) Permits(generation uint64, now float64) bool {
 	h.expire(now)
 	return generation >= h.oldestPermitted
 }
 
-// MarkDrained records that no query is in flight that was decided before a generation.
+// MarkDrained records that no query is in flight that was decided by a policy before a generation.
 func (h *LeaseHolder) MarkDrained(generation uint64) {
 	h.oldestPermitted = max(h.oldestPermitted, min(generation, h.generation))
 }
@@ -155,7 +156,7 @@
 	return h.expiresAt
 }
 
-// Heartbeat returns the holder's part of the heartbeat to send now. The caller adds who it is.
+// Heartbeat returns the holder's part of the heartbeat to send now. The caller adds the gatherer's identity.
 func (h *LeaseHolder) Heartbeat(now float64) Heartbeat {
 	h.expire(now)
 	heartbeat := Heartbeat{
--- a/logic/policy/messages_test.go
+++ b/logic/policy/messages_test.go
@@ -2,11 +2,11 @@
 
 import "testing"
 
-// TestUpdateIsNewTo: a poll that waits is answered when a change is proposed, committed or abandoned, and
-// not for a pending change that its gatherer refuses.
-func TestUpdateIsNewTo(t *testing.T) {
+// TestUpdateIsNewToHeartbeat tests that a waiting poll is answered when a change is proposed, committed or abandoned,
+// but not for a pending change that its gatherer refuses.
+func TestUpdateIsNewToHeartbeat(t *testing.T) {
 	pending := &Change{Number: 8}
-	at := func(epoch, lastEnded, pending uint64) Revision {
+	revision := func(epoch, lastEnded, pending uint64) Revision {
 		return Revision{Epoch: epoch, LastEnded: lastEnded, Pending: pending}
 	}
 	for name, c := range map[string]struct {
@@ -14,20 +14,20 @@
 		heartbeat Heartbeat
 		want      bool
 	}{
-		"nothing":   {Update{Epoch: 7, LastEnded: 7}, Heartbeat{Applied: at(7, 7, 0)}, false},
-		"proposed":  {Update{Epoch: 7, LastEnded: 7, Pending: pending}, Heartbeat{Applied: at(7, 7, 0)}, true},
-		"prepared":  {Update{Epoch: 7, LastEnded: 7, Pending: pending}, Heartbeat{Applied: at(7, 7, 8)}, false},
-		"committed": {Update{Epoch: 8, LastEnded: 8}, Heartbeat{Applied: at(7, 7, 8)}, true},
-		"abandoned": {Update{Epoch: 7, LastEnded: 8}, Heartbeat{Applied: at(7, 7, 8)}, true},
+		"nothing":   {Update{Epoch: 7, LastEnded: 7}, Heartbeat{Applied: revision(7, 7, 0)}, false},
+		"proposed":  {Update{Epoch: 7, LastEnded: 7, Pending: pending}, Heartbeat{Applied: revision(7, 7, 0)}, true},
+		"prepared":  {Update{Epoch: 7, LastEnded: 7, Pending: pending}, Heartbeat{Applied: revision(7, 7, 8)}, false},
+		"committed": {Update{Epoch: 8, LastEnded: 8}, Heartbeat{Applied: revision(7, 7, 8)}, true},
+		"abandoned": {Update{Epoch: 7, LastEnded: 8}, Heartbeat{Applied: revision(7, 7, 8)}, true},
 		"refused": {Update{Epoch: 7, LastEnded: 7, Pending: pending},
-			Heartbeat{Applied: at(7, 7, 0), RefusedChange: 8}, false},
+			Heartbeat{Applied: revision(7, 7, 0), RefusedChange: 8}, false},
 		"committed for others": {Update{Epoch: 8, LastEnded: 8},
-			Heartbeat{Applied: at(7, 7, 0), RefusedChange: 8}, true},
+			Heartbeat{Applied: revision(7, 7, 0), RefusedChange: 8}, true},
 		"abandoned, refused": {Update{Epoch: 7, LastEnded: 8},
-			Heartbeat{Applied: at(7, 7, 0), RefusedChange: 8}, true},
+			Heartbeat{Applied: revision(7, 7, 0), RefusedChange: 8}, true},
 	} {
 		if c.update.IsNewTo(c.heartbeat) != c.want {
-			t.Errorf("%s: new %v", name, !c.want)
+			t.Errorf("%s: IsNewTo returned %v", name, !c.want)
 		}
 	}
 }
--- a/logic/policy/modelsteps_test.go
+++ b/logic/policy/modelsteps_test.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// steps collects the states that may follow one.
-type steps struct {
-	from    *world
-	variant variant
-	next    []*world
+// transitions collects the states that may follow a state.
+type transitions struct {
+	from    *modelState
+	omitted omittedSafeguards
+	next    []*modelState
 }
 
 // add adds the state after an event.
-func (s *steps) add(event func(w *world)) {
+func (s *transitions) add(event func(w *modelState)) {
 	w := s.from.clone()
 	event(w)
 	s.next = append(s.next, w)
 }
 
-// successors returns all states that may follow.
-func (w *world) successors(v variant) []*world {
-	s := &steps{from: w, variant: v}
-	s.add((*world).passTime)
+// successors returns all states that may follow the state.
+func (w *modelState) successors(v omittedSafeguards) []*modelState {
+	s := &transitions{from: w, omitted: v}
+	s.add((*modelState).passTime)
 	if !w.proposed {
-		s.add(func(w *world) {
+		s.add(func(w *modelState) {
 			w.proposed = true
 			w.commit(Command{Propose: &Change{Base: w.record.Epoch, ID: "new", Policy: newPolicy}})
 		})
 	}
 	if w.record.Pending != nil {
-		s.add(func(w *world) { w.decide(v) })
+		s.add(func(w *modelState) { w.decide(v) })
 	}
 	if w.faults.elections > 0 {
-		s.add(func(w *world) { w.elect(v) })
+		s.add(func(w *modelState) { w.elect(v) })
 	}
 	for i := range w.nodes {
 		s.addMessages(i)
 		s.addCrashes(i)
 		if w.nodes[i].suspended {
-			s.add(func(w *world) { w.resume(i) })
+			s.add(func(w *modelState) { w.resume(i) })
 			continue
 		}
 		s.addActions(i)
@@ -47,19 +47,19 @@
 	return s.next
 }
 
-// passTime advances time by a step.
-func (w *world) passTime() {
+// passTime advances the time by one unit.
+func (w *modelState) passTime() {
 	w.now++
 	for i := range w.nodes {
 		n := &w.nodes[i]
-		if !n.suspended { // a suspended process notices the time later
+		if !n.suspended { // a suspended process notices the time when it resumes
 			n.noticeGeneration(w.now, n.holder.effective, n.holder.generation)
 		}
 	}
 }
 
-// decide lets the leader commit or abandon the pending change.
-func (w *world) decide(v variant) {
+// decide lets the leader commit or abandon the pending change, or wait.
+func (w *modelState) decide(v omittedSafeguards) {
 	if v.noDraining {
 		for i := range w.leader.instances {
 			w.leader.instances[i].heartbeat.Drained = true
@@ -73,31 +73,31 @@
 	}
 }
 
-// elect replaces the leader.
-func (w *world) elect(v variant) {
+// elect replaces the leader by a newly elected one.
+func (w *modelState) elect(v omittedSafeguards) {
 	w.faults.elections--
-	before := w.leader
-	before.instances = slices.Clone(before.instances)
+	previous := w.leader
+	previous.instances = slices.Clone(previous.instances)
 	if v.noVerification {
-		w.deposed = &before
+		w.deposed = &previous
 	}
 	w.leader = *NewLeader(w.record, w.leader.Lease, w.leader.ChangeTimeout, w.now)
 }
 
-// addMessages adds that a late poll arrives, and that a poll or its answer is lost.
-func (s *steps) addMessages(i int) {
+// addMessages adds the arrival of a delayed poll, and the loss of a poll or its answer.
+func (s *transitions) addMessages(i int) {
 	n := &s.from.nodes[i]
 	if n.polledAt < 0 {
 		return
 	}
 	if n.answer == nil {
-		s.add(func(w *world) {
+		s.add(func(w *modelState) {
 			update := w.leader.Handle(w.now, w.nodes[i].heartbeat)
 			w.nodes[i].answer = &update
 		})
 	}
 	if s.from.faults.losses > 0 {
-		s.add(func(w *world) {
+		s.add(func(w *modelState) {
 			w.faults.losses--
 			w.nodes[i].polledAt = notPolling
 			w.nodes[i].answer = nil
@@ -105,24 +105,24 @@
 	}
 }
 
-// addCrashes adds that a gatherer crashes and restarts, with its disk or without.
-func (s *steps) addCrashes(i int) {
+// addCrashes adds crashes of a gatherer, which restarts with or without its stored revision.
+func (s *transitions) addCrashes(i int) {
 	if s.from.faults.crashes == 0 {
 		return
 	}
 	for _, stored := range []Revision{s.from.nodes[i].holder.revision, {}} {
-		s.add(func(w *world) {
+		s.add(func(w *modelState) {
 			w.faults.crashes--
 			w.nodes[i] = newNode(stored, w.nodes[i].incarnation+1)
 		})
 	}
 }
 
-// addActions adds what a gatherer that runs may do.
-func (s *steps) addActions(i int) {
+// addActions adds the events of a gatherer that is not suspended: suspension, polls, answers and drained queries.
+func (s *transitions) addActions(i int) {
 	n := &s.from.nodes[i]
 	if s.from.faults.suspensions > 0 {
-		s.add(func(w *world) {
+		s.add(func(w *modelState) {
 			w.faults.suspensions--
 			w.nodes[i].suspended = true
 		})
@@ -131,33 +131,33 @@
 		s.addPolls(i)
 	}
 	if n.answer != nil {
-		s.add(func(w *world) { w.handleAnswer(i, s.variant) })
+		s.add(func(w *modelState) { w.handleAnswer(i, s.omitted) })
 	}
-	if len(n.older) > 0 || !n.holder.Drained() { // queries in flight end
-		s.add(func(w *world) {
+	if len(n.olderPolicies) > 0 || !n.holder.Drained() { // queries in flight have ended
+		s.add(func(w *modelState) {
 			n := &w.nodes[i]
 			_, generation := n.holder.Effective(w.now)
 			n.holder.MarkDrained(generation)
-			n.older = nil
+			n.olderPolicies = nil
 		})
 	}
 }
 
-// addPolls adds that a gatherer polls: the poll arrives, is late, or arrives at a deposed leader.
-func (s *steps) addPolls(i int) {
-	s.add(func(w *world) {
+// addPolls adds polls of a gatherer: one that arrives, one that is delayed, and one at a deposed leader.
+func (s *transitions) addPolls(i int) {
+	s.add(func(w *modelState) {
 		n := w.poll(i)
 		update := w.leader.Handle(w.now, n.heartbeat)
 		n.answer = &update
 	})
 	if s.from.faults.losses > 0 {
-		s.add(func(w *world) {
+		s.add(func(w *modelState) {
 			w.faults.losses--
 			w.poll(i)
 		})
 	}
-	if s.variant.noVerification && s.from.deposed != nil {
-		s.add(func(w *world) {
+	if s.omitted.noVerification && s.from.deposed != nil {
+		s.add(func(w *modelState) {
 			n := w.poll(i)
 			update := w.deposed.Handle(w.now, n.heartbeat)
 			n.answer = &update
@@ -165,8 +165,8 @@
 	}
 }
 
-// poll sends a gatherer's poll.
-func (w *world) poll(i int) *node {
+// poll records that a gatherer sends a poll.
+func (w *modelState) poll(i int) *node {
 	n := &w.nodes[i]
 	n.heartbeat = n.holder.Heartbeat(w.now)
 	n.heartbeat.Member = Member{Name: nodeNames[i], Fallback: bothClosed, KnownKinds: Kinds()}
@@ -176,9 +176,9 @@
 }
 
 // handleAnswer lets a gatherer handle the answer to its poll.
-func (w *world) handleAnswer(i int, v variant) {
+func (w *modelState) handleAnswer(i int, v omittedSafeguards) {
 	n := &w.nodes[i]
-	before, generation := n.holder.effective, n.holder.generation
+	previous, generation := n.holder.effective, n.holder.generation
 	n.holder.Handle(n.polledAt, w.now, *n.answer)
 	if v.noIntersection && n.answer.Pending != nil && n.holder.leased {
 		n.holder.effective = n.answer.Pending.Policy
@@ -186,27 +186,26 @@
 	if v.noExpiry && n.holder.leased {
 		n.holder.expiresAt = math.Inf(1)
 	}
-	n.noticeGeneration(w.now, before, generation)
+	n.noticeGeneration(w.now, previous, generation)
 	n.polledAt = notPolling
 	n.answer = nil
 }
 
 // resume resumes a suspended gatherer.
-func (w *world) resume(i int) {
+func (w *modelState) resume(i int) {
 	n := &w.nodes[i]
 	n.suspended = false
 	n.noticeGeneration(w.now, n.holder.effective, n.holder.generation)
 }
 
-// noticeGeneration keeps the policy by which queries in flight were decided, where another one has come
-// into effect.
-func (n *node) noticeGeneration(now float64, before Policy, generation uint64) {
+// noticeGeneration keeps the policy by which queries in flight were decided if another policy has taken effect.
+func (n *node) noticeGeneration(now float64, previous Policy, generation uint64) {
 	if _, current := n.holder.Effective(now); current == generation {
 		return
 	}
-	n.older = append(slices.Clone(n.older), before)
-	if n.holder.Drained() { // nothing that was decided before is permitted
-		n.expired = append(slices.Clone(n.expired), n.older...)
-		n.older = nil
+	n.olderPolicies = append(slices.Clone(n.olderPolicies), previous)
+	if n.holder.Drained() { // earlier decisions are no longer permitted
+		n.expiredPolicies = append(slices.Clone(n.expiredPolicies), n.olderPolicies...)
+		n.olderPolicies = nil
 	}
 }
--- a/logic/policy/modelworld_test.go
+++ b/logic/policy/modelworld_test.go
@@ -11,42 +11,42 @@
 	incarnations = []string{"0", "1", "2", "3"}
 )
 
-// Lease and timeout of the model, in steps.
+// Lease and change timeout of the model, in its units of time.
 const (
 	modelLease   = 1
 	modelTimeout = 2
 )
 
-// notPolling is the time of a poll where none is in flight.
+// notPolling is the value of node.polledAt if no poll is in flight.
 const notPolling = -1
 
 // node is a gatherer of the model.
 type node struct {
-	holder      LeaseHolder
-	incarnation int
-	suspended   bool
-	polledAt    float64 // of the poll in flight, or notPolling
-	heartbeat   Heartbeat
-	answer      *Update  // in flight
-	older       []Policy // earlier than the one in effect, by which queries may be in flight,
-	expired     []Policy // and such that are no longer permitted
+	holder          LeaseHolder
+	incarnation     int
+	suspended       bool
+	polledAt        float64 // when the poll in flight was sent, or notPolling
+	heartbeat       Heartbeat
+	answer          *Update  // answer in flight; nil for none
+	olderPolicies   []Policy // earlier policies by which queries in flight were decided
+	expiredPolicies []Policy // the same whose decisions are no longer permitted
 }
 
-// world is a state of the model.
-type world struct {
+// modelState is a state of the model.
+type modelState struct {
 	now      float64
 	record   *Record // never modified in place
 	leader   Leader
-	deposed  *Leader // with the record as it was then
+	deposed  *Leader // with the record at the time of the election; nil for none
 	nodes    []node
-	faults   faults // that may still occur
+	faults   faults // faults that may still occur
 	proposed bool
 }
 
-// newWorld returns the first state: all gatherers hold a lease on the old policy.
-func newWorld(gatherers int, f faults) *world {
+// newModelState returns the initial state, in which all gatherers hold a lease on the old policy.
+func newModelState(gatherers int, f faults) *modelState {
 	record := &Record{Epoch: 1, LastEnded: 1, Policy: oldPolicy}
-	w := &world{record: record, faults: f, leader: *NewLeader(record, modelLease, modelTimeout, -10)}
+	w := &modelState{record: record, faults: f, leader: *NewLeader(record, modelLease, modelTimeout, -10)}
 	for i := range gatherers {
 		m := Member{Name: nodeNames[i], Fallback: bothClosed, KnownKinds: Kinds()}
 		w.commit(Command{Register: &m})
@@ -68,7 +68,7 @@
 	}
 }
 
-func (w *world) clone() *world {
+func (w *modelState) clone() *modelState {
 	c := *w
 	c.leader.instances = slices.Clone(w.leader.instances)
 	c.nodes = slices.Clone(w.nodes)
@@ -81,7 +81,7 @@
 }
 
 // commit applies a command to the record, as the replicated log would.
-func (w *world) commit(c Command) {
+func (w *modelState) commit(c Command) {
 	next := *w.record
 	next.History = slices.Clone(next.History)
 	next.Members = slices.Clone(next.Members)
@@ -91,8 +91,8 @@
 	}
 }
 
-// applied reports whether all gatherers apply the new policy.
-func (w *world) applied() bool {
+// appliesNewPolicy reports whether all gatherers apply the new policy.
+func (w *modelState) appliesNewPolicy() bool {
 	if w.record.Epoch != 2 {
 		return false
 	}
@@ -101,9 +101,9 @@
 	})
 }
 
-// violation describes what must not be in a state, empty where nothing is wrong.
-func (w *world) violation(v variant) string {
-	north, south := -1, -1 // gatherers that could send there right now
+// violation describes what violates the safety properties in the state, empty for nothing.
+func (w *modelState) violation(v omittedSafeguards) string {
+	north, south := -1, -1 // a gatherer that may send to the zone in this state; -1 for none
 	for i := range w.nodes {
 		n := w.nodes[i]
 		if n.suspended {
@@ -111,9 +111,9 @@
 		}
 		holder := n.holder
 		effective, _ := holder.Effective(w.now)
-		permitted := append([]Policy{effective}, n.older...)
+		permitted := append([]Policy{effective}, n.olderPolicies...)
 		if v.noPermitCheck {
-			permitted = append(permitted, n.expired...)
+			permitted = append(permitted, n.expiredPolicies...)
 		}
 		for _, p := range permitted {
 			if !p.Closes("north", "h") {
@@ -137,7 +137,7 @@
 	return ""
 }
 
-// Codes of the model's policies: their number of entries, or one of these.
+// Codes of the model's policies in keys of states: the number of entries, or for a single entry one of these.
 const (
 	oldPolicyCode  = 3
 	newPolicyCode  = 4
@@ -154,23 +154,23 @@
 	return newPolicyCode
 }
 
-func bit(is bool) byte {
-	if is {
+func bit(set bool) byte {
+	if set {
 		return 1
 	}
 	return 0
 }
 
-// since returns how long ago a time was as a byte, which is the same for all that is longer ago than a
+// elapsedCode returns a byte for the time that has elapsed since t, which is the same for all times of at least
 // maximum.
-func (w *world) since(t, maximum float64) byte {
+func (w *modelState) elapsedCode(t, maximum float64) byte {
 	return byte(min(max(w.now-t, -1), maximum) + 1)
 }
 
 func revisionKey(r Revision) []byte { return []byte{byte(r.Epoch), byte(r.LastEnded), byte(r.Pending)} }
 
-// key returns a text that is equal for two states where nothing depends on their difference.
-func (w *world) key() string {
+// key returns a string that is equal for two states if no behavior depends on their difference.
+func (w *modelState) key() string {
 	var nodes [][]byte
 	for i := range w.nodes {
 		nodes = append(nodes, w.nodeKey(i))
@@ -180,9 +180,9 @@
 		byte(w.record.Epoch),
 		byte(w.record.LastEnded),
 		bit(w.record.Pending != nil),
-		w.since(w.leader.electedAt, 2),
+		w.elapsedCode(w.leader.electedAt, 2),
 		byte(w.leader.pendingNumber),
-		w.since(w.leader.pendingSince, w.leader.ChangeTimeout+1),
+		w.elapsedCode(w.leader.pendingSince, w.leader.ChangeTimeout+1),
 		byte(w.faults.crashes),
 		byte(w.faults.suspensions),
 		byte(w.faults.losses),
@@ -196,14 +196,14 @@
 }
 
 // nodeKey returns the part of the key that concerns a gatherer.
-func (w *world) nodeKey(i int) []byte {
+func (w *modelState) nodeKey(i int) []byte {
 	n := &w.nodes[i]
 	key := revisionKey(n.holder.revision)
 	key = append(key, bit(n.suspended), policyCode(n.holder.effective), bit(n.holder.leased), bit(n.holder.Drained()))
 	if n.holder.leased {
-		key = append(key, w.since(n.holder.expiresAt, 1))
+		key = append(key, w.elapsedCode(n.holder.expiresAt, 1))
 	}
-	for _, policies := range [][]Policy{n.older, n.expired} {
+	for _, policies := range [][]Policy{n.olderPolicies, n.expiredPolicies} {
 		var contains [policyCodeSize]bool
 		for _, p := range policies {
 			contains[policyCode(p)] = true
@@ -213,7 +213,7 @@
 		}
 	}
 	if n.polledAt >= 0 {
-		key = append(key, '?', w.since(n.polledAt, 2))
+		key = append(key, '?', w.elapsedCode(n.polledAt, 2))
 		key = append(key, revisionKey(n.heartbeat.Applied)...)
 		key = append(key, bit(n.heartbeat.Drained))
 	}
@@ -230,14 +230,14 @@
 	return key
 }
 
-// instancesKey returns what a leader knows of a gatherer that may hold a lease.
-func (w *world) instancesKey(l *Leader, i int) (key []byte) {
+// instancesKey returns the part of the key for what a leader knows of a gatherer's instances that may hold a lease.
+func (w *modelState) instancesKey(l *Leader, i int) (key []byte) {
 	for _, in := range l.instances {
 		if in.name != nodeNames[i] || w.now > in.polledAt+l.MaxLeaseAge() {
 			continue
 		}
 		current := in.incarnation == incarnations[w.nodes[i].incarnation]
-		key = append(key, bit(current), w.since(in.polledAt, 2), byte(in.startedDuring), bit(in.heartbeat.Drained))
+		key = append(key, bit(current), w.elapsedCode(in.polledAt, 2), byte(in.startedDuring), bit(in.heartbeat.Drained))
 		key = append(key, revisionKey(in.heartbeat.Applied)...)
 	}
 	return key
--- a/logic/policy/policy.go
+++ b/logic/policy/policy.go
@@ -5,9 +5,9 @@
 // A change takes two phases. In the first, each gatherer prepares it by applying the intersection of the
 // committed policy and the pending one. The change commits once every gatherer is known to have prepared
 // it, or has not renewed its lease for so long that it must have expired. A gatherer without a lease
-// applies its fallback policy, which is at least as tight as every policy that can be committed. So no
+// applies its fallback policy, which is at least as tight as every policy that can be committed. Therefore no
 // gatherer ever does what the policy of another forbids, no query waits for a policy server, and a
-// gatherer that was cut off resumes with the committed policy.
+// gatherer that was partitioned resumes with the committed policy.
 //
 // A policy never permits more than the platform's settings do, and a gatherer never goes back to an
 // earlier revision. Leases depend on no clock but the local one, and on the rates of two clocks only to a
@@ -21,7 +21,7 @@
 	"strings"
 )
 
-// Entry is one restriction of a policy. What its subject names depends on the kind.
+// Entry is one restriction of a policy. The kind determines what Subject names, and whether Value is used.
 type Entry struct {
 	Kind    Kind    `json:"kind"`
 	Subject string  `json:"of,omitempty"`
@@ -36,9 +36,9 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Subject, b.Subject))
 }
 
-// New returns a policy of the given entries, in any order. Two entries of one kind and subject are an
-// error, and so is an invalid subject or value. Entries of unknown kinds are kept, as other versions may
-// know them.
+// New returns a policy of the given entries, which may be in any order. It returns an error for two entries
+// of the same kind and subject, and for an invalid subject or value. Entries of unknown kinds are kept, as
+// other versions may know them.
 func New(entries []Entry) (Policy, error) {
 	p := Policy(slices.Clone(entries))
 	slices.SortFunc(p, compareEntries)
@@ -53,7 +53,7 @@
 	return p, nil
 }
 
-// validate reports an invalid subject or value of a known kind.
+// validate returns an error for an invalid subject or value of a known kind.
 func (e Entry) validate() error {
 	t, known := traits[e.Kind]
 	if !known {
@@ -62,12 +62,12 @@
 	zone, _, slash := strings.Cut(e.Subject, "/")
 	switch {
 	case t.subject == noSubject && e.Subject != "":
-		return fmt.Errorf("%s is of all, not of %q", e.Kind, e.Subject)
+		return fmt.Errorf("%s applies to everything and takes no subject, not %q", e.Kind, e.Subject)
 	case t.subject != noSubject && e.Subject == "" && e.Kind != NoHedging:
 		return fmt.Errorf("%s lacks its %s", e.Kind, t.subject)
 	case e.Kind == Closed && (!slash || zone == ""):
-		return fmt.Errorf("%s wants a zone and maybe a host: ZONE/ or ZONE/HOST", e)
-	case !t.flag && !(e.Value >= 0 && e.Value <= t.maxValue): // refuses NaN as well
+		return fmt.Errorf("%s needs a zone and optionally a host: ZONE/ or ZONE/HOST", e)
+	case !t.flag && !(e.Value >= 0 && e.Value <= t.maxValue): // rejects NaN as well
 		return fmt.Errorf("%s is not within 0 and %g", e, t.maxValue)
 	case t.flag && e.Value != 0:
 		return fmt.Errorf("%s has no value", e)
@@ -75,7 +75,7 @@
 	return nil
 }
 
-// String returns an entry as operators read it.
+// String returns the entry in the form that operators read.
 func (e Entry) String() string {
 	text := string(e.Kind)
 	if e.Subject != "" {
@@ -87,7 +87,7 @@
 	return text
 }
 
-// find returns the entry of a kind and subject.
+// find returns the entry of a kind and subject, and whether there is one.
 func (p Policy) find(kind Kind, subject string) (Entry, bool) {
 	i, found := slices.BinarySearchFunc(p, Entry{Kind: kind, Subject: subject}, compareEntries)
 	if !found {
--- a/logic/policy/policy_test.go
+++ b/logic/policy/policy_test.go
@@ -15,7 +15,7 @@
 	return p
 }
 
-// drawPolicy draws a policy with any of the known kinds.
+// drawPolicy draws a random policy of known kinds.
 func drawPolicy(t *rapid.T, name string) Policy {
 	subjects := map[subjectKind][]string{
 		noSubject:    {""},
@@ -40,17 +40,18 @@
 	return mustNew(t, entries...)
 }
 
-// TestNewRejectsInvalidEntries: what no gatherer could apply is no policy, and the error names the entry.
+// TestNewRejectsInvalidEntries tests that New rejects entries that no gatherer could apply, with an error that names
+// the entry.
 func TestNewRejectsInvalidEntries(t *testing.T) {
 	for want, entries := range map[string][]Entry{
 		"said twice":              {{Kind: NonIdempotent, Subject: "a"}, {Kind: NonIdempotent, Subject: "a"}},
 		"lacks its index":         {{Kind: NonIdempotent}},
-		"is of all":               {{Kind: RetryShare, Subject: "a", Value: 0.1}},
+		"applies to everything":   {{Kind: RetryShare, Subject: "a", Value: 0.1}},
 		"not within 0 and 1":      {{Kind: MinShare, Subject: "a", Value: 1.5}},
-		"wants a zone":            {{Kind: Closed, Subject: "s1"}},
+		"needs a zone":            {{Kind: Closed, Subject: "s1"}},
 		"has no value":            {{Kind: Closed, Subject: "north/", Value: 1}},
 		"least a -1 is not":       {{Kind: MinShare, Subject: "a", Value: -1}},
-		"wants a zone and maybe ": {{Kind: Closed, Subject: "/s1"}},
+		"needs a zone and option": {{Kind: Closed, Subject: "/s1"}},
 	} {
 		if _, err := New(entries); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: %v", want, err)
--- a/logic/policy/record.go
+++ b/logic/policy/record.go
@@ -8,16 +8,16 @@
 // Change is a policy that an operator has proposed.
 type Change struct {
 	Number        uint64  `json:"number"`
-	Base          uint64  `json:"base"` // the epoch that it was written for
+	Base          uint64  `json:"base"` // the epoch that the change was written for
 	ID            string  `json:"id"`   // the proposer's idempotency key
 	Policy        Policy  `json:"policy"`
 	Reason        string  `json:"why,omitempty"`
-	ProposedAt    float64 `json:"at,omitempty"`  // Unix milliseconds by the leader's clock, for operators only
+	ProposedAt    float64 `json:"at,omitempty"`  // for operators: Unix ms by the leader's clock
 	Outcome       Outcome `json:"end,omitempty"` // empty while the change is pending
 	OutcomeReason string  `json:"word,omitempty"`
 }
 
-// Outcome is how a change ended. The texts are those of the protocol.
+// Outcome is how a change ended. Its values are those of the protocol.
 type Outcome string
 
 // The outcomes of a change.
@@ -26,8 +26,8 @@
 	Abandoned Outcome = "given up"
 )
 
-// Member is a registered gatherer, with the policy that it applies without a lease and the kinds of
-// entries that its version knows.
+// Member is a registered gatherer. Fallback is the policy that it applies without a lease, KnownKinds lists
+// the kinds of entries that its version knows.
 type Member struct {
 	Name       string `json:"name"`
 	Zone       string `json:"zone,omitempty"`
@@ -35,8 +35,8 @@
 	KnownKinds []Kind `json:"knows,omitempty"`
 }
 
-// conflicts returns the entries of a policy that the member's fallback policy violates, and those of
-// kinds that the member does not know.
+// conflicts returns the entries of a policy that the member's fallback policy violates, and the entries
+// whose kinds the member does not know.
 func (m *Member) conflicts(p Policy) (violations, unknown []Entry) {
 	for _, e := range p {
 		if !slices.Contains(m.KnownKinds, e.Kind) {
@@ -46,7 +46,7 @@
 	return Violations(m.Fallback, p), unknown
 }
 
-// equal reports whether two members agree in everything.
+// equal reports whether two members have the same properties.
 func (m *Member) equal(other *Member) bool {
 	return m.Name == other.Name &&
 		m.Zone == other.Zone &&
@@ -54,8 +54,8 @@
 		slices.Equal(m.KnownKinds, other.KnownKinds)
 }
 
-// Record is the state that the policy servers replicate. Applying the same commands in the same order
-// always results in the same record.
+// Record is the state that the policy servers replicate. It is deterministic: the same commands in the same
+// order always result in the same record.
 type Record struct {
 	Epoch          uint64   `json:"epoch"` // number of the committed change, 0 where none was ever committed
 	Policy         Policy   `json:"policy,omitempty"`
@@ -66,12 +66,12 @@
 	Members        []Member `json:"members,omitempty"` // ordered by name
 }
 
-// Update returns what the record tells gatherers, without a lease.
+// Update returns the update that gatherers receive for the record, without a lease.
 func (r *Record) Update() Update {
 	return Update{Epoch: r.Epoch, Policy: r.Policy, LastEnded: r.LastEnded, Pending: r.Pending}
 }
 
-// Find returns the change that was proposed with an ID, nil where there is none.
+// Find returns the change that was proposed with an ID, nil if there is none.
 func (r *Record) Find(id string) *Change {
 	if r.Pending != nil && r.Pending.ID == id {
 		return r.Pending
@@ -90,7 +90,7 @@
 	return found && r.Members[i].equal(&m)
 }
 
-// memberIndex returns where a member is, or where it would be inserted.
+// memberIndex returns the index of a member and true, or the index to insert it at and false.
 func (r *Record) memberIndex(name string) (i int, found bool) {
 	return slices.BinarySearchFunc(r.Members, name, func(m Member, name string) int {
 		return strings.Compare(m.Name, name)
--- a/logic/policy/record_test.go
+++ b/logic/policy/record_test.go
@@ -12,17 +12,17 @@
 	record *Record
 }
 
-// apply applies a command and checks its error, empty for none. A rejected command must not change the
-// record.
+// apply applies a command and checks that its error contains want, or that there is none if want is empty. A
+// rejected command must not change the record.
 func (t recordTest) apply(c Command, want string) *Change {
 	t.Helper()
 	before := fmt.Sprintf("%+v", *t.record)
 	change, err := t.record.Apply(c)
 	switch {
 	case (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want):
-		t.Errorf("%+v: %v", c, err)
+		t.Errorf("unexpected result of %+v: error %v", c, err)
 	case err != nil && before != fmt.Sprintf("%+v", *t.record):
-		t.Errorf("%+v: was rejected and changed the record", c)
+		t.Errorf("%+v: the command was rejected but changed the record", c)
 	}
 	return change
 }
@@ -32,15 +32,15 @@
 	return Command{Propose: &Change{Base: base, ID: id, Policy: mustNew(t, entries...)}}
 }
 
-// TestRecordAppliesCommands: a change is proposed, committed or abandoned, members are registered and
-// forgotten; a command that conflicts with the record is rejected with the reason, and one that is sent
-// twice counts once.
+// TestRecordAppliesCommands tests that changes are proposed, committed and abandoned and that members are registered
+// and forgotten. A command that conflicts with the record is rejected with the reason, and a repeated command has no
+// further effect.
 func TestRecordAppliesCommands(test *testing.T) {
 	t := recordTest{test, &Record{}}
 	fallback := mustNew(t, Entry{Kind: Closed, Subject: "south/"}, Entry{Kind: NoHedging})
-	old := Member{Name: "g1", Fallback: fallback, KnownKinds: []Kind{Closed, NoHedging}}
+	oldMember := Member{Name: "g1", Fallback: fallback, KnownKinds: []Kind{Closed, NoHedging}}
 	t.apply(Command{Register: &Member{Name: "g2", Fallback: fallback, KnownKinds: Kinds()}}, "")
-	t.apply(Command{Register: &old}, "")
+	t.apply(Command{Register: &oldMember}, "")
 	t.apply(t.propose(0, "a", Entry{Kind: Closed, Subject: "north/s1"}),
 		"g1, cut off, would do what this forbids: closed north/s1")
 	t.apply(t.propose(0, "a", Entry{Kind: NonIdempotent, Subject: "x"}), "g1, cut off, would do")
@@ -48,8 +48,8 @@
 
 	first := t.propose(0, "a", Entry{Kind: Closed, Subject: "south/s1"}, Entry{Kind: NoHedging, Subject: "find"})
 	proposed := t.apply(first, "")
-	if again := t.apply(first, ""); again != proposed || proposed.Number != 1 {
-		t.Errorf("%+v, %+v", proposed, again)
+	if repeated := t.apply(first, ""); repeated != proposed || proposed.Number != 1 {
+		t.Errorf("%+v, %+v", proposed, repeated)
 	}
 	t.apply(t.propose(0, "b", Entry{Kind: NoHedging}), "change 1 is being prepared")
 	t.apply(Command{Register: &Member{Name: "g3", KnownKinds: Kinds()}},
@@ -65,9 +65,9 @@
 	t.apply(Command{Forget: "g1"}, "")
 	t.apply(Command{Forget: "g1"}, "no gatherer g1")
 	t.apply(second, "")
-	t.apply(Command{Register: &old}, "does not know the kind turns")
+	t.apply(Command{Register: &oldMember}, "does not know the kind turns")
 	t.apply(Command{Abandon: 2, Reason: "g2 refuses it"}, "")
-	t.apply(Command{}, "an empty command")
+	t.apply(Command{}, "the command is empty")
 	r := t.record
 	if r.Epoch != 1 || r.LastEnded != 2 || len(r.History) != 2 || len(r.Members) != 1 {
 		t.Errorf("%+v", r)
@@ -75,11 +75,11 @@
 	if r.History[1].Outcome != Abandoned || r.History[1].OutcomeReason == "" {
 		t.Errorf("%+v", r.History[1])
 	}
-	t.trimsHistory()
+	t.checkTrimmedHistory()
 }
 
-// trimsHistory applies some 2,000 changes more, of which the record keeps some 1,000.
-func (t recordTest) trimsHistory() {
+// checkTrimmedHistory applies some 2,000 more changes, of which the record keeps some 1,000.
+func (t recordTest) checkTrimmedHistory() {
 	t.Helper()
 	r := t.record
 	for n := range uint64(2*maxHistory + 50) {
--- a/logic/policy/status.go
+++ b/logic/policy/status.go
@@ -5,31 +5,33 @@
 	"strings"
 )
 
-// MemberStatus is how far one gatherer has applied the policy, as operators see it.
+// MemberStatus describes for operators how far one gatherer has applied the policy.
 type MemberStatus struct {
 	Name          string      `json:"name"`
 	Zone          string      `json:"zone,omitempty"`
 	Applied       Revision    `json:"holds"`
 	State         MemberState `json:"state"`
-	SinceLastPoll float64     `json:"since"` // milliseconds; -1 where it never polled this leader
+	SinceLastPoll float64     `json:"since"` // milliseconds; -1 if it has never polled this leader
 	Version       string      `json:"version,omitempty"`
 	Detail        string      `json:"word,omitempty"`
 }
 
-// MemberState summarizes a gatherer's status. The texts are those of the protocol.
+// MemberState summarizes a gatherer's status. Its values are those of the protocol.
 type MemberState string
 
-// The states of a gatherer.
+// The states of a gatherer. One is not admitted if its fallback policy permits too much, or if its version is
+// too old to know all kinds of entries.
 const (
 	StateApplied     MemberState = "holds"        // it applies the committed policy
 	StatePrepared    MemberState = "prepared"     // it has prepared the pending change
-	StateStale       MemberState = "behind"       // its policy or its queries in flight are of an older revision
+	StateStale       MemberState = "behind"       // it or its queries in flight apply an older revision
 	StateDetached    MemberState = "alone"        // it has no lease and applies its fallback policy
-	StateRefusing    MemberState = "refuses"      // it cannot apply the policy
-	StateNotAdmitted MemberState = "not taken in" // its fallback policy permits too much, or it is too old
+	StateRefusing    MemberState = "refuses"      // it cannot apply the policy or the pending change
+	StateNotAdmitted MemberState = "not taken in" // it is not registered with its fallback policy and kinds
 )
 
-// severity orders states: of several incarnations of one gatherer the most severe state is shown.
+// severity lists the states in increasing order of severity. If several incarnations of a gatherer are live,
+// the most severe of their states is shown.
 var severity = []MemberState{
 	StateApplied,
 	StatePrepared,
@@ -56,7 +58,7 @@
 	return statuses
 }
 
-// containsName reports whether statuses, which are ordered by name, hold one.
+// containsName reports whether statuses, which are ordered by name, contain one of the given name.
 func containsName(statuses []MemberStatus, name string) bool {
 	_, found := slices.BinarySearchFunc(statuses, name, func(s MemberStatus, name string) int {
 		return strings.Compare(s.Name, name)
@@ -111,12 +113,12 @@
 	return StateStale, ""
 }
 
-// appliesRecord reports whether a gatherer applies the committed policy and nothing older.
+// appliesRecord reports whether a gatherer applies the committed policy, to all queries in flight too.
 func (l *Leader) appliesRecord(h *Heartbeat) bool {
 	return h.Applied.Epoch == l.Record.Epoch && h.Applied.LastEnded == l.Record.LastEnded && h.Drained
 }
 
-// detachedStatus returns the status of a registered gatherer that can hold no lease.
+// detachedStatus returns the status of a registered gatherer that cannot hold a lease any more.
 func (l *Leader) detachedStatus(m Member, now float64) MemberStatus {
 	status := MemberStatus{Name: m.Name, Zone: m.Zone, State: StateDetached, SinceLastPoll: -1}
 	for _, in := range l.instances {
@@ -132,11 +134,11 @@
 	return status
 }
 
-// AppliedEverywhere reports whether every gatherer applies the committed policy alone, apart from those
-// that are detached, and names those that do not. Statuses are those of the same time.
+// AppliedEverywhere reports whether no change is pending and every gatherer that is not detached applies the
+// committed policy only. missing names the gatherers that do not. The statuses have to be those of now.
 func (l *Leader) AppliedEverywhere(now float64, statuses []MemberStatus) (everywhere bool, missing []string) {
-	if now <= l.electedAt+l.MaxLeaseAge() { // some may hold a lease of the leader before this one
-		missing = append(missing, "who polled the leader before this one")
+	if now <= l.electedAt+l.MaxLeaseAge() { // some may hold a lease of the previous leader
+		missing = append(missing, "gatherers that polled the previous leader")
 	}
 	for _, s := range statuses {
 		if s.State == StateStale || s.State == StateRefusing {
