--- a/logic/jobs/jobs_test.go
+++ b/logic/jobs/jobs_test.go
@@ -8,16 +8,17 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same verdict always
+func init() { flag.Set("rapid.seed", "20261201") } // makes runs reproducible
 
 var budget = Budget{Share: 0.1, Burst: 20, Slice: 1}
 
-// TestBudget draws jobs that run over their slices and wants the budget kept over every span of time.
-func TestBudget(t *testing.T) {
+// TestBudgetHoldsOverAnySpanOfTime tests with random jobs, some of which exceed their slices, that the budget holds
+// over every span of time.
+func TestBudgetHoldsOverAnySpanOfTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(0, budget)
-		type use struct{ at, cpu float64 }
-		var uses []use
+		type usage struct{ at, cpu float64 }
+		var usages []usage
 		now := 0.0
 		for i := range 300 {
 			if rapid.IntRange(0, 4).Draw(t, "add") == 0 {
@@ -28,26 +29,28 @@
 				now += max(wait, rapid.Float64Range(0, 5).Draw(t, "idle"))
 				continue
 			}
-			cpu := slice * rapid.Float64Range(0.1, 2).Draw(t, "over") // a job looks at the clock between pieces only
+			// A job checks the clock only between units of its work, so it may exceed its slice.
+			cpu := slice * rapid.Float64Range(0.1, 2).Draw(t, "over")
 			now += cpu
-			uses = append(uses, use{now, cpu})
+			usages = append(usages, usage{now, cpu})
 			q.RecordUsage(now, id, cpu, rapid.Bool().Draw(t, "done"))
 		}
-		for i := range uses {
-			sum := 0.0
-			for _, u := range uses[i:] {
-				sum += u.cpu
-				span := u.at - uses[i].at + uses[i].cpu
-				if limit := budget.Share*span + budget.Burst + 2*budget.Slice; sum > limit+1e-9 {
-					t.Fatalf("%g ms of CPU in %g ms, %g at most", sum, span, limit)
+		for i := range usages {
+			total := 0.0
+			for _, u := range usages[i:] {
+				total += u.cpu
+				span := u.at - usages[i].at + usages[i].cpu
+				if limit := budget.Share*span + budget.Burst + 2*budget.Slice; total > limit+1e-9 {
+					t.Fatalf("jobs used %g ms of CPU in %g ms, want at most %g", total, span, limit)
 				}
 			}
 		}
 	})
 }
 
-// TestFair wants each class its part while all have work, and the first asked for served first in a class.
-func TestFair(t *testing.T) {
+// TestClassesShareTheBudgetByWeight tests that classes share the budget by weight while all have jobs, that the job
+// added first runs first within a class, and that a class is not compensated for its idle time.
+func TestClassesShareTheBudgetByWeight(t *testing.T) {
 	q := New(0, Budget{Share: 1, Burst: 1000, Slice: 1})
 	for i := range 3 {
 		q.Add(fmt.Sprint("high ", i), High)
@@ -63,9 +66,9 @@
 		q.RecordUsage(now, id, slice, false)
 	}
 	if used[1] < 1590 || used[1] > 1610 || used[2] < 99 || used[2] > 101 || used[3] < 399 || used[3] > 401 {
-		t.Errorf("used %v, by weight it is 1600, 100, 400 for the first of each class", used)
+		t.Errorf("used %v, want by weight 1600, 100 and 400 for the first job of each class", used)
 	}
-	// A class that was idle does not make up for it.
+	// A class that was idle is not compensated for that time.
 	q = New(0, Budget{Share: 1, Burst: 1000, Slice: 1})
 	q.Add("low", Low)
 	for range 500 {
@@ -73,52 +76,54 @@
 		now += slice
 		q.RecordUsage(now, id, slice, false)
 	}
-	late, _ := q.Add("late", Low)
+	secondLow, _ := q.Add("late", Low)
 	high, _ := q.Add("high", High)
-	run := 0
+	highRuns := 0
 	for range 34 {
 		id, slice, _ := q.Next(now)
 		now += slice
 		if q.RecordUsage(now, id, slice, false); id == high {
-			run++
+			highRuns++
 		}
 	}
-	if run < 31 || late == high {
-		t.Errorf("high ran %d of 34 times", run)
+	if highRuns < 31 || secondLow == high {
+		t.Errorf("the high job ran %d of 34 times, want at least 31", highRuns)
 	}
 }
 
-// TestNames wants a job asked for twice to run once if it has not begun, and once more if it has.
-func TestNames(t *testing.T) {
+// TestJobsOfOneNameAreMergedRepeatedAndCancelled tests that a job which is added twice runs once if it has not
+// started, and once more if it has, and that Cancel removes a job that has not started and marks one that has.
+func TestJobsOfOneNameAreMergedRepeatedAndCancelled(t *testing.T) {
 	q := New(0, budget)
-	a, fresh := q.Add("plan", Low)
-	b, again := q.Add("plan", Normal)
-	if a != b || !fresh || again || q.Len() != 1 {
-		t.Fatalf("%d %t, %d %t, %d jobs", a, fresh, b, again, q.Len())
+	first, added := q.Add("plan", Low)
+	second, addedAgain := q.Add("plan", Normal)
+	if first != second || !added || addedAgain || q.Len() != 1 {
+		t.Fatalf("%d %t, %d %t, %d jobs", first, added, second, addedAgain, q.Len())
 	}
 	q.Next(0)
 	q.Add("plan", Normal)
 	q.Add("plan", Normal)
-	next := q.RecordUsage(1, a, 1, true)
-	if next == 0 || next == a || q.Len() != 1 {
+	next := q.RecordUsage(1, first, 1, true)
+	if next == 0 || next == first || q.Len() != 1 {
 		t.Fatalf("next %d, %d jobs", next, q.Len())
 	}
-	// Called off before it began it is gone; after, it is told so, at once even without budget.
+	// A job that is cancelled before it starts is removed. One that has started runs again at once to notice the
+	// cancellation, even without budget.
 	if q.Cancel("plan"); q.Len() != 0 || !q.IsCancelled(next) {
 		t.Errorf("%d jobs", q.Len())
 	}
-	c, _ := q.Add("plan", Low)
+	started, _ := q.Add("plan", Low)
 	q.Next(1)
-	q.RecordUsage(2, c, 50, false)
+	q.RecordUsage(2, started, 50, false)
 	if id, _, wait := q.Next(2); id != 0 || wait < 100 {
-		t.Errorf("job %d, wait %g", id, wait)
+		t.Errorf("without budget: job %d, wait %g", id, wait)
 	}
 	q.Cancel("plan")
-	d, _ := q.Add("plan", Low)
-	if id, _, _ := q.Next(2); id != c || !q.IsCancelled(c) || d == c {
-		t.Errorf("job %d of %d and %d", id, c, d)
+	successor, _ := q.Add("plan", Low)
+	if id, _, _ := q.Next(2); id != started || !q.IsCancelled(started) || successor == started {
+		t.Errorf("job %d runs, want the cancelled job %d, not %d", id, started, successor)
 	}
-	if q.RecordUsage(2, c, 0, true); q.Len() != 1 || q.IsCancelled(d) {
+	if q.RecordUsage(2, started, 0, true); q.Len() != 1 || q.IsCancelled(successor) {
 		t.Errorf("%d jobs", q.Len())
 	}
 }
