--- a/logic/rollout/decider.go
+++ b/logic/rollout/decider.go
@@ -36,8 +36,8 @@
 	requestedAt       []float64 // when the latest step started
 	attempts          []int     // consecutive steps started without success
 	gaveUp            []bool    // did not start as new in any of the permitted attempts
-	incarnation       []string  // the one last reported
-	incarnationBefore []string  // the one last reported before the latest step started
+	incarnation       []string  // incarnation last reported
+	incarnationBefore []string  // incarnation last reported before the latest step started
 	wasNew            []bool    // served as new when it was last reachable
 }
 
--- a/logic/rollout/journal.go
+++ b/logic/rollout/journal.go
@@ -60,7 +60,7 @@
 // ErrPlanChanged reports a plan whose text differs from the one that the rollout began with. A rollout that
 // was begun by one plan can't be continued by another.
 var ErrPlanChanged = errors.New("has changed since this rollout began; restore the old text, " +
-	"or end this rollout and start another one in its own folder")
+	"or end this rollout and start another one in a separate folder")
 
 // ErrRecord reports a journal record that Replay can't process.
 var ErrRecord = errors.New("invalid record in a rollout's journal")
