--- a/logic/ownership/change.go
+++ b/logic/ownership/change.go
@@ -6,20 +6,22 @@
 	"strings"
 )
 
-// Change makes the next epoch of a map: it removes segments and adds others.
+// Change turns a map into that of the next epoch: it removes segments and adds others.
 type Change struct {
-	Epoch            uint64 // that it makes
-	PreviousChecksum uint64 // of the map that it changes
-	Checksum         uint64 // of the map that it makes, 0 for any
+	Epoch            uint64 // epoch of the resulting map
+	PreviousChecksum uint64 // checksum of the map that the change applies to
+	Checksum         uint64 // checksum of the resulting map; 0 skips the comparison
 	Reason           string
-	Removed          []string
+	Removed          []string // names of the removed segments
 	Added            []Segment
 }
 
-// Apply returns the map that a change makes.
+// Apply returns the map that results from applying a change to m. It fails if the change is not based on m's
+// epoch and checksum, if it removes an unknown segment, or if the resulting map is invalid.
 func (m *Map) Apply(c Change) (*Map, error) {
 	if c.Epoch != m.Epoch+1 || c.PreviousChecksum != m.Checksum {
-		return nil, fmt.Errorf("a change of epoch %d with sum %016x does not follow epoch %d with sum %016x",
+		return nil, fmt.Errorf(
+			"the change to epoch %d has previous checksum %016x and does not follow epoch %d with checksum %016x",
 			c.Epoch, c.PreviousChecksum, m.Epoch, m.Checksum)
 	}
 	next := &Map{Epoch: c.Epoch}
@@ -41,23 +43,24 @@
 	}
 	next.Checksum = next.checksumAfter(m.Checksum)
 	if c.Checksum != 0 && c.Checksum != next.Checksum {
-		return nil, fmt.Errorf("epoch %d makes a map with sum %016x, it says %016x",
+		return nil, fmt.Errorf("the change to epoch %d produces a map with checksum %016x, but states %016x",
 			c.Epoch, next.Checksum, c.Checksum)
 	}
 	return next, nil
 }
 
-// invalidRemoval says why a change can't remove its segments.
+// invalidRemoval returns an error that says why a change can't remove its segments.
 func (m *Map) invalidRemoval(c Change) error {
 	for _, name := range c.Removed {
 		if m.Find(name) < 0 {
-			return fmt.Errorf("epoch %d takes out %q, which is no segment%s", c.Epoch, name, m.hint(name))
+			return fmt.Errorf("the change to epoch %d removes %q, which is not a segment of the map%s",
+				c.Epoch, name, m.hint(name))
 		}
 	}
-	return fmt.Errorf("epoch %d takes a segment out twice", c.Epoch)
+	return fmt.Errorf("the change to epoch %d removes a segment twice", c.Epoch)
 }
 
-// newChange returns a change of a map, with its epoch and checksums.
+// newChange returns a change to m with its epoch and both checksums set.
 func (m *Map) newChange(reason string, removed []string, added ...Segment) (Change, error) {
 	c := Change{
 		Epoch:            m.Epoch + 1,
@@ -77,15 +80,15 @@
 	return c, nil
 }
 
-// MoveSegment gives a segment other owners, the first of which is its writer. Without any, its keys are
-// unowned.
+// MoveSegment returns the change that gives a segment other owners. The first of them is its writer. If
+// owners is empty, the segment's keys become unowned.
 func (m *Map) MoveSegment(name string, owners []string) (Change, error) {
 	s, err := m.segment(name)
 	if err != nil {
 		return Change{}, err
 	}
 	if slices.Equal(s.Owners, owners) {
-		return Change{}, fmt.Errorf("segment %q is owned by %s already", name, strings.Join(owners, ", "))
+		return Change{}, fmt.Errorf("segment %q is already owned by %s", name, strings.Join(owners, ", "))
 	}
 	reason := fmt.Sprintf("move %s from %s to %s", name, hostList(s.Owners), hostList(owners))
 	moved := Segment{Name: name, Range: s.Range, Owners: slices.Clone(owners)}
@@ -99,23 +102,25 @@
 	return strings.Join(hosts, ", ")
 }
 
-// SplitSegment divides a segment before a key. Both halves keep its owners.
-func (m *Map) SplitSegment(name string, before uint64, left, right string) (Change, error) {
+// SplitSegment returns the change that splits a segment in two. splitKey is the first key of the right one.
+// Both keep the owners of the original.
+func (m *Map) SplitSegment(name string, splitKey uint64, left, right string) (Change, error) {
 	s, err := m.segment(name)
 	if err != nil {
 		return Change{}, err
 	}
-	if before <= s.Lo || before > s.Hi {
+	if splitKey <= s.Lo || splitKey > s.Hi {
 		return Change{}, fmt.Errorf("segment %q goes from %016x to %016x and can't be split before %016x",
-			name, s.Lo, s.Hi, before)
+			name, s.Lo, s.Hi, splitKey)
 	}
-	reason := fmt.Sprintf("split %s before %016x into %s and %s", name, before, left, right)
+	reason := fmt.Sprintf("split %s before %016x into %s and %s", name, splitKey, left, right)
 	return m.newChange(reason, []string{name},
-		Segment{Name: left, Range: Range{s.Lo, before - 1}, Owners: slices.Clone(s.Owners)},
-		Segment{Name: right, Range: Range{before, s.Hi}, Owners: slices.Clone(s.Owners)})
+		Segment{Name: left, Range: Range{s.Lo, splitKey - 1}, Owners: slices.Clone(s.Owners)},
+		Segment{Name: right, Range: Range{splitKey, s.Hi}, Owners: slices.Clone(s.Owners)})
 }
 
-// MergeSegments makes one segment of two neighbours. It has the owners of the first.
+// MergeSegments returns the change that merges two adjacent segments into one, which has the owners of the
+// left one.
 func (m *Map) MergeSegments(left, right, name string) (Change, error) {
 	first, err := m.segment(left)
 	if err != nil {
--- a/logic/ownership/handover.go
+++ b/logic/ownership/handover.go
@@ -2,27 +2,34 @@
 
 import "slices"
 
-// Step is a step of a handover. Each may fail and be repeated. Before Publish the handover can be reverted.
+// Step is a step of a handover. Each step may fail and be repeated. Until Publish is done the handover can be
+// reverted.
 type Step int
 
 // The steps, in order.
 const (
-	Seal    Step = iota // the old owners admit no more non-idempotent requests
-	Fence               // the added segments' logs are raised to the new epoch, those of the removed are closed
-	Accept              // the new owners acquire the added segments
-	Publish             // gatherers learn the new epoch
-	Release             // the old owners release the removed segments
+	// Seal stops the old owners from admitting non-idempotent requests.
+	Seal Step = iota
+	// Fence raises the logs of the added segments to the new epoch and closes the logs of the removed ones.
+	Fence
+	// Accept has the new owners acquire the added segments.
+	Accept
+	// Publish announces the new epoch to the gatherers.
+	Publish
+	// Release has the old owners release the removed segments.
+	Release
+	// Done means that all steps are complete.
 	Done
 )
 
-// Handover is a change that is being carried out.
+// Handover is a change in progress.
 type Handover struct {
 	Change
-	Previous []Segment // those removed
+	Previous []Segment // the removed segments as they were before the change
 	Step     Step
 }
 
-// NewHandover returns the handover for a change of a map.
+// NewHandover returns a handover that carries out a change to a map, at its first step.
 func NewHandover(m *Map, c Change) Handover {
 	h := Handover{Change: c}
 	for _, name := range c.Removed {
@@ -33,9 +40,10 @@
 	return h
 }
 
-// CanProceed reports whether the step may be passed, given whether all old and all new owners were reached.
-// An old owner that is cut off need not be sealed, since the log refuses it from the next step on. New owners
-// must be reached: a host that does not know of its ownership answers nothing.
+// CanProceed reports whether the handover may go on to the next step, given whether all old and all new
+// owners were reached. An unreachable old owner need not be sealed, since the log refuses its records from
+// the next step on. New owners must be reached, since a host that does not know of its ownership answers no
+// requests.
 func (h *Handover) CanProceed(oldReached, newReached bool) bool {
 	switch h.Step {
 	case Seal, Release:
@@ -46,22 +54,23 @@
 	return oldReached || newReached
 }
 
-// Revert returns the changes that take back a handover that is not published. In its own epoch nobody owns
-// the segments, since a new owner may have accepted them in it. In the next one the old owners have them
-// again, under an epoch that the new owners' logs do not take.
+// Revert returns the two changes that undo a handover that is not published. The first leaves the segments
+// without owners in the handover's own epoch, since a new owner may already have accepted them in that epoch.
+// The second returns them to the old owners in the next epoch, in which their logs take no records from the
+// new owners.
 func (h *Handover) Revert(m *Map) ([]Change, error) {
-	unowned := slices.Clone(h.Previous)
-	for i := range unowned {
-		unowned[i].Owners = nil
+	withoutOwners := slices.Clone(h.Previous)
+	for i := range withoutOwners {
+		withoutOwners[i].Owners = nil
 	}
-	first, err := m.newChange("undo "+h.Reason+": owned by nobody", h.Removed, unowned...)
+	disown, err := m.newChange("undo "+h.Reason+": owned by nobody", h.Removed, withoutOwners...)
 	if err != nil {
 		return nil, err
 	}
-	between, err := m.Apply(first)
+	disowned, err := m.Apply(disown)
 	if err != nil {
 		return nil, err
 	}
-	second, err := between.newChange("undo "+h.Reason, h.Removed, slices.Clone(h.Previous)...)
-	return []Change{first, second}, err
+	restore, err := disowned.newChange("undo "+h.Reason, h.Removed, slices.Clone(h.Previous)...)
+	return []Change{disown, restore}, err
 }
--- a/logic/ownership/host.go
+++ b/logic/ownership/host.go
@@ -2,17 +2,19 @@
 
 import "slices"
 
-// SegmentLog is the record of what ran in a segment. It outlives the owners, which write and read it. It
-// takes nothing under an epoch other than that of the newest owner.
+// SegmentLog records which requests ran in a segment. Its owners read and write it, and it outlives them. It
+// accepts records only under the epoch of the newest owner.
 type SegmentLog struct {
-	Epoch  uint64
-	Sealed bool // by the newest owner: it takes nothing more under this epoch
+	Epoch  uint64 // epoch since which the newest owner owns the segment
+	Sealed bool   // no more records are accepted under Epoch
 }
 
-// Append reports whether the log takes a record of a host that owns the segment since an epoch.
+// Append reports whether the log accepts a record from a host that has owned the segment since epoch
+// ownedSince.
 func (l *SegmentLog) Append(ownedSince uint64) bool { return ownedSince == l.Epoch && !l.Sealed }
 
-// RaiseEpoch fences off the owners before a new one. It reports whether that is the newest.
+// RaiseEpoch fences off all owners of earlier epochs. It returns false, and changes nothing, if the log is
+// already at a later epoch.
 func (l *SegmentLog) RaiseEpoch(epoch uint64) bool {
 	if epoch < l.Epoch {
 		return false
@@ -24,34 +26,35 @@
 	return true
 }
 
-// OwnedSegment is a segment that a host believes to own.
+// OwnedSegment is a segment that a host believes it owns.
 type OwnedSegment struct {
 	Name string
 	Range
 	OwnedSince uint64
-	Sealed     bool // it is being handed over, and takes no non-idempotent requests
-	Writer     bool
+	Sealed     bool // the segment is being handed over; non-idempotent requests are not admitted
+	Writer     bool // the host is the owner that runs non-idempotent requests
 }
 
-// Request is a piece of a shard request as it arrives at a host.
+// Request is a piece of a shard request, as received by a host.
 type Request struct {
 	Segment    string
-	OwnedSince uint64 // by the gatherer's map
+	OwnedSince uint64 // epoch since which the host owns the segment, according to the gatherer's map
 	Range
 	NonIdempotent bool
 }
 
-// Admission is what a host does with a request.
+// Admission is a host's decision on a request.
 type Admission int
 
 // The admissions.
 const (
 	Admitted Admission = iota
-	NotOwner           // it proves that the request has not run here
+	NotOwner           // the request is rejected, which proves that it has not run on this host
 )
 
-// Host decides which requests a host admits, by what it believes to own. A host that was cut off may be
-// wrong. What it then admits of non-idempotent requests is refused by the segment's log.
+// Host decides which requests a host admits, based on the segments that it believes it owns. A host that was
+// cut off from the network may be wrong about them; the segment's log then refuses the non-idempotent
+// requests that the host admits.
 type Host struct{ Segments []OwnedSegment }
 
 func (h *Host) find(name string) *OwnedSegment {
@@ -63,7 +66,8 @@
 	return nil
 }
 
-// Admit decides on a request. A non-idempotent one that is admitted still needs the segment's log to take it.
+// Admit decides whether a request may run. An admitted non-idempotent request must also be accepted by the
+// segment's log before it runs.
 func (h *Host) Admit(r Request) Admission {
 	owned := h.find(r.Segment)
 	if owned == nil || owned.OwnedSince != r.OwnedSince || !r.Within(owned.Range) {
@@ -75,7 +79,8 @@
 	return Admitted
 }
 
-// Acquire makes the host an owner of a segment, in place of what it owned under that name or of its keys.
+// Acquire makes the host an owner of a segment. It replaces segments of the same name or with common keys,
+// unless they are of a later epoch.
 func (h *Host) Acquire(segment OwnedSegment) {
 	h.Segments = slices.DeleteFunc(h.Segments, func(owned OwnedSegment) bool {
 		replaced := owned.Name == segment.Name || owned.Overlaps(segment.Range)
@@ -86,7 +91,8 @@
 	}
 }
 
-// Seal has the host admit no more non-idempotent requests of a segment. It reports whether the host owns it.
+// Seal stops the host from admitting non-idempotent requests for a segment. It reports whether the host owns
+// the segment.
 func (h *Host) Seal(name string) bool {
 	owned := h.find(name)
 	if owned == nil {
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
-// The model has two gatherers, each with one non-idempotent query that claims the same key; two hosts; logs that outlive
-// them; and an authority that carries out one change, or reverts it before it is published. Messages arrive in any
-// order, at any later time. One message may be lost, and one host may crash and restart with its first state. Every
-// reachable state is checked. The decisions are the package's; the model only carries them out.
+// This file checks handovers with an explicit-state model. The model has two gatherers, each with one
+// non-idempotent query that claims the same key; two hosts; segment logs that outlive the hosts; and an
+// authority that carries out one change, or reverts it before it is published. Messages arrive in any order,
+// after any delay. One message may be lost, and one host may crash and restart with its initial state. Every
+// reachable state is checked. All decisions are made by the code under test; the model only carries them out.
 
 const (
 	hostA = iota
@@ -21,35 +22,35 @@
 // message is a request or a response in transit.
 type message struct {
 	kind     string // request or response
-	gatherer int    // its number
+	gatherer int    // index of the gatherer
 	host     int
 	request  Request
-	ran      bool // of a response: whether it ran or the host is not the owner
+	ran      bool // in a response: the request ran; false if the host rejected it as not the owner
 }
 
 type modelGatherer struct {
-	epoch      int // index in published of the map that it knows
+	epoch      int // index in modelState.published of the map that the gatherer knows
 	inFlight   bool
 	attempts   int
-	mayHaveRun bool   // so may an earlier attempt
-	answer     string // answered, rejected or failed
+	mayHaveRun bool   // an earlier attempt may have run
+	answer     string // answered, rejected or failed; empty while the query is open
 }
 
 type modelState struct {
-	hosts     [2]Host
-	handover  Handover
-	step      Step
-	reverted  int      // changes of the reversal that are carried out
-	published []string // maps that gatherers may know, by their keys in model.maps
-	logs      map[string]SegmentLog
-	grantedTo map[string]int // by log: the gatherer that has the key, from 1
-	copies    [2]int         // without fencing each host has its own copy of grantedTo
-	gatherers [2]modelGatherer
-	messages  []message
-	runs      [2]int
-	grants    int
-	lost      bool
-	crashed   bool
+	hosts          [2]Host
+	handover       Handover
+	step           Step
+	reverted       int      // number of the reversal's changes that are carried out
+	published      []string // keys in model.maps of the maps that gatherers may know
+	logs           map[string]SegmentLog
+	grantedTo      map[string]int // by segment log: 1 + index of the gatherer that holds the key
+	unfencedGrants [2]int         // replaces grantedTo without fencing: a copy for each host
+	gatherers      [2]modelGatherer
+	messages       []message
+	runs           [2]int
+	grants         int
+	lost           bool
+	crashed        bool
 }
 
 func (s *modelState) clone() *modelState {
@@ -69,7 +70,7 @@
 	return &c
 }
 
-// key identifies a state.
+// key returns a string that identifies the state. Equal states have equal keys.
 func (s *modelState) key() string {
 	b := make([]byte, 0, 128)
 	flag := func(f bool) {
@@ -92,7 +93,8 @@
 		b = append(b, byte(log.Epoch), byte(s.grantedTo[name]))
 		flag(log.Sealed)
 	}
-	b = append(b, byte(s.copies[0]), byte(s.copies[1]), byte(s.runs[0]), byte(s.runs[1]), byte(s.grants))
+	b = append(b, byte(s.unfencedGrants[0]), byte(s.unfencedGrants[1]), byte(s.runs[0]), byte(s.runs[1]),
+		byte(s.grants))
 	flag(s.lost)
 	flag(s.crashed)
 	for _, g := range s.gatherers {
@@ -100,17 +102,17 @@
 		flag(g.inFlight)
 		flag(g.mayHaveRun)
 	}
-	wire := make([]string, len(s.messages))
+	encoded := make([]string, len(s.messages))
 	for i, m := range s.messages {
 		ran := byte(0)
 		if m.ran {
 			ran = 1
 		}
-		wire[i] = m.kind[:1] + m.request.Segment + string([]byte{byte(m.gatherer), byte(m.host),
+		encoded[i] = m.kind[:1] + m.request.Segment + string([]byte{byte(m.gatherer), byte(m.host),
 			byte(m.request.OwnedSince), ran})
 	}
-	slices.Sort(wire) // messages have no order
-	for _, w := range wire {
+	slices.Sort(encoded) // the order of messages is not part of the state
+	for _, w := range encoded {
 		b = append(append(b, w...), ';')
 	}
 	return string(b)
@@ -121,23 +123,23 @@
 	maps    map[string]*Map
 	first   *Map
 	change  Change
-	key     Range // that is claimed
+	key     Range // the claimed key, as a range of one
 	seen    map[string]bool
 }
 
-// successors visits all states that can follow one.
+// successors calls visit with each state that can directly follow s.
 func (m *model) successors(s *modelState, visit func(*modelState)) {
-	do := func(f func(*modelState)) {
+	branch := func(f func(*modelState)) {
 		c := s.clone()
 		f(c)
 		visit(c)
 	}
-	drop := func(c *modelState, i int) message {
+	remove := func(c *modelState, i int) message {
 		msg := c.messages[i]
 		c.messages = slices.Delete(slices.Clone(c.messages), i, i+1)
 		return msg
 	}
-	// The authority.
+	// Steps of the authority.
 	if s.reverted == 0 && s.step < Done {
 		for _, reached := range []bool{true, false} {
 			h := s.handover
@@ -145,27 +147,27 @@
 			if !h.CanProceed(reached, s.step != Accept || reached) {
 				continue
 			}
-			do(func(c *modelState) { m.carryOut(c, reached) })
+			branch(func(c *modelState) { m.carryOut(c, reached) })
 		}
 	}
 	if s.reverted == 0 && s.step > Seal && s.step <= Publish || s.reverted == 1 {
-		do(func(c *modelState) { m.revert(c) })
+		branch(func(c *modelState) { m.revert(c) })
 	}
-	// The gatherers.
+	// Steps of the gatherers.
 	for i := range s.gatherers {
 		g := s.gatherers[i]
 		if g.answer != "" {
 			continue
 		}
 		if g.epoch+1 < len(s.published) {
-			do(func(c *modelState) { c.gatherers[i].epoch++ })
+			branch(func(c *modelState) { c.gatherers[i].epoch++ })
 		}
 		if !g.inFlight && !g.mayHaveRun && g.attempts < 2 {
 			mp := m.maps[s.published[g.epoch]]
 			p := mp.Overlaps(m.key)
 			if p[0].Segment >= 0 {
 				seg := mp.Segments[p[0].Segment]
-				do(func(c *modelState) {
+				branch(func(c *modelState) {
 					c.gatherers[i].inFlight, c.gatherers[i].attempts = true, g.attempts+1
 					c.messages = append(c.messages,
 						message{kind: "request", gatherer: i, host: slices.Index(hostNames, seg.Owners[0]),
@@ -173,7 +175,7 @@
 				})
 			}
 		}
-		do(func(c *modelState) { // its deadline is over
+		branch(func(c *modelState) { // the query's deadline passes
 			if g.inFlight || g.mayHaveRun {
 				c.gatherers[i].answer = "failed"
 			} else {
@@ -181,13 +183,13 @@
 			}
 		})
 	}
-	// The network.
+	// Loss, delivery and execution of messages.
 	for i, msg := range s.messages {
 		if !s.lost {
-			do(func(c *modelState) { drop(c, i); c.lost = true })
+			branch(func(c *modelState) { remove(c, i); c.lost = true })
 		}
-		do(func(c *modelState) {
-			drop(c, i)
+		branch(func(c *modelState) {
+			remove(c, i)
 			if msg.kind == "request" {
 				c.messages = append(c.messages,
 					message{kind: "response", gatherer: msg.gatherer, host: msg.host, ran: m.execute(c, msg)})
@@ -201,12 +203,13 @@
 	}
 	if !s.crashed {
 		for h := range s.hosts {
-			do(func(c *modelState) {
+			branch(func(c *modelState) {
 				c.crashed = true
 				c.hosts[h] = ownedByMap(m.first, h)
-				for i := len(c.messages) - 1; i >= 0; i-- { // its connections end: what was on them may have run
+				// The host's connections are closed. Requests in transit on them may have run.
+				for i := len(c.messages) - 1; i >= 0; i-- {
 					if c.messages[i].host == h {
-						from := drop(c, i).gatherer
+						from := remove(c, i).gatherer
 						c.gatherers[from].inFlight, c.gatherers[from].mayHaveRun = false, true
 					}
 				}
@@ -215,7 +218,7 @@
 	}
 }
 
-// ownedByMap returns a host with what a map says that it owns.
+// ownedByMap returns the host with number h, owning the segments that the map assigns to it.
 func ownedByMap(mp *Map, h int) (host Host) {
 	for _, s := range mp.Segments {
 		if slices.Contains(s.Owners, hostNames[h]) {
@@ -226,7 +229,7 @@
 	return host
 }
 
-// execute has a host handle a request and reports whether it ran.
+// execute delivers a request to its host and reports whether the request ran.
 func (m *model) execute(s *modelState, msg message) bool {
 	if s.hosts[msg.host].Admit(msg.request) != Admitted {
 		return false
@@ -240,15 +243,15 @@
 			s.grantedTo[msg.request.Segment] = msg.gatherer + 1
 			s.grants++
 		}
-	} else if s.copies[msg.host] == 0 {
-		s.copies[msg.host] = msg.gatherer + 1
+	} else if s.unfencedGrants[msg.host] == 0 {
+		s.unfencedGrants[msg.host] = msg.gatherer + 1
 		s.grants++
 	}
 	s.runs[msg.gatherer]++
 	return true
 }
 
-// carryOut carries out the handover's next step.
+// carryOut carries out the handover's current step and proceeds to the next one.
 func (m *model) carryOut(s *modelState, reached bool) {
 	next := m.maps["new"]
 	switch s.step {
@@ -266,7 +269,7 @@
 			s.hosts[h].Acquire(OwnedSegment{Name: seg.Name, Range: seg.Range, OwnedSince: seg.OwnedSince,
 				Writer: true})
 			if h == hostB {
-				s.copies[hostB] = s.copies[hostA]
+				s.unfencedGrants[hostB] = s.unfencedGrants[hostA]
 			}
 		}
 	case Publish:
@@ -281,12 +284,13 @@
 	s.step++
 }
 
-// raiseLogs closes the logs of removed segments and opens those of added ones with what was written.
+// raiseLogs closes the logs of the removed segments, and opens the logs of the added ones with the grant that
+// the closed logs hold.
 func (m *model) raiseLogs(s *modelState, c Change) {
-	has := 0
+	claimant := 0
 	for _, name := range c.Removed {
 		log := s.logs[name]
-		has = max(has, s.grantedTo[name])
+		claimant = max(claimant, s.grantedTo[name])
 		log.RaiseEpoch(c.Epoch)
 		log.Sealed = true
 		s.logs[name] = log
@@ -297,7 +301,7 @@
 		log.Sealed = false
 		s.logs[seg.Name] = log
 		if m.key.Within(seg.Range) {
-			s.grantedTo[seg.Name] = has
+			s.grantedTo[seg.Name] = claimant
 		}
 	}
 }
@@ -326,7 +330,8 @@
 	s.reverted++
 }
 
-// findFault returns a breach of rule 2 in a state: a double effect, or a rejection of what ran.
+// findFault returns the violation of rule 2 in a state, if any: a non-idempotent request took effect twice,
+// or was reported as rejected although it ran.
 func (m *model) findFault(s *modelState) string {
 	switch {
 	case s.grants > 1:
@@ -342,16 +347,17 @@
 	return ""
 }
 
-// explore checks every reachable state.
-func explore(t *testing.T, fence bool, why string) (states int, broken string) {
+// explore visits every reachable state of a scenario, "move" or "split", and stops at the first fault. It
+// returns how many states it found.
+func explore(t *testing.T, fencing bool, scenario string) (states int, fault string) {
 	first, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	m := &model{fencing: fence, first: first, key: Range{1 << 63, 1 << 63}, seen: map[string]bool{}}
-	if why == "move" {
+	m := &model{fencing: fencing, first: first, key: Range{1 << 63, 1 << 63}, seen: map[string]bool{}}
+	if scenario == "move" {
 		m.change, err = first.MoveSegment("s", []string{"b"})
-	} else { // the right half goes to b
+	} else { // split in two; b becomes the owner of the right half
 		m.change, err = first.newChange("split", []string{"s"},
 			Segment{Name: "l", Range: Range{0, 1<<63 - 1}, Owners: []string{"a"}},
 			Segment{Name: "r", Range: Range{1 << 63, ^uint64(0)}, Owners: []string{"b"}})
@@ -363,24 +369,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	hand := NewHandover(first, m.change)
-	undone, err := hand.Revert(first)
+	handover := NewHandover(first, m.change)
+	reversal, err := handover.Revert(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	between, _ := first.Apply(undone[0])
-	back, _ := between.Apply(undone[1])
-	m.maps = map[string]*Map{"old": first, "new": next, "undone0": between, "undone1": back}
-	start := &modelState{handover: hand, published: []string{"old"}, logs: map[string]SegmentLog{"s": {Epoch: 1}},
-		grantedTo: map[string]int{}}
+	disowned, _ := first.Apply(reversal[0])
+	restored, _ := disowned.Apply(reversal[1])
+	m.maps = map[string]*Map{"old": first, "new": next, "undone0": disowned, "undone1": restored}
+	start := &modelState{handover: handover, published: []string{"old"},
+		logs: map[string]SegmentLog{"s": {Epoch: 1}}, grantedTo: map[string]int{}}
 	start.hosts[hostA] = ownedByMap(first, hostA)
 	queue := []*modelState{start}
 	m.seen[start.key()] = true
 	for len(queue) > 0 && len(m.seen) < 3_000_000 {
 		s := queue[len(queue)-1]
 		queue = queue[:len(queue)-1]
-		if broken := m.findFault(s); broken != "" {
-			return len(m.seen), broken
+		if fault := m.findFault(s); fault != "" {
+			return len(m.seen), fault
 		}
 		m.successors(s, func(c *modelState) {
 			if k := c.key(); !m.seen[k] {
@@ -392,19 +398,19 @@
 	return len(m.seen), ""
 }
 
-// TestModelCheckOfHandovers explores a move and a split. With fencing nothing runs twice; without it the model must find
-// that a key is granted twice.
-func TestModelCheckOfHandovers(t *testing.T) {
-	for _, why := range []string{"move", "split"} {
-		t.Run(why, func(t *testing.T) {
+// TestHandoverModelGrantsKeyOnce explores a move and a split. With fencing no state violates rule 2. Without
+// fencing the model must find a state in which the key is granted twice, which shows that it can find faults.
+func TestHandoverModelGrantsKeyOnce(t *testing.T) {
+	for _, scenario := range []string{"move", "split"} {
+		t.Run(scenario, func(t *testing.T) {
 			t.Parallel()
-			if states, broken := explore(t, true, why); broken != "" || states < 1000 {
-				t.Errorf("with fencing: %d states, %s", states, broken)
+			if states, fault := explore(t, true, scenario); fault != "" || states < 1000 {
+				t.Errorf("with fencing: %d states (want at least 1000), fault %q (want none)", states, fault)
 			} else {
 				t.Logf("%d states", states)
 			}
-			if states, broken := explore(t, false, why); broken != "the key was granted twice" {
-				t.Errorf("without fencing: %d states, %q", states, broken)
+			if states, fault := explore(t, false, scenario); fault != "the key was granted twice" {
+				t.Errorf("without fencing: %d states, fault %q; want the key granted twice", states, fault)
 			}
 		})
 	}
--- a/logic/ownership/overlap.go
+++ b/logic/ownership/overlap.go
@@ -5,17 +5,18 @@
 	"slices"
 )
 
-// NoSegment is in place of a segment's index where nobody owns the keys.
+// NoSegment stands for the segment index of unowned keys.
 const NoSegment = -1
 
-// Overlap is the keys of a range that one segment has, or that are unowned.
+// Overlap is the part of a range that lies in one segment, or that is unowned.
 type Overlap struct {
 	Range
-	Segment int     // its index in the map, or NoSegment
-	Share   float64 // of the range's keys
+	Segment int     // index of the segment in the map, or NoSegment
+	Share   float64 // fraction of the range's keys that are in the overlap
 }
 
-// Overlaps divides a range by the segments that own its keys, ordered by key. The shares add up to 1.
+// Overlaps divides a range by the segments that own its keys. The result is ordered by key, and its shares
+// add up to 1.
 func (m *Map) Overlaps(r Range) (overlaps []Overlap) {
 	add := func(lo, hi uint64, segment int) {
 		keys := Range{lo, hi}
@@ -38,7 +39,7 @@
 		}
 		add(lo, hi, segment)
 		if hi == r.Hi {
-			return overlaps // next would overflow behind the last key
+			return overlaps // hi+1 would overflow after the last key
 		}
 		next = hi + 1
 	}
@@ -46,7 +47,7 @@
 	return overlaps
 }
 
-// UnownedRanges are the ranges without owners.
+// UnownedRanges returns the ranges of keys that have no owner, ordered by key.
 func (m *Map) UnownedRanges() (unowned []Range) {
 	next := uint64(0) // the first key that is not covered yet
 	for _, s := range m.Segments {
--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -11,9 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same draws in each run
+func init() { flag.Set("rapid.seed", "20261201") } // every run uses the same random draws
 
-// drawMap draws a first map with gaps and unowned segments.
+// drawMap draws a map of epoch 1 with gaps and unowned segments.
 func drawMap(t *rapid.T) *Map {
 	cuts := rapid.SliceOfNDistinct(rapid.Uint64Range(1, ^uint64(0)), 0, 7, rapid.ID[uint64]).Draw(t, "cuts")
 	slices.Sort(cuts)
@@ -42,7 +42,7 @@
 	return m
 }
 
-// drawChange draws a change, and whether the map can take it.
+// drawChange draws a change to m. ok is false if m does not allow the change.
 func drawChange(t *rapid.T, m *Map, n int) (c Change, ok bool) {
 	if len(m.Segments) == 0 {
 		return c, false
@@ -67,8 +67,9 @@
 	return c, err == nil
 }
 
-// TestOverlapsPartitionARange compares the overlaps of a range with a search for the owner of each key at a segment's
-// border. The overlaps are consecutive, cover the range and have shares that add up to 1.
+// TestOverlapsPartitionARange checks that the overlaps of a range are consecutive, cover the range and have
+// shares that add up to 1. It compares the segment of each overlap with a linear search for the owner of each
+// key at a segment's border.
 func TestOverlapsPartitionARange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
@@ -83,15 +84,15 @@
 		sum, from := 0.0, r.Lo
 		for i, p := range pieces {
 			if p.Lo != from || p.Hi < p.Lo || p.Hi > r.Hi {
-				t.Fatalf("overlap %s, one from %016x on is due, of %s", p.Text(), from, r.Text())
+				t.Fatalf("overlap %s does not begin at key %016x or exceeds range %s", p.Text(), from, r.Text())
 			}
 			sum += p.Share
 			if from = p.Hi + 1; i == len(pieces)-1 && p.Hi != r.Hi {
-				t.Fatalf("the last overlap is %s of %s", p.Text(), r.Text())
+				t.Fatalf("the last overlap %s does not reach the end of range %s", p.Text(), r.Text())
 			}
 		}
 		if math.Abs(sum-1) > 1e-9 {
-			t.Fatalf("shares add up to %g", sum)
+			t.Fatalf("shares add up to %g, want 1", sum)
 		}
 		keys := []uint64{r.Lo, r.Hi}
 		for _, s := range m.Segments {
@@ -109,64 +110,66 @@
 			}
 			at := slices.IndexFunc(pieces, func(p Overlap) bool { return key >= p.Lo && key <= p.Hi })
 			if pieces[at].Segment != owner {
-				t.Fatalf("key %016x is in segment %d, its overlap says %d", key, owner, pieces[at].Segment)
+				t.Fatalf("key %016x is in segment %d, but its overlap has segment %d", key, owner, pieces[at].Segment)
 			}
 		}
 	})
 }
 
-// TestShardRangesPartitionAllKeys wants shards to divide all keys evenly, without a gap.
+// TestShardRangesPartitionAllKeys checks that the ranges of all shards are even, consecutive and cover all
+// keys.
 func TestShardRangesPartitionAllKeys(t *testing.T) {
 	for _, n := range []int{1, 2, 3, 4, 7, 18, 1000, 65536} {
 		from := uint64(0)
 		for shard := range n {
 			r := ShardRange(shard, n)
 			if r.Lo != from || shard == n-1 && r.Hi != ^uint64(0) {
-				t.Fatalf("shard %d of %d: %s, from %016x", shard, n, r.Text(), from)
+				t.Fatalf("shard %d of %d has range %s, want one from %016x", shard, n, r.Text(), from)
 			}
 			if off := r.Fraction()*float64(n) - 1; math.Abs(off) > 1e-9 {
-				t.Errorf("shard %d of %d has %g of its share", shard, n, off+1)
+				t.Errorf("shard %d of %d has %g times an even share of the keys", shard, n, off+1)
 			}
 			from = r.Hi + 1
 		}
 	}
 }
 
-// TestReassignByMapAndState draws chains of changes. The pieces of a query always cover its keys once, and weights keep
-// their sum. A non-idempotent piece that may have run stays, and so does one that is answered or in flight.
-func TestReassignByMapAndState(t *testing.T) {
+// TestReassignCoversKeysOnce reassigns pieces over chains of random changes. The pieces of a shard request
+// always cover each of its keys once, and their weights keep their sum. Pieces that are answered, in flight,
+// or non-idempotent and possibly executed, are never replaced.
+func TestReassignCoversKeysOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
-		once := rapid.Bool().Draw(t, "once")
-		var held []Piece
+		nonIdempotent := rapid.Bool().Draw(t, "once")
+		var pieces []Piece
 		next := uint64(0)
-		hold := func(f NewPiece) {
-			h := Piece{ID: next, Request: f.Request, Range: f.Range, Weight: f.Weight, Attempted: f.Retry,
-				DeferredAt: f.DeferredAt, OwnedSince: m.Epoch}
-			if next++; f.Segment >= 0 {
-				h.Segment, h.OwnedSince = m.Segments[f.Segment].Name, m.Segments[f.Segment].OwnedSince
+		addPiece := func(newPiece NewPiece) {
+			piece := Piece{ID: next, Request: newPiece.Request, Range: newPiece.Range, Weight: newPiece.Weight,
+				Attempted: newPiece.Retry, DeferredAt: newPiece.DeferredAt, OwnedSince: m.Epoch}
+			if next++; newPiece.Segment >= 0 {
+				piece.Segment, piece.OwnedSince = m.Segments[newPiece.Segment].Name, m.Segments[newPiece.Segment].OwnedSince
 			}
-			held = append(held, h)
+			pieces = append(pieces, piece)
 		}
 		ranges, weights := []Range{ShardRange(0, 4), ShardRange(3, 4)}, []float64{0.5, 0.5}
-		for _, f := range m.Split(ranges, weights, false) {
-			hold(f)
+		for _, newPiece := range m.Split(ranges, weights, false) {
+			addPiece(newPiece)
 		}
 		now := 1000.0
 		for n := range rapid.IntRange(1, 8).Draw(t, "changes") {
-			for i := range held {
-				h := &held[i]
+			for i := range pieces {
+				piece := &pieces[i]
 				switch rapid.IntRange(0, 5).Draw(t, "fate") {
 				case 0:
-					h.InFlight, h.Attempted = 1, true
+					piece.InFlight, piece.Attempted = 1, true
 				case 1:
-					h.InFlight = 0
+					piece.InFlight = 0
 				case 2:
-					h.InFlight, h.MayHaveRun, h.Attempted = 0, true, true
+					piece.InFlight, piece.MayHaveRun, piece.Attempted = 0, true, true
 				case 3:
-					h.InFlight, h.Answered = 0, h.Segment != ""
+					piece.InFlight, piece.Answered = 0, piece.Segment != ""
 				case 4:
-					h.InFlight, h.Rejected, h.Attempted = 0, h.Segment != "" && !h.MayHaveRun, true
+					piece.InFlight, piece.Rejected, piece.Attempted = 0, piece.Segment != "" && !piece.MayHaveRun, true
 				}
 			}
 			if c, ok := drawChange(t, m, n); ok {
@@ -174,94 +177,98 @@
 			}
 			trusted := rapid.IntRange(0, 5).Draw(t, "trusted") > 0
 			now += rapid.Float64Range(0, 200).Draw(t, "passes")
-			retired, fresh := m.Reassign(held, once, trusted, now)
-			for _, id := range retired {
-				i := slices.IndexFunc(held, func(h Piece) bool { return h.ID == id })
-				if h := held[i]; h.Answered || h.InFlight > 0 || once && h.MayHaveRun {
-					t.Fatalf("replaced: %+v", h)
+			replaced, added := m.Reassign(pieces, nonIdempotent, trusted, now)
+			for _, id := range replaced {
+				i := slices.IndexFunc(pieces, func(h Piece) bool { return h.ID == id })
+				if h := pieces[i]; h.Answered || h.InFlight > 0 || nonIdempotent && h.MayHaveRun {
+					t.Fatalf("replaced a piece that must be kept: %+v", h)
 				}
-				held = slices.Delete(held, i, i+1)
+				pieces = slices.Delete(pieces, i, i+1)
 			}
-			for _, f := range fresh {
-				if once && !trusted && f.Segment >= 0 {
-					t.Fatalf("%+v is sent though the map is not trusted", f)
+			for _, newPiece := range added {
+				if nonIdempotent && !trusted && newPiece.Segment >= 0 {
+					t.Fatalf("%+v has a segment although the map is not trusted", newPiece)
 				}
-				hold(f)
+				addPiece(newPiece)
 			}
-			for part, r := range ranges {
-				var mine []Piece
+			for request, r := range ranges {
+				var requestPieces []Piece
 				sum := 0.0
-				for _, h := range held {
-					if h.Request == part {
-						mine, sum = append(mine, h), sum+h.Weight
+				for _, piece := range pieces {
+					if piece.Request == request {
+						requestPieces, sum = append(requestPieces, piece), sum+piece.Weight
 					}
 				}
-				slices.SortFunc(mine, func(a, b Piece) int {
+				slices.SortFunc(requestPieces, func(a, b Piece) int {
 					if a.Lo < b.Lo {
 						return -1
 					}
 					return 1
 				})
 				from := r.Lo
-				for _, h := range mine {
-					if h.Lo != from {
-						t.Fatalf("request %d: piece %s, one from %016x on is due", part, h.Text(), from)
+				for _, piece := range requestPieces {
+					if piece.Lo != from {
+						t.Fatalf("request %d: piece %s must begin at key %016x", request, piece.Text(), from)
 					}
-					from = h.Hi + 1
+					from = piece.Hi + 1
 				}
-				if len(mine) == 0 || mine[len(mine)-1].Hi != r.Hi || math.Abs(sum-weights[part]) > 1e-9 {
-					t.Fatalf("request %d: %d pieces of weight %g", part, len(mine), sum)
+				if len(requestPieces) == 0 || requestPieces[len(requestPieces)-1].Hi != r.Hi ||
+					math.Abs(sum-weights[request]) > 1e-9 {
+					t.Fatalf("request %d: %d pieces with weight %g don't cover its range and weight", request,
+						len(requestPieces), sum)
 				}
 			}
 		}
 	})
 }
 
-// TestTrackerAppliesOnlyWhatFollows hands in changes late, repeatedly, out of order and with gaps, and full maps between.
-// The tracker's map is always a true one, never older than before, and the newest at the end.
-func TestTrackerAppliesOnlyWhatFollows(t *testing.T) {
+// TestTrackerToleratesReorderedUpdates passes changes late, repeatedly, out of order and with gaps, mixed
+// with full maps. The tracker's map always equals the original of its epoch, never goes back to an earlier
+// epoch, and is the newest at the end.
+func TestTrackerToleratesReorderedUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		truth := []*Map{drawMap(t)}
+		maps := []*Map{drawMap(t)}
 		var changes []Change
 		for n := range 20 {
-			if c, ok := drawChange(t, truth[len(truth)-1], n); ok {
-				next, err := truth[len(truth)-1].Apply(c)
+			if c, ok := drawChange(t, maps[len(maps)-1], n); ok {
+				next, err := maps[len(maps)-1].Apply(c)
 				if err != nil {
 					t.Fatal(err)
 				}
-				truth, changes = append(truth, next), append(changes, c)
+				maps, changes = append(maps, next), append(changes, c)
 			}
 		}
-		var f Tracker
+		var tracker Tracker
 		last := uint64(0)
-		see := func(v UpdateResult, err error) {
-			if v == Conflict {
-				t.Fatalf("a true update is a conflict: %v", err)
+		check := func(result UpdateResult, err error) {
+			if result == Conflict {
+				t.Fatalf("a correct update is reported as a conflict: %v", err)
 			}
-			if f.Map == nil {
+			if tracker.Map == nil {
 				return
 			}
-			if f.Map.Epoch < last || truth[f.Map.Epoch-1].Checksum != f.Map.Checksum {
-				t.Fatalf("epoch %d after %d", f.Map.Epoch, last)
+			if tracker.Map.Epoch < last || maps[tracker.Map.Epoch-1].Checksum != tracker.Map.Checksum {
+				t.Fatalf("epoch %d after %d, or a map that differs from the original", tracker.Map.Epoch, last)
 			}
-			last = f.Map.Epoch
+			last = tracker.Map.Epoch
 		}
 		for range 30 {
 			if len(changes) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 0 {
-				see(f.ApplyChange(changes[rapid.IntRange(0, len(changes)-1).Draw(t, "change")]))
+				check(tracker.ApplyChange(changes[rapid.IntRange(0, len(changes)-1).Draw(t, "change")]))
 			} else {
-				see(f.ApplyMap(truth[rapid.IntRange(0, len(truth)-1).Draw(t, "whole")]))
+				check(tracker.ApplyMap(maps[rapid.IntRange(0, len(maps)-1).Draw(t, "whole")]))
 			}
 		}
-		see(f.ApplyMap(truth[len(truth)-1]))
-		if f.Map.Epoch != uint64(len(truth)) || f.ConflictEpoch != 0 {
-			t.Fatalf("epoch %d of %d, conflict %d", f.Map.Epoch, len(truth), f.ConflictEpoch)
+		check(tracker.ApplyMap(maps[len(maps)-1]))
+		if tracker.Map.Epoch != uint64(len(maps)) || tracker.ConflictEpoch != 0 {
+			t.Fatalf("at epoch %d, want %d; conflict epoch %d, want 0", tracker.Map.Epoch, len(maps),
+				tracker.ConflictEpoch)
 		}
 	})
 }
 
-// TestTrackerReportsConflictingSources hands in two changes of one epoch. The first stays, and only a later full map ends
-// the conflict.
+// TestTrackerReportsConflictingSources applies two different changes of the same epoch. The first one is
+// kept, and only a full map of a later epoch ends the conflict.
 func TestTrackerReportsConflictingSources(t *testing.T) {
 	m, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
 	if err != nil {
@@ -269,46 +276,46 @@
 	}
 	one, _ := m.MoveSegment("s", []string{"b"})
 	other, _ := m.MoveSegment("s", []string{"c"})
-	f := Tracker{}
-	f.ApplyMap(m)
-	if v, _ := f.ApplyChange(one); v != Applied {
+	tracker := Tracker{}
+	tracker.ApplyMap(m)
+	if v, _ := tracker.ApplyChange(one); v != Applied {
 		t.Fatal(v)
 	}
-	if v, err := f.ApplyChange(other); v != Conflict || err == nil || f.ConflictEpoch != 2 ||
-		f.Map.Segments[0].Owners[0] != "b" {
-		t.Errorf("%v, %v, conflict %d", v, err, f.ConflictEpoch)
+	if v, err := tracker.ApplyChange(other); v != Conflict || err == nil || tracker.ConflictEpoch != 2 ||
+		tracker.Map.Segments[0].Owners[0] != "b" {
+		t.Errorf("second change of epoch 2: result %v, error %v, conflict epoch %d", v, err, tracker.ConflictEpoch)
 	}
-	if v, _ := f.ApplyChange(one); v != Duplicate || f.ConflictEpoch == 0 {
-		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
+	if v, _ := tracker.ApplyChange(one); v != Duplicate || tracker.ConflictEpoch == 0 {
+		t.Errorf("first change repeated: result %v, conflict epoch %d", v, tracker.ConflictEpoch)
 	}
 	again, _ := m.Apply(one)
-	if v, _ := f.ApplyMap(again); v != Duplicate || f.ConflictEpoch == 0 {
-		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
+	if v, _ := tracker.ApplyMap(again); v != Duplicate || tracker.ConflictEpoch == 0 {
+		t.Errorf("full map of the same epoch: result %v, conflict epoch %d", v, tracker.ConflictEpoch)
 	}
 	next, _ := again.MoveSegment("s", []string{"a"})
 	later, _ := again.Apply(next)
-	if v, _ := f.ApplyMap(later); v != Applied || f.ConflictEpoch != 0 {
-		t.Errorf("%v, conflict %d", v, f.ConflictEpoch)
+	if v, _ := tracker.ApplyMap(later); v != Applied || tracker.ConflictEpoch != 0 {
+		t.Errorf("full map of the next epoch: result %v, conflict epoch %d", v, tracker.ConflictEpoch)
 	}
-	// Invalid updates of a source that is otherwise right.
+	// Invalid updates are rejected and don't count as conflicts.
 	broken := &Map{Epoch: 9, Checksum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}},
 		{Name: "y", Range: Range{9, 20}}}}
-	if v, err := f.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") ||
-		f.Map.Epoch != 3 {
-		t.Errorf("%v, %v", v, err)
+	if v, err := tracker.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") ||
+		tracker.Map.Epoch != 3 {
+		t.Errorf("map with overlapping segments: result %v, error %v", v, err)
 	}
 	wrong := next
 	wrong.Epoch, wrong.PreviousChecksum = 4, later.Checksum
 	wrong.Removed = []string{"t"}
-	if v, err := f.ApplyChange(wrong); v != Invalid || f.ConflictEpoch != 0 ||
-		!strings.Contains(err.Error(), `"t", which is no segment`) {
-		t.Errorf("%v, %v", v, err)
+	if v, err := tracker.ApplyChange(wrong); v != Invalid || tracker.ConflictEpoch != 0 ||
+		!strings.Contains(err.Error(), `removes "t", which is not a segment`) {
+		t.Errorf("removal of an unknown segment: result %v, error %v", v, err)
 	}
 }
 
-// TestHostAdmitsOnlyWhatItOwns wants a host to admit only keys that it owns, under the epoch since which it does. A log
-// takes nothing under an older epoch, nor once it is sealed.
-func TestHostAdmitsOnlyWhatItOwns(t *testing.T) {
+// TestHostAdmitsOnlyOwnedKeys checks that a host admits only requests for keys that it owns, under the epoch
+// since which it owns them, and that a log accepts no record under an older epoch or after it was sealed.
+func TestHostAdmitsOnlyOwnedKeys(t *testing.T) {
 	var h Host
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 3, Writer: true})
 	for _, c := range []struct {
@@ -321,80 +328,80 @@
 			NotOwner}, {Request{"s", 3, Range{99, 130}, false}, NotOwner},
 	} {
 		if got := h.Admit(c.call); got != c.want {
-			t.Errorf("%+v: %d", c.call, got)
+			t.Errorf("%+v: unexpected admission %d", c.call, got)
 		}
 	}
 	h.Seal("s")
 	if h.Admit(Request{"s", 3, Range{100, 200}, true}) != NotOwner ||
 		h.Admit(Request{"s", 3, Range{100, 200}, false}) != Admitted {
-		t.Error("a sealed segment admits idempotent requests alone")
+		t.Error("a sealed segment must admit idempotent requests only")
 	}
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 5, Writer: false})
 	if h.Admit(Request{"s", 5, Range{100, 200}, true}) != NotOwner {
-		t.Error("a host that is not the writer admits a non-idempotent request")
+		t.Error("a host that is not the writer admitted a non-idempotent request")
 	}
 	h.Acquire(OwnedSegment{Name: "u", Range: Range{150, 300}, OwnedSince: 4})
 	if len(h.Segments) != 2 || h.find("s") == nil {
-		t.Errorf("an older segment replaces a newer: %+v", h.Segments)
+		t.Errorf("an older segment replaced a newer one: %+v", h.Segments)
 	}
 	h.Acquire(OwnedSegment{Name: "u", Range: Range{150, 300}, OwnedSince: 6})
 	if len(h.Segments) != 1 {
-		t.Errorf("owns %+v", h.Segments)
+		t.Errorf("a newer segment did not replace those with common keys: %+v", h.Segments)
 	}
 	l := SegmentLog{Epoch: 3}
 	if !l.Append(3) || l.Append(2) || l.Append(4) || l.RaiseEpoch(2) || !l.RaiseEpoch(5) || l.Append(3) ||
 		!l.Append(5) {
-		t.Errorf("%+v", l)
+		t.Errorf("log accepts a record under the wrong epoch: %+v", l)
 	}
 	l.Sealed = true
 	if l.Append(5) || !l.RaiseEpoch(5) || l.Append(5) || !l.RaiseEpoch(6) || !l.Append(6) {
-		t.Errorf("%+v", l)
+		t.Errorf("a sealed log accepts records, or a later epoch does not unseal it: %+v", l)
 	}
 }
 
-// TestReplicaSetIndexReusesNumbersLast wants each number used by one segment at a time, kept by segments that stay, and
-// not reused at once.
+// TestReplicaSetIndexReusesNumbersLast checks that each number is used by one segment at a time, that kept
+// segments keep theirs, and that freed numbers are reused last.
 func TestReplicaSetIndexReusesNumbersLast(t *testing.T) {
 	x := NewReplicaSetIndex(3)
 	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}},
 		{Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
 	if x.Update(m) {
-		t.Error("full")
+		t.Error("Update reported too many segments for a map of two")
 	}
 	all, writer := x.ReplicaSets("b")
 	c, _ := m.SplitSegment("a", 5, "a1", "a2")
 	m, _ = m.Apply(c)
 	if x.Update(m) {
-		t.Error("three segments are too many for three numbers")
+		t.Error("Update reported too many segments for a map of three, with three numbers")
 	}
 	if a, w := x.ReplicaSets("b"); a != all || w != writer {
-		t.Error("a segment that stays has another number")
+		t.Error("the number of a kept segment has changed")
 	}
 	seen := map[int]bool{}
 	for _, name := range []string{"a1", "a2", "b"} {
 		a, w := x.ReplicaSets(name)
 		if seen[a] || seen[w] || a == x.NoOwner() {
-			t.Errorf("%s has the replica sets %d and %d", name, a, w)
+			t.Errorf("segment %s has replica sets %d and %d, which are in use or without servers", name, a, w)
 		}
 		seen[a], seen[w] = true, true
 	}
 	c, _ = m.SplitSegment("b", 15, "b1", "b2")
 	m, _ = m.Apply(c)
 	if !x.Update(m) {
-		t.Error("four segments fit into three numbers")
+		t.Error("Update reported no overflow for four segments with three numbers")
 	}
-	holds := x.ByHost(m)
+	setsByHost := x.ByHost(m)
 	a1, w1 := x.ReplicaSets("b1")
-	if !slices.Contains(holds["g"], a1) || !slices.Contains(holds["g"], w1) || !slices.Contains(holds["h"], a1) ||
-		slices.Contains(holds["h"], w1) {
-		t.Errorf("%v", holds)
+	if !slices.Contains(setsByHost["g"], a1) || !slices.Contains(setsByHost["g"], w1) ||
+		!slices.Contains(setsByHost["h"], a1) || slices.Contains(setsByHost["h"], w1) {
+		t.Errorf("replica sets by host: %v; want both for g and that of all owners for h", setsByHost)
 	}
 	if a, _ := x.ReplicaSets("b2"); a != x.NoOwner() {
 		t.Error("a segment without a number has a replica set")
 	}
 }
 
-// BenchmarkSplit divides a query of eight shard requests, by the size of the map.
+// BenchmarkSplit divides a query of eight shard requests by maps of several sizes.
 func BenchmarkSplit(b *testing.B) {
 	for _, n := range []int{4, 100, 1000, 10000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
--- a/logic/ownership/range.go
+++ b/logic/ownership/range.go
@@ -8,19 +8,20 @@
 
 const maxKey = ^uint64(0)
 
-// keyDigits is the length of a key in hex digits.
+// keyDigits is the length of the text of a key, in hex digits.
 const keyDigits = 16
 
-// keySpace is how many keys there are.
+// keySpace is the number of keys.
 const keySpace = 1 << 64
 
-// Range is the keys from Lo to Hi, both included, so that all keys are one range.
+// Range is the set of keys from Lo to Hi. Both are included, so that a Range can hold all keys.
 type Range struct{ Lo, Hi uint64 }
 
 // All is the range of all keys.
 var All = Range{0, maxKey}
 
-// ShardRange is the keys of one shard. Clients divide the keys evenly into so many shards.
+// ShardRange returns the keys of one shard, given the number of shards into which clients divide the keys
+// evenly.
 func ShardRange(shard, shards int) Range {
 	if shards <= 1 {
 		return All
@@ -34,20 +35,20 @@
 	return r
 }
 
-// Fraction is the range's share of all keys.
+// Fraction returns the size of the range as a fraction of all keys.
 func (r Range) Fraction() float64 { return (float64(r.Hi-r.Lo) + 1) / keySpace }
 
 // Overlaps reports whether two ranges share a key.
 func (r Range) Overlaps(o Range) bool { return r.Lo <= o.Hi && o.Lo <= r.Hi }
 
-// Within reports whether another range has all keys of this one.
+// Within reports whether o contains all keys of r.
 func (r Range) Within(o Range) bool { return r.Lo >= o.Lo && r.Hi <= o.Hi }
 
-// Text is the range in files and documents: two keys with a dash between. It is not named String, which types
-// that embed a Range would inherit.
+// Text returns the range as it is written in files and documents: two keys in hex, separated by a dash. The
+// method is not named String, since types that embed a Range would then print as their range only.
 func (r Range) Text() string { return fmt.Sprintf("%016x-%016x", r.Lo, r.Hi) }
 
-// ParseRange parses what Text returns.
+// ParseRange parses a range in the format of Text.
 func ParseRange(text string) (Range, error) {
 	lo, hi, found := strings.Cut(text, "-")
 	first, errFirst := strconv.ParseUint(lo, 16, 64)
--- a/logic/ownership/replicasets.go
+++ b/logic/ownership/replicasets.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// ReplicaSetIndex numbers the replica sets of segments, by which the decisions know servers. Each segment has
-// one of all its owners and one of its writer. The number of a removed segment is reused as late as possible,
-// so that a piece of an old map does not hit another segment by it.
+// ReplicaSetIndex assigns replica set numbers to segments. The decisions identify groups of servers by these
+// numbers. Each segment has two replica sets: one of all its owners and one of its writer only. The number of
+// a removed segment is reused as late as possible, so that a piece divided by an old map is not sent to
+// another segment that has the same number.
 type ReplicaSetIndex struct {
 	maxSegments int
 	numbers     map[string]int
 	free        []int
 }
 
-// NewReplicaSetIndex returns an index for at most so many segments.
+// NewReplicaSetIndex returns an index for at most maxSegments segments.
 func NewReplicaSetIndex(maxSegments int) *ReplicaSetIndex {
 	x := &ReplicaSetIndex{maxSegments: maxSegments, numbers: map[string]int{}}
 	for n := range maxSegments {
@@ -20,8 +21,8 @@
 	return x
 }
 
-// Update numbers the segments of a map. It reports whether these are too many: the last ones then count as
-// unowned.
+// Update numbers the new segments of a map and frees the numbers of removed ones. It reports whether the map
+// has more segments than there are numbers; the last ones in key order then count as unowned.
 func (x *ReplicaSetIndex) Update(m *Map) (full bool) {
 	x.release(m)
 	for _, s := range m.Segments {
@@ -38,7 +39,7 @@
 	return full
 }
 
-// release frees the numbers of segments that a map does not have.
+// release frees the numbers of segments that are not in the map.
 func (x *ReplicaSetIndex) release(m *Map) {
 	present := map[string]bool{}
 	for _, s := range m.Segments {
@@ -50,15 +51,15 @@
 			removed = append(removed, name)
 		}
 	}
-	slices.Sort(removed) // decisions must not depend on a map's order
+	slices.Sort(removed) // decisions must not depend on the iteration order of a Go map
 	for _, name := range removed {
 		x.free = append(x.free, x.numbers[name])
 		delete(x.numbers, name)
 	}
 }
 
-// ReplicaSets returns the replica sets of a segment's owners and of its writer, NoOwner for both where it has
-// no number.
+// ReplicaSets returns the replica sets of a segment's owners and of its writer. Both are NoOwner if the
+// segment has no number.
 func (x *ReplicaSetIndex) ReplicaSets(name string) (owners, writer int) {
 	n, numbered := x.numbers[name]
 	if !numbered {
@@ -67,10 +68,10 @@
 	return 2 * n, 2*n + 1
 }
 
-// NoOwner is the last replica set, which has no servers.
+// NoOwner returns the last replica set, which never has servers.
 func (x *ReplicaSetIndex) NoOwner() int { return 2 * x.maxSegments }
 
-// ByHost returns the replica sets that each host is in.
+// ByHost returns, for each host, the replica sets that it belongs to.
 func (x *ReplicaSetIndex) ByHost(m *Map) map[string][]int {
 	sets := map[string][]int{}
 	for _, s := range m.Segments {
--- a/logic/ownership/segmentmap.go
+++ b/logic/ownership/segmentmap.go
@@ -1,15 +1,15 @@
-// Package ownership decides which hosts may be sent requests for which keys, while segments of keys are
-// split, merged and moved.
+// Package ownership decides which hosts may be sent requests for which keys, while segments (ranges of keys)
+// are split, merged and moved.
 //
-// A segment map says which hosts own which range of keys. Each change makes the next epoch of it. From the
-// map and the results of attempts the package decides into which pieces a shard request is divided, which
-// owner gets a piece and under which epoch, what becomes of a query that an earlier epoch divided, which
-// updates of the map are believed and, on a host, which requests it still admits.
+// A segment map lists which hosts own which range of keys. Each change to it starts a new epoch. From the map
+// and the results of attempts the package decides into which pieces a shard request is divided, which owner
+// receives a piece and under which epoch, how a query that was divided in an earlier epoch continues, which
+// map updates are accepted and, on a host, which requests are still admitted.
 //
-// Rule 2 is kept by fencing: a host runs a non-idempotent request only once the segment's log has taken it,
-// and a log takes nothing under an older epoch. A piece of which an attempt may have run is never sent again,
-// to whichever owner. Rule 5 is kept by keys: a piece counts for its keys, once, and keys without an owner
-// count for nothing. The options are weighed in docs/design/owners.md.
+// Rule 2 is enforced by fencing: a host runs a non-idempotent request only after the segment's log has
+// accepted it, and a log accepts no records under an older epoch. A non-idempotent piece that may have run is
+// never sent again, to any owner. Rule 5 is enforced by counting keys: a piece counts once, for its own keys,
+// and keys without an owner do not count. docs/design/owners.md compares the alternatives.
 package ownership
 
 import (
@@ -23,25 +23,25 @@
 	"yokeroute/internal/suggest"
 )
 
-// MaxSegments bounds the segments of a map.
+// MaxSegments is the maximum number of segments in a map.
 const MaxSegments = 1 << 20
 
-// Segment is a range of keys with its owners.
+// Segment is a range of keys and its owners.
 type Segment struct {
 	Name string
 	Range
-	Owners     []string // host names; the first is the writer, which alone runs non-idempotent requests
-	OwnedSince uint64   // the epoch in which the range or the owners last changed
+	Owners     []string // host names; only the first, the writer, runs non-idempotent requests
+	OwnedSince uint64   // epoch in which the range or the owners last changed
 }
 
 // Map is the segment map of one epoch.
 type Map struct {
 	Epoch    uint64
-	Checksum uint64    // over this map and all before it
-	Segments []Segment // ordered by key, without overlap; keys between them are unowned
+	Checksum uint64    // covers this map and, through the previous checksum, all earlier ones
+	Segments []Segment // ordered by key, not overlapping; keys between segments are unowned
 }
 
-// NewMap returns the map of a first epoch. Segments without OwnedSince are owned since that epoch.
+// NewMap returns a map without predecessor. Segments with an OwnedSince of 0 are owned since the given epoch.
 func NewMap(epoch uint64, segments []Segment) (*Map, error) {
 	m := &Map{Epoch: epoch, Segments: slices.Clone(segments)}
 	m.sort()
@@ -61,7 +61,7 @@
 	slices.SortStableFunc(m.Segments, func(a, b Segment) int { return cmp.Compare(a.Lo, b.Lo) })
 }
 
-// Check returns the faults of a map, in the order of its segments.
+// Check returns the faults of the map, in the order of its segments. A valid map has none.
 func (m *Map) Check() (faults []error) {
 	names := map[string]bool{}
 	for i := range m.Segments {
@@ -81,12 +81,13 @@
 		}
 	}
 	if len(m.Segments) > MaxSegments {
-		faults = append(faults, fmt.Errorf("%d segments, at most %d can be", len(m.Segments), MaxSegments))
+		faults = append(faults, fmt.Errorf("the map has %d segments, the maximum is %d",
+			len(m.Segments), MaxSegments))
 	}
 	return faults
 }
 
-// checkSegment returns the first fault of a segment by itself.
+// checkSegment returns the first fault that concerns a segment alone, or nil.
 func (m *Map) checkSegment(i int, duplicate bool) error {
 	switch s := &m.Segments[i]; {
 	case s.Name == "":
@@ -94,7 +95,7 @@
 	case duplicate:
 		return fmt.Errorf("segment %q is there twice", s.Name)
 	case strings.ContainsAny(s.Name, " ,=\n"):
-		return fmt.Errorf("segment %q: a name holds no blank, comma or =", s.Name)
+		return fmt.Errorf("segment %q: the name must not contain a blank, line break, comma or =", s.Name)
 	case s.Hi < s.Lo:
 		return fmt.Errorf("segment %q ends before it begins", s.Name)
 	case s.OwnedSince > m.Epoch:
@@ -103,12 +104,12 @@
 	return nil
 }
 
-// Find returns the index of a segment, -1 for none.
+// Find returns the index of the segment with a name, or -1 if there is none.
 func (m *Map) Find(name string) int {
 	return slices.IndexFunc(m.Segments, func(s Segment) bool { return s.Name == name })
 }
 
-// segment returns a segment, or an error with the name that may be meant.
+// segment returns the segment with a name, or an error that suggests a similar name.
 func (m *Map) segment(name string) (*Segment, error) {
 	if i := m.Find(name); i >= 0 {
 		return &m.Segments[i], nil
@@ -124,7 +125,7 @@
 	return suggest.Hint(name, names)
 }
 
-// checksumAfter is the checksum of a map that follows one with another checksum, 0 for none.
+// checksumAfter returns the checksum of the map, given that of its predecessor, or 0 if it has none.
 func (m *Map) checksumAfter(previous uint64) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%d %d\n", previous, m.Epoch)
