--- a/logic/baselines/attempt.go
+++ b/logic/baselines/attempt.go
@@ -10,26 +10,26 @@
 )
 
 const (
-	keptLatencies = 256
-	minLatencies  = 20 // before which nothing is hedged
+	maxLatencies = 256 // number of latencies kept
+	minLatencies = 20  // number of known latencies below which no attempt is hedged
 )
 
-// latencyRing keeps the latest latencies.
+// latencyRing holds the latest maxLatencies latencies.
 type latencyRing struct {
 	values []float64
 	next   int
 }
 
 func (l *latencyRing) add(latency float64) {
-	if len(l.values) < keptLatencies {
+	if len(l.values) < maxLatencies {
 		l.values = append(l.values, latency)
 		return
 	}
 	l.values[l.next] = latency
-	l.next = (l.next + 1) % keptLatencies
+	l.next = (l.next + 1) % maxLatencies
 }
 
-// quantile is infinite while there are too few latencies.
+// quantile returns a quantile of the latencies, or +Inf while there are fewer than minLatencies.
 func (l *latencyRing) quantile(share float64) float64 {
 	if len(l.values) < minLatencies {
 		return math.Inf(1)
@@ -39,7 +39,7 @@
 	return sorted[int(share*float64(len(sorted)-1))]
 }
 
-// hedgeAfter is the age at which an attempt is hedged, infinite where none is.
+// hedgeAfter returns the age from which an attempt is hedged, or +Inf if attempts are not hedged.
 func (m *Module) hedgeAfter() float64 {
 	if m.strategy.HedgeQuantile == 0 || !m.settings.HedgingAllowed {
 		return math.Inf(1)
@@ -47,23 +47,23 @@
 	return m.latencies.quantile(m.strategy.HedgeQuantile)
 }
 
-// RetryBudgetLeft is how many more retries the budget allows.
+// RetryBudgetLeft returns the number of retries that the budget still allows.
 func (m *Module) RetryBudgetLeft() float64 {
 	limit := m.settings.RetryBudgetFloor + m.settings.RetryBudgetRatio*float64(len(m.arrivals))
 	return limit - float64(len(m.retries))
 }
 
-// updateRetryBudget moves the window on. Arrivals are counted over a tick less and retries over a tick
-// more.
+// updateRetryBudget removes arrivals and retries that have left the budget's window. The window is one tick
+// shorter for arrivals and one tick longer for retries.
 func (m *Module) updateRetryBudget() {
 	window := m.settings.RetryBudgetWindow
 	m.arrivals = stats.SortedFrom(m.arrivals, m.now-(window-m.tick()))
 	m.retries = stats.SortedFrom(m.retries, m.now-(window+m.tick()))
 }
 
-// mayRepeat reports whether a further attempt cannot cause a second effect that the request's class
-// forbids.
-func (m *Module) mayRepeat(r *shardRequest) bool {
+// mayAttemptAgain reports whether the request may get a further attempt. It may not if the attempts so far
+// may have had an effect that the request's class forbids to repeat.
+func (m *Module) mayAttemptAgain(r *shardRequest) bool {
 	if r.closed || len(r.attempts) >= m.settings.MaxAttempts {
 		return false
 	}
@@ -77,7 +77,7 @@
 	})
 }
 
-// send sends the requests that the query needs and has not sent, and retries and hedges others.
+// send sends those requests that the query needs and that have not been sent, and retries and hedges others.
 func (m *Module) send(q *query, hedgeAfter float64) {
 	needed := m.class(q).CompleteShare - shareTolerance
 	expected := 0.0
@@ -91,39 +91,40 @@
 			r.wanted = true
 			expected += r.Weight
 		}
-		if r.succeeded || !r.wanted || r.inFlight > 1 || r.inFlight == 1 && !m.late(r, hedgeAfter) {
+		if r.succeeded || !r.wanted || r.inFlight > 1 || r.inFlight == 1 && !m.isHedgeDue(r, hedgeAfter) {
 			continue
 		}
 		if len(r.attempts) == 0 {
 			m.dispatch(r, false)
-		} else if m.mayRepeat(r) && m.RetryBudgetLeft() >= 1 {
+		} else if m.mayAttemptAgain(r) && m.RetryBudgetLeft() >= 1 {
 			m.dispatch(r, true)
 		}
 	}
 }
 
-// late reports whether a request's last attempt is to be hedged.
-func (m *Module) late(r *shardRequest, hedgeAfter float64) bool {
+// isHedgeDue reports whether a request's last attempt is old enough to be hedged.
+func (m *Module) isHedgeDue(r *shardRequest, hedgeAfter float64) bool {
 	return m.now-r.attempts[len(r.attempts)-1].startedAt > hedgeAfter
 }
 
-// dispatch begins an attempt unless there is no replica for it.
+// dispatch sends an attempt if a replica is available for it.
 func (m *Module) dispatch(r *shardRequest, retry bool) {
-	to, found := m.chooseReplica(r)
+	replica, found := m.chooseReplica(r)
 	if !found {
 		return
 	}
-	r.attempts = append(r.attempts, attempt{server: to, startedAt: m.now})
+	r.attempts = append(r.attempts, attempt{server: replica, startedAt: m.now})
 	r.inFlight++
-	m.servers[to].inFlight++
+	m.servers[replica].inFlight++
 	if retry {
 		m.retries = append(m.retries, m.now)
 	}
-	m.writer.Send(r.ID, to, r.query.Deadline-m.now)
+	m.writer.Send(r.ID, replica, r.query.Deadline-m.now)
 }
 
-// chooseReplica chooses among the replicas that have not seen a request. A warming one is chosen only where
-// there is no other, by one gatherer at a time on average.
+// chooseReplica chooses one of the replicas to which the request has not been sent. A replica that is warming
+// up is chosen only if there is no other, and with a probability of one over the number of gatherers, so that
+// on average one gatherer at a time chooses it.
 func (m *Module) chooseReplica(r *shardRequest) (replica uint32, found bool) {
 	if len(m.replicas) == 0 {
 		return 0, false
@@ -151,7 +152,7 @@
 	return warming[int(m.random.Uint32()%uint32(len(warming)))], true
 }
 
-// recordResult notes how an attempt ended.
+// recordResult records how an attempt ended.
 func (m *Module) recordResult(result *gather.AttemptResult) {
 	r := m.requests[result.Request]
 	if r == nil || result.Attempt >= len(r.attempts) || r.attempts[result.Attempt].ended {
--- a/logic/baselines/baselines.go
+++ b/logic/baselines/baselines.go
@@ -1,10 +1,12 @@
-// Package baselines has textbook strategies of choosing a replica, to compare the project's decisions with.
+// Package baselines implements textbook strategies for choosing a replica, for comparison with the decisions
+// of this project.
 //
-// A baseline decides what package logic decides, from the same rounds. It sends as many requests as make a
-// complete answer, each to a replica of its strategy's choice, retries a failed one elsewhere while the
-// budget lasts, and sheds no load. It keeps the service's rules in the plainest way: nothing is sent to
-// servers that drain, a warming one gets one request at a time and only where there is no other replica,
-// and nothing is repeated or rejected without proof that it had no effect. It is never used in service.
+// A baseline makes the decisions of package logic, from the same rounds. It sends as many requests as a
+// complete answer needs, each to a replica chosen by its strategy, retries a failed one on another replica
+// while the retry budget lasts, and sheds no load. It follows the rules of the service in the simplest way:
+// no requests are sent to draining servers, a server that is warming up gets one request at a time and only
+// if there is no other replica, and no non-idempotent request is repeated or rejected without proof that it
+// had no effect. Baselines are never used in production.
 package baselines
 
 import (
@@ -12,28 +14,30 @@
 	"yokeroute/internal/pcg"
 )
 
-// Strategy is what makes one baseline differ from another.
+// Strategy holds the properties in which baselines differ.
 type Strategy struct {
 	Name          string
 	Choose        Choose
-	HedgeQuantile float64 // of latencies, after which an attempt is hedged; 0 for no hedging
+	HedgeQuantile float64 // quantile of latencies after which an attempt is hedged; 0 disables hedging
 }
 
-// Choose returns the place of one of the candidates; inFlight are the attempts of this gatherer at each.
+// Choose returns the index of the chosen server. inFlight holds the number of this gatherer's attempts in
+// flight at each of the servers.
 type Choose func(random *pcg.Source, turn *int, servers []uint32, inFlight []int) int
 
-// Random chooses any replica.
+// Random chooses a replica at random.
 func Random(random *pcg.Source, _ *int, servers []uint32, _ []int) int {
 	return int(random.Uint32() % uint32(len(servers)))
 }
 
-// RoundRobin chooses replicas one after the other.
+// RoundRobin chooses the replicas in turn.
 func RoundRobin(_ *pcg.Source, turn *int, servers []uint32, _ []int) int {
 	*turn++
 	return *turn % len(servers)
 }
 
-// LeastInFlight chooses a replica with the fewest attempts of this gatherer, at random among equals.
+// LeastInFlight chooses the replica with the fewest attempts of this gatherer in flight. Ties are broken at
+// random.
 func LeastInFlight(random *pcg.Source, _ *int, servers []uint32, inFlight []int) int {
 	best, ties := 0, uint32(0)
 	for i := range servers {
@@ -51,7 +55,8 @@
 	return best
 }
 
-// TwoChoices chooses the one with fewer attempts out of two random ones (M. Mitzenmacher, 2001).
+// TwoChoices draws two replicas at random and chooses the one with fewer attempts in flight (M. Mitzenmacher,
+// 2001).
 func TwoChoices(random *pcg.Source, _ *int, servers []uint32, inFlight []int) int {
 	first := Random(random, nil, servers, nil)
 	second := Random(random, nil, servers, nil)
@@ -61,7 +66,7 @@
 	return first
 }
 
-// Strategies are the baselines. Their names stand in stored results. The last one hedges at the 95th
+// Strategies lists the baselines. Stored results refer to them by name. The last one hedges at the 95th
 // percentile of latencies (J. Dean and L. Barroso, The Tail at Scale, 2013).
 var Strategies = []Strategy{
 	{Name: "random", Choose: Random},
@@ -71,32 +76,32 @@
 	{Name: "hedge-95", Choose: TwoChoices, HedgeQuantile: 0.95},
 }
 
-// wakeTicks is how many ticks apart rounds are while queries are open.
+// wakeTicks is the number of ticks between rounds while queries are open.
 const wakeTicks = 2
 
-// Module is a gatherer that follows a strategy. It is a gather.Module.
+// Module is a gather.Module that follows a strategy.
 type Module struct {
 	settings *gather.Settings
 	strategy Strategy
 	random   *pcg.Source
 	now      float64
-	writer   gather.Writer // of the current round
+	writer   gather.Writer // writer of the current round
 
 	servers  map[uint32]*server
-	replicas [][]uint32 // running ones, by replica set
-	turns    []int      // by replica set
+	replicas [][]uint32 // IDs of running servers, by replica set
+	turns    []int      // round-robin positions, by replica set
 
 	open     []*query
 	byNumber map[uint64]*query
 	requests map[uint64]*shardRequest
 
-	arrivals   []float64 // times of queries and requests
-	retries    []float64 // times of retries and hedges
+	arrivals   []float64 // arrival times of queries and shard requests
+	retries    []float64 // times at which retries and hedged requests were sent
 	latencies  latencyRing
 	nextWakeAt float64
 }
 
-// New returns a gatherer that knows its settings and nothing of the servers.
+// New returns a module that does not know any servers yet.
 func New(seed uint64, settings *gather.Settings, strategy Strategy) *Module {
 	m := &Module{
 		settings: settings,
@@ -113,7 +118,7 @@
 	return m
 }
 
-// Round takes what was observed since the last round, and decides.
+// Round processes the events since the last round and makes the decisions that follow.
 func (m *Module) Round(in *gather.Round, w gather.Writer) {
 	m.now = in.Now
 	m.writer = w
@@ -138,5 +143,5 @@
 	}
 }
 
-// tick is the shortest time between two rounds.
+// tick returns the shortest time between two rounds.
 func (m *Module) tick() float64 { return max(m.settings.Tick, 1) }
--- a/logic/baselines/baselines_test.go
+++ b/logic/baselines/baselines_test.go
@@ -11,18 +11,18 @@
 	"yokeroute/internal/pcg"
 )
 
-// fleet answers a module's attempts at random and hashes all that the module writes.
+// fleet simulates servers that answer a module's attempts at random, and hashes all decisions of the module.
 type fleet struct {
-	random  *pcg.Source
-	now     float64
-	hash    hash.Hash64
-	sends   int
-	number  map[uint64]int // attempts of each request
-	pending []pendingResult
+	random   *pcg.Source
+	now      float64
+	hash     hash.Hash64
+	sends    int
+	attempts map[uint64]int // number of attempts by request
+	pending  []pendingResult
 }
 
 type pendingResult struct {
-	at     float64
+	dueAt  float64
 	result gather.AttemptResult
 }
 
@@ -31,8 +31,8 @@
 func (f *fleet) Send(request uint64, server uint32, timeout float64) {
 	f.write("send", request, server, timeout)
 	f.sends++
-	attempt := f.number[request]
-	f.number[request]++
+	attempt := f.attempts[request]
+	f.attempts[request]++
 	outcome, after := gather.Succeeded, 10+50*f.random.Float64()*float64(1+server%3)
 	switch f.random.Uint32() % 25 {
 	case 0:
@@ -40,8 +40,8 @@
 	case 1:
 		after *= 20
 	}
-	f.pending = append(f.pending, pendingResult{f.now + after, gather.AttemptResult{Request: request, Server: server,
-		Attempt: attempt, Outcome: outcome, Finished: outcome == gather.Succeeded}})
+	f.pending = append(f.pending, pendingResult{f.now + after, gather.AttemptResult{Request: request,
+		Server: server, Attempt: attempt, Outcome: outcome, Finished: outcome == gather.Succeeded}})
 }
 
 func (f *fleet) Cancel(request uint64, attempt int)      { f.write("cancel", request, attempt) }
@@ -52,34 +52,38 @@
 func (f *fleet) Subscribe()                              { f.write("subscribe") }
 func (f *fleet) CheckHealth(server uint32)               { f.write("check", server) }
 
-// results takes what has ended by now.
+// results removes and returns the results of attempts that have ended by now.
 func (f *fleet) results() (due []gather.AttemptResult) {
-	rest := f.pending[:0]
+	remaining := f.pending[:0]
 	for _, p := range f.pending {
-		if p.at > f.now {
-			rest = append(rest, p)
+		if p.dueAt > f.now {
+			remaining = append(remaining, p)
 		} else {
 			due = append(due, p.result)
 		}
 	}
-	f.pending = rest
+	f.pending = remaining
 	return due
 }
 
 var testClasses = []gather.Class{
-	{Name: "any", LatencyObjective: 300, Deadline: 1000, CompleteShare: 0.7, MinShare: 0.5, Effect: gather.Idempotent},
-	{Name: "all", LatencyObjective: 300, Deadline: 1000, CompleteShare: 1, MinShare: 1, Effect: gather.Idempotent},
-	{Name: "once", LatencyObjective: 300, Deadline: 1000, CompleteShare: 1, MinShare: 1, Effect: gather.NonIdempotent},
+	{Name: "any", LatencyObjective: 300, Deadline: 1000, CompleteShare: 0.7, MinShare: 0.5,
+		Effect: gather.Idempotent},
+	{Name: "all", LatencyObjective: 300, Deadline: 1000, CompleteShare: 1, MinShare: 1,
+		Effect: gather.Idempotent},
+	{Name: "once", LatencyObjective: 300, Deadline: 1000, CompleteShare: 1, MinShare: 1,
+		Effect: gather.NonIdempotent},
 	{Name: "keyed", LatencyObjective: 300, Deadline: 1000, CompleteShare: 1, MinShare: 1,
 		Effect: gather.IdempotencyKeyed, IdempotencyWindow: 200},
 }
 
 const testReplicaSets = 4
 
-// arrival adds a query with its requests to a round, and sometimes that its client disconnects.
+// arrival adds a query with its requests to a round, and sometimes the disconnection of its client.
 func (f *fleet) arrival(in *gather.Round, id uint64) (next uint64) {
 	class := testClasses[f.random.Uint32()%4].Name
-	in.Queries = append(in.Queries, gather.Query{ID: id, Number: id, Class: class, Deadline: f.now + 200 + 800*f.random.Float64()})
+	in.Queries = append(in.Queries, gather.Query{ID: id, Number: id, Class: class,
+		Deadline: f.now + 200 + 800*f.random.Float64()})
 	requests := 1 + f.random.Uint32()%5
 	for i := range requests {
 		in.Requests = append(in.Requests, gather.ShardRequest{ID: id + 1 + uint64(i), Number: id,
@@ -91,7 +95,7 @@
 	return id + 1 + uint64(requests)
 }
 
-// endpoints is a full list at first, and a change of one server later.
+// endpoints returns a full endpoint list at first, and later a delta that changes one server.
 func (f *fleet) endpoints(first bool) gather.EndpointList {
 	if !first {
 		id := f.random.Uint32() % 12
@@ -105,8 +109,8 @@
 	return list
 }
 
-func playDay(seed uint64, strategy Strategy) *fleet {
-	f := &fleet{random: pcg.New(seed + 77), hash: fnv.New64a(), number: map[uint64]int{}}
+func simulate(seed uint64, strategy Strategy) *fleet {
+	f := &fleet{random: pcg.New(seed + 77), hash: fnv.New64a(), attempts: map[uint64]int{}}
 	module := New(seed, &gather.Settings{ReplicaSets: testReplicaSets, ReplicaSetsPerShard: 2, MaxAttempts: 3,
 		CancelAllowed: true, HedgingAllowed: true, Tick: 5, Gatherers: 2, MaxRetryAfter: 1000, WarmupTime: 3000,
 		RetryBudgetWindow: 2000, RetryBudgetFloor: 10, RetryBudgetRatio: 0.1, Classes: testClasses}, strategy)
@@ -126,11 +130,11 @@
 	return f
 }
 
-// TestBaselinesDecideAsRecorded wants the decisions of each baseline, byte for byte as they were recorded: earlier
-// comparisons with them stay valid.
-func TestBaselinesDecideAsRecorded(t *testing.T) {
+// TestDecisionsMatchRecordedHashes checks that the decisions of each baseline are byte for byte those
+// recorded, so that earlier comparisons with the baselines stay valid.
+func TestDecisionsMatchRecordedHashes(t *testing.T) {
 	if runtime.GOARCH != "amd64" {
-		t.Skip("others may fuse multiplications, and the hashes were taken without")
+		t.Skip("the hashes were recorded on amd64; other architectures may fuse multiplications and additions")
 	}
 	recorded := map[string]uint64{
 		"random":      0x5bc1cf12026ccb33,
@@ -141,12 +145,12 @@
 	}
 	for _, strategy := range Strategies {
 		t.Run(strategy.Name, func(t *testing.T) {
-			f := playDay(5, strategy)
+			f := simulate(5, strategy)
 			if f.sends < 3000 {
-				t.Errorf("%d attempts are too few to tell", f.sends)
+				t.Errorf("%d attempts, want at least 3000 for a meaningful hash", f.sends)
 			}
 			if got, want := f.hash.Sum64(), recorded[strategy.Name]; got != want {
-				t.Errorf("hash %#x, recorded was %#x", got, want)
+				t.Errorf("hash of the decisions is %#x, want the recorded %#x", got, want)
 			}
 		})
 	}
--- a/logic/baselines/endpoints.go
+++ b/logic/baselines/endpoints.go
@@ -11,7 +11,7 @@
 	inFlight int
 }
 
-// applyEndpointList takes over a list or a change of it.
+// applyEndpointList applies a full endpoint list, or a delta to the current one.
 func (m *Module) applyEndpointList(list *gather.EndpointList) {
 	if list.Failed {
 		return
@@ -38,14 +38,15 @@
 		if s.State != gather.Running || s.ReplicaSet < 0 || s.ReplicaSet >= len(m.turns) {
 			continue
 		}
-		for before := range max(m.settings.ReplicaSetsPerShard, 1) {
-			set := ((s.ReplicaSet-before)%len(m.turns) + len(m.turns)) % len(m.turns)
+		for offset := range max(m.settings.ReplicaSetsPerShard, 1) {
+			set := ((s.ReplicaSet-offset)%len(m.turns) + len(m.turns)) % len(m.turns)
 			m.replicas[set] = append(m.replicas[set], id)
 		}
 	}
 }
 
-// sortedIDs makes decisions independent of the iteration order of a map.
+// sortedIDs returns the IDs of all servers in order, so that decisions do not depend on the iteration order
+// of a map.
 func (m *Module) sortedIDs() []uint32 {
 	ids := make([]uint32, 0, len(m.servers))
 	for id := range m.servers {
--- a/logic/baselines/query.go
+++ b/logic/baselines/query.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	retryAfterMS   = 400.0 // advice to the client of a rejected query
-	shareTolerance = 5e-5  // by which sums of weights may miss a share: weights come rounded
-	deadlineTicks  = 3     // before its deadline a query has to end
+	retryAfterMS   = 400.0 // Retry-After, in milliseconds, of a rejected query
+	shareTolerance = 5e-5  // allowed error in comparisons of a sum of weights to a share; weights are rounded
+	deadlineTicks  = 3     // number of ticks before its deadline at which a query is ended
 )
 
 type query struct {
 	gather.Query
 	requests       []*shardRequest
-	requestsChosen bool // it is decided which requests are wanted
+	requestsChosen bool // the wanted field of the requests is set
 	finished       bool
 }
 
@@ -26,7 +26,7 @@
 	inFlight  int
 	wanted    bool
 	succeeded bool
-	closed    bool // it takes no further attempts
+	closed    bool // no further attempts are allowed
 }
 
 type attempt struct {
@@ -36,10 +36,10 @@
 	neverExecuted bool
 }
 
-// class is the class of a query.
+// class returns the settings of a query's class.
 func (m *Module) class(q *query) gather.Class { return m.settings.Class(q.Class) }
 
-// accept opens queries and adds requests to theirs. Both count for the retry budget.
+// accept adds new queries, and new requests to their queries. Both count as arrivals for the retry budget.
 func (m *Module) accept(in *gather.Round) {
 	for i := range in.Queries {
 		q := &query{Query: in.Queries[i]}
@@ -59,7 +59,7 @@
 	}
 }
 
-// chooseRequests chooses random requests that make a complete answer.
+// chooseRequests marks randomly chosen requests as wanted, as many as a complete answer needs.
 func (m *Module) chooseRequests(q *query) {
 	q.requestsChosen = true
 	order := slices.Clone(q.requests)
@@ -74,7 +74,7 @@
 	}
 }
 
-// advance takes a query as far as it can go in this round: it ends it, or sends what it needs.
+// advance ends the query if it can be answered or has to be given up, and sends requests for it otherwise.
 func (m *Module) advance(q *query) {
 	if !q.requestsChosen {
 		m.chooseRequests(q)
@@ -97,21 +97,21 @@
 	}
 }
 
-// weights are those of the responses received, and of what may be received at most.
+// weights returns the weight of the responses received, and the largest weight that may still be reached.
 func (m *Module) weights(q *query) (received, possible float64) {
 	for _, r := range q.requests {
 		if r.succeeded {
 			received += r.Weight
 		}
-		if r.succeeded || r.inFlight > 0 || m.mayRepeat(r) {
+		if r.succeeded || r.inFlight > 0 || m.mayAttemptAgain(r) {
 			possible += r.Weight
 		}
 	}
 	return received, possible
 }
 
-// rejectOrFail ends a query without an answer. It is rejected if it had no effect, or may be repeated all
-// the same.
+// rejectOrFail ends a query without an answer. The query is rejected if it is idempotent or had no effect,
+// and fails otherwise.
 func (m *Module) rejectOrFail(q *query) {
 	if m.class(q).Effect == gather.Idempotent || q.neverExecuted() {
 		m.writer.Reject(q.ID, min(retryAfterMS, m.settings.MaxRetryAfter))
@@ -130,7 +130,7 @@
 	return true
 }
 
-// finish cancels what is in flight.
+// finish ends the query and cancels its attempts in flight.
 func (m *Module) finish(q *query) {
 	q.finished = true
 	delete(m.byNumber, q.Number)
