--- a/logic/twopass/decide_test.go
+++ b/logic/twopass/decide_test.go
@@ -10,7 +10,7 @@
 	"yokeroute/internal/pcg"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") } // the same verdict always
+func init() { flag.Set("rapid.seed", "20261201") } // every run uses the same random draws
 
 var commonSettings = Settings{
 	LatencyObjective: 400,
@@ -20,36 +20,36 @@
 	TrialShare:       0.02,
 }
 
-// servers are those of a class: an attempt waits, then is worked on.
-type servers struct {
+// simulation simulates a class's shard servers. An attempt takes the queueing time plus its processing time.
+type simulation struct {
 	decider       *Decider
-	chance        *pcg.Source
+	random        *pcg.Source
 	now           float64
-	emptyShare    float64 // of the shards
+	emptyShare    float64 // fraction of the shards without a match
 	queueing      float64
 	firstPassWork float64
-	lostShare     float64 // of the attempts of first passes
+	lostShare     float64 // fraction of first-pass attempts that are lost
 }
 
-func newServers(settings Settings, seed uint64) *servers {
-	return &servers{
+func newSimulation(settings Settings, seed uint64) *simulation {
+	return &simulation{
 		decider:       New(seed, map[string]Settings{"i": settings}),
-		chance:        pcg.New(seed + 9),
+		random:        pcg.New(seed + 9),
 		emptyShare:    0.5,
 		firstPassWork: 2,
 	}
 }
 
-func (w *servers) attempt(first bool) {
+func (sim *simulation) attempt(first bool) {
 	work := 20.0
 	if first {
-		work = w.firstPassWork
+		work = sim.firstPassWork
 	}
-	w.decider.RecordSent(w.now, first)
-	answered := !first || w.chance.Float64() >= w.lostShare
-	proved := first && answered && w.chance.Float64() < w.emptyShare
-	latency := w.queueing + work*(0.7+0.6*w.chance.Float64())
-	w.decider.RecordEnded(w.now, AttemptEnd{
+	sim.decider.RecordSent(sim.now, first)
+	answered := !first || sim.random.Float64() >= sim.lostShare
+	proved := first && answered && sim.random.Float64() < sim.emptyShare
+	latency := sim.queueing + work*(0.7+0.6*sim.random.Float64())
+	sim.decider.RecordEnded(sim.now, AttemptEnd{
 		Class:       "i",
 		FirstPass:   first,
 		Succeeded:   answered,
@@ -58,180 +58,186 @@
 	})
 }
 
-// query plays a query of eight shard requests and returns how it was sent.
-func (w *servers) query() Decision {
-	c := w.decider.Decide(w.now, Query{
+// runQuery simulates a query of eight shard requests and returns how it was sent.
+func (sim *simulation) runQuery() Decision {
+	decision := sim.decider.Decide(sim.now, Query{
 		Class:             "i",
 		ShardRequests:     8,
 		FirstPassRequests: 8,
-		Deadline:          w.now + 2000,
+		Deadline:          sim.now + 2000,
 		RunningServers:    12,
 		RetryBudgetLeft:   100,
 	})
-	rest := 8.0
-	if c.TwoPass {
+	fullRequests := 8.0
+	if decision.TwoPass {
 		for range 8 {
-			w.attempt(true)
+			sim.attempt(true)
 		}
-		rest = math.Round(8 * (1 - w.emptyShare*(1-w.lostShare)))
+		fullRequests = math.Round(8 * (1 - sim.emptyShare*(1-sim.lostShare)))
 	}
-	for range int(rest) {
-		w.attempt(false)
+	for range int(fullRequests) {
+		sim.attempt(false)
 	}
-	w.now += 20
-	return c
+	sim.now += 20
+	return decision
 }
 
-func (w *servers) play(n int) (two, trials float64) {
+func (sim *simulation) run(n int) (twoPass, trials float64) {
 	for range n {
-		if c := w.query(); c.TwoPass {
-			two++
-			if c.Reason == Trial {
+		if decision := sim.runQuery(); decision.TwoPass {
+			twoPass++
+			if decision.Reason == Trial {
 				trials++
 			}
 		}
 	}
-	return two / float64(n), trials / float64(n)
+	return twoPass / float64(n), trials / float64(n)
 }
 
-// TestTwoPassesWhereMuchIsEmpty decides for two passes where much is proved empty and for one where little
-// is; the estimate goes on learning where it decides for one, at a bounded price, and follows a change of
-// the content.
-func TestTwoPassesWhereMuchIsEmpty(t *testing.T) {
+// TestDecideFollowsEmptyShare checks that queries go in two passes if most shards are proved empty, and in
+// one pass if few are. While one pass is chosen, a limited number of trials keeps the estimate up to date, so
+// that the decision follows a change of the content.
+func TestDecideFollowsEmptyShare(t *testing.T) {
 	for _, c := range []struct{ emptyShare, low, high float64 }{
 		{0, 0, 0.04},
 		{0.1, 0, 0.04},
 		{0.95, 0.99, 1},
 		{1, 0.99, 1},
 	} {
-		w := newServers(commonSettings, 3)
-		w.emptyShare = c.emptyShare
-		w.play(100)
-		if two, _ := w.play(2000); two < c.low || two > c.high {
-			t.Errorf("%g empty: %g of the queries in two passes", c.emptyShare, two)
+		sim := newSimulation(commonSettings, 3)
+		sim.emptyShare = c.emptyShare
+		sim.run(100)
+		if twoPass, _ := sim.run(2000); twoPass < c.low || twoPass > c.high {
+			t.Errorf("empty share %g: share of queries in two passes is %g", c.emptyShare, twoPass)
 		}
 	}
-	// The content changes: two passes become better, and then one again.
-	w := newServers(commonSettings, 4)
-	w.emptyShare = 0
-	w.play(500)
-	w.emptyShare = 0.95
-	if w.play(1500); true {
-		if two, _ := w.play(200); two < 0.99 {
-			t.Errorf("after the change %g in two passes", two)
+	// The content changes so that two passes become better, and later back.
+	sim := newSimulation(commonSettings, 4)
+	sim.emptyShare = 0
+	sim.run(500)
+	sim.emptyShare = 0.95
+	if sim.run(1500); true {
+		if twoPass, _ := sim.run(200); twoPass < 0.99 {
+			t.Errorf("after the change: share in two passes %g, want at least 0.99", twoPass)
 		}
 	}
-	w.emptyShare = 0
-	w.play(100)
-	if two, trials := w.play(2000); two > 0.04 || trials < 0.005 {
-		t.Errorf("after the change back %g in two passes, %g trials", two, trials)
+	sim.emptyShare = 0
+	sim.run(100)
+	if twoPass, trials := sim.run(2000); twoPass > 0.04 || trials < 0.005 {
+		t.Errorf("after the change back: share in two passes %g, want at most 0.04; trials %g, want at least 0.005",
+			twoPass, trials)
 	}
 }
 
-// TestCostlyFirstPassIsAvoided does not take a first pass that costs nearly as much as a call in full, even
-// where half is empty, and tries nothing while servers are congested.
-func TestCostlyFirstPassIsAvoided(t *testing.T) {
-	w := newServers(commonSettings, 5)
-	w.emptyShare, w.firstPassWork = 0.5, 15
-	w.play(200)
-	if two, _ := w.play(1000); two > 0.04 {
-		t.Errorf("%g in two passes", two)
+// TestDecideAvoidsCostlyFirstPass checks that queries go in one pass if a first-pass request costs nearly as
+// much as a full one, even if half of the shards are empty, and that no trials are made while servers are
+// congested.
+func TestDecideAvoidsCostlyFirstPass(t *testing.T) {
+	sim := newSimulation(commonSettings, 5)
+	sim.emptyShare, sim.firstPassWork = 0.5, 15
+	sim.run(200)
+	if twoPass, _ := sim.run(1000); twoPass > 0.04 {
+		t.Errorf("costly first pass: share in two passes %g, want at most 0.04", twoPass)
 	}
-	w = newServers(commonSettings, 6)
-	w.emptyShare = 0.05
-	w.play(100)
-	w.queueing = 300 // congested: attempts wait
-	w.play(100)
-	if two, trials := w.play(1000); two > 0 || trials > 0 {
-		t.Errorf("%g in two passes while congested, %g trials", two, trials)
+	sim = newSimulation(commonSettings, 6)
+	sim.emptyShare = 0.05
+	sim.run(100)
+	sim.queueing = 300 // congestion: every attempt queues
+	sim.run(100)
+	if twoPass, trials := sim.run(1000); twoPass > 0 || trials > 0 {
+		t.Errorf("while congested: share in two passes %g, trials %g; want 0", twoPass, trials)
 	}
 }
 
-// TestFirstPassIsBounded bounds a first pass by its share of the time, and begins none that the retry
-// budget could not replace: by what is usually lost, and by a quarter in any case.
-func TestFirstPassIsBounded(t *testing.T) {
+// TestFirstPassStaysWithinTimeAndRetryBudget checks that a first pass takes at most its share of the time,
+// and that none begins unless the retry budget covers the attempts that are usually lost, and at least a
+// quarter.
+func TestFirstPassStaysWithinTimeAndRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := commonSettings
 		settings.FirstPassShare = rapid.Float64Range(0.01, 0.9).Draw(t, "first")
 		settings.TrialShare = 0.5
-		w := newServers(settings, rapid.Uint64().Draw(t, "seed"))
-		w.emptyShare = rapid.Float64Range(0, 1).Draw(t, "empty share")
-		w.queueing = rapid.Float64Range(0, 200).Draw(t, "queueing")
-		w.lostShare = rapid.Float64Range(0, 1).Draw(t, "loss")
-		w.play(rapid.IntRange(0, 150).Draw(t, "learnt"))
+		sim := newSimulation(settings, rapid.Uint64().Draw(t, "seed"))
+		sim.emptyShare = rapid.Float64Range(0, 1).Draw(t, "empty share")
+		sim.queueing = rapid.Float64Range(0, 200).Draw(t, "queueing")
+		sim.lostShare = rapid.Float64Range(0, 1).Draw(t, "loss")
+		sim.run(rapid.IntRange(0, 150).Draw(t, "learnt"))
 		query := Query{
 			Class:             "i",
 			ShardRequests:     8,
 			FirstPassRequests: rapid.IntRange(0, 8).Draw(t, "first pass requests"),
-			Deadline:          w.now + rapid.Float64Range(1, 3000).Draw(t, "time left"),
+			Deadline:          sim.now + rapid.Float64Range(1, 3000).Draw(t, "time left"),
 			RunningServers:    12,
 			RetryBudgetLeft:   float64(rapid.IntRange(-3, 12).Draw(t, "retries left")),
 		}
-		c := w.decider.Decide(w.now, query)
-		if !c.TwoPass {
+		decision := sim.decider.Decide(sim.now, query)
+		if !decision.TwoPass {
 			return
 		}
-		left := min(settings.LatencyObjective, query.Deadline-w.now)
-		if took := c.FirstPassDeadline - w.now; took <= 0 || took > settings.FirstPassShare*left+1e-9 {
-			t.Fatalf("%g of %g ms for the first pass, at most %g", took, left, settings.FirstPassShare)
+		timeLeft := min(settings.LatencyObjective, query.Deadline-sim.now)
+		if duration := decision.FirstPassDeadline - sim.now; duration <= 0 ||
+			duration > settings.FirstPassShare*timeLeft+1e-9 {
+			t.Fatalf("first pass may take %g of %g ms; its maximum share is %g",
+				duration, timeLeft, settings.FirstPassShare)
 		}
-		lost := max(1-w.decider.classes["i"].answeredShare, 0.25)
-		if query.FirstPassRequests == 0 || query.RetryBudgetLeft < float64(query.FirstPassRequests)*lost {
-			t.Fatalf("begun with %d shard requests, %g of them lost and a budget for %g",
-				query.FirstPassRequests, lost, query.RetryBudgetLeft)
+		expectedLoss := max(1-sim.decider.classes["i"].answeredShare, 0.25)
+		if query.FirstPassRequests == 0 || query.RetryBudgetLeft < float64(query.FirstPassRequests)*expectedLoss {
+			t.Fatalf("first pass begun with %d shard requests, expected loss %g and %g retries left",
+				query.FirstPassRequests, expectedLoss, query.RetryBudgetLeft)
 		}
 	})
 }
 
-// TestGatherersDoNotFlapTogether has two gatherers share servers whose queues grow with what both send, so
-// that what one decides changes the other's estimate. Neither may flap, alone or in step.
-func TestGatherersDoNotFlapTogether(t *testing.T) {
+// TestGatherersDoNotOscillate has two gatherers share servers whose queues grow with the load of both, so
+// that the decisions of one change the estimate of the other. Neither may switch often between one and two
+// passes, alone or in step with the other.
+func TestGatherersDoNotOscillate(t *testing.T) {
 	for _, emptyShare := range []float64{0.2, 0.35, 0.5, 0.65} {
-		a, b := newServers(commonSettings, 11), newServers(commonSettings, 12)
-		flips, last := [2]int{}, [2]bool{}
-		recent := 8.0 // attempts in full a query, lately
+		a, b := newSimulation(commonSettings, 11), newSimulation(commonSettings, 12)
+		reversals, last := [2]int{}, [2]bool{}
+		recent := 8.0 // moving average of the load of a query, in full requests
 		for i := range 3000 {
-			for j, w := range []*servers{a, b} {
-				w.emptyShare = emptyShare
-				w.queueing = max(recent-4, 0) * 4 // the fleet is near its limit with all attempts in full
-				c := w.query()
+			for j, sim := range []*simulation{a, b} {
+				sim.emptyShare = emptyShare
+				sim.queueing = max(recent-4, 0) * 4 // servers are near their limit if all queries go in one pass
+				decision := sim.runQuery()
 				attempts := 8.0
-				if c.TwoPass {
-					attempts = 8*w.firstPassWork/20 + 8*(1-emptyShare)
+				if decision.TwoPass {
+					attempts = 8*sim.firstPassWork/20 + 8*(1-emptyShare)
 				}
 				recent += (attempts - recent) / 50
-				if c.Reason != Trial && i > 300 {
-					if c.TwoPass != last[j] {
-						flips[j]++
+				if decision.Reason != Trial && i > 300 {
+					if decision.TwoPass != last[j] {
+						reversals[j]++
 					}
-					last[j] = c.TwoPass
+					last[j] = decision.TwoPass
 				}
 			}
 		}
-		if flips[0] > 60 || flips[1] > 60 {
-			t.Errorf("%g empty: changed their minds %v times in 2,700 queries", emptyShare, flips)
+		if reversals[0] > 60 || reversals[1] > 60 {
+			t.Errorf("empty share %g: %v switches in 2,700 queries, want at most 60 each", emptyShare, reversals)
 		}
 	}
 }
 
 func BenchmarkDecide(b *testing.B) {
-	w := newServers(commonSettings, 1)
-	w.emptyShare = 0.6
-	w.play(500)
+	sim := newSimulation(commonSettings, 1)
+	sim.emptyShare = 0.6
+	sim.run(500)
 	query := Query{
 		Class:             "i",
 		ShardRequests:     12,
 		FirstPassRequests: 12,
-		Deadline:          w.now + 2000,
+		Deadline:          sim.now + 2000,
 		RunningServers:    100,
 		RetryBudgetLeft:   100,
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		w.decider.Decide(w.now, query)
+		sim.decider.Decide(sim.now, query)
 		for range 4 {
-			w.decider.RecordSent(w.now, false)
-			w.decider.RecordEnded(w.now, AttemptEnd{Class: "i", Succeeded: true, Latency: 20})
+			sim.decider.RecordSent(sim.now, false)
+			sim.decider.RecordEnded(sim.now, AttemptEnd{Class: "i", Succeeded: true, Latency: 20})
 		}
 	}
 }
--- a/logic/twopass/estimate.go
+++ b/logic/twopass/estimate.go
@@ -5,35 +5,37 @@
 )
 
 const (
-	loadWindow     = 5000.0 // milliseconds over which attempts count as load
+	loadWindow     = 5000.0 // decay time, in milliseconds, of the number of sent attempts
 	maxUtilization = 0.9
 
-	// Until an attempt has ended, latencies are assumed to be the latency objective over these.
+	// Until an attempt has ended, its latency is assumed to be the latency objective divided by one of these.
 	assumedFull          = 10
 	assumedFirstPass     = 20
 	assumedFirstPassWork = 40
 
-	median           = 0.5
-	unqueuedQuantile = 0.1 // attempts that wait for nothing: their latency is about the server's work
+	median = 0.5
+	// unqueuedQuantile selects the latency of attempts that do not queue, which is about the server's processing
+	// time.
+	unqueuedQuantile = 0.1
 	lateQuantile     = 0.95
 )
 
-// estimate is what is expected of a query, in milliseconds.
+// estimate holds the expected latencies and gains of a query. Times are in milliseconds.
 type estimate struct {
-	typical       float64 // latency of an attempt in full
-	fullWork      float64 // of a server, for an attempt in full
-	firstPassWork float64 // and for one of the first pass
+	typical       float64 // latency of an attempt of a full request
+	fullWork      float64 // server time for a full request
+	firstPassWork float64 // server time for a first-pass request
 	emptyShare    float64
 
 	onePass    float64 // latency of the query in one pass
-	firstPass  float64 // and of either pass in two
-	secondPass float64
+	firstPass  float64 // latency of the first of two passes
+	secondPass float64 // latency of the second of two passes
 
 	savedElsewhere float64
 	firstPassCost  float64
 }
 
-// estimate follows the cost model in docs/design/phases.md.
+// estimate returns the estimate for a query, by the cost model in docs/design/phases.md.
 func (d *Decider) estimate(now float64, class *classStats, query Query) estimate {
 	objective := class.settings.LatencyObjective
 	full, first := &class.fullLatency, &class.firstPassLatency
@@ -59,14 +61,14 @@
 	return e
 }
 
-// load is the load that this gatherer's attempts in full put on the servers.
+// load measures the load that this gatherer's full requests put on the servers.
 type load struct {
-	sent      float64 // decaying over loadWindow
+	sent      float64 // number of attempts sent, decaying over loadWindow
 	inFlight  float64
 	decayedAt float64
 }
 
-// delayedRequests is how many requests one more attempt delays at the mean server.
+// delayedRequests returns the number of requests that one more attempt delays on the average server.
 func (l *load) delayedRequests(now, latency float64, servers int) float64 {
 	l.decay(now)
 	n := float64(max(servers, 1))
--- a/logic/twopass/latency.go
+++ b/logic/twopass/latency.go
@@ -5,12 +5,13 @@
 )
 
 const (
-	sampleSize  = 256 // latencies kept, the newest
-	resortShare = 8   // one over the share of the sample that has to be new before it is sorted again
+	sampleSize = 256 // number of newest latencies kept
+	// resortShare is the reciprocal of the share of the sample that has to be new before it is sorted again.
+	resortShare = 8
 )
 
-// latencySample is the latencies of the newest attempts and, sorted, of those that were the newest a while
-// ago.
+// latencySample holds the latencies of the newest attempts in ring, and a slightly older copy of them that is
+// sorted.
 type latencySample struct {
 	ring           []float64
 	next           int
@@ -28,7 +29,7 @@
 	s.addedSinceSort++
 }
 
-// quantile is a quantile of the sample, or the default where it is empty.
+// quantile returns the quantile q of the sample, or defaultLatency if the sample is empty.
 func (s *latencySample) quantile(q, defaultLatency float64) float64 {
 	if len(s.ring) == 0 {
 		return defaultLatency
@@ -41,7 +42,7 @@
 	return s.sorted[min(int(q*float64(len(s.sorted))), len(s.sorted)-1)]
 }
 
-// meanLargest is how long the slowest of n attempts takes on average: the mean of the largest of n draws.
+// meanLargest returns the mean latency of the slowest of n attempts, approximated by the quantile n/(n+1).
 func (s *latencySample) meanLargest(n, defaultLatency float64) float64 {
 	return s.quantile(n/(n+1), defaultLatency)
 }
--- a/logic/twopass/learn.go
+++ b/logic/twopass/learn.go
@@ -1,29 +1,29 @@
 package twopass
 
 const (
-	summaryWindow = 100.0   // summaries over which the empty share is averaged
-	minSummaries  = 40.0    // under which the estimate is not used
-	summaryMemory = 60000.0 // milliseconds without a summary after which they begin to fade
+	summaryWindow = 100.0   // number of summaries over which the empty share is averaged
+	minSummaries  = 40.0    // number of summaries below which the estimate is not used
+	summaryMemory = 60000.0 // milliseconds without a new summary after which the number of summaries decays
 
-	// maxAnsweredStep bounds what one attempt changes in the answered share: its start of 1 is believed for
-	// a while.
+	// maxAnsweredStep limits the weight of one attempt in the answered share, so that the initial value of 1
+	// persists for a while.
 	maxAnsweredStep = 0.05
 )
 
-// classStats is what is learnt of one class.
+// classStats holds the observations of one class.
 type classStats struct {
 	settings         Settings
 	firstPassLatency latencySample
 	fullLatency      latencySample
-	emptyShare       float64 // of summaries, that proved their shard empty
-	summaries        float64 // received, up to summaryWindow
-	answeredShare    float64 // of attempts of first passes, that were answered in time
+	emptyShare       float64 // fraction of summaries that proved their shard empty
+	summaries        float64 // number of summaries received, up to summaryWindow
+	answeredShare    float64 // fraction of first-pass attempts that were answered in time
 	lastSummaryAt    float64
 	trials           int
-	lastTwoPass      bool // the estimate's last choice, trials aside
+	lastTwoPass      bool // the estimate last favored two passes; trials don't count
 }
 
-// RecordSent notes an attempt that was sent.
+// RecordSent records that an attempt was sent.
 func (d *Decider) RecordSent(now float64, firstPass bool) {
 	d.load.decay(now)
 	if !firstPass {
@@ -32,16 +32,16 @@
 	}
 }
 
-// AttemptEnd is the end of an attempt.
+// AttemptEnd describes how an attempt ended.
 type AttemptEnd struct {
 	Class       string
 	FirstPass   bool
 	Succeeded   bool
-	ProvedEmpty bool // of a first pass that succeeded
+	ProvedEmpty bool // the shard holds no match; only for a successful attempt of a first pass
 	Latency     float64
 }
 
-// RecordEnded notes how an attempt ended. Those of classes that are not enabled count as load alone.
+// RecordEnded records how an attempt ended. Attempts of classes that are not enabled count for the load only.
 func (d *Decider) RecordEnded(now float64, end AttemptEnd) {
 	if !end.FirstPass {
 		d.load.inFlight = max(d.load.inFlight-1, 0)
--- a/logic/twopass/secondpass.go
+++ b/logic/twopass/secondpass.go
@@ -6,41 +6,42 @@
 )
 
 const (
-	weightTolerance = 5e-5 // by which sums of weights may miss a share
+	weightTolerance = 5e-5 // allowed error in comparisons of a sum of weights to a share
 
-	// unlikelyPenalty is by how much cost a shard that surely holds nothing is ordered behind one that
-	// surely holds something.
+	// unlikelyPenalty is the difference in ordering cost between a shard with a likelihood of 0 and one with a
+	// likelihood of 1.
 	unlikelyPenalty = 1000.0
 )
 
-// FirstPassOutcome is what a first pass brought for a shard request.
+// FirstPassOutcome is the outcome of a first pass for one shard request.
 type FirstPassOutcome struct {
 	Weight      float64
 	Attempted   bool
-	Answered    bool    // in time
+	Answered    bool    // the answer arrived in time
 	ProvedEmpty bool    // the shard holds no match
-	Likelihood  float64 // that the shard holds a match, as its server estimates it
+	Likelihood  float64 // probability that the shard holds a match, as estimated by its server
 }
 
-// Plan is what follows a first pass.
+// Plan describes how a query continues after its first pass.
 type Plan struct {
-	Done         bool // the query can be answered now, from what is proved
+	Done         bool // the query can be answered now, without a second pass
 	Complete     bool
-	ProvedWeight float64
-	Requests     []PlannedRequest // of the second pass, unless Done
-	LeftOut      []int            // shard requests left out as unlikely
+	ProvedWeight float64          // weight of the shards that are proved empty
+	Requests     []PlannedRequest // requests of the second pass, unless Done
+	LeftOut      []int            // indexes of shard requests that are left out as unlikely to hold a match
 }
 
 // PlannedRequest is a shard request of the second pass.
 type PlannedRequest struct {
 	Index        int
-	Retry        bool // its attempt is a retry: that of the first pass was lost
+	Retry        bool // the attempt counts as a retry, since that of the first pass was lost
 	OrderPenalty float64
 }
 
-// PlanSecondPass plans what follows a first pass. A shard that was not heard of proves nothing and is asked
-// in full. Unlikely shards are left out only as far as the answer stays complete without them, or where the
-// class allows partial answers, reaches its minimum share; they never count as received.
+// PlanSecondPass plans how a query continues after its first pass. A shard that did not answer proves nothing
+// and is sent the full request. Unlikely shards are left out only as long as the answer can be complete
+// without them or, if the class allows partial answers, can reach the minimum share. They never count as
+// received.
 func (d *Decider) PlanSecondPass(class string, outcomes []FirstPassOutcome) Plan {
 	settings := &d.classes[class].settings
 	var plan Plan
@@ -66,7 +67,8 @@
 	return plan
 }
 
-// leaveOutUnlikely leaves the least likely shards out while the reachable weight suffices without them.
+// leaveOutUnlikely removes unlikely shards from the plan, the least likely first, as long as the remaining
+// reachable weight suffices.
 func (p *Plan) leaveOutUnlikely(outcomes []FirstPassOutcome, settings *Settings, reachable float64) {
 	needed := settings.CompleteShare
 	if settings.AllowPartial {
--- a/logic/twopass/secondpass_test.go
+++ b/logic/twopass/secondpass_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestSecondPassCountsOnlyProof plans second passes for random outcomes: only proof counts as received, no
-// shard request is lost, an answer is never given from less than the minimum share nor called complete when
-// it is not.
-func TestSecondPassCountsOnlyProof(t *testing.T) {
+// TestPlanSecondPassCountsOnlyProvedShards plans second passes for random outcomes. Only shards proved empty
+// count as received, no shard request is forgotten, no answer is given from less than the minimum share, and
+// no incomplete answer is marked as complete.
+func TestPlanSecondPassCountsOnlyProvedShards(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := commonSettings
 		settings.CompleteShare = rapid.SampledFrom([]float64{1, 0.75, 0.5}).Draw(t, "complete share")
@@ -44,26 +44,28 @@
 		plan := d.PlanSecondPass("i", outcomes)
 		complete := proved >= settings.CompleteShare-weightTolerance
 		if math.Abs(plan.ProvedWeight-proved) > 1e-9 || plan.Complete != complete {
-			t.Fatalf("proved %g, complete %t; want %g", plan.ProvedWeight, plan.Complete, proved)
+			t.Fatalf("proved weight %g, complete %t; want a proved weight of %g",
+				plan.ProvedWeight, plan.Complete, proved)
 		}
 		tooLittle := plan.Done && proved < settings.MinShare-weightTolerance
 		if tooLittle || plan.Complete && !plan.Done || !plan.Done && len(plan.Requests) == 0 {
-			t.Fatalf("%+v with %g proved", plan, proved)
+			t.Fatalf("invalid plan %+v for a proved weight of %g", plan, proved)
 		}
 		seen := map[int]bool{}
 		reachable = proved
-		for _, a := range plan.Requests {
-			pt := outcomes[a.Index]
-			if seen[a.Index] || pt.Answered && pt.ProvedEmpty || a.Retry != (pt.Attempted && !pt.Answered) {
-				t.Fatalf("asks %+v for %+v", a, pt)
+		for _, planned := range plan.Requests {
+			outcome := outcomes[planned.Index]
+			if seen[planned.Index] || outcome.Answered && outcome.ProvedEmpty ||
+				planned.Retry != (outcome.Attempted && !outcome.Answered) {
+				t.Fatalf("planned request %+v does not fit outcome %+v", planned, outcome)
 			}
-			seen[a.Index] = true
-			reachable += pt.Weight
+			seen[planned.Index] = true
+			reachable += outcome.Weight
 		}
 		for _, i := range plan.LeftOut {
 			o := &outcomes[i]
 			if seen[i] || !o.Answered || o.ProvedEmpty || o.Likelihood >= settings.MinLikelihood {
-				t.Fatalf("left out %+v", outcomes[i])
+				t.Fatalf("left out a shard that is needed: %+v", outcomes[i])
 			}
 			seen[i] = true
 		}
@@ -72,7 +74,7 @@
 			needed = settings.MinShare
 		}
 		if len(plan.LeftOut) > 0 && reachable < needed-1e-3 {
-			t.Fatalf("%g of the weight is reachable, %g is needed", reachable, needed)
+			t.Fatalf("reachable weight %g is less than the needed %g", reachable, needed)
 		}
 	})
 }
