--- a/logic/ownership/host.go
+++ b/logic/ownership/host.go
@@ -46,7 +46,7 @@
 // Admission is a host's decision on a request.
 type Admission int
 
-// The admissions.
+// Decisions on a request.
 const (
 	Admitted Admission = iota
 	NotOwner           // the request is rejected, which proves that it has not run on this host
--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -147,7 +147,8 @@
 			piece := Piece{ID: next, Request: newPiece.Request, Range: newPiece.Range, Weight: newPiece.Weight,
 				Attempted: newPiece.Retry, DeferredAt: newPiece.DeferredAt, OwnedSince: m.Epoch}
 			if next++; newPiece.Segment >= 0 {
-				piece.Segment, piece.OwnedSince = m.Segments[newPiece.Segment].Name, m.Segments[newPiece.Segment].OwnedSince
+				piece.Segment, piece.OwnedSince = m.Segments[newPiece.Segment].Name,
+					m.Segments[newPiece.Segment].OwnedSince
 			}
 			pieces = append(pieces, piece)
 		}
--- a/logic/ownership/range.go
+++ b/logic/ownership/range.go
@@ -45,7 +45,7 @@
 func (r Range) Within(o Range) bool { return r.Lo >= o.Lo && r.Hi <= o.Hi }
 
 // Text returns the range as it is written in files and documents: two keys in hex, separated by a dash. The
-// method is not named String, since types that embed a Range would then print as their range only.
+// method is not named String, since types that embed a Range would inherit it.
 func (r Range) Text() string { return fmt.Sprintf("%016x-%016x", r.Lo, r.Hi) }
 
 // ParseRange parses a range in the format of Text.
--- a/logic/ownership/tracker.go
+++ b/logic/ownership/tracker.go
@@ -5,7 +5,7 @@
 // UpdateResult is the result of a map update.
 type UpdateResult string
 
-// The results.
+// Results of a map update.
 const (
 	Applied   UpdateResult = "applied"
 	Duplicate UpdateResult = "duplicate" // the update is already known
