--- a/logic/handout/handout.go
+++ b/logic/handout/handout.go
@@ -26,15 +26,15 @@
 	Endpoints
 	Listeners
 	Routes
-	Types // how many there are
+	TypeCount // how many there are
 )
 
-// namedBy is the type whose resources name those of a type, so that these have to go first.
-var namedBy = [Types]Type{Clusters: Routes, Endpoints: Clusters, Listeners: Types, Routes: Listeners}
+// referencedBy is the type whose resources name those of a type, so that these have to go first.
+var referencedBy = [TypeCount]Type{Clusters: Routes, Endpoints: Clusters, Listeners: TypeCount, Routes: Listeners}
 
-// whole reports whether a state-of-the-world response has to hold all resources of the type, since what it
+// requiresAll reports whether a state-of-the-world response has to hold all resources of the type, since what it
 // lacks is taken away. Of the others a response may hold what has changed alone.
-func (t Type) whole() bool { return t == Clusters || t == Listeners }
+func (t Type) requiresAll() bool { return t == Clusters || t == Listeners }
 
 // Resource is one resource of a view; its body is the sender's own.
 type Resource struct {
@@ -49,19 +49,19 @@
 	Version     uint64
 	Urgent      uint64 // the newest of its endpoints'
 	Unconfirmed bool   // it was kept from before and may be old: better than nothing, and than nothing else
-	Types       [Types][]Resource
+	Types       [TypeCount][]Resource
 }
 
 // Request is what a proxy says on its stream.
 type Request struct {
-	Type      Type
-	Nonce     string   // of the response that it answers, empty for none
-	Version   string   // that it holds, state of the world
-	Refused   string   // why it does not take that response, empty where it does
-	Names     []string // state of the world: all that it wants; none at first, or *, is everything
-	Subscribe []string // incremental
-	Leave     []string
-	Has       map[string]string // incremental, at first: versions by name that it holds from before
+	Type            Type
+	Nonce           string   // of the response that it answers, empty for none
+	Version         string   // that it holds, state of the world
+	RejectReason    string   // rejectReason it does not take that response, empty where it does
+	Names           []string // state of the world: all that it wants; none at first, or *, is everything
+	Subscribe       []string // incremental
+	Unsubscribe     []string
+	InitialVersions map[string]string // incremental, at first: versions by name that it holds from before
 }
 
 // Response is what it is sent.
@@ -75,135 +75,135 @@
 
 // The tuned values. Times are milliseconds.
 const (
-	refusals  = 3        // in a row, after which a type rests before it is sent again,
-	rest      = 200.0    // for so long, and twice as long each time,
-	longest   = 10_000.0 // at most
-	mostNames = 10_000   // that a proxy may ask for by name
-	mostOpen  = 16       // responses of a type that are out unanswered, urgent ones
-	unknown   = "?"      // version of what a proxy holds after it has refused another with others,
-	refusing  = "!"      // and before the version that it has refused by itself; no body has these
+	maxRejections  = 3        // in a row, after which a type rests before it is sent again,
+	minPause       = 200.0    // for so long, and twice as long each time,
+	maxPause       = 10_000.0 // index most
+	maxNames       = 10_000   // that a proxy may ask for by name
+	maxUnacked     = 16       // responses of a type that are out unanswered, urgent ones
+	unknownVersion = "?"      // version of what a proxy holds after it has refused another with others,
+	rejectedPrefix = "!"      // and before the version that it has refused by itself; no body has these
 )
 
-// flight is a response that is not answered yet.
-type flight struct {
+// sentResponse is a response that is not answered yet.
+type sentResponse struct {
 	nonce   string
 	version uint64
-	part    bool     // not all that was new at the version
+	partial bool     // not all that was new at the version
 	names   []string // that it told of, removals too
 }
 
-// sub is where a stream stands with one type.
-type sub struct {
-	wanted  bool
-	all     bool // everything, not by name
-	names   map[string]bool
-	flights []flight
-	sent    uint64 // version of the newest response, or up to which there was nothing to tell
-	sentAt  float64
-	acked   uint64 // newest version taken
-	refused uint64 // newest version refused,
-	why     string // and why
-	inARow  int    // refusals
-	rests   float64
-	urgent  uint64              // version up to which what is urgent was sent
-	singly  bool                // it refused several at once: one at a time, so that the bad one shows,
-	more    bool                // and there are more
-	asked   bool                // something was asked for that has to be answered, changed or not
-	late    bool                // something is still held that goes once nothing names it
-	holds   map[string]Resource // what the proxy has, or is being sent
-	before  bool                // it held something when the stream began
+// subscription is where a stream stands with one type.
+type subscription struct {
+	active                bool
+	wildcard              bool // everything, not by name
+	names                 map[string]bool
+	unacked               []sentResponse
+	sentVersion           uint64 // version of the newest response, or up to which there was nothing to tell
+	sentAt                float64
+	ackedVersion          uint64 // newest version taken
+	rejectedVersion       uint64 // newest version refused,
+	rejectReason          string // and why
+	consecutiveRejections int    // refusals
+	pausedUntil           float64
+	urgentVersion         uint64              // version up to which what is urgent was sent
+	oneAtATime            bool                // it refused several at once: one at a time, so that the bad one shows,
+	hasMore               bool                // and there are more
+	mustRespond           bool                // something was asked for that has to be answered, changed or not
+	hasDeferredRemovals   bool                // something is still held that goes once nothing names it
+	known                 map[string]Resource // what the proxy has, or is being sent
+	hadState              bool                // it held something when the stream began
 }
 
-func (b *sub) open() bool { return len(b.flights) > 0 }
+func (sub *subscription) hasUnacked() bool { return len(sub.unacked) > 0 }
 
 // wants reports whether a subscription has a resource in it.
-func (b *sub) wants(name string) bool { return b.all || b.names[name] }
+func (sub *subscription) wants(name string) bool { return sub.wildcard || sub.names[name] }
 
 // Stream decides for one stream. One goroutine at a time uses it.
 type Stream struct {
 	Incremental bool
 
-	subs  [Types]sub
-	nonce uint64
+	subscriptions [TypeCount]subscription
+	nonce         uint64
 }
 
-// Fault is what is wrong with a request; the stream has to end.
-type Fault string
+// RequestError is what is wrong with a request; the stream has to end.
+type RequestError string
 
-func (f Fault) Error() string { return string(f) }
+func (f RequestError) Error() string { return string(f) }
 
-// Take takes a request at a time.
-func (s *Stream) Take(r *Request, now float64) error {
-	if r.Type < 0 || r.Type >= Types {
-		return Fault("a type that is not served here")
+// HandleRequest takes a request at a time.
+func (s *Stream) HandleRequest(r *Request, now float64) error {
+	if r.Type < 0 || r.Type >= TypeCount {
+		return RequestError("a type that is not served here")
 	}
-	b := &s.subs[r.Type]
-	if len(r.Names)+len(r.Subscribe)+len(r.Has)+len(b.names) > mostNames {
-		return Fault("more than " + strconv.Itoa(mostNames) + " names")
+	sub := &s.subscriptions[r.Type]
+	if len(r.Names)+len(r.Subscribe)+len(r.InitialVersions)+len(sub.names) > maxNames {
+		return RequestError("more than " + strconv.Itoa(maxNames) + " names")
 	}
-	first := !b.wanted
+	first := !sub.active
 	if first {
-		b.wanted, b.asked, b.holds = true, true, map[string]Resource{}
-		b.names = map[string]bool{}
-		b.before = r.Version != "" || len(r.Has) > 0
+		sub.active, sub.mustRespond, sub.known = true, true, map[string]Resource{}
+		sub.names = map[string]bool{}
+		sub.hadState = r.Version != "" || len(r.InitialVersions) > 0
 	} else if r.Nonce != "" {
-		newest := b.open() && b.flights[len(b.flights)-1].nonce == r.Nonce
-		s.answered(b, r, now)
+		newest := sub.hasUnacked() && sub.unacked[len(sub.unacked)-1].nonce == r.Nonce
+		s.handleAnswer(sub, r, now)
 		// What a proxy wants besides goes by the newest response, or what it said since would be undone.
 		if !s.Incremental && !newest {
 			return nil
 		}
 	}
 	if s.Incremental {
-		s.subscribe(b, r, first)
+		s.changeNames(sub, r, first)
 	} else {
-		s.name(b, r, first)
+		s.setNames(sub, r, first)
 	}
 	return nil
 }
 
-// answered books what a proxy says of a response. An answer for one says that the earlier ones were taken.
-func (s *Stream) answered(b *sub, r *Request, now float64) {
-	at := slices.IndexFunc(b.flights, func(f flight) bool { return f.nonce == r.Nonce })
-	if at < 0 {
+// handleAnswer books what a proxy says of a response. An answer for one says that the earlier ones were taken.
+func (s *Stream) handleAnswer(sub *subscription, r *Request, now float64) {
+	index := slices.IndexFunc(sub.unacked, func(f sentResponse) bool { return f.nonce == r.Nonce })
+	if index < 0 {
 		return
 	}
-	f := b.flights[at]
-	b.flights = slices.Delete(b.flights, 0, at+1)
-	if r.Refused == "" {
-		b.inARow = 0
-		if !f.part {
-			b.acked, b.why, b.refused = max(b.acked, f.version), "", 0
+	response := sub.unacked[index]
+	sub.unacked = slices.Delete(sub.unacked, 0, index+1)
+	if r.RejectReason == "" {
+		sub.consecutiveRejections = 0
+		if !response.partial {
+			sub.ackedVersion, sub.rejectReason, sub.rejectedVersion = max(sub.ackedVersion, response.version), "", 0
 		}
 		return
 	}
-	b.refused, b.why = f.version, r.Refused
-	alone := len(f.names) == 1
-	for _, name := range f.names { // what it holds of these now, only it knows
-		held := b.holds[name]
-		held.Name = name
-		if alone && !strings.HasPrefix(held.Version, refusing) {
-			held.Version = refusing + held.Version
+	sub.rejectedVersion, sub.rejectReason = response.version, r.RejectReason
+	alone := len(response.names) == 1
+	for _, name := range response.names { // what it holds of these now, only it knows
+		resource := sub.known[name]
+		resource.Name = name
+		if alone && !strings.HasPrefix(resource.Version, rejectedPrefix) {
+			resource.Version = rejectedPrefix + resource.Version
 		} else {
-			held.Version = unknown
+			resource.Version = unknownVersion
 		}
-		b.holds[name] = held
+		sub.known[name] = resource
 	}
-	if !alone && (s.Incremental || !r.Type.whole()) {
-		b.singly, b.more = true, true
+	if !alone && (s.Incremental || !r.Type.requiresAll()) {
+		sub.oneAtATime, sub.hasMore = true, true
 	}
-	if b.inARow++; b.inARow >= refusals {
-		pause := rest
-		for range min(b.inARow-refusals, 10) {
+	if sub.consecutiveRejections++; sub.consecutiveRejections >= maxRejections {
+		pause := minPause
+		for range min(sub.consecutiveRejections-maxRejections, 10) {
 			pause *= 2
 		}
-		b.rests = now + min(pause, longest)
+		sub.pausedUntil = now + min(pause, maxPause)
 	}
 }
 
-// name takes what a stream of the state of the world wants.
-func (s *Stream) name(b *sub, r *Request, first bool) {
-	all := len(r.Names) == 0 && (first || b.all) || slices.Contains(r.Names, "*")
+// setNames takes what a stream of the state of the world wants.
+func (s *Stream) setNames(sub *subscription, r *Request, first bool) {
+	wildcard := len(r.Names) == 0 && (first || sub.wildcard) || slices.Contains(r.Names, "*")
 	names := map[string]bool{}
 	for _, n := range r.Names {
 		if n != "*" {
@@ -211,115 +211,115 @@
 		}
 	}
 	if first {
-		b.acked, _ = strconv.ParseUint(r.Version, 10, 64)
+		sub.ackedVersion, _ = strconv.ParseUint(r.Version, 10, 64)
 	}
 	for n := range names {
-		b.asked = b.asked || !b.wants(n)
+		sub.mustRespond = sub.mustRespond || !sub.wants(n)
 	}
-	b.asked = b.asked || all && !b.all
-	b.all, b.names = all, names
-	for n := range b.holds { // what it left it has no more; asked for again it is told again
-		if !b.wants(n) {
-			delete(b.holds, n)
+	sub.mustRespond = sub.mustRespond || wildcard && !sub.wildcard
+	sub.wildcard, sub.names = wildcard, names
+	for n := range sub.known { // what it left it has no more; asked for again it is told again
+		if !sub.wants(n) {
+			delete(sub.known, n)
 		}
 	}
 }
 
-// subscribe takes what an incremental stream wants more, and no longer.
-func (s *Stream) subscribe(b *sub, r *Request, first bool) {
+// changeNames takes what an incremental stream wants more, and no longer.
+func (s *Stream) changeNames(sub *subscription, r *Request, first bool) {
 	if first {
-		for name, version := range r.Has {
-			b.holds[name] = Resource{Name: name, Version: version}
+		for name, version := range r.InitialVersions {
+			sub.known[name] = Resource{Name: name, Version: version}
 		}
-		b.all = len(r.Subscribe) == 0
+		sub.wildcard = len(r.Subscribe) == 0
 	}
 	for _, n := range r.Subscribe {
 		if n == "*" {
-			b.all = true
+			sub.wildcard = true
 		} else {
-			b.names[n] = true
+			sub.names[n] = true
 		}
-		if !first { // asked for again it is told again
-			delete(b.holds, n)
+		if !first { // mustRespond for again it is told again
+			delete(sub.known, n)
 		}
-		b.asked = true
+		sub.mustRespond = true
 	}
-	for _, n := range r.Leave {
+	for _, n := range r.Unsubscribe {
 		if n == "*" {
-			b.all = false
+			sub.wildcard = false
 		}
-		delete(b.names, n)
+		delete(sub.names, n)
 	}
-	for n := range b.holds {
-		if len(r.Leave) > 0 && !b.wants(n) {
-			delete(b.holds, n)
+	for n := range sub.known {
+		if len(r.Unsubscribe) > 0 && !sub.wants(n) {
+			delete(sub.known, n)
 		}
 	}
 }
 
 // Next gives what the stream is sent next of a view, or nil for nothing now; again is when to ask anew though
 // nothing has happened, 0 for never. Each call that gives a response counts it as sent.
-func (s *Stream) Next(v *View, now float64) (r *Response, again float64) {
-	if v.Unconfirmed && s.held() {
+func (s *Stream) Next(v *View, now float64) (r *Response, retryAt float64) {
+	if v.Unconfirmed && s.hasEarlierState() {
 		return nil, 0
 	}
 	// What has to go ahead goes ahead, also of answers that are outstanding.
-	b := &s.subs[Endpoints]
-	ahead := b.wanted && b.sent > 0 && max(b.urgent, b.sent) < v.Urgent
-	if ahead && now >= b.rests && len(b.flights) < mostOpen {
-		if r := s.cut(Endpoints, v, true, now); r != nil {
+	sub := &s.subscriptions[Endpoints]
+	urgent := sub.active && sub.sentVersion > 0 && max(sub.urgentVersion, sub.sentVersion) < v.Urgent
+	if urgent && now >= sub.pausedUntil && len(sub.unacked) < maxUnacked {
+		if r := s.buildResponse(Endpoints, v, true, now); r != nil {
 			return r, 0
 		}
 	}
-	again, progress := 0.0, true
+	retryAt, progress := 0.0, true
 	for progress { // where a type had nothing new, another may go
-		if r, again, progress = s.next(v, now); r != nil {
+		if r, retryAt, progress = s.nextByType(v, now); r != nil {
 			return r, 0
 		}
 	}
-	return nil, again
+	return nil, retryAt
 }
 
-// next goes over the types once; progress says that one was found to have nothing new.
-func (s *Stream) next(v *View, now float64) (r *Response, again float64, progress bool) {
-	for t := range Types {
-		b := &s.subs[t]
-		late := b.late && s.mayRemove(t, v)
-		if !b.wanted || b.open() || !b.asked && !b.more && b.sent >= v.Version && !late {
+// nextByType goes over the types once; progress says that one was found to have nothing new.
+func (s *Stream) nextByType(v *View, now float64) (r *Response, retryAt float64, progress bool) {
+	for t := range TypeCount {
+		sub := &s.subscriptions[t]
+		removalsDue := sub.hasDeferredRemovals && s.mayRemove(t, v)
+		if !sub.active || sub.hasUnacked() || !sub.mustRespond && !sub.hasMore && sub.sentVersion >= v.Version && !removalsDue {
 			continue
 		}
-		if now < b.rests {
-			if again == 0 || b.rests < again {
-				again = b.rests
+		if now < sub.pausedUntil {
+			if retryAt == 0 || sub.pausedUntil < retryAt {
+				retryAt = sub.pausedUntil
 			}
 			continue
 		}
-		if s.holdsBack(t, v) {
+		if s.mustWait(t, v) {
 			continue
 		}
-		if r := s.cut(t, v, false, now); r != nil {
+		if r := s.buildResponse(t, v, false, now); r != nil {
 			return r, 0, true
 		}
 		progress = true
 	}
-	return nil, again, progress
+	return nil, retryAt, progress
 }
 
-// held reports whether the proxy came with a view that it holds from another stream.
-func (s *Stream) held() bool {
-	for t := range Types {
-		if s.subs[t].before {
+// hasEarlierState reports whether the proxy came with a view that it holds from another stream.
+func (s *Stream) hasEarlierState() bool {
+	for t := range TypeCount {
+		if s.subscriptions[t].hadState {
 			return true
 		}
 	}
 	return false
 }
 
-// holdsBack makes before it breaks: what names clusters waits until the proxy has answered for these and for
+// mustWait makes before it breaks: what names clusters waits until the proxy has answered for these and for
 // their endpoints.
-func (s *Stream) holdsBack(t Type, v *View) bool {
-	for made := range min(t, Listeners) {
-		if b := &s.subs[made]; t >= Listeners && b.wanted && (b.sent < v.Version || b.more || b.open()) {
+func (s *Stream) mustWait(t Type, v *View) bool {
+	for earlier := range min(t, Listeners) {
+		if sub := &s.subscriptions[earlier]; t >= Listeners && sub.active && (sub.sentVersion < v.Version || sub.hasMore || sub.hasUnacked()) {
 			return true
 		}
 	}
@@ -328,90 +328,90 @@
 
 // mayRemove reports whether nothing that the proxy holds names what the view has no more.
 func (s *Stream) mayRemove(t Type, v *View) bool {
-	by := namedBy[t]
-	if by == Types {
+	referrer := referencedBy[t]
+	if referrer == TypeCount {
 		return true
 	}
-	b := &s.subs[by]
-	return !b.wanted || b.sent >= v.Version && !b.open() && !b.late && !b.more && b.refused < b.sent
+	sub := &s.subscriptions[referrer]
+	return !sub.active || sub.sentVersion >= v.Version && !sub.hasUnacked() && !sub.hasDeferredRemovals && !sub.hasMore && sub.rejectedVersion < sub.sentVersion
 }
 
-// cut makes a response of the view, of what is urgent alone or of all; nil where nothing is new to the proxy.
-func (s *Stream) cut(t Type, v *View, urgent bool, now float64) *Response {
-	b := &s.subs[t]
+// buildResponse makes a response of the view, of what is urgent alone or of all; nil where nothing is new to the proxy.
+func (s *Stream) buildResponse(t Type, v *View, urgent bool, now float64) *Response {
+	sub := &s.subscriptions[t]
 	r := &Response{Type: t, Version: strconv.FormatUint(v.Version, 10)}
-	parts := s.Incremental || !t.whole() // a response need not hold all
-	here := make(map[string]bool, len(v.Types[t]))
-	for _, one := range v.Types[t] {
-		if !b.wants(one.Name) {
+	mayBePartial := s.Incremental || !t.requiresAll() // a response need not hold all
+	present := make(map[string]bool, len(v.Types[t]))
+	for _, resource := range v.Types[t] {
+		if !sub.wants(resource.Name) {
 			continue
 		}
-		here[one.Name] = true
-		if b.news(&one) && (!urgent || one.Urgent > b.urgent) {
-			r.Resources = append(r.Resources, one)
+		present[resource.Name] = true
+		if sub.needs(&resource) && (!urgent || resource.Urgent > sub.urgentVersion) {
+			r.Resources = append(r.Resources, resource)
 		}
 	}
-	gone := b.gone(here)
-	b.late = len(gone) > 0 && !s.mayRemove(t, v)
-	if b.late || urgent {
-		gone = nil
+	removals := sub.removals(present)
+	sub.hasDeferredRemovals = len(removals) > 0 && !s.mayRemove(t, v)
+	if sub.hasDeferredRemovals || urgent {
+		removals = nil
 	}
-	asked := b.asked && !urgent
+	mustRespond := sub.mustRespond && !urgent
 	if s.Incremental {
-		r.Removed = slices.Clone(gone)
-		for name := range b.names { // asked for by name and not there: said once, so that it need not wait
-			if _, held := b.holds[name]; !held && !here[name] && asked {
+		r.Removed = slices.Clone(removals)
+		for name := range sub.names { // mustRespond for by name and not there: said once, so that it need not wait
+			if _, held := sub.known[name]; !held && !present[name] && mustRespond {
 				r.Removed = append(r.Removed, name)
 			}
 		}
 		slices.Sort(r.Removed)
 	}
-	slices.SortFunc(r.Resources, b.order)
-	more := false
-	if parts {
-		r.Resources, r.Removed, gone, more = b.together(r.Resources, r.Removed, gone)
+	slices.SortFunc(r.Resources, sub.compare)
+	hasMore := false
+	if mayBePartial {
+		r.Resources, r.Removed, removals, hasMore = sub.limit(r.Resources, r.Removed, removals)
 	}
-	var told []string
-	for _, one := range r.Resources {
-		b.holds[one.Name] = one
-		told = append(told, one.Name)
+	var names []string
+	for _, resource := range r.Resources {
+		sub.known[resource.Name] = resource
+		names = append(names, resource.Name)
 	}
-	for _, name := range gone {
-		delete(b.holds, name)
+	for _, name := range removals {
+		delete(sub.known, name)
 	}
 	if s.Incremental {
-		told = append(told, r.Removed...)
-	} else if !parts {
-		told = append(told, gone...)
+		names = append(names, r.Removed...)
+	} else if !mayBePartial {
+		names = append(names, removals...)
 	}
 	if !urgent {
-		b.sent, b.more, b.singly, b.asked = max(b.sent, v.Version), more, b.singly && more, asked && more
+		sub.sentVersion, sub.hasMore, sub.oneAtATime, sub.mustRespond = max(sub.sentVersion, v.Version), hasMore, sub.oneAtATime && hasMore, mustRespond && hasMore
 	}
-	if !urgent || !more {
-		b.urgent = max(b.urgent, v.Urgent)
+	if !urgent || !hasMore {
+		sub.urgentVersion = max(sub.urgentVersion, v.Urgent)
 	}
-	if len(told) == 0 && !asked {
+	if len(names) == 0 && !mustRespond {
 		return nil
 	}
-	if !parts { // with what goes later
+	if !mayBePartial { // with what goes later
 		r.Resources = r.Resources[:0:0]
-		for _, one := range b.holds {
-			if one.Body != nil {
-				r.Resources = append(r.Resources, one)
+		for _, resource := range sub.known {
+			if resource.Body != nil {
+				r.Resources = append(r.Resources, resource)
 			}
 		}
 		slices.SortFunc(r.Resources, func(a, b Resource) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	s.nonce++
 	r.Nonce = strconv.FormatUint(s.nonce, 10)
-	b.flights = append(b.flights, flight{r.Nonce, v.Version, urgent || more, told})
-	b.sentAt = now
+	sub.unacked = append(sub.unacked, sentResponse{r.Nonce, v.Version, urgent || hasMore, names})
+	sub.sentAt = now
 	return r
 }
 
-// order puts what the proxy has refused behind all else, and the rest by name.
-func (b *sub) order(x, y Resource) int {
-	if sx, sy := b.suspect(x.Name), b.suspect(y.Name); sx != sy {
+// compare puts what the proxy has refused behind all else, and the rest by name.
+func (sub *subscription) compare(x, y Resource) int {
+	if sx, sy := sub.wasRejected(x.Name), sub.wasRejected(y.Name); sx != sy {
 		if sx {
 			return 1
 		}
@@ -420,71 +420,73 @@
 	return cmp.Compare(x.Name, y.Name)
 }
 
-// suspect reports whether the proxy refused the resource when it came by itself.
-func (b *sub) suspect(name string) bool { return strings.HasPrefix(b.holds[name].Version, refusing) }
+// wasRejected reports whether the proxy refused the resource when it came by itself.
+func (sub *subscription) wasRejected(name string) bool {
+	return strings.HasPrefix(sub.known[name].Version, rejectedPrefix)
+}
 
-// together cuts what is new, in order, to what goes in one response: what the proxy has refused goes by
+// limit cuts what is new, in order, to what goes in one response: what the proxy has refused goes by
 // itself, so that it holds up no other, and after several were refused at once each does, so that the bad
-// one shows.
-func (b *sub) together(news []Resource, removed, gone []string) ([]Resource, []string, []string, bool) {
-	n := len(news)
-	switch bad := slices.IndexFunc(news, func(r Resource) bool { return b.suspect(r.Name) }); {
-	case b.singly, bad == 0:
+// resource shows.
+func (sub *subscription) limit(changed []Resource, removed, removals []string) ([]Resource, []string, []string, bool) {
+	n := len(changed)
+	switch rejected := slices.IndexFunc(changed, func(r Resource) bool { return sub.wasRejected(r.Name) }); {
+	case sub.oneAtATime, rejected == 0:
 		n = min(1, n)
-	case bad > 0:
-		n = bad
+	case rejected > 0:
+		n = rejected
 	}
-	switch apart := b.singly || n > 0 && b.suspect(news[0].Name); {
-	case n < len(news), apart && n > 0 && len(removed) > 0:
-		return news[:n], nil, nil, true
-	case b.singly && len(removed) > 1:
+	switch alone := sub.oneAtATime || n > 0 && sub.wasRejected(changed[0].Name); {
+	case n < len(changed), alone && n > 0 && len(removed) > 0:
+		return changed[:n], nil, nil, true
+	case sub.oneAtATime && len(removed) > 1:
 		return nil, removed[:1], removed[:1], true
 	}
-	return news, removed, gone, false
+	return changed, removed, removals, false
 }
 
-// news reports whether a resource is other than what the proxy has, and than what it has refused.
-func (b *sub) news(one *Resource) bool {
-	held, has := b.holds[one.Name]
-	return !has || held.Version != one.Version && held.Version != refusing+one.Version
+// needs reports whether a resource is other than what the proxy has, and than what it has refused.
+func (sub *subscription) needs(resource *Resource) bool {
+	held, known := sub.known[resource.Name]
+	return !known || held.Version != resource.Version && held.Version != rejectedPrefix+resource.Version
 }
 
-// gone are the names of what the proxy has and is no more, sorted.
-func (b *sub) gone(here map[string]bool) (gone []string) {
-	for name, held := range b.holds {
-		if !here[name] && b.wants(name) && held.Version != refusing { // nor what it won't let go
-			gone = append(gone, name)
+// removals are the names of what the proxy has and is no more, sorted.
+func (sub *subscription) removals(present map[string]bool) (names []string) {
+	for name, held := range sub.known {
+		if !present[name] && sub.wants(name) && held.Version != rejectedPrefix { // nor what it won't let go
+			names = append(names, name)
 		}
 	}
-	slices.Sort(gone) // against the order of a map
-	return gone
+	slices.Sort(names) // against the order of a map
+	return names
 }
 
-// Standing is where a stream stands with a type, for people who look on.
-type Standing struct {
-	Type    Type
-	Sent    uint64
-	Acked   uint64
-	Refused uint64 // the version refused, 0 for none or where a later one was taken
-	Why     string
-	Open    int     // responses that are not answered yet
-	Since   float64 // when the newest response was sent
+// TypeStatus is where a stream stands with a type, for people who look on.
+type TypeStatus struct {
+	Type         Type
+	Sent         uint64
+	Acked        uint64
+	Rejected     uint64 // the version refused, 0 for none or where a later one was taken
+	RejectReason string
+	Unacked      int     // responses that are not answered yet
+	LastSentAt   float64 // when the newest response was sent
 }
 
-// Standings are where the stream stands with each type that it wants.
-func (s *Stream) Standings() (all []Standing) {
-	for t := range Types {
-		if b := &s.subs[t]; b.wanted {
-			all = append(all, Standing{t, b.sent, b.acked, b.refused, b.why, len(b.flights), b.sentAt})
+// Status are where the stream stands with each type that it wants.
+func (s *Stream) Status() (statuses []TypeStatus) {
+	for t := range TypeCount {
+		if sub := &s.subscriptions[t]; sub.active {
+			statuses = append(statuses, TypeStatus{t, sub.sentVersion, sub.ackedVersion, sub.rejectedVersion, sub.rejectReason, len(sub.unacked), sub.sentAt})
 		}
 	}
-	return all
+	return statuses
 }
 
-// Holds is the newest version that a proxy said it holds, of any type.
-func (s *Stream) Holds() (version uint64) {
-	for t := range Types {
-		version = max(version, s.subs[t].acked)
+// HeldVersion is the newest version that a proxy said it holds, of any type.
+func (s *Stream) HeldVersion() (version uint64) {
+	for t := range TypeCount {
+		version = max(version, s.subscriptions[t].ackedVersion)
 	}
 	return version
 }
--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -2,7 +2,7 @@
 // weight.
 //
 // It decides from the list of hosts, from what gatherers that serve have seen of them (s, f and how many
-// calls stand behind these), and from the weights of a plan. A drain is handed on at once; sickness only on
+// requests stand behind these), and from the weights of a plan. A drain is handed on at once; sickness only on
 // the word of more than one witness where there are more, for some time, and never of so many hosts that
 // those who look must be thought blind. Weights follow latency and warmth a little at a time, so that
 // proxies that all hear the same do not all go to the same host. It may never hand out a host that drains
@@ -20,64 +20,64 @@
 
 // The tuned values. Times are milliseconds.
 const (
-	badShare   = 0.25     // of failures over the group's least from which a witness calls a host sick, as the
-	wellShare  = 0.1      // module does, and under which it calls it well
-	fewest     = 8.0      // calls of five seconds behind a witness's word,
-	few        = 1.0      // of a host that is out
-	settles    = 2000.0   // for so long a host has to be sick before it is out,
-	recovers   = 4000.0   // and well before it is in again,
-	most       = 60_000.0 // and longer each time that it comes back, up to this
-	forgets    = 10_000.0 // a host that nobody sees any more is tried again after
-	keep       = 0.5      // of a group's running hosts stay in, whatever is said of them,
-	keepFleet  = 0.7      // and of all; where more would be out, nobody is believed
-	ownFault   = 0.5      // a witness that calls this share of what it sees sick is cut off itself
-	base       = 100.0    // weight of a warm host of usual latency
-	step       = 0.2      // by which a weight changes at most at a time
-	worth      = 0.1      // by which one has to differ from what was told to be told
-	calm       = 1000.0   // between two changes of weights
-	slowest    = 0.25     // weight of the slowest host over the usual one's
-	coldPush   = 0.6      // part of what is safe that a cold host is sent: the module's
-	smoothing  = 0.3      // of a new latency over the ones before
-	blindAfter = 15_000.0 // without any word of a witness
-	returning  = 0.1      // of its weight that a host has that is in again; steps bring it up
-	vanished   = 0.3      // of the running hosts, gone at once without a drain, are the list's fault,
-	fewVanish  = 3.0      // from so many on,
-	doubts     = 30_000.0 // for so long
+	outlierThreshold   = 0.25     // observations failures over the group's least from which a witness calls a host sick, as the
+	healthyThreshold   = 0.1      // module does, and under which it calls it well
+	minRequests        = 8.0      // requests of five seconds behind a witness's word,
+	minRequestsEjected = 1.0      // observations a host that is out
+	ejectionDelay      = 2000.0   // for so long a host has to be sick before it is out,
+	reinstatementDelay = 4000.0   // and well before it is in again,
+	maxBackoff         = 60_000.0 // and longer each time that it comes back, up to this
+	observationExpiry  = 10_000.0 // a host that nobody sees any more is tried again after
+	minGroupShare      = 0.5      // observations a group's running hosts stay in, whatever is said of them,
+	minFleetShare      = 0.7      // and of all; where more would be out, nobody is believed
+	distrustShare      = 0.5      // a witness that calls this share of what it sees sick is cut off itself
+	baseWeight         = 100.0    // weight of a warm host of usual latency
+	maxWeightStep      = 0.2      // by which a weight changes at most at a time
+	minWeightChange    = 0.1      // by which one has to differ from what was told to be told
+	weightInterval     = 1000.0   // between two changes of weights
+	minLatencyFactor   = 0.25     // weight of the slowest host over the usual one's
+	warmupMargin       = 0.6      // part of what is safe that a cold host is sent: the module's
+	latencySmoothing   = 0.3      // observations a new latency over the ones before
+	observerTimeout    = 15_000.0 // without any word of a witness
+	reinstatedShare    = 0.1      // observations its weight that a host has that is in again; steps bring it up
+	maxVanishedShare   = 0.3      // observations the running hosts, gone at once without a drain, are the list's fault,
+	minVanished        = 3.0      // from so many on,
+	vanishedGrace      = 30_000.0 // for so long
 )
 
 // Host is one host of the list.
 type Host struct {
-	Name    string
-	Zone    string
-	Address string
-	Groups  []int // of segments that it holds, one at least
-	State   gather.State
-	Started float64 // 0 for long ago
-	Weight  float64 // of a plan, 0 for none; one on average
+	Name          string
+	Zone          string
+	Address       string
+	Groups        []int // observations segments that it holds, one at least
+	State         gather.State
+	StartedAt     float64 // 0 for long ago
+	PlannedWeight float64 // observations a plan, 0 for none; one on average
 }
 
-// Seen is what one witness has seen of one host lately: latency, failure share and extra latency, as the
+// Observation is what one witness has seen of one host lately: latency, failure share and extra latency, as the
 // design has them, and what it sends.
-type Seen struct {
-	Host    string
-	S, F, R float64
-	Rate    float64 // part calls a second
-	Out     float64 // part calls that are out
+type Observation struct {
+	Host                                  string
+	Latency, FailureShare, FailureLatency float64
+	Rate                                  float64 // part calls a second
+	InFlight                              float64 // part calls that are out
 }
 
-// window is how many seconds of calls stand behind a witness's word.
-const window = 5
+// rateWindow is how many seconds of calls stand behind a witness's word.
+const rateWindow = 5
 
-func (s *Seen) calls() float64 { return s.Rate * window }
+func (s *Observation) requests() float64 { return s.Rate * rateWindow }
 
-// latency is what one more call costs there: what calls took, or, where more are out than that explains, what
+// expectedLatency is what one more call costs there: what calls took, or, where more are out than that explains, what
 // those out will take by Little's law; and what the failing ones cost on top.
-func (s *Seen) latency() float64 {
-	l := s.S
+func (s *Observation) expectedLatency() float64 {
+	l := s.Latency
 	if s.Rate > 0 {
-		l = max(l, 1000*s.Out/s.Rate)
+		l = max(l, 1000*s.InFlight/s.Rate)
 	}
-	return l + min(s.F, 1)*s.R
+	return l + min(s.FailureShare, 1)*s.FailureLatency
 }
 
 // Health is what proxies are told of a host.
@@ -85,141 +85,141 @@
 
 // The healths.
 const (
-	Healthy Health = iota
-	Sick           // not to be sent to while others are there
+	Healthy   Health = iota
+	Unhealthy        // not to be sent to while others are there
 	Draining
 )
 
 // Endpoint is a host as proxies see it.
 type Endpoint struct {
-	Name    string
-	Zone    string
-	Address string
-	Groups  []int
-	Health  Health
-	Weight  uint32
-	Started float64 // tells one process under a name from the next
+	Name      string
+	Zone      string
+	Address   string
+	Groups    []int
+	Health    Health
+	Weight    uint32
+	StartedAt float64 // tells one process under a name from the next
 }
 
-// Terms are the figures of cold starts.
-type Terms struct{ ColdShare, ColdTime float64 }
+// WarmupSettings are the figures of cold starts.
+type WarmupSettings struct{ InitialShare, Duration float64 }
 
 // host is what is known and decided of one.
 type host struct {
 	Host
-	told      Endpoint
-	weight    float64 // smoothed, not rounded
-	latency   float64
-	sickFrom  float64 // since when witnesses call it sick, 0 for not
-	wellFrom  float64
-	out       bool
-	times     int // that it went out
-	seenAt    float64
-	leftAt    float64 // when it left the list, 0 while it is there
-	toldReady bool
-	fresh     bool // a process that no weight was worked out for yet
+	published      Endpoint
+	weight         float64 // smoothed, not rounded
+	latency        float64
+	outlierSince   float64 // since when witnesses call it sick, 0 for not
+	healthySince   float64
+	ejected        bool
+	ejections      int // that it went out
+	lastObservedAt float64
+	removedAt      float64 // when it left the list, 0 while it is there
+	isPublished    bool
+	unweighted     bool // a process that no weight was worked out for yet
 }
 
-// Mind decides. One goroutine uses it.
-type Mind struct {
-	terms    Terms
-	hosts    map[string]*host
-	order    []string // by name
-	seen     map[string]map[string]Seen
-	heard    map[string]float64 // when a witness last spoke
-	weighed  float64
-	begun    float64 // when it first decided or resumed
-	version  uint64
-	blind    bool
-	distrust map[string]bool
+// Decider decides. One goroutine uses it.
+type Decider struct {
+	warmup        WarmupSettings
+	hosts         map[string]*host
+	names         []string // by name
+	observations  map[string]map[string]Observation
+	lastReportAt  map[string]float64 // when a witness last spoke
+	lastWeighedAt float64
+	startedAt     float64 // when it first decided or resumed
+	version       uint64
+	suspended     bool
+	distrusted    map[string]bool
 }
 
 // New makes a mind that knows no host. Version is that of what was handed out before.
-func New(terms Terms, version uint64) *Mind {
-	return &Mind{terms: terms, hosts: map[string]*host{}, seen: map[string]map[string]Seen{},
-		heard: map[string]float64{}, distrust: map[string]bool{}, version: version}
+func New(terms WarmupSettings, version uint64) *Decider {
+	return &Decider{warmup: terms, hosts: map[string]*host{}, observations: map[string]map[string]Observation{},
+		lastReportAt: map[string]float64{}, distrusted: map[string]bool{}, version: version}
 }
 
 // Version is that of what is handed out. It grows with each change.
-func (m *Mind) Version() uint64 { return m.version }
+func (m *Decider) Version() uint64 { return m.version }
 
-// Pass sees to it that the version is past one that a proxy has heard elsewhere. One that no service can have
+// AdvanceVersion sees to it that the version is past one that a proxy has heard elsewhere. One that no service can have
 // come to is not believed, against a proxy that makes versions run out.
-func (m *Mind) Pass(version uint64) bool {
-	if version <= m.version || version-m.version > farAhead {
+func (m *Decider) AdvanceVersion(version uint64) bool {
+	if version <= m.version || version-m.version > maxVersionLead {
 		return false
 	}
 	m.version = version + 1
 	return true
 }
 
-// farAhead is a thousand changes a second for a month.
-const farAhead = 1 << 32
+// maxVersionLead is a thousand changes a second for a month.
+const maxVersionLead = 1 << 32
 
-// Blind reports whether nobody is believed about sickness for now.
-func (m *Mind) Blind() bool { return m.blind }
+// EjectionSuspended reports whether nobody is believed about sickness for now.
+func (m *Decider) EjectionSuspended() bool { return m.suspended }
 
-// Resume begins with what was handed out before: hosts stand until the list says otherwise.
-func (m *Mind) Resume(endpoints []Endpoint, now float64) {
-	m.begun = now
+// Restore begins with what was handed out before: hosts stand until the list says otherwise.
+func (m *Decider) Restore(endpoints []Endpoint, now float64) {
+	m.startedAt = now
 	for _, e := range endpoints {
 		h := &host{Host: Host{Name: e.Name, Zone: e.Zone, Address: e.Address, Groups: e.Groups,
-			Started: e.Started}, told: e, weight: float64(e.Weight), seenAt: now, toldReady: true}
+			StartedAt: e.StartedAt}, published: e, weight: float64(e.Weight), lastObservedAt: now, isPublished: true}
 		if e.Health == Draining {
 			h.State = gather.Draining
 		}
-		if e.Health == Sick {
-			h.out, h.sickFrom, h.times = true, now, 1
+		if e.Health == Unhealthy {
+			h.ejected, h.outlierSince, h.ejections = true, now, 1
 		}
 		m.hosts[e.Name] = h
 	}
-	m.sort()
+	m.sortNames()
 }
 
-func (m *Mind) sort() {
-	m.order = m.order[:0]
+func (m *Decider) sortNames() {
+	m.names = m.names[:0]
 	for name := range m.hosts {
-		m.order = append(m.order, name)
+		m.names = append(m.names, name)
 	}
-	slices.Sort(m.order) // against the order of a map
+	slices.Sort(m.names) // against the order of a map
 }
 
-// List takes over the list: all hosts that there are.
-func (m *Mind) List(hosts []Host, now float64) {
-	here := map[string]bool{}
-	for _, given := range hosts {
-		here[given.Name] = true
-		h := m.hosts[given.Name]
+// SetHosts takes over the list: all hosts that there are.
+func (m *Decider) SetHosts(hosts []Host, now float64) {
+	listed := map[string]bool{}
+	for _, listedHost := range hosts {
+		listed[listedHost.Name] = true
+		h := m.hosts[listedHost.Name]
 		if h == nil {
-			h = &host{fresh: true}
-			m.hosts[given.Name] = h
+			h = &host{unweighted: true}
+			m.hosts[listedHost.Name] = h
 		}
-		if h.Started != given.Started || given.State == gather.Removed { // another process than the one judged
-			h.out, h.sickFrom, h.wellFrom, h.times, h.latency, h.fresh = false, 0, 0, 0, 0, true
-			for _, of := range m.seen {
-				delete(of, given.Name)
+		if h.StartedAt != listedHost.StartedAt || listedHost.State == gather.Removed { // another process than the one judged
+			h.ejected, h.outlierSince, h.healthySince, h.ejections, h.latency, h.unweighted = false, 0, 0, 0, 0, true
+			for _, observations := range m.observations {
+				delete(observations, listedHost.Name)
 			}
 		}
-		h.Host, h.leftAt = given, 0
+		h.Host, h.removedAt = listedHost, 0
 	}
 	for name, h := range m.hosts {
-		if !here[name] && h.leftAt == 0 {
-			h.leftAt = now
+		if !listed[name] && h.removedAt == 0 {
+			h.removedAt = now
 		}
 	}
-	m.sort()
+	m.sortNames()
 }
 
-// See takes over what one witness has seen: all that it sees now.
-func (m *Mind) See(witness string, seen []Seen, now float64) {
-	of := make(map[string]Seen, len(seen))
-	for _, s := range seen {
-		of[s.Host] = s
-		if h := m.hosts[s.Host]; h != nil && m.enough(&s) {
-			h.seenAt = now
+// SetObservations takes over what one witness has seen: all that it sees now.
+func (m *Decider) SetObservations(observer string, observations []Observation, now float64) {
+	byHost := make(map[string]Observation, len(observations))
+	for _, s := range observations {
+		byHost[s.Host] = s
+		if h := m.hosts[s.Host]; h != nil && m.isSignificant(&s) {
+			h.lastObservedAt = now
 		}
 	}
-	m.seen[witness], m.heard[witness] = of, now
+	m.observations[observer], m.lastReportAt[observer] = byHost, now
 }
 
 // Change is what a decision came to.
@@ -229,78 +229,78 @@
 }
 
 // Decide brings what is handed out up to a time.
-func (m *Mind) Decide(now float64) (c Change) {
-	if m.begun == 0 {
-		m.begun = now
+func (m *Decider) Decide(now float64) (c Change) {
+	if m.startedAt == 0 {
+		m.startedAt = now
 	}
-	for witness, at := range m.heard {
-		if now-at > forgets {
-			delete(m.heard, witness)
-			delete(m.seen, witness)
+	for observer, reportedAt := range m.lastReportAt {
+		if now-reportedAt > observationExpiry {
+			delete(m.lastReportAt, observer)
+			delete(m.observations, observer)
 		}
 	}
-	m.judge(now)
-	reweigh := now-m.weighed >= calm
+	m.updateEjections(now)
+	reweigh := now-m.lastWeighedAt >= weightInterval
 	if reweigh {
-		m.weighed = now
-		m.learn()
+		m.lastWeighedAt = now
+		m.updateLatencies()
 	}
-	var usual map[int]float64
+	var medians map[int]float64
 	if reweigh {
-		usual = m.usual()
+		medians = m.medianLatencies()
 	}
-	believed := m.believed(now)
-	var gone []string
-	for _, name := range m.order {
+	listCredible := m.isListCredible(now)
+	var removed []string
+	for _, name := range m.names {
 		h := m.hosts[name]
-		if h.leftAt > 0 && h.State == gather.Running && !believed && now-h.leftAt < doubts {
+		if h.removedAt > 0 && h.State == gather.Running && !listCredible && now-h.removedAt < vanishedGrace {
 			continue // it stays as it was told
 		}
-		if h.State == gather.Removed || h.leftAt > 0 {
-			gone = append(gone, name)
-			if h.toldReady {
+		if h.State == gather.Removed || h.removedAt > 0 {
+			removed = append(removed, name)
+			if h.isPublished {
 				c.Changed, c.Urgent = append(c.Changed, name), true
 			}
 			continue
 		}
-		if reweigh || h.fresh { // one that is fresh has no latency yet to hold against the usual one
-			m.weigh(h, usual, now)
+		if reweigh || h.unweighted { // one that is fresh has no latency yet to hold against the usual one
+			m.updateWeight(h, medians, now)
 		}
-		e := Endpoint{Name: name, Zone: h.Zone, Address: h.Address, Groups: h.Groups, Weight: h.told.Weight,
-			Started: h.Started}
+		e := Endpoint{Name: name, Zone: h.Zone, Address: h.Address, Groups: h.Groups, Weight: h.published.Weight,
+			StartedAt: h.StartedAt}
 		switch {
 		case h.State == gather.Draining:
 			e.Health = Draining
-		case h.out:
-			e.Health = Sick
+		case h.ejected:
+			e.Health = Unhealthy
 		}
 		rounded := uint32(max(math.Round(h.weight), 1))
-		off := math.Abs(float64(rounded)-float64(e.Weight)) / max(float64(e.Weight), 1)
-		if !h.toldReady || h.fresh || reweigh && off >= worth {
+		relativeChange := math.Abs(float64(rounded)-float64(e.Weight)) / max(float64(e.Weight), 1)
+		if !h.isPublished || h.unweighted || reweigh && relativeChange >= minWeightChange {
 			e.Weight = rounded
 		}
-		h.fresh = false
-		was := h.told
-		if h.toldReady && same(e, was) {
+		h.unweighted = false
+		previous := h.published
+		if h.isPublished && equalEndpoints(e, previous) {
 			continue
 		}
-		urgent := e.Health == Draining && was.Health != Draining || e.Address != was.Address ||
-			e.Started != was.Started // cold again
-		c.Urgent = c.Urgent || h.toldReady && urgent
-		if e.Health == Sick && was.Health != Sick {
-			h.times++
+		urgent := e.Health == Draining && previous.Health != Draining || e.Address != previous.Address ||
+			e.StartedAt != previous.StartedAt // cold again
+		c.Urgent = c.Urgent || h.isPublished && urgent
+		if e.Health == Unhealthy && previous.Health != Unhealthy {
+			h.ejections++
 		}
-		h.told, h.toldReady = e, true
+		h.published, h.isPublished = e, true
 		c.Changed = append(c.Changed, name)
 	}
-	for _, name := range gone {
+	for _, name := range removed {
 		delete(m.hosts, name)
-		for _, of := range m.seen {
-			delete(of, name)
+		for _, observations := range m.observations {
+			delete(observations, name)
 		}
 	}
-	if len(gone) > 0 {
-		m.sort()
+	if len(removed) > 0 {
+		m.sortNames()
 	}
 	if len(c.Changed) > 0 {
 		m.version++
@@ -308,215 +308,215 @@
 	return c
 }
 
-func same(a, b Endpoint) bool {
+func equalEndpoints(a, b Endpoint) bool {
 	return a.Name == b.Name && a.Zone == b.Zone && a.Address == b.Address && a.Health == b.Health &&
-		a.Weight == b.Weight && a.Started == b.Started && slices.Equal(a.Groups, b.Groups)
+		a.Weight == b.Weight && a.StartedAt == b.StartedAt && slices.Equal(a.Groups, b.Groups)
 }
 
 // Endpoints are all hosts as they are told, by name.
-func (m *Mind) Endpoints() []Endpoint {
-	all := make([]Endpoint, 0, len(m.order))
-	for _, name := range m.order {
-		if h := m.hosts[name]; h.toldReady {
-			all = append(all, h.told)
+func (m *Decider) Endpoints() []Endpoint {
+	all := make([]Endpoint, 0, len(m.names))
+	for _, name := range m.names {
+		if h := m.hosts[name]; h.isPublished {
+			all = append(all, h.published)
 		}
 	}
 	return all
 }
 
-// judge decides who is sick.
-func (m *Mind) judge(now float64) {
-	witnesses := make([]string, 0, len(m.seen))
-	for name := range m.seen {
-		witnesses = append(witnesses, name)
+// updateEjections decides who is sick.
+func (m *Decider) updateEjections(now float64) {
+	observers := make([]string, 0, len(m.observations))
+	for name := range m.observations {
+		observers = append(observers, name)
 	}
-	slices.Sort(witnesses) // against the order of a map
+	slices.Sort(observers) // against the order of a map
 	type votes struct{ sick, well int }
-	cast := map[string]*votes{}
-	speaking := 0
-	for _, witness := range witnesses {
-		sick, seen := m.vote(m.seen[witness])
-		if seen == 0 {
+	votesByHost := map[string]*votes{}
+	trusted := 0
+	for _, observer := range observers {
+		outliers, count := m.findOutliers(m.observations[observer])
+		if count == 0 {
 			continue
 		}
 		// One that can't reach half of what it asks looks through a broken path of its own.
-		m.distrust[witness] = len(sick) > 1 && float64(len(sick)) >= ownFault*float64(seen)
-		if m.distrust[witness] {
+		m.distrusted[observer] = len(outliers) > 1 && float64(len(outliers)) >= distrustShare*float64(count)
+		if m.distrusted[observer] {
 			continue
 		}
-		speaking++
-		for name, s := range m.seen[witness] {
-			if !m.enough(&s) {
+		trusted++
+		for name, s := range m.observations[observer] {
+			if !m.isSignificant(&s) {
 				continue
 			}
-			v := cast[name]
+			v := votesByHost[name]
 			if v == nil {
 				v = &votes{}
-				cast[name] = v
+				votesByHost[name] = v
 			}
-			if standing, isSick := sick[name]; isSick && standing > badShare {
+			if excess, isOutlier := outliers[name]; isOutlier && excess > outlierThreshold {
 				v.sick++
-			} else if !isSick {
+			} else if !isOutlier {
 				v.well++
 			}
 		}
 	}
-	for _, name := range m.order {
-		h, v := m.hosts[name], cast[name]
+	for _, name := range m.names {
+		h, v := m.hosts[name], votesByHost[name]
 		switch {
 		case v == nil: // nobody sees it: it is out because nobody asks it, or it is not asked for anything
-			if h.out && now-h.seenAt > h.longer(forgets) {
-				h.back()
+			if h.ejected && now-h.lastObservedAt > h.backoff(observationExpiry) {
+				h.reinstate()
 			}
-		case v.sick > v.well && (v.sick >= 2 || speaking == 1):
-			if h.wellFrom = 0; h.sickFrom == 0 {
-				h.sickFrom = now
+		case v.sick > v.well && (v.sick >= 2 || trusted == 1):
+			if h.healthySince = 0; h.outlierSince == 0 {
+				h.outlierSince = now
 			}
-			h.out = h.out || now-h.sickFrom >= settles
-		case v.well >= v.sick && h.sickFrom > 0:
-			if h.wellFrom == 0 {
-				h.wellFrom = now
+			h.ejected = h.ejected || now-h.outlierSince >= ejectionDelay
+		case v.well >= v.sick && h.outlierSince > 0:
+			if h.healthySince == 0 {
+				h.healthySince = now
 			}
-			if now-h.wellFrom >= h.longer(recovers) || !h.out {
-				h.back()
+			if now-h.healthySince >= h.backoff(reinstatementDelay) || !h.ejected {
+				h.reinstate()
 			}
 		}
 	}
-	m.floor(now, speaking)
+	m.limitEjections(now, trusted)
 }
 
-// back takes a host in again, and not all at once what all proxies have for it.
-func (h *host) back() {
-	if h.told.Health == Sick {
-		h.weight = max(h.weight*returning, 1)
-		h.told.Weight = uint32(max(math.Round(h.weight), 1))
+// reinstate takes a host in again, and not all at once what all proxies have for it.
+func (h *host) reinstate() {
+	if h.published.Health == Unhealthy {
+		h.weight = max(h.weight*reinstatedShare, 1)
+		h.published.Weight = uint32(max(math.Round(h.weight), 1))
 	}
-	h.out, h.sickFrom, h.wellFrom = false, 0, 0
+	h.ejected, h.outlierSince, h.healthySince = false, 0, 0
 }
 
-// believed reports whether the list may be right about hosts that have left it. Hosts that go drain first;
-// many that vanish at once without are rather what a broken list lost.
-func (m *Mind) believed(now float64) bool {
-	lost, running := 0.0, 0.0
+// isListCredible reports whether the list may be right about hosts that have left it. Hosts that go drain first;
+// tooMany that vanish at once without are rather what a broken list lost.
+func (m *Decider) isListCredible(now float64) bool {
+	vanished, running := 0.0, 0.0
 	for _, h := range m.hosts {
-		if !h.toldReady || h.State != gather.Running {
+		if !h.isPublished || h.State != gather.Running {
 			continue
 		}
 		running++
-		if h.leftAt > 0 && now-h.leftAt < doubts {
-			lost++
+		if h.removedAt > 0 && now-h.removedAt < vanishedGrace {
+			vanished++
 		}
 	}
-	return lost < fewVanish || lost < vanished*running
+	return vanished < minVanished || vanished < maxVanishedShare*running
 }
 
-// longer is a time that doubles each time that the host goes out again, against flapping.
-func (h *host) longer(time float64) float64 {
-	return min(time*math.Pow(2, float64(min(max(h.times-1, 0), 10))), most)
+// backoff is a time that doubles each time that the host goes out again, against flapping.
+func (h *host) backoff(time float64) float64 {
+	return min(time*math.Pow(2, float64(min(max(h.ejections-1, 0), 10))), maxBackoff)
 }
 
-// enough reports whether a witness's word on a host counts. One that is out gets few calls, and those that
+// isSignificant reports whether a witness's word on a host counts. One that is out gets few calls, and those that
 // look whether it is well again are enough to keep it out.
-func (m *Mind) enough(s *Seen) bool {
+func (m *Decider) isSignificant(s *Observation) bool {
 	h := m.hosts[s.Host]
-	return s.calls() >= fewest || h != nil && h.out && s.calls() >= few
+	return s.requests() >= minRequests || h != nil && h.ejected && s.requests() >= minRequestsEjected
 }
 
-// vote is what a witness says: hosts whose failures stand out over the least of their group, and by how much.
-func (m *Mind) vote(seen map[string]Seen) (sick map[string]float64, n int) {
-	least := map[int]float64{}
-	for name, s := range seen {
+// findOutliers is what a witness says: hosts whose failures stand out over the least of their group, and by how much.
+func (m *Decider) findOutliers(observations map[string]Observation) (outliers map[string]float64, count int) {
+	lowest := map[int]float64{}
+	for name, s := range observations {
 		h := m.hosts[name]
-		if h == nil || !m.enough(&s) || h.State != gather.Running {
+		if h == nil || !m.isSignificant(&s) || h.State != gather.Running {
 			continue
 		}
-		n++
+		count++
 		for _, g := range h.Groups {
-			if f, known := least[g]; !known || s.F < f {
-				least[g] = s.F
+			if f, known := lowest[g]; !known || s.FailureShare < f {
+				lowest[g] = s.FailureShare
 			}
 		}
 	}
-	sick = map[string]float64{}
-	for name, s := range seen {
+	outliers = map[string]float64{}
+	for name, s := range observations {
 		h := m.hosts[name]
-		if h == nil || !m.enough(&s) || h.State != gather.Running {
+		if h == nil || !m.isSignificant(&s) || h.State != gather.Running {
 			continue
 		}
-		standing := math.Inf(1)
+		excess := math.Inf(1)
 		for _, g := range h.Groups {
-			standing = min(standing, s.F-least[g])
+			excess = min(excess, s.FailureShare-lowest[g])
 		}
-		if len(h.Groups) > 0 && standing > wellShare {
-			sick[name] = standing
+		if len(h.Groups) > 0 && excess > healthyThreshold {
+			outliers[name] = excess
 		}
 	}
-	return sick, n
+	return outliers, count
 }
 
-// floor keeps enough hosts in: half of each group, whoever is sick longest going first, and of the whole
+// limitEjections keeps enough hosts in: half of each group, whoever is sick longest going first, and of the whole
 // fleet so many that the blame may be the hosts' and not the eyes'.
-func (m *Mind) floor(now float64, speaking int) {
-	running, out := 0, 0
+func (m *Decider) limitEjections(now float64, trusted int) {
+	running, ejected := 0, 0
 	groups := map[int][]*host{}
-	for _, name := range m.order {
+	for _, name := range m.names {
 		h := m.hosts[name]
-		if h.State != gather.Running || h.leftAt > 0 {
+		if h.State != gather.Running || h.removedAt > 0 {
 			continue
 		}
 		running++
-		if h.out {
-			out++
+		if h.ejected {
+			ejected++
 		}
 		for _, g := range h.Groups {
 			groups[g] = append(groups[g], h)
 		}
 	}
-	many := float64(out) > max((1-keepFleet)*float64(running), 1)
-	m.blind = many || speaking == 0 && now-m.lastHeard() > blindAfter
-	if m.blind {
+	tooMany := float64(ejected) > max((1-minFleetShare)*float64(running), 1)
+	m.suspended = tooMany || trusted == 0 && now-m.lastReport() > observerTimeout
+	if m.suspended {
 		for _, h := range m.hosts {
-			h.out = false
+			h.ejected = false
 		}
 		return
 	}
-	numbers := make([]int, 0, len(groups))
+	groupNumbers := make([]int, 0, len(groups))
 	for g := range groups {
-		numbers = append(numbers, g)
+		groupNumbers = append(groupNumbers, g)
 	}
-	slices.Sort(numbers)
-	for _, g := range numbers {
+	slices.Sort(groupNumbers)
+	for _, g := range groupNumbers {
 		hosts := groups[g]
-		slices.SortStableFunc(hosts, func(a, b *host) int { return cmp.Compare(a.sickFrom, b.sickFrom) })
-		may := int(math.Floor((1 - keep) * float64(len(hosts))))
+		slices.SortStableFunc(hosts, func(a, b *host) int { return cmp.Compare(a.outlierSince, b.outlierSince) })
+		allowance := int(math.Floor((1 - minGroupShare) * float64(len(hosts))))
 		for _, h := range hosts {
-			if !h.out {
+			if !h.ejected {
 				continue
 			}
-			if may--; may < 0 {
-				h.out = false // the next decision sees it as sick as before, and it is its turn once others are well
+			if allowance--; allowance < 0 {
+				h.ejected = false // the next decision sees it as sick as before, and it is its turn once others are well
 			}
 		}
 	}
 }
 
-func (m *Mind) lastHeard() float64 {
-	at := m.begun // against condemning one's eyes before they had time to open
-	for _, t := range m.heard {
-		at = max(at, t)
+func (m *Decider) lastReport() float64 {
+	latest := m.startedAt // against condemning one's eyes before they had time to open
+	for _, t := range m.lastReportAt {
+		latest = max(latest, t)
 	}
-	return at
+	return latest
 }
 
-// learn takes over latencies from the witnesses.
-func (m *Mind) learn() {
-	witnesses := m.speaking()
-	for _, name := range m.order {
+// updateLatencies takes over latencies from the witnesses.
+func (m *Decider) updateLatencies() {
+	observers := m.trustedObservers()
+	for _, name := range m.names {
 		h := m.hosts[name]
 		sum, n := 0.0, 0.0
-		for _, witness := range witnesses {
-			if s, seen := m.seen[witness][name]; seen && s.calls() >= fewest && s.S > 0 {
-				sum, n = sum+s.latency(), n+1
+		for _, observer := range observers {
+			if s, seen := m.observations[observer][name]; seen && s.requests() >= minRequests && s.Latency > 0 {
+				sum, n = sum+s.expectedLatency(), n+1
 			}
 		}
 		if n == 0 {
@@ -525,59 +525,59 @@
 		if h.latency == 0 {
 			h.latency = sum / n
 		}
-		h.latency += smoothing * (sum/n - h.latency)
+		h.latency += latencySmoothing * (sum/n - h.latency)
 	}
 }
 
-// usual are the middle latencies of the groups.
-func (m *Mind) usual() map[int]float64 {
-	all := map[int][]float64{}
-	for _, name := range m.order {
+// medianLatencies are the middle latencies of the groups.
+func (m *Decider) medianLatencies() map[int]float64 {
+	byGroup := map[int][]float64{}
+	for _, name := range m.names {
 		if h := m.hosts[name]; h.latency > 0 && h.State == gather.Running {
 			for _, g := range h.Groups {
-				all[g] = append(all[g], h.latency)
+				byGroup[g] = append(byGroup[g], h.latency)
 			}
 		}
 	}
-	usual := make(map[int]float64, len(all))
-	for g, of := range all {
-		slices.Sort(of)
-		usual[g] = of[(len(of)-1)/2]
+	medians := make(map[int]float64, len(byGroup))
+	for g, latencies := range byGroup {
+		slices.Sort(latencies)
+		medians[g] = latencies[(len(latencies)-1)/2]
 	}
-	return usual
+	return medians
 }
 
-// weigh moves a host's weight towards what latency, warmth and plans say, a step at a time.
-func (m *Mind) weigh(h *host, usual map[int]float64, now float64) {
-	want := base
-	if h.Weight > 0 {
-		want *= h.Weight
+// updateWeight moves a host's weight towards what latency, warmth and plans say, a step at a time.
+func (m *Decider) updateWeight(h *host, medians map[int]float64, now float64) {
+	target := baseWeight
+	if h.PlannedWeight > 0 {
+		target *= h.PlannedWeight
 	}
 	if h.latency > 0 {
 		factor := 1.0
 		for _, g := range h.Groups {
-			if usual[g] > 0 {
-				factor = min(factor, usual[g]/h.latency)
+			if medians[g] > 0 {
+				factor = min(factor, medians[g]/h.latency)
 			}
 		}
-		want *= max(factor, slowest)
+		target *= max(factor, minLatencyFactor)
 	}
 	// A cold host has its warm share of that at once, up or down: a step may not push it over.
-	warm := m.warm(h, now)
+	share := m.warmShare(h, now)
 	switch {
-	case warm < 1:
-		h.weight = want * warm * coldPush
+	case share < 1:
+		h.weight = target * share * warmupMargin
 	case h.weight == 0:
-		h.weight = want
+		h.weight = target
 	default:
-		h.weight = min(max(want, h.weight*(1-step)), max(h.weight*(1+step), 1.5))
+		h.weight = min(max(target, h.weight*(1-maxWeightStep)), max(h.weight*(1+maxWeightStep), 1.5))
 	}
 	h.weight = max(h.weight, 1)
 }
 
-func (m *Mind) speaking() (names []string) {
-	for name := range m.seen {
-		if !m.distrust[name] {
+func (m *Decider) trustedObservers() (names []string) {
+	for name := range m.observations {
+		if !m.distrusted[name] {
 			names = append(names, name)
 		}
 	}
@@ -585,11 +585,11 @@
 	return names
 }
 
-// warm is the least share of its capacity that a host can have by now.
-func (m *Mind) warm(h *host, now float64) float64 {
-	age := now - h.Started
-	if h.Started == 0 || m.terms.ColdTime == 0 || age >= m.terms.ColdTime {
+// warmShare is the least share of its capacity that a host can have by now.
+func (m *Decider) warmShare(h *host, now float64) float64 {
+	age := now - h.StartedAt
+	if h.StartedAt == 0 || m.warmup.Duration == 0 || age >= m.warmup.Duration {
 		return 1
 	}
-	return m.terms.ColdShare + (1-m.terms.ColdShare)*max(age, 0)/m.terms.ColdTime
+	return m.warmup.InitialShare + (1-m.warmup.InitialShare)*max(age, 0)/m.warmup.Duration
 }
--- a/logic/hoststate/zonesplit.go
+++ b/logic/hoststate/zonesplit.go
@@ -7,11 +7,11 @@
 
 // Constants of the split between zones.
 const (
-	entersAlone = 1.0      // a zone that holds so many times its proxies' fair load keeps it to itself,
-	leavesAlone = 0.8      // until it holds less than this
-	fades       = 60_000.0 // milliseconds until proxies that left are forgotten, against a reconnect storm
-	mixed       = 0.3      // of what a zone gives away goes by the others' room, whatever they have to spare
-	coarse      = 5.0      // steps of shares, in percent, against telling each breath of them
+	localEnterCoverage = 1.0      // a zone that holds so many times its proxies' fair load keeps it to itself,
+	localExitCoverage  = 0.8      // until it holds less than this
+	proxyCountDecay    = 60_000.0 // milliseconds until proxies that left are forgotten, against a reconnect storm
+	capacityMix        = 0.3      // observations what a zone gives away goes by the others' room, whatever they have to spare
+	weightStep         = 5.0      // steps of shares, in percent, against telling each breath of them
 )
 
 // Locality is how a zone's hosts of one group stand for a proxy: those of a lower priority first, as far as
@@ -24,27 +24,27 @@
 
 // ZoneSplit decides how much of a zone's load its own hosts take. One goroutine uses it.
 type ZoneSplit struct {
-	load  map[string]float64
-	at    float64
-	alone map[place]bool
+	load      map[string]float64
+	updatedAt float64
+	local     map[zoneGroup]bool
 }
 
-type place struct {
+type zoneGroup struct {
 	zone  string
 	group int
 }
 
 // NewZoneSplit knows of no proxies.
 func NewZoneSplit() *ZoneSplit {
-	return &ZoneSplit{load: map[string]float64{}, alone: map[place]bool{}}
+	return &ZoneSplit{load: map[string]float64{}, local: map[zoneGroup]bool{}}
 }
 
-// Follow takes over how many proxies there are by zone.
-func (h *ZoneSplit) Follow(proxies map[string]int, now float64) {
-	left := max(1-(now-h.at)/fades, 0)
-	h.at = now
+// SetProxies takes over how many proxies there are by zone.
+func (h *ZoneSplit) SetProxies(proxies map[string]int, now float64) {
+	remaining := max(1-(now-h.updatedAt)/proxyCountDecay, 0)
+	h.updatedAt = now
 	for zone, load := range h.load {
-		if load *= left; load < 0.5 {
+		if load *= remaining; load < 0.5 {
 			delete(h.load, zone)
 		} else {
 			h.load[zone] = load
@@ -59,91 +59,91 @@
 // best while that has room; where it hasn't, all proxies that hear the same would push it over, so that it
 // takes what is its fair share of the whole and others the rest, by what room they have.
 func (h *ZoneSplit) Split(endpoints []Endpoint, group int, zone string) []Locality {
-	room, total := map[string]float64{}, 0.0
+	capacity, total := map[string]float64{}, 0.0
 	var zones []string
 	for i := range endpoints {
 		e := &endpoints[i]
 		if !slices.Contains(e.Groups, group) {
 			continue
 		}
-		if _, known := room[e.Zone]; !known {
+		if _, known := capacity[e.Zone]; !known {
 			zones = append(zones, e.Zone)
-			room[e.Zone] = 0
+			capacity[e.Zone] = 0
 		}
 		if e.Health == Healthy {
-			room[e.Zone] += float64(e.Weight)
+			capacity[e.Zone] += float64(e.Weight)
 			total += float64(e.Weight)
 		}
 	}
 	slices.Sort(zones)
-	loads := 0.0
+	totalLoad := 0.0
 	names := make([]string, 0, len(h.load))
 	for name := range h.load {
 		names = append(names, name)
 	}
 	slices.Sort(names) // sums of floats depend on their order
 	for _, name := range names {
-		loads += h.load[name]
+		totalLoad += h.load[name]
 	}
-	fair := func(of string) float64 { // how often the zone's room holds its load
-		if total == 0 || h.load[of] == 0 || loads == 0 {
+	coverage := func(zoneName string) float64 { // how often the zone's room holds its load
+		if total == 0 || h.load[zoneName] == 0 || totalLoad == 0 {
 			return math.Inf(1)
 		}
-		return room[of] / total / (h.load[of] / loads)
+		return capacity[zoneName] / total / (h.load[zoneName] / totalLoad)
 	}
-	_, own := room[zone]
-	cover := 0.0
-	if own && room[zone] > 0 {
-		cover = fair(zone)
+	_, own := capacity[zone]
+	ownCoverage := 0.0
+	if own && capacity[zone] > 0 {
+		ownCoverage = coverage(zone)
 	}
-	at := place{zone, group}
-	if cover >= entersAlone || h.alone[at] && cover >= leavesAlone {
-		h.alone[at] = true
+	key := zoneGroup{zone, group}
+	if ownCoverage >= localEnterCoverage || h.local[key] && ownCoverage >= localExitCoverage {
+		h.local[key] = true
 	} else {
-		delete(h.alone, at)
+		delete(h.local, key)
 	}
 	all := make([]Locality, 0, len(zones))
-	if h.alone[at] {
+	if h.local[key] {
 		for _, name := range zones {
-			l := Locality{Zone: name, Priority: 1, Weight: uint32(max(math.Round(room[name]), 1))}
+			locality := Locality{Zone: name, Priority: 1, Weight: uint32(max(math.Round(capacity[name]), 1))}
 			if name == zone {
-				l.Priority = 0
+				locality.Priority = 0
 			}
-			all = append(all, l)
+			all = append(all, locality)
 		}
 		return all
 	}
 	// What the others have beside their own proxies' load; where nobody has anything, by their room.
-	spare, sum := map[string]float64{}, 0.0
+	spare, totalSpare := map[string]float64{}, 0.0
 	for _, name := range zones {
 		if name == zone {
 			continue
 		}
 		if total > 0 {
-			spare[name] = room[name] / total
-			if loads > 0 { // a little to each, against all going to one that has a little left
-				spare[name] = mixed*spare[name] + (1-mixed)*max(spare[name]-h.load[name]/loads, 0)
+			spare[name] = capacity[name] / total
+			if totalLoad > 0 { // a little to each, against all going to one that has a little left
+				spare[name] = capacityMix*spare[name] + (1-capacityMix)*max(spare[name]-h.load[name]/totalLoad, 0)
 			}
 		}
-		sum += spare[name]
+		totalSpare += spare[name]
 	}
-	if sum == 0 {
+	if totalSpare == 0 {
 		for _, name := range zones {
 			if name != zone {
-				spare[name] = max(room[name], 1e-9)
-				sum += spare[name]
+				spare[name] = max(capacity[name], 1e-9)
+				totalSpare += spare[name]
 			}
 		}
 	}
 	for _, name := range zones {
-		share := 100 * min(cover, 1)
+		share := 100 * min(ownCoverage, 1)
 		if name != zone {
-			share = (100 - 100*min(cover, 1)) * spare[name] / sum
+			share = (100 - 100*min(ownCoverage, 1)) * spare[name] / totalSpare
 		}
-		all = append(all, Locality{Zone: name, Weight: uint32(coarse * math.Round(share/coarse))})
+		all = append(all, Locality{Zone: name, Weight: uint32(weightStep * math.Round(share/weightStep))})
 	}
 	if !slices.ContainsFunc(all, func(l Locality) bool { return l.Weight > 0 }) {
-		for i := range all { // many zones with little each
+		for i := range all { // tooMany zones with little each
 			all[i].Weight = 1
 		}
 	}
