--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -1,13 +1,14 @@
-// Package hoststate decides what other proxies are told of each host: whether it may be sent to, and its
-// weight.
+// Package hoststate decides the state and weight of each host as published to proxies: whether requests may
+// be sent to it, and with which weight.
 //
-// It decides from the list of hosts, from what gatherers that serve have seen of them (s, f and how many
-// requests stand behind these), and from the weights of a plan. A drain is handed on at once; sickness only on
-// the word of more than one witness where there are more, for some time, and never of so many hosts that
-// those who look must be thought blind. Weights follow latency and warmth a little at a time, so that
-// proxies that all hear the same do not all go to the same host. It may never hand out a host that drains
-// or has gone as one to send new work to (rule 3), nor a cold host at more than its warm share of a warm
-// one's weight (rule 4). Why this way: docs/design/control.md.
+// The decisions are based on the list of hosts, on observations by serving gatherers (latency and share of
+// failures of each host, and the number of requests behind them), and on the planned weights. A drain is
+// published at once. A host is ejected only after a delay, and only if more than one observer finds it
+// unhealthy, unless there is only one. Ejection is suspended if so many hosts would be ejected that a fault
+// of the observers is more likely. Weights follow latency and warm-up in small steps, so that proxies which
+// all receive the same weights do not move to the same host together. A host that is draining or was removed
+// must never be published as available for new requests (rule 3), and a host that is warming up must never
+// get more than its warm-up share of a warm host's weight (rule 4). docs/design/control.md gives the reasons.
 package hoststate
 
 import (
@@ -18,60 +19,88 @@
 	"yokeroute/gather"
 )
 
-// The tuned values. Times are milliseconds.
+// Tuned constants. Times are in milliseconds.
 const (
-	outlierThreshold   = 0.25     // observations failures over the group's least from which a witness calls a host sick, as the
-	healthyThreshold   = 0.1      // module does, and under which it calls it well
-	minRequests        = 8.0      // requests of five seconds behind a witness's word,
-	minRequestsEjected = 1.0      // observations a host that is out
-	ejectionDelay      = 2000.0   // for so long a host has to be sick before it is out,
-	reinstatementDelay = 4000.0   // and well before it is in again,
-	maxBackoff         = 60_000.0 // and longer each time that it comes back, up to this
-	observationExpiry  = 10_000.0 // a host that nobody sees any more is tried again after
-	minGroupShare      = 0.5      // observations a group's running hosts stay in, whatever is said of them,
-	minFleetShare      = 0.7      // and of all; where more would be out, nobody is believed
-	distrustShare      = 0.5      // a witness that calls this share of what it sees sick is cut off itself
-	baseWeight         = 100.0    // weight of a warm host of usual latency
-	maxWeightStep      = 0.2      // by which a weight changes at most at a time
-	minWeightChange    = 0.1      // by which one has to differ from what was told to be told
-	weightInterval     = 1000.0   // between two changes of weights
-	minLatencyFactor   = 0.25     // weight of the slowest host over the usual one's
-	warmupMargin       = 0.6      // part of what is safe that a cold host is sent: the module's
-	latencySmoothing   = 0.3      // observations a new latency over the ones before
-	observerTimeout    = 15_000.0 // without any word of a witness
-	reinstatedShare    = 0.1      // observations its weight that a host has that is in again; steps bring it up
-	maxVanishedShare   = 0.3      // observations the running hosts, gone at once without a drain, are the list's fault,
-	minVanished        = 3.0      // from so many on,
-	vanishedGrace      = 30_000.0 // for so long
+	// outlierThreshold is the excess of a host's failure share over the lowest one in its group above which an
+	// observer counts as a vote for unhealthy. The decision module uses the same threshold.
+	outlierThreshold = 0.25
+	// healthyThreshold is the excess up to which an observer counts as a vote for healthy.
+	healthyThreshold = 0.1
+	// minRequests is the number of requests within rateWindow from which an observation counts.
+	minRequests = 8.0
+	// minRequestsEjected replaces minRequests for a host that is ejected.
+	minRequestsEjected = 1.0
+	// ejectionDelay is the time for which a host must be unhealthy before it is ejected.
+	ejectionDelay = 2000.0
+	// reinstatementDelay is the time for which an ejected host must be healthy before it is reinstated for the
+	// first time. It doubles with each further ejection.
+	reinstatementDelay = 4000.0
+	// maxBackoff limits the times that double with each ejection.
+	maxBackoff = 60_000.0
+	// observationExpiry is the time after which an ejected host without observations is reinstated as a trial,
+	// and after which the observations of a silent observer are dropped.
+	observationExpiry = 10_000.0
+	// minGroupShare is the fraction of a group's running hosts that are never ejected.
+	minGroupShare = 0.5
+	// minFleetShare is the fraction of all running hosts that are never ejected. If more of them would be,
+	// ejection is suspended.
+	minFleetShare = 0.7
+	// distrustShare is the fraction of unhealthy hosts from which an observer is distrusted, since it is
+	// probably cut off itself.
+	distrustShare = 0.5
+
+	baseWeight       = 100.0  // weight of a warm host with the median latency
+	maxWeightStep    = 0.2    // maximum relative change of a weight in one step
+	minWeightChange  = 0.1    // relative change from which a new weight is published
+	weightInterval   = 1000.0 // time between two updates of the weights
+	minLatencyFactor = 0.25   // weight of the slowest hosts, relative to one with the median latency
+	// warmupMargin is the fraction of its safe weight that a host gets while warming up. The decision module
+	// uses the same.
+	warmupMargin     = 0.6
+	latencySmoothing = 0.3 // weight of a new latency in the moving average
+
+	// observerTimeout is the time without any observations after which ejection is suspended.
+	observerTimeout = 15_000.0
+	// reinstatedShare is the fraction of its weight that a host has when it is reinstated. Steps of the weight
+	// restore the rest.
+	reinstatedShare = 0.1
+
+	// maxVanishedShare is the fraction of the running hosts that, if they vanish together without a drain,
+	// indicates a fault of the list.
+	maxVanishedShare = 0.3
+	// minVanished is the number of hosts below which maxVanishedShare does not apply.
+	minVanished = 3.0
+	// vanishedGrace is the time for which hosts that vanished by a fault of the list are kept.
+	vanishedGrace = 30_000.0
 )
 
-// Host is one host of the list.
+// Host is an entry of the list of hosts.
 type Host struct {
 	Name          string
 	Zone          string
 	Address       string
-	Groups        []int // observations segments that it holds, one at least
+	Groups        []int // groups of segments that the host holds; at least one
 	State         gather.State
-	StartedAt     float64 // 0 for long ago
-	PlannedWeight float64 // observations a plan, 0 for none; one on average
+	StartedAt     float64 // start time of the process; 0 if it started long ago
+	PlannedWeight float64 // relative weight in a plan, 1 on average; 0 if there is no plan
 }
 
-// Observation is what one witness has seen of one host lately: latency, failure share and extra latency, as the
-// design has them, and what it sends.
+// Observation holds what one observer recently measured of one host.
 type Observation struct {
-	Host                                  string
+	Host string
+	// Latency is in milliseconds. FailureLatency is the extra latency that a failure causes.
 	Latency, FailureShare, FailureLatency float64
-	Rate                                  float64 // part calls a second
-	InFlight                              float64 // part calls that are out
+	Rate                                  float64 // shard requests per second
+	InFlight                              float64 // shard requests in flight
 }
 
-// rateWindow is how many seconds of calls stand behind a witness's word.
+// rateWindow is the time in seconds over which the requests behind an observation are counted.
 const rateWindow = 5
 
 func (s *Observation) requests() float64 { return s.Rate * rateWindow }
 
-// expectedLatency is what one more call costs there: what calls took, or, where more are out than that explains, what
-// those out will take by Little's law; and what the failing ones cost on top.
+// expectedLatency returns the latency to expect of one more request to the host: the measured latency or, if
+// it is larger, that of the requests in flight by Little's law, plus the extra latency by failures.
 func (s *Observation) expectedLatency() float64 {
 	l := s.Latency
 	if s.Rate > 0 {
@@ -80,17 +109,17 @@
 	return l + min(s.FailureShare, 1)*s.FailureLatency
 }
 
-// Health is what proxies are told of a host.
+// Health is the health of a host as published to proxies.
 type Health int
 
-// The healths.
+// Health values.
 const (
 	Healthy   Health = iota
-	Unhealthy        // not to be sent to while others are there
+	Unhealthy        // ejected: no requests are sent to the host while others are available
 	Draining
 )
 
-// Endpoint is a host as proxies see it.
+// Endpoint is a host as published to proxies.
 type Endpoint struct {
 	Name      string
 	Zone      string
@@ -98,70 +127,74 @@
 	Groups    []int
 	Health    Health
 	Weight    uint32
-	StartedAt float64 // tells one process under a name from the next
+	StartedAt float64 // start time of the process; distinguishes successive processes of the same name
 }
 
-// WarmupSettings are the figures of cold starts.
+// WarmupSettings describes how the capacity of a host grows after a cold start: from InitialShare of its full
+// capacity, linearly, over Duration in milliseconds.
 type WarmupSettings struct{ InitialShare, Duration float64 }
 
-// host is what is known and decided of one.
+// host holds the observations of a host and the decisions about it.
 type host struct {
 	Host
 	published      Endpoint
-	weight         float64 // smoothed, not rounded
+	weight         float64 // smoothed weight, before rounding
 	latency        float64
-	outlierSince   float64 // since when witnesses call it sick, 0 for not
+	outlierSince   float64 // time since which observers find the host unhealthy; 0 if they don't
 	healthySince   float64
 	ejected        bool
-	ejections      int // that it went out
+	ejections      int // number of ejections of this process
 	lastObservedAt float64
-	removedAt      float64 // when it left the list, 0 while it is there
+	removedAt      float64 // time at which the host left the list; 0 while it is listed
 	isPublished    bool
-	unweighted     bool // a process that no weight was worked out for yet
+	unweighted     bool // no weight has been computed for this process yet
 }
 
-// Decider decides. One goroutine uses it.
+// Decider decides which endpoints are published. It is not safe for concurrent use.
 type Decider struct {
 	warmup        WarmupSettings
 	hosts         map[string]*host
-	names         []string // by name
+	names         []string // names of the hosts, sorted
 	observations  map[string]map[string]Observation
-	lastReportAt  map[string]float64 // when a witness last spoke
+	lastReportAt  map[string]float64 // time of the last observations, by observer
 	lastWeighedAt float64
-	startedAt     float64 // when it first decided or resumed
+	startedAt     float64 // time of the first Decide or Restore
 	version       uint64
 	suspended     bool
 	distrusted    map[string]bool
 }
 
-// New makes a mind that knows no host. Version is that of what was handed out before.
-func New(terms WarmupSettings, version uint64) *Decider {
-	return &Decider{warmup: terms, hosts: map[string]*host{}, observations: map[string]map[string]Observation{},
+// New returns a decider without hosts. version is the last version that was published before.
+func New(warmup WarmupSettings, version uint64) *Decider {
+	return &Decider{warmup: warmup, hosts: map[string]*host{}, observations: map[string]map[string]Observation{},
 		lastReportAt: map[string]float64{}, distrusted: map[string]bool{}, version: version}
 }
 
-// Version is that of what is handed out. It grows with each change.
-func (m *Decider) Version() uint64 { return m.version }
+// Version returns the version of the published endpoints. It grows with each change.
+func (d *Decider) Version() uint64 { return d.version }
 
-// AdvanceVersion sees to it that the version is past one that a proxy has heard elsewhere. One that no service can have
-// come to is not believed, against a proxy that makes versions run out.
-func (m *Decider) AdvanceVersion(version uint64) bool {
-	if version <= m.version || version-m.version > maxVersionLead {
+// AdvanceVersion raises the version above one that a proxy received from another instance. It returns false,
+// and changes nothing, if the version is not ahead, or so far ahead that no instance can have reached it:
+// otherwise a faulty proxy could exhaust the version numbers.
+func (d *Decider) AdvanceVersion(version uint64) bool {
+	if version <= d.version || version-d.version > maxVersionLead {
 		return false
 	}
-	m.version = version + 1
+	d.version = version + 1
 	return true
 }
 
-// maxVersionLead is a thousand changes a second for a month.
+// maxVersionLead limits by how much AdvanceVersion raises the version. It corresponds to a thousand changes a
+// second for a month.
 const maxVersionLead = 1 << 32
 
-// EjectionSuspended reports whether nobody is believed about sickness for now.
-func (m *Decider) EjectionSuspended() bool { return m.suspended }
+// EjectionSuspended reports whether no host is ejected at present, because the observers are not credible.
+func (d *Decider) EjectionSuspended() bool { return d.suspended }
 
-// Restore begins with what was handed out before: hosts stand until the list says otherwise.
-func (m *Decider) Restore(endpoints []Endpoint, now float64) {
-	m.startedAt = now
+// Restore starts from the endpoints that were published before a restart. They stay until the list of hosts
+// changes them.
+func (d *Decider) Restore(endpoints []Endpoint, now float64) {
+	d.startedAt = now
 	for _, e := range endpoints {
 		h := &host{Host: Host{Name: e.Name, Zone: e.Zone, Address: e.Address, Groups: e.Groups,
 			StartedAt: e.StartedAt}, published: e, weight: float64(e.Weight), lastObservedAt: now, isPublished: true}
@@ -171,90 +204,91 @@
 		if e.Health == Unhealthy {
 			h.ejected, h.outlierSince, h.ejections = true, now, 1
 		}
-		m.hosts[e.Name] = h
+		d.hosts[e.Name] = h
 	}
-	m.sortNames()
+	d.sortNames()
 }
 
-func (m *Decider) sortNames() {
-	m.names = m.names[:0]
-	for name := range m.hosts {
-		m.names = append(m.names, name)
+func (d *Decider) sortNames() {
+	d.names = d.names[:0]
+	for name := range d.hosts {
+		d.names = append(d.names, name)
 	}
-	slices.Sort(m.names) // against the order of a map
+	slices.Sort(d.names) // decisions must not depend on the iteration order of a map
 }
 
-// SetHosts takes over the list: all hosts that there are.
-func (m *Decider) SetHosts(hosts []Host, now float64) {
+// SetHosts sets the list of hosts. Hosts that are not in it count as removed.
+func (d *Decider) SetHosts(hosts []Host, now float64) {
 	listed := map[string]bool{}
 	for _, listedHost := range hosts {
 		listed[listedHost.Name] = true
-		h := m.hosts[listedHost.Name]
+		h := d.hosts[listedHost.Name]
 		if h == nil {
 			h = &host{unweighted: true}
-			m.hosts[listedHost.Name] = h
+			d.hosts[listedHost.Name] = h
 		}
-		if h.StartedAt != listedHost.StartedAt || listedHost.State == gather.Removed { // another process than the one judged
+		// The observations so far concern an earlier process of the same name.
+		if h.StartedAt != listedHost.StartedAt || listedHost.State == gather.Removed {
 			h.ejected, h.outlierSince, h.healthySince, h.ejections, h.latency, h.unweighted = false, 0, 0, 0, 0, true
-			for _, observations := range m.observations {
+			for _, observations := range d.observations {
 				delete(observations, listedHost.Name)
 			}
 		}
 		h.Host, h.removedAt = listedHost, 0
 	}
-	for name, h := range m.hosts {
+	for name, h := range d.hosts {
 		if !listed[name] && h.removedAt == 0 {
 			h.removedAt = now
 		}
 	}
-	m.sortNames()
+	d.sortNames()
 }
 
-// SetObservations takes over what one witness has seen: all that it sees now.
-func (m *Decider) SetObservations(observer string, observations []Observation, now float64) {
+// SetObservations replaces all observations of one observer.
+func (d *Decider) SetObservations(observer string, observations []Observation, now float64) {
 	byHost := make(map[string]Observation, len(observations))
 	for _, s := range observations {
 		byHost[s.Host] = s
-		if h := m.hosts[s.Host]; h != nil && m.isSignificant(&s) {
+		if h := d.hosts[s.Host]; h != nil && d.isSignificant(&s) {
 			h.lastObservedAt = now
 		}
 	}
-	m.observations[observer], m.lastReportAt[observer] = byHost, now
+	d.observations[observer], d.lastReportAt[observer] = byHost, now
 }
 
-// Change is what a decision came to.
+// Change is the result of a decision.
 type Change struct {
-	Changed []string // hosts that are told otherwise than before
-	Urgent  bool     // drains, hosts that left, addresses: they go ahead of all else
+	Changed []string // names of the hosts whose endpoints have changed
+	Urgent  bool     // a drain, a removal, or a change of address or process, to be published before all else
 }
 
-// Decide brings what is handed out up to a time.
-func (m *Decider) Decide(now float64) (c Change) {
-	if m.startedAt == 0 {
-		m.startedAt = now
+// Decide updates the endpoints to the given time.
+func (d *Decider) Decide(now float64) (c Change) {
+	if d.startedAt == 0 {
+		d.startedAt = now
 	}
-	for observer, reportedAt := range m.lastReportAt {
+	for observer, reportedAt := range d.lastReportAt {
 		if now-reportedAt > observationExpiry {
-			delete(m.lastReportAt, observer)
-			delete(m.observations, observer)
+			delete(d.lastReportAt, observer)
+			delete(d.observations, observer)
 		}
 	}
-	m.updateEjections(now)
-	reweigh := now-m.lastWeighedAt >= weightInterval
+	d.updateEjections(now)
+	reweigh := now-d.lastWeighedAt >= weightInterval
 	if reweigh {
-		m.lastWeighedAt = now
-		m.updateLatencies()
+		d.lastWeighedAt = now
+		d.updateLatencies()
 	}
 	var medians map[int]float64
 	if reweigh {
-		medians = m.medianLatencies()
+		medians = d.medianLatencies()
 	}
-	listCredible := m.isListCredible(now)
+	listCredible := d.isListCredible(now)
 	var removed []string
-	for _, name := range m.names {
-		h := m.hosts[name]
+	for _, name := range d.names {
+		h := d.hosts[name]
 		if h.removedAt > 0 && h.State == gather.Running && !listCredible && now-h.removedAt < vanishedGrace {
-			continue // it stays as it was told
+			continue // the host stays as published
 		}
 		if h.State == gather.Removed || h.removedAt > 0 {
 			removed = append(removed, name)
@@ -263,8 +297,8 @@
 			}
 			continue
 		}
-		if reweigh || h.unweighted { // one that is fresh has no latency yet to hold against the usual one
-			m.updateWeight(h, medians, now)
+		if reweigh || h.unweighted { // a new process has no latency to compare with medians
+			d.updateWeight(h, medians, now)
 		}
 		e := Endpoint{Name: name, Zone: h.Zone, Address: h.Address, Groups: h.Groups, Weight: h.published.Weight,
 			StartedAt: h.StartedAt}
@@ -285,7 +319,7 @@
 			continue
 		}
 		urgent := e.Health == Draining && previous.Health != Draining || e.Address != previous.Address ||
-			e.StartedAt != previous.StartedAt // cold again
+			e.StartedAt != previous.StartedAt // a restarted host is cold again
 		c.Urgent = c.Urgent || h.isPublished && urgent
 		if e.Health == Unhealthy && previous.Health != Unhealthy {
 			h.ejections++
@@ -294,16 +328,16 @@
 		c.Changed = append(c.Changed, name)
 	}
 	for _, name := range removed {
-		delete(m.hosts, name)
-		for _, observations := range m.observations {
+		delete(d.hosts, name)
+		for _, observations := range d.observations {
 			delete(observations, name)
 		}
 	}
 	if len(removed) > 0 {
-		m.sortNames()
+		d.sortNames()
 	}
 	if len(c.Changed) > 0 {
-		m.version++
+		d.version++
 	}
 	return c
 }
@@ -313,40 +347,40 @@
 		a.Weight == b.Weight && a.StartedAt == b.StartedAt && slices.Equal(a.Groups, b.Groups)
 }
 
-// Endpoints are all hosts as they are told, by name.
-func (m *Decider) Endpoints() []Endpoint {
-	all := make([]Endpoint, 0, len(m.names))
-	for _, name := range m.names {
-		if h := m.hosts[name]; h.isPublished {
+// Endpoints returns all published endpoints, sorted by name.
+func (d *Decider) Endpoints() []Endpoint {
+	all := make([]Endpoint, 0, len(d.names))
+	for _, name := range d.names {
+		if h := d.hosts[name]; h.isPublished {
 			all = append(all, h.published)
 		}
 	}
 	return all
 }
 
-// updateEjections decides who is sick.
-func (m *Decider) updateEjections(now float64) {
-	observers := make([]string, 0, len(m.observations))
-	for name := range m.observations {
+// updateEjections ejects and reinstates hosts by the votes of the observers.
+func (d *Decider) updateEjections(now float64) {
+	observers := make([]string, 0, len(d.observations))
+	for name := range d.observations {
 		observers = append(observers, name)
 	}
-	slices.Sort(observers) // against the order of a map
-	type votes struct{ sick, well int }
+	slices.Sort(observers) // decisions must not depend on the iteration order of a map
+	type votes struct{ unhealthy, healthy int }
 	votesByHost := map[string]*votes{}
 	trusted := 0
 	for _, observer := range observers {
-		outliers, count := m.findOutliers(m.observations[observer])
+		outliers, count := d.findOutliers(d.observations[observer])
 		if count == 0 {
 			continue
 		}
-		// One that can't reach half of what it asks looks through a broken path of its own.
-		m.distrusted[observer] = len(outliers) > 1 && float64(len(outliers)) >= distrustShare*float64(count)
-		if m.distrusted[observer] {
+		// If an observer can't reach half of its hosts, its own network path is probably at fault.
+		d.distrusted[observer] = len(outliers) > 1 && float64(len(outliers)) >= distrustShare*float64(count)
+		if d.distrusted[observer] {
 			continue
 		}
 		trusted++
-		for name, s := range m.observations[observer] {
-			if !m.isSignificant(&s) {
+		for name, s := range d.observations[observer] {
+			if !d.isSignificant(&s) {
 				continue
 			}
 			v := votesByHost[name]
@@ -355,25 +389,25 @@
 				votesByHost[name] = v
 			}
 			if excess, isOutlier := outliers[name]; isOutlier && excess > outlierThreshold {
-				v.sick++
+				v.unhealthy++
 			} else if !isOutlier {
-				v.well++
+				v.healthy++
 			}
 		}
 	}
-	for _, name := range m.names {
-		h, v := m.hosts[name], votesByHost[name]
+	for _, name := range d.names {
+		h, v := d.hosts[name], votesByHost[name]
 		switch {
-		case v == nil: // nobody sees it: it is out because nobody asks it, or it is not asked for anything
+		case v == nil: // no observations: an ejected host may get no requests, and others may not need any
 			if h.ejected && now-h.lastObservedAt > h.backoff(observationExpiry) {
 				h.reinstate()
 			}
-		case v.sick > v.well && (v.sick >= 2 || trusted == 1):
+		case v.unhealthy > v.healthy && (v.unhealthy >= 2 || trusted == 1):
 			if h.healthySince = 0; h.outlierSince == 0 {
 				h.outlierSince = now
 			}
 			h.ejected = h.ejected || now-h.outlierSince >= ejectionDelay
-		case v.well >= v.sick && h.outlierSince > 0:
+		case v.healthy >= v.unhealthy && h.outlierSince > 0:
 			if h.healthySince == 0 {
 				h.healthySince = now
 			}
@@ -382,10 +416,11 @@
 			}
 		}
 	}
-	m.limitEjections(now, trusted)
+	d.limitEjections(now, trusted)
 }
 
-// reinstate takes a host in again, and not all at once what all proxies have for it.
+// reinstate ends the ejection of a host. The host starts with a small weight, so that not all proxies send it
+// their full load at once.
 func (h *host) reinstate() {
 	if h.published.Health == Unhealthy {
 		h.weight = max(h.weight*reinstatedShare, 1)
@@ -394,11 +429,11 @@
 	h.ejected, h.outlierSince, h.healthySince = false, 0, 0
 }
 
-// isListCredible reports whether the list may be right about hosts that have left it. Hosts that go drain first;
-// tooMany that vanish at once without are rather what a broken list lost.
-func (m *Decider) isListCredible(now float64) bool {
+// isListCredible reports whether the list can be trusted about hosts that have left it. Hosts normally drain
+// before they leave; if many vanish at once without a drain, it is more likely that the list is broken.
+func (d *Decider) isListCredible(now float64) bool {
 	vanished, running := 0.0, 0.0
-	for _, h := range m.hosts {
+	for _, h := range d.hosts {
 		if !h.isPublished || h.State != gather.Running {
 			continue
 		}
@@ -410,24 +445,25 @@
 	return vanished < minVanished || vanished < maxVanishedShare*running
 }
 
-// backoff is a time that doubles each time that the host goes out again, against flapping.
+// backoff returns a time that doubles with each repeated ejection of the host, to dampen flapping.
 func (h *host) backoff(time float64) float64 {
 	return min(time*math.Pow(2, float64(min(max(h.ejections-1, 0), 10))), maxBackoff)
 }
 
-// isSignificant reports whether a witness's word on a host counts. One that is out gets few calls, and those that
-// look whether it is well again are enough to keep it out.
-func (m *Decider) isSignificant(s *Observation) bool {
-	h := m.hosts[s.Host]
+// isSignificant reports whether an observation is based on enough requests to count. An ejected host gets few
+// requests, and the trial requests that check whether it has recovered are enough to keep it ejected.
+func (d *Decider) isSignificant(s *Observation) bool {
+	h := d.hosts[s.Host]
 	return s.requests() >= minRequests || h != nil && h.ejected && s.requests() >= minRequestsEjected
 }
 
-// findOutliers is what a witness says: hosts whose failures stand out over the least of their group, and by how much.
-func (m *Decider) findOutliers(observations map[string]Observation) (outliers map[string]float64, count int) {
+// findOutliers returns the hosts whose failure share, as observed by one observer, exceeds the lowest of
+// their group by more than healthyThreshold, with the excess. count is the number of hosts compared.
+func (d *Decider) findOutliers(observations map[string]Observation) (outliers map[string]float64, count int) {
 	lowest := map[int]float64{}
 	for name, s := range observations {
-		h := m.hosts[name]
-		if h == nil || !m.isSignificant(&s) || h.State != gather.Running {
+		h := d.hosts[name]
+		if h == nil || !d.isSignificant(&s) || h.State != gather.Running {
 			continue
 		}
 		count++
@@ -439,8 +475,8 @@
 	}
 	outliers = map[string]float64{}
 	for name, s := range observations {
-		h := m.hosts[name]
-		if h == nil || !m.isSignificant(&s) || h.State != gather.Running {
+		h := d.hosts[name]
+		if h == nil || !d.isSignificant(&s) || h.State != gather.Running {
 			continue
 		}
 		excess := math.Inf(1)
@@ -454,13 +490,14 @@
 	return outliers, count
 }
 
-// limitEjections keeps enough hosts in: half of each group, whoever is sick longest going first, and of the whole
-// fleet so many that the blame may be the hosts' and not the eyes'.
-func (m *Decider) limitEjections(now float64, trusted int) {
+// limitEjections keeps at least minGroupShare of each group in service; the hosts that have been unhealthy
+// longest are ejected first. If so much of the fleet would be ejected that the observers are more likely at
+// fault than the hosts, or if there are no observers, it suspends ejection.
+func (d *Decider) limitEjections(now float64, trusted int) {
 	running, ejected := 0, 0
 	groups := map[int][]*host{}
-	for _, name := range m.names {
-		h := m.hosts[name]
+	for _, name := range d.names {
+		h := d.hosts[name]
 		if h.State != gather.Running || h.removedAt > 0 {
 			continue
 		}
@@ -473,9 +510,9 @@
 		}
 	}
 	tooMany := float64(ejected) > max((1-minFleetShare)*float64(running), 1)
-	m.suspended = tooMany || trusted == 0 && now-m.lastReport() > observerTimeout
-	if m.suspended {
-		for _, h := range m.hosts {
+	d.suspended = tooMany || trusted == 0 && now-d.lastReport() > observerTimeout
+	if d.suspended {
+		for _, h := range d.hosts {
 			h.ejected = false
 		}
 		return
@@ -494,28 +531,28 @@
 				continue
 			}
 			if allowance--; allowance < 0 {
-				h.ejected = false // the next decision sees it as sick as before, and it is its turn once others are well
+				h.ejected = false // outlierSince stays, so that the host is ejected once others have recovered
 			}
 		}
 	}
 }
 
-func (m *Decider) lastReport() float64 {
-	latest := m.startedAt // against condemning one's eyes before they had time to open
-	for _, t := range m.lastReportAt {
+func (d *Decider) lastReport() float64 {
+	latest := d.startedAt // gives observers time to report after the start
+	for _, t := range d.lastReportAt {
 		latest = max(latest, t)
 	}
 	return latest
 }
 
-// updateLatencies takes over latencies from the witnesses.
-func (m *Decider) updateLatencies() {
-	observers := m.trustedObservers()
-	for _, name := range m.names {
-		h := m.hosts[name]
+// updateLatencies updates the moving average of each host's latency from the trusted observers.
+func (d *Decider) updateLatencies() {
+	observers := d.trustedObservers()
+	for _, name := range d.names {
+		h := d.hosts[name]
 		sum, n := 0.0, 0.0
 		for _, observer := range observers {
-			if s, seen := m.observations[observer][name]; seen && s.requests() >= minRequests && s.Latency > 0 {
+			if s, seen := d.observations[observer][name]; seen && s.requests() >= minRequests && s.Latency > 0 {
 				sum, n = sum+s.expectedLatency(), n+1
 			}
 		}
@@ -529,11 +566,11 @@
 	}
 }
 
-// medianLatencies are the middle latencies of the groups.
-func (m *Decider) medianLatencies() map[int]float64 {
+// medianLatencies returns the median latency of each group.
+func (d *Decider) medianLatencies() map[int]float64 {
 	byGroup := map[int][]float64{}
-	for _, name := range m.names {
-		if h := m.hosts[name]; h.latency > 0 && h.State == gather.Running {
+	for _, name := range d.names {
+		if h := d.hosts[name]; h.latency > 0 && h.State == gather.Running {
 			for _, g := range h.Groups {
 				byGroup[g] = append(byGroup[g], h.latency)
 			}
@@ -547,8 +584,9 @@
 	return medians
 }
 
-// updateWeight moves a host's weight towards what latency, warmth and plans say, a step at a time.
-func (m *Decider) updateWeight(h *host, medians map[int]float64, now float64) {
+// updateWeight moves the weight of a host one step towards its target, which follows from latency, warm-up
+// and planned weight.
+func (d *Decider) updateWeight(h *host, medians map[int]float64, now float64) {
 	target := baseWeight
 	if h.PlannedWeight > 0 {
 		target *= h.PlannedWeight
@@ -562,8 +600,8 @@
 		}
 		target *= max(factor, minLatencyFactor)
 	}
-	// A cold host has its warm share of that at once, up or down: a step may not push it over.
-	share := m.warmShare(h, now)
+	// A host that is warming up gets its warm-up share at once, without steps, since a step could exceed it.
+	share := d.warmShare(h, now)
 	switch {
 	case share < 1:
 		h.weight = target * share * warmupMargin
@@ -575,9 +613,9 @@
 	h.weight = max(h.weight, 1)
 }
 
-func (m *Decider) trustedObservers() (names []string) {
-	for name := range m.observations {
-		if !m.distrusted[name] {
+func (d *Decider) trustedObservers() (names []string) {
+	for name := range d.observations {
+		if !d.distrusted[name] {
 			names = append(names, name)
 		}
 	}
@@ -585,11 +623,11 @@
 	return names
 }
 
-// warmShare is the least share of its capacity that a host can have by now.
-func (m *Decider) warmShare(h *host, now float64) float64 {
+// warmShare returns the share of its full capacity that a host has reached at least.
+func (d *Decider) warmShare(h *host, now float64) float64 {
 	age := now - h.StartedAt
-	if h.StartedAt == 0 || m.warmup.Duration == 0 || age >= m.warmup.Duration {
+	if h.StartedAt == 0 || d.warmup.Duration == 0 || age >= d.warmup.Duration {
 		return 1
 	}
-	return m.warmup.InitialShare + (1-m.warmup.InitialShare)*max(age, 0)/m.warmup.Duration
+	return d.warmup.InitialShare + (1-d.warmup.InitialShare)*max(age, 0)/d.warmup.Duration
 }
--- a/logic/hoststate/hoststate_test.go
+++ b/logic/hoststate/hoststate_test.go
@@ -17,20 +17,25 @@
 	"yokeroute/gather"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") }
+func init() { flag.Set("rapid.seed", "20261201") } // every run uses the same random draws
 
-// The notation of testdata/*.txt, a line each:
+// scenario runs a text scenario of testdata/*.txt. Each line holds one command:
 //
-//	cold SHARE TIME                     before all else
-//	host NAME[,NAME] KEY=VALUE ...      what the list says of hosts: zone, groups, state, started, plan
-//	drop NAME[,NAME]                    they are no longer listed
-//	see WITNESS NAME[,NAME] KEY=VALUE   what a witness sees from now on: s, f, r, rate, out
-//	blind WITNESS                       it sees nothing, and says so; gone: it says nothing any more
-//	run MS                              time goes on, with a decision every 250 ms
-//	want NAME[,NAME] HEALTH [LOW..HIGH] what is told of them, and the weight
-//	want out N; want none NAME; want blind yes|no; want urgent N (decisions since the last want urgent)
-//	want changes LOW..HIGH              decisions that changed anything since the last such line
-//	resume                              another mind goes on from what was handed out
+//	cold SHARE TIME                      initial share and duration of the warm-up; must be the first command
+//	host NAME[,NAME] KEY=VALUE ...       changes listed hosts; keys: zone, groups, state, started, plan
+//	drop NAME[,NAME]                     removes hosts from the list
+//	see OBSERVER NAME[,NAME] KEY=VALUE   sets what an observer reports from now on: latency (s), failure share
+//	                                     (f), extra latency of a failure (r), rate, in flight (out)
+//	blind OBSERVER                       the observer reports that it observes no hosts
+//	gone OBSERVER                        the observer stops reporting
+//	run MS                               advances the time, with a decision every 250 ms
+//	want NAME[,NAME] HEALTH [LOW..HIGH]  checks the published health and, optionally, the weight
+//	want out N                           checks the number of ejected hosts
+//	want none NAME                       checks that a host is not published
+//	want blind yes|no                    checks whether ejection is suspended
+//	want urgent N                        checks the number of urgent decisions since the last such line
+//	want changes LOW..HIGH               checks the number of decisions with changes since the last such line
+//	resume                               continues with a new decider that restores the published endpoints
 type scenario struct {
 	t            *testing.T
 	decider      *Decider
@@ -87,7 +92,9 @@
 					h.Groups = append(h.Groups, int(s.number(g)))
 				}
 			case "state":
-				h.State = map[string]gather.State{"running": gather.Running, "draining": gather.Draining, "gone": gather.Removed}[values[i]]
+				h.State = map[string]gather.State{
+					"running": gather.Running, "draining": gather.Draining, "gone": gather.Removed,
+				}[values[i]]
 			case "started":
 				if h.StartedAt = s.number(values[i]); values[i] == "0" {
 					h.StartedAt = s.now
@@ -112,7 +119,10 @@
 		observation.Host = name
 		keys, values := parseSettings(words)
 		for i, k := range keys {
-			*map[string]*float64{"s": &observation.Latency, "f": &observation.FailureShare, "r": &observation.FailureLatency, "rate": &observation.Rate, "out": &observation.InFlight}[k] = s.number(values[i])
+			*map[string]*float64{
+				"s": &observation.Latency, "f": &observation.FailureShare, "r": &observation.FailureLatency,
+				"rate": &observation.Rate, "out": &observation.InFlight,
+			}[k] = s.number(values[i])
 		}
 		s.observations[observer][name] = observation
 	}
@@ -141,7 +151,8 @@
 			s.changes++
 		}
 		if (len(c.Changed) > 0) != (s.decider.Version() > version) {
-			s.t.Fatalf("at %g: version %d after %d with %v changed", s.now, s.decider.Version(), version, c.Changed)
+			s.t.Fatalf("at %g: version %d after %d, although the changed hosts are %v",
+				s.now, s.decider.Version(), version, c.Changed)
 		}
 	}
 }
@@ -152,7 +163,7 @@
 		high = low
 	}
 	if got < s.number(low) || got > s.number(high) {
-		s.t.Errorf("%s: got %g at %g", line, got, s.now)
+		s.t.Errorf("%s: got %g at time %g", line, got, s.now)
 	}
 }
 
@@ -170,11 +181,11 @@
 		s.within(line, words[1], float64(unhealthy))
 	case "none":
 		if e, found := published[words[1]]; found {
-			s.t.Errorf("%s: %+v", line, e)
+			s.t.Errorf("%s: the host is published as %+v", line, e)
 		}
 	case "blind":
 		if s.decider.EjectionSuspended() != (words[1] == "yes") {
-			s.t.Errorf("%s: %v at %g", line, s.decider.EjectionSuspended(), s.now)
+			s.t.Errorf("%s: ejection suspended is %v at time %g", line, s.decider.EjectionSuspended(), s.now)
 		}
 	case "urgent":
 		s.within(line, words[1], float64(s.urgent))
@@ -186,7 +197,7 @@
 		for _, name := range strings.Split(words[0], ",") {
 			e, found := published[name]
 			if health := []string{"healthy", "sick", "draining"}[e.Health]; !found || health != words[1] {
-				s.t.Errorf("%s: %s is %s, %v, at %g", line, name, health, found, s.now)
+				s.t.Errorf("%s: health of %s is %s (published: %v) at time %g", line, name, health, found, s.now)
 			}
 			if len(words) > 2 {
 				s.within(line, words[2], float64(e.Weight))
@@ -195,6 +206,7 @@
 	}
 }
 
+// TestScenarios runs the text scenarios of testdata.
 func TestScenarios(t *testing.T) {
 	files, _ := filepath.Glob("testdata/*.txt")
 	if len(files) < 8 {
@@ -206,7 +218,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := &scenario{t: t, now: 1e6, hosts: map[string]Host{}, observations: map[string]map[string]Observation{}}
+			s := &scenario{t: t, now: 1e6, hosts: map[string]Host{},
+				observations: map[string]map[string]Observation{}}
 			s.decider = New(s.warmup, 0)
 			for _, line := range strings.Split(string(text), "\n") {
 				line, _, _ = strings.Cut(line, "#")
@@ -240,18 +253,20 @@
 					s.decider = New(s.warmup, version)
 					s.decider.Restore(before, s.now)
 					if got := s.decider.Endpoints(); !reflect.DeepEqual(got, before) {
-						t.Errorf("resumes with %v, not %v", got, before)
+						t.Errorf("restored endpoints are %v, want %v", got, before)
 					}
 				default:
-					t.Fatalf("%s?", line)
+					t.Fatalf("unknown command: %s", line)
 				}
 			}
 		})
 	}
 }
 
-// TestDecisionsKeepInvariants: whatever is seen and listed, no host that drains or left is told as one to send to, no cold one gets more
-// than its share, enough stay in, weights of warm ones move by steps, and all of it comes out alike a second time.
+// TestDecisionsKeepInvariants applies random lists of hosts and random observations. No draining host is
+// published as available, no host that is warming up gets more than its share, no more than half of a group
+// is ejected, weights of warm hosts change in limited steps, and a second decider with the same input
+// publishes the same.
 func TestDecisionsKeepInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		warmup := WarmupSettings{0.3, 20_000}
@@ -260,7 +275,8 @@
 		hosts := make([]Host, n)
 		listed := make([]bool, n)
 		for i := range hosts {
-			hosts[i] = Host{Name: fmt.Sprint("h", i), Zone: fmt.Sprint("a", i%2), Groups: []int{i % 3}, StartedAt: 0}
+			hosts[i] = Host{Name: fmt.Sprint("h", i), Zone: fmt.Sprint("a", i%2), Groups: []int{i % 3},
+				StartedAt: 0}
 			listed[i] = true
 		}
 		now := 1e6
@@ -288,7 +304,9 @@
 					if rapid.IntRange(0, 3).Draw(t, "seen") > 0 {
 						f := rapid.SampledFrom([]float64{0, 0, 0, 0.05, 0.5, 1}).Draw(t, "f")
 						s := rapid.SampledFrom([]float64{10, 10, 11, 40, 400}).Draw(t, "s")
-						observations[fmt.Sprint("w", w)] = append(observations[fmt.Sprint("w", w)], Observation{fmt.Sprint("h", i), s, f, 50, 20, float64(rapid.IntRange(0, 9).Draw(t, "out"))})
+						observations[fmt.Sprint("w", w)] = append(observations[fmt.Sprint("w", w)],
+							Observation{fmt.Sprint("h", i), s, f, 50, 20,
+								float64(rapid.IntRange(0, 9).Draw(t, "out"))})
 					}
 				}
 			}
@@ -302,7 +320,7 @@
 				published[k] = decider.Endpoints()
 			}
 			if !reflect.DeepEqual(published[0], published[1]) {
-				t.Fatalf("two minds: %v and %v", published[0], published[1])
+				t.Fatalf("two deciders with the same input published %v and %v", published[0], published[1])
 			}
 			unhealthy, running := map[int]int{}, map[int]int{}
 			current := map[string]Endpoint{}
@@ -311,21 +329,23 @@
 				index := slices.IndexFunc(hosts, func(h Host) bool { return h.Name == e.Name })
 				h := hosts[index]
 				if listed[index] && h.State == gather.Draining && e.Health != Draining {
-					t.Fatalf("%+v drains", e)
+					t.Fatalf("draining host is published as %+v", e)
 				}
 				if e.Weight < 1 {
-					t.Fatalf("%+v", e)
+					t.Fatalf("weight below 1: %+v", e)
 				}
 				if !listed[index] || e.Health == Draining {
 					continue
 				}
 				share := min(0.3+0.7*(now-h.StartedAt)/20_000, 1)
 				if share < 1 && float64(e.Weight) > max(math.Round(baseWeight*share), 1) {
-					t.Fatalf("%+v is %.2f warm", e, share)
+					t.Fatalf("%+v exceeds its warm-up share of %.2f", e, share)
 				}
-				if last, known := previous[e.Name]; known && last.StartedAt == e.StartedAt && share == 1 && (now-h.StartedAt > 30_000) {
-					if ratio := float64(e.Weight) / float64(last.Weight); e.Weight > 8 && last.Health != Unhealthy && (ratio > 1.35 || ratio < 0.65) {
-						t.Fatalf("%+v after %+v", e, last)
+				if last, known := previous[e.Name]; known && last.StartedAt == e.StartedAt && share == 1 &&
+					(now-h.StartedAt > 30_000) {
+					if ratio := float64(e.Weight) / float64(last.Weight); e.Weight > 8 && last.Health != Unhealthy &&
+						(ratio > 1.35 || ratio < 0.65) {
+						t.Fatalf("weight changed too much in one step: %+v after %+v", e, last)
 					}
 				}
 				running[h.Groups[0]]++
@@ -336,19 +356,21 @@
 			previous = current
 			for g, n := range unhealthy {
 				if n > running[g]/2 {
-					t.Fatalf("%d of %d are out in group %d", n, running[g], g)
+					t.Fatalf("%d of %d hosts are ejected in group %d", n, running[g], g)
 				}
 			}
 		}
 	})
 }
 
-// TestZoneSplitIsStable: zones keep to themselves while they hold their proxies, and not by turns.
+// TestZoneSplitIsStable checks that a zone handles all load of its own proxies while it has the capacity, and
+// that small variations and reconnect storms do not change the split.
 func TestZoneSplitIsStable(t *testing.T) {
 	var all []Endpoint
 	add := func(zone string, n int) {
 		for range n {
-			all = append(all, Endpoint{Name: fmt.Sprint(zone, len(all)), Zone: zone, Groups: []int{0}, Weight: 100})
+			all = append(all, Endpoint{Name: fmt.Sprint(zone, len(all)), Zone: zone, Groups: []int{0},
+				Weight: 100})
 		}
 	}
 	add("a", 10)
@@ -361,49 +383,51 @@
 		return localities[index].Priority, localities[index].Weight
 	}
 	if p, _ := priority(split.Split(all, 0, "a"), "b"); p != 1 {
-		t.Error("a has room for its own: the others come second")
+		t.Error("zone a has capacity for its own proxies, but the other zones don't have priority 1")
 	}
 	c := split.Split(all, 0, "c")
 	own, ownWeight := priority(c, "c")
 	other, otherWeight := priority(c, "a")
 	if own != 0 || other != 0 || ownWeight > 20 || otherWeight < 35 {
-		t.Errorf("c has one host for a third of the proxies: %+v", c)
+		t.Errorf("zone c, with one host for a third of the proxies, keeps too much load: %+v", c)
 	}
-	// A little to and fro changes nothing.
+	// Small variations of the capacity change nothing.
 	split.SetProxies(map[string]int{"a": 80, "b": 50, "c": 20}, 1)
 	priorityOfA, _ := priority(split.Split(all, 0, "a"), "a")
-	for i := range 6 { // a's room goes down to nine tenths of its load and back
+	for i := range 6 { // the capacity of zone a falls to nine tenths of its load and recovers
 		all[i%2].Weight = 30
 		if p, _ := priority(split.Split(all, 0, "a"), "b"); p != 1 {
-			t.Fatalf("a opens up at the first breath: %d", priorityOfA)
+			t.Fatalf("zone a shares its load after a small variation: priority %d", priorityOfA)
 		}
 		all[i%2].Weight = 100
 	}
-	for i := range 10 { // byGroup of a drains
+	for i := range 10 { // all hosts of zone a drain
 		all[i].Health = Draining
 	}
 	if l := split.Split(all, 0, "a"); l[0].Weight != 0 || l[0].Priority != 0 || l[1].Weight < 50 {
-		t.Errorf("a drains: %+v", l)
+		t.Errorf("zone a is draining, but keeps load: %+v", l)
 	}
-	// Where proxies have just gone, as in a reconnect storm, nothing changes at once.
+	// When proxies have just disconnected, as in a reconnect storm, nothing changes at once.
 	before := split.Split(all, 0, "c")
 	split.SetProxies(nil, 1000)
 	if after := split.Split(all, 0, "c"); !reflect.DeepEqual(before, after) {
-		t.Errorf("after a storm: %+v, before it %+v", after, before)
+		t.Errorf("split after a reconnect storm is %+v, want that before, %+v", after, before)
 	}
 	split.SetProxies(map[string]int{"b": 50}, 80_000)
 	if after := split.Split(all, 0, "c"); after[2].Priority != 0 || after[1].Priority != 1 {
-		t.Errorf("c's proxies have gone for good: %+v", after)
+		t.Errorf("zone c has no proxies any more, but does not keep its load: %+v", after)
 	}
 	if l := split.Split(all, 0, "elsewhere"); len(l) != 3 || l[1].Weight == 0 {
-		t.Errorf("from a zone without hosts: %+v", l)
+		t.Errorf("split for a zone without hosts: %+v", l)
 	}
 }
 
-// TestAdvanceVersionBoundsTheLead: versions go past what proxies hold, not where a proxy tells nonsense.
+// TestAdvanceVersionBoundsTheLead checks that the version is raised above one that a proxy holds, unless that
+// is older or implausibly far ahead.
 func TestAdvanceVersionBoundsTheLead(t *testing.T) {
 	decider := New(WarmupSettings{}, 10)
-	if decider.AdvanceVersion(9) || !decider.AdvanceVersion(500) || decider.Version() != 501 || decider.AdvanceVersion(math.MaxUint64) || decider.Version() != 501 {
+	if decider.AdvanceVersion(9) || !decider.AdvanceVersion(500) || decider.Version() != 501 ||
+		decider.AdvanceVersion(math.MaxUint64) || decider.Version() != 501 {
 		t.Error(decider.Version())
 	}
 }
--- a/logic/hoststate/zonesplit.go
+++ b/logic/hoststate/zonesplit.go
@@ -5,24 +5,34 @@
 	"slices"
 )
 
-// Constants of the split between zones.
 const (
-	localEnterCoverage = 1.0      // a zone that holds so many times its proxies' fair load keeps it to itself,
-	localExitCoverage  = 0.8      // until it holds less than this
-	proxyCountDecay    = 60_000.0 // milliseconds until proxies that left are forgotten, against a reconnect storm
-	capacityMix        = 0.3      // observations what a zone gives away goes by the others' room, whatever they have to spare
-	weightStep         = 5.0      // steps of shares, in percent, against telling each breath of them
+	// localEnterCoverage is the coverage of a zone, its share of the capacity over its share of the load, from
+	// which the zone keeps all of its load.
+	localEnterCoverage = 1.0
+	// localExitCoverage is the coverage below which a zone that keeps all of its load starts to share it.
+	localExitCoverage = 0.8
+	// proxyCountDecay is the time in milliseconds after which proxies that have disconnected are forgotten. The
+	// delay avoids changes during a reconnect storm.
+	proxyCountDecay = 60_000.0
+	// capacityMix is the fraction of a zone's shared load that is distributed by the capacity of the other
+	// zones, regardless of their spare capacity.
+	capacityMix = 0.3
+	// weightStep is the step, in percent, to which weights are rounded, so that small variations are not
+	// published.
+	weightStep = 5.0
 )
 
-// Locality is how a zone's hosts of one group stand for a proxy: those of a lower priority first, as far as
-// they are well, and within one priority by weight.
+// Locality holds the priority and weight that a proxy gives the hosts of one group in one zone. Zones of a
+// lower priority number are used first, as far as their hosts are healthy. Zones of equal priority share the
+// load by weight.
 type Locality struct {
 	Zone     string
 	Priority uint32
 	Weight   uint32
 }
 
-// ZoneSplit decides how much of a zone's load its own hosts take. One goroutine uses it.
+// ZoneSplit decides how much of a zone's load is handled by the zone's own hosts. It is not safe for
+// concurrent use.
 type ZoneSplit struct {
 	load      map[string]float64
 	updatedAt float64
@@ -34,31 +44,33 @@
 	group int
 }
 
-// NewZoneSplit knows of no proxies.
+// NewZoneSplit returns a ZoneSplit without proxies.
 func NewZoneSplit() *ZoneSplit {
 	return &ZoneSplit{load: map[string]float64{}, local: map[zoneGroup]bool{}}
 }
 
-// SetProxies takes over how many proxies there are by zone.
-func (h *ZoneSplit) SetProxies(proxies map[string]int, now float64) {
-	remaining := max(1-(now-h.updatedAt)/proxyCountDecay, 0)
-	h.updatedAt = now
-	for zone, load := range h.load {
+// SetProxies sets the number of connected proxies by zone. Numbers that have decreased decay over
+// proxyCountDecay.
+func (z *ZoneSplit) SetProxies(proxies map[string]int, now float64) {
+	remaining := max(1-(now-z.updatedAt)/proxyCountDecay, 0)
+	z.updatedAt = now
+	for zone, load := range z.load {
 		if load *= remaining; load < 0.5 {
-			delete(h.load, zone)
+			delete(z.load, zone)
 		} else {
-			h.load[zone] = load
+			z.load[zone] = load
 		}
 	}
 	for zone, n := range proxies {
-		h.load[zone] = max(h.load[zone], float64(n))
+		z.load[zone] = max(z.load[zone], float64(n))
 	}
 }
 
-// Split says how the hosts of a group stand for proxies of a zone. All of a proxy's load in its own zone is
-// best while that has room; where it hasn't, all proxies that hear the same would push it over, so that it
-// takes what is its fair share of the whole and others the rest, by what room they have.
-func (h *ZoneSplit) Split(endpoints []Endpoint, group int, zone string) []Locality {
+// Split returns the localities of a group for the proxies of a zone. A zone with enough capacity handles all
+// load of its own proxies, which is best. Otherwise its proxies, which all receive the same localities, would
+// overload it, so it handles its fair share of the total load, and the other zones handle the rest by their
+// spare capacity.
+func (z *ZoneSplit) Split(endpoints []Endpoint, group int, zone string) []Locality {
 	capacity, total := map[string]float64{}, 0.0
 	var zones []string
 	for i := range endpoints {
@@ -77,19 +89,20 @@
 	}
 	slices.Sort(zones)
 	totalLoad := 0.0
-	names := make([]string, 0, len(h.load))
-	for name := range h.load {
+	names := make([]string, 0, len(z.load))
+	for name := range z.load {
 		names = append(names, name)
 	}
-	slices.Sort(names) // sums of floats depend on their order
+	slices.Sort(names) // the result of a floating-point sum depends on the order
 	for _, name := range names {
-		totalLoad += h.load[name]
+		totalLoad += z.load[name]
 	}
-	coverage := func(zoneName string) float64 { // how often the zone's room holds its load
-		if total == 0 || h.load[zoneName] == 0 || totalLoad == 0 {
+	// coverage returns the zone's share of the capacity over its share of the load.
+	coverage := func(zoneName string) float64 {
+		if total == 0 || z.load[zoneName] == 0 || totalLoad == 0 {
 			return math.Inf(1)
 		}
-		return capacity[zoneName] / total / (h.load[zoneName] / totalLoad)
+		return capacity[zoneName] / total / (z.load[zoneName] / totalLoad)
 	}
 	_, own := capacity[zone]
 	ownCoverage := 0.0
@@ -97,13 +110,13 @@
 		ownCoverage = coverage(zone)
 	}
 	key := zoneGroup{zone, group}
-	if ownCoverage >= localEnterCoverage || h.local[key] && ownCoverage >= localExitCoverage {
-		h.local[key] = true
+	if ownCoverage >= localEnterCoverage || z.local[key] && ownCoverage >= localExitCoverage {
+		z.local[key] = true
 	} else {
-		delete(h.local, key)
+		delete(z.local, key)
 	}
 	all := make([]Locality, 0, len(zones))
-	if h.local[key] {
+	if z.local[key] {
 		for _, name := range zones {
 			locality := Locality{Zone: name, Priority: 1, Weight: uint32(max(math.Round(capacity[name]), 1))}
 			if name == zone {
@@ -113,7 +126,7 @@
 		}
 		return all
 	}
-	// What the others have beside their own proxies' load; where nobody has anything, by their room.
+	// The other zones share by the capacity that their own proxies leave, or by capacity if none is left.
 	spare, totalSpare := map[string]float64{}, 0.0
 	for _, name := range zones {
 		if name == zone {
@@ -121,8 +134,8 @@
 		}
 		if total > 0 {
 			spare[name] = capacity[name] / total
-			if totalLoad > 0 { // a little to each, against all going to one that has a little left
-				spare[name] = capacityMix*spare[name] + (1-capacityMix)*max(spare[name]-h.load[name]/totalLoad, 0)
+			if totalLoad > 0 { // mixed, so that not all load goes to one zone with little spare capacity
+				spare[name] = capacityMix*spare[name] + (1-capacityMix)*max(spare[name]-z.load[name]/totalLoad, 0)
 			}
 		}
 		totalSpare += spare[name]
@@ -143,7 +156,7 @@
 		all = append(all, Locality{Zone: name, Weight: uint32(weightStep * math.Round(share/weightStep))})
 	}
 	if !slices.ContainsFunc(all, func(l Locality) bool { return l.Weight > 0 }) {
-		for i := range all { // tooMany zones with little each
+		for i := range all { // each of many zones was rounded down to 0
 			all[i].Weight = 1
 		}
 	}
