--- a/logic/handout/handout.go
+++ b/logic/handout/handout.go
@@ -1,13 +1,16 @@
-// Package handout decides what one proxy's stream is sent next, of views that change.
+// Package handout decides which discovery response a proxy's stream is sent next, from views that change.
 //
-// It decides for the state-of-the-world and the incremental form of the published discovery protocol: which
-// type goes next, at which version, what is left out because the proxy has it, what its acknowledgements
-// and refusals come to. Views of hosts that drain go ahead of everything else; what makes comes before what
-// breaks: a type that names another's resources is sent after it, and what goes is taken away only when
-// nothing names it any more. It holds no queue: what is sent is cut from the newest view when it is sent, so
-// that a slow reader holds up nobody and grows nothing. It may never send half a view of a type, nor an
-// older view than one that it sent, nor one that nobody has confirmed to a proxy that holds another; these
-// would break drains (rule 3). Free of I/O.
+// It supports the state-of-the-world and the incremental variant of the published discovery protocol. It
+// decides which type is sent next and at which version, which resources are omitted because the proxy has
+// them, and how to react to acknowledgements and rejections. Changes of draining hosts are sent before
+// everything else. Otherwise updates are ordered make before break: a type whose resources refer to another
+// type's resources is sent after that type, and a resource is removed only when nothing refers to it any
+// more.
+//
+// There is no queue: each response is built from the newest view when it is sent, so that a slow proxy does
+// not delay others or use more memory. A stream must never be sent an incomplete view of a type, nor an older
+// view than before; and a proxy that holds a view must never be sent an unconfirmed one. Each of these would
+// break drains (rule 3). The package does no I/O.
 package handout
 
 import (
@@ -17,109 +20,123 @@
 	"strings"
 )
 
-// Type is a type of resources, in the order in which they make each other.
+// Type is a type of resources. Types are in the order in which their resources are sent.
 type Type int
 
-// The types: clusters, their endpoints, listeners, their routes.
+// The resource types: clusters and their endpoints, listeners and their routes.
 const (
 	Clusters Type = iota
 	Endpoints
 	Listeners
 	Routes
-	TypeCount // how many there are
+	TypeCount // number of types
 )
 
-// referencedBy is the type whose resources name those of a type, so that these have to go first.
-var referencedBy = [TypeCount]Type{Clusters: Routes, Endpoints: Clusters, Listeners: TypeCount, Routes: Listeners}
+// referencedBy maps a type to the type whose resources refer to it, which therefore has to be sent later.
+// TypeCount means that there is none.
+var referencedBy = [TypeCount]Type{
+	Clusters:  Routes,
+	Endpoints: Clusters,
+	Listeners: TypeCount,
+	Routes:    Listeners,
+}
 
-// requiresAll reports whether a state-of-the-world response has to hold all resources of the type, since what it
-// lacks is taken away. Of the others a response may hold what has changed alone.
+// requiresAll reports whether a state-of-the-world response must contain all resources of the type, since
+// proxies remove those that are missing. Responses of other types may contain changed resources only.
 func (t Type) requiresAll() bool { return t == Clusters || t == Listeners }
 
-// Resource is one resource of a view; its body is the sender's own.
+// Resource is a resource of a view. Body is opaque to this package.
 type Resource struct {
 	Name    string
-	Version string // of its body; the same body has the same version
-	Urgent  uint64 // of endpoints: the newest version that tells something which has to go ahead of all else
+	Version string // version of the body; equal bodies have equal versions
+	Urgent  uint64 // for endpoints: newest version of the view with an urgent change of the resource
 	Body    any
 }
 
-// View is all that a proxy may see, at a version that grows with each change.
+// View holds all resources that are visible to a proxy. Its version grows with each change.
 type View struct {
 	Version     uint64
-	Urgent      uint64 // the newest of its endpoints'
-	Unconfirmed bool   // it was kept from before and may be old: better than nothing, and than nothing else
+	Urgent      uint64 // maximum of Urgent over its endpoints
+	Unconfirmed bool   // restored from an earlier run and possibly stale; only for proxies without any view
 	Types       [TypeCount][]Resource
 }
 
-// Request is what a proxy says on its stream.
+// Request is a discovery request of a proxy.
 type Request struct {
 	Type            Type
-	Nonce           string   // of the response that it answers, empty for none
-	Version         string   // that it holds, state of the world
-	RejectReason    string   // rejectReason it does not take that response, empty where it does
-	Names           []string // state of the world: all that it wants; none at first, or *, is everything
-	Subscribe       []string // incremental
-	Unsubscribe     []string
-	InitialVersions map[string]string // incremental, at first: versions by name that it holds from before
+	Nonce           string            // nonce of the response that the request answers; empty for none
+	Version         string            // state of the world only: version that the proxy holds
+	RejectReason    string            // why the proxy rejects that response; empty if it accepts it
+	Names           []string          // state of the world only; "*", or no names at first, is all
+	Subscribe       []string          // incremental only: names to add
+	Unsubscribe     []string          // incremental only: names to remove
+	InitialVersions map[string]string // incremental only, first request: versions held, by name
 }
 
-// Response is what it is sent.
+// Response is a discovery response to a proxy.
 type Response struct {
 	Type      Type
 	Nonce     string
 	Version   string
 	Resources []Resource
-	Removed   []string // incremental
+	Removed   []string // incremental only: names of removed resources
 }
 
-// The tuned values. Times are milliseconds.
+// Tuned constants. Times are in milliseconds.
 const (
-	maxRejections  = 3        // in a row, after which a type rests before it is sent again,
-	minPause       = 200.0    // for so long, and twice as long each time,
-	maxPause       = 10_000.0 // index most
-	maxNames       = 10_000   // that a proxy may ask for by name
-	maxUnacked     = 16       // responses of a type that are out unanswered, urgent ones
-	unknownVersion = "?"      // version of what a proxy holds after it has refused another with others,
-	rejectedPrefix = "!"      // and before the version that it has refused by itself; no body has these
+	maxRejections = 3        // number of consecutive rejections from which a type is paused
+	minPause      = 200.0    // first pause; it doubles with each further rejection
+	maxPause      = 10_000.0 // upper limit of a pause
+	maxNames      = 10_000   // maximum number of resources of a type that a proxy may request by name
+	maxUnacked    = 16       // maximum number of unanswered responses of a type, if urgent ones are sent ahead
+
+	// unknownVersion is recorded for a resource that was rejected together with others: which version of it the
+	// proxy holds is not known. No resource has this version.
+	unknownVersion = "?"
+	// rejectedPrefix is put before the version of a resource that was rejected on its own. No version of a
+	// resource begins with it.
+	rejectedPrefix = "!"
 )
 
-// sentResponse is a response that is not answered yet.
+// sentResponse is a response that the proxy has not answered yet.
 type sentResponse struct {
 	nonce   string
 	version uint64
-	partial bool     // not all that was new at the version
-	names   []string // that it told of, removals too
+	partial bool     // the response does not contain all changes up to the version
+	names   []string // names of the resources in the response, including removed ones
 }
 
-// subscription is where a stream stands with one type.
+// subscription is the state of one resource type on a stream.
 type subscription struct {
-	active                bool
-	wildcard              bool // everything, not by name
-	names                 map[string]bool
-	unacked               []sentResponse
-	sentVersion           uint64 // version of the newest response, or up to which there was nothing to tell
+	active   bool
+	wildcard bool // all resources are requested, not only those in names
+	names    map[string]bool
+	unacked  []sentResponse
+	// sentVersion is the version of the newest response, or the version up to which no response was needed.
+	sentVersion           uint64
 	sentAt                float64
-	ackedVersion          uint64 // newest version taken
-	rejectedVersion       uint64 // newest version refused,
-	rejectReason          string // and why
-	consecutiveRejections int    // refusals
+	ackedVersion          uint64 // newest version that the proxy accepted
+	rejectedVersion       uint64 // newest version that the proxy rejected; 0 for none
+	rejectReason          string // reason that the proxy gave for the rejection
+	consecutiveRejections int
 	pausedUntil           float64
-	urgentVersion         uint64              // version up to which what is urgent was sent
-	oneAtATime            bool                // it refused several at once: one at a time, so that the bad one shows,
-	hasMore               bool                // and there are more
-	mustRespond           bool                // something was asked for that has to be answered, changed or not
-	hasDeferredRemovals   bool                // something is still held that goes once nothing names it
-	known                 map[string]Resource // what the proxy has, or is being sent
-	hadState              bool                // it held something when the stream began
+	urgentVersion         uint64 // version up to which urgent changes were sent
+	// oneAtATime is set after several resources were rejected together. They are then sent one by one, to
+	// find the faulty one.
+	oneAtATime          bool
+	hasMore             bool                // further changes of the sent version remain to be sent
+	mustRespond         bool                // a response is due to a request, even without changes
+	hasDeferredRemovals bool                // removals wait until nothing refers to the resources
+	known               map[string]Resource // resources that the proxy has or is being sent
+	hadState            bool                // the proxy had resources when the stream began
 }
 
 func (sub *subscription) hasUnacked() bool { return len(sub.unacked) > 0 }
 
-// wants reports whether a subscription has a resource in it.
+// wants reports whether the subscription includes a resource.
 func (sub *subscription) wants(name string) bool { return sub.wildcard || sub.names[name] }
 
-// Stream decides for one stream. One goroutine at a time uses it.
+// Stream decides which responses are sent on one stream. It is not safe for concurrent use.
 type Stream struct {
 	Incremental bool
 
@@ -127,19 +144,19 @@
 	nonce         uint64
 }
 
-// RequestError is what is wrong with a request; the stream has to end.
+// RequestError describes an invalid request, after which the stream has to be closed.
 type RequestError string
 
-func (f RequestError) Error() string { return string(f) }
+func (e RequestError) Error() string { return string(e) }
 
-// HandleRequest takes a request at a time.
+// HandleRequest processes a request. It returns a RequestError if the request is invalid.
 func (s *Stream) HandleRequest(r *Request, now float64) error {
 	if r.Type < 0 || r.Type >= TypeCount {
-		return RequestError("a type that is not served here")
+		return RequestError("discovery request for a resource type that is not served")
 	}
 	sub := &s.subscriptions[r.Type]
 	if len(r.Names)+len(r.Subscribe)+len(r.InitialVersions)+len(sub.names) > maxNames {
-		return RequestError("more than " + strconv.Itoa(maxNames) + " names")
+		return RequestError("discovery request for more than " + strconv.Itoa(maxNames) + " resource names")
 	}
 	first := !sub.active
 	if first {
@@ -149,7 +166,7 @@
 	} else if r.Nonce != "" {
 		newest := sub.hasUnacked() && sub.unacked[len(sub.unacked)-1].nonce == r.Nonce
 		s.handleAnswer(sub, r, now)
-		// What a proxy wants besides goes by the newest response, or what it said since would be undone.
+		// Only an answer to the newest response may change the names; an older one would undo later changes.
 		if !s.Incremental && !newest {
 			return nil
 		}
@@ -162,7 +179,8 @@
 	return nil
 }
 
-// handleAnswer books what a proxy says of a response. An answer for one says that the earlier ones were taken.
+// handleAnswer processes the acceptance or rejection of a response. An answer implies that all earlier
+// responses were accepted.
 func (s *Stream) handleAnswer(sub *subscription, r *Request, now float64) {
 	index := slices.IndexFunc(sub.unacked, func(f sentResponse) bool { return f.nonce == r.Nonce })
 	if index < 0 {
@@ -179,7 +197,7 @@
 	}
 	sub.rejectedVersion, sub.rejectReason = response.version, r.RejectReason
 	alone := len(response.names) == 1
-	for _, name := range response.names { // what it holds of these now, only it knows
+	for _, name := range response.names { // which versions of these the proxy holds now is not known
 		resource := sub.known[name]
 		resource.Name = name
 		if alone && !strings.HasPrefix(resource.Version, rejectedPrefix) {
@@ -201,7 +219,7 @@
 	}
 }
 
-// setNames takes what a stream of the state of the world wants.
+// setNames sets the names that a state-of-the-world stream requests.
 func (s *Stream) setNames(sub *subscription, r *Request, first bool) {
 	wildcard := len(r.Names) == 0 && (first || sub.wildcard) || slices.Contains(r.Names, "*")
 	names := map[string]bool{}
@@ -218,14 +236,15 @@
 	}
 	sub.mustRespond = sub.mustRespond || wildcard && !sub.wildcard
 	sub.wildcard, sub.names = wildcard, names
-	for n := range sub.known { // what it left it has no more; asked for again it is told again
+	// Resources that are no longer requested count as unknown, so that a later request for them is answered.
+	for n := range sub.known {
 		if !sub.wants(n) {
 			delete(sub.known, n)
 		}
 	}
 }
 
-// changeNames takes what an incremental stream wants more, and no longer.
+// changeNames adds and removes the names that an incremental stream subscribes to and unsubscribes from.
 func (s *Stream) changeNames(sub *subscription, r *Request, first bool) {
 	if first {
 		for name, version := range r.InitialVersions {
@@ -239,7 +258,7 @@
 		} else {
 			sub.names[n] = true
 		}
-		if !first { // mustRespond for again it is told again
+		if !first { // a repeated subscription is answered again
 			delete(sub.known, n)
 		}
 		sub.mustRespond = true
@@ -257,13 +276,13 @@
 	}
 }
 
-// Next gives what the stream is sent next of a view, or nil for nothing now; again is when to ask anew though
-// nothing has happened, 0 for never. Each call that gives a response counts it as sent.
+// Next returns the response to send next from a view, or nil if there is none at present. retryAt is the time
+// at which to call Next again even if nothing has changed, or 0. A response that is returned counts as sent.
 func (s *Stream) Next(v *View, now float64) (r *Response, retryAt float64) {
 	if v.Unconfirmed && s.hasEarlierState() {
 		return nil, 0
 	}
-	// What has to go ahead goes ahead, also of answers that are outstanding.
+	// Urgent changes are sent even if earlier responses are not answered yet.
 	sub := &s.subscriptions[Endpoints]
 	urgent := sub.active && sub.sentVersion > 0 && max(sub.urgentVersion, sub.sentVersion) < v.Urgent
 	if urgent && now >= sub.pausedUntil && len(sub.unacked) < maxUnacked {
@@ -272,7 +291,7 @@
 		}
 	}
 	retryAt, progress := 0.0, true
-	for progress { // where a type had nothing new, another may go
+	for progress { // a type that turned out to be up to date may unblock another
 		if r, retryAt, progress = s.nextByType(v, now); r != nil {
 			return r, 0
 		}
@@ -280,12 +299,13 @@
 	return nil, retryAt
 }
 
-// nextByType goes over the types once; progress says that one was found to have nothing new.
+// nextByType tries each type once. progress reports whether a type was found to be up to date.
 func (s *Stream) nextByType(v *View, now float64) (r *Response, retryAt float64, progress bool) {
 	for t := range TypeCount {
 		sub := &s.subscriptions[t]
 		removalsDue := sub.hasDeferredRemovals && s.mayRemove(t, v)
-		if !sub.active || sub.hasUnacked() || !sub.mustRespond && !sub.hasMore && sub.sentVersion >= v.Version && !removalsDue {
+		if !sub.active || sub.hasUnacked() ||
+			!sub.mustRespond && !sub.hasMore && sub.sentVersion >= v.Version && !removalsDue {
 			continue
 		}
 		if now < sub.pausedUntil {
@@ -305,7 +325,7 @@
 	return nil, retryAt, progress
 }
 
-// hasEarlierState reports whether the proxy came with a view that it holds from another stream.
+// hasEarlierState reports whether the proxy already held resources, from another stream, when this one began.
 func (s *Stream) hasEarlierState() bool {
 	for t := range TypeCount {
 		if s.subscriptions[t].hadState {
@@ -315,32 +335,36 @@
 	return false
 }
 
-// mustWait makes before it breaks: what names clusters waits until the proxy has answered for these and for
-// their endpoints.
+// mustWait reports whether a type must wait for make-before-break ordering: listeners and routes, which refer
+// to clusters, are sent only after the proxy has answered the clusters and their endpoints.
 func (s *Stream) mustWait(t Type, v *View) bool {
 	for earlier := range min(t, Listeners) {
-		if sub := &s.subscriptions[earlier]; t >= Listeners && sub.active && (sub.sentVersion < v.Version || sub.hasMore || sub.hasUnacked()) {
+		if sub := &s.subscriptions[earlier]; t >= Listeners && sub.active &&
+			(sub.sentVersion < v.Version || sub.hasMore || sub.hasUnacked()) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayRemove reports whether nothing that the proxy holds names what the view has no more.
+// mayRemove reports whether no resource of the proxy can still refer to resources of type t that are not in
+// the view.
 func (s *Stream) mayRemove(t Type, v *View) bool {
 	referrer := referencedBy[t]
 	if referrer == TypeCount {
 		return true
 	}
 	sub := &s.subscriptions[referrer]
-	return !sub.active || sub.sentVersion >= v.Version && !sub.hasUnacked() && !sub.hasDeferredRemovals && !sub.hasMore && sub.rejectedVersion < sub.sentVersion
+	return !sub.active || sub.sentVersion >= v.Version && !sub.hasUnacked() &&
+		!sub.hasDeferredRemovals && !sub.hasMore && sub.rejectedVersion < sub.sentVersion
 }
 
-// buildResponse makes a response of the view, of what is urgent alone or of all; nil where nothing is new to the proxy.
+// buildResponse builds a response from the view, with urgent changes only or with all changes. It returns nil
+// if the proxy needs no response.
 func (s *Stream) buildResponse(t Type, v *View, urgent bool, now float64) *Response {
 	sub := &s.subscriptions[t]
 	r := &Response{Type: t, Version: strconv.FormatUint(v.Version, 10)}
-	mayBePartial := s.Incremental || !t.requiresAll() // a response need not hold all
+	mayBePartial := s.Incremental || !t.requiresAll() // the response may omit unchanged resources
 	present := make(map[string]bool, len(v.Types[t]))
 	for _, resource := range v.Types[t] {
 		if !sub.wants(resource.Name) {
@@ -359,7 +383,8 @@
 	mustRespond := sub.mustRespond && !urgent
 	if s.Incremental {
 		r.Removed = slices.Clone(removals)
-		for name := range sub.names { // mustRespond for by name and not there: said once, so that it need not wait
+		// Names that were requested but do not exist are reported once as removed, so that the proxy does not wait.
+		for name := range sub.names {
 			if _, held := sub.known[name]; !held && !present[name] && mustRespond {
 				r.Removed = append(r.Removed, name)
 			}
@@ -385,7 +410,8 @@
 		names = append(names, removals...)
 	}
 	if !urgent {
-		sub.sentVersion, sub.hasMore, sub.oneAtATime, sub.mustRespond = max(sub.sentVersion, v.Version), hasMore, sub.oneAtATime && hasMore, mustRespond && hasMore
+		sub.sentVersion, sub.hasMore, sub.oneAtATime, sub.mustRespond = max(sub.sentVersion, v.Version),
+			hasMore, sub.oneAtATime && hasMore, mustRespond && hasMore
 	}
 	if !urgent || !hasMore {
 		sub.urgentVersion = max(sub.urgentVersion, v.Urgent)
@@ -393,7 +419,7 @@
 	if len(names) == 0 && !mustRespond {
 		return nil
 	}
-	if !mayBePartial { // with what goes later
+	if !mayBePartial { // contains also resources whose removal is deferred
 		r.Resources = r.Resources[:0:0]
 		for _, resource := range sub.known {
 			if resource.Body != nil {
@@ -409,7 +435,7 @@
 	return r
 }
 
-// compare puts what the proxy has refused behind all else, and the rest by name.
+// compare orders resources by name, with rejected ones after all others.
 func (sub *subscription) compare(x, y Resource) int {
 	if sx, sy := sub.wasRejected(x.Name), sub.wasRejected(y.Name); sx != sy {
 		if sx {
@@ -420,15 +446,17 @@
 	return cmp.Compare(x.Name, y.Name)
 }
 
-// wasRejected reports whether the proxy refused the resource when it came by itself.
+// wasRejected reports whether the proxy rejected the resource when it was sent on its own.
 func (sub *subscription) wasRejected(name string) bool {
 	return strings.HasPrefix(sub.known[name].Version, rejectedPrefix)
 }
 
-// limit cuts what is new, in order, to what goes in one response: what the proxy has refused goes by
-// itself, so that it holds up no other, and after several were refused at once each does, so that the bad
-// resource shows.
-func (sub *subscription) limit(changed []Resource, removed, removals []string) ([]Resource, []string, []string, bool) {
+// limit shortens the ordered changes to those of one response. A resource that was rejected before is sent on
+// its own, so that it does not block others. After several resources were rejected together each is sent on
+// its own, to find the faulty one. The last result reports whether changes are left over.
+func (sub *subscription) limit(
+	changed []Resource, removed, removals []string,
+) ([]Resource, []string, []string, bool) {
 	n := len(changed)
 	switch rejected := slices.IndexFunc(changed, func(r Resource) bool { return sub.wasRejected(r.Name) }); {
 	case sub.oneAtATime, rejected == 0:
@@ -445,45 +473,48 @@
 	return changed, removed, removals, false
 }
 
-// needs reports whether a resource is other than what the proxy has, and than what it has refused.
+// needs reports whether a resource differs from the version that the proxy has and from the one that it
+// rejected.
 func (sub *subscription) needs(resource *Resource) bool {
 	held, known := sub.known[resource.Name]
 	return !known || held.Version != resource.Version && held.Version != rejectedPrefix+resource.Version
 }
 
-// removals are the names of what the proxy has and is no more, sorted.
+// removals returns the sorted names of requested resources that the proxy has and that are not present.
 func (sub *subscription) removals(present map[string]bool) (names []string) {
 	for name, held := range sub.known {
-		if !present[name] && sub.wants(name) && held.Version != rejectedPrefix { // nor what it won't let go
+		// The bare prefix marks a rejected removal, which is not repeated.
+		if !present[name] && sub.wants(name) && held.Version != rejectedPrefix {
 			names = append(names, name)
 		}
 	}
-	slices.Sort(names) // against the order of a map
+	slices.Sort(names) // responses must not depend on the iteration order of a map
 	return names
 }
 
-// TypeStatus is where a stream stands with a type, for people who look on.
+// TypeStatus is the state of one resource type on a stream, for monitoring.
 type TypeStatus struct {
 	Type         Type
 	Sent         uint64
 	Acked        uint64
-	Rejected     uint64 // the version refused, 0 for none or where a later one was taken
+	Rejected     uint64 // newest version that was rejected; 0 if there is none or a later one was accepted
 	RejectReason string
-	Unacked      int     // responses that are not answered yet
-	LastSentAt   float64 // when the newest response was sent
+	Unacked      int     // number of unanswered responses
+	LastSentAt   float64 // time of the newest response
 }
 
-// Status are where the stream stands with each type that it wants.
+// Status returns the state of each type that the proxy has requested.
 func (s *Stream) Status() (statuses []TypeStatus) {
 	for t := range TypeCount {
 		if sub := &s.subscriptions[t]; sub.active {
-			statuses = append(statuses, TypeStatus{t, sub.sentVersion, sub.ackedVersion, sub.rejectedVersion, sub.rejectReason, len(sub.unacked), sub.sentAt})
+			statuses = append(statuses, TypeStatus{t, sub.sentVersion, sub.ackedVersion, sub.rejectedVersion,
+				sub.rejectReason, len(sub.unacked), sub.sentAt})
 		}
 	}
 	return statuses
 }
 
-// HeldVersion is the newest version that a proxy said it holds, of any type.
+// HeldVersion returns the newest version, over all types, that the proxy has reported to hold.
 func (s *Stream) HeldVersion() (version uint64) {
 	for t := range TypeCount {
 		version = max(version, s.subscriptions[t].ackedVersion)
