--- a/logic/twopass/decide.go
+++ b/logic/twopass/decide.go
@@ -26,7 +26,9 @@
 	FirstPassShare   float64 // maximum fraction of a query's time that its first pass may take
 	MinLikelihood    float64 // shards that hold a match with a lower likelihood are left out; 0 disables this
 	AllowPartial     bool    // shards may be left out even if the answer is incomplete without them
-	TrialShare       float64 // fraction of queries tried in two passes, to keep learning, although one seems better
+	// TrialShare is the fraction of queries sent in two passes as trials although one seems better, to keep
+	// learning.
+	TrialShare float64
 }
 
 const (
