--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -191,7 +191,7 @@
 // EjectionSuspended reports whether no host is ejected at present, because the observers are not credible.
 func (d *Decider) EjectionSuspended() bool { return d.suspended }
 
-// Restore starts from the endpoints that were published before a restart. They stay until the list of hosts
+// Restore starts from the endpoints that another decider published before. They stay until the list of hosts
 // changes them.
 func (d *Decider) Restore(endpoints []Endpoint, now float64) {
 	d.startedAt = now
