--- a/logic/handout/handout.go
+++ b/logic/handout/handout.go
@@ -1,13 +1,16 @@
-// Package handout decides what one proxy's stream is sent next, of views that change.
+// Package handout decides which discovery response a proxy's stream is sent next, from views that change.
 //
-// It decides for the state-of-the-world and the incremental form of the published discovery protocol: which
-// type goes next, at which version, what is left out because the proxy has it, what its acknowledgements
-// and refusals come to. Views of hosts that drain go ahead of everything else; what makes comes before what
-// breaks: a type that names another's resources is sent after it, and what goes is taken away only when
-// nothing names it any more. It holds no queue: what is sent is cut from the newest view when it is sent, so
-// that a slow reader holds up nobody and grows nothing. It may never send half a view of a type, nor an
-// older view than one that it sent, nor one that nobody has confirmed to a proxy that holds another; these
-// would break drains (rule 3). Free of I/O.
+// It supports the state-of-the-world and the incremental variant of the published discovery protocol. It
+// decides which type is sent next and at which version, which resources are omitted because the proxy has
+// them, and how to react to acknowledgements and rejections. Changes of draining hosts are sent before
+// everything else. Otherwise updates are ordered make before break: a type whose resources refer to another
+// type's resources is sent after that type, and a resource is removed only when nothing refers to it any
+// more.
+//
+// There is no queue: each response is built from the newest view when it is sent, so that a slow proxy does
+// not delay others or use more memory. A stream must never be sent an incomplete view of a type, nor an older
+// view than before; and a proxy that holds a view must never be sent an unconfirmed one. Each of these would
+// break drains (rule 3). The package does no I/O.
 package handout
 
 import (
@@ -17,193 +20,208 @@
 	"strings"
 )
 
-// Type is a type of resources, in the order in which they make each other.
+// Type is a type of resources. Types are in the order in which their resources are sent.
 type Type int
 
-// The types: clusters, their endpoints, listeners, their routes.
+// The resource types: clusters and their endpoints, listeners and their routes.
 const (
 	Clusters Type = iota
 	Endpoints
 	Listeners
 	Routes
-	Types // how many there are
+	TypeCount // number of types
 )
 
-// namedBy is the type whose resources name those of a type, so that these have to go first.
-var namedBy = [Types]Type{Clusters: Routes, Endpoints: Clusters, Listeners: Types, Routes: Listeners}
+// referencedBy maps a type to the type whose resources refer to it, which therefore has to be sent later.
+// TypeCount means that there is none.
+var referencedBy = [TypeCount]Type{
+	Clusters:  Routes,
+	Endpoints: Clusters,
+	Listeners: TypeCount,
+	Routes:    Listeners,
+}
 
-// whole reports whether a state-of-the-world response has to hold all resources of the type, since what it
-// lacks is taken away. Of the others a response may hold what has changed alone.
-func (t Type) whole() bool { return t == Clusters || t == Listeners }
+// requiresAll reports whether a state-of-the-world response must contain all resources of the type, since
+// proxies remove those that are missing. Responses of other types may contain changed resources only.
+func (t Type) requiresAll() bool { return t == Clusters || t == Listeners }
 
-// Resource is one resource of a view; its body is the sender's own.
+// Resource is a resource of a view. Body is opaque to this package.
 type Resource struct {
 	Name    string
-	Version string // of its body; the same body has the same version
-	Urgent  uint64 // of endpoints: the newest version that tells something which has to go ahead of all else
+	Version string // version of the body; equal bodies have equal versions
+	Urgent  uint64 // for endpoints: newest version of the view with an urgent change of the resource
 	Body    any
 }
 
-// View is all that a proxy may see, at a version that grows with each change.
+// View holds all resources that are visible to a proxy. Its version grows with each change.
 type View struct {
 	Version     uint64
-	Urgent      uint64 // the newest of its endpoints'
-	Unconfirmed bool   // it was kept from before and may be old: better than nothing, and than nothing else
-	Types       [Types][]Resource
+	Urgent      uint64 // maximum of Urgent over its endpoints
+	Unconfirmed bool   // restored from an earlier run and possibly stale; only for proxies without any view
+	Types       [TypeCount][]Resource
 }
 
-// Request is what a proxy says on its stream.
+// Request is a discovery request of a proxy.
 type Request struct {
-	Type      Type
-	Nonce     string   // of the response that it answers, empty for none
-	Version   string   // that it holds, state of the world
-	Refused   string   // why it does not take that response, empty where it does
-	Names     []string // state of the world: all that it wants; none at first, or *, is everything
-	Subscribe []string // incremental
-	Leave     []string
-	Has       map[string]string // incremental, at first: versions by name that it holds from before
+	Type            Type
+	Nonce           string            // nonce of the response that the request answers; empty for none
+	Version         string            // state of the world only: version that the proxy holds
+	RejectReason    string            // why the proxy rejects that response; empty if it accepts it
+	Names           []string          // state of the world only; "*", or no names at first, is all
+	Subscribe       []string          // incremental only: names to add
+	Unsubscribe     []string          // incremental only: names to remove
+	InitialVersions map[string]string // incremental only, first request: versions held, by name
 }
 
-// Response is what it is sent.
+// Response is a discovery response to a proxy.
 type Response struct {
 	Type      Type
 	Nonce     string
 	Version   string
 	Resources []Resource
-	Removed   []string // incremental
+	Removed   []string // incremental only: names of removed resources
 }
 
-// The tuned values. Times are milliseconds.
+// Tuned constants. Times are in milliseconds.
 const (
-	refusals  = 3        // in a row, after which a type rests before it is sent again,
-	rest      = 200.0    // for so long, and twice as long each time,
-	longest   = 10_000.0 // at most
-	mostNames = 10_000   // that a proxy may ask for by name
-	mostOpen  = 16       // responses of a type that are out unanswered, urgent ones
-	unknown   = "?"      // version of what a proxy holds after it has refused another with others,
-	refusing  = "!"      // and before the version that it has refused by itself; no body has these
+	maxRejections = 3        // number of consecutive rejections from which a type is paused
+	minPause      = 200.0    // first pause; it doubles with each further rejection
+	maxPause      = 10_000.0 // upper limit of a pause
+	maxNames      = 10_000   // maximum number of resources of a type that a proxy may request by name
+	maxUnacked    = 16       // maximum number of unanswered responses of a type, if urgent ones are sent ahead
+
+	// unknownVersion is recorded for a resource that was rejected together with others: which version of it the
+	// proxy holds is not known. No resource has this version.
+	unknownVersion = "?"
+	// rejectedPrefix is put before the version of a resource that was rejected on its own. No version of a
+	// resource begins with it.
+	rejectedPrefix = "!"
 )
 
-// flight is a response that is not answered yet.
-type flight struct {
+// sentResponse is a response that the proxy has not answered yet.
+type sentResponse struct {
 	nonce   string
 	version uint64
-	part    bool     // not all that was new at the version
-	names   []string // that it told of, removals too
+	partial bool     // the response does not contain all changes up to the version
+	names   []string // names of the resources in the response, including removed ones
 }
 
-// sub is where a stream stands with one type.
-type sub struct {
-	wanted  bool
-	all     bool // everything, not by name
-	names   map[string]bool
-	flights []flight
-	sent    uint64 // version of the newest response, or up to which there was nothing to tell
-	sentAt  float64
-	acked   uint64 // newest version taken
-	refused uint64 // newest version refused,
-	why     string // and why
-	inARow  int    // refusals
-	rests   float64
-	urgent  uint64              // version up to which what is urgent was sent
-	singly  bool                // it refused several at once: one at a time, so that the bad one shows,
-	more    bool                // and there are more
-	asked   bool                // something was asked for that has to be answered, changed or not
-	late    bool                // something is still held that goes once nothing names it
-	holds   map[string]Resource // what the proxy has, or is being sent
-	before  bool                // it held something when the stream began
+// subscription is the state of one resource type on a stream.
+type subscription struct {
+	active   bool
+	wildcard bool // all resources are requested, not only those in names
+	names    map[string]bool
+	unacked  []sentResponse
+	// sentVersion is the version of the newest response, or the version up to which no response was needed.
+	sentVersion           uint64
+	sentAt                float64
+	ackedVersion          uint64 // newest version that the proxy accepted
+	rejectedVersion       uint64 // newest version that the proxy rejected; 0 for none
+	rejectReason          string // reason that the proxy gave for the rejection
+	consecutiveRejections int
+	pausedUntil           float64
+	urgentVersion         uint64 // version up to which urgent changes were sent
+	// oneAtATime is set after several resources were rejected together. They are then sent one by one, to
+	// find the faulty one.
+	oneAtATime          bool
+	hasMore             bool                // further changes of the sent version remain to be sent
+	mustRespond         bool                // a response is due to a request, even without changes
+	hasDeferredRemovals bool                // removals wait until nothing refers to the resources
+	known               map[string]Resource // resources that the proxy has or is being sent
+	hadState            bool                // the proxy had resources when the stream began
 }
 
-func (b *sub) open() bool { return len(b.flights) > 0 }
+func (sub *subscription) hasUnacked() bool { return len(sub.unacked) > 0 }
 
-// wants reports whether a subscription has a resource in it.
-func (b *sub) wants(name string) bool { return b.all || b.names[name] }
+// wants reports whether the subscription includes a resource.
+func (sub *subscription) wants(name string) bool { return sub.wildcard || sub.names[name] }
 
-// Stream decides for one stream. One goroutine at a time uses it.
+// Stream decides which responses are sent on one stream. It is not safe for concurrent use.
 type Stream struct {
 	Incremental bool
 
-	subs  [Types]sub
-	nonce uint64
+	subscriptions [TypeCount]subscription
+	nonce         uint64
 }
 
-// Fault is what is wrong with a request; the stream has to end.
-type Fault string
+// RequestError describes an invalid request, after which the stream has to be closed.
+type RequestError string
 
-func (f Fault) Error() string { return string(f) }
+func (e RequestError) Error() string { return string(e) }
 
-// Take takes a request at a time.
-func (s *Stream) Take(r *Request, now float64) error {
-	if r.Type < 0 || r.Type >= Types {
-		return Fault("a type that is not served here")
+// HandleRequest processes a request. It returns a RequestError if the request is invalid.
+func (s *Stream) HandleRequest(r *Request, now float64) error {
+	if r.Type < 0 || r.Type >= TypeCount {
+		return RequestError("discovery request for a resource type that is not served")
 	}
-	b := &s.subs[r.Type]
-	if len(r.Names)+len(r.Subscribe)+len(r.Has)+len(b.names) > mostNames {
-		return Fault("more than " + strconv.Itoa(mostNames) + " names")
+	sub := &s.subscriptions[r.Type]
+	if len(r.Names)+len(r.Subscribe)+len(r.InitialVersions)+len(sub.names) > maxNames {
+		return RequestError("discovery request for more than " + strconv.Itoa(maxNames) + " resource names")
 	}
-	first := !b.wanted
+	first := !sub.active
 	if first {
-		b.wanted, b.asked, b.holds = true, true, map[string]Resource{}
-		b.names = map[string]bool{}
-		b.before = r.Version != "" || len(r.Has) > 0
+		sub.active, sub.mustRespond, sub.known = true, true, map[string]Resource{}
+		sub.names = map[string]bool{}
+		sub.hadState = r.Version != "" || len(r.InitialVersions) > 0
 	} else if r.Nonce != "" {
-		newest := b.open() && b.flights[len(b.flights)-1].nonce == r.Nonce
-		s.answered(b, r, now)
-		// What a proxy wants besides goes by the newest response, or what it said since would be undone.
+		newest := sub.hasUnacked() && sub.unacked[len(sub.unacked)-1].nonce == r.Nonce
+		s.handleAnswer(sub, r, now)
+		// Only an answer to the newest response may change the names; an older one would undo later changes.
 		if !s.Incremental && !newest {
 			return nil
 		}
 	}
 	if s.Incremental {
-		s.subscribe(b, r, first)
+		s.changeNames(sub, r, first)
 	} else {
-		s.name(b, r, first)
+		s.setNames(sub, r, first)
 	}
 	return nil
 }
 
-// answered books what a proxy says of a response. An answer for one says that the earlier ones were taken.
-func (s *Stream) answered(b *sub, r *Request, now float64) {
-	at := slices.IndexFunc(b.flights, func(f flight) bool { return f.nonce == r.Nonce })
-	if at < 0 {
+// handleAnswer processes the acceptance or rejection of a response. An answer implies that all earlier
+// responses were accepted.
+func (s *Stream) handleAnswer(sub *subscription, r *Request, now float64) {
+	index := slices.IndexFunc(sub.unacked, func(f sentResponse) bool { return f.nonce == r.Nonce })
+	if index < 0 {
 		return
 	}
-	f := b.flights[at]
-	b.flights = slices.Delete(b.flights, 0, at+1)
-	if r.Refused == "" {
-		b.inARow = 0
-		if !f.part {
-			b.acked, b.why, b.refused = max(b.acked, f.version), "", 0
+	response := sub.unacked[index]
+	sub.unacked = slices.Delete(sub.unacked, 0, index+1)
+	if r.RejectReason == "" {
+		sub.consecutiveRejections = 0
+		if !response.partial {
+			sub.ackedVersion, sub.rejectReason, sub.rejectedVersion = max(sub.ackedVersion, response.version), "", 0
 		}
 		return
 	}
-	b.refused, b.why = f.version, r.Refused
-	alone := len(f.names) == 1
-	for _, name := range f.names { // what it holds of these now, only it knows
-		held := b.holds[name]
-		held.Name = name
-		if alone && !strings.HasPrefix(held.Version, refusing) {
-			held.Version = refusing + held.Version
+	sub.rejectedVersion, sub.rejectReason = response.version, r.RejectReason
+	alone := len(response.names) == 1
+	for _, name := range response.names { // which versions of these the proxy holds now is not known
+		resource := sub.known[name]
+		resource.Name = name
+		if alone && !strings.HasPrefix(resource.Version, rejectedPrefix) {
+			resource.Version = rejectedPrefix + resource.Version
 		} else {
-			held.Version = unknown
+			resource.Version = unknownVersion
 		}
-		b.holds[name] = held
+		sub.known[name] = resource
 	}
-	if !alone && (s.Incremental || !r.Type.whole()) {
-		b.singly, b.more = true, true
+	if !alone && (s.Incremental || !r.Type.requiresAll()) {
+		sub.oneAtATime, sub.hasMore = true, true
 	}
-	if b.inARow++; b.inARow >= refusals {
-		pause := rest
-		for range min(b.inARow-refusals, 10) {
+	if sub.consecutiveRejections++; sub.consecutiveRejections >= maxRejections {
+		pause := minPause
+		for range min(sub.consecutiveRejections-maxRejections, 10) {
 			pause *= 2
 		}
-		b.rests = now + min(pause, longest)
+		sub.pausedUntil = now + min(pause, maxPause)
 	}
 }
 
-// name takes what a stream of the state of the world wants.
-func (s *Stream) name(b *sub, r *Request, first bool) {
-	all := len(r.Names) == 0 && (first || b.all) || slices.Contains(r.Names, "*")
+// setNames sets the names that a state-of-the-world stream requests.
+func (s *Stream) setNames(sub *subscription, r *Request, first bool) {
+	wildcard := len(r.Names) == 0 && (first || sub.wildcard) || slices.Contains(r.Names, "*")
 	names := map[string]bool{}
 	for _, n := range r.Names {
 		if n != "*" {
@@ -211,207 +229,215 @@
 		}
 	}
 	if first {
-		b.acked, _ = strconv.ParseUint(r.Version, 10, 64)
+		sub.ackedVersion, _ = strconv.ParseUint(r.Version, 10, 64)
 	}
 	for n := range names {
-		b.asked = b.asked || !b.wants(n)
-	}
-	b.asked = b.asked || all && !b.all
-	b.all, b.names = all, names
-	for n := range b.holds { // what it left it has no more; asked for again it is told again
-		if !b.wants(n) {
-			delete(b.holds, n)
+		sub.mustRespond = sub.mustRespond || !sub.wants(n)
+	}
+	sub.mustRespond = sub.mustRespond || wildcard && !sub.wildcard
+	sub.wildcard, sub.names = wildcard, names
+	// Resources that are no longer requested count as unknown, so that a later request for them is answered.
+	for n := range sub.known {
+		if !sub.wants(n) {
+			delete(sub.known, n)
 		}
 	}
 }
 
-// subscribe takes what an incremental stream wants more, and no longer.
-func (s *Stream) subscribe(b *sub, r *Request, first bool) {
+// changeNames adds and removes the names that an incremental stream subscribes to and unsubscribes from.
+func (s *Stream) changeNames(sub *subscription, r *Request, first bool) {
 	if first {
-		for name, version := range r.Has {
-			b.holds[name] = Resource{Name: name, Version: version}
+		for name, version := range r.InitialVersions {
+			sub.known[name] = Resource{Name: name, Version: version}
 		}
-		b.all = len(r.Subscribe) == 0
+		sub.wildcard = len(r.Subscribe) == 0
 	}
 	for _, n := range r.Subscribe {
 		if n == "*" {
-			b.all = true
+			sub.wildcard = true
 		} else {
-			b.names[n] = true
+			sub.names[n] = true
 		}
-		if !first { // asked for again it is told again
-			delete(b.holds, n)
+		if !first { // a repeated subscription is answered again
+			delete(sub.known, n)
 		}
-		b.asked = true
+		sub.mustRespond = true
 	}
-	for _, n := range r.Leave {
+	for _, n := range r.Unsubscribe {
 		if n == "*" {
-			b.all = false
+			sub.wildcard = false
 		}
-		delete(b.names, n)
+		delete(sub.names, n)
 	}
-	for n := range b.holds {
-		if len(r.Leave) > 0 && !b.wants(n) {
-			delete(b.holds, n)
+	for n := range sub.known {
+		if len(r.Unsubscribe) > 0 && !sub.wants(n) {
+			delete(sub.known, n)
 		}
 	}
 }
 
-// Next gives what the stream is sent next of a view, or nil for nothing now; again is when to ask anew though
-// nothing has happened, 0 for never. Each call that gives a response counts it as sent.
-func (s *Stream) Next(v *View, now float64) (r *Response, again float64) {
-	if v.Unconfirmed && s.held() {
+// Next returns the response to send next from a view, or nil if there is none at present. retryAt is the time
+// at which to call Next again even if nothing has changed, or 0. A response that is returned counts as sent.
+func (s *Stream) Next(v *View, now float64) (r *Response, retryAt float64) {
+	if v.Unconfirmed && s.hasEarlierState() {
 		return nil, 0
 	}
-	// What has to go ahead goes ahead, also of answers that are outstanding.
-	b := &s.subs[Endpoints]
-	ahead := b.wanted && b.sent > 0 && max(b.urgent, b.sent) < v.Urgent
-	if ahead && now >= b.rests && len(b.flights) < mostOpen {
-		if r := s.cut(Endpoints, v, true, now); r != nil {
+	// Urgent changes are sent even if earlier responses are not answered yet.
+	sub := &s.subscriptions[Endpoints]
+	urgent := sub.active && sub.sentVersion > 0 && max(sub.urgentVersion, sub.sentVersion) < v.Urgent
+	if urgent && now >= sub.pausedUntil && len(sub.unacked) < maxUnacked {
+		if r := s.buildResponse(Endpoints, v, true, now); r != nil {
 			return r, 0
 		}
 	}
-	again, progress := 0.0, true
-	for progress { // where a type had nothing new, another may go
-		if r, again, progress = s.next(v, now); r != nil {
+	retryAt, progress := 0.0, true
+	for progress { // a type that turned out to be up to date may unblock another
+		if r, retryAt, progress = s.nextByType(v, now); r != nil {
 			return r, 0
 		}
 	}
-	return nil, again
+	return nil, retryAt
 }
 
-// next goes over the types once; progress says that one was found to have nothing new.
-func (s *Stream) next(v *View, now float64) (r *Response, again float64, progress bool) {
-	for t := range Types {
-		b := &s.subs[t]
-		late := b.late && s.mayRemove(t, v)
-		if !b.wanted || b.open() || !b.asked && !b.more && b.sent >= v.Version && !late {
+// nextByType tries each type once. progress reports whether a type was found to be up to date.
+func (s *Stream) nextByType(v *View, now float64) (r *Response, retryAt float64, progress bool) {
+	for t := range TypeCount {
+		sub := &s.subscriptions[t]
+		removalsDue := sub.hasDeferredRemovals && s.mayRemove(t, v)
+		if !sub.active || sub.hasUnacked() ||
+			!sub.mustRespond && !sub.hasMore && sub.sentVersion >= v.Version && !removalsDue {
 			continue
 		}
-		if now < b.rests {
-			if again == 0 || b.rests < again {
-				again = b.rests
+		if now < sub.pausedUntil {
+			if retryAt == 0 || sub.pausedUntil < retryAt {
+				retryAt = sub.pausedUntil
 			}
 			continue
 		}
-		if s.holdsBack(t, v) {
+		if s.mustWait(t, v) {
 			continue
 		}
-		if r := s.cut(t, v, false, now); r != nil {
+		if r := s.buildResponse(t, v, false, now); r != nil {
 			return r, 0, true
 		}
 		progress = true
 	}
-	return nil, again, progress
+	return nil, retryAt, progress
 }
 
-// held reports whether the proxy came with a view that it holds from another stream.
-func (s *Stream) held() bool {
-	for t := range Types {
-		if s.subs[t].before {
+// hasEarlierState reports whether the proxy already held resources, from another stream, when this one began.
+func (s *Stream) hasEarlierState() bool {
+	for t := range TypeCount {
+		if s.subscriptions[t].hadState {
 			return true
 		}
 	}
 	return false
 }
 
-// holdsBack makes before it breaks: what names clusters waits until the proxy has answered for these and for
-// their endpoints.
-func (s *Stream) holdsBack(t Type, v *View) bool {
-	for made := range min(t, Listeners) {
-		if b := &s.subs[made]; t >= Listeners && b.wanted && (b.sent < v.Version || b.more || b.open()) {
+// mustWait reports whether a type must wait for make-before-break ordering: listeners and routes, which refer
+// to clusters, are sent only after the proxy has answered the clusters and their endpoints.
+func (s *Stream) mustWait(t Type, v *View) bool {
+	for earlier := range min(t, Listeners) {
+		if sub := &s.subscriptions[earlier]; t >= Listeners && sub.active &&
+			(sub.sentVersion < v.Version || sub.hasMore || sub.hasUnacked()) {
 			return true
 		}
 	}
 	return false
 }
 
-// mayRemove reports whether nothing that the proxy holds names what the view has no more.
+// mayRemove reports whether no resource of the proxy can still refer to resources of type t that are not in
+// the view.
 func (s *Stream) mayRemove(t Type, v *View) bool {
-	by := namedBy[t]
-	if by == Types {
+	referrer := referencedBy[t]
+	if referrer == TypeCount {
 		return true
 	}
-	b := &s.subs[by]
-	return !b.wanted || b.sent >= v.Version && !b.open() && !b.late && !b.more && b.refused < b.sent
+	sub := &s.subscriptions[referrer]
+	return !sub.active || sub.sentVersion >= v.Version && !sub.hasUnacked() &&
+		!sub.hasDeferredRemovals && !sub.hasMore && sub.rejectedVersion < sub.sentVersion
 }
 
-// cut makes a response of the view, of what is urgent alone or of all; nil where nothing is new to the proxy.
-func (s *Stream) cut(t Type, v *View, urgent bool, now float64) *Response {
-	b := &s.subs[t]
+// buildResponse builds a response from the view, with urgent changes only or with all changes. It returns nil
+// if the proxy needs no response.
+func (s *Stream) buildResponse(t Type, v *View, urgent bool, now float64) *Response {
+	sub := &s.subscriptions[t]
 	r := &Response{Type: t, Version: strconv.FormatUint(v.Version, 10)}
-	parts := s.Incremental || !t.whole() // a response need not hold all
-	here := make(map[string]bool, len(v.Types[t]))
-	for _, one := range v.Types[t] {
-		if !b.wants(one.Name) {
+	mayBePartial := s.Incremental || !t.requiresAll() // the response may omit unchanged resources
+	present := make(map[string]bool, len(v.Types[t]))
+	for _, resource := range v.Types[t] {
+		if !sub.wants(resource.Name) {
 			continue
 		}
-		here[one.Name] = true
-		if b.news(&one) && (!urgent || one.Urgent > b.urgent) {
-			r.Resources = append(r.Resources, one)
+		present[resource.Name] = true
+		if sub.needs(&resource) && (!urgent || resource.Urgent > sub.urgentVersion) {
+			r.Resources = append(r.Resources, resource)
 		}
 	}
-	gone := b.gone(here)
-	b.late = len(gone) > 0 && !s.mayRemove(t, v)
-	if b.late || urgent {
-		gone = nil
+	removals := sub.removals(present)
+	sub.hasDeferredRemovals = len(removals) > 0 && !s.mayRemove(t, v)
+	if sub.hasDeferredRemovals || urgent {
+		removals = nil
 	}
-	asked := b.asked && !urgent
+	mustRespond := sub.mustRespond && !urgent
 	if s.Incremental {
-		r.Removed = slices.Clone(gone)
-		for name := range b.names { // asked for by name and not there: said once, so that it need not wait
-			if _, held := b.holds[name]; !held && !here[name] && asked {
+		r.Removed = slices.Clone(removals)
+		// Names that were requested but do not exist are reported once as removed, so that the proxy does not wait.
+		for name := range sub.names {
+			if _, held := sub.known[name]; !held && !present[name] && mustRespond {
 				r.Removed = append(r.Removed, name)
 			}
 		}
 		slices.Sort(r.Removed)
 	}
-	slices.SortFunc(r.Resources, b.order)
-	more := false
-	if parts {
-		r.Resources, r.Removed, gone, more = b.together(r.Resources, r.Removed, gone)
+	slices.SortFunc(r.Resources, sub.compare)
+	hasMore := false
+	if mayBePartial {
+		r.Resources, r.Removed, removals, hasMore = sub.limit(r.Resources, r.Removed, removals)
 	}
-	var told []string
-	for _, one := range r.Resources {
-		b.holds[one.Name] = one
-		told = append(told, one.Name)
+	var names []string
+	for _, resource := range r.Resources {
+		sub.known[resource.Name] = resource
+		names = append(names, resource.Name)
 	}
-	for _, name := range gone {
-		delete(b.holds, name)
+	for _, name := range removals {
+		delete(sub.known, name)
 	}
 	if s.Incremental {
-		told = append(told, r.Removed...)
-	} else if !parts {
-		told = append(told, gone...)
+		names = append(names, r.Removed...)
+	} else if !mayBePartial {
+		names = append(names, removals...)
 	}
 	if !urgent {
-		b.sent, b.more, b.singly, b.asked = max(b.sent, v.Version), more, b.singly && more, asked && more
+		sub.sentVersion, sub.hasMore, sub.oneAtATime, sub.mustRespond = max(sub.sentVersion, v.Version),
+			hasMore, sub.oneAtATime && hasMore, mustRespond && hasMore
 	}
-	if !urgent || !more {
-		b.urgent = max(b.urgent, v.Urgent)
+	if !urgent || !hasMore {
+		sub.urgentVersion = max(sub.urgentVersion, v.Urgent)
 	}
-	if len(told) == 0 && !asked {
+	if len(names) == 0 && !mustRespond {
 		return nil
 	}
-	if !parts { // with what goes later
+	if !mayBePartial { // contains also resources whose removal is deferred
 		r.Resources = r.Resources[:0:0]
-		for _, one := range b.holds {
-			if one.Body != nil {
-				r.Resources = append(r.Resources, one)
+		for _, resource := range sub.known {
+			if resource.Body != nil {
+				r.Resources = append(r.Resources, resource)
 			}
 		}
 		slices.SortFunc(r.Resources, func(a, b Resource) int { return cmp.Compare(a.Name, b.Name) })
 	}
 	s.nonce++
 	r.Nonce = strconv.FormatUint(s.nonce, 10)
-	b.flights = append(b.flights, flight{r.Nonce, v.Version, urgent || more, told})
-	b.sentAt = now
+	sub.unacked = append(sub.unacked, sentResponse{r.Nonce, v.Version, urgent || hasMore, names})
+	sub.sentAt = now
 	return r
 }
 
-// order puts what the proxy has refused behind all else, and the rest by name.
-func (b *sub) order(x, y Resource) int {
-	if sx, sy := b.suspect(x.Name), b.suspect(y.Name); sx != sy {
+// compare orders resources by name, with rejected ones after all others.
+func (sub *subscription) compare(x, y Resource) int {
+	if sx, sy := sub.wasRejected(x.Name), sub.wasRejected(y.Name); sx != sy {
 		if sx {
 			return 1
 		}
@@ -420,71 +446,78 @@
 	return cmp.Compare(x.Name, y.Name)
 }
 
-// suspect reports whether the proxy refused the resource when it came by itself.
-func (b *sub) suspect(name string) bool { return strings.HasPrefix(b.holds[name].Version, refusing) }
+// wasRejected reports whether the proxy rejected the resource when it was sent on its own.
+func (sub *subscription) wasRejected(name string) bool {
+	return strings.HasPrefix(sub.known[name].Version, rejectedPrefix)
+}
 
-// together cuts what is new, in order, to what goes in one response: what the proxy has refused goes by
-// itself, so that it holds up no other, and after several were refused at once each does, so that the bad
-// one shows.
-func (b *sub) together(news []Resource, removed, gone []string) ([]Resource, []string, []string, bool) {
-	n := len(news)
-	switch bad := slices.IndexFunc(news, func(r Resource) bool { return b.suspect(r.Name) }); {
-	case b.singly, bad == 0:
+// limit shortens the ordered changes to those of one response. A resource that was rejected before is sent on
+// its own, so that it does not block others. After several resources were rejected together each is sent on
+// its own, to find the faulty one. The last result reports whether changes are left over.
+func (sub *subscription) limit(
+	changed []Resource, removed, removals []string,
+) ([]Resource, []string, []string, bool) {
+	n := len(changed)
+	switch rejected := slices.IndexFunc(changed, func(r Resource) bool { return sub.wasRejected(r.Name) }); {
+	case sub.oneAtATime, rejected == 0:
 		n = min(1, n)
-	case bad > 0:
-		n = bad
+	case rejected > 0:
+		n = rejected
 	}
-	switch apart := b.singly || n > 0 && b.suspect(news[0].Name); {
-	case n < len(news), apart && n > 0 && len(removed) > 0:
-		return news[:n], nil, nil, true
-	case b.singly && len(removed) > 1:
+	switch alone := sub.oneAtATime || n > 0 && sub.wasRejected(changed[0].Name); {
+	case n < len(changed), alone && n > 0 && len(removed) > 0:
+		return changed[:n], nil, nil, true
+	case sub.oneAtATime && len(removed) > 1:
 		return nil, removed[:1], removed[:1], true
 	}
-	return news, removed, gone, false
+	return changed, removed, removals, false
 }
 
-// news reports whether a resource is other than what the proxy has, and than what it has refused.
-func (b *sub) news(one *Resource) bool {
-	held, has := b.holds[one.Name]
-	return !has || held.Version != one.Version && held.Version != refusing+one.Version
+// needs reports whether a resource differs from the version that the proxy has and from the one that it
+// rejected.
+func (sub *subscription) needs(resource *Resource) bool {
+	held, known := sub.known[resource.Name]
+	return !known || held.Version != resource.Version && held.Version != rejectedPrefix+resource.Version
 }
 
-// gone are the names of what the proxy has and is no more, sorted.
-func (b *sub) gone(here map[string]bool) (gone []string) {
-	for name, held := range b.holds {
-		if !here[name] && b.wants(name) && held.Version != refusing { // nor what it won't let go
-			gone = append(gone, name)
+// removals returns the sorted names of requested resources that the proxy has and that are not present.
+func (sub *subscription) removals(present map[string]bool) (names []string) {
+	for name, held := range sub.known {
+		// The bare prefix marks a rejected removal, which is not repeated.
+		if !present[name] && sub.wants(name) && held.Version != rejectedPrefix {
+			names = append(names, name)
 		}
 	}
-	slices.Sort(gone) // against the order of a map
-	return gone
+	slices.Sort(names) // responses must not depend on the iteration order of a map
+	return names
 }
 
-// Standing is where a stream stands with a type, for people who look on.
-type Standing struct {
-	Type    Type
-	Sent    uint64
-	Acked   uint64
-	Refused uint64 // the version refused, 0 for none or where a later one was taken
-	Why     string
-	Open    int     // responses that are not answered yet
-	Since   float64 // when the newest response was sent
+// TypeStatus is the state of one resource type on a stream, for monitoring.
+type TypeStatus struct {
+	Type         Type
+	Sent         uint64
+	Acked        uint64
+	Rejected     uint64 // newest version that was rejected; 0 if there is none or a later one was accepted
+	RejectReason string
+	Unacked      int     // number of unanswered responses
+	LastSentAt   float64 // time of the newest response
 }
 
-// Standings are where the stream stands with each type that it wants.
-func (s *Stream) Standings() (all []Standing) {
-	for t := range Types {
-		if b := &s.subs[t]; b.wanted {
-			all = append(all, Standing{t, b.sent, b.acked, b.refused, b.why, len(b.flights), b.sentAt})
+// Status returns the state of each type that the proxy has requested.
+func (s *Stream) Status() (statuses []TypeStatus) {
+	for t := range TypeCount {
+		if sub := &s.subscriptions[t]; sub.active {
+			statuses = append(statuses, TypeStatus{t, sub.sentVersion, sub.ackedVersion, sub.rejectedVersion,
+				sub.rejectReason, len(sub.unacked), sub.sentAt})
 		}
 	}
-	return all
+	return statuses
 }
 
-// Holds is the newest version that a proxy said it holds, of any type.
-func (s *Stream) Holds() (version uint64) {
-	for t := range Types {
-		version = max(version, s.subs[t].acked)
+// HeldVersion returns the newest version, over all types, that the proxy has reported to hold.
+func (s *Stream) HeldVersion() (version uint64) {
+	for t := range TypeCount {
+		version = max(version, s.subscriptions[t].ackedVersion)
 	}
 	return version
 }
--- a/logic/handout/handout_test.go
+++ b/logic/handout/handout_test.go
@@ -11,353 +11,377 @@
 	"pgregory.net/rapid"
 )
 
-func init() { flag.Set("rapid.seed", "20261201") }
+func init() { flag.Set("rapid.seed", "20261201") } // every run uses the same random draws
 
-// source makes views: clusters c0.., endpoints of the same names, routes that name clusters.
+// source builds views with clusters c0, c1 and so on, endpoints of the same names, and a route to some of
+// them.
 type source struct {
 	version, urgent uint64
-	clusters        map[string]int    // and their versions
-	ends            map[string]int    // versions of endpoints
-	hot             map[string]uint64 // versions that were urgent
-	routes          []string          // clusters that the route names
+	clusters        map[string]int    // versions of clusters, by name
+	endpoints       map[string]int    // versions of endpoints, by name
+	urgentVersions  map[string]uint64 // newest urgent versions of endpoints, by name
+	routes          []string          // names of the clusters that the route refers to
 }
 
 func (s *source) view() *View {
 	v := &View{Version: s.version, Urgent: s.urgent}
 	for _, n := range slices.Sorted(maps.Keys(s.clusters)) {
-		v.Types[Clusters] = append(v.Types[Clusters], Resource{Name: n, Version: fmt.Sprint(s.clusters[n]), Body: n})
-		v.Types[Endpoints] = append(v.Types[Endpoints], Resource{Name: n, Version: fmt.Sprint(s.ends[n]), Urgent: s.hot[n], Body: s.ends[n]})
+		v.Types[Clusters] = append(v.Types[Clusters],
+			Resource{Name: n, Version: fmt.Sprint(s.clusters[n]), Body: n})
+		v.Types[Endpoints] = append(v.Types[Endpoints],
+			Resource{Name: n, Version: fmt.Sprint(s.endpoints[n]), Urgent: s.urgentVersions[n], Body: s.endpoints[n]})
 	}
 	v.Types[Listeners] = []Resource{{Name: "l", Version: "1", Body: []string{"r"}}}
-	v.Types[Routes] = []Resource{{Name: "r", Version: strings.Join(s.routes, "+"), Body: slices.Clone(s.routes)}}
+	v.Types[Routes] = []Resource{
+		{Name: "r", Version: strings.Join(s.routes, "+"), Body: slices.Clone(s.routes)},
+	}
 	return v
 }
 
-// proxy is the other end of a stream, as the protocol's page has it.
+// proxy simulates a proxy at the other end of a stream, as specified by the protocol.
 type proxy struct {
-	t       *rapid.T
-	s       *Stream
-	bad     string // endpoints that it refuses
-	has     [Types]map[string]Resource
-	version [Types]string
-	waiting []*Response
-	newest  [Types]uint64
-	anew    bool
-	limbo   map[string]bool // clusters that a stream of the state of the world did not know it held, while routes name them
-	now     float64
+	t          *rapid.T
+	stream     *Stream
+	rejects    string // name of the endpoints resource that the proxy rejects; empty for none
+	held       [TypeCount]map[string]Resource
+	version    [TypeCount]string
+	unanswered []*Response
+	newest     [TypeCount]uint64
+	restarted  bool
+	// unlisted holds the clusters that the proxy had when a state-of-the-world stream began. The stream does not
+	// know of them, so they may be removed while routes still refer to them.
+	unlisted map[string]bool
+	now      float64
 }
 
 func (p *proxy) start(incremental bool) {
-	p.s, p.waiting, p.anew = &Stream{Incremental: incremental}, nil, true
-	for t := range Types {
+	p.stream, p.unanswered, p.restarted = &Stream{Incremental: incremental}, nil, true
+	for t := range TypeCount {
 		r := &Request{Type: t}
 		if incremental {
-			r.Has = map[string]string{}
-			for n, res := range p.has[t] {
-				r.Has[n] = res.Version
+			r.InitialVersions = map[string]string{}
+			for n, res := range p.held[t] {
+				r.InitialVersions[n] = res.Version
 			}
 		} else {
 			r.Version = p.version[t]
 		}
-		if err := p.s.Take(r, p.now); err != nil {
+		if err := p.stream.HandleRequest(r, p.now); err != nil {
 			p.t.Fatal(err)
 		}
-		if p.has[t] == nil {
-			p.has[t] = map[string]Resource{}
+		if p.held[t] == nil {
+			p.held[t] = map[string]Resource{}
 		}
 		p.newest[t] = 0
 	}
 }
 
-// pull takes what there is to send, without answering.
-func (p *proxy) pull(v *View) {
+// receive receives all responses that are due, without answering them.
+func (p *proxy) receive(v *View) {
 	for range 100 {
-		r, again := p.s.Next(v, p.now)
+		r, retryAt := p.stream.Next(v, p.now)
 		if r == nil {
-			if again > 0 {
-				p.now = again
+			if retryAt > 0 {
+				p.now = retryAt
 				continue
 			}
 			return
 		}
-		p.waiting = append(p.waiting, r)
-		for t := range Types {
-			if n := len(p.s.subs[t].flights); n > mostOpen {
-				p.t.Fatalf("%d responses out", n)
+		p.unanswered = append(p.unanswered, r)
+		for t := range TypeCount {
+			if n := len(p.stream.subscriptions[t].unacked); n > maxUnacked {
+				p.t.Fatalf("%d unanswered responses", n)
 			}
 		}
 	}
-	p.t.Fatal("no end of responses")
+	p.t.Fatal("Next returned more than 100 responses")
 }
 
-// answer applies the oldest response whole, or refuses it, and checks what the proxy then holds.
+// answer accepts or rejects the oldest unanswered response as a whole, and checks the resources that the
+// proxy then holds.
 func (p *proxy) answer() {
-	if len(p.waiting) == 0 {
+	if len(p.unanswered) == 0 {
 		return
 	}
-	r := p.waiting[0]
-	p.waiting = p.waiting[1:]
+	r := p.unanswered[0]
+	p.unanswered = p.unanswered[1:]
 	var version uint64
 	fmt.Sscan(r.Version, &version)
 	if version < p.newest[r.Type] {
-		p.t.Fatalf("type %d: version %d after %d", r.Type, version, p.newest[r.Type])
+		p.t.Fatalf("type %d: received version %d after %d", r.Type, version, p.newest[r.Type])
 	}
 	p.newest[r.Type] = version
 	req := &Request{Type: r.Type, Nonce: r.Nonce}
-	for _, one := range r.Resources {
-		if r.Type == Endpoints && one.Name == p.bad {
-			req.Refused = "bad " + one.Name
+	for _, resource := range r.Resources {
+		if r.Type == Endpoints && resource.Name == p.rejects {
+			req.RejectReason = "bad " + resource.Name
 		}
 	}
-	if req.Refused == "" {
-		if !p.s.Incremental && r.Type.whole() {
-			if r.Type == Clusters && p.anew {
-				p.anew = false
-				for n := range p.has[Clusters] {
-					p.limbo[n] = true
+	if req.RejectReason == "" {
+		if !p.stream.Incremental && r.Type.requiresAll() {
+			if r.Type == Clusters && p.restarted {
+				p.restarted = false
+				for n := range p.held[Clusters] {
+					p.unlisted[n] = true
 				}
 			}
-			clear(p.has[r.Type])
+			clear(p.held[r.Type])
 		}
 		if r.Type == Routes {
-			clear(p.limbo)
+			clear(p.unlisted)
 		}
-		for _, one := range r.Resources {
-			p.has[r.Type][one.Name] = one
+		for _, resource := range r.Resources {
+			p.held[r.Type][resource.Name] = resource
 		}
 		for _, n := range r.Removed {
-			delete(p.has[r.Type], n)
+			delete(p.held[r.Type], n)
 		}
 		p.version[r.Type] = r.Version
 	}
 	req.Version = p.version[r.Type]
-	if err := p.s.Take(req, p.now); err != nil {
+	if err := p.stream.HandleRequest(req, p.now); err != nil {
 		p.t.Fatal(err)
 	}
-	for _, route := range p.has[Routes] {
+	for _, route := range p.held[Routes] {
 		for _, c := range route.Body.([]string) {
-			if _, has := p.has[Clusters][c]; !has && !p.limbo[c] {
-				p.t.Fatalf("a route names cluster %s, which is not there", c)
+			if _, found := p.held[Clusters][c]; !found && !p.unlisted[c] {
+				p.t.Fatalf("a route refers to cluster %s, which the proxy does not hold", c)
 			}
 		}
 	}
 }
 
-// settle answers all until nothing more comes.
+// settle receives and answers responses until no more are due.
 func (p *proxy) settle(v *View) {
 	for range 300 {
-		p.pull(v)
-		if len(p.waiting) == 0 {
+		p.receive(v)
+		if len(p.unanswered) == 0 {
 			return
 		}
 		p.answer()
 	}
-	p.t.Fatal("it never settles")
+	p.t.Fatal("responses are still due after 300 answers")
 }
 
-// TestAnyOrder: whatever changes, however late answers are, through refusals and new streams, a proxy never holds a route
-// to a cluster that it lacks, and ends with the newest view but for what it has refused.
-func TestAnyOrder(t *testing.T) {
+// TestProxyNeverLacksARoutedCluster applies random changes, delayed answers, rejections and new streams. The
+// proxy must never hold a route to a cluster that it lacks, and must end with the newest view except for
+// resources that it rejected.
+func TestProxyNeverLacksARoutedCluster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		src := &source{version: 1, clusters: map[string]int{"c0": 1, "c1": 1}, ends: map[string]int{"c0": 1, "c1": 1}, hot: map[string]uint64{}, routes: []string{"c0"}}
+		views := &source{version: 1, clusters: map[string]int{"c0": 1, "c1": 1},
+			endpoints:      map[string]int{"c0": 1, "c1": 1},
+			urgentVersions: map[string]uint64{}, routes: []string{"c0"}}
 		incremental := rapid.Bool().Draw(t, "incremental")
-		p := &proxy{t: t, limbo: map[string]bool{}}
+		p := &proxy{t: t, unlisted: map[string]bool{}}
 		p.start(incremental)
 		names := []string{"c0", "c1", "c2", "c3"}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			p.now += 10
 			name := rapid.SampledFrom(names).Draw(t, "name")
-			_, there := src.clusters[name]
+			_, exists := views.clusters[name]
 			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0, 1: // endpoints change
-				if there {
-					src.version++
-					src.ends[name]++
+				if exists {
+					views.version++
+					views.endpoints[name]++
 				}
 			case 2: // a drain
-				if there {
-					src.version++
-					src.ends[name]++
-					src.urgent, src.hot[name] = src.version, src.version
+				if exists {
+					views.version++
+					views.endpoints[name]++
+					views.urgent, views.urgentVersions[name] = views.version, views.version
 				}
-			case 3: // a cluster comes or goes; the routes with it
-				src.version++
-				if there && len(src.clusters) > 1 {
-					delete(src.clusters, name)
+			case 3: // a cluster is added or removed, and the route changes
+				views.version++
+				if exists && len(views.clusters) > 1 {
+					delete(views.clusters, name)
 				} else {
-					src.clusters[name], src.ends[name] = int(src.version), int(src.version)
+					views.clusters[name], views.endpoints[name] = int(views.version), int(views.version)
 				}
-				src.routes = nil
-				for n := range src.clusters {
-					if len(src.routes) == 0 || rapid.Bool().Draw(t, "routed") {
-						src.routes = append(src.routes, n)
+				views.routes = nil
+				for n := range views.clusters {
+					if len(views.routes) == 0 || rapid.Bool().Draw(t, "routed") {
+						views.routes = append(views.routes, n)
 					}
 				}
-				slices.Sort(src.routes)
+				slices.Sort(views.routes)
 			case 4, 5, 6:
 				p.answer()
 			case 7:
 				p.start(incremental)
 			case 8:
-				p.bad = rapid.SampledFrom([]string{"", "c0", "c1"}).Draw(t, "bad")
+				p.rejects = rapid.SampledFrom([]string{"", "c0", "c1"}).Draw(t, "bad")
 			}
 			if rapid.Bool().Draw(t, "pull") {
-				p.pull(src.view())
+				p.receive(views.view())
 			}
 		}
-		v := src.view()
+		v := views.view()
 		p.settle(v)
-		for at := range Types {
-			for _, want := range v.Types[at] {
-				if got := p.has[at][want.Name]; got.Version != want.Version && p.s.subs[at].holds[want.Name].Version != refusing+want.Version {
-					t.Fatalf("type %d, %s: holds %q of %q (refuses %q)", at, want.Name, got.Version, want.Version, p.bad)
+		for resourceType := range TypeCount {
+			for _, want := range v.Types[resourceType] {
+				if got := p.held[resourceType][want.Name]; got.Version != want.Version &&
+					p.stream.subscriptions[resourceType].known[want.Name].Version != rejectedPrefix+want.Version {
+					t.Fatalf("type %d, %s: proxy holds version %q, want %q (rejects %q)",
+						resourceType, want.Name, got.Version, want.Version, p.rejects)
 				}
 			}
-			if (incremental || at.whole()) && len(p.has[at]) > len(v.Types[at]) {
-				t.Fatalf("type %d: holds %v of %v", at, slices.Sorted(maps.Keys(p.has[at])), v.Types[at])
+			if (incremental || resourceType.requiresAll()) && len(p.held[resourceType]) > len(v.Types[resourceType]) {
+				t.Fatalf("type %d: proxy holds %v, want only %v", resourceType,
+					slices.Sorted(maps.Keys(p.held[resourceType])), v.Types[resourceType])
 			}
 		}
-		if p.bad == "" {
-			for _, st := range p.s.Standings() {
-				if st.Refused != 0 && st.Type != Endpoints {
-					t.Fatalf("%+v is shown as refused", st)
+		if p.rejects == "" {
+			for _, status := range p.stream.Status() {
+				if status.Rejected != 0 && status.Type != Endpoints {
+					t.Fatalf("status %+v shows a rejection that did not happen", status)
 				}
 			}
 		}
 	})
 }
 
-// TestDrainFirst: what drains goes ahead of answers that are out and without what else has changed.
-func TestDrainFirst(t *testing.T) {
+// TestDrainIsSentBeforeOtherChanges checks that a drain is sent although an earlier response is not answered
+// yet, and without the other changes.
+func TestDrainIsSentBeforeOtherChanges(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
-		src := &source{version: 1, clusters: map[string]int{}, ends: map[string]int{}, hot: map[string]uint64{}}
+		views := &source{version: 1, clusters: map[string]int{}, endpoints: map[string]int{},
+			urgentVersions: map[string]uint64{}}
 		for i := range 50 {
 			n := fmt.Sprintf("c%02d", i)
-			src.clusters[n], src.ends[n] = 1, 1
+			views.clusters[n], views.endpoints[n] = 1, 1
 		}
 		s := &Stream{Incremental: incremental}
-		for at := range Types {
-			s.Take(&Request{Type: at}, 0)
+		for resourceType := range TypeCount {
+			s.HandleRequest(&Request{Type: resourceType}, 0)
 		}
 		var last *Response
 		for {
-			r, _ := s.Next(src.view(), 0)
+			r, _ := s.Next(views.view(), 0)
 			if r == nil {
 				break
 			}
 			last = r
 			if r.Type != Endpoints {
-				s.Take(&Request{Type: r.Type, Nonce: r.Nonce, Version: r.Version}, 0)
+				s.HandleRequest(&Request{Type: r.Type, Nonce: r.Nonce, Version: r.Version}, 0)
 			}
 		}
 		if last.Type != Endpoints || len(last.Resources) != 50 {
-			t.Fatalf("at first: type %d with %d", last.Type, len(last.Resources))
+			t.Fatalf("last of the first responses has type %d and %d resources, want 50 endpoints",
+				last.Type, len(last.Resources))
 		}
-		// The endpoints are not answered; all of them change, and one drains.
-		src.version = 2
-		for n := range src.ends {
-			src.ends[n] = 2
+		// While the response with the endpoints is not answered, all endpoints change and one drains.
+		views.version = 2
+		for n := range views.endpoints {
+			views.endpoints[n] = 2
 		}
-		src.urgent, src.hot["c07"] = 2, 2
-		r, _ := s.Next(src.view(), 0)
+		views.urgent, views.urgentVersions["c07"] = 2, 2
+		r, _ := s.Next(views.view(), 0)
 		if r == nil || r.Type != Endpoints || len(r.Resources) != 1 || r.Resources[0].Name != "c07" {
-			t.Fatalf("the drain: %+v", r)
+			t.Fatalf("want a response with c07, which drains, only; got %+v", r)
 		}
-		if again, _ := s.Next(src.view(), 0); again != nil {
-			t.Fatalf("sent before the answer: %+v", again)
+		if early, _ := s.Next(views.view(), 0); early != nil {
+			t.Fatalf("other changes were sent before the answer: %+v", early)
 		}
-		s.Take(&Request{Type: Endpoints, Nonce: r.Nonce, Version: r.Version}, 0)
-		rest, _ := s.Next(src.view(), 0)
-		if rest == nil || len(rest.Resources) != 49 {
-			t.Fatalf("the rest: %+v", rest)
+		s.HandleRequest(&Request{Type: Endpoints, Nonce: r.Nonce, Version: r.Version}, 0)
+		remaining, _ := s.Next(views.view(), 0)
+		if remaining == nil || len(remaining.Resources) != 49 {
+			t.Fatalf("want a response with the other 49 changes, got %+v", remaining)
 		}
 	}
 }
 
-// TestRefusals: a storm of refusals is answered more and more seldom, and one bad resource holds up no other.
-func TestRefusals(t *testing.T) {
+// TestRejectionsAreBackedOff checks that responses to repeated rejections become less and less frequent, and
+// that one faulty resource does not block the others.
+func TestRejectionsAreBackedOff(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
-		src := &source{version: 1, clusters: map[string]int{"c0": 1, "c1": 1, "c2": 1}, ends: map[string]int{"c0": 1, "c1": 1, "c2": 1}, hot: map[string]uint64{}}
+		views := &source{version: 1, clusters: map[string]int{"c0": 1, "c1": 1, "c2": 1},
+			endpoints: map[string]int{"c0": 1, "c1": 1, "c2": 1}, urgentVersions: map[string]uint64{}}
 		s := &Stream{Incremental: incremental}
-		s.Take(&Request{Type: Endpoints}, 0)
-		sent, taken := 0, map[string]string{}
+		s.HandleRequest(&Request{Type: Endpoints}, 0)
+		sent, accepted := 0, map[string]string{}
 		for now := 0.0; now < 20_000; now += 10 {
-			src.version++
-			src.ends["c1"]++ // it is bad, and changes all the time
-			r, again := s.Next(src.view(), now)
+			views.version++
+			views.endpoints["c1"]++ // c1 is rejected and changes in each step
+			r, retryAt := s.Next(views.view(), now)
 			if r == nil {
-				if again > 0 && again <= now {
-					t.Fatal("again now")
+				if retryAt > 0 && retryAt <= now {
+					t.Fatal("retryAt is not in the future")
 				}
 				continue
 			}
 			sent++
 			req := &Request{Type: Endpoints, Nonce: r.Nonce}
-			for _, one := range r.Resources {
-				if one.Name == "c1" {
-					req.Refused = "bad"
+			for _, resource := range r.Resources {
+				if resource.Name == "c1" {
+					req.RejectReason = "bad"
 				}
 			}
-			for _, one := range r.Resources {
-				if req.Refused == "" {
-					taken[one.Name] = one.Version
+			for _, resource := range r.Resources {
+				if req.RejectReason == "" {
+					accepted[resource.Name] = resource.Version
 				}
 			}
-			s.Take(req, now)
+			s.HandleRequest(req, now)
 		}
 		if sent > 15 || sent < 4 {
-			t.Errorf("%d responses in 20 s", sent)
+			t.Errorf("%d responses in 20 s, want 4 to 15", sent)
 		}
-		if taken["c0"] != "1" || taken["c2"] != "1" {
-			t.Errorf("took %v", taken)
+		if accepted["c0"] != "1" || accepted["c2"] != "1" {
+			t.Errorf("accepted versions %v, want version 1 of c0 and c2", accepted)
 		}
-		if st := s.Standings(); len(st) != 1 || st[0].Refused == 0 || st[0].Why != "bad" {
-			t.Errorf("%+v", st)
+		if status := s.Status(); len(status) != 1 || status[0].Rejected == 0 || status[0].RejectReason != "bad" {
+			t.Errorf("status %+v, want one type that was rejected as bad", status)
 		}
 	}
 }
 
-// TestUnconfirmed: an old view is given to one that has none, and to nobody else.
-func TestUnconfirmed(t *testing.T) {
-	src := &source{version: 1, clusters: map[string]int{"c0": 1}, ends: map[string]int{"c0": 1}, hot: map[string]uint64{}}
-	v := src.view()
+// TestUnconfirmedViewIsSentOnlyToNewProxies checks that an unconfirmed view is sent only to a proxy that
+// holds no view yet.
+func TestUnconfirmedViewIsSentOnlyToNewProxies(t *testing.T) {
+	views := &source{version: 1, clusters: map[string]int{"c0": 1}, endpoints: map[string]int{"c0": 1},
+		urgentVersions: map[string]uint64{}}
+	v := views.view()
 	v.Unconfirmed = true
-	for _, held := range []string{"", "700"} {
+	for _, version := range []string{"", "700"} {
 		s := &Stream{}
-		s.Take(&Request{Type: Clusters, Version: held}, 0)
-		if r, _ := s.Next(v, 0); (r != nil) != (held == "") {
-			t.Errorf("holds %q: sent %v", held, r)
+		s.HandleRequest(&Request{Type: Clusters, Version: version}, 0)
+		if r, _ := s.Next(v, 0); (r != nil) != (version == "") {
+			t.Errorf("unconfirmed view, proxy holds %q: got response %v", version, r)
 		}
-		if held != "" && s.Holds() != 700 {
-			t.Errorf("it holds %d", s.Holds())
+		if version != "" && s.HeldVersion() != 700 {
+			t.Errorf("HeldVersion is %d, want 700", s.HeldVersion())
 		}
-		confirmed := src.view()
-		if r, _ := s.Next(confirmed, 0); (r != nil) != (held != "") {
-			t.Errorf("confirmed, holds %q: sent %v", held, r)
+		confirmed := views.view()
+		if r, _ := s.Next(confirmed, 0); (r != nil) != (version != "") {
+			t.Errorf("confirmed view, proxy holds %q: got response %v", version, r)
 		}
 	}
 }
 
-// TestFaults: what no stream may ask for, and old answers.
-func TestFaults(t *testing.T) {
+// TestInvalidRequestsAndStaleAnswers checks that invalid requests fail and that answers to older responses
+// change nothing.
+func TestInvalidRequestsAndStaleAnswers(t *testing.T) {
 	s := &Stream{}
-	if err := s.Take(&Request{Type: Types}, 0); err == nil {
-		t.Error("a type that there isn't")
+	if err := s.HandleRequest(&Request{Type: TypeCount}, 0); err == nil {
+		t.Error("request for an unknown type was accepted")
 	}
-	if err := s.Take(&Request{Type: Clusters, Names: make([]string, mostNames+1)}, 0); err == nil {
-		t.Error("too many names")
+	if err := s.HandleRequest(&Request{Type: Clusters, Names: make([]string, maxNames+1)}, 0); err == nil {
+		t.Error("request for too many names was accepted")
 	}
-	src := &source{version: 1, clusters: map[string]int{"c0": 1}, ends: map[string]int{"c0": 1}, hot: map[string]uint64{}}
+	views := &source{version: 1, clusters: map[string]int{"c0": 1}, endpoints: map[string]int{"c0": 1},
+		urgentVersions: map[string]uint64{}}
 	s = &Stream{}
-	s.Take(&Request{Type: Endpoints, Names: []string{"c0"}}, 0)
-	first, _ := s.Next(src.view(), 0)
-	s.Take(&Request{Type: Endpoints, Nonce: first.Nonce, Names: []string{"c0", "c1"}}, 0)
-	second, _ := s.Next(src.view(), 0)
+	s.HandleRequest(&Request{Type: Endpoints, Names: []string{"c0"}}, 0)
+	first, _ := s.Next(views.view(), 0)
+	s.HandleRequest(&Request{Type: Endpoints, Nonce: first.Nonce, Names: []string{"c0", "c1"}}, 0)
+	second, _ := s.Next(views.view(), 0)
 	if second == nil {
-		t.Fatal("asked for more, it is not answered")
+		t.Fatal("request for another name got no response")
 	}
-	s.Take(&Request{Type: Endpoints, Nonce: first.Nonce, Refused: "late", Names: []string{"c0"}}, 0)
-	if !s.subs[Endpoints].wants("c1") || s.subs[Endpoints].refused != 0 {
-		t.Error("an answer to an older response counts")
+	s.HandleRequest(&Request{Type: Endpoints, Nonce: first.Nonce, RejectReason: "late",
+		Names: []string{"c0"}}, 0)
+	if !s.subscriptions[Endpoints].wants("c1") || s.subscriptions[Endpoints].rejectedVersion != 0 {
+		t.Error("an answer to an older response changed the subscription")
 	}
 }
