--- a/gather/endpoint.go
+++ b/gather/endpoint.go
@@ -47,7 +47,7 @@
 	Latency     float64 // latency of its recent requests without the time in the queue, below 0 if not reported
 }
 
-// EndpointView is a module's state of a server, for display and not for decisions.
+// EndpointView holds what a module has recorded about a server, for display and not for decisions.
 type EndpointView struct {
 	Server        uint32
 	ReplicaSet    int
@@ -57,5 +57,5 @@
 	ExtraLatency  float64 // mean extra latency of failed attempts
 	Rate          float64 // attempts per second sent by this gatherer
 	InFlight      int     // attempts of this gatherer in flight
-	CapacityShare float64 // least share of its capacity that it has while warming up, 1 when warm
+	CapacityShare float64 // least share of its capacity that it has warmed up to, 1 when warm
 }
--- a/gather/gather_test.go
+++ b/gather/gather_test.go
@@ -15,13 +15,13 @@
 	}
 }
 
-// TestNeverExecutedOnlyForProvingOutcomes checks that an attempt that timed out, lost its connection, failed
-// or was cancelled counts as possibly executed.
-func TestNeverExecutedOnlyForProvingOutcomes(t *testing.T) {
-	proves := map[Outcome]bool{Rejected: true, ConnectFailed: true, NotSent: true, NotOwner: true}
+// TestNeverExecutedOnlyIfExecutionIsRuledOut checks that an attempt that timed out, lost its connection,
+// failed or was cancelled counts as possibly executed.
+func TestNeverExecutedOnlyIfExecutionIsRuledOut(t *testing.T) {
+	ruledOut := map[Outcome]bool{Rejected: true, ConnectFailed: true, NotSent: true, NotOwner: true}
 	for outcome := Succeeded; outcome <= NotOwner; outcome++ {
-		if got := outcome.NeverExecuted(); got != proves[outcome] {
-			t.Errorf("%v.NeverExecuted() = %v, want %v", outcome, got, proves[outcome])
+		if got := outcome.NeverExecuted(); got != ruledOut[outcome] {
+			t.Errorf("%v.NeverExecuted() = %v, want %v", outcome, got, ruledOut[outcome])
 		}
 	}
 }
--- a/gather/settings.go
+++ b/gather/settings.go
@@ -79,7 +79,7 @@
 	Effect            Effect
 	IdempotencyWindow float64
 	PriorityWeight    float64
-	CompleteShare     float64 // share of the weights from which an answer is complete
+	CompleteShare     float64 // least share of the weights with which an answer is complete
 	MinShare          float64 // share of the weights below which no answer may be given
 	PartialValue      float64 // factor for the value of a partial answer
 	FollowUpRequests  float64 // number of shard requests of the second step, 0 if there is none
--- a/logic/admission/controller_test.go
+++ b/logic/admission/controller_test.go
@@ -54,11 +54,11 @@
 		}
 	}
 	if NewRules(nil).AdmitsAddress(internalAddr) || !rules.AdmitsAddress(externalAddr) || NewRules([]Rule{{Name: "*", From: prefixes}}).AdmitsAddress(externalAddr) {
-		t.Error("AdmitsAddress does not follow the addresses of the rules")
+		t.Error("AdmitsAddress: want true if a rule has no addresses, false for an address outside all rules")
 	}
-	for name, good := range map[string]bool{"*": true, "a*": true, "*a": true, "a*b": false, "*a*": false, "": false, "**": false} {
-		if (CheckName(name) == nil) != good {
-			t.Errorf("CheckName(%q) = %v, want an error exactly for invalid names", name, CheckName(name))
+	for name, valid := range map[string]bool{"*": true, "a*": true, "*a": true, "a*b": false, "*a*": false, "": false, "**": false} {
+		if (CheckName(name) == nil) != valid {
+			t.Errorf("CheckName(%q) = %v; want no error: %v", name, CheckName(name), valid)
 		}
 	}
 }
@@ -147,9 +147,9 @@
 			case 0:
 				unauthenticated := len(open) - len(names)
 				id, err := controller.Accept(internalAddr, now)
-				if fits := len(open) < 6 && unauthenticated < 3; (err == nil) != fits {
-					t.Fatalf("Accept with %d open and %d unauthenticated connections: %v", len(open), unauthenticated,
-						err)
+				if withinLimits := len(open) < 6 && unauthenticated < 3; (err == nil) != withinLimits {
+					t.Fatalf("Accept with %d open and %d unauthenticated connections: %v; want no error: %v", len(open),
+						unauthenticated, err, withinLimits)
 				}
 				if err == nil {
 					open = append(open, id)
@@ -159,15 +159,16 @@
 				if _, authenticated := names[id]; id == 999 || authenticated {
 					continue
 				}
-				same := 0
+				sameName := 0
 				for _, n := range names {
 					if n == name {
-						same++
+						sameName++
 					}
 				}
 				_, _, err := controller.Authenticate(id, Peer{Names: []string{name}, Expires: 1e9}, 0, now)
-				if fits := name[0] == 'b' || name[0] == 'a' && same < 2; (err == nil) != fits {
-					t.Fatalf("Authenticate of %s with %d connections of the name: %v", name, same, err)
+				if admissible := name[0] == 'b' || name[0] == 'a' && sameName < 2; (err == nil) != admissible {
+					t.Fatalf("Authenticate of %s with %d connections of the name: %v; want no error: %v", name,
+						sameName, err, admissible)
 				}
 				if err == nil {
 					names[id] = name
@@ -177,13 +178,13 @@
 			case 3:
 				for _, e := range controller.Expire(now) {
 					if _, authenticated := names[e.Conn]; authenticated {
-						t.Fatalf("the authenticated connection %v ends", e)
+						t.Fatalf("Expire ends the authenticated connection %v, want only unauthenticated ones", e)
 					}
 					remove(e.Conn)
 				}
 			}
 			if c := controller.Counts(); c.Open != len(open) || c.Unauthenticated != len(open)-len(names) {
-				t.Fatalf("counts %+v, want %d open and %d of them authenticated", c, len(open), len(names))
+				t.Fatalf("counts %+v, want %d open and %d of them unauthenticated", c, len(open), len(open)-len(names))
 			}
 		}
 	})
--- a/logic/admission/rules.go
+++ b/logic/admission/rules.go
@@ -83,14 +83,14 @@
 
 // Rules holds the rules of a listener. It is immutable and safe for concurrent use.
 type Rules struct {
-	rules           []Rule
-	addressesByRule []*bart.Lite // addresses that each rule admits, nil for any address
-	anyAddress      *bart.Lite   // addresses that at least one rule admits, nil for any address
+	rules             []Rule
+	addressesByRule   []*bart.Lite // addresses that each rule admits, nil for any address
+	admittedAddresses *bart.Lite   // addresses that at least one rule admits, nil for any address
 }
 
 // NewRules returns the rules of a listener.
 func NewRules(rules []Rule) *Rules {
-	r := &Rules{rules: slices.Clone(rules), anyAddress: &bart.Lite{}}
+	r := &Rules{rules: slices.Clone(rules), admittedAddresses: &bart.Lite{}}
 	anyUnrestricted := false
 	for _, rule := range r.rules {
 		var set *bart.Lite
@@ -99,20 +99,20 @@
 				set = &bart.Lite{}
 			}
 			set.Insert(p)
-			r.anyAddress.Insert(p)
+			r.admittedAddresses.Insert(p)
 		}
 		anyUnrestricted = anyUnrestricted || set == nil
 		r.addressesByRule = append(r.addressesByRule, set)
 	}
 	if anyUnrestricted {
-		r.anyAddress = nil
+		r.admittedAddresses = nil
 	}
 	return r
 }
 
 // AdmitsAddress reports whether any rule admits peers from an address. It is checked before the handshake.
 func (r *Rules) AdmitsAddress(from netip.Addr) bool {
-	return len(r.rules) > 0 && (r.anyAddress == nil || r.anyAddress.Contains(from.Unmap()))
+	return len(r.rules) > 0 && (r.admittedAddresses == nil || r.admittedAddresses.Contains(from.Unmap()))
 }
 
 // Rejection is the error returned for a peer that is not admitted and whose connection has to end.
--- a/logic/advance.go
+++ b/logic/advance.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// deadlineTicks is the number of ticks before its deadline at which a query has to end.
+	// deadlineTicks is the number of ticks before its deadline by which a query has to end.
 	deadlineTicks = 3
 	// objectiveTicks is the number of ticks before its latency objective from which a query may be answered
 	// partially.
@@ -96,7 +96,8 @@
 }
 
 // shouldGiveUp reports whether the query ends without an answer: because it can no longer reach the minimum
-// share or be answered in time, or because it has no attempt in flight when its latency objective has passed.
+// share, because the deadline is reached, or because the latency objective has passed and an answer is worth
+// nothing after it or no attempt is in flight.
 func (p *progress) shouldGiveUp(q *query) bool {
 	if p.deadlineReached || p.possible < q.class.MinShare-shareTolerance {
 		return true
--- a/logic/backoff/backoff_test.go
+++ b/logic/backoff/backoff_test.go
@@ -9,8 +9,8 @@
 	for failures, mean := range map[int]float64{1: 100, 2: 200, 3: 400, 5: 1600, 6: 1600, 1_000_000: 1600} {
 		if shortest, longest := Pause(failures, 0), Pause(failures, 1); shortest != mean/2 || longest != mean*1.5 ||
 			Pause(failures, 0.5) != mean {
-			t.Errorf("after %d failed calls: pauses from %v to %v, want 0.5 to 1.5 times the mean",
-				failures, shortest, longest)
+			t.Errorf("after %d failed calls: pauses from %v to %v, want 0.5 to 1.5 times the mean of %v",
+				failures, shortest, longest, mean)
 		}
 	}
 	if twoCalls := 2 * (Pause(100, 1) + 500); twoCalls > 6000 {
--- a/logic/callstats/callstats.go
+++ b/logic/callstats/callstats.go
@@ -38,8 +38,8 @@
 	Latency   float64 // latency of the attempts that succeeded
 }
 
-// Limits says which records of a server are kept: those within the window, and the newest MinRecords even if
-// they have left the window, unless they are older than MaxAge.
+// Limits determines which records of a server are kept: those within the window, and the newest MinRecords
+// even if they have left the window, unless they are older than MaxAge.
 type Limits struct {
 	Window     float64
 	MinRecords int
@@ -58,7 +58,7 @@
 type Table struct {
 	limits          Limits
 	servers         []server
-	changed         []int
+	changed         []int    // indexes of the servers that the next Advance recomputes
 	window          queue    // records within the window, by time
 	retained        queue    // records kept beyond the window, by time
 	windowLatencies Multiset // latencies of the successful attempts within the window
--- a/logic/class.go
+++ b/logic/class.go
@@ -20,12 +20,14 @@
 	byName   map[string]*class
 }
 
-// configure replaces the settings and drops all classes with their statistics.
+// configure replaces the settings and drops all classes with their statistics, since the settings of a class
+// may have changed.
 func (t *classTable) configure(settings *gather.Settings) {
 	t.settings = settings
 	t.byName = map[string]*class{}
 }
 
+// get returns the class of a name, and adds it to the table when it is looked up first.
 func (t *classTable) get(name string) *class {
 	c := t.byName[name]
 	if c == nil {
--- a/logic/decisions_test.go
+++ b/logic/decisions_test.go
@@ -18,11 +18,11 @@
 // trafficSettings returns settings with classes of every effect, a retry budget, slow start and a call cost.
 func trafficSettings() *gather.Settings {
 	class := gather.Class{LatencyObjective: 400, LateValue: 0.1, CompleteShare: 1, MinShare: 1}
-	anyClass, all, once, keyed := class, class, class, class
+	anyClass, all, nonIdempotent, keyed := class, class, class, class
 	anyClass.Name, anyClass.Effect = "any", gather.Idempotent
 	anyClass.CompleteShare, anyClass.MinShare = 0.75, 0.5
 	all.Name, all.Effect = "all", gather.Idempotent
-	once.Name, once.Effect = "non-idempotent", gather.NonIdempotent
+	nonIdempotent.Name, nonIdempotent.Effect = "non-idempotent", gather.NonIdempotent
 	keyed.Name, keyed.Effect = "keyed", gather.IdempotencyKeyed
 	keyed.IdempotencyWindow = 900
 	return &gather.Settings{
@@ -30,7 +30,7 @@
 		HedgingAllowed: true, Tick: 5, Gatherers: 3, GathererIndex: 1, MaxRetryAfter: 1000,
 		WarmupTime: 8000, InitialCapacityShare: 0.2, OverloadWindow: 2000, OverloadMultiple: 3,
 		RetryBudgetWindow: 2000, RetryBudgetFloor: 10, RetryBudgetRatio: 0.05,
-		RequestsPerCall: 16, CallCost: 1, Classes: []gather.Class{anyClass, all, once, keyed},
+		RequestsPerCall: 16, CallCost: 1, Classes: []gather.Class{anyClass, all, nonIdempotent, keyed},
 	}
 }
 
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -2,9 +2,9 @@
 
 import "yokeroute/gather"
 
-// maxInFlightForExtra is the number of attempts in flight at a server from which an extra request waits. The
-// paper's host-side queue starts at two.
-const maxInFlightForExtra = 1
+// busyInFlight is the number of attempts in flight from which a server is too busy for an extra request,
+// which then waits. The paper's host-side queue starts at two.
+const busyInFlight = 1
 
 // minAttemptWeight is the least weight of an attempt's record, so that a first-pass attempt never has a
 // weight of 0.
@@ -15,7 +15,7 @@
 // pass may be a retry of a request of the first pass, and then counts as one.
 func (g *Gatherer) sendFirstAttempt(r *shardRequest) {
 	replica := g.replicas.next(r, g.now)
-	if replica == noReplica || r.extra && g.servers.inFlight(replica) >= maxInFlightForExtra {
+	if replica == noReplica || r.extra && g.servers.inFlight(replica) >= busyInFlight {
 		return
 	}
 	switch {
--- a/logic/endpoints.go
+++ b/logic/endpoints.go
@@ -6,10 +6,10 @@
 )
 
 const (
-	// subscribeIntervalMS is the least time between two requests while no response arrives.
+	// subscribeIntervalMS is the least time between two requests for endpoint lists while no response arrives.
 	subscribeIntervalMS = 1000.0
 	// resubscribeDelayMS is the least delay of the next request after a failure. A random time of up to the
-	// same length is added, so that gatherers do not all subscribe at once.
+	// same length is added to it, so that gatherers do not all subscribe at once.
 	resubscribeDelayMS = 500.0
 )
 
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -22,11 +22,11 @@
 	maxUtilization = 0.9
 	// ageFactor multiplied by the mean age of the attempts in flight estimates their latency.
 	ageFactor = 1.5
-	// failurePrior is the number of successes added for the cautious failure share, so that a single failure
-	// does not make it high.
+	// failurePrior is the number of successes added to a server's records for its cautious failure share, so
+	// that a single failure does not make the share high.
 	failurePrior = 2
-	// successPrior is the number of successes added for the success share, so that it is never 0 and no
-	// server is excluded for good.
+	// successPrior is the number of successes added to a server's records for its success share, so that the
+	// share is never 0 and no server is excluded for good.
 	successPrior = 0.02
 	// The shortest latency objective divided by initialLatencyDivisor is the latency assumed before there is
 	// any record.
@@ -35,13 +35,14 @@
 	// assumed before any attempt has failed.
 	initialExtraDivisor = 2
 
-	unknown = -1.0 // a latency without records
+	unknownLatency = -1.0 // value of a mean latency for which there are no records
 )
 
-// estimate holds the statistics of a server, by its records and its attempts in flight.
+// estimate holds the statistics of a server, by its records and its attempts in flight. A latency is
+// unknownLatency if no attempt has succeeded.
 type estimate struct {
-	latency              float64 // mean latency of successful attempts, the paper's s; unknown without any
-	recentLatency        float64 // mean latency of successful attempts within the window; unknown without any
+	latency              float64 // mean latency of successful attempts, the paper's s
+	recentLatency        float64 // mean latency of successful attempts within the window
 	failureShare         float64 // share of failed and late attempts, the paper's f
 	extraLatency         float64 // mean extra latency of failed and late attempts, the paper's r
 	cautiousFailureShare float64 // failureShare with failurePrior successes added
@@ -183,8 +184,8 @@
 		}
 	}
 	s.estimate = estimate{
-		latency:              unknown,
-		recentLatency:        unknown,
+		latency:              unknownLatency,
+		recentLatency:        unknownLatency,
 		failureShare:         failed / max(count, 1),
 		extraLatency:         e.shortestObjective / initialExtraDivisor,
 		cautiousFailureShare: failed / (count + failurePrior),
--- a/logic/flow/flow_test.go
+++ b/logic/flow/flow_test.go
@@ -84,7 +84,8 @@
 			for i, a := range arcs {
 				f := n.Flow(2 * i)
 				if f < 0 || f > a.capacity || n.Capacity(2*i) != a.capacity {
-					t.Fatalf("arc %d carries %d of a capacity of %d", i, f, a.capacity)
+					t.Fatalf("arc %d: Flow = %d and Capacity = %d, want a flow from 0 to the capacity of %d",
+						i, f, n.Capacity(2*i), a.capacity)
 				}
 				balance[a.from] -= f
 				balance[a.to] += f
@@ -92,11 +93,11 @@
 			}
 			for node, got := range balance {
 				if expect := map[int]int64{0: -sent, 1: sent}[node]; got != expect {
-					t.Fatalf("node %d: inflow less outflow is %d", node, got)
+					t.Fatalf("node %d: inflow less outflow is %d, want %d", node, got, expect)
 				}
 			}
 			if sent == wantSent && sum != wantCost && cost == sum {
-				t.Fatalf("the costs of the arcs add up to %v", sum)
+				t.Fatalf("the costs of the arcs add up to %v, want %v", sum, wantCost)
 			}
 		}
 		checkFlow(sent)
@@ -108,7 +109,8 @@
 				}
 			}
 			if reachable[1] || cutCapacity != sent {
-				t.Fatalf("the cut has a capacity of %d, but %d units were sent", cutCapacity, sent)
+				t.Fatalf("capacity of the cut = %d, sink reachable = %v; want the %d units sent, and false",
+					cutCapacity, reachable[1], sent)
 			}
 		}
 		// After a Reset, Augment sends the same amount regardless of cost. Restore undoes a change.
--- a/logic/flow/mincost.go
+++ b/logic/flow/mincost.go
@@ -62,7 +62,7 @@
 		return false
 	}
 	for i, d := range n.distance {
-		if farthest.Less(d) { // also for unreached nodes; reduced costs do not become negative by this bound
+		if farthest.Less(d) { // unreached nodes too; this bound makes no reduced cost negative
 			d = farthest
 		}
 		n.potential[i] = n.potential[i].Add(d)
--- a/logic/query.go
+++ b/logic/query.go
@@ -22,7 +22,7 @@
 
 	modeChosen    bool
 	loadDeadline  float64 // time until which it waits for load reports, 0 before it has requested any
-	secondStep    bool    // its first step was answered
+	secondStep    bool    // it is in its second step, after the first was answered
 	firstComplete bool    // the answer of its first step was complete
 	finished      bool
 }
--- a/logic/replica.go
+++ b/logic/replica.go
@@ -23,16 +23,16 @@
 	// slowMultiple is the multiple of the lowest expected latency in its set above which a replica is
 	// skipped.
 	slowMultiple = 2.0
-	// requestsPerSlot limits the requests of a round that share a call where a call has a cost; more would
-	// queue up at the server.
-	requestsPerSlot = 4
+	// maxRequestsPerCall limits the requests of a round that share a call where a call has a cost. More of
+	// them would queue up at the server.
+	maxRequestsPerCall = 4
 
 	noReplica   = -1
 	neverChosen = -1.0
 )
 
 // replicaPicker chooses the replica for each attempt by round robin, or by weighted round robin where an
-// operator has set weights, among the acceptable replicas.
+// operator has set weights, among the acceptable replicas: those that are usable and should not be skipped.
 type replicaPicker struct {
 	servers   *serverTable
 	latencies *latencyEstimator
@@ -206,22 +206,23 @@
 	return least
 }
 
-// usable reports whether a request may be sent to a server at all. A server that has executed the request
-// would only give the same result again. One that rejected it is tried again after every replica has had an
-// attempt.
+// usable reports whether a request may be sent to a server at all. A server that may have executed the
+// request would only give the same result again. One that rejected it is tried again after every replica has
+// had an attempt.
 func (p *replicaPicker) usable(server int, r *shardRequest, now float64) bool {
 	if r.query.Pass == gather.FirstPass && !p.servers.get(server).answersFirstPass {
 		return false
 	}
 	for _, a := range r.attempts {
-		if a.server == server && (!a.neverExecuted || p.hasUnseenReplica(r)) {
+		if a.server == server && (!a.neverExecuted || p.hasUntriedReplica(r)) {
 			return false
 		}
 	}
 	return p.slowStart.MaySend(server, now)
 }
 
-func (p *replicaPicker) hasUnseenReplica(r *shardRequest) bool {
+// hasUntriedReplica reports whether a request has had fewer attempts than it has replicas.
+func (p *replicaPicker) hasUntriedReplica(r *shardRequest) bool {
 	return len(p.servers.replicas[p.servers.replicaSet(r.Shard)]) > len(r.attempts)
 }
 
@@ -258,8 +259,8 @@
 	return p.servers.get(server).estimate.cautiousFailureShare > outlierMargin+p.leastFailure[set]
 }
 
-// recordChoice records that a replica was chosen. Where a call has a cost, up to requestsPerSlot requests of
-// one round are sent to it in the same call.
+// recordChoice records that a replica was chosen. Where a call has a cost, up to maxRequestsPerCall requests
+// of one round are sent to it in the same call.
 func (p *replicaPicker) recordChoice(set, server int, now float64, settings *gather.Settings) {
 	p.weighted.RecordChoice(set, server)
 	s := &p.roundRobin[set]
@@ -274,6 +275,6 @@
 		chosenAt:  now,
 	}
 	if settings.CallCost > 0 {
-		s.remaining = min(requestsPerSlot, settings.RequestsPerCall) - 1
+		s.remaining = min(maxRequestsPerCall, settings.RequestsPerCall) - 1
 	}
 }
--- a/logic/retry.go
+++ b/logic/retry.go
@@ -16,16 +16,16 @@
 	defaultBudgetWindowMS = 5000.0
 	defaultBudgetFloor    = 3.0
 	defaultBudgetRatio    = 0.1
-	// cancelledMultiple multiplies the default budget where hedging is not allowed and each retry replaces a
+	// noHedgingMultiple multiplies the default budget where hedging is not allowed and each retry replaces a
 	// cancelled attempt.
-	cancelledMultiple = 10.0
+	noHedgingMultiple = 10.0
 
 	// hedgeBudgetShare is the share of the budget that hedged requests may use up. The remainder is reserved
 	// for requests whose attempts have failed.
 	hedgeBudgetShare = 0.6
-	// hedgeMaxLatency is the share of the latency objective up to which the median latency, times the missing
-	// share of the answer, allows hedged requests.
-	hedgeMaxLatency = 0.3
+	// hedgeMaxLatencyShare limits hedged requests under load: they are allowed while the median latency times
+	// the missing share of the answer is at most this share of the latency objective.
+	hedgeMaxLatencyShare = 0.3
 	// overdueMultiple is the multiple of an attempt's usual latency after which its response is no longer
 	// expected.
 	overdueMultiple = 4.0
@@ -59,8 +59,8 @@
 	if window == 0 {
 		window, floor, ratio = defaultBudgetWindowMS, defaultBudgetFloor, defaultBudgetRatio
 		if !settings.HedgingAllowed {
-			floor *= cancelledMultiple
-			ratio *= cancelledMultiple
+			floor *= noHedgingMultiple
+			ratio *= noHedgingMultiple
 		}
 	}
 	b.arrivals = stats.SortedFrom(b.arrivals, now-(window-tick))
@@ -119,8 +119,8 @@
 		g.cancelLateAttempt(r)
 		return false
 	}
-	feedsOverload := g.latencies.currentMedian*missing > hedgeMaxLatency*class.LatencyObjective
-	return !feedsOverload && g.retries.allowsHedge()
+	addsToOverload := g.latencies.currentMedian*missing > hedgeMaxLatencyShare*class.LatencyObjective
+	return !addsToOverload && g.retries.allowsHedge()
 }
 
 // cancelLateAttempt cancels a request's last attempt, unless another attempt is expected to take at least as
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -8,9 +8,9 @@
 
 const testTickMS = 5.0
 
-// TestRetryBudgetFollowsItsWindow checks that arrivals leave the window a tick early and retries a tick late,
-// so that the budget is not exceeded when times are rounded to ticks.
-func TestRetryBudgetFollowsItsWindow(t *testing.T) {
+// TestArrivalsLeaveBudgetWindowEarlyAndRetriesLate checks that arrivals leave the window a tick early and
+// retries a tick late, so that the budget is not exceeded when times are rounded to ticks.
+func TestArrivalsLeaveBudgetWindowEarlyAndRetriesLate(t *testing.T) {
 	settings := &gather.Settings{RetryBudgetWindow: 1000, RetryBudgetFloor: 2, RetryBudgetRatio: 0.1}
 	var budget retryBudget
 	budget.countRetry(100)
@@ -57,12 +57,12 @@
 	}
 }
 
-// TestDefaultRetryBudgetWithAndWithoutHedging checks that the default budget is larger without hedging, where
-// a retry replaces a cancelled attempt.
-func TestDefaultRetryBudgetWithAndWithoutHedging(t *testing.T) {
+// TestDefaultRetryBudgetIsLargerWithoutHedging checks that the default budget is larger without hedging,
+// where a retry replaces a cancelled attempt.
+func TestDefaultRetryBudgetIsLargerWithoutHedging(t *testing.T) {
 	for hedging, want := range map[bool]float64{
 		true:  defaultBudgetFloor,
-		false: defaultBudgetFloor * cancelledMultiple,
+		false: defaultBudgetFloor * noHedgingMultiple,
 	} {
 		var budget retryBudget
 		budget.update(0, testTickMS, &gather.Settings{HedgingAllowed: hedging})
--- a/logic/roundrobin/roundrobin.go
+++ b/logic/roundrobin/roundrobin.go
@@ -53,24 +53,24 @@
 // relativeShares returns the replicas' shares as multiples of the mean, or nil if no replica has a weight
 // above 0.
 func relativeShares(weights []gather.Weight, replicas []int, id func(server int) uint32) []float64 {
-	const unnamed = -1
+	const noWeight = -1
 	shares := make([]float64, len(replicas))
-	named, sum := 0.0, 0.0
+	weightedCount, sum := 0.0, 0.0
 	for i, server := range replicas {
 		index := slices.IndexFunc(weights, func(w gather.Weight) bool { return w.Server == id(server) })
 		if index < 0 {
-			shares[i] = unnamed
+			shares[i] = noWeight
 			continue
 		}
 		shares[i] = weights[index].Share
-		named++
+		weightedCount++
 		sum += shares[i]
 	}
 	if sum <= 0 {
 		return nil
 	}
 	for i, share := range shares {
-		shares[i] = share * named / sum
+		shares[i] = share * weightedCount / sum
 		if share < 0 {
 			shares[i] = 1
 		}
--- a/logic/roundrobin/roundrobin_test.go
+++ b/logic/roundrobin/roundrobin_test.go
@@ -92,7 +92,7 @@
 	}
 }
 
-func TestUnnamedReplicaGetsTheMeanShare(t *testing.T) {
+func TestReplicaWithoutWeightGetsTheMeanShare(t *testing.T) {
 	w := newWeighted(1, []float64{1, -1, 3})
 	got := takeSlots(w, 120, 3, acceptAny)
 	for server, want := range []int{20, 40, 60} {
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -28,7 +28,7 @@
 //	client-retry ...                the same for queries that a client retries
 //	first-pass ID,ID.. CLASS REQUESTS DEADLINE FULLCALLEXTRA
 //	second-pass ID CLASS REQUESTS DEADLINE RECEIVEDWEIGHT [retry]
-//	                                with retry, its attempts are retries
+//	                                with retry, the first attempts of its requests count as retries
 //	second-step ID REQUESTS         the requests of the query's second step, ID+101..
 //	weights SERVER=SHARE ... / ...  weights by replica set, separated by a slash; none for plain round robin
 //	result REQUEST[/ATTEMPT],.. OUTCOME
@@ -47,16 +47,18 @@
 	round       gather.Round
 	pending     bool // the round has not been run
 	recorder    *recorder
-	currentLine string // text of the line that is being read
+	currentLine string // line that is being read
 }
 
-// scenarioLine handles a line, whose first word is fields[0].
-type scenarioLine func(s *scenario, fields []string)
+// directiveHandler handles the line of a directive, whose name is fields[0].
+type directiveHandler func(s *scenario, fields []string)
 
-var scenarioLines map[string]scenarioLine
+var directiveHandlers map[string]directiveHandler
 
-func init() { // an initializer would be a cycle: the handler of "at" looks up that of the line behind it
-	scenarioLines = map[string]scenarioLine{
+// The map is set in init since an initializer would refer to itself: the handler of "at" looks up the handler
+// of the directive that follows in the same line.
+func init() {
+	directiveHandlers = map[string]directiveHandler{
 		"set":          (*scenario).set,
 		"at":           (*scenario).startRound,
 		"held-up":      (*scenario).setWakeDelay,
@@ -126,7 +128,7 @@
 func (s *scenario) runLine(text string) {
 	s.currentLine = text
 	fields := strings.Fields(text)
-	if handle := scenarioLines[fields[0]]; handle != nil {
+	if handle := directiveHandlers[fields[0]]; handle != nil {
 		handle(s, fields)
 		return
 	}
@@ -185,11 +187,11 @@
 
 func (s *scenario) startRound([]string) {
 	s.run()
-	now, rest, _ := strings.Cut(strings.TrimPrefix(s.currentLine, "at "), ":")
+	now, nextDirective, _ := strings.Cut(strings.TrimPrefix(s.currentLine, "at "), ":")
 	s.round.Now = s.parse(now)
 	s.pending = true
-	if rest != "" {
-		s.runLine(strings.TrimSpace(rest))
+	if nextDirective != "" {
+		s.runLine(strings.TrimSpace(nextDirective))
 	}
 }
 
@@ -344,20 +346,20 @@
 			got++
 		}
 	}
-	met := false
+	passed := false
 	switch fields[0] {
 	case "+":
-		met = got > 0
+		passed = got > 0
 	case "-":
-		met = got == 0
+		passed = got == 0
 	default:
 		times, err := strconv.Atoi(fields[0])
 		if err != nil {
 			s.t.Fatalf("%q: unknown directive, want one that starts with +, - or a number", s.currentLine)
 		}
-		met = got == times
+		passed = got == times
 	}
-	if !met {
+	if !passed {
 		s.t.Errorf("at %g: check %q failed; the round wrote %q", s.round.Now, s.currentLine, s.recorder.lines)
 	}
 }
@@ -373,12 +375,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			playScenario(t, string(text))
+			runScenario(t, string(text))
 		})
 	}
 }
 
-func playScenario(t *testing.T, text string) {
+func runScenario(t *testing.T, text string) {
 	s := newScenario(t)
 	for line := range strings.Lines(text) {
 		if line = strings.TrimSpace(line); line != "" && !strings.HasPrefix(line, "#") {
@@ -392,7 +394,7 @@
 // the servers are idle: it was slow itself when it measured them, and sends no attempts that would bring
 // newer records.
 func TestOldRecordsDoNotShedEveryQuery(t *testing.T) {
-	playScenario(t, `
+	runScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3
 		query 10,20,30,40 all 4 1000
 		at 950: result 11,12,13,14,21,22,23,24,31,32,33,34,41,42,43,44 succeeded
@@ -413,7 +415,7 @@
 // TestTrialQueriesAreRateLimited guards against sending all queries to servers that are still slow, as soon
 // as the records that justified shedding are older than the window.
 func TestTrialQueriesAreRateLimited(t *testing.T) {
-	playScenario(t, `
+	runScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3
 		query 10,20,30,40 all 4 1000
 		at 950: result 11,12,13,14,21,22,23,24,31,32,33,34,41,42,43,44 succeeded
@@ -446,7 +448,7 @@
 // TestLostRequestIsRetriedWhileExtraRequestWaits guards against a lost request that is not retried because an
 // extra request of its query, which waits for a busy server, counts as expected.
 func TestLostRequestIsRetriedWhileExtraRequestWaits(t *testing.T) {
-	playScenario(t, `
+	runScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3 5:1
 		query 10,20 all 4 3000 100
 		at 100: result 11,12,13,14,21,22 succeeded
--- a/logic/shedding.go
+++ b/logic/shedding.go
@@ -13,7 +13,8 @@
 	shedAllShare  = 0.8
 
 	// reportedLatencyShare is the factor applied here to latencies expected by load reports. Load reports
-	// show a queue without the delay with which ended attempts do, and would shed too much.
+	// show a queue without the delay with which ended attempts do, and without the factor too many queries
+	// would be shed.
 	reportedLatencyShare = 0.5
 
 	// trialIntervalMS is the least time between two queries that are admitted for lack of recent records.
--- a/logic/slowstart/slowstart.go
+++ b/logic/slowstart/slowstart.go
@@ -2,10 +2,10 @@
 // server has a share of its capacity that grows with time, and fails if all gatherers together send it more
 // than a multiple of that for some time.
 //
-// This rule has to be kept without communication between gatherers. Each gatherer earns credit for a warming
-// server from the attempts that warm servers answer to it. The sum over all gatherers is a part of the load
-// that the rule allows, however uneven their traffic is. The cost of a round grows with the number of warming
-// servers, not with the number of all servers.
+// This limit, called the rule here, has to be kept without communication between gatherers. Each gatherer
+// earns credit for a warming server from the attempts that warm servers answer to it. The sum over all
+// gatherers is a part of the load that the rule allows, however uneven their traffic is. The cost of a round
+// grows with the number of warming servers, not with the number of all servers.
 //
 // Servers have a dense index. Times are milliseconds.
 package slowstart
