--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -38,8 +38,8 @@
 	unknownLatency = -1.0 // value of a mean latency for which there are no records
 )
 
-// estimate holds the statistics of a server, by its records and its attempts in flight. A latency is
-// unknownLatency if no attempt has succeeded.
+// estimate holds the statistics of a server, by its records and its attempts in flight. The fields latency and
+// recentLatency are unknownLatency if there is no record of such an attempt.
 type estimate struct {
 	latency              float64 // mean latency of successful attempts, the paper's s
 	recentLatency        float64 // mean latency of successful attempts within the window
