--- a/internal/drainable/drainable.go
+++ b/internal/drainable/drainable.go
@@ -1,6 +1,6 @@
-// Package drainable has a listener that stops without a reset. The kernel establishes connections by itself
-// and queues them; it resets those that are queued when their listener is closed, with the requests that
-// clients have sent on them.
+// Package drainable provides a listener that can be closed without resetting client connections. The kernel completes
+// handshakes by itself and queues the established connections for accept. Closing the listener resets the queued
+// connections, and requests that clients have already sent on them are lost.
 package drainable
 
 import (
@@ -16,32 +16,31 @@
 	"golang.org/x/sys/unix"
 )
 
-// noInterface is the index of a network interface that does not exist.
+// noInterface is an interface index that no network interface has.
 const noInterface = math.MaxInt32
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that has already passed.
+var pastDeadline = time.Unix(1, 0)
 
-// Listener is a listener that can be drained.
+// Listener is a net.Listener that can be drained.
 type Listener struct {
 	net.Listener
 	draining atomic.Bool
 }
 
-// socketListener is a listener on a socket of the kernel, as *net.TCPListener is.
+// socketListener is a listener that is backed by a kernel socket, such as *net.TCPListener.
 type socketListener interface {
 	net.Listener
 	syscall.Conn
 	SetDeadline(at time.Time) error
 }
 
-// NewListener returns a listener that accepts the connections of another one.
+// NewListener returns a Listener that accepts the connections of l.
 func NewListener(l net.Listener) *Listener { return &Listener{Listener: l} }
 
-// Drain has the kernel refuse new connections from now on. Accept goes on for handshakeTimeout, in which
-// handshakes under way can be completed. Then it returns the connections that are queued still, and at last
-// net.ErrClosed, with the listener closed. Drain does not wait for that. A listener without a socket of the
-// kernel is closed at once.
+// Drain makes the kernel refuse new connections and returns at once. Accept continues for handshakeTimeout, so that
+// handshakes in progress can complete. After that it returns the connections that are still queued, then closes the
+// listener and returns net.ErrClosed. A listener that is not backed by a kernel socket is closed immediately.
 func (l *Listener) Drain(handshakeTimeout time.Duration) {
 	socket, ok := l.Listener.(socketListener)
 	if !ok {
@@ -50,28 +49,28 @@
 	}
 	l.draining.Store(true)
 	refuseNewConnections(socket)
-	deadline := longAgo
+	deadline := pastDeadline
 	if handshakeTimeout > 0 {
 		deadline = time.Now().Add(handshakeTimeout)
 	}
-	if socket.SetDeadline(deadline) != nil { // closed already
+	if socket.SetDeadline(deadline) != nil { // the socket is already closed
 		l.Close()
 	}
 }
 
-// refuseNewConnections binds the listening socket to an interface that does not exist. The kernel finds no
-// listener for new connections then and refuses them. Handshakes under way belong to the socket already, and
-// its queue stays.
+// refuseNewConnections binds the listening socket to an interface that does not exist. The kernel then finds no
+// listener for new connections and refuses them. Handshakes in progress already belong to the socket, and its accept
+// queue is kept.
 //
-// A kernel before Linux 5.7 wants CAP_NET_RAW for it. Without that, connections are accepted until the
-// listener is closed, and one that is established between the last accept and the close is reset.
+// Kernels before Linux 5.7 require CAP_NET_RAW for this. Without it, connections are accepted until the listener is
+// closed, and one that is established between the last accept and the close is reset.
 func refuseNewConnections(socket socketListener) {
 	raw, err := socket.SyscallConn()
 	if err != nil {
 		return
 	}
-	_ = raw.Control(func(listening uintptr) {
-		_ = unix.SetsockoptInt(int(listening), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
+	_ = raw.Control(func(listenFD uintptr) {
+		_ = unix.SetsockoptInt(int(listenFD), unix.SOL_SOCKET, unix.SO_BINDTOIFINDEX, noInterface)
 	})
 }
 
@@ -84,15 +83,15 @@
 	return c, err
 }
 
-// acceptQueued accepts a connection that is queued. Where there is none it closes the listener.
+// acceptQueued accepts a queued connection. If there is none, it closes the listener and returns net.ErrClosed.
 func (l *Listener) acceptQueued() (net.Conn, error) {
 	raw, err := l.Listener.(socketListener).SyscallConn()
 	if err != nil {
 		return nil, err
 	}
-	accepted := -1
+	connFD := -1
 	var acceptErr error
-	if err := raw.Control(func(listening uintptr) { accepted, acceptErr = acceptNow(int(listening)) }); err != nil {
+	if err := raw.Control(func(listenFD uintptr) { connFD, acceptErr = acceptNonblocking(int(listenFD)) }); err != nil {
 		return nil, err
 	}
 	switch {
@@ -103,21 +102,21 @@
 		cause := os.NewSyscallError("accept4", acceptErr)
 		return nil, &net.OpError{Op: "accept", Net: "tcp", Addr: l.Addr(), Err: cause}
 	}
-	file := os.NewFile(uintptr(accepted), "client connection")
-	defer file.Close() // the connection has its own descriptor
+	file := os.NewFile(uintptr(connFD), "client connection")
+	defer file.Close() // net.FileConn duplicates the descriptor
 	c, err := net.FileConn(file)
 	if err != nil {
-		return nil, fmt.Errorf("accept: %w", err)
+		return nil, fmt.Errorf("wrap the accepted connection: %w", err)
 	}
 	return c, nil
 }
 
-// acceptNow accepts a connection without waiting for one.
-func acceptNow(listening int) (accepted int, err error) {
+// acceptNonblocking accepts a connection without blocking. It fails with EAGAIN if none is queued.
+func acceptNonblocking(listenFD int) (connFD int, err error) {
 	for {
-		accepted, _, err = syscall.Accept4(listening, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
+		connFD, _, err = syscall.Accept4(listenFD, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		if !errors.Is(err, syscall.EINTR) && !errors.Is(err, syscall.ECONNABORTED) {
-			return accepted, err
+			return connFD, err
 		}
 	}
 }
--- a/internal/drainable/drainable_test.go
+++ b/internal/drainable/drainable_test.go
@@ -11,7 +11,7 @@
 	"yokeroute/internal/testbed/lateclient"
 )
 
-// listen returns a listener on a free port.
+// listen returns a Listener on a free port.
 func listen(t *testing.T) *Listener {
 	t.Helper()
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
@@ -23,7 +23,7 @@
 	return l
 }
 
-// dial returns a connection to a listener, which has sent a byte.
+// dial connects to the listener and sends one byte.
 func dial(t *testing.T, l net.Listener) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -42,8 +42,8 @@
 	}
 }
 
-// answerAll accepts connections until the listener is closed and sends a byte on each. It returns how many
-// there were.
+// answerAll accepts connections until the listener is closed and sends one byte on each. It returns the number of
+// connections accepted.
 func answerAll(t *testing.T, l net.Listener) (accepted int) {
 	t.Helper()
 	for {
@@ -60,16 +60,16 @@
 	}
 }
 
-// wantAnswer wants a byte on a connection.
-func wantAnswer(t *testing.T, c net.Conn) {
+// expectAnswer checks that one byte arrives on the connection.
+func expectAnswer(t *testing.T, c net.Conn) {
 	t.Helper()
 	if _, err := io.ReadFull(c, make([]byte, 1)); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestDrainAcceptsQueuedConnections guards against connections that are reset as nobody accepts them before
-// the end of the time for handshakes, as on a machine that has no processor left for it.
+// TestDrainAcceptsQueuedConnections guards against resetting connections that are still in the accept queue when the
+// handshake timeout ends, as on a machine that has no processor left to run Accept in time.
 func TestDrainAcceptsQueuedConnections(t *testing.T) {
 	for _, handshakeTimeout := range []time.Duration{0, time.Millisecond} {
 		l := listen(t)
@@ -80,23 +80,23 @@
 		l.Drain(handshakeTimeout)
 		time.Sleep(20 * time.Millisecond)
 		if n := answerAll(t, l); n != len(clients) {
-			t.Errorf("%d of %d accepted", n, len(clients))
+			t.Errorf("%d of %d queued connections accepted, want all", n, len(clients))
 		}
 		for _, c := range clients {
-			wantAnswer(t, c)
+			expectAnswer(t, c)
 		}
 	}
 }
 
-// TestDrainRefusesNewConnections guards against connections that are established behind the last accept, and
-// reset by the close: once the drain has begun the kernel refuses them, while the listener is open still.
+// TestDrainRefusesNewConnections guards against connections that are established after the last accept and reset by
+// the close: once draining has begun, the kernel refuses them while the listener is still open.
 func TestDrainRefusesNewConnections(t *testing.T) {
 	l := listen(t)
 	queued := dial(t, l)
 	l.Drain(time.Minute)
 	for range 20 {
 		if c, err := net.Dial("tcp", l.Addr().String()); !errors.Is(err, syscall.ECONNREFUSED) {
-			t.Fatalf("dialled %v, %v", c, err)
+			t.Fatalf("dial returned %v, %v; want ECONNREFUSED", c, err)
 		}
 	}
 	c, err := l.Accept()
@@ -105,13 +105,13 @@
 	}
 	defer c.Close()
 	send(t, c)
-	wantAnswer(t, queued)
+	expectAnswer(t, queued)
 }
 
-// TestDrainAcceptsHandshakeUnderWay guards against a connection that is reset as its handshake is completed
-// after the drain has begun. The kernel is told to complete it with the first data, so that the test says
-// when.
-func TestDrainAcceptsHandshakeUnderWay(t *testing.T) {
+// TestDrainAcceptsHandshakeInProgress guards against resetting a connection whose handshake completes after draining
+// has begun. The kernel is set to complete the handshake with the first data, so that the test controls when that
+// happens.
+func TestDrainAcceptsHandshakeInProgress(t *testing.T) {
 	l := listen(t)
 	lateclient.CompleteHandshakesWithData(t, l.Listener)
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -122,21 +122,22 @@
 	l.Drain(5 * time.Second)
 	send(t, c)
 	go answerAll(t, l)
-	wantAnswer(t, c)
+	expectAnswer(t, c)
 	l.Close()
 }
 
-// TestDrainClosesWithoutClients: the listener is closed once the time for handshakes is over.
-func TestDrainClosesWithoutClients(t *testing.T) {
+// TestDrainWithoutClientsClosesAfterTimeout checks that the listener is closed when the handshake timeout ends, and
+// not before.
+func TestDrainWithoutClientsClosesAfterTimeout(t *testing.T) {
 	l := listen(t)
-	accepting := make(chan int)
-	go func() { accepting <- answerAll(t, l) }()
+	acceptedCount := make(chan int)
+	go func() { acceptedCount <- answerAll(t, l) }()
 	startedAt := time.Now()
 	l.Drain(50 * time.Millisecond)
-	if n := <-accepting; n != 0 || time.Since(startedAt) < 50*time.Millisecond {
-		t.Errorf("%d accepted, closed after %v", n, time.Since(startedAt))
+	if n := <-acceptedCount; n != 0 || time.Since(startedAt) < 50*time.Millisecond {
+		t.Errorf("%d connections accepted, closed after %v; want none, and at least 50ms", n, time.Since(startedAt))
 	}
 	if err := l.Close(); !errors.Is(err, net.ErrClosed) {
-		t.Errorf("not closed: %v", err)
+		t.Errorf("Close returned %v, want net.ErrClosed", err)
 	}
 }
--- a/internal/worker/worker.go
+++ b/internal/worker/worker.go
@@ -6,20 +6,20 @@
 	"sync"
 )
 
-// Worker runs a function whenever it is woken, one run at a time, on a goroutine of its own. What the function works on
-// belongs to its owner, which puts it where the function finds it and then calls Wake.
+// Worker runs a function whenever Wake is called, one run at a time, on a goroutine of its own. The function takes no
+// arguments: the caller stores the work where the function finds it and then calls Wake.
 type Worker struct {
 	run func()
 
 	mu    sync.Mutex
-	woken bool          // since the last run began
-	idle  chan struct{} // closed once the present goroutine ends, nil while there is none
+	woken bool          // Wake was called since the last run began
+	idle  chan struct{} // closed when the current goroutine ends; nil while there is none
 }
 
-// New returns a worker that runs run.
+// New returns a Worker that calls run. No goroutine exists until the first Wake.
 func New(run func()) *Worker { return &Worker{run: run} }
 
-// Wake has the function run soon, and once more where it is running.
+// Wake schedules a run of the function. A Wake during a run causes one more run after it.
 func (w *Worker) Wake() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -31,13 +31,13 @@
 }
 
 func (w *Worker) loop() {
-	for w.begin() {
+	for w.beginRun() {
 		w.run()
 	}
 }
 
-// begin reports whether another run is wanted. Where none is, the goroutine has to end.
-func (w *Worker) begin() bool {
+// beginRun reports whether another run is due. If none is, it marks the worker as idle and the goroutine must end.
+func (w *Worker) beginRun() bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !w.woken {
@@ -49,7 +49,7 @@
 	return true
 }
 
-// WaitIdle blocks until nothing runs and nothing is wanted any more. It reports false where ctx ends before that.
+// WaitIdle blocks until no run is in progress or due. It returns false if ctx ends first.
 func (w *Worker) WaitIdle(ctx context.Context) bool {
 	w.mu.Lock()
 	idle := w.idle
