--- a/internal/gatherer/discovery/endpoints.go
+++ b/internal/gatherer/discovery/endpoints.go
@@ -7,24 +7,27 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// maxRemovedNames bounds the servers of which it is remembered that they are removed, in case a list is older than
-// that.
+// maxRemovedNames limits how many removed servers are remembered. They are remembered because a later response may
+// contain an older list that still has them.
 const maxRemovedNames = 1024
 
-// endpointTable is the endpoint list, put together from full lists and changes. Its users synchronize.
+// endpointTable holds the endpoint list, assembled from full lists and changes. Callers must synchronize access.
 type endpointTable struct {
-	revision     int64
-	source       int // counts the agents whose revisions don't compare with each other's
+	revision int64
+	// source numbers the sequences of comparable revisions. It increases with a new agent, and when the revision of a
+	// full list is lower than the known one.
+	source       int
 	idByName     map[string]uint32
 	nameByID     map[uint32]string
 	addresses    map[uint32]shardcall.Address
-	order        []uint32 // keys of addresses, in the order of their arrival
+	order        []uint32 // keys of addresses, in order of arrival
 	observations map[string]observation
-	overruled    map[string]bool // servers of which the last list said otherwise, which may be older
-	removedNames []string        // removed servers with an observation, the oldest first
+	// overruled holds the servers whose known state was kept although the last list, which may be older, differs.
+	overruled    map[string]bool
+	removedNames []string // removed servers that have an observation, oldest first
 }
 
-// observation is the newest known state of a server, by name.
+// observation is the newest known state of a server.
 type observation struct {
 	startedAt float64
 	state     gather.State
@@ -41,11 +44,11 @@
 	}
 }
 
-// apply takes over a response and returns the list or the change that follows from it.
+// apply updates the table from a response and returns the resulting list or change.
 //
-// A full list of another agent, or of one that is behind, may be older than what is known. It reverts no
-// drain and no removal: one process is first running, then draining, then removed. The servers of which it
-// says otherwise are noted as overruled, until a response agrees or observations are adopted.
+// A full list of another agent, or of an agent that fell behind, may be older than what is known. Such a list does not
+// revert a drain or a removal, because a process is first running, then draining, then removed. Servers whose state it
+// contradicts are added to overruled, until a response agrees or adoptObservations is called.
 func (t *endpointTable) apply(r *Response) gather.EndpointList {
 	list := gather.EndpointList{Full: r.Full}
 	if r.Full {
@@ -60,7 +63,7 @@
 		m := &r.members[i]
 		startedAt, state := t.reconcile(m, r.Full)
 		if state == gather.Removed && r.Full {
-			continue // as if the list lacked it
+			continue // treat the server as missing from the list
 		}
 		id := t.assignID(m.ID)
 		list.Endpoints = append(list.Endpoints, m.endpoint(id, startedAt, state))
@@ -79,7 +82,7 @@
 			StartedAt: startedAt,
 		}
 	}
-	for _, id := range t.idByName { // what a full list lacks is removed
+	for _, id := range t.idByName { // drop the servers that a full list no longer contains
 		if _, listed := t.addresses[id]; !listed {
 			t.drop(id)
 		}
@@ -88,16 +91,16 @@
 	return list
 }
 
-// reconcile returns a server's start and state, from what a response says of it and what is known.
+// reconcile returns the start and the state of a server, from its entry in a response and its known state.
 func (t *endpointTable) reconcile(m *member, full bool) (startedAt float64, state gather.State) {
 	state = stateOfPhase[m.Phase]
-	before, known := t.observations[m.ID]
-	if mayBeOlder := full && known && before.source != t.source; mayBeOlder {
-		earlierProcess := m.UpSince < before.startedAt && state != gather.Removed
-		earlierState := m.UpSince == before.startedAt && state < before.state
+	previous, known := t.observations[m.ID]
+	if mayBeOlder := full && known && previous.source != t.source; mayBeOlder {
+		earlierProcess := m.UpSince < previous.startedAt && state != gather.Removed
+		earlierState := m.UpSince == previous.startedAt && state < previous.state
 		if earlierProcess || earlierState {
 			t.overruled[m.ID] = true
-			return before.startedAt, before.state
+			return previous.startedAt, previous.state
 		}
 	}
 	delete(t.overruled, m.ID)
@@ -106,16 +109,16 @@
 	}
 	t.observations[m.ID] = observation{m.UpSince, state, t.source}
 	if state == gather.Removed {
-		if known && m.UpSince < before.startedAt { // a change may hold no more than the name
-			t.observations[m.ID] = observation{before.startedAt, state, t.source}
+		if known && m.UpSince < previous.startedAt { // the entry of a removed server may contain only its name
+			t.observations[m.ID] = observation{previous.startedAt, state, t.source}
 		}
 		t.rememberRemoved(m.ID)
 	}
 	return m.UpSince, state
 }
 
-// adoptObservations has what is known count as told by the present agent, whose next full list is then not
-// older unless its revision is.
+// adoptObservations attributes all observations to the current source. The next full list of the agent then counts as
+// newer than them, unless its revision is lower than the last one.
 func (t *endpointTable) adoptObservations() {
 	for name, o := range t.observations {
 		o.source = t.source
@@ -123,7 +126,7 @@
 	}
 }
 
-// rememberRemoved notes that a server is removed, and forgets the oldest such where there are too many.
+// rememberRemoved records that a server is removed, and forgets the oldest removed server beyond maxRemovedNames.
 func (t *endpointTable) rememberRemoved(name string) {
 	t.removedNames = append(t.removedNames, name)
 	if len(t.removedNames) <= maxRemovedNames {
@@ -136,13 +139,13 @@
 	}
 }
 
-// drop deletes a server that is not listed any more. Its ID may be assigned again.
+// drop deletes a server that is no longer listed. Its ID may be assigned again.
 func (t *endpointTable) drop(id uint32) {
 	name := t.nameByID[id]
 	switch last := t.observations[name]; last.state {
-	case gather.Running: // a list that lacks it proves no removal
+	case gather.Running: // absence from a list does not prove a removal
 		delete(t.observations, name)
-	case gather.Draining: // it ended its drain
+	case gather.Draining: // the server has finished draining
 		t.observations[name] = observation{last.startedAt, gather.Removed, t.source}
 		t.rememberRemoved(name)
 	}
@@ -152,7 +155,7 @@
 	t.order = slices.DeleteFunc(t.order, func(other uint32) bool { return other == id })
 }
 
-// assignID returns a server's ID. Of two names with one number the later gets the next free ID.
+// assignID returns the ID of a server. If another name already has that ID, the server gets the next free one.
 func (t *endpointTable) assignID(name string) uint32 {
 	id, known := t.idByName[name]
 	if known {
@@ -167,7 +170,7 @@
 	return id
 }
 
-// list is all listed servers.
+// list returns the addresses of all listed servers.
 func (t *endpointTable) list() []shardcall.Address {
 	all := make([]shardcall.Address, 0, len(t.order))
 	for _, id := range t.order {
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -23,9 +23,9 @@
 	"yokeroute/logic/backoff"
 )
 
-// Faults of the agent, which the tests force: it hangs, truncates, is slow or is behind.
+// The tests in this file make the agent hang, truncate responses, answer slowly or serve old revisions.
 
-// startWatcher runs a watcher of an agent until the test ends. Its lists arrive on the channel.
+// startWatcher runs a watcher against an agent until the test ends. The lists that it reports are sent on the channel.
 func startWatcher(t *testing.T, handle http.HandlerFunc) (watcher *Watcher, lists chan gather.EndpointList) {
 	t.Helper()
 	agent := httptest.NewServer(handle)
@@ -49,25 +49,25 @@
 	return watcher, lists
 }
 
-// nextList is the next list, after any failures.
+// nextList returns the next list that is not a failure.
 func nextList(t *testing.T, lists chan gather.EndpointList) gather.EndpointList {
 	t.Helper()
-	limit := time.After(20 * time.Second)
+	timeout := time.After(20 * time.Second)
 	for {
 		select {
 		case l := <-lists:
 			if !l.Failed {
 				return l
 			}
-		case <-limit:
-			t.Fatal("no list")
+		case <-timeout:
+			t.Fatal("no endpoint list within 20 s")
 		}
 	}
 }
 
-// TestAgentSlowerThanTheHeaderTimeoutIsUnderstood polls an agent that takes longer than the header timeout for each
-// answer. The oldest request is kept in flight for that.
-func TestAgentSlowerThanTheHeaderTimeoutIsUnderstood(t *testing.T) {
+// TestListSlowerThanHeaderTimeoutIsAccepted polls an agent that takes longer than the header timeout for each
+// response. The oldest request must be kept in flight for it.
+func TestListSlowerThanHeaderTimeoutIsAccepted(t *testing.T) {
 	var calls atomic.Int32
 	slow := make(chan struct{})
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
@@ -90,12 +90,12 @@
 	}
 }
 
-// TestListThatArrivesInPiecesIsUnderstood polls an agent that sends the list in pieces, for longer than the header
-// timeout in all.
-func TestListThatArrivesInPiecesIsUnderstood(t *testing.T) {
+// TestListSentInPiecesIsAccepted polls an agent that sends the list in small pieces, over more time than the header
+// timeout.
+func TestListSentInPiecesIsAccepted(t *testing.T) {
 	var calls atomic.Int32
 	piece := make(chan struct{}, 100)
-	text := strings.ReplaceAll(fullDocument, ",", ",\n  ") // indented as well
+	text := strings.ReplaceAll(fullDocument, ",", ",\n  ") // with indentation
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
 			piece <- struct{}{}
@@ -119,38 +119,39 @@
 	}
 }
 
-// TestFullListRequestsInFlightAreBounded polls an agent that answers nothing.
+// TestFullListRequestsInFlightAreBounded polls an agent that never answers, and checks the number of requests in
+// flight.
 func TestFullListRequestsInFlightAreBounded(t *testing.T) {
-	var calls, open, most atomic.Int32
-	enough := make(chan struct{})
+	var calls, open, maxOpen atomic.Int32
+	enoughCalls := make(chan struct{})
 	startWatcher(t, func(_ http.ResponseWriter, r *http.Request) {
-		if n := open.Add(1); n > most.Load() {
-			most.Store(n)
+		if n := open.Add(1); n > maxOpen.Load() {
+			maxOpen.Store(n)
 		}
 		if calls.Add(1) == 30 {
-			close(enough)
+			close(enoughCalls)
 		}
 		<-r.Context().Done()
 		open.Add(-1)
 	})
-	<-enough
-	if n := most.Load(); n > 6 { // five, and the agent may notice a cancellation late
+	<-enoughCalls
+	if n := maxOpen.Load(); n > 6 { // maxFullListRequests is 5, and the agent may notice a cancellation late
 		t.Errorf("%d requests in flight at once", n)
 	}
 }
 
-// TestTruncatedAnswerIsDiscarded ends answers early at several places, with a length, in chunks or with neither, by
-// an end or a reset. The full list is requested again at once.
-func TestTruncatedAnswerIsDiscarded(t *testing.T) {
-	for how, head := range map[string]string{
+// TestTruncatedResponseIsDiscarded truncates responses at several positions, with a Content-Length, with chunks or
+// with neither, and by a regular close or a reset. The full list must be requested again immediately.
+func TestTruncatedResponseIsDiscarded(t *testing.T) {
+	for framing, header := range map[string]string{
 		"length": fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", len(fullDocument)),
 		"chunks": fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n", len(fullDocument)),
 		"none":   "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n",
 	} {
 		for _, reset := range []bool{false, true} {
-			for _, at := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
-				if at == len(fullDocument) && (how != "none" || !reset) {
-					continue // it is complete there, and its end says so
+			for _, cut := range []int{0, 1, len(fullDocument) / 2, len(fullDocument) - 1, len(fullDocument)} {
+				if cut == len(fullDocument) && (framing != "none" || !reset) {
+					continue // at its full length the response is complete, and a close proves it
 				}
 				var calls atomic.Int32
 				_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
@@ -167,35 +168,35 @@
 						t.Error(err)
 						return
 					}
-					io.WriteString(c, head+fullDocument[:at])
+					io.WriteString(c, header+fullDocument[:cut])
 					if reset {
 						c.(*net.TCPConn).SetLinger(0)
 					}
 					c.Close()
 				})
 				if l := <-lists; !l.Failed || len(l.Endpoints) > 0 {
-					t.Errorf("%s, cut at %d, reset %v: notified of %+v", how, at, reset, l)
+					t.Errorf("%s, cut at %d, reset %v: notified of %+v, want a failure", framing, cut, reset, l)
 				}
 				if l := nextList(t, lists); len(l.Endpoints) != 2 {
-					t.Errorf("%s, cut at %d: then notified of %+v", how, at, l)
+					t.Errorf("%s, cut at %d: then notified of %+v, want 2 endpoints", framing, cut, l)
 				}
 			}
 		}
 	}
 }
 
-// TestDrainDuringASilentWatchIsNoticedInTime has an agent hang on a watch just as a server begins to drain. The rules
-// count the drain as known 6 s later.
-func TestDrainDuringASilentWatchIsNoticedInTime(t *testing.T) {
+// TestDrainDuringUnansweredWatchIsNoticedWithin6Seconds has an agent hang on a watch while a server begins to drain.
+// The rules for drains count the drain as known 6 s later.
+func TestDrainDuringUnansweredWatchIsNoticedWithin6Seconds(t *testing.T) {
 	var calls atomic.Int32
-	silent := make(chan time.Time, 1)
+	watchStarted := make(chan time.Time, 1)
 	drained := strings.Replace(strings.Replace(fullDocument, "in_service", "terminating", 1), "41", "42", 1)
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
 			io.WriteString(w, fullDocument)
 		case n == 2:
-			silent <- time.Now()
+			watchStarted <- time.Now()
 			<-r.Context().Done()
 		case r.URL.RawQuery == "":
 			io.WriteString(w, drained)
@@ -204,15 +205,15 @@
 		}
 	})
 	nextList(t, lists)
-	from := <-silent
+	startedAt := <-watchStarted
 	l := nextList(t, lists)
-	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(from) > 6*time.Second {
-		t.Errorf("notified of %+v after %v", l, time.Since(from))
+	if len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining || time.Since(startedAt) > 6*time.Second {
+		t.Errorf("notified of %+v after %v, want the drain within 6 s", l, time.Since(startedAt))
 	}
 }
 
-// TestStalledWatchFallsBackToTheFullList has an agent stop in the middle of a watch's answer.
-func TestStalledWatchFallsBackToTheFullList(t *testing.T) {
+// TestStalledWatchFallsBackToFullList has an agent stop in the middle of the response to a watch.
+func TestStalledWatchFallsBackToFullList(t *testing.T) {
 	var calls atomic.Int32
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) == 2 {
@@ -233,9 +234,9 @@
 	}
 }
 
-// TestChangeOfAnOlderRevisionIsDiscarded answers a watch with a change before its revision. The full list is
-// requested instead.
-func TestChangeOfAnOlderRevisionIsDiscarded(t *testing.T) {
+// TestChangeWithOlderRevisionIsDiscarded answers a watch with a change whose revision is lower than the known one. The
+// full list must be requested instead.
+func TestChangeWithOlderRevisionIsDiscarded(t *testing.T) {
 	var calls atomic.Int32
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
@@ -256,8 +257,8 @@
 	}
 }
 
-// TestUnreachableAgentIsPolledUntilItAnswers polls an address where nobody listens, then an agent that answers 503
-// for a while.
+// TestUnreachableAgentIsPolledUntilItAnswers polls an address without a listener, then an agent that returns 503 for a
+// while.
 func TestUnreachableAgentIsPolledUntilItAnswers(t *testing.T) {
 	address := reservedport.ForTest(t)
 	log := logrus.New()
@@ -298,49 +299,50 @@
 	}
 }
 
-// TestSetAddressTakesEffectWhileRequestsAreUnanswered moves the watch while an agent hangs. The new one is asked at
-// once, and drains that the old one reported hold where the new one is behind.
-func TestSetAddressTakesEffectWhileRequestsAreUnanswered(t *testing.T) {
+// TestSetAddressTakesEffectDuringUnansweredRequests changes the address while the agent hangs. The new agent must be
+// asked immediately, and a drain that the old agent reported must be kept although the list of the new one is older.
+func TestSetAddressTakesEffectDuringUnansweredRequests(t *testing.T) {
 	var calls atomic.Int32
-	open := make(chan struct{})
+	fullListRequested := make(chan struct{})
 	drained := strings.Replace(fullDocument, "in_service", "terminating", 1)
 	watcher, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); n {
 		case 1:
 			io.WriteString(w, drained)
-		case 2: // the watch fails, and the requests for the full list are not answered
+		case 2: // the watch fails, and later requests for the full list are not answered
 			w.WriteHeader(http.StatusInternalServerError)
 		default:
 			if n == 5 {
-				close(open)
+				close(fullListRequested)
 			}
 			<-r.Context().Done()
 		}
 	})
 	nextList(t, lists)
-	<-open
-	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	<-fullListRequested
+	newAgent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
 		}
 		io.WriteString(w, strings.Replace(fullDocument, "41", "7", 1))
 	}))
-	defer second.Close()
-	defer second.CloseClientConnections()
-	watcher.SetAddress(address(second))
+	defer newAgent.Close()
+	defer newAgent.CloseClientConnections()
+	watcher.SetAddress(address(newAgent))
 	if l := nextList(t, lists); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
 		t.Errorf("notified of %+v", l)
 	}
 }
 
-// TestOlderListRevertsNoDrainAndNoRemoval applies sequences of responses on one server.
-func TestOlderListRevertsNoDrainAndNoRemoval(t *testing.T) {
-	at := func(revision int, full bool, phase string, up int) string {
+// TestOlderListDoesNotRevertDrainOrRemoval applies sequences of responses about one server and checks its state after
+// each.
+func TestOlderListDoesNotRevertDrainOrRemoval(t *testing.T) {
+	doc := func(revision int, full bool, phase string, upSince int) string {
 		member := ""
 		if phase != "" {
 			member = fmt.Sprintf(`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":%d}`,
-				phase, up)
+				phase, upSince)
 		}
 		return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[%s]}`, revision, full, member)
 	}
@@ -348,30 +350,33 @@
 	for _, c := range []struct {
 		name      string
 		responses []string
-		want      []gather.State // after each; Removed where it is not listed
+		want      []gather.State // after each response; Removed if the server is not listed
 	}{
-		{"a drain, then an older full list",
-			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(5, true, run, 9)}, []gather.State{0, 1, 1}},
-		{"a removal, then an older full list", []string{at(5, true, run, 9), at(6, false, removed, 9),
-			at(5, true, run, 9)}, []gather.State{0, 2, 2}},
-		{"a removal that names no start", []string{at(5, true, run, 9), at(6, false, removed, 0),
-			at(5, true, run, 9)},
+		{"drain, then an older full list",
+			[]string{doc(5, true, run, 9), doc(6, false, drain, 9), doc(5, true, run, 9)}, []gather.State{0, 1, 1}},
+		{"removal, then an older full list", []string{doc(5, true, run, 9), doc(6, false, removed, 9),
+			doc(5, true, run, 9)}, []gather.State{0, 2, 2}},
+		{"removal without a start time, then an older full list",
+			[]string{doc(5, true, run, 9), doc(6, false, removed, 0),
+			doc(5, true, run, 9)},
 			[]gather.State{0, 2, 2}},
-		{"a later process", []string{at(5, true, run, 9), at(6, false, removed, 9), at(5, true, run, 10)},
+		{"removal, then a later process",
+			[]string{doc(5, true, run, 9), doc(6, false, removed, 9), doc(5, true, run, 10)},
 			[]gather.State{0, 2, 0}},
-		{"an older list of the process before",
-			[]string{at(5, true, drain, 9), at(6, false, run, 10), at(5, true, drain, 9)}, []gather.State{1, 0, 0}},
-		{"a drain reverted by a change", []string{at(5, true, run, 9), at(6, false, drain, 9),
-			at(7, false, run, 9)}, []gather.State{0, 1, 0}},
-		{"a drain reverted by a newer list", []string{at(5, true, drain, 9), at(7, true, run, 9)},
+		{"later process, then an older list with the previous one",
+			[]string{doc(5, true, drain, 9), doc(6, false, run, 10), doc(5, true, drain, 9)}, []gather.State{1, 0, 0}},
+		{"drain reverted by a change", []string{doc(5, true, run, 9), doc(6, false, drain, 9),
+			doc(7, false, run, 9)}, []gather.State{0, 1, 0}},
+		{"drain reverted by a newer full list", []string{doc(5, true, drain, 9), doc(7, true, run, 9)},
 			[]gather.State{1, 0}},
-		{"a list that lacks it, then one that has it",
-			[]string{at(5, true, run, 9), at(6, true, "", 0), at(5, true, run, 9)}, []gather.State{0, 2, 0}},
-		{"a drain, a list that lacks it, an older one",
-			[]string{at(5, true, run, 9), at(6, false, drain, 9), at(7, true, "", 0),
-				at(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
-		{"an agent that starts anew", []string{at(50, true, run, 9), at(1, true, run, 9), at(2, false, drain, 9),
-			at(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
+		{"full list without the server, then an older one with it",
+			[]string{doc(5, true, run, 9), doc(6, true, "", 0), doc(5, true, run, 9)}, []gather.State{0, 2, 0}},
+		{"drain, full list without the server, then an older one with it",
+			[]string{doc(5, true, run, 9), doc(6, false, drain, 9), doc(7, true, "", 0),
+				doc(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
+		{"agent that restarts its revisions",
+			[]string{doc(50, true, run, 9), doc(1, true, run, 9), doc(2, false, drain, 9),
+			doc(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
@@ -393,14 +398,14 @@
 				listed = s.State
 			}
 			if state != c.want[i] || listed != c.want[i] {
-				t.Errorf("%s: after response %d it is %v, notified as %v, want %v", c.name, i, state, listed,
-					c.want[i])
+				t.Errorf("%s: after response %d the state is %v, the endpoint list says %v, want %v",
+					c.name, i, state, listed, c.want[i])
 			}
 		}
 	}
 }
 
-// TestRemovedNamesAreBounded removes more servers than are remembered as removed.
+// TestRemovedNamesAreBounded removes more servers than maxRemovedNames and checks that only the newest are remembered.
 func TestRemovedNamesAreBounded(t *testing.T) {
 	watcher := New(Config{
 		Address:  "127.0.0.1:1",
@@ -417,12 +422,12 @@
 	if len(watcher.endpoints.observations) > maxRemovedNames ||
 		len(watcher.endpoints.removedNames) > maxRemovedNames ||
 		!slices.Contains(watcher.endpoints.removedNames, fmt.Sprint("s-", 3*maxRemovedNames-1)) {
-		t.Errorf("%d observations, %d names", len(watcher.endpoints.observations),
-			len(watcher.endpoints.removedNames))
+		t.Errorf("%d observations, %d removed names, want at most maxRemovedNames and the newest name among them",
+			len(watcher.endpoints.observations), len(watcher.endpoints.removedNames))
 	}
 }
 
-// newSharedWatcher returns a watcher of a shared service, with a list that is known already.
+// newSharedWatcher returns a watcher of a shared service that has already been given a list.
 func newSharedWatcher(t *testing.T, agent *httptest.Server) *Watcher {
 	t.Helper()
 	log := logrus.New()
@@ -441,24 +446,24 @@
 	return watcher
 }
 
-// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff has a shared service refuse requests for a while. Requests
-// are made one at a time, with growing pauses, for what follows the known revision: a few gatherers that polled
-// without pauses would keep it from recovering.
+// TestSharedServiceIsPolledOneRequestAtATimeWithBackoff has a shared service reject requests for a while. Requests for
+// the changes since the known revision must be made one at a time with growing delays: a few gatherers that poll
+// without delays would keep the service from recovering.
 func TestSharedServiceIsPolledOneRequestAtATimeWithBackoff(t *testing.T) {
-	const refusals = 5
+	const rejections = 5
 	type call struct {
 		at    time.Time
 		query string
 	}
 	calls := make(chan call, 100)
-	var open, most atomic.Int32
+	var open, maxOpen atomic.Int32
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if n := open.Add(1); n > most.Load() {
-			most.Store(n)
+		if n := open.Add(1); n > maxOpen.Load() {
+			maxOpen.Store(n)
 		}
 		defer open.Add(-1)
 		calls <- call{time.Now(), r.URL.RawQuery}
-		if len(calls) <= refusals {
+		if len(calls) <= rejections {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
 		}
@@ -469,30 +474,30 @@
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { watcher.Run(ctx); close(ended) }()
-	for end := time.Now().Add(20 * time.Second); len(calls) <= refusals && time.Now().Before(end); {
+	for deadline := time.Now().Add(20 * time.Second); len(calls) <= rejections && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	stop()
 	<-ended
-	var before time.Time
-	for n := range refusals + 1 {
+	var previousAt time.Time
+	for n := range rejections + 1 {
 		c := <-calls
 		if want := "index=" + strconv.FormatInt(watcher.endpoints.revision, 10) + "&"; !strings.HasPrefix(c.query,
 			want) {
-			t.Errorf("request %d is %q, not from %q on", n, c.query, want)
+			t.Errorf("request %d has the query %q, want the prefix %q", n, c.query, want)
 		}
-		if least := time.Duration(backoff.Pause(n, 0)) * time.Millisecond; n > 0 && c.at.Sub(before) < least {
-			t.Errorf("request %d follows after %s, at least %s are due", n, c.at.Sub(before), least)
+		if minDelay := time.Duration(backoff.Pause(n, 0)) * time.Millisecond; n > 0 && c.at.Sub(previousAt) < minDelay {
+			t.Errorf("request %d follows after %s, want at least %s", n, c.at.Sub(previousAt), minDelay)
 		}
-		before = c.at
+		previousAt = c.at
 	}
-	if most.Load() != 1 {
-		t.Errorf("%d requests were in flight at once", most.Load())
+	if maxOpen.Load() != 1 {
+		t.Errorf("up to %d requests in flight, want 1", maxOpen.Load())
 	}
 }
 
-// TestStaleSharedServiceIsAskedForItsFullList has a shared service be behind the known revision.
-func TestStaleSharedServiceIsAskedForItsFullList(t *testing.T) {
+// TestStaleSharedServiceIsAskedForFullList has a shared service report a revision lower than the known one.
+func TestStaleSharedServiceIsAskedForFullList(t *testing.T) {
 	queries := make(chan string, 100)
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		queries <- r.URL.RawQuery
@@ -504,11 +509,11 @@
 	defer stop()
 	go watcher.Run(ctx)
 	if first, second := <-queries, <-queries; first == "" || second != "" {
-		t.Errorf("requested %q, then %q", first, second)
+		t.Errorf("queries %q, then %q; want a watch, then the full list", first, second)
 	}
 }
 
-// fleetDocument is a full list of so many servers, one a line.
+// fleetDocument returns a full list with the given number of servers, one per line.
 func fleetDocument(servers int) string {
 	var b strings.Builder
 	b.WriteString(`{"revision":44,"complete":true,"members":[`)
@@ -523,12 +528,12 @@
 	return b.String()
 }
 
-// TestListOfTheDesignSizeIsUnderstood reads the list of the largest fleet that is planned for.
-func TestListOfTheDesignSizeIsUnderstood(t *testing.T) {
+// TestListOfLargestPlannedFleetIsAccepted polls an agent with a list of 28,000 servers, the largest planned fleet.
+func TestListOfLargestPlannedFleetIsAccepted(t *testing.T) {
 	const servers = 28_000
 	text := fleetDocument(servers)
 	if len(text) <= 4<<20 {
-		t.Errorf("a list of %d bytes shows nothing", len(text))
+		t.Errorf("the list has %d bytes, too few for this test: want more than 4 MiB", len(text))
 	}
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -542,12 +547,12 @@
 	}
 }
 
-// TestOversizedListIsReportedOnceAndDiscarded serves a list over the limit. It is logged once at error level, and the
-// list before stays in force.
-func TestOversizedListIsReportedOnceAndDiscarded(t *testing.T) {
+// TestOversizedListIsLoggedOnceAndDiscarded serves a list with more than maxMembers members. It must be logged once at
+// error level, and the previous list must stay in use.
+func TestOversizedListIsLoggedOnceAndDiscarded(t *testing.T) {
 	text := fleetDocument(maxMembers + 1)
 	var calls atomic.Int32
-	again := make(chan struct{})
+	retried := make(chan struct{})
 	agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch n := calls.Add(1); {
 		case n == 1:
@@ -556,7 +561,7 @@
 			<-r.Context().Done()
 		default:
 			if n == 4 {
-				close(again)
+				close(retried)
 			}
 			io.WriteString(w, text)
 		}
@@ -564,7 +569,7 @@
 	defer agent.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	said := logtest.NewLocal(log)
+	logs := logtest.NewLocal(log)
 	lists := make(chan []shardcall.Address, 100)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
@@ -574,48 +579,48 @@
 		Log:      log,
 	})
 	go func() { watcher.Run(ctx); close(ended) }()
-	<-again
+	<-retried
 	stop()
 	agent.CloseClientConnections()
 	<-ended
 	for range len(lists) {
 		if all := <-lists; len(all) != 2 {
-			t.Errorf("%d servers are held", len(all))
+			t.Errorf("%d servers are listed, want the 2 of the previous list", len(all))
 		}
 	}
 	errors := 0
-	for _, e := range said.AllEntries() {
+	for _, e := range logs.AllEntries() {
 		if e.Level == logrus.ErrorLevel {
 			errors++
 			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(maxMembers)) {
-				t.Errorf("logged %q", text)
+				t.Errorf("logged the error %q, want the limit in it", text)
 			}
 		}
 	}
 	if errors != 1 {
-		t.Errorf("logged %d times at error level", errors)
+		t.Errorf("logged %d times at error level, want once", errors)
 	}
 }
 
-// TestNamesWithEqualNumbersGetDistinctIDs lists two names with one number, through a removal, a return and a name
-// whose own number is taken.
-func TestNamesWithEqualNumbersGetDistinctIDs(t *testing.T) {
+// TestNamesWithSameIDDigitsGetDistinctIDs lists two names that end in the same hex digits and a third whose own ID is
+// then taken. The first name is removed and listed again; the ID of the second must not change.
+func TestNamesWithSameIDDigitsGetDistinctIDs(t *testing.T) {
 	const first, second, third = "s-0000002a", "t-0000002a", "s-0000002b"
 	if ServerID(first) != ServerID(second) || ServerID(third) != ServerID(first)+1 {
-		t.Fatal("they are not alike")
+		t.Fatal("the first two names must have the same ID and the third the next one")
 	}
-	held := map[string]uint32{}
+	idByName := map[string]uint32{}
 	watcher := New(Config{Address: "127.0.0.1:1", OnChange: func(_ gather.EndpointList, all []shardcall.Address) {
-		clear(held)
+		clear(idByName)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
-				t.Errorf("%s is at %s", a.Name, a.HostPort)
+				t.Errorf("%s has the address %s", a.Name, a.HostPort)
 			}
-			held[a.Name] = a.ID
+			idByName[a.Name] = a.ID
 		}
 	}, Log: logrus.New()})
 	revision := 0
-	take := func(complete bool, phase string, names ...string) {
+	apply := func(complete bool, phase string, names ...string) {
 		revision++
 		var entries []string
 		for _, name := range names {
@@ -628,25 +633,25 @@
 			t.Fatal(err)
 		}
 		watcher.Apply(r)
-		numbers := map[uint32]bool{}
-		for _, id := range held {
-			numbers[id] = true
+		ids := map[uint32]bool{}
+		for _, id := range idByName {
+			ids[id] = true
 		}
-		if len(numbers) != len(held) {
-			t.Errorf("after %v: %v", names, held)
+		if len(ids) != len(idByName) {
+			t.Errorf("after %v: IDs %v are not distinct", names, idByName)
 		}
 	}
-	take(true, "in_service", first, second, third)
-	if len(held) != 3 {
-		t.Errorf("held %v", held)
+	apply(true, "in_service", first, second, third)
+	if len(idByName) != 3 {
+		t.Errorf("IDs by name: %v", idByName)
 	}
-	before := held[second]
-	take(false, "terminated", first)
-	if _, there := held[first]; there || held[second] != before {
-		t.Errorf("held %v", held)
+	secondID := idByName[second]
+	apply(false, "terminated", first)
+	if _, listed := idByName[first]; listed || idByName[second] != secondID {
+		t.Errorf("IDs by name: %v", idByName)
 	}
-	take(false, "in_service", first)
-	if len(held) != 3 || held[second] != before {
-		t.Errorf("held %v", held)
+	apply(false, "in_service", first)
+	if len(idByName) != 3 || idByName[second] != secondID {
+		t.Errorf("IDs by name: %v", idByName)
 	}
 }
--- a/internal/gatherer/discovery/fulllist.go
+++ b/internal/gatherer/discovery/fulllist.go
@@ -9,25 +9,25 @@
 )
 
 const (
-	// fullListHedgeDelay is after which the full list is requested once more, beside the requests before. An agent
-	// never answers a request that it takes while it hangs, not even once it runs again. The delay is under half of
-	// the shortest drain grace that a platform is known to give, 250 ms.
+	// fullListHedgeDelay is the delay before another request for the full list is made while earlier ones are still in
+	// flight. An agent never answers a request that it accepts while it hangs, even after it recovers. The delay is
+	// less than half of the shortest drain grace of any known platform, 250 ms.
 	fullListHedgeDelay = 100 * time.Millisecond
-	// maxFullListRequests bounds these requests. The oldest keeps its time, for an agent that is slow; the others
-	// make room for new ones.
+	// maxFullListRequests limits these requests in flight. The oldest is kept, for an agent that is slow; the others
+	// are cancelled to make room for new ones.
 	maxFullListRequests = 5
-	// fullListBodyTimeout bounds the transfer of a full list.
+	// fullListBodyTimeout limits the transfer of a full list.
 	fullListBodyTimeout = 10 * time.Second
 )
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response to the requests for the full list")
 
-// fullListRequests are the requests for the full list that are in flight at one agent.
+// fullListRequests holds the requests for the full list that are in flight to one agent.
 type fullListRequests struct {
 	ctx      context.Context
 	cancel   context.CancelFunc
 	results  chan fullListResult
-	inFlight []*fullListRequest // the oldest first
+	inFlight []*fullListRequest // oldest first
 }
 
 type fullListRequest struct {
@@ -41,15 +41,15 @@
 	err      error
 }
 
-// cancelAll cancels the requests in flight. It may be called on nil.
+// cancelAll cancels the requests in flight. It may be called on a nil receiver.
 func (l *fullListRequests) cancelAll() {
 	if l != nil {
 		l.cancel()
 	}
 }
 
-// reserveSlot cancels a request that has no answer yet, where there are as many as there may be. It reports whether
-// there is room for one more.
+// reserveSlot reports whether another request may be made. At the limit it makes room by cancelling one whose response
+// has not begun: the oldest such request, not counting the first in the list, which is always kept.
 func (l *fullListRequests) reserveSlot() bool {
 	if len(l.inFlight) < maxFullListRequests {
 		return true
@@ -57,21 +57,21 @@
 	newer := l.inFlight[1:]
 	i := slices.IndexFunc(newer, func(r *fullListRequest) bool { return !r.bodyStarted.Load() })
 	if i < 0 {
-		return false // answers are arriving
+		return false // all newer requests are receiving their responses
 	}
 	newer[i].cancel()
 	l.inFlight = slices.Delete(l.inFlight, 1+i, 2+i)
 	return true
 }
 
-// remove drops a request that has ended, unless it was cancelled to make room.
+// remove deletes a finished request from the list, unless it was already cancelled to make room.
 func (l *fullListRequests) remove(request *fullListRequest) {
 	if i := slices.Index(l.inFlight, request); i >= 0 {
 		l.inFlight = slices.Delete(l.inFlight, i, i+1)
 	}
 }
 
-// startFullListRequest makes one more request for the full list, if there is room for it.
+// startFullListRequest makes another request for the full list if there is room for it.
 func (w *Watcher) startFullListRequest(url string) {
 	l := w.fullList
 	if !l.reserveSlot() {
@@ -90,8 +90,8 @@
 	})
 }
 
-// requestFullList makes hedged requests for the full list until one is answered, or until headerTimeout is over.
-// Those in flight then go on, and the next call takes their answers.
+// requestFullList makes hedged requests for the full list until one succeeds, all have failed, or headerTimeout has
+// passed. Requests in flight after the timeout continue, and the next call receives their responses.
 func (w *Watcher) requestFullList(ctx context.Context, url string) (*Response, error) {
 	if w.fullList == nil {
 		w.fullList = &fullListRequests{results: make(chan fullListResult)}
@@ -120,7 +120,7 @@
 				w.startFullListRequest(url)
 			}
 		case <-timeout.C:
-			return nil, errNoAnswer
+			return nil, errNoResponse
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		}
--- a/internal/gatherer/discovery/kept_test.go
+++ b/internal/gatherer/discovery/kept_test.go
@@ -11,28 +11,29 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// The documents in testdata/kept are in the forms that discovery sends, and learnt.txt is what a gatherer of the version
-// that kept them learns from each. None may be changed.
+// The files in testdata/kept are golden files: documents in all forms that discovery sends, and in learnt.txt the lists
+// that the gatherer version that recorded them derives from each. They must not be changed.
 
-var keptStates = map[gather.State]string{gather.Running: "running", gather.Draining: "draining",
+var goldenStateNames = map[gather.State]string{gather.Running: "running", gather.Draining: "draining",
 	gather.Removed: "gone"}
 
-// TestKeptDocumentsAreReadAsBefore reads documents of all forms, one after the other, and compares what is handed on with the kept text.
-func TestKeptDocumentsAreReadAsBefore(t *testing.T) {
+// TestGoldenDocumentsYieldRecordedLists applies the documents in order and compares the resulting lists with the
+// recorded text.
+func TestGoldenDocumentsYieldRecordedLists(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "[0-9]-*.json"))
 	if err != nil || len(files) != 7 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found %d golden files, %v", len(files), err)
 	}
-	var b strings.Builder
-	f := New(Config{Address: "127.0.0.1:1", OnChange: func(list gather.EndpointList, all []shardcall.Address) {
-		fmt.Fprintf(&b, "full %t, failed %t\n", list.Full, list.Failed)
+	var got strings.Builder
+	watcher := New(Config{Address: "127.0.0.1:1", OnChange: func(list gather.EndpointList, all []shardcall.Address) {
+		fmt.Fprintf(&got, "full %t, failed %t\n", list.Full, list.Failed)
 		for _, s := range list.Endpoints {
-			fmt.Fprintf(&b, "  server %d group %d zone %q kind %q size %v state %s started %.1f\n",
-				s.ID, s.ReplicaSet, s.Zone, s.Kind, s.Size, keptStates[s.State], s.StartedAt)
+			fmt.Fprintf(&got, "  server %d group %d zone %q kind %q size %v state %s started %.1f\n",
+				s.ID, s.ReplicaSet, s.Zone, s.Kind, s.Size, goldenStateNames[s.State], s.StartedAt)
 		}
 		for _, a := range all {
-			fmt.Fprintf(&b, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort,
-				keptStates[a.State], a.StartedAt)
+			fmt.Fprintf(&got, "  address %d %q at %s state %s started %.1f\n", a.ID, a.Name, a.HostPort,
+				goldenStateNames[a.State], a.StartedAt)
 		}
 	}})
 	for _, file := range files {
@@ -44,20 +45,21 @@
 		if err != nil {
 			t.Fatalf("%s: %v", file, err)
 		}
-		fmt.Fprintf(&b, "%s: revision %d, whole %t: ", filepath.Base(file), r.Revision, r.Full)
-		f.Apply(r)
+		fmt.Fprintf(&got, "%s: revision %d, whole %t: ", filepath.Base(file), r.Revision, r.Full)
+		watcher.Apply(r)
 	}
 	want, err := os.ReadFile(filepath.Join("testdata", "kept", "learnt.txt"))
-	if err != nil || b.String() != string(want) {
-		t.Errorf("learnt\n%s\nkept\n%s\n%v", b.String(), want, err)
+	if err != nil || got.String() != string(want) {
+		t.Errorf("got\n%s\nwant\n%s\n%v", got.String(), want, err)
 	}
 }
 
-// TestKeptInvalidDocumentsAreRefused wants each document that the version that kept them refused refused whole.
-func TestKeptInvalidDocumentsAreRefused(t *testing.T) {
+// TestGoldenInvalidDocumentsAreRejected checks that each document that the recording version rejected is rejected as a
+// whole.
+func TestGoldenInvalidDocumentsAreRejected(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "refused-*"))
 	if err != nil || len(files) != 9 {
-		t.Fatalf("%d files, %v", len(files), err)
+		t.Fatalf("found %d golden files, %v", len(files), err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
@@ -65,7 +67,7 @@
 			t.Fatal(err)
 		}
 		if r, err := ParseResponse(text); err == nil {
-			t.Errorf("%s is read as %+v", file, r)
+			t.Errorf("%s: parsed as %+v, want an error", file, r)
 		}
 	}
 }
--- a/internal/gatherer/discovery/recheck_test.go
+++ b/internal/gatherer/discovery/recheck_test.go
@@ -17,7 +17,7 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// scriptedAgent is an agent whose list of one server a test changes. It answers watches as an agent does.
+// scriptedAgent is an agent with a list of one server that the test changes. It answers long polls like a real agent.
 type scriptedAgent struct {
 	*httptest.Server
 
@@ -26,7 +26,7 @@
 	phase     string
 	changed   chan struct{} // closed by the next change
 	silent    bool
-	fullLists int // requests for the full list that were answered
+	fullLists int // answered requests for the full list
 }
 
 func newScriptedAgent(t *testing.T, revision int64, phase string) *scriptedAgent {
@@ -39,7 +39,7 @@
 	return a
 }
 
-// set changes the server's phase and the revision.
+// set changes the phase of the server and the revision.
 func (a *scriptedAgent) set(revision int64, phase string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -48,7 +48,7 @@
 	a.changed = make(chan struct{})
 }
 
-// setSilent has it answer nobody, or serve again.
+// setSilent makes the agent stop answering requests, or answer again.
 func (a *scriptedAgent) setSilent(silent bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -61,7 +61,7 @@
 	return a.fullLists
 }
 
-// document is its list, with the revision that stands there.
+// document returns the list of the agent at the given revision.
 func document(revision int64, full bool, phase string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%t,"members":[`+
 		`{"id":"s-00000001","host_port":"h:1","cell":0,"phase":%q,"up_since_ms":9}]}`, revision, full, phase)
@@ -100,14 +100,14 @@
 	}
 }
 
-// stateChange is a new state of the server, and when the watcher told it.
+// stateChange is a new state of the server, and the time at which the watcher reported it.
 type stateChange struct {
 	state gather.State
 	at    time.Time
 }
 
-// runStateWatcher runs a watcher until the test ends, after it was given what is known, if anything. The
-// changes of the server's state arrive on the channel.
+// runStateWatcher runs a watcher until the test ends. It first applies the known response, unless that is nil. Changes
+// of the server's state are sent on the channel.
 func runStateWatcher(t *testing.T, agent *scriptedAgent, known *Response, shared bool) (*Watcher, <-chan stateChange) {
 	t.Helper()
 	log := logrus.New()
@@ -142,38 +142,40 @@
 	return watcher, changes
 }
 
-// expectState wants the next state of the server, within a limit.
+// expectState checks that the next state of the server is want and is reported within the given time. It returns the
+// time of the report.
 func expectState(t *testing.T, changes <-chan stateChange, want gather.State, within time.Duration) time.Time {
 	t.Helper()
 	select {
 	case change := <-changes:
 		if change.state != want {
-			t.Fatalf("the server is taken for %v, want %v", change.state, want)
+			t.Fatalf("the server is %v, want %v", change.state, want)
 		}
 		return change.at
 	case <-time.After(within):
-		t.Fatalf("the server is not taken for %v within %v", want, within)
+		t.Fatalf("the server is not %v within %v", want, within)
 	}
 	return time.Time{}
 }
 
-// expectNoChange wants the server's state to stay for a while.
+// expectNoChange checks that the state of the server does not change for the given duration.
 func expectNoChange(t *testing.T, changes <-chan stateChange, duration time.Duration) {
 	t.Helper()
 	select {
 	case change := <-changes:
-		t.Fatalf("the server is taken for %v", change.state)
+		t.Fatalf("the server is now %v, want no change", change.state)
 	case <-time.After(duration):
 	}
 }
 
-// maxRecheckDelay is after which a recheck has taken effect: it waits for the end of a watch.
+// maxRecheckDelay is the time after which a recheck must have taken effect. It includes the end of the watch in
+// progress.
 const maxRecheckDelay = maxListAge + watchDuration + headerTimeout
 
-// TestDrainUndoneDuringAMoveTakesEffect guards against a server that never gets a request again: its drain is
-// undone while the agent is silent, and the gatherer is given another agent, whose revisions are lower. The
-// drain ends no earlier than such a list can be older.
-func TestDrainUndoneDuringAMoveTakesEffect(t *testing.T) {
+// TestDrainUndoneDuringAgentChangeIsReverted guards against a server that never receives a request again: its drain is
+// undone while the agent does not answer, and the gatherer switches to another agent with lower revisions. The drain
+// must not end before the list of the new agent can no longer be an older one.
+func TestDrainUndoneDuringAgentChangeIsReverted(t *testing.T) {
 	t.Parallel()
 	first := newScriptedAgent(t, 40, "in_service")
 	watcher, changes := runStateWatcher(t, first, nil, false)
@@ -182,11 +184,12 @@
 	expectState(t, changes, gather.Draining, time.Second)
 	first.setSilent(true)
 	second := newScriptedAgent(t, 7, "in_service")
-	movedAt := time.Now()
+	changedAt := time.Now()
 	watcher.SetAddress(address(second.Server))
 	undoneAt := expectState(t, changes, gather.Running, maxRecheckDelay)
-	if undoneAt.Sub(movedAt) < maxListAge {
-		t.Errorf("the drain ended %v after the move, by a list that may have been older", undoneAt.Sub(movedAt))
+	if undoneAt.Sub(changedAt) < maxListAge {
+		t.Errorf("the drain ended %v after the agent changed, by a list that may have been older",
+			undoneAt.Sub(changedAt))
 	}
 	expectNoChange(t, changes, watchDuration)
 	if n := second.answeredFullLists(); n != 2 {
@@ -194,9 +197,9 @@
 	}
 }
 
-// TestRemovalUndoneDuringAMoveTakesEffect guards against the same with a server that discovery had removed by
-// name.
-func TestRemovalUndoneDuringAMoveTakesEffect(t *testing.T) {
+// TestRemovalUndoneDuringAgentChangeIsReverted guards against the same failure for a server that discovery had removed
+// by name.
+func TestRemovalUndoneDuringAgentChangeIsReverted(t *testing.T) {
 	t.Parallel()
 	first := newScriptedAgent(t, 40, "in_service")
 	watcher, changes := runStateWatcher(t, first, nil, false)
@@ -204,17 +207,18 @@
 	first.set(41, "terminated")
 	expectState(t, changes, gather.Removed, time.Second)
 	second := newScriptedAgent(t, 7, "in_service")
-	movedAt := time.Now()
+	changedAt := time.Now()
 	watcher.SetAddress(address(second.Server))
 	undoneAt := expectState(t, changes, gather.Running, maxRecheckDelay)
-	if undoneAt.Sub(movedAt) < maxListAge {
-		t.Errorf("the removal ended %v after the move, by a list that may have been older", undoneAt.Sub(movedAt))
+	if undoneAt.Sub(changedAt) < maxListAge {
+		t.Errorf("the removal ended %v after the agent changed, by a list that may have been older",
+			undoneAt.Sub(changedAt))
 	}
 }
 
-// TestDrainHoldsAtAnAgentThatIsBehind guards against requests to a draining server: the new agent does not
-// know of the drain for most of the time that it may be behind. It is asked for no second full list.
-func TestDrainHoldsAtAnAgentThatIsBehind(t *testing.T) {
+// TestDrainIsKeptWhileNewAgentIsBehind guards against requests to a draining server: the new agent does not know of
+// the drain for most of the time that it may be behind. It must not be asked for a second full list.
+func TestDrainIsKeptWhileNewAgentIsBehind(t *testing.T) {
 	t.Parallel()
 	first := newScriptedAgent(t, 41, "terminating")
 	watcher, changes := runStateWatcher(t, first, nil, false)
@@ -229,9 +233,9 @@
 	}
 }
 
-// TestDrainHoldsAtAnAgentThatFallsSilentWhileBehind guards against requests to a draining server: the new
-// agent learns nothing while it is silent, and serves an old list again after that.
-func TestDrainHoldsAtAnAgentThatFallsSilentWhileBehind(t *testing.T) {
+// TestDrainIsKeptWhenAgentStopsAnsweringWhileBehind guards against requests to a draining server: the new agent learns
+// nothing while it does not answer, and serves an old list again after that.
+func TestDrainIsKeptWhenAgentStopsAnsweringWhileBehind(t *testing.T) {
 	t.Parallel()
 	first := newScriptedAgent(t, 41, "terminating")
 	watcher, changes := runStateWatcher(t, first, nil, false)
@@ -248,9 +252,9 @@
 	expectNoChange(t, changes, 2*time.Second+watchDuration)
 }
 
-// TestDrainHoldsAtAnAgentThatGoesBackDuringARecheck guards against requests to a draining server: the full
-// list that is requested once more has a lower revision than the one before, so that it may be older.
-func TestDrainHoldsAtAnAgentThatGoesBackDuringARecheck(t *testing.T) {
+// TestDrainIsKeptWhenRecheckReturnsLowerRevision guards against requests to a draining server: the full list of the
+// recheck has a lower revision than the one before, so that it may be older.
+func TestDrainIsKeptWhenRecheckReturnsLowerRevision(t *testing.T) {
 	t.Parallel()
 	watcher, changes := New(Config{}), []gather.State(nil)
 	watcher.config.OnChange = func(_ gather.EndpointList, all []shardcall.Address) {
@@ -269,7 +273,7 @@
 	watcher.recheckAt = time.Now()
 	watcher.recheckIfDue()
 	if watcher.watching {
-		t.Error("the full list is not requested")
+		t.Error("the recheck does not request the full list")
 	}
 	accept(6, "in_service")
 	if changes[2] != gather.Draining || time.Until(watcher.recheckAt) < maxListAge-time.Second {
@@ -277,10 +281,10 @@
 	}
 }
 
-// TestStoredDrainThatIsUndoneTakesEffect guards against a server that never gets a request after a gatherer's
-// start: an earlier process stored its drain, which was undone since. A shared service tells only what
-// follows the known list.
-func TestStoredDrainThatIsUndoneTakesEffect(t *testing.T) {
+// TestStoredDrainThatWasUndoneIsReverted guards against a server that receives no request after a gatherer starts: an
+// earlier process stored its drain, which has been undone since. A shared service reports only the changes since the
+// known list.
+func TestStoredDrainThatWasUndoneIsReverted(t *testing.T) {
 	for _, shared := range []bool{false, true} {
 		t.Run(fmt.Sprintf("shared service %t", shared), func(t *testing.T) {
 			t.Parallel()
@@ -289,7 +293,7 @@
 				t.Fatal(err)
 			}
 			if marked := known.MarkDraining(map[string]float64{"s-00000001": 9}); marked != 1 {
-				t.Fatalf("%d servers are marked", marked)
+				t.Fatalf("%d servers are marked, want 1", marked)
 			}
 			agent := newScriptedAgent(t, 41, "in_service")
 			startedAt := time.Now()
@@ -310,10 +314,10 @@
 	}
 }
 
-// TestStoredDrainHoldsUntilDiscoveryTellsIt guards against requests to a draining server, and against a full
-// list of a shared service that is requested for nothing: the known list is older than the stored drain,
-// which the first watch tells.
-func TestStoredDrainHoldsUntilDiscoveryTellsIt(t *testing.T) {
+// TestStoredDrainIsKeptUntilDiscoveryReportsIt guards against requests to a draining server, and against an
+// unnecessary request for the full list to a shared service: the known list is older than the stored drain, which the
+// first watch reports.
+func TestStoredDrainIsKeptUntilDiscoveryReportsIt(t *testing.T) {
 	t.Parallel()
 	known, err := ParseResponse([]byte(document(41, true, "in_service")))
 	if err != nil {
--- a/internal/gatherer/discovery/response.go
+++ b/internal/gatherer/discovery/response.go
@@ -1,5 +1,5 @@
-// Package discovery watches the list of shard servers. A discovery agent serves it over HTTP: the full list, and by
-// long polls what has changed since a revision.
+// Package discovery watches the list of shard servers. A discovery agent serves it over HTTP: the full list on
+// request, and the changes since a revision by long polling.
 package discovery
 
 import (
@@ -14,13 +14,13 @@
 	"yokeroute/gather"
 )
 
-// maxMembers bounds a response, against reading without end from what is no discovery: more than three times the
-// largest fleet that is planned for, 28,000.
+// maxMembers limits the number of members in a response, so that a peer that is not a discovery agent cannot make a
+// gatherer read without end. It is more than three times the largest planned fleet of 28,000 servers.
 const maxMembers = 100_000
 
 var errTooManyMembers = errors.New("too many members")
 
-// member is one server in a discovery document.
+// member is the entry of one server in a discovery document.
 type member struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -31,7 +31,8 @@
 	Size     float64 `json:"size"`
 	UpSince  float64 `json:"up_since_ms"` // Unix milliseconds
 
-	markedDraining bool // by MarkDraining, where the document says running
+	// markedDraining is set by MarkDraining on a member that the document lists as running.
+	markedDraining bool
 }
 
 const phaseDraining = "terminating"
@@ -42,7 +43,7 @@
 	"terminated":  gather.Removed,
 }
 
-// endpoint is the member as the decisions know it.
+// endpoint returns the member as an endpoint for the decision module.
 func (m *member) endpoint(id uint32, startedAt float64, state gather.State) gather.Endpoint {
 	e := gather.Endpoint{
 		ID:        id,
@@ -58,16 +59,16 @@
 	return e
 }
 
-// Response is what discovery answers to one request: the full list, or what has changed.
+// Response is a parsed response of a discovery agent: the full list, or the changes since a revision.
 type Response struct {
 	Revision int64
 	Full     bool
 	members  []member
 }
 
-// MarkDraining marks servers as draining that a list, which may be old, shows as running. The map gives for each of
-// their names since when the draining process is up, in Unix milliseconds; a later process of that name is another
-// one. The result is how many were marked.
+// MarkDraining marks servers as draining that the response, which may be old, lists as running. The map holds, by
+// server name, the start of the draining process in Unix milliseconds. A process of the same name that started later
+// is not marked. MarkDraining returns the number of servers that it marked.
 func (r *Response) MarkDraining(draining map[string]float64) (marked int) {
 	for i := range r.members {
 		m := &r.members[i]
@@ -81,8 +82,8 @@
 	return marked
 }
 
-// ParseResponse reads a discovery document. One with an invalid member is refused altogether, and the error names the
-// member.
+// ParseResponse parses a discovery document. If any member is invalid, it rejects the whole document with an error
+// that names the member.
 func ParseResponse(text []byte) (*Response, error) {
 	var document struct {
 		Revision *int64   `json:"revision"`
@@ -96,7 +97,7 @@
 		return nil, errors.New("no revision")
 	}
 	if n := len(document.Members); n > maxMembers {
-		return nil, fmt.Errorf("%w: %d, at most %d are allowed", errTooManyMembers, n, maxMembers)
+		return nil, fmt.Errorf("%w: got %d, the limit is %d", errTooManyMembers, n, maxMembers)
 	}
 	for i := range document.Members {
 		if err := document.Members[i].validate(); err != nil {
@@ -112,9 +113,9 @@
 	case m.ID == "":
 		return errors.New("no id")
 	case !known:
-		return fmt.Errorf("phase %q", m.Phase)
+		return fmt.Errorf("phase %q is unknown, want in_service, terminating or terminated", m.Phase)
 	case state == gather.Removed:
-		return nil // needs no more than its name
+		return nil // a removed server needs no fields other than its name
 	case m.Cell == nil:
 		return errors.New("no cell")
 	}
@@ -124,12 +125,12 @@
 	return nil
 }
 
-// hexDigitsOfID is how many digits behind the last dash of a server's name are its number.
+// hexDigitsOfID is the number of hex digits after the last dash of a server name that form its ID.
 const hexDigitsOfID = 8
 
-// ServerID is the number by which the decisions know a server. Round robin goes by it, so that it has to be the same
-// at all gatherers and after each start: a name that ends in a dash and eight hex digits has these, others are
-// hashed.
+// ServerID returns the ID of a server in the decision module. Round robin orders servers by ID, so that the ID must be
+// the same at all gatherers and after each restart. If the name ends in a dash and eight hex digits, these are the ID;
+// otherwise the ID is a hash of the name.
 func ServerID(name string) uint32 {
 	dash := strings.LastIndexByte(name, '-')
 	if dash >= 0 && len(name)-dash-1 == hexDigitsOfID {
--- a/internal/gatherer/discovery/watcher.go
+++ b/internal/gatherer/discovery/watcher.go
@@ -18,43 +18,44 @@
 )
 
 const (
-	// watchDuration is after which the agent answers a long poll without a change. The rules of a drain count a
-	// change as known two seconds after a watch that missed it, so that it is short; polls cost the machine's own
-	// agent nothing.
+	// watchDuration is how long the agent holds a long poll open if nothing changes. It is short because the rules for
+	// drains count a change as known two seconds after a watch that missed it, and polls cost the agent on the same
+	// machine nothing.
 	watchDuration = 2 * time.Second
-	// headerTimeout is how long an agent may take to begin its answer, beyond watchDuration.
+	// headerTimeout limits the wait for the response header, in addition to watchDuration.
 	headerTimeout = time.Second
-	// retryDelay is the pause after a failed poll of the machine's own agent.
+	// retryDelay is the pause after a failed poll of the agent on the same machine.
 	retryDelay = 50 * time.Millisecond
-	// stallTimeout bounds the pauses in an answer, watchBodyTimeout that of a long poll as a whole.
+	// stallTimeout limits each pause within a response body, and watchBodyTimeout the whole body of a long poll.
 	stallTimeout     = 500 * time.Millisecond
 	watchBodyTimeout = 3 * time.Second
-	// maxListAge is how long a list may be behind what another agent has told: by the operators' terms a
-	// change counts as told 6 s after discovery had it and could be reached.
+	// maxListAge is the longest time that a list of one agent may lag behind what another agent has reported. By the
+	// operators' terms, a change counts as reported 6 s after discovery has it and can be reached.
 	maxListAge = 6 * time.Second
-	// maxBodyBytes has room for maxMembers entries of over 300 bytes.
+	// maxBodyBytes limits a response body. It has room for maxMembers entries of over 300 bytes each.
 	maxBodyBytes = 32 << 20
 )
 
 var (
-	// errStale is the answer of an agent that is behind the known revision. Only its full list helps.
-	errStale = errors.New("discovery is behind")
-	// errAddressChanged ends a poll of an agent that is not watched any more.
-	errAddressChanged = errors.New("discovery has another address")
-	// errNotFull is a change where the full list was requested.
-	errNotFull = errors.New("a change, where the full list was requested")
+	// errStale reports that the agent is behind the known revision, so that only its full list can be used.
+	errStale = errors.New("discovery agent is behind the known revision")
+	// errAddressChanged cancels a poll of an agent that is no longer watched.
+	errAddressChanged = errors.New("address of the discovery agent changed")
+	// errNotFull reports a response with changes to a request for the full list.
+	errNotFull = errors.New("response contains changes, want the full list")
 )
 
-// Config is what a Watcher needs.
+// Config holds the parameters of a Watcher.
 type Config struct {
-	Address string // of the discovery agent, host:port
-	// OnChange is called with each list, change or failure, and with the addresses of all listed servers. Calls do
-	// not overlap.
+	// Address is the host:port of the discovery agent.
+	Address string
+	// OnChange is called after each full list, change and failed poll, with the addresses of all listed servers. Calls
+	// do not overlap.
 	OnChange func(list gather.EndpointList, all []shardcall.Address)
-	// RefreshRequested has a value when a list is wanted before the next regular poll. It may be nil.
+	// RefreshRequested receives a value when a list is wanted before the next regular poll. It may be nil.
 	RefreshRequested <-chan struct{}
-	// SharedService is set where each request costs a service that all gatherers share, in place of an agent on the
-	// machine. Requests are then made one at a time, with backoff after failures.
+	// SharedService says that requests go to a service that all gatherers share, not to an agent on the same machine.
+	// To limit its load, requests are then made one at a time, with backoff after failures.
 	SharedService bool
 	Log           *logrus.Logger
 }
@@ -68,17 +69,17 @@
 	url            string
 	addressChanged chan struct{} // closed by the next SetAddress
 
-	// The rest belongs to the goroutine that calls Run, before that to who calls Apply.
+	// The fields below are used only by the goroutine in Run, and before Run by the caller of Apply.
 	endpoints           *endpointTable
-	fullList            *fullListRequests // in flight, nil for none
-	watching            bool              // from the known revision on; otherwise the full list is needed first
-	recheckAt           time.Time         // when the full list is requested once more, zero for never
-	failing             bool              // the last poll failed, and this is logged
-	consecutiveFailures int               // of a shared service
+	fullList            *fullListRequests // requests in flight for the full list, nil if there are none
+	watching            bool              // the next poll requests changes since the known revision, else the full list
+	recheckAt           time.Time         // when to request the full list again, zero for never
+	failing             bool              // the last poll failed, and this has been logged
+	consecutiveFailures int               // failed polls in a row; it sets the backoff for a shared service
 	requests            sync.WaitGroup
 }
 
-// New returns a Watcher that does nothing until Run is called.
+// New returns a Watcher that makes no request until Run is called.
 func New(config Config) *Watcher {
 	transport := &http.Transport{
 		MaxIdleConnsPerHost:   1,
@@ -96,8 +97,8 @@
 
 func targetsURL(address string) string { return "http://" + address + "/api/targets" }
 
-// SetAddress has another agent watched from now on. Requests to the old one are cancelled. Revisions of two agents do
-// not compare, so that the new one is asked for its full list first.
+// SetAddress makes the watcher use another agent and cancels the requests to the current one. Revisions of two agents
+// cannot be compared, so that the new agent is asked for its full list first.
 func (w *Watcher) SetAddress(address string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -109,14 +110,14 @@
 	w.addressChanged = make(chan struct{})
 }
 
-// target is the URL to poll, and a channel that is closed when it changes.
+// target returns the URL to poll, and a channel that is closed when the URL changes.
 func (w *Watcher) target() (url string, changed <-chan struct{}) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.url, w.addressChanged
 }
 
-// Apply takes over a response: one that was known at the start, before Run, or one of the agent.
+// Apply updates the endpoint list from a response of the agent, or from one that is known before Run is called.
 func (w *Watcher) Apply(r *Response) {
 	list := w.endpoints.apply(r)
 	w.config.OnChange(list, w.endpoints.list())
@@ -127,7 +128,7 @@
 	defer w.requests.Wait()
 	defer func() { w.fullList.cancelAll() }()
 	url, addressChanged := w.target()
-	w.endpoints.source++ // what was known at the start is of no agent
+	w.endpoints.source++ // what is known before Run does not come from this agent
 	w.scheduleRecheck(true)
 	w.watching = w.canResume()
 	for ctx.Err() == nil {
@@ -144,13 +145,14 @@
 			continue
 		}
 		if err == nil {
-			err = w.check(response)
+			err = w.checkContinuity(response)
 		}
 		switch {
 		case err == nil:
 			changed := w.accept(response)
-			answeredAtOnce := time.Since(startedAt) < watchDuration/2
-			if !changed && answeredAtOnce { // an agent that does not wait must not be polled without a pause
+			answeredImmediately := time.Since(startedAt) < watchDuration/2
+			// The pause keeps an agent that does not hold long polls from being polled in a busy loop.
+			if !changed && answeredImmediately {
 				w.pause(ctx, addressChanged)
 			}
 		case ctx.Err() != nil:
@@ -162,7 +164,7 @@
 	}
 }
 
-// startOver forgets how far the watch has come, for another agent.
+// startOver resets the state of the watch for a new agent.
 func (w *Watcher) startOver() {
 	w.watching = false
 	w.failing = false
@@ -173,26 +175,26 @@
 	w.client.CloseIdleConnections()
 }
 
-// canResume reports whether a watch may begin from the known revision, without a full list before it. Its first
-// answer is then what has changed since; that spares a shared service a full list.
+// canResume reports whether the watch may start from the known revision without requesting the full list. The first
+// response then contains the changes since that revision, which saves a shared service from sending a full list.
 func (w *Watcher) canResume() bool {
 	return w.config.SharedService && len(w.endpoints.addresses) > 0
 }
 
-// check refuses a response that does not follow what is known.
-func (w *Watcher) check(r *Response) error {
+// checkContinuity rejects a response that cannot be applied to the known list.
+func (w *Watcher) checkContinuity(r *Response) error {
 	switch known := w.endpoints.revision; {
 	case r.Full:
 		return nil
 	case !w.watching:
 		return errNotFull
 	case r.Revision < known:
-		return fmt.Errorf("%w: a change of revision %d, where %d is known", errStale, r.Revision, known)
+		return fmt.Errorf("%w: the change has revision %d, the known list %d", errStale, r.Revision, known)
 	}
 	return nil
 }
 
-// accept takes over a response of the agent, and reports whether it changed anything.
+// accept applies a valid response of the agent, and reports whether it changed anything.
 func (w *Watcher) accept(r *Response) bool {
 	if w.failing {
 		w.config.Log.Info("discovery: recovered")
@@ -207,20 +209,21 @@
 	return changed
 }
 
-// scheduleRecheck has the full list requested once more where what is known contradicts the agent's and was
-// kept. This is due once the agent has been reached for maxListAge without a break; a break or an agent that
-// falls behind begins that time anew.
-func (w *Watcher) scheduleRecheck(anew bool) {
+// scheduleRecheck schedules another request for the full list if the known state of a server was kept against the
+// agent's list. The request is due once the agent has been reachable for maxListAge without interruption. restart
+// begins that time again, after an interruption or when the agent falls behind.
+func (w *Watcher) scheduleRecheck(restart bool) {
 	switch {
 	case len(w.endpoints.overruled) == 0:
 		w.recheckAt = time.Time{}
-	case anew || w.recheckAt.IsZero():
+	case restart || w.recheckAt.IsZero():
 		w.recheckAt = time.Now().Add(maxListAge)
 	}
 }
 
-// recheckIfDue has the next poll request the full list, and what it says take effect, where a recheck is due.
-// A list that is still missing after a break is no recheck: it may have been requested before.
+// recheckIfDue makes the next poll request the full list and lets that list override the known states, if a recheck is
+// due. A full list that is still outstanding after an interruption does not count as a recheck, because it may have
+// been requested earlier.
 func (w *Watcher) recheckIfDue() {
 	if !w.watching || w.recheckAt.IsZero() || time.Now().Before(w.recheckAt) {
 		return
@@ -229,18 +232,18 @@
 	w.watching = false
 }
 
-// reportFailure logs a failed poll, the first in a row at a level that is seen, and notifies the decisions.
+// reportFailure logs a failed poll and calls OnChange with a failed list.
 func (w *Watcher) reportFailure(err error) {
 	level := logrus.WarnLevel
 	switch {
-	case w.failing: // one line for an outage
+	case w.failing: // log one visible line per outage
 		level = logrus.DebugLevel
 	case errors.Is(err, httpfetch.ErrTooLarge), errors.Is(err, errTooManyMembers): // a retry will not help
 		level = logrus.ErrorLevel
 	}
-	w.config.Log.WithError(err).Log(level, "discovery: poll failed, the last endpoint list stays in force")
+	w.config.Log.WithError(err).Log(level, "discovery: poll failed, keeping the last endpoint list")
 	w.config.OnChange(gather.EndpointList{Failed: true}, w.endpoints.list())
-	// A watch that broke may have missed changes.
+	// A watch that failed may have missed changes.
 	w.watching = w.canResume() && !errors.Is(err, errStale)
 	w.scheduleRecheck(true)
 	w.failing = true
@@ -254,7 +257,7 @@
 	w.pause(ctx, addressChanged)
 }
 
-// backOff waits before the next poll of a shared service, longer with each failure in a row.
+// backOff waits before the next poll of a shared service, with a delay that grows with each failure in a row.
 func (w *Watcher) backOff(ctx context.Context, addressChanged <-chan struct{}) {
 	w.consecutiveFailures++
 	milliseconds := backoff.Pause(w.consecutiveFailures, rand.Float64())
@@ -267,7 +270,7 @@
 	}
 }
 
-// pause waits before the next poll of the machine's own agent.
+// pause waits before the next poll of the agent on the same machine.
 func (w *Watcher) pause(ctx context.Context, addressChanged <-chan struct{}) {
 	select {
 	case <-ctx.Done():
@@ -277,8 +280,8 @@
 	}
 }
 
-// poll requests the full list where it is needed, otherwise what has changed. It ends early where the address
-// changes.
+// poll requests the full list if it is needed, otherwise the changes. It returns errAddressChanged as soon as the
+// address changes.
 func (w *Watcher) poll(ctx context.Context, url string, addressChanged <-chan struct{}) (*Response, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -300,13 +303,13 @@
 	return response, err
 }
 
-// requestChanges waits for what follows the known revision.
+// requestChanges makes a long poll for the changes since the known revision.
 func (w *Watcher) requestChanges(ctx context.Context, url string) (*Response, error) {
 	query := fmt.Sprintf("?index=%d&wait=%d", w.endpoints.revision, watchDuration.Milliseconds())
 	return w.get(ctx, url+query, watchBodyTimeout, nil)
 }
 
-// get makes one request. onHeader, if it is not nil, is called once the answer has begun.
+// get makes one request. onHeader is called when the response header has arrived, unless it is nil.
 func (w *Watcher) get(ctx context.Context, url string, bodyTimeout time.Duration, onHeader func()) (*Response, error) {
 	limits := httpfetch.Limits{MaxBytes: maxBodyBytes, BodyTimeout: bodyTimeout, StallTimeout: stallTimeout}
 	body, err := httpfetch.Get(ctx, w.client, url, limits, onHeader)
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -25,14 +25,14 @@
 	changeDocument = `{"revision":43,"complete":false,"members":[{"id":"s-5be2a07c","phase":"terminated"}]}`
 )
 
-// address is where a test's agent listens.
+// address returns the host:port of a test agent.
 func address(agent *httptest.Server) string { return strings.TrimPrefix(agent.URL, "http://") }
 
 func TestParseResponseChecksEachMember(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
-		{"whole", fullDocument, ""},
+		{"full list", fullDocument, ""},
 		{"change", changeDocument, ""},
-		{"nothing new", `{"revision":41,"complete":false}`, ""},
+		{"no changes", `{"revision":41,"complete":false}`, ""},
 		{"not JSON", `<html>`, "invalid"},
 		{"no revision", `{"complete":true}`, "no revision"},
 		{"no id", `{"revision":1,"members":[{"phase":"in_service"}]}`, "members[0]: no id"},
@@ -51,24 +51,24 @@
 	}
 }
 
-// TestServerIDsAreStableAndDistinct wants IDs that are the same at each gatherer and after each start, and distinct
-// ones for two servers.
+// TestServerIDsAreStableAndDistinct checks that IDs follow from the name, as each gatherer and each start must compute
+// the same ones, and that two servers get distinct IDs.
 func TestServerIDsAreStableAndDistinct(t *testing.T) {
 	for name, want := range map[string]uint32{"s-5be2a07c": 0x5be2a07c, "s-7": 0x9e73d5e,
 		"s-zzzzzzzz": ServerID("s-zzzzzzzz")} {
 		if got := ServerID(name); name != "s-7" && got != want {
-			t.Errorf("%s is %#x, want %#x", name, got, want)
+			t.Errorf("the ID of %s is %#x, want %#x", name, got, want)
 		}
 	}
 	watcher := New(Config{Address: "127.0.0.1:1"})
 	if a, b, c := watcher.endpoints.assignID("s-00000005"), watcher.endpoints.assignID("t-00000005"), watcher.endpoints.assignID("s-00000005"); a != 5 || b != 6 || c != 5 {
-		t.Errorf("IDs %d, %d, %d", a, b, c)
+		t.Errorf("IDs %d, %d, %d, want 5, 6, 5", a, b, c)
 	}
 }
 
-// TestWatcherNotifiesOfListsChangesAndFailures plays an agent that sends the full list, a change, several kinds of
-// bad answers, and the full list again.
-func TestWatcherNotifiesOfListsChangesAndFailures(t *testing.T) {
+// TestWatcherReportsListsChangesAndFailures runs a watcher against an agent that sends the full list, a change,
+// several kinds of invalid responses, and the full list again.
+func TestWatcherReportsListsChangesAndFailures(t *testing.T) {
 	replies := []struct {
 		query, body string
 		status      int
@@ -111,12 +111,12 @@
 	second := gather.Endpoint{ID: 2, State: gather.Draining}
 	both := []shardcall.Address{{ID: first.ID, Name: "s-5be2a07c", HostPort: "127.0.0.1:1", StartedAt: 7},
 		{ID: 2, Name: "s-00000002", HostPort: "127.0.0.1:2", State: gather.Draining}}
-	left := both[1:]
+	remaining := both[1:]
 	want := []notification{
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
-		{gather.EndpointList{Endpoints: []gather.Endpoint{{ID: first.ID, State: gather.Removed}}}, left},
-		{gather.EndpointList{Failed: true}, left},
-		{gather.EndpointList{Failed: true}, left},
+		{gather.EndpointList{Endpoints: []gather.Endpoint{{ID: first.ID, State: gather.Removed}}}, remaining},
+		{gather.EndpointList{Failed: true}, remaining},
+		{gather.EndpointList{Failed: true}, remaining},
 		{gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{first, second}}, both},
 	}
 	if !reflect.DeepEqual(got, want) {
@@ -124,8 +124,8 @@
 	}
 }
 
-// TestAgentThatAnswersAtOnceIsPolledWithPauses polls an agent that answers at once instead of holding a long poll.
-func TestAgentThatAnswersAtOnceIsPolledWithPauses(t *testing.T) {
+// TestAgentWithoutLongPollIsPolledWithPauses polls an agent that answers immediately instead of holding a long poll.
+func TestAgentWithoutLongPollIsPolledWithPauses(t *testing.T) {
 	for _, body := range []string{`{"revision":1,"complete":true}`, `{"revision":1,"complete":false}`} {
 		ctx, stop := context.WithTimeout(t.Context(), 500*time.Millisecond)
 		calls := 0
@@ -143,13 +143,13 @@
 		agent.Close()
 		stop()
 		if calls < 2 || calls > 15 {
-			t.Errorf("%d requests in half a second", calls)
+			t.Errorf("%d requests in half a second, want 2 to 15", calls)
 		}
 	}
 }
 
-// TestSilentAgentCountsAsFailedAndIsPolledAgain polls an agent that accepts requests and does not answer.
-func TestSilentAgentCountsAsFailedAndIsPolledAgain(t *testing.T) {
+// TestUnresponsiveAgentIsReportedFailedAndPolledAgain polls an agent that accepts requests and does not answer them.
+func TestUnresponsiveAgentIsReportedFailedAndPolledAgain(t *testing.T) {
 	ctx, stop := context.WithCancel(t.Context())
 	calls := make(chan struct{}, 10)
 	agent := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
@@ -169,15 +169,15 @@
 	go watcher.Run(ctx)
 	<-calls
 	if !<-failed {
-		t.Error("notified of a list")
+		t.Error("notified of a list, want a failure")
 	}
 	<-calls
 }
 
-// TestFullListIsTakenFromWhicheverRequestIsAnswered polls an agent that never answers requests from its outage, and
-// one that is slow. Further requests are made while the first is in flight, and the first answer counts, even one to
-// the oldest request.
-func TestFullListIsTakenFromWhicheverRequestIsAnswered(t *testing.T) {
+// TestFullListIsTakenFromFirstAnsweredRequest polls an agent that never answers the requests from its outage, and one
+// that is slow. Further requests must be made while the first is in flight, and the first response must be used, even
+// if it belongs to the oldest request.
+func TestFullListIsTakenFromFirstAnsweredRequest(t *testing.T) {
 	for _, answered := range []int{3, 1} {
 		ctx, stop := context.WithCancel(t.Context())
 		var calls atomic.Int32
@@ -214,9 +214,9 @@
 	}
 }
 
-// TestSetAddressCancelsTheWatchAndRequestsTheFullList moves a watch to another agent. Revisions do not compare across
-// agents, so that the new one is requests for its full list first.
-func TestSetAddressCancelsTheWatchAndRequestsTheFullList(t *testing.T) {
+// TestSetAddressCancelsWatchAndRequestsFullList switches a watch to another agent. Revisions of two agents cannot be
+// compared, so that the new one must be asked for its full list first.
+func TestSetAddressCancelsWatchAndRequestsFullList(t *testing.T) {
 	requests := make(chan string, 10)
 	agent := func(name string) *httptest.Server {
 		a := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -250,17 +250,17 @@
 			t.Errorf("request %d is %s, want %s", i, got, want)
 		}
 	}
-	watcher.SetAddress(address(next)) // the same address: the watch goes on
+	watcher.SetAddress(address(next)) // an unchanged address must not interrupt the watch
 	stop()
 	<-ended
 	if failed || len(requests) > 0 {
-		t.Errorf("failed %v, %d more requests", failed, len(requests))
+		t.Errorf("failed %v, %d more requests, want false, 0", failed, len(requests))
 	}
 }
 
-// TestRemovedEndpointsAreNotKept replaces each server by one of a new name, by a change or by a full list that lacks
-// it. Nothing of the removed ones is kept.
-func TestRemovedEndpointsAreNotKept(t *testing.T) {
+// TestRemovedEndpointsAreDeleted replaces each server by one with a new name, through a change or a full list without
+// it. The table must keep nothing of the removed ones.
+func TestRemovedEndpointsAreDeleted(t *testing.T) {
 	all := 0
 	watcher := New(Config{
 		Address:  "127.0.0.1:1",
