--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -86,7 +86,7 @@
 		}
 	})
 	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("notified of %+v", l)
+		t.Errorf("notified of %+v, want a full list with 2 endpoints", l)
 	}
 }
 
@@ -115,7 +115,7 @@
 		}
 	})
 	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("notified of %+v", l)
+		t.Errorf("notified of %+v, want a full list with 2 endpoints", l)
 	}
 }
 
@@ -230,7 +230,7 @@
 	})
 	nextList(t, lists)
 	if l := nextList(t, lists); !l.Full {
-		t.Errorf("notified of %+v", l)
+		t.Errorf("notified of %+v, want a full list", l)
 	}
 }
 
@@ -250,10 +250,10 @@
 	})
 	nextList(t, lists)
 	if l := <-lists; !l.Failed {
-		t.Errorf("notified of %+v", l)
+		t.Errorf("notified of %+v, want a failure", l)
 	}
 	if l := nextList(t, lists); !l.Full || len(l.Endpoints) != 2 {
-		t.Errorf("then notified of %+v", l)
+		t.Errorf("then notified of %+v, want a full list with 2 endpoints", l)
 	}
 }
 
@@ -273,7 +273,7 @@
 	}).Run(ctx)
 	for range 5 {
 		if l := <-lists; !l.Failed {
-			t.Errorf("notified of %+v", l)
+			t.Errorf("notified of %+v, want a failure", l)
 		}
 	}
 	l, err := net.Listen("tcp", address)
@@ -358,7 +358,7 @@
 			doc(5, true, run, 9)}, []gather.State{0, 2, 2}},
 		{"removal without a start time, then an older full list",
 			[]string{doc(5, true, run, 9), doc(6, false, removed, 0),
-			doc(5, true, run, 9)},
+				doc(5, true, run, 9)},
 			[]gather.State{0, 2, 2}},
 		{"removal, then a later process",
 			[]string{doc(5, true, run, 9), doc(6, false, removed, 9), doc(5, true, run, 10)},
@@ -376,7 +376,7 @@
 				doc(5, true, run, 9)}, []gather.State{0, 1, 2, 2}},
 		{"agent that restarts its revisions",
 			[]string{doc(50, true, run, 9), doc(1, true, run, 9), doc(2, false, drain, 9),
-			doc(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
+				doc(3, true, drain, 9)}, []gather.State{0, 0, 1, 1}},
 	} {
 		var all []shardcall.Address
 		var list gather.EndpointList
--- a/internal/gatherer/shardcall/attempt.go
+++ b/internal/gatherer/shardcall/attempt.go
@@ -7,15 +7,15 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// attempt is an attempt between its decision and its end. The pool's lock guards it.
+// attempt is the state of an attempt from its decision to its end. The pool's lock guards it.
 type attempt struct {
 	decision   *dispatch.Attempt
 	id         string
-	server     *server // nil where it is not listed
-	conn       *conn   // nil until it is queued
+	server     *server // nil if the server is not listed
+	conn       *conn   // nil until the attempt is queued
 	timeout    *time.Timer
 	written    bool
-	cancelling bool // it ends once the server can read that it is cancelled
+	cancelling bool // the attempt ends when its cancellation has been written
 }
 
 // newAttempt registers an attempt and starts its timeout.
@@ -30,11 +30,11 @@
 	return a
 }
 
-// inFlight reports whether the attempt's frame is being written or is written.
+// inFlight reports whether the frame of the attempt is being written or has been written.
 func (a *attempt) inFlight() bool { return a.conn != nil && a.conn.inFlight[a.id] == a }
 
-// stopWriting keeps an attempt of an ended query from being written. The query's answer waits for a write in
-// progress, so that a server that has stopped reading would delay it: such a write gets no more time.
+// stopWriting keeps an attempt of an ended query from being written. It also stops a write in progress, because the
+// answer to the query waits for that write and a server that has stopped reading would delay it.
 func (p *Pool) stopWriting(decision *dispatch.Attempt) {
 	a := p.attempts[decision]
 	switch {
@@ -52,7 +52,8 @@
 	p.cancelLocked(decision, stage, err)
 }
 
-// cancelLocked ends an attempt that has no answer yet. One of which no byte is written counts as not sent.
+// cancelLocked ends an attempt that has not been answered. An attempt that is not yet being written is reported as not
+// sent.
 func (p *Pool) cancelLocked(decision *dispatch.Attempt, stage Stage, err error) {
 	a := p.attempts[decision]
 	if a == nil {
@@ -62,24 +63,25 @@
 		p.finish(a, &Error{NotSent, err}, nil)
 		return
 	}
-	if !a.written { // its query's answer must not wait for a server that has stopped reading
+	if !a.written { // the answer to the query must not wait for a server that has stopped reading
 		setWriteDeadline(a.conn.nc, time.Now())
 	}
-	// Without hedging, the next attempt of this shard request follows the report of this one's end. That must not
-	// come before the server can read of the cancellation, or the connection has ended.
+	// Without hedging, the next attempt of this shard request starts when the end of this one is reported. The end
+	// must not be reported before the server can read the cancellation or the connection has ended.
 	if stage == Cancelled && !p.limits.hedgingAllowed {
 		if !a.cancelling {
 			a.cancelling = true
-			a.conn.enqueue(outgoing{cancelID: a.id, cancelled: a})
+			a.conn.enqueue(outgoingFrame{cancelID: a.id, cancelled: a})
 		}
 		return
 	}
 	c := a.conn
 	p.finish(a, &Error{stage, err}, nil)
-	c.enqueue(outgoing{cancelID: a.id})
+	c.enqueue(outgoingFrame{cancelID: a.id})
 }
 
-// finish reports the end of an attempt, once, and releases its place on the connection. The lock must be held.
+// finish reports the outcome of an attempt, once, and frees its reservation on the connection. The pool's lock must be
+// held.
 func (p *Pool) finish(a *attempt, err error, value []byte) {
 	if p.attempts[a.decision] != a {
 		return
@@ -93,7 +95,7 @@
 			delete(c.inFlight, a.id)
 			c.pauseSilence()
 			if mayStillBeAnswered(err) {
-				c.late.expect(a.id, time.Now())
+				c.lateAnswers.add(a.id, time.Now())
 			}
 		}
 		c.release()
@@ -101,7 +103,7 @@
 	p.reporter.Report(a.decision, Outcome(err), value)
 }
 
-// mayStillBeAnswered reports whether an attempt's answer may arrive after its end.
+// mayStillBeAnswered reports whether the answer to an attempt that ended with err may still arrive.
 func mayStillBeAnswered(err error) bool {
 	var e *Error
 	return errors.As(err, &e) && (e.Stage == Cancelled || e.Stage == TimedOut)
--- a/internal/gatherer/shardcall/conn.go
+++ b/internal/gatherer/shardcall/conn.go
@@ -8,54 +8,60 @@
 	"time"
 )
 
-// outgoing is a frame that waits to be written: the requests of one call, a cancellation or a health check.
-type outgoing struct {
+// outgoingFrame is a frame that waits to be written: the requests of a set of attempts, a cancellation or a health
+// check.
+type outgoingFrame struct {
 	attempts  []*attempt
 	cancelID  string
-	cancelled *attempt // ends once the cancellation is written, nil where it has ended already
+	cancelled *attempt // attempt to end once the cancellation is written; nil if it has already ended
 	check     *healthCheck
 }
 
-// conn is one connection to a shard server, with a goroutine that writes and one that reads. The pool's lock guards
+// conn is a connection to a shard server, with one goroutine that writes and one that reads. The pool's lock guards
 // its fields.
 type conn struct {
 	pool    *Pool
 	server  *server
 	address string
-	nc      net.Conn // nil until it is up
-	queue   []outgoing
-	wake    chan struct{} // has a value when something is queued; closed with the connection
-
-	pendingChecks []*healthCheck      // written, in the order in which they will be answered
-	inFlight      map[string]*attempt // being written or written, by ID
-	reserved      int                 // attempts and health checks queued, being written or written
-	writeDeadline time.Time           // of the frame of requests that is being written
-
-	silentBefore time.Duration // with attempts in flight and nothing received, before silentSince
-	silentSince  time.Time     // since when attempts are in flight, or the last frame arrived if that is later
-
-	lastAnswered string // a server may repeat its answer
-	late         lateAnswers
+	nc      net.Conn // nil until the connection is established
+	queue   []outgoingFrame
+	// wake receives a value when a frame is queued. It is closed with the connection.
+	wake chan struct{}
+
+	pendingChecks []*healthCheck      // written health checks, in the order in which they will be answered
+	inFlight      map[string]*attempt // attempts that are being written or are written, by ID
+	reserved      int                 // number of attempts and health checks that are queued, being written or written
+	writeDeadline time.Time           // deadline of the request frame that is being written
+
+	// accumulatedSilence is how long attempts were in flight and nothing was received, not counting the time since
+	// silentSince.
+	accumulatedSilence time.Duration
+	// silentSince is when attempts were last put in flight on a connection without any, or when the last frame arrived
+	// if that is later.
+	silentSince time.Time
+
+	lastAnsweredID string // ID of the last answered attempt; a server may repeat its answer
+	lateAnswers    lateAnswerSet
 
 	idleTimer *time.Timer
 	retired   bool // gets no new attempts, and closes once none is left
-	unusable  bool // sends nothing more, not even what is queued
+	unusable  bool // sends nothing more, not even queued frames
 	closed    bool
 }
 
 func newConn(p *Pool, s *server) *conn {
 	return &conn{
-		pool:     p,
-		server:   s,
-		address:  s.HostPort,
-		wake:     make(chan struct{}, 1),
-		inFlight: map[string]*attempt{},
-		late:     lateAnswers{window: p.limits.lateAnswerWindow},
+		pool:        p,
+		server:      s,
+		address:     s.HostPort,
+		wake:        make(chan struct{}, 1),
+		inFlight:    map[string]*attempt{},
+		lateAnswers: lateAnswerSet{window: p.limits.lateAnswerWindow},
 	}
 }
 
-// enqueue leaves a frame for the goroutine that writes. The lock must be held.
-func (c *conn) enqueue(frame outgoing) {
+// enqueue queues a frame for the writing goroutine. The pool's lock must be held.
+func (c *conn) enqueue(frame outgoingFrame) {
 	if c.closed {
 		return
 	}
@@ -70,11 +76,12 @@
 	c.queue = append(c.queue, frame)
 	select {
 	case c.wake <- struct{}{}:
-	default: // it has a value already
+	default: // a value is already pending
 	}
 }
 
-// release gives back one place. A connection without any use closes after the idle timeout, at once if it is retired.
+// release frees one reservation. A connection without reservations closes after the idle timeout, or immediately if it
+// is retired.
 func (c *conn) release() {
 	c.reserved--
 	if c.reserved > 0 || c.closed {
@@ -99,50 +106,51 @@
 	}
 }
 
-// silence is for how long attempts have been in flight since anything was received.
+// silence returns how long attempts have been in flight since the last frame was received.
 func (c *conn) silence() time.Duration {
 	if len(c.inFlight) == 0 {
-		return c.silentBefore
+		return c.accumulatedSilence
 	}
-	return c.silentBefore + time.Since(c.silentSince)
+	return c.accumulatedSilence + time.Since(c.silentSince)
 }
 
-// pauseSilence stops counting once no attempt is in flight, since nothing can be received then.
+// pauseSilence stops the measurement of silence when no attempt is in flight, since nothing can be received then.
 func (c *conn) pauseSilence() {
 	if len(c.inFlight) == 0 {
-		c.silentBefore += time.Since(c.silentSince)
+		c.accumulatedSilence += time.Since(c.silentSince)
 	}
 }
 
-// resetSilence begins to count anew: something was received.
+// resetSilence restarts the measurement of silence after something was received.
 func (c *conn) resetSilence() {
-	c.silentBefore = 0
+	c.accumulatedSilence = 0
 	c.silentSince = time.Now()
 }
 
-// leaveServer takes the connection out of those that may get attempts.
-func (c *conn) leaveServer() {
+// detachFromServer removes the connection from those that may get new attempts.
+func (c *conn) detachFromServer() {
 	c.server.conns = slices.DeleteFunc(c.server.conns, func(other *conn) bool { return other == c })
 }
 
-// retire closes the connection once it has no use any more. The lock must be held.
+// retire excludes the connection from new attempts, and closes it once it has no reservations. The pool's lock must be
+// held.
 func (c *conn) retire(err error) {
-	c.leaveServer()
+	c.detachFromServer()
 	c.retired = true
 	if c.reserved == 0 {
 		c.closeLocked(err)
 	}
 }
 
-// closeLocked closes the connection and ends all that is on it, except for attempts that are being written: the
-// goroutine that writes ends these. The lock must be held.
+// closeLocked closes the connection and ends everything on it, except for attempts that are being written: the writing
+// goroutine ends these. The pool's lock must be held.
 func (c *conn) closeLocked(err error) {
 	if c.closed {
 		return
 	}
 	c.closed = true
 	c.pool.openConns--
-	c.leaveServer()
+	c.detachFromServer()
 	if c.idleTimer != nil {
 		c.idleTimer.Stop()
 	}
@@ -173,7 +181,7 @@
 	close(c.wake)
 }
 
-// close closes the connection after an error, for a goroutine that does not hold the lock.
+// close closes the connection after an error. The pool's lock must not be held.
 func (c *conn) close(err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -183,7 +191,7 @@
 	c.closeLocked(err)
 }
 
-// recoverPanic limits the effect of a panic to the connection. It must be deferred.
+// recoverPanic limits a panic to the connection, which it closes. It must be deferred.
 func (c *conn) recoverPanic() {
 	cause := recover()
 	if cause == nil {
@@ -194,7 +202,7 @@
 	c.close(fmt.Errorf("panic: %v", cause))
 }
 
-// run sets the connection up and then writes what is queued until it is closed.
+// run establishes the connection and then writes queued frames until the connection is closed.
 func (c *conn) run() {
 	defer c.recoverPanic()
 	nc, err := c.pool.dial(c.address)
@@ -210,7 +218,7 @@
 	c.writeLoop(nc)
 }
 
-// setUp takes over the network connection, unless this one was closed meanwhile.
+// setUp sets the network connection. It returns false if the conn was closed in the meantime.
 func (c *conn) setUp(nc net.Conn) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/gatherer/shardcall/errors.go
+++ b/internal/gatherer/shardcall/errors.go
@@ -7,25 +7,26 @@
 	"yokeroute/gather"
 )
 
-// Stage is how far an attempt had come when it ended without a value.
+// Stage is the progress of an attempt when it ended without a value.
 type Stage int
 
-// The stages.
+// Stages at which an attempt can end without a value.
 const (
-	NotSent    Stage = iota // it had become forbidden before its first byte
-	Connecting              // the connection was refused or did not come up
-	Writing                 // the connection ended before the frame's last byte
-	Written                 // the connection ended or was misused after that
+	NotSent    Stage = iota // the attempt was no longer allowed before its first byte was written
+	Connecting              // the connection was refused or could not be established
+	Writing                 // the connection ended before the last byte of the frame was written
+	Written                 // the connection ended or received invalid data after the frame was written
 	Rejected                // the server answered busy
 	Failed                  // the server answered err
-	TimedOut                // no answer in time
-	Cancelled               // by the decisions, after it was written
+	TimedOut                // no answer arrived in time
+	Cancelled               // the decision module cancelled the attempt after it was written
 	NotOwner                // the server answered moved: it does not own the keys under that epoch
 	stageCount
 )
 
-// outcomeOfStage says what a stage proves. It is the only place that does: whether a non-idempotent request is sent
-// again depends on it. From the frame's last byte on, the attempt may have run.
+// outcomeOfStage maps each stage to the outcome that it proves. No other code may derive this, because it determines
+// whether a non-idempotent request is sent again. Once the last byte of the frame is written, the attempt may have
+// been executed.
 var outcomeOfStage = [stageCount]gather.Outcome{
 	NotSent:    gather.NotSent,
 	Connecting: gather.ConnectFailed,
@@ -38,7 +39,7 @@
 	NotOwner:   gather.NotOwner,
 }
 
-// Error is the end of an attempt without a value.
+// Error describes why an attempt ended without a value.
 type Error struct {
 	Stage Stage
 	Err   error
@@ -48,8 +49,8 @@
 
 func (e *Error) Unwrap() error { return e.Err }
 
-// Outcome is what the decisions learn of an attempt that ended with this error, nil for a value. An error that is no
-// *Error proves nothing: the attempt may have run.
+// Outcome returns the outcome to report for an attempt that ended with err, which is nil for a value. An error that is
+// not an *Error proves nothing: the attempt may have been executed.
 func Outcome(err error) gather.Outcome {
 	if err == nil {
 		return gather.Succeeded
@@ -62,15 +63,15 @@
 }
 
 var (
-	errNotAllowed   = errors.New("no longer allowed")
-	errRejected     = errors.New("server is busy")
-	errFailed       = errors.New("server failed")
-	errNotOwner     = errors.New("server does not own the keys")
-	errTimedOut     = errors.New("timed out")
-	errCancelled    = errors.New("cancelled")
-	errConnIdle     = errors.New("connection idle")
-	errConnRetired  = errors.New("server is removed or has another address")
-	errConnSilent   = errors.New("connection silent")
-	errFrameRefused = errors.New("server refused a frame")
-	errNotListed    = errors.New("server is not listed")
+	errNotAllowed    = errors.New("attempt is no longer allowed")
+	errRejected      = errors.New("server is busy")
+	errFailed        = errors.New("server returned an error")
+	errNotOwner      = errors.New("server does not own the keys")
+	errTimedOut      = errors.New("attempt timed out")
+	errCancelled     = errors.New("cancelled")
+	errConnIdle      = errors.New("connection was idle")
+	errConnRetired   = errors.New("server was removed or its address changed")
+	errConnSilent    = errors.New("no data received while attempts were in flight")
+	errFrameRejected = errors.New("server rejected a frame")
+	errNotListed     = errors.New("server is not listed")
 )
--- a/internal/gatherer/shardcall/faults_test.go
+++ b/internal/gatherer/shardcall/faults_test.go
@@ -18,199 +18,200 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// Faults between the decision on an attempt and its bytes. Each is forced by a server that reads no further, or by a gate
-// in the setup of its connection.
+// The tests in this file cause faults between the decision on an attempt and the write of its frame, by a server that
+// stops reading or by a connection whose setup is delayed.
 
-// waitForWrite waits until an attempt's frame is being written, and returns the attempt.
-func (d *harness) waitForWrite(t *testing.T) (a *attempt) {
+// waitForWrite waits until the frame of an attempt is being written, and returns the attempt.
+func (h *harness) waitForWrite(t *testing.T) (a *attempt) {
 	t.Helper()
-	for end := time.Now().Add(20 * time.Second); a == nil; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(20 * time.Second); a == nil; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("no frame is being written")
 		}
-		d.mu.Lock()
-		for _, one := range d.attempts {
-			if one.inFlight() && !one.written {
-				a = one
+		h.mu.Lock()
+		for _, candidate := range h.attempts {
+			if candidate.inFlight() && !candidate.written {
+				a = candidate
 			}
 		}
-		d.mu.Unlock()
+		h.mu.Unlock()
 	}
 	return a
 }
 
-// TestFrameNotBegunIsDroppedAfterDrainGrace has a server stop reading before the first byte of a frame, and then
-// drain, be removed or be missing from the list. Nothing of the frame may be written once the server reads again, and
-// the attempt never ran.
+// TestFrameNotBegunIsDroppedAfterDrainGrace has a server stop reading before the first byte of a frame and then drain,
+// be removed, or be missing from the list. No byte of the frame may be written when the server reads again, and the
+// outcome must prove that the attempt was never executed.
 func TestFrameNotBegunIsDroppedAfterDrainGrace(t *testing.T) {
-	for name, word := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1",
+	for name, endpoints := range map[string][]Address{"draining": {{ID: 7, HostPort: "127.0.0.1:1",
 		State: gather.Draining}},
-		"gone": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
-		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
+		"removed": {{ID: 7, HostPort: "127.0.0.1:1", State: gather.Removed}}, "missing": nil} {
+		h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 			s.DrainGrace = 100.0
 			s.FindClass("i").Effect = gather.Idempotent
 		})
-		theirs := d.connectByPipe()
-		d.submit(t.Context(), "a", 1, 60000)
-		d.waitForWrite(t)
-		d.SetEndpoints(word)
+		serverConn := h.dialPipe()
+		h.submit(t.Context(), "a", 1, 60000)
+		h.waitForWrite(t)
+		h.SetEndpoints(endpoints)
 		select {
-		case r := <-d.results:
+		case r := <-h.results:
 			if r.outcome != gather.ConnectFailed {
-				t.Errorf("%s: ended as %v", name, r.outcome)
+				t.Errorf("%s: outcome %v, want ConnectFailed", name, r.outcome)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%s: still being written", name)
+			t.Errorf("%s: the frame is still being written after 5 s", name)
 		}
-		theirs.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
-		if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
-			t.Errorf("%s: %d bytes went after the grace", name, n)
+		serverConn.SetReadDeadline(time.Now().Add(50 * time.Millisecond))
+		if n, _ := serverConn.Read(make([]byte, 100)); n > 0 {
+			t.Errorf("%s: %d bytes were written after the drain grace", name, n)
 		}
 	}
 }
 
-// TestFrameBegunBeforeDrainIsAnswered has a server drain in the middle of a frame and read on within the grace. The
-// attempt began before the drain, and is answered.
+// TestFrameBegunBeforeDrainIsAnswered has a server drain in the middle of a frame and continue reading within the
+// drain grace. The attempt began before the drain, so that its answer must be used.
 func TestFrameBegunBeforeDrainIsAnswered(t *testing.T) {
-	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
-	theirs := d.connectByPipe()
-	done := d.submit(t.Context(), "a", 1, 60000)
-	head := make([]byte, 5)
-	io.ReadFull(theirs, head)
-	d.setEndpoint("127.0.0.1:1", gather.Draining)
-	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)-1))
-	(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
+	h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.DrainGrace = 60000.0 })
+	serverConn := h.dialPipe()
+	done := h.submit(t.Context(), "a", 1, 60000)
+	header := make([]byte, 5)
+	io.ReadFull(serverConn, header)
+	h.setEndpoint("127.0.0.1:1", gather.Draining)
+	io.ReadFull(serverConn, make([]byte, binary.LittleEndian.Uint32(header)-1))
+	(&standin.Conn{Conn: serverConn}).Answer("a.0", "ok", "v")
 	if v := <-done; v.Kind != dispatch.Served {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want served", v)
 	}
 }
 
-// connectByGate gives the server a connection that comes up once the gate is closed.
-func (d *harness) connectByGate() (gate chan struct{}, theirs net.Conn) {
-	ours, theirs := net.Pipe()
+// dialGatedPipe makes the pool use a pipe as its connection, which is established when gate is closed. It returns the
+// other end of the pipe.
+func (h *harness) dialGatedPipe() (gate chan struct{}, serverConn net.Conn) {
+	clientConn, serverConn := net.Pipe()
 	gate = make(chan struct{})
-	d.dial = func(string) (net.Conn, error) {
+	h.dial = func(string) (net.Conn, error) {
 		<-gate
-		return ours, nil
+		return clientConn, nil
 	}
-	return gate, theirs
+	return gate, serverConn
 }
 
-// TestConnectionThatComesUpLateSendsNothingObsolete ends the reason for an attempt while its connection comes up: the
-// client leaves, the query's time is over, or the server drains, is removed or has another address.
-func TestConnectionThatComesUpLateSendsNothingObsolete(t *testing.T) {
-	for name, end := range map[string]func(d *harness, leave func()){
-		"client gone": func(_ *harness, leave func()) { leave() },
-		"time up":     func(*harness, func()) {},
-		"draining":    func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Draining) },
-		"gone":        func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Removed) },
-		"moved":       func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:2", gather.Running) },
+// TestLateConnectionSendsNoObsoleteAttempt makes an attempt obsolete while its connection is being established: the
+// client cancels, the deadline of the query passes, or the server drains, is removed or has another address.
+func TestLateConnectionSendsNoObsoleteAttempt(t *testing.T) {
+	for name, makeObsolete := range map[string]func(h *harness, cancelClient func()){
+		"client cancels":  func(_ *harness, cancelClient func()) { cancelClient() },
+		"deadline passes": func(*harness, func()) {},
+		"draining":        func(h *harness, _ func()) { h.setEndpoint("127.0.0.1:1", gather.Draining) },
+		"removed":         func(h *harness, _ func()) { h.setEndpoint("127.0.0.1:1", gather.Removed) },
+		"new address":     func(h *harness, _ func()) { h.setEndpoint("127.0.0.1:2", gather.Running) },
 	} {
-		d := newHarness(t, "127.0.0.1:1", nil)
-		gate, theirs := d.connectByGate()
-		ctx, leave := context.WithCancel(t.Context())
-		done := d.submit(ctx, "a", 1, map[bool]float64{true: 50, false: 60000}[name == "time up"])
-		for n := 0; n == 0; time.Sleep(time.Millisecond) { // the attempt waits for its connection
-			d.mu.Lock()
-			n = d.openConns
-			d.mu.Unlock()
+		h := newHarness(t, "127.0.0.1:1", nil)
+		gate, serverConn := h.dialGatedPipe()
+		ctx, cancelClient := context.WithCancel(t.Context())
+		done := h.submit(ctx, "a", 1, map[bool]float64{true: 50, false: 60000}[name == "deadline passes"])
+		for n := 0; n == 0; time.Sleep(time.Millisecond) { // until the attempt waits for its connection
+			h.mu.Lock()
+			n = h.openConns
+			h.mu.Unlock()
 		}
-		end(d, leave)
+		makeObsolete(h, cancelClient)
 		switch name {
-		case "client gone", "time up":
+		case "client cancels", "deadline passes":
 			<-done
-		default: // the query goes on, and its attempt is dropped at the write
+		default: // the query continues, and its attempt is dropped before the write
 		}
 		close(gate)
-		theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-		if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
-			t.Errorf("%s: %d bytes went", name, n)
+		serverConn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+		if n, _ := serverConn.Read(make([]byte, 100)); n > 0 {
+			t.Errorf("%s: %d bytes were written, want none", name, n)
 		}
-		if r := <-d.results; !r.outcome.NeverExecuted() {
-			t.Errorf("%s: ended as %v, and nothing went", name, r.outcome)
+		if r := <-h.results; !r.outcome.NeverExecuted() {
+			t.Errorf("%s: outcome %v, want one that proves that the attempt was never executed", name, r.outcome)
 		}
-		leave()
+		cancelClient()
 	}
 }
 
-// TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt cancels an attempt without hedging. It ends once the
-// cancellation is written, since another attempt follows; until then it may be answered.
-func TestCancelledAttemptEndsOnlyOnceServerCouldReadOfIt(t *testing.T) {
+// TestCancelledAttemptEndsAfterCancellationIsWritten cancels an attempt without hedging. It must end only after the
+// cancellation is written, because another attempt follows; until then it may be answered.
+func TestCancelledAttemptEndsAfterCancellationIsWritten(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
-		theirs := d.connectByPipe()
-		d.submit(t.Context(), "a", 1, 60000)
-		frame := func() {
-			head := make([]byte, 4)
-			io.ReadFull(theirs, head)
-			io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
+		h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
+		serverConn := h.dialPipe()
+		h.submit(t.Context(), "a", 1, 60000)
+		discardFrame := func() {
+			header := make([]byte, 4)
+			io.ReadFull(serverConn, header)
+			io.ReadFull(serverConn, make([]byte, binary.LittleEndian.Uint32(header)))
 		}
-		frame()
-		d.mu.Lock()
+		discardFrame()
+		h.mu.Lock()
 		var a *attempt
-		for _, one := range d.attempts {
-			a = one
+		for _, candidate := range h.attempts {
+			a = candidate
 		}
 		for a == nil || !a.written {
-			d.mu.Unlock()
+			h.mu.Unlock()
 			time.Sleep(time.Millisecond)
-			d.mu.Lock()
+			h.mu.Lock()
 		}
-		d.mu.Unlock()
-		d.cancel(a.decision, Cancelled, errCancelled)
-		d.cancel(a.decision, Cancelled, errCancelled) // a repetition changes nothing
-		if len(d.results) > 0 {
-			t.Error("reported before the server could read of it")
+		h.mu.Unlock()
+		h.cancel(a.decision, Cancelled, errCancelled)
+		h.cancel(a.decision, Cancelled, errCancelled) // a repeated cancellation must have no effect
+		if len(h.results) > 0 {
+			t.Error("the end is reported before the server can read the cancellation")
 		}
 		if answered {
-			(&standin.Conn{Conn: theirs}).Answer("a.0", "ok", "v")
-			d.expectResult(t, "a.0", gather.Succeeded)
-			frame()
+			(&standin.Conn{Conn: serverConn}).Answer("a.0", "ok", "v")
+			h.expectResult(t, "a.0", gather.Succeeded)
+			discardFrame()
 			continue
 		}
-		frame()
-		d.expectResult(t, "a.0", gather.Cancelled)
+		discardFrame()
+		h.expectResult(t, "a.0", gather.Cancelled)
 	}
-	// A server that does not read the cancellation: the end of its connection ends the attempt.
-	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
+	// If the server does not read the cancellation, the end of its connection must end the attempt.
+	h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
 		s.ConnectTimeout = 50.0
 		s.FindClass("i").Effect = gather.Idempotent
 	})
-	theirs := d.connectByPipe()
-	d.submit(t.Context(), "a", 1, 60000)
-	head := make([]byte, 4)
-	io.ReadFull(theirs, head)
-	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
+	serverConn := h.dialPipe()
+	h.submit(t.Context(), "a", 1, 60000)
+	header := make([]byte, 4)
+	io.ReadFull(serverConn, header)
+	io.ReadFull(serverConn, make([]byte, binary.LittleEndian.Uint32(header)))
 	var a *attempt
 	for written := false; !written; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		for _, one := range d.attempts {
-			a, written = one, one.written
+		h.mu.Lock()
+		for _, candidate := range h.attempts {
+			a, written = candidate, candidate.written
 		}
-		d.mu.Unlock()
+		h.mu.Unlock()
 	}
-	d.cancel(a.decision, Cancelled, errCancelled)
-	d.expectResult(t, "a.0", gather.ConnectionReset)
-	if n, err := theirs.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("%d bytes, %v: the connection is still open", n, err)
+	h.cancel(a.decision, Cancelled, errCancelled)
+	h.expectResult(t, "a.0", gather.ConnectionReset)
+	if n, err := serverConn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("read %d bytes, %v; want EOF from a closed connection", n, err)
 	}
 }
 
-// TestQueryEndDoesNotWaitForCancelledWrite cancels an attempt whose server reads no further, and ends its query
-// later. The answer must not wait for the write.
+// TestQueryEndDoesNotWaitForCancelledWrite cancels an attempt whose server has stopped reading, and ends its query
+// later. The answer to the query must not wait for the write.
 func TestQueryEndDoesNotWaitForCancelledWrite(t *testing.T) {
-	for _, copies := range []bool{false, true} {
-		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
-			s.HedgingAllowed = copies
+	for _, hedgingAllowed := range []bool{false, true} {
+		h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.HedgingAllowed = hedgingAllowed
 			s.FindClass("i").Effect = gather.Idempotent
 		})
-		theirs := d.connectByPipe()
-		ctx, leave := context.WithCancel(t.Context())
-		done := d.submit(ctx, "a", 1, 60000)
-		io.ReadFull(theirs, make([]byte, 3))
-		d.cancel(d.waitForWrite(t).decision, Cancelled, errCancelled)
-		<-d.results
-		leave()
+		serverConn := h.dialPipe()
+		ctx, cancelClient := context.WithCancel(t.Context())
+		done := h.submit(ctx, "a", 1, 60000)
+		io.ReadFull(serverConn, make([]byte, 3))
+		h.cancel(h.waitForWrite(t).decision, Cancelled, errCancelled)
+		<-h.results
+		cancelClient()
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
@@ -219,34 +220,34 @@
 	}
 }
 
-// TestConnectionEndAfterEachByteOfAFrame ends a connection after each number of a frame's bytes. Before the last byte
-// the attempt never ran; after it, it may have.
-func TestConnectionEndAfterEachByteOfAFrame(t *testing.T) {
+// TestConnectionEndAfterEachByteOfFrame closes a connection after each number of bytes of a frame. Before the last
+// byte the attempt was never executed; after it, the attempt may have been executed.
+func TestConnectionEndAfterEachByteOfFrame(t *testing.T) {
 	length := math.MaxInt
 	for n := 0; n <= length; n++ {
-		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
-		theirs := d.connectByPipe()
-		done := d.submit(t.Context(), "a", 1, 60000)
+		h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
+		serverConn := h.dialPipe()
+		done := h.submit(t.Context(), "a", 1, 60000)
 		frame := make([]byte, n)
-		io.ReadFull(theirs, frame)
+		io.ReadFull(serverConn, frame)
 		if n >= 4 {
 			length = 4 + int(binary.LittleEndian.Uint32(frame))
 		}
-		theirs.Close()
-		d.expectResult(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset,
+		serverConn.Close()
+		h.expectResult(t, "a.0", map[bool]gather.Outcome{true: gather.ConnectionReset,
 			false: gather.ConnectFailed}[n == length])
 		if v := <-done; v.Kind == dispatch.Served {
-			t.Errorf("after %d bytes: %+v", n, v)
+			t.Errorf("after %d bytes: result %+v, want one that is not served", n, v)
 		}
 	}
 }
 
-// TestAnswerWithoutEndTimesOut has an answer arrive byte by byte without an end. The attempt times out, and the next
-// one uses another connection.
+// TestAnswerWithoutEndTimesOut sends an answer byte by byte without an end. The attempt must time out, and the next
+// one must use another connection.
 func TestAnswerWithoutEndTimesOut(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
-	done := d.submit(t.Context(), "a", 1, 200)
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 100.0 })
+	done := h.submit(t.Context(), "a", 1, 200)
 	conn := shard.Take()
 	conn.Read()
 	io.WriteString(conn.Conn, "\x00\x02\x00\x00Aa.0 ok 1 -\n")
@@ -263,140 +264,141 @@
 		}
 	}()
 	if v := <-done; v.Kind != dispatch.Failed {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want failed", v)
 	}
-	done = d.submit(t.Context(), "b", 1, 5000)
-	next := shard.Take()
-	if f := next.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-		t.Errorf("frame %+v", f)
+	done = h.submit(t.Context(), "b", 1, 5000)
+	nextConn := shard.Take()
+	if f := nextConn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
+		t.Errorf("frame %+v, want request b.0", f)
 	}
-	next.Answer("b.0", "ok", "w")
+	nextConn.Answer("b.0", "ok", "w")
 	if v := <-done; v.Kind != dispatch.Served {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want served", v)
 	}
 }
 
-// TestCancelFrameHasTimeWithoutConnectTimeout cancels an attempt where the settings have no connect timeout, which
-// also bounds the write of the cancel frame.
-func TestCancelFrameHasTimeWithoutConnectTimeout(t *testing.T) {
+// TestCancelFrameIsWrittenWithoutConnectTimeout cancels an attempt with settings that have no connect timeout, which
+// also limits the write of the cancel frame.
+func TestCancelFrameIsWrittenWithoutConnectTimeout(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) {
 		s.ConnectTimeout = 0.0
 		s.FindClass("i").Effect = gather.Idempotent
 	})
-	ctx, leave := context.WithCancel(t.Context())
-	done := d.submit(ctx, "a", 1, 60000)
+	ctx, cancelClient := context.WithCancel(t.Context())
+	done := h.submit(ctx, "a", 1, 60000)
 	conn := shard.Take()
 	conn.Read()
-	leave()
+	cancelClient()
 	<-done
 	if f := conn.Read(); f.Type != 'X' || f.Body != "a.0" {
-		t.Errorf("frame %+v", f)
+		t.Errorf("frame %+v, want the cancellation of a.0", f)
 	}
 }
 
-// TestAbandonedQueriesSendNothingOnALateConnection has many queries wait for one connection while all their clients
-// leave.
-func TestAbandonedQueriesSendNothingOnALateConnection(t *testing.T) {
-	const many = 200
-	d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
-	d.results = make(chan result, 2*many)
-	gate, theirs := d.connectByGate()
-	ctx, leave := context.WithCancel(t.Context())
+// TestAbandonedQueriesSendNothingOnLateConnection has many queries wait for one connection while all their clients
+// cancel.
+func TestAbandonedQueriesSendNothingOnLateConnection(t *testing.T) {
+	const queries = 200
+	h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) { s.StreamsPerConnection = 1000 })
+	h.results = make(chan result, 2*queries)
+	gate, serverConn := h.dialGatedPipe()
+	ctx, cancelClient := context.WithCancel(t.Context())
 	var done []<-chan dispatch.Result
-	for i := range many {
-		done = append(done, d.submit(ctx, fmt.Sprint("l", i), 2, 60000))
+	for i := range queries {
+		done = append(done, h.submit(ctx, fmt.Sprint("l", i), 2, 60000))
 	}
-	for waiting := 0; waiting < 2*many; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		waiting = len(d.attempts)
-		d.mu.Unlock()
+	for waiting := 0; waiting < 2*queries; time.Sleep(time.Millisecond) {
+		h.mu.Lock()
+		waiting = len(h.attempts)
+		h.mu.Unlock()
 	}
-	leave()
-	for _, verdict := range done {
-		if v := <-verdict; v.Kind != dispatch.Abandoned {
-			t.Errorf("result %+v", v)
+	cancelClient()
+	for _, resultChan := range done {
+		if v := <-resultChan; v.Kind != dispatch.Abandoned {
+			t.Errorf("result %+v, want abandoned", v)
 		}
 	}
 	close(gate)
-	theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
-		t.Errorf("%d bytes went", n)
+	serverConn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if n, _ := serverConn.Read(make([]byte, 100)); n > 0 {
+		t.Errorf("%d bytes were written, want none", n)
 	}
-	for range 2 * many {
-		if r := <-d.results; !r.outcome.NeverExecuted() {
-			t.Errorf("%s ended as %v", r.id, r.outcome)
+	for range 2 * queries {
+		if r := <-h.results; !r.outcome.NeverExecuted() {
+			t.Errorf("attempt %s ended with outcome %v, want one that proves it was never executed", r.id, r.outcome)
 		}
 	}
 }
 
-// TestAbandonedQueryBehindAStuckFrameSendsNothing has a client leave while its attempt waits behind a frame that is
-// stuck.
-func TestAbandonedQueryBehindAStuckFrameSendsNothing(t *testing.T) {
-	d := newHarness(t, "127.0.0.1:1", nil)
-	theirs := d.connectByPipe()
-	d.submit(t.Context(), "a", 1, 60000)
-	head := make([]byte, 4)
-	io.ReadFull(theirs, head)
-	ctx, leave := context.WithCancel(t.Context())
-	done := d.submit(ctx, "b", 1, 60000)
+// TestAbandonedQueryBehindBlockedFrameSendsNothing has a client cancel while its attempt waits behind a frame whose
+// write is blocked.
+func TestAbandonedQueryBehindBlockedFrameSendsNothing(t *testing.T) {
+	h := newHarness(t, "127.0.0.1:1", nil)
+	serverConn := h.dialPipe()
+	h.submit(t.Context(), "a", 1, 60000)
+	header := make([]byte, 4)
+	io.ReadFull(serverConn, header)
+	ctx, cancelClient := context.WithCancel(t.Context())
+	done := h.submit(ctx, "b", 1, 60000)
 	for waiting := 0; waiting < 2; time.Sleep(time.Millisecond) {
-		d.mu.Lock()
-		waiting = len(d.attempts)
-		d.mu.Unlock()
+		h.mu.Lock()
+		waiting = len(h.attempts)
+		h.mu.Unlock()
 	}
-	leave()
+	cancelClient()
 	if v := <-done; v.Kind != dispatch.Abandoned {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want abandoned", v)
 	}
-	d.expectResult(t, "b.0", gather.NotSent)
-	io.ReadFull(theirs, make([]byte, binary.LittleEndian.Uint32(head)))
-	theirs.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
-	if n, _ := theirs.Read(make([]byte, 100)); n > 0 {
-		t.Errorf("%d bytes followed", n)
+	h.expectResult(t, "b.0", gather.NotSent)
+	io.ReadFull(serverConn, make([]byte, binary.LittleEndian.Uint32(header)))
+	serverConn.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
+	if n, _ := serverConn.Read(make([]byte, 100)); n > 0 {
+		t.Errorf("%d bytes were written after the blocked frame, want none", n)
 	}
 }
 
-// timeLeftInNextFrame is the time, in milliseconds, that the first request of the next frame states.
-func timeLeftInNextFrame(t *testing.T, theirs *standin.Conn) int {
+// readStatedRemaining reads the next frame and returns the remaining time, in milliseconds, that its first request
+// states.
+func readStatedRemaining(t *testing.T, serverConn *standin.Conn) int {
 	t.Helper()
-	frame := theirs.Read()
+	frame := serverConn.Read()
 	if len(frame.Requests) == 0 {
 		t.Fatalf("frame %+v", frame)
 	}
 	text, found := strings.CutPrefix(frame.Requests[0].Attributes, "d=")
-	told, err := strconv.Atoi(text)
+	stated, err := strconv.Atoi(text)
 	if !found || err != nil {
-		t.Fatalf("part %+v", frame.Requests[0])
+		t.Fatalf("shard request %+v, want the attribute d=", frame.Requests[0])
 	}
-	return told
+	return stated
 }
 
-// TestFrameCarriesTheTimeLeftAtItsWrite delays an attempt behind its connection or a stuck frame. It states the time
-// left at its write, not at its decision.
-func TestFrameCarriesTheTimeLeftAtItsWrite(t *testing.T) {
-	const wait, waited = 60000, 300 * time.Millisecond
+// TestRequestStatesRemainingTimeAtWrite delays an attempt by the setup of its connection or behind a blocked frame.
+// The request must state the time that remains at its write, not at its decision.
+func TestRequestStatesRemainingTimeAtWrite(t *testing.T) {
+	const wait, delay = 60000, 300 * time.Millisecond
 	for _, queued := range []bool{false, true} {
-		d := newHarness(t, "127.0.0.1:1", nil)
-		gate, pipe := d.connectByGate()
-		theirs := standin.NewConn(t, pipe)
+		h := newHarness(t, "127.0.0.1:1", nil)
+		gate, pipe := h.dialGatedPipe()
+		serverConn := standin.NewConn(t, pipe)
 		if queued {
 			close(gate)
-			d.submit(t.Context(), "first", 1, wait)
-			d.waitForWrite(t)
+			h.submit(t.Context(), "first", 1, wait)
+			h.waitForWrite(t)
 		}
-		d.submit(t.Context(), "a", 1, wait)
-		asked := time.Now()
-		for time.Since(asked) < waited {
+		h.submit(t.Context(), "a", 1, wait)
+		submittedAt := time.Now()
+		for time.Since(submittedAt) < delay {
 			time.Sleep(time.Millisecond)
 		}
 		if queued {
-			timeLeftInNextFrame(t, theirs)
+			readStatedRemaining(t, serverConn)
 		} else {
 			close(gate)
 		}
-		if told, most := timeLeftInNextFrame(t, theirs), wait-int(waited.Milliseconds()); told > most {
-			t.Errorf("queued %v: told %d ms, at most %d were left", queued, told, most)
+		if stated, maxTime := readStatedRemaining(t, serverConn), wait-int(delay.Milliseconds()); stated > maxTime {
+			t.Errorf("queued %v: request states %d ms, want at most %d", queued, stated, maxTime)
 		}
 	}
 }
--- a/internal/gatherer/shardcall/frame.go
+++ b/internal/gatherer/shardcall/frame.go
@@ -12,20 +12,22 @@
 	"unicode/utf8"
 )
 
-// A frame is a length of four bytes, least significant first, a letter for its kind and the rest.
+// Frame types. A frame consists of its length in four bytes, little-endian, a letter for its type, and a body. The
+// length counts the letter and the body.
 const (
 	frameRequests  = 'Q'
 	frameFirstPass = 'S'
-	frameOwned     = 'O' // requests with the owners of their keys
+	frameOwned     = 'O' // requests with their keys, the segment and its epoch
 	frameCancel    = 'X'
 	frameHandshake = 'H'
-	frameLoad      = 'L' // a health check, and the load report that answers it
-	frameAnswer    = 'A'
-	frameError     = 'E' // the server could not use a frame
-	framePong      = 'P'
+	// frameLoad is a health check, and also the load report that answers it.
+	frameLoad   = 'L'
+	frameAnswer = 'A'
+	frameError  = 'E' // the server rejected a frame
+	framePong   = 'P'
 )
 
-// Statuses of answers.
+// Statuses in answer frames.
 const (
 	statusOK     = "ok"
 	statusBusy   = "busy"
@@ -33,18 +35,20 @@
 	statusMoved  = "moved"
 )
 
-// noScore stands in place of an answer's score.
+// noScore stands for a missing score in an answer.
 const noScore = "-"
 
 const (
 	lengthBytes = 4
-	// maxFrameBytes bounds what is read: a value has to fit into an answer to a client, which holds 64 KiB.
+	// maxFrameBytes limits the length of a received frame. A value must fit into a response to a client, which holds
+	// 64 KiB.
 	maxFrameBytes = 64<<10 + 1<<10
-	// maxSpareBuffer bounds the buffers that connections keep, against each keeping its largest frame's.
+	// maxSpareBuffer limits the buffers that connections keep for reuse, so that none keeps a buffer of the size of
+	// its largest frame.
 	maxSpareBuffer = 4 << 10
 )
 
-// reusable returns a buffer that may be kept, nil for one that is too large.
+// reusable returns buf if it is small enough to be kept for reuse, otherwise nil.
 func reusable(buf []byte) []byte {
 	if cap(buf) > maxSpareBuffer {
 		return nil
@@ -52,7 +56,7 @@
 	return buf
 }
 
-// errTruncated is a frame whose rest did not arrive.
+// errTruncated reports a frame whose body did not arrive completely.
 var errTruncated = errors.New("frame truncated")
 
 // answer is the content of an answer frame.
@@ -61,7 +65,7 @@
 	value      []byte
 }
 
-// beginFrame opens a frame. finishFrame fills in its length.
+// beginFrame appends the header of a frame with the length left open. finishFrame sets the length.
 func beginFrame(buf []byte, letter byte) []byte { return append(buf, 0, 0, 0, 0, letter) }
 
 func finishFrame(buf []byte, start int) []byte {
@@ -69,8 +73,9 @@
 	return buf
 }
 
-// appendRequestFrame appends the requests of one call, which are all of a first pass or none. Each states the time
-// that it has left at present: it may have waited for its connection or behind other frames.
+// appendRequestFrame appends one frame with the requests of the attempts, which are either all of a first pass or
+// none. Each request states the time that it has left now, since it may have waited for its connection or behind other
+// frames.
 func appendRequestFrame(buf []byte, attempts []*attempt) []byte {
 	start := len(buf)
 	letter := byte(frameRequests)
@@ -99,8 +104,7 @@
 	return finishFrame(buf, start)
 }
 
-// appendOwnership appends the keys that are requested, their segment and its epoch, as docs/protocol-owners.md has
-// it.
+// appendOwnership appends the requested keys, their segment and its epoch in the format of docs/protocol-owners.md.
 func appendOwnership(buf []byte, a *attempt) []byte {
 	keys, segment, ownedSince, _ := a.decision.Ownership()
 	buf = append(buf, ",s="...)
@@ -115,7 +119,7 @@
 	return buf
 }
 
-// appendCancelFrame appends the cancellation of an attempt.
+// appendCancelFrame appends a frame that cancels an attempt.
 func appendCancelFrame(buf []byte, id string) []byte {
 	start := len(buf)
 	buf = beginFrame(buf, frameCancel)
@@ -123,7 +127,7 @@
 	return finishFrame(buf, start)
 }
 
-// readFrame reads one frame. Its body is part of the buffer, which the next call may reuse.
+// readFrame reads one frame. The body is a part of the returned buffer, which the next call may reuse.
 func readFrame(r *bufio.Reader, buf []byte) (letter byte, body, reused []byte, err error) {
 	var header [lengthBytes]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
@@ -131,7 +135,7 @@
 	}
 	length := int(binary.LittleEndian.Uint32(header[:]))
 	if length < 1 || length > maxFrameBytes {
-		return 0, nil, buf, fmt.Errorf("frame of %d bytes, 1 to %d are allowed", length, maxFrameBytes)
+		return 0, nil, buf, fmt.Errorf("frame has %d bytes, want 1 to %d", length, maxFrameBytes)
 	}
 	buf = reusable(buf)
 	if cap(buf) < length {
@@ -144,30 +148,31 @@
 	return buf[0], buf[1:], buf, nil
 }
 
-// parseAnswer reads an answer frame's body. All that a decision depends on is checked; a load report that can't be
-// read is ignored. The value is a copy, since the frame's buffer is reused. Clients get it as text, so that one that
-// is not, such as the start of the next frame behind a wrong length, is refused.
+// parseAnswer parses the body of an answer frame. It validates everything that a decision depends on, and ignores a
+// load report that it cannot parse. The value is a copy, since the buffer of the frame is reused. Clients receive the
+// value as text, so that a value that is not text is rejected, such as the start of the next frame after a wrong
+// length.
 func parseAnswer(body []byte) (answer, error) {
 	line, value, found := bytes.Cut(body, []byte{'\n'})
-	words := bytes.SplitN(line, []byte{' '}, 4)
-	if !found || len(words) < 3 || len(words[0]) == 0 {
-		return answer{}, errors.New("answer without its line")
+	fields := bytes.SplitN(line, []byte{' '}, 4)
+	if !found || len(fields) < 3 || len(fields[0]) == 0 {
+		return answer{}, errors.New("answer frame must begin with a line of ID, status and score")
 	}
-	ans := answer{id: string(words[0]), status: string(words[1])}
-	if score := string(words[2]); score != noScore {
+	ans := answer{id: string(fields[0]), status: string(fields[1])}
+	if score := string(fields[2]); score != noScore {
 		if _, err := strconv.ParseFloat(score, 64); err != nil {
-			return answer{}, fmt.Errorf("answer with the score %.50q", score)
+			return answer{}, fmt.Errorf("answer has the score %.50q, want a number or \"-\"", score)
 		}
 	}
 	switch ans.status {
 	case statusOK:
 		if !utf8.Valid(value) || bytes.ContainsFunc(value, unicode.IsControl) {
-			return answer{}, errors.New("answer whose value is no text")
+			return answer{}, errors.New("answer value must be UTF-8 text without control characters")
 		}
 		ans.value = bytes.Clone(value)
 	case statusBusy, statusFailed, statusMoved:
 	default:
-		return answer{}, fmt.Errorf("answer with the status %.50q", ans.status)
+		return answer{}, fmt.Errorf("answer has the unknown status %.50q, want ok, busy, err or moved", ans.status)
 	}
 	return ans, nil
 }
--- a/internal/gatherer/shardcall/handshake.go
+++ b/internal/gatherer/shardcall/handshake.go
@@ -10,30 +10,31 @@
 	"yokeroute/gather"
 )
 
-// The handshake of docs/protocol-two-phase.md finds out whether a server answers first passes. It goes by a
-// connection of its own, so that a server that does not know the frame closes none with attempts.
+// The handshake of docs/protocol-two-phase.md determines whether a server supports first passes. It uses a separate
+// connection, so that a server that does not know the frame does not close a connection that carries attempts.
 const (
 	firstPassExtension = "two-phase 1"
 	handshakeTimeout   = 2 * time.Second
-	handshakeRetry     = 5 * time.Second // after a server that could not be reached
-	maxHandshakes      = 4               // at a time
+	handshakeRetry     = 5 * time.Second // delay after a failed handshake
+	maxHandshakes      = 4               // limit of concurrent handshakes
 )
 
-// handshake is the handshake with one process of a server, under way or done.
+// handshake identifies the server process with which a handshake is in progress or done.
 type handshake struct {
 	address   string
 	startedAt float64
 }
 
-// EnableFirstPass has the pool find out of each listed server, once for each of its processes, whether it answers
-// first passes. It must be called before SetEndpoints.
+// EnableFirstPass makes the pool determine whether each listed server supports first passes, once for each of its
+// processes, and report it to onSupport. It must be called before SetEndpoints.
 func (p *Pool) EnableFirstPass(onSupport func(server uint32, supported bool)) {
 	p.onFirstPassSupport = onSupport
 	p.handshakeSlots = make(chan struct{}, maxHandshakes)
 	p.handshakeRetryDelay = handshakeRetry
 }
 
-// startHandshake begins the handshake with a server's process, unless that has one. The lock must be held.
+// startHandshake starts the handshake with a server process unless it has already been started. The pool's lock must
+// be held.
 func (p *Pool) startHandshake(s *server) {
 	if p.onFirstPassSupport == nil || s.State != gather.Running {
 		return
@@ -45,12 +46,12 @@
 	go p.runHandshake(s, s.handshake, s.ID)
 }
 
-// runHandshake retries the handshake until it succeeds, or the server is removed or another process.
+// runHandshake retries the handshake until it succeeds, the server stops running, or another process replaces it.
 func (p *Pool) runHandshake(s *server, h *handshake, id uint32) {
 	log := p.log.WithField("server", h.address)
 	for {
 		p.handshakeSlots <- struct{}{}
-		supported, err := p.shakeHands(h.address)
+		supported, err := p.performHandshake(h.address)
 		<-p.handshakeSlots
 		p.mu.Lock()
 		current := s.handshake == h && s.State == gather.Running
@@ -63,14 +64,15 @@
 			p.onFirstPassSupport(id, supported)
 			return
 		}
-		log.WithError(err).Debug("first pass: handshake failed, to be retried")
+		log.WithError(err).Debug("first pass: handshake failed, retrying")
 		time.Sleep(p.handshakeRetryDelay)
 	}
 }
 
-// shakeHands makes one handshake. A server that refuses the frame, closes the connection over it or answers half a
-// frame supports no first passes. One that can't be reached or does not answer is an error, since that shows nothing.
-func (p *Pool) shakeHands(address string) (supported bool, err error) {
+// performHandshake makes one handshake. A server that rejects the frame, closes the connection because of it or sends
+// a partial answer does not support first passes. A server that cannot be reached or does not answer is an error,
+// because that does not show whether it supports them.
+func (p *Pool) performHandshake(address string) (supported bool, err error) {
 	nc, err := p.dial(address)
 	if err != nil {
 		return false, err
@@ -79,9 +81,9 @@
 	if err := nc.SetDeadline(time.Now().Add(handshakeTimeout)); err != nil {
 		return false, err
 	}
-	hello := append(beginFrame(nil, frameHandshake), firstPassExtension...)
-	if _, err := nc.Write(finishFrame(hello, 0)); err != nil {
-		return false, fmt.Errorf("handshake not written: %w", err)
+	frame := append(beginFrame(nil, frameHandshake), firstPassExtension...)
+	if _, err := nc.Write(finishFrame(frame, 0)); err != nil {
+		return false, fmt.Errorf("write the handshake: %w", err)
 	}
 	letter, body, _, err := readFrame(bufio.NewReader(nc), nil)
 	var netErr net.Error
@@ -91,8 +93,8 @@
 	return err == nil && letter == frameHandshake && string(body) == firstPassExtension, nil
 }
 
-// revokeFirstPass repeats the handshake with a server that refused a frame while a first pass was in flight: it may
-// be of another version by now. Until then it gets no first passes.
+// revokeFirstPass repeats the handshake with a server that rejected a frame while a first pass was in flight, since
+// the server may now run another version. Until the handshake is done the server gets no first passes.
 func (p *Pool) revokeFirstPass(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/gatherer/shardcall/healthcheck.go
+++ b/internal/gatherer/shardcall/healthcheck.go
@@ -8,27 +8,27 @@
 	"yokeroute/gather"
 )
 
-// maxPendingChecks bounds the unanswered health checks of a connection. Answers bear no ID and go by their order, so
-// that a check that is never answered stays.
+// maxPendingChecks limits the unanswered health checks of a connection. Answers have no ID and are matched by order,
+// so that a check that is never answered stays pending.
 const maxPendingChecks = 32
 
-// loadReportFailed is in place of a load report where the server could not tell its load.
+// loadReportFailed is sent in place of a load report by a server that cannot determine its load.
 const loadReportFailed = "err"
 
-// maxReportedLoad is above any value of a load report that makes sense.
+// maxReportedLoad is larger than any plausible value in a load report.
 const maxReportedLoad = 1e9
 
-// healthCheck is a request for a server's load. The pool's lock guards it.
+// healthCheck is a request for the load of a server. The pool's lock guards it.
 type healthCheck struct {
 	server    uint32
 	startedAt time.Time
-	conn      *conn // nil until it is queued
+	conn      *conn // nil until the check is queued
 	timeout   *time.Timer
 	finished  bool
 }
 
-// startHealthCheck queues a health check on a connection that attempts use as well. Without an answer within the
-// connect timeout it has failed. The lock must be held.
+// startHealthCheck queues a health check on a connection that attempts also use. The check fails if no answer arrives
+// within the connect timeout. The pool's lock must be held.
 func (p *Pool) startHealthCheck(id uint32) {
 	check := &healthCheck{server: id, startedAt: time.Now()}
 	s := p.servers[id]
@@ -42,11 +42,11 @@
 		defer p.mu.Unlock()
 		p.finishHealthCheck(check, nil)
 	})
-	c.enqueue(outgoing{check: check})
+	c.enqueue(outgoingFrame{check: check})
 }
 
-// finishHealthCheck reports the end of a health check, once. The load report is nil where none arrived. The lock must
-// be held.
+// finishHealthCheck reports the result of a health check, once. report is nil if no load report arrived. The pool's
+// lock must be held.
 func (p *Pool) finishHealthCheck(check *healthCheck, report []byte) {
 	if check.finished {
 		return
@@ -64,7 +64,7 @@
 	p.reporter.ReportHealthCheck(result)
 }
 
-// parseLoadReport reads a list of NAME=VALUE with commas between. What can't be read is ignored.
+// parseLoadReport parses a comma-separated list of NAME=VALUE. It ignores pairs that it cannot parse.
 func parseLoadReport(report []byte) gather.HealthCheckResult {
 	result := gather.HealthCheckResult{
 		Succeeded:   report != nil && string(report) != loadReportFailed,
@@ -77,7 +77,7 @@
 		if err != nil || !(value >= 0 && value < maxReportedLoad) {
 			continue
 		}
-		switch string(name) { // either name may be used
+		switch string(name) { // each value has two accepted names
 		case "queue", "backlog":
 			result.QueueLength = value
 		case "latency_ms", "recent_ms":
@@ -87,7 +87,8 @@
 	return result
 }
 
-// beginHealthCheck notes that a health check is about to be written, unless it has ended.
+// beginHealthCheck marks a health check as pending before it is written. It returns false if the check has already
+// ended or the connection is closed.
 func (c *conn) beginHealthCheck(check *healthCheck) bool {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
@@ -99,7 +100,8 @@
 	return true
 }
 
-// handleLoadReport answers the oldest pending health check. A report without one is ignored.
+// handleLoadReport finishes the oldest pending health check with a load report. It ignores a report without a pending
+// check.
 func (c *conn) handleLoadReport(report []byte) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
--- a/internal/gatherer/shardcall/healthcheck_test.go
+++ b/internal/gatherer/shardcall/healthcheck_test.go
@@ -9,17 +9,17 @@
 )
 
 // checkHealth makes a health check and returns its result.
-func (d *harness) checkHealth() gather.HealthCheckResult {
-	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
-	return <-d.checks
+func (h *harness) checkHealth() gather.HealthCheckResult {
+	h.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
+	return <-h.checks
 }
 
-// TestLoadReportIsParsed reads load reports, with parts that can't be read.
+// TestLoadReportIsParsed parses load reports, some with parts that are invalid.
 func TestLoadReportIsParsed(t *testing.T) {
 	for _, c := range []struct {
-		told             string
-		passed           bool
-		waiting, latency float64
+		report         string
+		succeeded      bool
+		queue, latency float64
 	}{
 		{"queue=7,latency_ms=61.5", true, 7, 61.5},
 		{"util=0.5,recent_ms=3,backlog=2", true, 2, 3},
@@ -28,17 +28,17 @@
 		{"queue=x,,=,latency_ms", true, -1, -1},
 		{"err", false, -1, -1},
 	} {
-		t.Run(c.told, func(t *testing.T) {
+		t.Run(c.report, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newHarness(t, shard.Address(), nil)
+			h := newHarness(t, shard.Address(), nil)
 			go func() {
 				conn := shard.Take()
 				if f := conn.Read(); f.Type != 'L' || f.Body != "" {
-					t.Errorf("frame %+v", f)
+					t.Errorf("frame %+v, want a health check", f)
 				}
-				conn.Write('L', c.told)
+				conn.Write('L', c.report)
 			}()
-			if s := d.checkHealth(); s.Server != 7 || s.Succeeded != c.passed || s.QueueLength != c.waiting ||
+			if s := h.checkHealth(); s.Server != 7 || s.Succeeded != c.succeeded || s.QueueLength != c.queue ||
 				s.Latency != c.latency || s.Elapsed <= 0 {
 				t.Errorf("%+v", s)
 			}
@@ -46,51 +46,51 @@
 	}
 }
 
-// TestHealthCheckEndsOnceWithoutAnAnswer makes health checks of a server that is not there, not listed, silent, or
-// ends its connection. A late answer does not count for the next check.
-func TestHealthCheckEndsOnceWithoutAnAnswer(t *testing.T) {
+// TestHealthCheckWithoutAnswerEndsOnce makes health checks of a server that cannot be reached, is draining, does not
+// answer, or closes its connection. A late answer must not be used for the next check.
+func TestHealthCheckWithoutAnswerEndsOnce(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 50.0 })
 	conns := make(chan *standin.Conn, 2)
 	go func() { conns <- shard.Take() }()
-	if s := d.checkHealth(); s.Succeeded {
-		t.Errorf("silent: %+v", s)
+	if s := h.checkHealth(); s.Succeeded {
+		t.Errorf("server does not answer: %+v, want a failure", s)
 	}
 	conn := <-conns
-	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
+	h.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 	for range 2 {
 		if f := conn.Read(); f.Type != 'L' {
-			t.Fatalf("frame %+v", f)
+			t.Fatalf("frame %+v, want a health check", f)
 		}
 	}
 	conn.Write('L', "queue=1,latency_ms=1")
 	conn.Write('L', "queue=2,latency_ms=2")
-	if s := <-d.checks; s.Succeeded && s.QueueLength != 2 {
-		t.Errorf("an answer that was too late counts for the next: %+v", s)
+	if s := <-h.checks; s.Succeeded && s.QueueLength != 2 {
+		t.Errorf("the late answer is used for the next check: %+v", s)
 	}
-	d.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
+	h.Execute(dispatch.Actions{CheckHealth: []uint32{7}})
 	conn.Read()
 	conn.Close()
-	if s := <-d.checks; s.Succeeded {
-		t.Errorf("cut: %+v", s)
+	if s := <-h.checks; s.Succeeded {
+		t.Errorf("connection closed: %+v, want a failure", s)
 	}
 	shard.Close()
-	if s := d.checkHealth(); s.Succeeded {
-		t.Errorf("unreached: %+v", s)
+	if s := h.checkHealth(); s.Succeeded {
+		t.Errorf("connection refused: %+v, want a failure", s)
 	}
-	d.setEndpoint(shard.Address(), gather.Draining)
-	if s := d.checkHealth(); s.Succeeded {
-		t.Errorf("draining: %+v", s)
+	h.setEndpoint(shard.Address(), gather.Draining)
+	if s := h.checkHealth(); s.Succeeded {
+		t.Errorf("draining server: %+v, want a failure", s)
 	}
-	if len(d.checks) > 0 {
-		t.Errorf("reported twice: %+v", <-d.checks)
+	if len(h.checks) > 0 {
+		t.Errorf("a check is reported twice: %+v", <-h.checks)
 	}
 }
 
 // TestConnectionWithUnansweredChecksIsReplaced makes health checks that are never answered on one connection.
 func TestConnectionWithUnansweredChecksIsReplaced(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -98,14 +98,14 @@
 		shard.Take()
 	}()
 	for range maxPendingChecks + 1 {
-		d.checkHealth()
+		h.checkHealth()
 	}
 	<-done
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	for _, c := range d.servers[7].conns {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	for _, c := range h.servers[7].conns {
 		if len(c.pendingChecks) > maxPendingChecks {
-			t.Errorf("%d checks are pending", len(c.pendingChecks))
+			t.Errorf("%d checks are pending, want at most maxPendingChecks", len(c.pendingChecks))
 		}
 	}
 }
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -1,7 +1,7 @@
-// Package shardcall carries attempts to shard servers over TCP, and reports how each one ended.
+// Package shardcall sends attempts to shard servers over TCP and reports the outcome of each.
 //
-// The frames are those of docs/sockets.md, which http.Transport cannot carry. The package decides nothing: which
-// server gets an attempt, when and how often is the decision module's to say.
+// It uses the frames of docs/sockets.md, which http.Transport cannot carry. The package makes no decisions: the
+// decision module chooses which server receives an attempt, when, and how often.
 package shardcall
 
 import (
@@ -17,36 +17,35 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// defaultConnectTimeout applies where the settings have no ConnectTimeout. It also bounds the write of a cancel frame
-// or a health check, which must not be without a limit.
+// defaultConnectTimeout is used if the settings have no ConnectTimeout. The connect timeout also limits the write of a
+// cancel frame or a health check, which must not be unlimited.
 const defaultConnectTimeout = time.Second
 
-// Reporter takes the ends of attempts and health checks. It must not block.
+// Reporter receives the outcomes of attempts and health checks. Its methods must not block.
 type Reporter interface {
 	Report(a *dispatch.Attempt, outcome gather.Outcome, value []byte)
 	ReportHealthCheck(result gather.HealthCheckResult)
 }
 
-// Address is where a listed server is reached.
+// Address holds the ID, the address and the state of a listed server.
 type Address struct {
 	ID        uint32
-	Name      string // by which discovery knows it
+	Name      string // name in discovery
 	HostPort  string
 	State     gather.State
-	StartedAt float64 // as in gather.Endpoint
+	StartedAt float64 // the same as in gather.Endpoint
 }
 
-// Config is what a Pool needs.
+// Config holds the parameters of a Pool.
 type Config struct {
 	Settings *gather.Settings
-	// MaxConns is how many connections there may be before one that is idle is closed for a new one.
+	// MaxConns is the number of open connections at which an idle one is closed before another is opened.
 	MaxConns int
 	Reporter Reporter
 	Log      *logrus.Logger
 }
 
-// Pool holds the connections to all shard servers. Its one lock is never held while a goroutine waits for the
-// network.
+// Pool holds the connections to all shard servers. Its single lock is never held during network I/O that may block.
 type Pool struct {
 	reporter Reporter
 	log      *logrus.Logger
@@ -58,25 +57,29 @@
 	openedConns         int64
 	servers             map[uint32]*server
 	attempts            map[*dispatch.Attempt]*attempt
-	onFirstPassSupport  func(server uint32, supported bool) // nil where first passes are not used
+	onFirstPassSupport  func(server uint32, supported bool) // nil if first passes are not enabled
 	handshakeSlots      chan struct{}
 	handshakeRetryDelay time.Duration
 }
 
-// limits are what the settings say about connections.
+// limits holds the connection limits that follow from the settings.
 type limits struct {
-	maxConns         int
-	connectTimeout   time.Duration
-	idleTimeout      time.Duration
-	silenceTimeout   time.Duration // after which a connection with attempts in flight gets no new ones
-	lateAnswerWindow time.Duration // in which an answer may still arrive after its attempt has ended
-	drainGrace       time.Duration // after a drain is known, in which a first byte may still be written
-	hedgingAllowed   bool          // two attempts of a shard request may be in flight at once
+	maxConns       int
+	connectTimeout time.Duration
+	idleTimeout    time.Duration
+	// silenceTimeout is how long a connection with attempts in flight may receive nothing before it gets no new
+	// attempts.
+	silenceTimeout time.Duration
+	// lateAnswerWindow is how long an answer is expected after its attempt has ended.
+	lateAnswerWindow time.Duration
+	// drainGrace is how long the first byte of a frame may still be written after a drain is known.
+	drainGrace       time.Duration
+	hedgingAllowed   bool // two attempts of one shard request may be in flight at the same time
 	requestsPerFrame int
 	streamsPerConn   int
 }
 
-// server is a shard server and its connections that may get attempts.
+// server is a shard server with the connections that may receive new attempts.
 type server struct {
 	Address
 	conns     []*conn
@@ -115,12 +118,13 @@
 	if l.streamsPerConn < 1 { // unlimited
 		l.streamsPerConn = math.MaxInt32
 	}
-	// A server closes a connection that has been idle for this time. The pool does so first, by as much as a
-	// connection may take to come up, so that no frame is written into the server's close.
+	// A server closes a connection that has been idle for IdleTimeout. The pool closes it earlier, by the connect
+	// timeout, so that no frame is written while the server closes the connection.
 	if idle := milliseconds(settings.IdleTimeout); idle > 0 {
 		l.idleTimeout = max(idle-l.connectTimeout, idle/2)
 	}
-	// A connection to a machine that has vanished stays open and silent. Only a new one shows what is there.
+	// A connection to a machine that has vanished stays open and receives nothing. Only a new connection shows
+	// whether the server can be reached.
 	if silence := dispatch.SilenceTimeout(settings); silence < maxMilliseconds {
 		l.silenceTimeout = milliseconds(silence)
 	}
@@ -130,20 +134,20 @@
 	return l
 }
 
-// maxMilliseconds is beyond what any timeout comes to, and fits into a time.Duration.
+// maxMilliseconds is larger than any timeout, and fits into a time.Duration.
 const maxMilliseconds = 1e9
 
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Connections returns how many connections are open, and how many were opened so far.
+// Connections returns the number of open connections, and the number opened since the start.
 func (p *Pool) Connections() (open int, opened int64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.openConns, p.openedConns
 }
 
-// SetEndpoints takes over the addresses of all listed servers. Connections to servers that have left the list or have
-// another address get no new attempts; those in flight may still be answered.
+// SetEndpoints sets the addresses of all listed servers. Connections to servers that were removed from the list or
+// have another address get no new attempts; attempts in flight may still be answered.
 func (p *Pool) SetEndpoints(list []Address) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -172,9 +176,9 @@
 	}
 }
 
-// limitWritesInProgress bounds the frames that are being written to a server that drains or is removed: one of which
-// the server has not read the first byte must not begin once the drain grace is over. Half of the grace is left to
-// it.
+// limitWritesInProgress limits the writes in progress to a draining or removed server to half of the drain grace. A
+// frame of which the server has not read the first byte must not begin after the grace is over; the other half of the
+// grace is left to the server.
 func (p *Pool) limitWritesInProgress(s *server) {
 	if s.State == gather.Running {
 		return
@@ -191,18 +195,19 @@
 	}
 }
 
-// retireConns leaves all connections without new attempts.
+// retireConns excludes all connections of the server from new attempts.
 func (s *server) retireConns() {
 	for _, c := range slices.Clone(s.conns) {
 		c.retire(errConnRetired)
 	}
 }
 
-// Execute carries out the decisions of a round. It does not wait for the network.
+// Execute carries out the actions of a round. It does not wait for the network.
 func (p *Pool) Execute(actions dispatch.Actions) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	// Ends come first, so that none of them hits a new attempt with the same ID.
+	// Attempts are stopped and cancelled before new ones are sent, so that a new attempt with the same ID is not
+	// affected.
 	for _, decision := range actions.StopWriting {
 		p.stopWriting(decision)
 	}
@@ -215,13 +220,14 @@
 	p.send(actions.Send)
 }
 
-// batch names the attempts of a round that may share frames: those to one server and of one kind of pass.
+// batch is the key of the attempts of a round that may share a frame: those to the same server, either all of a first
+// pass or none.
 type batch struct {
 	server    *server
 	firstPass bool
 }
 
-// send groups new attempts into frames and leaves these for their connections.
+// send groups new attempts into frames and queues the frames on connections.
 func (p *Pool) send(decisions []*dispatch.Attempt) {
 	var order []batch
 	batches := map[batch][]*attempt{}
@@ -239,12 +245,13 @@
 	}
 	for _, b := range order {
 		for attempts := range slices.Chunk(batches[b], p.limits.requestsPerFrame) {
-			p.connFor(b.server, len(attempts)).enqueue(outgoing{attempts: attempts})
+			p.connFor(b.server, len(attempts)).enqueue(outgoingFrame{attempts: attempts})
 		}
 	}
 }
 
-// connFor returns a connection with room for so many requests. It opens one only where none has.
+// connFor returns a connection with room for the given number of requests. It opens a new one only if no connection
+// has room.
 func (p *Pool) connFor(s *server, requests int) *conn {
 	for _, c := range slices.Clone(s.conns) {
 		if c.silence() > p.limits.silenceTimeout || len(c.pendingChecks) >= maxPendingChecks {
@@ -267,8 +274,8 @@
 	return c
 }
 
-// closeIdleConn closes one connection without attempts. Where there is none, the limit is exceeded: whether there is
-// another socket is then the kernel's to say.
+// closeIdleConn closes one connection without attempts. If there is none, the limit is exceeded, and it is up to the
+// kernel whether another socket can be opened.
 func (p *Pool) closeIdleConn() {
 	for _, s := range p.servers {
 		for _, c := range s.conns {
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -18,8 +18,8 @@
 	"yokeroute/internal/testbed/standin"
 )
 
-// harness is a pool with a picker, whose reports a test can read. With one class and one server its decisions are
-// plain.
+// harness is a pool with a picker. Tests read the reports of the pool from its channels. It has one class and one
+// server, so that the decisions of the picker are predictable.
 type harness struct {
 	*Pool
 	picker  *dispatch.Picker
@@ -33,14 +33,14 @@
 	value   string
 }
 
-func (d *harness) Report(c *dispatch.Attempt, outcome gather.Outcome, value []byte) {
-	d.results <- result{c.ID(), outcome, string(value)}
-	d.picker.Report(c, outcome, value)
+func (h *harness) Report(a *dispatch.Attempt, outcome gather.Outcome, value []byte) {
+	h.results <- result{a.ID(), outcome, string(value)}
+	h.picker.Report(a, outcome, value)
 }
 
-func (d *harness) ReportHealthCheck(s gather.HealthCheckResult) {
-	d.checks <- s
-	d.picker.ReportHealthCheck(s)
+func (h *harness) ReportHealthCheck(result gather.HealthCheckResult) {
+	h.checks <- result
+	h.picker.ReportHealthCheck(result)
 }
 
 func discardLog() *logrus.Logger {
@@ -53,7 +53,7 @@
 	return newHarnessWith(t, address, change, func(*dispatch.Picker) {})
 }
 
-// newHarnessWith has the picker set up by the test before its first round.
+// newHarnessWith is newHarness with a function that sets up the picker before its first round.
 func newHarnessWith(t *testing.T, address string, change func(s *gather.Settings),
 	setUp func(*dispatch.Picker)) *harness {
 	settings := &gather.Settings{
@@ -68,100 +68,103 @@
 	if change != nil {
 		change(settings)
 	}
-	d := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100),
+	h := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100),
 		checks: make(chan gather.HealthCheckResult, 100)}
-	setUp(d.picker)
-	d.Pool = New(Config{Settings: settings, MaxConns: 100, Reporter: d, Log: discardLog()})
-	d.setEndpoint(address, gather.Running)
+	setUp(h.picker)
+	h.Pool = New(Config{Settings: settings, MaxConns: 100, Reporter: h, Log: discardLog()})
+	h.setEndpoint(address, gather.Running)
 	ctx, stop := context.WithCancel(t.Context())
 	t.Cleanup(stop)
 	go func() {
 		for {
-			orders, err := d.picker.RunRound(ctx)
+			actions, err := h.picker.RunRound(ctx)
 			if err != nil {
 				return
 			}
-			d.Execute(orders)
+			h.Execute(actions)
 		}
 	}()
-	return d
+	return h
 }
 
-func (d *harness) setEndpoint(address string, state gather.State) {
-	d.SetEndpoints([]Address{{ID: 7, HostPort: address, State: state}})
-	d.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: state}}})
+func (h *harness) setEndpoint(address string, state gather.State) {
+	h.SetEndpoints([]Address{{ID: 7, HostPort: address, State: state}})
+	h.picker.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7, State: state}}})
 }
 
-func (d *harness) openConnections() int {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	return d.openConns
+func (h *harness) openConnections() int {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.openConns
 }
 
-// submit submits a query of so many shard requests. Its result arrives on the channel.
-func (d *harness) submit(ctx context.Context, id string, parts int, wait float64) <-chan dispatch.Result {
-	lk := &dispatch.Query{ID: id, Class: "i", Deadline: d.picker.Now() + wait, Payload: []byte("text of " + id)}
-	for shard := range parts {
-		lk.ShardRequests = append(lk.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(parts)})
+// submit submits a query with the given number of shard requests. Its result is sent on the channel.
+func (h *harness) submit(ctx context.Context, id string, shardRequests int, wait float64) <-chan dispatch.Result {
+	query := &dispatch.Query{ID: id, Class: "i", Deadline: h.picker.Now() + wait, Payload: []byte("text of " + id)}
+	for shard := range shardRequests {
+		query.ShardRequests = append(query.ShardRequests, dispatch.ShardRequest{Shard: shard,
+			Weight: 1 / float64(shardRequests)})
 	}
 	done := make(chan dispatch.Result, 1)
-	go func() { done <- d.picker.Pick(ctx, lk) }()
+	go func() { done <- h.picker.Pick(ctx, query) }()
 	return done
 }
 
-func (d *harness) expectResult(t *testing.T, id string, outcome gather.Outcome) {
+func (h *harness) expectResult(t *testing.T, id string, outcome gather.Outcome) {
 	t.Helper()
-	if got := <-d.results; got.id != id || got.outcome != outcome {
-		t.Errorf("%s ended as %d, want %s as %d", got.id, got.outcome, id, outcome)
+	if got := <-h.results; got.id != id || got.outcome != outcome {
+		t.Errorf("attempt %s ended with outcome %d, want %s with %d", got.id, got.outcome, id, outcome)
 	}
 }
 
-// TestAttemptEndsAtItsStageWithTheOutcomeThatItProves ends an attempt at each stage. Rule 2 depends on what that
-// proves about having run.
-func TestAttemptEndsAtItsStageWithTheOutcomeThatItProves(t *testing.T) {
+// TestAttemptOutcomeAtEachStage ends an attempt at each stage and checks its outcome. Rule 2 depends on whether the
+// outcome proves that the attempt was not executed.
+func TestAttemptOutcomeAtEachStage(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		act    func(c *standin.Conn, id string)
 		want   gather.Outcome
-		broken bool // the connection is not used again
+		broken bool // the connection must not be used again
 	}{
-		{"answered", func(c *standin.Conn, id string) { c.Answer(id, "ok", "v") }, gather.Succeeded, false},
-		{"busy", func(c *standin.Conn, id string) { c.Answer(id, "busy", "") }, gather.Rejected, false},
-		{"failed", func(c *standin.Conn, id string) { c.Answer(id, "err", "") }, gather.Failed, false},
-		{"ended after the frame", func(c *standin.Conn, _ string) { c.Close() }, gather.ConnectionReset, true},
-		{"reset after the frame", func(c *standin.Conn, _ string) { c.Reset() }, gather.ConnectionReset, true},
-		{"frame that could not be used", func(c *standin.Conn, _ string) { c.Write('E', "no such shard") },
+		{"status ok", func(c *standin.Conn, id string) { c.Answer(id, "ok", "v") }, gather.Succeeded, false},
+		{"status busy", func(c *standin.Conn, id string) { c.Answer(id, "busy", "") }, gather.Rejected, false},
+		{"status err", func(c *standin.Conn, id string) { c.Answer(id, "err", "") }, gather.Failed, false},
+		{"connection closed after the frame", func(c *standin.Conn, _ string) { c.Close() },
 			gather.ConnectionReset, true},
-		{"unknown letter", func(c *standin.Conn, _ string) { c.Write('Z', "") }, gather.ConnectionReset, true},
-		{"unknown ending", func(c *standin.Conn, id string) { c.Answer(id, "maybe", "") }, gather.ConnectionReset,
+		{"connection reset after the frame", func(c *standin.Conn, _ string) { c.Reset() },
+			gather.ConnectionReset, true},
+		{"error frame", func(c *standin.Conn, _ string) { c.Write('E', "no such shard") },
+			gather.ConnectionReset, true},
+		{"unknown frame type", func(c *standin.Conn, _ string) { c.Write('Z', "") }, gather.ConnectionReset, true},
+		{"unknown status", func(c *standin.Conn, id string) { c.Answer(id, "maybe", "") }, gather.ConnectionReset,
 			true},
-		{"answer without its line", func(c *standin.Conn, id string) { c.Write('A', id) }, gather.ConnectionReset,
+		{"answer without the first line", func(c *standin.Conn, id string) { c.Write('A', id) }, gather.ConnectionReset,
 			true},
-		{"length too long", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) },
+		{"frame length too large", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{255, 255, 255, 255, 'A'}) },
 			gather.ConnectionReset, true},
-		{"length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) },
+		{"frame length zero", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{0, 0, 0, 0}) },
 			gather.ConnectionReset, true},
-		{"frame cut off", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() },
+		{"frame truncated", func(c *standin.Conn, _ string) { c.Conn.Write([]byte{9, 0, 0, 0, 'A'}); c.Close() },
 			gather.ConnectionReset, true},
-		// The answer that this one stands for will not arrive, and waiting would take all of the query's time.
-		{"answer for a name never asked", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") },
+		// The answer with the correct ID will not arrive, and waiting for it would use up the time of the query.
+		{"answer with an unknown ID", func(c *standin.Conn, _ string) { c.Answer("other.0", "ok", "v") },
 			gather.ConnectionReset, true},
-		{"score that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") },
+		{"invalid score", func(c *standin.Conn, id string) { c.Write('A', id+" ok many -\nv") },
 			gather.ConnectionReset, true},
-		{"report that can't be read", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") },
+		{"invalid load report", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 \x00\xff, =\nv") },
 			gather.Succeeded, false},
-		{"no report", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1\nv") }, gather.Succeeded, false},
-		{"value with the next frame in it", func(c *standin.Conn,
+		{"no load report", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1\nv") }, gather.Succeeded, false},
+		{"value that contains the next frame", func(c *standin.Conn,
 			id string) {
 			c.Write('A', id+" ok 1 -\nv\x08\x00\x00\x00Ab.0")
 		}, gather.ConnectionReset, true},
-		{"value that is no text", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\n\xff\xfe") },
+		{"value that is not UTF-8", func(c *standin.Conn, id string) { c.Write('A', id+" ok 1 -\n\xff\xfe") },
 			gather.ConnectionReset, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newHarness(t, shard.Address(), nil)
-			done := d.submit(t.Context(), "a", 1, 2000)
+			h := newHarness(t, shard.Address(), nil)
+			done := h.submit(t.Context(), "a", 1, 2000)
 			conn := shard.Take()
 			f := conn.Read()
 			if len(f.Requests) != 1 || f.Requests[0].ID != "a.0" || f.Requests[0].Payload != "text of a" ||
@@ -169,181 +172,183 @@
 				t.Fatalf("frame %+v", f)
 			}
 			c.act(conn, "a.0")
-			d.expectResult(t, "a.0", c.want)
+			h.expectResult(t, "a.0", c.want)
 			v := <-done
 			if (v.Kind == dispatch.Served) != (c.want == gather.Succeeded) {
 				t.Errorf("result %+v", v)
 			}
 			if v.Kind == dispatch.Rejected && !c.want.NeverExecuted() {
-				t.Error("rejected, though it may have run")
+				t.Error("the query is rejected although the attempt may have been executed")
 			}
 			if c.broken {
 				return
 			}
-			done = d.submit(t.Context(), "b", 1, 2000)
+			done = h.submit(t.Context(), "b", 1, 2000)
 			if f := conn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-				t.Errorf("the connection was not used again: %+v", f)
+				t.Errorf("frame %+v, want request b.0 on the same connection", f)
 			}
 			conn.Answer("b.0", "ok", "w")
 			if v := <-done; v.Kind != dispatch.Served || string(v.Hits[0].Value) != "w" {
-				t.Errorf("result %+v", v)
+				t.Errorf("result %+v, want served", v)
 			}
 		})
 	}
 }
 
-// TestBytesBehindAnAnswerDoNotAffectTheNextCall sends noise behind a good answer. The answer counts, and the next
-// attempt uses another connection.
-func TestBytesBehindAnAnswerDoNotAffectTheNextCall(t *testing.T) {
-	for _, more := range []string{"\x81\xfe\x7b\x5d\xe7", "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"} {
+// TestBytesAfterAnswerDoNotAffectNextAttempt sends invalid bytes after a valid answer. The answer must be used, and
+// the next attempt must use another connection.
+func TestBytesAfterAnswerDoNotAffectNextAttempt(t *testing.T) {
+	for _, trailing := range []string{"\x81\xfe\x7b\x5d\xe7", "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"} {
 		shard := standin.NewShard(t)
-		d := newHarness(t, shard.Address(), nil)
-		done := d.submit(t.Context(), "a", 1, 2000)
+		h := newHarness(t, shard.Address(), nil)
+		done := h.submit(t.Context(), "a", 1, 2000)
 		conn := shard.Take()
 		conn.Read()
-		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+more) // in one write
+		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+trailing) // in one write
 		if v := <-done; v.Kind != dispatch.Served {
-			t.Errorf("result %+v", v)
+			t.Errorf("result %+v, want served", v)
 		}
-		done = d.submit(t.Context(), "b", 1, 2000)
-		next := shard.Take()
-		if f := next.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
+		done = h.submit(t.Context(), "b", 1, 2000)
+		nextConn := shard.Take()
+		if f := nextConn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
 			t.Errorf("frame %+v on the next connection", f)
 		}
-		next.Answer("b.0", "ok", "w")
+		nextConn.Answer("b.0", "ok", "w")
 		if v := <-done; v.Kind != dispatch.Served {
-			t.Errorf("result %+v", v)
+			t.Errorf("result %+v, want served", v)
 		}
 		if f := conn.Read(); f.Type != 0 {
-			t.Errorf("frame %+v on the connection of no further use", f)
+			t.Errorf("frame %+v on the retired connection, want none", f)
 		}
 	}
 }
 
-// TestRepeatedAnswerDoesNotAffectTheNextCall repeats an answer while another request is in flight.
-func TestRepeatedAnswerDoesNotAffectTheNextCall(t *testing.T) {
+// TestRepeatedAnswerDoesNotAffectNextAttempt repeats an answer while another request is in flight.
+func TestRepeatedAnswerDoesNotAffectNextAttempt(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), nil)
-	done := d.submit(t.Context(), "a", 1, 2000)
+	h := newHarness(t, shard.Address(), nil)
+	done := h.submit(t.Context(), "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	<-done
-	done = d.submit(t.Context(), "b", 1, 2000)
+	done = h.submit(t.Context(), "b", 1, 2000)
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	conn.Answer("b.0", "ok", "w")
 	if v := <-done; v.Kind != dispatch.Served || string(v.Hits[0].Value) != "w" {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want served", v)
 	}
 }
 
-// TestLateAnswerIDsAreBounded expects many late answers that never arrive.
+// TestLateAnswerIDsAreBounded adds many IDs whose late answers never arrive, and checks how many are kept.
 func TestLateAnswerIDsAreBounded(t *testing.T) {
-	late := lateAnswers{window: time.Nanosecond}
+	late := lateAnswerSet{window: time.Nanosecond}
 	for range 1000 {
-		late.expect(time.Now().String(), time.Now())
+		late.add(time.Now().String(), time.Now())
 		time.Sleep(2 * time.Nanosecond)
 	}
 	if n := late.count(); n > 10 {
-		t.Errorf("%d IDs are kept", n)
+		t.Errorf("%d IDs are kept, want at most 10", n)
 	}
 }
 
-// TestReadFrameDropsLargeBuffers wants a connection not to keep the buffer of its largest frame.
+// TestReadFrameDropsLargeBuffers checks that a connection does not keep the buffer of its largest frame.
 func TestReadFrameDropsLargeBuffers(t *testing.T) {
-	big := append([]byte{0, 0, 1, 0, 'A'}, make([]byte, 1<<16-1)...)
-	r := bufio.NewReader(bytes.NewReader(append(big, 1, 0, 0, 0, 'P')))
-	_, _, kept, err := readFrame(r, nil)
-	if err != nil || len(kept) != 1<<16 {
-		t.Fatalf("%d bytes, %v", len(kept), err)
+	largeFrame := append([]byte{0, 0, 1, 0, 'A'}, make([]byte, 1<<16-1)...)
+	r := bufio.NewReader(bytes.NewReader(append(largeFrame, 1, 0, 0, 0, 'P')))
+	_, _, buf, err := readFrame(r, nil)
+	if err != nil || len(buf) != 1<<16 {
+		t.Fatalf("%d bytes, %v", len(buf), err)
 	}
-	if letter, _, kept, err := readFrame(r, kept); letter != 'P' || cap(kept) > maxSpareBuffer || err != nil {
-		t.Errorf("letter %q, %d bytes kept, %v", letter, cap(kept), err)
+	if letter, _, buf, err := readFrame(r, buf); letter != 'P' || cap(buf) > maxSpareBuffer || err != nil {
+		t.Errorf("letter %q, %d bytes kept, %v", letter, cap(buf), err)
 	}
 }
 
-func TestRefusedConnectionProvesThatNothingRan(t *testing.T) {
+func TestRefusedConnectionIsConnectFailed(t *testing.T) {
 	shard := standin.NewShard(t)
 	shard.Close()
-	d := newHarness(t, shard.Address(), nil)
-	done := d.submit(t.Context(), "a", 1, 2000)
-	d.expectResult(t, "a.0", gather.ConnectFailed)
+	h := newHarness(t, shard.Address(), nil)
+	done := h.submit(t.Context(), "a", 1, 2000)
+	h.expectResult(t, "a.0", gather.ConnectFailed)
 	if v := <-done; v.Kind != dispatch.Rejected {
-		t.Errorf("result %+v: it never ran, so that the client may retry", v)
+		t.Errorf("result %+v, want rejected: the attempt was never executed, so that the client may retry", v)
 	}
 }
 
-// connectByPipe gives the server a connection over a pipe, which takes as many bytes as are read.
-func (d *harness) connectByPipe() net.Conn {
-	ours, theirs := net.Pipe()
-	d.dial = func(string) (net.Conn, error) { return ours, nil }
-	return theirs
+// dialPipe makes the pool use a pipe as its connection, and returns the other end. A write to the pipe blocks until
+// its bytes are read.
+func (h *harness) dialPipe() net.Conn {
+	clientConn, serverConn := net.Pipe()
+	h.dial = func(string) (net.Conn, error) { return clientConn, nil }
+	return serverConn
 }
 
-// TestPartlyWrittenFrameNeverRan ends a connection before and after a frame's last byte. Only in the second case may
-// the attempt have run.
-func TestPartlyWrittenFrameNeverRan(t *testing.T) {
+// TestPartlyWrittenFrameIsConnectFailed closes a connection before and after the last byte of a frame. Only in the
+// second case may the attempt have been executed.
+func TestPartlyWrittenFrameIsConnectFailed(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		whole bool
-		want  gather.Outcome
-	}{{"broken before the last byte", false, gather.ConnectFailed}, {"broken after it", true,
+		name     string
+		complete bool
+		want     gather.Outcome
+	}{{"closed before the last byte", false, gather.ConnectFailed}, {"closed after the last byte", true,
 		gather.ConnectionReset}} {
 		t.Run(c.name, func(t *testing.T) {
-			d := newHarness(t, "127.0.0.1:1",
+			h := newHarness(t, "127.0.0.1:1",
 				func(s *gather.Settings) { s.FindClass("i").Effect = gather.Idempotent })
-			theirs := d.connectByPipe()
-			d.submit(t.Context(), "a", 1, 2000)
-			head := make([]byte, 5)
-			io.ReadFull(theirs, head)
-			if c.whole {
-				io.ReadFull(theirs, make([]byte, int(head[0])-1))
+			serverConn := h.dialPipe()
+			h.submit(t.Context(), "a", 1, 2000)
+			header := make([]byte, 5)
+			io.ReadFull(serverConn, header)
+			if c.complete {
+				io.ReadFull(serverConn, make([]byte, int(header[0])-1))
 			}
-			theirs.Close()
-			d.expectResult(t, "a.0", c.want)
+			serverConn.Close()
+			h.expectResult(t, "a.0", c.want)
 		})
 	}
 }
 
-// TestQueryEndDoesNotWaitForServerThatStoppedReading ends a query whose frame is stuck. The write is stopped; where
-// the attempt's end waits for the cancellation, a frame that was written in part still proves that it never ran.
+// TestQueryEndDoesNotWaitForServerThatStoppedReading ends a query while the write of its frame is blocked. The write
+// must be stopped. If the end of the attempt waits for its cancellation, a partly written frame still proves that the
+// attempt was never executed.
 func TestQueryEndDoesNotWaitForServerThatStoppedReading(t *testing.T) {
 	for _, c := range []struct {
-		callOff, copies bool
-		want            gather.Outcome
+		cancelAllowed, hedgingAllowed bool
+		want                          gather.Outcome
 	}{{true, true, gather.Cancelled}, {true, false, gather.ConnectFailed}, {false, false, gather.ConnectFailed}} {
-		d := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
-			s.CancelAllowed = c.callOff
-			s.HedgingAllowed = c.copies
+		h := newHarness(t, "127.0.0.1:1", func(s *gather.Settings) {
+			s.CancelAllowed = c.cancelAllowed
+			s.HedgingAllowed = c.hedgingAllowed
 		})
-		theirs := d.connectByPipe()
-		ctx, leave := context.WithCancel(t.Context())
-		done := d.submit(ctx, "a", 1, 60000)
-		io.ReadFull(theirs, make([]byte, 3))
-		leave()
+		serverConn := h.dialPipe()
+		ctx, cancelClient := context.WithCancel(t.Context())
+		done := h.submit(ctx, "a", 1, 60000)
+		io.ReadFull(serverConn, make([]byte, 3))
+		cancelClient()
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
 			t.Fatal("the end of the query waits for the server")
 		}
-		d.expectResult(t, "a.0", c.want)
+		h.expectResult(t, "a.0", c.want)
 	}
 }
 
-// TestRequestsOfOneRoundShareFrames sends six requests in one round. They share frames up to the limit of the
+// TestRequestsOfOneRoundShareFrames sends six requests in one round. They must share frames up to the limit in the
 // settings, on as few connections as have room.
 func TestRequestsOfOneRoundShareFrames(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), nil)
-	done := d.submit(t.Context(), "a", 6, 2000)
+	h := newHarness(t, shard.Address(), nil)
+	done := h.submit(t.Context(), "a", 6, 2000)
 	frames := make(chan standin.Frame, 3)
 	for range 2 {
 		conn := shard.Take()
 		go func() {
 			for f := conn.Read(); f.Type != 0; f = conn.Read() {
-				for _, p := range f.Requests {
-					conn.Answer(p.ID, "ok", p.ID)
+				for _, request := range f.Requests {
+					conn.Answer(request.ID, "ok", request.ID)
 				}
 				frames <- f
 			}
@@ -353,199 +358,201 @@
 	for range 3 {
 		f := <-frames
 		if len(f.Requests) != 2 {
-			t.Errorf("frame of %d requests", len(f.Requests))
+			t.Errorf("frame with %d requests, want 2", len(f.Requests))
 		}
-		for _, p := range f.Requests {
-			seen[p.ID] = true
+		for _, request := range f.Requests {
+			seen[request.ID] = true
 		}
 	}
 	if v := <-done; len(seen) != 6 || v.Kind != dispatch.Served || len(v.Hits) != 6 ||
 		string(v.Hits[5].Value) != "a.5" {
-		t.Errorf("asked %v, result %+v", seen, v)
+		t.Errorf("requests %v, result %+v; want 6 requests, all answered", seen, v)
 	}
-	if n := d.openConnections(); n != 2 {
-		t.Errorf("%d connections", n)
+	if n := h.openConnections(); n != 2 {
+		t.Errorf("%d connections, want 2", n)
 	}
 }
 
-// TestAttemptForbiddenWhileConnectingIsNotSent makes an attempt forbidden while its connection is set up.
-func TestAttemptForbiddenWhileConnectingIsNotSent(t *testing.T) {
+// TestAttemptDisallowedWhileConnectingIsNotSent makes an attempt invalid while its connection is being established:
+// the client cancels, or the server drains or changes its address.
+func TestAttemptDisallowedWhileConnectingIsNotSent(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		forbid func(d *harness, leave func())
+		name     string
+		disallow func(h *harness, cancelClient func())
 	}{
-		{"client has gone", func(_ *harness, leave func()) { leave() }},
-		{"server drains", func(d *harness, _ func()) { d.setEndpoint(d.servers[7].HostPort, gather.Draining) }},
-		// At the old address another server may listen by now, which does not hold the shard.
-		{"server moves", func(d *harness, _ func()) { d.setEndpoint("127.0.0.1:1", gather.Running) }},
+		{"client cancels", func(_ *harness, cancelClient func()) { cancelClient() }},
+		{"server drains", func(h *harness, _ func()) { h.setEndpoint(h.servers[7].HostPort, gather.Draining) }},
+		// Another server, which does not hold the shard, may now listen at the old address.
+		{"server changes its address", func(h *harness, _ func()) { h.setEndpoint("127.0.0.1:1", gather.Running) }},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			shard := standin.NewShard(t)
-			d := newHarness(t, shard.Address(), nil)
-			ctx, leave := context.WithCancel(t.Context())
-			decided, hold := make(chan struct{}), make(chan struct{})
+			h := newHarness(t, shard.Address(), nil)
+			ctx, cancelClient := context.WithCancel(t.Context())
+			dialing, connect := make(chan struct{}), make(chan struct{})
 			var once sync.Once
-			d.dial = func(address string) (net.Conn, error) {
-				once.Do(func() { close(decided) })
-				<-hold
+			h.dial = func(address string) (net.Conn, error) {
+				once.Do(func() { close(dialing) })
+				<-connect
 				return net.Dial("tcp", address)
 			}
-			done := d.submit(ctx, "a", 1, 2000)
-			<-decided // and waits for its connection
-			c.forbid(d, leave)
-			if c.name == "client has gone" {
+			done := h.submit(ctx, "a", 1, 2000)
+			<-dialing // the attempt is now waiting for its connection
+			c.disallow(h, cancelClient)
+			if c.name == "client cancels" {
 				<-done
 			}
-			close(hold)
-			d.expectResult(t, "a.0", gather.NotSent)
-			d.setEndpoint(shard.Address(), gather.Running)
-			d.submit(t.Context(), "b", 1, 2000)
+			close(connect)
+			h.expectResult(t, "a.0", gather.NotSent)
+			h.setEndpoint(shard.Address(), gather.Running)
+			h.submit(t.Context(), "b", 1, 2000)
 			f := shard.Take().Read()
 			for f.Type == 0 {
 				f = shard.Take().Read()
 			}
 			if len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-				t.Errorf("the first frame was %+v", f)
+				t.Errorf("first frame %+v, want request b.0", f)
 			}
-			leave()
+			cancelClient()
 		})
 	}
 }
 
-// TestCancelledAttemptEndsAtOnceAndNotifiesServer wants the server notified of a cancellation, the attempt ended at
-// once and a late answer ignored.
-func TestCancelledAttemptEndsAtOnceAndNotifiesServer(t *testing.T) {
+// TestCancelledAttemptEndsImmediatelyAndNotifiesServer checks that a cancellation is sent to the server, that the
+// attempt ends immediately, and that a late answer is ignored.
+func TestCancelledAttemptEndsImmediatelyAndNotifiesServer(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), nil)
-	ctx, leave := context.WithCancel(t.Context())
-	done := d.submit(ctx, "a", 1, 2000)
+	h := newHarness(t, shard.Address(), nil)
+	ctx, cancelClient := context.WithCancel(t.Context())
+	done := h.submit(ctx, "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
-	leave()
+	cancelClient()
 	if v := <-done; v.Kind != dispatch.Abandoned {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want abandoned", v)
 	}
-	d.expectResult(t, "a.0", gather.Cancelled)
+	h.expectResult(t, "a.0", gather.Cancelled)
 	if f := conn.Read(); f.Type != 'X' || f.Body != "a.0" {
-		t.Errorf("frame %+v", f)
+		t.Errorf("frame %+v, want the cancellation of a.0", f)
 	}
 	conn.Answer("a.0", "ok", "late")
-	done = d.submit(t.Context(), "b", 1, 2000)
+	done = h.submit(t.Context(), "b", 1, 2000)
 	conn.Read()
 	conn.Answer("b.0", "ok", "v")
-	d.expectResult(t, "b.0", gather.Succeeded)
+	h.expectResult(t, "b.0", gather.Succeeded)
 	if v := <-done; len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
 		t.Errorf("result %+v", v)
 	}
 }
 
-// TestUnansweredAttemptTimesOutAndNextUsesNewConnection leaves an attempt without an answer. The old connection may
-// lead to a machine that has vanished.
+// TestUnansweredAttemptTimesOutAndNextUsesNewConnection leaves an attempt unanswered. The next one must use another
+// connection, since the first may lead to a machine that has vanished.
 func TestUnansweredAttemptTimesOutAndNextUsesNewConnection(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) {
 		s.Tick = 1.0
 		s.FindClass("i").LatencyObjective = 20.0
 	})
-	done := d.submit(t.Context(), "a", 1, 60)
+	done := h.submit(t.Context(), "a", 1, 60)
 	shard.Take().Read()
 	if v := <-done; v.Kind != dispatch.Failed {
-		t.Errorf("result %+v: it may have run", v)
+		t.Errorf("result %+v, want failed: the attempt may have been executed", v)
 	}
-	d.submit(t.Context(), "b", 1, 2000)
+	h.submit(t.Context(), "b", 1, 2000)
 	if f := shard.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-		t.Errorf("frame %+v", f)
+		t.Errorf("frame %+v, want request b.0", f)
 	}
 }
 
-// TestSilentConnectionIsReplacedBeforeTheLatencyObjective wants a silent connection replaced well before the latency
-// objective, since what is sent on it meanwhile is lost.
-func TestSilentConnectionIsReplacedBeforeTheLatencyObjective(t *testing.T) {
+// TestSilentConnectionIsReplacedBeforeLatencyObjective checks that a connection that receives nothing is replaced well
+// before the latency objective, since attempts sent on it until then are lost.
+func TestSilentConnectionIsReplacedBeforeLatencyObjective(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 500.0 })
-	done := d.submit(t.Context(), "a", 1, 300)
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) { s.FindClass("i").LatencyObjective = 500.0 })
+	done := h.submit(t.Context(), "a", 1, 300)
 	shard.Take().Read()
 	<-done
-	d.submit(t.Context(), "b", 1, 2000)
+	h.submit(t.Context(), "b", 1, 2000)
 	shard.Listener.(*net.TCPListener).SetDeadline(time.Now().Add(10 * time.Second))
 	if f := shard.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-		t.Errorf("frame %+v", f)
+		t.Errorf("frame %+v, want request b.0", f)
 	}
 }
 
-// TestIdleConnectionClosesBeforeTheServersLimit wants an idle connection closed before the server closes it, so that
-// no frame is written into that.
-func TestIdleConnectionClosesBeforeTheServersLimit(t *testing.T) {
+// TestIdleConnectionClosesBeforeServerIdleTimeout checks that the pool closes an idle connection before the server
+// does, so that no frame is written while the server closes it.
+func TestIdleConnectionClosesBeforeServerIdleTimeout(t *testing.T) {
 	shard := standin.NewShard(t)
-	d := newHarness(t, shard.Address(), func(s *gather.Settings) {
+	h := newHarness(t, shard.Address(), func(s *gather.Settings) {
 		s.IdleTimeout = 1000.0
 		s.ConnectTimeout = 800.0
 	})
-	done := d.submit(t.Context(), "a", 1, 2000)
+	done := h.submit(t.Context(), "a", 1, 2000)
 	conn := shard.Take()
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	<-done
 	start := time.Now()
 	if f := conn.Read(); f.Type != 0 || time.Since(start) > 900*time.Millisecond {
-		t.Errorf("frame %+v after %v", f, time.Since(start))
+		t.Errorf("frame %+v after %v, want the end of the connection within 900ms", f, time.Since(start))
 	}
-	if n := d.openConnections(); n != 0 {
-		t.Errorf("%d connections left", n)
+	if n := h.openConnections(); n != 0 {
+		t.Errorf("%d connections open, want 0", n)
 	}
 }
 
-// TestIdleConnectionClosesForANewOneAtTheLimit opens a connection where as many are open as the limit says.
-func TestIdleConnectionClosesForANewOneAtTheLimit(t *testing.T) {
-	one, two := standin.NewShard(t), standin.NewShard(t)
-	d := newHarness(t, one.Address(), nil)
-	d.limits.maxConns = 1
-	done := d.submit(t.Context(), "a", 1, 2000)
-	conn := one.Take()
+// TestIdleConnectionIsClosedForNewOneAtLimit opens a connection while MaxConns connections are open. The idle one must
+// be closed.
+func TestIdleConnectionIsClosedForNewOneAtLimit(t *testing.T) {
+	firstShard, secondShard := standin.NewShard(t), standin.NewShard(t)
+	h := newHarness(t, firstShard.Address(), nil)
+	h.limits.maxConns = 1
+	done := h.submit(t.Context(), "a", 1, 2000)
+	conn := firstShard.Take()
 	conn.Read()
 	conn.Answer("a.0", "ok", "v")
 	<-done
-	d.SetEndpoints([]Address{{ID: 7, HostPort: one.Address()}, {ID: 8, HostPort: two.Address()}})
-	d.picker.UpdateEndpoints(gather.EndpointList{Full: true,
+	h.SetEndpoints([]Address{{ID: 7, HostPort: firstShard.Address()}, {ID: 8, HostPort: secondShard.Address()}})
+	h.picker.UpdateEndpoints(gather.EndpointList{Full: true,
 		Endpoints: []gather.Endpoint{{ID: 7, State: gather.Draining}, {ID: 8}}})
-	d.submit(t.Context(), "b", 1, 2000)
-	two.Take().Read()
-	if n := d.openConnections(); n != 1 {
-		t.Fatalf("%d connections", n)
+	h.submit(t.Context(), "b", 1, 2000)
+	secondShard.Take().Read()
+	if n := h.openConnections(); n != 1 {
+		t.Fatalf("%d connections, want 1", n)
 	}
 	if f := conn.Read(); f.Type != 0 {
-		t.Errorf("frame %+v", f)
+		t.Errorf("frame %+v, want none", f)
 	}
 }
 
-// TestServerWithNewAddressIsReachedThere gives a server another address while an attempt is in flight at the old one.
-func TestServerWithNewAddressIsReachedThere(t *testing.T) {
-	before, after := standin.NewShard(t), standin.NewShard(t)
-	d := newHarness(t, before.Address(), nil)
-	done := d.submit(t.Context(), "a", 1, 2000)
-	conn := before.Take()
+// TestServerIsReachedAtNewAddress changes the address of a server while an attempt is in flight at the old one.
+func TestServerIsReachedAtNewAddress(t *testing.T) {
+	oldShard, newShard := standin.NewShard(t), standin.NewShard(t)
+	h := newHarness(t, oldShard.Address(), nil)
+	done := h.submit(t.Context(), "a", 1, 2000)
+	conn := oldShard.Take()
 	conn.Read()
-	d.setEndpoint(after.Address(), gather.Running)
-	d.submit(t.Context(), "b", 1, 2000)
-	if f := after.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-		t.Errorf("frame %+v", f)
+	h.setEndpoint(newShard.Address(), gather.Running)
+	h.submit(t.Context(), "b", 1, 2000)
+	if f := newShard.Take().Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
+		t.Errorf("frame %+v, want request b.0", f)
 	}
 	conn.Answer("a.0", "ok", "v")
 	if v := <-done; v.Kind != dispatch.Served {
-		t.Errorf("result %+v: attempts in flight may still be answered", v)
+		t.Errorf("result %+v, want served: attempts in flight may still be answered", v)
 	}
 	if f := conn.Read(); f.Type != 0 {
-		t.Errorf("frame %+v on the connection to where it was", f)
+		t.Errorf("frame %+v on the connection to the old address, want none", f)
 	}
 }
 
-func TestOutcomeOfEachStageSaysWhetherItMayHaveRun(t *testing.T) {
+func TestOutcomeOfEachStageShowsWhetherAttemptMayHaveExecuted(t *testing.T) {
 	if got := Outcome(io.EOF); got != gather.ConnectionReset {
-		t.Errorf("an error without a stage is %d; it may have run", got)
+		t.Errorf("an error without a stage is outcome %d, want ConnectionReset: the attempt may have run", got)
 	}
-	unrun := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, Rejected: true, NotOwner: true}
+	neverExecuted := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, Rejected: true, NotOwner: true}
 	for s := range stageCount {
-		if got := Outcome(&Error{s, io.EOF}); got.NeverExecuted() != unrun[s] || got == gather.Succeeded {
+		if got := Outcome(&Error{s, io.EOF}); got.NeverExecuted() != neverExecuted[s] || got == gather.Succeeded {
 			t.Errorf("stage %d is outcome %d", s, got)
 		}
 	}
--- a/internal/gatherer/shardcall/reader.go
+++ b/internal/gatherer/shardcall/reader.go
@@ -7,9 +7,9 @@
 	"net"
 )
 
-var errMovedWithoutKeys = errors.New("answer moved to a request without keys")
+var errMovedWithoutKeys = errors.New("server answered moved to a request without keys")
 
-// readLoop takes frames until the connection ends or one can't be used.
+// readLoop reads frames until the connection ends or a frame is invalid.
 func (c *conn) readLoop(nc net.Conn) {
 	defer c.recoverPanic()
 	reader := bufio.NewReader(nc)
@@ -27,51 +27,52 @@
 	}
 }
 
-// handleFrame takes one frame. more is set where bytes have arrived behind it.
-func (c *conn) handleFrame(letter byte, body []byte, more bool) error {
+// handleFrame handles one frame. trailingBytes says that more bytes have arrived after it.
+func (c *conn) handleFrame(letter byte, body []byte, trailingBytes bool) error {
 	switch letter {
 	case frameAnswer:
 		ans, err := parseAnswer(body)
 		if err != nil {
 			return err
 		}
-		return c.handleAnswer(ans, more)
+		return c.handleAnswer(ans, trailingBytes)
 	case frameError:
 		c.pool.revokeFirstPass(c)
 		c.pool.log.WithField("server", c.server.HostPort).WithField("reason", fmt.Sprintf("%.200q", body)).
-			Warn("shard call: server refused a frame")
-		return errFrameRefused
+			Warn("shard call: server rejected a frame")
+		return errFrameRejected
 	case frameLoad:
 		c.handleLoadReport(body)
 		return nil
 	case framePong:
-		return nil // answers pings, which are not sent
+		return nil // an answer to a ping; the pool sends no pings
 	}
-	return fmt.Errorf("frame of unknown kind %q", letter)
+	return fmt.Errorf("frame has the unknown type %q", letter)
 }
 
-// handleAnswer ends the attempt that an answer is for. An answer to an ended attempt, and a repeated one, are
-// ignored. Any other ID is damaged: the answer that it stands for will not arrive, so that the connection ends.
-func (c *conn) handleAnswer(ans answer, more bool) error {
+// handleAnswer ends the attempt that an answer belongs to. It ignores an answer to an ended attempt and a repeated
+// answer. Any other ID is corrupt: since the answer it was meant for will not arrive, handleAnswer returns an error,
+// which closes the connection.
+func (c *conn) handleAnswer(ans answer, trailingBytes bool) error {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	a := c.inFlight[ans.id]
-	if a == nil && ans.id != c.lastAnswered && !c.late.expects(ans.id) {
-		return fmt.Errorf("answer to %.50q, which was not requested", ans.id)
+	if a == nil && ans.id != c.lastAnsweredID && !c.lateAnswers.contains(ans.id) {
+		return fmt.Errorf("answer has the ID %.50q, which belongs to no request", ans.id)
 	}
 	c.resetSilence()
 	if a == nil {
-		c.late.remove(ans.id)
+		c.lateAnswers.remove(ans.id)
 		return nil
 	}
-	// Where no other answer is awaited, bytes behind this one are noise. The next attempt goes elsewhere, since
-	// reading them may end this connection.
-	if more && len(c.inFlight) == 1 && c.late.count() == 0 {
+	// If no other answer is expected, bytes after this one are invalid. The next attempt uses another connection,
+	// because reading these bytes may end this one.
+	if trailingBytes && len(c.inFlight) == 1 && c.lateAnswers.count() == 0 {
 		c.unusable = true
 		c.retired = true
-		c.leaveServer()
+		c.detachFromServer()
 	}
-	c.lastAnswered = ans.id
+	c.lastAnsweredID = ans.id
 	switch ans.status {
 	case statusOK:
 		c.pool.finish(a, nil, ans.value)
--- a/internal/gatherer/shardcall/writer.go
+++ b/internal/gatherer/shardcall/writer.go
@@ -9,12 +9,12 @@
 	"yokeroute/gather"
 )
 
-// minRemaining is the least time, in milliseconds, that a request can state.
+// minRemaining is the smallest remaining time, in milliseconds, that a request can state.
 const minRemaining = 1
 
-var errClosedMeanwhile = errors.New("connection was closed meanwhile")
+var errClosedMeanwhile = errors.New("connection was closed during the write")
 
-// writeLoop writes what is queued until the connection is closed.
+// writeLoop writes queued frames until the connection is closed.
 func (c *conn) writeLoop(nc net.Conn) {
 	defer c.recoverPanic()
 	var buf []byte
@@ -29,22 +29,22 @@
 	}
 }
 
-// setWriteDeadline bounds the write in progress and those after it. It fails only on a closed connection, which the write
-// reports as well.
+// setWriteDeadline sets the deadline of the write in progress and of later writes. It fails only on a closed
+// connection, which the write reports as well.
 func setWriteDeadline(nc net.Conn, deadline time.Time) { _ = nc.SetWriteDeadline(deadline) }
 
-func (c *conn) dequeue() (frame outgoing, ok bool) {
+func (c *conn) dequeue() (frame outgoingFrame, ok bool) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
 	if len(c.queue) == 0 {
-		return outgoing{}, false
+		return outgoingFrame{}, false
 	}
 	frame = c.queue[0]
 	c.queue = c.queue[1:]
 	return frame, true
 }
 
-func (c *conn) writeFrame(nc net.Conn, buf []byte, frame outgoing) ([]byte, error) {
+func (c *conn) writeFrame(nc net.Conn, buf []byte, frame outgoingFrame) ([]byte, error) {
 	switch {
 	case frame.cancelID != "":
 		return c.writeCancel(nc, buf, frame)
@@ -54,7 +54,7 @@
 	return c.writeRequests(nc, buf, frame.attempts)
 }
 
-func (c *conn) writeCancel(nc net.Conn, buf []byte, frame outgoing) ([]byte, error) {
+func (c *conn) writeCancel(nc net.Conn, buf []byte, frame outgoingFrame) ([]byte, error) {
 	buf = appendCancelFrame(buf, frame.cancelID)
 	setWriteDeadline(nc, time.Now().Add(c.pool.limits.connectTimeout))
 	_, err := nc.Write(buf)
@@ -76,7 +76,7 @@
 	return buf, err
 }
 
-// writeRequests writes the requests of one call, except for those that have become forbidden meanwhile.
+// writeRequests writes one frame with the requests of the attempts that are still allowed.
 func (c *conn) writeRequests(nc net.Conn, buf []byte, attempts []*attempt) ([]byte, error) {
 	allowed := c.beginWrite(attempts)
 	if len(allowed) == 0 {
@@ -86,20 +86,20 @@
 	n, err := nc.Write(buf)
 	c.endWrite(allowed, n == len(buf), err)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		return buf, nil // stopped before its first byte, after which another frame may follow
+		return buf, nil // the write was stopped before its first byte, so that another frame may follow
 	}
 	return buf, err
 }
 
-// beginWrite returns the attempts that may be written now, and bounds their frame's write by the longest of their
-// times.
+// beginWrite returns the attempts that may be written now. It sets the write deadline of their frame to the longest
+// remaining time among them.
 func (c *conn) beginWrite(attempts []*attempt) (allowed []*attempt) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
-	longest := time.Duration(0)
+	maxRemaining := time.Duration(0)
 	for _, a := range attempts {
 		if c.pool.attempts[a.decision] != a {
-			continue // it has ended
+			continue // the attempt has ended
 		}
 		if a.decision.Remaining() < minRemaining {
 			c.pool.finish(a, &Error{NotSent, errTimedOut}, nil)
@@ -114,17 +114,19 @@
 		}
 		c.inFlight[a.id] = a
 		allowed = append(allowed, a)
-		longest = max(longest, milliseconds(a.decision.Remaining()))
+		maxRemaining = max(maxRemaining, milliseconds(a.decision.Remaining()))
 	}
 	if len(allowed) > 0 {
-		c.writeDeadline = time.Now().Add(longest)
-		setWriteDeadline(c.nc, c.writeDeadline) // under the lock, so that it does not undo a stopWriting
+		c.writeDeadline = time.Now().Add(maxRemaining)
+		// Set under the lock, so that it does not override the deadline that stopWriting sets.
+		setWriteDeadline(c.nc, c.writeDeadline)
 	}
 	return allowed
 }
 
-// maySend reports whether the connection can still carry an attempt. A server that drains gets nothing new, drain
-// grace or not; and where a server has another address now, an unrelated one may listen at the old.
+// maySend reports whether the connection can still carry an attempt. A draining server gets no new attempts,
+// regardless of the drain grace. If the address of the server has changed, an unrelated server may listen at the old
+// one.
 func (c *conn) maySend(a *attempt) bool {
 	switch {
 	case c.closed, c.unusable:
@@ -135,7 +137,7 @@
 	return c.inFlight[a.id] == nil
 }
 
-// endWrite notes how far the write of a frame came. A server uses a frame entirely or not at all.
+// endWrite records how far the write of a frame came. A server uses a frame completely or not at all.
 func (c *conn) endWrite(attempts []*attempt, complete bool, err error) {
 	c.pool.mu.Lock()
 	defer c.pool.mu.Unlock()
