--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -136,7 +136,7 @@
 	})
 	<-enoughCalls
 	if n := maxOpen.Load(); n > 6 { // maxFullListRequests is 5, and the agent may notice a cancellation late
-		t.Errorf("%d requests in flight at once", n)
+		t.Errorf("%d requests in flight at once, want at most 6", n)
 	}
 }
 
@@ -295,7 +295,7 @@
 	defer agent.Close()
 	go agent.Serve(l)
 	if l := nextList(t, lists); len(l.Endpoints) != 2 || calls.Load() <= 20 {
-		t.Errorf("notified of %+v after %d requests", l, calls.Load())
+		t.Errorf("notified of %+v after %d requests, want 2 endpoints after more than 20", l, calls.Load())
 	}
 }
 
@@ -331,7 +331,7 @@
 	defer newAgent.CloseClientConnections()
 	watcher.SetAddress(address(newAgent))
 	if l := nextList(t, lists); len(l.Endpoints) != 2 || l.Endpoints[0].State != gather.Draining {
-		t.Errorf("notified of %+v", l)
+		t.Errorf("notified of %+v, want 2 endpoints, the first draining", l)
 	}
 }
 
@@ -543,7 +543,7 @@
 		io.WriteString(w, text)
 	})
 	if l := nextList(t, lists); len(l.Endpoints) != servers {
-		t.Errorf("%d servers are listed", len(l.Endpoints))
+		t.Errorf("%d servers are listed, want %d", len(l.Endpoints), servers)
 	}
 }
 
@@ -614,7 +614,7 @@
 		clear(idByName)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
-				t.Errorf("%s has the address %s", a.Name, a.HostPort)
+				t.Errorf("%s has the address %s, want %s:1", a.Name, a.HostPort, a.Name)
 			}
 			idByName[a.Name] = a.ID
 		}
@@ -643,15 +643,15 @@
 	}
 	apply(true, "in_service", first, second, third)
 	if len(idByName) != 3 {
-		t.Errorf("IDs by name: %v", idByName)
+		t.Errorf("IDs by name: %v, want three", idByName)
 	}
 	secondID := idByName[second]
 	apply(false, "terminated", first)
 	if _, listed := idByName[first]; listed || idByName[second] != secondID {
-		t.Errorf("IDs by name: %v", idByName)
+		t.Errorf("IDs by name: %v, want none of the first name and %d of the second", idByName, secondID)
 	}
 	apply(false, "in_service", first)
 	if len(idByName) != 3 || idByName[second] != secondID {
-		t.Errorf("IDs by name: %v", idByName)
+		t.Errorf("IDs by name: %v, want three, and %d of the second", idByName, secondID)
 	}
 }
--- a/internal/gatherer/discovery/recheck_test.go
+++ b/internal/gatherer/discovery/recheck_test.go
@@ -188,7 +188,7 @@
 	watcher.SetAddress(address(second.Server))
 	undoneAt := expectState(t, changes, gather.Running, maxRecheckDelay)
 	if undoneAt.Sub(changedAt) < maxListAge {
-		t.Errorf("the drain ended %v after the agent changed, by a list that may have been older",
+		t.Errorf("the drain ended %v after the agent changed, want at least maxListAge: the list may be older",
 			undoneAt.Sub(changedAt))
 	}
 	expectNoChange(t, changes, watchDuration)
@@ -211,7 +211,7 @@
 	watcher.SetAddress(address(second.Server))
 	undoneAt := expectState(t, changes, gather.Running, maxRecheckDelay)
 	if undoneAt.Sub(changedAt) < maxListAge {
-		t.Errorf("the removal ended %v after the agent changed, by a list that may have been older",
+		t.Errorf("the removal ended %v after the agent changed, want at least maxListAge: the list may be older",
 			undoneAt.Sub(changedAt))
 	}
 }
@@ -277,7 +277,8 @@
 	}
 	accept(6, "in_service")
 	if changes[2] != gather.Draining || time.Until(watcher.recheckAt) < maxListAge-time.Second {
-		t.Errorf("states %v, the next recheck is in %v", changes, time.Until(watcher.recheckAt))
+		t.Errorf("states %v, next recheck in %v; want draining in the third, and maxListAge",
+			changes, time.Until(watcher.recheckAt))
 	}
 }
 
@@ -301,7 +302,7 @@
 			expectState(t, changes, gather.Draining, time.Second)
 			undoneAt := expectState(t, changes, gather.Running, maxRecheckDelay)
 			if undoneAt.Sub(startedAt) < maxListAge {
-				t.Errorf("the drain ended %v after the start", undoneAt.Sub(startedAt))
+				t.Errorf("the drain ended %v after the start, want at least maxListAge", undoneAt.Sub(startedAt))
 			}
 			want := 2
 			if shared {
--- a/internal/gatherer/discovery/response.go
+++ b/internal/gatherer/discovery/response.go
@@ -83,7 +83,7 @@
 }
 
 // ParseResponse parses a discovery document. If any member is invalid, it rejects the whole document with an error
-// that names the member.
+// that gives the index of the member.
 func ParseResponse(text []byte) (*Response, error) {
 	var document struct {
 		Revision *int64   `json:"revision"`
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -207,7 +207,7 @@
 		})
 		go watcher.Run(ctx)
 		if l := <-got; l.Failed || !l.Full || len(l.Endpoints) != 2 {
-			t.Errorf("call %d answered: got %+v first", answered, l)
+			t.Errorf("call %d answered: notified of %+v first, want a full list with 2 endpoints", answered, l)
 		}
 		stop()
 		agent.Close()
@@ -275,7 +275,7 @@
 		watcher.Apply(r)
 		if all != 1 || len(watcher.endpoints.idByName) != 1 || len(watcher.endpoints.nameByID) != 1 ||
 			len(watcher.endpoints.addresses) != 1 || len(watcher.endpoints.order) != 1 {
-			t.Fatalf("after %d: %d listed, %d names, %d IDs, %d addresses, %d in order", i, all,
+			t.Fatalf("after %d: %d listed, %d names, %d IDs, %d addresses, %d in order; want 1 of each", i, all,
 				len(watcher.endpoints.idByName), len(watcher.endpoints.nameByID), len(watcher.endpoints.addresses), len(watcher.endpoints.order))
 		}
 	}
--- a/internal/gatherer/shardcall/faults_test.go
+++ b/internal/gatherer/shardcall/faults_test.go
@@ -26,7 +26,7 @@
 	t.Helper()
 	for deadline := time.Now().Add(20 * time.Second); a == nil; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("no frame is being written")
+			t.Fatal("no frame is being written within 20 s")
 		}
 		h.mu.Lock()
 		for _, candidate := range h.attempts {
@@ -215,7 +215,7 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the end of the query waits for the server")
+			t.Fatal("the query has not ended within 10 s, because it waits for the server")
 		}
 	}
 }
@@ -364,7 +364,7 @@
 	t.Helper()
 	frame := serverConn.Read()
 	if len(frame.Requests) == 0 {
-		t.Fatalf("frame %+v", frame)
+		t.Fatalf("frame %+v, want one with requests", frame)
 	}
 	text, found := strings.CutPrefix(frame.Requests[0].Attributes, "d=")
 	stated, err := strconv.Atoi(text)
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -275,7 +275,7 @@
 			t.Errorf("attempt ended as %+v, want %+v", got, want)
 		}
 		if v := <-done; v.Kind != dispatch.Served || !v.Complete || fmt.Sprint(v.EmptyShards) != "[0]" {
-			t.Errorf("result %+v", v)
+			t.Errorf("result %+v, want served, complete, with the empty shard 0", v)
 		}
 	})
 }
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -117,8 +117,9 @@
 	}
 }
 
-// TestAttemptOutcomeAtEachStage ends an attempt at each stage and checks its outcome. Rule 2 depends on whether the
-// outcome proves that the attempt was not executed.
+// TestAttemptOutcomeAtEachStage ends an attempt at each stage and checks its outcome. Rule 2, which forbids double
+// effects and the rejection of a query that ran, depends on whether the outcome proves that the attempt was not
+// executed.
 func TestAttemptOutcomeAtEachStage(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -169,13 +170,13 @@
 			f := conn.Read()
 			if len(f.Requests) != 1 || f.Requests[0].ID != "a.0" || f.Requests[0].Payload != "text of a" ||
 				!strings.HasPrefix(f.Requests[0].Attributes, "d=") {
-				t.Fatalf("frame %+v", f)
+				t.Fatalf("frame %+v, want one request a.0 with its remaining time", f)
 			}
 			c.act(conn, "a.0")
 			h.expectResult(t, "a.0", c.want)
 			v := <-done
 			if (v.Kind == dispatch.Served) != (c.want == gather.Succeeded) {
-				t.Errorf("result %+v", v)
+				t.Errorf("result %+v, want served only for outcome Succeeded", v)
 			}
 			if v.Kind == dispatch.Rejected && !c.want.NeverExecuted() {
 				t.Error("the query is rejected although the attempt may have been executed")
@@ -211,7 +212,7 @@
 		done = h.submit(t.Context(), "b", 1, 2000)
 		nextConn := shard.Take()
 		if f := nextConn.Read(); len(f.Requests) != 1 || f.Requests[0].ID != "b.0" {
-			t.Errorf("frame %+v on the next connection", f)
+			t.Errorf("frame %+v on the next connection, want request b.0", f)
 		}
 		nextConn.Answer("b.0", "ok", "w")
 		if v := <-done; v.Kind != dispatch.Served {
@@ -259,10 +260,10 @@
 	r := bufio.NewReader(bytes.NewReader(append(largeFrame, 1, 0, 0, 0, 'P')))
 	_, _, buf, err := readFrame(r, nil)
 	if err != nil || len(buf) != 1<<16 {
-		t.Fatalf("%d bytes, %v", len(buf), err)
+		t.Fatalf("buffer of %d bytes, %v; want 65536 bytes", len(buf), err)
 	}
 	if letter, _, buf, err := readFrame(r, buf); letter != 'P' || cap(buf) > maxSpareBuffer || err != nil {
-		t.Errorf("letter %q, %d bytes kept, %v", letter, cap(buf), err)
+		t.Errorf("letter %q, buffer of %d bytes, %v; want P and at most maxSpareBuffer bytes", letter, cap(buf), err)
 	}
 }
 
@@ -330,7 +331,7 @@
 		select {
 		case <-done:
 		case <-time.After(10 * time.Second):
-			t.Fatal("the end of the query waits for the server")
+			t.Fatal("the query has not ended within 10 s, because it waits for the server")
 		}
 		h.expectResult(t, "a.0", c.want)
 	}
@@ -441,7 +442,7 @@
 	conn.Answer("b.0", "ok", "v")
 	h.expectResult(t, "b.0", gather.Succeeded)
 	if v := <-done; len(v.Hits) != 1 || string(v.Hits[0].Value) != "v" {
-		t.Errorf("result %+v", v)
+		t.Errorf("result %+v, want the value v of request b.0", v)
 	}
 }
 
@@ -553,7 +554,8 @@
 	neverExecuted := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, Rejected: true, NotOwner: true}
 	for s := range stageCount {
 		if got := Outcome(&Error{s, io.EOF}); got.NeverExecuted() != neverExecuted[s] || got == gather.Succeeded {
-			t.Errorf("stage %d is outcome %d", s, got)
+			t.Errorf("stage %d has outcome %d, NeverExecuted %v; want %v", s, got,
+				got.NeverExecuted(), neverExecuted[s])
 		}
 	}
 }
