--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -543,7 +543,7 @@
 		io.WriteString(w, text)
 	})
 	if l := nextList(t, lists); len(l.Endpoints) != servers {
-		t.Errorf("%d servers are listed, want %d", len(l.Endpoints), servers)
+		t.Errorf("%d servers are listed, want 28000", len(l.Endpoints))
 	}
 }
 
@@ -614,7 +614,7 @@
 		clear(idByName)
 		for _, a := range all {
 			if a.HostPort != a.Name+":1" {
-				t.Errorf("%s has the address %s, want %s:1", a.Name, a.HostPort, a.Name)
+				t.Errorf("%s has the address %s, want its name with port 1", a.Name, a.HostPort)
 			}
 			idByName[a.Name] = a.ID
 		}
@@ -648,10 +648,10 @@
 	secondID := idByName[second]
 	apply(false, "terminated", first)
 	if _, listed := idByName[first]; listed || idByName[second] != secondID {
-		t.Errorf("IDs by name: %v, want none of the first name and %d of the second", idByName, secondID)
+		t.Errorf("IDs by name: %v, want none of the first name and the same of the second", idByName)
 	}
 	apply(false, "in_service", first)
 	if len(idByName) != 3 || idByName[second] != secondID {
-		t.Errorf("IDs by name: %v, want three, and %d of the second", idByName, secondID)
+		t.Errorf("IDs by name: %v, want three, and the same of the second", idByName)
 	}
 }
--- a/internal/gatherer/shardcall/healthcheck_test.go
+++ b/internal/gatherer/shardcall/healthcheck_test.go
@@ -40,7 +40,7 @@
 			}()
 			if s := h.checkHealth(); s.Server != 7 || s.Succeeded != c.succeeded || s.QueueLength != c.queue ||
 				s.Latency != c.latency || s.Elapsed <= 0 {
-				t.Errorf("result %+v, want %+v and a positive Elapsed", s, c)
+				t.Errorf("result %+v, want the values of the report and a positive Elapsed", s)
 			}
 		})
 	}
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -554,8 +554,7 @@
 	neverExecuted := map[Stage]bool{NotSent: true, Connecting: true, Writing: true, Rejected: true, NotOwner: true}
 	for s := range stageCount {
 		if got := Outcome(&Error{s, io.EOF}); got.NeverExecuted() != neverExecuted[s] || got == gather.Succeeded {
-			t.Errorf("stage %d has outcome %d, NeverExecuted %v; want %v", s, got,
-				got.NeverExecuted(), neverExecuted[s])
+			t.Errorf("stage %d has outcome %d, whose NeverExecuted is wrong for the stage", s, got)
 		}
 	}
 }
