--- a/internal/storage/atomicfile/atomicfile.go
+++ b/internal/storage/atomicfile/atomicfile.go
@@ -1,4 +1,4 @@
-// Package atomicfile writes files that readers see complete or not at all.
+// Package atomicfile writes files atomically: readers see a file complete or not at all.
 package atomicfile
 
 import (
@@ -8,7 +8,7 @@
 	"path/filepath"
 )
 
-// temporaryPattern is the name of a file that is being written.
+// temporaryPattern is the os.CreateTemp pattern for the name of a file while it is being written.
 const temporaryPattern = ".writing-*"
 
 // Permissions of files.
@@ -17,20 +17,21 @@
 	PublicMode  os.FileMode = 0o644
 )
 
-// File is a file that readers, also those after a crash, find with its old content or with its new one.
+// File describes a file that is written atomically: at any time, also after a crash, it has either its old or its new
+// content.
 type File struct {
 	Name string
 	Mode os.FileMode
-	// KeepExisting has a write fail where there is such a file, even if it came while the new one was being written.
+	// KeepExisting makes a write fail if a file of this name exists, even if it was created during the write.
 	KeepExisting bool
 }
 
-// Write replaces a file that everybody may read.
+// Write atomically writes content to the named file, with PublicMode.
 func Write(name string, content []byte) error {
 	return File{Name: name, Mode: PublicMode}.Write(content)
 }
 
-// Write writes the file with its whole content.
+// Write atomically writes the file with the given content.
 func (f File) Write(content []byte) error {
 	return f.WriteFrom(func(w io.Writer) error {
 		_, err := w.Write(content)
@@ -38,13 +39,13 @@
 	})
 }
 
-// WriteFrom writes the file with the content that a function writes.
+// WriteFrom atomically writes the file with what content writes to w.
 func (f File) WriteFrom(content func(w io.Writer) error) error {
 	file, err := os.CreateTemp(filepath.Dir(f.Name), temporaryPattern)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = os.Remove(file.Name()) }() // unless it was renamed
+	defer func() { _ = os.Remove(file.Name()) }() // has no effect once the file has been renamed
 	err = content(file)
 	if err = errors.Join(err, file.Chmod(f.Mode), file.Sync(), file.Close()); err != nil {
 		return err
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// TestWriteReplacesAFileAndLeavesNothingElse writes a new file, another content, and one whose name is taken by a folder.
+// TestWriteReplacesAFileAndLeavesNothingElse writes a file, replaces its content, and tries to replace a folder, which
+// must fail. No temporary file may remain.
 func TestWriteReplacesAFileAndLeavesNothingElse(t *testing.T) {
 	folder := t.TempDir()
 	name := filepath.Join(folder, "file")
@@ -16,26 +17,27 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(name); err != nil || string(got) != content {
-			t.Errorf("%q, %v", got, err)
+			t.Errorf("read %q, %v, want %q", got, err, content)
 		}
 	}
 	if info, err := os.Stat(name); err != nil || info.Mode().Perm() != 0o644 {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("file info %v, %v, want mode 0644", info, err)
 	}
-	taken := filepath.Join(folder, "taken")
-	if err := os.Mkdir(taken, 0o755); err != nil {
+	directory := filepath.Join(folder, "taken")
+	if err := os.Mkdir(directory, 0o755); err != nil {
 		t.Fatal(err)
 	}
-	if err := Write(taken, []byte("content")); err == nil {
-		t.Error("a folder is replaced")
+	if err := Write(directory, []byte("content")); err == nil {
+		t.Error("Write replaces a folder")
 	}
 	if entries, err := os.ReadDir(folder); err != nil || len(entries) != 2 {
-		t.Errorf("%v, %v", entries, err)
+		t.Errorf("folder contains %v, %v, want the file and the folder", entries, err)
 	}
 }
 
-// TestFileIsCompleteOrAbsent: a file is replaced only on request, and nothing is left behind by a failed write.
-func TestFileIsCompleteOrAbsent(t *testing.T) {
+// TestKeepExistingAndFailedWrites tests that KeepExisting prevents a file from being replaced, and that a failed
+// write leaves no temporary file.
+func TestKeepExistingAndFailedWrites(t *testing.T) {
 	write := func(name, text string, keepExisting bool) error {
 		file := File{Name: name, Mode: PrivateMode, KeepExisting: keepExisting}
 		return file.WriteFrom(func(w io.Writer) error { _, err := io.WriteString(w, text); return err })
@@ -46,24 +48,24 @@
 		t.Fatal(err)
 	}
 	if err := write(name, "two", true); err == nil {
-		t.Error("written over")
+		t.Error("KeepExisting: the existing file was replaced")
 	}
 	if text, _ := os.ReadFile(name); string(text) != "one" {
-		t.Errorf("%q", text)
+		t.Errorf("content %q, want %q", text, "one")
 	}
 	if err := write(name, "three", false); err != nil {
 		t.Fatal(err)
 	}
 	if text, _ := os.ReadFile(name); string(text) != "three" {
-		t.Errorf("%q", text)
+		t.Errorf("content %q, want %q", text, "three")
 	}
 	if info, err := os.Stat(name); err != nil || info.Mode().Perm() != PrivateMode {
-		t.Errorf("%v, %v", info, err)
+		t.Errorf("file info %v, %v, want mode 0600", info, err)
 	}
-	if left, _ := os.ReadDir(folder); len(left) != 1 {
-		t.Errorf("left behind: %v", left)
+	if entries, _ := os.ReadDir(folder); len(entries) != 1 {
+		t.Errorf("folder contains %v, want only the file", entries)
 	}
 	if err := write(filepath.Join(folder, "no", "such"), "", false); err == nil {
-		t.Error("written into a folder that is not there")
+		t.Error("a write into a folder that does not exist succeeded")
 	}
 }
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -1,7 +1,8 @@
-// Package journal keeps records in a folder: a journal of them with checksums, which a snapshot replaces now and then.
+// Package journal stores records durably in a folder: a write-ahead journal with a checksum per record, and snapshots
+// that compact it once it has outgrown its size limit.
 //
-// A record is there after a crash once Append has returned. What a crash left incomplete, at any byte, is cut off, and is
-// told apart from damage. The time to recover is bounded by a snapshot and one journal.
+// A record survives a crash once Append has returned. Open truncates a record that a crash left incomplete, at any byte,
+// and distinguishes it from damage. Recovery reads at most one snapshot and one journal.
 package journal
 
 import (
@@ -12,100 +13,104 @@
 	"path/filepath"
 )
 
-// Files of a folder, by generation: a snapshot of all that was before it, and a journal of what came after it. Files
-// that are being written have another name.
+// Prefixes of the file names. Each generation has a snapshot of all earlier records and a journal of the records that
+// were appended after it. A snapshot has a temporary name while it is being written.
 const (
 	snapshotPrefix  = "snapshot-"
 	journalPrefix   = "journal-"
 	temporaryPrefix = ".writing-"
 )
 
-// Journal is an open folder. One goroutine at a time may use it.
+// Journal is an open journal folder. It is not safe for concurrent use.
 type Journal struct {
 	folder     string
 	maxBytes   int64
 	generation uint64
 	file       *os.File
 	size       int64
-	failure    error // of an earlier write, after which the files' content is unknown; a snapshot ends it
-	sync       func(*os.File) error
-	unsynced   bool // the snapshot and the names of the files, as Open has left them
+	// failure is the error of an earlier write, after which the content of the files is unknown. It is returned by
+	// later writes, until a snapshot succeeds.
+	failure error
+	sync    func(*os.File) error
+	// unsynced is set while the snapshot and the folder's entries are not yet synced as Open has left them.
+	unsynced bool
 }
 
-// Config is what a Journal needs.
+// Config configures a Journal.
 type Config struct {
-	Folder   string                    // created where it is missing
-	MaxBytes int64                     // of the journal; beyond it a snapshot is due
-	Load     func(record []byte) error // takes the records that are found, the oldest first; an error ends Open
-	Sync     func(*os.File) error      // writes a file through to the disk, (*os.File).Sync if nil
+	Folder   string                    // created if it does not exist
+	MaxBytes int64                     // size of the journal beyond which a snapshot is due
+	Load     func(record []byte) error // is called for each stored record, the oldest first; an error aborts Open
+	Sync     func(*os.File) error      // flushes a file to the disk; (*os.File).Sync if nil
 }
 
-// Recovery is what Open found.
+// Recovery reports what Open found in the folder.
 type Recovery struct {
-	Records   int   // handed to load
-	BytesRead int64 // of the files
-	TornBytes int64 // cut off the journal's end, where a crash left them
-	Damaged   bool  // more is unreadable than a crash leaves: records are lost
-	Empty     bool  // there was nothing
+	Records   int   // records passed to Config.Load
+	BytesRead int64 // bytes read from the snapshot and the journal
+	TornBytes int64 // incomplete bytes that a crash left and that were truncated from the end of the journal
+	Damaged   bool  // records are lost: more is unreadable than a crash leaves
+	Empty     bool  // the folder contained no snapshot
 }
 
-// Open opens a folder and hands its records to config.Load. It does not wait for the disk: what it writes is synced by
-// the first Append. A crash of the machine before that may leave a folder that is reported as damaged.
+// Open opens a folder and passes its records to config.Load. It does not wait for the disk: what it writes is synced by
+// the first Append. If the machine crashes before that, the folder may be reported as damaged.
 func Open(config Config) (*Journal, Recovery, error) {
-	var found Recovery
+	var recovery Recovery
 	if err := os.MkdirAll(config.Folder, 0o755); err != nil {
-		return nil, found, err
+		return nil, recovery, err
 	}
 	generations, err := listGenerations(config.Folder)
 	if err != nil {
-		return nil, found, err
+		return nil, recovery, err
 	}
-	found.Empty = len(generations) == 0
+	recovery.Empty = len(generations) == 0
 	j := &Journal{folder: config.Folder, maxBytes: config.MaxBytes, sync: config.Sync}
 	if j.sync == nil {
 		j.sync = (*os.File).Sync
 	}
-	if err := j.loadSnapshot(generations, config.Load, &found); err != nil {
-		return nil, found, err
+	if err := j.loadSnapshot(generations, config.Load, &recovery); err != nil {
+		return nil, recovery, err
 	}
-	if j.generation == 0 { // nothing is readable: go on behind all that is there
+	if j.generation == 0 { // no snapshot is readable: start a generation after the existing ones
 		if len(generations) > 0 {
 			j.generation = generations[0]
 		}
 		j.unsynced = true
-		return j, found, j.writeSnapshot(noSync, func(func([]byte) error) error { return nil })
+		return j, recovery, j.writeSnapshot(noSync, func(func([]byte) error) error { return nil })
 	}
-	if err := j.replay(config.Load, &found); err != nil {
-		return nil, found, err
+	if err := j.replay(config.Load, &recovery); err != nil {
+		return nil, recovery, err
 	}
 	j.removeOldFiles()
-	return j, found, nil
+	return j, recovery, nil
 }
 
-// loadSnapshot loads the newest readable snapshot and takes over its generation.
-func (j *Journal) loadSnapshot(generations []uint64, load func([]byte) error, found *Recovery) error {
+// loadSnapshot loads the newest readable snapshot and sets the journal's generation to that of the snapshot.
+func (j *Journal) loadSnapshot(generations []uint64, load func([]byte) error, recovery *Recovery) error {
 	for _, generation := range generations {
 		records, size, err := readSnapshot(j.folder, generation)
 		if err != nil {
-			// A snapshot is on the disk before it gets its name, so that no crash leaves it unreadable.
-			found.Damaged = true
+			// A snapshot is synced before it is renamed to its final name, so an unreadable one is not the result of
+			// a crash.
+			recovery.Damaged = true
 			continue
 		}
 		j.generation = generation
-		found.BytesRead += size
+		recovery.BytesRead += size
 		for _, record := range records {
 			if err := load(record); err != nil {
 				return err
 			}
-			found.Records++
+			recovery.Records++
 		}
 		return nil
 	}
 	return nil
 }
 
-// Append stores records by one write, and returns once they are on the disk. After an error the content of the disk
-// is unknown: nothing more can be appended until a snapshot has begun new files, or the folder is opened anew.
+// Append stores records in one write and returns once they are synced. After an error the content of the disk is
+// unknown: every further append fails until a snapshot has started new files or the folder is reopened.
 func (j *Journal) Append(records ...[]byte) error {
 	if err := j.write(records); err != nil {
 		return err
@@ -116,10 +121,10 @@
 	return nil
 }
 
-// noSync stands for sync where nothing is acknowledged yet.
+// noSync replaces Config.Sync in Open, where no record has been acknowledged yet.
 func noSync(*os.File) error { return nil }
 
-// syncOpened syncs what Open has written beside the journal.
+// syncOpened syncs the snapshot and the folder if Open has written them without a sync.
 func (j *Journal) syncOpened() error {
 	if !j.unsynced {
 		return nil
@@ -136,11 +141,11 @@
 	return nil
 }
 
-// AppendUnsynced stores records by one write and does not wait for the disk. They outlast the process; a crash of the
-// machine may lose them until a later Append has returned.
+// AppendUnsynced stores records in one write and does not wait for the disk. They survive a crash of the process; a
+// crash of the machine may lose them until a later Append has returned.
 func (j *Journal) AppendUnsynced(records ...[]byte) error { return j.write(records) }
 
-// write writes records behind the journal's end.
+// write writes records at the end of the journal.
 func (j *Journal) write(records [][]byte) error {
 	if j.failure != nil {
 		return j.failure
@@ -159,22 +164,22 @@
 	return nil
 }
 
-// fail has nothing more appended until a snapshot has begun new files.
+// fail records a write error, which all further appends return until a snapshot has started new files.
 func (j *Journal) fail(err error) error {
 	j.failure = fmt.Errorf("journal: %w", err)
 	return j.failure
 }
 
-// Failed reports whether a write has failed, so that records can only be stored by a snapshot.
+// Failed reports whether a write has failed, after which only a snapshot can store records.
 func (j *Journal) Failed() bool { return j.failure != nil }
 
-// SnapshotDue reports whether the journal has outgrown its limit.
+// SnapshotDue reports whether the journal has grown beyond Config.MaxBytes.
 func (j *Journal) SnapshotDue() bool { return j.size > j.maxBytes }
 
-// Size is the journal's size in bytes, without its snapshot.
+// Size returns the size of the journal in bytes, without its snapshot.
 func (j *Journal) Size() int64 { return j.size }
 
-// Snapshot replaces all records by others that stand for them, in new files. write gets a function that takes these.
+// Snapshot replaces all records by a compacted set of records in new files. write passes each of these to put.
 func (j *Journal) Snapshot(write func(put func(record []byte) error) error) error {
 	previous := j.file
 	if err := j.writeSnapshot(j.sync, write); err != nil {
@@ -188,7 +193,6 @@
 	return nil
 }
 
-// Close closes the folder.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
@@ -201,7 +205,7 @@
 	return err
 }
 
-// generationPath is the path of a folder's snapshot or journal of a generation.
+// generationPath returns the path of the snapshot or the journal of a generation.
 func generationPath(folder, prefix string, generation uint64) string {
 	return filepath.Join(folder, fmt.Sprintf("%s%016x", prefix, generation))
 }
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -12,18 +12,18 @@
 	"testing"
 )
 
-// openJournal opens a folder and returns its records.
-func openJournal(t testing.TB, dir string, most int64) (*Journal, []string, Recovery) {
+// openJournal opens a folder and returns the journal, the records that were loaded and the recovery report.
+func openJournal(t testing.TB, dir string, maxBytes int64) (*Journal, []string, Recovery) {
 	t.Helper()
-	var got []string
-	j, r, err := Open(Config{Folder: dir, MaxBytes: most, Load: func(rec []byte) error {
-		got = append(got, string(rec))
+	var records []string
+	j, r, err := Open(Config{Folder: dir, MaxBytes: maxBytes, Load: func(rec []byte) error {
+		records = append(records, string(rec))
 		return nil
 	}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return j, got, r
+	return j, records, r
 }
 
 func sampleRecords(n int) (list []string) {
@@ -42,64 +42,64 @@
 	return to
 }
 
-// singleFile returns the one file of a folder with a prefix.
+// singleFile returns the path of the only file in dir whose name begins with prefix.
 func singleFile(t testing.TB, dir, prefix string) string {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	if len(names) != 1 {
-		t.Fatalf("%d files %s in %s", len(names), prefix, dir)
+		t.Fatalf("%s contains %d files with the prefix %s, want 1", dir, len(names), prefix)
 	}
 	return names[0]
 }
 
-// TestJournalCutAtAnyByteKeepsWhatStandsBefore cuts a journal at each byte. The records before the cut are there and
-// no others, no damage is reported, and what is appended afterwards is there as well.
-func TestJournalCutAtAnyByteKeepsWhatStandsBefore(t *testing.T) {
+// TestOpenKeepsRecordsBeforeATruncation truncates a journal at each byte. Open must load exactly the records that
+// end before the truncation and report no damage, and records that are appended afterwards must be stored.
+func TestOpenKeepsRecordsBeforeATruncation(t *testing.T) {
 	dir := t.TempDir()
 	j, _, r := openJournal(t, dir, 1<<20)
 	if !r.Empty {
-		t.Error("an empty folder is not fresh")
+		t.Error("an empty folder is not reported as empty")
 	}
 	want := sampleRecords(12)
-	var ends []int64
+	var recordEnds []int64
 	for _, rec := range want {
 		if err := j.Append([]byte(rec)); err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, j.Size())
+		recordEnds = append(recordEnds, j.Size())
 	}
 	j.Close()
 	path := singleFile(t, dir, journalPrefix)
-	whole, err := os.ReadFile(path)
+	journalBytes, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	for n := range len(whole) + 1 {
-		if err := os.WriteFile(path, whole[:n], 0o600); err != nil {
+	for n := range len(journalBytes) + 1 {
+		if err := os.WriteFile(path, journalBytes[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		j, got, r := openJournal(t, dir, 1<<20)
-		kept := 0
-		for kept < len(ends) && ends[kept] <= int64(n) {
-			kept++
+		intact := 0
+		for intact < len(recordEnds) && recordEnds[intact] <= int64(n) {
+			intact++
 		}
-		if !slices.Equal(got, want[:kept]) || r.Damaged || r.Empty ||
-			(r.TornBytes > 0) != (n > 0 && (kept == 0 || int64(n) != ends[kept-1])) {
-			t.Fatalf("cut at %d: %d records of %d, %+v", n, len(got), kept, r)
+		if !slices.Equal(got, want[:intact]) || r.Damaged || r.Empty ||
+			(r.TornBytes > 0) != (n > 0 && (intact == 0 || int64(n) != recordEnds[intact-1])) {
+			t.Fatalf("truncated at byte %d: loaded %d records, want %d; %+v", n, len(got), intact, r)
 		}
 		if err := j.Append([]byte("more")); err != nil {
 			t.Fatal(err)
 		}
 		j.Close()
-		if _, got, _ := openJournal(t, dir, 1<<20); !slices.Equal(got, append(slices.Clone(want[:kept]), "more")) {
-			t.Fatalf("cut at %d, then appended: %q", n, got)
+		if _, got, _ := openJournal(t, dir, 1<<20); !slices.Equal(got, append(slices.Clone(want[:intact]), "more")) {
+			t.Fatalf("truncated at byte %d, then appended: loaded %q", n, got)
 		}
 	}
 }
 
-// TestDamageOfAnyByteIsDetected changes each byte of a journal and of a snapshot. What is read is a prefix of what
-// was written, and lost records are reported where a later one is readable.
-func TestDamageOfAnyByteIsDetected(t *testing.T) {
+// TestOpenDetectsAnyChangedByte changes each byte of a journal and of a snapshot. The records that are loaded must
+// be a prefix of those written, and damage must be reported if a record after the changed one is readable.
+func TestOpenDetectsAnyChangedByte(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, 1<<20)
 	want := sampleRecords(10)
@@ -113,61 +113,61 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	var ends []int64
+	var recordEnds []int64
 	for _, rec := range want[4:] {
 		if err := j.Append([]byte(rec)); err != nil {
 			t.Fatal(err)
 		}
-		ends = append(ends, j.Size())
+		recordEnds = append(recordEnds, j.Size())
 	}
 	j.Close()
 	for _, file := range []string{journalPrefix, snapshotPrefix} {
 		path := singleFile(t, dir, file)
-		whole, _ := os.ReadFile(path)
-		for n := range whole {
-			hurt := copyDir(t, dir)
-			changed := bytes.Clone(whole)
+		original, _ := os.ReadFile(path)
+		for n := range original {
+			damagedDir := copyDir(t, dir)
+			changed := bytes.Clone(original)
 			changed[n] ^= 0x40
-			if err := os.WriteFile(filepath.Join(hurt, filepath.Base(path)), changed, 0o600); err != nil {
+			if err := os.WriteFile(filepath.Join(damagedDir, filepath.Base(path)), changed, 0o600); err != nil {
 				t.Fatal(err)
 			}
-			j, got, r := openJournal(t, hurt, 1<<20)
+			j, got, r := openJournal(t, damagedDir, 1<<20)
 			j.Close()
 			if file == snapshotPrefix {
 				if len(got) > 0 || !r.Damaged {
-					t.Fatalf("byte %d of the snapshot changed: %d records, %+v", n, len(got), r)
+					t.Fatalf("byte %d of the snapshot changed: loaded %d records, want 0 and damage; %+v", n, len(got), r)
 				}
 				continue
 			}
-			kept := 0
-			for ends[kept] <= int64(n) {
-				kept++
+			intact := 0
+			for recordEnds[intact] <= int64(n) {
+				intact++
 			}
-			if !slices.Equal(got, want[:4+kept]) || r.Damaged != (kept < len(ends)-1) {
-				t.Fatalf("byte %d of the journal changed: %d records, %+v", n, len(got), r)
+			if !slices.Equal(got, want[:4+intact]) || r.Damaged != (intact < len(recordEnds)-1) {
+				t.Fatalf("byte %d of the journal changed: loaded %d records; %+v", n, len(got), r)
 			}
 		}
 	}
 }
 
-// TestCrashAtAnySyncLosesNothingAcknowledged copies the folder at each sync, also amid a snapshot, and opens the
-// copies. No acknowledged record is missing, and none is there twice.
-func TestCrashAtAnySyncLosesNothingAcknowledged(t *testing.T) {
+// TestCrashAtAnySyncKeepsAcknowledgedRecords copies the folder at each sync, including those of a snapshot, and opens
+// the copies. No acknowledged record may be missing, and none may be loaded twice.
+func TestCrashAtAnySyncKeepsAcknowledgedRecords(t *testing.T) {
 	dir := t.TempDir()
 	j, _, _ := openJournal(t, dir, 200)
 	var acknowledged, pending []string
-	points := 0
+	syncs := 0
 	j.sync = func(f *os.File) error {
 		if err := f.Sync(); err != nil {
 			return err
 		}
-		points++
+		syncs++
 		crashed := copyDir(t, dir)
-		after, got, r := openJournal(t, crashed, 200)
-		after.Close()
+		reopened, got, r := openJournal(t, crashed, 200)
+		reopened.Close()
 		if r.Damaged || len(got) < len(acknowledged) || len(got) > len(pending) ||
 			!slices.Equal(got, pending[:len(got)]) {
-			t.Fatalf("a crash after %d records of which %d were acknowledged: %d are there, %+v", len(pending),
+			t.Fatalf("crash after %d records, %d of them acknowledged: loaded %d; %+v", len(pending),
 				len(acknowledged), len(got), r)
 		}
 		return nil
@@ -191,17 +191,18 @@
 			}
 		}
 	}
-	if points < 70 {
-		t.Errorf("%d moments", points)
+	if syncs < 70 {
+		t.Errorf("the journal was synced %d times, want at least 70", syncs)
 	}
 	if names, _ := filepath.Glob(filepath.Join(dir, "*")); len(names) != 2 {
-		t.Errorf("%d files are left: %v", len(names), names)
+		t.Errorf("the folder contains %d files, want 2: %v", len(names), names)
 	}
 }
 
-// TestOpenWaitsForNoSync guards against a process that serves nobody until its disk has synced a new folder, or one with
-// a torn journal. The first record counts as stored once all that it needs is synced.
-func TestOpenWaitsForNoSync(t *testing.T) {
+// TestOpenDoesNotSync guards against a process that cannot serve until a slow disk has synced a new folder, or one whose
+// journal ends in an incomplete record. The first Append must succeed only once all files that its record depends on
+// are synced.
+func TestOpenDoesNotSync(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		dir := t.TempDir()
 		if torn {
@@ -212,89 +213,89 @@
 			text, _ := os.ReadFile(path)
 			os.WriteFile(path, append(text, "torn"...), 0o600)
 		}
-		for fails := range 5 { // the last ones do not come
+		for successfulSyncs := range 5 { // more than there are syncs, so that in the last runs none fails
 			var synced []string
 			j, found, err := Open(Config{Folder: copyDir(t, dir), MaxBytes: 1 << 20, Load: func([]byte) error { return nil },
 				Sync: func(f *os.File) error {
 					synced = append(synced, strings.SplitAfter(filepath.Base(f.Name()), "-")[0])
-					if len(synced) > fails {
+					if len(synced) > successfulSyncs {
 						return fs.ErrPermission
 					}
 					return f.Sync()
 				}})
 			if err != nil || len(synced) > 0 || (found.TornBytes > 0) != torn {
-				t.Fatalf("%v, %v synced, %+v", err, synced, found)
+				t.Fatalf("Open: error %v, synced %v, want none; %+v", err, synced, found)
 			}
 			want := []string{journalPrefix, snapshotPrefix, filepath.Base(j.folder)}
 			if torn {
 				want = want[:1]
 			}
-			if err := j.Append([]byte("record")); (err == nil) != (fails >= len(want)) {
-				t.Errorf("torn %t, call %d fails, synced are %v: %v", torn, fails, synced, err)
+			if err := j.Append([]byte("record")); (err == nil) != (successfulSyncs >= len(want)) {
+				t.Errorf("torn %t, syncs fail after %d: synced %v, Append returned %v", torn, successfulSyncs, synced, err)
 			}
-			if fails >= len(want) && !slices.Equal(synced, want) {
-				t.Errorf("synced are %v, want %v", synced, want)
+			if successfulSyncs >= len(want) && !slices.Equal(synced, want) {
+				t.Errorf("synced %v, want %v", synced, want)
 			}
 			synced = nil
-			if err := j.Append([]byte("second")); fails > len(want) && (err != nil || len(synced) != 1) {
-				t.Errorf("the second record: %v, %v synced", err, synced)
+			if err := j.Append([]byte("second")); successfulSyncs > len(want) && (err != nil || len(synced) != 1) {
+				t.Errorf("second Append: error %v, synced %v, want one file", err, synced)
 			}
 			j.Close()
 		}
 	}
 }
 
-// TestFailingDiskStopsTheJournal has the disk fail from each of its calls on. The journal stops, and what was
-// acknowledged is there afterwards.
-func TestFailingDiskStopsTheJournal(t *testing.T) {
-	for fails := range 12 {
+// TestSyncErrorKeepsAcknowledgedRecords makes all syncs after the first n fail, for several n. Append or Snapshot must
+// return the error, and all acknowledged records must be loaded when the folder is reopened.
+func TestSyncErrorKeepsAcknowledgedRecords(t *testing.T) {
+	for successfulSyncs := range 12 {
 		dir := t.TempDir()
 		j, _, _ := openJournal(t, dir, 120)
 		calls := 0
 		j.sync = func(f *os.File) error {
-			if calls++; calls > fails {
+			if calls++; calls > successfulSyncs {
 				return fs.ErrPermission
 			}
 			return f.Sync()
 		}
 		var acknowledged []string
-		var failed error
+		var failure error
 		for _, rec := range sampleRecords(20) {
-			if failed = j.Append([]byte(rec)); failed != nil {
+			if failure = j.Append([]byte(rec)); failure != nil {
 				break
 			}
 			acknowledged = append(acknowledged, rec)
 			if j.SnapshotDue() {
-				if failed = j.Snapshot(func(put func([]byte) error) error {
+				if failure = j.Snapshot(func(put func([]byte) error) error {
 					for _, rec := range acknowledged {
 						put([]byte(rec))
 					}
 					return nil
-				}); failed != nil {
+				}); failure != nil {
 					break
 				}
 			}
 		}
-		if !errors.Is(failed, fs.ErrPermission) {
-			t.Fatalf("%d calls: %v", fails, failed)
+		if !errors.Is(failure, fs.ErrPermission) {
+			t.Fatalf("syncs fail after %d: error %v, want %v", successfulSyncs, failure, fs.ErrPermission)
 		}
 		j.Close()
 		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) ||
 			!slices.Equal(got[:len(acknowledged)], acknowledged) {
-			t.Fatalf("%d calls: %d of %d acknowledged records are there", fails, len(got), len(acknowledged))
+			t.Fatalf("syncs fail after %d: loaded %d records, %d were acknowledged", successfulSyncs, len(got), len(acknowledged))
 		}
 	}
 }
 
-// TestSnapshotEndsAFailure guards against a journal that takes nothing more after one failed write, and against one
-// that loses what it takes then. The disk fails once, at each of its calls in turn.
-func TestSnapshotEndsAFailure(t *testing.T) {
-	for fails := range 12 {
+// TestSnapshotAfterASyncErrorAllowsAppends guards against a journal that rejects every record after one failed write,
+// and against one that loses the records it accepts after it. One sync fails, a different one in each run.
+func TestSnapshotAfterASyncErrorAllowsAppends(t *testing.T) {
+	for successfulSyncs := range 12 {
 		dir := t.TempDir()
 		j, _, _ := openJournal(t, dir, 120)
 		calls := 0
 		j.sync = func(f *os.File) error {
-			if calls++; calls == fails+1 {
+			if calls++; calls == successfulSyncs+1 {
 				return fs.ErrPermission
 			}
 			return f.Sync()
@@ -315,46 +316,47 @@
 			if err := j.Append([]byte(rec)); err != nil {
 				failures++
 				if !j.Failed() {
-					t.Errorf("%d calls: %v, and it has not failed", fails, err)
+					t.Errorf("sync %d fails: Append returned %v, but Failed is false", successfulSyncs, err)
 				}
 				if err := snapshot(); err != nil || j.Failed() {
-					t.Fatalf("%d calls: no snapshot after a failure: %v", fails, err)
+					t.Fatalf("sync %d fails: snapshot after the failure: %v", successfulSyncs, err)
 				}
 				continue
 			}
 			acknowledged = append(acknowledged, rec)
 			if _, got, _ := openJournal(t, copyDir(t, dir), 120); !slices.Equal(got, acknowledged) {
-				t.Fatalf("%d calls: after a crash %d of %d acknowledged records are there", fails, len(got), len(acknowledged))
+				t.Fatalf("sync %d fails: loaded %d records after a crash, %d were acknowledged", successfulSyncs, len(got), len(acknowledged))
 			}
 			if j.SnapshotDue() {
-				_ = snapshot() // one that fails must not spoil what is appended behind it
+				_ = snapshot() // if it fails, records that are appended later must still be stored
 			}
 		}
 		j.Close()
 		_, got, _ := openJournal(t, dir, 120)
 		if failures > 1 || len(acknowledged) < 19 || !slices.Equal(got, acknowledged) {
-			t.Errorf("%d calls: %d failures, %d acknowledged, %d are there", fails, failures, len(acknowledged), len(got))
+			t.Errorf("sync %d fails: %d appends failed, %d acknowledged, %d loaded", successfulSyncs, failures, len(acknowledged), len(got))
 		}
 	}
 }
 
-// TestInvalidRecordsAndFoldersAreRefused appends records of invalid sizes, and opens a file as a folder.
-func TestInvalidRecordsAndFoldersAreRefused(t *testing.T) {
+// TestInvalidRecordsAndFoldersAreRejected appends records of invalid sizes, and opens a file as a folder.
+func TestInvalidRecordsAndFoldersAreRejected(t *testing.T) {
 	j, _, _ := openJournal(t, t.TempDir(), 100)
 	if err := j.Append(nil); err == nil {
-		t.Error("an empty record is appended")
+		t.Error("Append accepts an empty record")
 	}
 	if err := j.Append(make([]byte, maxRecordBytes+1)); err == nil {
-		t.Error("a record that is too long is appended")
+		t.Error("Append accepts a record that is longer than maxRecordBytes")
 	}
 	file := filepath.Join(t.TempDir(), "file")
 	os.WriteFile(file, nil, 0o600)
 	if _, _, err := Open(Config{Folder: file, MaxBytes: 100}); err == nil {
-		t.Error("a file is taken for a folder")
+		t.Error("Open accepts a file in place of a folder")
 	}
 }
 
-// FuzzOpen reads arbitrary bytes in a journal behind a valid snapshot.
+// FuzzOpen opens a folder with a valid snapshot, and a journal of one valid record followed by arbitrary bytes. The
+// valid record must be loaded, and a record that is appended must be loaded after the next Open.
 func FuzzOpen(f *testing.F) {
 	f.Add(appendRecord(appendRecord(nil, 1, 0, []byte("a")), 1, 13, []byte("bc")))
 	f.Add([]byte{255, 255, 255, 255, 0})
@@ -371,7 +373,7 @@
 		j, got, r := openJournal(t, dir, 100)
 		if len(got) == 0 || got[0] != "first" ||
 			r.BytesRead != int64(len(good)+len(text))+int64(len(snapshotHeader)+recordHeaderBytes) {
-			t.Fatalf("%q, %+v", got, r)
+			t.Fatalf("loaded %q; %+v", got, r)
 		}
 		if err := j.Append([]byte("last")); err != nil {
 			t.Fatal(err)
@@ -379,12 +381,12 @@
 		j.Close()
 		if _, again, r := openJournal(t, dir, 100); len(again) != len(got)+1 || again[len(got)] != "last" ||
 			r.TornBytes > 0 {
-			t.Fatalf("%q after %q, %+v", again, got, r)
+			t.Fatalf("loaded %q, before the append %q; %+v", again, got, r)
 		}
 	})
 }
 
-// FuzzSnapshot reads arbitrary bytes as a snapshot.
+// FuzzSnapshot opens a folder whose snapshot consists of arbitrary bytes. No record of a damaged snapshot may be loaded.
 func FuzzSnapshot(f *testing.F) {
 	f.Add([]byte(snapshotHeader))
 	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1,
@@ -396,14 +398,14 @@
 		}
 		j, got, r := openJournal(t, dir, 100)
 		if len(got) > 0 && r.Damaged {
-			t.Fatalf("%q of a damaged snapshot", got)
+			t.Fatalf("loaded %q from a damaged snapshot", got)
 		}
 		if err := j.Append([]byte("last")); err != nil {
 			t.Fatal(err)
 		}
 		j.Close()
 		if _, again, _ := openJournal(t, dir, 100); len(again) != len(got)+1 {
-			t.Fatalf("%q after %q", again, got)
+			t.Fatalf("loaded %q, before the append %q", again, got)
 		}
 	})
 }
--- a/internal/storage/journal/recovery.go
+++ b/internal/storage/journal/recovery.go
@@ -7,11 +7,11 @@
 	"os"
 )
 
-// maxScanBytes bounds the search for records behind one that can't be read. No write is as long.
+// maxScanBytes limits the search for readable records after an unreadable one. It is longer than any write.
 const maxScanBytes = 1 << 20
 
-// replay loads the journal behind the snapshot and cuts off what a crash left incomplete.
-func (j *Journal) replay(load func([]byte) error, found *Recovery) error {
+// replay loads the journal that follows the snapshot and truncates a record that a crash left incomplete.
+func (j *Journal) replay(load func([]byte) error, recovery *Recovery) error {
 	path := generationPath(j.folder, journalPrefix, j.generation)
 	file, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE, 0o644)
 	if err != nil {
@@ -20,12 +20,12 @@
 	size, err := readRecords(file, j.generation, func(record []byte) error {
 		err := load(record)
 		if err == nil {
-			found.Records++
+			recovery.Records++
 		}
 		return err
 	})
 	if err == nil {
-		err = j.truncate(file, size, found)
+		err = j.truncate(file, size, recovery)
 	}
 	if err != nil {
 		file.Close()
@@ -36,24 +36,24 @@
 	return nil
 }
 
-// truncate cuts a journal off behind its readable records. The next sync of the file covers it.
-func (j *Journal) truncate(file *os.File, size int64, found *Recovery) error {
+// truncate truncates a journal after its last readable record. The next sync of the file makes this durable.
+func (j *Journal) truncate(file *os.File, size int64, recovery *Recovery) error {
 	info, err := file.Stat()
 	if err != nil {
 		return err
 	}
-	found.BytesRead += info.Size()
-	found.TornBytes = info.Size() - size
-	if found.TornBytes <= 0 {
+	recovery.BytesRead += info.Size()
+	recovery.TornBytes = info.Size() - size
+	if recovery.TornBytes <= 0 {
 		return nil
 	}
 	if hasLaterRecord(file, j.generation, size, info.Size()) {
-		found.Damaged = true
+		recovery.Damaged = true
 	}
 	return file.Truncate(size)
 }
 
-// readRecords hands the readable records of a journal to visit, and returns the size of these.
+// readRecords passes the records of a journal to visit, up to the first unreadable one, and returns their size.
 func readRecords(file io.Reader, generation uint64, visit func(record []byte) error) (size int64, err error) {
 	reader := bufio.NewReader(file)
 	for {
@@ -68,9 +68,9 @@
 	}
 }
 
-// hasLaterRecord looks for a readable record in a range that begins with an unreadable one. A crash tears the last
-// write alone, so that a record behind it means that the disk has lost what was before. A write of several records
-// that was torn out of order is reported as well, which errs on the safe side.
+// hasLaterRecord reports whether a range that begins with an unreadable record contains a readable one. A crash tears
+// only the last write, so a readable record after it means that the disk has lost an earlier one. A write of several
+// records that reached the disk out of order is reported as well, which errs on the safe side.
 func hasLaterRecord(file *os.File, generation uint64, from, to int64) bool {
 	if to-from > maxScanBytes {
 		return true
@@ -94,8 +94,8 @@
 	return false
 }
 
-// Read hands the readable records of a folder to visit, the oldest first, and changes nothing: another process
-// may be writing it.
+// Read passes the readable records of a folder to visit, the oldest first. It does not modify the folder, which another
+// process may be writing.
 func Read(folder string, visit func(record []byte) error) error {
 	generations, err := listGenerations(folder)
 	if err != nil {
@@ -122,6 +122,6 @@
 		return err
 	}
 	defer file.Close()
-	_, err = readRecords(file, generation, visit) // to its end, or to the record that is being written
+	_, err = readRecords(file, generation, visit) // up to the end of the file or a record that is still being written
 	return err
 }
--- a/internal/storage/journal/snapshot.go
+++ b/internal/storage/journal/snapshot.go
@@ -11,10 +11,10 @@
 	"strings"
 )
 
-// snapshotHeader begins a snapshot. An empty record ends it.
+// snapshotHeader is the first line of a snapshot. An empty record marks its end.
 const snapshotHeader = "yokeroute state 1\n"
 
-// listGenerations returns the generations with a snapshot, the newest first.
+// listGenerations returns the generations that have a snapshot, the newest first.
 func listGenerations(folder string) ([]uint64, error) {
 	entries, err := os.ReadDir(folder)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return generations, nil
 }
 
-// readSnapshot reads a snapshot that is complete.
+// readSnapshot reads a snapshot. It returns errIncompleteRecord unless the snapshot is complete.
 func readSnapshot(folder string, generation uint64) (records [][]byte, size int64, err error) {
 	file, err := os.Open(generationPath(folder, snapshotPrefix, generation))
 	if err != nil {
@@ -50,7 +50,7 @@
 	for {
 		record, err := readRecord(reader, generation, offset)
 		if err != nil {
-			return nil, offset, errIncompleteRecord // at the file's end, too: the last record is missing
+			return nil, offset, errIncompleteRecord // also for io.EOF, since the empty record at the end is missing
 		}
 		offset += recordHeaderBytes + int64(len(record))
 		if len(record) == 0 {
@@ -60,19 +60,18 @@
 	}
 }
 
-// writeSnapshot begins the next generation. The files of the present one are removed once the new ones are on the
-// disk.
+// writeSnapshot starts the next generation and removes the files of the current one once the new ones are synced.
 func (j *Journal) writeSnapshot(sync func(*os.File) error, write func(put func([]byte) error) error) error {
 	generation := j.generation + 1
 	temporary, err := j.writeSnapshotFile(generation, sync, write)
 	if temporary != "" {
-		defer func() { _ = os.Remove(temporary) }() // unless it was renamed
+		defer func() { _ = os.Remove(temporary) }() // has no effect once the file has been renamed
 	}
 	if err != nil {
 		return err
 	}
-	// The journal is created before its snapshot gets its name. One of this generation that an earlier crash left was
-	// never valid.
+	// The journal is created before the snapshot is renamed to its final name. A journal of this generation that an
+	// earlier crash left is truncated: without a snapshot it was never valid.
 	journalPath := generationPath(j.folder, journalPrefix, generation)
 	journal, err := os.OpenFile(journalPath, os.O_RDWR|os.O_CREATE|os.O_TRUNC, 0o644)
 	if err != nil {
@@ -81,7 +80,7 @@
 	snapshotPath := generationPath(j.folder, snapshotPrefix, generation)
 	if err := errors.Join(sync(journal), os.Rename(temporary, snapshotPath), j.syncFolder(sync)); err != nil {
 		journal.Close()
-		// The snapshot may have its name already, and would be read in place of what is appended to the present journal.
+		// The snapshot may already have its final name. A reader would then ignore what is appended to the old journal.
 		j.failure = fmt.Errorf("journal: %w", err)
 		return err
 	}
@@ -92,7 +91,7 @@
 	return nil
 }
 
-// writeSnapshotFile writes a snapshot to a temporary file, whose name it returns.
+// writeSnapshotFile writes a snapshot to a temporary file and returns the name of that file.
 func (j *Journal) writeSnapshotFile(
 	generation uint64, sync func(*os.File) error, write func(put func([]byte) error) error,
 ) (string, error) {
@@ -101,7 +100,7 @@
 		return "", err
 	}
 	out := bufio.NewWriter(file)
-	_, _ = out.WriteString(snapshotHeader) // an error stays in the writer until Flush
+	_, _ = out.WriteString(snapshotHeader) // the writer keeps the error and returns it from Flush
 	offset := int64(len(snapshotHeader))
 	put := func(record []byte) error {
 		stored := appendRecord(nil, generation, offset, record)
@@ -128,8 +127,8 @@
 	return sync(folder)
 }
 
-// removeOldFiles removes files of other generations, and temporary ones that a crash left. What can't be removed is
-// left for the next time.
+// removeOldFiles removes the files of other generations and temporary files that a crash left. It ignores errors: the
+// next call tries to remove the remaining files again.
 func (j *Journal) removeOldFiles() {
 	entries, err := os.ReadDir(j.folder)
 	if err != nil {
