--- a/internal/storage/formats/formats.go
+++ b/internal/storage/formats/formats.go
@@ -1,6 +1,6 @@
-// Package formats lists the formats of what outlives a process or passes between two. Each has a number, and a rule for
-// older and newer versions of the program. A change that an older reader can't skip takes the next number. Kept files of
-// each number are in testdata, and tests read them.
+// Package formats lists the formats of data that is stored or sent between processes. Each format has a number, and rules
+// for what older and newer versions of the program do with it. A change that an older reader cannot skip requires the next
+// number. The folder testdata contains files of each number, which the tests read.
 package formats
 
 import (
@@ -8,19 +8,19 @@
 	"strings"
 )
 
-// Format is one format.
+// Format describes a stored or transmitted format.
 type Format struct {
-	Name          string // as in GET /report
+	Name          string // name of the format, as in the answer to GET /report
 	Number        int
 	Location      string
-	NumberedBy    string // what tells a file's number
-	OlderVersions string // what versions do that know only lower numbers
-	NewerVersions string // what versions do that know higher numbers
+	NumberedBy    string // the part of the data that contains the number
+	OlderVersions string // what versions that know only lower numbers do with the data
+	NewerVersions string // what versions that know higher numbers do with the data
 }
 
 const readsLowerNumbers = "reads every lower number"
 
-// All are the formats of this version.
+// All lists the formats that this version writes.
 var All = []Format{
 	{
 		Name:          "state",
@@ -125,7 +125,7 @@
 	},
 }
 
-// Numbers returns the number of each format by its name.
+// Numbers returns the numbers of all formats by the formats' names.
 func Numbers() map[string]int {
 	numbers := map[string]int{}
 	for i := range All {
@@ -134,7 +134,7 @@
 	return numbers
 }
 
-// Table is all formats as a table in Markdown, for docs/operate/versions.md.
+// Table returns all formats as a Markdown table, for docs/operate/versions.md.
 func Table() string {
 	var b strings.Builder
 	b.WriteString("| format | number | where | numbered by | a version that knows only lower numbers " +
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -21,16 +21,16 @@
 	"yokeroute/internal/testbed/emulator"
 )
 
-// TestPageHasTheTable compares the page with the table.
-func TestPageHasTheTable(t *testing.T) {
+// TestVersionsPageContainsTheTable tests that docs/operate/versions.md contains the output of formats.Table.
+func TestVersionsPageContainsTheTable(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("..", "..", "..", "docs", "operate", "versions.md"))
 	if err != nil || !strings.Contains(string(text), formats.Table()) {
-		t.Errorf("docs/operate/versions.md lacks the table as it is: %v\n%s", err, formats.Table())
+		t.Errorf("docs/operate/versions.md does not contain the current table: error %v, want\n%s", err, formats.Table())
 	}
 }
 
-// TestKeptFilesOfEachNumberAreRead reads files as the versions of each number wrote them. None may be changed: one that a
-// change can't read any more needs a reader for its number.
+// TestKeptFilesOfEachNumberAreRead reads files that were written by the versions that introduced each number. The files
+// must not be changed: if a change makes one of them unreadable, the program needs a separate reader for its number.
 func TestKeptFilesOfEachNumberAreRead(t *testing.T) {
 	kept := func(name string) string { return filepath.Join("testdata", name) }
 	// The state directory is copied, since opening it may write to it.
@@ -68,17 +68,17 @@
 		t.Errorf("rollout 1: %v, %+v", err, s)
 	}
 	if lines, err := rollout.JournalLines(kept("rollout-1")); err != nil || len(lines) < 10 {
-		t.Errorf("journal of a rollout 1: %v, %v", err, lines)
+		t.Errorf("rollout 1, journal: %v, %v", err, lines)
 	}
-	if own, err := operator.Read(kept("operator-1.conf")); err != nil || own.NameRetention == 0 ||
-		own.ReportAddress == "" || len(own.TwoPhase) != 1 {
-		t.Errorf("operator's file 1: %v, %+v", err, own)
+	if operatorFile, err := operator.Read(kept("operator-1.conf")); err != nil || operatorFile.NameRetention == 0 ||
+		operatorFile.ReportAddress == "" || len(operatorFile.TwoPhase) != 1 {
+		t.Errorf("operator file 1: %v, %+v", err, operatorFile)
 	}
 	if _, err := placementfile.Read(kept("placement-1.conf"), 0); err != nil {
 		t.Errorf("placement file 1: %v", err)
 	}
 	if m, _, err := segments.ReadMap(kept("segments-1.conf")); err != nil || m.Epoch == 0 {
-		t.Errorf("map of segments 1: %v", err)
+		t.Errorf("segment map 1: %v", err)
 	}
 	answer, err := os.Open(kept("policy-1.json"))
 	if err != nil {
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestHigherNumbersAreRefusedAndUnknownFieldsSkipped reads what a later version writes, by the rules of the table. A
-// refusal has both numbers in its error.
-func TestHigherNumbersAreRefusedAndUnknownFieldsSkipped(t *testing.T) {
+// TestHigherNumbersAreRefusedAndUnknownFieldsSkipped reads data of later versions and expects what the table
+// says. The error for a report with a higher number must contain both numbers.
+func TestHigherNumbersAreRejectedAndUnknownFieldsSkipped(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "report-1.json"))
 	if err != nil {
 		t.Fatal(err)
@@ -121,44 +121,44 @@
 	if _, err := report.Read(strings.NewReader(strings.Replace(string(text), "yokeroute report 1",
 		"yokeroute report 2", 1))); err == nil || !strings.Contains(err.Error(), "report 2") ||
 		!strings.Contains(err.Error(), "report 1") {
-		t.Errorf("%v", err)
+		t.Errorf("report of a higher number: error %v, want one with both numbers", err)
 	}
 	var fields map[string]any
 	if err := json.Unmarshal(text, &fields); err != nil {
 		t.Fatal(err)
 	}
 	fields["weather"] = "fine"
-	more, _ := json.Marshal(fields)
-	if _, err := report.Read(strings.NewReader(string(more))); err != nil {
-		t.Errorf("a field of a later version: %v", err)
+	extended, _ := json.Marshal(fields)
+	if _, err := report.Read(strings.NewReader(string(extended))); err != nil {
+		t.Errorf("report with an unknown field: %v", err)
 	}
 	folder := t.TempDir()
 	os.WriteFile(filepath.Join(folder, "handover"),
 		[]byte(`{"handover":"yokeroute handover 2","draining":{"s9":1}}`), 0o644)
 	if h, err := statedir.OpenHandover(folder); err == nil || h == nil || len(h.DrainingNames()) > 0 ||
 		!strings.Contains(err.Error(), "handover 2") {
-		t.Errorf("%v, %+v", err, h)
+		t.Errorf("handover of a higher number: error %v, want one with the number; %+v", err, h)
 	}
 	if err := os.CopyFS(filepath.Join(folder, "state"), os.DirFS(filepath.Join("testdata", "state-1"))); err != nil {
 		t.Fatal(err)
 	}
 	snapshots, _ := filepath.Glob(filepath.Join(folder, "state", "snapshot-*"))
-	later, _ := os.ReadFile(snapshots[0])
-	os.WriteFile(snapshots[0], []byte(strings.Replace(string(later), "yokeroute state 1", "yokeroute state 2", 1)),
+	snapshot, _ := os.ReadFile(snapshots[0])
+	os.WriteFile(snapshots[0], []byte(strings.Replace(string(snapshot), "yokeroute state 1", "yokeroute state 2", 1)),
 		0o644)
 	if _, found, err := statedir.OpenGathererState(filepath.Join(folder, "state"), 1<<20, 1000, 0); err == nil &&
 		!found.Damaged {
-		t.Error("a snapshot of a higher number is read")
+		t.Error("a state snapshot of a higher number was accepted")
 	}
 	os.MkdirAll(filepath.Join(folder, "rollout"), 0o755)
 	os.WriteFile(filepath.Join(folder, "rollout", "status.json"), []byte(`{"rollout":"yokeroute rollout 2"}`), 0o644)
 	if _, err := rollout.ReadStatus(filepath.Join(folder, "rollout")); err == nil ||
 		!strings.Contains(err.Error(), "rollout 2") {
-		t.Errorf("%v", err)
+		t.Errorf("rollout status of a higher number: error %v, want one with the number", err)
 	}
 }
 
-// FuzzReport reads arbitrary reports. One that is read has possible figures.
+// FuzzReport reads arbitrary reports. The counts of every accepted report must be plausible.
 func FuzzReport(f *testing.F) {
 	text, err := os.ReadFile(filepath.Join("testdata", "report-1.json"))
 	if err != nil {
@@ -173,9 +173,9 @@
 		if err != nil {
 			return
 		}
-		for name, ix := range d.Classes {
-			if ix.Queries < 0 || ix.EarnedValue > float64(ix.Queries)+1e-6 || ix.Latency.TotalCount() < 0 {
-				t.Errorf("%s: %+v", name, ix)
+		for name, stats := range d.Classes {
+			if stats.Queries < 0 || stats.EarnedValue > float64(stats.Queries)+1e-6 || stats.Latency.TotalCount() < 0 {
+				t.Errorf("%s: %+v", name, stats)
 			}
 		}
 	})
--- a/internal/storage/slowwrite/slowwrite.go
+++ b/internal/storage/slowwrite/slowwrite.go
@@ -1,4 +1,4 @@
-// Package slowwrite logs writes that show that the disk is slow.
+// Package slowwrite logs writes that take long, which indicates a slow disk.
 package slowwrite
 
 import (
@@ -7,10 +7,10 @@
 	"github.com/sirupsen/logrus"
 )
 
-// threshold is from which duration a write is logged.
+// threshold is the minimum duration of a write that is logged.
 const threshold = 100 * time.Millisecond
 
-// Log logs a write that began at startedAt and has just ended, if it was slow. The subject is what was written.
+// Log logs a warning if a write that began at startedAt and has just ended was slow. The subject names what was written.
 func Log(log logrus.FieldLogger, subject string, startedAt time.Time) {
 	took := time.Since(startedAt)
 	if took < threshold {
--- a/internal/storage/statedir/gathererrecord.go
+++ b/internal/storage/statedir/gathererrecord.go
@@ -7,17 +7,17 @@
 	"yokeroute/logic/ownership"
 )
 
-// stateRecord is one record of a gatherer's journal.
+// stateRecord is one record of a gatherer's journal. It contains one of Sent, NotRun and Map.
 type stateRecord struct {
-	Sent   string     `json:"sent,omitempty"`  // ID of a query that is about to be sent
-	NotRun string     `json:"unrun,omitempty"` // ID of one of which nothing has run
-	At     float64    `json:"at,omitempty"`    // Unix milliseconds
+	Sent   string     `json:"sent,omitempty"`  // ID of a non-idempotent query that is about to be sent
+	NotRun string     `json:"unrun,omitempty"` // ID of a sent query that no server has run
+	At     float64    `json:"at,omitempty"`    // time of Sent, in Unix milliseconds
 	Map    *mapRecord `json:"map,omitempty"`
 }
 
 type mapRecord struct {
 	Epoch    uint64          `json:"epoch"`
-	Checksum string          `json:"sum"` // sixteen hex digits
+	Checksum string          `json:"sum"` // 16 hexadecimal digits
 	Segments []segmentRecord `json:"segments"`
 }
 
@@ -31,7 +31,7 @@
 
 func newMapRecord(m *ownership.Map) *mapRecord {
 	r := &mapRecord{Epoch: m.Epoch, Checksum: fmt.Sprintf("%016x", m.Checksum)}
-	if m.Segments != nil { // null and an empty list are different bytes
+	if m.Segments != nil { // a nil list is encoded as null, an empty one as []
 		r.Segments = make([]segmentRecord, 0, len(m.Segments))
 	}
 	for _, s := range m.Segments {
@@ -46,7 +46,7 @@
 	return r
 }
 
-// segmentMap is the map that was recorded. Its checksum is 0 where the record holds none.
+// segmentMap returns the recorded map. The map's checksum is 0 if the record contains none.
 func (r *mapRecord) segmentMap() *ownership.Map {
 	m := &ownership.Map{Epoch: r.Epoch}
 	_, _ = fmt.Sscanf(r.Checksum, "%x", &m.Checksum)
@@ -62,7 +62,7 @@
 }
 
 func encodeRecord(r stateRecord) []byte {
-	text, _ := json.Marshal(r) // strings and finite numbers always marshal
+	text, _ := json.Marshal(r) // never fails: the record contains only strings and finite numbers
 	return text
 }
 
--- a/internal/storage/statedir/gathererstate.go
+++ b/internal/storage/statedir/gathererstate.go
@@ -1,5 +1,5 @@
-// Package statedir keeps what a gatherer must know after a restart, in a directory on a disk that lasts: which
-// non-idempotent queries may have run, the newest segment map, and which servers drain.
+// Package statedir stores the state that a gatherer needs after a restart in a directory on a persistent disk: the
+// non-idempotent queries that may have run, the newest segment map, and the draining servers.
 package statedir
 
 import (
@@ -14,64 +14,65 @@
 	"yokeroute/logic/ownership"
 )
 
-// GathererState is what a gatherer must know after a crash: the newest segment map, and the IDs of the non-idempotent
-// queries that may have run, for as long as their clients may repeat them.
+// GathererState is the state that a gatherer needs after a crash: the newest segment map, and the IDs of the
+// non-idempotent queries that may have run, for as long as their clients may repeat them.
 type GathererState struct {
-	journal      *journal.Journal // nil without a folder
-	retention    float64          // of IDs, in milliseconds
-	sentAt       map[string]float64
-	claims       []claim // with those of which nothing has run, the oldest first
+	journal   *journal.Journal   // nil if the state is not stored in a folder
+	retention float64            // how long IDs are kept, in milliseconds
+	sentAt    map[string]float64 // when each query that may have run was sent, by its ID
+	// claims lists the recorded queries, the oldest first. It includes queries that RecordNotRun has removed from sentAt.
+	claims       []claim
 	segmentMap   *ownership.Map
-	unknownUntil float64 // until then, IDs of before the start may be missing
-	repairAt     float64 // when a journal that has failed may be replaced again
+	unknownUntil float64 // time until which IDs recorded before the start may be missing
+	nextRepairAt float64 // earliest time of the next attempt to replace a failed journal
 }
 
-// repairInterval is between a failure of the journal and a try to replace it, in milliseconds, and between two tries:
-// each writes all there is.
+// repairInterval is the minimum time in milliseconds between a failure of the journal and an attempt to replace it, and
+// between two attempts, since each attempt writes the whole state.
 const repairInterval = 1000
 
-// errRepairLater is the error of records that come before a journal that has failed may be replaced.
-var errRepairLater = errors.New("journal: a write has failed, and it is not replaced yet")
+// errRepairLater is returned for records that arrive before a failed journal may be replaced.
+var errRepairLater = errors.New("journal: an earlier write failed and the journal has not been replaced yet")
 
-// claim is a query that may have run.
+// claim records when a non-idempotent query, which may have run since, was sent.
 type claim struct {
 	id     string
 	sentAt float64
 }
 
-// RecoveredState is what was found in a folder.
+// RecoveredState reports what OpenGathererState found in the folder.
 type RecoveredState struct {
 	journal.Recovery
-	Claims   int // queries that may have run
-	Epoch    uint64
+	Claims   int    // number of queries that may have run
+	Epoch    uint64 // epoch of the stored segment map; 0 if there is none
 	Duration time.Duration
-	// UnknownUntil is until when queries of before the start may be missing, in Unix milliseconds. It is 0 where all
-	// are known.
+	// UnknownUntil is the time until which queries sent before the start may be missing, in Unix milliseconds. It is 0 if
+	// all of them are known.
 	UnknownUntil float64
 }
 
-// OpenGathererState opens the state in a folder. Without a folder, or where records are lost, a non-idempotent query
-// that its client marks as a repeat may have run before the start, until the retention is over. Times are Unix
-// milliseconds.
+// OpenGathererState opens the state in a folder. If folder is empty, or if records are lost, each non-idempotent query
+// that its client marks as a repeat is assumed to have run possibly before the start, until the retention has passed.
+// Times are in Unix milliseconds, the retention is in milliseconds.
 func OpenGathererState(
 	folder string, maxJournalBytes int64, retention, now float64,
 ) (*GathererState, RecoveredState, error) {
 	g := &GathererState{retention: retention, sentAt: map[string]float64{}}
-	var found RecoveredState
+	var recovered RecoveredState
 	if folder == "" {
 		g.unknownUntil = now + retention
-		found.UnknownUntil = g.unknownUntil
-		return g, found, nil
+		recovered.UnknownUntil = g.unknownUntil
+		return g, recovered, nil
 	}
 	startedAt := time.Now()
 	var err error
-	g.journal, found.Recovery, err = journal.Open(journal.Config{
+	g.journal, recovered.Recovery, err = journal.Open(journal.Config{
 		Folder:   folder,
 		MaxBytes: maxJournalBytes,
 		Load:     g.load,
 	})
 	if err != nil {
-		return nil, found, fmt.Errorf("state in %s: %w", folder, err)
+		return nil, recovered, fmt.Errorf("open gatherer state in %s: %w", folder, err)
 	}
 	for id, sentAt := range g.sentAt {
 		g.claims = append(g.claims, claim{id, sentAt})
@@ -80,23 +81,24 @@
 		return cmp.Or(cmp.Compare(a.sentAt, b.sentAt), cmp.Compare(a.id, b.id))
 	})
 	g.dropExpired(now)
-	if found.Damaged {
+	if recovered.Damaged {
 		g.unknownUntil = now + retention
-		found.UnknownUntil = g.unknownUntil
+		recovered.UnknownUntil = g.unknownUntil
 	}
 	if g.segmentMap != nil {
-		found.Epoch = g.segmentMap.Epoch
+		recovered.Epoch = g.segmentMap.Epoch
 	}
-	found.Claims = len(g.sentAt)
-	found.Duration = time.Since(startedAt)
-	return g, found, nil
+	recovered.Claims = len(g.sentAt)
+	recovered.Duration = time.Since(startedAt)
+	return g, recovered, nil
 }
 
-// load takes over one record. An error means that another program wrote it, since its checksum is right.
+// load applies one record of the journal. Since the record's checksum is correct, an error means that another program
+// wrote the record.
 func (g *GathererState) load(text []byte) error {
 	var r stateRecord
 	if err := json.Unmarshal(text, &r); err != nil {
-		return fmt.Errorf("record of %d bytes: %w", len(text), err)
+		return fmt.Errorf("decode state record of %d bytes: %w", len(text), err)
 	}
 	switch {
 	case r.Sent != "":
@@ -111,7 +113,7 @@
 	return nil
 }
 
-// Map is the newest map that is stored, nil for none.
+// Map returns the newest segment map, or nil if there is none.
 func (g *GathererState) Map() *ownership.Map { return g.segmentMap }
 
 func (g *GathererState) dropExpired(now float64) {
@@ -125,19 +127,19 @@
 	g.claims = g.claims[n:]
 }
 
-// MayHaveRun reports whether a query of this ID may have run. Repeated is set for one that its client marked as a
-// repeat.
+// MayHaveRun reports whether the query with this ID may have run. The caller sets repeated if the client has marked the
+// query as a repeat.
 func (g *GathererState) MayHaveRun(id string, repeated bool, now float64) bool {
 	_, known := g.sentAt[id]
 	return known || repeated && now < g.unknownUntil
 }
 
-// RecordSent stores the IDs of queries before any byte of them is sent. After an error they may not be stored, and
-// must not be sent.
+// RecordSent stores the IDs of queries and must be called before any byte of them is sent. If it returns an error, the
+// IDs may not be stored, and the queries must not be sent.
 func (g *GathererState) RecordSent(ids []string, now float64) error {
 	g.dropExpired(now)
 	var records [][]byte
-	known := len(g.claims)
+	previousClaims := len(g.claims)
 	for _, id := range ids {
 		if _, known := g.sentAt[id]; known {
 			continue
@@ -147,17 +149,17 @@
 		records = append(records, encodeRecord(stateRecord{Sent: id, At: now}))
 	}
 	err := g.appendOrRepair(records, now)
-	if err != nil { // the next call must not take them for stored
-		for _, c := range g.claims[known:] {
+	if err != nil { // forget the IDs, so that the next call does not assume that they are stored
+		for _, c := range g.claims[previousClaims:] {
 			delete(g.sentAt, c.id)
 		}
-		g.claims = g.claims[:known]
+		g.claims = g.claims[:previousClaims]
 	}
 	return err
 }
 
-// RecordNotRun stores that nothing of a query has run, so that its client may repeat it. It does not wait for the disk:
-// where a crash of the machine loses the record, the query may have run.
+// RecordNotRun stores that no server has run any part of a query, so that its client may repeat it. It does not wait for
+// the disk: if a crash of the machine loses the record, the query counts as one that may have run.
 func (g *GathererState) RecordNotRun(id string) error {
 	if _, known := g.sentAt[id]; !known {
 		return nil
@@ -172,7 +174,7 @@
 	return g.snapshotIfDue()
 }
 
-// SaveMap stores a map, unless it is no newer than the stored one.
+// SaveMap stores a segment map if it is newer than the stored one.
 func (g *GathererState) SaveMap(m *ownership.Map) error {
 	if g.segmentMap != nil && m.Epoch <= g.segmentMap.Epoch {
 		return nil
@@ -181,8 +183,8 @@
 	return g.append([][]byte{encodeMapRecord(m)})
 }
 
-// appendOrRepair stores records which the present state holds already. Where the journal has failed, as on a disk that
-// was full, a snapshot stores them in new files.
+// appendOrRepair stores records that the state in memory already contains. If the journal has failed, for example
+// because the disk was full, it stores them by a snapshot in new files.
 func (g *GathererState) appendOrRepair(records [][]byte, now float64) error {
 	if g.journal == nil || len(records) == 0 {
 		return nil
@@ -192,21 +194,21 @@
 	}
 	err := g.append(records)
 	if g.journal.Failed() {
-		g.repairAt = now + repairInterval
+		g.nextRepairAt = now + repairInterval
 	}
 	return err
 }
 
-// repair replaces a journal that has failed, no sooner than repairInterval after the failure or the last try.
+// repair replaces a failed journal by a snapshot, at the earliest repairInterval after the failure or the last attempt.
 func (g *GathererState) repair(now float64) error {
-	if now < g.repairAt {
+	if now < g.nextRepairAt {
 		return errRepairLater
 	}
-	g.repairAt = now + repairInterval
-	return g.journal.Snapshot(g.writeAll)
+	g.nextRepairAt = now + repairInterval
+	return g.journal.Snapshot(g.writeState)
 }
 
-// append stores records, and a snapshot where that is due.
+// append stores records, and writes a snapshot if one is due.
 func (g *GathererState) append(records [][]byte) error {
 	if g.journal == nil || len(records) == 0 {
 		return nil
@@ -217,16 +219,16 @@
 	return g.snapshotIfDue()
 }
 
-// snapshotIfDue replaces a journal that has outgrown its limit.
+// snapshotIfDue replaces a journal that has grown beyond its size limit.
 func (g *GathererState) snapshotIfDue() error {
 	if !g.journal.SnapshotDue() {
 		return nil
 	}
-	return g.journal.Snapshot(g.writeAll)
+	return g.journal.Snapshot(g.writeState)
 }
 
-// writeAll puts the records that stand for the present state.
-func (g *GathererState) writeAll(put func(record []byte) error) error {
+// writeState passes the records of the current state to put.
+func (g *GathererState) writeState(put func(record []byte) error) error {
 	if g.segmentMap != nil {
 		if err := put(encodeMapRecord(g.segmentMap)); err != nil {
 			return err
@@ -243,7 +245,7 @@
 	return nil
 }
 
-// Size returns the journal's size in bytes, and how many queries may have run.
+// Size returns the size of the journal in bytes and the number of queries that may have run.
 func (g *GathererState) Size() (bytes int64, claims int) {
 	if g.journal != nil {
 		bytes = g.journal.Size()
@@ -251,7 +253,6 @@
 	return bytes, len(g.sentAt)
 }
 
-// Close closes the folder.
 func (g *GathererState) Close() error {
 	if g.journal == nil {
 		return nil
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -20,13 +20,13 @@
 	return g, r
 }
 
-// TestClaimsAndMapSurviveACrash wants claims and the map back after a crash, through snapshots, for the retention. A
-// query of which nothing ran may run again.
+// TestClaimsAndMapSurviveACrash tests that claims and the map are recovered after a crash, across snapshots, until the
+// retention has passed. A query recorded as not run may run again.
 func TestClaimsAndMapSurviveACrash(t *testing.T) {
 	dir := t.TempDir()
 	g, r := openState(t, dir, 0)
 	if !r.Empty || r.UnknownUntil > 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("new folder: %+v, want an empty state", r)
 	}
 	m, err := ownership.NewMap(3, []ownership.Segment{{Name: "s", Range: ownership.All, Owners: []string{"a"}}})
 	if err != nil {
@@ -35,7 +35,7 @@
 	if err := g.SaveMap(m); err != nil {
 		t.Fatal(err)
 	}
-	for i := range 200 { // over several snapshots
+	for i := range 200 { // enough records for several snapshots
 		if err := g.RecordSent([]string{fmt.Sprint("a", i), fmt.Sprint("b", i)}, float64(i)); err != nil {
 			t.Fatal(err)
 		}
@@ -45,43 +45,43 @@
 			}
 		}
 	}
-	// A crash: nothing is closed.
+	// Reopens the folder without Close, as after a crash.
 	g, r = openState(t, dir, 1100)
 	if r.Epoch != 3 || g.Map().Checksum != m.Checksum || len(g.Map().Segments) != 1 || r.UnknownUntil > 0 {
-		t.Errorf("%+v, map %+v", r, g.Map())
+		t.Errorf("recovered %+v, map %+v", r, g.Map())
 	}
 	for i := range 200 {
-		old := float64(i) < 100
-		if got := g.MayHaveRun(fmt.Sprint("a", i), false, 1100); got == old {
-			t.Errorf("a%d, sent at %d: may have run %t", i, i, got)
+		expired := float64(i) < 100
+		if got := g.MayHaveRun(fmt.Sprint("a", i), false, 1100); got == expired {
+			t.Errorf("query a%d, sent at %d: MayHaveRun returned %t", i, i, got)
 		}
-		if got := g.MayHaveRun(fmt.Sprint("b", i), true, 1100); got == (old || i%3 == 0) {
-			t.Errorf("b%d: may have run %t", i, got)
+		if got := g.MayHaveRun(fmt.Sprint("b", i), true, 1100); got == (expired || i%3 == 0) {
+			t.Errorf("query b%d: MayHaveRun returned %t", i, got)
 		}
 	}
 	if size, _ := g.Size(); size > 3000 {
-		t.Errorf("the journal has %d bytes", size)
+		t.Errorf("the journal has %d bytes, want at most 3000", size)
 	}
 }
 
-// TestRepeatsMayHaveRunWhereRecordsAreMissing opens a state without a folder, and one with lost records. A query that
-// is marked as a repeat may have run until the retention is over.
+// TestRepeatsMayHaveRunWhereRecordsAreMissing opens a state without a folder and one with lost records. A query that is
+// marked as a repeat must count as one that may have run until the retention has passed.
 func TestRepeatsMayHaveRunWhereRecordsAreMissing(t *testing.T) {
 	g, r, err := OpenGathererState("", 0, 1000, 5000)
 	if err != nil || r.UnknownUntil != 6000 {
-		t.Fatalf("%+v, %v", r, err)
+		t.Fatalf("state without a folder: %+v, %v, want UnknownUntil 6000", r, err)
 	}
 	for _, c := range []struct {
-		repeat bool
-		now    float64
-		want   bool
+		repeated bool
+		now      float64
+		want     bool
 	}{{false, 5500, false}, {true, 5500, true}, {true, 6000, false}} {
-		if got := g.MayHaveRun("x", c.repeat, c.now); got != c.want {
-			t.Errorf("%+v: %t", c, got)
+		if got := g.MayHaveRun("x", c.repeated, c.now); got != c.want {
+			t.Errorf("%+v: MayHaveRun returned %t", c, got)
 		}
 	}
 	if err := g.RecordSent([]string{"x"}, 6000); err != nil || !g.MayHaveRun("x", false, 6001) {
-		t.Errorf("a name sent by this process: %v", err)
+		t.Errorf("a query sent by this process is not known: %v", err)
 	}
 	dir := t.TempDir()
 	d, _ := openState(t, dir, 0)
@@ -94,12 +94,13 @@
 	text[40] ^= 1
 	os.WriteFile(path, text, 0o600)
 	if _, r := openState(t, dir, 10); !r.Damaged || r.UnknownUntil != 1010 {
-		t.Errorf("a damaged journal: %+v", r)
+		t.Errorf("damaged journal: %+v, want Damaged and UnknownUntil 1010", r)
 	}
 }
 
-// TestJournalOfAnotherProgramIsRefused opens a folder of another program, which must not be taken for an empty one.
-func TestJournalOfAnotherProgramIsRefused(t *testing.T) {
+// TestJournalOfAnotherProgramIsRejected opens a folder with records of another program, which must be an error
+// instead of an empty state.
+func TestJournalOfAnotherProgramIsRejected(t *testing.T) {
 	dir := t.TempDir()
 	j, _, err := journal.Open(journal.Config{Folder: dir, MaxBytes: 100})
 	if err != nil {
@@ -108,63 +109,64 @@
 	j.Append([]byte("not ours"))
 	j.Close()
 	if _, _, err := OpenGathererState(dir, 100, 1000, 0); err == nil {
-		t.Error("records of another program are taken")
+		t.Error("records of another program were accepted")
 	}
 }
 
-// TestEndOfARecordWaitsForNoSync guards against clients that wait for the disk to be told that nothing of their query has
-// run. The end outlasts the process; where a crash of the machine loses it, a repeat fails.
-func TestEndOfARecordWaitsForNoSync(t *testing.T) {
+// TestRecordNotRunDoesNotWaitForSync guards against delaying the answer to a client whose query has not run until the disk
+// has synced that. The record survives a crash of the process. If a crash of the machine loses it, the query counts as
+// one that may have run, and a repeat fails.
+func TestRecordNotRunDoesNotWaitForSync(t *testing.T) {
 	dir := t.TempDir()
 	g, _ := openState(t, dir, 0)
 	syncs := 0
-	withSync(t, g, dir, func(f *os.File) error {
+	replaceSync(t, g, dir, func(f *os.File) error {
 		syncs++
 		return f.Sync()
 	})
 	if err := g.RecordSent([]string{"a", "b"}, 1); err != nil || syncs != 1 {
-		t.Fatalf("%v, %d syncs", err, syncs)
+		t.Fatalf("RecordSent: %v, %d syncs, want 1", err, syncs)
 	}
-	synced := copyDir(t, dir) // what a crash of the machine may leave
+	copyBefore := copyDir(t, dir) // the state that remains if a crash of the machine loses the next record
 	if err := g.RecordNotRun("a"); err != nil || syncs != 1 {
-		t.Errorf("%v, %d syncs", err, syncs)
+		t.Errorf("RecordNotRun: %v, %d syncs, want still 1", err, syncs)
 	}
 	for _, c := range []struct {
-		left        string
+		dir         string
 		aMayHaveRun bool
-	}{{copyDir(t, dir), false}, {synced, true}} {
-		after, r := openState(t, c.left, 2)
-		if r.Damaged || after.MayHaveRun("a", true, 3) != c.aMayHaveRun || !after.MayHaveRun("b", false, 3) {
-			t.Errorf("%+v: a may have run: %t", r, after.MayHaveRun("a", true, 3))
+	}{{copyDir(t, dir), false}, {copyBefore, true}} {
+		reopened, r := openState(t, c.dir, 2)
+		if r.Damaged || reopened.MayHaveRun("a", true, 3) != c.aMayHaveRun || !reopened.MayHaveRun("b", false, 3) {
+			t.Errorf("recovered %+v: MayHaveRun of a returned %t", r, reopened.MayHaveRun("a", true, 3))
 		}
 	}
 	if err := g.RecordSent([]string{"a"}, 2); err != nil || syncs != 2 || !g.MayHaveRun("a", false, 3) {
-		t.Errorf("its repeat: %v, %d syncs", err, syncs)
+		t.Errorf("repeat of a: %v, %d syncs, want 2", err, syncs)
 	}
 }
 
-// TestClaimThatWasNotWrittenIsUnknown has the disk refuse a claim. It must not count as stored when it is recorded
-// again.
-func TestClaimThatWasNotWrittenIsUnknown(t *testing.T) {
+// TestClaimThatWasNotStoredIsForgotten makes the sync of a claim fail. The claim must not count as stored when it
+// is recorded again.
+func TestClaimThatWasNotStoredIsForgotten(t *testing.T) {
 	dir := t.TempDir()
 	g, _ := openState(t, dir, 0)
 	if err := g.RecordSent([]string{"a"}, 1); err != nil {
 		t.Fatal(err)
 	}
-	withSync(t, g, dir, func(*os.File) error { return os.ErrPermission })
+	replaceSync(t, g, dir, func(*os.File) error { return os.ErrPermission })
 	for i := range 3 {
 		if err := g.RecordSent([]string{"a", "b"}, float64(2+i)); err == nil {
-			t.Error("a name that is not on the disk counts as written")
+			t.Error("RecordSent succeeded although the sync failed")
 		}
 	}
 	if g.MayHaveRun("b", false, 5) || !g.MayHaveRun("a", false, 5) {
-		t.Error("b never went, a may have")
+		t.Error("MayHaveRun: want false for b, which was never stored, and true for a")
 	}
 }
 
-// TestClaimsAreStoredAgainOnceTheDiskIsWell guards against a gatherer that rejects every non-idempotent query until it is
-// restarted, since its disk failed once.
-func TestClaimsAreStoredAgainOnceTheDiskIsWell(t *testing.T) {
+// TestClaimsAreStoredAfterTheDiskRecovers guards against a gatherer that, after one failure of its disk, rejects every
+// non-idempotent query until it is restarted.
+func TestClaimsAreStoredAfterTheDiskRecovers(t *testing.T) {
 	const retention = 10_000
 	dir := t.TempDir()
 	g, _, err := OpenGathererState(dir, 4<<20, retention, 0)
@@ -174,35 +176,35 @@
 	if err := g.RecordSent([]string{"a"}, 1); err != nil {
 		t.Fatal(err)
 	}
-	full, calls := true, 0
-	withSync(t, g, dir, func(f *os.File) error {
-		if calls++; full {
+	diskFails, calls := true, 0
+	replaceSync(t, g, dir, func(f *os.File) error {
+		if calls++; diskFails {
 			return os.ErrPermission
 		}
 		return f.Sync()
 	})
 	for _, now := range []float64{2, 3, 4, 5, 6} {
 		if err := g.RecordSent([]string{"b"}, now); err == nil {
-			t.Error("a name that is not on the disk counts as written")
+			t.Error("RecordSent succeeded although the sync failed")
 		}
 	}
 	if calls > 3 {
-		t.Errorf("a disk that fails was written to %d times in 5 ms", calls)
+		t.Errorf("%d syncs of a failing disk within 5 ms, want at most 3", calls)
 	}
-	full = false
+	diskFails = false
 	if err := g.RecordSent([]string{"b"}, 2000); err != nil {
-		t.Fatalf("the disk is well: %v", err)
+		t.Fatalf("first record after the disk has recovered: %v", err)
 	}
 	if err := g.RecordSent([]string{"c"}, 2001); err != nil {
-		t.Fatalf("the disk is well: %v", err)
+		t.Fatalf("second record after the disk has recovered: %v", err)
 	}
-	again, _, err := OpenGathererState(copyDir(t, dir), 4<<20, retention, 2002)
+	reopened, _, err := OpenGathererState(copyDir(t, dir), 4<<20, retention, 2002)
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, id := range []string{"a", "b", "c"} {
-		if !again.MayHaveRun(id, false, 2002) {
-			t.Errorf("%s is not stored", id)
+		if !reopened.MayHaveRun(id, false, 2002) {
+			t.Errorf("claim %s is not stored", id)
 		}
 	}
 }
@@ -216,18 +218,18 @@
 	return to
 }
 
-// singleFile returns the one file of a folder with a prefix.
+// singleFile returns the path of the only file in dir whose name begins with prefix.
 func singleFile(t testing.TB, dir, prefix string) string {
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	if len(names) != 1 {
-		t.Fatalf("%d files %s in %s", len(names), prefix, dir)
+		t.Fatalf("%s contains %d files with the prefix %s, want 1", dir, len(names), prefix)
 	}
 	return names[0]
 }
 
-// withSync replaces the journal of a state by one of the same folder whose files are synced otherwise.
-func withSync(t testing.TB, g *GathererState, folder string, sync func(*os.File) error) {
+// replaceSync reopens the journal of a state with another function for syncing its files.
+func replaceSync(t testing.TB, g *GathererState, folder string, sync func(*os.File) error) {
 	t.Helper()
 	g.journal.Close()
 	var err error
@@ -242,7 +244,7 @@
 	}
 }
 
-// BenchmarkOpenGathererState opens a folder, by the number of claims in it, and reports its size.
+// BenchmarkOpenGathererState opens folders with different numbers of claims and reports their size per claim.
 func BenchmarkOpenGathererState(b *testing.B) {
 	for _, claims := range []int{1000, 10_000, 100_000} {
 		b.Run(fmt.Sprint(claims), func(b *testing.B) {
@@ -251,11 +253,11 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			withSync(b, g, dir, func(*os.File) error { return nil })
-			chance := pcg.New(1)
+			replaceSync(b, g, dir, func(*os.File) error { return nil })
+			random := pcg.New(1)
 			for i := range claims {
-				name := fmt.Sprintf("%08x%08x", chance.Uint32(), chance.Uint32())
-				if err := g.RecordSent([]string{name}, 1_000_000+float64(i)/1000); err != nil {
+				id := fmt.Sprintf("%08x%08x", random.Uint32(), random.Uint32())
+				if err := g.RecordSent([]string{id}, 1_000_000+float64(i)/1000); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -279,24 +281,24 @@
 	}
 }
 
-// BenchmarkRecordSent records queries, with the disk's sync.
+// BenchmarkRecordSent records queries in batches of different sizes, including the sync of the disk.
 func BenchmarkRecordSent(b *testing.B) {
-	for _, together := range []int{1, 16} {
-		b.Run(fmt.Sprint(together), func(b *testing.B) {
+	for _, batchSize := range []int{1, 16} {
+		b.Run(fmt.Sprint(batchSize), func(b *testing.B) {
 			g, _, err := OpenGathererState(b.TempDir(), 4<<20, 600_000, 0)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for i := range b.N {
-				var names []string
-				for k := range together {
-					names = append(names, fmt.Sprint(i, "-", k))
+				var ids []string
+				for k := range batchSize {
+					ids = append(ids, fmt.Sprint(i, "-", k))
 				}
-				if err := g.RecordSent(names, float64(i)); err != nil {
+				if err := g.RecordSent(ids, float64(i)); err != nil {
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*together), "us/lookup")
+			b.ReportMetric(float64(b.Elapsed().Microseconds())/float64(b.N*batchSize), "us/lookup")
 		})
 	}
 }
--- a/internal/storage/statedir/handover.go
+++ b/internal/storage/statedir/handover.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// handoverFormat is in the document, with the number of its format.
+	// handoverFormat identifies the document's format and its number.
 	handoverFormat = "yokeroute handover 1"
 	handoverFile   = "handover"
 )
 
-// Handover is what a gatherer leaves to its next process, whose endpoint list may be older: which servers drain. It
-// is stored with each change, so that it is there after a kill as well.
+// Handover tells a gatherer's next process which servers are draining, since the endpoint list of that process may be
+// older. It is stored at each change, so that it is current even after the process is killed.
 type Handover struct {
-	path     string
-	Draining map[string]float64 // by name: since when the draining process is up, in Unix milliseconds
+	path string
+	// Draining holds the start time of the process of each draining server, in Unix milliseconds, by the server's name.
+	Draining map[string]float64
 }
 
 type handoverDocument struct {
@@ -31,8 +32,8 @@
 	Draining map[string]float64 `json:"draining"`
 }
 
-// OpenHandover reads the handover of an earlier process, if there is one. With an error about its content the
-// handover is returned empty, and may be used.
+// OpenHandover reads the handover of an earlier process, if there is one. If its content cannot be read, OpenHandover
+// returns an error together with an empty handover, which may be used.
 func OpenHandover(folder string) (*Handover, error) {
 	h := &Handover{path: filepath.Join(folder, handoverFile), Draining: map[string]float64{}}
 	if err := os.MkdirAll(folder, 0o755); err != nil {
@@ -47,7 +48,7 @@
 		err = json.Unmarshal(text, &document)
 	}
 	if err == nil && document.Format != handoverFormat {
-		err = fmt.Errorf("format %.40q, supported is %q", document.Format, handoverFormat)
+		err = fmt.Errorf("format is %.40q, want %q", document.Format, handoverFormat)
 	}
 	if err != nil {
 		return h, fmt.Errorf("%s: %w", h.path, err)
@@ -58,7 +59,7 @@
 	return h, nil
 }
 
-// SetDraining stores which servers drain, if that has changed.
+// SetDraining stores the draining servers if they have changed.
 func (h *Handover) SetDraining(draining map[string]float64) error {
 	if maps.Equal(h.Draining, draining) {
 		return nil
@@ -71,5 +72,5 @@
 	return atomicfile.Write(h.path, text)
 }
 
-// DrainingNames are the servers that drain, in order.
+// DrainingNames returns the names of the draining servers in alphabetical order.
 func (h *Handover) DrainingNames() []string { return slices.Sorted(maps.Keys(h.Draining)) }
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -12,17 +12,17 @@
 	"yokeroute/logic/ownership"
 )
 
-// The folders in testdata/kept are those of the version that wrote them. None may be changed: a gatherer that is
-// replaced by a newer or an older one goes on with its folder.
+// The folders in testdata/kept were written by the version that introduced their format. They must not be changed: when
+// a gatherer is replaced by a newer or an older version, that version continues with the same folder.
 
-// keptCopy is a copy of a kept folder: opening one may write to it.
+// keptCopy copies a folder from testdata/kept, since opening a folder may write to it.
 func keptCopy(t *testing.T, name string) string {
 	t.Helper()
 	return copyDir(t, filepath.Join("testdata", "kept", name))
 }
 
-// files are all files below a folder, by their path in it.
-func files(t *testing.T, folder string) map[string][]byte {
+// readFiles returns the contents of all files below a folder by their paths relative to it.
+func readFiles(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	all := map[string][]byte{}
 	err := fs.WalkDir(os.DirFS(folder), ".", func(path string, entry fs.DirEntry, err error) error {
@@ -38,10 +38,10 @@
 	return all
 }
 
-// wantFolder compares all files of a folder with a kept one, byte for byte.
+// wantFolder checks that all files of a folder are identical to those of the folder name in testdata/kept.
 func wantFolder(t *testing.T, folder, name string) {
 	t.Helper()
-	got, want := files(t, folder), files(t, filepath.Join("testdata", "kept", name))
+	got, want := readFiles(t, folder), readFiles(t, filepath.Join("testdata", "kept", name))
 	if !slices.Equal(slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want))) {
 		t.Errorf("%s: written %v, kept %v", name, slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 	}
@@ -65,9 +65,9 @@
 	return m
 }
 
-// writeGatherer writes the folder of a gatherer: a snapshot with a map and two names, a journal of four records behind
-// it, and the hand-over.
-func writeGatherer(t *testing.T, folder string) {
+// writeGathererFolder writes the folder of a gatherer: a snapshot with a map and two IDs, a journal of four records
+// that follow it, and the handover.
+func writeGathererFolder(t *testing.T, folder string) {
 	t.Helper()
 	must := func(err error) {
 		t.Helper()
@@ -78,7 +78,7 @@
 	g, _, err := OpenGathererState(folder, 300, 1e12, 1_796_000_000_000)
 	must(err)
 	must(g.SaveMap(keptMap(t)))
-	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25)) // past 300 bytes: a snapshot
+	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25)) // makes the journal longer than 300 bytes: a snapshot is written
 	must(g.RecordSent([]string{"third", "<&> \"name\""}, 1_796_000_000_001))
 	must(g.RecordNotRun("second"))
 	must(g.RecordSent([]string{"late"}, 1_796_000_000_500.5))
@@ -88,7 +88,8 @@
 	must(h.SetDraining(map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}))
 }
 
-// TestKeptGathererFolderIsReadAndWrittenAsBefore opens a gatherer's folder as it was kept, and writes the same values to the same bytes.
+// TestKeptGathererFolderIsReadAndWrittenAsBefore opens the kept folder of a gatherer, and checks that
+// writing the same state produces the same bytes.
 func TestKeptGathererFolderIsReadAndWrittenAsBefore(t *testing.T) {
 	const now = 1_796_000_001_000
 	folder := keptCopy(t, "gatherer")
@@ -98,12 +99,12 @@
 	}
 	if found.Empty || found.Damaged || found.TornBytes != 0 || found.Claims != 4 || found.Epoch != 7 ||
 		found.UnknownUntil != 0 {
-		t.Errorf("found %+v", found)
+		t.Errorf("recovered %+v", found)
 	}
-	for name, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true,
+	for id, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true,
 		"late": true, "never": false} {
-		if got := g.MayHaveRun(name, true, now); got != want {
-			t.Errorf("%s may have run: %t, want %t", name, got, want)
+		if got := g.MayHaveRun(id, true, now); got != want {
+			t.Errorf("MayHaveRun of %s returned %t, want %t", id, got, want)
 		}
 	}
 	m, want := g.Map(), keptMap(t)
@@ -116,15 +117,16 @@
 	g.Close()
 	h, err := OpenHandover(folder)
 	if err != nil || !maps.Equal(h.Draining, map[string]float64{"s-00000001": 1_795_999_000_000.5, "s-00000002": 0}) {
-		t.Errorf("hand-over %+v, %v", h, err)
+		t.Errorf("handover %+v, %v", h, err)
 	}
-	wantFolder(t, folder, "gatherer") // reading changes nothing
+	wantFolder(t, folder, "gatherer") // opening must not change the folder
 	written := t.TempDir()
-	writeGatherer(t, written)
+	writeGathererFolder(t, written)
 	wantFolder(t, written, "gatherer")
 }
 
-// TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in half a record: what stands before it is there.
+// TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in an incomplete record: the records before
+// it must be recovered.
 func TestKeptFolderWithIncompleteRecordIsRead(t *testing.T) {
 	folder := keptCopy(t, "gatherer")
 	path := singleFile(t, folder, "journal-")
@@ -138,6 +140,6 @@
 	g, found, err := OpenGathererState(folder, 300, 1e12, 1_796_000_001_000)
 	if err != nil || found.Damaged || found.TornBytes == 0 || found.Claims != 3 ||
 		g.MayHaveRun("late", false, 1_796_000_001_000) {
-		t.Errorf("found %+v, %v", found, err)
+		t.Errorf("recovered %+v, %v", found, err)
 	}
 }
