--- a/internal/gatherer/trace/file.go
+++ b/internal/gatherer/trace/file.go
@@ -13,28 +13,28 @@
 	"yokeroute/logic/twopass"
 )
 
-// source is what a file's header names as its writer.
-const source = "yokeroute serve"
+// recorderName identifies the program that wrote the file in the file's header.
+const recorderName = "yokeroute serve"
 
-// FileConfig is what a File is created by.
+// FileConfig configures a File.
 type FileConfig struct {
 	Name     string
 	MaxBytes int64
 	Settings *gather.Settings
 
-	// FlushEach writes each event through to the system, so that a process that is killed leaves a file which lacks
-	// nothing but its last line. Each event costs a system call.
+	// FlushEach passes each event to the operating system at once, so that the file of a killed process lacks only its
+	// last line. Each event costs a system call.
 	FlushEach bool
 
-	// Shards is how many shards divide the keys, where a map of segments says who owns them; 0 where there is none.
+	// Shards is the number of shards that divide the keys if a segment map assigns owners to them; 0 without a map.
 	Shards int
 
-	StartedAt float64 // Unix milliseconds: the file's time 0
+	StartedAt float64 // time in Unix milliseconds to which the times in the file are relative
 }
 
-// File records all queries and attempts of a gatherer, in the form that package rulecheck checks. It is a
-// dispatch.DecisionObserver and a dispatch.WireObserver: an attempt counts from its first byte on the wire, a result
-// from when no byte of an attempt can follow it. Attempts that were decided on and never written are left out.
+// File records all queries and attempts of a gatherer in the format that package rulecheck checks. It implements
+// dispatch.DecisionObserver and dispatch.WireObserver: an attempt is recorded when its first byte is written, and a
+// result when no byte of an attempt can follow it. Attempts that were decided but never written are omitted.
 type File struct {
 	maxBytes  int64
 	flushEach bool
@@ -45,13 +45,13 @@
 	f           *os.File
 	w           *rulecheck.Writer
 	lastEventAt float64
-	end         string // why the file has ended; empty while it is written
-	nextNumber  uint64 // of queries
+	endReason   string // why the file was finished; empty while it is being written
+	nextNumber  uint64 // number of the next query
 	open        map[*dispatch.Query]uint64
 	endpoints   map[uint32]gather.State
 }
 
-// endClosed is the end of a file that was closed without an error.
+// endClosed is the endReason of a file that was closed without an error.
 const endClosed = "closed"
 
 // Create creates the file and writes its header.
@@ -75,7 +75,7 @@
 
 func header(settings *gather.Settings, startedAt float64) rulecheck.Header {
 	h := rulecheck.Header{
-		Recorder:      source,
+		Recorder:      recorderName,
 		UnixStart:     startedAt,
 		DrainGrace:    settings.DrainGrace,
 		DeadlineSlack: settings.AnswerSlack,
@@ -99,26 +99,26 @@
 	return h
 }
 
-// Close ends the file.
+// Close finishes the file. It returns nil if the file was finished before.
 func (r *File) Close(at float64) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.end != "" {
+	if r.endReason != "" {
 		return nil
 	}
 	r.finish(at, "")
-	if r.end != endClosed {
-		return errors.New(r.end)
+	if r.endReason != endClosed {
+		return errors.New(r.endReason)
 	}
 	return nil
 }
 
-// write adds an event, unless the file has ended. The lock is held.
+// write adds an event, unless the file is finished. The caller holds r.mu.
 func (r *File) write(at float64, e rulecheck.Event) {
-	if r.end != "" {
+	if r.endReason != "" {
 		return
 	}
-	// Two goroutines may come here in another order than they read the clock.
+	// Goroutines may acquire the lock in a different order than they read the clock, so times are kept monotonic.
 	r.lastEventAt = max(at-r.startedAt, r.lastEventAt)
 	e.At = r.lastEventAt
 	r.w.Write(e)
@@ -130,25 +130,25 @@
 	}
 }
 
-// finish writes the last line, with the reason where the file ends before the gatherer does.
+// finish writes the last line and closes the file. The reason is empty unless the file ends before the gatherer does.
 func (r *File) finish(at float64, reason string) {
-	r.end = reason
+	r.endReason = reason
 	if reason == "" {
-		r.end = endClosed
+		r.endReason = endClosed
 	}
 	if err := errors.Join(r.w.Close(max(at-r.startedAt, r.lastEventAt), reason), r.f.Close()); err != nil {
-		r.end = err.Error()
+		r.endReason = err.Error()
 	}
 }
 
-// The file's words for the states of an endpoint.
+// stateTexts contains the names of endpoint states in the file.
 var stateTexts = map[gather.State]string{
 	gather.Running:  "running",
 	gather.Draining: "draining",
 	gather.Removed:  "gone",
 }
 
-// UpdateEndpoints records what the gatherer learnt of endpoints.
+// UpdateEndpoints records the changes of endpoint states that the gatherer has received.
 func (r *File) UpdateEndpoints(list gather.EndpointList, at float64) {
 	if list.Failed {
 		return
@@ -186,18 +186,19 @@
 		Deadline:  query.Deadline - r.startedAt,
 	}
 	for _, request := range query.ShardRequests {
-		part := rulecheck.ShardRequest{Shard: request.Shard, Weight: request.Weight}
+		recorded := rulecheck.ShardRequest{Shard: request.Shard, Weight: request.Weight}
 		if r.shards > 0 {
-			part.Keys = keyRange(ownership.ShardRange(request.Shard, r.shards))
+			recorded.Keys = keyRange(ownership.ShardRange(request.Shard, r.shards))
 		}
-		e.ShardRequests = append(e.ShardRequests, part)
+		e.ShardRequests = append(e.ShardRequests, recorded)
 	}
 	r.open[query] = r.nextNumber
 	r.nextNumber++
 	r.write(at, e)
 }
 
-// AttemptDecided implements dispatch.DecisionObserver. Only what is written counts: AttemptWritten records it.
+// AttemptDecided implements dispatch.DecisionObserver. It does nothing: AttemptWritten records the attempts that are
+// written.
 func (r *File) AttemptDecided(*dispatch.Attempt, float64) {}
 
 // AttemptWritten implements dispatch.WireObserver.
@@ -244,10 +245,10 @@
 
 func keyRange(r ownership.Range) *rulecheck.KeyRange { return &rulecheck.KeyRange{Lo: r.Lo, Hi: r.Hi} }
 
-// FirstPassEnded implements dispatch.DecisionObserver. The rules do not regard passes.
+// FirstPassEnded implements dispatch.DecisionObserver. It does nothing, since no rule depends on the end of a first pass.
 func (r *File) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
-// QueryDecided implements dispatch.DecisionObserver. Only what is answered counts: QueryAnswered records it.
+// QueryDecided implements dispatch.DecisionObserver. It does nothing: QueryAnswered records the results.
 func (r *File) QueryDecided(*dispatch.Query, dispatch.Result, float64) {}
 
 // QueryAnswered implements dispatch.WireObserver.
@@ -266,7 +267,7 @@
 	r.write(at, e)
 }
 
-// The events of results.
+// resultEvents contains the event that is recorded for each kind of result.
 var resultEvents = map[dispatch.ResultKind]rulecheck.EventKind{
 	dispatch.Served:        rulecheck.QueryServed,
 	dispatch.Rejected:      rulecheck.QueryRejected,
@@ -275,8 +276,8 @@
 	dispatch.Abandoned:     rulecheck.QueryAbandoned,
 }
 
-// addShards adds the shards that a result stands for: those with hits, with their keys where a map says who owns
-// which, and then those that were proved empty.
+// addShards adds the shards that a result covers: first those with hits, together with their keys if there is a segment
+// map, and then those that were proved empty.
 func (r *File) addShards(e *rulecheck.Event, result dispatch.Result) {
 	for _, hit := range result.Hits {
 		e.IncludedShards = append(e.IncludedShards, hit.Shard)
--- a/internal/gatherer/trace/handler.go
+++ b/internal/gatherer/trace/handler.go
@@ -6,10 +6,11 @@
 	"strings"
 )
 
-// Path is where a gatherer serves its traces: the list of all, and below it each by its query's ID.
+// Path is the URL path at which a gatherer serves the list of its traces. Each trace is served below it by the ID of its
+// query.
 const Path = "/-/trace"
 
-// ListEntry is a query in the list that Path serves.
+// ListEntry describes a query in the list that is served at Path.
 type ListEntry struct {
 	ID       string  `json:"id"`
 	Class    string  `json:"index"`
@@ -18,7 +19,8 @@
 	TwoPass  bool    `json:"two"`
 }
 
-// ServeHTTP serves the query that the last part of the path names, or else the list of all, the newest last.
+// ServeHTTP serves the trace of the query whose ID is the last element of the path, or without an ID the list of all
+// traces, the newest last.
 func (r *Recorder) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	id := strings.TrimPrefix(strings.TrimPrefix(req.URL.Path, Path), "/")
 	document, err := r.document(id)
@@ -27,11 +29,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(document) // an error is a client that has gone
+	_, _ = w.Write(document) // an error means that the client has disconnected
 }
 
-// document is the JSON for an ID, nil where no such query is kept. It is encoded under the lock, since attempts may
-// be added meanwhile.
+// document returns the JSON for an ID, or nil if there is no trace of such a query. It encodes the trace under the lock,
+// since attempts may be added concurrently.
 func (r *Recorder) document(id string) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,7 +47,7 @@
 	return json.Marshal(query)
 }
 
-// list is all that is kept, the newest last. The lock is held.
+// list returns an entry for each trace, the newest last. The caller holds r.mu.
 func (r *Recorder) list() []ListEntry {
 	list := []ListEntry{}
 	for i := range r.ring {
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -20,10 +20,10 @@
 	"yokeroute/logic/twopass"
 )
 
-// keptStart is when the kept records begin, in Unix milliseconds.
-const keptStart = 1_700_000_000_000.0
+// recordStart is the start time of the kept records, in Unix milliseconds.
+const recordStart = 1_700_000_000_000.0
 
-// scriptedModule is a decision module that decides what the test has it decide in the next round.
+// scriptedModule is a decision module whose decisions in the next round are made by a function of the test.
 type scriptedModule struct {
 	next func(in *gather.Round, w gather.Writer)
 }
@@ -37,13 +37,13 @@
 
 func (s *scriptedModule) RetryBudgetLeft() float64 { return 1000 }
 
-// steppedPicker is a picker whose module is scripted and whose clock stands until the test moves it.
+// steppedPicker is a picker with a scripted module and a clock that only the test advances.
 type steppedPicker struct {
 	*dispatch.Picker
 	module   *scriptedModule
 	now      float64
-	requests []uint64            // of the round's shard requests
-	attempts []*dispatch.Attempt // of the last round
+	requests []uint64            // IDs of the shard requests that arrived in the last round
+	attempts []*dispatch.Attempt // attempts that the last round decided
 }
 
 var keptSettings = &gather.Settings{
@@ -57,29 +57,30 @@
 }
 
 func newSteppedPicker(settings *gather.Settings, observers ...any) *steppedPicker {
-	p := &steppedPicker{module: &scriptedModule{}, now: keptStart}
+	p := &steppedPicker{module: &scriptedModule{}, now: recordStart}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	build := func(uint64, *gather.Settings) gather.Module { return p.module }
 	p.Picker = dispatch.NewStepped(1, settings, build, func() float64 { return p.now }, log)
-	for _, o := range observers {
-		if t, ok := o.(dispatch.DecisionObserver); ok {
-			p.ObserveDecisions(t)
+	for _, observer := range observers {
+		if decisions, ok := observer.(dispatch.DecisionObserver); ok {
+			p.ObserveDecisions(decisions)
 		}
-		if w, ok := o.(dispatch.WireObserver); ok {
-			p.ObserveWire(w)
+		if wire, ok := observer.(dispatch.WireObserver); ok {
+			p.ObserveWire(wire)
 		}
 	}
 	return p
 }
 
-// round plays a round 5 ms after the last; the script gets the names of the shard requests that come with it.
-func (p *steppedPicker) round(script func(w gather.Writer)) {
+// runRound runs a round 5 ms after the last one. Before script is called, p.requests is set to the IDs of the shard
+// requests that arrive in the round.
+func (p *steppedPicker) runRound(script func(w gather.Writer)) {
 	p.now += 5
 	p.module.next = func(in *gather.Round, w gather.Writer) {
 		p.requests = p.requests[:0]
-		for _, pt := range in.Requests {
-			p.requests = append(p.requests, pt.ID)
+		for _, request := range in.Requests {
+			p.requests = append(p.requests, request.ID)
 		}
 		if script != nil {
 			script(w)
@@ -88,27 +89,27 @@
 	p.attempts = p.RunRoundNow().Send
 }
 
-// submit hands a query in and sends its shard requests to the servers 10, 11 and on, each of which is written.
+// submit submits a query and writes its shard requests to the servers 10, 11 and so on.
 func (p *steppedPicker) submit(id, class string, shards ...int) (*dispatch.Query, []*dispatch.Attempt) {
 	query := &dispatch.Query{ID: id, Class: class, Deadline: p.now + 1000.5}
 	for _, shard := range shards {
 		query.ShardRequests = append(query.ShardRequests, dispatch.ShardRequest{Shard: shard, Weight: 1 / float64(len(shards))})
 	}
 	p.Submit(query)
-	p.round(func(w gather.Writer) {
-		for i, part := range p.requests {
-			w.Send(part, uint32(10+i), 100)
+	p.runRound(func(w gather.Writer) {
+		for i, request := range p.requests {
+			w.Send(request, uint32(10+i), 100)
 		}
 	})
 	return query, p.write()
 }
 
-// write has the attempts of the last round written.
+// write writes the attempts of the last round.
 func (p *steppedPicker) write() []*dispatch.Attempt {
 	p.now += 0.25
-	for _, c := range p.attempts {
-		if c.BeginWrite() {
-			c.EndWrite()
+	for _, attempt := range p.attempts {
+		if attempt.BeginWrite() {
+			attempt.EndWrite()
 		}
 	}
 	return p.attempts
@@ -122,19 +123,19 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(got, want) {
-		t.Errorf("%s: written\n%s\nkept is\n%s", name, got, want)
+		t.Errorf("%s: got\n%s\nwant the kept\n%s", name, got, want)
 	}
 }
 
 var keptOutcomes = []gather.Outcome{gather.Succeeded, gather.Failed, gather.Rejected, gather.TimedOut, gather.ConnectFailed, gather.ConnectionReset,
 	gather.Cancelled, gather.NotSent, gather.NotOwner}
 
-// TestDocumentsMatchKept plays queries that go through every outcome of an attempt, every result, both passes of a
-// query in two and an attempt that is never written, and compares the recorded file and what is served at Path with
-// the bytes kept.
+// TestDocumentsMatchKept runs queries that cover every outcome of an attempt, every result, both passes of a two-pass
+// query and an attempt that is never written. The recorded file and the documents served at Path must be identical to the
+// kept files.
 func TestDocumentsMatchKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: keptStart})
+	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: recordStart})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -142,34 +143,34 @@
 	recorder.SetServerNames([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newSteppedPicker(keptSettings, file, recorder)
 	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: 0.9, MinShare: 0.5, FirstPassShare: 0.3, TrialShare: 0.5}})
-	follow := func(l gather.EndpointList) {
+	updateEndpoints := func(l gather.EndpointList) {
 		p.UpdateEndpoints(l)
 		file.UpdateEndpoints(l, p.now)
-		p.round(nil)
+		p.runRound(nil)
 	}
 	running := []gather.Endpoint{{ID: 10, ReplicaSet: 0}, {ID: 11, ReplicaSet: 1}, {ID: 12, ReplicaSet: 2}, {ID: 13, ReplicaSet: 3}}
-	follow(gather.EndpointList{Full: true, Endpoints: running})
-	follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}, {ID: 13, ReplicaSet: 3, State: gather.Draining}}})
-	follow(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Removed}}})
-	follow(gather.EndpointList{Failed: true})
-	follow(gather.EndpointList{Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed})})
+	updateEndpoints(gather.EndpointList{Full: true, Endpoints: running})
+	updateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}, {ID: 13, ReplicaSet: 3, State: gather.Draining}}})
+	updateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Removed}}})
+	updateEndpoints(gather.EndpointList{Failed: true})
+	updateEndpoints(gather.EndpointList{Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed})})
 
-	end := func(query *dispatch.Query, decide func(w gather.Writer)) {
-		p.round(decide)
-		v, ended := query.Result()
+	endQuery := func(query *dispatch.Query, decide func(w gather.Writer)) {
+		p.runRound(decide)
+		result, ended := query.Result()
 		if !ended {
-			t.Fatalf("%s has no answer", query.ID)
+			t.Fatalf("query %s has no result", query.ID)
 		}
 		p.now += 0.125
-		file.QueryAnswered(query, v, p.now)
+		file.QueryAnswered(query, result, p.now)
 	}
 	for i, outcome := range keptOutcomes {
 		query, attempts := p.submit(fmt.Sprint("outcome-", outcome), "mark", 0, 1)
 		queryID := p.requests[0] - 1
 		p.now += 10 + 1/3.0
 		p.Report(attempts[0], outcome, []byte("5be2"))
-		p.round(nil)
-		end(query, []func(w gather.Writer){
+		p.runRound(nil)
+		endQuery(query, []func(w gather.Writer){
 			func(w gather.Writer) { w.Answer(queryID, true) },
 			func(w gather.Writer) { w.Answer(queryID, false) },
 			func(w gather.Writer) { w.Reject(queryID, 0) },
@@ -180,21 +181,21 @@
 
 	query, _ := p.submit("left", "mark", 2)
 	p.Abandon(query)
-	end(query, nil)
+	endQuery(query, nil)
 	query, _ = p.submit("broken", "once", 0)
-	end(query, func(gather.Writer) { panic("the module fails") })
+	endQuery(query, func(gather.Writer) { panic("the module fails") })
 
 	query = &dispatch.Query{ID: "never-written", Class: "once", Deadline: p.now + 300, ShardRequests: []dispatch.ShardRequest{{Shard: 1, Weight: 1}}}
 	p.Submit(query)
-	p.round(func(w gather.Writer) { w.Send(p.requests[0], 11, 100) })
+	p.runRound(func(w gather.Writer) { w.Send(p.requests[0], 11, 100) })
 	p.Report(p.attempts[0], gather.NotSent, nil)
 	queryID := p.requests[0] - 1
-	end(query, func(w gather.Writer) { w.Fail(queryID) })
+	endQuery(query, func(w gather.Writer) { w.Fail(queryID) })
 
 	for _, s := range running {
 		p.SetAnswersFirstPass(s.ID, true)
 	}
-	p.round(nil)
+	p.runRound(nil)
 	for _, c := range []struct {
 		id        string
 		summaries []string
@@ -206,36 +207,36 @@
 		for i, attempt := range attempts {
 			p.now++
 			if !attempt.FirstPass() {
-				t.Fatalf("%s goes in one pass", c.id)
+				t.Fatalf("query %s is served in one pass, want two", c.id)
 			}
 			p.Report(attempt, gather.Succeeded, []byte(c.summaries[i]))
 		}
 		first := p.requests[0] - 1
-		p.round(func(w gather.Writer) { w.Answer(first, true) })
-		if v, ended := query.Result(); ended {
-			file.QueryAnswered(query, v, p.now)
+		p.runRound(func(w gather.Writer) { w.Answer(first, true) })
+		if result, ended := query.Result(); ended {
+			file.QueryAnswered(query, result, p.now)
 			continue
 		}
-		p.round(func(w gather.Writer) {
-			for _, part := range p.requests {
-				w.Send(part, 12, 100)
+		p.runRound(func(w gather.Writer) {
+			for _, request := range p.requests {
+				w.Send(request, 12, 100)
 			}
 		})
 		for _, attempt := range p.write() {
 			p.Report(attempt, gather.Succeeded, []byte("7c01"))
 		}
 		second := p.requests[0] - 1
-		end(query, func(w gather.Writer) { w.Answer(second, true) })
+		endQuery(query, func(w gather.Writer) { w.Answer(second, true) })
 	}
 
 	query, _ = p.submit("many-calls", "mark", 3)
-	part := p.requests[0]
-	p.round(func(w gather.Writer) {
+	request := p.requests[0]
+	p.runRound(func(w gather.Writer) {
 		for range maxAttempts + 2 {
-			w.Send(part, 77, 100)
+			w.Send(request, 77, 100)
 		}
 	})
-	end(query, func(w gather.Writer) { w.Answer(part-1, true) })
+	endQuery(query, func(w gather.Writer) { w.Answer(request-1, true) })
 	p.submit("open", "mark", 0)
 	if err := file.Close(p.now); err != nil {
 		t.Error(err)
@@ -258,16 +259,16 @@
 	}
 }
 
-// TestRecordOfSegmentsMatchesKept compares a record where a map says who owns which keys with the bytes kept.
+// TestRecordOfSegmentsMatchesKept compares a record with a segment map to the kept file.
 func TestRecordOfSegmentsMatchesKept(t *testing.T) {
-	const most, shards = 16, 4
+	const maxSegments, shards = 16, 4
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, Settings: keptSettings, Shards: shards, StartedAt: keptStart})
+	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, Settings: keptSettings, Shards: shards, StartedAt: recordStart})
 	if err != nil {
 		t.Fatal(err)
 	}
-	p := newSteppedPicker(dispatch.OwnershipSettings(keptSettings, most), file)
-	p.EnableOwnership(most, shards)
+	p := newSteppedPicker(dispatch.OwnershipSettings(keptSettings, maxSegments), file)
+	p.EnableOwnership(maxSegments, shards)
 	p.SetServerNames(map[uint32]string{10: "h0", 11: "h1"})
 	m, err := ownership.NewMap(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
 		{Name: "s1", Range: ownership.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
@@ -276,18 +277,18 @@
 	}
 	p.SetMap(m)
 	p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 10}, {ID: 11}}})
-	p.round(nil)
+	p.runRound(nil)
 	query, attempts := p.submit("a", "once", 1, 2)
 	queryID := p.requests[0] - 3
 	p.Report(attempts[0], gather.Succeeded, []byte("5be2"))
 	p.Report(attempts[1], gather.NotOwner, nil)
-	p.round(nil)
-	p.round(func(w gather.Writer) { w.Answer(queryID, false) })
-	v, ended := query.Result()
+	p.runRound(nil)
+	p.runRound(func(w gather.Writer) { w.Answer(queryID, false) })
+	result, ended := query.Result()
 	if !ended {
-		t.Fatal("no answer")
+		t.Fatal("the query has no result")
 	}
-	file.QueryAnswered(query, v, p.now)
+	file.QueryAnswered(query, result, p.now)
 	if err := file.Close(p.now); err != nil {
 		t.Error(err)
 	}
@@ -298,10 +299,10 @@
 	sameAsKept(t, "segments.record", recorded)
 }
 
-// TestFullRecordMatchesKept compares a record that reaches its bytes with those kept.
+// TestFullRecordMatchesKept compares a record that reaches its maximum size to the kept file.
 func TestFullRecordMatchesKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(FileConfig{Name: name, MaxBytes: 700, FlushEach: true, Settings: &gather.Settings{DrainGrace: 250}, StartedAt: keptStart})
+	file, err := Create(FileConfig{Name: name, MaxBytes: 700, FlushEach: true, Settings: &gather.Settings{DrainGrace: 250}, StartedAt: recordStart})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/trace/recorder.go
+++ b/internal/gatherer/trace/recorder.go
@@ -12,29 +12,30 @@
 	"yokeroute/logic/twopass"
 )
 
-// maxAttempts bounds the attempts kept of one query.
+// maxAttempts limits the number of attempts that are recorded for one query.
 const maxAttempts = 256
 
-// Recorder keeps the newest queries. It is a dispatch.DecisionObserver and an http.Handler.
+// Recorder keeps traces of the newest queries. It implements dispatch.DecisionObserver and http.Handler.
 type Recorder struct {
 	capacity    int
 	sampleShare float64
 
 	mu          sync.Mutex
 	ring        []*Query
-	oldest      int // of the ring, once that is full
+	oldest      int // index of the oldest query in ring, once ring is full
 	open        map[*dispatch.Query]*openQuery
 	byID        map[string]*Query
 	serverNames map[uint32]string
 }
 
-// openQuery is a query without a result, with the places of its attempts in the trace.
+// openQuery is the trace of a query that has no result yet, with the index of each attempt in Attempts.
 type openQuery struct {
 	*Query
 	attemptIndex map[*dispatch.Attempt]int
 }
 
-// New returns a recorder that keeps so many queries, of a share of all that come, sampled by their IDs.
+// New returns a recorder that keeps the newest queries up to capacity. It records only the share sampleShare of all
+// queries, sampled by their IDs.
 func New(capacity int, sampleShare float64) *Recorder {
 	return &Recorder{
 		capacity:    capacity,
@@ -45,7 +46,7 @@
 	}
 }
 
-// SetServerNames replaces the names that traces give servers.
+// SetServerNames replaces the names by which traces identify servers.
 func (r *Recorder) SetServerNames(all []shardcall.Address) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,7 +63,8 @@
 	return fmt.Sprint(server)
 }
 
-// sampled decides by a query's ID alone, so that either all gatherers that see the query keep it or none does.
+// sampled reports whether a query is recorded. It depends on the ID only, so that either all gatherers that see the query
+// record it or none does.
 func (r *Recorder) sampled(id string) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
@@ -95,7 +97,7 @@
 	r.add(t)
 }
 
-// add puts a query into the ring, in place of the oldest one where that is full. The lock is held.
+// add adds a query to the ring, replacing the oldest one if the ring is full. The caller holds r.mu.
 func (r *Recorder) add(t *Query) {
 	if len(r.ring) < r.capacity {
 		r.ring = append(r.ring, t)
@@ -110,7 +112,7 @@
 	r.byID[t.ID] = t
 }
 
-// The texts of passes in traces.
+// passTexts contains the names of passes in traces.
 var passTexts = map[gather.Pass]string{
 	gather.SinglePass: "only",
 	gather.FirstPass:  "first",
@@ -137,7 +139,7 @@
 	}
 }
 
-// The texts of outcomes in traces.
+// outcomeTexts contains the names of outcomes in traces.
 var outcomeTexts = map[gather.Outcome]string{
 	gather.Succeeded:       "answered",
 	gather.Failed:          "failed",
@@ -150,7 +152,8 @@
 	gather.NotOwner:        "not owned there",
 }
 
-const outcomeUnknown = "out when the lookup ended" // of an attempt that was in flight when its query ended
+// outcomeUnknown is the outcome of an attempt that was in flight when its query ended.
+const outcomeUnknown = "out when the lookup ended"
 
 // AttemptEnded implements dispatch.DecisionObserver.
 func (r *Recorder) AttemptEnded(
@@ -206,7 +209,7 @@
 	}
 }
 
-// The texts of results in traces.
+// resultTexts contains the names of results in traces.
 var resultTexts = map[dispatch.ResultKind]string{
 	dispatch.Served:        "satisfied",
 	dispatch.Rejected:      "nacked",
@@ -217,8 +220,8 @@
 
 const resultServedPartial = "satisfied in part"
 
-// QueryDecided implements dispatch.DecisionObserver. Attempts that are in flight end unseen, which bounds what is
-// kept open.
+// QueryDecided implements dispatch.DecisionObserver. The outcomes of attempts that are still in flight are not recorded,
+// which limits the number of open queries.
 func (r *Recorder) QueryDecided(query *dispatch.Query, result dispatch.Result, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -241,5 +244,5 @@
 	}
 }
 
-// roundToMicros rounds milliseconds to microseconds, as traces give them.
+// roundToMicros rounds a time in milliseconds to whole microseconds, the resolution of traces.
 func roundToMicros(ms float64) float64 { return math.Round(ms*1000) / 1000 }
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -1,55 +1,55 @@
-// Package trace records what became of queries, attempt by attempt.
+// Package trace records the course of queries and their attempts.
 //
-// A Recorder keeps the newest queries in memory, so that an operator can ask over HTTP why one of them went the way
-// it did. A File writes every event of a gatherer to a file, from which package rulecheck checks the protocol's
-// rulecheck.
+// A Recorder keeps the newest queries in memory and serves them over HTTP, so that an operator can find out how each was
+// processed and why. A File writes every event of a gatherer to a file, on which package rulecheck checks the rules of
+// the protocol.
 package trace
 
-// Query is what became of a query, as it is served at Path. The JSON keys are the published ones.
+// Query is the trace of a query, as it is served at Path. The JSON keys are part of the published interface.
 type Query struct {
 	ID              string           `json:"id"`
 	Class           string           `json:"index"`
 	AdmittedAt      float64          `json:"at"`   // Unix milliseconds
-	Timeout         float64          `json:"time"` // milliseconds from its admission to its deadline
+	Timeout         float64          `json:"time"` // milliseconds from admission to the deadline
 	Shards          []int            `json:"shards"`
 	Decision        *Decision        `json:"choice,omitempty"` // nil for a class that is never served in two passes
 	Attempts        []Attempt        `json:"calls"`
-	OmittedAttempts int              `json:"more,omitempty"` // beyond maxAttempts
+	OmittedAttempts int              `json:"more,omitempty"` // number of attempts beyond maxAttempts, which are not listed
 	FirstPass       *FirstPassResult `json:"first,omitempty"`
 	Result          string           `json:"verdict,omitempty"`
-	Duration        float64          `json:"took,omitempty"` // milliseconds from its admission to its result
+	Duration        float64          `json:"took,omitempty"` // milliseconds from admission to the result
 	Hits            int              `json:"hits"`
-	EmptyShards     []int            `json:"empty,omitempty"` // proved empty by a first pass
+	EmptyShards     []int            `json:"empty,omitempty"` // shards that a first pass proved empty
 }
 
 // Attempt is one attempt at a shard request.
 type Attempt struct {
-	Pass      string  `json:"pass"` // only, first or second
+	Pass      string  `json:"pass"` // "only", "first" or "second"
 	Shard     int     `json:"shard"`
 	Server    string  `json:"server"`
 	DecidedAt float64 `json:"at"`             // milliseconds after its query was admitted
-	Duration  float64 `json:"took,omitempty"` // milliseconds, of one that has ended
+	Duration  float64 `json:"took,omitempty"` // milliseconds; 0 while the attempt is in flight
 	Outcome   string  `json:"end,omitempty"`
-	Summary   string  `json:"summary,omitempty"` // of a first pass
+	Summary   string  `json:"summary,omitempty"` // summary that a first-pass attempt returned
 }
 
-// Decision is why a query was served in one pass or in two. Latencies are milliseconds.
+// Decision records why a query was served in one or in two passes. Latencies are in milliseconds.
 type Decision struct {
 	TwoPass        bool    `json:"two"`
 	Reason         string  `json:"why"`
-	EmptyShare     float64 `json:"prune"` // share of the shard requests expected to be proved empty
+	EmptyShare     float64 `json:"prune"` // expected share of shard requests that the first pass proves empty
 	OwnGain        float64 `json:"own"`   // latency that the query itself is expected to save
-	SavedElsewhere float64 `json:"saved"` // by other queries, from attempts that are not made
-	FirstPassCost  float64 `json:"spent"` // to other queries, by the attempts of the first pass
-	FirstPassTime  float64 `json:"time"`  // what the first pass may take
+	SavedElsewhere float64 `json:"saved"` // latency that other queries save, since attempts are avoided
+	FirstPassCost  float64 `json:"spent"` // latency that the attempts of the first pass add to other queries
+	FirstPassTime  float64 `json:"time"`  // maximum duration of the first pass
 }
 
-// FirstPassResult is what a first pass led to. Shards are by number.
+// FirstPassResult is the result of a first pass. Shards are given by number.
 type FirstPassResult struct {
 	EndedAt      float64 `json:"at"`     // milliseconds after its query was admitted
-	ProvedWeight float64 `json:"proved"` // weight of the shard requests proved empty
+	ProvedWeight float64 `json:"proved"` // total weight of the shard requests proved empty
 	SecondPass   []int   `json:"asked"`  // shards of the second pass
-	LeftOut      []int   `json:"left"`   // shards left out as unlikely to hold anything
-	Retried      []int   `json:"again"`  // shards of the second pass whose first attempt was lost
+	LeftOut      []int   `json:"left"`   // shards left out of the second pass as unlikely to contain hits
+	Retried      []int   `json:"again"`  // shards of the second pass whose first-pass attempt was lost
 	Complete     bool    `json:"whole"`
 }
--- a/internal/storage/formats/formats_test.go
+++ b/internal/storage/formats/formats_test.go
@@ -111,8 +111,8 @@
 	}
 }
 
-// TestHigherNumbersAreRefusedAndUnknownFieldsSkipped reads data of later versions and expects what the table
-// says. The error for a report with a higher number must contain both numbers.
+// TestHigherNumbersAreRejectedAndUnknownFieldsSkipped reads data of later versions and expects what the table says. The
+// error for a report with a higher number must contain both numbers.
 func TestHigherNumbersAreRejectedAndUnknownFieldsSkipped(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "report-1.json"))
 	if err != nil {
--- a/internal/storage/runfolder/runfolder.go
+++ b/internal/storage/runfolder/runfolder.go
@@ -1,10 +1,10 @@
-// Package runfolder keeps a long operation, such as a rollout, that one process at a time carries out and that
-// outlives it. Its folder holds a lock, a fencing token that grows with each process, a journal for each token, the
-// operator's last command and files for readers.
+// Package runfolder stores the state of a long operation, such as a rollout, that is run by one process at a time and
+// may continue in another process. Its folder contains a lock, a fencing token that increases with each process, a
+// journal for each token, the operator's last command and files for readers.
 //
-// A process that is stopped keeps the lock. Another one may take over without it, by a higher token, and the process
-// with the lower one finds that out before each step. None writes into another's journal, so that one that was
-// stopped in the middle of a write does no harm when it goes on.
+// A process that is suspended keeps the lock. Another process may take over without the lock by taking a higher token,
+// and the process with the lower token detects this before each step. No process writes to the journal of another, so
+// that a process that was suspended in the middle of a write does no damage when it resumes.
 package runfolder
 
 import (
@@ -30,35 +30,35 @@
 	journalsFolder = "journal"
 )
 
-// maxJournalBytes bounds a journal before a snapshot replaces it.
+// maxJournalBytes is the size of a journal beyond which a snapshot replaces it.
 const maxJournalBytes = 1 << 20
 
 var (
-	// ErrLocked is an operation that another process carries out.
-	ErrLocked = errors.New("is carried out by another process")
-	// ErrSuperseded is an operation that a later process has taken over.
+	// ErrLocked is returned by Open if another process holds the lock of the folder.
+	ErrLocked = errors.New("is run by another process")
+	// ErrSuperseded is returned to a process once a later process has taken over the operation.
 	ErrSuperseded = errors.New("another controller has taken this over")
-	// ErrRecordsLost is a journal that does not tell what was done.
-	ErrRecordsLost = errors.New("records are lost; what was done cannot be told")
+	// ErrRecordsLost is returned if the journal is damaged, so that the steps done so far are unknown.
+	ErrRecordsLost = errors.New("journal is damaged and records are lost; the steps done so far are unknown")
 )
 
 // Folder is an open run folder.
 type Folder struct {
-	FencingToken uint64 // of this process, from 1
+	FencingToken uint64 // this process's token; the first process has 1
 
 	path    string
-	lock    *os.File // nil where the folder was taken over without it
+	lock    *os.File // nil if the folder was taken over without the lock
 	journal *journal.Journal
 }
 
-// Open takes the folder's lock and the next fencing token. With force it goes on without the lock where another
-// process holds it. Close releases what is held.
+// Open acquires the folder's lock and the next fencing token. If another process holds the lock, Open returns ErrLocked,
+// or with force continues without the lock. Close releases the lock.
 func Open(path string, force bool) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
 	}
 	f := &Folder{path: path}
-	previous, err := readToken(path) // before the lock, so that no takeover goes unnoticed behind it
+	previous, err := readToken(path) // read before locking, so that acquireToken detects every later takeover
 	if err != nil {
 		return nil, err
 	}
@@ -89,9 +89,9 @@
 	return fmt.Errorf("%s: %w", file.Name(), err)
 }
 
-// acquireToken takes the token that follows the highest one, which was previous. The folder of the token's
-// journal is made by one process only. One that finds it made has been taken over from if it holds the lock;
-// without the lock it takes over in its turn.
+// acquireToken takes the token after previous, the highest one that was read. Only one process can create the folder of
+// the token's journal. If the folder exists already, a process that holds the lock has been superseded; a process
+// without the lock retries with a higher token and takes over from the other one.
 func (f *Folder) acquireToken(previous uint64) error {
 	if err := os.MkdirAll(f.file(journalsFolder), 0o755); err != nil {
 		return err
@@ -106,7 +106,7 @@
 			return err
 		}
 		if f.lock != nil {
-			return fmt.Errorf("%w while this one began", ErrSuperseded)
+			return fmt.Errorf("%w while this process was starting", ErrSuperseded)
 		}
 		if previous, err = readToken(f.path); err != nil {
 			return err
@@ -116,9 +116,9 @@
 
 func (f *Folder) file(name string) string { return filepath.Join(f.path, name) }
 
-// readToken returns the highest token taken so far, 0 for none. Processes of earlier versions, which made no
-// folder before they wrote the token's file, and processes that were held up before they wrote it, leave only
-// one of the two.
+// readToken returns the highest token taken so far, or 0 if there is none. It reads both the token file and the names of
+// the journal folders, since either may be missing for a token: earlier versions created no folder before they wrote the
+// token file, and a process may be delayed between creating the folder and writing the file.
 func readToken(path string) (uint64, error) {
 	written, err := readTokenFile(path)
 	if err != nil {
@@ -137,7 +137,7 @@
 	return highest, nil
 }
 
-// readTokenFile returns the token that was written last, 0 for none.
+// readTokenFile returns the token in the token file, or 0 if there is no such file.
 func readTokenFile(path string) (uint64, error) {
 	name := filepath.Join(path, tokenFile)
 	text, err := os.ReadFile(name)
@@ -149,28 +149,28 @@
 	}
 	token, err := strconv.ParseUint(strings.TrimSpace(string(text)), 10, 64)
 	if err != nil {
-		return 0, fmt.Errorf("%s: is no number of a controller: %w", name, err)
+		return 0, fmt.Errorf("%s: invalid fencing token, want a decimal number: %w", name, err)
 	}
 	return token, nil
 }
 
-// CheckSuperseded returns ErrSuperseded once a later process has taken over. It must be called before each step that
-// must not be done twice.
+// CheckSuperseded returns ErrSuperseded once a later process has taken over. Call it before each step that must not be
+// done twice.
 func (f *Folder) CheckSuperseded() error {
 	token, err := readToken(f.path)
 	if err == nil && token != f.FencingToken {
-		return fmt.Errorf("%w: its number is %d, this one's %d", ErrSuperseded, token, f.FencingToken)
+		return fmt.Errorf("%w: its fencing token is %d, this process has %d", ErrSuperseded, token, f.FencingToken)
 	}
 	return err
 }
 
-// journalFolder is the journal's folder of the process with a token.
+// journalFolder returns the path of the journal folder of the process with the given token.
 func journalFolder(path string, token uint64) string {
 	return filepath.Join(path, journalsFolder, strconv.FormatUint(token, 10))
 }
 
-// Recover hands the records of the process before to visit, the oldest first, and begins this one's journal with them.
-// A damaged journal is ErrRecordsLost.
+// Recover passes the records of the previous process to visit, the oldest first, and starts this process's journal with
+// them. It returns ErrRecordsLost if the previous journal is damaged.
 func (f *Folder) Recover(visit func(record []byte) error) error {
 	records, err := f.previousRecords()
 	if err != nil {
@@ -199,12 +199,12 @@
 	})
 }
 
-// previousRecords returns the records of the newest journal before this process's that holds any.
+// previousRecords returns the records of the newest earlier journal that contains any.
 func (f *Folder) previousRecords() (records [][]byte, err error) {
 	for token := f.FencingToken - 1; token > 0 && len(records) == 0; token-- {
 		folder := journalFolder(f.path, token)
 		if _, err := os.Stat(folder); err != nil {
-			continue // that process was killed before it had written anything
+			continue // that process was killed before it wrote a record
 		}
 		previous, found, err := journal.Open(journal.Config{
 			Folder:   folder,
@@ -217,7 +217,7 @@
 		if err != nil {
 			return nil, fmt.Errorf("%s: %w", folder, err)
 		}
-		_ = previous.Close() // all of it is read
+		_ = previous.Close() // an error does not matter, since all records have been read
 		if found.Damaged {
 			return nil, fmt.Errorf("%s: %w", folder, ErrRecordsLost)
 		}
@@ -225,7 +225,7 @@
 	return records, nil
 }
 
-// Append stores a record. It is not safe for concurrent use.
+// Append stores a record, unless the process has been superseded. It is not safe for concurrent use.
 func (f *Folder) Append(record []byte) error {
 	if err := f.CheckSuperseded(); err != nil {
 		return err
@@ -233,7 +233,7 @@
 	return f.journal.Append(record)
 }
 
-// WriteFile replaces a file for readers.
+// WriteFile atomically replaces a file for readers, unless the process has been superseded.
 func (f *Folder) WriteFile(name string, content []byte) error {
 	if err := f.CheckSuperseded(); err != nil {
 		return err
@@ -251,7 +251,7 @@
 	return errors.Join(err, file.Close())
 }
 
-// Command is the operator's last command, empty for none.
+// Command returns the operator's last command, or an empty string if there is none.
 func (f *Folder) Command() (string, error) {
 	text, err := os.ReadFile(f.file(commandFile))
 	if errors.Is(err, fs.ErrNotExist) {
@@ -260,8 +260,8 @@
 	return string(text), err
 }
 
-// SendCommand leaves a command for the process that carries out the operation, or for the next one. The stamp tells
-// it from the same command sent before.
+// SendCommand stores a command for the process that runs the operation now or next. The stamp distinguishes the command
+// from an earlier one with the same text.
 func SendCommand(path, command string, stamp int64) error {
 	if _, err := os.Stat(filepath.Join(path, tokenFile)); err != nil {
 		return err
@@ -272,14 +272,15 @@
 // Close closes the journal and releases the lock.
 func (f *Folder) Close() {
 	if f.journal != nil {
-		_ = f.journal.Close() // each append is on the disk already
+		_ = f.journal.Close() // an error does not matter, since every Append has synced its record
 	}
 	if f.lock != nil {
-		f.lock.Close() // which releases it
+		f.lock.Close() // also releases the lock
 	}
 }
 
-// ReadJournal hands the newest records of an operation to visit, while a process may write them.
+// ReadJournal passes the records of the newest journal that contains any to visit. A process may be appending to it
+// meanwhile.
 func ReadJournal(path string, visit func(record []byte) error) error {
 	token, err := readToken(path)
 	if err != nil {
--- a/internal/storage/runfolder/runfolder_test.go
+++ b/internal/storage/runfolder/runfolder_test.go
@@ -14,11 +14,11 @@
 	"yokeroute/internal/storage/atomicfile"
 )
 
-// The folder in testdata/kept is that of the version that wrote it. It may not be changed: a controller that is replaced
-// by a newer or an older one goes on with its folder.
+// The folder in testdata/kept was written by the version that introduced its format. It must not be changed: when a
+// controller is replaced by a newer or an older version, that version continues with the same folder.
 
-// files are all files below a folder, by their path in it.
-func files(t *testing.T, folder string) map[string][]byte {
+// readFiles returns the contents of all files below a folder by their paths relative to it.
+func readFiles(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	all := map[string][]byte{}
 	err := fs.WalkDir(os.DirFS(folder), ".", func(path string, entry fs.DirEntry, err error) error {
@@ -34,10 +34,10 @@
 	return all
 }
 
-// wantFolder compares all files of a folder with a kept one, byte for byte.
+// wantFolder checks that all files of a folder are identical to those of the folder name in testdata/kept.
 func wantFolder(t *testing.T, folder, name string) {
 	t.Helper()
-	got, want := files(t, folder), files(t, filepath.Join("testdata", "kept", name))
+	got, want := readFiles(t, folder), readFiles(t, filepath.Join("testdata", "kept", name))
 	if !slices.Equal(slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want))) {
 		t.Errorf("%s: written %v, kept %v", name, slices.Sorted(maps.Keys(got)), slices.Sorted(maps.Keys(want)))
 	}
@@ -48,7 +48,7 @@
 	}
 }
 
-// writeRun writes the folder of a run that two processes carried out, one after the other.
+// writeRun writes the folder of an operation that was run by two processes, one after the other.
 func writeRun(t *testing.T, folder string) {
 	t.Helper()
 	must := func(err error) {
@@ -74,11 +74,12 @@
 	second.Close()
 }
 
-// TestKeptRunFolderIsReadAndWrittenAsBefore reads and takes over a run's folder as it was kept, and writes the same values to the same bytes.
+// TestKeptRunFolderIsReadAndWrittenAsBefore reads and takes over a kept folder, and checks that the same operation
+// produces the same bytes.
 func TestKeptRunFolderIsReadAndWrittenAsBefore(t *testing.T) {
-	var seen []string
-	see := func(record []byte) error {
-		seen = append(seen, string(record))
+	var records []string
+	collect := func(record []byte) error {
+		records = append(records, string(record))
 		return nil
 	}
 	want := []string{`{"stage":1}`, `{"stage":2}`, `{"stage":3}`}
@@ -86,37 +87,37 @@
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "kept", "run"))); err != nil {
 		t.Fatal(err)
 	}
-	if err := ReadJournal(folder, see); err != nil || !slices.Equal(seen, want) {
-		t.Errorf("read %q, %v", seen, err)
+	if err := ReadJournal(folder, collect); err != nil || !slices.Equal(records, want) {
+		t.Errorf("ReadJournal: %q, %v, want %q", records, err, want)
 	}
-	seen = nil
+	records = nil
 	r, err := Open(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer r.Close()
-	if err := r.Recover(see); err != nil || !slices.Equal(seen, want) || r.FencingToken != 3 {
-		t.Errorf("taken over as %d with %q, %v", r.FencingToken, seen, err)
+	if err := r.Recover(collect); err != nil || !slices.Equal(records, want) || r.FencingToken != 3 {
+		t.Errorf("recovered with token %d: %q, %v, want token 3", r.FencingToken, records, err)
 	}
-	if word, err := r.Command(); err != nil || word != "pause 1796000000000" {
-		t.Errorf("the operator's word is %q, %v", word, err)
+	if command, err := r.Command(); err != nil || command != "pause 1796000000000" {
+		t.Errorf("command is %q, %v, want \"pause 1796000000000\"", command, err)
 	}
 	written := t.TempDir()
 	writeRun(t, written)
 	wantFolder(t, written, "run")
 }
 
-// TestTokensAreTakenOnce guards against two processes that carry out one operation, each sure that the other
-// does not: they took it over at the same time and hold the same token.
-func TestTokensAreTakenOnce(t *testing.T) {
+// TestFencingTokensAreUnique guards against two processes that run one operation at the same time, because they took
+// it over simultaneously with the same token.
+func TestFencingTokensAreUnique(t *testing.T) {
 	const processes = 16
 	folder := t.TempDir()
 	tokens := make([]uint64, processes)
-	var all sync.WaitGroup
+	var group sync.WaitGroup
 	for i := range tokens {
-		all.Go(func() {
+		group.Go(func() {
 			f, err := Open(folder, true)
-			if err != nil && !errors.Is(err, ErrSuperseded) { // one holds the lock, and may find that it was overtaken
+			if err != nil && !errors.Is(err, ErrSuperseded) { // the process that holds the lock may be superseded
 				t.Error(err)
 			}
 			if err == nil {
@@ -125,19 +126,20 @@
 			}
 		})
 	}
-	all.Wait()
+	group.Wait()
 	holders := map[uint64]int{}
 	for i, token := range tokens {
 		if first, taken := holders[token]; taken && token > 0 {
-			t.Errorf("processes %d and %d hold the token %d", first, i, token)
+			t.Errorf("processes %d and %d both hold token %d", first, i, token)
 		}
 		holders[token] = i
 	}
 }
 
-// TestProcessTakenOverWhileItBeginsIsRefused guards against two controllers with one token: one was stopped
-// between reading the token and taking the next, while another one took over, and went on.
-func TestProcessTakenOverWhileItBeginsIsRefused(t *testing.T) {
+// TestProcessSupersededDuringOpenIsRejected guards against two controllers with the same token: the first one is
+// suspended between reading the previous token and taking the next, another one takes over meanwhile, and the first one
+// resumes.
+func TestProcessSupersededDuringOpenIsRejected(t *testing.T) {
 	folder := t.TempDir()
 	stopped := &Folder{path: folder}
 	previous, err := readToken(folder)
@@ -154,16 +156,16 @@
 	}
 	defer next.Close()
 	if err := stopped.acquireToken(previous); !errors.Is(err, ErrSuperseded) {
-		t.Errorf("the stopped process goes on with token %d, %v", stopped.FencingToken, err)
+		t.Errorf("the suspended process resumed with token %d, %v, want ErrSuperseded", stopped.FencingToken, err)
 	}
 	if err := next.CheckSuperseded(); err != nil {
-		t.Errorf("the one that has taken over: %v", err)
+		t.Errorf("the process that took over: %v", err)
 	}
 }
 
-// TestLateTokenFileDoesNotRevertToken guards against a process that is stopped before it writes the token's
-// file, and writes a lower token there than that of a process which has taken over.
-func TestLateTokenFileDoesNotRevertToken(t *testing.T) {
+// TestStaleTokenFileDoesNotLowerTheToken guards against a process that is suspended before it writes the token file
+// and, when it resumes, overwrites the higher token of a process that has taken over.
+func TestStaleTokenFileDoesNotLowerTheToken(t *testing.T) {
 	folder := t.TempDir()
 	first, err := Open(folder, false)
 	if err != nil {
@@ -179,15 +181,15 @@
 		t.Fatal(err)
 	}
 	if err := second.CheckSuperseded(); err != nil {
-		t.Errorf("the second: %v", err)
+		t.Errorf("second process: %v", err)
 	}
 	if err := first.CheckSuperseded(); !errors.Is(err, ErrSuperseded) {
-		t.Errorf("the first: %v", err)
+		t.Errorf("first process: %v, want ErrSuperseded", err)
 	}
 }
 
-// TestProcessThatRecordedNothingIsSkipped guards against records that are lost behind a process which was
-// killed right after it had taken its token.
+// TestProcessThatRecordedNothingIsSkipped guards against losing the earlier records after a process was killed right after it
+// took its token.
 func TestProcessThatRecordedNothingIsSkipped(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "kept", "run"))); err != nil {
@@ -204,7 +206,7 @@
 		return nil
 	}
 	if err := ReadJournal(folder, visit); err != nil || count != 3 {
-		t.Errorf("read %d records, %v", count, err)
+		t.Errorf("read %d records, %v, want 3", count, err)
 	}
 	next, err := Open(folder, false)
 	if err != nil {
@@ -213,6 +215,6 @@
 	defer next.Close()
 	count = 0
 	if err := next.Recover(visit); err != nil || count != 3 || next.FencingToken != 4 {
-		t.Errorf("recovered %d records as %d, %v", count, next.FencingToken, err)
+		t.Errorf("recovered %d records with token %d, %v, want 3 records with token 4", count, next.FencingToken, err)
 	}
 }
