--- a/internal/gatherer/report/checkpoint.go
+++ b/internal/gatherer/report/checkpoint.go
@@ -12,49 +12,51 @@
 	"yokeroute/internal/process"
 )
 
-// maxCheckpoints is how many a collector keeps, at some kilobytes a class each. The oldest is dropped for a new one;
-// a report since a dropped checkpoint has all counts since the process' start.
+// maxCheckpoints limits the number of checkpoints in a collector, each of which takes some kilobytes per class. A new
+// checkpoint replaces the oldest one. A report since a dropped checkpoint contains all counts since the process
+// started.
 const maxCheckpoints = 8
 
-// checkpoint is all counts at one time. Reports since a checkpoint let a reader lose an answer without losing counts.
+// checkpoint contains all counts at one point in time. Since a reader requests the counts since a given checkpoint, it
+// loses no counts if a response is lost.
 type checkpoint struct {
 	id                string
 	createdAt         float64
-	classes           map[string]*ClassStats // changed by nobody
+	classes           map[string]*ClassStats // read-only
 	connectionsOpened int64
 	cpuTime           float64
 }
 
-// SinceCheckpoint builds a report of the counts since a checkpoint, and takes a new one.
+// SinceCheckpoint builds a report of the counts since the checkpoint with this ID, and takes a new checkpoint.
 func (c *Collector) SinceCheckpoint(id string, ready bool) *Document {
-	d := c.gauges(ready)
+	d := c.newDocument(ready)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	now := c.count(d)
+	current := c.addCounts(d)
 	if i := slices.IndexFunc(c.checkpoints, func(s checkpoint) bool { return s.id == id }); i >= 0 {
 		d.subtract(&c.checkpoints[i])
 	}
 	c.lastCheckpoint++
-	now.id = fmt.Sprintf("%s.%d", c.header.Incarnation, c.lastCheckpoint)
-	d.Checkpoint = now.id
-	c.checkpoints = append(c.checkpoints, now)
+	current.id = fmt.Sprintf("%s.%d", c.header.Incarnation, c.lastCheckpoint)
+	d.Checkpoint = current.id
+	c.checkpoints = append(c.checkpoints, current)
 	if len(c.checkpoints) > maxCheckpoints {
 		c.checkpoints = slices.Delete(c.checkpoints, 0, 1)
 	}
 	return d
 }
 
-// SinceStart builds a report of all counts since the process' start. It takes no checkpoint.
+// SinceStart builds a report of all counts since the process started. It takes no checkpoint.
 func (c *Collector) SinceStart(ready bool) *Document {
-	d := c.gauges(ready)
+	d := c.newDocument(ready)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.count(d)
+	c.addCounts(d)
 	return d
 }
 
-// gauges builds a report without what the lock guards.
-func (c *Collector) gauges(ready bool) *Document {
+// newDocument builds a report without the fields that depend on data guarded by c.mu.
+func (c *Collector) newDocument(ready bool) *Document {
 	d := c.header
 	d.OpenConnections, d.ConnectionsOpened = c.connections.Connections()
 	d.ReportedAt = c.now()
@@ -71,15 +73,15 @@
 
 const bytesPerMegabyte = 1 << 20
 
-// count adds to a report what the lock guards, which the caller holds. It returns the counts as a checkpoint that has
-// no ID yet.
-func (c *Collector) count(d *Document) checkpoint {
+// addCounts sets the fields of a report that depend on data guarded by c.mu, which the caller holds. It returns the
+// counts as a checkpoint without an ID.
+func (c *Collector) addCounts(d *Document) checkpoint {
 	d.Files = maps.Clone(c.files)
 	d.ShuttingDown = c.shuttingDown
 	d.Ready = d.Ready && !c.shuttingDown
 	if c.claim != nil && c.claim.ExpiresAt > d.ReportedAt {
-		held := *c.claim
-		d.Claim = &held
+		claim := *c.claim
+		d.Claim = &claim
 	}
 	for _, state := range c.endpointStates {
 		if state == gather.Running {
@@ -101,7 +103,7 @@
 	}
 }
 
-// subtract makes a report of all counts one of those since a checkpoint.
+// subtract turns a report of all counts into a report of the counts since a checkpoint.
 func (d *Document) subtract(from *checkpoint) {
 	d.SinceCheckpoint = from.id
 	d.Interval = d.ReportedAt - from.createdAt
@@ -112,7 +114,7 @@
 	}
 }
 
-// processCPUTime is what the process has used, in milliseconds of a core.
+// processCPUTime returns the CPU time that the process has used, in milliseconds of one core.
 func processCPUTime() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
--- a/internal/gatherer/report/collector.go
+++ b/internal/gatherer/report/collector.go
@@ -10,14 +10,16 @@
 	"yokeroute/logic/rollout"
 )
 
-// Collector counts what becomes of queries, and builds reports. It is a dispatch.DecisionObserver and a dispatch.WireObserver.
+// Collector counts the results of queries and attempts, and builds reports. It implements dispatch.DecisionObserver and
+// dispatch.WireObserver.
 type Collector struct {
-	// PolicyState returns what reports contain as Policy. It is set before the first report; nil for nothing.
+	// PolicyState returns the value of Document.Policy. It is set before the first report; if it is nil, reports contain
+	// no policy.
 	PolicyState func() any
 
 	now         func() float64 // Unix milliseconds
 	connections ConnectionCounter
-	header      Document // what all reports have in common
+	header      Document // fields that are the same in all reports
 	scoring     map[string]scoring
 
 	mu             sync.Mutex
@@ -30,20 +32,21 @@
 	lastCheckpoint int
 }
 
-// ConnectionCounter counts the connections to shard servers: those open now, and all that were opened.
+// ConnectionCounter returns the number of open connections to shard servers and the total number opened so far.
 type ConnectionCounter interface {
 	Connections() (open int, opened int64)
 }
 
-// scoring is what the value of a class's queries depends on.
+// scoring contains the settings by which the value of a class's queries is computed.
 type scoring struct {
-	objective     float64 // milliseconds
-	lateFactor    float64 // of the value, beyond the objective
-	completeFrom  float64 // weight
-	partialFactor float64 // of the value, for an incomplete answer
+	objective      float64 // latency objective in milliseconds
+	lateFactor     float64 // factor on the value of an answer that misses the latency objective
+	completeWeight float64 // total weight of shard requests from which an answer is complete
+	partialFactor  float64 // factor on the value of an incomplete answer
 }
 
-// NewCollector returns a collector of a gatherer by its name, settings and clock.
+// NewCollector returns a collector for the gatherer with the given name and settings. The clock now returns Unix
+// milliseconds.
 func NewCollector(
 	name string, settings *gather.Settings, now func() float64, connections ConnectionCounter,
 ) *Collector {
@@ -69,16 +72,17 @@
 	for _, class := range settings.Classes {
 		c.classes[class.Name] = newClassStats()
 		c.scoring[class.Name] = scoring{
-			objective:     class.LatencyObjective,
-			lateFactor:    class.LateValue,
-			completeFrom:  class.CompleteShare,
-			partialFactor: class.PartialValue,
+			objective:      class.LatencyObjective,
+			lateFactor:     class.LateValue,
+			completeWeight: class.CompleteShare,
+			partialFactor:  class.PartialValue,
 		}
 	}
 	return c
 }
 
-// SetFile sets the fingerprint of the file of a kind that is in force; an empty one for no file.
+// SetFile sets the fingerprint of the file of a kind that is in force. An empty fingerprint means that there is no such
+// file.
 func (c *Collector) SetFile(kind, fingerprint string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,14 +93,14 @@
 	c.files[kind] = fingerprint
 }
 
-// BeginShutdown makes reports say that the gatherer shuts down and is not ready.
+// BeginShutdown marks the gatherer as shutting down and not ready in all further reports.
 func (c *Collector) BeginShutdown() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.shuttingDown = true
 }
 
-// UpdateEndpoints takes a watch event of the endpoint list.
+// UpdateEndpoints applies a watch event of the endpoint list.
 func (c *Collector) UpdateEndpoints(list gather.EndpointList) {
 	if list.Failed {
 		return
@@ -115,7 +119,8 @@
 	}
 }
 
-// AcquireClaim has a rollout claim the gatherer. It returns who holds it from now on.
+// AcquireClaim claims the gatherer for a rollout. It returns the claim that is in force afterwards and whether the
+// request was granted.
 func (c *Collector) AcquireClaim(claim rollout.Claim) (holder rollout.Claim, granted bool) {
 	now := c.now()
 	c.mu.Lock()
@@ -127,7 +132,7 @@
 	return holder, granted
 }
 
-// ReleaseClaim releases a rollout's claim; one that is not the rollout's stays.
+// ReleaseClaim releases the claim if the rollout with this run ID and fencing token holds it.
 func (c *Collector) ReleaseClaim(runID string, fencingToken uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/gatherer/report/collector_test.go
+++ b/internal/gatherer/report/collector_test.go
@@ -7,7 +7,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// fixedConnections are those of the tests.
+// fixedConnections is a ConnectionCounter with constant counts.
 type fixedConnections struct{}
 
 func (fixedConnections) Connections() (open int, opened int64) { return 3, 7 }
@@ -30,8 +30,8 @@
 
 func query(class string) *dispatch.Query { return &dispatch.Query{Class: class, ShardRequests: halves} }
 
-// TestCollectorCountsEachEnding: each ending counts where it belongs, with the value that it earned.
-func TestCollectorCountsEachEnding(t *testing.T) {
+// TestCollectorCountsEachResult tests that each kind of result increments its own count and earns the right value.
+func TestCollectorCountsEachResult(t *testing.T) {
 	now := 1000.0
 	c := newTestCollector(&now)
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
@@ -42,23 +42,23 @@
 	}
 	c.QueryDecided(query("none such"), dispatch.Result{}, 10)
 	d := c.SinceCheckpoint("", true)
-	s := d.Classes["any"]
-	if s.Queries != 3 || s.Served != 2 || s.ServedPartly != 1 || s.WithinObjective != 2 ||
-		s.Latency.TotalCount() != 3 || s.ShardRequests != 6 {
-		t.Errorf("%+v", s)
+	stats := d.Classes["any"]
+	if stats.Queries != 3 || stats.Served != 2 || stats.ServedPartly != 1 || stats.WithinObjective != 2 ||
+		stats.Latency.TotalCount() != 3 || stats.ShardRequests != 6 {
+		t.Errorf("class any: %+v", stats)
 	}
-	if want := 1 + 0.1 + 0.5*0.5/0.75; s.EarnedValue < want-1e-9 || s.EarnedValue > want+1e-9 {
-		t.Errorf("value %g, want %g", s.EarnedValue, want)
+	if want := 1 + 0.1 + 0.5*0.5/0.75; stats.EarnedValue < want-1e-9 || stats.EarnedValue > want+1e-9 {
+		t.Errorf("earned value %g, want %g", stats.EarnedValue, want)
 	}
-	o := d.Classes["once"]
-	if o.Queries != 4 || o.Rejected != 1 || o.Failed != 1 || o.InternalErrors != 1 || o.ClientDisconnected != 1 ||
-		o.EarnedValue != 0 {
-		t.Errorf("%+v", o)
+	once := d.Classes["once"]
+	if once.Queries != 4 || once.Rejected != 1 || once.Failed != 1 || once.InternalErrors != 1 || once.ClientDisconnected != 1 ||
+		once.EarnedValue != 0 {
+		t.Errorf("class once: %+v", once)
 	}
 }
 
-// TestReportSinceACheckpointHasLaterCountsOnly: a report since a checkpoint has what came after it; one since a
-// checkpoint that was dropped has all counts, and says so.
+// TestReportSinceACheckpointHasLaterCountsOnly tests that a report since a checkpoint contains only later counts, and
+// that a report since a dropped checkpoint contains all counts and an empty SinceCheckpoint.
 func TestReportSinceACheckpointHasLaterCountsOnly(t *testing.T) {
 	now := 1000.0
 	c := newTestCollector(&now)
@@ -72,10 +72,10 @@
 	now = 3000
 	next := c.SinceCheckpoint(first.Checkpoint, true)
 	if o := next.Classes["once"]; o.Queries != 4 || o.Rejected != 4 {
-		t.Errorf("%+v", o)
+		t.Errorf("since a checkpoint: class once: %+v", o)
 	}
 	if s := next.Classes["any"]; s.Queries != 0 || s.Latency.TotalCount() != 0 {
-		t.Errorf("since a checkpoint: %+v", s)
+		t.Errorf("since a checkpoint: class any: %+v", s)
 	}
 	if next.SinceCheckpoint != first.Checkpoint || next.Interval != 2000 || next.ConnectionsOpened != 0 {
 		t.Errorf("since a checkpoint: %+v", next)
@@ -89,7 +89,7 @@
 	}
 }
 
-// BenchmarkQueryDecided is the counting of one query.
+// BenchmarkQueryDecided measures counting one query.
 func BenchmarkQueryDecided(b *testing.B) {
 	now := 0.0
 	c := newTestCollector(&now)
@@ -100,7 +100,7 @@
 	}
 }
 
-// BenchmarkSinceCheckpoint is one report since a checkpoint.
+// BenchmarkSinceCheckpoint measures counting one query and building a report since a checkpoint.
 func BenchmarkSinceCheckpoint(b *testing.B) {
 	now := 0.0
 	c := newTestCollector(&now)
--- a/internal/gatherer/report/document_test.go
+++ b/internal/gatherer/report/document_test.go
@@ -7,8 +7,9 @@
 	"testing"
 )
 
-// TestReadRefusesAReportWithoutEnd: a report that does not end is not read to its end.
-func TestReadRefusesAReportWithoutEnd(t *testing.T) {
+// TestReadLimitsTheReportSize tests that Read rejects a report of more than MaxBytes, here from a server that sends
+// twice as much.
+func TestReadLimitsTheReportSize(t *testing.T) {
 	endless := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		for range 2 * MaxBytes / 1024 {
 			if _, err := w.Write(make([]byte, 1024)); err != nil {
@@ -22,7 +23,7 @@
 		t.Fatal(err)
 	}
 	defer resp.Body.Close()
-	if _, err := Read(resp.Body); err == nil || !strings.Contains(err.Error(), "more than 4 MB") {
-		t.Errorf("%v", err)
+	if _, err := Read(resp.Body); err == nil || !strings.Contains(err.Error(), "larger than 4 MB") {
+		t.Errorf("error %v, want one that names the limit of 4 MB", err)
 	}
 }
--- a/internal/gatherer/report/events.go
+++ b/internal/gatherer/report/events.go
@@ -8,7 +8,7 @@
 	"yokeroute/logic/twopass"
 )
 
-// The events of a query that are counted by a later one.
+// The first four methods do nothing: AttemptWritten, AttemptEnded and QueryDecided update all counts.
 
 // QueryAdmitted implements dispatch.DecisionObserver.
 func (c *Collector) QueryAdmitted(*dispatch.Query, *twopass.Decision, float64) {}
@@ -36,8 +36,10 @@
 	}
 }
 
-// AttemptEnded counts the end of an attempt.
-func (c *Collector) AttemptEnded(attempt *dispatch.Attempt, outcome gather.Outcome, waited float64, _ *twopass.Summary) {
+// AttemptEnded counts the outcome of an attempt and adds its latency.
+func (c *Collector) AttemptEnded(
+	attempt *dispatch.Attempt, outcome gather.Outcome, latency float64, _ *twopass.Summary,
+) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	stats := c.classes[attempt.Query().Class]
@@ -45,10 +47,10 @@
 		return
 	}
 	stats.Outcomes[outcome.String()]++
-	stats.AttemptTime += max(waited, 0)
+	stats.AttemptTime += max(latency, 0)
 }
 
-// QueryDecided counts a query by how it ended.
+// QueryDecided counts a query by its result.
 func (c *Collector) QueryDecided(query *dispatch.Query, result dispatch.Result, at float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -72,29 +74,29 @@
 	}
 }
 
-// countServed counts a served query, with the value that it earned.
-func (s *ClassStats) countServed(by scoring, query *dispatch.Query, result *dispatch.Result, latency float64) {
+// countServed counts a served query and adds the value that it earned.
+func (s *ClassStats) countServed(rules scoring, query *dispatch.Query, result *dispatch.Result, latency float64) {
 	value := 1.0
 	if result.Complete {
 		s.Served++
 	} else {
 		s.ServedPartly++
-		value = by.partialFactor * min(answeredWeight(query, result)/max(by.completeFrom, 1e-9), 1)
+		value = rules.partialFactor * min(answeredWeight(query, result)/max(rules.completeWeight, 1e-9), 1)
 	}
-	if latency <= by.objective {
+	if latency <= rules.objective {
 		s.WithinObjective++
 	} else {
-		value *= by.lateFactor
+		value *= rules.lateFactor
 	}
 	s.EarnedValue += min(value, 1)
 	s.Latency.Record(latency)
 }
 
-// answeredWeight is the weight of the shard requests that an answer contains.
+// answeredWeight returns the total weight of the shard requests that the result covers.
 func answeredWeight(query *dispatch.Query, result *dispatch.Result) (weight float64) {
 	for _, request := range query.ShardRequests {
-		hit := slices.ContainsFunc(result.Hits, func(h dispatch.Hit) bool { return h.Shard == request.Shard })
-		if hit || slices.Contains(result.EmptyShards, request.Shard) {
+		hasHit := slices.ContainsFunc(result.Hits, func(h dispatch.Hit) bool { return h.Shard == request.Shard })
+		if hasHit || slices.Contains(result.EmptyShards, request.Shard) {
 			weight += request.Weight
 		}
 	}
--- a/internal/gatherer/report/histogram.go
+++ b/internal/gatherer/report/histogram.go
@@ -8,7 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Histogram counts latencies from 0.1 ms to a minute, to two digits. Its values are tenths of a millisecond.
+// Histogram counts latencies from 0.1 ms to one minute with a precision of two significant digits. Its values are in
+// tenths of a millisecond.
 type Histogram struct{ *hdrhistogram.Histogram }
 
 const (
@@ -23,13 +24,13 @@
 	return Histogram{hdrhistogram.New(minUnits, maxUnits, significantDigits)}
 }
 
-// Record counts one latency in milliseconds. One beyond the bounds counts at the bound.
+// Record counts one latency, given in milliseconds. A latency outside the bounds is counted at the nearest bound.
 func (h Histogram) Record(ms float64) {
 	units := min(max(math.Round(ms/millisecondsPerUnit), minUnits), maxUnits)
-	_ = h.RecordValue(int64(units)) // within bounds: no error
+	_ = h.RecordValue(int64(units)) // cannot fail, since the value is within the bounds
 }
 
-// Quantile returns a quantile in milliseconds, 0 where nothing was counted.
+// Quantile returns the latency at quantile q, from 0 to 1, in milliseconds. It returns 0 if the histogram is empty.
 func (h Histogram) Quantile(q float64) float64 {
 	if h.Histogram == nil || h.TotalCount() == 0 {
 		return 0
@@ -43,24 +44,25 @@
 	return c
 }
 
-// since returns the counts beyond those of an earlier state of the histogram.
+// since returns the difference between the histogram and an earlier state of it.
 func (h Histogram) since(earlier Histogram) Histogram {
 	d := NewHistogram()
-	before := earlier.Distribution()
-	for i, bar := range h.Distribution() { // same bounds, hence the same bars, of which there may be more now
+	earlierBars := earlier.Distribution()
+	// Both histograms have the same bounds, so the earlier bars are a prefix of the current ones.
+	for i, bar := range h.Distribution() {
 		n := bar.Count
-		if i < len(before) {
-			n -= before[i].Count
+		if i < len(earlierBars) {
+			n -= earlierBars[i].Count
 		}
 		if n > 0 {
-			_ = d.RecordValues(bar.From, n) // a bar of a histogram of the same bounds: no error
+			_ = d.RecordValues(bar.From, n) // cannot fail, since the bounds are the same
 		}
 	}
 	return d
 }
 
-// MarshalJSON writes the bars that are not empty, as pairs of a latency in tenths of a millisecond and a count. The
-// library's own compressed encoding is not used, since with it the sender decides how much memory its reader takes.
+// MarshalJSON encodes the nonempty bars as pairs of a latency in tenths of a millisecond and a count. It does not use
+// the library's compressed encoding, with which the sender determines how much memory the reader allocates.
 func (h Histogram) MarshalJSON() ([]byte, error) {
 	pairs := []int64{}
 	if h.Histogram != nil {
@@ -73,7 +75,7 @@
 	return json.Marshal(pairs)
 }
 
-// UnmarshalJSON reads what MarshalJSON writes.
+// UnmarshalJSON decodes the format that MarshalJSON writes.
 func (h *Histogram) UnmarshalJSON(text []byte) error {
 	*h = NewHistogram()
 	var pairs []int64
@@ -81,15 +83,15 @@
 		return err
 	}
 	if len(pairs)%2 != 0 {
-		return fmt.Errorf("a histogram of %d numbers, which are no pairs", len(pairs))
+		return fmt.Errorf("histogram has %d numbers, want pairs of latency and count", len(pairs))
 	}
 	for i := 0; i < len(pairs); i += 2 {
 		value, count := pairs[i], pairs[i+1]
 		if value < 0 || value > maxUnits || count < 0 || count > math.MaxInt64/2-h.TotalCount() {
-			return fmt.Errorf("a histogram with %d at %d tenths of a millisecond", count, value)
+			return fmt.Errorf("histogram has a count of %d at %d tenths of a millisecond, which is out of range", count, value)
 		}
 		if err := h.RecordValues(value, count); err != nil {
-			return fmt.Errorf("a histogram: %w", err)
+			return fmt.Errorf("histogram: %w", err)
 		}
 	}
 	return nil
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -20,10 +20,10 @@
 	"yokeroute/logic/rollout"
 )
 
-// outcomes is how many ends of a part call there are; each is a key on the wire.
-const outcomes = 9
+// outcomeCount is the number of outcomes of an attempt. The text of each is a key in reports.
+const outcomeCount = 9
 
-// keptFile is a file as it was written when its format began. It is never written anew.
+// keptFile returns a file as it was written when its format was introduced. These files must not be regenerated.
 func keptFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
@@ -33,16 +33,16 @@
 	return text
 }
 
-// wantKept wants what was written now to be the kept file, byte for byte.
+// wantKept checks that got is identical to the kept file.
 func wantKept(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if want := keptFile(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: written\n%s\nkept\n%s", name, got, want)
+		t.Errorf("%s: got\n%s\nwant the kept\n%s", name, got, want)
 	}
 }
 
-// encoded is a report as the server writes it, with what differs from machine to machine put to fixed values.
-func encoded(t *testing.T, d *Document) []byte {
+// encodeReport encodes a report as the server does, with constants in place of the values that depend on the machine.
+func encodeReport(t *testing.T, d *Document) []byte {
 	t.Helper()
 	d.ResidentMemory = 18771968
 	d.Goroutines = 24
@@ -54,7 +54,7 @@
 	return out.Bytes()
 }
 
-// keptCollector is a collector of a process with a fixed incarnation, by a clock that stands.
+// keptCollector returns a collector with a fixed incarnation, version and program, and a clock that the test sets.
 func keptCollector(now *float64, process string) *Collector {
 	c := newTestCollector(now)
 	c.header.Incarnation = process
@@ -64,8 +64,8 @@
 	return c
 }
 
-// fill has a collector count something of each kind.
-func fill(c *Collector, now *float64) {
+// countOneOfEach sets every kind of field and count of a collector.
+func countOneOfEach(c *Collector, now *float64) {
 	for kind, sum := range map[string]string{
 		"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12",
 		"segments": "13", "other": "",
@@ -88,18 +88,18 @@
 	stats.Attempts = 9
 	stats.ExtraAttempts = 2
 	stats.AttemptTime = 146.817
-	for o := range outcomes {
+	for o := range outcomeCount {
 		stats.Outcomes[gather.Outcome(o).String()] = int64(o + 1)
 	}
 	c.AcquireClaim(rollout.Claim{RunID: "release-42 in /var/rollout on host", FencingToken: 3, ExpiresAt: *now + 60_000})
 }
 
-// TestReportKeepsItsBytes: a report of each kind is written from the same counts byte for byte as it was when its
-// format began, and what is read from the kept one is what was written.
-func TestReportKeepsItsBytes(t *testing.T) {
+// TestReportEncodingIsUnchanged tests that reports of each kind are encoded to the same bytes as when the format was
+// introduced, and that reading a kept report restores the values that were written.
+func TestReportEncodingIsUnchanged(t *testing.T) {
 	now := 1000.0
 	c := keptCollector(&now, "18889-1")
-	fill(c, &now)
+	countOneOfEach(c, &now)
 	now = 2500
 	reports := map[string]*Document{
 		"full.json":   c.SinceStart(true),
@@ -111,39 +111,41 @@
 	c.classes["any"].Outcomes[gather.Outcome(0).String()] += 3
 	c.BeginShutdown()
 	reports["since.json"] = c.SinceCheckpoint("18889-1.1", true)
-	again := keptCollector(&now, "18900-2")
+	restarted := keptCollector(&now, "18900-2")
 	now = 5000
-	reports["restarted.json"] = again.SinceCheckpoint("18889-1.2", true)
-	reports["empty.json"] = again.SinceStart(false)
+	reports["restarted.json"] = restarted.SinceCheckpoint("18889-1.2", true)
+	reports["empty.json"] = restarted.SinceStart(false)
 	for name, d := range reports {
-		text := encoded(t, d)
+		text := encodeReport(t, d)
 		wantKept(t, name, text)
 		read, err := Read(bytes.NewReader(keptFile(t, name)))
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		if again := encoded(t, read); !bytes.Equal(again, text) {
-			t.Errorf("%s: read and written again\n%s\nkept\n%s", name, again, text)
+		if rewritten := encodeReport(t, read); !bytes.Equal(rewritten, text) {
+			t.Errorf("%s: decoded and encoded again\n%s\nwant\n%s", name, rewritten, text)
 		}
 		if read.Name != "g" || read.Format != "yokeroute report 1" || read.Files["config"] != d.Files["config"] ||
 			len(read.Classes) != 2 || read.SinceCheckpoint != d.SinceCheckpoint || read.Checkpoint != d.Checkpoint ||
 			read.Interval != d.Interval || (read.Claim == nil) != (d.Claim == nil) {
-			t.Errorf("%s: read as %+v", name, read)
+			t.Errorf("%s: decoded as %+v", name, read)
 		}
 	}
 }
 
-// TestReportOfAnotherFormIsRefused: the number of the form decides, not the words.
-func TestReportOfAnotherFormIsRefused(t *testing.T) {
+// TestReportOfAnotherFormatIsRejected tests that a report with another format number is rejected even if its content is
+// otherwise valid.
+func TestReportOfAnotherFormatIsRejected(t *testing.T) {
 	text := strings.Replace(string(keptFile(t, "full.json")), "yokeroute report 1", "yokeroute report 2", 1)
 	if _, err := Read(strings.NewReader(text)); !errors.Is(err, ErrFormat) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrFormat", err)
 	}
 }
 
-// TestClaimKeepsItsBytes: who holds a gatherer is answered byte for byte as when the path began, granted or not.
-func TestClaimKeepsItsBytes(t *testing.T) {
+// TestClaimResponsesAreUnchanged tests that the responses to granted, rejected and invalid claims have the same bytes
+// as when the path was introduced.
+func TestClaimResponsesAreUnchanged(t *testing.T) {
 	now := 1000.0
 	s := &Server{collector: keptCollector(&now, "18889-1"), ready: func() bool { return true }}
 	for _, c := range []struct {
@@ -159,20 +161,20 @@
 		s.serveClaim(w, httptest.NewRequest(http.MethodPost, "/claim", strings.NewReader(c.body)))
 		wantKept(t, c.name, w.Body.Bytes())
 		if w.Code != c.status {
-			t.Errorf("%s: %d", c.name, w.Code)
+			t.Errorf("%s: unexpected status %d", c.name, w.Code)
 		}
 	}
 	if ReportPath != "/report" || ClaimPath != "/claim" || MetricsPath != "/metrics" {
-		t.Errorf("%s, %s, %s are not the paths of before", ReportPath, ClaimPath, MetricsPath)
+		t.Errorf("paths %s, %s, %s differ from the published ones", ReportPath, ClaimPath, MetricsPath)
 	}
 }
 
-// TestMetricsKeepTheirNames: names, help, labels and values of the metrics are as they were, but for what differs from
-// machine to machine.
-func TestMetricsKeepTheirNames(t *testing.T) {
+// TestMetricsAreUnchanged tests that the names, help texts, labels and values of the metrics are unchanged, except for
+// values that depend on the machine.
+func TestMetricsAreUnchanged(t *testing.T) {
 	now := 1000.0
 	c := keptCollector(&now, "18889-1")
-	fill(c, &now)
+	countOneOfEach(c, &now)
 	now = 2500
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(&prometheusCollector{&Server{collector: c, ready: func() bool { return true }}})
@@ -185,9 +187,9 @@
 	}
 	lines := strings.SplitAfter(string(text), "\n")
 	for i, line := range lines {
-		for _, own := range []string{"yokeroute_resident_bytes ", "yokeroute_cpu_seconds_total "} {
-			if strings.HasPrefix(line, own) {
-				lines[i] = own + "1\n"
+		for _, name := range []string{"yokeroute_resident_bytes ", "yokeroute_cpu_seconds_total "} {
+			if strings.HasPrefix(line, name) {
+				lines[i] = name + "1\n"
 			}
 		}
 	}
--- a/internal/gatherer/report/metrics.go
+++ b/internal/gatherer/report/metrics.go
@@ -4,14 +4,14 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// prometheusCollector gives the counts of a report, as of the scrape.
+// prometheusCollector exports the counts of a report that is built at each scrape.
 type prometheusCollector struct{ server *Server }
 
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("yokeroute_"+name, help, labels, nil)
 }
 
-// The names, help texts and labels are an interface to operators' dashboards; they keep their words.
+// Names, help texts and labels are used by operators' dashboards and must not change.
 var (
 	infoDesc = desc("info", "Always 1; the labels tell which program and files are in force.",
 		"version", "program", "config", "operator")
@@ -35,7 +35,7 @@
 	connectionsOpenedDesc, serversDesc, memoryDesc, cpuDesc, startedDesc,
 }
 
-// latencyBuckets are upper bounds in seconds, two for each doubling.
+// latencyBuckets contains the upper bounds of the latency buckets in seconds, two per factor of 2.
 var latencyBuckets = prometheus.ExponentialBucketsRange(0.001, 32, 31)
 
 const millisecondsPerSecond = 1000
@@ -64,7 +64,7 @@
 	sink.gauge(startedDesc, d.StartedAt/millisecondsPerSecond)
 }
 
-// metricSink takes the metrics of a scrape.
+// metricSink receives the metrics of a scrape.
 type metricSink chan<- prometheus.Metric
 
 func (s metricSink) counter(of *prometheus.Desc, value float64, labels ...string) {
@@ -75,7 +75,7 @@
 	s <- prometheus.MustNewConstMetric(of, prometheus.GaugeValue, value, labels...)
 }
 
-// class emits the metrics of one class.
+// class sends the metrics of one class.
 func (s metricSink) class(class string, stats *ClassStats) {
 	for end, n := range map[string]int64{
 		"satisfied": stats.Served,
--- a/internal/gatherer/report/server.go
+++ b/internal/gatherer/report/server.go
@@ -19,8 +19,11 @@
 
 // Paths of the server.
 const (
-	ReportPath  = "/report" // GET; with since=CHECKPOINT the counts since it, and a new checkpoint
-	ClaimPath   = "/claim"  // POST a claim, DELETE with run and fence in the query
+	// ReportPath is the path for GET. With the parameter since=CHECKPOINT the report contains the counts since that
+	// checkpoint, and a new checkpoint is taken.
+	ReportPath = "/report"
+	// ClaimPath is the path for POST with a claim, and for DELETE with the parameters run and fence in the query.
+	ClaimPath   = "/claim"
 	MetricsPath = "/metrics"
 )
 
@@ -30,19 +33,19 @@
 	writeTimeout      = 10 * time.Second
 	idleTimeout       = 30 * time.Second
 
-	maxHeaderBytes     = 8 << 10
-	maxClaimBytes      = 4096
-	maxRunIDBytes      = 200
-	maxMetricsRequests = 4 // at once
+	maxHeaderBytes       = 8 << 10
+	maxClaimBytes        = 4096
+	maxRunIDBytes        = 200
+	maxConcurrentScrapes = 4
 
-	// maxClaimDuration bounds for how long a rollout that is gone holds a gatherer.
+	// maxClaimDuration limits how long a gatherer stays claimed by a rollout whose process no longer exists.
 	maxClaimDuration = 10 * time.Minute
 )
 
-// endTimeouts keep the end short, as that of the gatherer waits for it.
-var endTimeouts = httpserver.Timeouts{Handshakes: 10 * time.Millisecond, Requests: 50 * time.Millisecond}
+// shutdownTimeouts are short, since the shutdown of the gatherer waits for that of the server.
+var shutdownTimeouts = httpserver.Timeouts{Handshakes: 10 * time.Millisecond, Requests: 50 * time.Millisecond}
 
-// Server serves reports, metrics and claims. It has its own listener, so that its clients never delay queries.
+// Server serves reports, metrics and claims. It has a listener of its own, so that its clients never delay queries.
 type Server struct {
 	collector *Collector
 	ready     func() bool
@@ -51,9 +54,9 @@
 	log       *logrus.Logger
 }
 
-// Listen opens the listener. Run serves; a server that is never run has to be closed.
+// Listen returns a server that listens on address. Call Run to serve requests, or Close if Run is never called.
 func Listen(address string, collector *Collector, ready func() bool, log *logrus.Logger) (*Server, error) {
-	return listen(address, collector, ready, log, endTimeouts)
+	return listen(address, collector, ready, log, shutdownTimeouts)
 }
 
 func listen(
@@ -61,7 +64,7 @@
 ) (*Server, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		return nil, fmt.Errorf("report: %w", err)
+		return nil, fmt.Errorf("report server: %w", err)
 	}
 	s := &Server{collector: collector, ready: ready, listener: listener, log: log}
 	server := &http.Server{
@@ -84,14 +87,14 @@
 	mux.HandleFunc("POST "+ClaimPath, s.serveClaim)
 	mux.HandleFunc("DELETE "+ClaimPath, s.serveRelease)
 	mux.Handle("GET "+MetricsPath,
-		promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxMetricsRequests}))
+		promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxConcurrentScrapes}))
 	return mux
 }
 
-// Address is where the server listens.
+// Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves until ctx ends, and answers the requests that have come.
+// Run serves requests until ctx is done. It answers the requests that have arrived before it returns.
 func (s *Server) Run(ctx context.Context) {
 	s.http.Start()
 	select {
@@ -100,14 +103,14 @@
 		s.log.WithError(err).Error("report: server failed")
 	}
 	if err := s.Close(); err != nil {
-		s.log.WithError(err).Error("report: server not closed")
+		s.log.WithError(err).Error("report: closing the server failed")
 	}
 }
 
-// Close closes the listener. It is for a server that is never run; after Run it does nothing.
+// Close closes the listener of a server on which Run is never called. After Run it does nothing.
 func (s *Server) Close() error {
 	if err := s.http.Close(); err != nil {
-		return fmt.Errorf("report: %w", err)
+		return fmt.Errorf("report server: close: %w", err)
 	}
 	return nil
 }
@@ -122,15 +125,16 @@
 	writeJSON(w, http.StatusOK, d)
 }
 
-// serveClaim grants or refuses a claim. The answer is who holds the gatherer, with status 409 where that is another.
+// serveClaim grants or rejects a claim. The response contains the claim in force, with status 409 if the request was
+// rejected.
 func (s *Server) serveClaim(w http.ResponseWriter, r *http.Request) {
-	var request struct { // without a name, which would change the texts of decoding errors
+	var request struct { // unnamed, since decoding errors contain the type's name
 		RunID        string  `json:"run"`
 		FencingToken uint64  `json:"fence"`
 		Milliseconds float64 `json:"for"`
 	}
 	if err := json.NewDecoder(http.MaxBytesReader(w, r.Body, maxClaimBytes)).Decode(&request); err != nil {
-		http.Error(w, "no claim: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "invalid claim: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	validDuration := request.Milliseconds > 0 && request.Milliseconds <= float64(maxClaimDuration.Milliseconds())
@@ -150,12 +154,11 @@
 	writeJSON(w, status, holder)
 }
 
-// serveRelease releases a claim.
 func (s *Server) serveRelease(w http.ResponseWriter, r *http.Request) {
 	query := r.URL.Query()
 	token, err := strconv.ParseUint(query.Get("fence"), 10, 64)
 	if err != nil {
-		http.Error(w, "no fence: "+err.Error(), http.StatusBadRequest)
+		http.Error(w, "invalid fence: "+err.Error(), http.StatusBadRequest)
 		return
 	}
 	s.collector.ReleaseClaim(query.Get("run"), token)
@@ -165,5 +168,5 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // an error is a client that has gone
+	_ = json.NewEncoder(w).Encode(v) // an error means that the client has disconnected
 }
--- a/internal/gatherer/report/server_test.go
+++ b/internal/gatherer/report/server_test.go
@@ -19,7 +19,7 @@
 	"yokeroute/logic/rollout"
 )
 
-// startServer runs a server until the test ends, and returns what sends it a request.
+// startServer runs a server until the test ends and returns a function that sends it a request.
 func startServer(t *testing.T, c *Collector) (send func(method, path, body string) (status int, text string)) {
 	t.Helper()
 	log := logrus.New()
@@ -58,7 +58,7 @@
 	}
 }
 
-// TestServerServesReportsAndMetrics: the document and the metrics are served over HTTP.
+// TestServerServesReportsAndMetrics tests that the report and the metrics are served over HTTP.
 func TestServerServesReportsAndMetrics(t *testing.T) {
 	now := 1000.0
 	c := newTestCollector(&now)
@@ -68,11 +68,11 @@
 	status, text := send("GET", ReportPath, "")
 	d, err := Read(strings.NewReader(text))
 	if status != http.StatusOK || err != nil {
-		t.Fatalf("%d, %v, %s", status, err, text)
+		t.Fatalf("report: status %d, %v, %s", status, err, text)
 	}
 	median := d.Classes["any"].Latency.Quantile(0.5)
 	if d.Files["operator"] != "abc" || !d.Ready || d.OpenConnections != 3 || median < 49 || median > 51 {
-		t.Errorf("median %g ms: %s", median, text)
+		t.Errorf("report with a median latency of %g ms, want 49 to 51: %s", median, text)
 	}
 	_, text = send("GET", MetricsPath, "")
 	for _, line := range []string{
@@ -85,8 +85,8 @@
 	}
 }
 
-// TestServerGrantsClaims: a claim holds for its time, against other rollouts and earlier controllers; what is no claim
-// is refused.
+// TestServerGrantsClaims tests that a claim is held until it expires, against other rollouts and controllers with lower
+// fencing tokens, and that invalid claims are rejected.
 func TestServerGrantsClaims(t *testing.T) {
 	var now atomic.Int64
 	now.Store(1000)
@@ -106,52 +106,53 @@
 		{`no`, http.StatusBadRequest, ""},
 	} {
 		status, text := send("POST", ClaimPath, request.body)
-		var held rollout.Claim
-		if err := json.Unmarshal([]byte(text), &held); err != nil && status != http.StatusBadRequest {
-			t.Errorf("%s: %v", text, err)
+		var holder rollout.Claim
+		if err := json.Unmarshal([]byte(text), &holder); err != nil && status != http.StatusBadRequest {
+			t.Errorf("response %s to a claim: %v", text, err)
 		}
-		if status != request.status || held.RunID != request.holder {
-			t.Errorf("%s: %d, %s", request.body, status, text)
+		if status != request.status || holder.RunID != request.holder {
+			t.Errorf("claim %s: unexpected status %d or holder: %s", request.body, status, text)
 		}
 	}
 	now.Store(2500) // the claim has expired
 	if status, _ := send("POST", ClaimPath, `{"run":"b","fence":1,"for":1000}`); status != http.StatusOK {
-		t.Errorf("after a claim's time: %d", status)
+		t.Errorf("claim after the previous one expired: status %d", status)
 	}
 	status, _ := send("DELETE", ClaimPath+"?run=b&fence=1", "")
 	if status != http.StatusNoContent || c.SinceCheckpoint("", true).Claim != nil {
-		t.Errorf("released: %d", status)
+		t.Errorf("release: status %d, or the claim is still in force", status)
 	}
 }
 
-// TestEndAnswersWhatClientsHaveSent guards against requests that are reset by the end of the server: of one a
-// part has come, and the other one's connection is established by its client and not accepted.
-func TestEndAnswersWhatClientsHaveSent(t *testing.T) {
+// TestShutdownAnswersPendingRequests guards against resetting requests when the server shuts down. One request has
+// arrived in part; the connection of the other one is established on the client's side but not yet accepted.
+func TestShutdownAnswersPendingRequests(t *testing.T) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	collector := NewCollector("g", testSettings(), func() float64 { return 1000 }, fixedConnections{})
-	patient := httpserver.Timeouts{Handshakes: time.Second, Requests: 10 * time.Second} // for a busy machine
-	s, err := listen("127.0.0.1:0", collector, func() bool { return true }, log, patient)
+	// These timeouts are long enough for a busy machine.
+	longTimeouts := httpserver.Timeouts{Handshakes: time.Second, Requests: 10 * time.Second}
+	s, err := listen("127.0.0.1:0", collector, func() bool { return true }, log, longTimeouts)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	go func() {
 		s.Run(ctx)
-		close(ended)
+		close(stopped)
 	}()
 	const body = `{"run":"r1","fence":1,"for":1000}`
 	head := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", ClaimPath, len(body))
-	begun := lateclient.Dial(t, s.Address())
-	begun.Send(head + body[:9])
+	partial := lateclient.Dial(t, s.Address())
+	partial.Send(head + body[:9])
 	lateclient.CompleteHandshakesWithData(t, s.listener)
 	queued := lateclient.Dial(t, s.Address())
 	stop()
 	lateclient.AwaitRefusal(t, s.Address())
-	begun.Send(body[9:])
+	partial.Send(body[9:])
 	queued.Send("GET " + ReportPath + " HTTP/1.1\r\nHost: h\r\n\r\n")
-	begun.WantLastResponse(http.StatusOK)
+	partial.WantLastResponse(http.StatusOK)
 	queued.WantLastResponse(http.StatusOK)
-	<-ended
+	<-stopped
 }
--- a/internal/gatherer/trace/file.go
+++ b/internal/gatherer/trace/file.go
@@ -29,7 +29,7 @@
 	// Shards is the number of shards that divide the keys if a segment map assigns owners to them; 0 without a map.
 	Shards int
 
-	StartedAt float64 // time in Unix milliseconds to which the times in the file are relative
+	StartedAt float64 // time 0 of the file, in Unix milliseconds
 }
 
 // File records all queries and attempts of a gatherer in the format that package rulecheck checks. It implements
@@ -245,7 +245,8 @@
 
 func keyRange(r ownership.Range) *rulecheck.KeyRange { return &rulecheck.KeyRange{Lo: r.Lo, Hi: r.Hi} }
 
-// FirstPassEnded implements dispatch.DecisionObserver. It does nothing, since no rule depends on the end of a first pass.
+// FirstPassEnded implements dispatch.DecisionObserver. It does nothing, since no rule depends on the end of a first
+// pass.
 func (r *File) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
 // QueryDecided implements dispatch.DecisionObserver. It does nothing: QueryAnswered records the results.
--- a/internal/gatherer/trace/handler.go
+++ b/internal/gatherer/trace/handler.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Path is the URL path at which a gatherer serves the list of its traces. Each trace is served below it by the ID of its
-// query.
+// Path is the URL path at which a gatherer serves the list of its traces. Each trace is served below it by the ID of
+// its query.
 const Path = "/-/trace"
 
 // ListEntry describes a query in the list that is served at Path.
@@ -32,8 +32,8 @@
 	_, _ = w.Write(document) // an error means that the client has disconnected
 }
 
-// document returns the JSON for an ID, or nil if there is no trace of such a query. It encodes the trace under the lock,
-// since attempts may be added concurrently.
+// document returns the JSON for an ID, or nil if there is no trace of such a query. It encodes the trace under the
+// lock, since attempts may be added concurrently.
 func (r *Recorder) document(id string) ([]byte, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -131,8 +131,8 @@
 	gather.Cancelled, gather.NotSent, gather.NotOwner}
 
 // TestDocumentsMatchKept runs queries that cover every outcome of an attempt, every result, both passes of a two-pass
-// query and an attempt that is never written. The recorded file and the documents served at Path must be identical to the
-// kept files.
+// query and an attempt that is never written. The recorded file and the documents served at Path must be identical to
+// the kept files.
 func TestDocumentsMatchKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
 	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: recordStart})
--- a/internal/gatherer/trace/recorder.go
+++ b/internal/gatherer/trace/recorder.go
@@ -63,8 +63,8 @@
 	return fmt.Sprint(server)
 }
 
-// sampled reports whether a query is recorded. It depends on the ID only, so that either all gatherers that see the query
-// record it or none does.
+// sampled reports whether a query is recorded. It depends on the ID only, so that either all gatherers that see the
+// query record it or none does.
 func (r *Recorder) sampled(id string) bool {
 	h := fnv.New32a()
 	h.Write([]byte(id))
@@ -220,8 +220,8 @@
 
 const resultServedPartial = "satisfied in part"
 
-// QueryDecided implements dispatch.DecisionObserver. The outcomes of attempts that are still in flight are not recorded,
-// which limits the number of open queries.
+// QueryDecided implements dispatch.DecisionObserver. The outcomes of attempts that are still in flight are not
+// recorded, which limits the number of open queries.
 func (r *Recorder) QueryDecided(query *dispatch.Query, result dispatch.Result, at float64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -1,8 +1,8 @@
 // Package trace records the course of queries and their attempts.
 //
-// A Recorder keeps the newest queries in memory and serves them over HTTP, so that an operator can find out how each was
-// processed and why. A File writes every event of a gatherer to a file, on which package rulecheck checks the rules of
-// the protocol.
+// A Recorder keeps the newest queries in memory and serves them over HTTP, so that an operator can find out how each
+// was processed and why. A File writes every event of a gatherer to a file, on which package rulecheck checks the
+// rules of the protocol.
 package trace
 
 // Query is the trace of a query, as it is served at Path. The JSON keys are part of the published interface.
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -17,7 +17,7 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(name); err != nil || string(got) != content {
-			t.Errorf("read %q, %v, want %q", got, err, content)
+			t.Errorf("read %q, %v, want the written content", got, err)
 		}
 	}
 	if info, err := os.Stat(name); err != nil || info.Mode().Perm() != 0o644 {
@@ -51,13 +51,13 @@
 		t.Error("KeepExisting: the existing file was replaced")
 	}
 	if text, _ := os.ReadFile(name); string(text) != "one" {
-		t.Errorf("content %q, want %q", text, "one")
+		t.Errorf("content %q, want one", text)
 	}
 	if err := write(name, "three", false); err != nil {
 		t.Fatal(err)
 	}
 	if text, _ := os.ReadFile(name); string(text) != "three" {
-		t.Errorf("content %q, want %q", text, "three")
+		t.Errorf("content %q, want three", text)
 	}
 	if info, err := os.Stat(name); err != nil || info.Mode().Perm() != PrivateMode {
 		t.Errorf("file info %v, %v, want mode 0600", info, err)
--- a/internal/storage/formats/formats.go
+++ b/internal/storage/formats/formats.go
@@ -1,6 +1,6 @@
-// Package formats lists the formats of data that is stored or sent between processes. Each format has a number, and rules
-// for what older and newer versions of the program do with it. A change that an older reader cannot skip requires the next
-// number. The folder testdata contains files of each number, which the tests read.
+// Package formats lists the formats of data that is stored or sent between processes. Each format has a number, and
+// rules for what older and newer versions of the program do with it. A change that an older reader cannot skip
+// requires the next number. The folder testdata contains files of each number, which the tests read.
 package formats
 
 import (
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -1,8 +1,8 @@
 // Package journal stores records durably in a folder: a write-ahead journal with a checksum per record, and snapshots
 // that compact it once it has outgrown its size limit.
 //
-// A record survives a crash once Append has returned. Open truncates a record that a crash left incomplete, at any byte,
-// and distinguishes it from damage. Recovery reads at most one snapshot and one journal.
+// A record survives a crash once Append has returned. Open truncates a record that a crash left incomplete, at any
+// byte, and distinguishes it from damage. Recovery reads at most one snapshot and one journal.
 package journal
 
 import (
--- a/internal/storage/journal/journal_test.go
+++ b/internal/storage/journal/journal_test.go
@@ -47,7 +47,7 @@
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	if len(names) != 1 {
-		t.Fatalf("%s contains %d files with the prefix %s, want 1", dir, len(names), prefix)
+		t.Fatalf("found %d files with the prefix %s in %s, want 1", len(names), prefix, dir)
 	}
 	return names[0]
 }
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestOpenDoesNotSync guards against a process that cannot serve until a slow disk has synced a new folder, or one whose
-// journal ends in an incomplete record. The first Append must succeed only once all files that its record depends on
-// are synced.
+// TestOpenDoesNotSync guards against a process that cannot serve until a slow disk has synced a new folder, or one
+// whose journal ends in an incomplete record. The first Append must succeed only once all files that its record
+// depends on are synced.
 func TestOpenDoesNotSync(t *testing.T) {
 	for _, torn := range []bool{false, true} {
 		dir := t.TempDir()
@@ -277,12 +277,13 @@
 			}
 		}
 		if !errors.Is(failure, fs.ErrPermission) {
-			t.Fatalf("syncs fail after %d: error %v, want %v", successfulSyncs, failure, fs.ErrPermission)
+			t.Fatalf("syncs fail after %d: error %v, want fs.ErrPermission", successfulSyncs, failure)
 		}
 		j.Close()
 		if _, got, _ := openJournal(t, dir, 120); len(got) < len(acknowledged) ||
 			!slices.Equal(got[:len(acknowledged)], acknowledged) {
-			t.Fatalf("syncs fail after %d: loaded %d records, %d were acknowledged", successfulSyncs, len(got), len(acknowledged))
+			t.Fatalf("syncs fail after %d: loaded %d records, %d were acknowledged", successfulSyncs,
+				len(got), len(acknowledged))
 		}
 	}
 }
@@ -290,12 +291,12 @@
 // TestSnapshotAfterASyncErrorAllowsAppends guards against a journal that rejects every record after one failed write,
 // and against one that loses the records it accepts after it. One sync fails, a different one in each run.
 func TestSnapshotAfterASyncErrorAllowsAppends(t *testing.T) {
-	for successfulSyncs := range 12 {
+	for failingSync := range 12 {
 		dir := t.TempDir()
 		j, _, _ := openJournal(t, dir, 120)
 		calls := 0
 		j.sync = func(f *os.File) error {
-			if calls++; calls == successfulSyncs+1 {
+			if calls++; calls == failingSync+1 {
 				return fs.ErrPermission
 			}
 			return f.Sync()
@@ -316,16 +317,17 @@
 			if err := j.Append([]byte(rec)); err != nil {
 				failures++
 				if !j.Failed() {
-					t.Errorf("sync %d fails: Append returned %v, but Failed is false", successfulSyncs, err)
+					t.Errorf("sync %d fails: Append returned %v, but Failed is false", failingSync, err)
 				}
 				if err := snapshot(); err != nil || j.Failed() {
-					t.Fatalf("sync %d fails: snapshot after the failure: %v", successfulSyncs, err)
+					t.Fatalf("sync %d fails: snapshot after the failure: %v", failingSync, err)
 				}
 				continue
 			}
 			acknowledged = append(acknowledged, rec)
 			if _, got, _ := openJournal(t, copyDir(t, dir), 120); !slices.Equal(got, acknowledged) {
-				t.Fatalf("sync %d fails: loaded %d records after a crash, %d were acknowledged", successfulSyncs, len(got), len(acknowledged))
+				t.Fatalf("sync %d fails: loaded %d records after a crash, %d were acknowledged", failingSync,
+					len(got), len(acknowledged))
 			}
 			if j.SnapshotDue() {
 				_ = snapshot() // if it fails, records that are appended later must still be stored
@@ -334,7 +336,8 @@
 		j.Close()
 		_, got, _ := openJournal(t, dir, 120)
 		if failures > 1 || len(acknowledged) < 19 || !slices.Equal(got, acknowledged) {
-			t.Errorf("sync %d fails: %d appends failed, %d acknowledged, %d loaded", successfulSyncs, failures, len(acknowledged), len(got))
+			t.Errorf("sync %d fails: %d appends failed, %d acknowledged, %d loaded", failingSync, failures,
+				len(acknowledged), len(got))
 		}
 	}
 }
@@ -386,7 +389,8 @@
 	})
 }
 
-// FuzzSnapshot opens a folder whose snapshot consists of arbitrary bytes. No record of a damaged snapshot may be loaded.
+// FuzzSnapshot opens a folder whose snapshot consists of arbitrary bytes. No record of a damaged snapshot may be
+// loaded.
 func FuzzSnapshot(f *testing.F) {
 	f.Add([]byte(snapshotHeader))
 	f.Add(appendRecord(appendRecord([]byte(snapshotHeader), 1, int64(len(snapshotHeader)), []byte("a")), 1,
--- a/internal/storage/runfolder/runfolder.go
+++ b/internal/storage/runfolder/runfolder.go
@@ -51,8 +51,8 @@
 	journal *journal.Journal
 }
 
-// Open acquires the folder's lock and the next fencing token. If another process holds the lock, Open returns ErrLocked,
-// or with force continues without the lock. Close releases the lock.
+// Open acquires the folder's lock and the next fencing token. If another process holds the lock, Open returns
+// ErrLocked, or with force continues without the lock. Close releases the lock.
 func Open(path string, force bool) (*Folder, error) {
 	if err := os.MkdirAll(path, 0o755); err != nil {
 		return nil, err
@@ -116,9 +116,9 @@
 
 func (f *Folder) file(name string) string { return filepath.Join(f.path, name) }
 
-// readToken returns the highest token taken so far, or 0 if there is none. It reads both the token file and the names of
-// the journal folders, since either may be missing for a token: earlier versions created no folder before they wrote the
-// token file, and a process may be delayed between creating the folder and writing the file.
+// readToken returns the highest token taken so far, or 0 if there is none. It reads both the token file and the names
+// of the journal folders, since either may be missing for a token: earlier versions created no folder before they
+// wrote the token file, and a process may be delayed between creating the folder and writing the file.
 func readToken(path string) (uint64, error) {
 	written, err := readTokenFile(path)
 	if err != nil {
--- a/internal/storage/runfolder/runfolder_test.go
+++ b/internal/storage/runfolder/runfolder_test.go
@@ -88,7 +88,7 @@
 		t.Fatal(err)
 	}
 	if err := ReadJournal(folder, collect); err != nil || !slices.Equal(records, want) {
-		t.Errorf("ReadJournal: %q, %v, want %q", records, err, want)
+		t.Errorf("ReadJournal: %q, %v, want the three recorded stages", records, err)
 	}
 	records = nil
 	r, err := Open(folder, false)
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestProcessThatRecordedNothingIsSkipped guards against losing the earlier records after a process was killed right after it
-// took its token.
+// TestProcessThatRecordedNothingIsSkipped guards against losing the earlier records after a process was killed right
+// after it took its token.
 func TestProcessThatRecordedNothingIsSkipped(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "kept", "run"))); err != nil {
--- a/internal/storage/slowwrite/slowwrite.go
+++ b/internal/storage/slowwrite/slowwrite.go
@@ -10,7 +10,8 @@
 // threshold is the minimum duration of a write that is logged.
 const threshold = 100 * time.Millisecond
 
-// Log logs a warning if a write that began at startedAt and has just ended was slow. The subject names what was written.
+// Log logs a warning if a write that began at startedAt and has just ended was slow. The subject names what was
+// written.
 func Log(log logrus.FieldLogger, subject string, startedAt time.Time) {
 	took := time.Since(startedAt)
 	if took < threshold {
--- a/internal/storage/statedir/gathererstate.go
+++ b/internal/storage/statedir/gathererstate.go
@@ -158,8 +158,8 @@
 	return err
 }
 
-// RecordNotRun stores that no server has run any part of a query, so that its client may repeat it. It does not wait for
-// the disk: if a crash of the machine loses the record, the query counts as one that may have run.
+// RecordNotRun stores that no server has run any part of a query, so that its client may repeat it. It does not wait
+// for the disk: if a crash of the machine loses the record, the query counts as one that may have run.
 func (g *GathererState) RecordNotRun(id string) error {
 	if _, known := g.sentAt[id]; !known {
 		return nil
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -113,9 +113,9 @@
 	}
 }
 
-// TestRecordNotRunDoesNotWaitForSync guards against delaying the answer to a client whose query has not run until the disk
-// has synced that. The record survives a crash of the process. If a crash of the machine loses it, the query counts as
-// one that may have run, and a repeat fails.
+// TestRecordNotRunDoesNotWaitForSync guards against delaying the answer to a client whose query has not run until the
+// disk has synced that. The record survives a crash of the process. If a crash of the machine loses it, the query
+// counts as one that may have run, and a repeat fails.
 func TestRecordNotRunDoesNotWaitForSync(t *testing.T) {
 	dir := t.TempDir()
 	g, _ := openState(t, dir, 0)
@@ -223,7 +223,7 @@
 	t.Helper()
 	names, _ := filepath.Glob(filepath.Join(dir, prefix+"*"))
 	if len(names) != 1 {
-		t.Fatalf("%s contains %d files with the prefix %s, want 1", dir, len(names), prefix)
+		t.Fatalf("found %d files with the prefix %s in %s, want 1", len(names), prefix, dir)
 	}
 	return names[0]
 }
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -78,7 +78,8 @@
 	g, _, err := OpenGathererState(folder, 300, 1e12, 1_796_000_000_000)
 	must(err)
 	must(g.SaveMap(keptMap(t)))
-	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25)) // makes the journal longer than 300 bytes: a snapshot is written
+	// This makes the journal longer than 300 bytes, so that a snapshot is written.
+	must(g.RecordSent([]string{"first", "second"}, 1_796_000_000_000.25))
 	must(g.RecordSent([]string{"third", "<&> \"name\""}, 1_796_000_000_001))
 	must(g.RecordNotRun("second"))
 	must(g.RecordSent([]string{"late"}, 1_796_000_000_500.5))
@@ -125,8 +126,8 @@
 	wantFolder(t, written, "gatherer")
 }
 
-// TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in an incomplete record: the records before
-// it must be recovered.
+// TestKeptFolderWithIncompleteRecordIsRead opens a folder whose journal ends in an incomplete record: the records
+// before it must be recovered.
 func TestKeptFolderWithIncompleteRecordIsRead(t *testing.T) {
 	folder := keptCopy(t, "gatherer")
 	path := singleFile(t, folder, "journal-")
