--- a/internal/gatherer/report/events.go
+++ b/internal/gatherer/report/events.go
@@ -19,7 +19,7 @@
 // FirstPassEnded implements dispatch.DecisionObserver.
 func (c *Collector) FirstPassEnded(*dispatch.Query, *twopass.Plan, float64) {}
 
-// QueryAnswered implements dispatch.DecisionObserver.
+// QueryAnswered implements dispatch.WireObserver.
 func (c *Collector) QueryAnswered(*dispatch.Query, dispatch.Result, float64) {}
 
 // AttemptWritten counts an attempt that is written to a connection.
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -193,6 +193,7 @@
 	return nil
 }
 
+// Close closes the journal file. It has no effect on a closed journal.
 func (j *Journal) Close() error {
 	if j.file == nil {
 		return nil
--- a/internal/storage/statedir/gathererstate.go
+++ b/internal/storage/statedir/gathererstate.go
@@ -253,6 +253,7 @@
 	return bytes, len(g.sentAt)
 }
 
+// Close closes the journal, if the state is stored in a folder.
 func (g *GathererState) Close() error {
 	if g.journal == nil {
 		return nil
