--- a/logic/jobs/jobs.go
+++ b/logic/jobs/jobs.go
@@ -46,8 +46,10 @@
 
 // Queue schedules the jobs that are not done.
 type Queue struct {
-	budget      Budget
-	jobs        []*job // in the order in which they were added
+	budget Budget
+	jobs   []*job // in the order in which they were added
+	// pass holds the virtual time of each class, which grows by the CPU that the class uses, divided by its
+	// weight. The class with the lowest pass runs next.
 	pass        [classCount]float64
 	virtualTime float64 // the pass of the class that ran last
 	tokens      float64 // milliseconds of CPU that may be used now; below 0 after a slice was exceeded
--- a/logic/jobs/jobs_test.go
+++ b/logic/jobs/jobs_test.go
@@ -98,25 +98,26 @@
 	first, added := q.Add("plan", Low)
 	second, addedAgain := q.Add("plan", Normal)
 	if first != second || !added || addedAgain || q.Len() != 1 {
-		t.Fatalf("%d %t, %d %t, %d jobs", first, added, second, addedAgain, q.Len())
+		t.Fatalf("job %d, added %t, then job %d, added %t; %d jobs, want one job that is added once", first, added, second,
+			addedAgain, q.Len())
 	}
 	q.Next(0)
 	q.Add("plan", Normal)
 	q.Add("plan", Normal)
 	next := q.RecordUsage(1, first, 1, true)
 	if next == 0 || next == first || q.Len() != 1 {
-		t.Fatalf("next %d, %d jobs", next, q.Len())
+		t.Fatalf("next job %d, %d jobs, want one job other than %d", next, q.Len(), first)
 	}
 	// A job that is cancelled before it starts is removed. One that has started runs again at once to notice the
 	// cancellation, even without budget.
 	if q.Cancel("plan"); q.Len() != 0 || !q.IsCancelled(next) {
-		t.Errorf("%d jobs", q.Len())
+		t.Errorf("%d jobs after the cancellation of job %d, want none", q.Len(), next)
 	}
 	started, _ := q.Add("plan", Low)
 	q.Next(1)
 	q.RecordUsage(2, started, 50, false)
 	if id, _, wait := q.Next(2); id != 0 || wait < 100 {
-		t.Errorf("without budget: job %d, wait %g", id, wait)
+		t.Errorf("without budget: job %d, wait %g, want no job and a wait of at least 100", id, wait)
 	}
 	q.Cancel("plan")
 	successor, _ := q.Add("plan", Low)
@@ -124,6 +125,6 @@
 		t.Errorf("job %d runs, want the cancelled job %d, not %d", id, started, successor)
 	}
 	if q.RecordUsage(2, started, 0, true); q.Len() != 1 || q.IsCancelled(successor) {
-		t.Errorf("%d jobs", q.Len())
+		t.Errorf("%d jobs, want only job %d, not cancelled", q.Len(), successor)
 	}
 }
--- a/logic/policy/apply.go
+++ b/logic/policy/apply.go
@@ -16,11 +16,11 @@
 // Command is an entry of the replicated log. One of Propose, Commit, Abandon, Register and Forget is set.
 type Command struct {
 	Propose  *Change `json:"propose,omitempty"` // Apply sets its Number and Outcome
-	Commit   uint64  `json:"decide,omitempty"`
-	Abandon  uint64  `json:"give-up,omitempty"`
-	Reason   string  `json:"word,omitempty"` // why a change is abandoned
+	Commit   uint64  `json:"decide,omitempty"`  // number of the change to commit
+	Abandon  uint64  `json:"give-up,omitempty"` // number of the change to abandon
+	Reason   string  `json:"word,omitempty"`    // why the change is abandoned
 	Register *Member `json:"register,omitempty"`
-	Forget   string  `json:"forget,omitempty"`
+	Forget   string  `json:"forget,omitempty"` // name of the member to remove
 }
 
 // RejectedError reports a command that was rejected and changed nothing.
--- a/logic/policy/compare_test.go
+++ b/logic/policy/compare_test.go
@@ -81,7 +81,7 @@
 	slices.Sort(got)
 	slices.Sort(want)
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("%q", got)
+		t.Errorf("differences %q, want %q", got, want)
 	}
 }
 
--- a/logic/policy/leader_test.go
+++ b/logic/policy/leader_test.go
@@ -31,7 +31,8 @@
 		waitingFor += command.Reason
 	}
 	if got.Commit != commit || got.Abandon != abandon || !strings.Contains(waitingFor, reason) {
-		t.Errorf("at %g: command %+v, reason %q", now, got, waitingFor)
+		t.Errorf("at %g: command %+v, reason %q, want commit %d, abandon %d, reason with %q", now, got, waitingFor,
+			commit, abandon, reason)
 	}
 }
 
@@ -54,7 +55,7 @@
 	applied := Heartbeat{Applied: Revision{Epoch: 1, LastEnded: 1}, Drained: true}
 	for _, g := range []string{"g1", "g2", "g3"} {
 		if u := t.poll(10, g, "a", applied); u.Lease != 1000 {
-			t.Errorf("%+v", u)
+			t.Errorf("%s received %+v, want a lease of 1000", g, u)
 		}
 	}
 	unregistered := Heartbeat{Member: Member{Name: "stranger", KnownKinds: Kinds()}, Incarnation: "a"}
@@ -80,7 +81,7 @@
 	t.checkDecision(1031, number, 0, "")
 	statuses := t.MemberStatuses(1031)
 	if len(statuses) != 3 || statuses[0].State != StatePrepared || statuses[2].State != StatePrepared {
-		t.Errorf("%+v", statuses)
+		t.Errorf("statuses %+v, want three of which the first and the last are prepared", statuses)
 	}
 
 	refusing := prepared
@@ -101,24 +102,24 @@
 func (t leaderTest) checkStatuses(number uint64) {
 	t.Helper()
 	if everywhere, missing := t.AppliedEverywhere(5022, t.MemberStatuses(5022)); everywhere || len(missing) != 1 {
-		t.Errorf("%v, %v", everywhere, missing)
+		t.Errorf("applied everywhere: %v, missing %v, want one missing", everywhere, missing)
 	}
 	t.poll(5023, "g1", "a", Heartbeat{Applied: Revision{Epoch: 1, LastEnded: number}, Drained: true})
 	if everywhere, missing := t.AppliedEverywhere(5024, t.MemberStatuses(5024)); !everywhere {
-		t.Errorf("%v", missing)
+		t.Errorf("missing %v, want none", missing)
 	}
 	statuses := t.MemberStatuses(5024)
 	if statuses[0].State != StateApplied || statuses[1].State != StateDetached || statuses[1].SinceLastPoll < 4900 {
-		t.Errorf("%+v", statuses)
+		t.Errorf("statuses %+v, want the first applied, the second detached for at least 4900 ms", statuses)
 	}
 	t.poll(5030, "g2", "c", Heartbeat{Drained: true}) // a gatherer that restarts every second is not missing
 	if everywhere, missing := t.AppliedEverywhere(5031, t.MemberStatuses(5031)); !everywhere {
-		t.Errorf("%v", missing)
+		t.Errorf("missing %v, want none", missing)
 	}
 	newLeader := NewLeader(t.Record, 1000, 5000, 6000)
 	everywhere, missing := newLeader.AppliedEverywhere(6500, newLeader.MemberStatuses(6500))
 	if everywhere || !strings.Contains(fmt.Sprint(missing), "polled the previous leader") {
-		t.Errorf("%v, %v", everywhere, missing)
+		t.Errorf("a new leader: applied everywhere %v, missing %v", everywhere, missing)
 	}
 }
 
--- a/logic/policy/lease.go
+++ b/logic/policy/lease.go
@@ -94,7 +94,7 @@
 		h.effective = effective
 		h.generation++
 	}
-	if acquired { // every policy permits what the fallback policy permits
+	if acquired { // no draining is needed, as every policy permits what the fallback policy permits
 		h.oldestPermitted = h.generation
 	}
 }
--- a/logic/policy/lease_test.go
+++ b/logic/policy/lease_test.go
@@ -23,7 +23,7 @@
 	t.Helper()
 	p, generation := t.Effective(now)
 	if !slices.Equal(p, want) || (t.ExpiresAt() > 0) != leased {
-		t.Errorf("at %g: %v is in effect, lease until %g", now, p, t.ExpiresAt())
+		t.Errorf("at %g: %v is in effect, lease until %g, want %v, leased %v", now, p, t.ExpiresAt(), want, leased)
 	}
 	return generation
 }
@@ -60,13 +60,13 @@
 	_, generation := t.Effective(22)
 	t.MarkDrained(generation)
 	if h := t.Heartbeat(22); !h.Drained || t.Permits(firstGeneration, 22) {
-		t.Errorf("%+v", h)
+		t.Errorf("not drained, or decisions of the first generation are still permitted: %+v", h)
 	}
 
 	t.checkEffective(109, bothClosed, true)
 	t.checkEffective(110, bothClosed, false) // the lease is counted from the sending of the poll
 	if h := t.Heartbeat(111); h.Applied != (Revision{}) || h.ExpiredLeases != 1 || !h.Drained {
-		t.Errorf("%+v", h)
+		t.Errorf("after the lease expired: %+v", h)
 	}
 	t.Handle(50, 200, update(4, newPolicy, nil)) // an answer that arrives after its lease has expired
 	t.checkEffective(200, bothClosed, false)
@@ -83,14 +83,14 @@
 	t.checkEffective(203, newPolicy, true) // a refused change is not applied
 	h := t.Heartbeat(204)
 	if h.RefusedChange != 5 || h.Applied.Pending != 0 || !strings.Contains(h.RefusalReason, "no index nowhere") {
-		t.Errorf("%+v", h)
+		t.Errorf("change 5 is not refused: %+v", h)
 	}
 	if !t.Permits(lastGeneration, 204) {
 		t.Error("decisions of an earlier generation are not permitted after a refused change")
 	}
 	t.Handle(205, 206, update(4, newPolicy, &Change{Number: 5, Policy: Policy{{Kind: "newer"}}}))
 	if h := t.Heartbeat(207); h.RefusedChange != 5 || !strings.Contains(h.RefusalReason, "newer is not known") {
-		t.Errorf("%+v", h)
+		t.Errorf("change 5 with an unknown kind is not refused: %+v", h)
 	}
 	t.Handle(208, 209, Update{Epoch: 4, LastEnded: 5, Policy: newPolicy, Lease: 100})
 	t.checkEffective(209, newPolicy, true)
--- a/logic/policy/messages.go
+++ b/logic/policy/messages.go
@@ -60,6 +60,6 @@
 	RefusedChange   uint64   `json:"refuses,omitempty"`  // number of a change that the gatherer cannot apply
 	RefusalReason   string   `json:"why,omitempty"`      // why the gatherer cannot apply RefusedChange
 	Version         string   `json:"version,omitempty"`  // version of the gatherer's program
-	ExpiredLeases   uint64   `json:"lapses,omitempty"`   // leases expired since the process started
-	RejectedUpdates uint64   `json:"rejected,omitempty"` // too old updates since the process started
+	ExpiredLeases   uint64   `json:"lapses,omitempty"`   // leases that expired since the start
+	RejectedUpdates uint64   `json:"rejected,omitempty"` // updates older than its revision since the start
 }
--- a/logic/policy/model_test.go
+++ b/logic/policy/model_test.go
@@ -43,7 +43,7 @@
 }
 
 // explore explores all orders of events, up to a limit of states unless the limit is 0.
-func explore(v omittedSafeguards, gatherers int, f faults, limit int) (e exploration) {
+func explore(omitted omittedSafeguards, gatherers int, f faults, limit int) (e exploration) {
 	initial := newModelState(gatherers, f)
 	seen := map[string]bool{initial.key(): true}
 	stack := []*modelState{initial}
@@ -51,7 +51,7 @@
 		w := stack[len(stack)-1]
 		stack = stack[:len(stack)-1]
 		e.states++
-		if e.violation = w.violation(v); e.violation != "" {
+		if e.violation = w.violation(omitted); e.violation != "" {
 			return e
 		}
 		if w.appliesNewPolicy() {
@@ -60,7 +60,7 @@
 		if e.states == limit {
 			return e
 		}
-		for _, next := range w.successors(v) {
+		for _, next := range w.successors(omitted) {
 			if key := next.key(); !seen[key] {
 				seen[key] = true
 				stack = append(stack, next)
@@ -95,10 +95,10 @@
 			bounds{2, faults{crashes: 1, suspensions: 1, losses: 1, elections: 1}},
 			bounds{3, faults{suspensions: 1}})
 	}
-	for _, s := range allBounds {
-		t.Run(fmt.Sprintf("%d gatherers, faults %+v", s.gatherers, s.faults), func(t *testing.T) {
+	for _, b := range allBounds {
+		t.Run(fmt.Sprintf("%d gatherers, faults %+v", b.gatherers, b.faults), func(t *testing.T) {
 			t.Parallel()
-			e := explore(omittedSafeguards{}, s.gatherers, s.faults, 0)
+			e := explore(omittedSafeguards{}, b.gatherers, b.faults, 0)
 			t.Logf("%d states, in %d the new policy is applied everywhere", e.states, e.newPolicyStates)
 			if e.violation != "" || e.newPolicyStates == 0 {
 				t.Errorf("after %d states, %d with the new policy: %s", e.states, e.newPolicyStates, e.violation)
@@ -107,19 +107,19 @@
 	}
 	for _, c := range []struct {
 		name    string
-		variant omittedSafeguards
+		omitted omittedSafeguards
 		faults  faults
 	}{
 		{"without the intersection", omittedSafeguards{noIntersection: true}, faults{}},
-		{"without a fallback policy", omittedSafeguards{noExpiry: true}, faults{suspensions: 1}},
-		{"without the check before the first byte", omittedSafeguards{noPermitCheck: true}, faults{suspensions: 1}},
+		{"without the expiry of leases", omittedSafeguards{noExpiry: true}, faults{suspensions: 1}},
+		{"without calling Permits", omittedSafeguards{noPermitCheck: true}, faults{suspensions: 1}},
 		{"without draining", omittedSafeguards{noDraining: true}, faults{}},
 		{"without the wait of a new leader", omittedSafeguards{noElectionWait: true}, faults{elections: 1}},
 		{"without verification of leadership", omittedSafeguards{noVerification: true}, faults{elections: 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
-			e := explore(c.variant, 2, c.faults, 400_000)
+			e := explore(c.omitted, 2, c.faults, 400_000)
 			t.Logf("after %d states: %s", e.states, e.violation)
 			if e.violation == "" {
 				t.Errorf("no violation found in %d states", e.states)
--- a/logic/policy/modelsteps_test.go
+++ b/logic/policy/modelsteps_test.go
@@ -20,8 +20,8 @@
 }
 
 // successors returns all states that may follow the state.
-func (w *modelState) successors(v omittedSafeguards) []*modelState {
-	s := &transitions{from: w, omitted: v}
+func (w *modelState) successors(omitted omittedSafeguards) []*modelState {
+	s := &transitions{from: w, omitted: omitted}
 	s.add((*modelState).passTime)
 	if !w.proposed {
 		s.add(func(w *modelState) {
@@ -30,10 +30,10 @@
 		})
 	}
 	if w.record.Pending != nil {
-		s.add(func(w *modelState) { w.decide(v) })
+		s.add(func(w *modelState) { w.decide(omitted) })
 	}
 	if w.faults.elections > 0 {
-		s.add(func(w *modelState) { w.elect(v) })
+		s.add(func(w *modelState) { w.elect(omitted) })
 	}
 	for i := range w.nodes {
 		s.addMessages(i)
@@ -59,13 +59,13 @@
 }
 
 // decide lets the leader commit or abandon the pending change, or wait.
-func (w *modelState) decide(v omittedSafeguards) {
-	if v.noDraining {
+func (w *modelState) decide(omitted omittedSafeguards) {
+	if omitted.noDraining {
 		for i := range w.leader.instances {
 			w.leader.instances[i].heartbeat.Drained = true
 		}
 	}
-	if v.noElectionWait {
+	if omitted.noElectionWait {
 		w.leader.electedAt = math.Inf(-1)
 	}
 	if command, _ := w.leader.Decide(w.now); command != nil {
@@ -74,11 +74,11 @@
 }
 
 // elect replaces the leader by a newly elected one.
-func (w *modelState) elect(v omittedSafeguards) {
+func (w *modelState) elect(omitted omittedSafeguards) {
 	w.faults.elections--
 	previous := w.leader
 	previous.instances = slices.Clone(previous.instances)
-	if v.noVerification {
+	if omitted.noVerification {
 		w.deposed = &previous
 	}
 	w.leader = *NewLeader(w.record, w.leader.Lease, w.leader.ChangeTimeout, w.now)
@@ -176,14 +176,14 @@
 }
 
 // handleAnswer lets a gatherer handle the answer to its poll.
-func (w *modelState) handleAnswer(i int, v omittedSafeguards) {
+func (w *modelState) handleAnswer(i int, omitted omittedSafeguards) {
 	n := &w.nodes[i]
 	previous, generation := n.holder.effective, n.holder.generation
 	n.holder.Handle(n.polledAt, w.now, *n.answer)
-	if v.noIntersection && n.answer.Pending != nil && n.holder.leased {
+	if omitted.noIntersection && n.answer.Pending != nil && n.holder.leased {
 		n.holder.effective = n.answer.Pending.Policy
 	}
-	if v.noExpiry && n.holder.leased {
+	if omitted.noExpiry && n.holder.leased {
 		n.holder.expiresAt = math.Inf(1)
 	}
 	n.noticeGeneration(w.now, previous, generation)
--- a/logic/policy/modelworld_test.go
+++ b/logic/policy/modelworld_test.go
@@ -29,7 +29,7 @@
 	heartbeat       Heartbeat
 	answer          *Update  // answer in flight; nil for none
 	olderPolicies   []Policy // earlier policies by which queries in flight were decided
-	expiredPolicies []Policy // the same whose decisions are no longer permitted
+	expiredPolicies []Policy // earlier policies whose decisions are no longer permitted
 }
 
 // modelState is a state of the model.
@@ -40,7 +40,7 @@
 	deposed  *Leader // with the record at the time of the election; nil for none
 	nodes    []node
 	faults   faults // faults that may still occur
-	proposed bool
+	proposed bool   // whether the change to the new policy was proposed
 }
 
 // newModelState returns the initial state, in which all gatherers hold a lease on the old policy.
@@ -102,7 +102,7 @@
 }
 
 // violation describes what violates the safety properties in the state, empty for nothing.
-func (w *modelState) violation(v omittedSafeguards) string {
+func (w *modelState) violation(omitted omittedSafeguards) string {
 	north, south := -1, -1 // a gatherer that may send to the zone in this state; -1 for none
 	for i := range w.nodes {
 		n := w.nodes[i]
@@ -112,7 +112,7 @@
 		holder := n.holder
 		effective, _ := holder.Effective(w.now)
 		permitted := append([]Policy{effective}, n.olderPolicies...)
-		if v.noPermitCheck {
+		if omitted.noPermitCheck {
 			permitted = append(permitted, n.expiredPolicies...)
 		}
 		for _, p := range permitted {
--- a/logic/policy/policy.go
+++ b/logic/policy/policy.go
@@ -70,7 +70,7 @@
 	case !t.flag && !(e.Value >= 0 && e.Value <= t.maxValue): // rejects NaN as well
 		return fmt.Errorf("%s is not within 0 and %g", e, t.maxValue)
 	case t.flag && e.Value != 0:
-		return fmt.Errorf("%s has no value", e)
+		return fmt.Errorf("%s takes no value, not %g", e, e.Value)
 	}
 	return nil
 }
--- a/logic/policy/policy_test.go
+++ b/logic/policy/policy_test.go
@@ -49,12 +49,12 @@
 		"applies to everything":   {{Kind: RetryShare, Subject: "a", Value: 0.1}},
 		"not within 0 and 1":      {{Kind: MinShare, Subject: "a", Value: 1.5}},
 		"needs a zone":            {{Kind: Closed, Subject: "s1"}},
-		"has no value":            {{Kind: Closed, Subject: "north/", Value: 1}},
+		"takes no value, not 1":   {{Kind: Closed, Subject: "north/", Value: 1}},
 		"least a -1 is not":       {{Kind: MinShare, Subject: "a", Value: -1}},
 		"needs a zone and option": {{Kind: Closed, Subject: "/s1"}},
 	} {
 		if _, err := New(entries); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", want, err)
+			t.Errorf("%v: error %v, want one with %q", entries, err, want)
 		}
 	}
 }
--- a/logic/policy/record_test.go
+++ b/logic/policy/record_test.go
@@ -20,7 +20,7 @@
 	change, err := t.record.Apply(c)
 	switch {
 	case (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want):
-		t.Errorf("unexpected result of %+v: error %v", c, err)
+		t.Errorf("%+v: error %v, want %q", c, err, want)
 	case err != nil && before != fmt.Sprintf("%+v", *t.record):
 		t.Errorf("%+v: the command was rejected but changed the record", c)
 	}
@@ -49,7 +49,7 @@
 	first := t.propose(0, "a", Entry{Kind: Closed, Subject: "south/s1"}, Entry{Kind: NoHedging, Subject: "find"})
 	proposed := t.apply(first, "")
 	if repeated := t.apply(first, ""); repeated != proposed || proposed.Number != 1 {
-		t.Errorf("%+v, %+v", proposed, repeated)
+		t.Errorf("proposed %+v, repeated %+v, want the same change with number 1", proposed, repeated)
 	}
 	t.apply(t.propose(0, "b", Entry{Kind: NoHedging}), "change 1 is being prepared")
 	t.apply(Command{Register: &Member{Name: "g3", KnownKinds: Kinds()}},
@@ -70,10 +70,10 @@
 	t.apply(Command{}, "the command is empty")
 	r := t.record
 	if r.Epoch != 1 || r.LastEnded != 2 || len(r.History) != 2 || len(r.Members) != 1 {
-		t.Errorf("%+v", r)
+		t.Errorf("%+v, want epoch 1, 2 ended changes and 1 member", r)
 	}
 	if r.History[1].Outcome != Abandoned || r.History[1].OutcomeReason == "" {
-		t.Errorf("%+v", r.History[1])
+		t.Errorf("%+v, want an abandoned change with a reason", r.History[1])
 	}
 	t.checkTrimmedHistory()
 }
@@ -97,9 +97,9 @@
 	}
 	kept := len(r.History)
 	if kept < maxHistory || kept > maxHistory*5/4 || r.TrimmedChanges+uint64(kept) != 2*maxHistory+52 {
-		t.Errorf("%d kept, %d trimmed", kept, r.TrimmedChanges)
+		t.Errorf("%d kept, %d trimmed, want %d in all", kept, r.TrimmedChanges, 2*maxHistory+52)
 	}
 	if r.Find("n2049") == nil || r.Find("a") != nil {
-		t.Errorf("found %v and %v", r.Find("n2049"), r.Find("a"))
+		t.Errorf("found %v for n2049 and %v for a, want only the former", r.Find("n2049"), r.Find("a"))
 	}
 }
--- a/logic/policy/status.go
+++ b/logic/policy/status.go
@@ -135,7 +135,8 @@
 }
 
 // AppliedEverywhere reports whether no change is pending and every gatherer that is not detached applies the
-// committed policy only. missing names the gatherers that do not. The statuses have to be those of now.
+// committed policy only. missing names the gatherers that do not. statuses must be the result of
+// MemberStatuses for the same now.
 func (l *Leader) AppliedEverywhere(now float64, statuses []MemberStatus) (everywhere bool, missing []string) {
 	if now <= l.electedAt+l.MaxLeaseAge() { // some may hold a lease of the previous leader
 		missing = append(missing, "gatherers that polled the previous leader")
--- a/logic/rollout/check.go
+++ b/logic/rollout/check.go
@@ -97,8 +97,8 @@
 			}
 		}
 		if size > 1 && c.MaxUnavailablePerZone >= size {
-			c.add("out", -1, "%d gatherers of a zone may be out at once, and %s has %d",
-				c.MaxUnavailablePerZone, zone, size)
+			c.add("out", -1, "%d gatherers of a zone may be out at once, and the zone %s has %d: "+
+				"at least one has to serve", c.MaxUnavailablePerZone, zone, size)
 		}
 	}
 }
--- a/logic/rollout/claim_test.go
+++ b/logic/rollout/claim_test.go
@@ -23,7 +23,7 @@
 	} {
 		holder, granted := Grant(c.current, c.requested, c.now)
 		if granted != c.wantGranted || granted && holder != c.requested || !granted && holder != *c.current {
-			t.Errorf("%+v: granted %v, holder %+v", c, granted, holder)
+			t.Errorf("%+v: granted %v to holder %+v", c, granted, holder)
 		}
 	}
 	if Release(current, "b", 9) || Release(current, "a", 2) || !Release(current, "a", 3) || Release(nil, "a", 3) {
--- a/logic/rollout/compare.go
+++ b/logic/rollout/compare.go
@@ -363,7 +363,8 @@
 }
 
 // stageTooSmallFor reports whether the current stage is too small to require proof of harmlessness in a
-// metric that does no harm by itself: differences between single gatherers are as large there.
+// metric that does no harm by itself: differences between single gatherers are as large there as the
+// difference that would have to be ruled out.
 func (d *Decider) stageTooSmallFor(m metric) bool {
 	const rounding = 1.001
 	return d.plan.thresholds(m).detectable/d.nextStageShare() > rounding*d.maxDetectable(m)
--- a/logic/rollout/decider.go
+++ b/logic/rollout/decider.go
@@ -18,7 +18,7 @@
 	position  Position
 	resumed   bool // an earlier decider may have changed some gatherers to new already
 
-	stageStarted    bool
+	stageStarted    bool // stageStartedAt is set
 	stageStartedAt  float64
 	evaluatingSince float64 // since when all gatherers of the stage serve as new; 0 while some don't
 
@@ -222,20 +222,21 @@
 	return names
 }
 
-// underObservedClass returns the last class of which the baseline has too few queries, -1 for none.
+// underObservedClass returns the last class of which the baseline has too few queries, or which is evaluated
+// and of which the baseline is not precise enough; -1 for none.
 func (d *Decider) underObservedClass() int {
-	all, unknown := 0.0, -1
+	allQueries, underObserved := 0.0, -1
 	for class := range d.plan.Classes {
-		all += d.baseline.total(class).total[lostValue]
+		allQueries += d.baseline.total(class).total[lostValue]
 	}
 	for class := range d.plan.Classes {
 		queries := d.baseline.total(class).total[lostValue]
-		evaluated := queries >= d.plan.MinClassShare*all
+		evaluated := queries >= d.plan.MinClassShare*allQueries
 		if queries < minBaselineQueries || evaluated && !d.baseline.precise(&d.plan, class) {
-			unknown = class
+			underObserved = class
 		}
 	}
-	return unknown
+	return underObserved
 }
 
 // advanceStage changes the gatherers of the current stage and evaluates them.
--- a/logic/rollout/decider_test.go
+++ b/logic/rollout/decider_test.go
@@ -25,18 +25,18 @@
 }
 
 // byVariant returns a rate that depends on the variant alone.
-func byVariant(olds, news float64) func(Variant) float64 {
+func byVariant(oldRate, newRate float64) func(Variant) float64 {
 	return func(v Variant) float64 {
 		if v == New {
-			return news
+			return newRate
 		}
-		return olds
+		return oldRate
 	}
 }
 
 // lossByVariant returns a loss rate that depends on the variant alone.
-func lossByVariant(olds, news float64) func(int, Variant, int) float64 {
-	rate := byVariant(olds, news)
+func lossByVariant(oldRate, newRate float64) func(int, Variant, int) float64 {
+	rate := byVariant(oldRate, newRate)
 	return func(_ int, v Variant, _ int) float64 { return rate(v) }
 }
 
@@ -163,10 +163,11 @@
 		}
 		d := f.runUntil(c.intervals, RolledBack, Stopped, Completed)
 		if d.Phase != c.wantPhase || !strings.Contains(d.Reason, c.wantReason) || f.countNew() != c.wantNew {
-			t.Errorf("%s: %s, %q, %d new at %.0f s", name, d.Phase, d.Reason, f.countNew(), f.now/1000)
+			t.Errorf("%s: phase %q, reason %q, %d new at %.0f s, want phase %q, reason with %q, %d new", name,
+				d.Phase, d.Reason, f.countNew(), f.now/1000, c.wantPhase, c.wantReason, c.wantNew)
 		}
 		if f.maxStepsInProgress > 2 {
-			t.Errorf("%s: %d steps at once", name, f.maxStepsInProgress)
+			t.Errorf("%s: %d steps at once, want at most 2", name, f.maxStepsInProgress)
 		}
 	}
 }
@@ -193,7 +194,7 @@
 			return lossRate
 		}
 		if d := f.runUntil(1500, Completed, RolledBack, Stopped); d.Phase != c.wantPhase || c.harm > 0 && f.countNew() > 0 {
-			t.Errorf("harm %g: %+v at %.0f s", c.harm, d, f.now/1000)
+			t.Errorf("harm %g: %+v at %.0f s, want phase %q", c.harm, d, f.now/1000, c.wantPhase)
 		}
 	}
 }
@@ -253,11 +254,11 @@
 		},
 		"exits once": {
 			exits: func(f *fleet) func(g int) bool {
-				ended := false
+				exited := false
 				return func(g int) bool {
-					end := !ended && f.variant[g] == New && f.uptime[g] >= 3_000
-					ended = ended || end
-					return end
+					exits := !exited && f.variant[g] == New && f.uptime[g] >= 3_000
+					exited = exited || exits
+					return exits
 				}
 			},
 			restartMillis: 2_000, wantPhase: Completed, wantStage: 2,
@@ -277,7 +278,7 @@
 		f.restartMillis = c.restartMillis
 		d := f.runUntil(1500, Completed, RolledBack, Stopped)
 		if d.Phase != c.wantPhase || d.Stage != c.wantStage {
-			t.Errorf("%s: %+v at %.0f s", name, d, f.now/1000)
+			t.Errorf("%s: %+v at %.0f s, want phase %q of stage %d", name, d, f.now/1000, c.wantPhase, c.wantStage)
 		}
 		if c.wantPhase == RolledBack && !strings.Contains(d.Reason, "processes end by themselves more often") {
 			t.Errorf("%s: reason %q", name, d.Reason)
@@ -297,10 +298,10 @@
 	position, newBefore := f.decider.Position(), f.countNew()
 	f.decider = NewDecider(f.plan, position)
 	if d := f.runInterval(); d.Phase != Baselining || d.Stage != 1 || len(d.Steps) > 0 {
-		t.Errorf("%+v", d)
+		t.Errorf("the resumed decider decided %+v, want no steps in phase %q of stage 1", d, Baselining)
 	}
 	if d := f.runUntil(1500, Completed, RolledBack, Stopped); d.Phase != Completed || f.countNew() < newBefore {
-		t.Errorf("%+v", d)
+		t.Errorf("%+v, %d new, want phase %q and at least %d new", d, f.countNew(), Completed, newBefore)
 	}
 }
 
@@ -345,7 +346,7 @@
 		}
 		clear(f.unreachable)
 		if d := f.runUntil(400, RolledBack); d.Phase != RolledBack || f.countNew() > 0 {
-			t.Fatalf("%+v, %d new", d, f.countNew())
+			t.Fatalf("%+v, %d new, want phase %q and none new", d, f.countNew(), RolledBack)
 		}
 	})
 }
--- a/logic/rollout/findings.go
+++ b/logic/rollout/findings.go
@@ -146,7 +146,7 @@
 		return fmt.Sprintf("%s, since %.0f s ago: no comparison and no next stage meanwhile",
 			d.disturbance, (o.Now-d.disturbedSince)/1000)
 	}
-	if olds, _ := o.countVariants(); olds == 0 { // nothing is left to compare with
+	if oldCount, _ := o.countVariants(); oldCount == 0 { // nothing is left to compare with
 		return ""
 	}
 	for class := range d.plan.Classes {
--- a/logic/rollout/fleet_test.go
+++ b/logic/rollout/fleet_test.go
@@ -23,17 +23,17 @@
 	variant            []Variant
 	uptime             []float64
 	unreachable        map[int]bool
-	exitsNow           func(g int) bool // whether its process exits on its own now
-	restartMillis      float64          // time until such a process runs again
-	restartEnds        map[int]float64
-	stepEnds           map[int]float64
-	stepTo             map[int]Variant
-	failsToStart       map[int]bool // whether it fails to start as new
-	lossRate           func(g int, v Variant, class int) float64
-	attempts           func(v Variant) float64 // per shard request
-	tailRate           func(v Variant) float64
-	queries            float64 // of the first class, per interval
-	maxStepsInProgress int     // greatest number of steps at once so far
+	exitsNow           func(g int) bool                          // reports whether a gatherer's process exits on its own now
+	restartMillis      float64                                   // time until a process that exited on its own runs again
+	restartEnds        map[int]float64                           // when a process that exited on its own runs again
+	stepEnds           map[int]float64                           // when the step in progress ends
+	stepTo             map[int]Variant                           // target variant of the latest step
+	failsToStart       map[int]bool                              // gatherers that fail to start as new
+	lossRate           func(g int, v Variant, class int) float64 // share of queries that are lost
+	attempts           func(v Variant) float64                   // attempts per shard request
+	tailRate           func(v Variant) float64                   // share of served queries in the latency tail
+	queries            float64                                   // queries of the first class per interval
+	maxStepsInProgress int                                       // greatest number of steps at once so far
 	lastDecision       Decision
 }
 
--- a/logic/rollout/journal_test.go
+++ b/logic/rollout/journal_test.go
@@ -29,21 +29,21 @@
 			names = append(names, rec.Gatherer)
 		}
 		if err != nil || strings.Join(names, " ") != wantUnfinished[n] {
-			t.Errorf("after %d records: error %v, unfinished steps %v", n, err, names)
+			t.Errorf("after %d records: error %v, unfinished steps %v, want %q", n, err, names, wantUnfinished[n])
 		}
 		phase := Updating
 		if n >= 7 {
 			phase = RollingBack
 		}
 		if n >= 2 && recovered.Position.Phase != phase || n >= 6 && recovered.Command != "back 7" {
-			t.Errorf("after %d records: %+v", n, recovered)
+			t.Errorf("after %d records: wrong phase or command in %+v, want phase %q", n, recovered, phase)
 		}
 	}
 	if _, err := Replay("q", records); !errors.Is(err, ErrPlanChanged) {
-		t.Errorf("another plan: %v", err)
+		t.Errorf("another plan: error %v, want %v", err, ErrPlanChanged)
 	}
 	if _, err := Replay("p", []Record{{Kind: "later"}}); !errors.Is(err, ErrRecord) {
-		t.Errorf("an unknown kind of record: %v", err)
+		t.Errorf("an unknown kind of record: error %v, want %v", err, ErrRecord)
 	}
 	for _, rec := range records {
 		if rec.Describe() == "" {
--- a/logic/rollout/plan.go
+++ b/logic/rollout/plan.go
@@ -40,7 +40,7 @@
 	MaxUnavailable        int // gatherers that may be unavailable at once, for any reason
 	MaxUnavailablePerZone int // gatherers of one zone that may be unavailable at once
 
-	BaselineTime   float64 // time of observation before the first change
+	BaselineTime   float64 // minimum time of observation before the first change
 	WarmUp         float64 // time after its start for which a gatherer is evaluated separately
 	StepTimeout    float64 // time within which a changed gatherer has to serve as its target variant
 	StageLimit     float64 // longest time that a stage may last
@@ -50,8 +50,8 @@
 	Harm          float64 // loss of value that has to be detected, as a share of what queries could earn
 	WarmUpHarm    float64 // loss of value that is tolerated of a gatherer that is warming up, as a share too
 	ExtraCost     float64 // increase of attempts, connections or memory that has to be detected, as a share
-	FalseStopRate float64 // probability that a rollout of a version as good as the old is stopped
-	FalsePassRate float64 // probability that a stage passes a version that does Harm
+	FalseStopRate float64 // accepted probability that a version as good as the old one is stopped
+	FalsePassRate float64 // accepted probability that a stage passes a version that does Harm
 	MinQueries    float64 // queries of each evaluated class that new gatherers need in a stage
 	MinClassShare float64 // share of the fleet's queries from which on a class is evaluated
 	MaxAttempts   int     // steps that may be tried to change one gatherer to new
--- a/logic/rollout/plan_test.go
+++ b/logic/rollout/plan_test.go
@@ -33,10 +33,10 @@
 			messages = append(messages, fault.Message)
 		}
 		if !strings.Contains(strings.Join(messages, "; "), want) {
-			t.Errorf("%q: %v", want, messages)
+			t.Errorf("mistakes %q, want one with %q", messages, want)
 		}
 	}
 	if p := newFleet(12, nil).plan; len(p.Check()) > 0 {
-		t.Errorf("a valid plan: %v", p.Check())
+		t.Errorf("mistakes in a valid plan: %v", p.Check())
 	}
 }
--- a/logic/rollout/sample.go
+++ b/logic/rollout/sample.go
@@ -7,7 +7,7 @@
 	Queries       float64
 	EarnedValue   float64 // summed over the queries, each from 0 to 1
 	Rejected      float64
-	Failed        float64 // internal errors included
+	Failed        float64 // failed queries, including those with internal errors
 	ShardRequests float64
 	Attempts      float64
 	ExtraAttempts float64                 // retries and hedged requests
--- a/logic/rollout/steps.go
+++ b/logic/rollout/steps.go
@@ -155,7 +155,9 @@
 		case s.Step == Failed && elapsed > 0, overdue && s.Reachable:
 			d.gaveUp[g] = d.gaveUp[g] || lastAttempt
 			d.requested[g] = Unknown
-		case overdue: // not reachable: its state is unknown, and it stays unavailable until it answers
+		case overdue:
+			// The gatherer is unreachable, so its state is unknown, which does not count as worse. It stays
+			// unavailable until it answers.
 			d.gaveUp[g] = d.gaveUp[g] || lastAttempt && s.Step == Succeeded
 			d.requested[g] = Unknown
 		}
