--- a/logic/baselines/baselines.go
+++ b/logic/baselines/baselines.go
@@ -21,8 +21,8 @@
 	HedgeQuantile float64 // quantile of latencies after which an attempt is hedged; 0 disables hedging
 }
 
-// Choose returns the index of the chosen server. inFlight holds the number of this gatherer's attempts in
-// flight at each of the servers.
+// Choose returns the index of the chosen server. turn is the round-robin position of the replica set.
+// inFlight holds the number of this gatherer's attempts in flight at each of the servers.
 type Choose func(random *pcg.Source, turn *int, servers []uint32, inFlight []int) int
 
 // Random chooses a replica at random.
--- a/logic/baselines/baselines_test.go
+++ b/logic/baselines/baselines_test.go
@@ -109,6 +109,7 @@
 	return list
 }
 
+// simulate runs 3000 rounds of a baseline against a fleet.
 func simulate(seed uint64, strategy Strategy) *fleet {
 	f := &fleet{random: pcg.New(seed + 77), hash: fnv.New64a(), attempts: map[uint64]int{}}
 	module := New(seed, &gather.Settings{ReplicaSets: testReplicaSets, ReplicaSetsPerShard: 2, MaxAttempts: 3,
--- a/logic/baselines/query.go
+++ b/logic/baselines/query.go
@@ -24,7 +24,7 @@
 	query     *query
 	attempts  []attempt
 	inFlight  int
-	wanted    bool
+	wanted    bool // the query needs the response for a complete answer
 	succeeded bool
 	closed    bool // no further attempts are allowed
 }
--- a/logic/handout/handout.go
+++ b/logic/handout/handout.go
@@ -67,7 +67,7 @@
 	Nonce           string            // nonce of the response that the request answers; empty for none
 	Version         string            // state of the world only: version that the proxy holds
 	RejectReason    string            // why the proxy rejects that response; empty if it accepts it
-	Names           []string          // state of the world only; "*", or no names at first, is all
+	Names           []string          // state of the world only: names; "*", or none at first, means all
 	Subscribe       []string          // incremental only: names to add
 	Unsubscribe     []string          // incremental only: names to remove
 	InitialVersions map[string]string // incremental only, first request: versions held, by name
@@ -182,7 +182,7 @@
 // handleAnswer processes the acceptance or rejection of a response. An answer implies that all earlier
 // responses were accepted.
 func (s *Stream) handleAnswer(sub *subscription, r *Request, now float64) {
-	index := slices.IndexFunc(sub.unacked, func(f sentResponse) bool { return f.nonce == r.Nonce })
+	index := slices.IndexFunc(sub.unacked, func(sent sentResponse) bool { return sent.nonce == r.Nonce })
 	if index < 0 {
 		return
 	}
@@ -419,7 +419,7 @@
 	if len(names) == 0 && !mustRespond {
 		return nil
 	}
-	if !mayBePartial { // contains also resources whose removal is deferred
+	if !mayBePartial { // the response also contains the resources whose removal is deferred
 		r.Resources = r.Resources[:0:0]
 		for _, resource := range sub.known {
 			if resource.Body != nil {
@@ -437,8 +437,8 @@
 
 // compare orders resources by name, with rejected ones after all others.
 func (sub *subscription) compare(x, y Resource) int {
-	if sx, sy := sub.wasRejected(x.Name), sub.wasRejected(y.Name); sx != sy {
-		if sx {
+	if xRejected, yRejected := sub.wasRejected(x.Name), sub.wasRejected(y.Name); xRejected != yRejected {
+		if xRejected {
 			return 1
 		}
 		return -1
--- a/logic/handout/handout_test.go
+++ b/logic/handout/handout_test.go
@@ -46,14 +46,15 @@
 	held       [TypeCount]map[string]Resource
 	version    [TypeCount]string
 	unanswered []*Response
-	newest     [TypeCount]uint64
-	restarted  bool
+	newest     [TypeCount]uint64 // newest version received on the stream
+	restarted  bool              // the stream has begun, and no clusters were accepted on it yet
 	// unlisted holds the clusters that the proxy had when a state-of-the-world stream began. The stream does not
 	// know of them, so they may be removed while routes still refer to them.
 	unlisted map[string]bool
 	now      float64
 }
 
+// start opens a new stream and requests all types, stating the versions that the proxy holds.
 func (p *proxy) start(incremental bool) {
 	p.stream, p.unanswered, p.restarted = &Stream{Incremental: incremental}, nil, true
 	for t := range TypeCount {
@@ -179,7 +180,7 @@
 			p.now += 10
 			name := rapid.SampledFrom(names).Draw(t, "name")
 			_, exists := views.clusters[name]
-			switch rapid.IntRange(0, 9).Draw(t, "what") {
+			switch rapid.IntRange(0, 9).Draw(t, "step") {
 			case 0, 1: // endpoints change
 				if exists {
 					views.version++
@@ -210,9 +211,9 @@
 			case 7:
 				p.start(incremental)
 			case 8:
-				p.rejects = rapid.SampledFrom([]string{"", "c0", "c1"}).Draw(t, "bad")
+				p.rejects = rapid.SampledFrom([]string{"", "c0", "c1"}).Draw(t, "rejects")
 			}
-			if rapid.Bool().Draw(t, "pull") {
+			if rapid.Bool().Draw(t, "receive") {
 				p.receive(views.view())
 			}
 		}
--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -45,8 +45,8 @@
 	// minFleetShare is the fraction of all running hosts that are never ejected. If more of them would be,
 	// ejection is suspended.
 	minFleetShare = 0.7
-	// distrustShare is the fraction of unhealthy hosts from which an observer is distrusted, since it is
-	// probably cut off itself.
+	// distrustShare is the fraction of the hosts seen by an observer from which, if it finds so many unhealthy,
+	// it is distrusted, since it is probably cut off itself.
 	distrustShare = 0.5
 
 	baseWeight       = 100.0  // weight of a warm host with the median latency
@@ -97,16 +97,16 @@
 // rateWindow is the time in seconds over which the requests behind an observation are counted.
 const rateWindow = 5
 
-func (s *Observation) requests() float64 { return s.Rate * rateWindow }
+func (o *Observation) requests() float64 { return o.Rate * rateWindow }
 
 // expectedLatency returns the latency to expect of one more request to the host: the measured latency or, if
 // it is larger, that of the requests in flight by Little's law, plus the extra latency by failures.
-func (s *Observation) expectedLatency() float64 {
-	l := s.Latency
-	if s.Rate > 0 {
-		l = max(l, 1000*s.InFlight/s.Rate)
+func (o *Observation) expectedLatency() float64 {
+	l := o.Latency
+	if o.Rate > 0 {
+		l = max(l, 1000*o.InFlight/o.Rate)
 	}
-	return l + min(s.FailureShare, 1)*s.FailureLatency
+	return l + min(o.FailureShare, 1)*o.FailureLatency
 }
 
 // Health is the health of a host as published to proxies.
@@ -227,7 +227,7 @@
 			h = &host{unweighted: true}
 			d.hosts[listedHost.Name] = h
 		}
-		// The observations so far concern an earlier process of the same name.
+		// After a restart or a removal the observations so far concern an earlier process of the same name.
 		if h.StartedAt != listedHost.StartedAt || listedHost.State == gather.Removed {
 			h.ejected, h.outlierSince, h.healthySince, h.ejections, h.latency, h.unweighted = false, 0, 0, 0, 0, true
 			for _, observations := range d.observations {
@@ -247,9 +247,9 @@
 // SetObservations replaces all observations of one observer.
 func (d *Decider) SetObservations(observer string, observations []Observation, now float64) {
 	byHost := make(map[string]Observation, len(observations))
-	for _, s := range observations {
-		byHost[s.Host] = s
-		if h := d.hosts[s.Host]; h != nil && d.isSignificant(&s) {
+	for _, o := range observations {
+		byHost[o.Host] = o
+		if h := d.hosts[o.Host]; h != nil && d.isSignificant(&o) {
 			h.lastObservedAt = now
 		}
 	}
@@ -262,7 +262,7 @@
 	Urgent  bool     // a drain, a removal, or a change of address or process, to be published before all else
 }
 
-// Decide updates the endpoints to the given time.
+// Decide updates the published endpoints for the given time.
 func (d *Decider) Decide(now float64) (c Change) {
 	if d.startedAt == 0 {
 		d.startedAt = now
@@ -379,8 +379,8 @@
 			continue
 		}
 		trusted++
-		for name, s := range d.observations[observer] {
-			if !d.isSignificant(&s) {
+		for name, o := range d.observations[observer] {
+			if !d.isSignificant(&o) {
 				continue
 			}
 			v := votesByHost[name]
@@ -452,36 +452,36 @@
 
 // isSignificant reports whether an observation is based on enough requests to count. An ejected host gets few
 // requests, and the trial requests that check whether it has recovered are enough to keep it ejected.
-func (d *Decider) isSignificant(s *Observation) bool {
-	h := d.hosts[s.Host]
-	return s.requests() >= minRequests || h != nil && h.ejected && s.requests() >= minRequestsEjected
+func (d *Decider) isSignificant(o *Observation) bool {
+	h := d.hosts[o.Host]
+	return o.requests() >= minRequests || h != nil && h.ejected && o.requests() >= minRequestsEjected
 }
 
 // findOutliers returns the hosts whose failure share, as observed by one observer, exceeds the lowest of
 // their group by more than healthyThreshold, with the excess. count is the number of hosts compared.
 func (d *Decider) findOutliers(observations map[string]Observation) (outliers map[string]float64, count int) {
 	lowest := map[int]float64{}
-	for name, s := range observations {
+	for name, o := range observations {
 		h := d.hosts[name]
-		if h == nil || !d.isSignificant(&s) || h.State != gather.Running {
+		if h == nil || !d.isSignificant(&o) || h.State != gather.Running {
 			continue
 		}
 		count++
 		for _, g := range h.Groups {
-			if f, known := lowest[g]; !known || s.FailureShare < f {
-				lowest[g] = s.FailureShare
+			if f, known := lowest[g]; !known || o.FailureShare < f {
+				lowest[g] = o.FailureShare
 			}
 		}
 	}
 	outliers = map[string]float64{}
-	for name, s := range observations {
+	for name, o := range observations {
 		h := d.hosts[name]
-		if h == nil || !d.isSignificant(&s) || h.State != gather.Running {
+		if h == nil || !d.isSignificant(&o) || h.State != gather.Running {
 			continue
 		}
 		excess := math.Inf(1)
 		for _, g := range h.Groups {
-			excess = min(excess, s.FailureShare-lowest[g])
+			excess = min(excess, o.FailureShare-lowest[g])
 		}
 		if len(h.Groups) > 0 && excess > healthyThreshold {
 			outliers[name] = excess
@@ -510,7 +510,7 @@
 		}
 	}
 	tooMany := float64(ejected) > max((1-minFleetShare)*float64(running), 1)
-	d.suspended = tooMany || trusted == 0 && now-d.lastReport() > observerTimeout
+	d.suspended = tooMany || trusted == 0 && now-d.latestReportAt() > observerTimeout
 	if d.suspended {
 		for _, h := range d.hosts {
 			h.ejected = false
@@ -537,7 +537,8 @@
 	}
 }
 
-func (d *Decider) lastReport() float64 {
+// latestReportAt returns the time of the latest report of any observer, or that of the start if it is later.
+func (d *Decider) latestReportAt() float64 {
 	latest := d.startedAt // gives observers time to report after the start
 	for _, t := range d.lastReportAt {
 		latest = max(latest, t)
@@ -552,8 +553,8 @@
 		h := d.hosts[name]
 		sum, n := 0.0, 0.0
 		for _, observer := range observers {
-			if s, seen := d.observations[observer][name]; seen && s.requests() >= minRequests && s.Latency > 0 {
-				sum, n = sum+s.expectedLatency(), n+1
+			if o, seen := d.observations[observer][name]; seen && o.requests() >= minRequests && o.Latency > 0 {
+				sum, n = sum+o.expectedLatency(), n+1
 			}
 		}
 		if n == 0 {
@@ -623,7 +624,7 @@
 	return names
 }
 
-// warmShare returns the share of its full capacity that a host has reached at least.
+// warmShare returns the lowest share of its full capacity that a host can have by now.
 func (d *Decider) warmShare(h *host, now float64) float64 {
 	age := now - h.StartedAt
 	if h.StartedAt == 0 || d.warmup.Duration == 0 || age >= d.warmup.Duration {
--- a/logic/hoststate/hoststate_test.go
+++ b/logic/hoststate/hoststate_test.go
@@ -48,6 +48,7 @@
 	changes      int
 }
 
+// parseSettings parses words of the form KEY=VALUE.
 func parseSettings(words []string) (keys, values []string) {
 	for _, w := range words {
 		k, v, _ := strings.Cut(w, "=")
@@ -64,6 +65,7 @@
 	return n
 }
 
+// list sets the decider's list of hosts.
 func (s *scenario) list() {
 	var all []Host
 	for _, name := range s.names {
@@ -102,7 +104,7 @@
 			case "plan":
 				h.PlannedWeight = s.number(values[i])
 			default:
-				s.t.Fatalf("host: %s", k)
+				s.t.Fatalf("host: unknown key %q", k)
 			}
 		}
 		s.hosts[name] = h
@@ -128,6 +130,8 @@
 	}
 }
 
+// run advances the time. Every 250 ms the observers report and the decider decides. The version must grow
+// with each change, and only then.
 func (s *scenario) run(ms float64) {
 	for until := s.now + ms; s.now < until; s.now += 250 {
 		for _, observer := range []string{"w1", "w2", "w3"} {
@@ -157,6 +161,7 @@
 	}
 }
 
+// within checks that a value lies within bounds of the form LOW..HIGH, or equals a single number.
 func (s *scenario) within(line, bounds string, got float64) {
 	low, high, isRange := strings.Cut(bounds, "..")
 	if !isRange {
@@ -282,15 +287,15 @@
 		now := 1e6
 		previous := map[string]Endpoint{}
 		for range rapid.IntRange(5, 80).Draw(t, "rounds") {
-			now += float64(rapid.IntRange(50, 3000).Draw(t, "passes"))
+			now += float64(rapid.IntRange(50, 3000).Draw(t, "elapsed"))
 			i := rapid.IntRange(0, n-1).Draw(t, "host")
-			switch rapid.IntRange(0, 8).Draw(t, "what") {
+			switch rapid.IntRange(0, 8).Draw(t, "change") {
 			case 0:
 				hosts[i].State = gather.Draining
 			case 1:
 				hosts[i].State, hosts[i].StartedAt, listed[i] = gather.Running, now, true
 			case 2:
-				listed[i] = rapid.Bool().Draw(t, "there")
+				listed[i] = rapid.Bool().Draw(t, "listed")
 			}
 			var list []Host
 			for i := range hosts {
@@ -302,11 +307,11 @@
 			for w := range 3 {
 				for i := range hosts {
 					if rapid.IntRange(0, 3).Draw(t, "seen") > 0 {
-						f := rapid.SampledFrom([]float64{0, 0, 0, 0.05, 0.5, 1}).Draw(t, "f")
-						s := rapid.SampledFrom([]float64{10, 10, 11, 40, 400}).Draw(t, "s")
+						f := rapid.SampledFrom([]float64{0, 0, 0, 0.05, 0.5, 1}).Draw(t, "failure share")
+						s := rapid.SampledFrom([]float64{10, 10, 11, 40, 400}).Draw(t, "latency")
 						observations[fmt.Sprint("w", w)] = append(observations[fmt.Sprint("w", w)],
 							Observation{fmt.Sprint("h", i), s, f, 50, 20,
-								float64(rapid.IntRange(0, 9).Draw(t, "out"))})
+								float64(rapid.IntRange(0, 9).Draw(t, "in flight"))})
 					}
 				}
 			}
@@ -397,7 +402,8 @@
 	for i := range 6 { // the capacity of zone a falls to nine tenths of its load and recovers
 		all[i%2].Weight = 30
 		if p, _ := priority(split.Split(all, 0, "a"), "b"); p != 1 {
-			t.Fatalf("zone a shares its load after a small variation: priority %d", priorityOfA)
+			t.Fatalf("zone a shares its load after a small variation; its own hosts had priority %d before",
+				priorityOfA)
 		}
 		all[i%2].Weight = 100
 	}
--- a/logic/hoststate/zonesplit.go
+++ b/logic/hoststate/zonesplit.go
@@ -34,9 +34,9 @@
 // ZoneSplit decides how much of a zone's load is handled by the zone's own hosts. It is not safe for
 // concurrent use.
 type ZoneSplit struct {
-	load      map[string]float64
+	load      map[string]float64 // number of connected proxies, by zone; decreases are applied gradually
 	updatedAt float64
-	local     map[zoneGroup]bool
+	local     map[zoneGroup]bool // the zone handles all load of its own proxies for the group
 }
 
 type zoneGroup struct {
@@ -104,9 +104,9 @@
 		}
 		return capacity[zoneName] / total / (z.load[zoneName] / totalLoad)
 	}
-	_, own := capacity[zone]
+	_, hasHosts := capacity[zone]
 	ownCoverage := 0.0
-	if own && capacity[zone] > 0 {
+	if hasHosts && capacity[zone] > 0 {
 		ownCoverage = coverage(zone)
 	}
 	key := zoneGroup{zone, group}
--- a/logic/ownership/host.go
+++ b/logic/ownership/host.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// SegmentLog records which requests ran in a segment. Its owners read and write it, and it outlives them. It
-// accepts records only under the epoch of the newest owner.
+// SegmentLog records which requests ran in a segment. The segment's owners read and write the log, which
+// outlives them. It accepts records only under the epoch of the newest owner.
 type SegmentLog struct {
 	Epoch  uint64 // epoch since which the newest owner owns the segment
 	Sealed bool   // no more records are accepted under Epoch
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -23,7 +23,7 @@
 type message struct {
 	kind     string // request or response
 	gatherer int    // index of the gatherer
-	host     int
+	host     int    // hostA or hostB
 	request  Request
 	ran      bool // in a response: the request ran; false if the host rejected it as not the owner
 }
@@ -326,7 +326,7 @@
 				Writer: true})
 		}
 	}
-	s.published = append(s.published, fmt.Sprint("undone", s.reverted))
+	s.published = append(s.published, fmt.Sprint("reverted", s.reverted))
 	s.reverted++
 }
 
@@ -376,7 +376,7 @@
 	}
 	disowned, _ := first.Apply(reversal[0])
 	restored, _ := disowned.Apply(reversal[1])
-	m.maps = map[string]*Map{"old": first, "new": next, "undone0": disowned, "undone1": restored}
+	m.maps = map[string]*Map{"old": first, "new": next, "reverted0": disowned, "reverted1": restored}
 	start := &modelState{handover: handover, published: []string{"old"},
 		logs: map[string]SegmentLog{"s": {Epoch: 1}}, grantedTo: map[string]int{}}
 	start.hosts[hostA] = ownedByMap(first, hostA)
--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -42,7 +42,8 @@
 	return m
 }
 
-// drawChange draws a change to m. ok is false if m does not allow the change.
+// drawChange draws a change to m. n makes the names of new segments unique. ok is false if m does not allow
+// the change.
 func drawChange(t *rapid.T, m *Map, n int) (c Change, ok bool) {
 	if len(m.Segments) == 0 {
 		return c, false
@@ -60,7 +61,7 @@
 		}
 		c, err = m.MergeSegments(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", n))
 	case 2:
-		c, err = m.MoveSegment(s.Name, []string{fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "to"))})
+		c, err = m.MoveSegment(s.Name, []string{fmt.Sprint("h", rapid.IntRange(0, 5).Draw(t, "owner"))})
 	default:
 		c, err = m.MoveSegment(s.Name, nil)
 	}
@@ -80,15 +81,15 @@
 		}
 		a, b := rapid.Uint64().Draw(t, "a"), rapid.Uint64().Draw(t, "b")
 		r := Range{min(a, b), max(a, b)}
-		pieces := m.Overlaps(r)
+		overlaps := m.Overlaps(r)
 		sum, from := 0.0, r.Lo
-		for i, p := range pieces {
-			if p.Lo != from || p.Hi < p.Lo || p.Hi > r.Hi {
-				t.Fatalf("overlap %s does not begin at key %016x or exceeds range %s", p.Text(), from, r.Text())
+		for i, o := range overlaps {
+			if o.Lo != from || o.Hi < o.Lo || o.Hi > r.Hi {
+				t.Fatalf("overlap %s does not begin at key %016x or exceeds range %s", o.Text(), from, r.Text())
 			}
-			sum += p.Share
-			if from = p.Hi + 1; i == len(pieces)-1 && p.Hi != r.Hi {
-				t.Fatalf("the last overlap %s does not reach the end of range %s", p.Text(), r.Text())
+			sum += o.Share
+			if from = o.Hi + 1; i == len(overlaps)-1 && o.Hi != r.Hi {
+				t.Fatalf("the last overlap %s does not reach the end of range %s", o.Text(), r.Text())
 			}
 		}
 		if math.Abs(sum-1) > 1e-9 {
@@ -108,9 +109,10 @@
 					owner = i
 				}
 			}
-			at := slices.IndexFunc(pieces, func(p Overlap) bool { return key >= p.Lo && key <= p.Hi })
-			if pieces[at].Segment != owner {
-				t.Fatalf("key %016x is in segment %d, but its overlap has segment %d", key, owner, pieces[at].Segment)
+			index := slices.IndexFunc(overlaps, func(o Overlap) bool { return key >= o.Lo && key <= o.Hi })
+			if overlaps[index].Segment != owner {
+				t.Fatalf("key %016x is in segment %d, but its overlap has segment %d", key, owner,
+					overlaps[index].Segment)
 			}
 		}
 	})
@@ -140,7 +142,7 @@
 func TestReassignCoversKeysOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
-		nonIdempotent := rapid.Bool().Draw(t, "once")
+		nonIdempotent := rapid.Bool().Draw(t, "non-idempotent")
 		var pieces []Piece
 		next := uint64(0)
 		addPiece := func(newPiece NewPiece) {
@@ -177,12 +179,12 @@
 				m, _ = m.Apply(c)
 			}
 			trusted := rapid.IntRange(0, 5).Draw(t, "trusted") > 0
-			now += rapid.Float64Range(0, 200).Draw(t, "passes")
+			now += rapid.Float64Range(0, 200).Draw(t, "elapsed")
 			replaced, added := m.Reassign(pieces, nonIdempotent, trusted, now)
 			for _, id := range replaced {
-				i := slices.IndexFunc(pieces, func(h Piece) bool { return h.ID == id })
-				if h := pieces[i]; h.Answered || h.InFlight > 0 || nonIdempotent && h.MayHaveRun {
-					t.Fatalf("replaced a piece that must be kept: %+v", h)
+				i := slices.IndexFunc(pieces, func(p Piece) bool { return p.ID == id })
+				if p := pieces[i]; p.Answered || p.InFlight > 0 || nonIdempotent && p.MayHaveRun {
+					t.Fatalf("replaced a piece that must be kept: %+v", p)
 				}
 				pieces = slices.Delete(pieces, i, i+1)
 			}
@@ -215,7 +217,7 @@
 				}
 				if len(requestPieces) == 0 || requestPieces[len(requestPieces)-1].Hi != r.Hi ||
 					math.Abs(sum-weights[request]) > 1e-9 {
-					t.Fatalf("request %d: %d pieces with weight %g don't cover its range and weight", request,
+					t.Fatalf("request %d: %d pieces with weight %g don't cover its range or keep its weight", request,
 						len(requestPieces), sum)
 				}
 			}
@@ -257,7 +259,7 @@
 			if len(changes) > 0 && rapid.IntRange(0, 9).Draw(t, "kind") > 0 {
 				check(tracker.ApplyChange(changes[rapid.IntRange(0, len(changes)-1).Draw(t, "change")]))
 			} else {
-				check(tracker.ApplyMap(maps[rapid.IntRange(0, len(maps)-1).Draw(t, "whole")]))
+				check(tracker.ApplyMap(maps[rapid.IntRange(0, len(maps)-1).Draw(t, "map")]))
 			}
 		}
 		check(tracker.ApplyMap(maps[len(maps)-1]))
@@ -284,33 +286,37 @@
 	}
 	if v, err := tracker.ApplyChange(other); v != Conflict || err == nil || tracker.ConflictEpoch != 2 ||
 		tracker.Map.Segments[0].Owners[0] != "b" {
-		t.Errorf("second change of epoch 2: result %v, error %v, conflict epoch %d", v, err, tracker.ConflictEpoch)
+		t.Errorf("second change of epoch 2: result %v, error %v, conflict epoch %d; want a conflict on epoch 2",
+			v, err, tracker.ConflictEpoch)
 	}
 	if v, _ := tracker.ApplyChange(one); v != Duplicate || tracker.ConflictEpoch == 0 {
-		t.Errorf("first change repeated: result %v, conflict epoch %d", v, tracker.ConflictEpoch)
+		t.Errorf("first change repeated: result %v, conflict epoch %d; want a duplicate and a conflict",
+			v, tracker.ConflictEpoch)
 	}
 	again, _ := m.Apply(one)
 	if v, _ := tracker.ApplyMap(again); v != Duplicate || tracker.ConflictEpoch == 0 {
-		t.Errorf("full map of the same epoch: result %v, conflict epoch %d", v, tracker.ConflictEpoch)
+		t.Errorf("full map of the same epoch: result %v, conflict epoch %d; want a duplicate and a conflict",
+			v, tracker.ConflictEpoch)
 	}
 	next, _ := again.MoveSegment("s", []string{"a"})
 	later, _ := again.Apply(next)
 	if v, _ := tracker.ApplyMap(later); v != Applied || tracker.ConflictEpoch != 0 {
-		t.Errorf("full map of the next epoch: result %v, conflict epoch %d", v, tracker.ConflictEpoch)
+		t.Errorf("full map of the next epoch: result %v, conflict epoch %d; want it applied and 0",
+			v, tracker.ConflictEpoch)
 	}
 	// Invalid updates are rejected and don't count as conflicts.
 	broken := &Map{Epoch: 9, Checksum: 1, Segments: []Segment{{Name: "x", Range: Range{0, 9}},
 		{Name: "y", Range: Range{9, 20}}}}
 	if v, err := tracker.ApplyMap(broken); v != Invalid || !strings.Contains(err.Error(), "both own the key") ||
 		tracker.Map.Epoch != 3 {
-		t.Errorf("map with overlapping segments: result %v, error %v", v, err)
+		t.Errorf("map with overlapping segments: result %v, error %v; want it invalid and epoch 3 kept", v, err)
 	}
 	wrong := next
 	wrong.Epoch, wrong.PreviousChecksum = 4, later.Checksum
 	wrong.Removed = []string{"t"}
 	if v, err := tracker.ApplyChange(wrong); v != Invalid || tracker.ConflictEpoch != 0 ||
 		!strings.Contains(err.Error(), `removes "t", which is not a segment`) {
-		t.Errorf("removal of an unknown segment: result %v, error %v", v, err)
+		t.Errorf("removal of an unknown segment: result %v, error %v; want it invalid, no conflict", v, err)
 	}
 }
 
@@ -320,16 +326,16 @@
 	var h Host
 	h.Acquire(OwnedSegment{Name: "s", Range: Range{100, 200}, OwnedSince: 3, Writer: true})
 	for _, c := range []struct {
-		call Request
-		want Admission
+		request Request
+		want    Admission
 	}{
 		{Request{"s", 3, Range{100, 200}, true}, Admitted}, {Request{"s", 3, Range{120, 130}, false},
 			Admitted}, {Request{"s", 2, Range{120, 130}, false}, NotOwner},
 		{Request{"s", 4, Range{120, 130}, false}, NotOwner}, {Request{"t", 3, Range{120, 130}, false},
 			NotOwner}, {Request{"s", 3, Range{99, 130}, false}, NotOwner},
 	} {
-		if got := h.Admit(c.call); got != c.want {
-			t.Errorf("%+v: unexpected admission %d", c.call, got)
+		if got := h.Admit(c.request); got != c.want {
+			t.Errorf("%+v: unexpected admission %d", c.request, got)
 		}
 	}
 	h.Seal("s")
@@ -352,7 +358,7 @@
 	l := SegmentLog{Epoch: 3}
 	if !l.Append(3) || l.Append(2) || l.Append(4) || l.RaiseEpoch(2) || !l.RaiseEpoch(5) || l.Append(3) ||
 		!l.Append(5) {
-		t.Errorf("log accepts a record under the wrong epoch: %+v", l)
+		t.Errorf("log accepts or refuses a record or an epoch wrongly: %+v", l)
 	}
 	l.Sealed = true
 	if l.Append(5) || !l.RaiseEpoch(5) || l.Append(5) || !l.RaiseEpoch(6) || !l.Append(6) {
--- a/logic/ownership/pieces.go
+++ b/logic/ownership/pieces.go
@@ -6,7 +6,7 @@
 	Request    int    // index of the shard request in its query
 	Range             // keys of the piece
 	Segment    string // name of the segment that holds the keys; empty if the keys are unowned
-	OwnedSince uint64
+	OwnedSince uint64 // epoch since which the owners own the segment; the map's epoch if Segment is empty
 	Weight     float64
 	InFlight   int     // number of attempts in flight
 	Attempted  bool    // at least one attempt was written to a connection
@@ -90,7 +90,7 @@
 		undivided := NewPiece{Request: p.Request, Range: p.Range, Weight: p.Weight, Retry: p.Attempted}
 		switch {
 		case withhold && p.Segment == "": // already withheld
-		case p.deferredUnder(m, now):
+		case p.remainsDeferred(m, now):
 		case !withhold && current && !p.Rejected && p.DeferredAt == 0:
 		case p.Rejected && current:
 			undivided.Segment = NoSegment
@@ -105,8 +105,8 @@
 	return replaced, added
 }
 
-// deferredUnder reports whether a piece remains deferred: DeferralTime has not elapsed, and the map is not
+// remainsDeferred reports whether a piece remains deferred: DeferralTime has not elapsed, and the map is not
 // newer than the piece.
-func (p *Piece) deferredUnder(m *Map, now float64) bool {
+func (p *Piece) remainsDeferred(m *Map, now float64) bool {
 	return p.DeferredAt > 0 && now < p.DeferredAt+DeferralTime && p.OwnedSince >= m.Epoch
 }
--- a/logic/ownership/segmentmap.go
+++ b/logic/ownership/segmentmap.go
@@ -41,7 +41,8 @@
 	Segments []Segment // ordered by key, not overlapping; keys between segments are unowned
 }
 
-// NewMap returns a map without predecessor. Segments with an OwnedSince of 0 are owned since the given epoch.
+// NewMap returns a map without a predecessor. Segments with an OwnedSince of 0 are owned since the given
+// epoch.
 func NewMap(epoch uint64, segments []Segment) (*Map, error) {
 	m := &Map{Epoch: epoch, Segments: slices.Clone(segments)}
 	m.sort()
@@ -125,7 +126,8 @@
 	return suggest.Hint(name, names)
 }
 
-// checksumAfter returns the checksum of the map, given that of its predecessor, or 0 if it has none.
+// checksumAfter returns the checksum of the map, given the checksum of its predecessor. previous is 0 if
+// there is no predecessor.
 func (m *Map) checksumAfter(previous uint64) uint64 {
 	h := xxhash.New()
 	fmt.Fprintf(h, "%d %d\n", previous, m.Epoch)
--- a/logic/ownership/tracker.go
+++ b/logic/ownership/tracker.go
@@ -9,7 +9,7 @@
 const (
 	Applied   UpdateResult = "applied"
 	Duplicate UpdateResult = "duplicate" // the update is already known
-	Stale     UpdateResult = "stale"     // the update is older than the known map and can't be compared
+	Stale     UpdateResult = "stale"     // the update is older than the known map; no contradiction was found
 	Gap       UpdateResult = "gap"       // updates between the known map and this one are missing
 	Conflict  UpdateResult = "conflict"  // the update contradicts the known map or an earlier one
 	Invalid   UpdateResult = "invalid"   // the update itself is faulty
@@ -77,7 +77,8 @@
 	return Stale, nil
 }
 
-// ApplyMap replaces the known map by a full map of a later epoch, and compares it otherwise.
+// ApplyMap replaces the known map by a full map of a later epoch. It compares the checksum of any other map
+// with the one recorded for that map's epoch.
 func (t *Tracker) ApplyMap(m *Map) (UpdateResult, error) {
 	if faults := m.Check(); len(faults) > 0 {
 		return Invalid, faults[0]
--- a/logic/twopass/decide.go
+++ b/logic/twopass/decide.go
@@ -24,10 +24,10 @@
 	CompleteShare    float64 // fraction of the weight from which an answer is complete
 	MinShare         float64 // fraction of the weight below which no answer is given
 	FirstPassShare   float64 // maximum fraction of a query's time that its first pass may take
-	MinLikelihood    float64 // shards that hold a match with a lower likelihood are left out; 0 disables this
+	MinLikelihood    float64 // shards less likely than this to hold a match are left out; 0 disables this
 	AllowPartial     bool    // shards may be left out even if the answer is incomplete without them
-	// TrialShare is the fraction of queries sent in two passes as trials although one seems better, to keep
-	// learning.
+	// TrialShare is the fraction of queries sent in two passes as trials although one pass seems better,
+	// to keep learning.
 	TrialShare float64
 }
 
--- a/logic/twopass/decide_test.go
+++ b/logic/twopass/decide_test.go
@@ -40,6 +40,7 @@
 	}
 }
 
+// attempt simulates an attempt, of a first pass or of a full request.
 func (sim *simulation) attempt(first bool) {
 	work := 20.0
 	if first {
@@ -82,6 +83,7 @@
 	return decision
 }
 
+// run simulates n queries. It returns the share of them sent in two passes, and the share that were trials.
 func (sim *simulation) run(n int) (twoPass, trials float64) {
 	for range n {
 		if decision := sim.runQuery(); decision.TwoPass {
@@ -108,7 +110,7 @@
 		sim.emptyShare = c.emptyShare
 		sim.run(100)
 		if twoPass, _ := sim.run(2000); twoPass < c.low || twoPass > c.high {
-			t.Errorf("empty share %g: share of queries in two passes is %g", c.emptyShare, twoPass)
+			t.Errorf("empty share %g: share of queries in two passes is %g, out of bounds", c.emptyShare, twoPass)
 		}
 	}
 	// The content changes so that two passes become better, and later back.
@@ -155,13 +157,13 @@
 func TestFirstPassStaysWithinTimeAndRetryBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := commonSettings
-		settings.FirstPassShare = rapid.Float64Range(0.01, 0.9).Draw(t, "first")
+		settings.FirstPassShare = rapid.Float64Range(0.01, 0.9).Draw(t, "first pass share")
 		settings.TrialShare = 0.5
 		sim := newSimulation(settings, rapid.Uint64().Draw(t, "seed"))
 		sim.emptyShare = rapid.Float64Range(0, 1).Draw(t, "empty share")
 		sim.queueing = rapid.Float64Range(0, 200).Draw(t, "queueing")
 		sim.lostShare = rapid.Float64Range(0, 1).Draw(t, "loss")
-		sim.run(rapid.IntRange(0, 150).Draw(t, "learnt"))
+		sim.run(rapid.IntRange(0, 150).Draw(t, "earlier queries"))
 		query := Query{
 			Class:             "i",
 			ShardRequests:     8,
--- a/logic/twopass/estimate.go
+++ b/logic/twopass/estimate.go
@@ -6,9 +6,9 @@
 
 const (
 	loadWindow     = 5000.0 // decay time, in milliseconds, of the number of sent attempts
-	maxUtilization = 0.9
+	maxUtilization = 0.9    // limit of the estimated utilization, since the delay is unbounded towards 1
 
-	// Until an attempt has ended, its latency is assumed to be the latency objective divided by one of these.
+	// Until attempts have ended, their latency is assumed to be the latency objective divided by one of these.
 	assumedFull          = 10
 	assumedFirstPass     = 20
 	assumedFirstPassWork = 40
@@ -17,22 +17,22 @@
 	// unqueuedQuantile selects the latency of attempts that do not queue, which is about the server's processing
 	// time.
 	unqueuedQuantile = 0.1
-	lateQuantile     = 0.95
+	lateQuantile     = 0.95 // selects the usual latency of the last attempt of a first pass
 )
 
 // estimate holds the expected latencies and gains of a query. Times are in milliseconds.
 type estimate struct {
-	typical       float64 // latency of an attempt of a full request
+	typical       float64 // median latency of an attempt of a full request
 	fullWork      float64 // server time for a full request
 	firstPassWork float64 // server time for a first-pass request
-	emptyShare    float64
+	emptyShare    float64 // fraction of the shards expected to be proved empty
 
 	onePass    float64 // latency of the query in one pass
 	firstPass  float64 // latency of the first of two passes
 	secondPass float64 // latency of the second of two passes
 
-	savedElsewhere float64
-	firstPassCost  float64
+	savedElsewhere float64 // latency saved for other queries by full requests that are not sent
+	firstPassCost  float64 // latency that the first pass adds to other queries
 }
 
 // estimate returns the estimate for a query, by the cost model in docs/design/phases.md.
@@ -63,7 +63,7 @@
 
 // load measures the load that this gatherer's full requests put on the servers.
 type load struct {
-	sent      float64 // number of attempts sent, decaying over loadWindow
+	sent      float64 // number of full requests sent, decaying over loadWindow
 	inFlight  float64
 	decayedAt float64
 }
--- a/logic/twopass/secondpass_test.go
+++ b/logic/twopass/secondpass_test.go
@@ -19,7 +19,7 @@
 		settings.MinLikelihood = rapid.SampledFrom([]float64{0, 0.3, 1}).Draw(t, "min likelihood")
 		settings.AllowPartial = rapid.Bool().Draw(t, "partial")
 		d := New(1, map[string]Settings{"i": settings})
-		k := rapid.IntRange(1, 12).Draw(t, "k")
+		k := rapid.IntRange(1, 12).Draw(t, "shard requests")
 		outcomes := make([]FirstPassOutcome, k)
 		sum := 0.0
 		for i := range outcomes {
