--- a/logic/hoststate/hoststate.go
+++ b/logic/hoststate/hoststate.go
@@ -45,8 +45,8 @@
 	// minFleetShare is the fraction of all running hosts that are never ejected. If more of them would be,
 	// ejection is suspended.
 	minFleetShare = 0.7
-	// distrustShare is the fraction of the hosts seen by an observer from which, if it finds so many unhealthy,
-	// it is distrusted, since it is probably cut off itself.
+	// distrustShare is the fraction of its hosts that an observer has to find unhealthy to be distrusted. It is
+	// then probably cut off itself.
 	distrustShare = 0.5
 
 	baseWeight       = 100.0  // weight of a warm host with the median latency
