--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -11,20 +11,22 @@
 	"yokeroute/logic/placement"
 )
 
-// best is the reference answer: every way to share out whole units, row by row, keeping for each vector of
-// loads the least cost and change. It shares no arithmetic with the solver but the model.
-type best struct {
+// bruteForceResult is the optimal solution of a problem as solveByBruteForce finds it.
+type bruteForceResult struct {
 	u            placement.Ratio
 	cost, change int64
 	found        bool
 }
 
-func brute(p *Problem, before [][]int64) best {
+// solveByBruteForce returns the optimal solution of a problem. It enumerates, row by row, all ways to
+// distribute whole units and keeps the least cost and change for each vector of host loads. It shares no code
+// with the solver except the model and the arithmetic of ratios.
+func solveByBruteForce(p *Problem, before [][]int64) bruteForceResult {
 	type sum struct{ cost, change int64 }
 	loads := map[string]sum{string(make([]byte, len(p.capacity))): {}}
 	for i, r := range p.rows {
 		next := map[string]sum{}
-		for key, had := range loads {
+		for key, previous := range loads {
 			var split func(j int, left int64, at []byte, s sum)
 			split = func(j int, left int64, at []byte, s sum) {
 				if j == len(p.replicas[r.segment]) {
@@ -37,18 +39,18 @@
 				for x := int64(0); x <= left && int64(at[h])+x <= p.capacity[h]; x++ {
 					to := slices.Clone(at)
 					to[h] += byte(x)
-					had := int64(0)
+					previous := int64(0)
 					if before != nil {
-						had = before[i][j]
+						previous = before[i][j]
 					}
-					split(j+1, left-x, to, sum{s.cost + x*(p.zoneCosts[r.zone][p.zoneOf[h]]+p.model.Hosts[h].Cost), s.change + max(x-had, had-x)})
+					split(j+1, left-x, to, sum{s.cost + x*(p.zoneCosts[r.zone][p.zoneOf[h]]+p.model.Hosts[h].Cost), s.change + max(x-previous, previous-x)})
 				}
 			}
-			split(0, r.rate, []byte(key), had)
+			split(0, r.rate, []byte(key), previous)
 		}
 		loads = next
 	}
-	var b best
+	var b bruteForceResult
 	for key, s := range loads {
 		u, zone, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.zoneLimits)), true
 		for h, load := range []byte(key) {
@@ -61,17 +63,18 @@
 			fits = fits && (most < 0 || zone[i] <= most)
 		}
 		if fits && (!b.found || u.Less(b.u) || !b.u.Less(u) && (s.cost < b.cost || s.cost == b.cost && s.change < b.change)) {
-			b = best{u, s.cost, s.change, true}
+			b = bruteForceResult{u, s.cost, s.change, true}
 		}
 	}
 	return b
 }
 
-// against holds one model to the reference: no worse answer, and a true proof where there is none.
-func against(t *testing.T, m *placement.Model, before *placement.Plan) (fits bool) {
+// checkAgainstBruteForce checks the solution of a model against brute force. If there is none, it verifies
+// the proof of infeasibility. It reports whether demand fits.
+func checkAgainstBruteForce(t *testing.T, m *placement.Model, before *placement.Plan) (fits bool) {
 	t.Helper()
-	if faults := m.Validate(); len(faults) > 0 {
-		t.Fatalf("the case is faulty: %v", faults[0])
+	if entryErrors := m.Validate(); len(entryErrors) > 0 {
+		t.Fatalf("the test model is invalid: %v", entryErrors[0])
 	}
 	p := NewProblem(m)
 	p.SetTime(m.At, nil)
@@ -79,49 +82,50 @@
 	if before != nil {
 		units = p.Units(before.Steps[0].Rows)
 	}
-	want := brute(p, units)
-	plan, clash, err := Solve(m, before, always)
+	want := solveByBruteForce(p, units)
+	plan, proof, err := Solve(m, before, alwaysHasTime)
 	switch {
 	case err != nil:
 		t.Fatal(err)
 	case (plan != nil) != want.found:
-		t.Fatalf("a plan: %t, by brute force %t, of %+v", plan != nil, want.found, m)
+		t.Fatalf("Solve returned a plan: %t, brute force found one: %t, model %+v", plan != nil, want.found, m)
 	case plan == nil:
-		if reason := clash.Verify(m); reason != "" {
-			t.Fatalf("clash %+v: %s, of %+v", clash, reason, m)
+		if reason := proof.Verify(m); reason != "" {
+			t.Fatalf("proof of infeasibility %+v does not hold: %s, model %+v", proof, reason, m)
 		}
 		return false
 	}
 	got := plan.Steps[0]
-	if wrong := plan.Violations(); len(wrong) > 0 {
-		t.Fatalf("%v, of %+v", wrong, m)
+	if violations := plan.Violations(); len(violations) > 0 {
+		t.Fatalf("violations of the plan: %v, model %+v", violations, m)
 	}
 	if got.MaxUtilisation.Less(want.u) || want.u.Less(got.MaxUtilisation) || got.Cost != want.cost || before != nil && got.Change != want.change {
-		t.Fatalf("%v at %d with change %d, by brute force %+v, of %+v", got.MaxUtilisation, got.Cost, got.Change, want, m)
+		t.Fatalf("maximum utilisation %v, cost %d, change %d; brute force found %+v, model %+v", got.MaxUtilisation, got.Cost, got.Change, want, m)
 	}
 	if u := p.MaxUtilisation(p.Loads(p.Units(got.Rows))); u.Less(got.MaxUtilisation) || got.MaxUtilisation.Less(u) {
-		t.Fatalf("utilisation %v, said was %v", u, got.MaxUtilisation)
+		t.Fatalf("maximum utilisation of the rows is %v, the step says %v", u, got.MaxUtilisation)
 	}
 	return true
 }
 
-func always() bool { return true }
+func alwaysHasTime() bool { return true }
 
-var whole = flag.Bool("whole", false, "go through the enumerated family whole, not by every seventh of it")
+var allModels = flag.Bool("whole", false, "test all enumerated models instead of every seventh of them")
 
-// TestSolveEqualsBruteForceOnEnumeratedModels goes through a family of small models whole: up to three hosts
-// in two halls, two segments on all sets of hosts, small capacities, demands, prices and limits.
+// TestSolveEqualsBruteForceOnEnumeratedModels compares Solve with brute force on an enumerated family of
+// small models: up to three hosts in two zones, two segments on all sets of hosts, small capacities, demands,
+// costs and limits. Without -whole it takes every seventh model.
 func TestSolveEqualsBruteForceOnEnumeratedModels(t *testing.T) {
-	count, fitting := 0, 0
-	for caps := range 4 * 4 * 4 {
+	count, feasible := 0, 0
+	for capacities := range 4 * 4 * 4 {
 		for on := range 7 * 7 {
-			for asks := range 3 * 3 * 3 {
-				if !*whole && (caps+on+asks)%7 != 0 {
+			for rates := range 3 * 3 * 3 {
+				if !*allModels && (capacities+on+rates)%7 != 0 {
 					continue
 				}
 				m := &placement.Model{Unit: 1, MaxMoves: -1, Zones: []placement.Zone{{Name: "a", MaxLoad: -1}, {Name: "b", MaxLoad: int64(on%4) + 1}}}
-				for i, c := range []int{caps % 4, caps / 4 % 4, caps / 16} {
-					m.Hosts = append(m.Hosts, placement.Host{Name: fmt.Sprint("h", i), Zone: []string{"a", "b", "b"}[i], Capacity: int64(c), Cost: int64(caps+i*asks) % 3 * 700})
+				for i, c := range []int{capacities % 4, capacities / 4 % 4, capacities / 16} {
+					m.Hosts = append(m.Hosts, placement.Host{Name: fmt.Sprint("h", i), Zone: []string{"a", "b", "b"}[i], Capacity: int64(c), Cost: int64(capacities+i*rates) % 3 * 700})
 				}
 				for i, set := range []int{on%7 + 1, on/7 + 1} {
 					s := placement.Segment{Name: fmt.Sprint("s", i), ReplicaSet: -1}
@@ -132,24 +136,24 @@
 					}
 					m.Segments = append(m.Segments, s)
 				}
-				for i, rate := range []int{asks % 3, asks / 3 % 3, asks / 9} {
+				for i, rate := range []int{rates % 3, rates / 3 % 3, rates / 9} {
 					m.Demands = append(m.Demands, placement.Demand{Segment: fmt.Sprint("s", i%2), Zone: []string{"a", "a", "b"}[i], Rate: int64(rate)})
 				}
 				count++
-				if against(t, m, nil) {
-					fitting++
+				if checkAgainstBruteForce(t, m, nil) {
+					feasible++
 				}
 			}
 		}
 	}
-	if fitting < count/10 || fitting > count*9/10 {
-		t.Errorf("%d of %d fit: the family tells too little", fitting, count)
+	if feasible < count/10 || feasible > count*9/10 {
+		t.Errorf("%d of %d models are feasible, want between a tenth and nine tenths of them", feasible, count)
 	}
-	t.Logf("%d models, %d fit", count, fitting)
+	t.Logf("%d models, %d feasible", count, feasible)
 }
 
-// drawn makes a model of up to a dozen hosts by chance, small enough for the reference.
-func drawn(r *rand.Rand, mostHosts int) *placement.Model {
+// randomModel returns a random model that is small enough for brute force.
+func randomModel(r *rand.Rand, maxHosts int) *placement.Model {
 	m := &placement.Model{Unit: 1, At: 1e6, MaxMoves: -1, Steps: 1 + r.Intn(3)}
 	for i := range 1 + r.Intn(3) {
 		h := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
@@ -161,7 +165,7 @@
 		}
 		m.Zones = append(m.Zones, h)
 	}
-	for i := range 1 + r.Intn(mostHosts) {
+	for i := range 1 + r.Intn(maxHosts) {
 		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Zone: m.Zones[r.Intn(len(m.Zones))].Name, Capacity: int64(r.Intn(7)), Cost: int64(r.Intn(3)) * 500}
 		switch r.Intn(8) {
 		case 0:
@@ -189,18 +193,20 @@
 	return m
 }
 
-// CI goes through the first of these; the long run is in docs/results.md.
-var seeded = flag.Int("seeded", 2500, "how many drawn models to hold to brute force")
+// CI uses the default number of models; the result of a longer run is in docs/results.md.
+var randomModelCount = flag.Int("seeded", 2500, "number of random models to compare with brute force")
 
-func TestSolveEqualsBruteForceOnDrawnModels(t *testing.T) {
+// TestSolveEqualsBruteForceOnRandomModels compares Solve with brute force on random models, with the plan for
+// another random model in force.
+func TestSolveEqualsBruteForceOnRandomModels(t *testing.T) {
 	r := rand.New(rand.NewSource(15))
-	fitting := 0
-	for range *seeded {
-		m := drawn(r, 12)
-		before, _, _ := Solve(drawn(r, 12), nil, always) // a plan in force, for other demand
-		if against(t, m, before) {
-			fitting++
+	feasible := 0
+	for range *randomModelCount {
+		m := randomModel(r, 12)
+		before, _, _ := Solve(randomModel(r, 12), nil, alwaysHasTime) // the plan in force, for another model
+		if checkAgainstBruteForce(t, m, before) {
+			feasible++
 		}
 	}
-	t.Logf("%d models, %d fit", *seeded, fitting)
+	t.Logf("%d models, %d feasible", *randomModelCount, feasible)
 }
--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -8,45 +8,45 @@
 	"yokeroute/logic/placement"
 )
 
-// HostReport is what a plan gives a host, and why. Rates are in units.
+// HostReport describes the load that a plan assigns to a host, and the reason for it. Rates are in units.
 type HostReport struct {
 	Name         string  `json:"Name"`
 	Zone         string  `json:"Hall"`
-	Capacity     int64   `json:"Capacity"` // when warm
-	SafeCapacity int64   `json:"Can"`      // at the moment
+	Capacity     int64   `json:"Capacity"` // of the warm host
+	SafeCapacity int64   `json:"Can"`      // at the moment of the report
 	Load         int64   `json:"Load"`
 	Utilisation  float64 `json:"Use"`
 	Reason       string  `json:"Why"`
 }
 
-// ZoneReport is what a plan gives a zone. Rates are in units.
+// ZoneReport describes the load that a plan assigns to a zone. Rates are in units.
 type ZoneReport struct {
 	Name          string `json:"Name"`
 	SafeCapacity  int64  `json:"Can"`
 	Load          int64  `json:"Load"`
-	LoadLimit     int64  `json:"Most"` // -1 for any load
+	LoadLimit     int64  `json:"Most"` // -1 for no limit
 	IsBinding     bool   `json:"Binds"`
-	LocalDemand   int64  `json:"Own"`      // of its own gatherers
-	CrossZoneLoad int64  `json:"Crossing"` // from gatherers of other zones
+	LocalDemand   int64  `json:"Own"`      // demand of the gatherers in this zone
+	CrossZoneLoad int64  `json:"Crossing"` // load from gatherers in other zones
 }
 
-// Report explains a plan's weights at a moment, or those of a case.
+// Report explains the weights of a plan, or of one of its cases, at a moment.
 type Report struct {
 	At             float64         `json:"At"`
 	CaseName       string          `json:"Case"`
 	MaxUtilisation placement.Ratio `json:"Greatest"`
-	Cost           int64           `json:"Cost"` // thousandths a second
+	Cost           int64           `json:"Cost"` // thousandths per second
 	CrossZoneLoad  int64           `json:"Crossing"`
 	Demand         int64           `json:"Asked"`
 	Hosts          []HostReport    `json:"Hosts"`
 	Zones          []ZoneReport    `json:"Halls"`
-	// Bottleneck proves that the maximum utilisation cannot be less. It is nil without demand, and where
+	// Bottleneck proves that the maximum utilisation cannot be lower. It is nil if there is no demand, or if
 	// hosts are filled beyond their capacity.
 	Bottleneck       *placement.Infeasibility `json:"Bottleneck"`
 	UnservedSegments []string                 `json:"Dark"`
 }
 
-// Explain explains the weights of a plan at a moment, or those of a case if it names one.
+// Explain explains the weights of a plan at a moment, or those of the named case if caseName is not empty.
 func Explain(plan *placement.Plan, at float64, caseName string) (*Report, error) {
 	r := &Report{At: at, CaseName: caseName}
 	rows := plan.RowsAt(at)
@@ -78,7 +78,7 @@
 	return r, nil
 }
 
-// explanation is a report while it is written.
+// explanation builds a report.
 type explanation struct {
 	*Problem
 	report *Report
@@ -120,7 +120,7 @@
 	possibleLoads := e.possibleLoads()
 	for i := range e.model.Hosts {
 		h := &e.model.Hosts[i]
-		line := HostReport{
+		hostReport := HostReport{
 			Name:         h.Name,
 			Zone:         h.Zone,
 			Capacity:     h.Capacity,
@@ -129,13 +129,13 @@
 			Reason:       e.reason(i, possibleLoads[i], inBottleneck[h.Name]),
 		}
 		if e.capacity[i] > 0 {
-			line.Utilisation = float64(e.loads[i]) / float64(e.capacity[i])
+			hostReport.Utilisation = float64(e.loads[i]) / float64(e.capacity[i])
 		}
-		e.report.Hosts = append(e.report.Hosts, line)
+		e.report.Hosts = append(e.report.Hosts, hostReport)
 	}
 }
 
-// possibleLoads returns for each host the demand for all of its segments.
+// possibleLoads returns, for each host, the total demand for the segments that it holds.
 func (e *explanation) possibleLoads() []int64 {
 	possible := make([]int64, len(e.capacity))
 	for _, row := range e.rows {
@@ -146,7 +146,7 @@
 	return possible
 }
 
-// reason says which limit gives a host its weight.
+// reason returns the text that explains the load of a host: its state, the limit that applies, or the cost.
 func (e *explanation) reason(host int, possibleLoad int64, inBottleneck bool) string {
 	h := &e.model.Hosts[host]
 	capacity := e.capacity[host]
--- a/logic/balance/failures.go
+++ b/logic/balance/failures.go
@@ -7,15 +7,15 @@
 	"yokeroute/logic/placement"
 )
 
-// failure is a set of hosts that may be lost at once.
+// failure is a set of hosts that may be lost at the same time.
 type failure struct {
 	name string
 	lost []bool
 }
 
-// foreseenFailures returns the losses that a plan is prepared for: each zone, either half of each zone's
-// hosts, and each host. Halves take hosts by turns in the order of their names, so that neighbours are in
-// different ones.
+// foreseenFailures returns the failures that a plan is prepared for: each zone, either half of each zone's
+// hosts, and each single host. Hosts alternate between the halves in the order of their names, so that hosts
+// with adjacent names are in different halves.
 func foreseenFailures(m *placement.Model) []failure {
 	var failures []failure
 	add := func(name string, isLost func(host int) bool) {
@@ -44,7 +44,7 @@
 	return failures
 }
 
-// numberHosts numbers the running hosts of a zone from 1. Others have the number 0.
+// numberHosts numbers the running hosts of a zone from 1. All other hosts have the number 0.
 func numberHosts(m *placement.Model, zone string) (numbers []int, count int) {
 	numbers = make([]int, len(m.Hosts))
 	for i := range m.Hosts {
@@ -56,15 +56,15 @@
 	return numbers, count
 }
 
-// baseline is a step of a plan from which the weights of cases change as little as possible.
+// baseline is a step of the plan. The weights of cases are chosen to differ from it as little as possible.
 type baseline struct {
 	step  *placement.Step
 	units [][]int64
 }
 
-// solveCase works out a case, for the plan's first step and, where hosts warm up, for its last one. What is
-// safe at the first is safe later. Where demand does not fit any more, hosts are filled evenly beyond their
-// capacity: which queries are rejected then is not for a plan to say.
+// solveCase computes a case, for the plan's first step and, if hosts are warming up, for its last step.
+// Weights that are safe at the first step are also safe later. If demand no longer fits, hosts are filled
+// evenly beyond their capacity, since a plan does not decide which queries are rejected.
 func (p *Problem) solveCase(f failure, baselines []baseline) placement.Case {
 	c := placement.Case{Name: f.name}
 	for i, isLost := range f.lost {
@@ -98,7 +98,8 @@
 	return c
 }
 
-// dropUnserved removes the demand for segments of which no host can take anything, and returns their names.
+// dropUnserved removes the demand for segments without any host that has capacity, and returns the names of
+// those that had demand.
 func (p *Problem) dropUnserved() (segments []string) {
 	for i, r := range p.rows {
 		if p.hasCapacity(r.segment) {
@@ -114,7 +115,8 @@
 	return segments
 }
 
-// differingRows returns the rows that are not the base's. Both have the same rows in the same order.
+// differingRows returns the rows whose weights differ from those in base. Rows and base list the same
+// segments and zones in the same order.
 func differingRows(rows, base []placement.Row) (differing []placement.Row) {
 	for i := range rows {
 		if !slices.Equal(rows[i].Weights, base[i].Weights) {
--- a/logic/balance/infeasibility.go
+++ b/logic/balance/infeasibility.go
@@ -7,31 +7,31 @@
 	"yokeroute/logic/placement"
 )
 
-// Infeasibility proves that demand does not fit what hosts and zones can take now. It returns nil where it
-// does.
+// Infeasibility returns a proof that demand does not fit the capacities of hosts and the limits of zones that
+// SetTime has set for the moment at. It returns nil if demand fits.
 func (p *Problem) Infeasibility(at float64) *placement.Infeasibility {
 	return p.prove(at, func(h int) int64 { return p.capacity[h] })
 }
 
-// Bottleneck proves that the maximum utilisation cannot be less than u, by needs that hosts at a lower one
-// could not take. It returns nil where there is no demand.
+// Bottleneck returns a proof that the maximum utilisation cannot be below u: demand that does not fit hosts
+// that are all below u. It returns nil if there is no demand.
 func (p *Problem) Bottleneck(at float64, u placement.Ratio) *placement.Infeasibility {
 	return p.prove(at, func(h int) int64 {
 		if load := p.capacity[h] * u.Load; load > 0 {
-			return (load - 1) / u.Capacity // the greatest load that is still under the ratio
+			return (load - 1) / u.Capacity // the highest load that is still below the ratio
 		}
 		return 0
 	})
 }
 
-// shortfall distributes the demand of the marked rows, and returns how much does not fit, with the cut that
-// proves it.
+// shortfall distributes the demand of the marked rows. It returns how much of it does not fit, the network
+// and the source's side of the minimum cut, which proves the shortfall.
 func (p *Problem) shortfall(marked []bool, capacity func(host int) int64) (
-	short int64, n *network, cut []bool) {
+	unassigned int64, n *network, cut []bool) {
 	n = p.resetNetwork(false, nil)
 	for i, arc := range n.rowArcs {
 		if marked[i] {
-			short += p.rows[i].rate
+			unassigned += p.rows[i].rate
 		} else {
 			n.SetCapacity(arc, 0)
 		}
@@ -39,23 +39,23 @@
 	for h, arc := range n.hostArcs {
 		n.SetCapacity(arc, capacity(h))
 	}
-	short -= n.Augment(n.source, n.sink, short)
-	return short, n, n.Reachable(n.source)
+	unassigned -= n.Augment(n.source, n.sink, unassigned)
+	return unassigned, n, n.Reachable(n.source)
 }
 
-// prove finds a small set of rows whose demand does not fit, and the limits that are in their way.
+// prove finds a small set of rows whose demand does not fit, and the limits that it exceeds.
 func (p *Problem) prove(at float64, capacity func(host int) int64) *placement.Infeasibility {
 	all := make([]bool, len(p.rows))
 	for i := range all {
 		all[i] = true
 	}
-	short, n, cut := p.shortfall(all, capacity)
-	if short == 0 {
+	unassigned, n, cut := p.shortfall(all, capacity)
+	if unassigned == 0 {
 		return nil
 	}
 	marked := p.dropSegments(p.smallestComponent(n, cut), capacity)
-	short, n, cut = p.shortfall(marked, capacity)
-	proof := &placement.Infeasibility{At: at, Shortfall: short}
+	unassigned, n, cut = p.shortfall(marked, capacity)
+	proof := &placement.Infeasibility{At: at, Shortfall: unassigned}
 	for i, r := range p.rows {
 		if marked[i] && r.rate > 0 {
 			proof.Needs = append(proof.Needs, placement.Need{
@@ -66,7 +66,7 @@
 		}
 	}
 	for h, zone := range p.zoneOf {
-		if cut[n.hosts+h] && !cut[n.zones+zone] {
+		if cut[n.firstHost+h] && !cut[n.firstZone+zone] {
 			proof.Limits = append(proof.Limits, placement.Limit{
 				Kind:     p.limitKind(h, at),
 				Name:     p.model.Hosts[h].Name,
@@ -75,7 +75,7 @@
 		}
 	}
 	for i, limit := range p.zoneLimits {
-		if cut[n.zones+i] {
+		if cut[n.firstZone+i] {
 			proof.Limits = append(proof.Limits, placement.Limit{
 				Kind:     p.zoneLimitKind(i),
 				Name:     p.model.Zones[i].Name,
@@ -86,10 +86,10 @@
 	return proof
 }
 
-// dropSegments unmarks the rows of each segment that a proof does not need, the lightest first, so that few
-// and heavy ones remain.
+// dropSegments unmarks the rows of each segment that a proof does not need. It tries segments in ascending
+// order of demand, so that few segments with high demand remain.
 func (p *Problem) dropSegments(marked []bool, capacity func(host int) int64) []bool {
-	const maxTried = 300 // segments; with more the proof stays as it is
+	const maxTried = 300 // segments; a proof with more of them is not reduced
 	var segments []int
 	demand := map[int]int64{}
 	for i, r := range p.rows {
@@ -103,18 +103,18 @@
 	}
 	slices.SortStableFunc(segments, func(a, b int) int { return int(demand[a] - demand[b]) })
 	for _, segment := range segments {
-		fewer := slices.Clone(marked)
+		reduced := slices.Clone(marked)
 		for i, r := range p.rows {
-			fewer[i] = fewer[i] && r.segment != segment
+			reduced[i] = reduced[i] && r.segment != segment
 		}
-		if short, _, _ := p.shortfall(fewer, capacity); short > 0 {
-			marked = fewer
+		if unassigned, _, _ := p.shortfall(reduced, capacity); unassigned > 0 {
+			marked = reduced
 		}
 	}
 	return marked
 }
 
-// limitKind returns what limits a host at a moment.
+// limitKind returns which kind of limit applies to a host at a moment.
 func (p *Problem) limitKind(h int, at float64) placement.LimitKind {
 	host := &p.model.Hosts[h]
 	switch {
@@ -130,7 +130,7 @@
 	return placement.HostCapacity
 }
 
-// zoneLimitKind returns which of a zone's two limits is the lower one.
+// zoneLimitKind returns which of a zone's two limits applies, which is the lower one.
 func (p *Problem) zoneLimitKind(zone int) placement.LimitKind {
 	if z := &p.model.Zones[zone]; z.MaxLoad < 0 || p.zoneLimits[zone] < z.MaxLoad {
 		return placement.ZoneHeadroom
@@ -138,8 +138,9 @@
 	return placement.ZoneMaxLoad
 }
 
-// components are sets of nodes that are joined step by step.
-type components []int // for each node another one of its set, or itself
+// components is a union-find structure over nodes. It holds the parent of each node; the root of a set is its
+// own parent.
+type components []int
 
 func newComponents(nodes int) components {
 	c := make(components, nodes)
@@ -149,7 +150,7 @@
 	return c
 }
 
-// find returns the node by which the set of a node is known.
+// find returns the root of the set of a node.
 func (c components) find(node int) int {
 	for c[node] != node {
 		c[node] = c[c[node]]
@@ -161,62 +162,63 @@
 func (c components) join(a, b int) { c[c.find(a)] = c.find(b) }
 
 // smallestComponent marks the rows of one component of a cut. Components have no host and no zone in
-// common. Of those whose demand does not fit by itself, it takes the one of fewest rows.
+// common. Among the components whose own demand does not fit, it chooses the one with the fewest rows.
 func (p *Problem) smallestComponent(n *network, cut []bool) []bool {
 	c := p.cutComponents(n, cut)
-	short := map[int]int64{}
+	unassigned := map[int]int64{}
 	rows := map[int]int{}
 	for i, r := range p.rows {
-		if node := n.rows + i; cut[node] {
-			short[c.find(node)] += r.rate
+		if node := n.firstRow + i; cut[node] {
+			unassigned[c.find(node)] += r.rate
 			rows[c.find(node)]++
 		}
 	}
 	for h, zone := range p.zoneOf {
-		if cut[n.hosts+h] && !cut[n.zones+zone] {
-			short[c.find(n.hosts+h)] -= n.Capacity(n.hostArcs[h])
+		if cut[n.firstHost+h] && !cut[n.firstZone+zone] {
+			unassigned[c.find(n.firstHost+h)] -= n.Capacity(n.hostArcs[h])
 		}
 	}
 	for i, limit := range p.zoneLimits {
-		if cut[n.zones+i] {
-			short[c.find(n.zones+i)] -= limit
+		if cut[n.firstZone+i] {
+			unassigned[c.find(n.firstZone+i)] -= limit
 		}
 	}
 	best := -1
-	for i := range p.rows { // in their order, which a map does not have
-		root := c.find(n.rows + i)
-		if cut[n.rows+i] && short[root] > 0 && (best < 0 || rows[root] < rows[best]) {
+	for i := range p.rows { // in row order, since the order of a map is random
+		root := c.find(n.firstRow + i)
+		if cut[n.firstRow+i] && unassigned[root] > 0 && (best < 0 || rows[root] < rows[best]) {
 			best = root
 		}
 	}
 	marked := make([]bool, len(p.rows))
 	for i := range p.rows {
-		marked[i] = cut[n.rows+i] && c.find(n.rows+i) == best
+		marked[i] = cut[n.firstRow+i] && c.find(n.firstRow+i) == best
 	}
 	return marked
 }
 
-// cutComponents joins the nodes on the source's side of a cut that have to do with each other.
+// cutComponents returns the connected components of the nodes on the source's side of a cut: rows with the
+// hosts of their segments, and hosts with their zones.
 func (p *Problem) cutComponents(n *network, cut []bool) components {
-	c := newComponents(n.zones + len(p.zoneLimits))
+	c := newComponents(n.firstZone + len(p.zoneLimits))
 	for i, r := range p.rows {
 		for _, h := range p.replicas[r.segment] {
-			if cut[n.rows+i] {
-				c.join(n.hosts+h, n.rows+i)
+			if cut[n.firstRow+i] {
+				c.join(n.firstHost+h, n.firstRow+i)
 			}
 		}
 	}
 	for h, zone := range p.zoneOf {
-		if cut[n.hosts+h] && cut[n.zones+zone] {
-			c.join(n.zones+zone, n.hosts+h)
+		if cut[n.firstHost+h] && cut[n.firstZone+zone] {
+			c.join(n.firstZone+zone, n.firstHost+h)
 		}
 	}
 	return c
 }
 
-// AddRelaxations finds, for each limit of a proof, whether raising it alone by the shortfall lets
-// everything fit. It leaves out hosts that would not be able to take that much even when they are warm and
-// running.
+// AddRelaxations adds a relaxation for each limit of a proof. It determines whether all demand fits if that
+// limit alone is raised by the shortfall. It omits hosts whose capacity would be too low for that even when
+// they are warm and running.
 func (p *Problem) AddRelaxations(proof *placement.Infeasibility) {
 	for i, limit := range proof.Limits {
 		to := limit.Capacity + proof.Shortfall
@@ -235,7 +237,8 @@
 	}
 }
 
-// relax raises a limit. It reports whether the host, if it is a host's, can ever take that much.
+// relax raises a limit. It reports whether that is possible; the limit of a host that is not warm or not
+// running cannot exceed the capacity of the host.
 func (p *Problem) relax(limit placement.Limit, to int64) (isPossible bool) {
 	isPossible = true
 	if limit.Kind.OfZone() {
--- a/logic/balance/linear_test.go
+++ b/logic/balance/linear_test.go
@@ -12,10 +12,10 @@
 	"yokeroute/logic/placement"
 )
 
-// linear is the least greatest utilisation in fractions of units, by the simplex method: a second witness
-// that has nothing in common with flows. Variables are the share of each row at each host, the utilisation,
-// and slacks.
-func linear(p *Problem) (float64, error) {
+// minUtilisationBySimplex returns the least maximum utilisation with fractional units, by the simplex method.
+// It is a second reference, independent of network flows. The variables are the units of each row at each
+// host, the utilisation, and one slack variable for each host.
+func minUtilisationBySimplex(p *Problem) (float64, error) {
 	var shares [][2]int
 	for i, r := range p.rows {
 		for _, h := range p.replicas[r.segment] {
@@ -42,72 +42,75 @@
 	return u, err
 }
 
-// witnessed draws a model without hall limits, and rows that all have a host.
-func witnessed(r *rand.Rand, hosts int) *Problem {
-	m := drawn(r, hosts)
+// randomLinearProblem returns a random problem without zone limits in which all hosts are running.
+func randomLinearProblem(r *rand.Rand, hosts int) *Problem {
+	m := randomModel(r, hosts)
 	for i := range m.Zones {
 		m.Zones[i].MaxLoad, m.Zones[i].Headroom = -1, 0
 	}
 	for i := range m.Hosts {
 		m.Hosts[i].Capacity, m.Hosts[i].State = 50+int64(r.Intn(100)), gather.Running
 	}
-	var asked []placement.Demand
+	var demands []placement.Demand
 	for _, d := range m.Demands {
 		d.Rate *= 11
-		asked = append(asked, d)
+		demands = append(demands, d)
 	}
-	m.Demands = asked
+	m.Demands = demands
 	p := NewProblem(m.Normalized())
 	p.SetTime(1e9, nil)
 	return p
 }
 
-// TestWholeUnitsAreWithinOneOfTheLinearProgram wants whole units never better than fractions, and worse by
-// less than one unit of the smallest host.
-func TestWholeUnitsAreWithinOneOfTheLinearProgram(t *testing.T) {
+// TestMinUtilisationIsWithinOneUnitOfLinearProgram compares the least maximum utilisation in whole units with
+// the solution in fractional units. It must not be lower, and must be higher by no more than one unit on the
+// smallest host.
+func TestMinUtilisationIsWithinOneUnitOfLinearProgram(t *testing.T) {
 	r := rand.New(rand.NewSource(4))
 	compared := 0
 	for range 300 {
-		p := witnessed(r, 8)
+		p := randomLinearProblem(r, 8)
 		if len(p.rows) == 0 {
 			continue
 		}
-		want, err := linear(p)
+		want, err := minUtilisationBySimplex(p)
 		if err != nil {
-			continue // the simplex gives up on some that are degenerate
+			continue // the simplex solver fails on some degenerate problems
 		}
 		got, _ := p.MinUtilisation(true)
 		if slack := 1 / 50.0; got.Float() < want-1e-6 || got.Float() > want+slack {
-			t.Fatalf("%v in whole units, %g in fractions", got, want)
+			t.Fatalf("utilisation %v in whole units, %g in fractional units", got, want)
 		}
 		compared++
 	}
 	if compared < 100 {
-		t.Errorf("%d compared", compared)
+		t.Errorf("%d problems compared, want at least 100", compared)
 	}
 }
 
-// BenchmarkLinear is the simplex on what BenchmarkLeast does by flows.
-func BenchmarkLinear(b *testing.B) {
-	p := NewProblem(wide(12).Normalized())
+// BenchmarkMinUtilisationBySimplex measures the simplex method on the problem that
+// BenchmarkMinUtilisation solves with network flows.
+func BenchmarkMinUtilisationBySimplex(b *testing.B) {
+	p := NewProblem(modelWithHosts(12).Normalized())
 	p.SetTime(1e9, nil)
 	for b.Loop() {
-		if u, err := linear(p); err != nil || math.IsNaN(u) {
+		if u, err := minUtilisationBySimplex(p); err != nil || math.IsNaN(u) {
 			b.Fatal(u, err)
 		}
 	}
 }
 
-func BenchmarkLeast(b *testing.B) {
-	p := NewProblem(wide(12).Normalized())
+func BenchmarkMinUtilisation(b *testing.B) {
+	p := NewProblem(modelWithHosts(12).Normalized())
 	p.SetTime(1e9, nil)
 	for b.Loop() {
 		p.MinUtilisation(true)
 	}
 }
 
-// wide has so many hosts in sets of four, with six segments a set, asked for by two halls.
-func wide(hosts int) *placement.Model {
+// modelWithHosts returns a model with the given number of hosts in sets of four, six segments on each set,
+// and demand from two zones.
+func modelWithHosts(hosts int) *placement.Model {
 	m := &placement.Model{Unit: 1, MaxMoves: -1, Zones: []placement.Zone{{Name: "a", MaxLoad: -1}, {Name: "b", MaxLoad: -1}}}
 	for i := range hosts {
 		m.Hosts = append(m.Hosts, placement.Host{Name: string(rune('A' + i)), Zone: m.Zones[i%2].Name, Capacity: int64(90 + 7*i)})
--- a/logic/balance/problem.go
+++ b/logic/balance/problem.go
@@ -1,8 +1,10 @@
-// Package balance works out weights: how demand is distributed among the hosts that hold what is asked for.
+// Package balance computes weights: how demand is distributed among the hosts that hold the requested
+// segments.
 //
-// For a model of package placement it finds the least maximum utilisation, then the least cost, then the
-// least change from the plan in force, in whole units and exactly; where nothing fits, the proof of it; and
-// ahead of time the weights for hosts that warm up and for losses. What it may never do is said there.
+// For a model of package placement it minimises the maximum utilisation, then the cost, then the change from
+// the plan in force. The results are exact and in whole units. If demand does not fit, it returns a proof of
+// infeasibility. It also computes, in advance, the weights for hosts that are warming up and for the loss of
+// hosts. The documentation of package placement states what it must never do.
 package balance
 
 import (
@@ -11,29 +13,29 @@
 	"yokeroute/logic/placement"
 )
 
-// row is a demand by numbers.
+// row is a demand whose segment and zone are indexes into the model.
 type row struct {
 	segment int
 	zone    int
 	rate    int64
 }
 
-// Problem is a model by the numbers of its entries, with what its hosts can take at one moment. A solution
-// is the units of each row and replica.
+// Problem is a model with its entries addressed by index, and with the capacity of its hosts at one moment. A
+// solution holds the units that each row assigns to each replica of its segment.
 type Problem struct {
 	model      *placement.Model
-	zoneOf     []int   // of each host
-	replicas   [][]int // hosts of each segment
+	zoneOf     []int   // zone index of each host
+	replicas   [][]int // host indexes of each segment
 	rows       []row
-	zoneCosts  [][]int64 // from zone to zone
-	demand     int64     // of all rows
-	capacity   []int64   // of each host at the moment
-	zoneLimits []int64   // of each zone at the moment, -1 for any load
-	lost       []bool    // hosts that count as gone, nil for none
-	networks   [2]*network
+	zoneCosts  [][]int64   // cost of a shard request, by the gatherer's zone and the host's zone
+	demand     int64       // sum over all rows
+	capacity   []int64     // safe capacity of each host at the moment set by SetTime
+	zoneLimits []int64     // load limit of each zone at that moment, -1 for no limit
+	lost       []bool      // hosts treated as removed, nil for none
+	networks   [2]*network // cached networks: without costs, with costs
 }
 
-// NewProblem compiles a model that is valid and normalized.
+// NewProblem returns the problem of a model, which has to be valid and normalized.
 func NewProblem(m *placement.Model) *Problem {
 	p := &Problem{
 		model:      m,
@@ -66,8 +68,8 @@
 	return p
 }
 
-// compileZoneCosts returns the costs from zone to zone. One that is given holds in the other direction too,
-// unless that one is given as well.
+// compileZoneCosts returns the costs from zone to zone. A cost given for one direction also applies to the
+// opposite direction, unless the model gives that one as well.
 func compileZoneCosts(m *placement.Model, zones map[string]int) [][]int64 {
 	costs := make([][]int64, len(m.Zones))
 	for i := range costs {
@@ -87,7 +89,8 @@
 	return costs
 }
 
-// SetTime sets what hosts and zones can take to that of a moment. Hosts in lost count as gone.
+// SetTime sets the capacities of hosts and the limits of zones to those of a moment. Lost marks hosts that
+// are treated as removed.
 func (p *Problem) SetTime(at float64, lost []bool) {
 	p.lost = lost
 	zoneCapacity := make([]int64, len(p.model.Zones))
@@ -103,13 +106,14 @@
 	}
 }
 
-// CopyCapacity sets what hosts and zones can take to what they can in another problem of the same model.
+// CopyCapacity copies the capacities of hosts and the limits of zones from another problem of the same model.
 func (p *Problem) CopyCapacity(o *Problem) {
 	copy(p.capacity, o.capacity)
 	copy(p.zoneLimits, o.zoneLimits)
 }
 
-// RelaxLimits removes limits, for finding which of them conflict: those of zones, or the capacity of hosts.
+// RelaxLimits removes the limits of the marked zones and, if hosts is true, the capacity limits of hosts. It
+// serves to find out which limits conflict.
 func (p *Problem) RelaxLimits(zones []bool, hosts bool) {
 	for i, isRelaxed := range zones {
 		if isRelaxed {
@@ -123,14 +127,14 @@
 	}
 }
 
-// SetHosts sets the hosts of a segment, in rising order, whatever its model says.
+// SetHosts sets the hosts of a segment, in ascending order, instead of those in the model.
 func (p *Problem) SetHosts(segment int, hosts []int) {
 	p.replicas[segment] = hosts
 	p.networks = [2]*network{}
 }
 
-// MoveReplica moves a replica of a segment to another host. Unlike SetHosts it keeps the networks, for
-// searches that go through thousands of placements. Their solves must be without a plan in force.
+// MoveReplica moves a replica of a segment to another host. Unlike SetHosts it keeps the cached networks, for
+// searches that evaluate thousands of placements. Solves after it must not use a plan in force.
 func (p *Problem) MoveReplica(segment, slot, host int) {
 	p.replicas[segment][slot] = host
 	for k, n := range p.networks {
@@ -142,8 +146,8 @@
 				continue
 			}
 			arc := n.weightArcs[i][slot]
-			n.Retarget(arc, n.hosts+host)
-			if k == 1 { // the one with costs
+			n.Retarget(arc, n.firstHost+host)
+			if k == 1 { // the network with costs
 				n.SetCost(arc, p.cost(r.zone, host))
 			}
 		}
@@ -153,16 +157,16 @@
 // Hosts returns the hosts of a segment.
 func (p *Problem) Hosts(segment int) []int { return p.replicas[segment] }
 
-// Capacity returns what a host may take at the moment.
+// Capacity returns the safe capacity of a host at the moment set by SetTime.
 func (p *Problem) Capacity(host int) int64 { return p.capacity[host] }
 
-// ZoneLimit returns what a zone may take at the moment, -1 for any load.
+// ZoneLimit returns the load limit of a zone at the moment set by SetTime, -1 for no limit.
 func (p *Problem) ZoneLimit(zone int) int64 { return p.zoneLimits[zone] }
 
 // Zone returns the zone of a host.
 func (p *Problem) Zone(host int) int { return p.zoneOf[host] }
 
-// SegmentDemands returns the demand of all zones for each segment.
+// SegmentDemands returns the demand for each segment, summed over all zones.
 func (p *Problem) SegmentDemands() []int64 {
 	demands := make([]int64, len(p.replicas))
 	for _, r := range p.rows {
@@ -171,7 +175,7 @@
 	return demands
 }
 
-// hasCapacity reports whether any host of the segment can take anything at the moment.
+// hasCapacity reports whether any host of the segment has capacity at the moment set by SetTime.
 func (p *Problem) hasCapacity(segment int) bool {
 	return slices.ContainsFunc(p.replicas[segment], func(h int) bool { return p.capacity[h] > 0 })
 }
--- a/logic/balance/solution.go
+++ b/logic/balance/solution.go
@@ -7,15 +7,16 @@
 	"yokeroute/logic/placement"
 )
 
-// MinCost distributes all demand at no more than the ratio: at the least cost, and among equals with the
-// least change from the units in force. All demand has to fit, as MinUtilisation has found. It returns the
-// units of each row and replica, the cost in thousandths a second and the change in units a second.
+// MinCost distributes all demand with no host above the utilisation u, at the least cost, and among equal
+// costs with the least change from the units in force. With overload it ignores the limits of zones. All
+// demand has to fit at u, which is the case for the result of MinUtilisation. MinCost returns the units of
+// each row and replica, the cost in thousandths per second and the change in units per second.
 func (p *Problem) MinCost(u placement.Ratio, overload bool, inForce [][]int64) (
 	units [][]int64, cost, change int64) {
 	n := p.resetNetwork(true, inForce)
 	n.setUtilisation(u)
 	if overload {
-		n.liftZoneLimits()
+		n.removeZoneLimits()
 	}
 	_, total := n.MinCostFlow(n.source, n.sink, p.demand)
 	change = total.Second
@@ -33,7 +34,7 @@
 	return units, total.First, change
 }
 
-// Rows returns a solution by the names of the model.
+// Rows returns a solution as rows of weights with the names of the model.
 func (p *Problem) Rows(units [][]int64) []placement.Row {
 	rows := make([]placement.Row, len(units))
 	for i, r := range p.rows {
@@ -47,12 +48,12 @@
 	return rows
 }
 
-// rowKey tells rows apart by the names of their segment and zone.
+// rowKey identifies a row by the names of its segment and zone.
 type rowKey struct{ segment, zone string }
 
 func keyOf(r *placement.Row) rowKey { return rowKey{r.Segment, r.Zone} }
 
-// Units returns the solution that a plan's rows are. What they lack is zero.
+// Units returns the rows of a plan as a solution. Rows and hosts that are missing get zero units.
 func (p *Problem) Units(rows []placement.Row) [][]int64 {
 	byKey := map[rowKey]*placement.Row{}
 	for i := range rows {
@@ -61,18 +62,18 @@
 	units := make([][]int64, len(p.rows))
 	for i, r := range p.rows {
 		units[i] = make([]int64, len(p.replicas[r.segment]))
-		named := byKey[rowKey{p.model.Segments[r.segment].Name, p.model.Zones[r.zone].Name}]
-		if named == nil {
+		namedRow := byKey[rowKey{p.model.Segments[r.segment].Name, p.model.Zones[r.zone].Name}]
+		if namedRow == nil {
 			continue
 		}
 		for j, h := range p.replicas[r.segment] {
-			units[i][j] = rateOf(named, p.model.Hosts[h].Name)
+			units[i][j] = rateOf(namedRow, p.model.Hosts[h].Name)
 		}
 	}
 	return units
 }
 
-// rateOf returns what a row gives a host.
+// rateOf returns the weight of a host in a row, zero if the row has none for it.
 func rateOf(r *placement.Row, host string) int64 {
 	i, found := slices.BinarySearchFunc(r.Weights, host,
 		func(w placement.Weight, name string) int { return cmp.Compare(w.Host, name) })
@@ -82,7 +83,7 @@
 	return r.Weights[i].Rate
 }
 
-// Loads returns the load of each host.
+// Loads returns the load of each host in a solution.
 func (p *Problem) Loads(units [][]int64) []int64 {
 	loads := make([]int64, len(p.capacity))
 	for i, r := range p.rows {
@@ -93,7 +94,8 @@
 	return loads
 }
 
-// CrossZoneLoads returns, for each segment and zone, what the gatherers of the zone send to other ones.
+// CrossZoneLoads returns, for each segment and zone, the load that the gatherers of the zone send to hosts in
+// other zones.
 func (p *Problem) CrossZoneLoads(units [][]int64) [][]int64 {
 	loads := make([][]int64, len(p.replicas))
 	for s := range loads {
@@ -109,7 +111,7 @@
 	return loads
 }
 
-// totalCost returns the cost of a solution, in thousandths a second.
+// totalCost returns the cost of a solution, in thousandths per second.
 func (p *Problem) totalCost(units [][]int64) (cost int64) {
 	for i, r := range p.rows {
 		for j, h := range p.replicas[r.segment] {
--- a/logic/balance/solve.go
+++ b/logic/balance/solve.go
@@ -7,17 +7,17 @@
 	"yokeroute/logic/placement"
 )
 
-// ErrTimeout says that a solve ran out of its time before it had weights.
-var ErrTimeout = errors.New("no weights in the time given")
+// ErrTimeout is returned if the time runs out before the weights of all steps are computed.
+var ErrTimeout = errors.New("time ran out before weights for all steps were computed")
 
-// Solve works out a plan. InForce is the plan in force, nil for none. HasTime is called between pieces of
-// work and reports whether there is time for another. Where nothing fits, Solve returns the proof instead
-// of a plan; an invalid model is an error. Cases are worked out last, and those for which there is no time
-// are named in the plan.
+// Solve computes a plan. InForce is the plan in force, nil for none. HasTime is called between pieces of work
+// and reports whether there is time for another one. If demand does not fit, Solve returns a proof of
+// infeasibility instead of a plan. An invalid model is an error. The steps are computed first, then the
+// cases; cases for which no time is left are listed in the plan as omitted.
 func Solve(m *placement.Model, inForce *placement.Plan, hasTime func() bool) (
 	*placement.Plan, *placement.Infeasibility, error) {
-	if mistakes := m.Validate(); len(mistakes) > 0 {
-		return nil, nil, mistakes[0]
+	if entryErrors := m.Validate(); len(entryErrors) > 0 {
+		return nil, nil, entryErrors[0]
 	}
 	m = m.Normalized()
 	p := NewProblem(m)
@@ -40,8 +40,8 @@
 	return plan, nil, nil
 }
 
-// solveSteps works out the weights for each time at which they may change, or the proof that at one nothing
-// fits.
+// solveSteps computes the weights for each time at which they may change. It returns a proof of infeasibility
+// for the first time at which demand does not fit.
 func (p *Problem) solveSteps(inForce *placement.Plan, hasTime func() bool) (
 	steps []placement.Step, proof *placement.Infeasibility, err error) {
 	var units [][]int64
@@ -63,7 +63,7 @@
 		units, step.Cost, step.Change = p.MinCost(u, false, units)
 		step.Rows = p.Rows(units)
 		if n := len(steps); n > 0 && sameRows(steps[n-1].Rows, step.Rows) {
-			continue // the step before holds on, with hosts that can take more
+			continue // same weights as the previous step, which stays in force; capacity has only risen
 		}
 		steps = append(steps, step)
 	}
@@ -74,8 +74,8 @@
 	return slices.EqualFunc(a, b, func(a, b placement.Row) bool { return slices.Equal(a.Weights, b.Weights) })
 }
 
-// Complete adds to a plan that was read what its file leaves out: the rows that a case has in common with
-// the plan, the replica sets of segments, and each step's utilisation and cost.
+// Complete adds the data of a plan that its file omits: the rows that a case has in common with the plan, the
+// replica sets of segments, and the utilisation and cost of each step.
 func Complete(plan *placement.Plan) {
 	p := NewProblem(plan.Model)
 	for i := range plan.Steps {
@@ -93,7 +93,8 @@
 	}
 }
 
-// completeStep sets a step's utilisation and cost, and returns its rows with all hosts of their segments.
+// completeStep sets the utilisation and cost of a step. It returns the rows of the step with a weight for
+// each host of their segments.
 func (p *Problem) completeStep(s *placement.Step, lostHosts []string) []placement.Row {
 	lost := make([]bool, len(p.model.Hosts))
 	for i := range p.model.Hosts {
@@ -106,7 +107,7 @@
 	return p.Rows(units)
 }
 
-// overlay returns the base's rows, with those of a case in place of the same ones.
+// overlay returns the rows of base, with each row replaced that has the same segment and zone as one in rows.
 func overlay(rows, base []placement.Row) []placement.Row {
 	own := map[rowKey]placement.Row{}
 	for i := range rows {
--- a/logic/balance/utilisation.go
+++ b/logic/balance/utilisation.go
@@ -6,24 +6,25 @@
 	"yokeroute/logic/placement"
 )
 
-// idle is the ratio of hosts without load.
+// idle is the utilisation of hosts without load.
 var idle = placement.Ratio{Load: 0, Capacity: 1}
 
-// MinUtilisation returns the least maximum utilisation at which all demand finds a host, or false where
-// even full hosts are not enough. If overload, hosts may be filled beyond their capacity and zones beyond
-// their limits, for what is left after a loss.
+// MinUtilisation returns the least maximum utilisation at which all demand fits, or false if it does not fit
+// even at full capacity. With overload, hosts may be filled beyond their capacity and zones beyond their
+// limits; this is for the hosts that remain after a loss.
 //
-// It rises from a lower bound: while demand is left over, a minimum cut names rows that have nowhere else
-// to go than its hosts, and the least ratio at which these could take them is the next bound. So the first
-// ratio that is enough is the least one, exactly.
+// The search raises a lower bound. While some demand is unassigned, a minimum cut yields rows that can go
+// only to the hosts of the cut, and the least ratio at which these hosts could take the rows is the next
+// lower bound. Since each value is a lower bound, the first one at which all demand fits is exactly the
+// minimum.
 func (p *Problem) MinUtilisation(overload bool) (placement.Ratio, bool) {
 	n := p.resetNetwork(false, nil)
 	if overload {
-		n.liftZoneLimits()
+		n.removeZoneLimits()
 	}
 	u := idle
-	left := p.demand
-	for left > 0 {
+	unassigned := p.demand
+	for unassigned > 0 {
 		hosts, need := n.cutDemand()
 		next, ok := p.minUtilisationOn(hosts, need)
 		if !ok || !overload && next.Load > next.Capacity {
@@ -31,35 +32,35 @@
 		}
 		u = next
 		n.setUtilisation(u)
-		left -= n.Augment(n.source, n.sink, left)
+		unassigned -= n.Augment(n.source, n.sink, unassigned)
 	}
 	return u, true
 }
 
-// cutDemand returns the hosts of a minimum cut, and the demand that has nowhere else to go: that of its
-// rows, less what its full zones take.
+// cutDemand returns the hosts of a minimum cut, and the demand that can go only to them: the demand of the
+// rows of the cut, less the limits of its full zones.
 func (n *network) cutDemand() (hosts []int, need int64) {
 	cut := n.Reachable(n.source)
 	for i, r := range n.problem.rows {
-		if cut[n.rows+i] {
+		if cut[n.firstRow+i] {
 			need += r.rate
 		}
 	}
 	for h, zone := range n.problem.zoneOf {
-		if cut[n.hosts+h] && !cut[n.zones+zone] {
+		if cut[n.firstHost+h] && !cut[n.firstZone+zone] {
 			hosts = append(hosts, h)
 		}
 	}
 	for i, arc := range n.zoneArcs {
-		if cut[n.zones+i] {
+		if cut[n.firstZone+i] {
 			need -= n.Capacity(arc)
 		}
 	}
 	return hosts, need
 }
 
-// MinUtilisationOn returns the least ratio at which so many units fit on these hosts alone. It may be above
-// one. It returns false where they can take nothing.
+// MinUtilisationOn returns the least ratio at which need units fit on the given hosts alone. It may be above
+// one. It returns false if the hosts have no capacity.
 func (p *Problem) MinUtilisationOn(hosts []int, need int64) (placement.Ratio, bool) {
 	if need == 0 {
 		return idle, true
@@ -67,7 +68,8 @@
 	return p.minUtilisationOn(hosts, need)
 }
 
-// minUtilisationOn returns the least ratio at which so many whole units fit on these hosts.
+// minUtilisationOn returns the least ratio at which need whole units fit on the given hosts. Need is above
+// zero.
 func (p *Problem) minUtilisationOn(hosts []int, need int64) (placement.Ratio, bool) {
 	sum := int64(0)
 	for _, h := range hosts {
@@ -76,13 +78,14 @@
 	if sum == 0 {
 		return placement.Ratio{}, false
 	}
-	u := placement.Ratio{Load: need, Capacity: sum} // enough if loads did not have to be whole
-	fitting := int64(0)
+	u := placement.Ratio{Load: need, Capacity: sum} // the solution for fractional loads, a lower bound
+	fittingUnits := int64(0)
 	for _, h := range hosts {
-		fitting += u.MaxLoad(p.capacity[h])
+		fittingUnits += u.MaxLoad(p.capacity[h])
 	}
-	// From there each host takes its next whole unit at a ratio of its own. They are gone through in order;
-	// fewer units are missing than there are hosts, since each is rounded down by less than one.
+	// Above that bound, each host reaches its next whole unit at a ratio of its own. The loop goes through
+	// these ratios in ascending order. It has fewer iterations than there are hosts, since the load of each
+	// host was rounded down by less than one unit.
 	var next []placement.Ratio
 	for _, h := range hosts {
 		if capacity := p.capacity[h]; capacity > 0 {
@@ -90,12 +93,12 @@
 		}
 	}
 	slices.SortFunc(next, compare)
-	for ; fitting < need; fitting++ {
+	for ; fittingUnits < need; fittingUnits++ {
 		u = next[0]
 		next = next[1:]
-		after := placement.Ratio{Load: u.Load + 1, Capacity: u.Capacity}
-		i, _ := slices.BinarySearchFunc(next, after, compare)
-		next = slices.Insert(next, i, after)
+		following := placement.Ratio{Load: u.Load + 1, Capacity: u.Capacity}
+		i, _ := slices.BinarySearchFunc(next, following, compare)
+		next = slices.Insert(next, i, following)
 	}
 	return u, true
 }
@@ -110,15 +113,15 @@
 	return 0
 }
 
-// MaxUtilisation returns the greatest utilisation among hosts. One that may take nothing and has a load
-// counts as if it could take one unit.
+// MaxUtilisation returns the highest utilisation of any host. For a host with load but without capacity, it
+// assumes a capacity of one unit.
 func (p *Problem) MaxUtilisation(loads []int64) placement.Ratio {
-	greatest := idle
+	highest := idle
 	for h, load := range loads {
 		r := placement.Ratio{Load: load, Capacity: max(p.capacity[h], 1)}
-		if load > 0 && greatest.Less(r) {
-			greatest = r
+		if load > 0 && highest.Less(r) {
+			highest = r
 		}
 	}
-	return greatest
+	return highest
 }
