--- a/logic/placement/active.go
+++ b/logic/placement/active.go
@@ -6,25 +6,25 @@
 	"yokeroute/gather"
 )
 
-// ActivePlan is the plan that a gatherer follows.
+// ActivePlan is the plan whose weights a gatherer uses.
 type ActivePlan struct {
 	Plan   *Plan   // nil for none
-	MaxAge float64 // milliseconds from the plan's beginning after which it is not followed, 0 for no bound
+	MaxAge float64 // milliseconds after the model's At at which the plan becomes stale, 0 for never
 }
 
-// Effective is what an active plan comes to at a moment.
+// Effective holds the weights of an active plan that are in effect at a moment, and its status.
 type Effective struct {
-	Rows         []Row   // nil where plain round robin applies
-	CaseName     string  // empty for the plan's own weights
-	MissingHosts int     // of the plan's hosts, from the endpoint list
+	Rows         []Row   // nil if plain round robin applies
+	CaseName     string  // case whose weights are in effect, empty for the plan's own weights
+	MissingHosts int     // number of the plan's hosts that are missing from the endpoint list
 	Stale        bool    // the plan is older than its maximum age
-	ValidUntil   float64 // as long as the endpoint list stays as it is
+	ValidUntil   float64 // time until which this holds, if the endpoint list does not change
 }
 
 // ListedHost reports whether a host is on the endpoint list and may get new shard requests.
 type ListedHost func(host string) bool
 
-// At returns what holds at a moment.
+// At returns the weights in effect at a moment, and the status of the plan.
 func (a *ActivePlan) At(now float64, listed ListedHost) Effective {
 	e := Effective{ValidUntil: math.Inf(1)}
 	if a.Plan == nil {
@@ -48,18 +48,18 @@
 	return e
 }
 
-// WeightsForZone turns rows into weights by replica set, for the gatherers of a zone, or for all zones
-// together where the rows do not know the zone. ServerOf returns a host's server, or false for one that is
-// not on the endpoint list.
+// WeightsForZone returns the weights of each replica set for the gatherers of a zone. If no row is for that
+// zone, it adds up the weights of all zones. ServerOf returns the server ID of a host, or false if the host
+// is not on the endpoint list.
 func WeightsForZone(rows []Row, zone string, serverOf func(host string) (uint32, bool)) [][]gather.Weight {
-	isKnown := false
+	hasRowsForZone := false
 	for i := range rows {
-		isKnown = isKnown || rows[i].Zone == zone
+		hasRowsForZone = hasRowsForZone || rows[i].Zone == zone
 	}
 	weights := [][]gather.Weight{}
 	for i := range rows {
 		r := &rows[i]
-		if r.ReplicaSet < 0 || isKnown && r.Zone != zone {
+		if r.ReplicaSet < 0 || hasRowsForZone && r.Zone != zone {
 			continue
 		}
 		for len(weights) <= r.ReplicaSet {
@@ -74,7 +74,7 @@
 	return weights
 }
 
-// addShare adds to the share of a server, which may have one from another row.
+// addShare adds to the share of a server. The server may already have a share from another row.
 func addShare(weights []gather.Weight, server uint32, share float64) []gather.Weight {
 	for i := range weights {
 		if weights[i].Server == server {
@@ -85,12 +85,12 @@
 	return append(weights, gather.Weight{Server: server, Share: share})
 }
 
-// EffectiveRows chooses the weights that hold at a moment: those of the step that has begun, or of the case
-// that fits best the hosts that are missing from the endpoint list. It solves nothing. The weights of each
-// case are applied to the hosts that are there (what they give to missing ones goes to the others of the row
-// in proportion, as in the gatherers' round robin), and the case of the least maximum utilisation holds, the
-// plan's own weights among equals. It returns the name of the case, empty for none, and how many of the
-// plan's hosts are missing.
+// EffectiveRows selects the weights in effect at a moment: those of the current step, or those of a case if
+// hosts are missing from the endpoint list. It solves nothing. For the plan's own weights and for each case,
+// it computes the load of the hosts that remain; the weight of missing hosts is distributed among the other
+// hosts of the row in proportion to their weights, as in the gatherers' round robin. It selects the weights
+// with the lowest maximum utilisation, and prefers the plan's own weights among equals. It returns the name
+// of the selected case, empty for none, and the number of the plan's hosts that are missing.
 func (p *Plan) EffectiveRows(at float64, listed ListedHost) (rows []Row, caseName string, missing int) {
 	lost := map[string]bool{}
 	for i := range p.Model.Hosts {
@@ -118,7 +118,7 @@
 	return rows, caseName, len(lost)
 }
 
-// concerns reports whether any of the hosts is lost in the case.
+// concerns reports whether the case loses any of the hosts in lost.
 func (c *Case) concerns(lost map[string]bool) bool {
 	for _, host := range c.LostHosts {
 		if lost[host] {
@@ -128,40 +128,40 @@
 	return false
 }
 
-// utilisationWithout returns the maximum utilisation of the hosts that are not lost if these rows hold. Rows
-// whose hosts are all lost count for nothing, since no weights help them. The hosts of a row that are there
-// but have no weight share it evenly.
+// utilisationWithout returns the maximum utilisation of the remaining hosts if the given rows are in effect.
+// It ignores rows whose hosts are all lost, since no weights can serve them. If none of the remaining hosts
+// of a row has a weight, they share its load evenly.
 func (p *Plan) utilisationWithout(lost map[string]bool, rows []Row, at float64) float64 {
-	const minCapacity = 0.5 // of a host that may take nothing, so that its utilisation is high
+	const minCapacity = 0.5 // assumed for hosts without capacity, so that their utilisation is high
 	loads := map[string]float64{}
 	for i := range rows {
 		addLoadsWithout(lost, &rows[i], loads)
 	}
-	greatest := 0.0
-	for i := range p.Model.Hosts { // in their order, which a map does not have
+	highest := 0.0
+	for i := range p.Model.Hosts { // in a fixed order, since the order of a map is random
 		h := &p.Model.Hosts[i]
 		if load := loads[h.Name]; load > 0 {
-			greatest = max(greatest, load/max(float64(p.Model.SafeCapacity(h, at)), minCapacity))
+			highest = max(highest, load/max(float64(p.Model.SafeCapacity(h, at)), minCapacity))
 		}
 	}
-	return greatest
+	return highest
 }
 
-// addLoadsWithout adds a row to the loads of its hosts that are not lost.
+// addLoadsWithout adds the load of a row to the hosts of the row that are not lost.
 func addLoadsWithout(lost map[string]bool, r *Row, loads map[string]float64) {
-	total, remaining, hosts := 0.0, 0.0, 0.0
+	total, remainingRate, hosts := 0.0, 0.0, 0.0
 	for _, w := range r.Weights {
 		total += float64(w.Rate)
 		if !lost[w.Host] {
-			remaining += float64(w.Rate)
+			remainingRate += float64(w.Rate)
 			hosts++
 		}
 	}
 	for _, w := range r.Weights {
 		switch {
 		case lost[w.Host]:
-		case remaining > 0:
-			loads[w.Host] += total * float64(w.Rate) / remaining
+		case remainingRate > 0:
+			loads[w.Host] += total * float64(w.Rate) / remainingRate
 		default:
 			loads[w.Host] += total / hosts
 		}
--- a/logic/placement/diff.go
+++ b/logic/placement/diff.go
@@ -8,61 +8,61 @@
 	"strings"
 )
 
-// Change is what differs between two plans, in meaning.
+// Change lists the differences in effect between two plans.
 type Change struct {
 	MaxUtilisation       Ratio    `json:"Greatest"`
 	MaxUtilisationBefore Ratio    `json:"GreatestBefore"`
 	Cost                 int64    `json:"Cost"`
 	CostBefore           int64    `json:"CostBefore"`
-	Zones                []Delta  `json:"Halls"` // those whose load differs
-	Hosts                []Delta  `json:"Hosts"` // those whose load differs by over a tenth
-	MovedRate            int64    `json:"Moved"` // units that go to another host than before
+	Zones                []Delta  `json:"Halls"` // zones whose load differs
+	Hosts                []Delta  `json:"Hosts"` // hosts whose load differs by over a tenth
+	MovedRate            int64    `json:"Moved"` // units that are assigned to another host than before
 	AddedHosts           []string `json:"Came"`
 	RemovedHosts         []string `json:"Left"`
 	AddedReplicas        []string `json:"Copies"` // replicas, as "segment on host"
 	RemovedReplicas      []string `json:"Drops"`  // replicas, as "segment on host"
-	Demand               []Delta  `json:"Demand"` // segments that are asked for more or less
+	Demand               []Delta  `json:"Demand"` // segments whose demand differs
 }
 
-// Delta is a rate before and now, in units.
+// Delta is a rate that has changed, in units.
 type Delta struct {
 	Name   string `json:"Name"`
 	Before int64  `json:"Before"`
 	Now    int64  `json:"Now"`
 }
 
-// overTenth reports whether a rate changed by over a tenth of what it was.
+// overTenth reports whether the rate changed by over a tenth of its previous value.
 func (d Delta) overTenth() bool {
 	return math.Abs(float64(d.Now-d.Before)) > 0.1*float64(d.Before)
 }
 
-// Diff compares the weights that hold at a moment in two plans of the same unit.
+// Diff compares the weights in effect at a moment in two plans that have the same unit.
 func Diff(before, now *Plan, at float64) *Change {
 	stepBefore := stepAt(before.Steps, at)
 	stepNow := stepAt(now.Steps, at)
-	a := summarise(before, stepBefore)
-	b := summarise(now, stepNow)
+	oldSummary := summarise(before, stepBefore)
+	newSummary := summarise(now, stepNow)
 	anyChange := func(Delta) bool { return true }
 	return &Change{
 		MaxUtilisation:       stepNow.MaxUtilisation,
 		MaxUtilisationBefore: stepBefore.MaxUtilisation,
 		Cost:                 stepNow.Cost,
 		CostBefore:           stepBefore.Cost,
-		Zones:                deltas(a.zoneLoads, b.zoneLoads, anyChange),
-		Hosts:                deltas(a.hostLoads, b.hostLoads, Delta.overTenth),
-		MovedRate:            movedRate(a.rates, b.rates),
-		AddedHosts:           missingFrom(a.hostLoads, b.hostLoads),
-		RemovedHosts:         missingFrom(b.hostLoads, a.hostLoads),
-		AddedReplicas:        missingFrom(a.replicas, b.replicas),
-		RemovedReplicas:      missingFrom(b.replicas, a.replicas),
-		Demand:               deltas(a.demand, b.demand, anyChange),
+		Zones:                deltas(oldSummary.zoneLoads, newSummary.zoneLoads, anyChange),
+		Hosts:                deltas(oldSummary.hostLoads, newSummary.hostLoads, Delta.overTenth),
+		MovedRate:            movedRate(oldSummary.rates, newSummary.rates),
+		AddedHosts:           missingFrom(oldSummary.hostLoads, newSummary.hostLoads),
+		RemovedHosts:         missingFrom(newSummary.hostLoads, oldSummary.hostLoads),
+		AddedReplicas:        missingFrom(oldSummary.replicas, newSummary.replicas),
+		RemovedReplicas:      missingFrom(newSummary.replicas, oldSummary.replicas),
+		Demand:               deltas(oldSummary.demand, newSummary.demand, anyChange),
 	}
 }
 
-// rateKey is a segment's row for a zone, and a host of it.
+// rateKey identifies a weight: a row by its segment and zone, and a host of that row.
 type rateKey struct{ segment, zone, host string }
 
-// summary is what plans are compared by, in units.
+// summary holds the figures by which plans are compared, in units.
 type summary struct {
 	hostLoads map[string]int64
 	zoneLoads map[string]int64
@@ -103,7 +103,7 @@
 	return s
 }
 
-// deltas returns what differs, in the order of names.
+// deltas returns the relevant differences between two maps, sorted by name.
 func deltas(before, now map[string]int64, isRelevant func(Delta) bool) (list []Delta) {
 	names := maps.Clone(before)
 	maps.Copy(names, now)
@@ -116,7 +116,8 @@
 	return list
 }
 
-// movedRate returns the units that go to another host than before. Demand that came or went has not moved.
+// movedRate returns the units that are assigned to another host than before. It does not count units of new
+// or ended demand.
 func movedRate(before, now map[rateKey]int64) int64 {
 	added, removed := int64(0), int64(0)
 	for key, rate := range before {
@@ -128,7 +129,7 @@
 	return min(added, removed)
 }
 
-// missingFrom returns the names that a map lacks of another, in their order.
+// missingFrom returns the keys of names that are not in known, sorted.
 func missingFrom[V any](known, names map[string]V) (list []string) {
 	for _, name := range slices.Sorted(maps.Keys(names)) {
 		if _, found := known[name]; !found {
@@ -138,7 +139,8 @@
 	return list
 }
 
-// Describe describes a change line by line, what matters most first. Rate writes units as a rate.
+// Describe returns a line for each kind of difference, the most important first. Rate formats units as a
+// rate.
 func (c *Change) Describe(rate func(int64) string) []string {
 	var lines []string
 	add := func(format string, args ...any) { lines = append(lines, fmt.Sprintf(format, args...)) }
@@ -172,7 +174,7 @@
 	return lines
 }
 
-// describeNames returns a line that counts and lists names, none without names.
+// describeNames returns a line that counts and lists names, or nil if there are none.
 func describeNames(names []string, noun, what string) []string {
 	if len(names) == 0 {
 		return nil
@@ -192,7 +194,7 @@
 	return fmt.Sprintf("%s %s by over a tenth: %s", pluralise(len(hosts), "host"), verb, firstNames(names))
 }
 
-// firstNames lists the first names, and counts the others.
+// firstNames lists the first eight names and the number of the others.
 func firstNames(names []string) string {
 	const listed = 8
 	if len(names) <= listed {
--- a/logic/placement/infeasibility.go
+++ b/logic/placement/infeasibility.go
@@ -6,47 +6,47 @@
 	"strings"
 )
 
-// Need is demand that a proof of infeasibility counts.
+// Need is a demand that is part of a proof of infeasibility.
 type Need struct {
 	Segment string `json:"Segment"`
 	Zone    string `json:"Hall"`
 	Rate    int64  `json:"Rate"`
 }
 
-// LimitKind is what a limit is of.
+// LimitKind is the kind of a limit: what it limits, and why.
 type LimitKind string
 
 // The kinds of limits.
 const (
-	HostCapacity   LimitKind = "capacity" // of a warm host
-	HostWarmingUp  LimitKind = "cold"     // what is safe of a host that warms up
-	HostNotStarted LimitKind = "coming"
+	HostCapacity   LimitKind = "capacity" // a warm host at its capacity
+	HostWarmingUp  LimitKind = "cold"     // a host that is warming up, at its safe capacity
+	HostNotStarted LimitKind = "coming"   // a host that has not started yet
 	HostDraining   LimitKind = "draining"
-	HostGone       LimitKind = "gone"
-	ZoneMaxLoad    LimitKind = "hall most"
-	ZoneHeadroom   LimitKind = "hall spare"
+	HostGone       LimitKind = "gone"       // a host that is removed or lost
+	ZoneMaxLoad    LimitKind = "hall most"  // a zone at its maximum load
+	ZoneHeadroom   LimitKind = "hall spare" // a zone at its capacity less the headroom
 )
 
-// OfZone reports whether the limit is a zone's rather than a host's.
+// OfZone reports whether the limit applies to a zone rather than to a host.
 func (k LimitKind) OfZone() bool { return k == ZoneMaxLoad || k == ZoneHeadroom }
 
-// Limit is a limit that a proof of infeasibility counts, with the load that it allows.
+// Limit is a limit that is part of a proof of infeasibility, with the load that it allows.
 type Limit struct {
 	Kind     LimitKind `json:"Kind"`
 	Name     string    `json:"Name"` // of the host or zone
 	Capacity int64     `json:"Takes"`
 }
 
-// Relaxation is a limit that would have to be raised, and how far.
+// Relaxation is a change that would raise one limit of a proof.
 type Relaxation struct {
-	Limit      int   `json:"Limit"` // index among the limits
+	Limit      int   `json:"Limit"` // index in the limits of the proof
 	To         int64 `json:"To"`
-	Sufficient bool  `json:"Enough"` // everything fits then; else another infeasibility is left
+	Sufficient bool  `json:"Enough"` // all demand fits then; if false, another infeasibility remains
 }
 
-// Infeasibility is a proof that no weights fit: the needs have nowhere to go but through the limits, and
-// exceed them by the shortfall. Each of its segments is needed for the proof: without any one of them the
-// rest fits.
+// Infeasibility is a proof that no weights fit: all hosts that could serve the needs are subject to the
+// limits, and the needs exceed the limits by the shortfall. Each of its segments is necessary: without any
+// one of them, the needs of the others fit.
 type Infeasibility struct {
 	At          float64      `json:"At"`
 	Needs       []Need       `json:"Needs"`
@@ -55,9 +55,10 @@
 	Relaxations []Relaxation `json:"Lifts"`
 }
 
-// Verify checks a proof against a model, without solving anything: its needs are demands, all hosts of their
-// segments are behind one of its limits, each limit allows no more than the proof says at that moment, and
-// the needs exceed the limits by the shortfall. The reason is empty where the proof holds.
+// Verify checks a proof against a model without solving: the needs are demands of the model, all hosts of
+// their segments are subject to one of the limits, each limit allows the load that the proof states for that
+// moment, and the needs exceed the limits by the shortfall. It returns the reason why the proof does not
+// hold, or an empty string if it does.
 func (f *Infeasibility) Verify(m *Model) (reason string) {
 	hosts, zones, reason := f.verifyLimits(m)
 	if reason != "" {
@@ -66,25 +67,28 @@
 	seen := map[Need]bool{}
 	for _, n := range f.Needs {
 		if seen[n] || !slices.Contains(m.Demands, Demand(n)) {
-			return fmt.Sprintf("%s is not asked for %d by %s", n.Segment, n.Rate, n.Zone)
+			return fmt.Sprintf("no demand for %s of %d units from %s, or listed twice",
+				n.Segment, n.Rate, n.Zone)
 		}
 		seen[n] = true
 		s := &m.Segments[slices.IndexFunc(m.Segments, func(s Segment) bool { return s.Name == n.Segment })]
 		for _, name := range s.Hosts {
 			h := &m.Hosts[slices.IndexFunc(m.Hosts, func(h Host) bool { return h.Name == name })]
 			if !hosts[name] && !zones[h.Zone] {
-				return fmt.Sprintf("%s can also go to %s", n.Segment, name)
+				return fmt.Sprintf("demand for %s can also go to %s, which has no limit here",
+					n.Segment, name)
 			}
 		}
 	}
 	need, capacity := f.totals()
 	if need-capacity != f.Shortfall || f.Shortfall <= 0 {
-		return fmt.Sprintf("%d needed and %d taken make no %d short", need, capacity, f.Shortfall)
+		return fmt.Sprintf("needs of %d units less limits of %d are not a shortfall of %d",
+			need, capacity, f.Shortfall)
 	}
 	return ""
 }
 
-// verifyLimits checks the limits against the model, and returns the hosts and zones that are limited.
+// verifyLimits checks the limits against the model, and returns the hosts and zones to which they apply.
 func (f *Infeasibility) verifyLimits(m *Model) (hosts, zones map[string]bool, reason string) {
 	hosts = map[string]bool{}
 	zones = map[string]bool{}
@@ -92,14 +96,16 @@
 		if l.Kind.OfZone() {
 			i := slices.IndexFunc(m.Zones, func(z Zone) bool { return z.Name == l.Name })
 			if i < 0 || zones[l.Name] || m.ZoneLoadLimit(&m.Zones[i], f.At) != l.Capacity {
-				return nil, nil, fmt.Sprintf("hall %s does not take %d", l.Name, l.Capacity)
+				return nil, nil, fmt.Sprintf("limit of hall %s is not %d units, or listed twice",
+					l.Name, l.Capacity)
 			}
 			zones[l.Name] = true
 			continue
 		}
 		i := slices.IndexFunc(m.Hosts, func(h Host) bool { return h.Name == l.Name })
 		if i < 0 || hosts[l.Name] || m.SafeCapacity(&m.Hosts[i], f.At) != l.Capacity {
-			return nil, nil, fmt.Sprintf("host %s does not take %d", l.Name, l.Capacity)
+			return nil, nil, fmt.Sprintf("capacity of host %s is not %d units, or listed twice",
+				l.Name, l.Capacity)
 		}
 		hosts[l.Name] = true
 	}
@@ -117,7 +123,7 @@
 	return need, capacity
 }
 
-// Describe explains a proof to an operator. Rate writes units as a rate.
+// Describe explains a proof to an operator. Rate formats units as a rate.
 func (f *Infeasibility) Describe(rate func(int64) string) string {
 	var b strings.Builder
 	need, capacity := f.totals()
@@ -157,7 +163,7 @@
 	return b.String()
 }
 
-// describeNeeds describes the needs of each segment, in the order of the proof.
+// describeNeeds returns a text for each segment with the sum of its needs, in the order of the proof.
 func (f *Infeasibility) describeNeeds(rate func(int64) string) []string {
 	bySegment := map[string]int64{}
 	var segments []string
@@ -192,7 +198,7 @@
 	return fmt.Sprintf("%s (%s)", l.Name, rate(l.Capacity))
 }
 
-// describeRelaxed says what to do so that a limit allows a load.
+// describeRelaxed describes the state in which the limit allows a higher load.
 func (l Limit) describeRelaxed(to string) string {
 	switch l.Kind {
 	case HostWarmingUp, HostNotStarted:
@@ -207,7 +213,7 @@
 	return fmt.Sprintf("%s able to take %s", l.Name, to)
 }
 
-// joinList joins items as in a sentence.
+// joinList joins items with commas, and the last one with "and".
 func joinList(items []string) string {
 	switch len(items) {
 	case 0:
--- a/logic/placement/model.go
+++ b/logic/placement/model.go
@@ -1,11 +1,11 @@
-// Package placement is about how load is shared among the replicas of segments.
+// Package placement defines the models and plans by which load is distributed among the replicas of segments.
 //
-// A model says what zones, hosts, segments and demand there are, and a plan holds the weights by which
-// gatherers give turns to hosts: the least maximum utilisation first, then the least cost, then the least
-// change from the plan in force. Package balance works plans out. This one validates models, checks and
-// compares plans, and chooses which of several sets of weights, worked out ahead, holds when hosts are lost.
-// It may never give a host that drains, is gone or is still warming up more than that host is safe to take
-// (rules 3 and 4). It picks no server for a query, which is logic's task. Why this way:
+// A model describes zones, hosts, segments and demand. A plan holds the weights of hosts for the gatherers'
+// weighted round robin. They minimise the maximum utilisation first, then the cost, then the change from the
+// plan in force. Package balance computes plans. This package validates models, checks and compares plans,
+// and selects which of several precomputed sets of weights is in effect when hosts are lost. It must never
+// assign a host that is draining, removed or still warming up more load than its safe capacity (rules 3 and
+// 4). It does not pick the server for a query; package logic does that. The reasons for the design are in
 // docs/design/placement.md.
 package placement
 
@@ -18,28 +18,28 @@
 )
 
 const (
-	// MaxRate bounds every rate and the sum of all demand, in units, so that products of two of them are
+	// MaxRate limits every rate and the sum of all demand, in units, so that the product of two rates is
 	// exact.
 	MaxRate = 1_000_000_000
-	// MaxCost bounds the cost of a shard request, in thousandths.
+	// MaxCost limits the cost of a shard request, in thousandths.
 	MaxCost = 1_000_000_000
-	// CostUnits is how many units of a cost make one of an operator's.
+	// CostUnits is the number of internal cost units in a cost of 1 in a placement file.
 	CostUnits = 1000
-	// DefaultZoneCost is the cost of a shard request between zones for which none is given: one of an
-	// operator's.
+	// DefaultZoneCost is the cost of a shard request between two zones for which the model gives no cost: a
+	// cost of 1 in a placement file.
 	DefaultZoneCost = CostUnits
 )
 
-// roundingError is how far a product of capacity and a share may be from a whole number that it stands for.
+// roundingError is the tolerance for the product of a capacity and a share that should be a whole number.
 const roundingError = 1e-6
 
-// Model is what is planned for. Rates are in whole units, times in Unix milliseconds.
+// Model is the input of a plan. Rates are in whole units, times in Unix milliseconds.
 type Model struct {
-	Unit      float64    `json:"Unit"`   // shard requests a second that one unit stands for
-	At        float64    `json:"At"`     // when the plan begins to hold
+	Unit      float64    `json:"Unit"`   // shard requests per second in one unit
+	At        float64    `json:"At"`     // time from which the plan is in effect
 	ClockSkew float64    `json:"Clocks"` // milliseconds by which a gatherer's clock may run ahead
-	Steps     int        `json:"Steps"`  // into which the time is divided until the last host is warm
-	MaxMoves  int        `json:"Copies"` // replicas that a new placement may move, -1 for any number
+	Steps     int        `json:"Steps"`  // number of steps until the last host is warm
+	MaxMoves  int        `json:"Copies"` // maximum of replicas that may move, -1 for no limit
 	Zones     []Zone     `json:"Halls"`
 	Hosts     []Host     `json:"Hosts"`
 	Segments  []Segment  `json:"Segments"`
@@ -47,33 +47,34 @@
 	ZoneCosts []ZoneCost `json:"Crossings"`
 }
 
-// Zone is a set of hosts that share limits.
+// Zone is a set of hosts with common load limits.
 type Zone struct {
-	Name          string  `json:"Name"`
-	MaxLoad       int64   `json:"Most"`       // of its hosts together, -1 for any
-	Headroom      int64   `json:"Spare"`      // capacity that has to stay free in it,
-	HeadroomShare float64 `json:"SpareShare"` // or the share of its capacity, if that is more
+	Name    string `json:"Name"`
+	MaxLoad int64  `json:"Most"` // of all its hosts together, -1 for no limit
+	// The hosts of the zone have to keep free the greater of Headroom and HeadroomShare of their capacity.
+	Headroom      int64   `json:"Spare"`
+	HeadroomShare float64 `json:"SpareShare"`
 }
 
-// Host is one machine. Its capacity rises evenly, within WarmupTime of its start, from a share of it to all
-// of it.
+// Host is one machine. While it is warming up, its safe capacity rises linearly within WarmupTime after its
+// start from InitialCapacityShare of its capacity to all of it.
 type Host struct {
 	Name                 string       `json:"Name"`
 	Zone                 string       `json:"Hall"`
-	Capacity             int64        `json:"Capacity"` // when warm
+	Capacity             int64        `json:"Capacity"` // of the warm host
 	Cost                 int64        `json:"Cost"`     // of a shard request, in thousandths
 	State                gather.State `json:"State"`
-	StartedAt            float64      `json:"Started"` // 0 for long ago; it may be later than the model's At
+	StartedAt            float64      `json:"Started"` // 0 for long ago; may be after At
 	InitialCapacityShare float64      `json:"ColdShare"`
 	WarmupTime           float64      `json:"Warming"` // milliseconds
-	MaxSegments          int          `json:"Holds"`   // that it has room for, 0 for any number
+	MaxSegments          int          `json:"Holds"`   // maximum that it can hold, 0 for no limit
 }
 
-// Segment is data of which each of its hosts holds a replica.
+// Segment is a part of the data. Each of its hosts holds a replica of it.
 type Segment struct {
 	Name       string   `json:"Name"`
-	ReplicaSet int      `json:"Group"`    // of the gatherers' shards, -1 for none
-	Replicas   int      `json:"Replicas"` // wanted of a new placement, 0 for as many as it has
+	ReplicaSet int      `json:"Group"`    // replica set in the gatherers' settings, -1 for none
+	Replicas   int      `json:"Replicas"` // number in a new placement, 0 for as many as now
 	Hosts      []string `json:"On"`
 }
 
@@ -84,20 +85,20 @@
 	Rate    int64  `json:"Rate"`
 }
 
-// demandKey tells demands, and the rows of weights that answer them, apart.
+// demandKey identifies a demand and the row of weights that distributes it.
 type demandKey struct{ segment, zone string }
 
 // ZoneCost is the cost, in thousandths, of a shard request from a gatherer in one zone to a host in another.
-// It holds in both directions unless the other one is given as well.
+// It applies in both directions unless the model also gives the cost of the opposite direction.
 type ZoneCost struct {
 	From string `json:"From"`
 	To   string `json:"To"`
 	Cost int64  `json:"Cost"`
 }
 
-// SafeCapacity returns what a host may carry at a moment, in units: nothing unless it runs and has started.
-// While it warms up, the slowest clock among the gatherers counts, since one whose clock runs ahead sends
-// more too early.
+// SafeCapacity returns the load that a host may carry at a moment, in units. It is zero unless the host is
+// running and has started. Its age is computed by the slowest clock among the gatherers, since a gatherer
+// whose clock runs ahead would send too much load too early while the host is warming up.
 func (m *Model) SafeCapacity(h *Host, at float64) int64 {
 	now := at - m.ClockSkew
 	switch {
@@ -110,7 +111,7 @@
 	return int64(math.Floor(float64(h.Capacity) * share))
 }
 
-// ZoneLoadLimit returns what the hosts of a zone may carry together at a moment, -1 for any.
+// ZoneLoadLimit returns the load that the hosts of a zone may carry together at a moment, -1 for no limit.
 func (m *Model) ZoneLoadLimit(zone *Zone, at float64) int64 {
 	capacity := int64(0)
 	for i := range m.Hosts {
@@ -121,22 +122,23 @@
 	return zone.LoadLimit(capacity)
 }
 
-// LoadLimit returns what the hosts of a zone may carry together if they have a capacity, -1 for any.
+// LoadLimit returns the load that the hosts of the zone may carry together if the sum of their safe
+// capacities is capacity, -1 for no limit.
 func (z *Zone) LoadLimit(capacity int64) int64 {
 	limit := z.MaxLoad
 	headroom := max(z.Headroom, int64(math.Ceil(float64(capacity)*z.HeadroomShare-roundingError)))
 	if headroom <= 0 {
 		return limit
 	}
-	left := max(capacity-headroom, 0)
-	if limit < 0 || left < limit {
-		return left
+	usable := max(capacity-headroom, 0)
+	if limit < 0 || usable < limit {
+		return usable
 	}
 	return limit
 }
 
-// Normalized returns the model in the order of its names, so that the order of an operator's lines changes
-// nothing.
+// Normalized returns a copy of the model with its entries sorted by name, so that the order of lines in a
+// placement file has no influence.
 func (m *Model) Normalized() *Model {
 	n := *m
 	n.Zones = slices.Clone(m.Zones)
--- a/logic/placement/validate.go
+++ b/logic/placement/validate.go
@@ -9,7 +9,7 @@
 	"yokeroute/internal/suggest"
 )
 
-// Kinds of entries of a model, in the words of placement files.
+// Kinds of model entries, named by the directives of placement files.
 const (
 	ZoneEntry     = "hall"
 	HostEntry     = "host"
@@ -18,19 +18,19 @@
 	ZoneCostEntry = "crossing"
 )
 
-// EntryError is what is wrong with one entry of a model.
+// EntryError describes an invalid entry of a model.
 type EntryError struct {
-	Kind    string // of the entry; empty for the model itself
-	Index   int    // among the entries of its kind
-	Field   string // in the word of placement files
-	Value   string // at fault
-	Problem string
+	Kind    string // one of the kinds of entries; empty for the model itself
+	Index   int    // index among the entries of that kind
+	Field   string // name of the option or argument in placement files
+	Value   string // value that is invalid
+	Problem string // why the value is invalid, and what would be valid
 }
 
 func (e *EntryError) Error() string { return fmt.Sprintf("%s %q: %s", e.Kind, e.Value, e.Problem) }
 
-// validator collects what is wrong with a model. The names of each kind of entry are known once it is
-// validated.
+// validator collects the errors in a model. The sets of names of a kind are filled while entries of that kind
+// are validated.
 type validator struct {
 	m        *Model
 	errors   []*EntryError
@@ -39,13 +39,13 @@
 	segments map[string]bool
 }
 
-// entry is a place in a model.
+// entry identifies an entry of a model.
 type entry struct {
 	kind  string
 	index int
 }
 
-// Validate returns all that is wrong with the model, in the order of its entries.
+// Validate returns all errors in the model, by kind of entry and in the order of the entries.
 func (m *Model) Validate() []*EntryError {
 	v := &validator{m: m, zones: map[string]bool{}, hosts: map[string]bool{}, segments: map[string]bool{}}
 	if !(m.Unit > 0) || math.IsInf(m.Unit, 0) {
@@ -69,7 +69,7 @@
 	})
 }
 
-// checkRate rejects a rate that is under a minimum or over MaxRate.
+// checkRate rejects a rate that is below minimum or above MaxRate.
 func (v *validator) checkRate(e entry, field string, rate, minimum int64) {
 	switch {
 	case rate < minimum:
@@ -87,41 +87,41 @@
 }
 
 func (v *validator) checkShare(e entry, field string, share float64) {
-	if !(share >= 0 && share <= 1) { // in this form, so that NaN is rejected
+	if !(share >= 0 && share <= 1) { // written in this form to reject NaN
 		v.reject(e, field, fmt.Sprint(share), "a share goes from 0%% to 100%%")
 	}
 }
 
-// define adds the name of an entry to the known names of its kind.
-func (v *validator) define(e entry, known map[string]bool, name string) {
+// define adds the name of an entry to the known names of its kind. It rejects empty and duplicate names.
+func (v *validator) define(e entry, knownNames map[string]bool, name string) {
 	switch {
 	case name == "":
 		v.reject(e, "name", name, "has no name")
-	case known[name]:
+	case knownNames[name]:
 		v.reject(e, "name", name, "is given twice; every %s has its own name", e.kind)
 	}
-	known[name] = true
+	knownNames[name] = true
 }
 
-// checkReference rejects a name that no entry of a kind has.
+// checkReference rejects a name that is not the name of an entry of the given kind.
 func (v *validator) checkReference(e entry, field, kind, name string) {
-	known := v.zones
+	knownNames := v.zones
 	switch kind {
 	case HostEntry:
-		known = v.hosts
+		knownNames = v.hosts
 	case SegmentEntry:
-		known = v.segments
+		knownNames = v.segments
 	}
-	if !known[name] {
-		v.reject(e, field, name, "is no %s of this file%s", kind, nameHint(name, known))
+	if !knownNames[name] {
+		v.reject(e, field, name, "is no %s of this file%s", kind, nameHint(name, knownNames))
 	}
 }
 
-// nameHint names what may have been meant by an unknown name.
-func nameHint(name string, known map[string]bool) string {
-	// Of names that are equally near, Hint takes the first by name, so that the order of the map does not
-	// matter.
-	return suggest.Hint(name, slices.Collect(maps.Keys(known)))
+// nameHint suggests a known name that is similar to an unknown one.
+func nameHint(name string, knownNames map[string]bool) string {
+	// Of names that are equally similar, Hint returns the alphabetically first, so that the random order of
+	// the map has no influence.
+	return suggest.Hint(name, slices.Collect(maps.Keys(knownNames)))
 }
 
 func (v *validator) validateZones() {
@@ -146,7 +146,8 @@
 		isFinite := h.WarmupTime >= 0 && !math.IsInf(h.WarmupTime, 0) &&
 			!math.IsNaN(h.StartedAt) && !math.IsInf(h.StartedAt, 0)
 		if !isFinite {
-			v.reject(e, "cold", fmt.Sprint(h.WarmupTime), "a host warms in a time that ends")
+			v.reject(e, "cold", fmt.Sprint(h.WarmupTime),
+				"start and warmup time have to be finite, warmup not negative")
 		}
 	}
 }
@@ -157,19 +158,20 @@
 		s := &v.m.Segments[i]
 		e := entry{SegmentEntry, i}
 		v.define(e, v.segments, s.Name)
-		named := map[string]bool{}
+		listed := map[string]bool{}
 		for _, host := range s.Hosts {
 			v.checkReference(e, "on", HostEntry, host)
-			if named[host] {
-				v.reject(e, "on", host, "holds the segment twice; name each host once")
+			if listed[host] {
+				v.reject(e, "on", host, "is listed twice; list each host once")
 			}
-			named[host] = true
+			listed[host] = true
 		}
 		if s.Replicas < 0 || s.Replicas > len(v.m.Hosts) {
-			v.reject(e, "replicas", fmt.Sprint(s.Replicas), "there are %d hosts", len(v.m.Hosts))
+			v.reject(e, "replicas", fmt.Sprint(s.Replicas), "is not from 0 to the number of hosts, %d",
+				len(v.m.Hosts))
 		}
 		if s.ReplicaSet >= 0 && replicaSets[s.ReplicaSet] {
-			v.reject(e, "group", fmt.Sprint(s.ReplicaSet), "is another segment's group already")
+			v.reject(e, "group", fmt.Sprint(s.ReplicaSet), "is already the group of another segment")
 		}
 		replicaSets[s.ReplicaSet] = true
 	}
@@ -185,15 +187,15 @@
 		v.checkRate(e, "rate", d.Rate, 0)
 		key := demandKey{d.Segment, d.Zone}
 		if demanded[key] {
-			v.reject(e, "hall", d.Zone, "asks twice for %s; give the sum once", d.Segment)
+			v.reject(e, "hall", d.Zone, "has two demands for segment %s; write one with their sum", d.Segment)
 		}
 		demanded[key] = true
 		if d.Rate <= 0 || d.Rate > MaxRate {
 			continue
 		}
-		before := sum
+		sumBefore := sum
 		sum += d.Rate
-		if sum > MaxRate && before <= MaxRate { // once, at the demand that makes it too much
+		if sum > MaxRate && sumBefore <= MaxRate { // reported once, for the demand that exceeds the limit
 			v.reject(e, "rate", fmt.Sprint(d.Rate), "makes the sum of all demand more than %d units", MaxRate)
 		}
 	}
@@ -213,7 +215,7 @@
 		}
 		given[key] = true
 		if c.From == c.To {
-			v.reject(e, "to", c.To, "a part that stays in its hall crosses nothing")
+			v.reject(e, "to", c.To, "a crossing leads to another hall; none is needed within one")
 		}
 	}
 }
--- a/logic/placement/violations.go
+++ b/logic/placement/violations.go
@@ -5,9 +5,10 @@
 	"fmt"
 )
 
-// Violations returns all that is wrong with a plan's weights by its own model: hosts that do not hold a row's
-// segment, demand that is not fully distributed, and hosts or zones that get more than they can take at any
-// moment from the beginning of a step on. Cases for which demand does not fit are not held to the limits.
+// Violations returns all conflicts between a plan's weights and its model: hosts that do not hold the segment
+// of a row, demand that is not fully distributed, and hosts or zones whose load exceeds their limit at the
+// beginning of a step; after it, capacity only rises. The limits are not checked for infeasible cases, in
+// which demand exceeds them.
 func (p *Plan) Violations() []error {
 	var violations []error
 	for i := range p.Steps {
@@ -17,13 +18,13 @@
 		violations = append(violations, c.violations...)
 	}
 	for i := range p.Cases {
-		failure := &p.Cases[i]
-		for j := range failure.Steps {
-			step := failure.Steps[j]
-			step.Rows = p.CaseRows(failure, step.From)
-			c := newStepCheck(p, "case "+failure.Name+": ", &step, failure)
+		lossCase := &p.Cases[i]
+		for j := range lossCase.Steps {
+			step := lossCase.Steps[j]
+			step.Rows = p.CaseRows(lossCase, step.From)
+			c := newStepCheck(p, "case "+lossCase.Name+": ", &step, lossCase)
 			c.checkRows()
-			if failure.Infeasibility == nil {
+			if lossCase.Infeasibility == nil {
 				c.checkLimits()
 			}
 			violations = append(violations, c.violations...)
@@ -32,28 +33,28 @@
 	return violations
 }
 
-// replica is a segment on a host.
+// replica identifies the replica of a segment on a host.
 type replica struct{ segment, host string }
 
 // stepCheck checks one step's weights against the model. It shares no arithmetic with the solver.
 type stepCheck struct {
 	m          *Model
-	where      string // before each violation
+	prefix     string // prefix of each violation
 	step       *Step
-	failure    *Case // nil for the plan's own weights
+	lossCase   *Case // nil for the plan's own weights
 	violations []error
 
 	hosts     map[string]*Host
-	capacity  map[string]int64 // of each host
+	capacity  map[string]int64 // safe capacity of each host
 	replicas  map[replica]bool
-	servable  map[string]bool // segments of which a host can take something
+	servable  map[string]bool // segments with at least one host that has capacity
 	loads     map[string]int64
 	zoneLoads map[string]int64
 }
 
-func newStepCheck(p *Plan, where string, step *Step, failure *Case) *stepCheck {
+func newStepCheck(p *Plan, prefix string, step *Step, lossCase *Case) *stepCheck {
 	c := &stepCheck{
-		m: p.Model, where: where, step: step, failure: failure,
+		m: p.Model, prefix: prefix, step: step, lossCase: lossCase,
 		hosts:     map[string]*Host{},
 		capacity:  map[string]int64{},
 		replicas:  map[replica]bool{},
@@ -66,8 +67,8 @@
 		c.hosts[h.Name] = h
 		c.capacity[h.Name] = c.m.SafeCapacity(h, step.From)
 	}
-	if failure != nil {
-		for _, host := range failure.LostHosts {
+	if lossCase != nil {
+		for _, host := range lossCase.LostHosts {
 			c.capacity[host] = 0
 		}
 	}
@@ -81,13 +82,13 @@
 }
 
 func (c *stepCheck) report(format string, args ...any) {
-	c.violations = append(c.violations, errors.New(c.where+fmt.Sprintf(format, args...)))
+	c.violations = append(c.violations, errors.New(c.prefix+fmt.Sprintf(format, args...)))
 }
 
-// checkRows checks that each demand has a row, and that its weights go to hosts of the segment and sum up to
-// it.
+// checkRows checks that each demand has a row, and that the weights of each row are for hosts of the segment
+// and sum up to the demand.
 func (c *stepCheck) checkRows() {
-	demand := map[demandKey]int64{} // without a row so far
+	demand := map[demandKey]int64{} // demand without a row so far
 	for _, d := range c.m.Demands {
 		demand[demandKey{d.Segment, d.Zone}] = d.Rate
 	}
@@ -95,9 +96,10 @@
 		r := &c.step.Rows[i]
 		sum := c.addLoads(r)
 		key := demandKey{r.Segment, r.Zone}
-		isDue := c.servable[r.Segment] || c.failure == nil
-		if want := demand[key]; sum != want && isDue {
-			c.report("%s from %s: %d of %d units are shared out", r.Segment, r.Zone, sum, want)
+		mustBeServed := c.servable[r.Segment] || c.lossCase == nil
+		if demanded := demand[key]; sum != demanded && mustBeServed {
+			c.report("%s from %s: weights sum up to %d of %d units of demand",
+				r.Segment, r.Zone, sum, demanded)
 		}
 		delete(demand, key)
 	}
@@ -114,12 +116,12 @@
 		host := c.hosts[w.Host]
 		switch {
 		case host == nil:
-			c.report("%s from %s: no host %s", r.Segment, r.Zone, w.Host)
+			c.report("%s from %s: the model has no host %s", r.Segment, r.Zone, w.Host)
 			continue
 		case !c.replicas[replica{r.Segment, w.Host}]:
 			c.report("%s does not hold %s", w.Host, r.Segment)
 		case w.Rate < 0:
-			c.report("%s gets %d of %s", w.Host, w.Rate, r.Segment)
+			c.report("%s has the negative weight %d for %s", w.Host, w.Rate, r.Segment)
 		}
 		sum += w.Rate
 		c.loads[w.Host] += w.Rate
@@ -136,18 +138,18 @@
 		capacity := c.capacity[h.Name]
 		zoneCapacity[h.Zone] += capacity
 		if load := c.loads[h.Name]; load > capacity {
-			c.report("%s gets %d of the %d units that it can take", h.Name, load, capacity)
+			c.report("%s gets %d units, more than its safe capacity of %d units", h.Name, load, capacity)
 		}
 	}
 	for _, z := range c.m.Zones {
 		load := c.zoneLoads[z.Name]
 		if z.MaxLoad >= 0 && load > z.MaxLoad {
-			c.report("hall %s gets %d of its %d units at most", z.Name, load, z.MaxLoad)
+			c.report("hall %s gets %d units, more than its maximum load of %d units", z.Name, load, z.MaxLoad)
 		}
-		// A zone whose capacity is under its headroom may carry nothing.
+		// A zone whose capacity is below its headroom may carry no load.
 		headroom := max(float64(z.Headroom), float64(zoneCapacity[z.Name])*z.HeadroomShare-roundingError)
 		if free := zoneCapacity[z.Name] - load; load > 0 && float64(free) < headroom {
-			c.report("hall %s has %d of its %d units free, less than it is to keep",
+			c.report("hall %s has %d of its %d units free, less than its headroom",
 				z.Name, free, zoneCapacity[z.Name])
 		}
 	}
