--- a/logic/placing/branchandbound.go
+++ b/logic/placing/branchandbound.go
@@ -5,54 +5,54 @@
 	"slices"
 )
 
-// branchAndBound goes through all placements segment by segment and leaves out what can't be better than
-// the best known. What a choice is worth at best comes from letting the segments that are not placed yet
-// go to any host.
+// branchAndBound enumerates all placements segment by segment and prunes branches that cannot be better than
+// the best known placement. The bound of a branch results from letting the demand for segments that are not
+// placed yet go to any host.
 type branchAndBound struct {
 	*job
-	best      value
-	places    [][]int
-	found     bool
-	acceptAny bool // whatever fits will do
+	best       value
+	assignment [][]int // best known placement: the hosts of each segment
+	found      bool    // whether best and the placement are set
+	acceptAny  bool    // stop at the first placement that fits
 
-	placed      [][]int // of the segments placed so far
-	segmentsOn  []int
-	moved       int
-	forcedMoves []int // copies that the segments from each place in the order on need at least
-	sets        [][]int
+	placed      [][]int // hosts of the segments placed so far
+	segmentsOn  []int   // number of segments on each host
+	moved       int     // moves of the segments placed so far
+	forcedMoves []int   // by index in the order: minimum number of moves of the segments from there on
+	sets        [][]int // buffer of hostSets
 }
 
-// run reports whether it has gone through all of them.
+// run searches all placements. It reports whether it was complete, rather than ended by the time.
 func (b *branchAndBound) run() bool {
 	b.placed = make([][]int, len(b.order))
 	b.segmentsOn = make([]int, len(b.model.Hosts))
 	b.forcedMoves = make([]int, len(b.order)+1)
 	for i := len(b.order) - 1; i >= 0; i-- {
-		s, kept := b.order[i], 0
+		s, remaining := b.order[i], 0
 		for _, h := range b.currentHosts[s] {
 			if slices.Contains(b.usable, h) {
-				kept++
+				remaining++
 			}
 		}
 		b.forcedMoves[i] = b.forcedMoves[i+1]
 		if len(b.currentHosts[s]) > 0 {
-			b.forcedMoves[i] += max(b.wanted[s]-kept, 0)
+			b.forcedMoves[i] += max(b.wanted[s]-remaining, 0)
 		}
 	}
 	return b.extend(0)
 }
 
-// choice is one set of hosts for a segment, with what can come of it at best.
+// choice is a set of hosts for a segment, with a bound for all placements that contain it.
 type choice struct {
 	hosts []int
 	bound value
 }
 
-// extend places the segments from the i-th in the order on. It reports whether it has gone through all of
-// them.
+// extend places the segments from index i in the order on. It reports whether it was complete, rather than
+// ended by the time.
 func (b *branchAndBound) extend(i int) bool {
 	if i == len(b.order) {
-		return true // the value was found when the last segment was placed
+		return true // choices has evaluated the complete placements
 	}
 	if !b.hasTime() {
 		return false
@@ -66,17 +66,17 @@
 			continue
 		}
 		b.place(segment, c.hosts, 1)
-		isDone := b.extend(i + 1)
+		isComplete := b.extend(i + 1)
 		b.place(segment, c.hosts, -1)
 		b.placed[segment] = nil
-		if !isDone {
+		if !isComplete {
 			return false
 		}
 	}
 	return true
 }
 
-// place puts a segment on hosts, or counts it off them with a step of -1.
+// place places a segment on hosts and adds step, 1 or -1, to their counts. A step of -1 undoes the placement.
 func (b *branchAndBound) place(segment int, hosts []int, step int) {
 	b.placed[segment] = hosts
 	b.moved += step * b.moves(segment, hosts)
@@ -85,9 +85,9 @@
 	}
 }
 
-// choices returns the sets of hosts for a segment that may lead to something better than the best known,
-// the most promising first. Of the last segment it returns none, as its placements are complete: it keeps
-// the best one.
+// choices returns the sets of hosts for a segment whose bounds are better than the best known placement,
+// sorted by bound. For the last segment it returns none: the placements are complete then, and it stores the
+// best of them.
 func (b *branchAndBound) choices(segment, i int) []choice {
 	var choices []choice
 	for _, hosts := range b.hostSets(segment, i) {
@@ -109,8 +109,8 @@
 		}
 		b.best = v
 		b.found = true
-		b.places = slices.Clone(b.placed)
-		b.places[segment] = hosts
+		b.assignment = slices.Clone(b.placed)
+		b.assignment[segment] = hosts
 		if b.acceptAny {
 			return nil
 		}
@@ -127,8 +127,9 @@
 	return choices
 }
 
-// bound is what can come at best of the segments placed so far, the others going anywhere. The cost counts
-// only where the ratio is no better than the best known: at a lower one it is not compared.
+// bound returns a bound for all placements that contain the segments placed so far; the demand for the others
+// may go to any host. It computes the cost only if the utilisation equals the best known one or the placement
+// is complete, since placements are compared by cost only at equal utilisation.
 func (b *branchAndBound) bound(placed int) (value, bool) {
 	for s := range b.placed {
 		if b.placed[s] != nil {
@@ -150,8 +151,9 @@
 	return v, true
 }
 
-// hostSets are the sets of hosts on which a segment may stand. Of hosts that are alike in all that
-// matters from here on, only the first are taken: the others would give the same again under other names.
+// hostSets returns the sets of hosts on which a segment may be placed. Among hosts that are equivalent from
+// here on, it selects a host only if it has selected the equivalent hosts before it, since other
+// combinations would yield the same placements with other host names.
 func (b *branchAndBound) hostSets(s, i int) [][]int {
 	var hosts []int
 	for _, h := range b.usable {
@@ -159,14 +161,14 @@
 			hosts = append(hosts, h)
 		}
 	}
-	alike := make([]int, len(hosts)) // the place of the one before that is alike, or -1
-	signs := make([]string, len(hosts))
+	equivalent := make([]int, len(hosts)) // index of the previous equivalent host, or -1
+	signatures := make([]string, len(hosts))
 	for k, h := range hosts {
-		signs[k] = b.signature(h, i)
-		alike[k] = -1
-		for before := k - 1; before >= 0; before-- {
-			if signs[before] == signs[k] {
-				alike[k] = before
+		signatures[k] = b.signature(h, i)
+		equivalent[k] = -1
+		for previous := k - 1; previous >= 0; previous-- {
+			if signatures[previous] == signatures[k] {
+				equivalent[k] = previous
 				break
 			}
 		}
@@ -174,8 +176,8 @@
 	b.sets = b.sets[:0]
 	var chosen []int
 	taken := make([]bool, len(hosts))
-	var from func(k int)
-	from = func(k int) {
+	var choose func(k int)
+	choose = func(k int) {
 		if len(chosen) == b.wanted[s] {
 			if b.inEnoughZones(s, chosen) {
 				b.sets = append(b.sets, slices.Clone(chosen))
@@ -183,25 +185,26 @@
 			return
 		}
 		for ; k < len(hosts); k++ {
-			if alike[k] >= 0 && !taken[alike[k]] {
+			if equivalent[k] >= 0 && !taken[equivalent[k]] {
 				continue
 			}
 			taken[k] = true
 			chosen = append(chosen, hosts[k])
-			from(k + 1)
+			choose(k + 1)
 			chosen = chosen[:len(chosen)-1]
 			taken[k] = false
 		}
 	}
-	from(0)
+	choose(0)
 	return slices.Clone(b.sets)
 }
 
-// signature is what tells a host from others for the segments from the i-th on: its figures, what it holds
-// already, and which of those segments stand on it now.
+// signature returns a key that is equal for hosts that are equivalent for placing the segments from index i
+// in the order on. It consists of the zone and figures of the host, of which placed segments it holds, and of
+// which of the remaining segments it holds at present.
 func (b *branchAndBound) signature(h, i int) string {
 	host := &b.model.Hosts[h]
-	sign := binary.AppendVarint(nil, int64(b.problem.Zone(h)))
+	key := binary.AppendVarint(nil, int64(b.problem.Zone(h)))
 	figures := []int64{
 		b.problem.Capacity(h),
 		host.Cost,
@@ -209,18 +212,18 @@
 		int64(b.segmentsOn[h]),
 	}
 	for _, n := range figures {
-		sign = binary.AppendVarint(sign, n)
+		key = binary.AppendVarint(key, n)
 	}
 	for k, s := range b.order {
-		on := b.placed[s]
+		hosts := b.placed[s]
 		if k >= i {
-			on = b.currentHosts[s]
+			hosts = b.currentHosts[s]
 		}
 		bit := byte(0)
-		if slices.Contains(on, h) {
+		if slices.Contains(hosts, h) {
 			bit = 1
 		}
-		sign = append(sign, bit)
+		key = append(key, bit)
 	}
-	return string(sign)
+	return string(key)
 }
--- a/logic/placing/infeasibility.go
+++ b/logic/placing/infeasibility.go
@@ -11,43 +11,44 @@
 	"yokeroute/logic/placement"
 )
 
-// InfeasibilityKind is why no placement fits.
+// InfeasibilityKind is the kind of reason why no placement fits.
 type InfeasibilityKind string
 
 // The kinds of infeasibility.
 const (
-	TooFewHosts          InfeasibilityKind = "too few hosts" // for the replicas of a segment
-	TooFewSlots          InfeasibilityKind = "no room"       // for all replicas on the hosts
-	DemandTooHigh        InfeasibilityKind = "too much"      // demand for all hosts, wherever replicas are
-	SegmentDemandTooHigh InfeasibilityKind = "too heavy"     // a segment, on as many hosts as it has replicas
-	TooManyMoves         InfeasibilityKind = "must move"     // more replicas have to move than may
-	ConflictingLimits    InfeasibilityKind = "together"      // each limit could be kept, but not all of them
-	NotFound             InfeasibilityKind = "not found"     // in the effort given; nothing is proven
+	TooFewHosts          InfeasibilityKind = "too few hosts" // fewer hosts than replicas of a segment
+	TooFewSlots          InfeasibilityKind = "no room"       // hosts have too little room for all replicas
+	DemandTooHigh        InfeasibilityKind = "too much"      // total demand too high for any placement
+	SegmentDemandTooHigh InfeasibilityKind = "too heavy"     // segment too large for its replica count
+	TooManyMoves         InfeasibilityKind = "must move"     // more replicas have to move than allowed
+	ConflictingLimits    InfeasibilityKind = "together"      // limits cannot all be met at the same time
+	NotFound             InfeasibilityKind = "not found"     // not found within the effort; proves nothing
 )
 
-// Limits of a placement, as ConflictingLimits names them; a zone's is "hall " and its name.
+// Names of limits in an Infeasibility of the kind ConflictingLimits. The limit of a zone is named "hall " and
+// the name of the zone.
 const (
-	limitCopies   = "most-moved"
+	limitMoves    = "most-moved"
 	limitSpread   = "replicas in different halls"
-	limitHolds    = "segments that hosts have room for"
+	limitSlots    = "segments that hosts have room for"
 	limitCapacity = "capacity of hosts"
 )
 
-// Infeasibility says why no placement fits.
+// Infeasibility is the reason why no placement fits.
 type Infeasibility struct {
 	Kind        InfeasibilityKind        `json:"Kind"`
 	Segment     string                   `json:"Segment"`
-	Need        int64                    `json:"Need"`
-	Available   int64                    `json:"Takes"`
+	Need        int64                    `json:"Need"`  // required hosts, slots, moves or units, by kind
+	Available   int64                    `json:"Takes"` // how many of them there are, or are allowed
 	Hosts       []string                 `json:"Hosts"`
-	Proof       *placement.Infeasibility `json:"Clash"`  // of DemandTooHigh: of OneSegmentModel
-	Limits      []string                 `json:"Limits"` // of ConflictingLimits: a minimal set
-	Relaxations []string                 `json:"Lifts"`  // what would do by itself
+	Proof       *placement.Infeasibility `json:"Clash"`  // for DemandTooHigh; refers to the OneSegmentModel
+	Limits      []string                 `json:"Limits"` // for ConflictingLimits: a minimal set of them
+	Relaxations []string                 `json:"Lifts"`  // changes of which each one would be sufficient
 	Unproven    bool                     `json:"Unproven"`
-	Attempts    int                      `json:"Tries"`
+	Attempts    int                      `json:"Tries"` // number of attempted changes
 }
 
-// runningHosts are the hosts that may hold something.
+// runningHosts returns the names of the hosts that may hold replicas.
 func runningHosts(m *placement.Model) (names []string) {
 	for _, h := range m.Hosts {
 		if h.State == gather.Running {
@@ -64,12 +65,12 @@
 	return max(len(s.Hosts), 1)
 }
 
-// OneSegmentModel is the model in which all segments are one that stands on every host: what does not fit
-// it fits no placement.
+// OneSegmentModel returns the model with all segments merged into one that every running host holds. If
+// demand does not fit this model, it does not fit any placement.
 func OneSegmentModel(m *placement.Model) *placement.Model {
-	whole := *m
-	whole.Segments = []placement.Segment{{Name: "all", ReplicaSet: -1, Hosts: runningHosts(m)}}
-	whole.Demands = nil
+	merged := *m
+	merged.Segments = []placement.Segment{{Name: "all", ReplicaSet: -1, Hosts: runningHosts(m)}}
+	merged.Demands = nil
 	for _, zone := range m.Zones {
 		sum := int64(0)
 		for _, d := range m.Demands {
@@ -77,12 +78,13 @@
 				sum += d.Rate
 			}
 		}
-		whole.Demands = append(whole.Demands, placement.Demand{Segment: "all", Zone: zone.Name, Rate: sum})
+		merged.Demands = append(merged.Demands, placement.Demand{Segment: "all", Zone: zone.Name, Rate: sum})
 	}
-	return &whole
+	return &merged
 }
 
-// warmProblem sets a problem to the moment at which all hosts are warm, which is what a placement is for.
+// warmProblem returns the problem of a model at the moment at which all hosts are warm, and that moment. A
+// placement is optimised for warm hosts.
 func warmProblem(m *placement.Model) (*balance.Problem, float64) {
 	p := balance.NewProblem(m)
 	times := m.StepTimes()
@@ -91,7 +93,7 @@
 	return p, at
 }
 
-// largestHosts gives as many of the hosts that can do most as a segment has replicas.
+// largestHosts returns the running hosts with the highest capacity, up to want of them.
 func largestHosts(m *placement.Model, p *balance.Problem, want int) (hosts []int) {
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
@@ -102,7 +104,7 @@
 	return hosts[:min(want, len(hosts))]
 }
 
-// findInfeasibility finds why no placement can fit, where that shows without a search.
+// findInfeasibility returns a reason why no placement can fit that is found without a search, or nil.
 func findInfeasibility(m *placement.Model) *Infeasibility {
 	if f := checkHosts(m); f != nil {
 		return f
@@ -121,7 +123,7 @@
 	return checkSegmentDemands(m)
 }
 
-// checkHosts checks that there are as many hosts as each segment has replicas.
+// checkHosts checks that there are at least as many running hosts as replicas of each segment.
 func checkHosts(m *placement.Model) *Infeasibility {
 	hosts := runningHosts(m)
 	for i := range m.Segments {
@@ -145,7 +147,7 @@
 	return nil
 }
 
-// checkSlots checks that the hosts have room for all replicas.
+// checkSlots checks that the running hosts have room for all replicas.
 func checkSlots(m *placement.Model) *Infeasibility {
 	slots := int64(0)
 	for i := range m.Hosts {
@@ -153,7 +155,7 @@
 		if h.State != gather.Running {
 			continue
 		}
-		if h.MaxSegments == 0 { // it has room for any number
+		if h.MaxSegments == 0 { // no limit
 			return nil
 		}
 		slots += int64(h.MaxSegments)
@@ -177,7 +179,7 @@
 	}
 }
 
-// checkMoves checks that no more replicas have to move than may.
+// checkMoves checks that no more replicas have to move than the model allows.
 func checkMoves(m *placement.Model) *Infeasibility {
 	if m.MaxMoves < 0 {
 		return nil
@@ -186,7 +188,7 @@
 	moves := int64(0)
 	for i := range m.Segments {
 		s := &m.Segments[i]
-		if len(s.Hosts) == 0 { // new: putting it somewhere moves nothing
+		if len(s.Hosts) == 0 { // placing a new segment does not count as a move
 			continue
 		}
 		remaining := 0
@@ -208,7 +210,8 @@
 	}
 }
 
-// checkSegmentDemands checks that each segment's demand fits the largest hosts, as many as it has replicas.
+// checkSegmentDemands checks that the demand for each segment fits the largest hosts, as many as it has
+// replicas.
 func checkSegmentDemands(m *placement.Model) *Infeasibility {
 	p, _ := warmProblem(m)
 	demands := p.SegmentDemands()
@@ -241,90 +244,92 @@
 	return sum
 }
 
-// conflictingLimits finds limits that clash together: those that have to be lifted last, one after the
-// other, until something fits. Each is looked at by the same full search as the placement itself.
+// conflictingLimits returns a minimal set of limits that cannot be met together. It relaxes one limit after
+// the other and keeps it relaxed while the model stays infeasible; a limit without which a placement fits
+// belongs to the set. Feasibility is determined by the same full search as for the placement itself.
 func (j *job) conflictingLimits() *Infeasibility {
 	none := make([]bool, len(j.model.Zones))
-	all := relaxed{zones: none}
+	nothingRelaxed := relaxed{zones: none}
 	type limit struct {
-		name string
-		lift func(l *relaxed)
+		name  string
+		relax func(l *relaxed)
 	}
 	var limits []limit
 	if j.model.MaxMoves >= 0 {
-		limits = append(limits, limit{limitCopies, func(l *relaxed) { l.moves = true }})
+		limits = append(limits, limit{limitMoves, func(l *relaxed) { l.moves = true }})
 	}
 	if slices.ContainsFunc(j.minZones, func(n int) bool { return n > 1 }) {
 		limits = append(limits, limit{limitSpread, func(l *relaxed) { l.spread = true }})
 	}
 	if slices.ContainsFunc(j.model.Hosts, func(h placement.Host) bool { return h.MaxSegments > 0 }) {
-		limits = append(limits, limit{limitHolds, func(l *relaxed) { l.slots = true }})
+		limits = append(limits, limit{limitSlots, func(l *relaxed) { l.slots = true }})
 	}
-	for i, h := range j.model.Zones {
-		if h.MaxLoad >= 0 || h.Headroom > 0 || h.HeadroomShare > 0 {
-			limits = append(limits, limit{"hall " + h.Name, func(l *relaxed) {
+	for i, zone := range j.model.Zones {
+		if zone.MaxLoad >= 0 || zone.Headroom > 0 || zone.HeadroomShare > 0 {
+			limits = append(limits, limit{"hall " + zone.Name, func(l *relaxed) {
 				l.zones = slices.Clone(l.zones)
 				l.zones[i] = true
 			}})
 		}
 	}
 	limits = append(limits, limit{limitCapacity, func(l *relaxed) { l.capacity = true }})
-	bad := &Infeasibility{Kind: ConflictingLimits, Attempts: j.attempts}
-	left := all
+	infeasibility := &Infeasibility{Kind: ConflictingLimits, Attempts: j.attempts}
+	current := nothingRelaxed
 	for _, l := range limits {
-		with := left
-		if l.lift(&with); !j.isFeasible(with, bad) {
-			left = with // not needed for the clash
+		candidate := current
+		if l.relax(&candidate); !j.isFeasible(candidate, infeasibility) {
+			current = candidate // the others conflict without this limit
 			continue
 		}
-		bad.Limits = append(bad.Limits, l.name)
+		infeasibility.Limits = append(infeasibility.Limits, l.name)
 	}
 	for _, l := range limits {
-		if !slices.Contains(bad.Limits, l.name) {
+		if !slices.Contains(infeasibility.Limits, l.name) {
 			continue
 		}
-		one := all
-		if l.lift(&one); !j.isFeasible(one, bad) {
+		single := nothingRelaxed
+		if l.relax(&single); !j.isFeasible(single, infeasibility) {
 			continue
 		}
 		switch {
-		case l.name == limitCopies:
-			bad.Relaxations = append(bad.Relaxations, j.sufficientMoves(bad))
+		case l.name == limitMoves:
+			infeasibility.Relaxations = append(infeasibility.Relaxations, j.sufficientMoves(infeasibility))
 		case l.name == limitCapacity:
-			bad.Relaxations = append(bad.Relaxations, "hosts that can do more")
+			infeasibility.Relaxations = append(infeasibility.Relaxations, "hosts that can do more")
 		case strings.HasPrefix(l.name, "hall "):
-			bad.Relaxations = append(bad.Relaxations, "no limit for "+l.name)
+			infeasibility.Relaxations = append(infeasibility.Relaxations, "no limit for "+l.name)
 		default:
-			bad.Relaxations = append(bad.Relaxations, "no bound on "+l.name)
+			infeasibility.Relaxations = append(infeasibility.Relaxations, "no bound on "+l.name)
 		}
 	}
-	return bad
+	return infeasibility
 }
 
-// isFeasible reports whether any placement keeps the limits that are not lifted.
-func (j *job) isFeasible(free relaxed, bad *Infeasibility) bool {
-	t := newJob(j.model, free, j.effort, j.hasTime)
-	b := branchAndBound{job: t, acceptAny: true}
-	done := b.run()
-	bad.Attempts += t.attempts
-	bad.Unproven = bad.Unproven || !done && !b.found
+// isFeasible reports whether any placement meets the limits that are not relaxed. It marks the infeasibility
+// as unproven if the search ended early without a placement.
+func (j *job) isFeasible(relax relaxed, infeasibility *Infeasibility) bool {
+	relaxedJob := newJob(j.model, relax, j.effort, j.hasTime)
+	b := branchAndBound{job: relaxedJob, acceptAny: true}
+	isComplete := b.run()
+	infeasibility.Attempts += relaxedJob.attempts
+	infeasibility.Unproven = infeasibility.Unproven || !isComplete && !b.found
 	return b.found
 }
 
-// sufficientMoves finds how many copies would do.
-func (j *job) sufficientMoves(bad *Infeasibility) string {
+// sufficientMoves returns the relaxation that raises the limit of moves to the least sufficient number.
+func (j *job) sufficientMoves(infeasibility *Infeasibility) string {
 	m := *j.model
 	limit := j.model.MaxMoves + len(j.model.Segments)*MaxExactHosts
 	for m.MaxMoves = j.model.MaxMoves + 1; m.MaxMoves < limit; m.MaxMoves++ {
 		none := relaxed{zones: make([]bool, len(m.Zones))}
-		if newJob(&m, none, j.effort, j.hasTime).isFeasible(none, bad) {
+		if newJob(&m, none, j.effort, j.hasTime).isFeasible(none, infeasibility) {
 			return fmt.Sprintf("most-moved %d", m.MaxMoves)
 		}
 	}
-	return "no bound on " + limitCopies
+	return "no bound on " + limitMoves
 }
 
-// Describe tells a misfit to an operator; rate puts units into words.
+// Describe explains an infeasibility to an operator. Rate formats units as a rate.
 func (f *Infeasibility) Describe(rate func(int64) string) string {
 	var b strings.Builder
 	switch f.Kind {
--- a/logic/placing/initial.go
+++ b/logic/placing/initial.go
@@ -5,69 +5,70 @@
 	"slices"
 )
 
-// minCapacity stands for the capacity of a host that may take nothing, where loads are divided by it.
+// minCapacity is the capacity assumed for a host without capacity, to avoid a division by zero.
 const minCapacity = 0.1
 
-// initial is a placement that is being filled up.
+// initial is a placement under construction.
 type initial struct {
 	*job
-	places     [][]int // of each segment, not in order
-	segmentsOn []int   // of each host
-	load       []float64
+	assignment [][]int   // hosts of each segment, unsorted
+	segmentsOn []int     // number of segments on each host
+	load       []float64 // estimated load of each host
 }
 
-// initialPlacement puts each segment where it is, as far as that is allowed, and then fills up, the
-// heaviest segments first: in zones that it is not in yet, on the hosts with the lowest utilisation. It
-// returns false where it finds no place.
-func (j *job) initialPlacement() (places [][]int, found bool) {
+// initialPlacement returns the placement from which the local search starts. It keeps the current replicas as
+// far as the limits allow. Then it adds the missing replicas, in descending order of the segments' demand:
+// each in a zone that the segment is not in yet while it needs more zones, on the host with the lowest
+// utilisation. It returns false if there is no host for a replica.
+func (j *job) initialPlacement() (assignment [][]int, found bool) {
 	p := &initial{
 		job:        j,
-		places:     make([][]int, len(j.wanted)),
+		assignment: make([][]int, len(j.wanted)),
 		segmentsOn: make([]int, len(j.model.Hosts)),
 		load:       make([]float64, len(j.model.Hosts)),
 	}
 	for _, s := range j.order {
 		for _, h := range j.currentHosts[s] {
-			if len(p.places[s]) < j.wanted[s] && slices.Contains(j.usable, h) && p.hasSlot(h) {
-				p.put(s, h)
+			if len(p.assignment[s]) < j.wanted[s] && slices.Contains(j.usable, h) && p.hasSlot(h) {
+				p.addReplica(s, h)
 			}
 		}
 	}
 	for _, s := range j.order {
-		for len(p.places[s]) < j.wanted[s] || !j.inEnoughZones(s, p.places[s]) {
+		for len(p.assignment[s]) < j.wanted[s] || !j.inEnoughZones(s, p.assignment[s]) {
 			host := p.leastUtilised(s)
 			if host < 0 {
 				return nil, false
 			}
-			if len(p.places[s]) == j.wanted[s] && !p.removeFromSharedZone(s) {
+			if len(p.assignment[s]) == j.wanted[s] && !p.removeFromSharedZone(s) {
 				return nil, false
 			}
-			p.put(s, host)
+			p.addReplica(s, host)
 		}
 	}
-	return p.places, true
+	return p.assignment, true
 }
 
 func (p *initial) hasSlot(host int) bool { return p.segmentsOn[host] < p.maxSegments(host) }
 
-// replicaLoad returns the load of one replica of a segment, if all take the same.
+// replicaLoad returns the load of one replica of a segment if all its replicas get the same load.
 func (p *initial) replicaLoad(segment int) float64 {
 	return float64(p.demands[segment]) / float64(p.wanted[segment])
 }
 
-func (p *initial) put(segment, host int) {
-	p.places[segment] = append(p.places[segment], host)
+func (p *initial) addReplica(segment, host int) {
+	p.assignment[segment] = append(p.assignment[segment], host)
 	p.segmentsOn[host]++
 	p.load[host] += p.replicaLoad(segment)
 }
 
-// leastUtilised returns the host that would have the lowest utilisation with another replica of a
-// segment, -1 where no host may take one. Until the segment is in enough zones, it has to be in a new
-// one.
+// leastUtilised returns the host that would have the lowest utilisation with another replica of a segment, or
+// -1 if no host may hold one. Until the segment is in enough zones, the host has to be in a zone that the
+// segment is not in yet.
 func (p *initial) leastUtilised(segment int) int {
 	usedZones := make([]bool, len(p.model.Zones))
 	count := 0
-	for _, h := range p.places[segment] {
+	for _, h := range p.assignment[segment] {
 		if zone := p.problem.Zone(h); !usedZones[zone] {
 			usedZones[zone] = true
 			count++
@@ -77,7 +78,8 @@
 	best := -1
 	lowest := math.Inf(1)
 	for _, h := range p.usable {
-		if !p.hasSlot(h) || slices.Contains(p.places[segment], h) || needsNewZone && usedZones[p.problem.Zone(h)] {
+		if !p.hasSlot(h) || slices.Contains(p.assignment[segment], h) ||
+			needsNewZone && usedZones[p.problem.Zone(h)] {
 			continue
 		}
 		capacity := max(float64(p.problem.Capacity(h)), minCapacity)
@@ -89,13 +91,13 @@
 	return best
 }
 
-// removeFromSharedZone removes a replica of a segment from a zone that has two, to make room for one in a
-// new zone. It reports whether there is such a zone.
+// removeFromSharedZone removes a replica of a segment from a zone that has several of them, so that one can
+// be placed in another zone. It reports whether there is such a zone.
 func (p *initial) removeFromSharedZone(segment int) bool {
-	places := p.places[segment]
-	i := slices.IndexFunc(places, func(h int) bool {
+	hosts := p.assignment[segment]
+	i := slices.IndexFunc(hosts, func(h int) bool {
 		inZone := 0
-		for _, other := range places {
+		for _, other := range hosts {
 			if p.problem.Zone(other) == p.problem.Zone(h) {
 				inZone++
 			}
@@ -105,8 +107,8 @@
 	if i < 0 {
 		return false
 	}
-	p.segmentsOn[places[i]]--
-	p.load[places[i]] -= p.replicaLoad(segment)
-	p.places[segment] = slices.Delete(places, i, i+1)
+	p.segmentsOn[hosts[i]]--
+	p.load[hosts[i]] -= p.replicaLoad(segment)
+	p.assignment[segment] = slices.Delete(hosts, i, i+1)
 	return true
 }
--- a/logic/placing/localsearch.go
+++ b/logic/placing/localsearch.go
@@ -11,54 +11,57 @@
 	"yokeroute/logic/placement"
 )
 
-// localSearch is a placement on which a search works: a network at a target ratio in which segments' arcs
-// can be led to other hosts, and how much demand does not fit it. That shortage falls by small steps
-// where the greatest utilisation itself stands still for long, so that the search sees where it gets on.
+// localSearch is a placement that a search changes step by step. Its flow network limits hosts to a target
+// utilisation, and its replica arcs can be redirected to other hosts. The search minimises the shortfall, the
+// demand that does not fit at the target. The shortfall falls in small steps where the maximum utilisation
+// would stay the same over many changes, so that the search can recognise progress.
 type localSearch struct {
 	*job
 	random      *pcg.Source
 	network     *flow.Network
-	segmentArcs []int
-	replicaArcs [][]int // arcs of each segment, in the order of its places
-	hostArcs    []int
-	zoneArcs    []int
-	hosts       int // number of the first host's node
-	zones       int
-	places      [][]int // not in order
-	segmentsOn  []int   // segments on each host
-	moved       int
-	shortfall   int64
-	savedFlow   []int64
+	segmentArcs []int   // from the source to each segment
+	replicaArcs [][]int // from each segment to its hosts, in the order of assignment
+	hostArcs    []int   // from each host to its zone
+	zoneArcs    []int   // from each zone to the sink
+	hosts       int     // node of the first host
+	zones       int     // node of the first zone
+	assignment  [][]int // hosts of each segment, unsorted
+	segmentsOn  []int   // number of segments on each host
+	moved       int     // number of moved replicas
+	shortfall   int64   // demand that does not fit at the target utilisation
+	savedFlow   []int64 // buffer of tryMove
 }
 
-// search gives the best placement that a search of the job's effort finds.
+// search returns the best placement that a local search within the job's effort finds, and its value. Bound
+// is the lower bound of the utilisation.
 func (j *job) search(seed uint64, bound placement.Ratio) (best [][]int, v value, found bool) {
-	places, ok := j.initialPlacement()
+	assignment, ok := j.initialPlacement()
 	if !ok {
 		return nil, value{}, false
 	}
-	take := func(places [][]int) {
-		sorted := make([][]int, len(places))
-		for s := range places {
-			sorted[s] = slices.Sorted(slices.Values(places[s]))
+	keepIfBetter := func(assignment [][]int) {
+		sorted := make([][]int, len(assignment))
+		for s := range assignment {
+			sorted[s] = slices.Sorted(slices.Values(assignment[s]))
 		}
 		if got, fits := j.evaluate(sorted); fits && (!found || got.less(v)) {
 			best, v, found = sorted, got, true
 		}
 	}
-	take(places)
-	chance := pcg.New(seed)
-	// Half of the effort goes to the ratio: first to the bound itself, then by halves between the bound and what
-	// is found, since a target too low makes all changes look alike.
+	keepIfBetter(assignment)
+	random := pcg.New(seed)
+	// Half of the effort goes into the utilisation. The first target is the bound, the later ones are halfway
+	// between the bound and the best utilisation found, since changes can't be told apart at a target that is
+	// too low.
 	target := bound
 	for round := 0; round < 6 && j.attempts < j.effort/2 && j.hasTime(); round++ {
 		if found && !bound.Less(v.utilisation) {
 			break
 		}
-		h := j.newLocalSearch(places, target, chance)
-		h.reduceShortfall(j.attempts + max(j.effort/12, 1))
-		if places = h.places; h.shortfall == 0 {
-			take(places)
+		ls := j.newLocalSearch(assignment, target, random)
+		ls.reduceShortfall(j.attempts + max(j.effort/12, 1))
+		if assignment = ls.assignment; ls.shortfall == 0 {
+			keepIfBetter(assignment)
 		}
 		high := 1.0
 		if found {
@@ -67,166 +70,168 @@
 		target = placement.Ratio{Load: int64(math.Ceil((bound.Float() + high) / 2 * 1e6)), Capacity: 1e6}
 	}
 	if !found {
-		h := j.newLocalSearch(places, placement.Ratio{Load: 1, Capacity: 1}, chance)
-		h.reduceShortfall(max(j.effort/2, j.attempts+1))
-		take(h.places)
+		ls := j.newLocalSearch(assignment, placement.Ratio{Load: 1, Capacity: 1}, random)
+		ls.reduceShortfall(max(j.effort/2, j.attempts+1))
+		keepIfBetter(ls.assignment)
 	}
 	if !found {
 		return nil, v, false
 	}
-	// The rest goes to the cost and to copies not made.
-	h := j.newLocalSearch(best, v.utilisation, chance)
-	h.reduceCost(take, func() value { return v })
+	// The remaining effort goes into lower cost and fewer moves.
+	ls := j.newLocalSearch(best, v.utilisation, random)
+	ls.reduceCost(keepIfBetter, func() value { return v })
 	return best, v, found
 }
 
-// newLocalSearch lays out the network of a placement at a target.
-func (j *job) newLocalSearch(places [][]int, target placement.Ratio, chance *pcg.Source) *localSearch {
-	h := &localSearch{
+// newLocalSearch builds the network of a placement with the given target utilisation.
+func (j *job) newLocalSearch(assignment [][]int, target placement.Ratio, random *pcg.Source) *localSearch {
+	ls := &localSearch{
 		job:        j,
-		random:     chance,
+		random:     random,
 		segmentsOn: make([]int, len(j.model.Hosts)),
-		hosts:      2 + len(places),
+		hosts:      2 + len(assignment),
 	}
-	h.zones = h.hosts + len(j.model.Hosts)
-	h.network = flow.New(h.zones + len(j.model.Zones))
+	ls.zones = ls.hosts + len(j.model.Hosts)
+	ls.network = flow.New(ls.zones + len(j.model.Zones))
 	total := int64(0)
-	for s, hosts := range places {
-		h.places = append(h.places, slices.Clone(hosts))
-		h.segmentArcs = append(h.segmentArcs, h.network.AddArc(0, 2+s, j.demands[s], flow.Cost{}))
+	for s, hosts := range assignment {
+		ls.assignment = append(ls.assignment, slices.Clone(hosts))
+		ls.segmentArcs = append(ls.segmentArcs, ls.network.AddArc(0, 2+s, j.demands[s], flow.Cost{}))
 		total += j.demands[s]
 		var slots []int
 		for _, host := range hosts {
-			slots = append(slots, h.network.AddArc(2+s, h.hosts+host, j.demands[s], flow.Cost{}))
-			h.segmentsOn[host]++
+			slots = append(slots, ls.network.AddArc(2+s, ls.hosts+host, j.demands[s], flow.Cost{}))
+			ls.segmentsOn[host]++
 		}
-		h.replicaArcs = append(h.replicaArcs, slots)
-		h.moved += j.moves(s, hosts)
+		ls.replicaArcs = append(ls.replicaArcs, slots)
+		ls.moved += j.moves(s, hosts)
 	}
 	for host := range j.model.Hosts {
 		maxLoad := target.MaxLoad(j.problem.Capacity(host))
-		arc := h.network.AddArc(h.hosts+host, h.zones+j.problem.Zone(host), maxLoad, flow.Cost{})
-		h.hostArcs = append(h.hostArcs, arc)
+		arc := ls.network.AddArc(ls.hosts+host, ls.zones+j.problem.Zone(host), maxLoad, flow.Cost{})
+		ls.hostArcs = append(ls.hostArcs, arc)
 	}
 	for zone := range j.model.Zones {
-		most := j.problem.ZoneLimit(zone)
-		if most < 0 {
-			most = placement.MaxRate
+		limit := j.problem.ZoneLimit(zone)
+		if limit < 0 {
+			limit = placement.MaxRate
 		}
-		h.zoneArcs = append(h.zoneArcs, h.network.AddArc(h.zones+zone, 1, most, flow.Cost{}))
+		ls.zoneArcs = append(ls.zoneArcs, ls.network.AddArc(ls.zones+zone, 1, limit, flow.Cost{}))
 	}
-	h.shortfall = total - h.network.Augment(0, 1, total)
-	return h
+	ls.shortfall = total - ls.network.Augment(0, 1, total)
+	return ls
 }
 
-// isAllowed reports whether a place of a segment may be taken by another host.
-func (h *localSearch) isAllowed(s, slot, to int) bool {
-	if slices.Contains(h.places[s], to) || h.segmentsOn[to] >= h.maxSegments(to) {
+// isAllowed reports whether the limits allow to move the replica in a slot of segment s to another host.
+func (ls *localSearch) isAllowed(s, slot, to int) bool {
+	if slices.Contains(ls.assignment[s], to) || ls.segmentsOn[to] >= ls.maxSegments(to) {
 		return false
 	}
-	old := h.places[s][slot]
-	copied := h.moved - h.moves(s, h.places[s])
-	h.places[s][slot] = to
-	ok := h.inEnoughZones(s, h.places[s]) && copied+h.moves(s, h.places[s]) <= h.maxMoves()
-	h.places[s][slot] = old
+	old := ls.assignment[s][slot]
+	otherMoves := ls.moved - ls.moves(s, ls.assignment[s])
+	ls.assignment[s][slot] = to
+	ok := ls.inEnoughZones(s, ls.assignment[s]) && otherMoves+ls.moves(s, ls.assignment[s]) <= ls.maxMoves()
+	ls.assignment[s][slot] = old
 	return ok
 }
 
-// moveReplica moves a place of a segment to another host and brings the flow up to it.
-func (h *localSearch) moveReplica(s, slot, to int) {
-	arc, from := h.replicaArcs[s][slot], h.places[s][slot]
-	if f := h.network.Flow(arc); f > 0 {
-		h.network.RemoveFlow(f, h.segmentArcs[s], arc, h.hostArcs[from], h.zoneArcs[h.problem.Zone(from)])
-		h.shortfall += f
+// moveReplica moves the replica in a slot of segment s to another host and updates the flow.
+func (ls *localSearch) moveReplica(s, slot, to int) {
+	arc, from := ls.replicaArcs[s][slot], ls.assignment[s][slot]
+	if units := ls.network.Flow(arc); units > 0 {
+		ls.network.RemoveFlow(units, ls.segmentArcs[s], arc, ls.hostArcs[from], ls.zoneArcs[ls.problem.Zone(from)])
+		ls.shortfall += units
 	}
-	h.network.Retarget(arc, h.hosts+to)
-	h.moved -= h.moves(s, h.places[s])
-	h.places[s][slot] = to
-	h.moved += h.moves(s, h.places[s])
-	h.segmentsOn[from]--
-	h.segmentsOn[to]++
-	h.shortfall -= h.network.Augment(0, 1, h.shortfall)
+	ls.network.Retarget(arc, ls.hosts+to)
+	ls.moved -= ls.moves(s, ls.assignment[s])
+	ls.assignment[s][slot] = to
+	ls.moved += ls.moves(s, ls.assignment[s])
+	ls.segmentsOn[from]--
+	ls.segmentsOn[to]++
+	ls.shortfall -= ls.network.Augment(0, 1, ls.shortfall)
 }
 
-// tryMove makes a change and keeps it if it is allowed to count as one.
-func (h *localSearch) tryMove(s, slot, to int, keep func() bool) bool {
-	from, short := h.places[s][slot], h.shortfall
-	h.savedFlow = h.network.Save(h.savedFlow)
-	h.attempts++
-	h.moveReplica(s, slot, to)
-	if keep() {
+// tryMove moves a replica, and undoes the move unless accept returns true. It reports whether the move was
+// kept.
+func (ls *localSearch) tryMove(s, slot, to int, accept func() bool) bool {
+	from, savedShortfall := ls.assignment[s][slot], ls.shortfall
+	ls.savedFlow = ls.network.Save(ls.savedFlow)
+	ls.attempts++
+	ls.moveReplica(s, slot, to)
+	if accept() {
 		return true
 	}
-	h.moved -= h.moves(s, h.places[s])
-	h.places[s][slot] = from
-	h.moved += h.moves(s, h.places[s])
-	h.segmentsOn[to]--
-	h.segmentsOn[from]++
-	h.network.Retarget(h.replicaArcs[s][slot], h.hosts+from)
-	h.network.Restore(h.savedFlow)
-	h.shortfall = short
+	ls.moved -= ls.moves(s, ls.assignment[s])
+	ls.assignment[s][slot] = from
+	ls.moved += ls.moves(s, ls.assignment[s])
+	ls.segmentsOn[to]--
+	ls.segmentsOn[from]++
+	ls.network.Retarget(ls.replicaArcs[s][slot], ls.hosts+from)
+	ls.network.Restore(ls.savedFlow)
+	ls.shortfall = savedShortfall
 	return false
 }
 
-// slot is one replica of a segment.
+// slot identifies a replica: a segment and the index of one of its hosts.
 type slot struct{ segment, index int }
 
-// reduceShortfall moves replicas from hosts that are too full, by the cut that proves it, to hosts that
-// have room. Now and then it keeps a change that makes nothing better, since some improvements take two
-// steps, or one that makes it worse, to leave a local minimum.
-func (h *localSearch) reduceShortfall(until int) {
-	const worseOneIn = 4 // rounds without a change
-	for h.shortfall > 0 && h.attempts < until && h.hasTime() {
-		from, to := h.candidates()
+// reduceShortfall moves replicas from overfull hosts, which a minimum cut identifies, to hosts with free
+// capacity. Occasionally it keeps a change that does not reduce the shortfall, since some improvements take
+// two steps, or one that increases it, to leave a local minimum. It ends when the number of attempts reaches
+// maxAttempts.
+func (ls *localSearch) reduceShortfall(maxAttempts int) {
+	const worseOneIn = 4 // one in so many rounds without an improvement keeps a random move
+	for ls.shortfall > 0 && ls.attempts < maxAttempts && ls.hasTime() {
+		from, to := ls.candidates()
 		if len(from) == 0 || len(to) == 0 {
-			h.swap(from)
+			ls.swap(from)
 			continue
 		}
-		if h.moveAny(from, to, until) || h.swap(from) || h.randomIndex(worseOneIn) != 0 {
+		if ls.moveAny(from, to, maxAttempts) || ls.swap(from) || ls.randomIndex(worseOneIn) != 0 {
 			continue
 		}
-		f, host := from[h.randomIndex(len(from))], to[h.randomIndex(len(to))]
-		if h.isAllowed(f.segment, f.index, host) {
-			h.tryMove(f.segment, f.index, host, func() bool { return true })
+		source, host := from[ls.randomIndex(len(from))], to[ls.randomIndex(len(to))]
+		if ls.isAllowed(source.segment, source.index, host) {
+			ls.tryMove(source.segment, source.index, host, func() bool { return true })
 		}
 	}
 }
 
-// candidates returns the replicas whose segments and hosts are on the full side of the cut, and the hosts
-// on the other side that have room.
-func (h *localSearch) candidates() (from []slot, to []int) {
-	cut := h.network.Reachable(0)
-	for s := range h.places {
-		for i, host := range h.places[s] {
-			if cut[2+s] && cut[h.hosts+host] {
+// candidates returns the replicas whose segments and hosts are on the full side of the minimum cut, and the
+// hosts on the other side that can hold another segment.
+func (ls *localSearch) candidates() (from []slot, to []int) {
+	cut := ls.network.Reachable(0)
+	for s := range ls.assignment {
+		for i, host := range ls.assignment[s] {
+			if cut[2+s] && cut[ls.hosts+host] {
 				from = append(from, slot{s, i})
 			}
 		}
 	}
-	for _, host := range h.usable {
-		if !cut[h.hosts+host] && h.segmentsOn[host] < h.maxSegments(host) {
+	for _, host := range ls.usable {
+		if !cut[ls.hosts+host] && ls.segmentsOn[host] < ls.maxSegments(host) {
 			to = append(to, host)
 		}
 	}
 	return from, to
 }
 
-// moveAny moves one of the replicas to one of the hosts. It keeps a change that reduces the shortfall,
-// and some that leave it as it is. It reports whether it has kept one.
-func (h *localSearch) moveAny(from []slot, to []int, until int) bool {
+// moveAny tries to move random replicas of from to random hosts of to. It keeps the first move that reduces
+// the shortfall, or occasionally one that leaves it unchanged. It reports whether it has kept a move.
+func (ls *localSearch) moveAny(from []slot, to []int, maxAttempts int) bool {
 	const (
 		maxMoves   = 32
-		equalOneIn = 8 // changes that leave the shortfall as it is
+		equalOneIn = 8 // one in so many moves that leave the shortfall unchanged is kept
 	)
 	for range maxMoves {
-		f, host := from[h.randomIndex(len(from))], to[h.randomIndex(len(to))]
-		if h.attempts >= until || !h.isAllowed(f.segment, f.index, host) {
-			h.attempts++ // so that the search ends where nothing is allowed
+		source, host := from[ls.randomIndex(len(from))], to[ls.randomIndex(len(to))]
+		if ls.attempts >= maxAttempts || !ls.isAllowed(source.segment, source.index, host) {
+			ls.attempts++ // counted so that the search ends even if no move is allowed
 			continue
 		}
-		before := h.shortfall
-		isKept := h.tryMove(f.segment, f.index, host, func() bool {
-			return h.shortfall < before || h.shortfall == before && h.randomIndex(equalOneIn) == 0
+		before := ls.shortfall
+		isKept := ls.tryMove(source.segment, source.index, host, func() bool {
+			return ls.shortfall < before || ls.shortfall == before && ls.randomIndex(equalOneIn) == 0
 		})
 		if isKept {
 			return true
@@ -235,119 +240,124 @@
 	return false
 }
 
-// swap exchanges the hosts of two replicas, where hosts are full of segments. It reports whether it was kept.
-func (h *localSearch) swap(from []slot) bool {
+// swap exchanges the hosts of two replicas. That is possible even if hosts can hold no further segment. It
+// reports whether it has kept an exchange.
+func (ls *localSearch) swap(from []slot) bool {
 	if len(from) == 0 {
-		from = append(from, slot{h.randomIndex(len(h.places)), 0})
+		from = append(from, slot{ls.randomIndex(len(ls.assignment)), 0})
 	}
 	for range 16 {
-		f := from[h.randomIndex(len(from))]
-		s, o := f.segment, h.randomIndex(len(h.places))
-		slot, other := f.index, h.randomIndex(len(h.places[o]))
-		a, b := h.places[s][slot], h.places[o][other]
-		h.attempts++
-		if s == o || a == b || slices.Contains(h.places[s], b) || slices.Contains(h.places[o], a) {
+		source := from[ls.randomIndex(len(from))]
+		s, otherSegment := source.segment, ls.randomIndex(len(ls.assignment))
+		slot, otherSlot := source.index, ls.randomIndex(len(ls.assignment[otherSegment]))
+		host, otherHost := ls.assignment[s][slot], ls.assignment[otherSegment][otherSlot]
+		ls.attempts++
+		if s == otherSegment || host == otherHost ||
+			slices.Contains(ls.assignment[s], otherHost) || slices.Contains(ls.assignment[otherSegment], host) {
 			continue
 		}
-		h.segmentsOn[a]--
-		h.segmentsOn[b]--
-		ok := h.isAllowed(s, slot, b) && h.isAllowed(o, other, a)
-		h.segmentsOn[a]++
-		h.segmentsOn[b]++
+		ls.segmentsOn[host]--
+		ls.segmentsOn[otherHost]--
+		ok := ls.isAllowed(s, slot, otherHost) && ls.isAllowed(otherSegment, otherSlot, host)
+		ls.segmentsOn[host]++
+		ls.segmentsOn[otherHost]++
 		if !ok {
 			continue
 		}
-		before := h.shortfall
-		h.moveReplica(s, slot, b)
-		h.moveReplica(o, other, a)
-		if h.shortfall < before && h.moved <= h.maxMoves() {
+		before := ls.shortfall
+		ls.moveReplica(s, slot, otherHost)
+		ls.moveReplica(otherSegment, otherSlot, host)
+		if ls.shortfall < before && ls.moved <= ls.maxMoves() {
 			return true
 		}
-		h.moveReplica(s, slot, a)
-		h.moveReplica(o, other, b)
+		ls.moveReplica(s, slot, host)
+		ls.moveReplica(otherSegment, otherSlot, otherHost)
 	}
 	return false
 }
 
-func (h *localSearch) randomIndex(n int) int { return int(h.random.Uint32() % uint32(n)) }
+func (ls *localSearch) randomIndex(n int) int { return int(ls.random.Uint32() % uint32(n)) }
 
-// reduceCost tries changes that keep the ratio. First those that promise most: a replica in the zone whose
-// gatherers are sent elsewhere, on the host with the most room. Then any: on cheaper hosts, or back where
-// replicas are now.
-func (h *localSearch) reduceCost(take func([][]int), now func() value) {
-	p := balance.NewProblem(h.model)
-	p.CopyCapacity(h.problem)
-	for s, hosts := range h.places {
+// reduceCost tries changes that keep the utilisation and reduce the cost or the number of moves. It starts
+// with the most promising ones: it moves replicas into the zone whose gatherers send the most load for the
+// segment to otherSlot zones, on the hosts with the most free capacity. Then it tries random moves to other
+// zones, to cheaper or larger hosts, or back to current hosts.
+func (ls *localSearch) reduceCost(keepIfBetter func([][]int), now func() value) {
+	p := balance.NewProblem(ls.model)
+	p.CopyCapacity(ls.problem)
+	for s, hosts := range ls.assignment {
 		p.SetHosts(s, slices.Clone(hosts))
 	}
 	u := now().utilisation
 	units, cost, _ := p.MinCost(u, false, nil)
-	copied := h.moved
-	// better makes a change and keeps it if the ratio holds and it costs less, or as much with fewer copies.
-	better := func(s, slot, to int) bool {
-		from := h.places[s][slot]
-		if !h.tryMove(s, slot, to, func() bool { return h.shortfall == 0 }) {
+	moved := ls.moved
+	// keepIfCheaper moves a replica and keeps the move if the utilisation does not rise and the cost is
+	// lower, or equal with fewer moves.
+	keepIfCheaper := func(s, slot, to int) bool {
+		from := ls.assignment[s][slot]
+		if !ls.tryMove(s, slot, to, func() bool { return ls.shortfall == 0 }) {
 			return false
 		}
 		p.MoveReplica(s, slot, to)
 		got, c, _ := p.MinCost(u, false, nil)
-		if c < cost || c == cost && h.moved < copied {
-			units, cost, copied = got, c, h.moved
+		if c < cost || c == cost && ls.moved < moved {
+			units, cost, moved = got, c, ls.moved
 			return true
 		}
 		p.MoveReplica(s, slot, from)
-		h.tryMove(s, slot, from, func() bool { return true })
+		ls.tryMove(s, slot, from, func() bool { return true })
 		return false
 	}
-	for again := true; again && h.hasEffort(); {
-		again = false
-		crossing := p.CrossZoneLoads(units)
-		order := slices.Clone(h.order)
+	for improved := true; improved && ls.hasEffort(); {
+		improved = false
+		crossZoneLoads := p.CrossZoneLoads(units)
+		order := slices.Clone(ls.order)
 		slices.SortStableFunc(order, func(a, b int) int {
-			return cmp.Compare(slices.Max(crossing[b]), slices.Max(crossing[a]))
+			return cmp.Compare(slices.Max(crossZoneLoads[b]), slices.Max(crossZoneLoads[a]))
 		})
 		for _, s := range order {
-			zone := slices.Index(crossing[s], slices.Max(crossing[s]))
-			if crossing[s][zone] == 0 || !h.hasEffort() {
+			zone := slices.Index(crossZoneLoads[s], slices.Max(crossZoneLoads[s]))
+			if crossZoneLoads[s][zone] == 0 || !ls.hasEffort() {
 				break
 			}
-			again = h.moveIntoZone(s, zone, p.Loads(units), u, better) || again
+			improved = ls.moveIntoZone(s, zone, p.Loads(units), u, keepIfCheaper) || improved
 		}
 	}
-	for idle := 0; idle < 4*len(h.places)*len(h.usable) && h.hasEffort(); idle++ {
-		s := h.randomIndex(len(h.places))
-		slot, to := h.randomIndex(len(h.places[s])), h.usable[h.randomIndex(len(h.usable))]
-		if h.attempts++; h.isAllowed(s, slot, to) && h.canHelp(s, slot, to) && better(s, slot, to) {
+	for idle := 0; idle < 4*len(ls.assignment)*len(ls.usable) && ls.hasEffort(); idle++ {
+		s := ls.randomIndex(len(ls.assignment))
+		slot, to := ls.randomIndex(len(ls.assignment[s])), ls.usable[ls.randomIndex(len(ls.usable))]
+		if ls.attempts++; ls.isAllowed(s, slot, to) && ls.canHelp(s, slot, to) && keepIfCheaper(s, slot, to) {
 			idle = 0
 		}
 	}
-	take(h.places)
+	keepIfBetter(ls.assignment)
 }
 
-func (h *localSearch) hasEffort() bool { return h.attempts < h.effort && h.hasTime() }
+func (ls *localSearch) hasEffort() bool { return ls.attempts < ls.effort && ls.hasTime() }
 
-// canHelp reports whether a change could lower the cost or the copies at all.
-func (h *localSearch) canHelp(s, slot, to int) bool {
-	from := h.places[s][slot]
-	return h.problem.Zone(from) != h.problem.Zone(to) || h.model.Hosts[to].Cost < h.model.Hosts[from].Cost ||
-		h.problem.Capacity(to) > h.problem.Capacity(from) || slices.Contains(h.currentHosts[s], to)
+// canHelp reports whether a move could reduce the cost or the number of moved replicas.
+func (ls *localSearch) canHelp(s, slot, to int) bool {
+	from := ls.assignment[s][slot]
+	return ls.problem.Zone(from) != ls.problem.Zone(to) || ls.model.Hosts[to].Cost < ls.model.Hosts[from].Cost ||
+		ls.problem.Capacity(to) > ls.problem.Capacity(from) || slices.Contains(ls.currentHosts[s], to)
 }
 
-// moveIntoZone tries to put a replica of a segment into a zone, on the three hosts with the most room there.
-func (h *localSearch) moveIntoZone(
-	s, zone int, loads []int64, u placement.Ratio, better func(s, slot, to int) bool,
+// moveIntoZone tries to move a replica of a segment into a zone, to one of the three hosts there with the
+// most free capacity.
+func (ls *localSearch) moveIntoZone(
+	s, zone int, loads []int64, u placement.Ratio, keepIfCheaper func(s, slot, to int) bool,
 ) bool {
-	room := func(host int) int64 { return u.MaxLoad(h.problem.Capacity(host)) - loads[host] }
+	freeCapacity := func(host int) int64 { return u.MaxLoad(ls.problem.Capacity(host)) - loads[host] }
 	var to []int
-	for _, host := range h.usable {
-		if h.problem.Zone(host) == zone && room(host) > 0 {
+	for _, host := range ls.usable {
+		if ls.problem.Zone(host) == zone && freeCapacity(host) > 0 {
 			to = append(to, host)
 		}
 	}
-	slices.SortStableFunc(to, func(a, b int) int { return cmp.Compare(room(b), room(a)) })
+	slices.SortStableFunc(to, func(a, b int) int { return cmp.Compare(freeCapacity(b), freeCapacity(a)) })
 	for _, host := range to[:min(3, len(to))] {
-		for slot := range h.places[s] {
-			if h.attempts++; h.hasEffort() && h.isAllowed(s, slot, host) && better(s, slot, host) {
+		for slot := range ls.assignment[s] {
+			if ls.attempts++; ls.hasEffort() && ls.isAllowed(s, slot, host) && keepIfCheaper(s, slot, host) {
 				return true
 			}
 		}
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -1,11 +1,12 @@
-// Package placing works out which hosts hold which segments.
+// Package placing decides which hosts hold the replicas of which segments.
 //
-// It decides, for a model of logic/placement, where the replicas of each segment are put: the least greatest
-// utilisation first, then the least cost, then the fewest copies made. Replicas stand in as many zones as
-// there are, hosts hold no more segments than they have room for, and no more replicas move than the model
-// allows. Up to a dozen hosts the answer is proven best (branch and bound); beyond that it is the best that a
-// search of a stated effort finds, with the gap to a bound that no placement can pass. It may never put a
-// replica on a host that drains or has gone. Why this way: docs/design/placement.md.
+// For a model of package placement it minimises the maximum utilisation first, then the cost, then the number
+// of moved replicas. The replicas of a segment are spread over as many zones as possible, hosts hold no more
+// segments than they have room for, and no more replicas move than the model allows. With up to a dozen
+// running hosts the result is proven optimal by branch and bound. With more hosts it is the best placement
+// that a local search of the given effort finds, together with a lower bound for all placements. It must
+// never put a replica on a host that is draining or removed. The reasons for the design are in
+// docs/design/placement.md.
 package placing
 
 import (
@@ -17,37 +18,37 @@
 	"yokeroute/logic/placement"
 )
 
-// MaxExactHosts is up to how many hosts that run a placement is proven best.
+// MaxExactHosts is the maximum number of running hosts for which a placement is proven optimal.
 const MaxExactHosts = 12
 
-// Config are how long to look and from which seed chance comes.
+// Config configures a search.
 type Config struct {
-	Effort int // tries of a change; the search is over with them, whatever machine it runs on
-	Seed   uint64
+	Effort int    // number of attempted changes after which the search ends, independent of the machine
+	Seed   uint64 // seed of the random numbers
 }
 
-// Move is one replica that is copied to a host which does not hold it yet. From is the host that holds one
-// less for it, empty where a replica is added.
+// Move is a replica that is copied to a host which does not hold it yet. From is the host that drops its
+// replica of the segment in exchange, empty if the move adds a replica.
 type Move struct {
 	Segment string `json:"Segment"`
 	From    string `json:"From"`
 	To      string `json:"To"`
 }
 
-// Result is a placement.
+// Result is the result of a search that has found a placement.
 type Result struct {
-	Model          *placement.Model `json:"Model"` // normal, with the new places
+	Model          *placement.Model `json:"Model"` // normalized, with the new hosts of segments
 	Moves          []Move           `json:"Moves"`
 	MaxUtilisation placement.Ratio  `json:"Greatest"` // when all hosts are warm
 	Cost           int64            `json:"Cost"`
-	Bound          placement.Ratio  `json:"Bound"`  // no placement is under it
-	CostBound      int64            `json:"Floor"`  // nor, at the bound, under this cost
-	Proven         bool             `json:"Proven"` // no placement is better
-	Attempts       int              `json:"Tries"`
-	TimedOut       bool             `json:"Stopped"` // the time ran out before the effort
+	Bound          placement.Ratio  `json:"Bound"`   // lower bound of MaxUtilisation for all placements
+	CostBound      int64            `json:"Floor"`   // lower bound of the cost at that utilisation
+	Proven         bool             `json:"Proven"`  // whether no placement is better
+	Attempts       int              `json:"Tries"`   // number of attempted changes
+	TimedOut       bool             `json:"Stopped"` // whether the time ran out before the effort was used up
 }
 
-// value is what placements are compared by.
+// value holds the criteria by which placements are compared, in the order of their priority.
 type value struct {
 	utilisation placement.Ratio
 	cost        int64
@@ -64,32 +65,32 @@
 	return cmp.Or(cmp.Compare(v.cost, o.cost), cmp.Compare(v.moves, o.moves)) < 0
 }
 
-// relaxed are limits that are left out, for finding which of them clash.
+// relaxed lists the limits that a search ignores, to find out which limits conflict.
 type relaxed struct {
 	moves, spread, slots, capacity bool
 	zones                          []bool
 }
 
-// job is a placement being looked for.
+// job holds the input of a search and counts its attempts.
 type job struct {
 	model        *placement.Model
 	problem      *balance.Problem
 	relaxed      relaxed
-	usable       []int   // hosts that may hold something
-	wanted       []int   // replicas of each segment
-	minZones     []int   // zones in which each has to stand at least
-	currentHosts [][]int // hosts that hold each now
-	demands      []int64
-	order        []int // segments, the heaviest first
+	usable       []int   // hosts that may hold replicas
+	wanted       []int   // number of replicas of each segment
+	minZones     []int   // minimum number of zones for each segment
+	currentHosts [][]int // hosts that hold each segment now
+	demands      []int64 // demand for each segment
+	order        []int   // segments, sorted by descending demand
 	hasTime      func() bool
 	attempts     int
 	effort       int
 }
 
-func newJob(m *placement.Model, free relaxed, effort int, more func() bool) *job {
-	j := &job{model: m, relaxed: free, hasTime: more, effort: effort}
+func newJob(m *placement.Model, relax relaxed, effort int, hasTime func() bool) *job {
+	j := &job{model: m, relaxed: relax, hasTime: hasTime, effort: effort}
 	j.problem, _ = warmProblem(m)
-	j.problem.RelaxLimits(free.zones, free.capacity)
+	j.problem.RelaxLimits(relax.zones, relax.capacity)
 	zones := map[string]bool{}
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
@@ -102,7 +103,7 @@
 		want := wantedReplicas(&s)
 		j.wanted = append(j.wanted, want)
 		spread := min(want, len(zones))
-		if free.spread {
+		if relax.spread {
 			spread = 0
 		}
 		j.minZones = append(j.minZones, spread)
@@ -113,8 +114,8 @@
 	return j
 }
 
-// moves counts the replicas of a segment that its hosts do not hold yet. A segment that stands nowhere is
-// new: putting it somewhere moves nothing.
+// moves returns the number of hosts that do not hold a replica of the segment yet. It is zero for a segment
+// without current hosts, which is new.
 func (j *job) moves(segment int, hosts []int) int {
 	if len(j.currentHosts[segment]) == 0 {
 		return 0
@@ -128,7 +129,7 @@
 	return n
 }
 
-// maxMoves is how many copies a placement may make.
+// maxMoves returns the maximum number of replicas that a placement may move.
 func (j *job) maxMoves() int {
 	if j.model.MaxMoves < 0 || j.relaxed.moves {
 		return int(placement.MaxRate)
@@ -136,7 +137,7 @@
 	return j.model.MaxMoves
 }
 
-// maxSegments is how many segments a host may hold.
+// maxSegments returns the maximum number of segments that a host may hold.
 func (j *job) maxSegments(host int) int {
 	if holds := j.model.Hosts[host].MaxSegments; holds > 0 && !j.relaxed.slots {
 		return holds
@@ -144,7 +145,7 @@
 	return len(j.model.Segments)
 }
 
-// inEnoughZones reports whether hosts stand in enough zones for the segment.
+// inEnoughZones reports whether the hosts are in at least the minimum number of zones for the segment.
 func (j *job) inEnoughZones(segment int, hosts []int) bool {
 	if j.minZones[segment] < 2 {
 		return true
@@ -160,10 +161,11 @@
 	return n >= j.minZones[segment]
 }
 
-// evaluate gives the value of a whole placement, or false where demand does not fit it.
-func (j *job) evaluate(places [][]int) (value, bool) {
+// evaluate returns the value of a complete placement, or false if demand does not fit it or if it moves too
+// many replicas.
+func (j *job) evaluate(assignment [][]int) (value, bool) {
 	v := value{}
-	for s, hosts := range places {
+	for s, hosts := range assignment {
 		j.problem.SetHosts(s, hosts)
 		v.moves += j.moves(s, hosts)
 	}
@@ -176,28 +178,29 @@
 	return v, true
 }
 
-// Search looks for a placement. Where none fits it says why; that is proven unless the misfit says otherwise.
-func Search(m *placement.Model, terms Config, more func() bool) (*Result, *Infeasibility, error) {
-	if faults := m.Validate(); len(faults) > 0 {
-		return nil, nil, faults[0]
+// Search searches for a placement. If it finds none, it returns the reason, which is proven unless the
+// infeasibility is marked as unproven. HasTime reports whether there is time to go on.
+func Search(m *placement.Model, config Config, hasTime func() bool) (*Result, *Infeasibility, error) {
+	if entryErrors := m.Validate(); len(entryErrors) > 0 {
+		return nil, nil, entryErrors[0]
 	}
 	m = m.Normalized()
-	if bad := findInfeasibility(m); bad != nil {
-		return nil, bad, nil
+	if infeasibility := findInfeasibility(m); infeasibility != nil {
+		return nil, infeasibility, nil
 	}
-	j := newJob(m, relaxed{zones: make([]bool, len(m.Zones))}, terms.Effort, more)
+	j := newJob(m, relaxed{zones: make([]bool, len(m.Zones))}, config.Effort, hasTime)
 	r := &Result{}
 	r.Bound, r.CostBound = j.lowerBound()
-	places, v, found := j.search(terms.Seed, r.Bound)
-	exact := len(j.usable) <= MaxExactHosts
-	if exact {
-		b := branchAndBound{job: j, best: v, places: places, found: found}
+	assignment, v, found := j.search(config.Seed, r.Bound)
+	isExact := len(j.usable) <= MaxExactHosts
+	if isExact {
+		b := branchAndBound{job: j, best: v, assignment: assignment, found: found}
 		r.Proven = b.run()
-		places, v, found = b.places, b.best, b.found
+		assignment, v, found = b.assignment, b.best, b.found
 	}
-	r.Attempts, r.TimedOut = j.attempts, !more()
+	r.Attempts, r.TimedOut = j.attempts, !hasTime()
 	if !found {
-		if exact && r.Proven {
+		if isExact && r.Proven {
 			return nil, j.conflictingLimits(), nil
 		}
 		return nil, &Infeasibility{Kind: NotFound, Unproven: true, Attempts: j.attempts}, nil
@@ -207,43 +210,44 @@
 	if r.Proven {
 		r.Bound, r.CostBound = v.utilisation, v.cost
 	}
-	j.describe(r, places)
+	j.describe(r, assignment)
 	return r, nil, nil
 }
 
-// describe names the places of a result.
-func (j *job) describe(r *Result, places [][]int) {
+// describe sets the model and the moves of a result.
+func (j *job) describe(r *Result, assignment [][]int) {
 	m := *j.model
 	m.Segments = slices.Clone(m.Segments)
-	for s, hosts := range places {
-		on := make([]string, len(hosts))
+	for s, hosts := range assignment {
+		hostNames := make([]string, len(hosts))
 		for i, h := range hosts {
-			on[i] = m.Hosts[h].Name
+			hostNames[i] = m.Hosts[h].Name
 		}
-		var gone []string
+		var droppedBy []string
 		for _, name := range m.Segments[s].Hosts {
-			if !slices.Contains(on, name) {
-				gone = append(gone, name)
+			if !slices.Contains(hostNames, name) {
+				droppedBy = append(droppedBy, name)
 			}
 		}
-		for _, name := range on {
+		for _, name := range hostNames {
 			if len(m.Segments[s].Hosts) == 0 || slices.Contains(m.Segments[s].Hosts, name) {
 				continue
 			}
 			move := Move{Segment: m.Segments[s].Name, To: name}
-			if len(gone) > 0 {
-				move.From, gone = gone[0], gone[1:]
+			if len(droppedBy) > 0 {
+				move.From, droppedBy = droppedBy[0], droppedBy[1:]
 			}
 			r.Moves = append(r.Moves, move)
 		}
-		m.Segments[s].Hosts = on
+		m.Segments[s].Hosts = hostNames
 	}
 	r.Model = &m
 }
 
-// lowerBound is what no placement can be under: the ratio at which all demand as one finds room anywhere,
-// and at which each segment finds it on as many of the largest hosts as it has replicas; and the cost at
-// that ratio of demand that may go anywhere.
+// lowerBound returns lower bounds for all placements. The bound of the utilisation is the least one at which
+// the total demand fits if it may go to any host, and at which the demand for each segment fits on the
+// largest hosts, as many as it has replicas. The bound of the cost is the least cost at that utilisation if
+// demand may go to any host.
 func (j *job) lowerBound() (placement.Ratio, int64) {
 	p, _ := warmProblem(OneSegmentModel(j.model))
 	p.RelaxLimits(j.relaxed.zones, j.relaxed.capacity)
@@ -253,8 +257,8 @@
 	}
 	for s, want := range j.wanted {
 		largest := largestHosts(j.model, j.problem, want)
-		if own, ok := j.problem.MinUtilisationOn(largest, j.demands[s]); ok && u.Less(own) {
-			u = own
+		if segmentBound, ok := j.problem.MinUtilisationOn(largest, j.demands[s]); ok && u.Less(segmentBound) {
+			u = segmentBound
 		}
 	}
 	if u.Load > u.Capacity {
--- a/logic/placing/placing_test.go
+++ b/logic/placing/placing_test.go
@@ -11,14 +11,15 @@
 	"yokeroute/logic/placement"
 )
 
-func always() bool { return true }
+func alwaysHasTime() bool { return true }
 
-// brute goes through every placement that keeps the limits and gives the best value.
-func brute(m *placement.Model, free relaxed) (best value, found bool) {
-	j := newJob(m.Normalized(), free, 0, always)
+// searchByBruteForce enumerates every placement that meets the limits and returns the best value. It returns
+// false if none fits.
+func searchByBruteForce(m *placement.Model, relax relaxed) (best value, found bool) {
+	j := newJob(m.Normalized(), relax, 0, alwaysHasTime)
 	var sets [][][]int
 	for s, want := range j.wanted {
-		var of [][]int
+		var segmentSets [][]int
 		for mask := range 1 << len(j.usable) {
 			var hosts []int
 			for i, h := range j.usable {
@@ -27,17 +28,17 @@
 				}
 			}
 			if len(hosts) == want && j.inEnoughZones(s, hosts) {
-				of = append(of, hosts)
+				segmentSets = append(segmentSets, hosts)
 			}
 		}
-		sets = append(sets, of)
+		sets = append(sets, segmentSets)
 	}
-	held := make([]int, len(m.Hosts))
-	places := make([][]int, len(sets))
-	var from func(s int)
-	from = func(s int) {
+	segmentsOn := make([]int, len(m.Hosts))
+	assignment := make([][]int, len(sets))
+	var assign func(s int)
+	assign = func(s int) {
 		if s == len(sets) {
-			if v, fits := j.evaluate(places); fits && (!found || v.less(best)) {
+			if v, fits := j.evaluate(assignment); fits && (!found || v.less(best)) {
 				best, found = v, true
 			}
 			return
@@ -45,22 +46,23 @@
 		for _, hosts := range sets[s] {
 			ok := true
 			for _, h := range hosts {
-				held[h]++
-				ok = ok && held[h] <= j.maxSegments(h)
+				segmentsOn[h]++
+				ok = ok && segmentsOn[h] <= j.maxSegments(h)
 			}
-			if places[s] = hosts; ok {
-				from(s + 1)
+			if assignment[s] = hosts; ok {
+				assign(s + 1)
 			}
 			for _, h := range hosts {
-				held[h]--
+				segmentsOn[h]--
 			}
 		}
 	}
-	from(0)
+	assign(0)
 	return best, found
 }
 
-func drawn(r *rand.Rand, hosts, segments int) *placement.Model {
+// randomModel returns a random model with up to the given numbers of hosts and segments.
+func randomModel(r *rand.Rand, hosts, segments int) *placement.Model {
 	m := &placement.Model{Unit: 1, MaxMoves: r.Intn(5) - 1}
 	for i := range 1 + r.Intn(2) {
 		h := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
@@ -95,62 +97,63 @@
 	return m
 }
 
-// against holds a search to the reference: no worse placement, and where none fits a reason that is true.
-func against(t *testing.T, m *placement.Model) *Infeasibility {
+// checkAgainstBruteForce checks that a search finds a placement with the same value as brute force, or
+// returns a valid infeasibility if none fits. It returns the infeasibility.
+func checkAgainstBruteForce(t *testing.T, m *placement.Model) *Infeasibility {
 	t.Helper()
-	if faults := m.Validate(); len(faults) > 0 {
-		t.Fatalf("the case is faulty: %v", faults[0])
+	if entryErrors := m.Validate(); len(entryErrors) > 0 {
+		t.Fatalf("the test model is invalid: %v", entryErrors[0])
 	}
-	want, found := brute(m, relaxed{zones: make([]bool, len(m.Zones))})
-	got, bad, err := Search(m, Config{Effort: 400, Seed: 3}, always)
+	want, found := searchByBruteForce(m, relaxed{zones: make([]bool, len(m.Zones))})
+	got, infeasibility, err := Search(m, Config{Effort: 400, Seed: 3}, alwaysHasTime)
 	switch {
 	case err != nil:
 		t.Fatal(err)
 	case (got != nil) != found:
-		t.Fatalf("a placement: %t, by brute force %t (%v), of %+v", got != nil, found, bad, m)
+		t.Fatalf("Search found a placement: %t, brute force found one: %t (infeasibility %v), model %+v", got != nil, found, infeasibility, m)
 	case got == nil:
-		holds(t, m, bad)
-		return bad
+		checkInfeasibility(t, m, infeasibility)
+		return infeasibility
 	case !got.Proven:
-		t.Fatalf("not proven: %+v, of %+v", got, m)
+		t.Fatalf("the placement is not proven optimal: %+v, model %+v", got, m)
 	}
-	j := newJob(got.Model, relaxed{zones: make([]bool, len(m.Zones))}, 0, always)
-	orig := newJob(m.Normalized(), j.relaxed, 0, always)
-	v, fits := orig.evaluate(j.currentHosts)
+	j := newJob(got.Model, relaxed{zones: make([]bool, len(m.Zones))}, 0, alwaysHasTime)
+	originalJob := newJob(m.Normalized(), j.relaxed, 0, alwaysHasTime)
+	v, fits := originalJob.evaluate(j.currentHosts)
 	if v.less(want) || want.less(v) || !fits || v.moves != len(got.Moves) || v.cost != got.Cost {
-		t.Fatalf("%+v, fits %t, said %+v, by brute force %+v, of %+v", v, fits, got, want, m)
+		t.Fatalf("value %+v, fits: %t, result %+v, brute force found %+v, model %+v", v, fits, got, want, m)
 	}
 	for s, hosts := range j.currentHosts {
 		if len(hosts) != j.wanted[s] || !j.inEnoughZones(s, hosts) {
-			t.Fatalf("%s on %v, of %+v", m.Segments[s].Name, hosts, m)
+			t.Fatalf("segment %s is on hosts %v: wrong number or too few zones, model %+v", m.Segments[s].Name, hosts, m)
 		}
 	}
 	return nil
 }
 
-// holds checks that a misfit's reason is true by itself.
-func holds(t *testing.T, m *placement.Model, f *Infeasibility) {
+// checkInfeasibility checks an infeasibility independently of the search.
+func checkInfeasibility(t *testing.T, m *placement.Model, f *Infeasibility) {
 	t.Helper()
 	n := m.Normalized()
 	switch f.Kind {
 	case TooFewHosts, TooFewSlots, TooManyMoves, SegmentDemandTooHigh:
 		if f.Need <= f.Available {
-			t.Fatalf("%d needed, %d there: %+v", f.Need, f.Available, f)
+			t.Fatalf("need of %d does not exceed the available %d: %+v", f.Need, f.Available, f)
 		}
 		if f.Kind == SegmentDemandTooHigh {
-			asked, can := int64(0), int64(0)
+			demand, capacity := int64(0), int64(0)
 			for _, d := range n.Demands {
 				if d.Segment == f.Segment {
-					asked += d.Rate
+					demand += d.Rate
 				}
 			}
 			for _, h := range n.Hosts {
 				if slices.Contains(f.Hosts, h.Name) {
-					can += h.Capacity
+					capacity += h.Capacity
 				}
 			}
-			if asked != f.Need || can != f.Available {
-				t.Fatalf("%+v, but %d and %d", f, asked, can)
+			if demand != f.Need || capacity != f.Available {
+				t.Fatalf("%+v, but the demand is %d and the capacity is %d", f, demand, capacity)
 			}
 		}
 	case DemandTooHigh:
@@ -158,45 +161,47 @@
 			t.Fatalf("%+v: %s", f.Proof, reason)
 		}
 	case ConflictingLimits:
-		only := func(drop string) relaxed {
+		relaxAllExcept := func(additional string) relaxed {
 			l := relaxed{true, true, true, true, make([]bool, len(n.Zones))}
 			for i, h := range n.Zones {
-				l.zones[i] = !slices.Contains(f.Limits, "hall "+h.Name) || drop == "hall "+h.Name
+				l.zones[i] = !slices.Contains(f.Limits, "hall "+h.Name) || additional == "hall "+h.Name
 			}
-			keep := func(name string) bool { return !slices.Contains(f.Limits, name) || drop == name }
-			l.moves, l.spread, l.slots, l.capacity = keep(limitCopies), keep(limitSpread), keep(limitHolds), keep(limitCapacity)
+			isRelaxed := func(name string) bool { return !slices.Contains(f.Limits, name) || additional == name }
+			l.moves, l.spread, l.slots, l.capacity = isRelaxed(limitMoves), isRelaxed(limitSpread), isRelaxed(limitSlots), isRelaxed(limitCapacity)
 			return l
 		}
-		if _, found := brute(m, only("")); found {
-			t.Fatalf("%+v: these limits can be kept together, of %+v", f, m)
+		if _, found := searchByBruteForce(m, relaxAllExcept("")); found {
+			t.Fatalf("%+v: a placement meets all these limits, model %+v", f, m)
 		}
 		for _, name := range f.Limits {
-			if _, found := brute(m, only(name)); !found {
-				t.Fatalf("%+v: %s is not needed for it, of %+v", f, name, m)
+			if _, found := searchByBruteForce(m, relaxAllExcept(name)); !found {
+				t.Fatalf("%+v: the other limits conflict without %q, model %+v", f, name, m)
 			}
 		}
 	default:
-		t.Fatalf("%+v", f)
+		t.Fatalf("unexpected kind of infeasibility: %+v", f)
 	}
 }
 
-// CI goes through the first of these; the long run is in docs/results.md.
-var seeded = flag.Int("seeded", 250, "how many drawn models to hold to brute force")
+// CI uses the default number of models; the result of a longer run is in docs/results.md.
+var randomModelCount = flag.Int("seeded", 250, "number of random models to compare with brute force")
 
-func TestPlacementEqualsBruteForceOnDrawnModels(t *testing.T) {
+// TestSearchEqualsBruteForceOnRandomModels compares Search with brute force on random models. Every tenth
+// model has up to twelve hosts.
+func TestSearchEqualsBruteForceOnRandomModels(t *testing.T) {
 	r := rand.New(rand.NewSource(16))
 	kinds := map[InfeasibilityKind]int{}
-	for i := range *seeded {
+	for i := range *randomModelCount {
 		hosts, segments := 6, 3
 		if i%10 == 0 {
 			hosts, segments = 12, 2
 		}
-		if bad := against(t, drawn(r, hosts, segments)); bad != nil {
-			kinds[bad.Kind]++
+		if infeasibility := checkAgainstBruteForce(t, randomModel(r, hosts, segments)); infeasibility != nil {
+			kinds[infeasibility.Kind]++
 		}
 	}
-	t.Logf("%d models, none fits: %v", *seeded, kinds)
-	if kinds[ConflictingLimits] < *seeded/100 || kinds[DemandTooHigh] < *seeded/100 {
-		t.Errorf("too few misfits of a kind to tell: %v", kinds)
+	t.Logf("%d models, infeasible ones by kind: %v", *randomModelCount, kinds)
+	if kinds[ConflictingLimits] < *randomModelCount/100 || kinds[DemandTooHigh] < *randomModelCount/100 {
+		t.Errorf("too few infeasible models of some kind: %v", kinds)
 	}
 }
