--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -1,6 +1,6 @@
-// Package plans keeps the weights of replicas in step with a plan: it follows the endpoint list and the time, solves for
-// new weights in the background where the operator wants that, and hands the weights in force to the dispatcher. Package
-// logic/placement decides which weights hold when.
+// Package plans applies the weights of a plan to the dispatcher. It updates them when the endpoint list changes and
+// when the plan's next step begins. If the operator has configured a placement file, it solves for new plans in the
+// background. Package logic/placement decides which weights are in effect.
 package plans
 
 import (
@@ -24,13 +24,13 @@
 	"yokeroute/logic/placement"
 )
 
-// Picker takes weights and tells the dispatcher's time. Package dispatch implements it.
+// Picker sets the weights of the dispatcher and returns its time in Unix milliseconds. Package dispatch implements it.
 type Picker interface {
 	SetWeights(weights [][]gather.Weight)
 	Now() float64
 }
 
-// Keeper keeps a plan in force.
+// Keeper holds the plan in force and applies its weights to the dispatcher.
 type Keeper struct {
 	picker   Picker
 	settings *gather.Settings
@@ -39,16 +39,16 @@
 
 	mu        sync.Mutex
 	active    placement.ActivePlan
-	placement *placementfile.File // to solve from, nil for none
+	placement *placementfile.File // input for solving, nil if plans are not solved
 	endpoints map[uint32]placementfile.NamedEndpoint
-	order     []uint32          // of the endpoints, as discovery lists them
-	ids       map[string]uint32 // of the endpoints, by name
-	applied   [][]gather.Weight
-	logged    placement.Effective // the last status that was logged
-	timer     *time.Timer         // until the weights may change by themselves
+	order     []uint32            // server IDs in the order of discovery's list
+	ids       map[string]uint32   // server IDs by host name
+	applied   [][]gather.Weight   // weights that the dispatcher has
+	logged    placement.Effective // status that was logged last
+	timer     *time.Timer         // calls applyWeights when the weights may change with time
 }
 
-// New makes a keeper without a plan.
+// New returns a keeper without a plan.
 func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
 	return &Keeper{
 		picker: picker, settings: settings, jobs: jobs, log: log,
@@ -56,8 +56,8 @@
 	}
 }
 
-// Configure applies what the operator's file says of plans. An error names the place of the mistake, and leaves the
-// plan in force, or plain round robin where there was none.
+// Configure applies the plan and placement settings of the operator's file. An error names the place of the mistake.
+// On error nothing changes: the plan in force stays, or plain round robin if there is none.
 func (k *Keeper) Configure(f *operator.File) error {
 	now := k.picker.Now()
 	plan, err := readPlan(f.Plan, now)
@@ -78,15 +78,15 @@
 		k.jobs.Cancel(solveJob)
 	}
 	if k.active.Plan == nil && k.applied != nil && file == nil {
-		k.log.Info("plan: removed, plain round robin")
+		k.log.Info("plan: removed; using plain round robin")
 	}
-	k.logged = placement.Effective{MissingHosts: -1} // no real status, so that the next one is logged
+	k.logged = placement.Effective{MissingHosts: -1} // differs from any status, so that the next one is logged
 	k.applyWeights()
 	k.submitSolve()
 	return nil
 }
 
-// readPlan reads and checks a plan file; an empty name is no plan.
+// readPlan reads and checks a plan file. It returns nil if the name is empty.
 func readPlan(name string, now float64) (*placement.Plan, error) {
 	if name == "" {
 		return nil, nil
@@ -96,15 +96,15 @@
 		return nil, err
 	}
 	if file.Plan == nil {
-		return nil, errors.New(name + ": holds no weights; make them by yokeroute plan solve")
+		return nil, errors.New(name + ": holds no weights; create a plan with yokeroute plan solve")
 	}
-	if wrong := file.Plan.Violations(); len(wrong) > 0 {
-		return nil, fmt.Errorf("%s: %w", name, wrong[0])
+	if violations := file.Plan.Violations(); len(violations) > 0 {
+		return nil, fmt.Errorf("%s: %w", name, violations[0])
 	}
 	return file.Plan, nil
 }
 
-// readPlacement reads and checks a placement file to solve from; an empty name is none.
+// readPlacement reads and checks a placement file for solving. It returns nil if the name is empty.
 func readPlacement(name string, now float64) (*placementfile.File, error) {
 	if name == "" {
 		return nil, nil
@@ -114,13 +114,13 @@
 		return nil, err
 	}
 	if !file.FromList {
-		return nil, errors.New(name + ": lacks from-list; without it, make a plan by yokeroute plan solve")
+		return nil, errors.New(name + ": lacks from-list; add it, or create a plan with yokeroute plan solve")
 	}
 	return file, nil
 }
 
-// UpdateEndpoints takes an endpoint list and the addresses of all servers on it.
-func (k *Keeper) UpdateEndpoints(list gather.EndpointList, all []shardcall.Address) {
+// UpdateEndpoints applies an endpoint list. Addresses holds the addresses of all servers that are listed after it.
+func (k *Keeper) UpdateEndpoints(list gather.EndpointList, addresses []shardcall.Address) {
 	if list.Failed {
 		return
 	}
@@ -133,26 +133,27 @@
 	for _, s := range list.Endpoints {
 		latest[s.ID] = s
 	}
-	before := k.endpoints
+	previous := k.endpoints
 	k.endpoints = map[uint32]placementfile.NamedEndpoint{}
 	k.ids = map[string]uint32{}
 	k.order = k.order[:0]
-	for _, a := range all {
+	for _, a := range addresses {
 		k.endpoints[a.ID] = placementfile.NamedEndpoint{Name: a.Name, Endpoint: latest[a.ID]}
 		k.ids[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
-	if reflect.DeepEqual(before, k.endpoints) {
+	if reflect.DeepEqual(previous, k.endpoints) {
 		return
 	}
 	k.applyWeights()
 	k.submitSolve()
 }
 
-// solveJob is the name of the background job; changes in quick succession share one.
+// solveJob is the name of the background job. Submitting it again replaces a job that is still waiting, so that changes
+// in quick succession cause one solve.
 const solveJob = "plan"
 
-// submitSolve queues a job that works weights out for the endpoints as they are then. The lock is held.
+// submitSolve submits a job that solves for the endpoints at the time when it runs. The caller holds the lock.
 func (k *Keeper) submitSolve() {
 	if k.placement == nil || len(k.endpoints) == 0 {
 		return
@@ -160,9 +161,9 @@
 	k.jobs.Submit(solveJob, jobs.Normal, k.solve)
 }
 
-// solve works weights out and puts them in force.
+// solve computes a plan and puts it in force. If demand does not fit, the plan in force stays.
 func (k *Keeper) solve(pause func() error) error {
-	file, before, list := k.solveInput()
+	file, inForce, list := k.solveInput()
 	if file == nil {
 		return nil
 	}
@@ -171,7 +172,7 @@
 		return err
 	}
 	var cancelled error
-	plan, clash, err := balance.Solve(model, before, func() bool {
+	plan, infeasibility, err := balance.Solve(model, inForce, func() bool {
 		if cancelled == nil {
 			cancelled = pause()
 		}
@@ -182,25 +183,25 @@
 		return cancelled
 	case err != nil:
 		return err
-	case clash != nil:
+	case infeasibility != nil:
 		rate := func(units int64) string { return placementfile.FormatUnits(model.Unit, units) }
-		k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "reason": clash.Describe(rate)}).
-			Warn("plan: no weights fit, the plan in force stays")
+		k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "reason": infeasibility.Describe(rate)}).
+			Warn("plan: demand does not fit; keeping the plan in force")
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.placement != file { // another file was configured meanwhile
+	if k.placement != file { // another file was configured while solving
 		return nil
 	}
 	k.active = placement.ActivePlan{Plan: plan}
 	k.log.WithFields(logrus.Fields{"hosts": len(model.Hosts), "steps": len(plan.Steps), "cases": len(plan.Cases),
-		"greatest": plan.Steps[0].MaxUtilisation.Float()}).Info("plan: new weights")
+		"greatest": plan.Steps[0].MaxUtilisation.Float()}).Info("plan: solved")
 	k.applyWeights()
 	return nil
 }
 
-// solveInput returns what a solve starts from.
+// solveInput returns the input of a solve: the placement file, the plan in force and the listed endpoints.
 func (k *Keeper) solveInput() (*placementfile.File, *placement.Plan, []placementfile.NamedEndpoint) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -211,8 +212,8 @@
 	return k.placement, k.active.Plan, list
 }
 
-// applyWeights hands the weights in force to the dispatcher where they have changed, and schedules itself for when they
-// may change next. The lock is held.
+// applyWeights sets the weights of the dispatcher if they have changed, and schedules its next call for the time at
+// which they may change. The caller holds the lock.
 func (k *Keeper) applyWeights() {
 	now := k.picker.Now()
 	s := k.active.At(now, func(host string) bool {
@@ -223,8 +224,9 @@
 		id, listed := k.ids[host]
 		return id, listed
 	})
-	if k.active.Plan != nil && (s.Stale != k.logged.Stale || s.CaseName != k.logged.CaseName || s.MissingHosts != k.logged.MissingHosts) {
-		k.logStatus(s) // before the weights take effect, so that the log explains them
+	if k.active.Plan != nil &&
+		(s.Stale != k.logged.Stale || s.CaseName != k.logged.CaseName || s.MissingHosts != k.logged.MissingHosts) {
+		k.logStatus(s) // before the weights take effect, so that the log shows the reason first
 	}
 	k.logged = s
 	if (len(weights) != 0 || len(k.applied) != 0) && !reflect.DeepEqual(weights, k.applied) {
@@ -247,17 +249,17 @@
 	log := k.log.WithField("missing", s.MissingHosts)
 	switch {
 	case s.Stale:
-		log.Warn("plan: too old, plain round robin")
+		log.Warn("plan: too old; using plain round robin")
 	case s.CaseName != "":
-		log.WithField("case", s.CaseName).Warn("plan: hosts missing, weights in force are those for their loss")
+		log.WithField("case", s.CaseName).Warn("plan: hosts missing; using the weights of a case")
 	case s.MissingHosts > 0:
-		log.Warn("plan: hosts missing, weights in force among the others")
+		log.Warn("plan: hosts missing; using the plan's weights for the others")
 	default:
-		log.Info("plan: weights in force")
+		log.Info("plan: using the plan's weights")
 	}
 }
 
-// Run runs background jobs until ctx ends.
+// Run runs background jobs until ctx is done. Then it stops the timer and drops the plan.
 func (k *Keeper) Run(ctx context.Context) {
 	k.jobs.Run(ctx)
 	k.mu.Lock()
--- a/internal/gatherer/plans/plans_test.go
+++ b/internal/gatherer/plans/plans_test.go
@@ -19,22 +19,22 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// hand is a picker that keeps what it is handed.
-type hand struct {
-	mu     sync.Mutex
-	now    float64
-	handed chan [][]gather.Weight
+// recordingPicker is a picker that records the weights that are set.
+type recordingPicker struct {
+	mu      sync.Mutex
+	now     float64
+	updates chan [][]gather.Weight
 }
 
-func (h *hand) SetWeights(w [][]gather.Weight) { h.handed <- w }
+func (h *recordingPicker) SetWeights(w [][]gather.Weight) { h.updates <- w }
 
-func (h *hand) Now() float64 {
+func (h *recordingPicker) Now() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.now
 }
 
-func (h *hand) pass(ms float64) {
+func (h *recordingPicker) advance(ms float64) {
 	h.mu.Lock()
 	h.now += ms
 	h.mu.Unlock()
@@ -62,18 +62,18 @@
 `
 
 const (
-	at = 1796119200000.0 // the plan's beginning
+	planStart = 1796119200000.0 // start of the plan, 2026-12-01T10:00:00Z
 )
 
-func newKeeper(zone string) (*Keeper, *hand, *test.Hook) {
+func newKeeper(zone string) (*Keeper, *recordingPicker, *test.Hook) {
 	log, hook := test.NewNullLogger()
 	log.SetOutput(io.Discard)
-	h := &hand{now: at + 1, handed: make(chan [][]gather.Weight, 100)}
+	h := &recordingPicker{now: planStart + 1, updates: make(chan [][]gather.Weight, 100)}
 	settings := &gather.Settings{Zone: zone, ReplicaSets: 2, ReplicaSetsPerShard: 1}
 	return New(h, settings, background.New(1, log), log), h, hook
 }
 
-func write(t *testing.T, name, text string) string {
+func writeFile(t *testing.T, name, text string) string {
 	path := filepath.Join(t.TempDir(), name)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -81,102 +81,107 @@
 	return path
 }
 
-// list tells of servers by name, in the order of their numbers from 1 on; groups go by turns.
-func list(k *Keeper, full bool, names ...string) {
+// updateEndpoints updates the endpoints. The names get the server IDs 1, 2 and so on, and the replica sets 0 and 1 in
+// turn. A name that ends in ! is draining.
+func updateEndpoints(k *Keeper, full bool, hostNames ...string) {
 	l := gather.EndpointList{Full: full}
-	var all []shardcall.Address
-	for i, name := range names {
+	var addresses []shardcall.Address
+	for i, name := range hostNames {
 		name, draining := strings.CutSuffix(name, "!")
 		s := gather.Endpoint{ID: uint32(i + 1), ReplicaSet: i % 2, Zone: map[byte]string{'n': "north", 's': "south"}[name[0]], Kind: "m"}
 		if draining {
 			s.State = gather.Draining
 		}
 		l.Endpoints = append(l.Endpoints, s)
-		all = append(all, shardcall.Address{ID: s.ID, Name: name, State: s.State})
+		addresses = append(addresses, shardcall.Address{ID: s.ID, Name: name, State: s.State})
 	}
-	k.UpdateEndpoints(l, all)
+	k.UpdateEndpoints(l, addresses)
 }
 
-func share(w [][]gather.Weight, group int, server uint32) float64 {
-	for _, one := range w[group] {
-		if one.Server == server {
-			return one.Share
+// shareOf returns the share of a server in the weights of a replica set, or -1 if it has none.
+func shareOf(w [][]gather.Weight, replicaSet int, server uint32) float64 {
+	for _, weight := range w[replicaSet] {
+		if weight.Server == server {
+			return weight.Share
 		}
 	}
 	return -1
 }
 
-// TestFile follows a plan that was read through its steps, a loss and old age, for gatherers of one hall.
-func TestFile(t *testing.T) {
+// TestPlanFileThroughStepsLossAndMaxAge checks the weights of a plan file for the gatherers of one zone: through its
+// steps, the loss of a host and its maximum age, and after an invalid file, which changes nothing.
+func TestPlanFileThroughStepsLossAndMaxAge(t *testing.T) {
 	k, h, hook := newKeeper("north")
-	path := write(t, "plan.conf", planText)
+	path := writeFile(t, "plan.conf", planText)
 	if err := k.Configure(&operator.File{Plan: path, PlanMaxAge: 300}); err != nil {
 		t.Fatal(err)
 	}
-	<-h.handed // nobody is listed yet
-	list(k, true, "n-1", "s-1", "s-2")
-	if w := <-h.handed; share(w, 0, 1) != 6 || share(w, 0, 2) != 2 || len(w) != 1 {
-		t.Errorf("weights %v: rows of the own hall alone", w)
+	<-h.updates // without shares, since no host is listed yet
+	updateEndpoints(k, true, "n-1", "s-1", "s-2")
+	if w := <-h.updates; shareOf(w, 0, 1) != 6 || shareOf(w, 0, 2) != 2 || len(w) != 1 {
+		t.Errorf("weights %v, want those of the rows for zone north only", w)
 	}
-	h.pass(100)
-	if w := <-h.handed; share(w, 0, 1) != 8 || share(w, 0, 2) != 0 {
-		t.Errorf("weights %v after the second step", w)
+	h.advance(100)
+	if w := <-h.updates; shareOf(w, 0, 1) != 8 || shareOf(w, 0, 2) != 0 {
+		t.Errorf("weights %v after the second step began, want 8 and 0", w)
 	}
-	list(k, true, "n-1", "s-1", "s-2!")
-	if w := <-h.handed; share(w, 0, 1) != 6 || hook.LastEntry().Data["case"] != "host s-2" {
-		t.Errorf("log %v", hook.LastEntry().Message)
+	updateEndpoints(k, true, "n-1", "s-1", "s-2!")
+	if w := <-h.updates; shareOf(w, 0, 1) != 6 || hook.LastEntry().Data["case"] != "host s-2" {
+		t.Errorf("last log line %v, want the case host s-2 and its weights", hook.LastEntry().Message)
 	}
-	h.pass(300)
-	if w := <-h.handed; len(w) != 0 {
-		t.Errorf("weights %v of a plan too old", w)
+	h.advance(300)
+	if w := <-h.updates; len(w) != 0 {
+		t.Errorf("weights %v of a stale plan, want none", w)
 	}
 	if !strings.Contains(hook.LastEntry().Message, "too old") {
-		t.Errorf("log %v", hook.LastEntry().Message)
+		t.Errorf("last log line %v, want that the plan is too old", hook.LastEntry().Message)
 	}
-	// A faulty file changes nothing; one without weights is none.
+	// An invalid file, or a file without weights, is an error and changes nothing.
 	for _, text := range []string{strings.Replace(planText, "n-1=6/s", "n-1=7/s", 1), strings.Replace(planText, "n-1=6", "n-9=6", 1), "hall north\n"} {
-		if err := k.Configure(&operator.File{Plan: write(t, "bad.conf", text)}); err == nil || !strings.Contains(err.Error(), "bad.conf") {
-			t.Errorf("error %v", err)
+		if err := k.Configure(&operator.File{Plan: writeFile(t, "bad.conf", text)}); err == nil || !strings.Contains(err.Error(), "bad.conf") {
+			t.Errorf("error %v, want one that names bad.conf", err)
 		}
 	}
-	if len(h.handed) != 0 {
-		t.Error("a faulty plan was handed down")
+	if len(h.updates) != 0 {
+		t.Error("the weights of an invalid plan were set")
 	}
 	if err := k.Configure(&operator.File{Plan: path}); err != nil {
 		t.Fatal(err)
 	}
-	if w := <-h.handed; share(w, 0, 1) != 6 {
-		t.Errorf("weights %v", w)
+	if w := <-h.updates; shareOf(w, 0, 1) != 6 {
+		t.Errorf("weights %v of a plan without a maximum age, want 6 for n-1", w)
 	}
-	if err := k.Configure(&operator.File{}); err != nil || len(<-h.handed) != 0 {
-		t.Errorf("without a plan: %v", err)
+	if err := k.Configure(&operator.File{}); err != nil || len(<-h.updates) != 0 {
+		t.Errorf("after the plan was removed: error %v, or weights are left", err)
 	}
 }
 
-// TestZone: a gatherer of a hall that the plan does not know goes by all halls together.
-func TestZone(t *testing.T) {
+// TestZoneWithoutRowsUsesSumOfAllZones checks that gatherers of a zone without rows in the plan use the sum of the
+// weights of all zones.
+func TestZoneWithoutRowsUsesSumOfAllZones(t *testing.T) {
 	k, h, _ := newKeeper("east")
-	list(k, true, "n-1", "s-1", "s-2")
-	if err := k.Configure(&operator.File{Plan: write(t, "plan.conf", planText)}); err != nil {
+	updateEndpoints(k, true, "n-1", "s-1", "s-2")
+	if err := k.Configure(&operator.File{Plan: writeFile(t, "plan.conf", planText)}); err != nil {
 		t.Fatal(err)
 	}
-	if w := <-h.handed; len(w) != 2 || share(w, 0, 1) != 6 || share(w, 1, 3) != 4 {
-		t.Errorf("weights %v", w)
+	if w := <-h.updates; len(w) != 2 || shareOf(w, 0, 1) != 6 || shareOf(w, 1, 3) != 4 {
+		t.Errorf("weights %v, want the sums over all zones", w)
 	}
 }
 
-// TestSolves has weights worked out anew as the list changes, a host that drains while a solve runs among them, and
-// keeps what is in force where nothing fits.
-func TestSolves(t *testing.T) {
+// TestWeightsAreSolvedAgainWhenEndpointsChange checks that weights are solved again when the endpoint list changes,
+// also if a host starts to drain before a waiting solve runs, and that the plan in force stays if demand does not fit
+// or a server is of an unknown kind.
+func TestWeightsAreSolvedAgainWhenEndpointsChange(t *testing.T) {
 	k, h, hook := newKeeper("north")
-	path := write(t, "halls.conf", "from-list\nkind m capacity 30/s\nhall north\nhall south\ndemand * north 10/s\n")
+	path := writeFile(t, "halls.conf", "from-list\nkind m capacity 30/s\nhall north\nhall south\ndemand * north 10/s\n")
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	defer func() { stop(); <-done }()
-	blocked, free := make(chan bool), make(chan bool)
-	k.jobs.Submit("first", 0, func(func() error) error { // keeps the solve waiting until the list has changed again
+	blocked, release := make(chan bool), make(chan bool)
+	k.jobs.Submit("first", 0, func(func() error) error { // delays the solve until the list has changed again
 		close(blocked)
-		<-free
+		<-release
 		return nil
 	})
 	go func() { k.Run(ctx); close(done) }()
@@ -184,40 +189,41 @@
 	if err := k.Configure(&operator.File{Placement: path}); err != nil {
 		t.Fatal(err)
 	}
-	list(k, true, "n-1", "n-2", "s-1", "s-2", "s-3", "s-4")
-	list(k, true, "n-1", "n-2", "s-1!", "s-2", "s-3", "s-4")
-	close(free)
-	w := <-h.handed
-	if share(w, 0, 1)+share(w, 0, 5) != 10 || share(w, 0, 3) > 0 || share(w, 1, 2) <= 0 {
-		t.Errorf("weights %v", w)
-	}
-	// Now one that drains between a solve and the next: the module leaves it out by itself, the next plan gives
-	// it nothing.
-	list(k, true, "n-1", "n-2", "s-1", "s-2", "s-3!", "s-4")
-	for share(w, 0, 5) > 0 || share(w, 0, 3) <= 0 {
-		w = <-h.handed
-	}
-	// A kind that the file does not tell, and demand that does not fit: the plan in force stays.
-	k.Configure(&operator.File{Placement: write(t, "halls.conf", "from-list\nkind m capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
-	wait(t, hook, "no weights fit")
-	k.Configure(&operator.File{Placement: write(t, "halls.conf", "from-list\nkind x capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
-	wait(t, hook, "background: job failed")
-	if len(h.handed) != 0 {
-		t.Error("weights handed down though none were worked out")
-	}
-	if err := k.Configure(&operator.File{Placement: write(t, "halls.conf", "hall north\n")}); err == nil || !strings.Contains(err.Error(), "lacks from-list") {
-		t.Errorf("error %v", err)
+	updateEndpoints(k, true, "n-1", "n-2", "s-1", "s-2", "s-3", "s-4")
+	updateEndpoints(k, true, "n-1", "n-2", "s-1!", "s-2", "s-3", "s-4")
+	close(release)
+	w := <-h.updates
+	if shareOf(w, 0, 1)+shareOf(w, 0, 5) != 10 || shareOf(w, 0, 3) > 0 || shareOf(w, 1, 2) <= 0 {
+		t.Errorf("weights %v, want none for the draining host and 10 in all for replica set 0", w)
+	}
+	// A host starts to drain after a solve. The weights of the plan in force leave it out at once, and the next plan
+	// gives it no weight.
+	updateEndpoints(k, true, "n-1", "n-2", "s-1", "s-2", "s-3!", "s-4")
+	for shareOf(w, 0, 5) > 0 || shareOf(w, 0, 3) <= 0 {
+		w = <-h.updates
+	}
+	// Demand that does not fit, and then a kind that the file does not describe: the plan in force stays.
+	k.Configure(&operator.File{Placement: writeFile(t, "halls.conf", "from-list\nkind m capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
+	waitForLog(t, hook, "plan: demand does not fit; keeping the plan in force")
+	k.Configure(&operator.File{Placement: writeFile(t, "halls.conf", "from-list\nkind x capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
+	waitForLog(t, hook, "background: job failed")
+	if len(h.updates) != 0 {
+		t.Error("weights were set although no solve succeeded")
+	}
+	if err := k.Configure(&operator.File{Placement: writeFile(t, "halls.conf", "hall north\n")}); err == nil || !strings.Contains(err.Error(), "lacks from-list") {
+		t.Errorf("error %v, want that from-list is missing", err)
 	}
 }
 
-func wait(t *testing.T, hook *test.Hook, words string) {
+// waitForLog waits until a warning or error that contains text is logged.
+func waitForLog(t *testing.T, hook *test.Hook, text string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); time.Sleep(time.Millisecond) {
 		for _, e := range hook.AllEntries() {
-			if e.Level <= logrus.WarnLevel && strings.Contains(e.Message, words) {
+			if e.Level <= logrus.WarnLevel && strings.Contains(e.Message, text) {
 				return
 			}
 		}
 	}
-	t.Fatalf("the log never says %q", words)
+	t.Fatalf("no warning or error with %q was logged within 10 seconds", text)
 }
