--- a/internal/config/placementfile/directives.go
+++ b/internal/config/placementfile/directives.go
@@ -5,28 +5,28 @@
 	"yokeroute/logic/placement"
 )
 
-// Bounds of numbers in files. Times are milliseconds.
+// Limits of numbers in placement files. Times are in milliseconds.
 const (
-	minUnit       = 1e-6 // a second
-	maxUnit       = 1e6
-	maxClockSkew  = 3_600_000
-	maxSteps      = 100
-	maxMoved      = 1e9
-	maxHeld       = 1e6
-	maxWarmupTime = 1e9
-	maxReplicaSet = 1e6
-	maxReplicas   = 1000
-	maxCost       = placement.MaxCost / placement.CostUnits
+	minUnit            = 1e-6 // shard requests per second
+	maxUnit            = 1e6  // shard requests per second
+	maxClockSkew       = 3_600_000
+	maxSteps           = 100
+	maxMoves           = 1e9
+	maxSegmentsPerHost = 1e6
+	maxWarmupTime      = 1e9
+	maxReplicaSet      = 1e6
+	maxReplicas        = 1000
+	maxCost            = placement.MaxCost / placement.CostUnits
 )
 
-// stateNames are the names of gather.State, in its order.
+// stateNames lists the names of the values of gather.State, indexed by value.
 var stateNames = []string{"running", "draining", "gone"}
 
-// table is what may stand in a file. What is read goes into f.
+// table returns the directives of placement files. Reading a file with it sets the fields of f.
 func (f *File) table() *directive.Table {
 	return &directive.Table{
 		Name:  "placement file",
-		Intro: "Halls, hosts, segments and demand, for `yokeroute plan`; with weights in it, a plan.",
+		Intro: "Halls, hosts, segments and demand, for `yokeroute plan`. A placement file with weights is a plan.",
 		Directives: []*directive.Directive{
 			f.unitDirective(), f.atDirective(), f.clocksDirective(), f.stepsDirective(), f.mostMovedDirective(),
 			f.zoneDirective(), f.crossingDirective(), f.kindDirective(), f.hostDirective(), f.segmentDirective(),
@@ -35,8 +35,9 @@
 	}
 }
 
-// keep keeps the lines of a directive for build, since names may be used before the lines that define them.
-func (f *File) keep(line string) func(*directive.Values) error {
+// collect returns a function that stores the lines of a directive until build processes them, since a name may be used
+// before the line that defines it.
+func (f *File) collect(line string) func(*directive.Values) error {
 	return func(v *directive.Values) error {
 		f.lines[line] = append(f.lines[line], v)
 		return nil
@@ -48,9 +49,9 @@
 		Name: "unit", Once: true,
 		Args: []directive.Field{
 			{Name: "rate", Kind: directive.Rate, Min: minUnit, Max: maxUnit,
-				Help: "the rate that is not split further"},
+				Help: "smallest rate that is assigned"},
 		},
-		Help:    "Weights are whole numbers of this rate, and all rates are multiples of it; 1/s unless told.",
+		Help:    "All weights and rates are whole multiples of this rate; default 1/s.",
 		Example: "unit 0.1/s",
 		Apply: func(v *directive.Values) error {
 			f.Model.Unit = v.Number("rate", 0)
@@ -64,9 +65,9 @@
 	return &directive.Directive{
 		Name: "at", Once: true,
 		Args: []directive.Field{
-			{Name: "moment", Kind: directive.Timestamp, Help: "from which the plan holds"},
+			{Name: "moment", Kind: directive.Timestamp, Help: "from which the plan is in effect"},
 		},
-		Help:    "When the plan begins to hold; the moment of solving unless told.",
+		Help:    "Time from which the plan is in effect; default the time of solving.",
 		Example: "at 2026-12-01T10:00:00Z",
 		Apply:   func(v *directive.Values) error { f.Model.At = v.Number("moment", 0); return nil },
 	}
@@ -79,7 +80,7 @@
 			{Name: "time", Kind: directive.Duration, Max: maxClockSkew,
 				Help: "by which a gatherer's clock may run ahead"},
 		},
-		Help:    "What a host that warms up is safe to take is reckoned by the slowest clock.",
+		Help:    "The safe capacity of a host that is warming up is computed by the slowest clock.",
 		Example: "clocks 500ms",
 		Apply:   func(v *directive.Values) error { f.Model.ClockSkew = v.Number("time", 0); return nil },
 	}
@@ -92,7 +93,7 @@
 			{Name: "number", Kind: directive.Count, Min: 1, Max: maxSteps,
 				Help: "of steps until the last host is warm"},
 		},
-		Help:    "Into how many steps a plan is cut while hosts warm up; 8 unless told.",
+		Help:    "Number of steps of a plan while hosts are warming up; default 8.",
 		Example: "steps 4",
 		Apply:   func(v *directive.Values) error { f.Model.Steps = int(v.Number("number", 0)); return nil },
 	}
@@ -102,10 +103,10 @@
 	return &directive.Directive{
 		Name: "most-moved", Once: true,
 		Args: []directive.Field{
-			{Name: "replicas", Kind: directive.Count, Max: maxMoved,
-				Help: "that may be put where they are not now"},
+			{Name: "replicas", Kind: directive.Count, Max: maxMoves,
+				Help: "that may be copied to another host"},
 		},
-		Help:    "Bounds what a new placement may move; any number unless told.",
+		Help:    "Limits how many replicas a new placement may move; default any number.",
 		Example: "most-moved 6",
 		Apply:   func(v *directive.Values) error { f.Model.MaxMoves = int(v.Number("replicas", 0)); return nil },
 	}
@@ -116,12 +117,12 @@
 		Name: zoneLine,
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "most", Kind: directive.Rate, Help: "load that its hosts may carry together"},
+			{Name: "most", Kind: directive.Rate, Help: "maximum load of all its hosts together"},
 			{Name: "spare", Kind: directive.RateOrShare, Help: "capacity of its hosts that has to stay free"},
 		},
-		Help:    "A place whose hosts share limits.",
+		Help:    "A hall (zone), whose hosts have common limits.",
 		Example: "hall ktm-hall most 900/s spare 10%",
-		Apply:   f.keep(zoneLine),
+		Apply:   f.collect(zoneLine),
 	}
 }
 
@@ -131,26 +132,26 @@
 		Args: []directive.Field{
 			{Name: "from", Kind: directive.Name, Help: "hall of the gatherer"},
 			{Name: "to", Kind: directive.Name, Help: "hall of the host"},
-			{Name: "cost", Kind: directive.Number, Max: maxCost, Help: "price of a part"},
+			{Name: "cost", Kind: directive.Number, Max: maxCost, Help: "cost of a shard request"},
 		},
-		Help: "What a part costs that goes from one hall to another. It holds both ways unless the other way is " +
-			"given too; 1 unless told.",
+		Help: "Cost of a shard request from one hall to another. It applies in both directions unless the opposite " +
+			"direction is given too; default 1.",
 		Example: "crossing ktm-hall patan-hall 2.5",
-		Apply:   f.keep(crossingLine),
+		Apply:   f.collect(crossingLine),
 	}
 }
 
-// hostOptions are the options that hosts and kinds of hosts have in common.
+// hostOptions returns the options that the directives host and kind have in common.
 func hostOptions() []directive.Field {
 	return []directive.Field{
-		{Name: "capacity", Kind: directive.Rate, Help: "parts that it can answer when warm"},
-		{Name: "cost", Kind: directive.Number, Max: maxCost, Help: "price of a part; 0 unless told"},
-		{Name: "holds", Kind: directive.Count, Max: maxHeld,
-			Help: "segments that it has room for; any number unless told"},
+		{Name: "capacity", Kind: directive.Rate, Help: "shard requests that it can answer when warm"},
+		{Name: "cost", Kind: directive.Number, Max: maxCost, Help: "cost of a shard request; default 0"},
+		{Name: "holds", Kind: directive.Count, Max: maxSegmentsPerHost,
+			Help: "maximum number of segments; default any number"},
 		{Name: "cold", Kind: directive.Share,
-			Help: "of its capacity that is safe when it has just started; nothing unless told"},
+			Help: "of its capacity that is safe right after its start; default 0%"},
 		{Name: "warms", Kind: directive.Duration, Max: maxWarmupTime,
-			Help: "time in which that rises evenly to all of it"},
+			Help: "time in which that rises linearly to all of it"},
 	}
 }
 
@@ -159,7 +160,7 @@
 		Name:    "kind",
 		Args:    []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: hostOptions(),
-		Help:    "What hosts of one kind have alike; a host's own line goes before it.",
+		Help:    "Options of all hosts of a kind; those on a host's own line take precedence.",
 		Example: "kind m2 capacity 120/s cost 3 cold 18% warms 17s",
 		Apply: func(v *directive.Values) error {
 			name := v.Text("name")
@@ -174,20 +175,20 @@
 
 func (f *File) hostDirective() *directive.Directive {
 	options := []directive.Field{
-		{Name: "hall", Kind: directive.Name, Required: true, Help: "where it stands"},
-		{Name: "kind", Kind: directive.Name, Help: "of which it is"},
+		{Name: "hall", Kind: directive.Name, Required: true, Help: "in which it is"},
+		{Name: "kind", Kind: directive.Name, Help: "whose options it has"},
 		{Name: "state", Kind: directive.Choice, Choices: stateNames,
-			Help: "running unless told; the others get nothing"},
+			Help: "default running; hosts in other states get no load"},
 		{Name: "started", Kind: directive.Timestamp,
-			Help: "when it last started, or will; long ago unless told"},
+			Help: "time of its last or next start; default long ago"},
 	}
 	return &directive.Directive{
 		Name:    hostLine,
 		Args:    []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: append(options, hostOptions()...),
-		Help:    "One machine.",
+		Help:    "A host.",
 		Example: "host s-01 hall ktm-hall capacity 120/s",
-		Apply:   f.keep(hostLine),
+		Apply:   f.collect(hostLine),
 	}
 }
 
@@ -197,14 +198,14 @@
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
 			{Name: "group", Kind: directive.Count, Max: maxReplicaSet,
-				Help: "of the gatherers' shards that it is"},
+				Help: "replica set of the gatherers that serves it"},
 			{Name: "replicas", Kind: directive.Count, Min: 1, Max: maxReplicas,
-				Help: "wanted of a new placement; as many as it has unless told"},
+				Help: "number in a new placement; default as many as it has"},
 			{Name: "on", Kind: directive.Names, Help: "hosts that hold it"},
 		},
-		Help:    "Data that its hosts hold, each all of it.",
+		Help:    "A part of the data; each of its hosts holds all of it.",
 		Example: "segment names-a group 0 replicas 3 on s-01 s-02 s-07",
-		Apply:   f.keep(segmentLine),
+		Apply:   f.collect(segmentLine),
 	}
 }
 
@@ -213,15 +214,15 @@
 		Name: demandLine,
 		Args: []directive.Field{
 			{Name: "segment", Kind: directive.Name,
-				Help: "or * for each segment that has no line of its own"},
-			{Name: "hall", Kind: directive.Name, Help: "of the gatherers that ask"},
-			{Name: "rate", Kind: directive.Rate, Help: "parts that they ask for"},
+				Help: "or * for each segment without a line of its own for this hall"},
+			{Name: "hall", Kind: directive.Name, Help: "of the gatherers that send the requests"},
+			{Name: "rate", Kind: directive.Rate, Help: "of their shard requests"},
 		},
-		Help:    "What the gatherers of a hall ask of a segment, all together.",
+		Help:    "Rate at which all gatherers of a hall together send shard requests for a segment.",
 		Example: "demand names-a ktm-hall 140/s",
 		Apply: func(v *directive.Values) error {
 			if v.Text("segment") != wildcard {
-				return f.keep(demandLine)(v)
+				return f.collect(demandLine)(v)
 			}
 			f.wildcardDemands = append(f.wildcardDemands, v)
 			return nil
@@ -232,8 +233,8 @@
 func (f *File) fromListDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "from-list", Once: true,
-		Help: "Hosts and segments come from discovery's list as it changes: a host's kind, hall and start are the " +
-			"list's, a segment is a group of shards. For `placement` in the operator's file.",
+		Help: "Takes hosts and segments from discovery's list as it changes. The list gives the kind, hall and start " +
+			"of each host, and each group of shards is a segment. For `placement` in the operator's file.",
 		Example: "from-list",
 		Apply:   func(*directive.Values) error { f.FromList = true; return nil },
 	}
@@ -244,7 +245,7 @@
 		Name: "step",
 		Args: []directive.Field{
 			{Name: "moment", Kind: directive.Timestamp, Optional: true,
-				Help: "from which the weights below hold; the beginning unless told"},
+				Help: "from which the weights below are in effect; default the start of the plan"},
 		},
 		Help:    "Begins a set of weights. Written by `yokeroute plan solve`.",
 		Example: "step 2026-12-01T10:00:04Z",
@@ -258,9 +259,9 @@
 		Args: []directive.Field{{Name: "name", Kind: directive.Text}},
 		Options: []directive.Field{
 			{Name: "lost", Kind: directive.Names, Required: true, Help: "hosts that are missing"},
-			{Name: "short", Kind: directive.Rate, Help: "demand that does not fit any more"},
+			{Name: "short", Kind: directive.Rate, Help: "demand that does not fit the remaining hosts"},
 		},
-		Help: "Begins the weights for a loss; rows that it does not give are those of the plan. " +
+		Help: "Begins the weights for a loss of hosts; rows that are left out are the same as in the plan. " +
 			"Written by `yokeroute plan solve`.",
 		Example: `case "hall ktm-hall" lost s-01 s-02 short 40/s`,
 		Apply:   f.addCase,
@@ -272,10 +273,10 @@
 		Name: weightsLine,
 		Args: []directive.Field{
 			{Name: "segment", Kind: directive.Name},
-			{Name: "hall", Kind: directive.Name, Help: "of the gatherers that go by them"},
-			{Name: "hosts", Kind: directive.NamedRates, Help: "what each host gets"},
+			{Name: "hall", Kind: directive.Name, Help: "of the gatherers that use them"},
+			{Name: "hosts", Kind: directive.NamedRates, Help: "rate of each host"},
 		},
-		Help:    "One row of weights.",
+		Help:    "Weights of the hosts of a segment for the gatherers of a hall.",
 		Example: "weights names-a ktm-hall s-01=90/s s-02=50/s",
 		Apply:   f.addWeights,
 	}
--- a/internal/config/placementfile/endpoints.go
+++ b/internal/config/placementfile/endpoints.go
@@ -11,15 +11,16 @@
 	"yokeroute/logic/placement"
 )
 
-// NamedEndpoint is a server of the endpoint list under its name.
+// NamedEndpoint is an entry of the endpoint list with the name of its server.
 type NamedEndpoint struct {
 	Name string
 	gather.Endpoint
 }
 
-// WithEndpoints completes a from-list file. The hosts are the listed servers, with the figures that the file gives
-// their kinds, and each replica set is a segment group-N. Where a kind does not say how its hosts warm up, the
-// settings do. A server whose kind the file does not describe is an error, since nothing is known of its capacity.
+// WithEndpoints returns the model of a from-list file for an endpoint list. Its hosts are the listed servers, with the
+// options that the file gives for their kinds, and its segments are the replica sets, named group-N. If a kind does not
+// specify the warmup of its hosts, the settings apply. A server whose kind the file does not describe is an error,
+// since its capacity is unknown.
 func (f *File) WithEndpoints(list []NamedEndpoint, settings *gather.Settings, now float64) (*placement.Model, error) {
 	m := f.Model
 	m.At = math.Ceil(now)
@@ -41,30 +42,30 @@
 	for _, v := range f.wildcardDemands {
 		m.Demands = append(m.Demands, b.expandWildcard(v, m.Segments, m.Demands)...)
 	}
-	if len(b.mistakes) > 0 {
-		return nil, b.lastMistake()
+	if len(b.errors) > 0 {
+		return nil, b.lastError()
 	}
-	if faults := m.Validate(); len(faults) > 0 {
-		return nil, f.endpointFault(faults[0])
+	if entryErrors := m.Validate(); len(entryErrors) > 0 {
+		return nil, f.locateUnlessListed(entryErrors[0])
 	}
 	return &m, nil
 }
 
-// lastMistake returns the last mistake that was collected.
-func (b *builder) lastMistake() *directive.Error { return b.mistakes[len(b.mistakes)-1] }
+// lastError returns the last error that was collected.
+func (b *builder) lastError() *directive.Error { return b.errors[len(b.errors)-1] }
 
-// hostOf returns the host that a listed server is, by its kind.
+// hostOf returns the host for a listed server, with the options of its kind.
 func (f *File) hostOf(e *NamedEndpoint, settings *gather.Settings) (placement.Host, error) {
 	h := placement.Host{Name: e.Name, Zone: e.Zone, State: e.State, StartedAt: e.StartedAt}
 	kind := f.kinds[e.Kind]
 	if kind == nil {
-		return h, fmt.Errorf("host %s is of kind %q, which the placement file does not tell%s",
+		return h, fmt.Errorf("host %s is of kind %q, which the placement file does not describe%s",
 			e.Name, e.Kind, suggest.Hint(e.Kind, f.kindNames()))
 	}
 	b := &builder{file: f}
 	b.fillHost(&h, kind, nil)
-	if len(b.mistakes) > 0 {
-		return h, b.lastMistake()
+	if len(b.errors) > 0 {
+		return h, b.lastError()
 	}
 	if e.Size > 0 {
 		h.Capacity = int64(math.Floor(float64(h.Capacity) * e.Size))
@@ -76,8 +77,8 @@
 	return h, nil
 }
 
-// replicaSetSegments returns a segment for each replica set. A server holds its own replica set and as many before it
-// as the settings place in a row.
+// replicaSetSegments returns a segment for each replica set. A server holds its own replica set and the ones before it,
+// as many in all as the settings place on each shard.
 func replicaSetSegments(list []NamedEndpoint, settings *gather.Settings) []placement.Segment {
 	count := settings.ReplicaSets
 	hosts := make([][]string, count)
@@ -98,11 +99,12 @@
 	return segments
 }
 
-// endpointFault adds the place of a line that is at fault. Hosts and segments are the list's, and have none.
-func (f *File) endpointFault(fault *placement.EntryError) error {
-	located := f.locate(fault)
-	if fault.Kind == hostLine || fault.Kind == segmentLine || located.Position == (directive.Position{}) {
-		return fault
+// locateUnlessListed adds the position of the invalid line to an error. Errors in hosts and segments have no line,
+// since they come from the endpoint list.
+func (f *File) locateUnlessListed(entryError *placement.EntryError) error {
+	located := f.locate(entryError)
+	if entryError.Kind == hostLine || entryError.Kind == segmentLine || located.Position == (directive.Position{}) {
+		return entryError
 	}
 	return located
 }
--- a/internal/config/placementfile/file.go
+++ b/internal/config/placementfile/file.go
@@ -1,8 +1,8 @@
-// Package placementfile reads and writes placement files: what an operator says of zones, hosts, segments and demand,
-// and the plan that was worked out for it. A plan is a placement file with weights in it, so that it can be read,
-// checked and solved again by itself.
+// Package placementfile reads and writes placement files. A placement file describes zones, hosts, segments and demand.
+// A plan is a placement file that also contains weights, so that it can be read, checked and solved again without any
+// other file.
 //
-// In a file a zone is called a hall, and a replica set a group.
+// In placement files, a zone is called a hall, and a replica set is called a group.
 package placementfile
 
 import (
@@ -13,14 +13,14 @@
 )
 
 const (
-	defaultUnit  = 1.0 // shard requests a second
-	defaultSteps = 8   // keeps a host that warms up within an eighth of its capacity
+	defaultUnit  = 1.0 // shard requests per second
+	defaultSteps = 8   // a host that is warming up gains at most an eighth of its capacity per step
 
-	// roundingError is how far a parsed number may be from the whole number that was written.
+	// roundingError is the tolerance for a parsed number that should be a whole number.
 	roundingError = 1e-6
 )
 
-// Directives that describe a model or a plan, by which their lines are kept. The first five are also the kinds of
+// Names of the directives whose lines are collected until the whole file is read. The first five are also the kinds of
 // entries of a model.
 const (
 	zoneLine     = placement.ZoneEntry
@@ -32,28 +32,28 @@
 	weightsLine  = "weights"
 )
 
-// wildcard stands for all segments in a demand.
+// wildcard is the name that stands for all segments in a demand directive.
 const wildcard = "*"
 
 // File is a placement file that has been read and checked.
 type File struct {
 	Model    placement.Model
-	Plan     *placement.Plan // nil where it holds no weights
-	FromList bool            // hosts and segments come from discovery's list
+	Plan     *placement.Plan // nil if the file contains no weights
+	FromList bool            // hosts and segments are taken from discovery's list
 
-	kinds           map[string]*directive.Values
-	lines           map[string][]*directive.Values // of each directive, in the order of the model's entries
-	wildcardDemands []*directive.Values
-	unitLine        *directive.Values
-	currentStep     *placement.Step // to which weights are added
-	inCase          bool            // steps are added to the last case
+	kinds           map[string]*directive.Values   // lines of kinds, by name
+	lines           map[string][]*directive.Values // lines by directive, in the order of the model's entries
+	wildcardDemands []*directive.Values            // demand lines for all segments
+	unitLine        *directive.Values              // nil if the file has none
+	currentStep     *placement.Step                // step to which weights are added
+	inCase          bool                           // whether steps are added to the last case
 }
 
 // Reference returns the reference page of placement files.
 func Reference() string { return newFile(0).table().Reference() }
 
-// Read reads and checks a file. Mistakes in it come as a directive.ErrorList. Now, in Unix milliseconds, is when a
-// plan begins to hold unless the file says otherwise.
+// Read reads and checks a file. Errors in its lines are returned as a directive.ErrorList. Now, in Unix milliseconds,
+// is the time from which a plan is in effect unless the file specifies it.
 func Read(name string, now float64) (*File, error) {
 	f := newFile(now)
 	if err := f.table().Read(name); err != nil {
@@ -62,7 +62,7 @@
 	return f, f.build()
 }
 
-// Parse reads and checks a text that includes no files.
+// Parse reads and checks a text, which must not include other files.
 func Parse(name, text string, now float64) (*File, error) {
 	f := newFile(now)
 	if err := f.table().Parse(name, text); err != nil {
@@ -79,8 +79,8 @@
 	}
 }
 
-// FormatUnits writes a number of units as a rate.
+// FormatUnits formats a number of units as a rate.
 func FormatUnits(unit float64, units int64) string {
-	const precision = 1e9 // hides rounding errors of the product
+	const precision = 1e9 // rounds to this fraction, to hide rounding errors of the product
 	return directive.FormatRate(math.Round(float64(units)*unit*precision) / precision)
 }
--- a/internal/config/placementfile/model.go
+++ b/internal/config/placementfile/model.go
@@ -10,23 +10,23 @@
 	"yokeroute/logic/placement"
 )
 
-// builder builds a model from the lines of a file, and collects what is wrong with them.
+// builder builds a model from the lines of a file, and collects the errors in them.
 type builder struct {
-	file     *File
-	mistakes directive.ErrorList
+	file   *File
+	errors directive.ErrorList
 }
 
-func (b *builder) reject(mistake *directive.Error) { b.mistakes = append(b.mistakes, mistake) }
+func (b *builder) reject(err *directive.Error) { b.errors = append(b.errors, err) }
 
-// err returns the mistakes, nil where there is none.
+// err returns the collected errors, or nil if there are none.
 func (b *builder) err() error {
-	if len(b.mistakes) == 0 {
+	if len(b.errors) == 0 {
 		return nil
 	}
-	return b.mistakes
+	return b.errors
 }
 
-// build builds the model, and the plan if there is one, from the lines that were kept.
+// build builds the model, and the plan if the file contains one, from the collected lines.
 func (f *File) build() error {
 	b := &builder{file: f}
 	b.addZones()
@@ -35,9 +35,9 @@
 	b.addSegments()
 	b.addDemands()
 	f.addWildcardDemands(b)
-	if len(b.mistakes) == 0 && !f.FromList {
-		for _, fault := range f.Model.Validate() {
-			b.reject(f.locate(fault))
+	if len(b.errors) == 0 && !f.FromList {
+		for _, entryError := range f.Model.Validate() {
+			b.reject(f.locate(entryError))
 		}
 	}
 	b.checkFromList()
@@ -112,7 +112,7 @@
 	}
 }
 
-// addWildcardDemands adds a demand on all segments to each that has none of its own from that zone.
+// addWildcardDemands adds the demand of each wildcard line to the segments without a demand from its zone.
 func (f *File) addWildcardDemands(b *builder) {
 	for _, v := range f.wildcardDemands {
 		for _, demand := range b.expandWildcard(v, f.Model.Segments, f.Model.Demands) {
@@ -122,7 +122,7 @@
 	}
 }
 
-// expandWildcard returns a wildcard's demand for each segment that has none yet from its zone.
+// expandWildcard returns the demand of a wildcard line for each segment without a demand from its zone.
 func (b *builder) expandWildcard(
 	v *directive.Values, segments []placement.Segment, demands []placement.Demand) (added []placement.Demand) {
 	rate := b.units(v, "rate")
@@ -146,7 +146,7 @@
 	if len(lines) > 0 {
 		b.reject(&directive.Error{
 			Position: lines[0].Position,
-			Message:  "from-list takes hosts and segments from the list; take these lines or from-list out",
+			Message:  "from-list takes hosts and segments from discovery's list; remove these lines or from-list",
 		})
 	}
 }
@@ -160,18 +160,19 @@
 	return names
 }
 
-// fillHost takes a host's figures from its own line or else from its kind's. One of the two may be nil.
-func (b *builder) fillHost(h *placement.Host, own, kind *directive.Values) {
+// fillHost sets the options of a host from its own line, or else from the line of its kind. One of the lines may be
+// nil.
+func (b *builder) fillHost(h *placement.Host, ownLine, kind *directive.Values) {
 	lineOf := func(option string) *directive.Values {
-		if kind != nil && (own == nil || !own.Has(option)) {
+		if kind != nil && (ownLine == nil || !ownLine.Has(option)) {
 			return kind
 		}
-		return own
+		return ownLine
 	}
 	if v := lineOf("capacity"); v.Has("capacity") {
 		h.Capacity = b.units(v, "capacity")
 	} else {
-		b.reject(v.Errorf("capacity", "host %s lacks its capacity, and no kind gives it; write capacity 120/s",
+		b.reject(v.Errorf("capacity", "host %s has no capacity, neither here nor from a kind; write capacity 120/s",
 			h.Name))
 	}
 	h.Cost = b.cost(lineOf("cost"))
@@ -180,53 +181,54 @@
 	h.WarmupTime = lineOf("warms").Number("warms", 0)
 }
 
-// units returns a rate in whole units of the model.
+// units returns a rate in units of the model. It rejects rates that are not whole multiples of the unit.
 func (b *builder) units(v *directive.Values, option string) int64 {
 	unit := b.file.Model.Unit
 	units := v.Number(option, 0) / unit
-	whole := math.Round(units)
+	rounded := math.Round(units)
 	switch {
 	case units > placement.MaxRate:
 		b.reject(v.Errorf(option, "is more than %d units of %s; write less, or a larger unit",
 			placement.MaxRate, directive.FormatRate(unit)))
-	case math.Abs(units-whole) > roundingError:
+	case math.Abs(units-rounded) > roundingError:
 		b.reject(v.Errorf(option, "is no multiple of the unit, %s; write %s, or a smaller unit",
-			directive.FormatRate(unit), FormatUnits(unit, int64(whole))))
+			directive.FormatRate(unit), FormatUnits(unit, int64(rounded))))
 	}
-	return int64(whole)
+	return int64(rounded)
 }
 
-// cost returns a cost in thousandths, the units of the model.
+// cost returns the cost of a line in thousandths, as in the model.
 func (b *builder) cost(v *directive.Values) int64 {
 	cost := v.Number("cost", 0) * placement.CostUnits
-	whole := math.Round(cost)
-	if math.Abs(cost-whole) > roundingError {
-		b.reject(v.Errorf("cost", "has more than three decimals"))
+	rounded := math.Round(cost)
+	if math.Abs(cost-rounded) > roundingError {
+		b.reject(v.Errorf("cost", "has more than three decimal places; round it to thousandths"))
 	}
-	return int64(whole)
+	return int64(rounded)
 }
 
-// locate finds the line and the word of a model's fault. One of the model itself is at the line of the unit.
-func (f *File) locate(fault *placement.EntryError) *directive.Error {
-	lines := f.lines[fault.Kind]
-	if fault.Index >= len(lines) {
+// locate returns an entry error with the position of the line and word that caused it. Errors of the model itself are
+// at the line of the unit.
+func (f *File) locate(entryError *placement.EntryError) *directive.Error {
+	lines := f.lines[entryError.Kind]
+	if entryError.Index >= len(lines) {
 		var position directive.Position
 		if f.unitLine != nil {
 			position = f.unitLine.Position
 		}
-		return &directive.Error{Position: position, Token: fault.Value, Message: fault.Problem}
+		return &directive.Error{Position: position, Token: entryError.Value, Message: entryError.Problem}
 	}
-	v := lines[fault.Index]
-	words := v.List(fault.Field)
+	v := lines[entryError.Index]
+	values := v.List(entryError.Field)
 	index := 0
-	for i, word := range words {
-		if word == fault.Value {
-			index = i // the last one, since of two alike the second is too many
+	for i, value := range values {
+		if value == entryError.Value {
+			index = i // the last match, since of two equal names the second is the duplicate
 		}
 	}
-	token := fault.Value
-	if v.Has(fault.Field) && !slices.Contains(words, token) {
-		token = v.Text(fault.Field)
+	token := entryError.Value
+	if v.Has(entryError.Field) && !slices.Contains(values, token) {
+		token = v.Text(entryError.Field)
 	}
-	return &directive.Error{Position: v.Pos(fault.Field, index), Token: token, Message: fault.Problem}
+	return &directive.Error{Position: v.Pos(entryError.Field, index), Token: token, Message: entryError.Problem}
 }
--- a/internal/config/placementfile/plan.go
+++ b/internal/config/placementfile/plan.go
@@ -22,7 +22,7 @@
 	}
 	from := v.Number("moment", f.Model.At)
 	if n := len(*steps); n > 0 && from <= (*steps)[n-1].From {
-		return v.Errorf("moment", "is not after the step before it; steps go by time")
+		return v.Errorf("moment", "is not later than the previous step; sort the steps by time")
 	}
 	*steps = append(*steps, placement.Step{From: from})
 	f.currentStep = &(*steps)[len(*steps)-1]
@@ -32,50 +32,50 @@
 // addCase begins a case of the plan.
 func (f *File) addCase(v *directive.Values) error {
 	if f.Plan == nil || len(f.Plan.Steps) == 0 {
-		return errors.New("stands before the plan's own step")
+		return errors.New("comes before the first step of the plan; write the plan's own steps first")
 	}
 	c := placement.Case{Name: v.Text("name"), LostHosts: v.List("lost")}
 	if v.Has("short") {
 		b := builder{file: f}
 		c.Infeasibility = &placement.Infeasibility{Shortfall: b.units(v, "short")}
-		if len(b.mistakes) > 0 {
-			return b.mistakes[0]
+		if len(b.errors) > 0 {
+			return b.errors[0]
 		}
 	}
 	f.Plan.Cases = append(f.Plan.Cases, c)
 	f.inCase = true
 	f.currentStep = nil
-	return f.keep(caseLine)(v)
+	return f.collect(caseLine)(v)
 }
 
 // addWeights adds a row of weights to the current step.
 func (f *File) addWeights(v *directive.Values) error {
 	if f.currentStep == nil {
-		return errors.New("stands before any step; write step first")
+		return errors.New("comes before any step; write a step line first")
 	}
 	row := placement.Row{Segment: v.Text("segment"), Zone: v.Text("hall"), ReplicaSet: -1}
 	hosts, rates := v.Rates("hosts")
 	for i, host := range hosts {
-		mistake := func(message string) error {
+		hostError := func(message string) error {
 			return &directive.Error{Position: v.Pos("hosts", i), Token: v.List("hosts")[i], Message: message}
 		}
 		units := rates[i] / f.Model.Unit
-		whole := math.Round(units)
-		if math.Abs(units-whole) > roundingError || units > placement.MaxRate {
-			return mistake("is no whole number of the unit, " + directive.FormatRate(f.Model.Unit))
+		rounded := math.Round(units)
+		if math.Abs(units-rounded) > roundingError || units > placement.MaxRate {
+			return hostError("is no multiple of the unit, " + directive.FormatRate(f.Model.Unit))
 		}
 		if slices.ContainsFunc(row.Weights, func(w placement.Weight) bool { return w.Host == host }) {
-			return mistake("names the host twice")
+			return hostError("lists the host a second time; list each host once")
 		}
-		row.Weights = append(row.Weights, placement.Weight{Host: host, Rate: int64(whole)})
+		row.Weights = append(row.Weights, placement.Weight{Host: host, Rate: int64(rounded)})
 	}
 	slices.SortFunc(row.Weights, func(a, b placement.Weight) int { return strings.Compare(a.Host, b.Host) })
 	f.currentStep.Rows = append(f.currentStep.Rows, row)
-	return f.keep(weightsLine)(v)
+	return f.collect(weightsLine)(v)
 }
 
-// completePlan checks the names in a plan against its model, and adds the rows that its cases leave out and its
-// figures, which a file does not hold.
+// completePlan checks the names in a plan against its model. Then it adds the data that a file does not contain: the
+// rows that cases have in common with the plan, utilisation and cost.
 func (f *File) completePlan() error {
 	if f.Plan == nil {
 		return nil
@@ -83,7 +83,7 @@
 	if f.FromList {
 		return directive.ErrorList{{
 			Position: f.lines[weightsLine][0].Position,
-			Message:  "from-list has no hosts for weights; take these lines or from-list out",
+			Message:  "a file with from-list cannot contain weights; remove these lines or from-list",
 		}}
 	}
 	f.Plan.Model = f.Model.Normalized()
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// checkCases checks that the hosts of cases are the model's.
+// checkCases checks that the model has all hosts that are lost in cases.
 func (b *builder) checkCases() {
 	hosts := map[string]bool{}
 	for _, h := range b.file.Model.Hosts {
@@ -112,16 +112,17 @@
 	}
 }
 
-// demandKey is what tells demands of a model apart.
+// demandKey identifies a demand of a model.
 type demandKey struct{ segment, zone string }
 
-// checkWeights checks that each row of weights is for a demand, and for hosts that hold its segment.
+// checkWeights checks that the model has a demand for each row of weights, and that the hosts of the row hold its
+// segment.
 func (b *builder) checkWeights() {
-	holders := map[string]map[string]bool{} // by segment and host
+	holdsSegment := map[string]map[string]bool{} // by segment and host
 	for _, s := range b.file.Model.Segments {
-		holders[s.Name] = map[string]bool{}
+		holdsSegment[s.Name] = map[string]bool{}
 		for _, host := range s.Hosts {
-			holders[s.Name][host] = true
+			holdsSegment[s.Name][host] = true
 		}
 	}
 	demanded := map[demandKey]bool{}
@@ -130,13 +131,13 @@
 	}
 	for _, v := range b.file.lines[weightsLine] {
 		segment := v.Text("segment")
-		if holders[segment] == nil {
+		if holdsSegment[segment] == nil {
 			b.reject(v.Errorf("segment", "is no segment of this file"))
 			continue
 		}
 		hosts, _ := v.Rates("hosts")
 		for i, host := range hosts {
-			if !holders[segment][host] {
+			if !holdsSegment[segment][host] {
 				b.reject(&directive.Error{
 					Position: v.Pos("hosts", i),
 					Token:    host,
@@ -145,7 +146,7 @@
 			}
 		}
 		if !demanded[demandKey{segment, v.Text("hall")}] {
-			b.reject(v.Errorf("hall", "asks for nothing of segment %s in this file", segment))
+			b.reject(v.Errorf("hall", "has no demand for segment %s in this file", segment))
 		}
 	}
 }
--- a/internal/config/placementfile/write.go
+++ b/internal/config/placementfile/write.go
@@ -11,15 +11,15 @@
 	"yokeroute/logic/placement"
 )
 
-// writer writes the lines of a file. Errors are those of its last Flush.
+// writer writes the lines of a placement file. Write errors are returned by Flush.
 type writer struct {
 	*bufio.Writer
-	unit float64 // shard requests a second
+	unit float64 // shard requests per second
 }
 
 func (w *writer) printf(format string, args ...any) { fmt.Fprintf(w, format, args...) }
 
-// option writes an option of the current line where it differs from what applies without it.
+// option writes an option of the current line if its value differs from the default.
 func (w *writer) option(differs bool, name, value string) {
 	if differs {
 		w.printf(" %s %s", name, value)
@@ -35,8 +35,8 @@
 	return w.Flush()
 }
 
-// WritePlan writes a plan as a placement file that holds its model and its weights, and of its cases the rows that
-// differ from the plan's own.
+// WritePlan writes a plan as a placement file that contains its model and its weights. For cases it writes only the
+// rows that differ from the plan's own.
 func WritePlan(to io.Writer, p *placement.Plan) error {
 	w := &writer{bufio.NewWriter(to), p.Model.Unit}
 	w.printf("# A plan, written by yokeroute plan solve. It reads as a placement file.\n")
