--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -251,11 +251,11 @@
 	case s.Stale:
 		log.Warn("plan: too old; using plain round robin")
 	case s.CaseName != "":
-		log.WithField("case", s.CaseName).Warn("plan: hosts missing; using the weights of a case")
+		log.WithField("case", s.CaseName).Warn("plan: hosts missing; weights in force are those of a case")
 	case s.MissingHosts > 0:
-		log.Warn("plan: hosts missing; using the plan's weights for the others")
+		log.Warn("plan: hosts missing; weights in force are the plan's, for the remaining hosts")
 	default:
-		log.Info("plan: using the plan's weights")
+		log.Info("plan: weights in force")
 	}
 }
 
