--- a/internal/gatherer/background/background_test.go
+++ b/internal/gatherer/background/background_test.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// burn uses CPU until pause gives the baton away, so that a turn certainly ends.
-func burn(pause func() error, turns int) error {
+// burnCPU uses CPU until pause gives the baton away, so that a turn certainly ends.
+func burnCPU(pause func() error, turns int) error {
 	x := 0
 	for range turns {
 		for i := range 1_000_000 {
@@ -43,8 +43,8 @@
 	return nil
 }
 
-// TestTurns wants a job that asks while another runs to get its turns before that one is done, and all to end.
-func TestTurns(t *testing.T) {
+// TestHigherClassJobRunsBetweenTurns wants a job that asks while another runs to get its turns before that one is done, and all to end.
+func TestHigherClassJobRunsBetweenTurns(t *testing.T) {
 	s, end := newScheduler(t, 1)
 	defer end()
 	var mu sync.Mutex
@@ -63,7 +63,7 @@
 			note("short")
 			return nil
 		})
-		if err := burn(pause, 30); err != nil {
+		if err := burnCPU(pause, 30); err != nil {
 			t.Error(err)
 		}
 		note("long")
@@ -75,8 +75,8 @@
 	}
 }
 
-// TestAgain wants what was asked for while a job ran to run once after it, and the last that was asked for.
-func TestAgain(t *testing.T) {
+// TestLatestResubmissionRunsAfterRunningJob wants what was asked for while a job ran to run once after it, and the last that was asked for.
+func TestLatestResubmissionRunsAfterRunningJob(t *testing.T) {
 	s, end := newScheduler(t, 1)
 	defer end()
 	ran := make(chan int, 10)
@@ -101,14 +101,14 @@
 	}
 }
 
-// TestOff wants a job that was called off to be told so, one that panics to end alone, and the scheduler to wait
+// TestCancelPanicAndShutdownEndJobs wants a job that was called off to be told so, one that panics to end alone, and the scheduler to wait
 // for what runs when it ends.
-func TestOff(t *testing.T) {
+func TestCancelPanicAndShutdownEndJobs(t *testing.T) {
 	s, end := newScheduler(t, 0.5)
 	begun, told := make(chan bool), make(chan error, 1)
 	s.Submit("a", jobs.Normal, func(pause func() error) error {
 		close(begun)
-		err := burn(pause, 1<<30)
+		err := burnCPU(pause, 1<<30)
 		told <- err
 		return err
 	})
@@ -121,7 +121,7 @@
 	begun = make(chan bool)
 	s.Submit("c", jobs.Normal, func(pause func() error) error {
 		close(begun)
-		err := burn(pause, 1<<30)
+		err := burnCPU(pause, 1<<30)
 		told <- err
 		return err
 	})
--- a/internal/gatherer/frontend/activequeries_test.go
+++ b/internal/gatherer/frontend/activequeries_test.go
@@ -97,8 +97,8 @@
 	}
 }
 
-// TestClientGoneBeforePickIsAbandoned has a client go before its query is picked. Nothing is decided for it.
-func TestClientGoneBeforePickIsAbandoned(t *testing.T) {
+// TestDisconnectBeforePickAbandonsQuery has a client go before its query is picked. Nothing is decided for it.
+func TestDisconnectBeforePickAbandonsQuery(t *testing.T) {
 	f, s, _ := startServer(t, 10, failed)
 	ctx, leave := context.WithCancel(t.Context())
 	leave()
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -21,53 +21,53 @@
 // What changes from run to run, which transcripts hold without its value: the header Date, and the ports in the text
 // that net gives for a body that does not come.
 var (
-	keptDate = regexp.MustCompile(`(?m)^Date: [^\r\n]*`)
-	keptPort = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
+	dateHeader = regexp.MustCompile(`(?m)^Date: [^\r\n]*`)
+	localPort  = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
 )
 
-// keptAnswers are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
-var keptAnswers = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
-	"served-complete": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+// transcriptResults are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
+var transcriptResults = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
+	"served-complete": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
-	"served-partial": keptAnswer(dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-escaped": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+	"served-partial": fixedResult(dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-escaped": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
-	"served-keys": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+	"served-keys": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &ownership.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
-	"served-empty": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, EmptyShards: []int{3, 9}}),
-	"served-some-empty": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+	"served-empty": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, EmptyShards: []int{3, 9}}),
+	"served-some-empty": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 9, Value: []byte("7c01")}}, EmptyShards: []int{3}}),
-	"served-chunked-request": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-below-the-class": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-http-1.0":        keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"rejected":               keptAnswer(dispatch.Result{Kind: dispatch.Rejected}),
-	"rejected-retry-after":   keptAnswer(dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}),
-	"failed":                 keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
-	"internal-error":         keptAnswer(dispatch.Result{Kind: dispatch.InternalError}),
+	"served-chunked-request": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-below-the-class": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-http-1.0":        fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"rejected":               fixedResult(dispatch.Result{Kind: dispatch.Rejected}),
+	"rejected-retry-after":   fixedResult(dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}),
+	"failed":                 fixedResult(dispatch.Result{Kind: dispatch.Failed}),
+	"internal-error":         fixedResult(dispatch.Result{Kind: dispatch.InternalError}),
 	"panicked":               func(context.Context, *dispatch.Query) dispatch.Result { panic("broken") },
-	"abandoned":              keptAnswer(dispatch.Result{Kind: dispatch.Abandoned}),
+	"abandoned":              fixedResult(dispatch.Result{Kind: dispatch.Abandoned}),
 	"deadline-passed": func(_ context.Context, query *dispatch.Query) dispatch.Result {
 		time.Sleep(time.Duration(query.Deadline-1000) * time.Millisecond)
 		return dispatch.Result{Kind: dispatch.Failed}
 	},
-	"two-in-a-row":               keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
-	"bad-then-served":            keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-while-shutting-down": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"two-in-a-row":               fixedResult(dispatch.Result{Kind: dispatch.Failed}),
+	"bad-then-served":            fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-while-shutting-down": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
 }
 
-func keptAnswer(v dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
+func fixedResult(v dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
 	return func(context.Context, *dispatch.Query) dispatch.Result { return v }
 }
 
-// TestKeptTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
+// TestResponsesMatchTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
 // comes back with those kept beside it, the value of Date aside.
-func TestKeptTranscripts(t *testing.T) {
+func TestResponsesMatchTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/kept/*.request")
 	if err != nil || len(files) < 60 {
 		t.Fatalf("%d transcripts, %v", len(files), err)
 	}
 	unused := map[string]bool{}
-	for name := range keptAnswers {
+	for name := range transcriptResults {
 		unused[name] = true
 	}
 	for _, file := range files {
@@ -79,9 +79,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			decide := keptAnswers[name]
+			decide := transcriptResults[name]
 			f := &fakePicker{make(chan *dispatch.Query, 10), decide}
-			got := converse(t, startKept(t, name, f), request)
+			got := readTranscript(t, startTranscriptServer(t, name, f), request)
 			want, err := os.ReadFile(strings.TrimSuffix(file, ".request") + ".response")
 			if err != nil {
 				t.Fatal(err)
@@ -99,8 +99,8 @@
 	}
 }
 
-// startKept starts a server in the condition that a transcript's name tells and gives its address.
-func startKept(t *testing.T, name string, f *fakePicker) string {
+// startTranscriptServer starts a server in the condition that a transcript's name tells and gives its address.
+func startTranscriptServer(t *testing.T, name string, f *fakePicker) string {
 	const clients = 10
 	s := newTestServer(f, clients, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
 	switch {
@@ -126,8 +126,8 @@
 	return l.Addr().String()
 }
 
-// converse sends a request and gives every byte that comes back until the server has answered and closed its side.
-func converse(t *testing.T, address string, request []byte) []byte {
+// readTranscript sends a request and gives every byte that comes back until the server has answered and closed its side.
+func readTranscript(t *testing.T, address string, request []byte) []byte {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
@@ -154,5 +154,5 @@
 	if _, err := io.Copy(io.Discard, r); err != nil {
 		t.Fatal(err)
 	}
-	return keptPort.ReplaceAll(keptDate.ReplaceAll(got.Bytes(), []byte("Date:")), []byte("127.0.0.1:PORT"))
+	return localPort.ReplaceAll(dateHeader.ReplaceAll(got.Bytes(), []byte("Date:")), []byte("127.0.0.1:PORT"))
 }
--- a/internal/gatherer/frontend/listener_test.go
+++ b/internal/gatherer/frontend/listener_test.go
@@ -12,28 +12,28 @@
 	"yokeroute/internal/testbed/lateclient"
 )
 
-// heldListener accepts nothing until it is released, as on a machine that has no processor left for it.
-type heldListener struct {
+// gatedListener accepts nothing until it is released, as on a machine that has no processor left for it.
+type gatedListener struct {
 	*net.TCPListener
 	released chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
 }
 
-// TestShutdownServesConnectionsThatWaitToBeAccepted guards against requests that are reset by the close of the listener,
+// TestShutdownServesQueuedConnections guards against requests that are reset by the close of the listener,
 // as their connections are established and not accepted yet.
-func TestShutdownServesConnectionsThatWaitToBeAccepted(t *testing.T) {
+func TestShutdownServesQueuedConnections(t *testing.T) {
 	f := &fakePicker{make(chan *dispatch.Query, 10), failed}
 	s := newTestServer(f, 10, func() bool { return true })
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &heldListener{tcp.(*net.TCPListener), make(chan struct{})}
+	held := &gatedListener{tcp.(*net.TCPListener), make(chan struct{})}
 	go s.Serve(held)
 	t.Cleanup(func() { s.http.Close() })
 	var clients []*net.TCPConn
@@ -60,10 +60,10 @@
 	}
 }
 
-// TestShutdownServesConnectionWhoseHandshakeIsUnderWay guards against a request that is reset at the end of
+// TestShutdownServesConnectionInHandshake guards against a request that is reset at the end of
 // the lame-duck period, as the handshake of its connection is completed a moment later. The kernel is told to
 // complete it with the first data, so that the test says when.
-func TestShutdownServesConnectionWhoseHandshakeIsUnderWay(t *testing.T) {
+func TestShutdownServesConnectionInHandshake(t *testing.T) {
 	f := &fakePicker{make(chan *dispatch.Query, 10), failed}
 	s := newTestServer(f, 10, func() bool { return true })
 	tcp, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/gatherer/frontend/readahead_test.go
+++ b/internal/gatherer/frontend/readahead_test.go
@@ -14,9 +14,9 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestClientGoneBehindPipelinedBytesIsNoticed has a client send bytes behind its request and go: by a close, by
+// TestDisconnectAfterPipelinedBytesIsDetected has a client send bytes behind its request and go: by a close, by
 // half of one, by a reset; after a few bytes, a further request or more than is buffered.
-func TestClientGoneBehindPipelinedBytesIsNoticed(t *testing.T) {
+func TestDisconnectAfterPipelinedBytesIsDetected(t *testing.T) {
 	for _, behind := range []string{"", "P", post("/find", headers, shardsBody), strings.Repeat("x", 1<<20)} {
 		for how, leave := range map[string]func(c *net.TCPConn){
 			"close":      func(c *net.TCPConn) { c.Close() },
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestClientGoneIsNoticedAfterReadByte has the bytes behind a request come with it, so that net/http has read one
+// TestDisconnectIsDetectedAfterNetHTTPReadOneByte has the bytes behind a request come with it, so that net/http has read one
 // of them before the query is picked. The client's close is noticed, and the bytes keep their order.
-func TestClientGoneIsNoticedAfterReadByte(t *testing.T) {
+func TestDisconnectIsDetectedAfterNetHTTPReadOneByte(t *testing.T) {
 	conn, far := connPair(t)
 	io.WriteString(far, "behind")
 	if n, err := conn.Read(make([]byte, 1)); n != 1 || err != nil {
--- a/internal/gatherer/frontend/request_test.go
+++ b/internal/gatherer/frontend/request_test.go
@@ -130,9 +130,9 @@
 	}
 }
 
-// TestSlowClientIsCutOffWithin3s has clients send nothing, or a part of a request. Each gets an error or a close
+// TestSlowClientIsDisconnectedWithin3s has clients send nothing, or a part of a request. Each gets an error or a close
 // within the 3 s that it is owed.
-func TestSlowClientIsCutOffWithin3s(t *testing.T) {
+func TestSlowClientIsDisconnectedWithin3s(t *testing.T) {
 	_, _, address := startServer(t, 10, nil)
 	slow := strings.Replace(headers, "480", "60000", 1)
 	done := make(chan string)
--- a/internal/gatherer/frontend/shutdown.go
+++ b/internal/gatherer/frontend/shutdown.go
@@ -16,10 +16,10 @@
 	// busy machine.
 	handshakeTimeout = 100 * time.Millisecond
 
-	// silentPeriod is for how long beyond the lame-duck period a connection may still carry its first
+	// firstRequestPeriod is for how long beyond the lame-duck period a connection may still carry its first
 	// request. It is shorter where a third of the longest deadline is, since what follows has to end before
 	// the platform's kill, but the connections that were accepted last have their firstByteTimeout.
-	silentPeriod = 500 * time.Millisecond
+	firstRequestPeriod = 500 * time.Millisecond
 
 	// killTimeout is the least time between the end of the lame-duck period and the platform's kill. With settings
 	// that allow no query so much time the kill may come sooner.
@@ -48,7 +48,7 @@
 	}
 	s.closeListener(ctx)
 	allClosed := s.conns.shutDown() // those that are idle still are closed
-	silentUntil := lateFrom.Add(min(silentPeriod, s.limits.maxDeadline/3))
+	silentUntil := lateFrom.Add(min(firstRequestPeriod, s.limits.maxDeadline/3))
 	silent := time.AfterFunc(max(time.Until(silentUntil), firstByteTimeout), s.conns.closeSilent)
 	defer silent.Stop()
 	select {
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -209,7 +209,7 @@
 		t.Errorf("the silent connection ended with %q, %v", rest, err)
 	}
 	ended := time.Since(began)
-	if least, most := lameDuckPeriod+firstByteTimeout, lameDuckPeriod+2*silentPeriod; ended < least || ended > most {
+	if least, most := lameDuckPeriod+firstByteTimeout, lameDuckPeriod+2*firstRequestPeriod; ended < least || ended > most {
 		t.Errorf("the silent connection ended after %v, wanted are %v to %v", ended, least, most)
 	}
 	io.WriteString(slow, text[20:])
@@ -220,7 +220,7 @@
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if took, most := time.Since(began), lameDuckPeriod+2*silentPeriod+lingerTimeout; took > most {
+	if took, most := time.Since(began), lameDuckPeriod+2*firstRequestPeriod+lingerTimeout; took > most {
 		t.Errorf("the shutdown took %v, at most %v are wanted", took, most)
 	}
 }
--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -21,23 +21,23 @@
 	"yokeroute/internal/storage/statedir"
 )
 
-// ownSockets are descriptors besides queries' connections: standard streams, listener, poller, the runtime's own,
+// reservedSockets are descriptors besides queries' connections: standard streams, listener, poller, the runtime's own,
 // calls to discovery while it is silent and the ends of those before them, a file that is read again.
-const ownSockets = 20
+const reservedSockets = 20
 
 // assembly is a gatherer while its parts are added.
 type assembly struct {
 	*Service
-	own      operator.File
-	settings *gather.Settings // the platform's; with segments those of the decisions
-	names    *statedir.GathererState
-	handover *handover
-	policy   *policyPart
-	traces   *trace.Recorder
+	operatorFile operator.File
+	settings     *gather.Settings // the platform's; with segments those of the decisions
+	names        *statedir.GathererState
+	handover     *handover
+	policy       *policyPart
+	traces       *trace.Recorder
 }
 
 func newAssembly(c *platform.Config, own *operator.File, log *logrus.Logger) (*assembly, error) {
-	a := &assembly{Service: &Service{log: log, config: c}, own: *own, settings: c.Settings}
+	a := &assembly{Service: &Service{log: log, config: c}, operatorFile: *own, settings: c.Settings}
 	if a.ownedSegments() {
 		if c.Settings.Shards < 1 {
 			return nil, errors.New("segments: the settings don't tell how many shards there are")
@@ -45,9 +45,9 @@
 		a.settings = dispatch.OwnershipSettings(c.Settings, own.MaxSegments)
 		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
 			log.Error("service: plans and two passes ignored, as segments have owners of their own")
-			a.own.Plan = ""
-			a.own.Placement = ""
-			a.own.TwoPhase = nil
+			a.operatorFile.Plan = ""
+			a.operatorFile.Placement = ""
+			a.operatorFile.TwoPhase = nil
 		}
 	}
 	a.Picker = dispatch.New(c.Seed, a.settings, log)
@@ -55,14 +55,14 @@
 }
 
 // ownedSegments reports whether a map says which server owns which keys.
-func (a *assembly) ownedSegments() bool { return a.own.MaxSegments > 0 }
+func (a *assembly) ownedSegments() bool { return a.operatorFile.MaxSegments > 0 }
 
 // addNameJournal adds the journal of non-idempotent queries' names.
 func (a *assembly) addNameJournal() error {
-	if a.own.NameRetention <= 0 {
+	if a.operatorFile.NameRetention <= 0 {
 		return nil
 	}
-	names, found, err := statedir.OpenGathererState(a.own.State, int64(a.own.JournalMaxBytes), a.own.NameRetention,
+	names, found, err := statedir.OpenGathererState(a.operatorFile.State, int64(a.operatorFile.JournalMaxBytes), a.operatorFile.NameRetention,
 		a.Picker.Now())
 	if err != nil {
 		return err
@@ -82,7 +82,7 @@
 		return nil
 	})
 	log := a.log.WithFields(logrus.Fields{
-		"folder": a.own.State, "names": found.Claims, "epoch": found.Epoch, "records": found.Records,
+		"folder": a.operatorFile.State, "names": found.Claims, "epoch": found.Epoch, "records": found.Records,
 		"bytes": found.BytesRead, "torn": found.TornBytes, "took": found.Duration,
 	})
 	if found.UnknownUntil > 0 {
@@ -96,10 +96,10 @@
 // shardServerSockets and clientSockets divide the sockets that the process leaves. One connection to a shard server
 // carries many shard requests, one from a client a single query: a quarter is for shard servers. Clients may exceed
 // their share by an eighth for a moment, and as many connections that were ended may still hold their sockets.
-func shardServerSockets(l platform.Limits) int { return (l.Sockets - ownSockets) / 4 }
+func shardServerSockets(l platform.Limits) int { return (l.Sockets - reservedSockets) / 4 }
 
 func clientSockets(l platform.Limits) int {
-	left := l.Sockets - ownSockets
+	left := l.Sockets - reservedSockets
 	return (left - left/4 - 2) * 8 / 10
 }
 
@@ -122,15 +122,15 @@
 	if !a.ownedSegments() {
 		return nil
 	}
-	a.Picker.EnableOwnership(a.own.MaxSegments, a.settings.Shards)
+	a.Picker.EnableOwnership(a.operatorFile.MaxSegments, a.settings.Shards)
 	if a.names != nil && a.names.Map() != nil {
 		a.Picker.SetMap(a.names.Map())
 	}
-	if err := a.readSegments(&a.own); err != nil {
+	if err := a.readSegments(&a.operatorFile); err != nil {
 		return err
 	}
-	if a.own.SegmentAuthority != "" {
-		authority := segments.NewWatcher(a.own.SegmentAuthority, a.Picker, a.log)
+	if a.operatorFile.SegmentAuthority != "" {
+		authority := segments.NewWatcher(a.operatorFile.SegmentAuthority, a.Picker, a.log)
 		a.hooks.run = append(a.hooks.run, authority.Run)
 	}
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
@@ -140,7 +140,7 @@
 		}
 		a.Picker.SetServerNames(names)
 	})
-	a.hooks.reread = append(a.hooks.reread, func(own *operator.File) error {
+	a.hooks.operatorFileRead = append(a.hooks.operatorFileRead, func(own *operator.File) error {
 		own.Plan = ""
 		own.Placement = ""
 		return a.readSegments(own)
@@ -164,7 +164,7 @@
 
 // addTwoPass adds the classes whose queries go to shard servers in two passes.
 func (a *assembly) addTwoPass() error {
-	classes, err := a.own.TwoPhaseSettings(a.config.Settings)
+	classes, err := a.operatorFile.TwoPhaseSettings(a.config.Settings)
 	if err != nil {
 		a.log.WithError(err).Error("service: two passes rejected for some classes")
 	}
@@ -194,22 +194,22 @@
 
 // addPlans adds plans and placement, and the work beside queries that they need.
 func (a *assembly) addPlans() error {
-	keeper := plans.New(a.Picker, a.config.Settings, background.New(a.own.BackgroundShare, a.log), a.log)
-	if err := keeper.Configure(&a.own); err != nil {
+	keeper := plans.New(a.Picker, a.config.Settings, background.New(a.operatorFile.BackgroundShare, a.log), a.log)
+	if err := keeper.Configure(&a.operatorFile); err != nil {
 		a.log.WithError(err).Error("service: plan rejected; serving without")
 	}
 	a.hooks.run = append(a.hooks.run, keeper.Run)
 	a.hooks.endpoints = append(a.hooks.endpoints, keeper.UpdateEndpoints)
-	a.hooks.reread = append(a.hooks.reread, keeper.Configure)
+	a.hooks.operatorFileRead = append(a.hooks.operatorFileRead, keeper.Configure)
 	return nil
 }
 
 // addTraces adds the traces that operators look at.
 func (a *assembly) addTraces() error {
-	if a.own.TracesKept <= 0 {
+	if a.operatorFile.TracesKept <= 0 {
 		return nil
 	}
-	a.traces = trace.New(a.own.TracesKept, a.own.TraceShare)
+	a.traces = trace.New(a.operatorFile.TracesKept, a.operatorFile.TraceShare)
 	a.Picker.ObserveDecisions(a.traces)
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
 		a.traces.SetServerNames(addresses)
@@ -219,7 +219,7 @@
 
 // addRecord adds the record of everything, on which the rules can be checked.
 func (a *assembly) addRecord() error {
-	if a.own.Record == "" {
+	if a.operatorFile.Record == "" {
 		return nil
 	}
 	shards := 0
@@ -227,9 +227,9 @@
 		shards = a.settings.Shards
 	}
 	record, err := trace.Create(trace.FileConfig{
-		Name:      a.own.Record,
-		MaxBytes:  int64(a.own.RecordMaxBytes),
-		FlushEach: a.own.RecordUnbuffered,
+		Name:      a.operatorFile.Record,
+		MaxBytes:  int64(a.operatorFile.RecordMaxBytes),
+		FlushEach: a.operatorFile.RecordUnbuffered,
 		Settings:  a.config.Settings,
 		Shards:    shards,
 		StartedAt: a.Picker.Now(),
@@ -267,7 +267,7 @@
 		watcher.Apply(known)
 	}
 	a.hooks.run = append(a.hooks.run, watcher.Run)
-	a.hooks.configured = append(a.hooks.configured, func(c *platform.Config) { watcher.SetAddress(c.Discovery) })
+	a.hooks.platformConfigAccepted = append(a.hooks.platformConfigAccepted, func(c *platform.Config) { watcher.SetAddress(c.Discovery) })
 	return nil
 }
 
--- a/internal/gatherer/service/claims_test.go
+++ b/internal/gatherer/service/claims_test.go
@@ -14,11 +14,11 @@
 
 // claimInput and claimOutput are an operation on one key, for the check of histories.
 type claimInput struct {
-	key uint64
-	who string
+	key      uint64
+	claimant string
 }
 
-var claims = porcupine.Model{
+var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[uint64][]porcupine.Operation{}
 		var keys []uint64
@@ -37,7 +37,7 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		has, who := state.(string), input.(claimInput).who
+		has, who := state.(string), input.(claimInput).claimant
 		switch output.(string) {
 		case "given":
 			return has == "", who
@@ -53,8 +53,8 @@
 	},
 }
 
-// outcome is what a claim's client knows.
-func outcome(a answer) string {
+// claimOutcome is what a claim's client knows.
+func claimOutcome(a answer) string {
 	switch a.status {
 	case http.StatusOK:
 		for _, h := range a.Hits {
@@ -76,15 +76,15 @@
 		shard++
 	}
 	op := porcupine.Operation{Input: claimInput{key, id}, Call: time.Since(startedAt).Nanoseconds()}
-	got := outcome(sendOwned(address, "claim", id, []int{shard}, fmt.Sprintf("claim %016x %s", key, id)))
+	got := claimOutcome(sendOwned(address, "claim", id, []int{shard}, fmt.Sprintf("claim %016x %s", key, id)))
 	op.Output, op.Return = got, time.Since(startedAt).Nanoseconds()
 	return op
 }
 
-// check holds what ran against what clients learnt.
-func check(t *testing.T, ran []standin.Execution, history []porcupine.Operation) {
+// checkHistory holds what ran against what clients learnt.
+func checkHistory(t *testing.T, ran []standin.Execution, history []porcupine.Operation) {
 	t.Helper()
-	if twice := duplicates(ran); len(twice) > 0 {
+	if twice := findDuplicates(ran); len(twice) > 0 {
 		t.Errorf("%d claims ran, or keys were given, twice: %v", len(twice), twice[:min(len(twice), 5)])
 	}
 	by := map[string]bool{}
@@ -92,7 +92,7 @@
 		by[r.Claimant] = true
 	}
 	for _, op := range history {
-		if who := op.Input.(claimInput).who; op.Output == "never" && by[who] {
+		if who := op.Input.(claimInput).claimant; op.Output == "never" && by[who] {
 			t.Errorf("%s was nacked and has run", who)
 		}
 	}
@@ -102,13 +102,13 @@
 			history[i].Return = 1 << 62
 		}
 	}
-	if result, _ := porcupine.CheckOperationsVerbose(claims, history, 20*time.Second); result != porcupine.Ok {
+	if result, _ := porcupine.CheckOperationsVerbose(claimModel, history, 20*time.Second); result != porcupine.Ok {
 		t.Errorf("the history of %d claims is not linearizable: %v", len(history), result)
 	}
 }
 
-// duplicates are claims that ran twice and keys that were given twice.
-func duplicates(ran []standin.Execution) (twice []string) {
+// findDuplicates are claims that ran twice and keys that were given twice.
+func findDuplicates(ran []standin.Execution) (twice []string) {
 	claims, keys := map[string]int{}, map[uint64]string{}
 	for _, r := range ran {
 		if claims[r.Claimant]++; claims[r.Claimant] > 1 {
--- a/internal/gatherer/service/farm_test.go
+++ b/internal/gatherer/service/farm_test.go
@@ -30,8 +30,8 @@
   "secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000},
  "rules":{"budgetShare":0.1,"extraFloor":20,"resendSpan":1000000,"drainGrace":250000,"answerSlack":20000}}`
 
-// farm is hosts with their authority and discovery, and gatherers before them.
-type farm struct {
+// segmentFleet is hosts with their authority and discovery, and gatherers before them.
+type segmentFleet struct {
 	t         *testing.T
 	hosts     []*standin.Host
 	authority *standin.Authority
@@ -41,9 +41,9 @@
 }
 
 // start starts so many hosts, which own four segments at first, two each.
-func startFarm(t *testing.T, hosts, gatherers int, logs *standin.SegmentLogs, state string) *farm {
+func startSegmentFleet(t *testing.T, hosts, gatherers int, logs *standin.SegmentLogs, state string) *segmentFleet {
 	t.Helper()
-	f := &farm{t: t}
+	f := &segmentFleet{t: t}
 	var members []discoveryserver.Member
 	for i := range hosts {
 		h, err := standin.NewHost(fmt.Sprint("h", i), logs, 3*time.Millisecond)
@@ -76,13 +76,13 @@
 	}
 	t.Cleanup(f.directory.Close)
 	for i := range gatherers {
-		f.gatherer(uint64(i+1), state)
+		f.addGatherer(uint64(i+1), state)
 	}
 	return f
 }
 
-// gatherer starts one more and waits until it answers a query completely.
-func (f *farm) gatherer(seed uint64, state string) (stop func()) {
+// addGatherer starts one more and waits until it answers a query completely.
+func (f *segmentFleet) addGatherer(seed uint64, state string) (stop func()) {
 	f.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -121,8 +121,8 @@
 	return once
 }
 
-// ready waits until a gatherer answers a query completely.
-func (f *farm) ready(address string) {
+// awaitReady waits until a gatherer answers a query completely.
+func (f *segmentFleet) awaitReady(address string) {
 	f.t.Helper()
 	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
 		id := fmt.Sprint("ready-", time.Now().UnixNano())
@@ -172,8 +172,8 @@
 	return a
 }
 
-// reads checks that a complete answer covers all keys of its shards, each once, by its documents.
-func (a *answer) reads(shards []int) error {
+// checkCoverage checks that a complete answer covers all keys of its shards, each once, by its documents.
+func (a *answer) checkCoverage(shards []int) error {
 	var got []ownership.Range
 	for _, h := range a.Hits {
 		r, err := ownership.ParseRange(strings.Fields(h.Doc)[0])
@@ -207,4 +207,4 @@
 	return nil
 }
 
-var errUndo = fmt.Errorf("undone")
+var errRevert = fmt.Errorf("undone")
--- a/internal/gatherer/service/fixture_test.go
+++ b/internal/gatherer/service/fixture_test.go
@@ -18,8 +18,8 @@
 	"yokeroute/internal/testbed/standin/shardserver"
 )
 
-// settings are a platform's, with lists that are pushed.
-const settings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
+// fixtureSettings are a platform's, with lists that are pushed.
+const fixtureSettings = `{"tick":5000,"balancers":1,"myNumber":0,"zone":"a","discovery":"pushed",
  "classes":[{"name":"any","effect":"pure","goalTime":300000,"hardLimit":1000000,"lateValue":0.1},
   {"name":"once","effect":"side_effect","goalTime":300000,"hardLimit":1000000}],
  "domain":{"cells":2,"inARow":1,"shards":12,"partsACall":16,"completeFrom":[0.75,1],"classFloor":[0.75,1]},
@@ -28,8 +28,8 @@
  "rules":{"budgetShare":0.05,"extraFloor":6,"resendSpan":1000000,"drainGrace":250000,"answerSlack":5000000,
   "cold":5000000,"coldShare":0.2,"fall":2000000,"fallMultiple":3}}`
 
-// text is a gatherer's configuration.
-func text(listen, discovery, settings string) string {
+// configJSON is a gatherer's configuration.
+func configJSON(listen, discovery, settings string) string {
 	return fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"1","settings":%s}`, listen, discovery, settings)
 }
 
@@ -75,7 +75,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	configured := turned(text(l.Addr().String(), fleet.Discovery.Address(), settings))
+	configured := turned(configJSON(l.Addr().String(), fleet.Discovery.Address(), fixtureSettings))
 	c, err := platform.Parse([]byte(configured), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/service/handover.go
+++ b/internal/gatherer/service/handover.go
@@ -37,10 +37,10 @@
 
 // addHandover adds the handover of drains to the gatherer's next process.
 func (a *assembly) addHandover() error {
-	if a.own.State == "" {
+	if a.operatorFile.State == "" {
 		return nil
 	}
-	stored, err := statedir.OpenHandover(a.own.State)
+	stored, err := statedir.OpenHandover(a.operatorFile.State)
 	if stored == nil {
 		return err
 	}
--- a/internal/gatherer/service/handover_test.go
+++ b/internal/gatherer/service/handover_test.go
@@ -13,9 +13,9 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// TestSlowDiskDelaysNoWatchOfDiscovery guards against endpoint lists, drains among them, that wait until the handover is
+// TestSlowDiskDoesNotDelayEndpointUpdates guards against endpoint lists, drains among them, that wait until the handover is
 // stored. The newest drains are stored in the end.
-func TestSlowDiskDelaysNoWatchOfDiscovery(t *testing.T) {
+func TestSlowDiskDoesNotDelayEndpointUpdates(t *testing.T) {
 	began, gate := make(chan struct{}, 10), make(chan struct{})
 	var stored []map[string]float64
 	h := newHandover(nil, func(draining map[string]float64) error {
@@ -48,8 +48,8 @@
 	}
 }
 
-// TestEndOfTheProcessDoesNotWaitForAHangingDisk: it is bounded, and the log says what the next process may miss.
-func TestEndOfTheProcessDoesNotWaitForAHangingDisk(t *testing.T) {
+// TestHandoverCloseIsBoundedWhenDiskHangs: it is bounded, and the log says what the next process may miss.
+func TestHandoverCloseIsBoundedWhenDiskHangs(t *testing.T) {
 	gate := make(chan struct{})
 	text := &bytes.Buffer{}
 	log := logrus.New()
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -12,8 +12,8 @@
 	"yokeroute/internal/config/platform"
 )
 
-// TestKeptConfigIsRead: a configuration of the platform is read key by key as it was when its format began.
-func TestKeptConfigIsRead(t *testing.T) {
+// TestStoredConfigIsParsed: a configuration of the platform is read key by key as it was when its format began.
+func TestStoredConfigIsParsed(t *testing.T) {
 	c, err := platform.Load(filepath.Join("testdata", "kept", "config.json"), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestAdminPathsKeepTheirBytes: what a gatherer says on its own paths is what it was.
-func TestAdminPathsKeepTheirBytes(t *testing.T) {
+// TestAdminEndpointResponses: what a gatherer says on its own paths is what it was.
+func TestAdminEndpointResponses(t *testing.T) {
 	own := &operator.File{BackgroundShare: 0.05, TracesKept: 4, TraceShare: 1}
 	_, address, end := startGatherer(t, own, plainMachine, func(text string) string { return text })
 	defer end()
--- a/internal/gatherer/service/migration_test.go
+++ b/internal/gatherer/service/migration_test.go
@@ -13,10 +13,10 @@
 	"yokeroute/internal/testbed/standin/shardserver"
 )
 
-// TestMigratedConfigurationServes moves a configuration to a fleet whose servers tell their load only when asked,
+// TestGathererServesWithMigratedConfig moves a configuration to a fleet whose servers tell their load only when asked,
 // whose list is asked for and which allows no second copies. What comes out serves; a server that hangs is seen by
 // what it tells, and no part has two calls out at once.
-func TestMigratedConfigurationServes(t *testing.T) {
+func TestGathererServesWithMigratedConfig(t *testing.T) {
 	fleet, address, end := startGatherer(t, &operator.File{}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: []string{"a", "b"}[i%2], Kind: "k", ReplicaSet: i,
 			Config: shardserver.Config{Cores: 2, MeanWork: 8, WorkVariation: 0.5, QueueLimit: 40, Seed: uint64(i)}}
--- a/internal/gatherer/service/platformsettings_test.go
+++ b/internal/gatherer/service/platformsettings_test.go
@@ -7,13 +7,13 @@
 	"yokeroute/internal/config/platform"
 )
 
-// TestSettingsOfPulledLoadReportsAreRead: a configuration of the shape that the gatherers move to reaches the module
+// TestPulledLoadReportSettingsAreParsed: a configuration of the shape that the gatherers move to reaches the module
 // whole.
-func TestSettingsOfPulledLoadReportsAreRead(t *testing.T) {
+func TestPulledLoadReportSettingsAreParsed(t *testing.T) {
 	moved := strings.NewReplacer(
 		`"pushed"`, `"on_request"`, `"secondCopies":true`, `"secondCopies":false,"probes":true`,
-		`"tick":5000`, `"tick":5000,"loadInfo":{"how":"pull","fields":["backlog","recent_ms"]}`).Replace(settings)
-	c, err := platform.Parse([]byte(text("127.0.0.1:0", "127.0.0.1:1", moved)), func(string) string { return "" })
+		`"tick":5000`, `"tick":5000,"loadInfo":{"how":"pull","fields":["backlog","recent_ms"]}`).Replace(fixtureSettings)
+	c, err := platform.Parse([]byte(configJSON("127.0.0.1:0", "127.0.0.1:1", moved)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,14 +23,14 @@
 	}
 }
 
-// TestFaultySettingsOfPulledLoadReportsAreNamed: settings that the move brought in are checked, and named.
-func TestFaultySettingsOfPulledLoadReportsAreNamed(t *testing.T) {
+// TestInvalidPulledLoadReportSettingsAreRejected: settings that the move brought in are checked, and named.
+func TestInvalidPulledLoadReportSettingsAreRejected(t *testing.T) {
 	for from, want := range map[string][2]string{
 		`"discovery":"pushed"`: {`"discovery":"shouted"`, "settings.discovery: "},
 		`"tick":5000`:          {`"tick":5000,"loadInfo":{"how":"asked"}`, "settings.loadInfo.how: "},
 		`"hardLimit":1000000`:  {`"hardLimit":-1`, "settings.classes: "},
 	} {
-		wrong := text("127.0.0.1:0", "127.0.0.1:1", strings.Replace(settings, from, want[0], 1))
+		wrong := configJSON("127.0.0.1:0", "127.0.0.1:1", strings.Replace(fixtureSettings, from, want[0], 1))
 		_, err := platform.Parse([]byte(wrong), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), want[1]) {
 			t.Errorf("%s: %v, want %s", want[0], err, want[1])
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -13,8 +13,8 @@
 
 // policyPart is the operators' policy, from policy servers or from a file of the gatherer's own.
 type policyPart struct {
-	lease    *policylease.Lease
-	readings uint64 // of the own file
+	lease        *policylease.Lease
+	fileRevision uint64 // of the own file
 }
 
 // addPolicy adds the operators' policy. A fallback policy or a file that the platform's settings rule out is an error:
@@ -22,9 +22,9 @@
 func (a *assembly) addPolicy() error {
 	var err error
 	switch {
-	case a.own.FallbackPolicy != "":
+	case a.operatorFile.FallbackPolicy != "":
 		a.policy, err = a.pollPolicyServers()
-	case a.own.Policy != "":
+	case a.operatorFile.Policy != "":
 		a.policy, err = a.readOwnPolicy()
 	default:
 		return nil
@@ -44,15 +44,15 @@
 // readOwnPolicy makes the policy of a file of the gatherer's own.
 func (a *assembly) readOwnPolicy() (*policyPart, error) {
 	p := &policyPart{lease: policylease.New(a.leaseConfig())}
-	if err := p.reread(&a.own); err != nil {
+	if err := p.reloadFile(&a.operatorFile); err != nil {
 		return nil, err
 	}
-	a.hooks.reread = append(a.hooks.reread, p.reread)
+	a.hooks.operatorFileRead = append(a.hooks.operatorFileRead, p.reloadFile)
 	return p, nil
 }
 
-// reread applies the gatherer's own policy file.
-func (p *policyPart) reread(own *operator.File) error {
+// reloadFile applies the gatherer's own policy file.
+func (p *policyPart) reloadFile(own *operator.File) error {
 	if own.Policy == "" {
 		return nil
 	}
@@ -60,20 +60,20 @@
 	if err != nil {
 		return err
 	}
-	p.readings++
-	return p.lease.Hold(read, p.readings)
+	p.fileRevision++
+	return p.lease.Hold(read, p.fileRevision)
 }
 
 // pollPolicyServers makes the policy of the policy servers, with the fallback policy for the time without a lease.
 func (a *assembly) pollPolicyServers() (*policyPart, error) {
-	fallback, err := policyfile.Read(a.own.FallbackPolicy)
+	fallback, err := policyfile.Read(a.operatorFile.FallbackPolicy)
 	if err == nil {
 		err = policylease.Validate(a.settings, fallback)
 	}
 	if err != nil {
 		return nil, fmt.Errorf("policy floor: %w", err)
 	}
-	revision, err := policylease.LoadRevision(a.own.State)
+	revision, err := policylease.LoadRevision(a.operatorFile.State)
 	if err != nil {
 		a.log.WithError(err).Warn("policy client: stored revision not read")
 	}
@@ -82,11 +82,11 @@
 	config.Revision = revision
 	lease := policylease.New(config)
 	poller := policylease.NewPoller(lease, policylease.PollerConfig{
-		Servers:     a.own.PolicyServers,
+		Servers:     a.operatorFile.PolicyServers,
 		Member:      policy.Member{Name: a.config.Name, Zone: a.settings.Zone, Fallback: fallback},
 		Incarnation: process.Identity(a.Picker.Now()),
 		Version:     version.Name(),
-		StateFolder: a.own.State,
+		StateFolder: a.operatorFile.State,
 		Log:         a.log,
 	})
 	a.hooks.run = append(a.hooks.run, poller.Run)
--- a/internal/gatherer/service/record_test.go
+++ b/internal/gatherer/service/record_test.go
@@ -17,9 +17,9 @@
 	"yokeroute/internal/testbed/experiment"
 )
 
-// TestRecordOfFaultsKeepsTheRules: a gatherer that records through troubles of all kinds leaves a trace that is whole
+// TestRecordUnderFaultsPassesRuleCheck: a gatherer that records through troubles of all kinds leaves a trace that is whole
 // and on which every rule that it can show is kept; what it cannot show is said.
-func TestRecordOfFaultsKeepsTheRules(t *testing.T) {
+func TestRecordUnderFaultsPassesRuleCheck(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
 	own := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05,
 		TwoPhase: []operator.TwoPhaseClass{{Class: "any", FirstPassShare: 0.3, TrialShare: 0.5}}}
@@ -53,10 +53,10 @@
 	}
 }
 
-// TestCallsAreNotRecordedBeforeTheNewsThatAllowsThem guards against a record that accuses a gatherer of calls to a
+// TestEndpointUpdateIsRecordedBeforeCallsThatDependOnIt guards against a record that accuses a gatherer of calls to a
 // draining server, as it holds them before the news that the server is in service again. All of its replica set drain
 // until then, so that queries need it at once.
-func TestCallsAreNotRecordedBeforeTheNewsThatAllowsThem(t *testing.T) {
+func TestEndpointUpdateIsRecordedBeforeCallsThatDependOnIt(t *testing.T) {
 	const pause = 400 * time.Millisecond // more than the grace of a drain
 	file := filepath.Join(t.TempDir(), "day.trace")
 	own := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05}
@@ -89,9 +89,9 @@
 	}
 }
 
-// TestRecordSaysThatItsBoundIsReached: a record that reaches its bound says so and does not pass; one that cannot be
+// TestRecordReportsSizeLimitReached: a record that reaches its bound says so and does not pass; one that cannot be
 // written is told before anything is served.
-func TestRecordSaysThatItsBoundIsReached(t *testing.T) {
+func TestRecordReportsSizeLimitReached(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
 	serveUnderLoad(t, &operator.File{Record: file, RecordMaxBytes: 8192, BackgroundShare: 0.05}, func(*experiment.Fleet) {})
 	if r := checkFile(t, file); r.Passed() || !strings.Contains(r.Incomplete, "8192 bytes") {
@@ -100,7 +100,7 @@
 	if info, err := os.Stat(file); err != nil || info.Size() > 10_000 {
 		t.Errorf("%v, %v", info.Size(), err)
 	}
-	c, err := platform.Parse([]byte(text("127.0.0.1:1", "127.0.0.1:1", settings)), func(string) string { return "" })
+	c, err := platform.Parse([]byte(configJSON("127.0.0.1:1", "127.0.0.1:1", fixtureSettings)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/service/reload.go
+++ b/internal/gatherer/service/reload.go
@@ -21,20 +21,20 @@
 	}
 	old := s.config
 	s.config = c
-	for _, configured := range s.hooks.configured {
+	for _, configured := range s.hooks.platformConfigAccepted {
 		configured(c)
 	}
 	if c.Limits != old.Limits {
 		Limit(c.Limits)
 	}
-	for _, key := range needRestart(old, c) {
+	for _, key := range keysNeedingRestart(old, c) {
 		s.log.WithField("key", key).Warn("service: configuration key takes effect at the next start")
 	}
 	s.log.WithField("discovery", c.Discovery).Info("service: configuration applied")
 }
 
-// needRestart names the changed keys that connections and queries in flight depend on.
-func needRestart(before, after *platform.Config) (keys []string) {
+// keysNeedingRestart names the changed keys that connections and queries in flight depend on.
+func keysNeedingRestart(before, after *platform.Config) (keys []string) {
 	for _, key := range []struct {
 		name    string
 		changed bool
@@ -53,22 +53,22 @@
 
 // Reread reads the operator's file again. A faulty one, or one that names a faulty plan, changes nothing.
 func (s *Service) Reread(file string) {
-	if err := s.reread(file); err != nil {
+	if err := s.reloadOperatorFile(file); err != nil {
 		s.log.WithError(err).Error("service: operator's file rejected")
 	}
 }
 
-func (s *Service) reread(file string) error {
+func (s *Service) reloadOperatorFile(file string) error {
 	own, err := operator.Read(file)
 	if err != nil {
 		return err
 	}
-	for _, reread := range s.hooks.reread {
+	for _, reread := range s.hooks.operatorFileRead {
 		if err := reread(own); err != nil {
 			return err
 		}
 	}
-	for _, reloaded := range s.hooks.reloaded {
+	for _, reloaded := range s.hooks.operatorFileAccepted {
 		reloaded(own)
 	}
 	return nil
--- a/internal/gatherer/service/reports.go
+++ b/internal/gatherer/service/reports.go
@@ -11,29 +11,29 @@
 
 // addReports adds the server of reports and metrics.
 func (a *assembly) addReports() error {
-	if a.own.ReportAddress == "" {
+	if a.operatorFile.ReportAddress == "" {
 		return nil
 	}
 	collector := report.NewCollector(a.config.Name, a.config.Settings, a.Picker.Now, a.pool)
 	if a.policy != nil {
 		collector.PolicyState = a.policy.state
 	}
-	server, err := report.Listen(a.own.ReportAddress, collector, a.listed.Load, a.log)
+	server, err := report.Listen(a.operatorFile.ReportAddress, collector, a.listed.Load, a.log)
 	if err != nil {
 		return err
 	}
 	a.Picker.ObserveDecisions(collector)
 	a.Picker.ObserveWire(collector)
 	collector.SetFile("config", a.config.Checksum)
-	setFiles(collector, &a.own)
+	setFiles(collector, &a.operatorFile)
 	a.hooks.run = append(a.hooks.run, server.Run)
 	a.hooks.endpoints = append(a.hooks.endpoints, func(event gather.EndpointList, _ []shardcall.Address) {
 		collector.UpdateEndpoints(event)
 	})
-	a.hooks.configured = append(a.hooks.configured, func(c *platform.Config) {
+	a.hooks.platformConfigAccepted = append(a.hooks.platformConfigAccepted, func(c *platform.Config) {
 		collector.SetFile("config", c.Checksum)
 	})
-	a.hooks.reloaded = append(a.hooks.reloaded, func(own *operator.File) { setFiles(collector, own) })
+	a.hooks.operatorFileAccepted = append(a.hooks.operatorFileAccepted, func(own *operator.File) { setFiles(collector, own) })
 	a.hooks.draining = append(a.hooks.draining, collector.BeginShutdown)
 	a.hooks.close = append(a.hooks.close, server.Close)
 	return nil
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -18,8 +18,8 @@
 
 // moving is how long segments move under load; CI's few seconds are enough for some dozens of hand-overs.
 var (
-	moving = flag.Duration("moving", 4*time.Second, "how long segments move under load")
-	still  = flag.Bool("still", false, "nothing moves, to compare with")
+	moveDuration = flag.Duration("moving", 4*time.Second, "how long segments move under load")
+	noMoves      = flag.Bool("still", false, "nothing moves, to compare with")
 )
 
 // TestSegmentsMoveWithoutDuplicates moves segments all the time under load: splits, merges and moves, some undone
@@ -28,9 +28,9 @@
 // once.
 func TestSegmentsMoveWithoutDuplicates(t *testing.T) {
 	logs := &standin.SegmentLogs{}
-	f := startFarm(t, 6, 2, logs, "")
+	f := startSegmentFleet(t, 6, 2, logs, "")
 	for _, a := range f.addresses {
-		f.ready(a)
+		f.awaitReady(a)
 	}
 	startedAt := time.Now()
 	stop := make(chan bool)
@@ -55,7 +55,7 @@
 					mu.Lock()
 					counts[fmt.Sprint("find ", a.status, " ", a.Complete)]++
 					if a.status == http.StatusOK && a.Complete {
-						if err := a.reads([]int{0, 1, 2, 3}); err != nil {
+						if err := a.checkCoverage([]int{0, 1, 2, 3}); err != nil {
 							wrong = append(wrong, fmt.Sprintf("%s: %v", id, err))
 						}
 					}
@@ -74,21 +74,21 @@
 		})
 	}
 	moves, undone := 0, 0
-	if *still {
-		time.Sleep(*moving)
+	if *noMoves {
+		time.Sleep(*moveDuration)
 	} else {
 		moves, undone = f.disturb(startedAt)
 	}
 	close(stop)
 	wait.Wait()
-	if !*still && (moves < 15 || undone < 2) {
+	if !*noMoves && (moves < 15 || undone < 2) {
 		t.Errorf("%d hand-overs, %d undone", moves, undone)
 	}
 	for _, w := range wrong {
 		t.Error(w)
 	}
 	ran := logs.Executions()
-	check(t, ran, history)
+	checkHistory(t, ran, history)
 	if counts["claim lost"] > 0 {
 		t.Errorf("%d claims were answered whole by nobody who has their key", counts["claim lost"])
 	}
@@ -99,12 +99,12 @@
 }
 
 // disturb hands segments over, with faults, until the time is up.
-func (f *farm) disturb(startedAt time.Time) (moves, undone int) {
+func (f *segmentFleet) disturb(startedAt time.Time) (moves, undone int) {
 	chance := pcg.New(7)
 	draw := func(n int) int { return int(chance.Uint32() % uint32(n)) }
 	name := 0
 	var cut, killed *standin.Host
-	for time.Since(startedAt) < *moving {
+	for time.Since(startedAt) < *moveDuration {
 		m := f.authority.Map()
 		i := draw(len(m.Segments))
 		s := m.Segments[i]
@@ -152,7 +152,7 @@
 			}
 			time.Sleep(time.Duration(1+draw(8)) * time.Millisecond)
 			if step == ownership.Publish && draw(5) == 0 { // before it is published
-				err = errUndo
+				err = errRevert
 				break
 			}
 		}
@@ -181,14 +181,14 @@
 	return moves, undone
 }
 
-// TestCutOffOwnerDoesNotRunWhatMoved: an owner that is cut off still believes it owns; a gatherer with the old map
+// TestPartitionedOwnerDoesNotRunClaimsForMovedSegment: an owner that is cut off still believes it owns; a gatherer with the old map
 // goes on asking it. With the fence nothing runs there; without it a key is given twice, which this test sees.
-func TestCutOffOwnerDoesNotRunWhatMoved(t *testing.T) {
+func TestPartitionedOwnerDoesNotRunClaimsForMovedSegment(t *testing.T) {
 	for _, unfenced := range []bool{false, true} {
 		logs := &standin.SegmentLogs{WithoutFencing: unfenced}
-		f := startFarm(t, 3, 2, logs, "")
+		f := startSegmentFleet(t, 3, 2, logs, "")
 		for _, a := range f.addresses {
-			f.ready(a)
+			f.awaitReady(a)
 		}
 		// The second gatherer hears of nothing any more.
 		f.authority.SetSilent(true)
@@ -205,14 +205,14 @@
 		startedAt := time.Now()
 		old := claim(f.addresses[1], "late", 5, startedAt)
 		f.authority.SetSilent(false)
-		f.ready(f.addresses[0])
+		f.awaitReady(f.addresses[0])
 		for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
 			op := claim(f.addresses[0], fmt.Sprint("new-", time.Now().UnixNano()), 5, startedAt)
 			if op.Output == "given" || !unfenced && op.Output == "held" {
 				break
 			}
 		}
-		twice := duplicates(logs.Executions())
+		twice := findDuplicates(logs.Executions())
 		if !unfenced && (len(twice) > 0 || old.Output == "given") {
 			t.Errorf("%v, the old owner's answer was %v", twice, old.Output)
 		}
@@ -222,13 +222,13 @@
 	}
 }
 
-// TestRestartWithAnOldMapRunsNothingTwice: a gatherer that restarts with a map three epochs old, while the authority
+// TestRestartWithStaleMapRunsNoClaimTwice: a gatherer that restarts with a map three epochs old, while the authority
 // is silent, runs nothing at those who own its keys no longer; it serves again when the authority does. A once-only
 // lookup that may have run before the crash is aborted when its client asks again.
-func TestRestartWithAnOldMapRunsNothingTwice(t *testing.T) {
+func TestRestartWithStaleMapRunsNoClaimTwice(t *testing.T) {
 	logs, dir := &standin.SegmentLogs{}, t.TempDir()
-	f := startFarm(t, 4, 1, logs, dir)
-	f.ready(f.addresses[0])
+	f := startSegmentFleet(t, 4, 1, logs, dir)
+	f.awaitReady(f.addresses[0])
 	startedAt := time.Now()
 	if op := claim(f.addresses[0], "before", 7, startedAt); op.Output != "given" {
 		t.Fatalf("%v", op.Output)
@@ -246,7 +246,7 @@
 			t.Fatal(err)
 		}
 	}
-	f.gatherer(9, dir)
+	f.addGatherer(9, dir)
 	address := f.addresses[1]
 	for until := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until it has a list
 		id := fmt.Sprint("x", time.Now().UnixNano())
@@ -267,11 +267,11 @@
 		t.Errorf("a once-only lookup asked again after the crash: %v", op.Output)
 	}
 	f.authority.SetSilent(false)
-	f.ready(address)
+	f.awaitReady(address)
 	if op := claim(address, "after", 8, startedAt); op.Output != "given" {
 		t.Errorf("%v", op.Output)
 	}
-	if twice := duplicates(logs.Executions()); len(twice) > 0 {
+	if twice := findDuplicates(logs.Executions()); len(twice) > 0 {
 		t.Error(twice)
 	}
 }
@@ -280,8 +280,8 @@
 // later of another one in the same epoch. Non-idempotent queries stop when that comes to light, reads go on, and all go on
 // with a later epoch. News that makes no sense changes nothing.
 func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
-	f := startFarm(t, 3, 1, &standin.SegmentLogs{}, "")
-	f.ready(f.addresses[0])
+	f := startSegmentFleet(t, 3, 1, &standin.SegmentLogs{}, "")
+	f.awaitReady(f.addresses[0])
 	startedAt := time.Now()
 	n := 0
 	try := func(key uint64, want string) {
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -46,12 +46,12 @@
 	run []func(ctx context.Context)
 	// endpoints takes a watch event of the endpoint list, with the addresses of the whole list.
 	endpoints []func(event gather.EndpointList, addresses []shardcall.Address)
-	// configured takes a platform's configuration that was accepted.
-	configured []func(c *platform.Config)
-	// reread takes the operator's file when it is read again. An error keeps those behind from taking it.
-	reread []func(own *operator.File) error
-	// reloaded takes an operator's file that all have accepted.
-	reloaded []func(own *operator.File)
+	// platformConfigAccepted takes a platform's configuration that was accepted.
+	platformConfigAccepted []func(c *platform.Config)
+	// operatorFileRead takes the operator's file when it is read again. An error keeps those behind from taking it.
+	operatorFileRead []func(own *operator.File) error
+	// operatorFileAccepted takes an operator's file that all have accepted.
+	operatorFileAccepted []func(own *operator.File)
 	// draining is called once the gatherer drains.
 	draining []func()
 	// close gives back what the part holds, in the opposite order, after all of run have ended.
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -16,11 +16,11 @@
 	"yokeroute/internal/testbed/reservedport"
 )
 
-// TestNewUndoesWhatItBeganOnFailure: when a part can't be assembled, what the parts before it hold is given back: the
+// TestNewReleasesResourcesOnFailure: when a part can't be assembled, what the parts before it hold is given back: the
 // address of the reports can be listened on, and the folder of the state opened, again.
-func TestNewUndoesWhatItBeganOnFailure(t *testing.T) {
+func TestNewReleasesResourcesOnFailure(t *testing.T) {
 	address := reservedport.ForTest(t)
-	c, err := platform.Parse([]byte(text("127.0.0.1:1", "127.0.0.1:1", settings)), func(string) string { return "" })
+	c, err := platform.Parse([]byte(configJSON("127.0.0.1:1", "127.0.0.1:1", fixtureSettings)), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/service/settings_test.go
+++ b/internal/gatherer/service/settings_test.go
@@ -12,17 +12,17 @@
 	"yokeroute/internal/config/platform"
 )
 
-// deployments are settings of three kinds: lists that are pushed, with tenants, and lists on request without hedging.
-var deployments = map[string]string{
-	"pushed": settings,
-	"tenants": strings.Replace(settings, `"classes"`, `"tenants":[{"name":"one","portion":0.7,"quotaPerS":9},`+
+// settingsByDeployment are settings of three kinds: lists that are pushed, with tenants, and lists on request without hedging.
+var settingsByDeployment = map[string]string{
+	"pushed": fixtureSettings,
+	"tenants": strings.Replace(fixtureSettings, `"classes"`, `"tenants":[{"name":"one","portion":0.7,"quotaPerS":9},`+
 		`{"name":"two","portion":0.3,"quotaPerS":4}],"classes"`, 1),
 	"asked": strings.NewReplacer(
 		`"discovery":"pushed"`, `"discovery":"on_request"`,
 		`"secondCopies":true`, `"secondCopies":false`,
 		`"retryAfter":true,"maxRetryAfter":1000000`, `"retryAfter":false`,
 		`"drainGrace":250000`, `"drainGrace":250000,"mustAskIn":10000000`,
-	).Replace(settings),
+	).Replace(fixtureSettings),
 }
 
 // sendQuery requests four shards and returns the status and the body.
@@ -52,9 +52,9 @@
 	return resp.StatusCode, string(text)
 }
 
-// TestUnusualSettingsServe: at each shape of deployment limits and rules that are absent, zero, or beside words that
+// TestGathererServesWithMissingZeroOrUnknownSettings: at each shape of deployment limits and rules that are absent, zero, or beside words that
 // nobody knows leave a gatherer that serves; a class and a tenant that the settings do not name are refused by name.
-func TestUnusualSettingsServe(t *testing.T) {
+func TestGathererServesWithMissingZeroOrUnknownSettings(t *testing.T) {
 	change := func(t *testing.T, text string, with func(all map[string]any)) string {
 		var all map[string]any
 		if err := json.Unmarshal([]byte(text), &all); err != nil {
@@ -74,7 +74,7 @@
 			}
 		}
 	}
-	for deployment, text := range deployments {
+	for deployment, text := range settingsByDeployment {
 		for name, with := range map[string]func(all map[string]any){
 			"as it is":    func(map[string]any) {},
 			"no limits":   func(all map[string]any) { delete(all, "limits") },
@@ -91,7 +91,7 @@
 			t.Run(deployment+", "+name, func(t *testing.T) {
 				t.Parallel()
 				_, address, end := startGatherer(t, &operator.File{BackgroundShare: 0.05}, plainMachine,
-					func(c string) string { return strings.Replace(c, settings, change(t, text, with), 1) })
+					func(c string) string { return strings.Replace(c, fixtureSettings, change(t, text, with), 1) })
 				for ready := false; !ready; {
 					resp, err := http.Get("http://" + address + "/-/ready")
 					if err == nil {
@@ -126,8 +126,8 @@
 	}
 }
 
-// TestImpossibleSettingsAreNamed: what can't be meant is one error that names its place, and nothing starts.
-func TestImpossibleSettingsAreNamed(t *testing.T) {
+// TestInvalidSettingsAreRejectedWithTheirField: what can't be meant is one error that names its place, and nothing starts.
+func TestInvalidSettingsAreRejectedWithTheirField(t *testing.T) {
 	for _, c := range []struct{ from, to, text string }{
 		{`"effect":"pure"`, `"effect":"odd"`, `class "any" has effect "odd"`},
 		{`"goalTime":300000`, `"goalTime":-1`, "goalTime"},
@@ -135,7 +135,7 @@
 		{`"cells":2`, `"cells":0`, "no classes or no layout"},
 		{`"classes":[`, `"classes":[7,`, "settings: "},
 	} {
-		wrong := text("127.0.0.1:1", "127.0.0.1:2", strings.Replace(settings, c.from, c.to, 1))
+		wrong := configJSON("127.0.0.1:1", "127.0.0.1:2", strings.Replace(fixtureSettings, c.from, c.to, 1))
 		_, err := platform.Parse([]byte(wrong), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), c.text) {
 			t.Errorf("%s: %v", c.to, err)
--- a/internal/gatherer/service/slowdisk_test.go
+++ b/internal/gatherer/service/slowdisk_test.go
@@ -42,10 +42,10 @@
 	return outcome
 }
 
-// TestSlowDiskOfAGathererDelaysNoIdempotentQuery guards against a gatherer that answers nobody while its disk writes.
+// TestSlowDiskDoesNotDelayIdempotentQueries guards against a gatherer that answers nobody while its disk writes.
 // All idempotent queries are served; non-idempotent ones are served or rejected within their deadline, beside a disk
 // that takes longer than that as well.
-func TestSlowDiskOfAGathererDelaysNoIdempotentQuery(t *testing.T) {
+func TestSlowDiskDoesNotDelayIdempotentQueries(t *testing.T) {
 	for _, delay := range []time.Duration{slowDiskDeadline / 4, 2 * slowDiskDeadline} {
 		t.Run(delay.String(), func(t *testing.T) {
 			_, s, l := assembleGatherer(t, &operator.File{BackgroundShare: 0.05}, plainMachine,
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -12,8 +12,8 @@
 
 const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// patient is time enough for tests on a busy machine.
-var patient = Timeouts{Handshakes: time.Second, Requests: 10 * time.Second}
+// generousTimeouts is time enough for tests on a busy machine.
+var generousTimeouts = Timeouts{Handshakes: time.Second, Requests: 10 * time.Second}
 
 // start serves a handler on a listener until the test ends.
 func start(t *testing.T, l net.Listener, timeouts Timeouts, handler http.HandlerFunc) *Server {
@@ -28,8 +28,8 @@
 	return s
 }
 
-// closeSoon closes a server, and waits until it refuses new connections.
-func closeSoon(t *testing.T, s *Server) (closed <-chan error) {
+// closeAndAwaitRefusal closes a server, and waits until it refuses new connections.
+func closeAndAwaitRefusal(t *testing.T, s *Server) (closed <-chan error) {
 	t.Helper()
 	result := make(chan error, 1)
 	go func() { result <- s.Close() }()
@@ -48,14 +48,14 @@
 
 func ok(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
-// heldListener accepts nothing until it is released, as on a machine that has no processor left for it.
-type heldListener struct {
+// gatedListener accepts nothing until it is released, as on a machine that has no processor left for it.
+type gatedListener struct {
 	*net.TCPListener
 	released chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
 }
@@ -63,15 +63,15 @@
 // TestCloseAnswersQueuedRequests guards against requests that are reset as their connections are not accepted
 // yet.
 func TestCloseAnswersQueuedRequests(t *testing.T) {
-	held := &heldListener{listen(t), make(chan struct{})}
-	s := start(t, held, Timeouts{Handshakes: time.Millisecond, Requests: patient.Requests}, ok)
+	held := &gatedListener{listen(t), make(chan struct{})}
+	s := start(t, held, Timeouts{Handshakes: time.Millisecond, Requests: generousTimeouts.Requests}, ok)
 	var clients []*lateclient.Client
 	for range 5 {
 		c := lateclient.Dial(t, held.Addr().String())
 		c.Send(request)
 		clients = append(clients, c)
 	}
-	closed := closeSoon(t, s)
+	closed := closeAndAwaitRefusal(t, s)
 	time.Sleep(20 * time.Millisecond) // past the time for handshakes
 	close(held.released)
 	for _, c := range clients {
@@ -87,9 +87,9 @@
 func TestCloseAnswersHandshakeUnderWay(t *testing.T) {
 	l := listen(t)
 	lateclient.CompleteHandshakesWithData(t, l)
-	s := start(t, l, patient, ok)
+	s := start(t, l, generousTimeouts, ok)
 	c := lateclient.Dial(t, l.Addr().String())
-	closed := closeSoon(t, s)
+	closed := closeAndAwaitRefusal(t, s)
 	c.Send(request)
 	c.WantLastResponse(http.StatusOK)
 	if err := <-closed; err != nil {
@@ -103,7 +103,7 @@
 	serving := make(chan struct{}, 2)
 	l := listen(t)
 	ending := make(chan struct{})
-	s := start(t, l, patient, func(_ http.ResponseWriter, r *http.Request) {
+	s := start(t, l, generousTimeouts, func(_ http.ResponseWriter, r *http.Request) {
 		serving <- struct{}{}
 		<-ending
 		if _, err := io.ReadAll(r.Body); err != nil {
@@ -115,7 +115,7 @@
 	half.Send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n12")
 	<-serving
 	<-serving
-	closed := closeSoon(t, s)
+	closed := closeAndAwaitRefusal(t, s)
 	<-s.Ending()
 	close(ending)
 	half.Send("34")
@@ -140,7 +140,7 @@
 	lateclient.Dial(t, l.Addr().String()).Send(request)
 	<-serving
 	select {
-	case err := <-closeSoon(t, s):
+	case err := <-closeAndAwaitRefusal(t, s):
 		if err != nil {
 			t.Error(err)
 		}
