--- a/internal/gatherer/background/background.go
+++ b/internal/gatherer/background/background.go
@@ -1,6 +1,6 @@
-// Package background runs jobs beside queries, one at a time and within a budget of processor time. Package logic/jobs
-// decides which job runs and for how long. A job works on a goroutine of its own, calls pause between pieces of its work,
-// and waits there while others run or the budget is used up.
+// Package background runs low-priority jobs alongside queries, one at a time and within a CPU time budget. Package
+// logic/jobs decides which job runs and for how long. Each job runs on its own goroutine and calls pause between pieces
+// of its work; pause blocks while other jobs run or the budget is used up.
 package background
 
 import (
@@ -18,14 +18,14 @@
 	"yokeroute/logic/jobs"
 )
 
-// ErrCancelled ends a job that was cancelled, or whose scheduler has ended.
+// ErrCancelled is returned by pause when the job was cancelled or its scheduler has stopped.
 var ErrCancelled = errors.New("background job cancelled")
 
-// Job is a piece of background work. It calls pause about once a millisecond, and returns when pause fails, with its
-// error.
+// Job is a unit of background work. It must call pause about once per millisecond, and return the error of pause when
+// pause fails.
 type Job func(pause func() error) error
 
-// Scheduler runs jobs.
+// Scheduler runs submitted jobs one at a time within a CPU budget.
 type Scheduler struct {
 	log     *logrus.Logger
 	now     func() float64 // milliseconds
@@ -34,30 +34,30 @@
 	mu           sync.Mutex
 	queue        *jobs.Queue
 	tasks        map[uint64]*task
-	replacements map[string]Job // by name, to run after the task that is running
+	replacements map[string]Job // by name; each runs after the started task of that name
 }
 
-// task is a submitted job. Turns pass between its goroutine and the scheduler.
+// task is a submitted job. Its goroutine and the scheduler alternate: the scheduler grants a turn over slices, and the
+// goroutine ends it over yielded.
 type task struct {
 	name    string
 	job     Job
-	slices  chan float64 // its turns, in milliseconds of processor time; closed to cancel it
-	yielded chan bool    // the end of a turn, true when the job is done
+	slices  chan float64 // granted turns, in milliseconds of CPU time; closed to cancel the job
+	yielded chan bool    // receives at the end of each turn whether the job is done
 	started bool
-	cpuUsed float64 // milliseconds of processor time in its turn
+	cpuUsed float64 // milliseconds of CPU time used in the current turn
 }
 
 func newTask(name string, job Job) *task {
 	return &task{name: name, job: job, slices: make(chan float64), yielded: make(chan bool)}
 }
 
-// The processor time of one turn, and what may be saved up while no job is due, in milliseconds.
 const (
-	sliceLength = 1
-	burstLength = 20
+	sliceLength = 1  // CPU time of one turn, in milliseconds
+	burstLength = 20 // budget that may accumulate while no job is due, in milliseconds of CPU time
 )
 
-// New makes a scheduler that lets its jobs use a share of one core.
+// New returns a scheduler whose jobs may use the given share of one core.
 func New(share float64, log *logrus.Logger) *Scheduler {
 	start := time.Now()
 	return &Scheduler{
@@ -70,12 +70,13 @@
 	}
 }
 
-// Submit queues a job under a name. It replaces a waiting job of that name, and runs after one that is running.
+// Submit queues a job under a name. It replaces a job of that name that has not started; if one has started, the new
+// job runs after it.
 func (s *Scheduler) Submit(name string, class jobs.Class, job Job) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	id, fresh := s.queue.Add(name, class)
-	if t := s.tasks[id]; fresh || !t.started {
+	id, added := s.queue.Add(name, class)
+	if t := s.tasks[id]; added || !t.started {
 		s.tasks[id] = newTask(name, job)
 	} else {
 		s.replacements[name] = job
@@ -104,10 +105,10 @@
 	}
 }
 
-// maxIdle is how long the scheduler sleeps where no job is due.
+// maxIdle limits how long the scheduler sleeps when no job is due.
 const maxIdle = time.Minute
 
-// Run runs jobs until ctx ends, and then waits for those that have started to return.
+// Run runs jobs until ctx ends, then cancels the jobs that have started and waits for them to return.
 func (s *Scheduler) Run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -127,13 +128,13 @@
 	s.cancelStarted()
 }
 
-// slice is one turn of a task.
+// slice describes one turn of a task.
 type slice struct {
 	milliseconds float64
 	cancelled    bool
 }
 
-// next returns the task whose turn it is, nil and how long to wait where there is none.
+// next returns the task to run and its turn, or a nil task and how long to wait if none is due.
 func (s *Scheduler) next() (id uint64, next *task, turn slice, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,7 +149,7 @@
 	return 0, nil, slice{}, time.Duration(idle * float64(time.Millisecond))
 }
 
-// cancelStarted ends the tasks that have started and waits for them.
+// cancelStarted cancels the tasks that have started and waits for them to return.
 func (s *Scheduler) cancelStarted() {
 	s.mu.Lock()
 	var started []*task
@@ -164,14 +165,14 @@
 	}
 }
 
-// waitDone waits until a cancelled task is done. One that does not look at pause's error yields first.
+// waitDone waits until a cancelled task is done. A job that ignores the error of pause may yield several times before.
 func (t *task) waitDone() {
 	for done := false; !done; {
 		done = <-t.yielded
 	}
 }
 
-// runSlice lets a task run for its turn and books what it used.
+// runSlice runs a task for one turn, or cancels it, and records the CPU time it used.
 func (s *Scheduler) runSlice(id uint64, t *task, turn slice) {
 	done := true
 	if turn.cancelled {
@@ -194,7 +195,7 @@
 	}
 }
 
-// start begins a task's goroutine, which waits for its first turn.
+// start starts a task's goroutine, which waits for its first turn.
 func (s *Scheduler) start(t *task) {
 	if t.started {
 		return
@@ -203,23 +204,23 @@
 	go s.run(t)
 }
 
-// run runs a task's job turn by turn. Processor time is counted by thread, so that it stays on one.
+// run runs a task's job turn by turn. The goroutine is locked to its thread because CPU time is measured per thread.
 func (s *Scheduler) run(t *task) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
 	length, running := <-t.slices
-	from := threadCPU()
+	startCPU := threadCPU()
 	pause := func() error {
 		if !running {
 			return ErrCancelled
 		}
-		t.cpuUsed = threadCPU() - from
+		t.cpuUsed = threadCPU() - startCPU
 		if t.cpuUsed < length {
 			return nil
 		}
 		t.yielded <- false
 		length, running = <-t.slices
-		from = threadCPU()
+		startCPU = threadCPU()
 		if !running {
 			return ErrCancelled
 		}
@@ -229,29 +230,29 @@
 	if running {
 		err = s.runRecovered(t, pause)
 	}
-	t.cpuUsed = threadCPU() - from
+	t.cpuUsed = threadCPU() - startCPU
 	if err != nil && !errors.Is(err, ErrCancelled) {
 		s.log.WithError(err).WithField("job", t.name).Warn("background: job failed")
 	}
 	t.yielded <- true
 }
 
-// runRecovered keeps a panic from going further than its job.
+// runRecovered runs a job and converts a panic into an error, so that it does not end the process.
 func (s *Scheduler) runRecovered(t *task, pause func() error) (err error) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			s.log.WithField("stack", string(debug.Stack())).WithField("job", t.name).Errorf("background: job panicked: %v", fault)
-			err = fmt.Errorf("panic: %v", fault)
+		if cause := recover(); cause != nil {
+			s.log.WithField("stack", string(debug.Stack())).WithField("job", t.name).Errorf("background: job panicked: %v", cause)
+			err = fmt.Errorf("panic: %v", cause)
 		}
 	}()
 	return t.job(pause)
 }
 
-// threadCPU is the processor time that the thread has used, in milliseconds.
+// threadCPU returns the CPU time used by the calling thread, in milliseconds, or 0 if it cannot be read.
 func threadCPU() float64 {
-	var use unix.Rusage
-	if unix.Getrusage(unix.RUSAGE_THREAD, &use) != nil {
+	var usage unix.Rusage
+	if unix.Getrusage(unix.RUSAGE_THREAD, &usage) != nil {
 		return 0
 	}
-	return float64(use.Utime.Nano()+use.Stime.Nano()) / 1e6
+	return float64(usage.Utime.Nano()+usage.Stime.Nano()) / 1e6
 }
--- a/internal/gatherer/background/background_test.go
+++ b/internal/gatherer/background/background_test.go
@@ -13,7 +13,8 @@
 	"yokeroute/logic/jobs"
 )
 
-func newScheduler(t *testing.T, share float64) (s *Scheduler, end func()) {
+// newScheduler returns a running scheduler; stop ends it and waits for Run to return.
+func newScheduler(t *testing.T, share float64) (s *Scheduler, stop func()) {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s = New(share, log)
@@ -29,10 +30,10 @@
 	}
 }
 
-// burnCPU uses CPU until pause gives the baton away, so that a turn certainly ends.
-func burnCPU(pause func() error, turns int) error {
+// burnCPU uses enough CPU between calls of pause that turns run out, and returns when pause fails.
+func burnCPU(pause func() error, iterations int) error {
 	x := 0
-	for range turns {
+	for range iterations {
 		for i := range 1_000_000 {
 			x += i * x
 		}
@@ -43,42 +44,44 @@
 	return nil
 }
 
-// TestHigherClassJobRunsBetweenTurns wants a job that asks while another runs to get its turns before that one is done, and all to end.
+// TestHigherClassJobRunsBetweenTurns checks that a job of a higher class that is submitted while another job runs
+// completes before that one, and that both complete.
 func TestHigherClassJobRunsBetweenTurns(t *testing.T) {
-	s, end := newScheduler(t, 1)
-	defer end()
+	s, stop := newScheduler(t, 1)
+	defer stop()
 	var mu sync.Mutex
 	var order []string
-	note := func(what string) {
+	record := func(name string) {
 		mu.Lock()
-		order = append(order, what)
+		order = append(order, name)
 		mu.Unlock()
 	}
-	var wait sync.WaitGroup
-	wait.Add(2)
+	var running sync.WaitGroup
+	running.Add(2)
 	s.Submit("long", jobs.Low, func(pause func() error) error {
-		defer wait.Done()
+		defer running.Done()
 		s.Submit("short", jobs.High, func(func() error) error {
-			defer wait.Done()
-			note("short")
+			defer running.Done()
+			record("short")
 			return nil
 		})
 		if err := burnCPU(pause, 30); err != nil {
 			t.Error(err)
 		}
-		note("long")
+		record("long")
 		return nil
 	})
-	wait.Wait()
+	running.Wait()
 	if !slices.Equal(order, []string{"short", "long"}) {
-		t.Errorf("order %v", order)
+		t.Errorf("jobs completed in order %v, want [short long]", order)
 	}
 }
 
-// TestLatestResubmissionRunsAfterRunningJob wants what was asked for while a job ran to run once after it, and the last that was asked for.
+// TestLatestResubmissionRunsAfterRunningJob submits two jobs under the name of a running job. Only the later one runs,
+// once, after the running job.
 func TestLatestResubmissionRunsAfterRunningJob(t *testing.T) {
-	s, end := newScheduler(t, 1)
-	defer end()
+	s, stop := newScheduler(t, 1)
+	defer stop()
 	ran := make(chan int, 10)
 	job := func(n int) Job {
 		return func(func() error) error {
@@ -93,46 +96,46 @@
 		return nil
 	})
 	if a, b := <-ran, <-ran; a != 0 || b != 2 {
-		t.Errorf("ran %d, %d", a, b)
+		t.Errorf("ran jobs %d, %d, want 0, 2", a, b)
 	}
 	s.Submit("last", jobs.Low, job(3))
 	if n := <-ran; n != 3 {
-		t.Errorf("ran %d", n)
+		t.Errorf("ran job %d, want 3", n)
 	}
 }
 
-// TestCancelPanicAndShutdownEndJobs wants a job that was called off to be told so, one that panics to end alone, and the scheduler to wait
-// for what runs when it ends.
+// TestCancelPanicAndShutdownEndJobs checks that pause returns ErrCancelled in a cancelled job, that a panic ends only
+// its own job, and that the scheduler cancels and awaits the running job when it stops.
 func TestCancelPanicAndShutdownEndJobs(t *testing.T) {
-	s, end := newScheduler(t, 0.5)
-	begun, told := make(chan bool), make(chan error, 1)
+	s, stop := newScheduler(t, 0.5)
+	started, result := make(chan bool), make(chan error, 1)
 	s.Submit("a", jobs.Normal, func(pause func() error) error {
-		close(begun)
+		close(started)
 		err := burnCPU(pause, 1<<30)
-		told <- err
+		result <- err
 		return err
 	})
-	<-begun
+	<-started
 	s.Cancel("a")
-	if err := <-told; !errors.Is(err, ErrCancelled) {
-		t.Errorf("error %v", err)
+	if err := <-result; !errors.Is(err, ErrCancelled) {
+		t.Errorf("pause returned %v, want ErrCancelled", err)
 	}
 	s.Submit("b", jobs.Normal, func(func() error) error { panic("a fault") })
-	begun = make(chan bool)
+	started = make(chan bool)
 	s.Submit("c", jobs.Normal, func(pause func() error) error {
-		close(begun)
+		close(started)
 		err := burnCPU(pause, 1<<30)
-		told <- err
+		result <- err
 		return err
 	})
-	<-begun
-	end()
+	<-started
+	stop()
 	select {
-	case err := <-told:
+	case err := <-result:
 		if !errors.Is(err, ErrCancelled) {
-			t.Errorf("error %v", err)
+			t.Errorf("pause returned %v, want ErrCancelled", err)
 		}
 	default:
-		t.Error("the scheduler ended while a job ran")
+		t.Error("the scheduler stopped while a job was running")
 	}
 }
--- a/internal/httpfetch/httpfetch.go
+++ b/internal/httpfetch/httpfetch.go
@@ -1,4 +1,4 @@
-// Package httpfetch gets documents over HTTP, with bounds on their size and on the time that they take to arrive.
+// Package httpfetch downloads documents over HTTP, with limits on their size and on the time they take to arrive.
 package httpfetch
 
 import (
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// ErrStalled is a response whose body stopped arriving or took too long.
+// ErrStalled reports that a response body stopped arriving or took longer than the body timeout.
 var ErrStalled = errors.New("response stalled")
 
-// ErrTooLarge is a response over the size limit.
+// ErrTooLarge reports that a response body exceeds the size limit.
 var ErrTooLarge = errors.New("response too large")
 
-// StatusError is a response with a status other than 200 OK.
+// StatusError reports a response status other than 200 OK.
 type StatusError struct {
-	Status string // as in http.Response
+	Status string // status line, such as "503 Service Unavailable"
 }
 
 func (e *StatusError) Error() string { return "status " + e.Status }
 
-// Limits bound a response's body. How long its header may take is the transport's to bound.
+// Limits limits a response body. The time until the header arrives is limited by the client's transport.
 type Limits struct {
 	MaxBytes     int64
-	BodyTimeout  time.Duration // for the whole body, 0 for no limit
-	StallTimeout time.Duration // between two reads that return bytes, 0 for no limit
+	BodyTimeout  time.Duration // limit for the whole body; 0 means none
+	StallTimeout time.Duration // limit between two reads that return bytes; 0 means none
 }
 
-// Get requests a document and returns it in full. onHeader, if it is not nil, is called once the header has arrived.
+// Get requests a document and returns its whole body. onHeader, if not nil, is called once the header has arrived.
 func Get(ctx context.Context, client *http.Client, url string, limits Limits, onHeader func()) ([]byte, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -60,7 +60,7 @@
 	return body, nil
 }
 
-// read reads a body to its end, or to one byte beyond MaxBytes. It calls stop where a timeout runs out.
+// read reads a body to its end, or to one byte beyond MaxBytes. It calls stop when a timeout expires.
 func (l *Limits) read(body io.Reader, stop func()) ([]byte, error) {
 	if l.BodyTimeout > 0 {
 		timer := time.AfterFunc(l.BodyTimeout, stop)
@@ -74,7 +74,7 @@
 	return io.ReadAll(io.LimitReader(body, l.MaxBytes+1))
 }
 
-// progressReader postpones a timer each time that bytes arrive.
+// progressReader restarts a timer whenever bytes arrive.
 type progressReader struct {
 	reader  io.Reader
 	timer   *time.Timer
--- a/internal/httpfetch/httpfetch_test.go
+++ b/internal/httpfetch/httpfetch_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// TestGetReturnsBodyWithinLimits serves bodies at and over the limit, other statuses and bodies that do not go on.
-func TestGetReturnsBodyWithinLimits(t *testing.T) {
+// TestGetEnforcesLimitsAndStatus checks the result for bodies at and over the size limit, an error status, and bodies
+// that are truncated, stall, or arrive too slowly.
+func TestGetEnforcesLimitsAndStatus(t *testing.T) {
 	const maxBytes = 10
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		switch r.URL.Path {
@@ -41,10 +42,10 @@
 	slow := Limits{MaxBytes: 1 << 20, BodyTimeout: 200 * time.Millisecond, StallTimeout: 10 * time.Second}
 	var status *StatusError
 	for _, c := range []struct {
-		path   string
-		limits Limits
-		body   string
-		isWant func(err error) bool
+		path       string
+		limits     Limits
+		body       string
+		isExpected func(err error) bool
 	}{
 		{"/largest", Limits{MaxBytes: maxBytes}, "xxxxxxxxxx", func(err error) bool { return err == nil }},
 		{"/larger", Limits{MaxBytes: maxBytes}, "", func(err error) bool { return errors.Is(err, ErrTooLarge) }},
@@ -55,10 +56,10 @@
 		{"/stalls", stalls, "", func(err error) bool { return errors.Is(err, ErrStalled) }},
 		{"/trickles", slow, "", func(err error) bool { return errors.Is(err, ErrStalled) }},
 	} {
-		headers := 0
-		body, err := Get(t.Context(), server.Client(), server.URL+c.path, c.limits, func() { headers++ })
-		if !c.isWant(err) || string(body) != c.body || headers != 1 {
-			t.Errorf("%s: %q, %v, %d headers", c.path, body, err, headers)
+		headerCalls := 0
+		body, err := Get(t.Context(), server.Client(), server.URL+c.path, c.limits, func() { headerCalls++ })
+		if !c.isExpected(err) || string(body) != c.body || headerCalls != 1 {
+			t.Errorf("%s: body %q, error %v, onHeader called %d times", c.path, body, err, headerCalls)
 		}
 	}
 }
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -1,8 +1,8 @@
-// Package httpserver has an HTTP server that ends in order: it answers the requests of connections that
-// clients have established or are establishing.
+// Package httpserver provides an HTTP server with a graceful shutdown: it answers the requests on connections
+// that clients have established or are establishing when the shutdown begins.
 //
-// It replaces http.Server.Shutdown, which closes the listener over connections that are not accepted, and
-// reads requests that it drops unanswered.
+// It replaces http.Server.Shutdown, which resets connections that are established but not yet accepted when it
+// closes the listener, and which drops requests unanswered after reading them.
 package httpserver
 
 import (
@@ -17,10 +17,12 @@
 	"yokeroute/internal/drainable"
 )
 
-// Timeouts bound an end.
+// Timeouts limit the phases of a graceful shutdown.
 type Timeouts struct {
-	Handshakes time.Duration // in which handshakes that are under way can be completed
-	Requests   time.Duration // in which requests are answered, from the beginning of the end
+	// Handshakes limits how long Close waits for TCP handshakes in progress to complete.
+	Handshakes time.Duration
+	// Requests limits how long requests may take to be answered, counted from the call of Close.
+	Requests time.Duration
 }
 
 // Server is an http.Server with its listener and the goroutine that serves it.
@@ -30,17 +32,17 @@
 	timeouts Timeouts
 	conns    *openConns
 
-	failed chan error    // receives the error with which serving ended by itself
-	served chan struct{} // closed once serving has ended; nil until it starts
+	failed chan error    // receives the error when serving ends without Close
+	served chan struct{} // closed once serving has ended; nil until Start is called
 
 	closeOnce sync.Once
 	closeErr  error
 	closing   atomic.Bool
-	ending    chan struct{} // closed once Close begins
+	ending    chan struct{} // closed when Close begins
 }
 
-// New returns a server that does not serve yet. Its connections' states are followed by the server's
-// ConnState.
+// New returns a server that does not serve until Start is called. It sets server.ConnState to track the state of
+// each connection.
 func New(listener net.Listener, server *http.Server, timeouts Timeouts) *Server {
 	s := &Server{
 		server:   server,
@@ -65,14 +67,16 @@
 	}()
 }
 
-// Failed receives the error with which serving ended by itself.
+// Failed returns a channel that receives the error when serving ends without a call of Close.
 func (s *Server) Failed() <-chan error { return s.failed }
 
-// Ending is closed once Close begins. A request that waits for something is to be answered then.
+// Ending returns a channel that is closed when Close begins. Handlers that wait for an event should respond then
+// instead of waiting on.
 func (s *Server) Ending() <-chan struct{} { return s.ending }
 
-// Close ends the server. New connections are refused; requests that clients have sent on established ones are
-// answered within the timeouts, and each response ends its connection. Idle connections are closed at once.
+// Close shuts the server down gracefully. New connections are refused; requests that clients have sent on
+// established connections are answered within the timeouts, and each response closes its connection. Idle
+// connections are closed at once.
 func (s *Server) Close() error {
 	s.closeOnce.Do(func() { s.closeErr = s.close() })
 	return s.closeErr
@@ -90,7 +94,7 @@
 	s.listener.Drain(s.timeouts.Handshakes)
 	select {
 	case <-timeout.C:
-	case <-s.served: // every connection is counted
+	case <-s.served: // no further connection is accepted, so conns tracks all of them
 		select {
 		case <-timeout.C:
 		case <-s.conns.allAnswered():
@@ -101,7 +105,7 @@
 	return err
 }
 
-// ignoreClosed drops the error of a listener that is closed already.
+// ignoreClosed returns nil for the error of a listener that was already closed, and err otherwise.
 func ignoreClosed(err error) error {
 	if errors.Is(err, net.ErrClosed) {
 		return nil
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -12,10 +12,10 @@
 
 const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// generousTimeouts is time enough for tests on a busy machine.
+// generousTimeouts are long enough for tests on a busy machine.
 var generousTimeouts = Timeouts{Handshakes: time.Second, Requests: 10 * time.Second}
 
-// start serves a handler on a listener until the test ends.
+// start serves a handler on a listener until the test ends, and fails the test if Close returns an error.
 func start(t *testing.T, l net.Listener, timeouts Timeouts, handler http.HandlerFunc) *Server {
 	t.Helper()
 	s := New(l, &http.Server{Handler: handler}, timeouts)
@@ -28,7 +28,8 @@
 	return s
 }
 
-// closeAndAwaitRefusal closes a server, and waits until it refuses new connections.
+// closeAndAwaitRefusal closes a server in the background and returns once it refuses new connections. The channel
+// receives the result of Close.
 func closeAndAwaitRefusal(t *testing.T, s *Server) (closed <-chan error) {
 	t.Helper()
 	result := make(chan error, 1)
@@ -48,7 +49,8 @@
 
 func ok(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
-// gatedListener accepts nothing until it is released, as on a machine that has no processor left for it.
+// gatedListener delays Accept until released is closed, as when a busy machine does not schedule the accepting
+// goroutine.
 type gatedListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -60,20 +62,20 @@
 	return l.TCPListener.Accept()
 }
 
-// TestCloseAnswersQueuedRequests guards against requests that are reset as their connections are not accepted
-// yet.
+// TestCloseAnswersQueuedRequests guards against Close resetting requests whose connections are established but
+// not yet accepted.
 func TestCloseAnswersQueuedRequests(t *testing.T) {
-	held := &gatedListener{listen(t), make(chan struct{})}
-	s := start(t, held, Timeouts{Handshakes: time.Millisecond, Requests: generousTimeouts.Requests}, ok)
+	gated := &gatedListener{listen(t), make(chan struct{})}
+	s := start(t, gated, Timeouts{Handshakes: time.Millisecond, Requests: generousTimeouts.Requests}, ok)
 	var clients []*lateclient.Client
 	for range 5 {
-		c := lateclient.Dial(t, held.Addr().String())
+		c := lateclient.Dial(t, gated.Addr().String())
 		c.Send(request)
 		clients = append(clients, c)
 	}
 	closed := closeAndAwaitRefusal(t, s)
-	time.Sleep(20 * time.Millisecond) // past the time for handshakes
-	close(held.released)
+	time.Sleep(20 * time.Millisecond) // longer than the handshake timeout
+	close(gated.released)
 	for _, c := range clients {
 		c.WantLastResponse(http.StatusOK)
 	}
@@ -82,9 +84,9 @@
 	}
 }
 
-// TestCloseAnswersHandshakeUnderWay guards against a request that is reset as its handshake ends after the
-// close begins.
-func TestCloseAnswersHandshakeUnderWay(t *testing.T) {
+// TestCloseAnswersConnectionInHandshake guards against Close resetting a connection whose handshake completes after
+// Close has begun.
+func TestCloseAnswersConnectionInHandshake(t *testing.T) {
 	l := listen(t)
 	lateclient.CompleteHandshakesWithData(t, l)
 	s := start(t, l, generousTimeouts, ok)
@@ -97,9 +99,9 @@
 	}
 }
 
-// TestCloseAnswersRequestBeingServed guards against requests that are broken off: of one the body is read,
-// the other one is served, and both handlers answer only once the close has begun.
-func TestCloseAnswersRequestBeingServed(t *testing.T) {
+// TestCloseAnswersRequestsInFlight guards against Close aborting requests in flight. One request is complete, of the
+// other one only half of the body has arrived; both handlers respond only after Close has begun.
+func TestCloseAnswersRequestsInFlight(t *testing.T) {
 	serving := make(chan struct{}, 2)
 	l := listen(t)
 	ending := make(chan struct{})
@@ -110,24 +112,24 @@
 			t.Error(err)
 		}
 	})
-	complete, half := lateclient.Dial(t, l.Addr().String()), lateclient.Dial(t, l.Addr().String())
+	complete, partial := lateclient.Dial(t, l.Addr().String()), lateclient.Dial(t, l.Addr().String())
 	complete.Send(request)
-	half.Send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n12")
+	partial.Send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n12")
 	<-serving
 	<-serving
 	closed := closeAndAwaitRefusal(t, s)
 	<-s.Ending()
 	close(ending)
-	half.Send("34")
+	partial.Send("34")
 	complete.WantLastResponse(http.StatusOK)
-	half.WantLastResponse(http.StatusOK)
+	partial.WantLastResponse(http.StatusOK)
 	if err := <-closed; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestCloseIsBounded: neither a handler that waits for ever nor a client that sends nothing keeps the server
-// from ending.
+// TestCloseIsBounded checks that Close returns although one handler blocks until its context ends and one client
+// sends nothing.
 func TestCloseIsBounded(t *testing.T) {
 	serving := make(chan struct{})
 	l := listen(t)
@@ -145,6 +147,6 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("not closed")
+		t.Error("Close did not return within 10 s")
 	}
 }
--- a/internal/httpserver/openconns.go
+++ b/internal/httpserver/openconns.go
@@ -6,16 +6,17 @@
 	"sync"
 )
 
-// openConns are the connections on which a request is awaited or served: all but idle ones.
+// openConns tracks the connections that are not idle: those on which a request is expected, arriving or being
+// served.
 type openConns struct {
 	mu       sync.Mutex
 	open     map[net.Conn]struct{}
-	answered chan struct{} // closed once there is none; nil until that is asked for
+	answered chan struct{} // closed once open is empty; nil until allAnswered is called
 }
 
 func newOpenConns() *openConns { return &openConns{open: map[net.Conn]struct{}{}} }
 
-// onStateChange is the ConnState of an http.Server.
+// onStateChange is the http.Server's ConnState hook.
 func (o *openConns) onStateChange(c net.Conn, state http.ConnState) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -28,8 +29,8 @@
 	o.notify()
 }
 
-// allAnswered returns a channel that is closed once there is no connection on which a request is awaited or
-// served. It may be called once, when no connection is accepted any more.
+// allAnswered returns a channel that is closed once all remaining connections are idle or closed. It must be
+// called at most once, after the server has stopped accepting connections.
 func (o *openConns) allAnswered() <-chan struct{} {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -39,7 +40,7 @@
 	return answered
 }
 
-// notify closes the channel where its time has come. The caller holds the lock.
+// notify closes the channel that allAnswered returned once no connection is open. The caller holds the lock.
 func (o *openConns) notify() {
 	if o.answered != nil && len(o.open) == 0 {
 		close(o.answered)
