--- a/internal/gatherer/frontend/activequeries.go
+++ b/internal/gatherer/frontend/activequeries.go
@@ -7,26 +7,27 @@
 	"time"
 )
 
-// activeQueries are the queries being decided, by request ID. Two of one ID could not be told apart at the shard
-// servers, so that an ID is held by one query at a time.
+// activeQueries holds the queries in flight by request ID. Shard servers could not distinguish two queries with the
+// same ID, so only one query at a time holds an ID.
 type activeQueries struct {
 	mu   sync.Mutex
 	byID map[string]*activeQuery
 }
 
-// activeQuery is a query that holds its ID.
+// activeQuery is a query in flight that holds its ID.
 type activeQuery struct {
 	client    context.Context
-	done      chan struct{} // closed at its end
-	abandoned bool          // set before done is closed: the client had gone by then
+	done      chan struct{} // closed when the query ends
+	abandoned bool          // set before done is closed: whether the client had disconnected by then
 }
 
-// acquire takes an ID. A client whose connection was closed under its request repeats the request and may arrive
-// before the first one has ended: the repeat waits for that, readBodyTimeout at most. Where the first one was
-// answered, its client was still there; the second client is another one and has no right to the ID.
+// acquire reserves an ID for a query. A client whose connection was closed during its request retries the request,
+// which may arrive before the first one has ended: the retry waits for that, for readBodyTimeout at most. If the first
+// query was answered, its client was still connected, so the second request comes from a different client and is
+// rejected.
 func (a *activeQueries) acquire(ctx context.Context, id string) (*activeQuery, error) {
-	limit := time.NewTimer(readBodyTimeout)
-	defer limit.Stop()
+	timeout := time.NewTimer(readBodyTimeout)
+	defer timeout.Stop()
 	errInUse := &requestError{http.StatusConflict, "a lookup of this X-Request-ID is in hand"}
 	for {
 		query, first := a.tryAcquire(ctx, id)
@@ -38,7 +39,7 @@
 			if !first.abandoned {
 				return nil, errInUse
 			}
-		case <-limit.C:
+		case <-timeout.C:
 			return nil, errInUse
 		case <-ctx.Done():
 			return nil, ctx.Err()
@@ -46,7 +47,7 @@
 	}
 }
 
-// tryAcquire returns a new query that holds the ID, or the one that holds it already.
+// tryAcquire returns a new query that now holds the ID, or else the query that already holds it.
 func (a *activeQueries) tryAcquire(ctx context.Context, id string) (acquired, holder *activeQuery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -58,7 +59,7 @@
 	return acquired, nil
 }
 
-// release gives an ID back.
+// release ends a query and frees its ID.
 func (a *activeQueries) release(id string, query *activeQuery) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/gatherer/frontend/clientconn.go
+++ b/internal/gatherer/frontend/clientconn.go
@@ -12,30 +12,32 @@
 	"time"
 )
 
-// clientConn is a client's connection. It stands between net/http and the socket for what net/http does not do:
+// clientConn is a client's connection. It sits between net/http and the socket to handle cases that net/http does not:
 //
-//   - net/http takes Content-Length out of a head that has Transfer-Encoding too, and would pass on what a body of two
-//     lengths hides: only the raw head shows both (headerscan.go).
-//   - net/http reads one byte behind a request being served and no more, and so does not notice that a client which
-//     has sent more closes its connection (readahead.go).
-//   - net/http closes a connection that it takes for idle while bytes of the next request are on their way to it, goes
-//     on with what it has read of them, and closes over unread bytes, which resets the connection under the last
-//     response (Close).
+//   - net/http removes Content-Length from a request head that also has Transfer-Encoding, and would serve a request
+//     that is hidden in a body with two lengths: only the raw head shows both (headerscan.go).
+//   - net/http reads a single byte after a request being served, and so does not detect that a client which has sent
+//     more closes its connection (readahead.go).
+//   - net/http closes a connection that it considers idle while bytes of the next request are in transit, continues
+//     with those that it has read, and closes the socket with unread bytes, which resets the connection before the
+//     client has read the last response (Close).
 type clientConn struct {
 	*net.TCPConn
 	lingering *lingeringConns // nil in tests
 
-	conflictingLengths atomic.Bool // for good: nothing that follows may be served
+	conflictingLengths atomic.Bool // never reset: no later request on the connection may be served
 
-	mu             sync.Mutex
-	serving        bool      // a request is being served; until its response the connection is not ours to close
-	requestRead    bool      // and all of it has been read
-	arrivingSince  time.Time // since when an incomplete request arrives, or one behind that being served; else zero
-	closedByServer bool      // whatever is still read belongs to no request
+	mu          sync.Mutex
+	serving     bool // a request is being served; closeIfIdle must not close the connection before its response
+	requestRead bool // the request being served has been read completely
+	// arrivingSince is when the first byte arrived of a request that is incomplete, or that follows the one being
+	// served. It is zero if there is none.
+	arrivingSince  time.Time
+	closedByServer bool // bytes that arrive from now on are not read as a request
 	lingerFor      time.Duration
 	ahead          readAhead
 
-	scanner headerScanner // belongs to the reader; net/http reads from one goroutine at a time
+	scanner headerScanner // not guarded by mu: net/http reads from one goroutine at a time
 }
 
 type connContextKey struct{}
@@ -48,7 +50,7 @@
 	return ctx
 }
 
-// clientConnOf returns the connection that a request came on, or nil where it is not a clientConn.
+// clientConnOf returns the connection that a request arrived on, or nil if it is not a clientConn.
 func clientConnOf(ctx context.Context) *clientConn {
 	conn, _ := ctx.Value(connContextKey{}).(*clientConn)
 	return conn
@@ -74,8 +76,8 @@
 	}
 }
 
-// receive reads from the socket and notes in the same step, under the lock, that a request arrives: between a read
-// and its note the connection would look idle and be closed.
+// receive reads from the socket and records under the same lock that a request is arriving. Otherwise the connection
+// would appear idle between the two steps and could be closed.
 func (c *clientConn) receive(p []byte) (n int, err error) {
 	raw, err := c.SyscallConn()
 	if err != nil {
@@ -84,7 +86,7 @@
 	waitErr := raw.Read(func(fd uintptr) (done bool) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if c.closedByServer { // while this read waited; n may be -1 from the attempt before
+		if c.closedByServer { // closed while this read waited; n may be -1 from the previous attempt
 			n = 0
 			err = net.ErrClosed
 			return true
@@ -107,8 +109,8 @@
 	return n, err
 }
 
-// received turns what a system call returned into what Read returns, and notes that a request arrives. The lock is
-// held.
+// received converts the result of a read system call to that of Read, and records that a request is arriving. The
+// caller holds the lock.
 func (c *clientConn) received(n, size int, err error) (int, error) {
 	switch {
 	case err != nil:
@@ -120,7 +122,7 @@
 	if c.arrivingSince.IsZero() {
 		c.arrivingSince = time.Now()
 	}
-	// net/http reads a single byte only behind a request being served, and no further while it serves.
+	// net/http reads a single byte only after a request being served, and reads no more while it is served.
 	c.ahead.byteConsumed = size == 1 && c.ahead.onDisconnect == nil
 	if c.ahead.onDisconnect != nil && c.ahead.done == nil {
 		c.startReadAhead()
@@ -128,8 +130,8 @@
 	return n, nil
 }
 
-// beginRequest takes the connection for a request. It reports false where the connection is closed already: nothing
-// of the request may be forwarded then.
+// beginRequest marks the connection as serving a request. It returns false if the server has already closed the
+// connection, or its read-ahead has overflowed: the request must not be forwarded then.
 func (c *clientConn) beginRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +142,7 @@
 	return true
 }
 
-// arrivingFor is how long an incomplete request has been arriving.
+// arrivingFor returns how long an incomplete request has been arriving.
 func (c *clientConn) arrivingFor() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -150,11 +152,11 @@
 	return time.Since(c.arrivingSince)
 }
 
-// markIdle ends a request after its response.
+// markIdle resets the state of a request after its response.
 func (c *clientConn) markIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if !c.requestRead { // answered before all of it was read
+	if !c.requestRead { // the response was written before the request had been read completely
 		c.arrivingSince = time.Time{}
 	}
 	c.serving = false
@@ -162,19 +164,19 @@
 	c.ahead.byteConsumed = false
 }
 
-// closeIfIdle closes the connection if no request is served on it and no byte of one has been read or waits to be. A
-// request that comes afterwards is read by nobody, and its client repeats it elsewhere.
+// closeIfIdle closes the connection if no request is being served on it and no byte of one has been read or waits to be
+// read. It reports whether it did. A request that arrives afterwards is not read, and its client retries it elsewhere.
 func (c *clientConn) closeIfIdle() bool {
 	c.mu.Lock()
 	idle := !c.serving && c.arrivingSince.IsZero() && len(c.ahead.buffered) == 0 && !hasUnreadBytes(c.TCPConn)
 	return c.unlockAndCloseIf(idle)
 }
 
-// closeIfSlow closes the connection if a request has been arriving on it since before a time and is not complete:
-// nobody serves it yet.
-func (c *clientConn) closeIfSlow(before time.Time) bool {
+// closeIfSlow closes the connection if an incomplete request, which is not being decided yet, has been arriving on it
+// since before cutoff. It reports whether it did.
+func (c *clientConn) closeIfSlow(cutoff time.Time) bool {
 	c.mu.Lock()
-	slow := !c.requestRead && !c.arrivingSince.IsZero() && c.arrivingSince.Before(before)
+	slow := !c.requestRead && !c.arrivingSince.IsZero() && c.arrivingSince.Before(cutoff)
 	return c.unlockAndCloseIf(slow)
 }
 
@@ -188,27 +190,27 @@
 }
 
 // Close closes the connection for writing and releases its descriptor once the client has closed it too, or after the
-// linger time: a close over unread bytes would reset the connection under the response.
+// linger timeout. Closing the socket with unread bytes would reset the connection and could lose the response.
 func (c *clientConn) Close() error {
 	c.mu.Lock()
 	c.closedByServer = true
 	wait := c.lingerFor
-	c.lingerFor = 0 // the first call closes
+	c.lingerFor = 0 // only the first call closes the connection
 	c.mu.Unlock()
 	if wait == 0 {
 		return nil
 	}
-	if c.CloseWrite() != nil { // reset, or closed already
+	if c.CloseWrite() != nil { // the connection was reset or is already closed
 		return c.TCPConn.Close()
 	}
-	_ = c.SetReadDeadline(longAgo) // wakes a pending read, which returns that the connection is closed
+	_ = c.SetReadDeadline(longAgo) // interrupts a pending read
 	c.lingering.add(c)
 	go c.discardUntilClosed(wait)
 	return nil
 }
 
-// discardUntilClosed reads and drops what the client still sends, and releases the descriptor. lingeringConns waits
-// for its end.
+// discardUntilClosed reads and discards what the client still sends, for at most wait, then releases the descriptor.
+// lingeringConns.released waits until it returns.
 func (c *clientConn) discardUntilClosed(wait time.Duration) {
 	_ = c.SetReadDeadline(time.Now().Add(wait))
 	buf := make([]byte, discardBufferBytes)
@@ -223,5 +225,5 @@
 
 const discardBufferBytes = 4 << 10
 
-// longAgo is a deadline that has passed.
+// longAgo is a time in the past. As a deadline it interrupts pending reads.
 var longAgo = time.Unix(1, 0)
--- a/internal/gatherer/frontend/conntracker.go
+++ b/internal/gatherer/frontend/conntracker.go
@@ -10,42 +10,43 @@
 )
 
 const (
-	// firstByteTimeout is how long a new connection has to send its first byte before it is closed ahead of those
-	// that have carried a request. A usual client sends right after connecting, but not in the same moment.
+	// firstByteTimeout is how long a new connection may take to send its first byte. Beyond the limit, a connection that
+	// exceeds it is closed before those that have carried a request. Most clients send shortly after connecting, but
+	// not at the same instant.
 	firstByteTimeout = 200 * time.Millisecond
 
-	// newConnGrace is how long a new connection is spared where no other one can be closed.
+	// newConnGrace is how long a new connection is kept although no other one can be closed.
 	newConnGrace = firstByteTimeout / 10
 
-	// headroomShare is one over the share of connections beyond the bound that is tolerated, open or lingering.
+	// headroomShare is the reciprocal of the share of connections that are tolerated beyond the limit, both for open
+	// and for lingering ones.
 	headroomShare = 8
 )
 
-// connTracker bounds the clients' connections, so that descriptors are left for shard servers and for the next
-// client.
+// connTracker limits the clients' connections, so that descriptors remain for shard servers and for the next client.
 //
-// Beyond the bound it closes a connection on which no request is arriving: first one that has had its time to send
-// something and did not, or has sent half of a request for as long; then the one idle longest; then a new one. No
-// connection is left waiting unaccepted, since what is written to such a one counts as taken.
+// Beyond the limit it closes a connection on which no request is being served: first one that has sent nothing, or only
+// part of a request, for firstByteTimeout; then the one that has been idle longest; then a new one. Connections are
+// always accepted, since clients consider a request sent once it is written to an established connection.
 type connTracker struct {
 	maxOpen   int // connections on which a request may arrive
 	maxUsed   int // connections that have carried a request, active or idle
-	hardLimit int // of all; beyond it a new connection is closed at once, against running out of descriptors
+	hardLimit int // all open connections; beyond it a new one is closed at once, so that descriptors do not run out
 
 	mu           sync.Mutex
-	shuttingDown bool          // each connection is closed once it is idle
-	allClosed    chan struct{} // closed once none is open; nil before the shutdown
+	shuttingDown bool          // each connection is closed when it becomes idle
+	allClosed    chan struct{} // closed once no connection is open; nil before the shutdown
 	open         int
-	unused       *list.List // have not carried a request yet, by age
-	idle         *list.List // by the end of their last request
+	unused       *list.List // have not carried a request yet, the oldest first
+	idle         *list.List // between requests, the longest idle first
 	active       *list.List // a request is arriving or being served
 	entries      map[net.Conn]listEntry
-	uncounted    map[net.Conn]bool // closed here, and not yet noticed by net/http
+	uncounted    map[net.Conn]bool // closed by the tracker, before net/http has reported them as closed
 
 	lingering lingeringConns
 }
 
-// listEntry is a connection's place in one of the tracker's lists.
+// listEntry records which of the tracker's lists a connection is in, and since when.
 type listEntry struct {
 	list    *list.List
 	element *list.Element
@@ -92,11 +93,11 @@
 		c.notifyAllClosed()
 	}
 	now := time.Now()
-	if c.open-c.unused.Len() > c.maxUsed { // against clients that hold what they do not use while others find no room
+	if c.open-c.unused.Len() > c.maxUsed { // idle clients must not keep new ones from connecting
 		c.closeOldest(c.idle, now)
 	}
 	if c.open > c.maxOpen {
-		c.closeBeyondBound(conn, state, now)
+		c.closeBeyondLimit(conn, state, now)
 	}
 }
 
@@ -124,30 +125,30 @@
 	}
 }
 
-// closeBeyondBound closes the connection that can best be spared, the one whose state has just changed only where
-// there is no other.
-func (c *connTracker) closeBeyondBound(changed net.Conn, state http.ConnState, now time.Time) {
-	slow := now.Add(-firstByteTimeout)
+// closeBeyondLimit closes the connection whose loss matters least. It closes the one whose state has just changed only
+// if no other one can be closed.
+func (c *connTracker) closeBeyondLimit(changed net.Conn, state http.ConnState, now time.Time) {
+	cutoff := now.Add(-firstByteTimeout)
 	switch {
-	case c.closeOldest(c.unused, slow):
-	case c.closeSlow(slow):
+	case c.closeOldest(c.unused, cutoff):
+	case c.closeSlow(cutoff):
 	case c.closeOldest(c.idle, now):
 	case c.closeOldest(c.unused, now.Add(-newConnGrace)):
 	case c.open <= c.hardLimit:
-	case c.closeOldest(c.unused, now): // a client that has a request sends it at once, and in one piece
+	case c.closeOldest(c.unused, now): // a client that has a request sends it at once and in one piece
 	case c.closeSlow(now):
-	case state == http.StateNew: // whatever it has sent
+	case state == http.StateNew: // even if a request waits on it
 		changed.Close()
 		c.uncount(changed)
 	}
 }
 
-// closeOldest closes the oldest connection of a list that is there since before a time and on which nothing has come
-// that is not read yet. It reports whether there is one.
-func (c *connTracker) closeOldest(of *list.List, before time.Time) bool {
-	for e := of.Front(); e != nil; e = e.Next() {
+// closeOldest closes the oldest connection that was added to a list no later than cutoff and on which no request is
+// arriving or being served. It reports whether there is one.
+func (c *connTracker) closeOldest(conns *list.List, cutoff time.Time) bool {
+	for e := conns.Front(); e != nil; e = e.Next() {
 		conn := e.Value.(net.Conn)
-		if c.entries[conn].since.After(before) {
+		if c.entries[conn].since.After(cutoff) {
 			return false
 		}
 		if c.closeIfUnused(conn) {
@@ -157,12 +158,12 @@
 	return false
 }
 
-// closeSlow closes a connection on which a request has been arriving since before a time and is not complete, against
-// clients that send half of one to hold their place. It reports whether there is one.
-func (c *connTracker) closeSlow(before time.Time) bool {
-	for _, of := range []*list.List{c.unused, c.active, c.idle} {
-		for e := of.Front(); e != nil; e = e.Next() {
-			if cc, ok := e.Value.(*clientConn); ok && cc.closeIfSlow(before) {
+// closeSlow closes a connection on which an incomplete request has been arriving since before cutoff, because clients
+// must not keep a connection by sending only part of a request. It reports whether there is one.
+func (c *connTracker) closeSlow(cutoff time.Time) bool {
+	for _, conns := range []*list.List{c.unused, c.active, c.idle} {
+		for e := conns.Front(); e != nil; e = e.Next() {
+			if cc, ok := e.Value.(*clientConn); ok && cc.closeIfSlow(cutoff) {
 				c.uncount(cc)
 				return true
 			}
@@ -171,8 +172,8 @@
 	return false
 }
 
-// shutDown closes each connection once it is idle; those that have not carried a request yet may still do so,
-// until closeSilent. The channel is closed once none is open.
+// shutDown closes each connection when it is or becomes idle. Connections that have not carried a request yet may still
+// do so until closeSilent is called. The returned channel is closed once no connection is open.
 func (c *connTracker) shutDown() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -183,7 +184,7 @@
 	return c.allClosed
 }
 
-// closeSilent closes the connections on which nothing has come since they were made. shutDown has been
+// closeSilent closes the connections on which nothing has arrived since they were established. shutDown must have been
 // called.
 func (c *connTracker) closeSilent() {
 	c.mu.Lock()
@@ -192,9 +193,9 @@
 	c.notifyAllClosed()
 }
 
-// closeAllUnused closes the connections of a list on which no request is arriving.
-func (c *connTracker) closeAllUnused(of *list.List) {
-	for e := of.Front(); e != nil; {
+// closeAllUnused closes the connections of a list on which no request is arriving or being served.
+func (c *connTracker) closeAllUnused(conns *list.List) {
+	for e := conns.Front(); e != nil; {
 		next := e.Next()
 		c.closeIfUnused(e.Value.(net.Conn))
 		e = next
@@ -228,22 +229,22 @@
 	return true
 }
 
-// uncount takes a closed connection out of the count, before net/http notices that it is closed.
+// uncount removes a closed connection from the count, before net/http reports that it is closed.
 func (c *connTracker) uncount(conn net.Conn) {
 	c.removeEntry(conn)
 	c.uncounted[conn] = true
 	c.open--
 }
 
-// overloaded reports whether too many requests are arriving or being served. Connections without a request do not
-// count: where they fill the bound, a request is served all the same.
+// overloaded reports whether more requests are arriving or being served than the limit allows. Connections without a
+// request do not count: even if they reach the limit, a request is served.
 func (c *connTracker) overloaded() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.active.Len() > c.maxOpen
 }
 
-// hasUnreadBytes reports whether bytes wait on a connection that nobody has read yet, without reading them.
+// hasUnreadBytes reports whether the socket of a connection has unread bytes, without consuming them.
 func hasUnreadBytes(conn net.Conn) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
--- a/internal/gatherer/frontend/handler.go
+++ b/internal/gatherer/frontend/handler.go
@@ -11,11 +11,11 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// serveRequest is the server's http.Handler.
+// serveRequest handles every request of the server.
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	conn := clientConnOf(r.Context())
 	if conn != nil && !conn.beginRequest() {
-		panic(http.ErrAbortHandler) // the connection was closed first: the client repeats the request elsewhere
+		panic(http.ErrAbortHandler) // the connection is already closed: the client retries the request elsewhere
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -36,7 +36,7 @@
 	s.route(w, r, rc, conn)
 }
 
-// route serves health, an admin handler's path, or a query.
+// route serves a health check, a path with a registered handler, or a query.
 func (s *Server) route(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn) {
 	switch r.URL.Path {
 	case "/-/ready":
@@ -63,7 +63,8 @@
 	}
 }
 
-// serveQuery serves one query, from the head of its request to its response.
+// serveQuery parses one query, waits for its result and writes the response. It returns an error if the
+// request is not served.
 func (s *Server) serveQuery(
 	w http.ResponseWriter, r *http.Request, rc *http.ResponseController, conn *clientConn,
 ) error {
@@ -73,7 +74,7 @@
 		return nil
 	}
 	now := s.picker.Now()
-	sentAt := now // the client's timeout runs from its first byte, and a request may arrive slowly
+	sentAt := now // the timeout runs from the request's first byte, which may have arrived long before its last
 	if conn != nil {
 		sentAt -= float64(conn.arrivingFor()) / float64(time.Millisecond)
 	}
@@ -103,8 +104,8 @@
 	return nil
 }
 
-// readBody reads a request's body. A client that sends it slowly holds its connection until the query's deadline at
-// the longest.
+// readBody reads a request's body. The read ends at the query's deadline at the latest, so that a slow client does not
+// occupy its connection for longer.
 func readBody(w http.ResponseWriter, r *http.Request, rc *http.ResponseController, deadline time.Time) ([]byte, error) {
 	if time.Until(deadline) < readBodyTimeout {
 		_ = rc.SetReadDeadline(deadline)
@@ -121,7 +122,7 @@
 	return body, nil
 }
 
-// decide waits for the query's result, or until its client has gone.
+// decide passes a query to the picker and returns its result. It cancels the query when its client disconnects.
 func (s *Server) decide(ctx context.Context, query *dispatch.Query, conn *clientConn) (dispatch.Result, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/gatherer/frontend/headerscan.go
+++ b/internal/gatherer/frontend/headerscan.go
@@ -9,18 +9,19 @@
 	transferEncodingName = []byte("transfer-encoding")
 )
 
-// maxHeaderName is as much of a line as decides whether it is one of the two headers, the colon included.
+// maxHeaderName is the length of the line prefix that identifies one of the two headers, including the colon.
 var maxHeaderName = len(transferEncodingName) + 1
 
-// headerScanner looks for heads that hold both Content-Length and Transfer-Encoding, line by line. It need not know
-// where a body ends: header lines begin lines in any head, and a body that holds such lines is none of a query.
+// headerScanner scans the bytes of a connection line by line for request heads that contain both Content-Length and
+// Transfer-Encoding. It does not need to know where a body ends: header lines are at the beginning of a line in any
+// head, and the body of a query does not contain such lines.
 type headerScanner struct {
-	line                []byte // the beginning of the current line
+	line                []byte // the first bytes of the current line, up to maxHeaderName
 	sawContentLength    bool   // since the last empty line
 	sawTransferEncoding bool
 }
 
-// scan goes on with the next bytes. It reports whether a head in them held both headers.
+// scan scans the next bytes. It reports whether a request head in them contains both headers.
 func (s *headerScanner) scan(p []byte) (conflict bool) {
 	for len(p) > 0 {
 		newline := bytes.IndexByte(p, '\n')
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -25,7 +25,8 @@
 	localPort  = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
 )
 
-// transcriptResults are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
+// transcriptResults are the answers that a transcript's query gets; a request that is not listed must not reach the
+// picker.
 var transcriptResults = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
 	"served-complete": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
@@ -59,8 +60,8 @@
 	return func(context.Context, *dispatch.Query) dispatch.Result { return v }
 }
 
-// TestResponsesMatchTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
-// comes back with those kept beside it, the value of Date aside.
+// TestResponsesMatchTranscripts sends the bytes of each kept request over a connection of its own and compares every
+// byte that comes back with those kept beside it, the value of Date aside.
 func TestResponsesMatchTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/kept/*.request")
 	if err != nil || len(files) < 60 {
@@ -126,7 +127,8 @@
 	return l.Addr().String()
 }
 
-// readTranscript sends a request and gives every byte that comes back until the server has answered and closed its side.
+// readTranscript sends a request and gives every byte that comes back until the server has answered and closed its
+// side.
 func readTranscript(t *testing.T, address string, request []byte) []byte {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
--- a/internal/gatherer/frontend/lingering.go
+++ b/internal/gatherer/frontend/lingering.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// lingerTimeout is how long a connection that the server has closed is still read, and what comes is dropped, before
-// its descriptor is released: the response's last bytes and the client's next ones may cross. net/http waits as long
-// where it waits at all.
+// lingerTimeout is how long the server reads and discards what arrives on a connection that it has closed, before it
+// releases the descriptor: the last bytes of the response and the next ones of the client may cross. net/http uses the
+// same time in the cases in which it waits.
 const lingerTimeout = 500 * time.Millisecond
 
-// lingeringConns are the closed connections whose descriptors are still held.
+// lingeringConns holds the connections that the server has closed but whose descriptors are not yet released.
 type lingeringConns struct {
-	limit int // of connections lingering at once
+	limit int // maximum number of connections lingering at once
 
 	mu    sync.Mutex
 	conns []*clientConn // the oldest first
 	all   sync.WaitGroup
 }
 
-// add counts a connection in. Beyond the limit the oldest one is released.
+// add adds a connection. Beyond the limit it releases the oldest one.
 func (l *lingeringConns) add(conn *clientConn) {
 	if l == nil {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// remove counts a connection out whose descriptor is released.
+// remove removes a connection whose descriptor has been released.
 func (l *lingeringConns) remove(conn *clientConn) {
 	if l == nil {
 		return
--- a/internal/gatherer/frontend/listener.go
+++ b/internal/gatherer/frontend/listener.go
@@ -2,7 +2,7 @@
 
 import "net"
 
-// trackingListener returns each accepted connection as a clientConn.
+// trackingListener wraps each accepted TCP connection in a clientConn.
 type trackingListener struct {
 	net.Listener
 	tracker *connTracker
--- a/internal/gatherer/frontend/readahead.go
+++ b/internal/gatherer/frontend/readahead.go
@@ -7,24 +7,24 @@
 )
 
 const (
-	// maxBuffered bounds what is kept of what comes behind a request being served. Clients send one request at a
-	// time; the connection of one that sends more than this ends with its response.
+	// maxBuffered limits the bytes buffered after a request being served. Clients send one request at a time; if one
+	// sends more than this, its connection is closed with the response.
 	maxBuffered = 16 << 10
 
 	readAheadBufferBytes = 2 << 10
 )
 
-// readAhead is what a connection reads on its own behind a request being served, in order to notice that the client
-// goes. The connection's lock guards it.
+// readAhead holds what a connection reads after a request being served, in order to detect that the client disconnects.
+// The connection's lock guards it.
 type readAhead struct {
-	buffered     []byte        // for net/http, which reads it first
-	overflow     bool          // more came than is kept: no later request can be served
-	byteConsumed bool          // net/http has read its one byte behind a request that is not watched yet
-	onDisconnect func()        // nil while nobody watches the client
-	done         chan struct{} // closed at the reader's end; nil while none runs
+	buffered     []byte        // net/http reads these bytes before any from the socket
+	overflow     bool          // more arrived than is buffered: no later request can be served
+	byteConsumed bool          // net/http read its single byte after a request before watchClient was called
+	onDisconnect func()        // nil while the client is not watched
+	done         chan struct{} // closed when the reader returns; nil while none runs
 }
 
-// consume moves buffered bytes to p.
+// consume moves buffered bytes to p and returns their number.
 func (a *readAhead) consume(p []byte) int {
 	n := copy(p, a.buffered)
 	if n > 0 {
@@ -33,8 +33,8 @@
 	return n
 }
 
-// watchClient begins to watch the client of a request that has been read completely. Until stopWatching, onDisconnect
-// is called once the client has closed its connection, whatever it sent before.
+// watchClient starts watching the client of a request that has been read completely. Until stopWatching is called,
+// onDisconnect is called when the client closes its connection, whatever it sent before.
 func (c *clientConn) watchClient(onDisconnect func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -47,8 +47,8 @@
 	}
 }
 
-// stopWatching ends watchClient before the response is written, so that what the client sends once it has the
-// response is left to net/http.
+// stopWatching ends the watch before the response is written, so that net/http reads what the client sends after it has
+// received the response.
 func (c *clientConn) stopWatching() {
 	c.mu.Lock()
 	c.ahead.onDisconnect = nil
@@ -56,26 +56,26 @@
 	c.ahead.done = nil
 	c.mu.Unlock()
 	if done != nil {
-		_ = c.SetReadDeadline(longAgo) // net/http sets its own before it reads on
+		_ = c.SetReadDeadline(longAgo) // net/http sets its own deadline before its next read
 		<-done
 	}
 }
 
-// overflowed reports whether more came behind a request than is kept.
+// overflowed reports whether more arrived after a request than is buffered.
 func (c *clientConn) overflowed() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ahead.overflow
 }
 
-// startReadAhead starts the reader; stopWatching waits for its end. The lock is held, and net/http has no read
-// pending.
+// startReadAhead starts the reader; stopWatching waits until it returns. The caller holds the lock, and net/http has no
+// read pending.
 func (c *clientConn) startReadAhead() {
 	c.ahead.done = make(chan struct{})
 	go c.readAheadUntilDisconnect(c.ahead.onDisconnect, c.ahead.done)
 }
 
-// readAheadUntilDisconnect reads until the client has disconnected or stopWatching interrupts it.
+// readAheadUntilDisconnect reads until the client disconnects, which it reports, or stopWatching interrupts it.
 func (c *clientConn) readAheadUntilDisconnect(onDisconnect func(), done chan struct{}) {
 	defer close(done)
 	buf := make([]byte, readAheadBufferBytes)
--- a/internal/gatherer/frontend/readahead_test.go
+++ b/internal/gatherer/frontend/readahead_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// TestDisconnectIsDetectedAfterNetHTTPReadOneByte has the bytes behind a request come with it, so that net/http has read one
-// of them before the query is picked. The client's close is noticed, and the bytes keep their order.
+// TestDisconnectIsDetectedAfterNetHTTPReadOneByte has the bytes behind a request come with it, so that net/http has
+// read one of them before the query is picked. The client's close is noticed, and the bytes keep their order.
 func TestDisconnectIsDetectedAfterNetHTTPReadOneByte(t *testing.T) {
 	conn, far := connPair(t)
 	io.WriteString(far, "behind")
--- a/internal/gatherer/frontend/request.go
+++ b/internal/gatherer/frontend/request.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	maxBodyBytes   = 64 << 10 // what the protocol lets a body hold
+	maxBodyBytes   = 64 << 10 // limit of the protocol
 	maxHeaderBytes = 16 << 10
 
-	maxTimeoutMillis = 3_600_000 // of X-Timeout-Ms; a longer one is a client's mistake
-	maxIDBytes       = 128       // of X-Request-ID
+	maxTimeoutMillis = 3_600_000 // limit of X-Timeout-Ms; a longer timeout is an error of the client
+	maxIDBytes       = 128       // limit of X-Request-ID
 
-	weightTolerance = 0.01 // clients round weights: by this they may miss adding up to 1
+	weightTolerance = 0.01 // clients round weights, so their sum may differ from 1 by this much
 
 	microsPerMilli = 1000
 )
 
-// requestError is a request that is not served, with the status and the text of the response.
+// requestError is the error for a request that is not served, with the status and text of the response.
 type requestError struct {
 	status int
 	text   string
@@ -42,13 +42,13 @@
 	return &requestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// queryLimits are the settings that requests are validated by.
+// queryLimits holds the settings that requests are validated against.
 type queryLimits struct {
 	classes      map[string]bool
-	keyedClasses map[string]bool // of idempotency-keyed queries
-	tenants      map[string]bool // empty for any
-	shards       int             // 0 for any
-	maxDeadline  time.Duration   // the longest deadline of a class
+	keyedClasses map[string]bool // classes of idempotency-keyed queries
+	tenants      map[string]bool // empty: any tenant is accepted
+	shards       int             // 0: any shard is accepted
+	maxDeadline  time.Duration   // the longest deadline of all classes
 }
 
 func newQueryLimits(settings *gather.Settings, log *logrus.Logger) queryLimits {
@@ -62,7 +62,7 @@
 		l.maxDeadline = max(l.maxDeadline, time.Duration(class.Deadline*float64(time.Millisecond)))
 		if class.Effect == gather.IdempotencyKeyed {
 			l.keyedClasses[class.Name] = true
-			log.WithField("class", class.Name).Warn("front end: idempotency-keyed class, its queries are rejected")
+			log.WithField("class", class.Name).Warn("front end: idempotency-keyed classes are not supported; queries of this class are rejected")
 		}
 	}
 	if l.maxDeadline == 0 {
@@ -79,8 +79,8 @@
 	return set
 }
 
-// body is the JSON of a query's body. Its name and the anonymous type are part of the responses to a body of other
-// types: encoding/json names both in its errors.
+// body is the JSON form of a query's body. encoding/json includes the name of this type and the anonymous type in its
+// errors, which are part of the responses to invalid bodies; so neither may change.
 type body struct {
 	Shards []struct {
 		Shard  *int     `json:"shard"`
@@ -91,7 +91,7 @@
 	Text json.RawMessage `json:"q"`
 }
 
-// parseHead returns the query that a request's path and headers describe. Its timeout runs from sentAt.
+// parseHead returns the query that a request's path and headers describe. The client's timeout starts at sentAt.
 func (l *queryLimits) parseHead(r *http.Request, sentAt float64) (*dispatch.Query, error) {
 	class, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
 	switch {
@@ -100,7 +100,8 @@
 	case r.Method != http.MethodPost:
 		return nil, &requestError{http.StatusMethodNotAllowed, "a lookup is a POST"}
 	case l.keyedClasses[class]:
-		// Without its key a retry would run twice, and the protocol does not say how the key travels.
+		// Without its idempotency key a retried query would run twice, and the protocol does not define how the key is
+		// transmitted.
 		return nil, &requestError{http.StatusNotImplemented, "fingerprinted lookups cannot be passed on yet"}
 	}
 	h := r.Header
@@ -125,13 +126,13 @@
 	return query, nil
 }
 
-// validID reports whether an ID is printable ASCII without blanks, and not too long.
+// validID reports whether an ID is not empty, at most maxIDBytes long, and printable ASCII without spaces.
 func validID(id string) bool {
-	unprintable := func(c rune) bool { return c <= ' ' || c >= 0x7f }
-	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, unprintable)
+	disallowed := func(c rune) bool { return c <= ' ' || c >= 0x7f }
+	return id != "" && len(id) <= maxIDBytes && !strings.ContainsFunc(id, disallowed)
 }
 
-// parseBody adds to a query the shard requests and the payload that its body holds.
+// parseBody parses the body of a query and adds its shard requests and payload to the query.
 func (l *queryLimits) parseBody(query *dispatch.Query, text []byte) error {
 	var b body
 	if err := json.Unmarshal(text, &b); err != nil {
@@ -145,7 +146,7 @@
 		return err
 	}
 	requested := make(map[int]bool, len(b.Shards))
-	weights := 0.0
+	weightSum := 0.0
 	for i, s := range b.Shards {
 		switch {
 		case s.Shard == nil || *s.Shard < 0 || l.shards > 0 && *s.Shard >= l.shards:
@@ -158,25 +159,26 @@
 			return badRequest("body: shards[%d]: cost", i)
 		}
 		requested[*s.Shard] = true
-		weights += *s.Weight
+		weightSum += *s.Weight
 		cost := s.Cost / microsPerMilli
 		query.Cost += cost
 		query.ShardRequests = append(query.ShardRequests,
 			dispatch.ShardRequest{Shard: *s.Shard, Weight: *s.Weight, Cost: cost, Key: s.Key})
 	}
-	if math.Abs(weights-1) > weightTolerance {
-		return badRequest("body: weights add up to %v, not 1", weights)
+	if math.Abs(weightSum-1) > weightTolerance {
+		return badRequest("body: weights add up to %v, not 1", weightSum)
 	}
 	return nil
 }
 
-// bodyError is the text for a body that does not have the form of the protocol. encoding/json names the Go type of
-// the outermost value by its package's first name, front, and clients see the text: it stays.
+// bodyError returns the response text for a body that does not follow the protocol. encoding/json names the Go type of
+// the outermost value together with its package. The package was first named front; clients see the text, so it keeps
+// that name.
 func bodyError(err error) string {
 	return strings.Replace(err.Error(), "frontend.body", "front.body", 1)
 }
 
-// queryText is the text of a JSON string: its bytes as they came, or what its escapes stand for.
+// queryText returns the text of a JSON string: its bytes unchanged if it has no escapes, otherwise unescaped.
 func queryText(raw json.RawMessage) ([]byte, error) {
 	if len(raw) < 2 || raw[0] != '"' {
 		return nil, badRequest("body: q is no text")
@@ -191,7 +193,7 @@
 	return []byte(text), nil
 }
 
-// statusOf is the status of the response to a request that is not served.
+// statusOf returns the response status for a request that is not served.
 func statusOf(err error) int {
 	var invalid *requestError
 	var tooLarge *http.MaxBytesError
--- a/internal/gatherer/frontend/response.go
+++ b/internal/gatherer/frontend/response.go
@@ -8,7 +8,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// The protocol's texts of the results that carry no hits.
+// The response texts that the protocol prescribes for results without hits.
 const (
 	textRejected      = "nacked"
 	textFailed        = "aborted"
@@ -26,7 +26,7 @@
 		text := resultBody(result)
 		h.Set("Content-Type", "application/json")
 		h.Set("Content-Length", strconv.Itoa(len(text)))
-		_, _ = w.Write(text) // an error is a client that has gone; the server notices it as well
+		_, _ = w.Write(text) // a write fails if the client has disconnected, which the server detects by itself
 	case dispatch.Rejected:
 		if result.RetryAfter > 0 {
 			h.Set("Retry-After", strconv.FormatFloat(result.RetryAfter/millisPerSecond, 'f', 3, 64))
@@ -34,14 +34,14 @@
 		writeText(w, http.StatusServiceUnavailable, textRejected)
 	case dispatch.Failed:
 		writeText(w, http.StatusGatewayTimeout, textFailed)
-	case dispatch.Abandoned: // hardly anybody reads it, but without a response net/http would send an empty 200
+	case dispatch.Abandoned: // the client has disconnected, but without a response net/http would send an empty 200
 		writeText(w, http.StatusGatewayTimeout, textAbandoned)
 	default:
 		writeText(w, http.StatusInternalServerError, textInternalError)
 	}
 }
 
-// writeText writes a response of one line.
+// writeText writes a plain-text response of one line.
 func writeText(w http.ResponseWriter, status int, text string) {
 	h := w.Header()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
@@ -50,8 +50,8 @@
 	_, _ = w.Write([]byte(text + "\n"))
 }
 
-// resultBody is the body of a served query. It is put together by hand since hits go out byte for byte as the shard
-// servers gave them, valid UTF-8 or not.
+// resultBody returns the body of a served query. It does not use encoding/json because hits are forwarded byte for byte
+// as the shard servers returned them, whether valid UTF-8 or not.
 func resultBody(result dispatch.Result) []byte {
 	text := append([]byte(nil), `{"complete":`...)
 	text = strconv.AppendBool(text, result.Complete)
@@ -63,7 +63,7 @@
 		text = appendHit(text, hit)
 	}
 	text = append(text, ']')
-	if len(result.EmptyShards) > 0 { // complete without a value: the first pass proved that they hold nothing
+	if len(result.EmptyShards) > 0 { // the first pass proved that these shards hold nothing
 		text = append(text, `,"empty":[`...)
 		for i, shard := range result.EmptyShards {
 			if i > 0 {
@@ -79,7 +79,7 @@
 func appendHit(text []byte, hit dispatch.Hit) []byte {
 	text = append(text, `{"shard":`...)
 	text = strconv.AppendInt(text, int64(hit.Shard), 10)
-	if hit.Keys != nil { // the hit stands for these keys of the shard alone
+	if hit.Keys != nil { // the hit covers only these keys of the shard
 		text = append(text, `,"keys":"`...)
 		text = append(text, hit.Keys.Text()...)
 		text = append(text, '"')
@@ -89,7 +89,8 @@
 	return append(text, '}')
 }
 
-// appendJSONString appends a value as a JSON string. Only a value that JSON requires to be escaped is changed.
+// appendJSONString appends a value as a JSON string. Only a value that contains characters that JSON requires to be
+// escaped is changed.
 func appendJSONString(text, value []byte) []byte {
 	for _, b := range value {
 		if b < ' ' || b == '"' || b == '\\' {
--- a/internal/gatherer/frontend/server.go
+++ b/internal/gatherer/frontend/server.go
@@ -1,7 +1,7 @@
 // Package frontend serves clients' queries over HTTP.
 //
-// It parses and validates a request, hands the query to a Picker and writes the picker's result as the response. It
-// bounds the connections that clients may hold, reports readiness, and drains on shutdown without losing a request
+// It parses and validates a request, passes the query to a Picker and writes the picker's result as the response. It
+// limits the connections that clients may hold, reports readiness, and drains on shutdown without losing a request
 // that has begun to arrive.
 package frontend
 
@@ -24,49 +24,49 @@
 
 // Picker decides queries. dispatch.Picker implements it.
 type Picker interface {
-	// Pick blocks until the query's final result is decided, or until ctx ends because its client has gone.
+	// Pick blocks until the query's final result is decided, or until ctx ends because the client has disconnected.
 	Pick(ctx context.Context, query *dispatch.Query) dispatch.Result
-	// Now is the clock of the query's deadline, in milliseconds.
+	// Now returns the current time of the clock that deadlines of queries use, in milliseconds.
 	Now() float64
 }
 
 const (
-	// readHeaderTimeout bounds the wait for the head of a request, the first byte on a new connection included. A
-	// request that cannot be read is owed an error or a close within 3 s of connecting: readBodyTimeout takes the
-	// rest.
+	// readHeaderTimeout limits the wait for the head of a request, including its first byte on a new connection. A
+	// request that cannot be read must get an error or a close within 3 s of connecting; readBodyTimeout uses the
+	// remaining time.
 	readHeaderTimeout = 1800 * time.Millisecond
 	readBodyTimeout   = 900 * time.Millisecond
 
 	// idleTimeout is how long a connection stays open after its last response.
 	idleTimeout = 2 * time.Second
 
-	// writeTimeout is how long beyond its query's deadline a client may take to read its response.
+	// writeTimeout is how long after its query's deadline a client may take to read the response.
 	writeTimeout = 5 * time.Second
 )
 
-// Config is what a Server is built from.
+// Config configures a Server.
 type Config struct {
 	Picker   Picker
 	Settings *gather.Settings
 
-	// MaxConns bounds the client connections on which a request may arrive, MaxUsedConns those that have carried one.
+	// MaxConns limits the client connections on which a request may arrive, MaxUsedConns those that have carried one.
 	MaxConns     int
 	MaxUsedConns int
 
-	// Ready reports whether queries can be served; /-/ready answers by it.
+	// Ready reports whether queries can be served; /-/ready returns 503 while it does not.
 	Ready func() bool
 
 	Log *logrus.Logger
 }
 
-// Server is the HTTP server for clients.
+// Server serves clients over HTTP.
 type Server struct {
 	picker   Picker
 	log      *logrus.Logger
 	ready    func() bool
 	limits   queryLimits
 	http     *http.Server
-	errorLog *io.PipeWriter // net/http's own messages, as log entries
+	errorLog *io.PipeWriter // receives the messages of net/http and writes them as log entries
 	conns    *connTracker
 	admin    map[string]http.Handler // by path
 	active   activeQueries
@@ -76,16 +76,16 @@
 	mu        sync.Mutex
 	listener  *drainable.Listener
 
-	handshakeTimeout time.Duration // handshakeTimeout, but for tests
+	handshakeTimeout time.Duration // the constant handshakeTimeout, unless a test changes it
 }
 
-// shutdownState is how far a shutdown has come.
+// shutdownState holds the progress of a shutdown.
 type shutdownState struct {
 	started atomic.Bool
-	end     atomic.Pointer[time.Time] // by which all queries have to be answered; set once begun
+	end     atomic.Pointer[time.Time] // by when all queries must be answered; nil before the shutdown
 }
 
-// New returns a server that is not serving yet.
+// New returns a server that does not serve until Serve is called.
 func New(c Config) *Server {
 	s := &Server{
 		picker:    c.Picker,
@@ -115,7 +115,7 @@
 // Handle registers a handler for a path and everything below it. It must be called before Serve.
 func (s *Server) Handle(path string, handler http.Handler) { s.admin[path] = handler }
 
-// Serve accepts connections until Shutdown has ended.
+// Serve accepts connections until Shutdown closes the listener.
 func (s *Server) Serve(l net.Listener) error {
 	listener := drainable.NewListener(l)
 	s.mu.Lock()
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// TestShutdownServesIdleConnectionInLameDuckPeriod guards against requests that cross the close of a kept connection: it
-// ends with its next response.
+// TestShutdownServesIdleConnectionInLameDuckPeriod guards against requests that cross the close of a kept connection:
+// it ends with its next response.
 func TestShutdownServesIdleConnectionInLameDuckPeriod(t *testing.T) {
 	_, s, address := startServer(t, 10, failed)
 	c, r := idleConn(t, s, address)
--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -21,30 +21,31 @@
 	"yokeroute/internal/storage/statedir"
 )
 
-// reservedSockets are descriptors besides queries' connections: standard streams, listener, poller, the runtime's own,
-// calls to discovery while it is silent and the ends of those before them, a file that is read again.
+// reservedSockets is the number of file descriptors set aside for uses other than the connections of queries: standard
+// streams, the listener, the poller, the runtime, calls to discovery while it does not answer and the closing ones
+// before them, and a file being reloaded.
 const reservedSockets = 20
 
-// assembly is a gatherer while its parts are added.
+// assembly holds a gatherer and the state that is needed only while its parts are added.
 type assembly struct {
 	*Service
 	operatorFile operator.File
-	settings     *gather.Settings // the platform's; with segments those of the decisions
-	names        *statedir.GathererState
+	settings     *gather.Settings // settings for decisions: the platform's, adapted if segments have owners
+	journal      *statedir.GathererState
 	handover     *handover
 	policy       *policyPart
 	traces       *trace.Recorder
 }
 
-func newAssembly(c *platform.Config, own *operator.File, log *logrus.Logger) (*assembly, error) {
-	a := &assembly{Service: &Service{log: log, config: c}, operatorFile: *own, settings: c.Settings}
+func newAssembly(c *platform.Config, operatorFile *operator.File, log *logrus.Logger) (*assembly, error) {
+	a := &assembly{Service: &Service{log: log, config: c}, operatorFile: *operatorFile, settings: c.Settings}
 	if a.ownedSegments() {
 		if c.Settings.Shards < 1 {
-			return nil, errors.New("segments: the settings don't tell how many shards there are")
+			return nil, errors.New("segments: settings.domain.shards is missing; a segment map needs at least 1 shard")
 		}
-		a.settings = dispatch.OwnershipSettings(c.Settings, own.MaxSegments)
-		if own.Plan+own.Placement != "" || len(own.TwoPhase) > 0 {
-			log.Error("service: plans and two passes ignored, as segments have owners of their own")
+		a.settings = dispatch.OwnershipSettings(c.Settings, operatorFile.MaxSegments)
+		if operatorFile.Plan+operatorFile.Placement != "" || len(operatorFile.TwoPhase) > 0 {
+			log.Error("service: plans and two-pass queries ignored; they cannot be combined with a segment map")
 			a.operatorFile.Plan = ""
 			a.operatorFile.Placement = ""
 			a.operatorFile.TwoPhase = nil
@@ -54,56 +55,58 @@
 	return a, nil
 }
 
-// ownedSegments reports whether a map says which server owns which keys.
+// ownedSegments reports whether a segment map assigns keys to servers.
 func (a *assembly) ownedSegments() bool { return a.operatorFile.MaxSegments > 0 }
 
-// addNameJournal adds the journal of non-idempotent queries' names.
+// addNameJournal adds the journal of the IDs of non-idempotent queries.
 func (a *assembly) addNameJournal() error {
 	if a.operatorFile.NameRetention <= 0 {
 		return nil
 	}
-	names, found, err := statedir.OpenGathererState(a.operatorFile.State, int64(a.operatorFile.JournalMaxBytes), a.operatorFile.NameRetention,
-		a.Picker.Now())
+	journal, recovered, err := statedir.OpenGathererState(a.operatorFile.State,
+		int64(a.operatorFile.JournalMaxBytes), a.operatorFile.NameRetention, a.Picker.Now())
 	if err != nil {
 		return err
 	}
-	a.names = names
-	a.Picker.SetNonIdempotentStore(names)
+	a.journal = journal
+	a.Picker.SetNonIdempotentStore(journal)
 	a.hooks.close = append(a.hooks.close, func() error {
 		ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
 		defer cancel()
 		if !a.Picker.CloseNonIdempotentStore(ctx) {
-			a.log.Warn("state: not closed, its disk is still writing")
+			a.log.Warn("state: not closed, the disk is still writing")
 			return nil
 		}
-		if err := names.Close(); err != nil {
+		if err := journal.Close(); err != nil {
 			return fmt.Errorf("state: %w", err)
 		}
 		return nil
 	})
 	log := a.log.WithFields(logrus.Fields{
-		"folder": a.operatorFile.State, "names": found.Claims, "epoch": found.Epoch, "records": found.Records,
-		"bytes": found.BytesRead, "torn": found.TornBytes, "took": found.Duration,
+		"folder": a.operatorFile.State, "names": recovered.Claims, "epoch": recovered.Epoch, "records": recovered.Records,
+		"bytes": recovered.BytesRead, "torn": recovered.TornBytes, "took": recovered.Duration,
 	})
-	if found.UnknownUntil > 0 {
-		log.Warn("state: recovery incomplete; repeats of non-idempotent queries fail for a while")
+	if recovered.UnknownUntil > 0 {
+		log.Warn("state: recovery incomplete; retried non-idempotent queries fail for a while")
 	} else {
 		log.Info("state: recovered")
 	}
 	return nil
 }
 
-// shardServerSockets and clientSockets divide the sockets that the process leaves. One connection to a shard server
-// carries many shard requests, one from a client a single query: a quarter is for shard servers. Clients may exceed
-// their share by an eighth for a moment, and as many connections that were ended may still hold their sockets.
+// shardServerSockets returns the limit on connections to shard servers: a quarter of the sockets beyond
+// reservedSockets. A connection to a shard server carries many shard requests, one from a client a single query.
 func shardServerSockets(l platform.Limits) int { return (l.Sockets - reservedSockets) / 4 }
 
+// clientSockets returns the limit on client connections within the sockets left after reservedSockets and a quarter for
+// shard servers. Clients may briefly exceed the limit by an eighth, and as many connections that the server has closed
+// may still hold their sockets.
 func clientSockets(l platform.Limits) int {
-	left := l.Sockets - reservedSockets
-	return (left - left/4 - 2) * 8 / 10
+	available := l.Sockets - reservedSockets
+	return (available - available/4 - 2) * 8 / 10
 }
 
-// addShardServers adds the connections to shard servers.
+// addShardServers adds the connection pool for shard servers.
 func (a *assembly) addShardServers() error {
 	a.pool = shardcall.New(shardcall.Config{
 		Settings: a.config.Settings,
@@ -117,21 +120,21 @@
 	return nil
 }
 
-// addSegments adds the map of segments, from the journal, a file and an authority.
+// addSegments adds the segment map, which comes from the journal, a file or a segment authority.
 func (a *assembly) addSegments() error {
 	if !a.ownedSegments() {
 		return nil
 	}
 	a.Picker.EnableOwnership(a.operatorFile.MaxSegments, a.settings.Shards)
-	if a.names != nil && a.names.Map() != nil {
-		a.Picker.SetMap(a.names.Map())
+	if a.journal != nil && a.journal.Map() != nil {
+		a.Picker.SetMap(a.journal.Map())
 	}
 	if err := a.readSegments(&a.operatorFile); err != nil {
 		return err
 	}
 	if a.operatorFile.SegmentAuthority != "" {
-		authority := segments.NewWatcher(a.operatorFile.SegmentAuthority, a.Picker, a.log)
-		a.hooks.run = append(a.hooks.run, authority.Run)
+		watcher := segments.NewWatcher(a.operatorFile.SegmentAuthority, a.Picker, a.log)
+		a.hooks.run = append(a.hooks.run, watcher.Run)
 	}
 	a.hooks.endpoints = append(a.hooks.endpoints, func(_ gather.EndpointList, addresses []shardcall.Address) {
 		names := make(map[uint32]string, len(addresses))
@@ -140,21 +143,21 @@
 		}
 		a.Picker.SetServerNames(names)
 	})
-	a.hooks.operatorFileRead = append(a.hooks.operatorFileRead, func(own *operator.File) error {
-		own.Plan = ""
-		own.Placement = ""
-		return a.readSegments(own)
+	a.hooks.operatorFileRead = append(a.hooks.operatorFileRead, func(operatorFile *operator.File) error {
+		operatorFile.Plan = ""
+		operatorFile.Placement = ""
+		return a.readSegments(operatorFile)
 	})
 	return nil
 }
 
-// readSegments reads the file of a map, where there is one. An older map than the one in force changes nothing;
-// another one of the same epoch is a contradiction, which the picker reports.
-func (a *assembly) readSegments(own *operator.File) error {
-	if own.Segments == "" {
+// readSegments reads the segment map from its file, if one is configured. A map older than the one in force is ignored;
+// a different map of the same epoch is a contradiction, which the picker reports.
+func (a *assembly) readSegments(operatorFile *operator.File) error {
+	if operatorFile.Segments == "" {
 		return nil
 	}
-	m, _, err := segments.ReadMap(own.Segments)
+	m, _, err := segments.ReadMap(operatorFile.Segments)
 	if err != nil {
 		return err
 	}
@@ -162,11 +165,11 @@
 	return nil
 }
 
-// addTwoPass adds the classes whose queries go to shard servers in two passes.
+// addTwoPass enables two-pass queries for the classes that the operator configured.
 func (a *assembly) addTwoPass() error {
 	classes, err := a.operatorFile.TwoPhaseSettings(a.config.Settings)
 	if err != nil {
-		a.log.WithError(err).Error("service: two passes rejected for some classes")
+		a.log.WithError(err).Error("service: two-pass settings rejected for some classes")
 	}
 	if len(classes) > 0 {
 		a.Picker.EnableTwoPass(classes)
@@ -175,7 +178,7 @@
 	return nil
 }
 
-// addPicker adds the decision loop.
+// addPicker adds the decision loop, which runs rounds of decisions and executes their orders.
 func (a *assembly) addPicker() error {
 	a.hooks.endpoints = append(a.hooks.endpoints, func(event gather.EndpointList, _ []shardcall.Address) {
 		a.Picker.UpdateEndpoints(event)
@@ -192,11 +195,11 @@
 	return nil
 }
 
-// addPlans adds plans and placement, and the work beside queries that they need.
+// addPlans adds plans and placement, and the background jobs that they need.
 func (a *assembly) addPlans() error {
 	keeper := plans.New(a.Picker, a.config.Settings, background.New(a.operatorFile.BackgroundShare, a.log), a.log)
 	if err := keeper.Configure(&a.operatorFile); err != nil {
-		a.log.WithError(err).Error("service: plan rejected; serving without")
+		a.log.WithError(err).Error("service: plan rejected; serving without it")
 	}
 	a.hooks.run = append(a.hooks.run, keeper.Run)
 	a.hooks.endpoints = append(a.hooks.endpoints, keeper.UpdateEndpoints)
@@ -204,7 +207,7 @@
 	return nil
 }
 
-// addTraces adds the traces that operators look at.
+// addTraces adds the recent query traces that operators can view, if they are enabled.
 func (a *assembly) addTraces() error {
 	if a.operatorFile.TracesKept <= 0 {
 		return nil
@@ -217,7 +220,7 @@
 	return nil
 }
 
-// addRecord adds the record of everything, on which the rules can be checked.
+// addRecord adds the record of all decisions and calls, against which the rules can be checked, if it is enabled.
 func (a *assembly) addRecord() error {
 	if a.operatorFile.Record == "" {
 		return nil
@@ -251,7 +254,7 @@
 	return nil
 }
 
-// addDiscovery adds the watch of the endpoint list, which begins with the list that the platform knows.
+// addDiscovery adds the watch of the endpoint list. It starts with the list in the platform's configuration, if any.
 func (a *assembly) addDiscovery() error {
 	watcher := discovery.New(discovery.Config{
 		Address:          a.config.Discovery,
@@ -267,12 +270,14 @@
 		watcher.Apply(known)
 	}
 	a.hooks.run = append(a.hooks.run, watcher.Run)
-	a.hooks.platformConfigAccepted = append(a.hooks.platformConfigAccepted, func(c *platform.Config) { watcher.SetAddress(c.Discovery) })
+	a.hooks.platformConfigAccepted = append(a.hooks.platformConfigAccepted, func(c *platform.Config) {
+		watcher.SetAddress(c.Discovery)
+	})
 	return nil
 }
 
-// addFrontend adds the front end. A quarter of all sockets is for connections that have sent a query, so that new ones
-// find room.
+// addFrontend adds the front end. Connections that have already carried a query may hold at most a quarter of all
+// sockets, so that new connections can be accepted.
 func (a *assembly) addFrontend() error {
 	limits := a.config.Limits
 	a.server = frontend.New(frontend.Config{
--- a/internal/gatherer/service/claims_test.go
+++ b/internal/gatherer/service/claims_test.go
@@ -12,12 +12,13 @@
 	"yokeroute/logic/ownership"
 )
 
-// claimInput and claimOutput are an operation on one key, for the check of histories.
+// claimInput is the input of one claim of a key, for the linearizability check.
 type claimInput struct {
 	key      uint64
 	claimant string
 }
 
+// claimModel is the sequential model of claims: a key, once given to a claimant, is held by it for good.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[uint64][]porcupine.Operation{}
@@ -37,23 +38,25 @@
 	},
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
-		has, who := state.(string), input.(claimInput).claimant
+		holder, claimant := state.(string), input.(claimInput).claimant
 		switch output.(string) {
 		case "given":
-			return has == "", who
+			return holder == "", claimant
 		case "held":
-			return has != "", has
-		case "never": // rejected: it had no effect
-			return true, has
+			return holder != "", holder
+		case "rejected": // had no effect
+			return true, holder
 		}
-		if has == "" { // failed, or no answer: it may have had its effect, or not; if not it may be put last
-			return true, who
+		// Failed or unanswered: the claim may or may not have taken effect. One that did not may be placed last in the
+		// history.
+		if holder == "" {
+			return true, claimant
 		}
-		return true, has
+		return true, holder
 	},
 }
 
-// claimOutcome is what a claim's client knows.
+// claimOutcome returns what the client learns from the answer to its claim.
 func claimOutcome(a answer) string {
 	switch a.status {
 	case http.StatusOK:
@@ -64,39 +67,39 @@
 		}
 		return "lost"
 	case http.StatusServiceUnavailable:
-		return "never"
+		return "rejected"
 	}
 	return "unknown"
 }
 
-// claim makes one claim and records it.
+// claim sends one claim and returns it as an operation of the history.
 func claim(address, id string, key uint64, startedAt time.Time) porcupine.Operation {
 	shard := 0
 	for ownership.ShardRange(shard, 4).Hi < key {
 		shard++
 	}
 	op := porcupine.Operation{Input: claimInput{key, id}, Call: time.Since(startedAt).Nanoseconds()}
-	got := claimOutcome(sendOwned(address, "claim", id, []int{shard}, fmt.Sprintf("claim %016x %s", key, id)))
-	op.Output, op.Return = got, time.Since(startedAt).Nanoseconds()
+	result := claimOutcome(sendOwned(address, "claim", id, []int{shard}, fmt.Sprintf("claim %016x %s", key, id)))
+	op.Output, op.Return = result, time.Since(startedAt).Nanoseconds()
 	return op
 }
 
-// checkHistory holds what ran against what clients learnt.
-func checkHistory(t *testing.T, ran []standin.Execution, history []porcupine.Operation) {
+// checkHistory compares the claims that hosts executed with the outcomes that clients learned.
+func checkHistory(t *testing.T, executions []standin.Execution, history []porcupine.Operation) {
 	t.Helper()
-	if twice := findDuplicates(ran); len(twice) > 0 {
-		t.Errorf("%d claims ran, or keys were given, twice: %v", len(twice), twice[:min(len(twice), 5)])
+	if duplicates := findDuplicates(executions); len(duplicates) > 0 {
+		t.Errorf("%d claims ran twice or keys were given twice: %v", len(duplicates), duplicates[:min(len(duplicates), 5)])
 	}
-	by := map[string]bool{}
-	for _, r := range ran {
-		by[r.Claimant] = true
+	executed := map[string]bool{}
+	for _, r := range executions {
+		executed[r.Claimant] = true
 	}
 	for _, op := range history {
-		if who := op.Input.(claimInput).claimant; op.Output == "never" && by[who] {
-			t.Errorf("%s was nacked and has run", who)
+		if claimant := op.Input.(claimInput).claimant; op.Output == "rejected" && executed[claimant] {
+			t.Errorf("claim %s was rejected but was executed", claimant)
 		}
 	}
-	// A claim whose end is not known may take effect at any time later.
+	// A claim with an unknown outcome may take effect at any later time.
 	for i := range history {
 		if history[i].Output == "unknown" {
 			history[i].Return = 1 << 62
@@ -107,19 +110,20 @@
 	}
 }
 
-// findDuplicates are claims that ran twice and keys that were given twice.
-func findDuplicates(ran []standin.Execution) (twice []string) {
+// findDuplicates describes claims that ran more than once and keys that were given more than once.
+func findDuplicates(executions []standin.Execution) (duplicates []string) {
 	claims, keys := map[string]int{}, map[uint64]string{}
-	for _, r := range ran {
+	for _, r := range executions {
 		if claims[r.Claimant]++; claims[r.Claimant] > 1 {
-			twice = append(twice, fmt.Sprintf("%s ran %d times", r.Claimant, claims[r.Claimant]))
+			duplicates = append(duplicates, fmt.Sprintf("%s ran %d times", r.Claimant, claims[r.Claimant]))
 		}
 		if r.Granted {
 			if first := keys[r.Key]; first != "" {
-				twice = append(twice, fmt.Sprintf("key %016x to %s and to %s at %s", r.Key, first, r.Claimant, r.Host))
+				duplicates = append(duplicates,
+					fmt.Sprintf("key %016x was given to %s, and to %s at host %s", r.Key, first, r.Claimant, r.Host))
 			}
 			keys[r.Key] = r.Claimant
 		}
 	}
-	return twice
+	return duplicates
 }
--- a/internal/gatherer/service/farm_test.go
+++ b/internal/gatherer/service/farm_test.go
@@ -30,7 +30,8 @@
   "secondCopies":true,"retryAfter":true,"maxRetryAfter":1000000},
  "rules":{"budgetShare":0.1,"extraFloor":20,"resendSpan":1000000,"drainGrace":250000,"answerSlack":20000}}`
 
-// segmentFleet is hosts with their authority and discovery, and gatherers before them.
+// segmentFleet is a set of segment hosts with their segment authority and discovery server, and the gatherers that
+// query them.
 type segmentFleet struct {
 	t         *testing.T
 	hosts     []*standin.Host
@@ -40,7 +41,8 @@
 	stops     []func()
 }
 
-// start starts so many hosts, which own four segments at first, two each.
+// startSegmentFleet starts the given number of hosts and gatherers. There are four segments at first, each owned by two
+// hosts.
 func startSegmentFleet(t *testing.T, hosts, gatherers int, logs *standin.SegmentLogs, state string) *segmentFleet {
 	t.Helper()
 	f := &segmentFleet{t: t}
@@ -81,56 +83,56 @@
 	return f
 }
 
-// addGatherer starts one more and waits until it answers a query completely.
+// addGatherer starts another gatherer. It does not wait until the gatherer is ready; stop ends it.
 func (f *segmentFleet) addGatherer(seed uint64, state string) (stop func()) {
 	f.t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	configured := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`,
+	config := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`,
 		l.Addr(), f.directory.Address(), seed, ownedSettings)
-	c, err := platform.Parse([]byte(configured), func(string) string { return "" })
+	c, err := platform.Parse([]byte(config), func(string) string { return "" })
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	own := &operator.File{BackgroundShare: 0.05, MaxSegments: 256, SegmentAuthority: f.authority.Address()}
+	operatorFile := &operator.File{BackgroundShare: 0.05, MaxSegments: 256, SegmentAuthority: f.authority.Address()}
 	if state != "" {
-		own.State = state
-		own.NameRetention = 60_000
-		own.JournalMaxBytes = 1 << 20
+		operatorFile.State = state
+		operatorFile.NameRetention = 60_000
+		operatorFile.JournalMaxBytes = 1 << 20
 	}
-	s, err := New(c, own, log)
+	s, err := New(c, operatorFile, log)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx, l) }()
-	once := sync.OnceFunc(func() {
+	stopOnce := sync.OnceFunc(func() {
 		cancel()
 		if err := <-done; err != nil {
 			f.t.Error(err)
 		}
 	})
-	f.t.Cleanup(once)
+	f.t.Cleanup(stopOnce)
 	f.addresses = append(f.addresses, l.Addr().String())
-	f.stops = append(f.stops, once)
-	return once
+	f.stops = append(f.stops, stopOnce)
+	return stopOnce
 }
 
-// awaitReady waits until a gatherer answers a query completely.
+// awaitReady waits until a gatherer answers a query on all shards with 200.
 func (f *segmentFleet) awaitReady(address string) {
 	f.t.Helper()
-	for until := time.Now().Add(10 * time.Second); time.Now().Before(until); {
+	for deadline := time.Now().Add(10 * time.Second); time.Now().Before(deadline); {
 		id := fmt.Sprint("ready-", time.Now().UnixNano())
 		if a := sendOwned(address, "find", id, []int{0, 1, 2, 3}, "read"); a.status == http.StatusOK {
 			return
 		}
 	}
-	f.t.Fatal("the gatherer is never ready")
+	f.t.Fatal("the gatherer did not become ready within 10 s")
 }
 
 type answer struct {
@@ -143,7 +145,7 @@
 	}
 }
 
-// sendOwned sends a query and returns its answer; status 0 is none.
+// sendOwned sends a query and returns its answer, with status 0 if there is none or it cannot be parsed.
 func sendOwned(address, index, id string, shards []int, text string) (a answer) {
 	var body strings.Builder
 	for i, s := range shards {
@@ -172,7 +174,7 @@
 	return a
 }
 
-// checkCoverage checks that a complete answer covers all keys of its shards, each once, by its documents.
+// checkCoverage checks that the documents of a complete answer cover each key of the shards exactly once.
 func (a *answer) checkCoverage(shards []int) error {
 	var got []ownership.Range
 	for _, h := range a.Hits {
@@ -192,7 +194,7 @@
 		want := ownership.ShardRange(s, 4)
 		for from := want.Lo; ; {
 			if len(got) == 0 || got[0].Lo != from || got[0].Hi > want.Hi {
-				return fmt.Errorf("shard %d of %d: what was read is not all of %s, once", s, i, want.Text())
+				return fmt.Errorf("shard %d of %d: the documents do not cover %s exactly once", s, i, want.Text())
 			}
 			hi := got[0].Hi
 			if got = got[1:]; hi == want.Hi {
@@ -202,9 +204,10 @@
 		}
 	}
 	if len(got) > 0 {
-		return fmt.Errorf("%d documents too many", len(got))
+		return fmt.Errorf("%d unexpected documents", len(got))
 	}
 	return nil
 }
 
-var errRevert = fmt.Errorf("undone")
+// errRevert stands for a failed handover step, so that the handover is reverted.
+var errRevert = fmt.Errorf("reverted")
--- a/internal/gatherer/service/handover.go
+++ b/internal/gatherer/service/handover.go
@@ -15,16 +15,16 @@
 	"yokeroute/internal/worker"
 )
 
-// handover keeps for the next process which servers drain. It writes on a goroutine of its own, so that the watch of
-// discovery does not wait for the disk.
+// handover stores which servers are draining, for the next process of this gatherer. It writes on a separate goroutine,
+// so that the discovery watch does not wait for the disk.
 type handover struct {
-	recovered map[string]float64 // drains that an earlier process stored
+	recovered map[string]float64 // draining servers that an earlier process stored
 	write     func(draining map[string]float64) error
 	log       *logrus.Logger
 	worker    *worker.Worker
 
 	mu       sync.Mutex
-	draining map[string]float64 // to be stored, by name: since when the draining process is up
+	draining map[string]float64 // to be stored: start time of each draining server process, by name
 }
 
 func newHandover(
@@ -35,7 +35,7 @@
 	return h
 }
 
-// addHandover adds the handover of drains to the gatherer's next process.
+// addHandover adds the handover of draining servers to the gatherer's next process, if a state folder is configured.
 func (a *assembly) addHandover() error {
 	if a.operatorFile.State == "" {
 		return nil
@@ -45,7 +45,7 @@
 		return err
 	}
 	if err != nil {
-		a.log.WithError(err).Warn("handover: stored drains can't be read")
+		a.log.WithError(err).Warn("handover: cannot read stored draining servers")
 	}
 	a.handover = newHandover(stored.Draining, stored.SetDraining, a.log)
 	a.hooks.endpoints = append(a.hooks.endpoints, a.handover.store)
@@ -58,14 +58,16 @@
 	return nil
 }
 
-// apply marks the drains that an earlier process knew of in the list that the platform knows, which may be older.
+// apply marks servers as draining that an earlier process had stored as such, in the endpoint list from the platform's
+// configuration, which may be older.
 func (h *handover) apply(known *discovery.Response) {
 	if marked := known.MarkDraining(h.recovered); marked > 0 {
-		h.log.WithField("servers", marked).Info("handover: stored drains applied")
+		h.log.WithField("servers", marked).Info("handover: stored draining servers applied")
 	}
 }
 
-// store has stored which servers drain. What earlier processes stored stays until discovery itself has reported it.
+// store queues the set of draining servers for writing. A failed watch event is ignored, so that what earlier processes
+// stored stays until discovery has reported a list.
 func (h *handover) store(event gather.EndpointList, addresses []shardcall.Address) {
 	if event.Failed {
 		return
@@ -82,7 +84,7 @@
 	h.worker.Wake()
 }
 
-// writeNewest stores the drains that were reported last.
+// writeNewest writes the most recently reported set of draining servers.
 func (h *handover) writeNewest() {
 	h.mu.Lock()
 	draining := h.draining
@@ -91,13 +93,13 @@
 	err := h.write(draining)
 	slowwrite.Log(h.log, "handover", startedAt)
 	if err != nil {
-		h.log.WithError(err).Error("handover: drains can't be stored")
+		h.log.WithError(err).Error("handover: cannot store draining servers")
 	}
 }
 
-// close waits until the newest drains are stored, or until ctx ends.
+// close waits until the newest set of draining servers is stored, or until ctx ends.
 func (h *handover) close(ctx context.Context) {
 	if !h.worker.WaitIdle(ctx) {
-		h.log.Warn("handover: the disk is still writing, the next process may not know of the newest drains")
+		h.log.Warn("handover: the disk is still writing; the next process may miss the newest draining servers")
 	}
 }
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -11,21 +11,21 @@
 	"yokeroute/logic/policy"
 )
 
-// policyPart is the operators' policy, from policy servers or from a file of the gatherer's own.
+// policyPart holds the operators' policy, which comes from policy servers or from a local file.
 type policyPart struct {
 	lease        *policylease.Lease
-	fileRevision uint64 // of the own file
+	fileRevision uint64 // number of times the local file was read; the revision of its policy
 }
 
-// addPolicy adds the operators' policy. A fallback policy or a file that the platform's settings rule out is an error:
-// without it the gatherer would do what the rest of the fleet counts on it not to do.
+// addPolicy adds the operators' policy. It is an error if the fallback policy or the local file is invalid under the
+// platform's settings: without its policy the gatherer would do what the rest of the fleet relies on it not to do.
 func (a *assembly) addPolicy() error {
 	var err error
 	switch {
 	case a.operatorFile.FallbackPolicy != "":
 		a.policy, err = a.pollPolicyServers()
 	case a.operatorFile.Policy != "":
-		a.policy, err = a.readOwnPolicy()
+		a.policy, err = a.readLocalPolicy()
 	default:
 		return nil
 	}
@@ -41,8 +41,8 @@
 	return policylease.Config{Platform: a.settings, Clock: a.Picker.Now, OnChange: a.Picker.Wake}
 }
 
-// readOwnPolicy makes the policy of a file of the gatherer's own.
-func (a *assembly) readOwnPolicy() (*policyPart, error) {
+// readLocalPolicy returns the policy of a local file, which is read again with the operator's file.
+func (a *assembly) readLocalPolicy() (*policyPart, error) {
 	p := &policyPart{lease: policylease.New(a.leaseConfig())}
 	if err := p.reloadFile(&a.operatorFile); err != nil {
 		return nil, err
@@ -51,20 +51,20 @@
 	return p, nil
 }
 
-// reloadFile applies the gatherer's own policy file.
-func (p *policyPart) reloadFile(own *operator.File) error {
-	if own.Policy == "" {
+// reloadFile reads and applies the local policy file, if the operator's file names one.
+func (p *policyPart) reloadFile(operatorFile *operator.File) error {
+	if operatorFile.Policy == "" {
 		return nil
 	}
-	read, err := policyfile.Read(own.Policy)
+	document, err := policyfile.Read(operatorFile.Policy)
 	if err != nil {
 		return err
 	}
 	p.fileRevision++
-	return p.lease.Hold(read, p.fileRevision)
+	return p.lease.Hold(document, p.fileRevision)
 }
 
-// pollPolicyServers makes the policy of the policy servers, with the fallback policy for the time without a lease.
+// pollPolicyServers returns the policy of the policy servers. The fallback policy applies while there is no lease.
 func (a *assembly) pollPolicyServers() (*policyPart, error) {
 	fallback, err := policyfile.Read(a.operatorFile.FallbackPolicy)
 	if err == nil {
@@ -75,7 +75,7 @@
 	}
 	revision, err := policylease.LoadRevision(a.operatorFile.State)
 	if err != nil {
-		a.log.WithError(err).Warn("policy client: stored revision not read")
+		a.log.WithError(err).Warn("policy client: cannot read stored revision")
 	}
 	config := a.leaseConfig()
 	config.Fallback = fallback
@@ -93,5 +93,5 @@
 	return &policyPart{lease: lease}, nil
 }
 
-// state is what reports contain of the policy.
+// state returns the policy state that reports contain.
 func (p *policyPart) state() any { return p.lease.State() }
--- a/internal/gatherer/service/record_test.go
+++ b/internal/gatherer/service/record_test.go
@@ -17,14 +17,14 @@
 	"yokeroute/internal/testbed/experiment"
 )
 
-// TestRecordUnderFaultsPassesRuleCheck: a gatherer that records through troubles of all kinds leaves a trace that is whole
-// and on which every rule that it can show is kept; what it cannot show is said.
+// TestRecordUnderFaultsPassesRuleCheck records a gatherer through faults of many kinds. The trace is complete and
+// violates no rule that it can show, and the report names the one that it cannot check.
 func TestRecordUnderFaultsPassesRuleCheck(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
-	own := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05,
+	operatorFile := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05,
 		TwoPhase: []operator.TwoPhaseClass{{Class: "any", FirstPassShare: 0.3, TrialShare: 0.5}}}
-	all := serveUnderLoad(t, own, func(f *experiment.Fleet) {
-		wait := func() { time.Sleep(250 * time.Millisecond) } // what happens in between is load, not a condition waited for
+	all := serveUnderLoad(t, operatorFile, func(f *experiment.Fleet) {
+		wait := func() { time.Sleep(250 * time.Millisecond) } // lets load run; there is no condition to wait for
 		wait()
 		f.Servers["m0"].Kill()
 		f.Servers["m1"].SetHung(true)
@@ -43,25 +43,26 @@
 	})
 	r := checkFile(t, file)
 	if !r.Passed() {
-		t.Errorf("%v %s", r.Violations, r.Incomplete)
+		t.Errorf("rule check failed: violations %v, incomplete %q", r.Violations, r.Incomplete)
 	}
 	if r.Queries < all.Sent*9/10 || r.Attempts < 2*all.Sent || r.FinalAnswers[rulecheck.QueryServed] == 0 {
-		t.Errorf("%d lookups sent, %d recorded with %d calls, %v", all.Sent, r.Queries, r.Attempts, r.FinalAnswers)
+		t.Errorf("%d queries sent, %d recorded with %d attempts, final answers %v",
+			all.Sent, r.Queries, r.Attempts, r.FinalAnswers)
 	}
 	if len(r.Unchecked) != 1 || r.Unchecked[4] == "" {
-		t.Errorf("not checked: %v", r.Unchecked)
+		t.Errorf("rules not checked: %v, want only rule 4", r.Unchecked)
 	}
 }
 
-// TestEndpointUpdateIsRecordedBeforeCallsThatDependOnIt guards against a record that accuses a gatherer of calls to a
-// draining server, as it holds them before the news that the server is in service again. All of its replica set drain
-// until then, so that queries need it at once.
+// TestEndpointUpdateIsRecordedBeforeCallsThatDependOnIt guards against a record that lists calls to a server before the
+// update that the server is in service again, so that the check reports calls to a draining server. All servers of its
+// replica set drain until then, so that queries need it at once.
 func TestEndpointUpdateIsRecordedBeforeCallsThatDependOnIt(t *testing.T) {
-	const pause = 400 * time.Millisecond // more than the grace of a drain
+	const pause = 400 * time.Millisecond // longer than the drain grace period
 	file := filepath.Join(t.TempDir(), "day.trace")
-	own := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05}
-	fleet, s, l := assembleGatherer(t, own, plainMachine, func(text string) string { return text })
-	for i, update := range s.hooks.endpoints {
+	operatorFile := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05}
+	fleet, s, l := assembleGatherer(t, operatorFile, plainMachine, func(text string) string { return text })
+	for i, update := range s.hooks.endpoints { // delay each hook after it has seen a server back in service
 		s.hooks.endpoints[i] = func(event gather.EndpointList, addresses []shardcall.Address) {
 			update(event, addresses)
 			if !event.Full && event.Endpoints[0].State == gather.Running {
@@ -77,39 +78,41 @@
 	time.Sleep(pause)
 	fleet.SetPhase("terminating", "m0", "m2", "m4")
 	time.Sleep(2 * pause)
-	before := fleet.Servers["m2"].Counts().Requests
+	requestsBefore := fleet.Servers["m2"].Counts().Requests
 	fleet.SetPhase("in_service", "m2")
 	<-played
 	end()
-	if fleet.Servers["m2"].Counts().Requests == before {
-		t.Error("nothing was sent to the server that is in service again")
+	if fleet.Servers["m2"].Counts().Requests == requestsBefore {
+		t.Error("no request was sent to the server after it was back in service")
 	}
 	if r := checkFile(t, file); !r.Passed() {
-		t.Errorf("%v %s", r.Violations, r.Incomplete)
+		t.Errorf("rule check failed: violations %v, incomplete %q", r.Violations, r.Incomplete)
 	}
 }
 
-// TestRecordReportsSizeLimitReached: a record that reaches its bound says so and does not pass; one that cannot be
-// written is told before anything is served.
+// TestRecordReportsSizeLimitReached checks that a record that reaches its size limit says so and does not pass the
+// check, and that New fails if the record cannot be created.
 func TestRecordReportsSizeLimitReached(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
 	serveUnderLoad(t, &operator.File{Record: file, RecordMaxBytes: 8192, BackgroundShare: 0.05}, func(*experiment.Fleet) {})
 	if r := checkFile(t, file); r.Passed() || !strings.Contains(r.Incomplete, "8192 bytes") {
-		t.Errorf("%+v", r)
+		t.Errorf("the report does not name the limit of 8192 bytes: %+v", r)
 	}
 	if info, err := os.Stat(file); err != nil || info.Size() > 10_000 {
-		t.Errorf("%v, %v", info.Size(), err)
+		t.Errorf("the record has %v bytes, want at most 10000: %v", info.Size(), err)
 	}
-	c, err := platform.Parse([]byte(configJSON("127.0.0.1:1", "127.0.0.1:1", fixtureSettings)), func(string) string { return "" })
+	c, err := platform.Parse([]byte(configJSON("127.0.0.1:1", "127.0.0.1:1", fixtureSettings)),
+		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	_, err = New(c, &operator.File{Record: filepath.Join(file, "nowhere")}, logrus.New())
 	if err == nil || !strings.Contains(err.Error(), "record: ") {
-		t.Errorf("%v", err)
+		t.Errorf("New returned %v, want a record error", err)
 	}
 }
 
+// checkFile checks the rules on a recorded trace.
 func checkFile(t *testing.T, file string) *rulecheck.Report {
 	t.Helper()
 	f, err := os.Open(file)
--- a/internal/gatherer/service/reload.go
+++ b/internal/gatherer/service/reload.go
@@ -10,7 +10,8 @@
 	"yokeroute/internal/config/platform"
 )
 
-// Reload applies what of a new platform's configuration can change under load. A faulty one changes nothing.
+// Reload loads a new platform configuration and applies the parts that can change while serving. An invalid
+// configuration changes nothing. Changed keys that need a restart are logged.
 func (s *Service) Reload(load func() (*platform.Config, error)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -21,8 +22,8 @@
 	}
 	old := s.config
 	s.config = c
-	for _, configured := range s.hooks.platformConfigAccepted {
-		configured(c)
+	for _, apply := range s.hooks.platformConfigAccepted {
+		apply(c)
 	}
 	if c.Limits != old.Limits {
 		Limit(c.Limits)
@@ -33,7 +34,8 @@
 	s.log.WithField("discovery", c.Discovery).Info("service: configuration applied")
 }
 
-// keysNeedingRestart names the changed keys that connections and queries in flight depend on.
+// keysNeedingRestart returns the changed keys that take effect only after a restart, because open connections and
+// queries in flight depend on them.
 func keysNeedingRestart(before, after *platform.Config) (keys []string) {
 	for _, key := range []struct {
 		name    string
@@ -51,7 +53,8 @@
 	return keys
 }
 
-// Reread reads the operator's file again. A faulty one, or one that names a faulty plan, changes nothing.
+// Reread reads the operator's file again and applies it. An invalid file, or one that names an invalid plan, changes
+// nothing.
 func (s *Service) Reread(file string) {
 	if err := s.reloadOperatorFile(file); err != nil {
 		s.log.WithError(err).Error("service: operator's file rejected")
@@ -59,27 +62,28 @@
 }
 
 func (s *Service) reloadOperatorFile(file string) error {
-	own, err := operator.Read(file)
+	operatorFile, err := operator.Read(file)
 	if err != nil {
 		return err
 	}
-	for _, reread := range s.hooks.operatorFileRead {
-		if err := reread(own); err != nil {
+	for _, apply := range s.hooks.operatorFileRead {
+		if err := apply(operatorFile); err != nil {
 			return err
 		}
 	}
-	for _, reloaded := range s.hooks.operatorFileAccepted {
-		reloaded(own)
+	for _, accepted := range s.hooks.operatorFileAccepted {
+		accepted(operatorFile)
 	}
 	return nil
 }
 
-// Limit sets the runtime to the platform's limits, so that the process is neither killed for memory nor throttled
-// during a collection.
+// Limit configures the Go runtime for the platform's CPU and memory limits, so that the process is neither killed for
+// exceeding its memory nor throttled during a garbage collection.
 func Limit(l platform.Limits) {
 	const (
 		bytesPerMegabyte = 1 << 20
-		heapShare        = 3.0 / 4 // the rest is for stacks, buffers of the kernel and the program itself
+		// The remaining quarter is for goroutine stacks, kernel buffers and the program itself.
+		heapShare = 3.0 / 4
 	)
 	runtime.GOMAXPROCS(max(int(math.Ceil(l.Cores)), 1))
 	debug.SetMemoryLimit(int64(l.MemoryMB * bytesPerMegabyte * heapShare))
--- a/internal/gatherer/service/reports.go
+++ b/internal/gatherer/service/reports.go
@@ -9,7 +9,7 @@
 	"yokeroute/internal/version"
 )
 
-// addReports adds the server of reports and metrics.
+// addReports adds the HTTP server for reports and metrics, if its address is configured.
 func (a *assembly) addReports() error {
 	if a.operatorFile.ReportAddress == "" {
 		return nil
@@ -33,32 +33,35 @@
 	a.hooks.platformConfigAccepted = append(a.hooks.platformConfigAccepted, func(c *platform.Config) {
 		collector.SetFile("config", c.Checksum)
 	})
-	a.hooks.operatorFileAccepted = append(a.hooks.operatorFileAccepted, func(own *operator.File) { setFiles(collector, own) })
+	a.hooks.operatorFileAccepted = append(a.hooks.operatorFileAccepted, func(operatorFile *operator.File) {
+		setFiles(collector, operatorFile)
+	})
 	a.hooks.draining = append(a.hooks.draining, collector.BeginShutdown)
 	a.hooks.close = append(a.hooks.close, server.Close)
 	return nil
 }
 
-// setFiles has reports contain the fingerprints of the operator's file and of the files that it names.
-func setFiles(collector *report.Collector, own *operator.File) {
-	collector.SetFile("operator", own.Checksum)
+// setFiles sets the checksums that reports contain: of the operator's file and of the files that it names.
+func setFiles(collector *report.Collector, operatorFile *operator.File) {
+	collector.SetFile("operator", operatorFile.Checksum)
 	for kind, name := range map[string]string{
-		"plan":      own.Plan,
-		"placement": own.Placement,
-		"segments":  own.Segments,
+		"plan":      operatorFile.Plan,
+		"placement": operatorFile.Placement,
+		"segments":  operatorFile.Segments,
 	} {
-		collector.SetFile(kind, fingerprint(name))
+		collector.SetFile(kind, fileChecksum(name))
 	}
 }
 
-// fingerprint is that of a file, empty for none. Files were read a moment ago; one that has gone since is unknown.
-func fingerprint(file string) string {
+// fileChecksum returns the checksum of a file, or "" if file is empty. It returns "unknown" if the file, which was read
+// a moment ago, can no longer be read.
+func fileChecksum(file string) string {
 	if file == "" {
 		return ""
 	}
-	sum, err := version.FileChecksum(file)
+	checksum, err := version.FileChecksum(file)
 	if err != nil {
 		return "unknown"
 	}
-	return sum
+	return checksum
 }
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -16,16 +16,16 @@
 	"yokeroute/logic/ownership"
 )
 
-// moving is how long segments move under load; CI's few seconds are enough for some dozens of hand-overs.
+// The default of a few seconds, which CI uses, is enough for some dozens of handovers.
 var (
 	moveDuration = flag.Duration("moving", 4*time.Second, "how long segments move under load")
-	noMoves      = flag.Bool("still", false, "nothing moves, to compare with")
+	noMoves      = flag.Bool("still", false, "no segment moves, as a baseline for comparison")
 )
 
-// TestSegmentsMoveWithoutDuplicates moves segments all the time under load: splits, merges and moves, some undone
-// halfway, with hosts cut off from the authority, killed, and answers lost. No claim runs twice, none that was
-// rejected has run, no key is given twice, histories of claims are linearizable, and complete answers cover each key
-// once.
+// TestSegmentsMoveWithoutDuplicates hands segments over continuously under load: splits, merges and moves, some
+// reverted halfway, with hosts disconnected from the authority, hosts killed, and answers lost. No claim runs twice, no
+// rejected claim runs, no key is given twice, the history of claims is linearizable, and complete answers cover each
+// key once.
 func TestSegmentsMoveWithoutDuplicates(t *testing.T) {
 	logs := &standin.SegmentLogs{}
 	f := startSegmentFleet(t, 6, 2, logs, "")
@@ -33,18 +33,18 @@
 		f.awaitReady(a)
 	}
 	startedAt := time.Now()
-	stop := make(chan bool)
+	stopClients := make(chan bool)
 	var mu sync.Mutex
 	var history []porcupine.Operation
-	var wait sync.WaitGroup
+	var clients sync.WaitGroup
 	counts := map[string]int{}
-	var wrong []string
+	var coverageErrors []string
 	for client := range 12 {
 		chance := pcg.New(uint64(client) + 100)
-		wait.Go(func() {
+		clients.Go(func() {
 			for n := 0; ; n++ {
 				select {
-				case <-stop:
+				case <-stopClients:
 					return
 				default:
 				}
@@ -56,14 +56,15 @@
 					counts[fmt.Sprint("find ", a.status, " ", a.Complete)]++
 					if a.status == http.StatusOK && a.Complete {
 						if err := a.checkCoverage([]int{0, 1, 2, 3}); err != nil {
-							wrong = append(wrong, fmt.Sprintf("%s: %v", id, err))
+							coverageErrors = append(coverageErrors, fmt.Sprintf("%s: %v", id, err))
 						}
 					}
 					mu.Unlock()
 					continue
 				}
-				key := uint64(chance.Uint32()%64) << 58 // of 64 keys, so that claims meet
-				key += uint64(n / 40)                   // and of others later on
+				// Claims collide on 64 keys. Every 40 operations a client moves on to new ones.
+				key := uint64(chance.Uint32()%64) << 58
+				key += uint64(n / 40)
 				op := claim(address, id, key, startedAt)
 				op.ClientId = client
 				mu.Lock()
@@ -73,49 +74,49 @@
 			}
 		})
 	}
-	moves, undone := 0, 0
+	moves, reverted := 0, 0
 	if *noMoves {
 		time.Sleep(*moveDuration)
 	} else {
-		moves, undone = f.disturb(startedAt)
+		moves, reverted = f.disturb(startedAt)
 	}
-	close(stop)
-	wait.Wait()
-	if !*noMoves && (moves < 15 || undone < 2) {
-		t.Errorf("%d hand-overs, %d undone", moves, undone)
+	close(stopClients)
+	clients.Wait()
+	if !*noMoves && (moves < 15 || reverted < 2) {
+		t.Errorf("%d handovers, %d reverted, want at least 15 and 2", moves, reverted)
 	}
-	for _, w := range wrong {
-		t.Error(w)
+	for _, message := range coverageErrors {
+		t.Error(message)
 	}
-	ran := logs.Executions()
-	checkHistory(t, ran, history)
+	executions := logs.Executions()
+	checkHistory(t, executions, history)
 	if counts["claim lost"] > 0 {
-		t.Errorf("%d claims were answered whole by nobody who has their key", counts["claim lost"])
+		t.Errorf("%d claims got a complete answer that contains no result for the claimed key", counts["claim lost"])
 	}
 	if counts["claim given"] < 50 || counts["find 200 true"] < 30 {
-		t.Errorf("%v", counts)
+		t.Errorf("too few claims given or complete reads: %v", counts)
 	}
-	t.Logf("%d hand-overs, %d undone, %d claims ran, %v", moves, undone, len(ran), counts)
+	t.Logf("%d handovers, %d reverted, %d claims executed, %v", moves, reverted, len(executions), counts)
 }
 
-// disturb hands segments over, with faults, until the time is up.
-func (f *segmentFleet) disturb(startedAt time.Time) (moves, undone int) {
+// disturb hands segments over while it injects faults, until moveDuration has passed.
+func (f *segmentFleet) disturb(startedAt time.Time) (moves, reverted int) {
 	chance := pcg.New(7)
 	draw := func(n int) int { return int(chance.Uint32() % uint32(n)) }
-	name := 0
-	var cut, killed *standin.Host
+	serial := 0 // for the names of new segments
+	var disconnected, killed *standin.Host
 	for time.Since(startedAt) < *moveDuration {
 		m := f.authority.Map()
 		i := draw(len(m.Segments))
 		s := m.Segments[i]
-		name++
+		serial++
 		var c ownership.Change
 		var err error
 		switch kind := draw(3); {
 		case kind == 0 && len(m.Segments) < 12:
-			c, err = m.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/2, fmt.Sprint("n", name, "a"), fmt.Sprint("n", name, "b"))
+			c, err = m.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/2, fmt.Sprint("n", serial, "a"), fmt.Sprint("n", serial, "b"))
 		case kind == 1 && i+1 < len(m.Segments) && len(m.Segments) > 4:
-			c, err = m.MergeSegments(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", name))
+			c, err = m.MergeSegments(s.Name, m.Segments[i+1].Name, fmt.Sprint("n", serial))
 		default:
 			to := f.hosts[draw(len(f.hosts))]
 			c, err = m.MoveSegment(s.Name, []string{to.Name, f.hosts[draw(len(f.hosts))].Name})
@@ -125,12 +126,12 @@
 		}
 		switch draw(6) {
 		case 0:
-			if cut == nil {
-				cut = f.hosts[draw(len(f.hosts))]
-				cut.SetAuthorityDisconnected(true)
+			if disconnected == nil {
+				disconnected = f.hosts[draw(len(f.hosts))]
+				disconnected.SetAuthorityDisconnected(true)
 			} else {
-				cut.SetAuthorityDisconnected(false)
-				cut = nil
+				disconnected.SetAuthorityDisconnected(false)
+				disconnected = nil
 			}
 		case 1:
 			if killed == nil {
@@ -146,21 +147,21 @@
 			f.hosts[draw(len(f.hosts))].DropAnswers(1 + draw(3))
 		}
 		h := ownership.NewHandover(m, c)
-		for step := ownership.Fence; step <= ownership.Done; step++ { // a step at a time, with calls in between
+		for step := ownership.Fence; step <= ownership.Done; step++ { // one step at a time, with calls in between
 			if err = f.authority.RunUntil(&h, step); err != nil {
 				break
 			}
 			time.Sleep(time.Duration(1+draw(8)) * time.Millisecond)
-			if step == ownership.Publish && draw(5) == 0 { // before it is published
+			if step == ownership.Publish && draw(5) == 0 { // not yet published: revert
 				err = errRevert
 				break
 			}
 		}
 		if err != nil && h.Step <= ownership.Publish {
-			for f.authority.Revert(&h) != nil { // until those who had the segments can be reached again
-				if cut != nil {
-					cut.SetAuthorityDisconnected(false)
-					cut = nil
+			for f.authority.Revert(&h) != nil { // until the previous owners can be reached again
+				if disconnected != nil {
+					disconnected.SetAuthorityDisconnected(false)
+					disconnected = nil
 				}
 				if killed != nil {
 					if err := killed.Restart(); err != nil {
@@ -169,7 +170,7 @@
 					killed = nil
 				}
 			}
-			undone++
+			reverted++
 			continue
 		}
 		moves++
@@ -178,19 +179,20 @@
 	if killed != nil {
 		killed.Restart()
 	}
-	return moves, undone
+	return moves, reverted
 }
 
-// TestPartitionedOwnerDoesNotRunClaimsForMovedSegment: an owner that is cut off still believes it owns; a gatherer with the old map
-// goes on asking it. With the fence nothing runs there; without it a key is given twice, which this test sees.
+// TestPartitionedOwnerDoesNotRunClaimsForMovedSegment disconnects an owner from the authority, so that it still
+// considers itself the owner of a segment that has moved, and a gatherer with the old map keeps calling it. With
+// fencing no claim runs there. Without fencing a key is given twice, which shows that the test detects the fault.
 func TestPartitionedOwnerDoesNotRunClaimsForMovedSegment(t *testing.T) {
-	for _, unfenced := range []bool{false, true} {
-		logs := &standin.SegmentLogs{WithoutFencing: unfenced}
+	for _, withoutFencing := range []bool{false, true} {
+		logs := &standin.SegmentLogs{WithoutFencing: withoutFencing}
 		f := startSegmentFleet(t, 3, 2, logs, "")
 		for _, a := range f.addresses {
 			f.awaitReady(a)
 		}
-		// The second gatherer hears of nothing any more.
+		// From here on the second gatherer receives no updates.
 		f.authority.SetSilent(true)
 		f.hosts[0].SetAuthorityDisconnected(true)
 		m := f.authority.Map()
@@ -203,39 +205,40 @@
 			t.Fatal(err)
 		}
 		startedAt := time.Now()
-		old := claim(f.addresses[1], "late", 5, startedAt)
+		oldOwnerClaim := claim(f.addresses[1], "late", 5, startedAt)
 		f.authority.SetSilent(false)
 		f.awaitReady(f.addresses[0])
-		for until := time.Now().Add(5 * time.Second); time.Now().Before(until); time.Sleep(10 * time.Millisecond) {
+		for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
 			op := claim(f.addresses[0], fmt.Sprint("new-", time.Now().UnixNano()), 5, startedAt)
-			if op.Output == "given" || !unfenced && op.Output == "held" {
+			if op.Output == "given" || !withoutFencing && op.Output == "held" {
 				break
 			}
 		}
-		twice := findDuplicates(logs.Executions())
-		if !unfenced && (len(twice) > 0 || old.Output == "given") {
-			t.Errorf("%v, the old owner's answer was %v", twice, old.Output)
+		duplicates := findDuplicates(logs.Executions())
+		if !withoutFencing && (len(duplicates) > 0 || oldOwnerClaim.Output == "given") {
+			t.Errorf("duplicates %v, the old owner's answer was %v", duplicates, oldOwnerClaim.Output)
 		}
-		if unfenced && len(twice) == 0 {
-			t.Errorf("without a fence nothing was given twice: this test sees nothing; the old owner's answer was %v", old.Output)
+		if withoutFencing && len(duplicates) == 0 {
+			t.Errorf("without fencing no key was given twice, so the test cannot detect the fault; "+
+				"the old owner's answer was %v", oldOwnerClaim.Output)
 		}
 	}
 }
 
-// TestRestartWithStaleMapRunsNoClaimTwice: a gatherer that restarts with a map three epochs old, while the authority
-// is silent, runs nothing at those who own its keys no longer; it serves again when the authority does. A once-only
-// lookup that may have run before the crash is aborted when its client asks again.
+// TestRestartWithStaleMapRunsNoClaimTwice restarts a gatherer with a map that is three epochs old while the authority
+// is silent. No claim runs at the previous owners, and the gatherer serves again when the authority responds. A
+// non-idempotent query that may have run before the restart fails when its client retries it.
 func TestRestartWithStaleMapRunsNoClaimTwice(t *testing.T) {
 	logs, dir := &standin.SegmentLogs{}, t.TempDir()
 	f := startSegmentFleet(t, 4, 1, logs, dir)
 	f.awaitReady(f.addresses[0])
 	startedAt := time.Now()
 	if op := claim(f.addresses[0], "before", 7, startedAt); op.Output != "given" {
-		t.Fatalf("%v", op.Output)
+		t.Fatalf("the first claim: %v, want given", op.Output)
 	}
 	f.stops[0]()
 	f.authority.SetSilent(true)
-	for i := range 3 { // to hosts that have none of it, one after the other
+	for i := range 3 { // to hosts that do not own it, one after the other
 		m := f.authority.Map()
 		c, err := m.MoveSegment("s0", []string{f.hosts[[]int{2, 3, 2}[i]].Name})
 		if err != nil {
@@ -248,59 +251,61 @@
 	}
 	f.addGatherer(9, dir)
 	address := f.addresses[1]
-	for until := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until it has a list
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until it has an endpoint list
 		id := fmt.Sprint("x", time.Now().UnixNano())
 		if a := sendOwned(address, "find", id, []int{2}, "read"); a.status == http.StatusOK {
 			break
 		}
-		if time.Now().After(until) {
-			t.Fatal("segments that have not moved are not served")
+		if time.Now().After(deadline) {
+			t.Fatal("segments that have not moved are not served within 5 s")
 		}
 	}
 	if a := sendOwned(address, "find", "all", []int{0, 1, 2, 3}, "read"); a.status == http.StatusOK && a.Complete {
-		t.Error("whole by a map three epochs old")
+		t.Error("complete answer with a map three epochs old")
 	}
-	if op := claim(address, "stale", 8, startedAt); op.Output != "never" {
-		t.Errorf("a claim by a map three epochs old: %v", op.Output)
+	if op := claim(address, "stale", 8, startedAt); op.Output != "rejected" {
+		t.Errorf("a claim with a map three epochs old: %v, want rejected", op.Output)
 	}
 	if op := claim(address, "before", 7, startedAt); op.Output != "unknown" {
-		t.Errorf("a once-only lookup asked again after the crash: %v", op.Output)
+		t.Errorf("a non-idempotent query retried after the restart: %v, want unknown", op.Output)
 	}
 	f.authority.SetSilent(false)
 	f.awaitReady(address)
 	if op := claim(address, "after", 8, startedAt); op.Output != "given" {
-		t.Errorf("%v", op.Output)
+		t.Errorf("a claim after the authority responds again: %v, want given", op.Output)
 	}
-	if twice := findDuplicates(logs.Executions()); len(twice) > 0 {
-		t.Error(twice)
+	if duplicates := findDuplicates(logs.Executions()); len(duplicates) > 0 {
+		t.Error(duplicates)
 	}
 }
 
-// TestContradictingAuthorityStopsNonIdempotentQueries: an authority tells one gatherer of a change that never was, and
-// later of another one in the same epoch. Non-idempotent queries stop when that comes to light, reads go on, and all go on
-// with a later epoch. News that makes no sense changes nothing.
+// TestContradictingAuthorityStopsNonIdempotentQueries has an authority send a gatherer a change that was never made,
+// and later a different one of the same epoch. Non-idempotent queries are rejected once the contradiction is detected,
+// reads are still served, and all queries are served again with a later epoch. A change with a wrong checksum is
+// ignored.
 func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
 	f := startSegmentFleet(t, 3, 1, &standin.SegmentLogs{}, "")
 	f.awaitReady(f.addresses[0])
 	startedAt := time.Now()
 	n := 0
-	try := func(key uint64, want string) {
+	awaitOutcome := func(key uint64, want string) {
 		t.Helper()
-		for until := time.Now().Add(8 * time.Second); time.Now().Before(until); {
+		for deadline := time.Now().Add(8 * time.Second); time.Now().Before(deadline); {
 			if n++; claim(f.addresses[0], fmt.Sprint("l", n), key+uint64(n), startedAt).Output == want {
 				return
 			}
 		}
-		t.Fatalf("no claim is ever %s", want)
+		t.Fatalf("no claim had the outcome %q within 8 s", want)
 	}
 	m := f.authority.Map()
-	lie, err := m.MoveSegment("s0", []string{"h2"})
+	falseChange, err := m.MoveSegment("s0", []string{"h2"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	nonsense := lie
-	nonsense.Checksum++
-	tell := func(c ownership.Change) { // in place of the changes that there are; a whole map is told as it is
+	badChecksum := falseChange
+	badChecksum.Checksum++
+	// sendChange has the authority send c in place of the actual changes. A full map is sent unchanged.
+	sendChange := func(c ownership.Change) {
 		f.authority.RewriteResponses(func(r *segments.Response) *segments.Response {
 			if r.Full != nil {
 				return r
@@ -308,10 +313,10 @@
 			return &segments.Response{Changes: []ownership.Change{c}}
 		})
 	}
-	tell(nonsense)
-	try(1, "given")
-	tell(lie)
-	try(1, "never") // the host that the lie names refuses
+	sendChange(badChecksum)
+	awaitOutcome(1, "given")
+	sendChange(falseChange)
+	awaitOutcome(1, "rejected") // the host named in the false change rejects it
 	c, err := m.MoveSegment("s3", []string{"h2"})
 	if err != nil {
 		t.Fatal(err)
@@ -321,9 +326,9 @@
 		t.Fatal(err)
 	}
 	f.authority.RewriteResponses(nil)
-	try(1, "never") // refused, and so the map is asked for whole
-	other := ownership.ShardRange(1, 4).Lo
-	try(other, "never") // of a segment of which no lie was told
+	awaitOutcome(1, "rejected") // rejected, so the gatherer requests the full map
+	otherKey := ownership.ShardRange(1, 4).Lo
+	awaitOutcome(otherKey, "rejected") // in a segment that the false change does not concern
 	if a := sendOwned(f.addresses[0], "find", "r", []int{1}, "read"); a.status != http.StatusOK || !a.Complete {
 		t.Errorf("reads: %+v", a)
 	}
@@ -335,6 +340,6 @@
 	if err := f.authority.RunUntil(&h, ownership.Done); err != nil {
 		t.Fatal(err)
 	}
-	try(other, "given")
-	try(1, "given")
+	awaitOutcome(otherKey, "given")
+	awaitOutcome(1, "given")
 }
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -1,6 +1,6 @@
-// Package service assembles a gatherer from its parts: the front end, the decisions, the shard servers, discovery, and
-// those that the operator's file switches on. It is what `yokeroute serve` runs, and what a demonstration or a test
-// runs inside its own process.
+// Package service assembles a gatherer from its parts: the front end, the decision loop, the shard server connections,
+// discovery, and the optional parts that the operator's file enables. `yokeroute serve` runs it, and demonstrations and
+// tests run it inside their own process.
 package service
 
 import (
@@ -22,10 +22,10 @@
 	"yokeroute/internal/gatherer/shardcall"
 )
 
-// storeCloseTimeout is for how long the end of the process waits for a write that no client waits for.
+// storeCloseTimeout limits how long the process waits at its end for a write that no client waits for.
 const storeCloseTimeout = 20 * time.Millisecond
 
-// Service is one gatherer.
+// Service is an assembled gatherer.
 type Service struct {
 	Picker *dispatch.Picker
 
@@ -33,42 +33,44 @@
 	pool   *shardcall.Pool
 	server *frontend.Server
 	hooks  hooks
-	listed atomic.Bool // the endpoint list has had an endpoint
+	listed atomic.Bool // whether the endpoint list has ever had an endpoint
 
 	mu     sync.Mutex
-	config *platform.Config // in force
+	config *platform.Config // the configuration in force
 }
 
-// hooks are what the parts of a gatherer take part in. A part adds those that it needs, in the order in which the
-// parts are assembled.
+// hooks holds the callbacks that the parts of a gatherer register. They are in the order in which the parts are
+// assembled.
 type hooks struct {
-	// run serves until ctx ends. Each has a goroutine of its own, which Run waits for.
+	// run functions serve until ctx ends. Service.Run starts each on its own goroutine and waits for them.
 	run []func(ctx context.Context)
-	// endpoints takes a watch event of the endpoint list, with the addresses of the whole list.
+	// endpoints functions receive each watch event of the endpoint list, with the addresses of the whole list.
 	endpoints []func(event gather.EndpointList, addresses []shardcall.Address)
-	// platformConfigAccepted takes a platform's configuration that was accepted.
+	// platformConfigAccepted functions receive a reloaded platform configuration that was accepted.
 	platformConfigAccepted []func(c *platform.Config)
-	// operatorFileRead takes the operator's file when it is read again. An error keeps those behind from taking it.
-	operatorFileRead []func(own *operator.File) error
-	// operatorFileAccepted takes an operator's file that all have accepted.
-	operatorFileAccepted []func(own *operator.File)
-	// draining is called once the gatherer drains.
+	// operatorFileRead functions apply the operator's file when it is read again. After an error the remaining ones are
+	// not called.
+	operatorFileRead []func(operatorFile *operator.File) error
+	// operatorFileAccepted functions receive a reloaded operator's file that every operatorFileRead function accepted.
+	operatorFileAccepted []func(operatorFile *operator.File)
+	// draining functions are called when the gatherer starts draining.
 	draining []func()
-	// close gives back what the part holds, in the opposite order, after all of run have ended.
+	// close functions release the resources of a part. They are called in reverse order, after all run functions have
+	// returned.
 	close []func() error
 }
 
-// New assembles a gatherer that serves nothing yet. Of the operator's file, plans and two passes that do not fit are
-// logged and left out: a gatherer serves without them rather than not at all. Any other error undoes what was
-// assembled before it.
-func New(c *platform.Config, own *operator.File, log *logrus.Logger) (*Service, error) {
-	a, err := newAssembly(c, own, log)
+// New assembles a gatherer that does not serve until Run is called. Plans and two-pass settings of the operator's file
+// that are invalid are logged and left out, because serving without them is better than not serving. After any other
+// error New closes the parts assembled so far.
+func New(c *platform.Config, operatorFile *operator.File, log *logrus.Logger) (*Service, error) {
+	a, err := newAssembly(c, operatorFile, log)
 	if err != nil {
 		return nil, err
 	}
-	// Of the endpoint hooks the record's comes first, so that it holds no call before the news that allow it; the
-	// pool's comes before the picker's, so that no server is chosen whose address is not known; those of the policy
-	// come before, those of traces behind the picker's.
+	// The order of the endpoint hooks matters. The record's comes first, so that the record has no call before the
+	// endpoint update that allows it. The pool's comes before the picker's, so that no server is chosen whose address
+	// is not known. The policy's come before the picker's, those of traces after it.
 	for _, add := range []func() error{
 		a.addNameJournal, a.addRecord, a.addShardServers, a.addSegments, a.addTwoPass, a.addPolicy, a.addPicker,
 		a.addPlans, a.addReports, a.addHandover, a.addTraces, a.addDiscovery, a.addFrontend,
@@ -80,10 +82,10 @@
 	return a.Service, nil
 }
 
-// Run serves on a listener until ctx ends, and then until all queries that were accepted are answered. An error of the
-// listener ends it at once.
+// Run serves on a listener until ctx ends, and then until all accepted queries are answered. It returns at once if the
+// listener fails.
 func (s *Service) Run(ctx context.Context, l net.Listener) error {
-	// The parts go on until the last query is answered, past the end of ctx.
+	// The parts keep running after ctx has ended, until the last query is answered.
 	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	var parts sync.WaitGroup
@@ -100,7 +102,7 @@
 	return nil
 }
 
-// serve serves clients until ctx ends, and drains then.
+// serve serves clients until ctx ends, then drains the front end.
 func (s *Service) serve(ctx context.Context, l net.Listener) error {
 	served := make(chan error, 1)
 	go func() { served <- s.server.Serve(l) }()
@@ -114,11 +116,11 @@
 		draining()
 	}
 	err := s.server.Shutdown(context.WithoutCancel(ctx))
-	l.Close() // by Shutdown already, unless Serve had not begun
+	l.Close() // Shutdown has closed it already, unless Serve had not yet started
 	return errors.Join(err, <-served)
 }
 
-// closeParts gives back what the parts hold, the last one first.
+// closeParts calls the close functions of the parts in reverse order.
 func (s *Service) closeParts() error {
 	var errs []error
 	for i := len(s.hooks.close) - 1; i >= 0; i-- {
@@ -127,8 +129,8 @@
 	return errors.Join(errs...)
 }
 
-// drainDeadline is until when the end of the process may wait for the disk: the platform kills it soon after the last
-// query.
+// drainDeadline returns the time until which the end of the process may wait for the disk. The platform kills the
+// process soon after the last query.
 func (s *Service) drainDeadline() time.Time {
 	deadline := time.Now().Add(storeCloseTimeout)
 	if s.server != nil && s.server.AnswerDeadline().After(deadline) {
@@ -137,7 +139,7 @@
 	return deadline
 }
 
-// updateEndpoints hands a watch event of the endpoint list to the parts.
+// updateEndpoints passes a watch event of the endpoint list to the parts.
 func (s *Service) updateEndpoints(event gather.EndpointList, addresses []shardcall.Address) {
 	for _, update := range s.hooks.endpoints {
 		update(event, addresses)
--- a/internal/gatherer/service/service_test.go
+++ b/internal/gatherer/service/service_test.go
@@ -16,30 +16,31 @@
 	"yokeroute/internal/testbed/reservedport"
 )
 
-// TestNewReleasesResourcesOnFailure: when a part can't be assembled, what the parts before it hold is given back: the
-// address of the reports can be listened on, and the folder of the state opened, again.
+// TestNewReleasesResourcesOnFailure checks that New releases what earlier parts hold when a later part fails: the
+// report address can be listened on again, and the state folder opened again.
 func TestNewReleasesResourcesOnFailure(t *testing.T) {
 	address := reservedport.ForTest(t)
-	c, err := platform.Parse([]byte(configJSON("127.0.0.1:1", "127.0.0.1:1", fixtureSettings)), func(string) string { return "" })
+	c, err := platform.Parse([]byte(configJSON("127.0.0.1:1", "127.0.0.1:1", fixtureSettings)),
+		func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	folder := t.TempDir()
-	own := &operator.File{
+	operatorFile := &operator.File{
 		State: filepath.Join(folder, "state"), NameRetention: 60_000, JournalMaxBytes: 1 << 20,
 		ReportAddress: address, Record: filepath.Join(folder, "nowhere", "day.trace"),
 	}
 	for range 2 {
-		_, err := New(c, own, log)
+		_, err := New(c, operatorFile, log)
 		if !errors.Is(err, os.ErrNotExist) || !strings.HasPrefix(err.Error(), "record: ") {
-			t.Fatalf("%v", err)
+			t.Fatalf("New returned %v, want a record error for a missing folder", err)
 		}
 	}
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
-		t.Fatalf("the address of reports is still taken: %v", err)
+		t.Fatalf("the report address is still in use: %v", err)
 	}
 	listener.Close()
 }
--- a/internal/gatherer/service/settings_test.go
+++ b/internal/gatherer/service/settings_test.go
@@ -12,7 +12,8 @@
 	"yokeroute/internal/config/platform"
 )
 
-// settingsByDeployment are settings of three kinds: lists that are pushed, with tenants, and lists on request without hedging.
+// settingsByDeployment holds settings of three kinds of deployment: endpoint lists that are pushed, the same with
+// tenants, and endpoint lists on request without hedged requests.
 var settingsByDeployment = map[string]string{
 	"pushed": fixtureSettings,
 	"tenants": strings.Replace(fixtureSettings, `"classes"`, `"tenants":[{"name":"one","portion":0.7,"quotaPerS":9},`+
@@ -25,7 +26,7 @@
 	).Replace(fixtureSettings),
 }
 
-// sendQuery requests four shards and returns the status and the body.
+// sendQuery sends a query on four shards and returns the status and body of its response.
 func sendQuery(t *testing.T, address, index, tenant, id string) (int, string) {
 	t.Helper()
 	req, err := http.NewRequest(http.MethodPost, "http://"+address+"/"+index, strings.NewReader(
@@ -52,37 +53,38 @@
 	return resp.StatusCode, string(text)
 }
 
-// TestGathererServesWithMissingZeroOrUnknownSettings: at each shape of deployment limits and rules that are absent, zero, or beside words that
-// nobody knows leave a gatherer that serves; a class and a tenant that the settings do not name are refused by name.
+// TestGathererServesWithMissingZeroOrUnknownSettings checks for each kind of deployment that the gatherer serves when
+// limits or rules are missing or zero, or when there are unknown keys. A class or tenant that the settings do not list
+// is rejected with its name in the response.
 func TestGathererServesWithMissingZeroOrUnknownSettings(t *testing.T) {
-	change := func(t *testing.T, text string, with func(all map[string]any)) string {
+	edit := func(t *testing.T, text string, modify func(all map[string]any)) string {
 		var all map[string]any
 		if err := json.Unmarshal([]byte(text), &all); err != nil {
 			t.Fatal(err)
 		}
-		with(all)
+		modify(all)
 		out, err := json.Marshal(all)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return string(out)
 	}
-	zero := func(of any) {
-		for key, value := range of.(map[string]any) {
+	zero := func(object any) {
+		for key, value := range object.(map[string]any) {
 			if _, number := value.(float64); number {
-				of.(map[string]any)[key] = 0
+				object.(map[string]any)[key] = 0
 			}
 		}
 	}
 	for deployment, text := range settingsByDeployment {
-		for name, with := range map[string]func(all map[string]any){
-			"as it is":    func(map[string]any) {},
+		for name, modify := range map[string]func(all map[string]any){
+			"unchanged":   func(map[string]any) {},
 			"no limits":   func(all map[string]any) { delete(all, "limits") },
 			"limits zero": func(all map[string]any) { zero(all["limits"]) },
 			"no rules":    func(all map[string]any) { delete(all, "rules") },
 			"rules zero":  func(all map[string]any) { zero(all["rules"]) },
 			"no tick":     func(all map[string]any) { delete(all, "tick"); delete(all, "balancers") },
-			"unknown words": func(all map[string]any) {
+			"unknown keys": func(all map[string]any) {
 				all["new"] = 1
 				all["limits"].(map[string]any)["new"] = []int{1}
 				all["rules"].(map[string]any)["new"] = map[string]any{}
@@ -91,7 +93,7 @@
 			t.Run(deployment+", "+name, func(t *testing.T) {
 				t.Parallel()
 				_, address, end := startGatherer(t, &operator.File{BackgroundShare: 0.05}, plainMachine,
-					func(c string) string { return strings.Replace(c, fixtureSettings, change(t, text, with), 1) })
+					func(c string) string { return strings.Replace(c, fixtureSettings, edit(t, text, modify), 1) })
 				for ready := false; !ready; {
 					resp, err := http.Get("http://" + address + "/-/ready")
 					if err == nil {
@@ -110,15 +112,15 @@
 				}
 				status, body := sendQuery(t, address, "other", tenant, "u")
 				if status != 404 || !strings.Contains(body, `"other"`) {
-					t.Errorf("a class not named: %d %s", status, body)
+					t.Errorf("an unlisted class: %d %s, want 404 with its name", status, body)
 				}
-				want, words := 200, ""
+				want, wantText := 200, ""
 				if deployment == "tenants" {
-					want, words = 400, `"nobody"`
+					want, wantText = 400, `"nobody"`
 				}
 				status, body = sendQuery(t, address, "any", "nobody", "v")
-				if status != want || !strings.Contains(body, words) {
-					t.Errorf("a tenant not named: %d %s", status, body)
+				if status != want || !strings.Contains(body, wantText) {
+					t.Errorf("an unlisted tenant: %d %s, want %d %s", status, body, want, wantText)
 				}
 				end()
 			})
@@ -126,7 +128,8 @@
 	}
 }
 
-// TestInvalidSettingsAreRejectedWithTheirField: what can't be meant is one error that names its place, and nothing starts.
+// TestInvalidSettingsAreRejectedWithTheirField checks that parsing invalid settings fails with an error that names the
+// field.
 func TestInvalidSettingsAreRejectedWithTheirField(t *testing.T) {
 	for _, c := range []struct{ from, to, text string }{
 		{`"effect":"pure"`, `"effect":"odd"`, `class "any" has effect "odd"`},
@@ -135,10 +138,10 @@
 		{`"cells":2`, `"cells":0`, "no classes or no layout"},
 		{`"classes":[`, `"classes":[7,`, "settings: "},
 	} {
-		wrong := configJSON("127.0.0.1:1", "127.0.0.1:2", strings.Replace(fixtureSettings, c.from, c.to, 1))
-		_, err := platform.Parse([]byte(wrong), func(string) string { return "" })
+		config := configJSON("127.0.0.1:1", "127.0.0.1:2", strings.Replace(fixtureSettings, c.from, c.to, 1))
+		_, err := platform.Parse([]byte(config), func(string) string { return "" })
 		if err == nil || !strings.Contains(err.Error(), c.text) {
-			t.Errorf("%s: %v", c.to, err)
+			t.Errorf("%s: %v, want an error with %q", c.to, err, c.text)
 		}
 	}
 }
--- a/internal/gatherer/service/slowdisk_test.go
+++ b/internal/gatherer/service/slowdisk_test.go
@@ -11,7 +11,7 @@
 	"yokeroute/internal/testbed/experiment"
 )
 
-// slowStore is a store whose disk takes its time for each write.
+// slowStore is a store whose writes each take delay longer.
 type slowStore struct {
 	dispatch.NonIdempotentStore
 	delay  time.Duration
@@ -27,13 +27,13 @@
 
 const (
 	slowDiskDeadline  = 500 * time.Millisecond
-	slowDiskObjective = 300 * time.Millisecond // of the fixture's settings
+	slowDiskObjective = 300 * time.Millisecond // latency objective in fixtureSettings
 	slowDiskLoadTime  = 3 * time.Second
-	answerSlack       = 500 * time.Millisecond // after its deadline in which an answer counts as given
-	warmUpTime        = 300 * time.Millisecond // in which connections come up
+	answerSlack       = 500 * time.Millisecond // tolerance for answers after their deadline
+	warmUpTime        = 300 * time.Millisecond // time for connections to be established
 )
 
-// playAsync plays a load of one class.
+// playAsync sends a load of one class in the background and delivers its outcome.
 func playAsync(t *testing.T, address, class string, duration time.Duration) <-chan *experiment.Outcome {
 	load := experiment.Load{Origin: class, Class: class, Address: address, Rate: 60, ShardRequests: 2, Shards: 12,
 		Deadline: slowDiskDeadline, Seed: uint64(len(class))}
@@ -42,9 +42,9 @@
 	return outcome
 }
 
-// TestSlowDiskDoesNotDelayIdempotentQueries guards against a gatherer that answers nobody while its disk writes.
-// All idempotent queries are served; non-idempotent ones are served or rejected within their deadline, beside a disk
-// that takes longer than that as well.
+// TestSlowDiskDoesNotDelayIdempotentQueries guards against a gatherer that answers no query while its disk writes. All
+// idempotent queries are served within the objective. Non-idempotent ones are served or rejected within their deadline,
+// also when a single write takes longer than the deadline.
 func TestSlowDiskDoesNotDelayIdempotentQueries(t *testing.T) {
 	for _, delay := range []time.Duration{slowDiskDeadline / 4, 2 * slowDiskDeadline} {
 		t.Run(delay.String(), func(t *testing.T) {
@@ -58,26 +58,26 @@
 			s.Picker.SetNonIdempotentStore(store)
 			end := runGatherer(t, s, l)
 			<-playAsync(t, l.Addr().String(), "any", warmUpTime)
-			idempotentLoad := playAsync(t, l.Addr().String(), "any", slowDiskLoadTime)
-			recordedLoad := playAsync(t, l.Addr().String(), "once", slowDiskLoadTime)
-			idempotent, recorded := <-idempotentLoad, <-recordedLoad
+			idempotentOutcome := playAsync(t, l.Addr().String(), "any", slowDiskLoadTime)
+			recordedOutcome := playAsync(t, l.Addr().String(), "once", slowDiskLoadTime)
+			idempotent, recorded := <-idempotentOutcome, <-recordedOutcome
 			end()
 			if !s.Picker.CloseNonIdempotentStore(t.Context()) || state.Close() != nil {
-				t.Error("the state is not closed")
+				t.Error("the store or the state did not close")
 			}
 			if idempotent.Sent < 100 || idempotent.Served != idempotent.Sent || idempotent.WithinObjective != idempotent.Sent {
 				t.Errorf("idempotent queries: %+v", idempotent)
 			}
 			checkRecorded(t, recorded, delay)
-			if most := int64(slowDiskLoadTime+slowDiskDeadline)/int64(delay) + 1; store.writes.Load() > most {
-				t.Errorf("%d writes, %d fit in", store.writes.Load(), most)
+			if maxWrites := int64(slowDiskLoadTime+slowDiskDeadline)/int64(delay) + 1; store.writes.Load() > maxWrites {
+				t.Errorf("%d writes, want at most %d in the time of the test", store.writes.Load(), maxWrites)
 			}
 		})
 	}
 }
 
-// checkRecorded checks that non-idempotent queries were served where two writes fit into their time, and that the others
-// were rejected in time.
+// checkRecorded checks that all non-idempotent queries were served if a write takes at most their deadline, that all
+// were rejected otherwise, and that none was answered late.
 func checkRecorded(t *testing.T, recorded *experiment.Outcome, delay time.Duration) {
 	t.Helper()
 	want := recorded.Sent
