--- a/internal/gatherer/frontend/activequeries_test.go
+++ b/internal/gatherer/frontend/activequeries_test.go
@@ -11,16 +11,16 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestRepeatWaitsForAbandonedQuery has a client close its connection, which ends its query, and repeat the
-// request. The repeat waits for the end of the first and is not rejected; one that waits in vain is.
-func TestRepeatWaitsForAbandonedQuery(t *testing.T) {
-	over := make(chan struct{}, 2)
+// TestRetryWaitsForAbandonedQuery has a client close its connection, which ends its query, and retry the request. The
+// retry waits until the first query has ended and is served; one whose deadline passes before that is rejected.
+func TestRetryWaitsForAbandonedQuery(t *testing.T) {
+	endFirst := make(chan struct{}, 2)
 	f, _, address := startServer(t, 10, func(ctx context.Context, query *dispatch.Query) dispatch.Result {
 		if query.RouteKey == "again" {
 			return dispatch.Result{Kind: dispatch.Failed}
 		}
 		<-ctx.Done()
-		<-over
+		<-endFirst
 		return dispatch.Result{Kind: dispatch.Abandoned}
 	})
 	c, err := net.Dial("tcp", address)
@@ -29,9 +29,9 @@
 	}
 	io.WriteString(c, post("/find", headers, shardsBody))
 	<-f.picked
-	late := strings.Replace(headers, "480", "30", 1)
-	if status, body, _ := exchange(t, address, post("/find", late, shardsBody), 1); status[0] != 409 {
-		t.Errorf("one that waited in vain: %v %s", status, body)
+	shortTimeout := strings.Replace(headers, "480", "30", 1)
+	if status, body, _ := exchange(t, address, post("/find", shortTimeout, shardsBody), 1); status[0] != 409 {
+		t.Errorf("a retry while the first query is in flight: %v %s, want 409", status, body)
 	}
 	second := make(chan int, 1)
 	go func() {
@@ -39,17 +39,17 @@
 		second <- status[0]
 	}()
 	c.Close()
-	over <- struct{}{}
+	endFirst <- struct{}{}
 	if status := <-second; status != 504 {
-		t.Errorf("the second is answered %d", status)
+		t.Errorf("the retry got status %d, want 504", status)
 	}
 }
 
-// TestIDInUseIsRejected sends a query under the ID of another client's open query.
+// TestIDInUseIsRejected sends a query with the ID of another client's query in flight. The response is 409.
 func TestIDInUseIsRejected(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	f, _, address := startServer(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
-		<-hold
+		<-release
 		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	first := make(chan []int, 1)
@@ -59,23 +59,23 @@
 	}()
 	<-f.picked
 	if status, _, _ := exchange(t, address, post("/find", headers, shardsBody), 1); status[0] != 409 || len(f.picked) != 0 {
-		t.Errorf("the second is answered %v", status)
+		t.Errorf("the second request got status %v, want 409 without a pick", status)
 	}
-	close(hold)
+	close(release)
 	if status := <-first; status[0] != 504 {
-		t.Errorf("the first is answered %v", status)
+		t.Errorf("the first request got status %v, want 504", status)
 	}
 }
 
-// TestRepeatIsServedOnlyAfterAbandonment has a second request wait for the end of the first. Where that was
-// answered, the second client is another one and is rejected; where it was abandoned, it may be the same client
-// and is served.
-func TestRepeatIsServedOnlyAfterAbandonment(t *testing.T) {
-	for _, left := range []bool{false, true} {
+// TestSecondRequestIsServedOnlyAfterAbandonment has a second request with the same ID wait for the end of the first. If
+// the first one was answered, the second comes from a different client and is rejected. If the first one was abandoned,
+// the second may come from the same client and is served.
+func TestSecondRequestIsServedOnlyAfterAbandonment(t *testing.T) {
+	for _, abandoned := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			a := &activeQueries{byID: map[string]*activeQuery{}}
-			client, leave := context.WithCancel(t.Context())
-			defer leave()
+			client, disconnect := context.WithCancel(t.Context())
+			defer disconnect()
 			first, err := a.acquire(client, "a")
 			if err != nil {
 				t.Fatal(err)
@@ -86,24 +86,25 @@
 				second <- err
 			}()
 			synctest.Wait()
-			if left {
-				leave()
+			if abandoned {
+				disconnect()
 			}
 			a.release("a", first)
-			if err := <-second; (err == nil) != left {
-				t.Errorf("left %v: the second gets %v", left, err)
+			if err := <-second; (err == nil) != abandoned {
+				t.Errorf("first abandoned %v: acquire for the second returned %v", abandoned, err)
 			}
 		})
 	}
 }
 
-// TestDisconnectBeforePickAbandonsQuery has a client go before its query is picked. Nothing is decided for it.
+// TestDisconnectBeforePickAbandonsQuery has a client disconnect before its query is picked. The picker does not get the
+// query.
 func TestDisconnectBeforePickAbandonsQuery(t *testing.T) {
 	f, s, _ := startServer(t, 10, failed)
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
-	v, err := s.decide(ctx, &dispatch.Query{ID: "a"}, nil)
-	if v.Kind != dispatch.Abandoned || err != nil || len(f.picked) > 0 {
-		t.Errorf("result %+v, %v, %d picked", v, err, len(f.picked))
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnect()
+	result, err := s.decide(ctx, &dispatch.Query{ID: "a"}, nil)
+	if result.Kind != dispatch.Abandoned || err != nil || len(f.picked) > 0 {
+		t.Errorf("result %+v, %v, %d picked, want an abandoned query and none picked", result, err, len(f.picked))
 	}
 }
--- a/internal/gatherer/frontend/conntracker_test.go
+++ b/internal/gatherer/frontend/conntracker_test.go
@@ -12,8 +12,8 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestSilentConnectionClosesFirst fills the bound with connections that have not sent anything: they are closed
-// first, but not one on which a request waits to be read.
+// TestSilentConnectionClosesFirst checks the order in which connections are closed beyond the limit: first one that has
+// sent nothing, but not one with unread bytes of a request; then an idle one; and new ones beyond the hard limit.
 func TestSilentConnectionClosesFirst(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -21,70 +21,72 @@
 	}
 	defer l.Close()
 	c := newConnTracker(3, 9)
-	open := func(text string) (near, far net.Conn) {
-		far, err := net.Dial("tcp", l.Addr().String())
+	open := func(text string) (server, client net.Conn) {
+		client, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
-		near, err = l.Accept()
+		server, err = l.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		t.Cleanup(func() { far.Close(); near.Close() })
-		io.WriteString(far, text)
-		for text != "" && !hasUnreadBytes(near) {
+		t.Cleanup(func() { client.Close(); server.Close() })
+		io.WriteString(client, text)
+		for text != "" && !hasUnreadBytes(server) {
 			time.Sleep(time.Millisecond)
 		}
-		return near, far
+		return server, client
 	}
-	usual, _ := open("")
-	c.onStateChange(usual, http.StateNew)
-	c.onStateChange(usual, http.StateActive)
-	c.onStateChange(usual, http.StateIdle)
+	idle, _ := open("")
+	c.onStateChange(idle, http.StateNew)
+	c.onStateChange(idle, http.StateActive)
+	c.onStateChange(idle, http.StateIdle)
 	sending, _ := open("POST ")
 	c.onStateChange(sending, http.StateNew)
-	silent, far := open("")
+	silent, silentClient := open("")
 	c.onStateChange(silent, http.StateNew)
 	for _, conn := range []net.Conn{sending, silent} {
-		p := c.entries[conn]
-		p.since = p.since.Add(-firstByteTimeout)
-		c.entries[conn] = p
+		entry := c.entries[conn]
+		entry.since = entry.since.Add(-firstByteTimeout)
+		c.entries[conn] = entry
 	}
 	last, _ := open("")
 	c.onStateChange(last, http.StateNew)
-	far.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if _, err := far.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the silent one is still open: %v", err)
+	silentClient.SetReadDeadline(time.Now().Add(5 * time.Second))
+	if _, err := silentClient.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the silent connection is not closed: %v", err)
 	}
-	for name, conn := range map[string]net.Conn{"idle": usual, "sending": sending, "last": last} {
+	for name, conn := range map[string]net.Conn{"idle": idle, "sending": sending, "last": last} {
 		if c.uncounted[conn] {
-			t.Errorf("the %s one was closed", name)
+			t.Errorf("the %s connection was closed", name)
 		}
 	}
-	// Nothing is silent for long now. A client that has just come is about to send: closed then, its request
-	// fails, where one between two requests just connects again.
+	// No connection has been silent for firstByteTimeout now, so the idle one is closed rather than a new one: the
+	// client of a new connection is about to send a request, which would fail; an idle client just connects again.
 	next, _ := open("")
 	c.onStateChange(next, http.StateNew)
-	if !c.uncounted[usual] || c.uncounted[last] || c.uncounted[next] {
-		t.Errorf("idle closed: %v, new ones: %v and %v", c.uncounted[usual], c.uncounted[last], c.uncounted[next])
+	if !c.uncounted[idle] || c.uncounted[last] || c.uncounted[next] {
+		t.Errorf("closed: idle %v, new ones %v and %v, want only the idle one",
+			c.uncounted[idle], c.uncounted[last], c.uncounted[next])
 	}
 	c.onStateChange(next, http.StateActive)
 	c.onStateChange(last, http.StateActive)
 	c.onStateChange(sending, http.StateActive)
-	var more []net.Conn // all in use: a few more may come, for an answer that says so, and then none
+	// All are in use. Connections within the headroom are accepted, to be told of the overload; further ones are closed.
+	var extra []net.Conn
 	for range 3 {
-		near, _ := open("POST ")
-		c.onStateChange(near, http.StateNew)
-		c.onStateChange(near, http.StateActive)
-		more = append(more, near)
+		server, _ := open("POST ")
+		c.onStateChange(server, http.StateNew)
+		c.onStateChange(server, http.StateActive)
+		extra = append(extra, server)
 	}
-	if c.uncounted[more[0]] || !c.uncounted[more[1]] || !c.uncounted[more[2]] {
-		t.Errorf("of three too many %v were closed", c.uncounted)
+	if c.uncounted[extra[0]] || !c.uncounted[extra[1]] || !c.uncounted[extra[2]] {
+		t.Errorf("closed connections %v, want the last two of the three beyond the limit", c.uncounted)
 	}
 }
 
-// TestUsedConnectionsAreBounded has clients send one request each and hold their connection. Those idle longest
-// are closed, so that a share of the descriptors stays free for new ones.
+// TestUsedConnectionsAreBounded has clients send one request each and keep their connection open. Those idle longest
+// are closed, so that descriptors stay available for new connections.
 func TestUsedConnectionsAreBounded(t *testing.T) {
 	c := newConnTracker(100, 10)
 	var all []net.Conn
@@ -96,50 +98,50 @@
 		all = append(all, near)
 	}
 	if c.open != 10 || c.idle.Len() != 10 || !c.uncounted[all[39]] || c.uncounted[all[40]] {
-		t.Errorf("%d open, %d idle", c.open, c.idle.Len())
+		t.Errorf("%d open, %d idle, want 10 of each, and the ones idle longest closed", c.open, c.idle.Len())
 	}
 }
 
-// TestClosedConnectionIsUncountedAtOnce closes the connection idle longest at the bound and counts it out before
-// its own goroutine has noticed, so that a new client is not rejected for it.
+// TestClosedConnectionIsUncountedAtOnce checks that the connection idle longest is closed at the limit and no longer
+// counts, before net/http reports it as closed, so that a new client is not rejected because of it.
 func TestClosedConnectionIsUncountedAtOnce(t *testing.T) {
 	c := newConnTracker(2, 2)
-	var far []net.Conn
+	var clients []net.Conn
 	open := func() net.Conn {
-		near, other := net.Pipe()
-		far = append(far, other)
-		c.onStateChange(near, http.StateNew)
-		c.onStateChange(near, http.StateActive)
-		return near
+		server, client := net.Pipe()
+		clients = append(clients, client)
+		c.onStateChange(server, http.StateNew)
+		c.onStateChange(server, http.StateActive)
+		return server
 	}
 	a, b := open(), open()
 	c.onStateChange(a, http.StateIdle)
 	c.onStateChange(b, http.StateIdle)
 	d := open()
-	if _, err := far[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the one idle longest is not closed: %v", err)
+	if _, err := clients[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
+		t.Errorf("the connection idle longest is not closed: %v", err)
 	}
 	if c.overloaded() {
-		t.Error("overloaded, though one was closed")
+		t.Error("overloaded although one connection was closed")
 	}
 	c.onStateChange(a, http.StateClosed)
 	c.onStateChange(b, http.StateActive)
 	open()
 	if !c.overloaded() {
-		t.Error("three in use are not above two")
+		t.Error("not overloaded with three connections in use and a limit of two")
 	}
 	c.onStateChange(d, http.StateIdle)
 	if c.overloaded() || len(c.uncounted) != 1 {
-		t.Error("one that fell idle was not closed")
+		t.Error("the connection that became idle was not closed")
 	}
 }
 
-// TestOverloadIsRejectedAndClosed has a client come while all connections are busy. It is rejected and its
-// connection closed; it is not left waiting.
+// TestOverloadIsRejectedAndClosed has a client send a query while the maximum number of connections is in use. The
+// query is rejected with 503 at once, and the connection is closed.
 func TestOverloadIsRejectedAndClosed(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	f, _, address := startServer(t, 1, func(context.Context, *dispatch.Query) dispatch.Result {
-		<-hold
+		<-release
 		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	first := make(chan []int, 1)
@@ -149,16 +151,16 @@
 	}()
 	<-f.picked
 	if status, _, head := exchange(t, address, post("/find", headers, shardsBody), 1); status[0] != 503 || head.Get("Connection") != "close" {
-		t.Errorf("status %v, %v", status, head)
+		t.Errorf("status %v, headers %v, want 503 and a close", status, head)
 	}
-	close(hold)
+	close(release)
 	if status := <-first; status[0] != 504 {
-		t.Errorf("the first is answered %v", status)
+		t.Errorf("the first request got status %v, want 504", status)
 	}
 }
 
-// TestLingeringConnectionsAreBounded closes connections whose clients do not close theirs. No more than the limit
-// hold their descriptors; the oldest is released first.
+// TestLingeringConnectionsAreBounded closes connections whose clients keep their side open. At most the limit of
+// them keep their descriptors; the oldest is released first.
 func TestLingeringConnectionsAreBounded(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -166,23 +168,23 @@
 	}
 	defer l.Close()
 	c := newConnTracker(8, 8)
-	taps := &trackingListener{Listener: l, tracker: c}
-	var far []*net.TCPConn
+	listener := &trackingListener{Listener: l, tracker: c}
+	var clients []*net.TCPConn
 	for range c.lingering.limit + 3 {
-		far = append(far, dial(t, l.Addr().String()))
-		near, err := taps.Accept()
+		clients = append(clients, dial(t, l.Addr().String()))
+		server, err := listener.Accept()
 		if err != nil {
 			t.Fatal(err)
 		}
-		near.Close()
+		server.Close()
 	}
 	c.lingering.mu.Lock()
 	if len(c.lingering.conns) != c.lingering.limit {
-		t.Errorf("%d hold their descriptors, %d may", len(c.lingering.conns), c.lingering.limit)
+		t.Errorf("%d connections linger, want %d", len(c.lingering.conns), c.lingering.limit)
 	}
 	c.lingering.mu.Unlock()
-	for _, f := range far {
-		f.Close()
+	for _, client := range clients {
+		client.Close()
 	}
 	<-c.lingering.released()
 }
--- a/internal/gatherer/frontend/harness_test.go
+++ b/internal/gatherer/frontend/harness_test.go
@@ -16,7 +16,7 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// fakePicker decides by a function.
+// fakePicker sends each query to picked and returns the result of decide.
 type fakePicker struct {
 	picked chan *dispatch.Query
 	decide func(ctx context.Context, query *dispatch.Query) dispatch.Result
@@ -29,7 +29,7 @@
 	return f.decide(ctx, query)
 }
 
-// newTestServer is a server of the classes find and mark, of which mark is idempotency-keyed.
+// newTestServer returns a server with the classes find and mark, of which mark is idempotency-keyed.
 func newTestServer(picker Picker, maxConns int, ready func() bool) *Server {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -47,6 +47,7 @@
 	})
 }
 
+// startServer serves on a local address until the test ends, and decides queries with the given function.
 func startServer(t *testing.T, maxConns int, decide func(context.Context, *dispatch.Query) dispatch.Result) (*fakePicker, *Server, string) {
 	f := &fakePicker{make(chan *dispatch.Query, 10), decide}
 	s := newTestServer(f, maxConns, func() bool { return true })
@@ -64,13 +65,15 @@
 	shardsBody = `{"shards":[{"shard":3,"weight":0.5,"cost":9000,"key":"k"},{"shard":9,"weight":0.5}],"q":"c41e"}`
 )
 
+// post returns the bytes of a POST request.
 func post(path, head, body string) string {
 	return fmt.Sprintf("POST %s HTTP/1.1\r\n%sContent-Length: %d\r\n\r\n%s", path, head, len(body), body)
 }
 
-// exchange sends a text and reads so many responses. It returns their statuses, and the last one's body and header.
-func exchange(t *testing.T, address, text string, answers int) (status []int, last string, head http.Header) {
-	status = make([]int, answers)
+// exchange sends a text on a new connection and reads the given number of responses. It returns their statuses, and the
+// body and header of the last one.
+func exchange(t *testing.T, address, text string, responses int) (status []int, last string, head http.Header) {
+	status = make([]int, responses)
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Error(err)
@@ -89,7 +92,7 @@
 		if err != nil {
 			t.Error(err)
 		}
-		if resp.Close { // net/http's client takes it out of the header
+		if resp.Close { // net/http's client removes it from the header
 			resp.Header.Set("Connection", "close")
 		}
 		status[i], last, head = resp.StatusCode, string(body), resp.Header
@@ -97,7 +100,7 @@
 	return status, last, head
 }
 
-// dial opens a client's connection, with a deadline against a test that hangs.
+// dial opens a client connection with a deadline, so that a test cannot hang.
 func dial(t *testing.T, address string) *net.TCPConn {
 	t.Helper()
 	c, err := net.Dial("tcp", address)
@@ -109,51 +112,52 @@
 	return c.(*net.TCPConn)
 }
 
-// connPair is a client's connection by itself, and the client's end of it.
-func connPair(t *testing.T) (conn *clientConn, far *net.TCPConn) {
+// connPair returns a clientConn that no server uses, and the client's end of it.
+func connPair(t *testing.T) (conn *clientConn, client *net.TCPConn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer l.Close()
-	far = dial(t, l.Addr().String())
+	client = dial(t, l.Addr().String())
 	accepted, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { accepted.Close() })
-	return &clientConn{TCPConn: accepted.(*net.TCPConn), lingerFor: lingerTimeout}, far
+	return &clientConn{TCPConn: accepted.(*net.TCPConn), lingerFor: lingerTimeout}, client
 }
 
-// readResponse reads one response; nothing may follow it where its connection ends.
+// readResponse reads one response, and checks that nothing follows it if it closes the connection.
 func readResponse(t *testing.T, r *bufio.Reader) *http.Response {
 	t.Helper()
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("no response: %v", err)
 	}
 	if _, err := io.ReadAll(resp.Body); err != nil {
-		t.Errorf("answer cut: %v", err)
+		t.Errorf("response truncated: %v", err)
 	}
 	if resp.Close {
 		if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-			t.Errorf("behind the last answer: %q, %v", rest, err)
+			t.Errorf("after the last response: %q, %v", rest, err)
 		}
 	}
 	return resp
 }
 
-// waitUntil waits for a condition that the other side brings about.
-func waitUntil(t *testing.T, what string, holds func() bool) {
+// waitUntil polls a condition for at most 20 s, and fails the test if it does not become true.
+func waitUntil(t *testing.T, condition string, holds func() bool) {
 	t.Helper()
 	for end := time.Now().Add(20 * time.Second); !holds(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("never: ", what)
+			t.Fatal("not within 20 s: ", condition)
 		}
 	}
 }
 
+// failed decides every query as failed, which is answered with 504.
 func failed(context.Context, *dispatch.Query) dispatch.Result {
 	return dispatch.Result{Kind: dispatch.Failed}
 }
@@ -165,9 +169,9 @@
 	r := bufio.NewReader(c)
 	io.WriteString(c, post("/find", headers, shardsBody))
 	if resp := readResponse(t, r); resp.StatusCode != 504 || resp.Close {
-		t.Fatalf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Fatalf("response status %d, close %v, want 504 and false", resp.StatusCode, resp.Close)
 	}
-	waitUntil(t, "the server takes it for idle", func() bool {
+	waitUntil(t, "the server considers the connection idle", func() bool {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
 		return s.conns.idle.Len() > 0
@@ -175,7 +179,7 @@
 	return c, r
 }
 
-// serverConn is the server's end of its only connection.
+// serverConn returns the server's end of its only connection.
 func serverConn(t *testing.T, s *Server) *clientConn {
 	t.Helper()
 	s.conns.mu.Lock()
@@ -183,6 +187,6 @@
 	for conn := range s.conns.entries {
 		return conn.(*clientConn)
 	}
-	t.Fatal("no connection is idle")
+	t.Fatal("the server has no connection")
 	return nil
 }
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -18,15 +18,15 @@
 	"yokeroute/logic/ownership"
 )
 
-// What changes from run to run, which transcripts hold without its value: the header Date, and the ports in the text
-// that net gives for a body that does not come.
+// Values that differ from run to run, which are replaced in the transcripts: the Date header, and the ports in the
+// error text of package net for a body that does not arrive.
 var (
 	dateHeader = regexp.MustCompile(`(?m)^Date: [^\r\n]*`)
 	localPort  = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
 )
 
-// transcriptResults are the answers that a transcript's query gets; a request that is not listed must not reach the
-// picker.
+// transcriptResults holds how the picker decides the query of each transcript. The request of a transcript that is not
+// listed must not reach the picker.
 var transcriptResults = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
 	"served-complete": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
@@ -56,12 +56,13 @@
 	"served-while-shutting-down": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
 }
 
-func fixedResult(v dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
-	return func(context.Context, *dispatch.Query) dispatch.Result { return v }
+// fixedResult returns a decision function that always returns the same result.
+func fixedResult(result dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
+	return func(context.Context, *dispatch.Query) dispatch.Result { return result }
 }
 
-// TestResponsesMatchTranscripts sends the bytes of each kept request over a connection of its own and compares every
-// byte that comes back with those kept beside it, the value of Date aside.
+// TestResponsesMatchTranscripts sends each stored request on a new connection and compares all bytes received with the
+// stored response, except for the value of the Date header and ports.
 func TestResponsesMatchTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/kept/*.request")
 	if err != nil || len(files) < 60 {
@@ -75,7 +76,7 @@
 		name := strings.TrimSuffix(filepath.Base(file), ".request")
 		delete(unused, name)
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // some wait for a time-out
+			t.Parallel() // some wait for a timeout
 			request, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
@@ -88,7 +89,7 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, want) {
-				t.Errorf("answered\n%q, kept is\n%q", got, want)
+				t.Errorf("received\n%q, want\n%q", got, want)
 			}
 			if decide == nil && len(f.picked) > 0 {
 				t.Errorf("%d queries reached the picker", len(f.picked))
@@ -96,20 +97,20 @@
 		})
 	}
 	if len(unused) > 0 {
-		t.Errorf("answers without a transcript: %v", unused)
+		t.Errorf("results without a transcript: %v", unused)
 	}
 }
 
-// startTranscriptServer starts a server in the condition that a transcript's name tells and gives its address.
+// startTranscriptServer starts a server in the state that a transcript's name describes and returns its address.
 func startTranscriptServer(t *testing.T, name string, f *fakePicker) string {
-	const clients = 10
-	s := newTestServer(f, clients, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
+	const maxConns = 10
+	s := newTestServer(f, maxConns, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
 	switch {
 	case strings.HasSuffix(name, "-while-shutting-down"):
 		s.shutdown.started.Store(true)
 	case strings.HasSuffix(name, "-while-crowded"):
-		for range clients {
-			s.conns.active.PushBack(nil) // in use by others
+		for range maxConns {
+			s.conns.active.PushBack(nil) // in use by other clients
 		}
 	case name == "repeated-id":
 		s.active.byID["a1"] = &activeQuery{client: t.Context(), done: make(chan struct{})}
@@ -127,8 +128,7 @@
 	return l.Addr().String()
 }
 
-// readTranscript sends a request and gives every byte that comes back until the server has answered and closed its
-// side.
+// readTranscript sends a request and returns all bytes received until the server has answered and closed its side.
 func readTranscript(t *testing.T, address string, request []byte) []byte {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
@@ -136,12 +136,12 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	go c.Write(request) // what is answered before all of it is read may break it off
+	go c.Write(request) // the write may fail if the server responds before it has read everything
 	var got bytes.Buffer
 	r := bufio.NewReader(io.TeeReader(c, &got))
 	method, _, _ := strings.Cut(string(request), " ")
 	for range max(bytes.Count(request, []byte(" HTTP/1.")), 1) {
-		resp, err := http.ReadResponse(r, &http.Request{Method: method}) // one to HEAD has no body
+		resp, err := http.ReadResponse(r, &http.Request{Method: method}) // the response to a HEAD request has no body
 		if err != nil {
 			t.Fatalf("%v after %q", err, got.Bytes())
 		}
@@ -152,7 +152,7 @@
 			break
 		}
 	}
-	c.(*net.TCPConn).CloseWrite() // a connection that is kept open ends now; one that is not brings what it still has
+	c.(*net.TCPConn).CloseWrite() // ends a connection that is kept open; of one that is not the remaining bytes follow
 	if _, err := io.Copy(io.Discard, r); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/frontend/listener_test.go
+++ b/internal/gatherer/frontend/listener_test.go
@@ -12,7 +12,8 @@
 	"yokeroute/internal/testbed/lateclient"
 )
 
-// gatedListener accepts nothing until it is released, as on a machine that has no processor left for it.
+// gatedListener delays Accept until released is closed, as when a busy machine does not schedule the accepting
+// goroutine.
 type gatedListener struct {
 	*net.TCPListener
 	released chan struct{}
@@ -24,8 +25,8 @@
 	return l.TCPListener.Accept()
 }
 
-// TestShutdownServesQueuedConnections guards against requests that are reset by the close of the listener,
-// as their connections are established and not accepted yet.
+// TestShutdownServesQueuedConnections guards against requests being reset when the listener is closed,
+// because their connections are established but not yet accepted.
 func TestShutdownServesQueuedConnections(t *testing.T) {
 	f := &fakePicker{make(chan *dispatch.Query, 10), failed}
 	s := newTestServer(f, 10, func() bool { return true })
@@ -33,8 +34,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &gatedListener{tcp.(*net.TCPListener), make(chan struct{})}
-	go s.Serve(held)
+	gated := &gatedListener{tcp.(*net.TCPListener), make(chan struct{})}
+	go s.Serve(gated)
 	t.Cleanup(func() { s.http.Close() })
 	var clients []*net.TCPConn
 	for _, id := range []string{"b1", "b2", "b3", "b4", "b5"} {
@@ -42,13 +43,13 @@
 		io.WriteString(c, post("/find", strings.Replace(headers, "a1", id, 1), shardsBody))
 		clients = append(clients, c)
 	}
-	released := lameDuckPeriod + handshakeTimeout + 50*time.Millisecond // behind all of the time in which they are awaited
-	time.AfterFunc(released, func() { close(held.released) })
+	releaseAfter := lameDuckPeriod + handshakeTimeout + 50*time.Millisecond // after the handshake timeout has passed
+	time.AfterFunc(releaseAfter, func() { close(gated.released) })
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
 	for _, c := range clients {
 		if resp := readResponse(t, bufio.NewReader(c)); resp.StatusCode != 504 || !resp.Close {
-			t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+			t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 		}
 		c.Close()
 	}
@@ -56,13 +57,13 @@
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", tcp.Addr().String()); err == nil {
-		t.Error("still listening")
+		t.Error("the server still accepts connections after Shutdown")
 	}
 }
 
-// TestShutdownServesConnectionInHandshake guards against a request that is reset at the end of
-// the lame-duck period, as the handshake of its connection is completed a moment later. The kernel is told to
-// complete it with the first data, so that the test says when.
+// TestShutdownServesConnectionInHandshake guards against a request being reset because the handshake of its connection
+// completes just after the end of the lame-duck period. The kernel is configured to complete a handshake with the first
+// data, so that the test determines when.
 func TestShutdownServesConnectionInHandshake(t *testing.T) {
 	f := &fakePicker{make(chan *dispatch.Query, 10), failed}
 	s := newTestServer(f, 10, func() bool { return true })
@@ -71,23 +72,23 @@
 		t.Fatal(err)
 	}
 	lateclient.CompleteHandshakesWithData(t, tcp)
-	s.handshakeTimeout = time.Second // the test itself may be late on a busy machine
+	s.handshakeTimeout = time.Second // the test may be delayed on a busy machine
 	go s.Serve(tcp)
 	t.Cleanup(func() { s.http.Close() })
 	c := dial(t, tcp.Addr().String())
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
 	waitUntil(t, "new connections are refused", func() bool {
-		late, err := net.Dial("tcp", tcp.Addr().String())
+		extra, err := net.Dial("tcp", tcp.Addr().String())
 		if err != nil {
 			return true
 		}
-		late.Close()
+		extra.Close()
 		return false
 	})
 	io.WriteString(c, post("/find", headers, shardsBody))
 	if resp := readResponse(t, bufio.NewReader(c)); resp.StatusCode != 504 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 	}
 	c.Close()
 	if err := <-done; err != nil {
--- a/internal/gatherer/frontend/request.go
+++ b/internal/gatherer/frontend/request.go
@@ -62,7 +62,7 @@
 		l.maxDeadline = max(l.maxDeadline, time.Duration(class.Deadline*float64(time.Millisecond)))
 		if class.Effect == gather.IdempotencyKeyed {
 			l.keyedClasses[class.Name] = true
-			log.WithField("class", class.Name).Warn("front end: idempotency-keyed classes are not supported; queries of this class are rejected")
+			log.WithField("class", class.Name).Warn("front end: queries of an idempotency-keyed class are rejected")
 		}
 	}
 	if l.maxDeadline == 0 {
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -15,18 +15,18 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestShutdownDrains follows a planned restart: open queries are answered, those that come late on new connections
-// are served, and each response ends its connection.
+// TestShutdownDrains checks that queries in flight are answered during a shutdown, that queries on new connections are
+// served, and that each response closes its connection.
 func TestShutdownDrains(t *testing.T) {
-	hold := make(chan struct{})
+	release := make(chan struct{})
 	f, s, address := startServer(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
-		<-hold
+		<-release
 		return dispatch.Result{Kind: dispatch.Failed}
 	})
-	early := make(chan http.Header, 1)
+	firstHeader := make(chan http.Header, 1)
 	go func() {
 		_, _, head := exchange(t, address, post("/find", headers, shardsBody), 1)
-		early <- head
+		firstHeader <- head
 	}()
 	<-f.picked
 	done := make(chan error, 1)
@@ -35,36 +35,36 @@
 		time.Sleep(time.Millisecond)
 	}
 	if status, _, _ := exchange(t, address, "GET /-/ready HTTP/1.1\r\nHost: h\r\n\r\n", 1); status[0] != 503 {
-		t.Errorf("ready says %v", status)
+		t.Errorf("/-/ready returned %v, want 503", status)
 	}
-	late := make(chan http.Header, 1)
+	secondHeader := make(chan http.Header, 1)
 	go func() {
 		_, _, head := exchange(t, address, post("/find", strings.Replace(headers, "a1", "a2", 1), shardsBody), 1)
-		late <- head
+		secondHeader <- head
 	}()
 	<-f.picked
-	close(hold)
-	for _, head := range []http.Header{<-early, <-late} {
+	close(release)
+	for _, head := range []http.Header{<-firstHeader, <-secondHeader} {
 		if head.Get("Connection") != "close" {
-			t.Errorf("headers %v", head)
+			t.Errorf("response headers %v, want Connection: close", head)
 		}
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if _, err := net.Dial("tcp", address); err == nil {
-		t.Error("still listening")
+		t.Error("the server still accepts connections after Shutdown")
 	}
 }
 
-// TestShutdownServesHalfReadRequest closes idle connections while one of them has sent the first part of a request. The
-// request is read, answered, and its connection ends with the response.
-func TestShutdownServesHalfReadRequest(t *testing.T) {
+// TestShutdownServesPartiallyReadRequest closes idle connections when one of them has sent the first part of a
+// request. The rest of the request is read, it is answered, and the response closes the connection.
+func TestShutdownServesPartiallyReadRequest(t *testing.T) {
 	_, s, address := startServer(t, 10, failed)
 	c, r := idleConn(t, s, address)
 	conn, text := serverConn(t, s), post("/find", headers, shardsBody)
 	io.WriteString(c, text[:20])
-	waitUntil(t, "half a line is read", func() bool {
+	waitUntil(t, "part of the request is read", func() bool {
 		conn.mu.Lock()
 		defer conn.mu.Unlock()
 		return !conn.arrivingSince.IsZero()
@@ -78,7 +78,7 @@
 	})
 	io.WriteString(c, text[20:])
 	if resp := readResponse(t, r); resp.StatusCode != 504 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 	}
 	c.Close()
 	if err := <-done; err != nil {
@@ -86,42 +86,42 @@
 	}
 }
 
-// TestShutdownClosesIdleConnectionWithoutReset wants an idle connection closed. What its client sends from then on
-// reaches nobody, also where it crosses the close, and the client sees an end of file, not a reset.
+// TestShutdownClosesIdleConnectionWithoutReset checks that an idle connection is closed. A request that its client
+// sends afterwards is not served, even if it crosses the close, and the client reads an end of file, not a reset.
 func TestShutdownClosesIdleConnectionWithoutReset(t *testing.T) {
 	f, s, address := startServer(t, 10, failed)
 	c, r := idleConn(t, s, address)
 	<-f.picked
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) { // the end is there, and the connection still takes what crosses it
-		t.Errorf("instead of the end: %v", err)
+	if _, err := r.ReadByte(); !errors.Is(err, io.EOF) { // the server has closed its side and still reads
+		t.Errorf("read returned %v, want io.EOF", err)
 	}
 	io.WriteString(c, post("/find", headers, shardsBody))
 	c.CloseWrite()
 	if rest, err := io.ReadAll(c); len(rest) > 0 || err != nil {
-		t.Errorf("answered %q, %v", rest, err)
+		t.Errorf("read %q, %v after the close, want nothing", rest, err)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if len(f.picked) > 0 {
-		t.Error("a request that came after the end was forwarded")
+		t.Error("a request that arrived after the close was forwarded")
 	}
 }
 
-// TestShutdownServesIdleConnectionInLameDuckPeriod guards against requests that cross the close of a kept connection:
-// it ends with its next response.
+// TestShutdownServesIdleConnectionInLameDuckPeriod guards against requests crossing the close of an idle connection:
+// during the lame-duck period the connection is kept open, and its next response closes it.
 func TestShutdownServesIdleConnectionInLameDuckPeriod(t *testing.T) {
 	_, s, address := startServer(t, 10, failed)
 	c, r := idleConn(t, s, address)
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	waitUntil(t, "leaving", func() bool { return s.shutdown.started.Load() })
+	waitUntil(t, "the shutdown has started", func() bool { return s.shutdown.started.Load() })
 	time.Sleep(lameDuckPeriod / 6)
 	io.WriteString(c, post("/find", headers, shardsBody))
 	if resp := readResponse(t, r); resp.StatusCode != 504 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 	}
 	c.Close()
 	if err := <-done; err != nil {
@@ -129,10 +129,11 @@
 	}
 }
 
-// TestShutdownServesRequestBehindResponse closes idle connections after a response that says nothing of a close, and
-// before its connection counts as idle; the next request, complete or cut, crosses it. The lock that the change of
-// state waits for is the gate. The request is answered, and its connection ends with that.
-func TestShutdownServesRequestBehindResponse(t *testing.T) {
+// TestShutdownServesRequestSentAfterResponse starts closing idle connections after a response without "Connection:
+// close" and before its connection is considered idle, while the next request, complete or partial, is in transit. The
+// test delays the change to idle by holding the tracker's lock. The request is answered, and the response closes the
+// connection.
+func TestShutdownServesRequestSentAfterResponse(t *testing.T) {
 	text := post("/find", headers, shardsBody)
 	for _, cut := range []int{1, 20, len(text) - 1, len(text)} {
 		gate := make(chan struct{}, 2)
@@ -144,20 +145,20 @@
 		r := bufio.NewReader(c)
 		io.WriteString(c, text)
 		<-f.picked
-		s.conns.mu.Lock() // from here on no state changes
+		s.conns.mu.Lock() // blocks all changes of connection states
 		gate <- struct{}{}
 		if resp := readResponse(t, r); resp.StatusCode != 504 || resp.Close {
-			t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+			t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 		}
 		io.WriteString(c, text[:cut])
 		done := make(chan error, 1)
 		go func() { done <- s.Shutdown(t.Context()) }()
-		<-s.serveDone // idle connections are closed next
+		<-s.serveDone // next, Shutdown closes idle connections
 		s.conns.mu.Unlock()
 		gate <- struct{}{}
 		io.WriteString(c, text[cut:])
 		if resp := readResponse(t, r); resp.StatusCode != 504 || !resp.Close {
-			t.Errorf("cut at %d: answered %d, close %v", cut, resp.StatusCode, resp.Close)
+			t.Errorf("cut at %d: response status %d, close %v, want 504 and true", cut, resp.StatusCode, resp.Close)
 		}
 		c.Close()
 		if err := <-done; err != nil {
@@ -166,13 +167,13 @@
 	}
 }
 
-// TestShutdownServesNewConnection has a connection accepted before the listener closes send its request
-// afterwards. It is answered, within the time that is left of the shutdown.
+// TestShutdownServesNewConnection has a connection that was accepted before the listener closed send its request
+// afterwards. The request is answered within the remaining time of the shutdown.
 func TestShutdownServesNewConnection(t *testing.T) {
 	f, s, address := startServer(t, 10, failed)
-	s.limits.maxDeadline = time.Hour // whatever the settings say, the process may be killed after 3 s
+	s.limits.maxDeadline = time.Hour // regardless of the settings the process may be killed after 3 s
 	c := dial(t, address)
-	waitUntil(t, "accepted", func() bool {
+	waitUntil(t, "the connection is accepted", func() bool {
 		s.conns.mu.Lock()
 		defer s.conns.mu.Unlock()
 		return s.conns.open == 1
@@ -182,58 +183,58 @@
 	<-s.serveDone
 	io.WriteString(c, post("/find", strings.Replace(headers, "480", "3600000", 1), shardsBody))
 	if resp := readResponse(t, bufio.NewReader(c)); resp.StatusCode != 504 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 	}
 	c.Close()
 	query := <-f.picked
 	if end := f.Now() + float64(killTimeout.Milliseconds()); query.Deadline > end {
-		t.Errorf("may take until %v, the process ends at %v", query.Deadline, end)
+		t.Errorf("deadline %v, want at most %v, when the process may be killed", query.Deadline, end)
 	}
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestShutdownDoesNotWaitForSilentConnections guards against a process that the platform has to kill, because
-// clients hold connections on which they send nothing. Such a one ends without a reset; one on which half of
-// a request has come by then is served.
+// TestShutdownDoesNotWaitForSilentConnections guards against the platform having to kill the process because
+// clients keep connections open on which they send nothing. Such a connection is closed without a reset; one on which
+// part of a request has arrived by then is served.
 func TestShutdownDoesNotWaitForSilentConnections(t *testing.T) {
 	_, s, address := startServer(t, 10, failed)
-	began := time.Now()
+	startedAt := time.Now()
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	time.Sleep(lameDuckPeriod / 2) // as late as clients come
+	time.Sleep(lameDuckPeriod / 2) // clients still connect in the lame-duck period
 	silent, slow, text := dial(t, address), dial(t, address), post("/find", headers, shardsBody)
 	io.WriteString(slow, text[:20])
-	if rest, err := io.ReadAll(silent); len(rest) > 0 || err != nil { // and it stays open on the client's side
-		t.Errorf("the silent connection ended with %q, %v", rest, err)
+	if rest, err := io.ReadAll(silent); len(rest) > 0 || err != nil { // the client keeps its side open
+		t.Errorf("the silent connection was closed with %q, %v, want an end of file", rest, err)
 	}
-	ended := time.Since(began)
-	if least, most := lameDuckPeriod+firstByteTimeout, lameDuckPeriod+2*firstRequestPeriod; ended < least || ended > most {
-		t.Errorf("the silent connection ended after %v, wanted are %v to %v", ended, least, most)
+	closedAfter := time.Since(startedAt)
+	if earliest, latest := lameDuckPeriod+firstByteTimeout, lameDuckPeriod+2*firstRequestPeriod; closedAfter < earliest || closedAfter > latest {
+		t.Errorf("the silent connection was closed after %v, want %v to %v", closedAfter, earliest, latest)
 	}
 	io.WriteString(slow, text[20:])
 	if resp := readResponse(t, bufio.NewReader(slow)); resp.StatusCode != 504 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 	}
 	slow.Close()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
-	if took, most := time.Since(began), lameDuckPeriod+2*firstRequestPeriod+lingerTimeout; took > most {
-		t.Errorf("the shutdown took %v, at most %v are wanted", took, most)
+	if took, limit := time.Since(startedAt), lameDuckPeriod+2*firstRequestPeriod+lingerTimeout; took > limit {
+		t.Errorf("the shutdown took %v, want at most %v", took, limit)
 	}
 }
 
-// TestShutdownLimitsQueriesOfLameDuckPeriod guards against queries that are broken off by the end of the
-// process: one comes shortly before the lame-duck period ends and may take the longest deadline, the other
-// one's deadline is longer than the platform waits with its kill.
+// TestShutdownLimitsQueriesOfLameDuckPeriod guards against queries being aborted by the end of the process. One
+// query arrives shortly before the lame-duck period ends and has the longest deadline; the deadline of the other one is
+// longer than the time until the platform kills the process.
 func TestShutdownLimitsQueriesOfLameDuckPeriod(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		maxDeadline time.Duration
-		sentAfter   time.Duration // SIGTERM
-		limit       time.Duration // after SIGTERM, with answerMargin
+		sentAfter   time.Duration // time from SIGTERM to the request
+		limit       time.Duration // time from SIGTERM to the latest deadline plus answerMargin
 	}{
 		{"late", 500 * time.Millisecond, lameDuckPeriod - 20*time.Millisecond, lameDuckPeriod + 500*time.Millisecond},
 		{"long", time.Minute, 0, lameDuckPeriod + killTimeout},
@@ -245,18 +246,18 @@
 			connection := dial(t, address)
 			done := make(chan error, 1)
 			go func() { done <- s.Shutdown(t.Context()) }()
-			waitUntil(t, "leaving", func() bool { return s.shutdown.started.Load() })
-			began := time.Now()
+			waitUntil(t, "the shutdown has started", func() bool { return s.shutdown.started.Load() })
+			startedAt := time.Now()
 			time.Sleep(c.sentAfter)
-			sentAfter := time.Since(began)
+			sentAfter := time.Since(startedAt)
 			timeout := fmt.Sprint(c.maxDeadline.Milliseconds())
 			io.WriteString(connection, post("/find", strings.Replace(headers, "480", timeout, 1), shardsBody))
 			readResponse(t, bufio.NewReader(connection))
 			connection.Close()
 			query := <-f.picked
 			allowed := time.Duration((query.Deadline - f.Now()) * float64(time.Millisecond))
-			if most := c.limit - sentAfter - answerMargin; allowed > most {
-				t.Errorf("%v after SIGTERM it may take %v, at most %v are wanted", sentAfter, allowed, most)
+			if maxAllowed := c.limit - sentAfter - answerMargin; allowed > maxAllowed {
+				t.Errorf("%v after SIGTERM the query has %v until its deadline, want at most %v", sentAfter, allowed, maxAllowed)
 			}
 			if err := <-done; err != nil {
 				t.Error(err)
@@ -265,12 +266,12 @@
 	}
 }
 
-// TestLastResponseSurvivesPipelinedRequests has a client send more than its request while the last response of its
-// connection is decided. The connection ends without a reset, and the further requests reach nobody.
+// TestLastResponseSurvivesPipelinedRequests has a client send further requests before the last response of its
+// connection is written. The connection is closed without a reset, and the further requests are not served.
 func TestLastResponseSurvivesPipelinedRequests(t *testing.T) {
-	more := make(chan struct{})
+	release := make(chan struct{})
 	f, s, address := startServer(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
-		<-more
+		<-release
 		return dispatch.Result{Kind: dispatch.Failed}
 	})
 	c := dial(t, address)
@@ -278,19 +279,19 @@
 	<-f.picked
 	done := make(chan error, 1)
 	go func() { done <- s.Shutdown(t.Context()) }()
-	waitUntil(t, "leaving", func() bool { return s.shutdown.started.Load() })
-	for range 4 { // in pieces, so that some come after the answer is decided
+	waitUntil(t, "the shutdown has started", func() bool { return s.shutdown.started.Load() })
+	for range 4 { // one by one, so that some arrive after the response is decided
 		io.WriteString(c, post("/find", headers, shardsBody))
 	}
-	close(more)
+	close(release)
 	if resp := readResponse(t, bufio.NewReader(c)); resp.StatusCode != 504 || !resp.Close {
-		t.Errorf("answered %d, close %v", resp.StatusCode, resp.Close)
+		t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
 	}
 	c.Close()
 	if err := <-done; err != nil {
 		t.Error(err)
 	}
 	if len(f.picked) > 0 {
-		t.Error("what came behind the last request was forwarded")
+		t.Error("a request after the last one was forwarded")
 	}
 }
