--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -205,7 +205,7 @@
 			t.Fatal(err)
 		}
 		startedAt := time.Now()
-		oldOwnerClaim := claim(f.addresses[1], "late", 5, startedAt)
+		oldClaim := claim(f.addresses[1], "late", 5, startedAt)
 		f.authority.SetSilent(false)
 		f.awaitReady(f.addresses[0])
 		for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(10 * time.Millisecond) {
@@ -215,12 +215,11 @@
 			}
 		}
 		duplicates := findDuplicates(logs.Executions())
-		if !withoutFencing && (len(duplicates) > 0 || oldOwnerClaim.Output == "given") {
-			t.Errorf("duplicates %v, the old owner's answer was %v", duplicates, oldOwnerClaim.Output)
+		if !withoutFencing && (len(duplicates) > 0 || oldClaim.Output == "given") {
+			t.Errorf("duplicates %v, the old owner's answer was %v", duplicates, oldClaim.Output)
 		}
 		if withoutFencing && len(duplicates) == 0 {
-			t.Errorf("without fencing no key was given twice, so the test cannot detect the fault; "+
-				"the old owner's answer was %v", oldOwnerClaim.Output)
+			t.Errorf("without fencing no key was given twice, want a duplicate; the old owner's answer was %v", oldClaim.Output)
 		}
 	}
 }
