--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -41,7 +41,7 @@
 	a := &assembly{Service: &Service{log: log, config: c}, operatorFile: *operatorFile, settings: c.Settings}
 	if a.ownedSegments() {
 		if c.Settings.Shards < 1 {
-			return nil, errors.New("segments: settings.domain.shards is missing; a segment map needs at least 1 shard")
+			return nil, errors.New("segments: settings.domain.shards is not set; a segment map needs at least 1 shard")
 		}
 		a.settings = dispatch.OwnershipSettings(c.Settings, operatorFile.MaxSegments)
 		if operatorFile.Plan+operatorFile.Placement != "" || len(operatorFile.TwoPhase) > 0 {
--- a/internal/gatherer/service/migration_test.go
+++ b/internal/gatherer/service/migration_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestGathererServesWithMigratedConfig migrates a configuration to a fleet whose servers report their load only on
-// request, whose endpoint list is polled, and which allows no hedged requests. The gatherer serves with the migrated
-// configuration, and the load reports let it avoid a server that hangs.
+// request, whose endpoint list is polled, and which allows no hedged requests, so that no shard has two requests in
+// flight at once. The gatherer serves with the migrated configuration, and the load reports let it avoid a server that hangs.
 func TestGathererServesWithMigratedConfig(t *testing.T) {
 	fleet, address, end := startGatherer(t, &operator.File{}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: []string{"a", "b"}[i%2], Kind: "k", ReplicaSet: i,
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -16,7 +16,7 @@
 	"yokeroute/logic/ownership"
 )
 
-// The default of a few seconds, which CI uses, is enough for some dozens of handovers.
+// A few seconds, as in CI, are enough for some dozens of handovers.
 var (
 	moveDuration = flag.Duration("moving", 4*time.Second, "how long segments move under load")
 	noMoves      = flag.Bool("still", false, "no segment moves, as a baseline for comparison")
@@ -192,7 +192,7 @@
 		for _, a := range f.addresses {
 			f.awaitReady(a)
 		}
-		// From here on the second gatherer receives no updates.
+		// The authority is silent, so that the second gatherer does not learn of the move.
 		f.authority.SetSilent(true)
 		f.hosts[0].SetAuthorityDisconnected(true)
 		m := f.authority.Map()
--- a/internal/gatherer/service/slowdisk_test.go
+++ b/internal/gatherer/service/slowdisk_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// checkRecorded checks that all non-idempotent queries were served if a write takes at most their deadline, that all
-// were rejected otherwise, and that none was answered late.
+// checkRecorded checks that all non-idempotent queries were served with the short delay, with which two writes fit into
+// their deadline, that all were rejected with the long one, and that none was answered late.
 func checkRecorded(t *testing.T, recorded *experiment.Outcome, delay time.Duration) {
 	t.Helper()
 	want := recorded.Sent
