--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -18,76 +18,78 @@
 	"yokeroute/logic/ownership"
 )
 
-// What changes from run to run, which transcripts hold without its value: the header Date, and the ports in the text
-// that net gives for a body that does not come.
+// Values that differ from run to run, which are replaced in the transcripts: the Date header, and the ports in the
+// error text of package net for a body that does not arrive.
 var (
-	keptDate = regexp.MustCompile(`(?m)^Date: [^\r\n]*`)
-	keptPort = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
+	dateHeader = regexp.MustCompile(`(?m)^Date: [^\r\n]*`)
+	localPort  = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
 )
 
-// keptAnswers are the answers that a transcript's query gets; a request that is not listed must not reach the picker.
-var keptAnswers = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
-	"served-complete": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+// transcriptResults holds how the picker decides the query of each transcript. The request of a transcript that is not
+// listed must not reach the picker.
+var transcriptResults = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
+	"served-complete": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
-	"served-partial": keptAnswer(dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-escaped": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+	"served-partial": fixedResult(dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-escaped": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("a\"\\\n<&>\x01")}, {Shard: 9, Value: []byte("\xc3\xa4\xff")}}}),
-	"served-keys": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+	"served-keys": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2"), Keys: &ownership.Range{Lo: 1 << 60, Hi: 1<<61 - 1}}, {Shard: 9, Value: nil}}}),
-	"served-empty": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, EmptyShards: []int{3, 9}}),
-	"served-some-empty": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true,
+	"served-empty": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, EmptyShards: []int{3, 9}}),
+	"served-some-empty": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 9, Value: []byte("7c01")}}, EmptyShards: []int{3}}),
-	"served-chunked-request": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-below-the-class": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-http-1.0":        keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"rejected":               keptAnswer(dispatch.Result{Kind: dispatch.Rejected}),
-	"rejected-retry-after":   keptAnswer(dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}),
-	"failed":                 keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
-	"internal-error":         keptAnswer(dispatch.Result{Kind: dispatch.InternalError}),
+	"served-chunked-request": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-below-the-class": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-http-1.0":        fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"rejected":               fixedResult(dispatch.Result{Kind: dispatch.Rejected}),
+	"rejected-retry-after":   fixedResult(dispatch.Result{Kind: dispatch.Rejected, RetryAfter: 412.5}),
+	"failed":                 fixedResult(dispatch.Result{Kind: dispatch.Failed}),
+	"internal-error":         fixedResult(dispatch.Result{Kind: dispatch.InternalError}),
 	"panicked":               func(context.Context, *dispatch.Query) dispatch.Result { panic("broken") },
-	"abandoned":              keptAnswer(dispatch.Result{Kind: dispatch.Abandoned}),
+	"abandoned":              fixedResult(dispatch.Result{Kind: dispatch.Abandoned}),
 	"deadline-passed": func(_ context.Context, query *dispatch.Query) dispatch.Result {
 		time.Sleep(time.Duration(query.Deadline-1000) * time.Millisecond)
 		return dispatch.Result{Kind: dispatch.Failed}
 	},
-	"two-in-a-row":               keptAnswer(dispatch.Result{Kind: dispatch.Failed}),
-	"bad-then-served":            keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
-	"served-while-shutting-down": keptAnswer(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"two-in-a-row":               fixedResult(dispatch.Result{Kind: dispatch.Failed}),
+	"bad-then-served":            fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
+	"served-while-shutting-down": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true, Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}}}),
 }
 
-func keptAnswer(v dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
-	return func(context.Context, *dispatch.Query) dispatch.Result { return v }
+// fixedResult returns a decision function that always returns the same result.
+func fixedResult(result dispatch.Result) func(context.Context, *dispatch.Query) dispatch.Result {
+	return func(context.Context, *dispatch.Query) dispatch.Result { return result }
 }
 
-// TestKeptTranscripts sends the bytes of each kept request over a connection of its own and compares every byte that
-// comes back with those kept beside it, the value of Date aside.
-func TestKeptTranscripts(t *testing.T) {
+// TestResponsesMatchTranscripts sends each stored request on a new connection and compares all bytes received with the
+// stored response, except for the value of the Date header and ports.
+func TestResponsesMatchTranscripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/kept/*.request")
 	if err != nil || len(files) < 60 {
 		t.Fatalf("%d transcripts, %v", len(files), err)
 	}
 	unused := map[string]bool{}
-	for name := range keptAnswers {
+	for name := range transcriptResults {
 		unused[name] = true
 	}
 	for _, file := range files {
 		name := strings.TrimSuffix(filepath.Base(file), ".request")
 		delete(unused, name)
 		t.Run(name, func(t *testing.T) {
-			t.Parallel() // some wait for a time-out
+			t.Parallel() // some wait for a timeout
 			request, err := os.ReadFile(file)
 			if err != nil {
 				t.Fatal(err)
 			}
-			decide := keptAnswers[name]
+			decide := transcriptResults[name]
 			f := &fakePicker{make(chan *dispatch.Query, 10), decide}
-			got := converse(t, startKept(t, name, f), request)
+			got := readTranscript(t, startTranscriptServer(t, name, f), request)
 			want, err := os.ReadFile(strings.TrimSuffix(file, ".request") + ".response")
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got, want) {
-				t.Errorf("answered\n%q, kept is\n%q", got, want)
+				t.Errorf("received\n%q, want\n%q", got, want)
 			}
 			if decide == nil && len(f.picked) > 0 {
 				t.Errorf("%d queries reached the picker", len(f.picked))
@@ -95,20 +97,20 @@
 		})
 	}
 	if len(unused) > 0 {
-		t.Errorf("answers without a transcript: %v", unused)
+		t.Errorf("results without a transcript: %v", unused)
 	}
 }
 
-// startKept starts a server in the condition that a transcript's name tells and gives its address.
-func startKept(t *testing.T, name string, f *fakePicker) string {
-	const clients = 10
-	s := newTestServer(f, clients, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
+// startTranscriptServer starts a server in the state that a transcript's name describes and returns its address.
+func startTranscriptServer(t *testing.T, name string, f *fakePicker) string {
+	const maxConns = 10
+	s := newTestServer(f, maxConns, func() bool { return !strings.HasSuffix(name, "-while-not-ready") })
 	switch {
 	case strings.HasSuffix(name, "-while-shutting-down"):
 		s.shutdown.started.Store(true)
 	case strings.HasSuffix(name, "-while-crowded"):
-		for range clients {
-			s.conns.active.PushBack(nil) // in use by others
+		for range maxConns {
+			s.conns.active.PushBack(nil) // in use by other clients
 		}
 	case name == "repeated-id":
 		s.active.byID["a1"] = &activeQuery{client: t.Context(), done: make(chan struct{})}
@@ -126,20 +128,20 @@
 	return l.Addr().String()
 }
 
-// converse sends a request and gives every byte that comes back until the server has answered and closed its side.
-func converse(t *testing.T, address string, request []byte) []byte {
+// readTranscript sends a request and returns all bytes received until the server has answered and closed its side.
+func readTranscript(t *testing.T, address string, request []byte) []byte {
 	c, err := net.Dial("tcp", address)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(10 * time.Second))
-	go c.Write(request) // what is answered before all of it is read may break it off
+	go c.Write(request) // the write may fail if the server responds before it has read everything
 	var got bytes.Buffer
 	r := bufio.NewReader(io.TeeReader(c, &got))
 	method, _, _ := strings.Cut(string(request), " ")
 	for range max(bytes.Count(request, []byte(" HTTP/1.")), 1) {
-		resp, err := http.ReadResponse(r, &http.Request{Method: method}) // one to HEAD has no body
+		resp, err := http.ReadResponse(r, &http.Request{Method: method}) // the response to a HEAD request has no body
 		if err != nil {
 			t.Fatalf("%v after %q", err, got.Bytes())
 		}
@@ -150,9 +152,9 @@
 			break
 		}
 	}
-	c.(*net.TCPConn).CloseWrite() // a connection that is kept open ends now; one that is not brings what it still has
+	c.(*net.TCPConn).CloseWrite() // ends a connection that is kept open; of one that is not the remaining bytes follow
 	if _, err := io.Copy(io.Discard, r); err != nil {
 		t.Fatal(err)
 	}
-	return keptPort.ReplaceAll(keptDate.ReplaceAll(got.Bytes(), []byte("Date:")), []byte("127.0.0.1:PORT"))
+	return localPort.ReplaceAll(dateHeader.ReplaceAll(got.Bytes(), []byte("Date:")), []byte("127.0.0.1:PORT"))
 }
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -12,10 +12,10 @@
 
 const request = "GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 
-// patient is time enough for tests on a busy machine.
-var patient = Timeouts{Handshakes: time.Second, Requests: 10 * time.Second}
+// generousTimeouts are long enough for tests on a busy machine.
+var generousTimeouts = Timeouts{Handshakes: time.Second, Requests: 10 * time.Second}
 
-// start serves a handler on a listener until the test ends.
+// start serves a handler on a listener until the test ends, and fails the test if Close returns an error.
 func start(t *testing.T, l net.Listener, timeouts Timeouts, handler http.HandlerFunc) *Server {
 	t.Helper()
 	s := New(l, &http.Server{Handler: handler}, timeouts)
@@ -28,8 +28,9 @@
 	return s
 }
 
-// closeSoon closes a server, and waits until it refuses new connections.
-func closeSoon(t *testing.T, s *Server) (closed <-chan error) {
+// closeAndAwaitRefusal closes a server in the background and returns once it refuses new connections. The channel
+// receives the result of Close.
+func closeAndAwaitRefusal(t *testing.T, s *Server) (closed <-chan error) {
 	t.Helper()
 	result := make(chan error, 1)
 	go func() { result <- s.Close() }()
@@ -48,32 +49,33 @@
 
 func ok(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
-// heldListener accepts nothing until it is released, as on a machine that has no processor left for it.
-type heldListener struct {
+// gatedListener delays Accept until released is closed, as when a busy machine does not schedule the accepting
+// goroutine.
+type gatedListener struct {
 	*net.TCPListener
 	released chan struct{}
 }
 
 // Accept implements net.Listener.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	<-l.released
 	return l.TCPListener.Accept()
 }
 
-// TestCloseAnswersQueuedRequests guards against requests that are reset as their connections are not accepted
-// yet.
+// TestCloseAnswersQueuedRequests guards against Close resetting requests whose connections are established but
+// not yet accepted.
 func TestCloseAnswersQueuedRequests(t *testing.T) {
-	held := &heldListener{listen(t), make(chan struct{})}
-	s := start(t, held, Timeouts{Handshakes: time.Millisecond, Requests: patient.Requests}, ok)
+	gated := &gatedListener{listen(t), make(chan struct{})}
+	s := start(t, gated, Timeouts{Handshakes: time.Millisecond, Requests: generousTimeouts.Requests}, ok)
 	var clients []*lateclient.Client
 	for range 5 {
-		c := lateclient.Dial(t, held.Addr().String())
+		c := lateclient.Dial(t, gated.Addr().String())
 		c.Send(request)
 		clients = append(clients, c)
 	}
-	closed := closeSoon(t, s)
-	time.Sleep(20 * time.Millisecond) // past the time for handshakes
-	close(held.released)
+	closed := closeAndAwaitRefusal(t, s)
+	time.Sleep(20 * time.Millisecond) // longer than the handshake timeout
+	close(gated.released)
 	for _, c := range clients {
 		c.WantLastResponse(http.StatusOK)
 	}
@@ -82,14 +84,14 @@
 	}
 }
 
-// TestCloseAnswersHandshakeUnderWay guards against a request that is reset as its handshake ends after the
-// close begins.
-func TestCloseAnswersHandshakeUnderWay(t *testing.T) {
+// TestCloseAnswersConnectionInHandshake guards against Close resetting a connection whose handshake completes after
+// Close has begun.
+func TestCloseAnswersConnectionInHandshake(t *testing.T) {
 	l := listen(t)
 	lateclient.CompleteHandshakesWithData(t, l)
-	s := start(t, l, patient, ok)
+	s := start(t, l, generousTimeouts, ok)
 	c := lateclient.Dial(t, l.Addr().String())
-	closed := closeSoon(t, s)
+	closed := closeAndAwaitRefusal(t, s)
 	c.Send(request)
 	c.WantLastResponse(http.StatusOK)
 	if err := <-closed; err != nil {
@@ -97,37 +99,37 @@
 	}
 }
 
-// TestCloseAnswersRequestBeingServed guards against requests that are broken off: of one the body is read,
-// the other one is served, and both handlers answer only once the close has begun.
-func TestCloseAnswersRequestBeingServed(t *testing.T) {
+// TestCloseAnswersRequestsInFlight guards against Close aborting requests in flight. One request is complete, of the
+// other one only half of the body has arrived; both handlers respond only after Close has begun.
+func TestCloseAnswersRequestsInFlight(t *testing.T) {
 	serving := make(chan struct{}, 2)
 	l := listen(t)
 	ending := make(chan struct{})
-	s := start(t, l, patient, func(_ http.ResponseWriter, r *http.Request) {
+	s := start(t, l, generousTimeouts, func(_ http.ResponseWriter, r *http.Request) {
 		serving <- struct{}{}
 		<-ending
 		if _, err := io.ReadAll(r.Body); err != nil {
 			t.Error(err)
 		}
 	})
-	complete, half := lateclient.Dial(t, l.Addr().String()), lateclient.Dial(t, l.Addr().String())
+	complete, partial := lateclient.Dial(t, l.Addr().String()), lateclient.Dial(t, l.Addr().String())
 	complete.Send(request)
-	half.Send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n12")
+	partial.Send("POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n\r\n12")
 	<-serving
 	<-serving
-	closed := closeSoon(t, s)
+	closed := closeAndAwaitRefusal(t, s)
 	<-s.Ending()
 	close(ending)
-	half.Send("34")
+	partial.Send("34")
 	complete.WantLastResponse(http.StatusOK)
-	half.WantLastResponse(http.StatusOK)
+	partial.WantLastResponse(http.StatusOK)
 	if err := <-closed; err != nil {
 		t.Error(err)
 	}
 }
 
-// TestCloseIsBounded: neither a handler that waits for ever nor a client that sends nothing keeps the server
-// from ending.
+// TestCloseIsBounded checks that Close returns although one handler blocks until its context ends and one client
+// sends nothing.
 func TestCloseIsBounded(t *testing.T) {
 	serving := make(chan struct{})
 	l := listen(t)
@@ -140,11 +142,11 @@
 	lateclient.Dial(t, l.Addr().String()).Send(request)
 	<-serving
 	select {
-	case err := <-closeSoon(t, s):
+	case err := <-closeAndAwaitRefusal(t, s):
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("not closed")
+		t.Error("Close did not return within 10 s")
 	}
 }
