--- a/internal/gatherer/dispatch/attempt_test.go
+++ b/internal/gatherer/dispatch/attempt_test.go
@@ -16,7 +16,7 @@
 		p := newPicker(t, nil)
 		p.clock.override = func() float64 { return now }
 		p.RunRoundNow()
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		done := make(chan Result, 1)
 		query := newQuery("all", 1, now+1000)
 		go func() { done <- p.Pick(ctx, query) }()
@@ -39,7 +39,7 @@
 				t.Fatalf("%d attempts sent after a rejection, want 1 that uses the retry budget", len(attempts))
 			}
 		}
-		leave()
+		disconnect()
 		if result := <-done; result.Kind != Abandoned {
 			t.Errorf("result %+v, want Abandoned", result)
 		}
@@ -89,7 +89,7 @@
 		}
 		now = firstDecidedAt + c.writeDelay
 		if got := second[0].BeginWrite(); got != c.want {
-			t.Errorf("%s: BeginWrite returned %v, want the opposite", c.name, got)
+			t.Errorf("%s: BeginWrite returned %v, want %v", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/gatherer/dispatch/module_test.go
+++ b/internal/gatherer/dispatch/module_test.go
@@ -14,11 +14,11 @@
 	runDueRound(t, p)
 	done := pickAsync(t.Context(), p, newQuery("all", 2, p.Now()+2000))
 	attempts := runDueRound(t, p).Send
-	bad := newQuery("all", 1, p.Now()+2000)
-	bad.ShardRequests[0].Shard = -1 // makes the module panic; the front end would reject such a shard
-	badDone := pickAsync(t.Context(), p, bad)
+	invalid := newQuery("all", 1, p.Now()+2000)
+	invalid.ShardRequests[0].Shard = -1 // makes the module panic; the front end would reject such a shard
+	invalidDone := pickAsync(t.Context(), p, invalid)
 	cancelled := runDueRound(t, p).Cancel
-	if a, b := <-done, <-badDone; a.Kind != InternalError || b.Kind != InternalError {
+	if a, b := <-done, <-invalidDone; a.Kind != InternalError || b.Kind != InternalError {
 		t.Errorf("results %+v, %+v, want InternalError", a, b)
 	}
 	if len(cancelled) != len(attempts) {
@@ -56,9 +56,9 @@
 			t.Errorf("sent to server %d, want 12", s)
 		}
 	}
-	bad := newQuery("all", 1, p.Now()+2000)
-	bad.ShardRequests[0].Shard = -1
-	done := pickAsync(t.Context(), p, bad)
+	invalid := newQuery("all", 1, p.Now()+2000)
+	invalid.ShardRequests[0].Shard = -1
+	done := pickAsync(t.Context(), p, invalid)
 	runDueRound(t, p)
 	<-done
 	for range 5 {
@@ -72,7 +72,7 @@
 		seen[sendOne()] = true
 	}
 	if len(seen) != 3 {
-		t.Errorf("plain round robin sent to servers %v, want 3 of them", seen)
+		t.Errorf("plain round robin sent to servers %v, want 3 servers", seen)
 	}
 }
 
@@ -90,7 +90,7 @@
 	}()
 	start := time.Now()
 	result := p.Pick(t.Context(), newQuery("all", 1, p.Now()+120))
-	if late := time.Since(start) - 120*time.Millisecond; result.Kind != Failed || late > 5*time.Second {
-		t.Errorf("result %+v, %v after its deadline, want Failed at most 5 s after it", result, late)
+	if overrun := time.Since(start) - 120*time.Millisecond; result.Kind != Failed || overrun > 5*time.Second {
+		t.Errorf("result %+v, %v after its deadline, want Failed at most 5 s after it", result, overrun)
 	}
 }
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -88,8 +88,8 @@
 		query := newQuery("any", 2, 3000)
 		query.ID = "a"
 		p.submit(query)
-		at := ownership.ShardRange(0, 4).Lo + ownership.ShardRange(0, 4).Hi/4
-		split, err := m.SplitSegment("s0", at, "l", "r")
+		splitKey := ownership.ShardRange(0, 4).Lo + ownership.ShardRange(0, 4).Hi/4
+		split, err := m.SplitSegment("s0", splitKey, "l", "r")
 		var attempts []*Attempt
 		if timing == "before sending" {
 			m = applyChange(t, p, m, split, err)
@@ -363,25 +363,25 @@
 				}
 				s := authoritative.Segments[i]
 				var c ownership.Change
-				err := errors.New("none")
+				err := errors.New("no change")
 				nextName++
 				kind := draw(4)
 				if len(s.Owners) == 0 {
 					kind = 2
 				}
 				switch kind {
-				case 0:
+				case 0: // split the segment
 					if s.Hi-s.Lo > 1000 && len(authoritative.Segments) < 14 {
 						c, err = authoritative.SplitSegment(s.Name, s.Lo+(s.Hi-s.Lo)/uint64(2+draw(5)),
 							fmt.Sprint("n", nextName, "a"), fmt.Sprint("n", nextName, "b"))
 					}
-				case 1:
+				case 1: // merge it with the next one
 					if i+1 < len(authoritative.Segments) {
 						c, err = authoritative.MergeSegments(s.Name, authoritative.Segments[i+1].Name, fmt.Sprint("n", nextName))
 					}
-				case 2:
+				case 2: // move it to one owner
 					c, err = authoritative.MoveSegment(s.Name, []string{fmt.Sprint("h", draw(6))})
-				default:
+				default: // leave it unowned
 					if random.Float64() < 0.3 {
 						c, err = authoritative.MoveSegment(s.Name, nil)
 					}
@@ -409,34 +409,34 @@
 				open[query] = nil
 			}
 			remaining := pending[:0]
-			for _, o := range pending {
-				if o.endsAt > now {
-					remaining = append(remaining, o)
+			for _, ending := range pending {
+				if ending.endsAt > now {
+					remaining = append(remaining, ending)
 					continue
 				}
-				keys, segment, since, _ := o.attempt.Ownership()
-				a := func() *sentRange {
-					for _, a := range open[o.attempt.Query()] {
-						if a.keys == keys && a.mayHaveRun {
-							return a
+				keys, segment, since, _ := ending.attempt.Ownership()
+				sent := func() *sentRange {
+					for _, sent := range open[ending.attempt.Query()] {
+						if sent.keys == keys && sent.mayHaveRun {
+							return sent
 						}
 					}
 					return &sentRange{}
 				}()
 				i := authoritative.Find(segment)
 				owns := i >= 0 && authoritative.Segments[i].OwnedSince == since &&
-					slices.Contains(authoritative.Segments[i].Owners, fmt.Sprint("h", o.attempt.Server-10))
+					slices.Contains(authoritative.Segments[i].Owners, fmt.Sprint("h", ending.attempt.Server-10))
 				switch {
 				case !owns:
-					a.mayHaveRun = false
-					p.Report(o.attempt, gather.NotOwner, nil)
+					sent.mayHaveRun = false
+					p.Report(ending.attempt, gather.NotOwner, nil)
 				case random.Float64() < lostShare:
-					p.Report(o.attempt, []gather.Outcome{gather.ConnectionReset, gather.Failed, gather.TimedOut}[draw(3)], nil)
+					p.Report(ending.attempt, []gather.Outcome{gather.ConnectionReset, gather.Failed, gather.TimedOut}[draw(3)], nil)
 				case random.Float64() < rejectedShare:
-					a.mayHaveRun = false
-					p.Report(o.attempt, gather.Rejected, nil)
+					sent.mayHaveRun = false
+					p.Report(ending.attempt, gather.Rejected, nil)
 				default:
-					p.Report(o.attempt, gather.Succeeded, []byte("x"))
+					p.Report(ending.attempt, gather.Succeeded, []byte("x"))
 				}
 			}
 			pending = remaining
@@ -456,10 +456,10 @@
 					t.Fatalf("seed %d at %g ms: attempt sent after the query's result", seed, now)
 				}
 				keys, _, _, _ := attempt.Ownership()
-				for _, a := range earlier {
-					if query.Class == "all" && a.mayHaveRun && a.keys.Overlaps(keys) {
+				for _, sent := range earlier {
+					if query.Class == "all" && sent.mayHaveRun && sent.keys.Overlaps(keys) {
 						t.Fatalf("seed %d at %g ms: non-idempotent request for keys %s sent again, the one for %s may have run",
-							seed, now, keys.Text(), a.keys.Text())
+							seed, now, keys.Text(), sent.keys.Text())
 					}
 				}
 				open[query] = append(earlier, &sentRange{keys, true})
@@ -478,22 +478,22 @@
 						t.Fatalf("seed %d at %g ms: query %s: %v", seed, now, query.ID, err)
 					}
 				}
-				for _, a := range earlier {
-					if result.Kind == Rejected && query.Class == "all" && a.mayHaveRun {
+				for _, sent := range earlier {
+					if result.Kind == Rejected && query.Class == "all" && sent.mayHaveRun {
 						t.Fatalf("seed %d at %g ms: non-idempotent query rejected, but it may have run", seed, now)
 					}
 				}
 				if now > query.Deadline+20 {
-					t.Errorf("seed %d: query ended more than 20 ms after its deadline", seed)
+					t.Errorf("seed %d: query ended %g ms after its deadline, want at most 20 ms", seed, now-query.Deadline)
 				}
 			}
 		}
 		if ended != admitted || admitted < 400 || complete < admitted/3 || changes < 80 {
-			t.Errorf("seed %d: %d of %d queries ended, %d complete, %d map changes, want all of at least 400, a third, 80",
+			t.Errorf("seed %d: %d of %d queries ended (want all, >= 400), %d complete (want >= 1/3), %d changes (want >= 80)",
 				seed, ended, admitted, complete, changes)
 		}
 		if p.intake.openRequests != 0 || len(p.queries.byID)+len(p.queries.requests) != 0 {
-			t.Errorf("seed %d: left over: %d open requests, %d queries, %d shard requests",
+			t.Errorf("seed %d: left over: %d open requests, %d queries, %d shard requests, want none",
 				seed, p.intake.openRequests, len(p.queries.byID), len(p.queries.requests))
 		}
 	}
--- a/internal/gatherer/dispatch/picker_test.go
+++ b/internal/gatherer/dispatch/picker_test.go
@@ -14,8 +14,8 @@
 )
 
 // TestPickerDecisionsMatchSimulatorWire guards against a picker that gives the module other input than package simwire
-// does. Both get the same events, round by round, and must make the same decisions. Of six servers, one never answers
-// and one fails fast.
+// gives it. Both get the same events, round by round, and must make the same decisions. Of six servers, one never
+// answers and one fails fast.
 func TestPickerDecisionsMatchSimulatorWire(t *testing.T) {
 	p := newPicker(t, nil)
 	serveInput, in := io.Pipe()
@@ -31,7 +31,7 @@
 	verdicts := map[gather.Outcome]string{gather.Succeeded: "pass", gather.Failed: "fault", gather.Cancelled: "undone"}
 	var waiting []scheduledEnd
 	open := map[*Query]bool{}
-	var last *Query
+	var lastQuery *Query
 	sent, cancelled, ended := 0, 0, 0
 	for step := range 400 {
 		now := 1000 + 5*float64(step)
@@ -55,16 +55,16 @@
 		if step%4 == 1 && step < 300 {
 			query := newQuery([]string{"any", "all"}[step/4%2], 2+step%5, now+2500)
 			p.submit(query)
-			open[query], last = true, query
+			open[query], lastQuery = true, query
 			for i := range 1 + len(query.ShardRequests) {
 				fmt.Fprintf(&batch, `{"cmd":"Accept","gathererId":0,"ref":%d,"cls":%q,"query":%d,"shard":%d,"amount":%v,"giveUpAt":%.0f}`+"\n",
 					query.id+uint64(i), query.Class, query.id, i-1, 1/float64(len(query.ShardRequests)), query.Deadline*1000)
 			}
 		}
-		if step%12 == 3 && open[last] { // the client disconnects
-			delete(open, last)
-			p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, last.id) })
-			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", last.id)
+		if step%12 == 3 && open[lastQuery] { // the client disconnects
+			delete(open, lastQuery)
+			p.intake.enqueue(func(in *inbox) { in.Abandoned = append(in.Abandoned, lastQuery.id) })
+			fmt.Fprintf(&batch, `{"cmd":"CancelledByClient","gathererId":0,"ref":%d}`+"\n", lastQuery.id)
 		}
 		fmt.Fprintln(&batch, `{"cmd":"DeadlineHit","gathererId":0}`+"\n"+`{"cmd":"YourTurn"}`)
 		if _, err := io.WriteString(in, batch.String()); err != nil {
@@ -128,13 +128,13 @@
 func TestNoAttemptIsWrittenAfterPickReturns(t *testing.T) {
 	p := newPicker(t, nil)
 	runDueRound(t, p)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	done := pickAsync(ctx, p, newQuery("all", 2, p.Now()+2000))
 	actions := runDueRound(t, p)
 	if len(actions.Send) != 2 || !actions.Send[0].BeginWrite() {
 		t.Fatalf("actions %+v, want two attempts that may be written", actions)
 	}
-	leave()
+	disconnect()
 	for actions.Send[1].BeginWrite() { // until Pick seals the query
 		actions.Send[1].EndWrite()
 	}
@@ -177,13 +177,13 @@
 func TestOpenRequestsAreBounded(t *testing.T) {
 	p := newPicker(t, func(s *gather.Settings) { s.MaxOpenRequests = 5 })
 	runDueRound(t, p)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	done := pickAsync(ctx, p, newQuery("all", 3, p.Now()+2000))
 	runDueRound(t, p)
 	if result := p.Pick(t.Context(), newQuery("all", 1, p.Now()+2000)); result.Kind != Rejected || result.RetryAfter != 0 {
 		t.Errorf("result %+v, want Rejected without RetryAfter", result)
 	}
-	leave()
+	disconnect()
 	<-done
 	runDueRound(t, p)
 	pickAsync(t.Context(), p, newQuery("all", 1, p.Now()+2000))
--- a/internal/gatherer/dispatch/query.go
+++ b/internal/gatherer/dispatch/query.go
@@ -21,12 +21,12 @@
 	Payload       []byte // sent with each shard request
 	Tag           any    // for use by the caller
 
-	id         uint64       // module ID; the IDs of the shard requests follow it
-	values     [][]byte     // indexed by shard request, or by piece if pieces is set
-	attempts   [][]*Attempt // indexed like values
-	pieces     []piece      // nil unless the query is routed by a segment map
-	pass       pass         // set if the query is a pass of another query
-	twoPass    *passProgress
+	id         uint64        // module ID; the IDs of the shard requests follow it
+	values     [][]byte      // indexed by shard request, or by piece if pieces is set
+	attempts   [][]*Attempt  // indexed like values
+	pieces     []piece       // nil unless the query is routed by a segment map
+	pass       pass          // set if the query is a pass of another query
+	twoPass    *passProgress // nil unless the query runs in two passes
 	result     chan Result
 	admittedAt float64
 	generation uint64      // policy generation that the query is decided by
--- a/internal/gatherer/dispatch/recordpolicy_test.go
+++ b/internal/gatherer/dispatch/recordpolicy_test.go
@@ -54,10 +54,10 @@
 		t.Errorf("result %+v, ended %t, want Rejected with RetryAfter", result, ended)
 	}
 	recorded := newQuery("any", 2, p.Now()+30_000)
-	recorded.ID = "under"
+	recorded.ID = "after"
 	pickAsync(t.Context(), p, recorded)
 	attempt := runUntilSent(t, p)
-	if !store.MayHaveRun("under", false, 0) || attempt.Query() != recorded {
+	if !store.MayHaveRun("after", false, 0) || attempt.Query() != recorded {
 		t.Error("a query that arrived after the policy change is sent without a record")
 	}
 }
--- a/internal/gatherer/dispatch/recordqueue.go
+++ b/internal/gatherer/dispatch/recordqueue.go
@@ -36,7 +36,7 @@
 type record struct {
 	id      string
 	retried bool
-	size    int // size of its query
+	size    int // number of open requests that its query counts as
 	outcome chan recordOutcome
 	state   recordState // guarded by the queue's mutex
 }
@@ -57,14 +57,14 @@
 	settings *gather.Settings // the platform's settings, without a policy
 	log      *logrus.Logger
 	now      func() float64
-	maxSize  int // limit on size
+	maxSize  int // limit on size, the queries and shard requests that wait or are being written
 	worker   *worker.Worker
 
 	// retryAfter is the Retry-After, in milliseconds, for a query that was not recorded, keyed by class.
 	retryAfter map[string]float64
 
 	mu        sync.Mutex
-	size      int
+	size      int // number of queries and shard requests that wait for a write or are being written
 	waiting   []*record
 	notRun    []string       // IDs of stored queries of which no attempt has run
 	newestMap *ownership.Map // map to store, nil for none
@@ -153,7 +153,7 @@
 	for _, id := range notRun {
 		if err := q.store.RecordNotRun(id); err != nil {
 			log := q.log.WithError(err).WithField("query", id)
-			log.Error("non-idempotent query: rejection not stored, after a restart its ID counts as sent")
+			log.Error("non-idempotent query: record not removed, after a restart its ID counts as sent")
 		}
 	}
 	q.writeRecords(records)
--- a/internal/gatherer/dispatch/recordqueue_test.go
+++ b/internal/gatherer/dispatch/recordqueue_test.go
@@ -84,7 +84,7 @@
 // serveRecorded runs rounds of a picker with a store until the test ends, and reports outcome for each attempt.
 func serveRecorded(t *testing.T, p *Picker, store NonIdempotentStore, outcome gather.Outcome) *attemptServer {
 	p.SetNonIdempotentStore(store)
-	w := &attemptServer{outcome: outcome}
+	server := &attemptServer{outcome: outcome}
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() {
@@ -94,35 +94,35 @@
 			if err != nil {
 				return
 			}
-			w.handleAttempts(p, actions.Send)
+			server.handleAttempts(p, actions.Send)
 		}
 	}()
 	t.Cleanup(func() {
 		stop()
 		<-ended
 	})
-	return w
+	return server
 }
 
-func (w *attemptServer) handleAttempts(p *Picker, attempts []*Attempt) {
+func (s *attemptServer) handleAttempts(p *Picker, attempts []*Attempt) {
 	for _, a := range attempts {
-		if w.outcome == gather.NotSent || !a.BeginWrite() {
+		if s.outcome == gather.NotSent || !a.BeginWrite() {
 			p.Report(a, gather.NotSent, nil)
 			continue
 		}
-		w.mu.Lock()
-		w.written = append(w.written, a.Query())
-		w.mu.Unlock()
+		s.mu.Lock()
+		s.written = append(s.written, a.Query())
+		s.mu.Unlock()
 		a.EndWrite()
-		p.Report(a, w.outcome, []byte("x"))
+		p.Report(a, s.outcome, []byte("x"))
 	}
 }
 
 // countWritten counts the attempts of a query that were written.
-func (w *attemptServer) countWritten(query *Query) (n int) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, other := range w.written {
+func (s *attemptServer) countWritten(query *Query) (n int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for _, other := range s.written {
 		if other == query {
 			n++
 		}
@@ -186,7 +186,7 @@
 // during one write. The later ones must wait for the first one's record and fail, because the first may have run.
 func TestOnlyOneOfConcurrentQueriesWithSameIDRuns(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
-	w := serveRecorded(t, p, store, gather.Succeeded)
+	server := serveRecorded(t, p, store, gather.Succeeded)
 	first, second, third := newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a")
 	results := []<-chan Result{pickAsync(t.Context(), p, first)}
 	<-store.writeStarted
@@ -203,9 +203,9 @@
 			t.Errorf("later query with the same ID: %+v, want Failed", got)
 		}
 	}
-	if w.countWritten(first) != 2 || w.countWritten(second)+w.countWritten(third) != 0 {
+	if server.countWritten(first) != 2 || server.countWritten(second)+server.countWritten(third) != 0 {
 		t.Errorf("%d attempts of the first query, %d and %d of the later ones, want 2, 0 and 0",
-			w.countWritten(first), w.countWritten(second), w.countWritten(third))
+			server.countWritten(first), server.countWritten(second), server.countWritten(third))
 	}
 }
 
@@ -214,12 +214,12 @@
 // runs.
 func TestQueryAbandonedDuringRecordWriteLeavesNoRecord(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
-	w := serveRecorded(t, p, store, gather.Succeeded)
+	server := serveRecorded(t, p, store, gather.Succeeded)
 	abandoned, repeat := newNonIdempotentQuery(p, "a"), newNonIdempotentQuery(p, "a")
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	results := pickAsync(ctx, p, abandoned)
 	<-store.writeStarted
-	leave()
+	disconnect()
 	if got := awaitResult(t, results, shortTimeout); got.Kind != Abandoned {
 		t.Errorf("abandoned query: %+v, want Abandoned", got)
 	}
@@ -229,9 +229,9 @@
 	if got := awaitResult(t, results, longTimeout); got.Kind != Served {
 		t.Errorf("retry: %+v, want Served", got)
 	}
-	if w.countWritten(abandoned) != 0 || w.countWritten(repeat) != 2 {
+	if server.countWritten(abandoned) != 0 || server.countWritten(repeat) != 2 {
 		t.Errorf("%d attempts of the abandoned query, %d of its retry, want 0 and 2",
-			w.countWritten(abandoned), w.countWritten(repeat))
+			server.countWritten(abandoned), server.countWritten(repeat))
 	}
 }
 
@@ -241,10 +241,10 @@
 	p, store := newPicker(t, nil), newGatedStore()
 	p.SetNonIdempotentStore(store)
 	close(store.gate)
-	ctx, leave := context.WithCancel(t.Context())
+	ctx, disconnect := context.WithCancel(t.Context())
 	results := pickAsync(ctx, p, newNonIdempotentQuery(p, "a"))
 	attempt := runUntilSent(t, p)
-	leave()
+	disconnect()
 	if got := awaitResult(t, results, shortTimeout); got.Kind != Abandoned {
 		t.Errorf("abandoned query: %+v, want Abandoned", got)
 	}
@@ -268,7 +268,7 @@
 	p, store := newPicker(t, nil), newGatedStore()
 	observer := resultKindObserver{kinds: make(chan ResultKind, 1)}
 	p.ObserveDecisions(observer)
-	w := serveRecorded(t, p, store, gather.Succeeded)
+	server := serveRecorded(t, p, store, gather.Succeeded)
 	query := newNonIdempotentQuery(p, "a")
 	query.Deadline = p.Now() + 300
 	results := pickAsync(t.Context(), p, query)
@@ -286,9 +286,10 @@
 		defer store.mu.Unlock()
 		return slices.Equal(store.notRun, []string{"a"}) && !store.recorded["a"]
 	})
-	if open, waiting := p.openRequestCount(), p.records.waitingSize(); w.countWritten(query) != 0 || open != 0 ||
+	if open, waiting := p.openRequestCount(), p.records.waitingSize(); server.countWritten(query) != 0 || open != 0 ||
 		waiting != 0 {
-		t.Errorf("%d attempts written, %d open requests, waiting size %d, want 0", w.countWritten(query), open, waiting)
+		t.Errorf("%d attempts written, %d open requests, waiting size %d, want 0 of each",
+			server.countWritten(query), open, waiting)
 	}
 }
 
@@ -296,13 +297,13 @@
 // its ID as sent. The query is rejected with RetryAfter, and a retry is served.
 func TestFailedRecordWriteRejectsQuery(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
-	w := serveRecorded(t, p, store, gather.Succeeded)
+	server := serveRecorded(t, p, store, gather.Succeeded)
 	close(store.gate)
 	store.setWriteError(errors.New("disk full"))
 	query := newNonIdempotentQuery(p, "a")
 	got := awaitResult(t, pickAsync(t.Context(), p, query), longTimeout)
-	if got.Kind != Rejected || got.RetryAfter <= 0 || w.countWritten(query) != 0 {
-		t.Errorf("%+v, %d attempts written, want Rejected with RetryAfter and 0", got, w.countWritten(query))
+	if got.Kind != Rejected || got.RetryAfter <= 0 || server.countWritten(query) != 0 {
+		t.Errorf("%+v, %d attempts written, want Rejected with RetryAfter and 0 attempts", got, server.countWritten(query))
 	}
 	store.setWriteError(nil)
 	again := newNonIdempotentQuery(p, "a")
@@ -332,7 +333,7 @@
 	const size = 3 // open requests of one query: itself and its two shard requests
 	p := newPicker(t, func(s *gather.Settings) { s.MaxOpenRequests = 4 * 4 * size })
 	store := newGatedStore()
-	w := serveRecorded(t, p, store, gather.Succeeded)
+	server := serveRecorded(t, p, store, gather.Succeeded)
 	results := []<-chan Result{pickAsync(t.Context(), p, newNonIdempotentQuery(p, "a"))}
 	<-store.writeStarted
 	for _, id := range []string{"b", "c", "d"} {
@@ -357,9 +358,9 @@
 	}
 	store.mu.Lock()
 	defer store.mu.Unlock()
-	if len(store.writes) != 2 || w.countWritten(excess) != 0 {
+	if len(store.writes) != 2 || server.countWritten(excess) != 0 {
 		t.Errorf("writes of IDs %v, want 2 writes; %d attempts of the rejected query, want 0",
-			store.writes, w.countWritten(excess))
+			store.writes, server.countWritten(excess))
 	}
 }
 
--- a/internal/gatherer/dispatch/recordrandom_test.go
+++ b/internal/gatherer/dispatch/recordrandom_test.go
@@ -98,9 +98,9 @@
 			for range queries {
 				query := newNonIdempotentQuery(p, fmt.Sprint(random.IntN(ids)))
 				query.Deadline = p.Now() + 20 + 80*random.Float64()
-				patience, leave := context.WithTimeout(t.Context(), time.Duration(random.IntN(120))*time.Millisecond)
-				result := p.Pick(patience, query)
-				leave()
+				clientCtx, disconnect := context.WithTimeout(t.Context(), time.Duration(random.IntN(120))*time.Millisecond)
+				result := p.Pick(clientCtx, query)
+				disconnect()
 				counts[client][result.Kind]++
 				if result.Kind == Rejected {
 					rejected <- query
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -27,8 +27,8 @@
 	charged  []float64 // times of the retries written in the window
 }
 
-// newRetryBudget returns nil if the settings define no retry budget. The module then applies a
-// budget of its own, which need not be enforced on the wire.
+// newRetryBudget returns nil if the settings define no retry budget. The module then applies a budget of its own, which
+// need not be enforced on the wire.
 func newRetryBudget(settings *gather.Settings) *retryBudget {
 	if settings.RetryBudgetWindow == 0 {
 		return nil
--- a/internal/gatherer/dispatch/twopass.go
+++ b/internal/gatherer/dispatch/twopass.go
@@ -52,17 +52,17 @@
 
 // passProgress tracks the passes of a two-pass query.
 type passProgress struct {
-	current  *Query // the pass that the module decides on, or that waits for the next round
-	outcomes []twopass.FirstPassOutcome
+	current  *Query                     // the pass that the module decides on, or that waits for the next round
+	outcomes []twopass.FirstPassOutcome // indexed by shard request of the client's query
 }
 
 // twoPassState holds the picker's state for two-pass queries.
 type twoPassState struct {
-	decider          *twopass.Decider // nil if two-pass decisions are disabled
-	answersFirstPass map[uint32]bool  // keyed by server
-	queries          map[uint64]*Query
-	pending          []*Query // second passes that wait for the next round
-	firstPassShards  []bool   // indexed by shard modulo length: true if some replica answers first passes
+	decider          *twopass.Decider  // nil if two-pass decisions are disabled
+	answersFirstPass map[uint32]bool   // keyed by server
+	queries          map[uint64]*Query // open two-pass queries, keyed by module ID
+	pending          []*Query          // second passes that wait for the next round
+	firstPassShards  []bool            // indexed by shard modulo length: true if some replica answers first passes
 	runningServers   int
 }
 
--- a/internal/gatherer/dispatch/twopass_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -16,8 +16,8 @@
 func TestFirstPassDecidesSecondPass(t *testing.T) {
 	for name, c := range map[string]struct {
 		summaries []string
-		second    int
-		empty     int
+		second    int // shard requests wanted in the second pass
+		empty     int // shards wanted in EmptyShards
 	}{
 		"all proved empty":  {[]string{"none v1", "none v1", "none v1", "none v1"}, 0, 4},
 		"none proved empty": {[]string{"some 1 1 v1", "some 1 1 v1", "some 2 0.5 v1", "some 1 1 v1"}, 4, 0},
@@ -111,7 +111,7 @@
 	}
 	p.runRound(now)
 	if _, done := pollResult(query); done {
-		t.Error("the query ended by first-pass summaries that arrived after the first pass")
+		t.Error("the query ended because of first-pass summaries that arrived after the first pass")
 	}
 	for _, attempt := range second {
 		p.Report(attempt, gather.Succeeded, []byte("x"))
@@ -265,17 +265,17 @@
 				}
 			}
 			remaining := pending[:0]
-			for _, o := range pending {
+			for _, ending := range pending {
 				switch {
-				case o.endsAt > now:
-					remaining = append(remaining, o)
-				case o.lost:
-					p.Report(o.attempt, gather.TimedOut, nil)
-				case o.attempt.FirstPass():
-					p.Report(o.attempt, gather.Succeeded, []byte([]string{"none v1", "some 1 1 v1", "some"}[random.Uint32()%3]))
-					answered[requestKey{o.attempt.Query(), o.attempt.Shard(), true}] = true
+				case ending.endsAt > now:
+					remaining = append(remaining, ending)
+				case ending.lost:
+					p.Report(ending.attempt, gather.TimedOut, nil)
+				case ending.attempt.FirstPass():
+					p.Report(ending.attempt, gather.Succeeded, []byte([]string{"none v1", "some 1 1 v1", "some"}[random.Uint32()%3]))
+					answered[requestKey{ending.attempt.Query(), ending.attempt.Shard(), true}] = true
 				default:
-					p.Report(o.attempt, gather.Succeeded, []byte("x"))
+					p.Report(ending.attempt, gather.Succeeded, []byte("x"))
 				}
 			}
 			pending = remaining
@@ -334,13 +334,13 @@
 							seed, len(result.Hits), len(result.EmptyShards), len(query.ShardRequests))
 					}
 					if now > query.Deadline+20 {
-						t.Errorf("seed %d: query ended %g ms after its deadline", seed, now-query.Deadline)
+						t.Errorf("seed %d: query ended %g ms after its deadline, want at most 20 ms", seed, now-query.Deadline)
 					}
 				}
 			}
 		}
 		if ended != admitted || admitted < 500 || twoPass < 100 || retries < 10 {
-			t.Errorf("seed %d: %d of %d queries ended, %d in two passes, %d retries, want all of 500, 100 and 10 at least",
+			t.Errorf("seed %d: %d of %d queries ended (want all, >= 500), %d two-pass (want >= 100), %d retries (want >= 10)",
 				seed, ended, admitted, twoPass, retries)
 		}
 		if p.intake.openRequests != 0 || len(p.queries.byID)+len(p.queries.requests)+len(p.twoPass.queries) != 0 {
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -81,7 +81,7 @@
 	for _, e := range members {
 		state, known := states[e.Condition]
 		if !known || e.Server == nil {
-			return nil, fmt.Errorf("member has no server or unknown condition %q", e.Condition)
+			return nil, fmt.Errorf("member has no server, or condition %q is not Running, Stopping or Deleted", e.Condition)
 		}
 		list = append(list, gather.Endpoint{
 			ID:         *e.Server,
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -65,7 +65,7 @@
 
 	ID       *uint64         `json:"ref"` // ID of a query or shard request
 	Class    string          `json:"cls"`
-	Number   *uint64         `json:"query"`
+	Number   *uint64         `json:"query"`       // shared by a query and its shard requests
 	Tenant   json.RawMessage `json:"clientGroup"` // a name, or the number 0 for no tenant
 	Shard    *int            `json:"shard"`       // shard number, below 0 for a query
 	Cost     float64         `json:"hint"`
--- a/internal/simwire/simulation_servers_test.go
+++ b/internal/simwire/simulation_servers_test.go
@@ -17,10 +17,10 @@
 	id         uint32
 	replicaSet int
 	zone       string
-	condition  string
-	startedAt  int64
+	condition  string  // as in an endpoint list: Running, Stopping or Deleted
+	startedAt  int64   // 0 until the first restart
 	latency    float64 // mean latency in microseconds
-	behaviour  string
+	behaviour  string  // simulated fault, "" for none
 }
 
 // setCondition changes a server's condition and notifies the subscribed instances. A server that starts may have a new
--- a/internal/simwire/simulation_test.go
+++ b/internal/simwire/simulation_test.go
@@ -40,8 +40,8 @@
 type simulationConfig struct {
 	name        string
 	seed        uint64
-	discovery   string
-	loadReports string
+	discovery   string // how endpoint lists are delivered: pushed or on_request
+	loadReports string // how load reports are obtained: piggyback, pull or silent
 	hedging     bool
 	cancel      bool
 	retryBudget bool
