--- a/internal/drainable/drainable.go
+++ b/internal/drainable/drainable.go
@@ -32,7 +32,7 @@
 type socketListener interface {
 	net.Listener
 	syscall.Conn
-	SetDeadline(at time.Time) error
+	SetDeadline(deadline time.Time) error
 }
 
 // NewListener returns a Listener that accepts the connections of l.
--- a/internal/gatherer/discovery/endpoints.go
+++ b/internal/gatherer/discovery/endpoints.go
@@ -91,7 +91,8 @@
 	return list
 }
 
-// reconcile returns the start and the state of a server, from its entry in a response and its known state.
+// reconcile returns the start time and the state to use for a server, given its entry in a response and its known
+// state.
 func (t *endpointTable) reconcile(m *member, full bool) (startedAt float64, state gather.State) {
 	state = stateOfPhase[m.Phase]
 	previous, known := t.observations[m.ID]
--- a/internal/gatherer/discovery/faults_test.go
+++ b/internal/gatherer/discovery/faults_test.go
@@ -69,17 +69,17 @@
 // response. The oldest request must be kept in flight for it.
 func TestListSlowerThanHeaderTimeoutIsAccepted(t *testing.T) {
 	var calls atomic.Int32
-	slow := make(chan struct{})
+	releaseFirst := make(chan struct{})
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		switch calls.Add(1) {
 		case 1:
 			select {
-			case <-slow:
+			case <-releaseFirst:
 				io.WriteString(w, fullDocument)
 			case <-r.Context().Done():
 			}
 		case 14:
-			close(slow)
+			close(releaseFirst)
 			fallthrough
 		default:
 			<-r.Context().Done()
@@ -94,11 +94,11 @@
 // timeout.
 func TestListSentInPiecesIsAccepted(t *testing.T) {
 	var calls atomic.Int32
-	piece := make(chan struct{}, 100)
+	nextPiece := make(chan struct{}, 100)
 	text := strings.ReplaceAll(fullDocument, ",", ",\n  ") // with indentation
 	_, lists := startWatcher(t, func(w http.ResponseWriter, r *http.Request) {
 		if calls.Add(1) > 1 {
-			piece <- struct{}{}
+			nextPiece <- struct{}{}
 			<-r.Context().Done()
 			return
 		}
@@ -108,7 +108,7 @@
 			w.(http.Flusher).Flush()
 			text = text[n:]
 			select {
-			case <-piece:
+			case <-nextPiece:
 			case <-r.Context().Done():
 				return
 			}
@@ -588,17 +588,17 @@
 			t.Errorf("%d servers are listed, want the 2 of the previous list", len(all))
 		}
 	}
-	errors := 0
+	errorEntries := 0
 	for _, e := range logs.AllEntries() {
 		if e.Level == logrus.ErrorLevel {
-			errors++
+			errorEntries++
 			if text := fmt.Sprint(e.Data["error"]); !strings.Contains(text, fmt.Sprint(maxMembers)) {
-				t.Errorf("logged the error %q, want the limit in it", text)
+				t.Errorf("logged the error %q, want the limit maxMembers in it", text)
 			}
 		}
 	}
-	if errors != 1 {
-		t.Errorf("logged %d times at error level, want once", errors)
+	if errorEntries != 1 {
+		t.Errorf("logged %d times at error level, want once", errorEntries)
 	}
 }
 
--- a/internal/gatherer/discovery/fulllist.go
+++ b/internal/gatherer/discovery/fulllist.go
@@ -13,8 +13,8 @@
 	// flight. An agent never answers a request that it accepts while it hangs, even after it recovers. The delay is
 	// less than half of the shortest drain grace of any known platform, 250 ms.
 	fullListHedgeDelay = 100 * time.Millisecond
-	// maxFullListRequests limits these requests in flight. The oldest is kept, for an agent that is slow; the others
-	// are cancelled to make room for new ones.
+	// maxFullListRequests limits the requests for the full list that are in flight. The oldest is kept, for an agent
+	// that is slow; the others are cancelled to make room for new ones.
 	maxFullListRequests = 5
 	// fullListBodyTimeout limits the transfer of a full list.
 	fullListBodyTimeout = 10 * time.Second
@@ -57,7 +57,7 @@
 	newer := l.inFlight[1:]
 	i := slices.IndexFunc(newer, func(r *fullListRequest) bool { return !r.bodyStarted.Load() })
 	if i < 0 {
-		return false // all newer requests are receiving their responses
+		return false // the responses of all newer requests have begun
 	}
 	newer[i].cancel()
 	l.inFlight = slices.Delete(l.inFlight, 1+i, 2+i)
--- a/internal/gatherer/discovery/kept_test.go
+++ b/internal/gatherer/discovery/kept_test.go
@@ -22,7 +22,7 @@
 func TestGoldenDocumentsYieldRecordedLists(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "[0-9]-*.json"))
 	if err != nil || len(files) != 7 {
-		t.Fatalf("found %d golden files, %v", len(files), err)
+		t.Fatalf("found %d golden files, %v; want 7", len(files), err)
 	}
 	var got strings.Builder
 	watcher := New(Config{Address: "127.0.0.1:1", OnChange: func(list gather.EndpointList, all []shardcall.Address) {
@@ -59,7 +59,7 @@
 func TestGoldenInvalidDocumentsAreRejected(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "refused-*"))
 	if err != nil || len(files) != 9 {
-		t.Fatalf("found %d golden files, %v", len(files), err)
+		t.Fatalf("found %d golden files, %v; want 9", len(files), err)
 	}
 	for _, file := range files {
 		text, err := os.ReadFile(file)
--- a/internal/gatherer/discovery/response.go
+++ b/internal/gatherer/discovery/response.go
@@ -67,8 +67,8 @@
 }
 
 // MarkDraining marks servers as draining that the response, which may be old, lists as running. The map holds, by
-// server name, the start of the draining process in Unix milliseconds. A process of the same name that started later
-// is not marked. MarkDraining returns the number of servers that it marked.
+// server name, when the process that is draining was started, in Unix milliseconds. A process of the same name that
+// started later is not marked. MarkDraining returns the number of servers that it marked.
 func (r *Response) MarkDraining(draining map[string]float64) (marked int) {
 	for i := range r.members {
 		m := &r.members[i]
@@ -94,7 +94,7 @@
 		return nil, err
 	}
 	if document.Revision == nil {
-		return nil, errors.New("no revision")
+		return nil, errors.New("document has no revision")
 	}
 	if n := len(document.Members); n > maxMembers {
 		return nil, fmt.Errorf("%w: got %d, the limit is %d", errTooManyMembers, n, maxMembers)
--- a/internal/gatherer/discovery/watcher.go
+++ b/internal/gatherer/discovery/watcher.go
@@ -52,7 +52,7 @@
 	// OnChange is called after each full list, change and failed poll, with the addresses of all listed servers. Calls
 	// do not overlap.
 	OnChange func(list gather.EndpointList, all []shardcall.Address)
-	// RefreshRequested receives a value when a list is wanted before the next regular poll. It may be nil.
+	// RefreshRequested holds a value when a list is wanted before the next regular poll. It may be nil.
 	RefreshRequested <-chan struct{}
 	// SharedService says that requests go to a service that all gatherers share, not to an agent on the same machine.
 	// To limit its load, requests are then made one at a time, with backoff after failures.
@@ -211,7 +211,7 @@
 
 // scheduleRecheck schedules another request for the full list if the known state of a server was kept against the
 // agent's list. The request is due once the agent has been reachable for maxListAge without interruption. restart
-// begins that time again, after an interruption or when the agent falls behind.
+// makes that time begin anew, after an interruption or when the agent falls behind.
 func (w *Watcher) scheduleRecheck(restart bool) {
 	switch {
 	case len(w.endpoints.overruled) == 0:
--- a/internal/gatherer/discovery/watcher_test.go
+++ b/internal/gatherer/discovery/watcher_test.go
@@ -28,7 +28,7 @@
 // address returns the host:port of a test agent.
 func address(agent *httptest.Server) string { return strings.TrimPrefix(agent.URL, "http://") }
 
-func TestParseResponseChecksEachMember(t *testing.T) {
+func TestParseResponseRejectsInvalidDocuments(t *testing.T) {
 	for _, c := range []struct{ name, text, want string }{
 		{"full list", fullDocument, ""},
 		{"change", changeDocument, ""},
@@ -77,7 +77,7 @@
 		{"index=41&wait=2000", changeDocument, 200},
 		{"index=43&wait=2000", `{"revision":44,`, 200},
 		{"", "", 500},
-		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // newer: an older list reverts no removal
+		{"", strings.Replace(fullDocument, "41", "45", 1), 200}, // an older list would not revert the removal
 		{"index=45&wait=2000", "", 0},
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -181,15 +181,15 @@
 	for _, answered := range []int{3, 1} {
 		ctx, stop := context.WithCancel(t.Context())
 		var calls atomic.Int32
-		third := make(chan struct{})
+		thirdReceived := make(chan struct{})
 		agent := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			n := int(calls.Add(1))
 			if n == 3 {
-				close(third)
+				close(thirdReceived)
 			}
 			if n <= 3 && n == answered {
 				select {
-				case <-third:
+				case <-thirdReceived:
 					io.WriteString(w, fullDocument)
 				case <-r.Context().Done():
 				}
@@ -254,17 +254,17 @@
 	stop()
 	<-ended
 	if failed || len(requests) > 0 {
-		t.Errorf("failed %v, %d more requests, want false, 0", failed, len(requests))
+		t.Errorf("reported a failure: %v, %d more requests; want false, 0", failed, len(requests))
 	}
 }
 
 // TestRemovedEndpointsAreDeleted replaces each server by one with a new name, through a change or a full list without
 // it. The table must keep nothing of the removed ones.
 func TestRemovedEndpointsAreDeleted(t *testing.T) {
-	all := 0
+	listed := 0
 	watcher := New(Config{
 		Address:  "127.0.0.1:1",
-		OnChange: func(_ gather.EndpointList, a []shardcall.Address) { all = len(a) },
+		OnChange: func(_ gather.EndpointList, a []shardcall.Address) { listed = len(a) },
 	})
 	for i := range 1000 {
 		text := `{"revision":%d,"complete":%t,"members":[{"id":"s-%d","phase":"terminated"},{"id":"s-%d","host_port":"h:1","cell":0,"phase":"in_service"}]}`
@@ -273,10 +273,11 @@
 			t.Fatal(err)
 		}
 		watcher.Apply(r)
-		if all != 1 || len(watcher.endpoints.idByName) != 1 || len(watcher.endpoints.nameByID) != 1 ||
+		if listed != 1 || len(watcher.endpoints.idByName) != 1 || len(watcher.endpoints.nameByID) != 1 ||
 			len(watcher.endpoints.addresses) != 1 || len(watcher.endpoints.order) != 1 {
-			t.Fatalf("after %d: %d listed, %d names, %d IDs, %d addresses, %d in order; want 1 of each", i, all,
-				len(watcher.endpoints.idByName), len(watcher.endpoints.nameByID), len(watcher.endpoints.addresses), len(watcher.endpoints.order))
+			t.Fatalf("after response %d: %d listed, %d names, %d IDs, %d addresses, %d in order; want 1 of each", i,
+				listed, len(watcher.endpoints.idByName), len(watcher.endpoints.nameByID),
+				len(watcher.endpoints.addresses), len(watcher.endpoints.order))
 		}
 	}
 }
--- a/internal/gatherer/shardcall/errors.go
+++ b/internal/gatherer/shardcall/errors.go
@@ -12,7 +12,7 @@
 
 // Stages at which an attempt can end without a value.
 const (
-	NotSent    Stage = iota // the attempt was no longer allowed before its first byte was written
+	NotSent    Stage = iota // no byte was written, since the attempt was no longer allowed or its server not listed
 	Connecting              // the connection was refused or could not be established
 	Writing                 // the connection ended before the last byte of the frame was written
 	Written                 // the connection ended or received invalid data after the frame was written
--- a/internal/gatherer/shardcall/frame.go
+++ b/internal/gatherer/shardcall/frame.go
@@ -43,8 +43,8 @@
 	// maxFrameBytes limits the length of a received frame. A value must fit into a response to a client, which holds
 	// 64 KiB.
 	maxFrameBytes = 64<<10 + 1<<10
-	// maxSpareBuffer limits the buffers that connections keep for reuse, so that none keeps a buffer of the size of
-	// its largest frame.
+	// maxSpareBuffer limits the capacity, in bytes, of the buffers that connections keep for reuse, so that none keeps
+	// a buffer of the size of its largest frame.
 	maxSpareBuffer = 4 << 10
 )
 
--- a/internal/gatherer/shardcall/handshake.go
+++ b/internal/gatherer/shardcall/handshake.go
@@ -15,7 +15,7 @@
 const (
 	firstPassExtension = "two-phase 1"
 	handshakeTimeout   = 2 * time.Second
-	handshakeRetry     = 5 * time.Second // delay after a failed handshake
+	handshakeRetry     = 5 * time.Second // delay before a failed handshake is retried
 	maxHandshakes      = 4               // limit of concurrent handshakes
 )
 
@@ -46,7 +46,8 @@
 	go p.runHandshake(s, s.handshake, s.ID)
 }
 
-// runHandshake retries the handshake until it succeeds, the server stops running, or another process replaces it.
+// runHandshake retries the handshake until it shows whether the server supports first passes, the server stops running,
+// or another process replaces it.
 func (p *Pool) runHandshake(s *server, h *handshake, id uint32) {
 	log := p.log.WithField("server", h.address)
 	for {
--- a/internal/gatherer/shardcall/healthcheck_test.go
+++ b/internal/gatherer/shardcall/healthcheck_test.go
@@ -87,7 +87,8 @@
 	}
 }
 
-// TestConnectionWithUnansweredChecksIsReplaced makes health checks that are never answered on one connection.
+// TestConnectionWithUnansweredChecksIsReplaced makes health checks that are never answered. After maxPendingChecks of
+// them, another connection must be used.
 func TestConnectionWithUnansweredChecksIsReplaced(t *testing.T) {
 	shard := standin.NewShard(t)
 	h := newHarness(t, shard.Address(), func(s *gather.Settings) { s.ConnectTimeout = 20.0 })
--- a/internal/gatherer/shardcall/kept_test.go
+++ b/internal/gatherer/shardcall/kept_test.go
@@ -170,11 +170,11 @@
 
 // newFirstPassHarness returns a harness that sends queries in two passes, to a server that supports first passes.
 func newFirstPassHarness(t *testing.T, shard *standin.Shard) *harness {
-	change := func(s *gather.Settings) {
+	changeSettings := func(s *gather.Settings) {
 		goldenRetrySettings(s)
 		s.Classes[0].LatencyObjective = 2000
 	}
-	h := newHarnessWith(t, shard.Address(), change, func(p *dispatch.Picker) {
+	h := newHarnessWith(t, shard.Address(), changeSettings, func(p *dispatch.Picker) {
 		p.EnableTwoPass(map[string]twopass.Settings{"i": {LatencyObjective: 2000, CompleteShare: 1, MinShare: 1,
 			FirstPassShare: 0.3, TrialShare: 0.5}})
 		p.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 7}}})
@@ -193,19 +193,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	change := func(s *gather.Settings) {
+	changeSettings := func(s *gather.Settings) {
 		goldenSettings(s)
 		s.Classes[0].Effect = effect
 		*s = *dispatch.OwnershipSettings(s, 4)
 	}
-	return newHarnessWith(t, shard.Address(), change, func(p *dispatch.Picker) {
+	return newHarnessWith(t, shard.Address(), changeSettings, func(p *dispatch.Picker) {
 		p.EnableOwnership(4, 16)
 		p.SetServerNames(map[uint32]string{7: "h-01"})
 		p.SetMap(ownershipMap)
 	})
 }
 
-// submitForShard submits a query with one shard request.
+// submitForShard submits a query with one request, for the given shard. Its result is sent on the channel.
 func (h *harness) submitForShard(t *testing.T, shard int) <-chan dispatch.Result {
 	query := &dispatch.Query{ID: "a", Class: "i", Deadline: h.picker.Now() + clientWait, Payload: []byte("text of a"),
 		ShardRequests: []dispatch.ShardRequest{{Shard: shard, Weight: 1}}}
@@ -214,9 +214,9 @@
 	return done
 }
 
-// TestGoldenAnswerFramesEndAttempts answers a request with the bytes of each golden file and checks the outcome of the
-// attempt.
-func TestGoldenAnswerFramesEndAttempts(t *testing.T) {
+// TestGoldenAnswersYieldExpectedOutcomes answers a request with the bytes of each golden file and checks the outcome
+// of the attempt.
+func TestGoldenAnswersYieldExpectedOutcomes(t *testing.T) {
 	for name, want := range map[string]result{
 		"A-ok":                  {"a.0", gather.Succeeded, "value"},
 		"A-ok-score-and-report": {"a.0", gather.Succeeded, "value"},
@@ -328,7 +328,7 @@
 func TestGoldenFilesContainCompleteFrames(t *testing.T) {
 	files, err := filepath.Glob(filepath.Join("testdata", "kept", "sent", "*"))
 	if err != nil || len(files) == 0 {
-		t.Fatalf("found %d golden files, %v", len(files), err)
+		t.Fatalf("found %d golden files, %v; want at least 1", len(files), err)
 	}
 	for _, file := range files {
 		text := goldenFrames(t, "sent", filepath.Base(file))
--- a/internal/gatherer/shardcall/pool.go
+++ b/internal/gatherer/shardcall/pool.go
@@ -118,8 +118,8 @@
 	if l.streamsPerConn < 1 { // unlimited
 		l.streamsPerConn = math.MaxInt32
 	}
-	// A server closes a connection that has been idle for IdleTimeout. The pool closes it earlier, by the connect
-	// timeout, so that no frame is written while the server closes the connection.
+	// A server closes a connection that has been idle for IdleTimeout. The pool closes it one connect timeout
+	// earlier, or after half of IdleTimeout if that is later, so that no frame is written while the server closes it.
 	if idle := milliseconds(settings.IdleTimeout); idle > 0 {
 		l.idleTimeout = max(idle-l.connectTimeout, idle/2)
 	}
@@ -220,7 +220,7 @@
 	p.send(actions.Send)
 }
 
-// batch is the key of the attempts of a round that may share a frame: those to the same server, either all of a first
+// batch identifies the attempts of a round that may share a frame: those to the same server, either all of a first
 // pass or none.
 type batch struct {
 	server    *server
--- a/internal/gatherer/shardcall/pool_test.go
+++ b/internal/gatherer/shardcall/pool_test.go
@@ -49,12 +49,12 @@
 	return log
 }
 
-func newHarness(t *testing.T, address string, change func(s *gather.Settings)) *harness {
-	return newHarnessWith(t, address, change, func(*dispatch.Picker) {})
+func newHarness(t *testing.T, address string, changeSettings func(s *gather.Settings)) *harness {
+	return newHarnessWith(t, address, changeSettings, func(*dispatch.Picker) {})
 }
 
-// newHarnessWith is newHarness with a function that sets up the picker before its first round.
-func newHarnessWith(t *testing.T, address string, change func(s *gather.Settings),
+// newHarnessWith returns a harness whose picker is set up by setUp before its first round.
+func newHarnessWith(t *testing.T, address string, changeSettings func(s *gather.Settings),
 	setUp func(*dispatch.Picker)) *harness {
 	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, CancelAllowed: true, Tick: 1.0,
@@ -65,8 +65,8 @@
 				Effect: gather.NonIdempotent},
 		},
 	}
-	if change != nil {
-		change(settings)
+	if changeSettings != nil {
+		changeSettings(settings)
 	}
 	h := &harness{picker: dispatch.New(1, settings, discardLog()), results: make(chan result, 100),
 		checks: make(chan gather.HealthCheckResult, 100)}
@@ -117,10 +117,10 @@
 	}
 }
 
-// TestAttemptOutcomeAtEachStage ends an attempt at each stage and checks its outcome. Rule 2, which forbids double
+// TestAttemptOutcomeMatchesItsStage ends an attempt at each stage and checks its outcome. Rule 2, which forbids double
 // effects and the rejection of a query that ran, depends on whether the outcome proves that the attempt was not
 // executed.
-func TestAttemptOutcomeAtEachStage(t *testing.T) {
+func TestAttemptOutcomeMatchesItsStage(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		act    func(c *standin.Conn, id string)
@@ -205,7 +205,8 @@
 		done := h.submit(t.Context(), "a", 1, 2000)
 		conn := shard.Take()
 		conn.Read()
-		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+trailing) // in one write
+		// One write sends both, so that the pool reads them together.
+		io.WriteString(conn.Conn, "\x0d\x00\x00\x00Aa.0 ok 1 -\nv"+trailing)
 		if v := <-done; v.Kind != dispatch.Served {
 			t.Errorf("result %+v, want served", v)
 		}
@@ -522,7 +523,7 @@
 		t.Fatalf("%d connections, want 1", n)
 	}
 	if f := conn.Read(); f.Type != 0 {
-		t.Errorf("frame %+v, want none", f)
+		t.Errorf("frame %+v on the idle connection, want its end", f)
 	}
 }
 
--- a/internal/gatherer/shardcall/reader.go
+++ b/internal/gatherer/shardcall/reader.go
@@ -27,7 +27,7 @@
 	}
 }
 
-// handleFrame handles one frame. trailingBytes says that more bytes have arrived after it.
+// handleFrame handles one frame. trailingBytes is true if more bytes have arrived after it.
 func (c *conn) handleFrame(letter byte, body []byte, trailingBytes bool) error {
 	switch letter {
 	case frameAnswer:
@@ -51,7 +51,7 @@
 }
 
 // handleAnswer ends the attempt that an answer belongs to. It ignores an answer to an ended attempt and a repeated
-// answer. Any other ID is corrupt: since the answer it was meant for will not arrive, handleAnswer returns an error,
+// answer. Any other ID is corrupt, and the answer with the correct ID will not arrive: handleAnswer returns an error,
 // which closes the connection.
 func (c *conn) handleAnswer(ans answer, trailingBytes bool) error {
 	c.pool.mu.Lock()
--- a/internal/gatherer/shardcall/writer.go
+++ b/internal/gatherer/shardcall/writer.go
@@ -12,7 +12,7 @@
 // minRemaining is the smallest remaining time, in milliseconds, that a request can state.
 const minRemaining = 1
 
-var errClosedMeanwhile = errors.New("connection was closed during the write")
+var errClosedDuringWrite = errors.New("connection was closed during the write")
 
 // writeLoop writes queued frames until the connection is closed.
 func (c *conn) writeLoop(nc net.Conn) {
@@ -147,7 +147,7 @@
 		case err != nil && !complete:
 			c.pool.finish(a, &Error{Writing, err}, nil)
 		case c.closed:
-			c.pool.finish(a, &Error{Written, errors.Join(err, errClosedMeanwhile)}, nil)
+			c.pool.finish(a, &Error{Written, errors.Join(err, errClosedDuringWrite)}, nil)
 		default:
 			a.written = true
 		}
