--- a/internal/gatherer/background/background.go
+++ b/internal/gatherer/background/background.go
@@ -37,15 +37,15 @@
 	replacements map[string]Job // by name; each runs after the started task of that name
 }
 
-// task is a submitted job. Its goroutine and the scheduler alternate: the scheduler grants a turn over slices, and the
-// goroutine ends it over yielded.
+// task is a submitted job. Its goroutine and the scheduler alternate: the scheduler sends it a time slice on slices, and
+// the goroutine reports the end of the slice on yielded.
 type task struct {
 	name    string
 	job     Job
-	slices  chan float64 // granted turns, in milliseconds of CPU time; closed to cancel the job
-	yielded chan bool    // receives at the end of each turn whether the job is done
+	slices  chan float64 // receives each time slice, in milliseconds of CPU time; closed to cancel the job
+	yielded chan bool    // receives at the end of each time slice whether the job is done
 	started bool
-	cpuUsed float64 // milliseconds of CPU time used in the current turn
+	cpuUsed float64 // milliseconds of CPU time used in the current time slice
 }
 
 func newTask(name string, job Job) *task {
@@ -53,7 +53,7 @@
 }
 
 const (
-	sliceLength = 1  // CPU time of one turn, in milliseconds
+	sliceLength = 1  // CPU time of one time slice, in milliseconds
 	burstLength = 20 // budget that may accumulate while no job is due, in milliseconds of CPU time
 )
 
@@ -128,14 +128,14 @@
 	s.cancelStarted()
 }
 
-// slice describes one turn of a task.
+// slice describes one time slice of a task.
 type slice struct {
 	milliseconds float64
 	cancelled    bool
 }
 
-// next returns the task to run and its turn, or a nil task and how long to wait if none is due.
-func (s *Scheduler) next() (id uint64, next *task, turn slice, wait time.Duration) {
+// next returns the task to run and its time slice, or a nil task and how long to wait if none is due.
+func (s *Scheduler) next() (id uint64, next *task, timeSlice slice, wait time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	id, length, idle := s.queue.Next(s.now())
@@ -172,14 +172,14 @@
 	}
 }
 
-// runSlice runs a task for one turn, or cancels it, and records the CPU time it used.
-func (s *Scheduler) runSlice(id uint64, t *task, turn slice) {
+// runSlice runs a task for one time slice, or cancels it, and records the CPU time it used.
+func (s *Scheduler) runSlice(id uint64, t *task, timeSlice slice) {
 	done := true
-	if turn.cancelled {
+	if timeSlice.cancelled {
 		close(t.slices)
 		t.waitDone()
 	} else {
-		t.slices <- turn.milliseconds
+		t.slices <- timeSlice.milliseconds
 		done = <-t.yielded
 	}
 	s.mu.Lock()
@@ -195,7 +195,7 @@
 	}
 }
 
-// start starts a task's goroutine, which waits for its first turn.
+// start starts a task's goroutine, which waits for its first time slice.
 func (s *Scheduler) start(t *task) {
 	if t.started {
 		return
@@ -204,7 +204,7 @@
 	go s.run(t)
 }
 
-// run runs a task's job turn by turn. The goroutine is locked to its thread because CPU time is measured per thread.
+// run runs a task's job in time slices. The goroutine is locked to its thread because CPU time is measured per thread.
 func (s *Scheduler) run(t *task) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
--- a/internal/gatherer/background/background_test.go
+++ b/internal/gatherer/background/background_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// burnCPU uses enough CPU between calls of pause that turns run out, and returns when pause fails.
+// burnCPU uses enough CPU between calls of pause that time slices run out, and returns when pause fails.
 func burnCPU(pause func() error, iterations int) error {
 	x := 0
 	for range iterations {
@@ -44,9 +44,9 @@
 	return nil
 }
 
-// TestHigherClassJobRunsBetweenTurns checks that a job of a higher class that is submitted while another job runs
+// TestHigherClassJobRunsBetweenTimeSlices checks that a job of a higher class that is submitted while another job runs
 // completes before that one, and that both complete.
-func TestHigherClassJobRunsBetweenTurns(t *testing.T) {
+func TestHigherClassJobRunsBetweenTimeSlices(t *testing.T) {
 	s, stop := newScheduler(t, 1)
 	defer stop()
 	var mu sync.Mutex
--- a/internal/gatherer/frontend/activequeries_test.go
+++ b/internal/gatherer/frontend/activequeries_test.go
@@ -91,7 +91,7 @@
 			}
 			a.release("a", first)
 			if err := <-second; (err == nil) != abandoned {
-				t.Errorf("first abandoned %v: acquire for the second returned %v", abandoned, err)
+				t.Errorf("first abandoned %v: acquire for the second returned %v, want an error only if it was not abandoned", abandoned, err)
 			}
 		})
 	}
--- a/internal/gatherer/frontend/clientconn.go
+++ b/internal/gatherer/frontend/clientconn.go
@@ -18,9 +18,9 @@
 //     that is hidden in a body with two lengths: only the raw head shows both (headerscan.go).
 //   - net/http reads a single byte after a request being served, and so does not detect that a client which has sent
 //     more closes its connection (readahead.go).
-//   - net/http closes a connection that it considers idle while bytes of the next request are in transit, continues
-//     with those that it has read, and closes the socket with unread bytes, which resets the connection before the
-//     client has read the last response (Close).
+//   - net/http closes a connection that it considers idle while bytes of the next request are in transit, still
+//     processes the bytes that it has read, and closes the socket with unread bytes, which resets the connection before
+//     the client has read the last response (Close).
 type clientConn struct {
 	*net.TCPConn
 	lingering *lingeringConns // nil in tests
@@ -33,8 +33,8 @@
 	// arrivingSince is when the first byte arrived of a request that is incomplete, or that follows the one being
 	// served. It is zero if there is none.
 	arrivingSince  time.Time
-	closedByServer bool // bytes that arrive from now on are not read as a request
-	lingerFor      time.Duration
+	closedByServer bool          // bytes that arrive from now on are not read as a request
+	lingerFor      time.Duration // how long Close lets the connection linger; 0 after the first call of Close
 	ahead          readAhead
 
 	scanner headerScanner // not guarded by mu: net/http reads from one goroutine at a time
@@ -122,7 +122,8 @@
 	if c.arrivingSince.IsZero() {
 		c.arrivingSince = time.Now()
 	}
-	// net/http reads a single byte only after a request being served, and reads no more while it is served.
+	// A read of a single byte is the one that net/http makes after a request being served. It reads no more until the
+	// response is written.
 	c.ahead.byteConsumed = size == 1 && c.ahead.onDisconnect == nil
 	if c.ahead.onDisconnect != nil && c.ahead.done == nil {
 		c.startReadAhead()
--- a/internal/gatherer/frontend/conntracker.go
+++ b/internal/gatherer/frontend/conntracker.go
@@ -10,17 +10,17 @@
 )
 
 const (
-	// firstByteTimeout is how long a new connection may take to send its first byte. Beyond the limit, a connection that
-	// exceeds it is closed before those that have carried a request. Most clients send shortly after connecting, but
-	// not at the same instant.
+	// firstByteTimeout is how long a new connection may take to send its first byte. While more connections are open
+	// than the limit allows, one that has taken longer is closed before those that have carried a request. Most clients
+	// send shortly after connecting, but not at the same instant.
 	firstByteTimeout = 200 * time.Millisecond
 
 	// newConnGrace is how long a new connection is kept although no other one can be closed.
 	newConnGrace = firstByteTimeout / 10
 
-	// headroomShare is the reciprocal of the share of connections that are tolerated beyond the limit, both for open
-	// and for lingering ones.
-	headroomShare = 8
+	// headroomDivisor is the number by which the limit is divided to get the number of connections that are tolerated
+	// beyond it. As many may linger.
+	headroomDivisor = 8
 )
 
 // connTracker limits the clients' connections, so that descriptors remain for shard servers and for the next client.
@@ -54,7 +54,7 @@
 }
 
 func newConnTracker(maxOpen, maxUsed int) *connTracker {
-	headroom := maxOpen/headroomShare + 1
+	headroom := maxOpen/headroomDivisor + 1
 	return &connTracker{
 		maxOpen:   maxOpen,
 		maxUsed:   maxUsed,
@@ -110,7 +110,7 @@
 	}
 	c.addEntry(c.idle, conn)
 	if c.shuttingDown {
-		c.closeIfUnused(conn)
+		c.closeIfNoRequest(conn)
 	}
 }
 
@@ -137,21 +137,21 @@
 	case c.open <= c.hardLimit:
 	case c.closeOldest(c.unused, now): // a client that has a request sends it at once and in one piece
 	case c.closeSlow(now):
-	case state == http.StateNew: // even if a request waits on it
+	case state == http.StateNew: // closed even if it has an unread request
 		changed.Close()
 		c.uncount(changed)
 	}
 }
 
 // closeOldest closes the oldest connection that was added to a list no later than cutoff and on which no request is
-// arriving or being served. It reports whether there is one.
+// arriving or being served. It reports whether it closed one.
 func (c *connTracker) closeOldest(conns *list.List, cutoff time.Time) bool {
 	for e := conns.Front(); e != nil; e = e.Next() {
 		conn := e.Value.(net.Conn)
 		if c.entries[conn].since.After(cutoff) {
 			return false
 		}
-		if c.closeIfUnused(conn) {
+		if c.closeIfNoRequest(conn) {
 			return true
 		}
 	}
@@ -159,7 +159,7 @@
 }
 
 // closeSlow closes a connection on which an incomplete request has been arriving since before cutoff, because clients
-// must not keep a connection by sending only part of a request. It reports whether there is one.
+// must not keep a connection by sending only part of a request. It reports whether it closed one.
 func (c *connTracker) closeSlow(cutoff time.Time) bool {
 	for _, conns := range []*list.List{c.unused, c.active, c.idle} {
 		for e := conns.Front(); e != nil; e = e.Next() {
@@ -179,7 +179,7 @@
 	defer c.mu.Unlock()
 	c.shuttingDown = true
 	c.allClosed = make(chan struct{})
-	c.closeAllUnused(c.idle)
+	c.closeAllWithoutRequest(c.idle)
 	c.notifyAllClosed()
 	return c.allClosed
 }
@@ -189,15 +189,15 @@
 func (c *connTracker) closeSilent() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.closeAllUnused(c.unused)
+	c.closeAllWithoutRequest(c.unused)
 	c.notifyAllClosed()
 }
 
-// closeAllUnused closes the connections of a list on which no request is arriving or being served.
-func (c *connTracker) closeAllUnused(conns *list.List) {
+// closeAllWithoutRequest closes the connections of a list on which no request is arriving or being served.
+func (c *connTracker) closeAllWithoutRequest(conns *list.List) {
 	for e := conns.Front(); e != nil; {
 		next := e.Next()
-		c.closeIfUnused(e.Value.(net.Conn))
+		c.closeIfNoRequest(e.Value.(net.Conn))
 		e = next
 	}
 }
@@ -213,8 +213,8 @@
 	}
 }
 
-// closeIfUnused closes a connection on which no request is arriving or being served. It reports whether it did.
-func (c *connTracker) closeIfUnused(conn net.Conn) bool {
+// closeIfNoRequest closes a connection on which no request is arriving or being served. It reports whether it did.
+func (c *connTracker) closeIfNoRequest(conn net.Conn) bool {
 	if cc, ok := conn.(*clientConn); ok {
 		if !cc.closeIfIdle() {
 			return false
--- a/internal/gatherer/frontend/conntracker_test.go
+++ b/internal/gatherer/frontend/conntracker_test.go
@@ -72,7 +72,8 @@
 	c.onStateChange(next, http.StateActive)
 	c.onStateChange(last, http.StateActive)
 	c.onStateChange(sending, http.StateActive)
-	// All are in use. Connections within the headroom are accepted, to be told of the overload; further ones are closed.
+	// All connections are in use. Those within the headroom stay open, so that their requests are rejected with a
+	// response; further ones are closed.
 	var extra []net.Conn
 	for range 3 {
 		server, _ := open("POST ")
@@ -91,11 +92,11 @@
 	c := newConnTracker(100, 10)
 	var all []net.Conn
 	for range 50 {
-		near, _ := net.Pipe()
-		c.onStateChange(near, http.StateNew)
-		c.onStateChange(near, http.StateActive)
-		c.onStateChange(near, http.StateIdle)
-		all = append(all, near)
+		server, _ := net.Pipe()
+		c.onStateChange(server, http.StateNew)
+		c.onStateChange(server, http.StateActive)
+		c.onStateChange(server, http.StateIdle)
+		all = append(all, server)
 	}
 	if c.open != 10 || c.idle.Len() != 10 || !c.uncounted[all[39]] || c.uncounted[all[40]] {
 		t.Errorf("%d open, %d idle, want 10 of each, and the ones idle longest closed", c.open, c.idle.Len())
--- a/internal/gatherer/frontend/handler.go
+++ b/internal/gatherer/frontend/handler.go
@@ -15,7 +15,7 @@
 func (s *Server) serveRequest(w http.ResponseWriter, r *http.Request) {
 	conn := clientConnOf(r.Context())
 	if conn != nil && !conn.beginRequest() {
-		panic(http.ErrAbortHandler) // the connection is already closed: the client retries the request elsewhere
+		panic(http.ErrAbortHandler) // the connection can no longer be used: the client retries the request elsewhere
 	}
 	defer func() {
 		if cause := recover(); cause != nil {
--- a/internal/gatherer/frontend/kept_test.go
+++ b/internal/gatherer/frontend/kept_test.go
@@ -25,8 +25,8 @@
 	localPort  = regexp.MustCompile(`127\.0\.0\.1:[0-9]{5}\b`)
 )
 
-// transcriptResults holds how the picker decides the query of each transcript. The request of a transcript that is not
-// listed must not reach the picker.
+// transcriptResults holds the function that decides a transcript's queries, by the transcript's name. The requests of a
+// transcript that is not listed must not reach the picker.
 var transcriptResults = map[string]func(ctx context.Context, query *dispatch.Query) dispatch.Result{
 	"served-complete": fixedResult(dispatch.Result{Kind: dispatch.Served, Complete: true,
 		Hits: []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("7c01")}}}),
@@ -152,7 +152,8 @@
 			break
 		}
 	}
-	c.(*net.TCPConn).CloseWrite() // ends a connection that is kept open; of one that is not the remaining bytes follow
+	// The server closes its side now, unless it has closed it with the last response. Bytes after that one are read too.
+	c.(*net.TCPConn).CloseWrite()
 	if _, err := io.Copy(io.Discard, r); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/gatherer/frontend/readahead_test.go
+++ b/internal/gatherer/frontend/readahead_test.go
@@ -14,8 +14,9 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestDisconnectAfterPipelinedBytesIsDetected has a client send bytes after its request and disconnect by a close, a
-// half-close or a reset: after no bytes, one byte, a further request, or more than is buffered.
+// TestDisconnectAfterPipelinedBytesIsDetected has a client disconnect while its request is served, by a close, a
+// half-close or a reset. Each is detected within 5 s, whether the client has sent no byte after the request, one byte, a
+// further request, or more than is buffered.
 func TestDisconnectAfterPipelinedBytesIsDetected(t *testing.T) {
 	for _, pipelined := range []string{"", "P", post("/find", headers, shardsBody), strings.Repeat("x", 1<<20)} {
 		for how, disconnect := range map[string]func(c *net.TCPConn){
--- a/internal/gatherer/frontend/request_test.go
+++ b/internal/gatherer/frontend/request_test.go
@@ -86,7 +86,7 @@
 func TestQueryTextUnescapes(t *testing.T) {
 	got, err := queryText([]byte(`"a\u0041\""`))
 	if err != nil || string(got) != `aA"` {
-		t.Errorf("query text %q, %v", got, err)
+		t.Errorf("query text %q, %v, want `aA\"`", got, err)
 	}
 }
 
--- a/internal/gatherer/frontend/server.go
+++ b/internal/gatherer/frontend/server.go
@@ -68,7 +68,7 @@
 	http     *http.Server
 	errorLog *io.PipeWriter // receives the messages of net/http and writes them as log entries
 	conns    *connTracker
-	admin    map[string]http.Handler // by path
+	admin    map[string]http.Handler // the handlers that Handle has registered, by path
 	active   activeQueries
 	shutdown shutdownState
 
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -148,7 +148,7 @@
 		s.conns.mu.Lock() // blocks all changes of connection states
 		gate <- struct{}{}
 		if resp := readResponse(t, r); resp.StatusCode != 504 || resp.Close {
-			t.Errorf("response status %d, close %v, want 504 and true", resp.StatusCode, resp.Close)
+			t.Errorf("response status %d, close %v, want 504 and false", resp.StatusCode, resp.Close)
 		}
 		io.WriteString(c, text[:cut])
 		done := make(chan error, 1)
@@ -236,8 +236,8 @@
 		sentAfter   time.Duration // time from SIGTERM to the request
 		limit       time.Duration // time from SIGTERM to the latest deadline plus answerMargin
 	}{
-		{"late", 500 * time.Millisecond, lameDuckPeriod - 20*time.Millisecond, lameDuckPeriod + 500*time.Millisecond},
-		{"long", time.Minute, 0, lameDuckPeriod + killTimeout},
+		{"sent shortly before the end", 500 * time.Millisecond, lameDuckPeriod - 20*time.Millisecond, lameDuckPeriod + 500*time.Millisecond},
+		{"deadline after the kill", time.Minute, 0, lameDuckPeriod + killTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
--- a/internal/gatherer/service/assembly.go
+++ b/internal/gatherer/service/assembly.go
@@ -22,8 +22,8 @@
 )
 
 // reservedSockets is the number of file descriptors set aside for uses other than the connections of queries: standard
-// streams, the listener, the poller, the runtime, calls to discovery while it does not answer and the closing ones
-// before them, and a file being reloaded.
+// streams, the listener, the poller, the runtime, calls to discovery while it does not answer and earlier calls that
+// are being closed, and a file being reloaded.
 const reservedSockets = 20
 
 // assembly holds a gatherer and the state that is needed only while its parts are added.
@@ -58,8 +58,8 @@
 // ownedSegments reports whether a segment map assigns keys to servers.
 func (a *assembly) ownedSegments() bool { return a.operatorFile.MaxSegments > 0 }
 
-// addNameJournal adds the journal of the IDs of non-idempotent queries.
-func (a *assembly) addNameJournal() error {
+// addIDJournal adds the journal of the IDs of non-idempotent queries.
+func (a *assembly) addIDJournal() error {
 	if a.operatorFile.NameRetention <= 0 {
 		return nil
 	}
@@ -74,7 +74,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), storeCloseTimeout)
 		defer cancel()
 		if !a.Picker.CloseNonIdempotentStore(ctx) {
-			a.log.Warn("state: not closed, the disk is still writing")
+			a.log.Warn("state: journal not closed; the disk is still writing")
 			return nil
 		}
 		if err := journal.Close(); err != nil {
--- a/internal/gatherer/service/farm_test.go
+++ b/internal/gatherer/service/farm_test.go
@@ -36,7 +36,7 @@
 	t         *testing.T
 	hosts     []*standin.Host
 	authority *standin.Authority
-	directory *discoveryserver.Server
+	discovery *discoveryserver.Server
 	addresses []string
 	stops     []func()
 }
@@ -73,10 +73,10 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(f.authority.Close)
-	if f.directory, err = discoveryserver.Start(members); err != nil {
+	if f.discovery, err = discoveryserver.Start(members); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(f.directory.Close)
+	t.Cleanup(f.discovery.Close)
 	for i := range gatherers {
 		f.addGatherer(uint64(i+1), state)
 	}
@@ -91,7 +91,7 @@
 		f.t.Fatal(err)
 	}
 	config := fmt.Sprintf(`{"name":"n","listen":%q,"discovery":%q,"seed":"%x","settings":%s}`,
-		l.Addr(), f.directory.Address(), seed, ownedSettings)
+		l.Addr(), f.discovery.Address(), seed, ownedSettings)
 	c, err := platform.Parse([]byte(config), func(string) string { return "" })
 	if err != nil {
 		f.t.Fatal(err)
@@ -135,6 +135,7 @@
 	f.t.Fatal("the gatherer did not become ready within 10 s")
 }
 
+// answer is the response to a query. The exported fields are those of its JSON body.
 type answer struct {
 	status   int
 	Complete bool
@@ -194,7 +195,7 @@
 		want := ownership.ShardRange(s, 4)
 		for from := want.Lo; ; {
 			if len(got) == 0 || got[0].Lo != from || got[0].Hi > want.Hi {
-				return fmt.Errorf("shard %d of %d: the documents do not cover %s exactly once", s, i, want.Text())
+				return fmt.Errorf("shard %d, at index %d of the query: the documents do not cover %s exactly once", s, i, want.Text())
 			}
 			hi := got[0].Hi
 			if got = got[1:]; hi == want.Hi {
--- a/internal/gatherer/service/handover.go
+++ b/internal/gatherer/service/handover.go
@@ -18,7 +18,7 @@
 // handover stores which servers are draining, for the next process of this gatherer. It writes on a separate goroutine,
 // so that the discovery watch does not wait for the disk.
 type handover struct {
-	recovered map[string]float64 // draining servers that an earlier process stored
+	recovered map[string]float64 // stored by an earlier process: start time of each draining server process, by name
 	write     func(draining map[string]float64) error
 	log       *logrus.Logger
 	worker    *worker.Worker
--- a/internal/gatherer/service/migration_test.go
+++ b/internal/gatherer/service/migration_test.go
@@ -15,7 +15,8 @@
 
 // TestGathererServesWithMigratedConfig migrates a configuration to a fleet whose servers report their load only on
 // request, whose endpoint list is polled, and which allows no hedged requests, so that no shard has two requests in
-// flight at once. The gatherer serves with the migrated configuration, and the load reports let it avoid a server that hangs.
+// flight at once. The gatherer serves with the migrated configuration, and the load reports let it avoid a server that
+// hangs.
 func TestGathererServesWithMigratedConfig(t *testing.T) {
 	fleet, address, end := startGatherer(t, &operator.File{}, func(i int) experiment.Machine {
 		return experiment.Machine{Name: fmt.Sprint("m", i), Zone: []string{"a", "b"}[i%2], Kind: "k", ReplicaSet: i,
@@ -42,7 +43,7 @@
 	outcome := experiment.Play(t.Context(), load, 3*time.Second, time.Second)
 	end()
 	if outcome.Sent < 100 || outcome.Served < outcome.Sent*95/100 || outcome.Errors > 0 {
-		t.Errorf("less than 95 %% served, or errors: %+v", outcome)
+		t.Errorf("%+v, want at least 100 queries sent, 95 %% of them served, and no errors", outcome)
 	}
 	loadReports, shardRequests := 0, 0
 	for _, s := range fleet.Servers {
--- a/internal/gatherer/service/record_test.go
+++ b/internal/gatherer/service/record_test.go
@@ -18,7 +18,7 @@
 )
 
 // TestRecordUnderFaultsPassesRuleCheck records a gatherer through faults of many kinds. The trace is complete and
-// violates no rule that it can show, and the report names the one that it cannot check.
+// violates none of the rules that a trace can show, and the report names the rule that was not checked.
 func TestRecordUnderFaultsPassesRuleCheck(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "day.trace")
 	operatorFile := &operator.File{Record: file, RecordMaxBytes: 64 << 20, BackgroundShare: 0.05,
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -237,7 +237,7 @@
 	}
 	f.stops[0]()
 	f.authority.SetSilent(true)
-	for i := range 3 { // to hosts that do not own it, one after the other
+	for i := range 3 { // moves s0 to h2, h3 and h2 again, which do not own it then
 		m := f.authority.Map()
 		c, err := m.MoveSegment("s0", []string{f.hosts[[]int{2, 3, 2}[i]].Name})
 		if err != nil {
@@ -250,7 +250,7 @@
 	}
 	f.addGatherer(9, dir)
 	address := f.addresses[1]
-	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until it has an endpoint list
+	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(10 * time.Millisecond) { // until the gatherer has an endpoint list
 		id := fmt.Sprint("x", time.Now().UnixNano())
 		if a := sendOwned(address, "find", id, []int{2}, "read"); a.status == http.StatusOK {
 			break
--- a/internal/gatherer/service/service.go
+++ b/internal/gatherer/service/service.go
@@ -72,7 +72,7 @@
 	// endpoint update that allows it. The pool's comes before the picker's, so that no server is chosen whose address
 	// is not known. The policy's come before the picker's, those of traces after it.
 	for _, add := range []func() error{
-		a.addNameJournal, a.addRecord, a.addShardServers, a.addSegments, a.addTwoPass, a.addPolicy, a.addPicker,
+		a.addIDJournal, a.addRecord, a.addShardServers, a.addSegments, a.addTwoPass, a.addPolicy, a.addPicker,
 		a.addPlans, a.addReports, a.addHandover, a.addTraces, a.addDiscovery, a.addFrontend,
 	} {
 		if err := add(); err != nil {
--- a/internal/gatherer/service/settings_test.go
+++ b/internal/gatherer/service/settings_test.go
@@ -18,7 +18,7 @@
 	"pushed": fixtureSettings,
 	"tenants": strings.Replace(fixtureSettings, `"classes"`, `"tenants":[{"name":"one","portion":0.7,"quotaPerS":9},`+
 		`{"name":"two","portion":0.3,"quotaPerS":4}],"classes"`, 1),
-	"asked": strings.NewReplacer(
+	"on request": strings.NewReplacer(
 		`"discovery":"pushed"`, `"discovery":"on_request"`,
 		`"secondCopies":true`, `"secondCopies":false`,
 		`"retryAfter":true,"maxRetryAfter":1000000`, `"retryAfter":false`,
@@ -107,7 +107,7 @@
 				}
 				for i, index := range []string{"any", "once", "any", "once"} {
 					if status, body := sendQuery(t, address, index, tenant, fmt.Sprint("q", i)); status != 200 {
-						t.Errorf("%s: %d %s", index, status, body)
+						t.Errorf("%s: status %d, body %s, want 200", index, status, body)
 					}
 				}
 				status, body := sendQuery(t, address, "other", tenant, "u")
@@ -129,7 +129,7 @@
 }
 
 // TestInvalidSettingsAreRejectedWithTheirField checks that parsing invalid settings fails with an error that names the
-// field.
+// setting at fault.
 func TestInvalidSettingsAreRejectedWithTheirField(t *testing.T) {
 	for _, c := range []struct{ from, to, text string }{
 		{`"effect":"pure"`, `"effect":"odd"`, `class "any" has effect "odd"`},
--- a/internal/gatherer/service/slowdisk_test.go
+++ b/internal/gatherer/service/slowdisk_test.go
@@ -66,7 +66,7 @@
 				t.Error("the store or the state did not close")
 			}
 			if idempotent.Sent < 100 || idempotent.Served != idempotent.Sent || idempotent.WithinObjective != idempotent.Sent {
-				t.Errorf("idempotent queries: %+v", idempotent)
+				t.Errorf("idempotent queries: %+v, want at least 100, all served within the objective", idempotent)
 			}
 			checkRecorded(t, recorded, delay)
 			if maxWrites := int64(slowDiskLoadTime+slowDiskDeadline)/int64(delay) + 1; store.writes.Load() > maxWrites {
--- a/internal/httpserver/httpserver.go
+++ b/internal/httpserver/httpserver.go
@@ -30,7 +30,7 @@
 	server   *http.Server
 	listener *drainable.Listener
 	timeouts Timeouts
-	conns    *openConns
+	conns    *nonIdleConns
 
 	failed chan error    // receives the error when serving ends without Close
 	served chan struct{} // closed once serving has ended; nil until Start is called
@@ -48,7 +48,7 @@
 		server:   server,
 		listener: drainable.NewListener(listener),
 		timeouts: timeouts,
-		conns:    newOpenConns(),
+		conns:    newNonIdleConns(),
 		failed:   make(chan error, 1),
 		ending:   make(chan struct{}),
 	}
