--- a/internal/control/segments/document.go
+++ b/internal/control/segments/document.go
@@ -1,5 +1,5 @@
 // Package segments reads segment maps, from an operator's file or from an authority that serves changes over HTTP.
-// Which of them are believed is package ownership's to decide.
+// Package ownership decides which maps and changes to accept.
 package segments
 
 import (
@@ -10,13 +10,13 @@
 	"yokeroute/logic/ownership"
 )
 
-// maxChanges bounds the changes of a response. A gatherer that is further behind gets the full map.
+// maxChanges limits the number of changes in a response. A gatherer that is further behind gets the full map.
 const maxChanges = 1024
 
-// checksumDigits is the length of a checksum in hex digits.
+// checksumDigits is the number of hex digits of an encoded checksum.
 const checksumDigits = 16
 
-// Response is what the authority answers: the full map, or changes that follow the known one.
+// Response is the authority's response: the full map, or the changes since the epoch that the request names.
 type Response struct {
 	Full    *ownership.Map
 	Changes []ownership.Change
@@ -49,7 +49,7 @@
 	OwnedSince uint64   `json:"since"`
 }
 
-// Encode is the response as the authority sends it.
+// Encode returns the response as the authority sends it: a JSON document and a newline.
 func (r *Response) Encode() []byte {
 	var document responseDocument
 	if r.Full != nil {
@@ -58,7 +58,7 @@
 	for i := range r.Changes {
 		document.Changes = append(document.Changes, newChangeDocument(&r.Changes[i]))
 	}
-	text, _ := json.Marshal(document) // strings and whole numbers always marshal
+	text, _ := json.Marshal(document) // can't fail: the document holds only strings, integers and lists
 	return append(text, '\n')
 }
 
@@ -66,7 +66,7 @@
 	document := &mapDocument{
 		Epoch:    m.Epoch,
 		Checksum: formatChecksum(m.Checksum),
-		Segments: []segmentDocument{}, // a map without segments has an empty list
+		Segments: []segmentDocument{}, // encodes a map without segments as [], not null
 	}
 	for _, s := range m.Segments {
 		document.Segments = append(document.Segments, newSegmentDocument(s))
@@ -94,8 +94,8 @@
 
 func formatChecksum(checksum uint64) string { return fmt.Sprintf("%0*x", checksumDigits, checksum) }
 
-// ParseResponse reads a response and checks its form. One that has a fault is refused altogether, and the error names
-// the field.
+// ParseResponse decodes a response and checks its fields. A single invalid field rejects the whole response, and the
+// error names that field.
 func ParseResponse(text []byte) (*Response, error) {
 	var document responseDocument
 	if err := json.Unmarshal(text, &document); err != nil {
@@ -110,7 +110,7 @@
 		r.Full = m
 	}
 	if n := len(document.Changes); n > maxChanges {
-		return nil, fmt.Errorf("changes: %d, at most %d are allowed", n, maxChanges)
+		return nil, fmt.Errorf("changes: got %d changes, want at most %d", n, maxChanges)
 	}
 	for i := range document.Changes {
 		c, err := document.Changes[i].parse(fmt.Sprintf("changes[%d]", i))
@@ -132,7 +132,7 @@
 		return nil, err
 	}
 	if len(segments) > ownership.MaxSegments {
-		return nil, fmt.Errorf("%s.segments: %d, at most %d are allowed", field, len(segments), ownership.MaxSegments)
+		return nil, fmt.Errorf("%s.segments: got %d segments, want at most %d", field, len(segments), ownership.MaxSegments)
 	}
 	return &ownership.Map{Epoch: d.Epoch, Checksum: checksum, Segments: segments}, nil
 }
@@ -157,7 +157,7 @@
 			return nil, fmt.Errorf("%s[%d].keys: %w", field, i, err)
 		}
 		if d.Name == "" {
-			return nil, fmt.Errorf("%s[%d].name: is empty", field, i)
+			return nil, fmt.Errorf("%s[%d].name: is empty, want the segment's name", field, i)
 		}
 		segments = append(segments, ownership.Segment{
 			Name:       d.Name,
@@ -172,7 +172,7 @@
 func parseChecksum(field, text string) (uint64, error) {
 	checksum, err := strconv.ParseUint(text, 16, 64)
 	if err != nil || len(text) != checksumDigits {
-		return 0, fmt.Errorf("%s: %q is no checksum of %d hex digits", field, text, checksumDigits)
+		return 0, fmt.Errorf("%s: invalid checksum %q, want %d hex digits", field, text, checksumDigits)
 	}
 	return checksum, nil
 }
--- a/internal/control/segments/kept_test.go
+++ b/internal/control/segments/kept_test.go
@@ -10,10 +10,10 @@
 	"yokeroute/logic/ownership"
 )
 
-// The documents in testdata/kept are those of the version that wrote them. None may be changed: authorities, gatherers
-// and operators' files of two versions have to understand each other.
+// The files in testdata/kept were written by earlier versions and must not be changed: authorities, gatherers and
+// operators' files of different versions have to stay compatible.
 
-func kept(t *testing.T, name string) []byte {
+func readKept(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
 	if err != nil {
@@ -40,7 +40,7 @@
 	t.Helper()
 	m := keptMap(t)
 	var changes []ownership.Change
-	step := func(c ownership.Change, err error) {
+	appendChange := func(c ownership.Change, err error) {
 		t.Helper()
 		if err != nil {
 			t.Fatal(err)
@@ -50,14 +50,15 @@
 		}
 		changes = append(changes, c)
 	}
-	step(m.MoveSegment("a", []string{"h-03", "h-01"}))
-	step(m.SplitSegment("a", 1<<61, "a1", "a2"))
-	step(m.MergeSegments("a1", "a2", "a"))
-	step(m.MoveSegment("b", nil))
+	appendChange(m.MoveSegment("a", []string{"h-03", "h-01"}))
+	appendChange(m.SplitSegment("a", 1<<61, "a1", "a2"))
+	appendChange(m.MergeSegments("a1", "a2", "a"))
+	appendChange(m.MoveSegment("b", nil))
 	return changes
 }
 
-// TestKeptResponsesAreReadAndWrittenAsBefore reads the authority's replies as they were kept, and writes the same values to the same bytes.
+// TestKeptResponsesAreReadAndWrittenAsBefore checks that the kept responses of an authority parse to the expected
+// values and that these values are encoded to the same bytes.
 func TestKeptResponsesAreReadAndWrittenAsBefore(t *testing.T) {
 	for name, want := range map[string]*Response{
 		"whole.json":   {Full: keptMap(t)},
@@ -65,46 +66,47 @@
 		"both.json":    {Full: keptMap(t), Changes: keptChanges(t)[:1]},
 		"nothing.json": {},
 	} {
-		text := kept(t, name)
+		text := readKept(t, name)
 		got, err := ParseResponse(text)
 		if err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: parse: %v", name, err)
 			continue
 		}
 		if want.Full != nil && !reflect.DeepEqual(got.Full, want.Full) || len(got.Changes) != len(want.Changes) {
-			t.Errorf("%s: read %+v, want %+v", name, got, want)
+			t.Errorf("%s: parsed to %+v, want %+v", name, got, want)
 		}
 		for i := range got.Changes {
 			if !reflect.DeepEqual(got.Changes[i], want.Changes[i]) {
-				t.Errorf("%s: change %d is read as %+v, want %+v", name, i, got.Changes[i], want.Changes[i])
+				t.Errorf("%s: change %d parsed to %+v, want %+v", name, i, got.Changes[i], want.Changes[i])
 			}
 		}
 		if written := want.Encode(); !bytes.Equal(written, text) {
-			t.Errorf("%s: written %s, kept %s", name, written, text)
+			t.Errorf("%s: encoded to %s, want the kept %s", name, written, text)
 		}
 		if written := got.Encode(); !bytes.Equal(written, text) {
-			t.Errorf("%s: read and written again: %s, kept %s", name, written, text)
+			t.Errorf("%s: parsed and encoded again: got %s, want the kept %s", name, written, text)
 		}
 	}
-	// What a later authority may add is left aside.
-	got, err := ParseResponse(kept(t, "unknown-keys.json"))
+	// Keys that a later version of the authority may add are ignored.
+	got, err := ParseResponse(readKept(t, "unknown-keys.json"))
 	if err != nil || !reflect.DeepEqual(got, &Response{Full: keptMap(t)}) {
-		t.Errorf("unknown keys: %+v, %v", got, err)
+		t.Errorf("response with unknown keys: got %+v, %v; want them ignored", got, err)
 	}
 }
 
-// TestKeptMapFilesAreReadAndWrittenAsBefore reads a map file in all forms that operators write, and writes the same map to the same bytes.
+// TestKeptMapFilesAreReadAndWrittenAsBefore checks that kept map files, among them one written by hand in all
+// permitted forms, parse to the same map, and that the map is formatted to the same bytes.
 func TestKeptMapFilesAreReadAndWrittenAsBefore(t *testing.T) {
 	for _, name := range []string{"by-hand.conf", "written.conf"} {
 		got, shards, err := ReadMap(filepath.Join("testdata", "kept", name))
 		if err != nil || shards != 18 || !reflect.DeepEqual(got, keptMap(t)) {
-			t.Errorf("%s: read %+v, %d shards, %v", name, got, shards, err)
+			t.Errorf("%s: got %+v, %d shards, %v; want the kept map, 18 shards", name, got, shards, err)
 		}
 	}
-	if written, want := FormatMap(keptMap(t), 18), string(kept(t, "written.conf")); written != want {
-		t.Errorf("written %s, kept %s", written, want)
+	if written, want := FormatMap(keptMap(t), 18), string(readKept(t, "written.conf")); written != want {
+		t.Errorf("with shards: formatted as %s, want the kept %s", written, want)
 	}
-	if written, want := FormatMap(keptMap(t), 0), string(kept(t, "written-without-shards.conf")); written != want {
-		t.Errorf("written %s, kept %s", written, want)
+	if written, want := FormatMap(keptMap(t), 0), string(readKept(t, "written-without-shards.conf")); written != want {
+		t.Errorf("without shards: formatted as %s, want the kept %s", written, want)
 	}
 }
--- a/internal/control/segments/mapfile.go
+++ b/internal/control/segments/mapfile.go
@@ -8,25 +8,25 @@
 	"yokeroute/logic/ownership"
 )
 
-// Bounds of what a map file may say.
+// Upper limits of the numbers in a map file.
 const (
 	maxEpoch  = 1 << 53
 	maxShards = 1 << 20
 )
 
-// mapFile is a map file being read.
+// mapFile collects the values of a map file while it is parsed.
 type mapFile struct {
-	epoch      uint64
-	shards     int
-	segments   []ownership.Segment
-	statements []*directive.Values // of the segments
+	epoch        uint64
+	shards       int
+	segments     []ownership.Segment
+	segmentLines []*directive.Values // parsed segment directives, one for each of segments
 }
 
 func (f *mapFile) table() *directive.Table {
 	return &directive.Table{
 		Name: "map file",
-		Intro: "Which hosts own which keys, for `segments FILE` in the operator's file " +
-			"and for `yokeroute segments`.",
+		Intro: "A map file lists which hosts own which keys. It is used by `segments FILE` in the operator's file " +
+			"and by `yokeroute segments`.",
 		Directives: []*directive.Directive{f.epochDirective(), f.shardsDirective(), f.segmentDirective()},
 	}
 }
@@ -37,9 +37,9 @@
 		Once: true,
 		Args: []directive.Field{{
 			Name: "epoch", Kind: directive.Count, Min: 1, Max: maxEpoch,
-			Help: "more than that of any map told before",
+			Help: "has to exceed that of every earlier map",
 		}},
-		Help:    "Which epoch it is.",
+		Help:    "Epoch of the map.",
 		Example: "epoch 7",
 		Apply: func(v *directive.Values) error {
 			f.epoch = uint64(v.Number("epoch", 0))
@@ -54,10 +54,10 @@
 		Once: true,
 		Args: []directive.Field{{
 			Name: "shards", Kind: directive.Count, Min: 1, Max: maxShards,
-			Help: "as clients number them",
+			Help: "number of shards, as clients number them",
 		}},
-		Help: "Into how many shards clients part the keys, evenly; the settings' number unless told. " +
-			"For showing alone.",
+		Help: "Number of equal shards into which clients divide the keys. Default: the number in the settings. " +
+			"Used for display only.",
 		Example: "shards 18",
 		Apply: func(v *directive.Values) error {
 			f.shards = int(v.Number("shards", 0))
@@ -73,18 +73,18 @@
 		Options: []directive.Field{
 			{
 				Name: "keys", Kind: directive.Text, Required: true,
-				Help: "the first and the last, in sixteen hex digits each",
+				Help: "first and last key, sixteen hex digits each",
 			},
 			{
 				Name: "on", Kind: directive.Names,
-				Help: "hosts that own it; the first is its writer. Without any its keys are unowned",
+				Help: "hosts that own it; the first is its writer. Default: none, its keys are unowned",
 			},
 			{
 				Name: "since", Kind: directive.Count, Max: maxEpoch,
-				Help: "the epoch from which they do; this one unless told",
+				Help: "epoch since which these hosts own it; default: the map's epoch",
 			},
 		},
-		Help:    "A range of keys and who owns it.",
+		Help:    "A range of keys and the hosts that own it.",
 		Example: "segment a keys 0000000000000000-7fffffffffffffff on h-01 h-02",
 		Apply:   f.addSegment,
 	}
@@ -101,15 +101,16 @@
 		Owners:     v.List("on"),
 		OwnedSince: uint64(v.Number("since", 0)),
 	})
-	f.statements = append(f.statements, v)
+	f.segmentLines = append(f.segmentLines, v)
 	return nil
 }
 
-// segmentMap is the map that a file holds. An error has the place of the segment that it names last.
+// segmentMap returns the map and the number of shards that the file defines. An error has the position of the last
+// segment in the file that it names, or that of the file's start if it names none.
 func (f *mapFile) segmentMap(name string) (*ownership.Map, int, error) {
-	place := directive.Position{File: name, Line: 1, Column: 1}
+	position := directive.Position{File: name, Line: 1, Column: 1}
 	if f.epoch == 0 {
-		return nil, 0, directive.ErrorList{{Position: place, Message: "lacks its epoch; write epoch NUMBER"}}
+		return nil, 0, directive.ErrorList{{Position: position, Message: "lacks its epoch; write epoch NUMBER"}}
 	}
 	m, err := ownership.NewMap(f.epoch, f.segments)
 	if err == nil {
@@ -117,16 +118,16 @@
 	}
 	for i, s := range f.segments {
 		if strings.Contains(err.Error(), fmt.Sprintf("%q", s.Name)) {
-			place = f.statements[i].Position
+			position = f.segmentLines[i].Position
 		}
 	}
-	return nil, 0, directive.ErrorList{{Position: place, Message: err.Error()}}
+	return nil, 0, directive.ErrorList{{Position: position, Message: err.Error()}}
 }
 
-// MapReference is the reference page of map files.
+// MapReference returns the operators' reference page on map files.
 func MapReference() string { return (&mapFile{}).table().Reference() }
 
-// ReadMap reads a map file. The number of shards is 0 where the file has none.
+// ReadMap reads a map file. The number of shards is 0 if the file does not set it.
 func ReadMap(name string) (m *ownership.Map, shards int, err error) {
 	f := &mapFile{}
 	if err := f.table().Read(name); err != nil {
@@ -135,7 +136,7 @@
 	return f.segmentMap(name)
 }
 
-// ParseMap reads the text of a map file. The name is for errors.
+// ParseMap parses the text of a map file. The name is used in errors only.
 func ParseMap(name, text string) (m *ownership.Map, shards int, err error) {
 	f := &mapFile{}
 	if err := f.table().Parse(name, text); err != nil {
@@ -144,7 +145,7 @@
 	return f.segmentMap(name)
 }
 
-// FormatMap is the text of a map file, without shards where they are 0.
+// FormatMap returns the map as the text of a map file. It omits the shards directive if shards is 0.
 func FormatMap(m *ownership.Map, shards int) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "epoch %d\n", m.Epoch)
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -21,16 +21,17 @@
 
 const validMapFile = "epoch 7\nshards 16\nsegment a keys 0000000000000000-7fffffffffffffff on h-1 h-2 since 3\nsegment b keys 8000000000000000-ffffffffffffffff on h-2\n"
 
-// TestMapFileFormatsAndErrors reads a map file, formats it, and wants one message with its place for each mistake.
-func TestMapFileFormatsAndErrors(t *testing.T) {
+// TestMapFileRoundTripAndErrorPositions checks that a formatted map file parses to the same map, and that each mistake
+// is reported in a single message with its position.
+func TestMapFileRoundTripAndErrorPositions(t *testing.T) {
 	m, shards, err := ParseMap("m.conf", validMapFile)
 	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 ||
 		m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
 		t.Fatalf("%+v, %d, %v", m, shards, err)
 	}
-	again, _, err := ParseMap("again.conf", FormatMap(m, shards))
-	if err != nil || !reflect.DeepEqual(again, m) {
-		t.Errorf("written and read: %+v, %v", again, err)
+	reparsed, _, err := ParseMap("again.conf", FormatMap(m, shards))
+	if err != nil || !reflect.DeepEqual(reparsed, m) {
+		t.Errorf("formatted and parsed again: got %+v, %v; want the same map", reparsed, err)
 	}
 	for _, c := range []struct{ text, want string }{
 		{"segment a keys 0000000000000000-ffffffffffffffff on h\n", "m.conf:1:1: lacks its epoch"},
@@ -48,27 +49,27 @@
 	} {
 		if _, _, err := ParseMap("m.conf", c.text); err == nil || !strings.Contains(err.Error(), c.want) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q: %v", c.text, err)
+			t.Errorf("parsing %q: got error %v, want the expected one-line error", c.text, err)
 		}
 	}
 	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-segments.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != MapReference() {
-		t.Errorf("%s is not what yokeroute reference segments prints: %v", page, err)
+		t.Errorf("%s differs from the output of yokeroute reference segments (read error: %v)", page, err)
 	}
 }
 
-// TestResponsesAreCheckedAndNameTheField reads encoded responses, and wants a faulty one refused with the name of the
-// field.
-func TestResponsesAreCheckedAndNameTheField(t *testing.T) {
+// TestResponseRoundTripAndFaultyFieldNamed checks that an encoded response parses to the same value, and that a
+// response with an invalid field is rejected with an error that names the field.
+func TestResponseRoundTripAndFaultyFieldNamed(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	split, err := m.SplitSegment("a", 5, "c", "d")
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &Response{Full: m, Changes: []ownership.Change{split}}
-	again, err := ParseResponse(r.Encode())
-	if err != nil || !reflect.DeepEqual(again, r) {
-		t.Fatalf("%+v, %v", again, err)
+	reparsed, err := ParseResponse(r.Encode())
+	if err != nil || !reflect.DeepEqual(reparsed, r) {
+		t.Fatalf("encoded and parsed again: got %+v, %v; want the same response", reparsed, err)
 	}
 	text := string(r.Encode())
 	for _, c := range []struct{ old, new, want string }{
@@ -81,12 +82,12 @@
 	} {
 		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v", c.new, err)
+			t.Errorf("response with %s: got error %v, want one that names the field", c.new, err)
 		}
 	}
 }
 
-// recordingReceiver records what the watcher hands over.
+// recordingReceiver records the maps and changes that it receives from the watcher.
 type recordingReceiver struct {
 	mu           sync.Mutex
 	epochs       []string
@@ -104,8 +105,8 @@
 func (p *recordingReceiver) SetMap(m *ownership.Map)           { p.add(fmt.Sprint("map ", m.Epoch)) }
 func (p *recordingReceiver) MapRequested() <-chan struct{}     { return p.mapRequested }
 
-// TestWatcherRequestsFullMapThenChanges watches an authority that fails first. The full map comes first, then
-// changes, and the full map again as soon as the receiver requests it, though a long poll waits.
+// TestWatcherRequestsFullMapThenChanges checks that the watcher retries after failed polls, fetches the full map first
+// and changes after it, and fetches the full map again as soon as the receiver requests it, during a long poll too.
 func TestWatcherRequestsFullMapThenChanges(t *testing.T) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	next, err := m.MoveSegment("a", []string{"h-9"})
@@ -113,7 +114,7 @@
 		t.Fatal(err)
 	}
 	var mu sync.Mutex
-	fails, requests := 2, 0
+	failedRequests, requests := 2, 0
 	release := make(chan bool, 1)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
@@ -121,9 +122,9 @@
 		n := requests
 		mu.Unlock()
 		switch {
-		case n <= fails && n%2 == 1:
+		case n <= failedRequests && n%2 == 1:
 			http.Error(w, "no", http.StatusInternalServerError)
-		case n <= fails:
+		case n <= failedRequests:
 			w.Write([]byte(`{"whole":{"epoch":7,"sum":"zz"}}`))
 		case r.URL.Query().Get("after") == "":
 			w.Write((&Response{Full: m}).Encode())
@@ -138,35 +139,35 @@
 	defer server.Close()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	p := &recordingReceiver{mapRequested: make(chan struct{}, 1), received: make(chan bool, 100)}
+	receiver := &recordingReceiver{mapRequested: make(chan struct{}, 1), received: make(chan bool, 100)}
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
 	go func() {
-		NewWatcher(strings.TrimPrefix(server.URL, "http://"), p, log).Run(ctx)
+		NewWatcher(strings.TrimPrefix(server.URL, "http://"), receiver, log).Run(ctx)
 		close(done)
 	}()
-	wait := func() {
+	awaitHandover := func() {
 		t.Helper()
 		select {
-		case <-p.received:
+		case <-receiver.received:
 		case <-time.After(10 * time.Second):
-			t.Fatal("nothing more is handed over")
+			t.Fatal("the receiver got no further map or change within 10 s")
 		}
 	}
-	wait()
+	awaitHandover()
 	release <- true
-	wait()
-	p.mapRequested <- struct{}{}
-	wait()
+	awaitHandover()
+	receiver.mapRequested <- struct{}{}
+	awaitHandover()
 	stop()
 	<-done
-	if got := strings.Join(p.epochs, ", "); got != "map 7, change 8, map 7" {
-		t.Errorf("handed over %s", got)
+	if got := strings.Join(receiver.epochs, ", "); got != "map 7, change 8, map 7" {
+		t.Errorf("the receiver got %s, want map 7, change 8, map 7", got)
 	}
 }
 
-// FuzzParseResponse reads arbitrary responses. What is read and encoded again reads the same, and a tracker takes it
-// without harm.
+// FuzzParseResponse parses arbitrary responses. A response that parses has to parse alike after it is encoded again,
+// and a tracker that applies it must not end up with an invalid map.
 func FuzzParseResponse(f *testing.F) {
 	m, _, _ := ParseMap("m.conf", validMapFile)
 	split, _ := m.SplitSegment("a", 5, "c", "d")
@@ -177,27 +178,27 @@
 		if err != nil {
 			return
 		}
-		again, err := ParseResponse(r.Encode())
-		if err != nil || again.Full != nil &&
-			(again.Full.Epoch != r.Full.Epoch || len(again.Full.Segments) != len(r.Full.Segments)) ||
-			len(again.Changes) != len(r.Changes) {
-			t.Fatalf("%v: %+v, then %+v", err, r, again)
+		reparsed, err := ParseResponse(r.Encode())
+		if err != nil || reparsed.Full != nil &&
+			(reparsed.Full.Epoch != r.Full.Epoch || len(reparsed.Full.Segments) != len(r.Full.Segments)) ||
+			len(reparsed.Changes) != len(r.Changes) {
+			t.Fatalf("encoded and parsed again: error %v; want %+v, got %+v", err, r, reparsed)
 		}
-		follower := ownership.Tracker{}
-		follower.ApplyMap(m)
+		tracker := ownership.Tracker{}
+		tracker.ApplyMap(m)
 		if r.Full != nil {
-			follower.ApplyMap(r.Full)
+			tracker.ApplyMap(r.Full)
 		}
 		for _, c := range r.Changes {
-			follower.ApplyChange(c)
+			tracker.ApplyChange(c)
 		}
-		if faults := follower.Map.Check(); len(faults) > 0 {
-			t.Fatalf("a map with faults is believed: %v", faults)
+		if faults := tracker.Map.Check(); len(faults) > 0 {
+			t.Fatalf("the tracker accepted an invalid map: %v", faults)
 		}
 	})
 }
 
-// FuzzParseMap reads arbitrary map files.
+// FuzzParseMap parses arbitrary map files. A map that parses has to parse alike after it is formatted again.
 func FuzzParseMap(f *testing.F) {
 	f.Add(validMapFile)
 	f.Add("epoch 1\nsegment \"a\" keys 0000000000000000-ffffffffffffffff\n")
@@ -206,9 +207,9 @@
 		if err != nil {
 			return
 		}
-		again, _, err := ParseMap("again.conf", FormatMap(m, shards))
-		if err != nil || !reflect.DeepEqual(again.Segments, m.Segments) && len(m.Segments) > 0 {
-			t.Fatalf("%v: %+v, then %+v", err, m, again)
+		reparsed, _, err := ParseMap("again.conf", FormatMap(m, shards))
+		if err != nil || !reflect.DeepEqual(reparsed.Segments, m.Segments) && len(m.Segments) > 0 {
+			t.Fatalf("formatted and parsed again: error %v; want %+v, got %+v", err, m, reparsed)
 		}
 	})
 }
--- a/internal/control/segments/watcher.go
+++ b/internal/control/segments/watcher.go
@@ -13,44 +13,44 @@
 	"yokeroute/logic/ownership"
 )
 
-// Path is where an authority serves its map.
+// Path is the HTTP path at which an authority serves its map.
 const Path = "/api/segments"
 
 const (
-	// watchDuration is after which the authority answers a long poll without a change.
+	// watchDuration is the time after which the authority answers a long poll if the map has not changed.
 	watchDuration = 2 * time.Second
-	// responseTimeout is how long a response may take, beyond watchDuration.
+	// responseTimeout limits the duration of a request; for a long poll, watchDuration is added to it.
 	responseTimeout = time.Second
-	// minBackoff and maxBackoff are the first and the longest pause after failed polls.
+	// minBackoff and maxBackoff are the initial and the maximum backoff after failed polls.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = time.Second
-	// maxBodyBytes bounds a response.
+	// maxBodyBytes limits the size of a response body.
 	maxBodyBytes = 16 << 20
 )
 
 var (
-	// errMapRequested ends a poll because the receiver needs the full map.
-	errMapRequested = errors.New("the full map is requested")
-	// errNotFull is a change where the full map was requested.
-	errNotFull = errors.New("a change, where the full map was requested")
+	// errMapRequested reports that a poll was canceled because the receiver needs the full map.
+	errMapRequested = errors.New("poll canceled: the receiver needs the full map")
+	// errNotFull reports a response that lacks the requested full map.
+	errNotFull = errors.New("response lacks the full map, which was requested")
 )
 
-// MapReceiver takes maps and changes. Package dispatch's Picker is one.
+// MapReceiver receives full maps and changes. The Picker of package dispatch implements it.
 type MapReceiver interface {
 	ApplyMapChange(c ownership.Change)
 	SetMap(m *ownership.Map)
-	// MapRequested returns a channel that has a value when the full map is needed.
+	// MapRequested returns a channel that receives a value when the receiver needs the full map.
 	MapRequested() <-chan struct{}
 }
 
-// Watcher hands the maps of an authority to a receiver.
+// Watcher polls an authority for its segment map and passes maps and changes to a receiver.
 type Watcher struct {
 	client   *http.Client
 	url      string
 	receiver MapReceiver
 	log      *logrus.Logger
-	epoch    uint64 // the newest handed over, 0 where the full map is needed
-	failing  bool   // the last poll failed, and this is logged
+	epoch    uint64 // epoch last passed to the receiver; 0 if the full map is needed
+	failing  bool   // whether the last poll failed; the first failure of a series has been logged as a warning
 	backoff  time.Duration
 }
 
@@ -70,8 +70,8 @@
 	}
 }
 
-// Run watches the authority until ctx ends. The full map is requested as soon as the receiver needs it: a long poll
-// under way might bring what the receiver does not believe.
+// Run polls the authority until ctx is done. When the receiver needs the full map, Run cancels the long poll in
+// progress and requests the map at once, since that poll might return changes that the receiver would reject.
 func (w *Watcher) Run(ctx context.Context) {
 	defer w.client.CloseIdleConnections()
 	for ctx.Err() == nil {
@@ -90,7 +90,7 @@
 	}
 }
 
-// accept hands a response to the receiver.
+// accept resets the failure state and passes a response to the receiver.
 func (w *Watcher) accept(r *Response) {
 	if w.failing {
 		w.log.Info("segment map: authority recovered")
@@ -107,7 +107,7 @@
 	}
 }
 
-// reportFailure logs a failed poll, the first in a row at a level that is seen.
+// reportFailure logs a failed poll: the first of a series as a warning, the following ones at debug level.
 func (w *Watcher) reportFailure(err error) {
 	level := logrus.WarnLevel
 	if w.failing {
@@ -117,7 +117,8 @@
 	w.log.WithError(err).Log(level, "segment map: poll of the authority failed, the last map stays in force")
 }
 
-// backOff waits before the next poll, twice as long each time.
+// backOff waits before the next poll and doubles the backoff up to maxBackoff. The wait ends early if the receiver
+// needs the full map.
 func (w *Watcher) backOff(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -128,7 +129,7 @@
 	w.backoff = min(2*w.backoff, maxBackoff)
 }
 
-// poll makes one request. It ends early, with errMapRequested, where the receiver needs the full map.
+// poll makes one request. It cancels the request and returns errMapRequested if the receiver needs the full map.
 func (w *Watcher) poll(ctx context.Context) (*Response, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -150,7 +151,7 @@
 	return response, err
 }
 
-// request gets the full map, or what has changed since the known epoch.
+// request fetches the full map if w.epoch is 0, and otherwise long-polls for changes since that epoch.
 func (w *Watcher) request(ctx context.Context) (*Response, error) {
 	url := w.url
 	timeout := responseTimeout
