--- a/internal/control/rollout/claims.go
+++ b/internal/control/rollout/claims.go
@@ -17,28 +17,30 @@
 	"yokeroute/logic/rollout"
 )
 
-// claimDuration is for how long a claim holds. The controller renews it each round.
+// claimDuration is the time after which a claim expires. The controller renews its claims in each round.
 const claimDuration = time.Minute
 
-// maxClaimAnswer bounds the answer to a claim, in bytes.
-const maxClaimAnswer = 4096
+// maxClaimResponseBytes limits how much of the response to a claim is read.
+const maxClaimResponseBytes = 4096
 
-// errClaimed is a gatherer that another rollout holds.
-var errClaimed = errors.New("is being changed by another run")
+// errClaimedByOtherRun reports that another rollout holds the claim on a gatherer.
+var errClaimedByOtherRun = errors.New("is being changed by another run")
 
-// claimRefused reports whether a claim was refused. One that was not answered is not: the gatherer may hold nothing.
-func claimRefused(err error) bool {
-	return errors.Is(err, errClaimed) || errors.Is(err, runfolder.ErrSuperseded)
+// claimRejected reports whether err means that a gatherer rejected a claim. A claim without a response does not count
+// as rejected, since the gatherer may not be claimed by anyone.
+func claimRejected(err error) bool {
+	return errors.Is(err, errClaimedByOtherRun) || errors.Is(err, runfolder.ErrSuperseded)
 }
 
-// claimRequest is the body of a claim.
+// claimRequest is the body of a claim request.
 type claimRequest struct {
 	FencingToken uint64 `json:"fence"`
 	Milliseconds int64  `json:"for"`
 	RunID        string `json:"run"`
 }
 
-// claim claims a gatherer. The error says whether another rollout holds it, or a later controller of this one.
+// claim claims a gatherer, or renews the claim. If the gatherer rejects it, the error tells whether another rollout
+// holds the claim or a later controller of this one.
 func (c *reportClient) claim(ctx context.Context, g int, runID string, fencingToken uint64) error {
 	body, err := json.Marshal(claimRequest{fencingToken, claimDuration.Milliseconds(), runID})
 	if err != nil {
@@ -53,39 +55,39 @@
 	case http.StatusOK:
 		return nil
 	case http.StatusConflict:
-		return c.refusal(g, runID, resp.Body)
+		return c.rejectionError(g, runID, resp.Body)
 	}
-	return fmt.Errorf("answers %s", resp.Status)
+	return fmt.Errorf("claim request got status %s, want 200 OK", resp.Status)
 }
 
-// refusal is the error of a claim that was refused, by the answer.
-func (c *reportClient) refusal(g int, runID string, answer io.Reader) error {
+// rejectionError returns the error for a rejected claim. The response body names the claim's holder.
+func (c *reportClient) rejectionError(g int, runID string, body io.Reader) error {
 	var holder rollout.Claim
-	if err := json.NewDecoder(io.LimitReader(answer, maxClaimAnswer)).Decode(&holder); err != nil {
+	if err := json.NewDecoder(io.LimitReader(body, maxClaimResponseBytes)).Decode(&holder); err != nil {
 		return err
 	}
 	name := c.plan.Gatherers[g].Name
-	if holder.RunID == runID { // found here before the folder of the rollout was looked at again
+	if holder.RunID == runID { // a later controller took over after this one last checked the rollout's folder
 		return fmt.Errorf("%w: gatherer %s is held by controller %d", runfolder.ErrSuperseded, name, holder.FencingToken)
 	}
-	return fmt.Errorf("gatherer %s %w: %s, controller %d", name, errClaimed, holder.RunID, holder.FencingToken)
+	return fmt.Errorf("gatherer %s %w: %s, controller %d", name, errClaimedByOtherRun, holder.RunID, holder.FencingToken)
 }
 
-// claimAll claims all gatherers that can be reached, and returns a refusal, if any.
+// claimAll claims all reachable gatherers. It returns the error of a rejected claim, or nil if none was rejected.
 func (c *reportClient) claimAll(ctx context.Context, runID string, fencingToken uint64) error {
 	var mu sync.Mutex
-	var refused error
+	var rejection error
 	c.forEachGatherer(func(g int) {
-		if err := c.claim(ctx, g, runID, fencingToken); claimRefused(err) {
+		if err := c.claim(ctx, g, runID, fencingToken); claimRejected(err) {
 			mu.Lock()
 			defer mu.Unlock()
-			refused = err
+			rejection = err
 		}
 	})
-	return refused
+	return rejection
 }
 
-// release releases a claim. One that can't be released expires.
+// release releases the claim on a gatherer. Errors are ignored, since the claim expires by itself.
 func (c *reportClient) release(ctx context.Context, g int, runID string, fencingToken uint64) {
 	query := "?run=" + url.QueryEscape(runID) + "&fence=" + strconv.FormatUint(fencingToken, 10)
 	if resp, err := c.do(ctx, g, http.MethodDelete, report.ClaimPath+query, nil); err == nil {
--- a/internal/control/rollout/commandstep.go
+++ b/internal/control/rollout/commandstep.go
@@ -19,16 +19,17 @@
 )
 
 const (
-	// processPollInterval is how often the end of a process is looked for that is not this one's child.
+	// processPollInterval is the interval of checks whether a process has ended that is not a child of this one.
 	processPollInterval = 20 * time.Millisecond
 
-	// outputWait is for how long a command's output is read after its end, if a child of it holds the pipe.
+	// outputWait limits how long a command's output is read after its end, in case a child of it holds the pipe open.
 	outputWait = time.Second
 
-	maxOutput = 400 // bytes of a command's output in an error
+	// maxOutputBytes limits how much of a command's output an error contains.
+	maxOutputBytes = 400
 )
 
-// commandStepper makes steps by the operator's commands.
+// commandStepper makes steps by running the operator's commands.
 type commandStepper struct{ plan *Plan }
 
 func (s commandStepper) step(ctx context.Context, g int, to rollout.Variant, f fence) error {
@@ -39,29 +40,29 @@
 	ctx, cancel := context.WithTimeout(ctx, command.Timeout)
 	defer cancel()
 	var output bytes.Buffer
-	cmd := s.build(ctx, g, to, f.token)
+	cmd := s.buildCommand(ctx, g, to, f.token)
 	cmd.Stdout = &output
 	cmd.Stderr = &output
 	err := startRecorded(cmd, func(pid int) error {
-		return cmp.Or(s.recordProcess(g, pid), s.recordProcessOf(f.token, g, pid), f.check())
+		return cmp.Or(s.recordProcess(g, pid), s.recordControllerProcess(f.token, g, pid), f.check())
 	})
 	if err == nil {
 		err = cmd.Wait()
 	}
 	name := s.plan.Gatherers[g].Name
 	switch {
-	case err == nil, errors.Is(err, exec.ErrWaitDelay): // a child holds the output; the command has succeeded
+	case err == nil, errors.Is(err, exec.ErrWaitDelay): // ErrWaitDelay: it succeeded, but a child holds its output open
 		return nil
 	case ctx.Err() != nil:
-		return fmt.Errorf("step of %s: not done after %.0f s: %s", name, command.Timeout.Seconds(),
+		return fmt.Errorf("step of %s: command did not end within %.0f s: %s", name, command.Timeout.Seconds(),
 			outputTail(output.Bytes()))
 	}
 	return fmt.Errorf("step of %s: %w: %s", name, err, outputTail(output.Bytes()))
 }
 
-// build makes the command of a step. It has a process group of its own, so that it can be ended with all that it has
-// started.
-func (s commandStepper) build(ctx context.Context, g int, to rollout.Variant, fencingToken uint64) *exec.Cmd {
+// buildCommand returns the command of a step. It runs in a process group of its own, so that it can be killed together
+// with all processes that it has started.
+func (s commandStepper) buildCommand(ctx context.Context, g int, to rollout.Variant, fencingToken uint64) *exec.Cmd {
 	token := strconv.FormatUint(fencingToken, 10)
 	placeholders := strings.NewReplacer("{to}", to.String(), "{fence}", token)
 	template := s.plan.Commands[to].Args
@@ -82,33 +83,35 @@
 	return cmd
 }
 
-// processFile names the command that was started last for a gatherer, by any controller. Controllers of
-// earlier versions read it alone.
+// processFile returns the path of the file that records the last command started for a gatherer, by any controller.
+// Controllers of earlier versions read no other file.
 func (s commandStepper) processFile(g int) string {
 	return filepath.Join(s.plan.Folder, "run", s.plan.Gatherers[g].Name+".step")
 }
 
-// stepsFolder holds a folder for each controller, by its fencing token.
+// stepsFolder returns the path of the folder that has a subfolder for each controller, named by its fencing token.
 func (s commandStepper) stepsFolder() string { return filepath.Join(s.plan.Folder, "run", "steps") }
 
-// processFileOf names the command that the controller with a fencing token started last for a gatherer.
-func (s commandStepper) processFileOf(controller string, g int) string {
+// controllerProcessFile returns the path of the file that records the last command that one controller, identified by
+// its fencing token, started for a gatherer.
+func (s commandStepper) controllerProcessFile(controller string, g int) string {
 	return filepath.Join(s.stepsFolder(), controller, s.plan.Gatherers[g].Name+".step")
 }
 
-// recordProcess records the process of a gatherer's step for a later controller of an earlier version.
+// recordProcess records the process of a gatherer's step in the file that controllers of earlier versions read, for
+// the case that one of them continues the rollout.
 func (s commandStepper) recordProcess(g, pid int) error {
 	return writeProcessRecord(s.processFile(g), recordOf(pid))
 }
 
-// recordProcessOf records the process of a gatherer's step for later controllers. No other controller writes
-// there: one that has been taken over from notices only after its record, and would replace that of its
-// successor.
-func (s commandStepper) recordProcessOf(fencingToken uint64, g, pid int) error {
-	return writeProcessRecord(s.processFileOf(strconv.FormatUint(fencingToken, 10), g), recordOf(pid))
+// recordControllerProcess records the process of a gatherer's step for later controllers. Each controller writes only
+// to its own folder: a superseded controller notices that it was superseded only after it has written its record, and
+// in a shared file would overwrite the record of its successor.
+func (s commandStepper) recordControllerProcess(fencingToken uint64, g, pid int) error {
+	return writeProcessRecord(s.controllerProcessFile(strconv.FormatUint(fencingToken, 10), g), recordOf(pid))
 }
 
-// recordedProcesses returns the processes that controllers have recorded for a gatherer's steps.
+// recordedProcesses returns the processes that all controllers have recorded for a gatherer's steps.
 func (s commandStepper) recordedProcesses(g int) ([]processRecord, error) {
 	files := []string{s.processFile(g)}
 	controllers, err := os.ReadDir(s.stepsFolder())
@@ -116,7 +119,7 @@
 		return nil, err
 	}
 	for _, controller := range controllers {
-		files = append(files, s.processFileOf(controller.Name(), g))
+		files = append(files, s.controllerProcessFile(controller.Name(), g))
 	}
 	var records []processRecord
 	for _, file := range files {
@@ -127,8 +130,8 @@
 	return records, nil
 }
 
-// awaitPrevious waits for the end of commands that earlier controllers have started for the gatherer, since
-// two at once would disturb each other. One that exceeds its time is killed.
+// awaitPrevious waits until the commands that earlier controllers started for the gatherer have ended, since two
+// concurrent commands would interfere with each other. A command that exceeds the timeout is killed.
 func (s commandStepper) awaitPrevious(ctx context.Context, g int, timeout time.Duration) error {
 	records, err := s.recordedProcesses(g)
 	if err != nil {
@@ -143,7 +146,7 @@
 	return nil
 }
 
-// awaitEnd waits until a process no longer runs, and kills it after a time.
+// awaitEnd waits until a process no longer runs, and kills it after the timeout.
 func awaitEnd(ctx context.Context, running func() bool, timeout time.Duration, kill func()) error {
 	expired := time.NewTimer(timeout)
 	defer expired.Stop()
@@ -161,14 +164,15 @@
 	return nil
 }
 
-// sendSignal sends a signal to a process or, by a negative ID, to its group. One that has ended needs none.
+// sendSignal sends a signal to a process or, if the ID is negative, to a process group. Errors are ignored, since a
+// process that has ended needs no signal.
 func sendSignal(pid int, s syscall.Signal) { _ = syscall.Kill(pid, s) }
 
-// outputTail is the end of a command's output.
+// outputTail returns the end of a command's output, at most maxOutputBytes of it.
 func outputTail(output []byte) string {
 	text := strings.TrimSpace(string(output))
-	if len(text) > maxOutput {
-		text = "..." + text[len(text)-maxOutput:]
+	if len(text) > maxOutputBytes {
+		text = "..." + text[len(text)-maxOutputBytes:]
 	}
 	return text
 }
--- a/internal/control/rollout/commandstep_test.go
+++ b/internal/control/rollout/commandstep_test.go
@@ -15,20 +15,20 @@
 	"yokeroute/logic/rollout"
 )
 
-// stoppedController is the environment variable that has this test be the controller which is stopped. Its
-// value is the folder of the rollout.
+// stoppedController names the environment variable that makes this test's process act as the controller that is
+// stopped. Its value is the rollout's folder.
 const stoppedController = "YOKEROUTE_TEST_STOPPED_CONTROLLER"
 
-// waitsText is what the stopped controller prints before it makes its step.
-const waitsText = "waits for the step before"
+// waitingMessage is printed by the stopped controller before it makes its step.
+const waitingMessage = "waits for the step before"
 
-// runUntilFinish is a step's script that runs until there is a file finish, half a minute at most.
-const runUntilFinish = `touch began; n=0; while [ ! -e finish ] && [ $n -lt 1500 ]; do n=$((n + 1)); sleep 0.02; done`
+// runUntilFinishScript is a step's script that runs until the file finish exists, for half a minute at most.
+const runUntilFinishScript = `touch began; n=0; while [ ! -e finish ] && [ $n -lt 1500 ]; do n=$((n + 1)); sleep 0.02; done`
 
-// readTime is for how long the stopped controller is given to read the record of the step before.
-const readTime = time.Second
+// recordReadTime is the time given to the stopped controller to read the record of the earlier step.
+const recordReadTime = time.Second
 
-// commandPlan is a plan whose step to the new is a shell's script in the rollout's folder.
+// commandPlan returns a plan whose step to the new variant is a shell script, run in the rollout's folder.
 func commandPlan(folder, script string) *Plan {
 	p := keptPlan(folder)
 	p.File = filepath.Join(folder, "plan.conf")
@@ -38,33 +38,34 @@
 	return p
 }
 
-// makeStep makes the first gatherer's step as the controller that holds a folder.
-func makeStep(ctx context.Context, own *runfolder.Folder, p *Plan) error {
-	return commandStepper{p}.step(ctx, 0, rollout.New, fence{token: own.FencingToken, check: own.CheckSuperseded})
+// makeStep makes the first gatherer's step as the controller that has opened runFolder.
+func makeStep(ctx context.Context, runFolder *runfolder.Folder, p *Plan) error {
+	return commandStepper{p}.step(ctx, 0, rollout.New, fence{token: runFolder.FencingToken, check: runFolder.CheckSuperseded})
 }
 
-// makeStepUntilStopped is the process of the controller that is stopped: its step waits for the one before.
+// makeStepUntilStopped runs in the process of the stopped controller. Its step waits for the earlier step.
 func makeStepUntilStopped(folder string) error {
-	own, err := runfolder.Open(folder, false)
+	runFolder, err := runfolder.Open(folder, false)
 	if err != nil {
 		return err
 	}
-	fmt.Println(waitsText)
-	return makeStep(context.Background(), own, commandPlan(folder, "touch ran"))
+	fmt.Println(waitingMessage)
+	return makeStep(context.Background(), runFolder, commandPlan(folder, "touch ran"))
 }
 
-// takeOver opens a rollout's folder as the next controller does, which does not need the lock.
+// takeOver opens a rollout's folder as a controller that takes over, which does not need the lock.
 func takeOver(t *testing.T, folder string) *runfolder.Folder {
 	t.Helper()
-	own, err := runfolder.Open(folder, true)
+	runFolder, err := runfolder.Open(folder, true)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(own.Close)
-	return own
+	t.Cleanup(runFolder.Close)
+	return runFolder
 }
 
-// startEarlierStep runs a command and records it for the first gatherer, as a controller does that is gone.
+// startEarlierStep starts a command and records it for the first gatherer, as a controller that no longer runs would
+// have.
 func startEarlierStep(t *testing.T, folder string) *process.Process {
 	t.Helper()
 	command, err := process.Start("earlier step", "/bin/sleep", []string{"60"}, nil)
@@ -78,7 +79,8 @@
 	return command
 }
 
-// startStoppedController starts a controller whose step waits for an earlier one, and stops it there.
+// startStoppedController starts a controller whose step waits for an earlier one, and stops (SIGSTOP) the process
+// there.
 func startStoppedController(t *testing.T, folder string) *process.Process {
 	t.Helper()
 	args := []string{"-test.run", "^" + t.Name() + "$"}
@@ -87,20 +89,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(controller.Kill)
-	awaitText(t, controller, waitsText)
-	time.Sleep(readTime)
+	awaitText(t, controller, waitingMessage)
+	time.Sleep(recordReadTime)
 	if err := controller.Stop(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	return controller
 }
 
-// TestSupersededControllerDoesNotHideRunningStep guards against two steps of one gatherer at once: a
-// controller that is stopped while it waits for an earlier step, and goes on after another one has taken over
-// and begun a step, must not keep a third one from waiting for that step.
+// TestSupersededControllerDoesNotHideRunningStep guards against two concurrent steps of one gatherer. A first
+// controller is stopped while it waits for an earlier step, a second one takes over and starts a step, and the first
+// one continues. The record of the first must not hide the second's step from a third controller, which has to wait
+// for that step.
 func TestSupersededControllerDoesNotHideRunningStep(t *testing.T) {
 	if folder := os.Getenv(stoppedController); folder != "" {
-		fmt.Println("refused:", makeStepUntilStopped(folder))
+		fmt.Println("rejected:", makeStepUntilStopped(folder))
 		return
 	}
 	folder := t.TempDir()
@@ -108,31 +111,31 @@
 	first := startStoppedController(t, folder)
 	second := takeOver(t, folder)
 	earlier.Kill()
-	began, finish := filepath.Join(folder, "began"), filepath.Join(folder, "finish")
-	secondEnded := make(chan error, 1)
+	begunFile, finishFile := filepath.Join(folder, "began"), filepath.Join(folder, "finish")
+	secondStep := make(chan error, 1)
 	go func() {
-		secondEnded <- makeStep(context.Background(), second, commandPlan(folder, runUntilFinish))
+		secondStep <- makeStep(context.Background(), second, commandPlan(folder, runUntilFinishScript))
 	}()
-	await(t, "the second controller's step runs", func() bool { return exists(began) })
+	await(t, "the second controller's step runs", func() bool { return exists(begunFile) })
 	if err := first.Continue(); err != nil {
 		t.Fatal(err)
 	}
 	awaitText(t, first, runfolder.ErrSuperseded.Error())
 	third := takeOver(t, folder)
-	brief, cancel := context.WithTimeout(t.Context(), unrecordedWait)
+	briefCtx, cancel := context.WithTimeout(t.Context(), unrecordedWait)
 	defer cancel()
-	err := makeStep(brief, third, commandPlan(folder, "touch ran"))
+	err := makeStep(briefCtx, third, commandPlan(folder, "touch ran"))
 	if !errors.Is(err, context.DeadlineExceeded) || exists(filepath.Join(folder, "ran")) {
-		t.Errorf("the third controller does not wait for the second one's step: %v", err)
+		t.Errorf("the third controller did not wait for the second one's step: %v", err)
 	}
-	if err := os.WriteFile(finish, nil, 0o644); err != nil {
+	if err := os.WriteFile(finishFile, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
-	if err := <-secondEnded; err != nil {
+	if err := <-secondStep; err != nil {
 		t.Error(err)
 	}
 	if err := makeStep(t.Context(), third, commandPlan(folder, "touch ran")); err != nil || !exists(filepath.Join(folder, "ran")) {
-		t.Errorf("the third controller's step after the second one's: %v", err)
+		t.Errorf("the third controller's step failed after the second one's had ended: %v", err)
 	}
 }
 
@@ -141,7 +144,7 @@
 	return err == nil
 }
 
-// await waits for what a process is to bring about.
+// await waits until a condition holds that a process is to bring about.
 func await(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 30*time.Second)
@@ -151,7 +154,7 @@
 	}
 }
 
-// awaitText waits until a process has written a text.
+// awaitText waits until the output of a process contains a text.
 func awaitText(t *testing.T, p *process.Process, text string) {
 	t.Helper()
 	await(t, p.Name+": "+text, func() bool { return strings.Contains(p.Log(), text) })
--- a/internal/control/rollout/controller.go
+++ b/internal/control/rollout/controller.go
@@ -30,26 +30,26 @@
 
 	journal      *runfolder.Folder
 	fencingToken uint64
-	runID        string           // by which gatherers know this rollout
-	lastCommand  string           // the operator's last one that was taken
-	unfinished   []rollout.Record // steps that an earlier controller began
-	position     rollout.Position // last recorded
-	lastSummary  string           // last logged
-
-	mu         sync.Mutex          // guards what follows, and the journal's end
-	stepStates []rollout.StepState // by gatherer
-	stepFaults []string            // by gatherer
-	steps      sync.WaitGroup      // in progress
+	runID        string           // identifies this rollout to gatherers
+	lastCommand  string           // last operator's command that was applied
+	unfinished   []rollout.Record // steps that earlier controllers started and whose end is not recorded
+	position     rollout.Position // position last recorded in the journal
+	lastSummary  string           // summary of the decision last logged
+
+	mu         sync.Mutex          // guards stepStates, stepFaults and appending to the journal
+	stepStates []rollout.StepState // state of each gatherer's step, by gatherer index
+	stepFaults []string            // why each gatherer's last step failed, by gatherer index
+	steps      sync.WaitGroup      // counts the steps in progress
 }
 
-// Open begins a rollout, or continues one from the plan's folder. All files of both releases are checked
-// and the gatherers claimed first: nothing is started where that fails. With takeOver it takes a rollout over from a
-// process that holds it and stands still; that one does nothing any more, should it go on.
+// Open starts a rollout, or continues the one in the plan's folder. It first checks all files of both releases and
+// claims the gatherers, and starts nothing if that fails. With takeOver it takes a rollout over from a process that
+// holds it but makes no progress; should that process resume, it makes no further steps.
 func Open(ctx context.Context, p *Plan, takeOver bool, log *logrus.Logger) (*Controller, error) {
 	return OpenWithOverrides(ctx, p, takeOver, log, Overrides{})
 }
 
-// OpenWithOverrides is Open with other decisions or steps.
+// OpenWithOverrides is like Open, with the decisions or the steps replaced by overrides.
 func OpenWithOverrides(
 	ctx context.Context, p *Plan, takeOver bool, log *logrus.Logger, overrides Overrides,
 ) (*Controller, error) {
@@ -74,16 +74,16 @@
 	return c, nil
 }
 
-// openJournal takes the lock of the plan's folder and a fencing token.
+// openJournal acquires the lock of the plan's folder and the next fencing token.
 func (c *Controller) openJournal(takeOver bool) error {
 	var err error
 	c.journal, err = runfolder.Open(c.plan.Folder, takeOver)
 	if errors.Is(err, runfolder.ErrLocked) {
 		holder := "unknown"
 		if s, err := ReadStatus(c.plan.Folder); err == nil {
-			holder = fmt.Sprintf("process %d, which last told %.0f s ago", s.PID, (c.now()-s.ObservedAt)/1000)
+			holder = fmt.Sprintf("process %d, which last wrote its status %.0f s ago", s.PID, (c.now()-s.ObservedAt)/1000)
 		}
-		return fmt.Errorf("rollout %s %w: %s; if that one stands still, --take-over", c.plan.Name, err, holder)
+		return fmt.Errorf("rollout %s %w: %s; if that process is stuck, use --take-over", c.plan.Name, err, holder)
 	}
 	if err != nil {
 		return err
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// begin recovers the position, claims the gatherers and records that this controller carries the rollout out.
+// begin recovers the position, claims the gatherers and records that this controller has started.
 func (c *Controller) begin(ctx context.Context, overrides Overrides) error {
 	var err error
 	if c.reports, err = newReportClient(c.plan); err != nil {
@@ -122,7 +122,8 @@
 	})
 }
 
-// runID names the rollout to gatherers: the same for all of its controllers, and different from all other rollouts'.
+// runID returns the ID by which gatherers identify the rollout. It is the same for all controllers of the rollout, and
+// differs from that of every other rollout.
 func (p *Plan) runID() string {
 	folder, err := filepath.EvalSymlinks(p.Folder)
 	if err != nil {
@@ -135,7 +136,7 @@
 	return fmt.Sprintf("%s in %s on %s", p.Name, cmp.Or(folder, p.Folder), host)
 }
 
-// discoverClasses returns the classes that the gatherers report.
+// discoverClasses returns the classes that the first reachable gatherer reports, sorted by name.
 func (c *Controller) discoverClasses(ctx context.Context) ([]string, error) {
 	const maxFaults = 3
 	o := c.reports.observe(ctx, 0)
@@ -152,10 +153,11 @@
 		faults = append(faults, fmt.Sprintf("%s at %s: %s", c.plan.Gatherers[g].Name, c.plan.Processes[g].ReportAddress,
 			o.Gatherers[g].Fault))
 	}
-	return nil, fmt.Errorf("no gatherer tells of itself; %s", strings.Join(faults[:min(len(faults), maxFaults)], "; "))
+	return nil, fmt.Errorf("no gatherer returned a report: %s", strings.Join(faults[:min(len(faults), maxFaults)], "; "))
 }
 
-// recover reads what earlier controllers recorded. Steps without a recorded end will be repeated.
+// recover restores the state that earlier controllers recorded in the journal. Steps without a recorded end will be
+// repeated.
 func (c *Controller) recover() error {
 	var records []rollout.Record
 	err := c.journal.Recover(func(text []byte) error {
@@ -167,7 +169,7 @@
 		return nil
 	})
 	if errors.Is(err, runfolder.ErrRecordsLost) {
-		return fmt.Errorf("%w; docs/operate/rollout.md tells how to go back by hand", err)
+		return fmt.Errorf("%w; docs/operate/rollout.md describes how to roll back by hand", err)
 	}
 	if err != nil {
 		return err
@@ -187,12 +189,12 @@
 	return nil
 }
 
-// gathererIndex is a gatherer's index in the plan, -1 for none of that name.
+// gathererIndex returns a gatherer's index in the plan, or -1 if the plan has none of that name.
 func (c *Controller) gathererIndex(name string) int {
 	return slices.IndexFunc(c.plan.Gatherers, func(g rollout.Gatherer) bool { return g.Name == name })
 }
 
-// appendRecord appends to the journal.
+// appendRecord sets the format and the time of a record and appends it to the journal.
 func (c *Controller) appendRecord(r rollout.Record) error {
 	r.Format = rollout.RecordFormat
 	r.At = c.now()
@@ -205,10 +207,10 @@
 	return c.journal.Append(text)
 }
 
-// decodeRecord reads a record of the journal.
+// decodeRecord decodes a record of the journal.
 func decodeRecord(text []byte) (record rollout.Record, err error) {
 	if err := json.Unmarshal(text, &record); err != nil || record.Format != rollout.RecordFormat {
-		return record, fmt.Errorf("%w: another form: %.80q", rollout.ErrRecord, text)
+		return record, fmt.Errorf("%w: not a record of the supported format: %.80q", rollout.ErrRecord, text)
 	}
 	return record, nil
 }
--- a/internal/control/rollout/controller_test.go
+++ b/internal/control/rollout/controller_test.go
@@ -14,151 +14,152 @@
 	logic "yokeroute/logic/rollout"
 )
 
-// TestControllerContinuesAfterKills: the process that carries a rollout out is killed before each step and after it,
-// again and again; each time another goes on. Nothing is left out, and nothing is done twice but steps of whose end
-// nothing was known.
+// TestControllerContinuesAfterKills kills the controller repeatedly, before and after steps, and starts another each
+// time. The rollout has to complete without omitting a step, and only steps whose end was not recorded may be
+// repeated.
 func TestControllerContinuesAfterKills(t *testing.T) {
 	t.Parallel()
-	s := startScene(t, 4, 40, "")
+	s := startFixture(t, 4, 40, "")
 	file := s.plan("killed", programStages)
 	var mu sync.Mutex
 	var c *process.Process
-	orders, kills := map[string]int{}, 0
-	tear := func(order processtest.Step) error {
+	attempts, kills := map[string]int{}, 0
+	killController := func(order processtest.Step) error {
 		mu.Lock()
 		defer mu.Unlock()
-		orders[order.Gatherer]++
-		if order.To == "new" && kills < 6 && c != nil && c.Alive() { // once before each step, and once while it is made
+		attempts[order.Gatherer]++
+		if order.To == "new" && kills < 6 && c != nil && c.Alive() { // in turn during and before a step
 			kills++
 			c.Kill()
 			if kills%2 == 0 {
-				return fmt.Errorf("killed before it was done")
+				return fmt.Errorf("controller killed before the step was made")
 			}
 		}
 		return nil
 	}
-	s.beforeStep.Store(&tear)
+	s.beforeStep.Store(&killController)
 	for range 12 {
 		mu.Lock()
 		c = s.startController("run", file, "--output", "json")
-		now := c
+		current := c
 		mu.Unlock()
-		code, last := s.waitEnd(now)
+		code, last := s.waitExit(current)
 		if code == 0 && last.Phase == logic.Completed {
 			if kills < 6 {
-				t.Errorf("killed %d times", kills)
+				t.Errorf("the controller was killed %d times, want 6", kills)
 			}
 			if v := s.countVersions(); v["2"] != 4 {
-				t.Errorf("serving: %v", v)
+				t.Errorf("gatherers by version: %v, want 4 of version 2", v)
 			}
 			total := 0
-			for _, n := range orders {
+			for _, n := range attempts {
 				total += n
 			}
-			if len(orders) != 4 || total > 4+kills {
-				t.Errorf("steps by gatherer: %v, %d kills", orders, kills)
+			if len(attempts) != 4 || total > 4+kills {
+				t.Errorf("steps by gatherer: %v with %d kills, want 4 gatherers and at most one more step for each kill", attempts, kills)
 			}
 			s.finish()
 			return
 		}
 		if code > 0 {
-			t.Fatalf("status %d: %s", code, now.Log())
+			t.Fatalf("exit status %d: %s", code, current.Log())
 		}
 	}
-	t.Fatalf("not ended after 12 controllers: %v", orders)
+	t.Fatalf("the rollout has not ended after 12 controllers; steps by gatherer: %v", attempts)
 }
 
-// TestSecondControllerIsRefusedUnlessItTakesOver: while one controller carries a rollout out, a second one is refused
-// and names it; where the first was stopped and the second takes over, the first does nothing any more when it goes
-// on. A rollout of another folder over the same gatherers is refused as well.
-func TestSecondControllerIsRefusedUnlessItTakesOver(t *testing.T) {
+// TestSecondControllerIsRejectedUnlessItTakesOver checks that a second controller of a running rollout is rejected
+// with an error that names the first one's process, and that a rollout in another folder over the same gatherers is
+// rejected too. If the first controller is stopped and another takes over, the first must make no further steps once
+// it is continued.
+func TestSecondControllerIsRejectedUnlessItTakesOver(t *testing.T) {
 	t.Parallel()
-	s := startScene(t, 4, 40, "")
+	s := startFixture(t, 4, 40, "")
 	file := s.plan("one", programStages)
 	first := s.startController("run", file, "--output", "json")
-	s.waitUntil(first, "it has begun", func() bool {
+	s.waitUntil(first, "the first controller has started", func() bool {
 		st, err := rollout.ReadStatus(filepath.Join(s.folder, "one"))
 		return err == nil && len(st.Gatherers) == 4 && st.Gatherers[3].LastReportAt > 0
 	})
 	second := s.startController("run", file)
-	if code, _ := s.waitEnd(second); code != 2 || !strings.Contains(second.Log(), fmt.Sprint("process ", first.PID())) {
-		t.Errorf("status %d: %s", code, second.Log())
+	if code, _ := s.waitExit(second); code != 2 || !strings.Contains(second.Log(), fmt.Sprint("process ", first.PID())) {
+		t.Errorf("second controller: exit status %d, want 2: %s", code, second.Log())
 	}
 	other := s.startController("run", s.plan("other", programStages))
-	if code, _ := s.waitEnd(other); code != 2 || !strings.Contains(other.Log(), "is being changed by another run: one in ") {
-		t.Errorf("status %d: %s", code, other.Log())
+	if code, _ := s.waitExit(other); code != 2 || !strings.Contains(other.Log(), "is being changed by another run: one in ") {
+		t.Errorf("controller of another rollout: exit status %d, want 2: %s", code, other.Log())
 	}
 	if err := first.Stop(s.ctx); err != nil {
 		t.Fatal(err)
 	}
 	third := s.startController("run", file, "--take-over", "--output", "json")
-	s.waitUntil(third, "the third has begun", func() bool {
+	s.waitUntil(third, "the third controller has started", func() bool {
 		st, err := rollout.ReadStatus(filepath.Join(s.folder, "one"))
 		return err == nil && st.PID == third.PID()
 	})
 	if err := first.Continue(); err != nil {
 		t.Fatal(err)
 	}
-	if code, _ := s.waitEnd(first); code != 2 || !strings.Contains(first.Log(), "another controller has taken this over") {
-		t.Errorf("the first: status %d: %s", code, first.Log())
+	if code, _ := s.waitExit(first); code != 2 || !strings.Contains(first.Log(), "another controller has taken this over") {
+		t.Errorf("first controller: exit status %d, want 2: %s", code, first.Log())
 	}
-	if code, last := s.waitEnd(third); code != 0 || last.Phase != logic.Completed {
-		t.Errorf("the third: status %d: %s", code, third.Log())
+	if code, last := s.waitExit(third); code != 0 || last.Phase != logic.Completed {
+		t.Errorf("third controller: exit status %d, want 0: %s", code, third.Log())
 	}
-	steps, most := s.steps.All()
-	seen := map[string]int{}
+	steps, maxConcurrent := s.steps.All()
+	newSteps := map[string]int{}
 	for _, one := range steps {
 		if one.To == "new" {
-			seen[one.Gatherer]++
+			newSteps[one.Gatherer]++
 		}
 	}
-	if len(seen) != 4 || len(steps) > 5 || most > 2 { // one that the first had begun may be made again
-		t.Errorf("%v, %d at once", steps, most)
+	if len(newSteps) != 4 || len(steps) > 5 || maxConcurrent > 2 { // the first controller's last step may be repeated
+		t.Errorf("got steps %v, %d at once; want 4 gatherers, 5 steps and 2 at once at most", steps, maxConcurrent)
 	}
 	s.finish()
 }
 
-// TestOperatorStopsResumesAndRollsBack: stop holds a rollout where it is, also when its controller is started again;
-// resume goes on; back makes all old again.
+// TestOperatorStopsResumesAndRollsBack checks the operator's commands: stop keeps a rollout at its position, also
+// after its controller is started again; resume continues it; back rolls all gatherers back.
 func TestOperatorStopsResumesAndRollsBack(t *testing.T) {
 	t.Parallel()
-	s := startScene(t, 4, 100, "")
+	s := startFixture(t, 4, 100, "")
 	file := s.plan("words",
 		strings.Replace(programStages, "stage some share 34% least 1s", "stage some share 34% least 80s", 1))
 	folder := filepath.Join(s.folder, "words")
 	first := s.startController("run", file, "--output", "json")
-	judging := func() bool {
+	evaluatingSecondStage := func() bool {
 		st, err := rollout.ReadStatus(folder)
 		return err == nil && st.Stage == "some" && st.Phase == logic.Evaluating
 	}
-	s.waitUntil(first, "the second stage is watched", judging)
-	say := func(word string) {
+	s.waitUntil(first, "the second stage is observed", evaluatingSecondStage)
+	sendCommand := func(command string) {
 		t.Helper()
-		p := s.startController(word, file)
-		if code, _ := s.waitEnd(p); code != 0 {
-			t.Fatalf("%s: status %d: %s", word, code, p.Log())
+		p := s.startController(command, file)
+		if code, _ := s.waitExit(p); code != 0 {
+			t.Fatalf("command %s: exit status %d: %s", command, code, p.Log())
 		}
 	}
-	say("stop")
-	if code, last := s.waitEnd(first); code != 1 || last.Phase != logic.Stopped {
-		t.Errorf("status %d, %+v", code, last)
+	sendCommand("stop")
+	if code, last := s.waitExit(first); code != 1 || last.Phase != logic.Stopped {
+		t.Errorf("after stop: exit status %d, %+v", code, last)
 	}
-	code, last := s.waitEnd(s.startController("run", file, "--output", "json"))
+	code, last := s.waitExit(s.startController("run", file, "--output", "json"))
 	if code != 1 || last.Phase != logic.Stopped || s.countVersions()["2"] != 2 {
-		t.Errorf("status %d, %s, %v", code, last.Phase, s.countVersions())
+		t.Errorf("started again after stop: exit status %d, phase %s, gatherers by version %v", code, last.Phase, s.countVersions())
 	}
 	again := s.startController("resume", file, "--output", "json")
-	s.waitUntil(again, "it goes on", judging)
-	say("back")
-	if code, last := s.waitEnd(again); code != 1 || last.Phase != logic.RolledBack || s.countVersions()["1"] != 4 {
-		t.Errorf("status %d, %s, %v", code, last.Phase, s.countVersions())
+	s.waitUntil(again, "the rollout continues", evaluatingSecondStage)
+	sendCommand("back")
+	if code, last := s.waitExit(again); code != 1 || last.Phase != logic.RolledBack || s.countVersions()["1"] != 4 {
+		t.Errorf("after back: exit status %d, phase %s, gatherers by version %v", code, last.Phase, s.countVersions())
 	}
-	// A plan that was changed by hand meanwhile is not gone on with.
+	// The rollout is not continued if the plan's file has changed since it started.
 	text, _ := os.ReadFile(file)
 	os.WriteFile(file, append(text, "\n# changed\n"...), 0o644)
 	if p := s.startController("run", file); true {
-		if code, _ := s.waitEnd(p); code != 2 || !strings.Contains(p.Log(), "has changed since this rollout began") {
-			t.Errorf("status %d: %s", code, p.Log())
+		if code, _ := s.waitExit(p); code != 2 || !strings.Contains(p.Log(), "has changed since this rollout began") {
+			t.Errorf("changed plan: exit status %d, want 2: %s", code, p.Log())
 		}
 	}
 	s.finish()
--- a/internal/control/rollout/directives.go
+++ b/internal/control/rollout/directives.go
@@ -12,22 +12,22 @@
 	defaultInterval    = 5 * time.Second
 	defaultStepTimeout = time.Minute
 
-	minShare = 0.0001 // of what a directive takes
-	minHarm  = 0.001
+	minShare = 0.0001 // minimum of options that are shares
+	minHarm  = 0.001  // minimum of the harm directive's argument
 )
 
 // Reference returns the operators' reference page on plans.
 func Reference() string { return newPlan().directives().Reference() }
 
-// Directives returns the table of a plan's directives, for tests of its examples.
+// Directives returns the table of a plan's directives, for tests of the examples in it.
 func Directives() *directive.Table { return newPlan().directives() }
 
-// directives is the table by which plans are read, checked and documented.
+// directives returns the table from which plans are parsed, checked and documented. Its directives store into p.
 func (p *Plan) directives() *directive.Table {
 	return &directive.Table{
 		Name: "rollout plan",
 		Intro: "A plan takes a fleet of gatherers from an old version or old settings to new ones in stages: " +
-			"`yokeroute rollout run FILE`. In file names and commands {name} and {zone} stand for a gatherer's; " +
+			"`yokeroute rollout run FILE`. In file names and commands {name} and {zone} stand for those of the gatherer; " +
 			"file names are relative to the plan.",
 		Directives: []*directive.Directive{
 			p.rolloutDirective(), p.gathererDirective(), p.stageDirective(),
@@ -39,7 +39,8 @@
 	}
 }
 
-// recordLine records a directive's lines for validate, before they are applied.
+// recordLine returns an apply function that first records the directive's line, so that validate can name its
+// position.
 func (p *Plan) recordLine(name string, apply func(v *directive.Values) error) func(v *directive.Values) error {
 	return func(v *directive.Values) error {
 		p.directiveLines[name] = append(p.directiveLines[name], v)
@@ -55,8 +56,9 @@
 	return directive.Field{Name: name, Kind: directive.Share, Min: minShare, Help: help}
 }
 
-// pathOf is the absolute path of a file that is named relative to the plan: processes are identified by it.
-func pathOf(v *directive.Values, field string) string {
+// absolutePath returns the absolute path of a file that is named relative to the plan. The path has to be absolute
+// since processes are identified by it.
+func absolutePath(v *directive.Values, field string) string {
 	name := v.RelativePath(field)
 	if name == "" || filepath.IsAbs(name) {
 		return name
@@ -67,9 +69,9 @@
 	return name
 }
 
-// durationOf is a duration, 0 or the given one where the field is not set.
-func durationOf(v *directive.Values, field string, otherwise time.Duration) time.Duration {
-	ms := v.Number(field, float64(otherwise)/float64(time.Millisecond))
+// durationOr returns the duration of a field, or defaultValue, which may be 0, if the field is not set.
+func durationOr(v *directive.Values, field string, defaultValue time.Duration) time.Duration {
+	ms := v.Number(field, float64(defaultValue)/float64(time.Millisecond))
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
@@ -85,8 +87,8 @@
 		Example: "rollout release-42 in rollout-42 every 5s",
 		Apply: func(v *directive.Values) error {
 			p.Name = v.Text("name")
-			p.Folder = pathOf(v, "in")
-			p.Interval = durationOf(v, "every", defaultInterval)
+			p.Folder = absolutePath(v, "in")
+			p.Interval = durationOr(v, "every", defaultInterval)
 			return nil
 		},
 	}
@@ -108,8 +110,8 @@
 			p.Gatherers = append(p.Gatherers, rollout.Gatherer{Name: v.Text("name"), Zone: v.Text("zone")})
 			p.Processes = append(p.Processes, GathererProcess{
 				ReportAddress: v.Text("report"),
-				ConfigFile:    pathOf(v, "config"),
-				OperatorFile:  pathOf(v, "operator"),
+				ConfigFile:    absolutePath(v, "config"),
+				OperatorFile:  absolutePath(v, "operator"),
 			})
 			return nil
 		}),
@@ -121,12 +123,12 @@
 		Name: "stage",
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "count", Kind: directive.Count, Min: 1, Help: "gatherers that are new at its end"},
+			{Name: "count", Kind: directive.Count, Min: 1, Help: "number of gatherers that run the new version at its end"},
 			shareField("share", "of the gatherers"),
-			{Name: "zone", Kind: directive.Name, Help: "all gatherers of the zone, and those of the stages before"},
-			durationField("least", "for which it is observed once all of it serve as new; 60s"),
+			{Name: "zone", Kind: directive.Name, Help: "all gatherers of the zone, and those of earlier stages"},
+			durationField("least", "time for which it is observed once all of its gatherers serve as new; 60s"),
 		},
-		Help:    "A stage, by one of count, share and zone. Each includes those before it.",
+		Help:    "A stage, defined by one of count, share and zone. Each includes the earlier ones.",
 		Example: "stage few share 10% least 2min",
 		Apply: p.recordLine("stage", func(v *directive.Values) error {
 			p.Stages = append(p.Stages, rollout.Stage{
@@ -146,7 +148,7 @@
 		Name: "out", Once: true,
 		Args:    []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of the fleet"}},
 		Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; default: as for the fleet"}},
-		Help: "How many gatherers may be unavailable at once, those included that failed by themselves or " +
+		Help: "How many gatherers may be unavailable at once, including those that failed by themselves or " +
 			"can't be reached. Default: one.",
 		Example: "out 2 zone 1",
 		Apply: p.recordLine("out", func(v *directive.Values) error {
@@ -163,7 +165,7 @@
 		Options: []directive.Field{
 			durationField("baseline", "observation before the first change; 30s"),
 			durationField("fresh", "warm-up after a start, during which a gatherer is evaluated apart; 15s"),
-			durationField("settle", "time within which a changed gatherer has to serve as its new version; 30s"),
+			durationField("settle", "time within which a changed gatherer has to serve as the version it was changed to; 30s"),
 		},
 		Help:    "How gatherers are observed.",
 		Example: "watch baseline 1min fresh 15s settle 30s",
@@ -182,10 +184,10 @@
 		Args: []directive.Field{{Name: "stage", Kind: directive.Duration, Min: 1, Help: "longest duration of a stage"}},
 		Options: []directive.Field{
 			{Name: "then", Kind: directive.Choice, Choices: []string{"back", "stop"}, Help: "default: back"},
-			durationField("rough", "time for which the old gatherers may do worse during a stage "+
+			durationField("rough", "time for which the old gatherers may perform worse during a stage "+
 				"before the new version is blamed; 2min"),
 		},
-		Help:    "Limits of time. Default: 30min.",
+		Help:    "Time limits. Default: 30min.",
 		Example: "limit 30min then back rough 2min",
 		Apply: p.recordLine("limit", func(v *directive.Values) error {
 			p.StageLimit = v.Number("stage", 0)
@@ -203,13 +205,13 @@
 		Name: "harm", Once: true,
 		Args: []directive.Field{{
 			Name: "value", Kind: directive.Share, Min: minHarm,
-			Help: "of the value that queries could earn, lost beyond the old gatherers' loss",
+			Help: "share of the value that queries could earn, lost in addition to the old gatherers' loss",
 		}},
 		Options: []directive.Field{
 			shareField("fresh", "the same for gatherers that warm up; 30%"),
 			shareField("cost", "attempts, connections or memory beyond the old gatherers'; 25%"),
 		},
-		Help:    "Harm that has to be found; a quarter of it is tolerated. Default: 5%.",
+		Help:    "Harm that has to be detected; a quarter of it is tolerated. Default: 5%.",
 		Example: "harm 5% fresh 30% cost 25%",
 		Apply: p.recordLine("harm", func(v *directive.Values) error {
 			p.Harm = v.Number("value", 0)
@@ -224,8 +226,8 @@
 	return &directive.Directive{
 		Name: "chance", Once: true,
 		Options: []directive.Field{
-			shareField("stop", "of stopping a rollout of a version as good as the old; 1%"),
-			shareField("pass", "of passing a stage with a version that does the harm; 5%"),
+			shareField("stop", "of stopping the rollout of a version that is as good as the old; 1%"),
+			shareField("pass", "of passing a stage with a version that causes the harm; 5%"),
 		},
 		Help:    "Probabilities of wrong decisions.",
 		Example: "chance stop 1% pass 5%",
@@ -241,13 +243,13 @@
 	return &directive.Directive{
 		Name: "evidence", Once: true,
 		Args: []directive.Field{{
-			Name: "lookups", Kind: directive.Count, Min: 1, Help: "of each class at new gatherers, in a stage",
+			Name: "lookups", Kind: directive.Count, Min: 1, Help: "number of queries of each class at new gatherers, in a stage",
 		}},
 		Options: []directive.Field{
-			shareField("judged", "of the queries from which a class is evaluated by itself; 2%"),
+			shareField("judged", "share of the queries from which on a class is evaluated separately; 2%"),
 			{Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "attempts to change a gatherer; 2"},
 		},
-		Help:    "Least evidence with which a stage passes. Default: 100.",
+		Help:    "Minimum evidence for a stage to pass. Default: 100.",
 		Example: "evidence 200 judged 2% tries 2",
 		Apply: func(v *directive.Values) error {
 			p.MinQueries = v.Number("lookups", 0)
@@ -259,7 +261,7 @@
 }
 
 func (p *Plan) seedDirective() *directive.Directive {
-	const maxSeed = 1 << 53 // that a float64 holds exactly
+	const maxSeed = 1 << 53 // numbers are parsed as float64, which is exact up to here
 	return &directive.Directive{
 		Name: "seed", Once: true,
 		Args:    []directive.Field{{Name: "seed", Kind: directive.Count, Max: maxSeed}},
@@ -279,18 +281,18 @@
 	{Name: "version", Kind: directive.Text, Help: "as printed by `yokeroute version`"},
 }
 
-// applyRelease takes the line of a side.
-func applyRelease(to *Release) func(v *directive.Values) error {
+// applyRelease returns the apply function of the directives old and new, which stores the release.
+func applyRelease(release *Release) func(v *directive.Values) error {
 	return func(v *directive.Values) error {
-		*to = Release{
-			Program:  pathOf(v, "program"),
-			Config:   pathOf(v, "config"),
-			Operator: pathOf(v, "operator"),
+		*release = Release{
+			Program:  absolutePath(v, "program"),
+			Config:   absolutePath(v, "config"),
+			Operator: absolutePath(v, "operator"),
 			Version:  v.Text("version"),
 		}
-		if *to == (Release{}) {
+		if *release == (Release{}) {
 			return v.Errorf("program",
-				"wants a program, a version, a config or an operator's file by which its gatherers are classified")
+				"lacks a field by which its gatherers are classified; give program, version, config or operator")
 		}
 		return nil
 	}
@@ -299,7 +301,7 @@
 func (p *Plan) oldDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "old", Once: true, Options: releaseFields,
-		Help:    "What gatherers run before. They are classified by the fields given here.",
+		Help:    "What gatherers run before the rollout. They are classified by the fields given here.",
 		Example: "old program releases/41/yokeroute",
 		Apply:   p.recordLine("old", applyRelease(&p.Old)),
 	}
@@ -308,31 +310,31 @@
 func (p *Plan) newDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "new", Once: true, Options: releaseFields,
-		Help:    "What gatherers run afterwards.",
+		Help:    "What gatherers run after the rollout.",
 		Example: "new program releases/42/yokeroute operator new.conf",
 		Apply:   p.recordLine("new", applyRelease(&p.New)),
 	}
 }
 
-// applyStepCommand takes the line of a step's command.
-func (p *Plan) applyStepCommand(to rollout.Variant) func(v *directive.Values) error {
+// applyStepCommand returns the apply function of step-new or step-old, which stores the command.
+func (p *Plan) applyStepCommand(variant rollout.Variant) func(v *directive.Values) error {
 	return func(v *directive.Values) error {
-		p.Commands[to] = StepCommand{Args: v.List("command"), Timeout: durationOf(v, "limit", defaultStepTimeout)}
+		p.Commands[variant] = StepCommand{Args: v.List("command"), Timeout: durationOr(v, "limit", defaultStepTimeout)}
 		return nil
 	}
 }
 
-var stepTimeoutField = durationField("limit", "time after which it is killed and has failed; 1min")
+var stepTimeoutField = durationField("limit", "time after which it is killed and counts as failed; 1min")
 
 func (p *Plan) stepNewDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "step-new", Once: true,
 		Args: []directive.Field{{
-			Name: "command", Kind: directive.Words, Help: "with its arguments; {to} is new, {fence} grows with each controller",
+			Name: "command", Kind: directive.Words, Help: "with its arguments; {to} is new, {fence} rises with each controller",
 		}},
 		Options: []directive.Field{stepTimeoutField},
-		Help: "Command that makes a gatherer new, run in the plan's folder. Exit status 0 says that it did " +
-			"what it could; which version the gatherer runs comes from its own report. It may run twice for " +
+		Help: "Command that makes a gatherer new, run in the plan's folder. Exit status 0 means that the command " +
+			"succeeded; the version that the gatherer runs is taken from its own report. It may run twice for " +
 			"one gatherer. Default: the built-in runner, for processes on this machine.",
 		Example: `step-new ./deploy.sh "{name}" "{to}" limit 30s`,
 		Apply:   p.recordLine("step-new", p.applyStepCommand(rollout.New)),
--- a/internal/control/rollout/scene_test.go
+++ b/internal/control/rollout/fixture_test.go
@@ -23,7 +23,7 @@
 )
 
 func TestMain(m *testing.M) {
-	if len(os.Args) == 6 && os.Args[1] == "order" { // this is a plan's command
+	if len(os.Args) == 6 && os.Args[1] == "order" { // this process is the step command of a plan
 		os.Exit(processtest.Order(os.Args[2], os.Args[3], os.Args[4], os.Args[5]))
 	}
 	status := m.Run()
@@ -31,22 +31,22 @@
 	os.Exit(status)
 }
 
-// scene is a fleet of processes under load, the programs that it may run, and a rollout over it.
-type scene struct {
+// fixture holds a fleet of processes under load, the programs that it may run, and a rollout over it.
+type fixture struct {
 	*testing.T
-	ctx    context.Context
-	fleet  *processtest.Fleet
-	steps  *processtest.Steps
-	folder string
-	stop   func() // ends the load
+	ctx      context.Context
+	fleet    *processtest.Fleet
+	steps    *processtest.Steps
+	folder   string
+	stopLoad func()
 
 	oldProgram, newProgram string
-	newOperatorFile        string                 // text that the old operator's file lacks
-	worse                  atomic.Pointer[string] // a program that takes the place of newProgram in steps
+	newOperatorFile        string                 // text of the new operator's file; that of the old one is empty
+	faultyProgram          atomic.Pointer[string] // program started by steps in place of newProgram, if set
 
 	beforeStep  atomic.Pointer[func(s processtest.Step) error]
-	stepLocks   sync.Map // *sync.Mutex by gatherer
-	controllers int      // started
+	stepLocks   sync.Map // gatherer name to *sync.Mutex, held during a step or restart
+	controllers int      // number of controllers started so far
 }
 
 const fleetText = `hall north
@@ -65,13 +65,14 @@
 gatherers {gatherers}
 `
 
-// startScene starts a fleet of so many gatherers under load. Where a step to the new is ordered, the gatherer is ended
-// as in a planned restart and started as the new program, with the new operator's text.
-func startScene(t *testing.T, gatherers, rate int, newOperatorFile string) *scene {
+// startFixture starts a fleet of the given number of gatherers under load, rate queries per second. A step to the new
+// variant ends the gatherer as in a planned restart and starts it with the new program and the text newOperatorFile in
+// its operator's file.
+func startFixture(t *testing.T, gatherers, rate int, newOperatorFile string) *fixture {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), 300*time.Second)
 	t.Cleanup(cancel)
-	s := &scene{T: t, folder: t.TempDir(), newOperatorFile: newOperatorFile, ctx: ctx}
+	s := &fixture{T: t, folder: t.TempDir(), newOperatorFile: newOperatorFile, ctx: ctx}
 	var err error
 	if s.oldProgram, err = processtest.Build("yokeroute", "yokeroute/internal/version.Set=1"); err == nil {
 		s.newProgram, err = processtest.Build("yokeroute", "yokeroute/internal/version.Set=2")
@@ -96,24 +97,26 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(s.steps.Close)
-	s.stop = s.fleet.Load(ctx)
-	t.Cleanup(s.stop)
+	s.stopLoad = s.fleet.Load(ctx)
+	t.Cleanup(s.stopLoad)
 	return s
 }
 
-func (s *scene) step(ctx context.Context, order processtest.Step) error {
-	if before := s.beforeStep.Load(); before != nil {
-		if err := (*before)(order); err != nil {
+// step makes a step that a plan's command has requested. It reports an error if another step of the gatherer is in
+// progress.
+func (s *fixture) step(ctx context.Context, order processtest.Step) error {
+	if hook := s.beforeStep.Load(); hook != nil {
+		if err := (*hook)(order); err != nil {
 			return err
 		}
 	}
 	g := s.fleet.Gatherer(order.Gatherer)
-	one, _ := s.stepLocks.LoadOrStore(g.Name, &sync.Mutex{})
-	if !one.(*sync.Mutex).TryLock() {
-		s.Errorf("two steps of %s at once", g.Name)
-		return fmt.Errorf("another step is under way")
+	lock, _ := s.stepLocks.LoadOrStore(g.Name, &sync.Mutex{})
+	if !lock.(*sync.Mutex).TryLock() {
+		s.Errorf("two concurrent steps of %s", g.Name)
+		return fmt.Errorf("another step is in progress")
 	}
-	defer one.(*sync.Mutex).Unlock()
+	defer lock.(*sync.Mutex).Unlock()
 	ctx = context.WithoutCancel(ctx)
 	if p := g.Process(); p.Alive() {
 		if err := p.Terminate(ctx); err != nil {
@@ -125,18 +128,19 @@
 	if order.To == "new" {
 		g.Binary = s.newProgram
 		g.Operator = s.newOperatorFile
-		if worse := s.worse.Load(); worse != nil {
-			g.Binary = *worse
+		if faultyProgram := s.faultyProgram.Load(); faultyProgram != nil {
+			g.Binary = *faultyProgram
 		}
 	}
-	if s.worse.Load() != nil {
+	if s.faultyProgram.Load() != nil {
 		return g.StartFrail(s.ctx)
 	}
 	return g.Start(s.ctx)
 }
 
-// plan writes a plan whose steps go to the rig; its gatherers are reached over links.
-func (s *scene) plan(name, more string) string {
+// plan writes a plan with the given directives and returns its file. Its step commands call back into this test, and
+// the gatherers' reports are reached over links that tests can cut.
+func (s *fixture) plan(name, directives string) string {
 	s.Helper()
 	var b strings.Builder
 	fmt.Fprintf(&b, "rollout %s in %s every 250ms\n", name, filepath.Join(s.folder, name))
@@ -150,7 +154,7 @@
 	for kind, to := range map[string]string{"step-new": "new", "step-old": "old"} {
 		fmt.Fprintf(&b, "%s %q order %q \"{name}\" %s \"{fence}\" limit 100s\n", kind, os.Args[0], s.steps.URL(), to)
 	}
-	b.WriteString(more)
+	b.WriteString(directives)
 	file := filepath.Join(s.folder, name+".conf")
 	if err := os.WriteFile(file, []byte(b.String()), 0o644); err != nil {
 		s.Fatal(err)
@@ -158,8 +162,9 @@
 	return file
 }
 
-// programStages tells old from new by version, with stages and times for a test. No index is judged unless a test says
-// so: a few lookups a second beside other tests tell too little within its time.
+// programStages is the part of a plan that distinguishes old from new by version, with stages and times for tests. No
+// class is evaluated by itself unless a test enables it: a few queries per second, beside other tests, are too little
+// evidence in a test's time.
 const programStages = `old version 1
 new version 2
 stage one count 1 least 1s
@@ -173,8 +178,8 @@
 seed 3
 `
 
-// startController starts a controller.
-func (s *scene) startController(args ...string) *process.Process {
+// startController starts a controller process, yokeroute rollout with the given arguments.
+func (s *fixture) startController(args ...string) *process.Process {
 	s.Helper()
 	s.controllers++
 	name := fmt.Sprint("controller.", s.controllers)
@@ -190,19 +195,20 @@
 	return p
 }
 
-// waitUntil waits for something that a controller is to bring about.
-func (s *scene) waitUntil(c *process.Process, what string, holds func() bool) {
+// waitUntil waits until a condition holds that a controller is to bring about. It fails the test if the controller
+// ends before that.
+func (s *fixture) waitUntil(c *process.Process, what string, holds func() bool) {
 	s.Helper()
 	if err := process.WaitUntil(s.ctx, what, func() bool { return holds() || !c.Alive() }); err != nil {
 		s.Fatal(err, c.Log())
 	}
 	if !c.Alive() && !holds() {
-		s.Fatalf("%s: the controller has ended with %d: %s", what, exitStatus(c), c.Log())
+		s.Fatalf("waiting until %s: the controller ended with exit status %d: %s", what, exitStatus(c), c.Log())
 	}
 }
 
-// waitEnd waits for a controller's end and gives its status, and what it printed last.
-func (s *scene) waitEnd(c *process.Process) (code int, last rollout.Status) {
+// waitExit waits until a controller has exited, and returns its exit status and the last status that it printed.
+func (s *fixture) waitExit(c *process.Process) (code int, last rollout.Status) {
 	s.Helper()
 	if err := c.Wait(s.ctx); err != nil {
 		s.Fatal(err, c.Log())
@@ -216,14 +222,14 @@
 }
 
 func exitStatus(p *process.Process) int {
-	if err, is := p.Err().(interface{ ExitCode() int }); is {
+	if err, ok := p.Err().(interface{ ExitCode() int }); ok {
 		return err.ExitCode()
 	}
 	return 0
 }
 
-// countVersions counts the gatherers that tell each version.
-func (s *scene) countVersions() map[string]int {
+// countVersions returns the number of gatherers that report each version; unreachable ones count as "none".
+func (s *fixture) countVersions() map[string]int {
 	s.Helper()
 	versions := map[string]int{}
 	for _, g := range s.fleet.Gatherers {
@@ -242,10 +248,10 @@
 	return versions
 }
 
-// finish ends the load and the fleet, and checks that all processes together kept the rules.
-func (s *scene) finish() *rulecheck.JoinedReport {
+// finish stops the load and the fleet, and checks the joint trace of all processes against the rules.
+func (s *fixture) finish() *rulecheck.JoinedReport {
 	s.Helper()
-	s.stop()
+	s.stopLoad()
 	j, err := s.fleet.Verdict()
 	if j == nil {
 		s.Fatal(err)
@@ -255,9 +261,10 @@
 	return j
 }
 
-// settingsOnly tells old from new by the operator's file alone: both are the same program. Files differ by gatherer
-// only in what the rig puts there, so that each gatherer's own are named.
-func (s *scene) settingsOnly(more string) string {
+// operatorFilePlan returns programStages, followed by directives, changed to distinguish old from new by the
+// operator's file alone, since both run the same program. The files of each gatherer are named in the plan, because
+// the testbed adds values to them that differ by gatherer.
+func (s *fixture) operatorFilePlan(directives string) string {
 	s.Helper()
 	for _, g := range s.fleet.Gatherers {
 		for side, text := range map[string]string{"old": "", "new": s.newOperatorFile} {
@@ -281,11 +288,11 @@
 	return strings.NewReplacer(
 		"old version 1", `old operator "{name}-old.conf"`,
 		"new version 2", `new operator "{name}-new.conf"`,
-	).Replace(programStages) + more
+	).Replace(programStages) + directives
 }
 
-// supervise starts a gatherer again where it has died by itself as the new program.
-func (s *scene) supervise(ctx context.Context, g *processtest.Gatherer) {
+// supervise restarts a gatherer with its current program whenever its process has ended by itself, until ctx is done.
+func (s *fixture) supervise(ctx context.Context, g *processtest.Gatherer) {
 	for ctx.Err() == nil {
 		p := g.Process()
 		select {
@@ -293,22 +300,22 @@
 			return
 		case <-p.Exited():
 		}
-		one, _ := s.stepLocks.LoadOrStore(g.Name, &sync.Mutex{})
-		one.(*sync.Mutex).Lock() // a step that has ended it starts its successor itself
+		lock, _ := s.stepLocks.LoadOrStore(g.Name, &sync.Mutex{})
+		lock.(*sync.Mutex).Lock() // a step that ended the process starts its successor itself
 		if g.Process() == p && ctx.Err() == nil {
 			if g.StartFrail(ctx) != nil && g.Process().Alive() && ctx.Err() == nil {
-				s.Errorf("%s does not come up again", g.Name)
+				s.Errorf("%s failed to restart", g.Name)
 			}
 		}
-		one.(*sync.Mutex).Unlock()
+		lock.(*sync.Mutex).Unlock()
 	}
 }
 
-// startControllerOf starts a controller of a given program.
-func (s *scene) startControllerOf(program string, args ...string) *process.Process {
+// startControllerProgram starts a controller that runs the given program in place of newProgram.
+func (s *fixture) startControllerProgram(program string, args ...string) *process.Process {
 	s.Helper()
-	was := s.newProgram
+	previous := s.newProgram
 	s.newProgram = program
-	defer func() { s.newProgram = was }()
+	defer func() { s.newProgram = previous }()
 	return s.startController(args...)
 }
--- a/internal/control/rollout/htmlreport.go
+++ b/internal/control/rollout/htmlreport.go
@@ -17,7 +17,7 @@
 //go:embed report.html
 var reportTemplate string
 
-// htmlView is what the template takes.
+// htmlView holds the data of the template report.html, which refers to the fields by name.
 type htmlView struct {
 	*Status
 	Style         template.CSS
@@ -32,7 +32,8 @@
 	SVG     template.HTML
 }
 
-// HTMLReport returns a page on a rollout that stands alone: where it is, what was done, and what old and new earned.
+// HTMLReport returns a self-contained HTML page on a rollout: its status, its journal, and charts that compare old and
+// new gatherers.
 func HTMLReport(folder string) ([]byte, error) {
 	s, err := ReadStatus(folder)
 	if err != nil {
@@ -61,13 +62,13 @@
 	return page.Bytes(), err
 }
 
-// charts are those of all classes, none where there are no samples.
-func charts(samples []Sample) (all []htmlChart) {
+// charts returns the chart of gatherers and those of each class, or nil if there are no samples.
+func charts(samples []Sample) (result []htmlChart) {
 	if len(samples) == 0 {
 		return nil
 	}
 	marks := stageMarks(samples)
-	all = append(all, gathererChart(samples, marks))
+	result = append(result, gathererChart(samples, marks))
 	classes := map[string]bool{}
 	for i := range samples {
 		for class := range samples[i].Classes {
@@ -77,7 +78,7 @@
 	for _, class := range slices.Sorted(maps.Keys(classes)) {
 		value := classChart(samples, marks, class, func(s VariantSums) float64 { return s.EarnedValue })
 		rejected := classChart(samples, marks, class, func(s VariantSums) float64 { return s.Rejected })
-		all = append(all,
+		result = append(result,
 			htmlChart{
 				Title:   "Value, index " + class,
 				Caption: "What lookups earned of what they could, old and new side by side.",
@@ -89,17 +90,17 @@
 				SVG:     rejected.SVG(),
 			})
 	}
-	return all
+	return result
 }
 
-// minutesInto is the time of a sample since the first.
-func minutesInto(samples []Sample, i int) float64 {
+// minutesSinceStart returns the time from the first sample to sample i, in minutes.
+func minutesSinceStart(samples []Sample, i int) float64 {
 	return (samples[i].ObservedAt - samples[0].ObservedAt) / milliseconds(time.Minute)
 }
 
-// stageMarks mark where each stage, and a rollback, began.
+// stageMarks returns the marks of the times at which each stage, and a rollback, began.
 func stageMarks(samples []Sample) (marks []htmlreport.Mark) {
-	last := ""
+	lastPosition := ""
 	for i, s := range samples {
 		name := s.Stage
 		switch s.Phase {
@@ -109,28 +110,28 @@
 		default:
 			continue
 		}
-		if now := fmt.Sprintf("%s %s", s.Stage, s.Phase); now != last {
-			marks = append(marks, htmlreport.Mark{X: minutesInto(samples, i), Name: name})
-			last = now
+		if position := fmt.Sprintf("%s %s", s.Stage, s.Phase); position != lastPosition {
+			marks = append(marks, htmlreport.Mark{X: minutesSinceStart(samples, i), Name: name})
+			lastPosition = position
 		}
 	}
 	return marks
 }
 
-// gathererChart shows how many gatherers served as what.
+// gathererChart returns a chart of the number of gatherers that served as old, as new, or were unreachable.
 func gathererChart(samples []Sample, marks []htmlreport.Mark) htmlChart {
 	chart := htmlreport.Chart{X: "minutes", Y: "gatherers", Marks: marks,
 		Lines: []htmlreport.Line{{Name: "old"}, {Name: "new"}, {Name: "not reached"}}}
 	for i, s := range samples {
 		for line, n := range []int{s.Old, s.New, s.Unreachable} {
-			point := htmlreport.Point{X: minutesInto(samples, i), Y: float64(n)}
+			point := htmlreport.Point{X: minutesSinceStart(samples, i), Y: float64(n)}
 			chart.Lines[line].Points = append(chart.Lines[line].Points, point)
 		}
 	}
 	return htmlChart{Title: "Gatherers", Caption: "How many served as what, at each look.", SVG: chart.SVG()}
 }
 
-// classChart shows a count of a class as a share of its queries, old and new.
+// classChart returns a chart of a count of a class as a share of its queries, for old and new gatherers.
 func classChart(
 	samples []Sample, marks []htmlreport.Mark, class string, count func(s VariantSums) float64,
 ) htmlreport.Chart {
@@ -138,11 +139,11 @@
 		Lines: []htmlreport.Line{{Name: "old"}, {Name: "new"}}}
 	for i, s := range samples {
 		for side, sums := range s.Classes[class] {
-			share := math.NaN() // leaves a gap
+			share := math.NaN() // leaves a gap in the line
 			if sums.Queries > 0 {
 				share = count(sums) / sums.Queries
 			}
-			point := htmlreport.Point{X: minutesInto(samples, i), Y: share}
+			point := htmlreport.Point{X: minutesSinceStart(samples, i), Y: share}
 			chart.Lines[side].Points = append(chart.Lines[side].Points, point)
 		}
 	}
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -20,9 +20,10 @@
 	"yokeroute/logic/rollout"
 )
 
-const kept = "testdata/kept"
+const keptFolder = "testdata/kept"
 
-// folderFiles are all files of a rollout's folder by their paths in it, but for the lock, which is empty.
+// folderFiles returns the contents of all files in a rollout's folder by relative path, except for the lock file,
+// which is empty.
 func folderFiles(t *testing.T, folder string) map[string][]byte {
 	t.Helper()
 	files := map[string][]byte{}
@@ -45,7 +46,7 @@
 	return files
 }
 
-// keptPlan is the plan of the kept rollout.
+// keptPlan returns the plan of the rollout in testdata/kept.
 func keptPlan(folder string) *Plan {
 	p := &Plan{File: "release-42.conf", Fingerprint: "ccb99da814c8b92c", Folder: folder, Interval: 5 * time.Second,
 		Processes: []GathererProcess{
@@ -57,7 +58,7 @@
 	return p
 }
 
-// keptRecords are records of every kind, with each field set somewhere.
+// keptRecords holds records of every kind; each field is set in at least one of them.
 var keptRecords = []rollout.Record{
 	{Kind: rollout.ControllerStarted, PlanSum: "ccb99da814c8b92c", FencingToken: 1},
 	{Kind: rollout.PositionChanged, Position: &rollout.Position{Phase: rollout.Baselining},
@@ -76,8 +77,8 @@
 	{Kind: rollout.StepEnded, Gatherer: "g3", Target: rollout.Old},
 }
 
-// keptLines are the records in words, without their times, which are the reader's own zone's.
-var keptLines = []string{
+// keptRecordLines holds the text of each of keptRecords, without the times, which depend on the reader's time zone.
+var keptRecordLines = []string{
 	"controller 1 begins",
 	"baseline, stage 1: watching the old for 2 s more before anything is changed",
 	"changing, stage 2: stage one is passed; next is all",
@@ -92,21 +93,21 @@
 	"g3: its step to old has ended",
 }
 
-// writeFolder has a controller with a clock that stands write a rollout's folder.
+// writeFolder writes a rollout's folder through a controller with a simulated clock.
 func writeFolder(t *testing.T, folder string) {
 	t.Helper()
-	own, err := runfolder.Open(folder, false)
+	runFolder, err := runfolder.Open(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer own.Close()
-	if err := own.Recover(func([]byte) error { return nil }); err != nil {
+	defer runFolder.Close()
+	if err := runFolder.Recover(func([]byte) error { return nil }); err != nil {
 		t.Fatal(err)
 	}
 	now := 1796168075012.75
 	p := keptPlan(folder)
 	c := &Controller{
-		plan: p, journal: own, fencingToken: own.FencingToken, now: func() float64 { return now },
+		plan: p, journal: runFolder, fencingToken: runFolder.FencingToken, now: func() float64 { return now },
 		reports: &reportClient{lastReportAt: make([]time.Time, 3)},
 	}
 	for _, record := range keptRecords {
@@ -132,7 +133,7 @@
 	} {
 		s := c.buildStatus(o, d)
 		if s.PID != os.Getpid() {
-			t.Errorf("process %d", s.PID)
+			t.Errorf("status has process ID %d, want that of this process", s.PID)
 		}
 		s.PID = 18889
 		if err := c.publish(s); err != nil {
@@ -144,36 +145,37 @@
 	}
 }
 
-// TestFolderKeepsItsBytes: a rollout's folder (journal with every kind of record, status, history, the operator's
-// command, the controller's number) is written byte for byte as it was when its format began.
-func TestFolderKeepsItsBytes(t *testing.T) {
+// TestFolderIsWrittenByteForByteAsKept checks that a rollout's folder (journal with every kind of record, status,
+// history, the operator's command, the controller's number) is written byte for byte like the kept one, which fixes
+// the format.
+func TestFolderIsWrittenByteForByteAsKept(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "run")
 	writeFolder(t, folder)
-	want, got := folderFiles(t, filepath.Join(kept, "rollout-1")), folderFiles(t, folder)
+	want, got := folderFiles(t, filepath.Join(keptFolder, "rollout-1")), folderFiles(t, folder)
 	for name, text := range want {
 		if !bytes.Equal(got[name], text) {
-			t.Errorf("%s: written\n%q\nkept\n%q", name, got[name], text)
+			t.Errorf("%s: written\n%q\nwant the kept\n%q", name, got[name], text)
 		}
 	}
 	for name := range got {
 		if want[name] == nil {
-			t.Errorf("%s is written and was not", name)
+			t.Errorf("%s is written, but is not in the kept folder", name)
 		}
 	}
 }
 
-// TestKeptFolderIsRead: a kept folder is read by who looks on, and a controller after the one that wrote it goes on
-// from it, with what was begun and not ended.
-func TestKeptFolderIsRead(t *testing.T) {
+// TestControllerRecoversFromKeptFolder checks that the status, history and journal of the kept folder are read, and
+// that a later controller recovers the position, the last command and the steps whose end is not recorded.
+func TestControllerRecoversFromKeptFolder(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "run")
-	if err := os.CopyFS(folder, os.DirFS(filepath.Join(kept, "rollout-1"))); err != nil {
+	if err := os.CopyFS(folder, os.DirFS(filepath.Join(keptFolder, "rollout-1"))); err != nil {
 		t.Fatal(err)
 	}
 	s, err := ReadStatus(folder)
 	if err != nil || s.Name != "release-42" || s.Plan != "release-42.conf" || s.FencingToken != 1 || s.PID != 18889 ||
 		s.Phase != rollout.Stopped || s.Stage != "all" ||
 		s.Verdict != "stop" || s.Reason != "stopped: by the operator's word" || s.ObservedAt != 1796168078018.75 {
-		t.Fatalf("%v, %+v", err, s)
+		t.Fatalf("status of the kept folder: error %v, %+v", err, s)
 	}
 	if !slices.Equal(s.Gatherers, []GathererStatus{
 		{Name: "g1", Zone: "north", Variant: "old", Ready: true, LastReportAt: 1796168077918},
@@ -183,64 +185,66 @@
 		},
 		{Name: "g3", Variant: "unknown", Fault: "no answer"},
 	}) {
-		t.Errorf("%+v", s.Gatherers)
+		t.Errorf("unexpected gatherers in the status: %+v", s.Gatherers)
 	}
 	if s.Classes["any"] != [2]VariantSums{{250, 249.5, 1}, {11, 10, 0}} || s.Classes["once"] != [2]VariantSums{{130, 130, 0}, {}} {
-		t.Errorf("%+v", s.Classes)
+		t.Errorf("unexpected classes in the status: %+v", s.Classes)
 	}
 	history, err := History(folder)
 	if err != nil || len(history) != 2 || history[0].Phase != rollout.RollingBack || history[0].Old != 1 ||
 		history[0].New != 1 || history[0].Unreachable != 1 ||
 		history[1].Stage != "all" || history[1].Reason != "stopped: by the operator's word" || history[1].ObservedAt != s.ObservedAt ||
 		history[1].Classes["any"] != s.Classes["any"] {
-		t.Errorf("%v, %+v", err, history)
+		t.Errorf("history of the kept folder: error %v, %+v", err, history)
 	}
 	lines, err := JournalLines(folder)
-	if err != nil || len(lines) != len(keptLines) {
-		t.Fatalf("%v, %q", err, lines)
+	if err != nil || len(lines) != len(keptRecordLines) {
+		t.Fatalf("journal of the kept folder: error %v, lines %q", err, lines)
 	}
 	for i, line := range lines {
-		if line[len("15:04:05  "):] != keptLines[i] {
-			t.Errorf("record %d reads %q, want %q", i, line, keptLines[i])
+		if line[len("15:04:05  "):] != keptRecordLines[i] {
+			t.Errorf("record %d is printed as %q, want %q", i, line, keptRecordLines[i])
 		}
 	}
-	own, err := runfolder.Open(folder, false)
+	runFolder, err := runfolder.Open(folder, false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer own.Close()
-	c := &Controller{plan: keptPlan(folder), journal: own, stepStates: make([]rollout.StepState, 3)}
+	defer runFolder.Close()
+	c := &Controller{plan: keptPlan(folder), journal: runFolder, stepStates: make([]rollout.StepState, 3)}
 	err = c.recover()
-	if err != nil || c.position != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || own.FencingToken != 2 {
-		t.Errorf("%v, %+v, controller %d", err, c.position, own.FencingToken)
+	if err != nil || c.position != (rollout.Position{Phase: rollout.RollingBack, Stage: 1, Reason: "by the operator's word"}) || runFolder.FencingToken != 2 {
+		t.Errorf("recovery: error %v, position %+v, controller %d", err, c.position, runFolder.FencingToken)
 	}
 	if len(c.unfinished) != 1 || c.unfinished[0].Gatherer != "g1" ||
 		c.unfinished[0].Target != rollout.Old || c.unfinished[0].At != 1796168077267.25 ||
 		c.lastCommand != "back 1796168075012746800" || c.stepStates[0] != rollout.Running {
-		t.Errorf("made again: %+v, after %q", c.unfinished, c.lastCommand)
+		t.Errorf("recovered unfinished steps %+v and last command %q", c.unfinished, c.lastCommand)
 	}
-	if word, err := own.Command(); err != nil || word != "stop 1796168075012746801" {
-		t.Errorf("%v, %q", err, word)
+	if command, err := runFolder.Command(); err != nil || command != "stop 1796168075012746801" {
+		t.Errorf("pending command: error %v, %q", err, command)
 	}
 }
 
-// TestHTMLReportKeepsItsBytes: the page of the kept rollout is what it was, in UTC.
-func TestHTMLReportKeepsItsBytes(t *testing.T) {
+// TestHTMLReportMatchesKeptPage checks that the HTML report of the kept rollout, in UTC, is byte for byte the kept
+// page.
+func TestHTMLReportMatchesKeptPage(t *testing.T) {
 	local := time.Local
 	time.Local = time.UTC
 	defer func() { time.Local = local }()
-	got, err := HTMLReport(filepath.Join(kept, "rollout-1"))
+	got, err := HTMLReport(filepath.Join(keptFolder, "rollout-1"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	want, err := os.ReadFile(filepath.Join(kept, "report.html"))
+	want, err := os.ReadFile(filepath.Join(keptFolder, "report.html"))
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("%v: written\n%s\nkept\n%s", err, got, want)
+		t.Errorf("read error %v: written\n%s\nwant the kept\n%s", err, got, want)
 	}
 }
 
-// TestKeptNotesOfProcesses: who a gatherer's process and the command of its step are is written and read as it was.
-func TestKeptNotesOfProcesses(t *testing.T) {
+// TestProcessRecordsAreWrittenAndReadAsBefore checks the format of the records of a gatherer's process and of its
+// step's command, and that records of an earlier version are read.
+func TestProcessRecordsAreWrittenAndReadAsBefore(t *testing.T) {
 	p := keptPlan(t.TempDir())
 	pid := os.Getpid()
 	if err := (processStepper{p}).adopt(0, pid); err != nil {
@@ -256,26 +260,26 @@
 		}
 	}
 	if n := len(folderFiles(t, p.Folder)); n != 2 || (processStepper{p}).runningPID(0) != pid {
-		t.Errorf("%d files, process %d", n, (processStepper{p}).runningPID(0))
+		t.Errorf("got %d files and process %d, want 2 files and this process", n, (processStepper{p}).runningPID(0))
 	}
-	earlier := fmt.Sprintf("%d %s\n", pid, process.StartTicks(pid)) // of versions that did not note the boot
+	earlier := fmt.Sprintf("%d %s\n", pid, process.StartTicks(pid)) // written by versions that did not record the boot ID
 	if err := os.WriteFile((processStepper{p}).pidFile(0), []byte(earlier), 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if found := (processStepper{p}).runningPID(0); found != pid {
-		t.Errorf("by an earlier version's note: process %d", found)
+		t.Errorf("record of an earlier version: got process %d, want this process", found)
 	}
 }
 
-// TestRequestsKeepTheirBytes: what a controller asks of gatherers is byte for byte what it was.
-func TestRequestsKeepTheirBytes(t *testing.T) {
-	var asked []string
+// TestRequestsToGatherersKeepTheirFormat checks that a controller's requests to gatherers are byte for byte unchanged.
+func TestRequestsToGatherersKeepTheirFormat(t *testing.T) {
+	var requests []string
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Error(err)
 		}
-		asked = append(asked, r.Method+" "+r.URL.RequestURI()+" "+string(body))
+		requests = append(requests, r.Method+" "+r.URL.RequestURI()+" "+string(body))
 		if r.Method == http.MethodGet {
 			text, err := os.ReadFile(filepath.Join("..", "..", "gatherer", "report", "testdata", "kept", "marked.json"))
 			if err != nil {
@@ -292,24 +296,24 @@
 		checkpoints: make([]string, 1), lastReports: make([]*report.Document, 1), lastReportAt: make([]time.Time, 1),
 		oldBuilds: []rollout.BuildInfo{{Version: "41"}}, newBuilds: []rollout.BuildInfo{{Version: "42"}},
 	}
-	run := "release-42 in /var/rollout on host"
-	if err := client.claim(context.Background(), 0, run, 3); err != nil {
+	runID := "release-42 in /var/rollout on host"
+	if err := client.claim(context.Background(), 0, runID, 3); err != nil {
 		t.Error(err)
 	}
 	for range 2 {
 		sample := client.observe(context.Background(), 1).Gatherers[0]
 		if !sample.Reachable || sample.Variant != rollout.Old || sample.Incarnation != "18889-1" || len(sample.Classes) != 2 {
-			t.Errorf("%+v", sample)
+			t.Errorf("unexpected sample: %+v", sample)
 		}
 	}
-	client.release(context.Background(), 0, run, 3)
+	client.release(context.Background(), 0, runID, 3)
 	want := strings.Join([]string{
 		`POST /claim {"fence":3,"for":60000,"run":"release-42 in /var/rollout on host"}`,
 		`GET /report?since= `,
 		`GET /report?since=18889-1.1 `,
 		`DELETE /claim?run=release-42+in+%2Fvar%2Frollout+on+host&fence=3 `,
 	}, "\n")
-	if got := strings.Join(asked, "\n"); got != want {
-		t.Errorf("asked\n%s\nwant\n%s", got, want)
+	if got := strings.Join(requests, "\n"); got != want {
+		t.Errorf("requests\n%s\nwant\n%s", got, want)
 	}
 }
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -1,6 +1,6 @@
-// Package rollout carries out a rollout: it reads the plan, requests the gatherers' reports, has package logic/rollout
-// decide, makes the steps by the operator's commands or by itself, and records all that a later controller needs to
-// continue. It decides nothing about the fleet.
+// Package rollout executes a rollout: it reads the plan, fetches the gatherers' reports, makes the steps by the
+// operator's commands or by itself, and records all that a later controller needs to continue. All decisions about the
+// fleet are made by package logic/rollout.
 package rollout
 
 import (
@@ -14,42 +14,45 @@
 	"yokeroute/logic/rollout"
 )
 
-// Release is what gatherers serve on one side of a rollout. Gatherers are classified by the fields that are set. In the
-// names of files {name}, {zone} and {report} stand for the gatherer's.
+// Release describes the version that gatherers run before or after a rollout. Gatherers are classified by the fields
+// that are set. In file names, {name}, {zone} and {report} stand for a gatherer's name, zone and report address.
 type Release struct {
-	Program, Config, Operator string // files
+	Program, Config, Operator string // file names
 	Version                   string
 }
 
 // StepCommand is an operator's command that makes a step.
 type StepCommand struct {
-	Args    []string // {name}, {zone}, {report}, {to} and {fence} stand for the gatherer's and the step's
+	// Args holds the command and its arguments. {name}, {zone} and {report} stand for the gatherer's name, zone and
+	// report address, {to} for the step's target variant and {fence} for the controller's fencing token.
+	Args    []string
 	Timeout time.Duration
 }
 
-// GathererProcess is where a gatherer is reached, and the files that its process reads, for the built-in stepper.
+// GathererProcess holds the report address of a gatherer and, for the built-in stepper, the files that its process
+// reads.
 type GathererProcess struct{ ReportAddress, ConfigFile, OperatorFile string }
 
-// Plan is a plan file.
+// Plan is a plan as read from its file.
 type Plan struct {
 	rollout.Plan
-	File        string // as named by the operator
-	Fingerprint string // of its text
-	Folder      string // of the journal
-	Interval    time.Duration
-	Processes   []GathererProcess // by gatherer
-	Old, New    Release
-	Commands    map[rollout.Variant]StepCommand // empty for the built-in stepper
-	ReloadOnly  bool                            // the built-in stepper sends SIGHUP, and restarts nothing
+	File        string                          // plan's file name, as given by the operator
+	Fingerprint string                          // checksum of the plan's text
+	Folder      string                          // folder of the journal
+	Interval    time.Duration                   // time between rounds
+	Processes   []GathererProcess               // by gatherer index
+	Old, New    Release                         // releases before and after the rollout
+	Commands    map[rollout.Variant]StepCommand // empty if the built-in stepper is used
+	ReloadOnly  bool                            // whether the built-in stepper sends SIGHUP instead of restarting
 
-	directiveLines map[string][]*directive.Values // for the places of faults
+	directiveLines map[string][]*directive.Values // lines of each directive, for the positions of faults
 }
 
 func newPlan() *Plan {
 	return &Plan{Commands: map[rollout.Variant]StepCommand{}, directiveLines: map[string][]*directive.Values{}}
 }
 
-// ReadPlan reads and checks a plan. It contacts no gatherer.
+// ReadPlan reads and checks a plan file. It does not contact gatherers.
 func ReadPlan(file string) (*Plan, error) {
 	p := newPlan()
 	fingerprint, err := p.directives().ReadWithChecksum(file)
@@ -65,7 +68,7 @@
 	return p, nil
 }
 
-// expand replaces a gatherer's placeholders.
+// expand replaces the placeholders {name}, {zone} and {report} by the values of a gatherer.
 func (p *Plan) expand(text string, g int) string {
 	return strings.NewReplacer(
 		"{name}", p.Gatherers[g].Name,
@@ -74,7 +77,7 @@
 	).Replace(text)
 }
 
-// releaseFor is a release with the placeholders of a gatherer replaced.
+// releaseFor returns a release with the placeholders replaced by the values of a gatherer.
 func (p *Plan) releaseFor(g int, r Release) Release {
 	return Release{
 		Program:  p.expand(r.Program, g),
@@ -84,7 +87,7 @@
 	}
 }
 
-// release is that of a variant for a gatherer.
+// release returns the release of a variant, with the placeholders replaced by the values of a gatherer.
 func (p *Plan) release(g int, v rollout.Variant) Release {
 	if v == rollout.Old {
 		return p.releaseFor(g, p.Old)
@@ -92,7 +95,7 @@
 	return p.releaseFor(g, p.New)
 }
 
-// buildInfo reads the fingerprints by which a gatherer of a variant is classified.
+// buildInfo reads the files of a variant's release and returns the fingerprints by which a gatherer is classified.
 func (p *Plan) buildInfo(g int, v rollout.Variant) (build rollout.BuildInfo, err error) {
 	r := p.release(g, v)
 	build.Version = r.Version
@@ -115,26 +118,26 @@
 	return build, nil
 }
 
-// Describe writes what a rollout by the plan would do.
+// Describe writes a summary of the rollout that the plan defines.
 func (p *Plan) Describe(w io.Writer) error {
 	var b strings.Builder
-	fmt.Fprintf(&b, "rollout %s: %d gatherers in %d zones, at most %d out at once and %d in a zone\n",
+	fmt.Fprintf(&b, "rollout %s: %d gatherers in %d zones, at most %d unavailable at once and %d per zone\n",
 		p.Name, len(p.Gatherers), len(p.Zones()), p.MaxUnavailable, p.MaxUnavailablePerZone)
-	before := 0
+	previousTargets := 0
 	for i, stage := range p.Stages {
 		targets := p.Targets(i)
-		fmt.Fprintf(&b, "stage %s: %d new, watched for %s: %s\n", stage.Name, len(targets),
-			directive.FormatDuration(stage.MinObservation), p.shortList(targets[before:]))
-		before = len(targets)
+		fmt.Fprintf(&b, "stage %s: %d new, observed for %s: %s\n", stage.Name, len(targets),
+			directive.FormatDuration(stage.MinObservation), p.shortList(targets[previousTargets:]))
+		previousTargets = len(targets)
 	}
-	fmt.Fprintf(&b, "stopped where the new lose %s more of the value than the old, "+
-		"with a chance of %s for a version that does not\n",
+	fmt.Fprintf(&b, "stops if the new gatherers lose %s more of the value than the old; "+
+		"false stop rate %s for a version that does not\n",
 		directive.FormatShare(p.Harm), directive.FormatShare(p.FalseStopRate))
 	_, err := io.WriteString(w, b.String())
 	return err
 }
 
-// shortList names the first few of some gatherers.
+// shortList returns the names of the first few gatherers of a list, and the number of the others.
 func (p *Plan) shortList(gatherers []int) string {
 	const maxNames = 12
 	names := make([]string, 0, len(gatherers))
--- a/internal/control/rollout/plan_test.go
+++ b/internal/control/rollout/plan_test.go
@@ -9,9 +9,10 @@
 	"yokeroute/internal/control/rollout"
 )
 
-// TestReadPlanReportsEveryMistakeWithItsPlace: mistakes in a plan are told with their place and the mend, all at once,
-// and nothing is begun.
-func TestReadPlanReportsEveryMistakeWithItsPlace(t *testing.T) {
+// TestReadPlanReportsEveryMistakeWithItsPosition checks that mistakes in a plan are reported with their position and
+// the correction, and that no rollout is started. It also checks that the reference page is current and that the
+// examples in it parse.
+func TestReadPlanReportsEveryMistakeWithItsPosition(t *testing.T) {
 	folder := t.TempDir()
 	head := "rollout r in r\n" +
 		"gatherer g1 zone north report 127.0.0.1:1\n" +
@@ -33,9 +34,9 @@
 		{head + tail + stages + "stag x count 2\n", "did you mean stage?"},
 		{
 			head + stages + "step-new ./x\nold version 1\nnew version 2\n",
-			"step-new and step-old go together",
+			"step-new and step-old have to be set together",
 		},
-		{head + stages + tail + "runner restart\n", "by the one or the other"},
+		{head + stages + tail + "runner restart\n", "runner conflicts with step-new and step-old"},
 		{head + stages + "old version 1\nnew version 2\n", "the built-in runner starts programs"},
 		{
 			head + stages + "step-new ./x\nstep-old ./x\nold version 1\nnew version 1\n",
@@ -49,7 +50,7 @@
 			head + "gatherer g1 zone north report 127.0.0.1:9\n" + stages + tail,
 			":5:1: gatherer g1 is named twice",
 		},
-		{head + "gatherer g4 zone north report 127.0.0.1:3\n" + stages + tail, "as g3 does"},
+		{head + "gatherer g4 zone north report 127.0.0.1:3\n" + stages + tail, "as gatherer g3 does"},
 		{"rollout r in r\n" + stages + tail, "names 0 gatherers"},
 	} {
 		file := filepath.Join(folder, "plan.conf")
@@ -58,19 +59,19 @@
 		}
 		_, err := rollout.ReadPlan(file)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "plan.conf:") {
-			t.Errorf("%q: %v", c.want, err)
+			t.Errorf("got error %[2]v, want one with a position that contains %[1]q", c.want, err)
 		}
 	}
 	if _, err := os.Stat(filepath.Join(folder, "r")); err == nil {
-		t.Error("a folder was begun")
+		t.Error("the rollout's folder was created")
 	}
 	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-rollout.md")
 	if text, err := os.ReadFile(page); err != nil || string(text) != rollout.Reference() {
-		t.Errorf("%s is not what yokeroute reference rollout prints: %v", page, err)
+		t.Errorf("%s differs from the output of yokeroute reference rollout (read error: %v)", page, err)
 	}
 	for _, d := range rollout.Directives().Directives {
 		if err := (rollout.Directives()).Parse("example", d.Example+"\n"); err != nil {
-			t.Errorf("%s: its example does not read: %v", d.Name, err)
+			t.Errorf("directive %s: its example is not accepted: %v", d.Name, err)
 		}
 	}
 }
--- a/internal/control/rollout/processrecord.go
+++ b/internal/control/rollout/processrecord.go
@@ -9,15 +9,15 @@
 	"yokeroute/internal/storage/atomicfile"
 )
 
-// processRecord names a process for a later controller: its ID, and when and after which boot the kernel started it,
-// since IDs are reused, and start times too after a reboot.
+// processRecord identifies a process to a later controller. It holds the start time and the boot ID besides the
+// process ID, since process IDs are reused, and after a reboot start times can recur as well.
 type processRecord struct {
 	pid        int
-	startTicks string // empty for a process that does not run
-	bootID     string // empty in records of earlier versions, and where the kernel tells none
+	startTicks string // empty if the process does not run
+	bootID     string // empty in records of earlier versions, and if the kernel does not provide a boot ID
 }
 
-// recordOf returns the record of a process that runs now.
+// recordOf returns the record of the process that has the ID now.
 func recordOf(pid int) processRecord {
 	return processRecord{pid: pid, startTicks: process.StartTicks(pid), bootID: process.BootID()}
 }
@@ -38,8 +38,8 @@
 	return atomicfile.Write(file, fmt.Appendf(nil, "%d %s %s\n", r.pid, r.startTicks, r.bootID))
 }
 
-// readProcessRecord reads what writeProcessRecord of this or an earlier version wrote; ok is false where there is nothing
-// to read.
+// readProcessRecord reads a record that writeProcessRecord of this or an earlier version wrote. It returns false if
+// the file can't be read or holds no valid record.
 func readProcessRecord(file string) (r processRecord, ok bool) {
 	const requiredFields = 2
 	text, err := os.ReadFile(file)
--- a/internal/control/rollout/processrecord_test.go
+++ b/internal/control/rollout/processrecord_test.go
@@ -14,8 +14,8 @@
 	"yokeroute/logic/rollout"
 )
 
-// TestRecordOfAnotherBootNamesNoProcess guards against a controller that waits for, and then kills, whatever has the ID and
-// the start tick of a step's process after a reboot.
+// TestRecordOfAnotherBootNamesNoProcess guards against a controller that, after a reboot, waits for and then kills an
+// unrelated process that happens to have the process ID and the start time of a recorded step's process.
 func TestRecordOfAnotherBootNamesNoProcess(t *testing.T) {
 	const otherBoot = "00000000-0000-4000-8000-000000000000"
 	for name, c := range map[string]struct {
@@ -53,11 +53,11 @@
 			select {
 			case <-ended:
 				if !c.waits {
-					t.Error("the other process was killed")
+					t.Error("an unrelated process was killed")
 				}
 			case <-time.After(500 * time.Millisecond):
 				if c.waits {
-					t.Error("the step's process still runs")
+					t.Error("the step's process still runs after its timeout, want it killed")
 				}
 			}
 		})
--- a/internal/control/rollout/processstep.go
+++ b/internal/control/rollout/processstep.go
@@ -19,12 +19,12 @@
 	"yokeroute/logic/rollout"
 )
 
-// maxDrainTime is how long a process may take to answer what it holds before it is killed: longer than any deadline of
-// a query should be.
+// maxDrainTime is the time after which a process that is still draining is killed. It should exceed every query's
+// deadline.
 const maxDrainTime = 30 * time.Second
 
-// processStepper is the built-in stepper. Gatherers are processes on this machine, started in sessions of their own so
-// that they outlive the controller. Files record which process is whose.
+// processStepper is the built-in stepper. It runs gatherers as processes on this machine, in sessions of their own so
+// that they outlive the controller. Files record the process of each gatherer.
 type processStepper struct{ plan *Plan }
 
 func (s processStepper) step(ctx context.Context, g int, to rollout.Variant, f fence) error {
@@ -36,7 +36,7 @@
 	pid := s.runningPID(g)
 	if s.plan.ReloadOnly {
 		if pid == 0 {
-			return fmt.Errorf("gatherer %s: no process to tell by SIGHUP", s.plan.Gatherers[g].Name)
+			return fmt.Errorf("gatherer %s: no running process to which SIGHUP can be sent", s.plan.Gatherers[g].Name)
 		}
 		return syscall.Kill(pid, syscall.SIGHUP)
 	}
@@ -46,7 +46,7 @@
 	return s.start(g, release, target, f)
 }
 
-// install replaces the files that a gatherer's process reads by those of a release.
+// install replaces the files that a gatherer's process reads with those of a release.
 func install(r Release, target GathererProcess) error {
 	for _, file := range []struct{ from, to string }{
 		{r.Config, target.ConfigFile},
@@ -70,7 +70,7 @@
 	return filepath.Join(s.plan.Folder, "run", s.plan.Gatherers[g].Name+".pid")
 }
 
-// runningPID is the ID of a gatherer's process, 0 where none runs.
+// runningPID returns the ID of a gatherer's process, or 0 if none runs.
 func (s processStepper) runningPID(g int) int {
 	if recorded, ok := readProcessRecord(s.pidFile(g)); ok && recorded.running() {
 		return recorded.pid
@@ -78,8 +78,8 @@
 	return findProcess(s.plan.Processes[g].ConfigFile)
 }
 
-// findProcess finds a process that serves by a configuration file: one that was started by hand, or by a controller
-// that was killed before it had recorded it. It returns 0 for none.
+// findProcess returns the ID of a gatherer process that uses a configuration file and has no record, because it was
+// started by hand or by a controller that was killed before it had recorded it. It returns 0 if there is none.
 func findProcess(configFile string) int {
 	entries, err := os.ReadDir("/proc")
 	if err != nil || configFile == "" {
@@ -95,15 +95,15 @@
 			continue
 		}
 		args := strings.Split(strings.TrimRight(string(text), "\x00"), "\x00")
-		if servesBy(args, configFile) && process.StartTicks(pid) != "" {
+		if isGathererCommand(args, configFile) && process.StartTicks(pid) != "" {
 			return pid
 		}
 	}
 	return 0
 }
 
-// servesBy reports whether a command line is that of a gatherer with a configuration file.
-func servesBy(args []string, configFile string) bool {
+// isGathererCommand reports whether a command line is that of a gatherer that uses the configuration file.
+func isGathererCommand(args []string, configFile string) bool {
 	if len(args) < 2 || args[1] != "serve" {
 		return false
 	}
@@ -115,28 +115,29 @@
 	return false
 }
 
-// adopt records a process that serves already.
+// adopt records a running process as that of a gatherer.
 func (s processStepper) adopt(g, pid int) error {
 	record := recordOf(pid)
 	if record.startTicks == "" {
-		return fmt.Errorf("gatherer %s: no process %d", s.plan.Gatherers[g].Name, pid)
+		return fmt.Errorf("gatherer %s: process %d does not run", s.plan.Gatherers[g].Name, pid)
 	}
 	return writeProcessRecord(s.pidFile(g), record)
 }
 
-// terminate ends a process as a planned restart does, and waits for its end: it shares an address and a state folder
-// with its successor.
+// terminate sends SIGTERM to a process, as in a planned restart, and waits for its end, since its successor uses the
+// same address and state folder. A process that has not ended within maxDrainTime is killed.
 func (s processStepper) terminate(ctx context.Context, g, pid int) error {
 	if pid == 0 {
 		return nil
 	}
 	sendSignal(pid, syscall.SIGTERM)
-	sendSignal(pid, syscall.SIGCONT) // a stopped process can't end
+	sendSignal(pid, syscall.SIGCONT) // a process that is stopped handles SIGTERM only once it is continued
 	running := func() bool { return s.runningPID(g) == pid }
 	return awaitEnd(ctx, running, maxDrainTime, func() { sendSignal(pid, syscall.SIGKILL) })
 }
 
-// start starts a process in a session of its own, so that neither the controller's end nor its terminal reaches it.
+// start starts a process in a session of its own, so that it receives no signals from the controller's terminal and is
+// not ended with the controller.
 func (s processStepper) start(g int, release Release, target GathererProcess, f fence) error {
 	if err := os.MkdirAll(filepath.Dir(s.pidFile(g)), 0o755); err != nil {
 		return err
@@ -155,8 +156,8 @@
 	if err := startRecorded(cmd, func(pid int) error { return cmp.Or(s.adopt(g, pid), f.check()) }); err != nil {
 		return fmt.Errorf("gatherer %s: %w", name, err)
 	}
-	// The process outlives the controller by design, and nobody waits for its end here. While the controller runs
-	// it is the parent, and has to collect the exit status for the process to be gone.
+	// The process is meant to outlive the controller, so that its end is not awaited here. While the controller runs,
+	// it is the parent and has to collect the exit status, or an ended process would remain as a zombie.
 	go func() { _ = cmd.Wait() }()
 	return nil
 }
--- a/internal/control/rollout/recordedstart.go
+++ b/internal/control/rollout/recordedstart.go
@@ -7,15 +7,17 @@
 	"path/filepath"
 )
 
-// waitForRecord is a shell's script that becomes the program of its arguments once it has read a line from
-// descriptor 3, and ends where that closes without one. The program has the process ID of the shell.
-const waitForRecord = `read -r recorded <&3 && exec "$@" 3<&-`
+// awaitRecordScript is a shell script that reads a line from descriptor 3 and then executes the program given by its
+// arguments, in the shell's own process. It exits without executing it if the descriptor is closed before a line
+// arrives.
+const awaitRecordScript = `read -r recorded <&3 && exec "$@" 3<&-`
 
 const shell = "/bin/sh"
 
-// startRecorded starts a command once record has returned for its process ID. A controller that is killed before
-// leaves nothing that runs: a later one could not know of it, and would run another beside it. The command must
-// not have files of its own beyond the standard streams.
+// startRecorded starts a command, but lets it execute only after record has stored its process ID. If the controller
+// is killed before that, the command does not run: a later controller could not know of it and would run another
+// command concurrently. The command must not have open files other than the standard streams (ExtraFiles is
+// overwritten).
 func startRecorded(cmd *exec.Cmd, record func(pid int) error) error {
 	if err := checkExecutable(cmd); err != nil {
 		return err
@@ -25,7 +27,7 @@
 		return err
 	}
 	defer write.Close()
-	cmd.Args = append([]string{shell, "-c", waitForRecord, shell, cmd.Path}, cmd.Args[1:]...)
+	cmd.Args = append([]string{shell, "-c", awaitRecordScript, shell, cmd.Path}, cmd.Args[1:]...)
 	cmd.Path = shell
 	cmd.ExtraFiles = []*os.File{read}
 	err = cmd.Start()
@@ -39,12 +41,13 @@
 	}
 	if err != nil {
 		write.Close()
-		_ = cmd.Wait() // it ends, since the pipe has closed
+		_ = cmd.Wait() // returns, since the script exits once the pipe is closed
 	}
 	return err
 }
 
-// checkExecutable checks what the shell would only report by its status.
+// checkExecutable returns an error if the command's program can't be executed, which the shell would report by its
+// exit status only.
 func checkExecutable(cmd *exec.Cmd) error {
 	if cmd.Err != nil && !errors.Is(cmd.Err, exec.ErrDot) {
 		return cmd.Err
--- a/internal/control/rollout/recordedstart_test.go
+++ b/internal/control/rollout/recordedstart_test.go
@@ -16,48 +16,48 @@
 	"yokeroute/logic/rollout"
 )
 
-// unrecordedWait is for how long a command that must not run is given to run all the same.
+// unrecordedWait is the time that tests wait to see that a command does not run.
 const unrecordedWait = 300 * time.Millisecond
 
-// dyingController is the environment variable that has this test be a controller which is killed between starting a
-// command and recording it. Its value is the file that the command would write.
+// dyingController names the environment variable that makes this test's process act as a controller that is killed
+// between starting a command and recording it. Its value is the file that the command would create.
 const dyingController = "YOKEROUTE_TEST_DYING_CONTROLLER"
 
-// TestCommandOfKilledControllerNeverRuns guards against two steps of one gatherer at once: a controller that is killed
-// before it has recorded a command leaves none that runs.
+// TestCommandOfKilledControllerNeverRuns guards against two concurrent steps of one gatherer: a command must not run
+// if the controller is killed before it has recorded the command's process.
 func TestCommandOfKilledControllerNeverRuns(t *testing.T) {
 	if marker := os.Getenv(dyingController); marker != "" {
 		_ = startRecorded(exec.Command("touch", marker), func(int) error {
 			time.Sleep(unrecordedWait)
 			return syscall.Kill(os.Getpid(), syscall.SIGKILL)
 		})
-		t.Fatal("still alive")
+		t.Fatal("the controller survived SIGKILL")
 	}
 	marker := filepath.Join(t.TempDir(), "ran")
 	controller := exec.Command(os.Args[0], "-test.run", "^TestCommandOfKilledControllerNeverRuns$")
 	controller.Env = append(os.Environ(), dyingController+"="+marker)
-	var status *exec.ExitError
-	if err := controller.Run(); !errors.As(err, &status) || status.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
-		t.Fatalf("the controller ended with %v", err)
+	var exitError *exec.ExitError
+	if err := controller.Run(); !errors.As(err, &exitError) || exitError.Sys().(syscall.WaitStatus).Signal() != syscall.SIGKILL {
+		t.Fatalf("the controller ended with %v, want it killed by SIGKILL", err)
 	}
 	time.Sleep(unrecordedWait)
 	if _, err := os.Stat(marker); err == nil {
-		t.Error("the command ran")
+		t.Error("the command ran, though it was not recorded")
 	}
 }
 
-// TestCommandRunsOnceRecorded wants a command to begin after it is recorded, under the recorded process ID and with
-// nothing of what held it back; and one that can't be recorded not to run at all.
+// TestCommandRunsOnceRecorded checks that a command runs only after it is recorded, under the recorded process ID and
+// without the pipe's descriptor, and that a command that can't be recorded does not run at all.
 func TestCommandRunsOnceRecorded(t *testing.T) {
 	marker := filepath.Join(t.TempDir(), "ran")
-	recorded := 0
+	recordedPID := 0
 	script := `{ echo $$ "$1"; [ ! -e /proc/$$/fd/3 ] || echo descriptor 3 is open; } > "$2"`
 	cmd := exec.Command("sh", "-c", script, "sh", "an argument", marker)
 	err := startRecorded(cmd, func(pid int) error {
-		recorded = pid
+		recordedPID = pid
 		time.Sleep(unrecordedWait)
 		if _, err := os.Stat(marker); err == nil {
-			t.Error("it ran before it was recorded")
+			t.Error("the command ran before it was recorded")
 		}
 		return nil
 	})
@@ -68,24 +68,24 @@
 		t.Fatal(err)
 	}
 	text, err := os.ReadFile(marker)
-	if want := fmt.Sprintln(recorded, "an argument"); err != nil || string(text) != want {
-		t.Errorf("%v, it wrote %q, want %q", err, text, want)
+	if want := fmt.Sprintln(recordedPID, "an argument"); err != nil || string(text) != want {
+		t.Errorf("error %v, the command wrote %q, want %q", err, text, want)
 	}
-	refused := errors.New("no room")
-	other := filepath.Join(t.TempDir(), "ran")
-	if err := startRecorded(exec.Command("touch", other), func(int) error { return refused }); !errors.Is(err, refused) {
-		t.Errorf("%v", err)
+	recordError := errors.New("no room")
+	unrecordedMarker := filepath.Join(t.TempDir(), "ran")
+	if err := startRecorded(exec.Command("touch", unrecordedMarker), func(int) error { return recordError }); !errors.Is(err, recordError) {
+		t.Errorf("record failed: got %v, want its error", err)
 	}
-	if _, err := os.Stat(other); err == nil {
+	if _, err := os.Stat(unrecordedMarker); err == nil {
 		t.Error("a command that could not be recorded ran")
 	}
 	if err := startRecorded(exec.Command("/nowhere/program"), func(int) error { return nil }); !errors.Is(err, os.ErrNotExist) {
-		t.Errorf("a program that does not exist: %v", err)
+		t.Errorf("program that does not exist: got %v, want os.ErrNotExist", err)
 	}
 }
 
-// TestStepEndsWithItsCommand guards against a step that fails, or lasts, because of a child that outlives its command
-// and holds its output: a gatherer that a deploy script starts, say.
+// TestStepEndsWithItsCommand guards against a step that fails or does not end because a child outlives the command and
+// holds its output open, for example a gatherer that a deploy script starts.
 func TestStepEndsWithItsCommand(t *testing.T) {
 	p := keptPlan(t.TempDir())
 	p.Commands = map[rollout.Variant]StepCommand{
@@ -94,7 +94,7 @@
 	startedAt := time.Now()
 	err := commandStepper{p}.step(t.Context(), 0, rollout.New, fence{check: func() error { return nil }})
 	if took := time.Since(startedAt); err != nil || took > 10*time.Second {
-		t.Errorf("after %v: %v", took, err)
+		t.Errorf("the step ended after %v with %v, want success within 10 s", took, err)
 	}
 	text, err := os.ReadFile(filepath.Join(p.Folder, "child"))
 	if err != nil {
@@ -102,7 +102,7 @@
 	}
 	pid, err := strconv.Atoi(strings.TrimSpace(string(text)))
 	if err != nil || process.StartTicks(pid) == "" {
-		t.Errorf("%v: the child %q has ended", err, text)
+		t.Errorf("error %v: the child process %q has ended, want it running", err, text)
 	}
 	sendSignal(pid, syscall.SIGKILL)
 }
--- a/internal/control/rollout/reportclient.go
+++ b/internal/control/rollout/reportclient.go
@@ -14,27 +14,28 @@
 )
 
 const (
-	// reportTimeout is how long a gatherer may take to answer. It is short: who answers late counts as unreachable
-	// for this round, and delays no other.
+	// reportTimeout limits the time of a request to a gatherer. It is short so that a slow gatherer does not delay the
+	// round; it counts as unreachable for this round.
 	reportTimeout = 2 * time.Second
 
 	idleConnTimeout = 30 * time.Second
-	maxRequests     = 64 // to gatherers at once
+	maxRequests     = 64 // limit of concurrent requests to gatherers
 )
 
-// reportClient requests reports and claims from the gatherers of a plan. Each report is requested since the checkpoint
-// of the last one that was received, so that a lost answer loses no counts. Slices are by gatherer.
+// reportClient sends report and claim requests to the gatherers of a plan. Each report covers the time since the
+// checkpoint of the last report that was received, so that a lost response loses no counts. Slices are indexed by
+// gatherer.
 type reportClient struct {
 	plan         *Plan
 	http         *http.Client
 	checkpoints  []string
-	lastReports  []*report.Document // nil before the first
+	lastReports  []*report.Document // entries are nil before the first report
 	lastReportAt []time.Time
 	oldBuilds    []rollout.BuildInfo
 	newBuilds    []rollout.BuildInfo
 }
 
-// newReportClient reads the fingerprints of both releases.
+// newReportClient returns a client after it has read the fingerprints of both releases for each gatherer.
 func newReportClient(p *Plan) (*reportClient, error) {
 	n := len(p.Gatherers)
 	c := &reportClient{
@@ -60,14 +61,14 @@
 			return nil, err
 		}
 		if c.oldBuilds[g] == c.newBuilds[g] {
-			return nil, fmt.Errorf("gatherer %s: its old and its new files are the same to the byte",
+			return nil, fmt.Errorf("gatherer %s: its old and new releases are identical, want them to differ",
 				p.Gatherers[g].Name)
 		}
 	}
 	return c, nil
 }
 
-// do sends a request to a gatherer's report server.
+// do sends a request to the report server of a gatherer.
 func (c *reportClient) do(ctx context.Context, g int, method, target string, body []byte) (*http.Response, error) {
 	address := "http://" + c.plan.Processes[g].ReportAddress
 	req, err := http.NewRequestWithContext(ctx, method, address+target, bytes.NewReader(body))
@@ -77,7 +78,7 @@
 	return c.http.Do(req)
 }
 
-// forEachGatherer calls do for all gatherers concurrently, and waits.
+// forEachGatherer calls do for all gatherers, up to maxRequests of them concurrently, and returns once all calls have.
 func (c *reportClient) forEachGatherer(do func(g int)) {
 	var requests sync.WaitGroup
 	slots := make(chan struct{}, maxRequests)
@@ -91,7 +92,7 @@
 	requests.Wait()
 }
 
-// fetchReport requests a gatherer's report.
+// fetchReport fetches a gatherer's report and checks that it comes from the gatherer of that name.
 func (c *reportClient) fetchReport(ctx context.Context, g int) (*report.Document, error) {
 	target := report.ReportPath + "?since=" + url.QueryEscape(c.checkpoints[g])
 	resp, err := c.do(ctx, g, http.MethodGet, target, nil)
@@ -100,19 +101,19 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("answers %s", resp.Status)
+		return nil, fmt.Errorf("report request got status %s, want 200 OK", resp.Status)
 	}
 	d, err := report.Read(resp.Body)
 	if err != nil {
 		return nil, err
 	}
 	if d.Name != c.plan.Gatherers[g].Name {
-		return nil, fmt.Errorf("is %q, which reports there", d.Name)
+		return nil, fmt.Errorf("report address belongs to gatherer %q; correct the address in the plan", d.Name)
 	}
 	return d, nil
 }
 
-// observe requests the reports of all gatherers.
+// observe fetches the reports of all gatherers.
 func (c *reportClient) observe(ctx context.Context, now float64) rollout.Observation {
 	o := rollout.Observation{Now: now, Gatherers: make([]rollout.GathererSample, len(c.plan.Gatherers))}
 	c.forEachGatherer(func(g int) {
@@ -126,7 +127,8 @@
 	return o
 }
 
-// sample turns a report into what the decisions take, and keeps it as the gatherer's last one.
+// sample converts a report into a sample for the strategy, and stores it as the gatherer's last report. The counts are
+// 0 unless the report covers only the time since the last report or the gatherer's restart.
 func (c *reportClient) sample(g int, d *report.Document) rollout.GathererSample {
 	previous := ""
 	if last := c.lastReports[g]; last != nil {
--- a/internal/control/rollout/round.go
+++ b/internal/control/rollout/round.go
@@ -12,14 +12,14 @@
 	"yokeroute/logic/rollout"
 )
 
-// The operator's commands, as SendCommand takes them.
+// Operators' commands for SendCommand.
 const (
 	CommandStop   = "stop"
 	CommandBack   = "back"
 	CommandResume = "resume"
 )
 
-// Run runs rounds until the rollout has ended, or ctx ends. It waits for the steps that are in progress.
+// Run executes rounds until the rollout has ended or ctx is done. It returns after the steps in progress have ended.
 func (c *Controller) Run(ctx context.Context) (*Status, error) {
 	defer c.journal.Close()
 	defer c.steps.Wait()
@@ -44,12 +44,12 @@
 	}
 }
 
-// repeatUnfinished repeats the steps that an earlier controller began and whose end is not recorded.
+// repeatUnfinished repeats the steps that an earlier controller started and whose end is not recorded.
 func (c *Controller) repeatUnfinished(ctx context.Context) {
 	for _, record := range c.unfinished {
 		g := c.gathererIndex(record.Gatherer)
 		if g < 0 {
-			continue // not in a journal of the same plan
+			continue // can't happen in a journal of the same plan
 		}
 		c.stepLog(record.Gatherer, record.Target).Info("rollout: unfinished step repeated")
 		c.startStep(ctx, g, record.Target)
@@ -60,8 +60,8 @@
 	return c.log.WithFields(logrus.Fields{"gatherer": gatherer, "to": to.String()})
 }
 
-// runRound observes all gatherers, has the strategy decide, and starts the steps that were decided on. The status is
-// nil where an error came before it was known.
+// runRound observes all gatherers, lets the strategy decide, and starts the steps of the decision. The status is nil
+// if an error occurs before the decision.
 func (c *Controller) runRound(ctx context.Context) (*Status, error) {
 	if err := c.journal.CheckSuperseded(); err != nil {
 		return nil, err
@@ -78,7 +78,7 @@
 		return nil, err
 	}
 	c.logDecision(d)
-	// The status is published before the steps start: after a kill it shows what was about to be done.
+	// The status is published before the steps start, so that it shows the intended steps if the controller is killed.
 	s := c.buildStatus(&o, d)
 	if err := c.publish(s); err != nil {
 		return s, err
@@ -97,7 +97,7 @@
 	return s, nil
 }
 
-// observe requests all reports, and adds the states of the steps.
+// observe fetches all reports and adds the states of the steps.
 func (c *Controller) observe(ctx context.Context) rollout.Observation {
 	o := c.reports.observe(ctx, c.now())
 	c.mu.Lock()
@@ -121,7 +121,7 @@
 	return c.appendRecord(rollout.Record{Kind: rollout.PositionChanged, Position: &position, Message: d.Reason})
 }
 
-// logDecision logs a decision that is not that of the round before.
+// logDecision logs a decision if it differs from that of the previous round.
 func (c *Controller) logDecision(d rollout.Decision) {
 	summary := fmt.Sprintf("%s: %s", d.Verdict, d.Reason)
 	if summary == c.lastSummary {
@@ -133,7 +133,7 @@
 	}).Info("rollout: decision changed")
 }
 
-// startStep makes a step concurrently. Run waits for its end; ctx does not end it.
+// startStep makes a step in a new goroutine. Run waits for its end; canceling ctx does not cancel the step.
 func (c *Controller) startStep(ctx context.Context, g int, to rollout.Variant) {
 	c.setStep(g, rollout.Running, "")
 	name := c.plan.Gatherers[g].Name
@@ -158,30 +158,30 @@
 	c.stepFaults[g] = fault
 }
 
-// runStep makes a step, unless the rollout is another controller's by now. A gatherer that can't be reached holds no
-// claim that could be asked for.
+// runStep makes a step unless another controller has taken the rollout over. Only a rejected claim prevents the step:
+// a gatherer that can't be reached is not able to grant one.
 func (c *Controller) runStep(ctx context.Context, g int, to rollout.Variant) error {
 	if err := c.journal.CheckSuperseded(); err != nil {
 		return err
 	}
-	if err := c.reports.claim(ctx, g, c.runID, c.fencingToken); claimRefused(err) {
+	if err := c.reports.claim(ctx, g, c.runID, c.fencingToken); claimRejected(err) {
 		return err
 	}
 	return c.stepper.step(ctx, g, to, fence{token: c.fencingToken, check: c.journal.CheckSuperseded})
 }
 
-// applyCommand takes the operator's command, where there is a new one.
+// applyCommand records the operator's command and passes it to the strategy, if there is a new one.
 func (c *Controller) applyCommand() error {
-	stamped, err := c.journal.Command()
-	if err != nil || stamped == c.lastCommand {
+	timestamped, err := c.journal.Command()
+	if err != nil || timestamped == c.lastCommand {
 		return err
 	}
-	c.lastCommand = stamped
-	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandApplied, Command: stamped}); err != nil {
+	c.lastCommand = timestamped
+	if err := c.appendRecord(rollout.Record{Kind: rollout.CommandApplied, Command: timestamped}); err != nil {
 		return err
 	}
 	const reason = "by the operator's word"
-	switch command, _, _ := strings.Cut(stamped, " "); command {
+	switch command, _, _ := strings.Cut(timestamped, " "); command {
 	case CommandStop:
 		c.strategy.Command(rollout.Stop, reason)
 	case CommandBack:
@@ -192,7 +192,7 @@
 	return nil
 }
 
-// SendCommand leaves an operator's command for the controller, the one of now or the next one.
+// SendCommand stores an operator's command in a rollout's folder, for the current controller or the next one.
 func SendCommand(folder, command string) error {
 	return runfolder.SendCommand(folder, command, time.Now().UnixNano())
 }
--- a/internal/control/rollout/status.go
+++ b/internal/control/rollout/status.go
@@ -12,36 +12,36 @@
 	"yokeroute/logic/rollout"
 )
 
-// statusFormat is the format of the status file.
+// statusFormat identifies the format of the status file.
 const statusFormat = "yokeroute rollout 1"
 
-// Files of a rollout's folder beside those of package statedir.
+// Names of the files in a rollout's folder that are not defined by package runfolder.
 const (
 	statusFile  = "status.json"
 	historyFile = "history"
 )
 
-// maxSampleBytes bounds a line of the history.
+// maxSampleBytes limits the length of a line of the history.
 const maxSampleBytes = 4 << 20
 
-// staleness is how old a gatherer's report may be, beyond one and a half intervals, before it counts as unreachable in
-// the history.
+// staleness is added to one and a half intervals to give the age of a report from which on its gatherer counts as
+// unreachable in the history.
 const staleness = 2 * time.Second
 
-// Status is where a rollout is, for operators and programs.
+// Status is the state of a rollout as published in the status file, for operators and programs.
 type Status struct {
 	Format       string                    `json:"rollout"`
 	Name         string                    `json:"name"`
-	Plan         string                    `json:"plan"` // its file
+	Plan         string                    `json:"plan"` // name of the plan file
 	ObservedAt   float64                   `json:"at"`   // Unix milliseconds
 	FencingToken uint64                    `json:"controller"`
-	PID          int                       `json:"pid"` // of the controller
+	PID          int                       `json:"pid"` // process ID of the controller
 	Phase        rollout.Phase             `json:"phase"`
 	Stage        string                    `json:"stage"`
 	Verdict      string                    `json:"verdict"`
 	Reason       string                    `json:"why"`
 	Gatherers    []GathererStatus          `json:"gatherers"`
-	Classes      map[string][2]VariantSums `json:"indexes"` // of the last interval: old and new
+	Classes      map[string][2]VariantSums `json:"indexes"` // sums of the last interval by class: old, new
 }
 
 // GathererStatus is the status of one gatherer.
@@ -51,11 +51,11 @@
 	Variant      string  `json:"serves"` // old, new, other or unknown
 	Ready        bool    `json:"ready"`
 	LastReportAt float64 `json:"reached,omitempty"` // Unix milliseconds
-	Step         string  `json:"step,omitempty"`    // in progress, empty for none
+	Step         string  `json:"step,omitempty"`    // state of a step in progress, empty if there is none
 	Fault        string  `json:"trouble,omitempty"`
 }
 
-// VariantSums are a class's counts on one side.
+// VariantSums holds the counts of a class, summed over the gatherers of one variant.
 type VariantSums struct {
 	Queries     float64 `json:"Lookups"`
 	EarnedValue float64 `json:"Value"`
@@ -68,13 +68,13 @@
 	s.Rejected += c.Rejected
 }
 
-// Sample is a line of the history: the figures of one interval.
+// Sample is a line of the history. It holds the figures of one interval.
 type Sample struct {
 	ObservedAt  float64                   `json:"t"`
 	Phase       rollout.Phase             `json:"p"`
 	Stage       string                    `json:"s"`
 	Reason      string                    `json:"w"`
-	Old         int                       `json:",omitempty"` // gatherers that serve as old
+	Old         int                       `json:",omitempty"` // number of gatherers that serve as old
 	New         int                       `json:",omitempty"`
 	Unreachable int                       `json:"Away,omitempty"`
 	Classes     map[string][2]VariantSums `json:"i"`
@@ -84,7 +84,7 @@
 	return c.plan.Stages[min(stage, len(c.plan.Stages)-1)].Name
 }
 
-// buildStatus is the status after a decision.
+// buildStatus returns the status after a decision.
 func (c *Controller) buildStatus(o *rollout.Observation, d rollout.Decision) *Status {
 	s := &Status{
 		Format:       statusFormat,
@@ -102,14 +102,14 @@
 	for g := range o.Gatherers {
 		sample := &o.Gatherers[g]
 		s.Gatherers = append(s.Gatherers, c.gathererStatus(g, sample))
-		side := 0
+		variantIndex := 0
 		if sample.Variant == rollout.New {
-			side = 1
+			variantIndex = 1
 		}
 		for class := range sample.Classes {
 			name := c.plan.Classes[class]
 			sums := s.Classes[name]
-			sums[side].add(&sample.Classes[class])
+			sums[variantIndex].add(&sample.Classes[class])
 			s.Classes[name] = sums
 		}
 	}
@@ -124,8 +124,8 @@
 		Ready:   sample.Ready,
 		Fault:   sample.Fault,
 	}
-	if at := c.reports.lastReportAt[g]; !at.IsZero() {
-		s.LastReportAt = float64(at.UnixMilli())
+	if reportedAt := c.reports.lastReportAt[g]; !reportedAt.IsZero() {
+		s.LastReportAt = float64(reportedAt.UnixMilli())
 	}
 	if sample.Step == rollout.Running {
 		s.Step = "under way"
@@ -133,7 +133,7 @@
 	return s
 }
 
-// publish replaces the status file, and adds the interval's figures to the history.
+// publish replaces the status file and appends the interval's figures to the history.
 func (c *Controller) publish(s *Status) error {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -149,7 +149,7 @@
 	return c.journal.AppendLine(historyFile, line)
 }
 
-// sampleOf is the history's line of a status.
+// sampleOf returns the line of the history for a status.
 func (c *Controller) sampleOf(s *Status) Sample {
 	sample := Sample{ObservedAt: s.ObservedAt, Phase: s.Phase, Stage: s.Stage, Reason: s.Reason, Classes: s.Classes}
 	maxAge := 1.5*milliseconds(c.plan.Interval) + milliseconds(staleness)
@@ -180,12 +180,13 @@
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	if s.Format != statusFormat {
-		return nil, fmt.Errorf("%s: the form is %.40q, this reader knows %q", file, s.Format, statusFormat)
+		return nil, fmt.Errorf("%s: unsupported format %.40q, want %q", file, s.Format, statusFormat)
 	}
 	return s, nil
 }
 
-// History reads the history of a rollout's folder. Lines that do not read, such as half a last one, are left out.
+// History reads the history of a rollout's folder. It skips lines that can't be decoded, such as an incomplete last
+// line.
 func History(folder string) (samples []Sample, err error) {
 	f, err := os.Open(filepath.Join(folder, historyFile))
 	if err != nil {
@@ -203,7 +204,7 @@
 	return samples, lines.Err()
 }
 
-// JournalLines returns the journal of a rollout's folder as operators read it.
+// JournalLines returns the journal of a rollout's folder as text, one line for each record.
 func JournalLines(folder string) (lines []string, err error) {
 	err = runfolder.ReadJournal(folder, func(text []byte) error {
 		record, err := decodeRecord(text)
--- a/internal/control/rollout/stepper.go
+++ b/internal/control/rollout/stepper.go
@@ -6,20 +6,20 @@
 	"yokeroute/logic/rollout"
 )
 
-// stepper makes steps.
+// stepper changes gatherers to a variant.
 type stepper interface {
-	// step makes a gatherer serve as a variant, or returns why it could not. It may be called again for a step that
-	// an earlier controller began.
+	// step makes a gatherer serve as a variant, or returns an error. It may be called again for a step that an earlier
+	// controller started.
 	step(ctx context.Context, g int, to rollout.Variant, f fence) error
 }
 
-// fence keeps a controller from making steps after a later one has taken over.
+// fence prevents a controller from making steps after a later one has taken over.
 type fence struct {
-	token uint64       // the controller's
+	token uint64       // fencing token of the controller
 	check func() error // returns an error once a later controller has taken over
 }
 
-// newStepper returns the plan's stepper, or that of the overrides.
+// newStepper returns the stepper of the overrides if they have one, and that of the plan otherwise.
 func newStepper(p *Plan, o Overrides) stepper {
 	switch {
 	case o.Step != nil:
@@ -30,13 +30,13 @@
 	return processStepper{p}
 }
 
-// Overrides replace the decisions and the steps, for experiments. Those that are nil are the plan's.
+// Overrides replaces the decisions and the steps, for experiments. A nil field leaves those of the plan in effect.
 type Overrides struct {
 	Strategy func(p rollout.Plan, at rollout.Position) rollout.Strategy
 	Step     func(ctx context.Context, gatherer string, to rollout.Variant) error
 }
 
-// overrideStepper makes steps by a function.
+// overrideStepper makes steps by calling the function of the overrides.
 type overrideStepper struct {
 	plan      *Plan
 	overrides Overrides
--- a/internal/control/rollout/steppers_test.go
+++ b/internal/control/rollout/steppers_test.go
@@ -18,21 +18,21 @@
 	logic "yokeroute/logic/rollout"
 )
 
-// TestDrainsAreHandedOverToTheNextProcess: a server that one process has heard to drain gets nothing from its
-// successor, which was told an old list and can't reach discovery.
-func TestDrainsAreHandedOverToTheNextProcess(t *testing.T) {
+// TestRestartedGathererAvoidsServerKnownToDrain checks that a gatherer sends nothing to a server that its previous
+// process knew to be draining, although the new process starts with an older endpoint list and can't reach discovery.
+func TestRestartedGathererAvoidsServerKnownToDrain(t *testing.T) {
 	t.Parallel()
-	s := startScene(t, 2, 20, "")
+	s := startFixture(t, 2, 20, "")
 	g := s.fleet.Gatherers[0]
-	heard := func() bool {
+	drainRecorded := func() bool {
 		text, err := os.ReadFile(filepath.Join(g.StateFolder(), "handover"))
 		return err == nil && strings.Contains(string(text), `"s1"`)
 	}
 	s.fleet.SetPhase("terminating", "s1")
-	if err := process.WaitUntil(s.ctx, "the drain is written down", heard); err != nil {
+	if err := process.WaitUntil(s.ctx, "the drain is recorded in the state folder", drainRecorded); err != nil {
 		t.Fatal(err)
 	}
-	s.stop()
+	s.stopLoad()
 	members, err := json.Marshal(s.fleet.Members(g))
 	if err != nil {
 		t.Fatal(err)
@@ -48,33 +48,33 @@
 	if err := g.Start(s.ctx); err != nil {
 		t.Fatal(err)
 	}
-	others := func() int { return s.fleet.Servers["s3"].Counts().Requests + s.fleet.Servers["s5"].Counts().Requests }
-	before, other := s.fleet.Servers["s1"].Counts().Requests, others()
+	otherRequests := func() int { return s.fleet.Servers["s3"].Counts().Requests + s.fleet.Servers["s5"].Counts().Requests }
+	drainedBefore, otherBefore := s.fleet.Servers["s1"].Counts().Requests, otherRequests()
 	for i := range 30 {
 		s.postQuery(g, fmt.Sprint("drained-", i))
 	}
-	if n := s.fleet.Servers["s1"].Counts().Requests - before; n > 0 || others() == other {
-		t.Errorf("%d parts went to a server that was heard to drain; others got %d: %s", n, others()-other, g.Process().Log())
+	if n := s.fleet.Servers["s1"].Counts().Requests - drainedBefore; n > 0 || otherRequests() == otherBefore {
+		t.Errorf("%d shard requests went to a server known to drain, want 0; other servers got %d: %s", n, otherRequests()-otherBefore, g.Process().Log())
 	}
 }
 
-// silentTimeout is how long a gatherer keeps a new connection that carries nothing.
-const silentTimeout = 1800 * time.Millisecond
+// newConnTimeout is the time after which a gatherer closes a new connection that carries no request.
+const newConnTimeout = 1800 * time.Millisecond
 
-// postQuery sends a gatherer a query on a connection of its own. The gatherer may close the connection where this
-// process, short of processor time, writes the request later than silentTimeout: it is sent once more then, as clients
-// do.
-func (s *scene) postQuery(g *processtest.Gatherer, id string) {
+// postQuery sends a query to a gatherer on a new connection. If this process, short of processor time, writes the
+// request later than newConnTimeout after connecting, the gatherer may already have closed the connection; the query
+// is sent again then, as clients do.
+func (s *fixture) postQuery(g *processtest.Gatherer, id string) {
 	s.Helper()
 	for {
 		var connecting, written atomic.Pointer[time.Time]
-		note := func(at *atomic.Pointer[time.Time]) {
+		setNow := func(at *atomic.Pointer[time.Time]) {
 			now := time.Now()
 			at.Store(&now)
 		}
 		ctx := httptrace.WithClientTrace(s.ctx, &httptrace.ClientTrace{
-			ConnectStart: func(_, _ string) { note(&connecting) },
-			WroteRequest: func(httptrace.WroteRequestInfo) { note(&written) },
+			ConnectStart: func(_, _ string) { setNow(&connecting) },
+			WroteRequest: func(httptrace.WroteRequestInfo) { setNow(&written) },
 		})
 		body := strings.NewReader(`{"shards":[{"shard":0,"weight":1}],"q":"x"}`)
 		req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+g.Address+"/any", body)
@@ -92,11 +92,11 @@
 		if connecting.Load() == nil {
 			s.Fatalf("%s: %v", id, err)
 		}
-		if written.Load() == nil { // the error came first
-			note(&written)
+		if written.Load() == nil { // the request failed before it was written
+			setNow(&written)
 		}
 		delay := written.Load().Sub(*connecting.Load())
-		if delay < silentTimeout {
+		if delay < newConnTimeout {
 			s.Fatalf("%s, written %v after connecting: %v; the gatherer's failure: %v; its log: %s",
 				id, delay, err, g.Process().Failure(), g.Process().Log())
 		}
@@ -104,12 +104,12 @@
 	}
 }
 
-// TestBuiltInStepperRestartsAndReloads: the built-in runner takes processes that others have started from one program
-// to another, and then, by SIGHUP alone, from one operator's file to another; a faulty file stops the rollout before
-// the first gatherer.
+// TestBuiltInStepperRestartsAndReloads checks that the built-in stepper changes processes that it has not started
+// itself from one program to another, and then, by SIGHUP alone, from one operator's file to another. A faulty
+// operator's file has to fail the rollout before the first gatherer is changed.
 func TestBuiltInStepperRestartsAndReloads(t *testing.T) {
 	t.Parallel()
-	s := startScene(t, 4, 60, "")
+	s := startFixture(t, 4, 60, "")
 	sweep, err := processtest.Sweep(s.folder)
 	if err != nil {
 		t.Fatal(err)
@@ -123,14 +123,14 @@
 		}
 	}
 	for _, g := range s.fleet.Gatherers {
-		was, err := os.ReadFile(g.OperatorFile())
+		operatorText, err := os.ReadFile(g.OperatorFile())
 		if err != nil {
 			t.Fatal(err)
 		}
-		// What the rig has put in alone goes: the record is a pipe of its own.
-		text := string(was[strings.IndexByte(string(was), '\n')+1:])
+		// The first line, added by the testbed, is removed: it names the trace, a pipe of the testbed's process.
+		text := string(operatorText[strings.IndexByte(string(operatorText), '\n')+1:])
 		text = strings.Replace(text, "state in state", "state in "+g.StateFolder(), 1)
-		write(g.Name+"-old.conf", string(was))
+		write(g.Name+"-old.conf", string(operatorText))
 		write(g.Name+"-new.conf", text)
 		write(g.Name+"-newest.conf", text+"\ntrace keep 50\n")
 		write(g.Name+"-faulty.conf", text+"\ntrace keep many\n")
@@ -146,9 +146,9 @@
 	run := func(name, sides string, want int) (*process.Process, rollout.Status) {
 		t.Helper()
 		c := s.startController("run", plan(name, sides), "--output", "json")
-		code, last := s.waitEnd(c)
+		code, last := s.waitExit(c)
 		if code != want {
-			t.Fatalf("%s: status %d: %s", name, code, c.Log())
+			t.Fatalf("%s: exit status %d: %s", name, code, c.Log())
 		}
 		return c, last
 	}
@@ -158,17 +158,17 @@
 	}
 	c, _ := run("faulty", sides("{name}-faulty.conf"), 2)
 	if !strings.Contains(c.Log(), `g1-faulty.conf`) || !strings.Contains(c.Log(), `"many"`) {
-		t.Errorf("%s", c.Log())
+		t.Errorf("the error does not name the faulty file and value: %s", c.Log())
 	}
 	if _, last := run("programs", sides("{name}-new.conf"), 0); last.Phase != logic.Completed {
-		t.Errorf("%+v", last)
+		t.Errorf("change of the program: got %+v, want it completed", last)
 	}
 	if v := s.countVersions(); v["2"] != 4 {
-		t.Errorf("serving: %v", v)
+		t.Errorf("gatherers by version: %v, want 4 of version 2", v)
 	}
 	c, last := run("settings", "runner hangup\nold operator \"{name}-new.conf\"\nnew operator \"{name}-newest.conf\"\n", 0)
 	if last.Phase != logic.Completed || s.countVersions()["2"] != 4 {
-		t.Errorf("%+v: %s", last, c.Log())
+		t.Errorf("change of the settings: got %+v, want it completed with 4 gatherers of version 2: %s", last, c.Log())
 	}
-	s.stop()
+	s.stopLoad()
 }
--- a/internal/control/rollout/validate.go
+++ b/internal/control/rollout/validate.go
@@ -12,14 +12,14 @@
 	"yokeroute/logic/rollout"
 )
 
-// validator collects the faults of a plan.
+// validator checks a plan and collects its faults.
 type validator struct {
 	*Plan
 	faults directive.ErrorList
 }
 
-// add adds a fault at a line of a directive, by its index; -1 for the directive's first line or, where there is none,
-// the file's.
+// add adds a fault at the position of a directive's line with the given index. An index of -1 stands for the
+// directive's first line, or for the first line of the file if the plan has no such directive.
 func (v *validator) add(name string, index int, format string, args ...any) {
 	position := directive.Position{File: v.File, Line: 1, Column: 1}
 	if lines := v.directiveLines[name]; index >= 0 && index < len(lines) {
@@ -30,11 +30,11 @@
 	v.faults = append(v.faults, &directive.Error{Position: position, Message: fmt.Sprintf(format, args...)})
 }
 
-// validate returns all faults of a plan that has its defaults, in the order of their lines.
+// validate returns all faults of a plan, sorted by line. The defaults have to be filled in already.
 func (p *Plan) validate() error {
 	v := &validator{Plan: p}
 	if p.Folder == "" {
-		v.add("rollout", -1, "has no line that names it; write rollout NAME in FOLDER")
+		v.add("rollout", -1, "the plan lacks its name and folder; write rollout NAME in FOLDER")
 	}
 	for _, fault := range p.Check() {
 		v.add(fault.Directive, fault.Index, "%s", fault.Message)
@@ -54,7 +54,8 @@
 	for i, process := range v.Processes {
 		address := process.ReportAddress
 		if other := names[address]; other != "" {
-			v.add("gatherer", i, "gatherer %s reports at %s, as %s does", v.Gatherers[i].Name, address, other)
+			v.add("gatherer", i, "gatherer %s has the report address %s, as gatherer %s does; give each its own",
+				v.Gatherers[i].Name, address, other)
 		}
 		names[address] = v.Gatherers[i].Name
 	}
@@ -63,7 +64,7 @@
 func (v *validator) validateReleases() {
 	switch {
 	case v.Old == (Release{}) || v.New == (Release{}):
-		v.add("new", -1, "does not distinguish old from new; write old and new with a program, a version or files")
+		v.add("new", -1, "the plan does not distinguish old from new; write old and new with a program, a version or files")
 	case v.Old == v.New:
 		v.add("new", -1, "old and new are the same")
 	}
@@ -89,45 +90,46 @@
 		if commandNew {
 			name = "step-new"
 		}
-		v.add(name, -1, "step-new and step-old go together: what is made new may have to be made old again")
+		v.add(name, -1, "step-new and step-old have to be set together: a rollback makes new gatherers old again")
 	case commandNew && len(v.directiveLines["runner"]) > 0:
-		v.add("runner", -1, "stands beside step-new and step-old: steps are made by the one or the other")
+		v.add("runner", -1, "runner conflicts with step-new and step-old; write either runner or the two commands")
 	case !commandNew && !v.ReloadOnly && v.Old.Program == "":
-		v.add("runner", -1, "the built-in runner starts programs: old and new want one each, "+
+		v.add("runner", -1, "the built-in runner starts programs: set program for old and new, "+
 			"or write step-new and step-old, or runner hangup")
 	case !commandNew && v.ReloadOnly && v.Old.Config+v.Old.Operator == "":
-		v.add("runner", -1, "runner hangup changes files: old and new want a config or an operator's file each")
+		v.add("runner", -1, "runner hangup changes files only: set config or operator for old and new")
 	}
 	if !commandNew {
 		v.validateProcesses()
 	}
 }
 
-// validateProcesses checks what the built-in stepper needs to know of each gatherer.
+// validateProcesses checks that each gatherer has the files that the built-in stepper needs.
 func (v *validator) validateProcesses() {
 	for i, process := range v.Processes {
 		if process.ConfigFile == "" && (v.Old.Config != "" || !v.ReloadOnly) {
-			v.add("gatherer", i, "gatherer %s wants config, the file that its process reads, for the built-in runner",
+			v.add("gatherer", i, "gatherer %s lacks config, the file that its process reads, which the built-in runner needs",
 				v.Gatherers[i].Name)
 		}
 		if process.OperatorFile == "" && v.Old.Operator != "" {
-			v.add("gatherer", i, "gatherer %s wants operator, the operator's file that its process reads, "+
-				"for the built-in runner", v.Gatherers[i].Name)
+			v.add("gatherer", i, "gatherer %s lacks operator, the operator's file that its process reads, "+
+				"which the built-in runner needs", v.Gatherers[i].Name)
 		}
 	}
 }
 
-// maxFileFaults bounds the faults that CheckFiles returns.
+// maxFileFaults is the number of faults after which CheckFiles stops.
 const maxFileFaults = 20
 
-// CheckFiles reads all files of both releases as gatherers would, before any is changed.
+// CheckFiles reads all files of both releases as gatherers would, so that faults are found before any gatherer is
+// changed.
 func (p *Plan) CheckFiles() error {
 	var faults []error
 	for _, release := range []Release{p.Old, p.New} {
 		for g := range p.Gatherers {
 			faults = append(faults, p.checkRelease(g, p.releaseFor(g, release))...)
 			if len(faults) > maxFileFaults {
-				return errors.Join(append(faults, errors.New("and more"))...)
+				return errors.Join(append(faults, errors.New("there may be more faults; fix these and check again"))...)
 			}
 		}
 	}
@@ -160,17 +162,17 @@
 		return err
 	}
 	if info.Mode()&0o111 == 0 || info.IsDir() {
-		return fmt.Errorf("%s is no program", file)
+		return fmt.Errorf("%s is not an executable file", file)
 	}
 	return nil
 }
 
-// operatorFingerprint is the fingerprint of an operator's file with all that it includes, as gatherers report it. A
-// faulty file is an error: no gatherer would take it.
+// operatorFingerprint returns the fingerprint of an operator's file with all files that it includes, as gatherers
+// report it. An invalid file is an error, since no gatherer would accept it.
 func operatorFingerprint(file string) (string, error) {
-	own, err := operator.Read(file)
+	operatorConfig, err := operator.Read(file)
 	if err != nil {
 		return "", err
 	}
-	return own.Checksum, nil
+	return operatorConfig.Checksum, nil
 }
