--- a/cmd/yokeroute/checkconfig.go
+++ b/cmd/yokeroute/checkconfig.go
@@ -80,9 +80,9 @@
 		case err != nil:
 			return err
 		case name == operatorFile.Plan && f.Plan == nil:
-			return fmt.Errorf("%s: holds no weights; make them by yokeroute plan solve", name)
+			return fmt.Errorf("%s: holds no weights; create a plan with yokeroute plan solve", name)
 		case name == operatorFile.Placement && !f.FromList:
-			return fmt.Errorf("%s: lacks from-list; without it, make a plan by yokeroute plan solve", name)
+			return fmt.Errorf("%s: lacks from-list; add it, or create a plan with yokeroute plan solve", name)
 		}
 	}
 	return nil
--- a/cmd/yokeroute/plan.go
+++ b/cmd/yokeroute/plan.go
@@ -37,7 +37,7 @@
 func readPlan(name string) (*placementfile.File, error) {
 	f, err := readModel(name)
 	if err == nil && f.Plan == nil {
-		err = fmt.Errorf("%s: holds no weights; make them by yokeroute plan solve", name)
+		err = fmt.Errorf("%s: holds no weights; create a plan with yokeroute plan solve", name)
 	}
 	return f, err
 }
--- a/internal/config/placementfile/file.go
+++ b/internal/config/placementfile/file.go
@@ -81,6 +81,7 @@
 
 // FormatUnits formats a number of units as a rate.
 func FormatUnits(unit float64, units int64) string {
-	const precision = 1e9 // rounds to this fraction, to hide rounding errors of the product
+	// The rate is rounded to multiples of 1/precision, to hide rounding errors of the product.
+	const precision = 1e9
 	return directive.FormatRate(math.Round(float64(units)*unit*precision) / precision)
 }
--- a/internal/config/placementfile/placementfile_test.go
+++ b/internal/config/placementfile/placementfile_test.go
@@ -69,7 +69,7 @@
 	var model strings.Builder
 	WriteModel(&model, readBack.Plan.Model)
 	if m, err := Parse("model", model.String(), 0); err != nil || len(m.Model.Hosts) != 4 {
-		t.Error(err)
+		t.Errorf("written model read back: %+v, error %v; want 4 hosts", m, err)
 	}
 }
 
@@ -135,11 +135,11 @@
 	}
 	if m.Hosts[0].Capacity != 50 || m.Hosts[1].WarmupTime != 1000 || m.SafeCapacity(&m.Hosts[1], 1000) != 32 || m.SafeCapacity(&m.Hosts[2], 1000) != 0 || len(m.Zones) != 2 ||
 		strings.Join(m.Segments[0].Hosts, "") != "ab" || m.Segments[1].ReplicaSet != 1 || m.Demands[1].Rate != 10 || m.Demands[0].Rate != 5 {
-		t.Errorf("%+v", m)
+		t.Errorf("model %+v, want hosts, zones, segments and demand of the list and the file", m)
 	}
 	list[1].Kind = "m3"
 	if _, err := f.WithEndpoints(list, settings, 1000); err == nil || !strings.Contains(err.Error(), `host b is of kind "m3", which the placement file does not describe; did you mean m2?`) {
-		t.Error(err)
+		t.Errorf("error %v, want one that names host b, its kind m3 and the similar kind m2", err)
 	}
 }
 
--- a/internal/config/placementfile/plan.go
+++ b/internal/config/placementfile/plan.go
@@ -65,7 +65,7 @@
 			return hostError("is no multiple of the unit, " + directive.FormatRate(f.Model.Unit))
 		}
 		if slices.ContainsFunc(row.Weights, func(w placement.Weight) bool { return w.Host == host }) {
-			return hostError("lists the host a second time; list each host once")
+			return hostError("is a second weight of this host; list each host once")
 		}
 		row.Weights = append(row.Weights, placement.Weight{Host: host, Rate: int64(rounded)})
 	}
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -42,7 +42,7 @@
 	placement *placementfile.File // input for solving, nil if plans are not solved
 	endpoints map[uint32]placementfile.NamedEndpoint
 	order     []uint32            // server IDs in the order of discovery's list
-	ids       map[string]uint32   // server IDs by host name
+	serverIDs map[string]uint32   // server IDs by host name
 	applied   [][]gather.Weight   // weights that the dispatcher has
 	logged    placement.Effective // status that was logged last
 	timer     *time.Timer         // calls applyWeights when the weights may change with time
@@ -52,12 +52,12 @@
 func New(picker Picker, settings *gather.Settings, jobs *background.Scheduler, log *logrus.Logger) *Keeper {
 	return &Keeper{
 		picker: picker, settings: settings, jobs: jobs, log: log,
-		endpoints: map[uint32]placementfile.NamedEndpoint{}, ids: map[string]uint32{},
+		endpoints: map[uint32]placementfile.NamedEndpoint{}, serverIDs: map[string]uint32{},
 	}
 }
 
-// Configure applies the plan and placement settings of the operator's file. An error names the place of the mistake.
-// On error nothing changes: the plan in force stays, or plain round robin if there is none.
+// Configure applies the plan and placement settings of the operator's file. An error names the invalid file, and the
+// line if one is invalid. On error nothing changes: the plan in force stays, or plain round robin if there is none.
 func (k *Keeper) Configure(f *operator.File) error {
 	now := k.picker.Now()
 	plan, err := readPlan(f.Plan, now)
@@ -119,7 +119,8 @@
 	return file, nil
 }
 
-// UpdateEndpoints applies an endpoint list. Addresses holds the addresses of all servers that are listed after it.
+// UpdateEndpoints applies an endpoint list. Addresses holds the addresses of all servers that are on discovery's list
+// after that.
 func (k *Keeper) UpdateEndpoints(list gather.EndpointList, addresses []shardcall.Address) {
 	if list.Failed {
 		return
@@ -135,11 +136,11 @@
 	}
 	previous := k.endpoints
 	k.endpoints = map[uint32]placementfile.NamedEndpoint{}
-	k.ids = map[string]uint32{}
+	k.serverIDs = map[string]uint32{}
 	k.order = k.order[:0]
 	for _, a := range addresses {
 		k.endpoints[a.ID] = placementfile.NamedEndpoint{Name: a.Name, Endpoint: latest[a.ID]}
-		k.ids[a.Name] = a.ID
+		k.serverIDs[a.Name] = a.ID
 		k.order = append(k.order, a.ID)
 	}
 	if reflect.DeepEqual(previous, k.endpoints) {
@@ -161,7 +162,7 @@
 	k.jobs.Submit(solveJob, jobs.Normal, k.solve)
 }
 
-// solve computes a plan and puts it in force. If demand does not fit, the plan in force stays.
+// solve computes a plan and puts it in force. If demand does not fit, it logs the reason, and the plan in force stays.
 func (k *Keeper) solve(pause func() error) error {
 	file, inForce, list := k.solveInput()
 	if file == nil {
@@ -217,11 +218,11 @@
 func (k *Keeper) applyWeights() {
 	now := k.picker.Now()
 	s := k.active.At(now, func(host string) bool {
-		id, listed := k.ids[host]
+		id, listed := k.serverIDs[host]
 		return listed && k.endpoints[id].State == gather.Running
 	})
 	weights := placement.WeightsForZone(s.Rows, k.settings.Zone, func(host string) (uint32, bool) {
-		id, listed := k.ids[host]
+		id, listed := k.serverIDs[host]
 		return id, listed
 	})
 	if k.active.Plan != nil &&
--- a/internal/gatherer/plans/plans_test.go
+++ b/internal/gatherer/plans/plans_test.go
@@ -26,18 +26,18 @@
 	updates chan [][]gather.Weight
 }
 
-func (h *recordingPicker) SetWeights(w [][]gather.Weight) { h.updates <- w }
+func (p *recordingPicker) SetWeights(w [][]gather.Weight) { p.updates <- w }
 
-func (h *recordingPicker) Now() float64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.now
+func (p *recordingPicker) Now() float64 {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.now
 }
 
-func (h *recordingPicker) advance(ms float64) {
-	h.mu.Lock()
-	h.now += ms
-	h.mu.Unlock()
+func (p *recordingPicker) advance(ms float64) {
+	p.mu.Lock()
+	p.now += ms
+	p.mu.Unlock()
 }
 
 const planText = `at 2026-12-01T10:00:00Z
@@ -68,9 +68,9 @@
 func newKeeper(zone string) (*Keeper, *recordingPicker, *test.Hook) {
 	log, hook := test.NewNullLogger()
 	log.SetOutput(io.Discard)
-	h := &recordingPicker{now: planStart + 1, updates: make(chan [][]gather.Weight, 100)}
+	picker := &recordingPicker{now: planStart + 1, updates: make(chan [][]gather.Weight, 100)}
 	settings := &gather.Settings{Zone: zone, ReplicaSets: 2, ReplicaSetsPerShard: 1}
-	return New(h, settings, background.New(1, log), log), h, hook
+	return New(picker, settings, background.New(1, log), log), picker, hook
 }
 
 func writeFile(t *testing.T, name, text string) string {
@@ -84,7 +84,7 @@
 // updateEndpoints updates the endpoints. The names get the server IDs 1, 2 and so on, and the replica sets 0 and 1 in
 // turn. A name that ends in ! is draining.
 func updateEndpoints(k *Keeper, full bool, hostNames ...string) {
-	l := gather.EndpointList{Full: full}
+	list := gather.EndpointList{Full: full}
 	var addresses []shardcall.Address
 	for i, name := range hostNames {
 		name, draining := strings.CutSuffix(name, "!")
@@ -92,10 +92,10 @@
 		if draining {
 			s.State = gather.Draining
 		}
-		l.Endpoints = append(l.Endpoints, s)
+		list.Endpoints = append(list.Endpoints, s)
 		addresses = append(addresses, shardcall.Address{ID: s.ID, Name: name, State: s.State})
 	}
-	k.UpdateEndpoints(l, addresses)
+	k.UpdateEndpoints(list, addresses)
 }
 
 // shareOf returns the share of a server in the weights of a replica set, or -1 if it has none.
@@ -108,29 +108,29 @@
 	return -1
 }
 
-// TestPlanFileThroughStepsLossAndMaxAge checks the weights of a plan file for the gatherers of one zone: through its
-// steps, the loss of a host and its maximum age, and after an invalid file, which changes nothing.
-func TestPlanFileThroughStepsLossAndMaxAge(t *testing.T) {
-	k, h, hook := newKeeper("north")
+// TestWeightsFollowPlanThroughStepsLossAndMaxAge checks the weights of a plan file for the gatherers of one zone:
+// through its steps, the loss of a host and its maximum age, and after an invalid file, which changes nothing.
+func TestWeightsFollowPlanThroughStepsLossAndMaxAge(t *testing.T) {
+	k, picker, hook := newKeeper("north")
 	path := writeFile(t, "plan.conf", planText)
 	if err := k.Configure(&operator.File{Plan: path, PlanMaxAge: 300}); err != nil {
 		t.Fatal(err)
 	}
-	<-h.updates // without shares, since no host is listed yet
+	<-picker.updates // without shares, since no host is listed yet
 	updateEndpoints(k, true, "n-1", "s-1", "s-2")
-	if w := <-h.updates; shareOf(w, 0, 1) != 6 || shareOf(w, 0, 2) != 2 || len(w) != 1 {
+	if w := <-picker.updates; shareOf(w, 0, 1) != 6 || shareOf(w, 0, 2) != 2 || len(w) != 1 {
 		t.Errorf("weights %v, want those of the rows for zone north only", w)
 	}
-	h.advance(100)
-	if w := <-h.updates; shareOf(w, 0, 1) != 8 || shareOf(w, 0, 2) != 0 {
+	picker.advance(100)
+	if w := <-picker.updates; shareOf(w, 0, 1) != 8 || shareOf(w, 0, 2) != 0 {
 		t.Errorf("weights %v after the second step began, want 8 and 0", w)
 	}
 	updateEndpoints(k, true, "n-1", "s-1", "s-2!")
-	if w := <-h.updates; shareOf(w, 0, 1) != 6 || hook.LastEntry().Data["case"] != "host s-2" {
+	if w := <-picker.updates; shareOf(w, 0, 1) != 6 || hook.LastEntry().Data["case"] != "host s-2" {
 		t.Errorf("last log line %v, want the case host s-2 and its weights", hook.LastEntry().Message)
 	}
-	h.advance(300)
-	if w := <-h.updates; len(w) != 0 {
+	picker.advance(300)
+	if w := <-picker.updates; len(w) != 0 {
 		t.Errorf("weights %v of a stale plan, want none", w)
 	}
 	if !strings.Contains(hook.LastEntry().Message, "too old") {
@@ -142,30 +142,30 @@
 			t.Errorf("error %v, want one that names bad.conf", err)
 		}
 	}
-	if len(h.updates) != 0 {
+	if len(picker.updates) != 0 {
 		t.Error("the weights of an invalid plan were set")
 	}
 	if err := k.Configure(&operator.File{Plan: path}); err != nil {
 		t.Fatal(err)
 	}
-	if w := <-h.updates; shareOf(w, 0, 1) != 6 {
+	if w := <-picker.updates; shareOf(w, 0, 1) != 6 {
 		t.Errorf("weights %v of a plan without a maximum age, want 6 for n-1", w)
 	}
-	if err := k.Configure(&operator.File{}); err != nil || len(<-h.updates) != 0 {
-		t.Errorf("after the plan was removed: error %v, or weights are left", err)
+	if err := k.Configure(&operator.File{}); err != nil || len(<-picker.updates) != 0 {
+		t.Errorf("after the plan was removed: error %v, or weights are left; want neither", err)
 	}
 }
 
 // TestZoneWithoutRowsUsesSumOfAllZones checks that gatherers of a zone without rows in the plan use the sum of the
 // weights of all zones.
 func TestZoneWithoutRowsUsesSumOfAllZones(t *testing.T) {
-	k, h, _ := newKeeper("east")
+	k, picker, _ := newKeeper("east")
 	updateEndpoints(k, true, "n-1", "s-1", "s-2")
 	if err := k.Configure(&operator.File{Plan: writeFile(t, "plan.conf", planText)}); err != nil {
 		t.Fatal(err)
 	}
-	if w := <-h.updates; len(w) != 2 || shareOf(w, 0, 1) != 6 || shareOf(w, 1, 3) != 4 {
-		t.Errorf("weights %v, want the sums over all zones", w)
+	if w := <-picker.updates; len(w) != 2 || shareOf(w, 0, 1) != 6 || shareOf(w, 1, 3) != 4 {
+		t.Errorf("weights %v, want the sums over all zones: 6 for n-1 and 4 for s-2", w)
 	}
 }
 
@@ -173,7 +173,7 @@
 // also if a host starts to drain before a waiting solve runs, and that the plan in force stays if demand does not fit
 // or a server is of an unknown kind.
 func TestWeightsAreSolvedAgainWhenEndpointsChange(t *testing.T) {
-	k, h, hook := newKeeper("north")
+	k, picker, hook := newKeeper("north")
 	path := writeFile(t, "halls.conf", "from-list\nkind m capacity 30/s\nhall north\nhall south\ndemand * north 10/s\n")
 	ctx, stop := context.WithCancel(t.Context())
 	done := make(chan bool)
@@ -192,7 +192,7 @@
 	updateEndpoints(k, true, "n-1", "n-2", "s-1", "s-2", "s-3", "s-4")
 	updateEndpoints(k, true, "n-1", "n-2", "s-1!", "s-2", "s-3", "s-4")
 	close(release)
-	w := <-h.updates
+	w := <-picker.updates
 	if shareOf(w, 0, 1)+shareOf(w, 0, 5) != 10 || shareOf(w, 0, 3) > 0 || shareOf(w, 1, 2) <= 0 {
 		t.Errorf("weights %v, want none for the draining host and 10 in all for replica set 0", w)
 	}
@@ -200,14 +200,14 @@
 	// gives it no weight.
 	updateEndpoints(k, true, "n-1", "n-2", "s-1", "s-2", "s-3!", "s-4")
 	for shareOf(w, 0, 5) > 0 || shareOf(w, 0, 3) <= 0 {
-		w = <-h.updates
+		w = <-picker.updates
 	}
 	// Demand that does not fit, and then a kind that the file does not describe: the plan in force stays.
 	k.Configure(&operator.File{Placement: writeFile(t, "halls.conf", "from-list\nkind m capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
 	waitForLog(t, hook, "plan: demand does not fit; keeping the plan in force")
 	k.Configure(&operator.File{Placement: writeFile(t, "halls.conf", "from-list\nkind x capacity 3/s\nhall north\nhall south\ndemand * north 10/s\n")})
 	waitForLog(t, hook, "background: job failed")
-	if len(h.updates) != 0 {
+	if len(picker.updates) != 0 {
 		t.Error("weights were set although no solve succeeded")
 	}
 	if err := k.Configure(&operator.File{Placement: writeFile(t, "halls.conf", "hall north\n")}); err == nil || !strings.Contains(err.Error(), "lacks from-list") {
--- a/logic/balance/brute_test.go
+++ b/logic/balance/brute_test.go
@@ -13,7 +13,7 @@
 
 // bruteForceResult is the optimal solution of a problem as solveByBruteForce finds it.
 type bruteForceResult struct {
-	u            placement.Ratio
+	utilisation  placement.Ratio
 	cost, change int64
 	found        bool
 }
@@ -21,57 +21,57 @@
 // solveByBruteForce returns the optimal solution of a problem. It enumerates, row by row, all ways to
 // distribute whole units and keeps the least cost and change for each vector of host loads. It shares no code
 // with the solver except the model and the arithmetic of ratios.
-func solveByBruteForce(p *Problem, before [][]int64) bruteForceResult {
-	type sum struct{ cost, change int64 }
-	loads := map[string]sum{string(make([]byte, len(p.capacity))): {}}
+func solveByBruteForce(p *Problem, inForce [][]int64) bruteForceResult {
+	type totals struct{ cost, change int64 }
+	loads := map[string]totals{string(make([]byte, len(p.capacity))): {}}
 	for i, r := range p.rows {
-		next := map[string]sum{}
-		for key, previous := range loads {
-			var split func(j int, left int64, at []byte, s sum)
-			split = func(j int, left int64, at []byte, s sum) {
+		next := map[string]totals{}
+		for key, sums := range loads {
+			var split func(j int, remaining int64, loaded []byte, s totals)
+			split = func(j int, remaining int64, loaded []byte, s totals) {
 				if j == len(p.replicas[r.segment]) {
-					if old, seen := next[string(at)]; left == 0 && (!seen || s.cost < old.cost || s.cost == old.cost && s.change < old.change) {
-						next[string(at)] = s
+					if old, seen := next[string(loaded)]; remaining == 0 && (!seen || s.cost < old.cost || s.cost == old.cost && s.change < old.change) {
+						next[string(loaded)] = s
 					}
 					return
 				}
 				h := p.replicas[r.segment][j]
-				for x := int64(0); x <= left && int64(at[h])+x <= p.capacity[h]; x++ {
-					to := slices.Clone(at)
-					to[h] += byte(x)
-					previous := int64(0)
-					if before != nil {
-						previous = before[i][j]
+				for x := int64(0); x <= remaining && int64(loaded[h])+x <= p.capacity[h]; x++ {
+					extended := slices.Clone(loaded)
+					extended[h] += byte(x)
+					unitsInForce := int64(0)
+					if inForce != nil {
+						unitsInForce = inForce[i][j]
 					}
-					split(j+1, left-x, to, sum{s.cost + x*(p.zoneCosts[r.zone][p.zoneOf[h]]+p.model.Hosts[h].Cost), s.change + max(x-previous, previous-x)})
+					split(j+1, remaining-x, extended, totals{s.cost + x*(p.zoneCosts[r.zone][p.zoneOf[h]]+p.model.Hosts[h].Cost), s.change + max(x-unitsInForce, unitsInForce-x)})
 				}
 			}
-			split(0, r.rate, []byte(key), previous)
+			split(0, r.rate, []byte(key), sums)
 		}
 		loads = next
 	}
-	var b bruteForceResult
+	var best bruteForceResult
 	for key, s := range loads {
-		u, zone, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.zoneLimits)), true
+		u, zoneLoads, fits := placement.Ratio{Load: 0, Capacity: 1}, make([]int64, len(p.zoneLimits)), true
 		for h, load := range []byte(key) {
 			if r := (placement.Ratio{Load: int64(load), Capacity: p.capacity[h]}); load > 0 && u.Less(r) {
 				u = r
 			}
-			zone[p.zoneOf[h]] += int64(load)
+			zoneLoads[p.zoneOf[h]] += int64(load)
 		}
-		for i, most := range p.zoneLimits {
-			fits = fits && (most < 0 || zone[i] <= most)
+		for i, limit := range p.zoneLimits {
+			fits = fits && (limit < 0 || zoneLoads[i] <= limit)
 		}
-		if fits && (!b.found || u.Less(b.u) || !b.u.Less(u) && (s.cost < b.cost || s.cost == b.cost && s.change < b.change)) {
-			b = bruteForceResult{u, s.cost, s.change, true}
+		if fits && (!best.found || u.Less(best.utilisation) || !best.utilisation.Less(u) && (s.cost < best.cost || s.cost == best.cost && s.change < best.change)) {
+			best = bruteForceResult{u, s.cost, s.change, true}
 		}
 	}
-	return b
+	return best
 }
 
 // checkAgainstBruteForce checks the solution of a model against brute force. If there is none, it verifies
 // the proof of infeasibility. It reports whether demand fits.
-func checkAgainstBruteForce(t *testing.T, m *placement.Model, before *placement.Plan) (fits bool) {
+func checkAgainstBruteForce(t *testing.T, m *placement.Model, inForce *placement.Plan) (fits bool) {
 	t.Helper()
 	if entryErrors := m.Validate(); len(entryErrors) > 0 {
 		t.Fatalf("the test model is invalid: %v", entryErrors[0])
@@ -79,11 +79,11 @@
 	p := NewProblem(m)
 	p.SetTime(m.At, nil)
 	var units [][]int64
-	if before != nil {
-		units = p.Units(before.Steps[0].Rows)
+	if inForce != nil {
+		units = p.Units(inForce.Steps[0].Rows)
 	}
 	want := solveByBruteForce(p, units)
-	plan, proof, err := Solve(m, before, alwaysHasTime)
+	plan, proof, err := Solve(m, inForce, alwaysHasTime)
 	switch {
 	case err != nil:
 		t.Fatal(err)
@@ -99,11 +99,11 @@
 	if violations := plan.Violations(); len(violations) > 0 {
 		t.Fatalf("violations of the plan: %v, model %+v", violations, m)
 	}
-	if got.MaxUtilisation.Less(want.u) || want.u.Less(got.MaxUtilisation) || got.Cost != want.cost || before != nil && got.Change != want.change {
+	if got.MaxUtilisation.Less(want.utilisation) || want.utilisation.Less(got.MaxUtilisation) || got.Cost != want.cost || inForce != nil && got.Change != want.change {
 		t.Fatalf("maximum utilisation %v, cost %d, change %d; brute force found %+v, model %+v", got.MaxUtilisation, got.Cost, got.Change, want, m)
 	}
 	if u := p.MaxUtilisation(p.Loads(p.Units(got.Rows))); u.Less(got.MaxUtilisation) || got.MaxUtilisation.Less(u) {
-		t.Fatalf("maximum utilisation of the rows is %v, the step says %v", u, got.MaxUtilisation)
+		t.Fatalf("maximum utilisation %v computed from the rows, %v stored in the step; want them equal", u, got.MaxUtilisation)
 	}
 	return true
 }
@@ -118,16 +118,16 @@
 func TestSolveEqualsBruteForceOnEnumeratedModels(t *testing.T) {
 	count, feasible := 0, 0
 	for capacities := range 4 * 4 * 4 {
-		for on := range 7 * 7 {
+		for replicaSets := range 7 * 7 {
 			for rates := range 3 * 3 * 3 {
-				if !*allModels && (capacities+on+rates)%7 != 0 {
+				if !*allModels && (capacities+replicaSets+rates)%7 != 0 {
 					continue
 				}
-				m := &placement.Model{Unit: 1, MaxMoves: -1, Zones: []placement.Zone{{Name: "a", MaxLoad: -1}, {Name: "b", MaxLoad: int64(on%4) + 1}}}
+				m := &placement.Model{Unit: 1, MaxMoves: -1, Zones: []placement.Zone{{Name: "a", MaxLoad: -1}, {Name: "b", MaxLoad: int64(replicaSets%4) + 1}}}
 				for i, c := range []int{capacities % 4, capacities / 4 % 4, capacities / 16} {
 					m.Hosts = append(m.Hosts, placement.Host{Name: fmt.Sprint("h", i), Zone: []string{"a", "b", "b"}[i], Capacity: int64(c), Cost: int64(capacities+i*rates) % 3 * 700})
 				}
-				for i, set := range []int{on%7 + 1, on/7 + 1} {
+				for i, set := range []int{replicaSets%7 + 1, replicaSets/7 + 1} {
 					s := placement.Segment{Name: fmt.Sprint("s", i), ReplicaSet: -1}
 					for h := range 3 {
 						if set>>h&1 == 1 {
@@ -149,21 +149,21 @@
 	if feasible < count/10 || feasible > count*9/10 {
 		t.Errorf("%d of %d models are feasible, want between a tenth and nine tenths of them", feasible, count)
 	}
-	t.Logf("%d models, %d feasible", count, feasible)
+	t.Logf("%d models, %d of them feasible", count, feasible)
 }
 
 // randomModel returns a random model that is small enough for brute force.
 func randomModel(r *rand.Rand, maxHosts int) *placement.Model {
 	m := &placement.Model{Unit: 1, At: 1e6, MaxMoves: -1, Steps: 1 + r.Intn(3)}
 	for i := range 1 + r.Intn(3) {
-		h := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
+		zone := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
 		if r.Intn(3) == 0 {
-			h.MaxLoad = int64(r.Intn(9))
+			zone.MaxLoad = int64(r.Intn(9))
 		}
 		if r.Intn(4) == 0 {
-			h.Headroom = int64(r.Intn(3))
+			zone.Headroom = int64(r.Intn(3))
 		}
-		m.Zones = append(m.Zones, h)
+		m.Zones = append(m.Zones, zone)
 	}
 	for i := range 1 + r.Intn(maxHosts) {
 		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Zone: m.Zones[r.Intn(len(m.Zones))].Name, Capacity: int64(r.Intn(7)), Cost: int64(r.Intn(3)) * 500}
@@ -203,10 +203,10 @@
 	feasible := 0
 	for range *randomModelCount {
 		m := randomModel(r, 12)
-		before, _, _ := Solve(randomModel(r, 12), nil, alwaysHasTime) // the plan in force, for another model
-		if checkAgainstBruteForce(t, m, before) {
+		inForce, _, _ := Solve(randomModel(r, 12), nil, alwaysHasTime) // the plan in force, for another model
+		if checkAgainstBruteForce(t, m, inForce) {
 			feasible++
 		}
 	}
-	t.Logf("%d models, %d feasible", *randomModelCount, feasible)
+	t.Logf("%d models, %d of them feasible", *randomModelCount, feasible)
 }
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -65,9 +65,9 @@
 		"duplicate need":  func(c *placement.Infeasibility) { c.Needs = append(c.Needs, c.Needs[0]) },
 		"wrong shortfall": func(c *placement.Infeasibility) { c.Shortfall++ },
 	} {
-		c := *proof
-		c.Needs, c.Limits = slices.Clone(c.Needs), slices.Clone(c.Limits)
-		if alter(&c); c.Verify(m) == "" {
+		altered := *proof
+		altered.Needs, altered.Limits = slices.Clone(altered.Needs), slices.Clone(altered.Limits)
+		if alter(&altered); altered.Verify(m) == "" {
 			t.Errorf("Verify accepts a proof with a %s", name)
 		}
 	}
@@ -78,12 +78,12 @@
 func TestWarmingUpHostsStayWithinSafeCapacity(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := twoZoneModel()
-		m.ClockSkew = float64(rapid.IntRange(0, 800).Draw(t, "clocks"))
+		m.ClockSkew = float64(rapid.IntRange(0, 800).Draw(t, "clock skew"))
 		m.Steps = rapid.IntRange(1, 12).Draw(t, "steps")
 		for i := range m.Hosts {
-			if rapid.Bool().Draw(t, "cold") {
+			if rapid.Bool().Draw(t, "warming up") {
 				h := &m.Hosts[i]
-				h.StartedAt, h.WarmupTime = m.At+float64(rapid.IntRange(-9000, 3000).Draw(t, "age")), float64(rapid.IntRange(1, 15000).Draw(t, "warming"))
+				h.StartedAt, h.WarmupTime = m.At+float64(rapid.IntRange(-9000, 3000).Draw(t, "age")), float64(rapid.IntRange(1, 15000).Draw(t, "warmup time"))
 				h.InitialCapacityShare = rapid.Float64Range(0, 1).Draw(t, "share")
 			}
 		}
@@ -146,7 +146,7 @@
 	withoutN2.Hosts[1].State = gather.Removed
 	solvedAgain := mustSolve(t, &withoutN2)
 	if best := solvedAgain.Steps[0].MaxUtilisation.Float(); prepared > best+1e-9 || best > 0.55 {
-		t.Errorf("maximum utilisation %g with the prepared case, %g solved again", prepared, best)
+		t.Errorf("maximum utilisation %g with the prepared case, %g solved again; want no higher one with the case, at most 0.55 solved again", prepared, best)
 	}
 	// A loss that no case covers exactly uses the weights with the lowest maximum utilisation.
 	rows, _, _ = plan.EffectiveRows(m.At, func(host string) bool { return host == "s1" || host == "s2" })
@@ -180,16 +180,16 @@
 // robin applies, if none of its hosts is on the endpoint list or if the plan is older than its maximum age.
 func TestPlanWithoutListedHostsOrTooOldGivesNoWeights(t *testing.T) {
 	plan := mustSolve(t, twoZoneModel())
-	f := placement.ActivePlan{Plan: plan, MaxAge: 1000}
-	s := f.At(plan.Model.At+10, func(string) bool { return false })
-	weights := placement.WeightsForZone(s.Rows, "north", func(string) (uint32, bool) { return 0, false })
-	if s.MissingHosts != 4 || len(weights) != 1 || len(weights[0]) != 0 {
-		t.Errorf("%+v, weights %v; want 4 missing hosts and no weights", s, weights)
+	active := placement.ActivePlan{Plan: plan, MaxAge: 1000}
+	effective := active.At(plan.Model.At+10, func(string) bool { return false })
+	weights := placement.WeightsForZone(effective.Rows, "north", func(string) (uint32, bool) { return 0, false })
+	if effective.MissingHosts != 4 || len(weights) != 1 || len(weights[0]) != 0 {
+		t.Errorf("%+v, weights %v; want 4 missing hosts and no weights", effective, weights)
 	}
-	if s := f.At(plan.Model.At+1000, func(string) bool { return true }); !s.Stale || s.Rows != nil {
+	if s := active.At(plan.Model.At+1000, func(string) bool { return true }); !s.Stale || s.Rows != nil {
 		t.Errorf("at the maximum age: %+v, want a stale plan without rows", s)
 	}
-	if s := f.At(plan.Model.At+999, func(string) bool { return true }); s.Stale || s.ValidUntil != plan.Model.At+1000 {
+	if s := active.At(plan.Model.At+999, func(string) bool { return true }); s.Stale || s.ValidUntil != plan.Model.At+1000 {
 		t.Errorf("before the maximum age: %+v, want a plan that is valid until that age", s)
 	}
 }
@@ -197,14 +197,14 @@
 // TestSolveTimeoutListsOmittedCases checks that a solve that runs out of time returns ErrTimeout if it has no
 // weights yet, and else lists the cases that it omitted.
 func TestSolveTimeoutListsOmittedCases(t *testing.T) {
-	for work := range 8 {
-		left := work
-		plan, proof, err := Solve(twoZoneModel(), nil, func() bool { left--; return left >= 0 })
+	for pieces := range 8 {
+		remaining := pieces
+		plan, proof, err := Solve(twoZoneModel(), nil, func() bool { remaining--; return remaining >= 0 })
 		switch {
-		case work == 0 && !errors.Is(err, ErrTimeout):
+		case pieces == 0 && !errors.Is(err, ErrTimeout):
 			t.Errorf("plan %v, proof %v, error %v; want ErrTimeout", plan, proof, err)
-		case work > 0 && (err != nil || len(plan.Cases) != work-1 || len(plan.Cases)+len(plan.OmittedCases) != 10):
-			t.Errorf("%d pieces of work: %d cases, omitted cases %v, error %v", work, len(plan.Cases), plan.OmittedCases, err)
+		case pieces > 0 && (err != nil || len(plan.Cases) != pieces-1 || len(plan.Cases)+len(plan.OmittedCases) != 10):
+			t.Errorf("%d pieces of work: %d cases, omitted cases %v, error %v; want %d cases of 10", pieces, len(plan.Cases), plan.OmittedCases, err, pieces-1)
 		}
 	}
 }
@@ -219,9 +219,9 @@
 		m.Demands = append(m.Demands, placement.Demand{Segment: "b", Zone: "south", Rate: 31})
 		want, _, _ := Solve(m, nil, alwaysHasTime)
 		m.Hosts = rapid.Permutation(m.Hosts).Draw(t, "hosts")
-		m.Zones = rapid.Permutation(m.Zones).Draw(t, "halls")
+		m.Zones = rapid.Permutation(m.Zones).Draw(t, "zones")
 		m.Segments = rapid.Permutation(m.Segments).Draw(t, "segments")
-		m.Segments[0].Hosts = rapid.Permutation(m.Segments[0].Hosts).Draw(t, "on")
+		m.Segments[0].Hosts = rapid.Permutation(m.Segments[0].Hosts).Draw(t, "replicas")
 		m.Demands = rapid.Permutation(m.Demands).Draw(t, "demands")
 		got, _, _ := Solve(m, nil, alwaysHasTime)
 		if len(got.Steps) != len(want.Steps) || len(got.Cases) != len(want.Cases) {
@@ -275,18 +275,18 @@
 // window than rule 4 allows, and must send it at least a twentieth of all attempts.
 func TestIndependentGatherersDoNotOverloadWarmingUpHost(t *testing.T) {
 	m := twoZoneModel()
-	cold := &m.Hosts[2]
-	cold.StartedAt, cold.WarmupTime, cold.InitialCapacityShare = m.At, 10000, 0.2
+	warmingUp := &m.Hosts[2]
+	warmingUp.StartedAt, warmingUp.WarmupTime, warmingUp.InitialCapacityShare = m.At, 10000, 0.2
 	plan := mustSolve(t, m)
 	settings := &gather.Settings{
 		ReplicaSets: 1, ReplicaSetsPerShard: 1, MaxAttempts: 3, Tick: 5.0, Gatherers: 7,
-		WarmupTime: cold.WarmupTime, InitialCapacityShare: cold.InitialCapacityShare, OverloadWindow: 2000.0,
+		WarmupTime: warmingUp.WarmupTime, InitialCapacityShare: warmingUp.InitialCapacityShare, OverloadWindow: 2000.0,
 		OverloadMultiple: 3.0,
 		Classes: []gather.Class{
 			{Name: "i", LatencyObjective: 400.0, CompleteShare: 1.0, MinShare: 1.0, Effect: gather.Idempotent},
 		},
 	}
-	w := &attemptRecorder{}
+	recorder := &attemptRecorder{}
 	var gatherers []*logic.Gatherer
 	ids := map[string]uint32{}
 	list := gather.EndpointList{Full: true}
@@ -295,48 +295,48 @@
 		list.Endpoints = append(list.Endpoints, gather.Endpoint{ID: uint32(i), StartedAt: h.StartedAt})
 	}
 	for i := range 7 {
-		own := settings.Clone()
-		own.GathererIndex = i
-		gatherers = append(gatherers, logic.New(uint64(i), own))
+		gathererSettings := settings.Clone()
+		gathererSettings.GathererIndex = i
+		gatherers = append(gatherers, logic.New(uint64(i), gathererSettings))
 	}
-	number := func(host string) (uint32, bool) { id, known := ids[host]; return id, known }
+	serverOf := func(host string) (uint32, bool) { id, known := ids[host]; return id, known }
 	id, arrivals := uint64(10), 0
-	for w.now = m.At; w.now < m.At+12000; w.now += 5 {
+	for recorder.now = m.At; recorder.now < m.At+12000; recorder.now += 5 {
 		for i, g := range gatherers {
-			in := gather.Round{Now: w.now}
-			if w.now == m.At {
+			in := gather.Round{Now: recorder.now}
+			if recorder.now == m.At {
 				in.EndpointLists = []gather.EndpointList{list}
 			}
-			if math.Mod(w.now-m.At, 250) == 0 {
-				rows, _, _ := plan.EffectiveRows(w.now, func(string) bool { return true })
-				in.Weights = placement.WeightsForZone(rows, "both", number)
+			if math.Mod(recorder.now-m.At, 250) == 0 {
+				rows, _, _ := plan.EffectiveRows(recorder.now, func(string) bool { return true })
+				in.Weights = placement.WeightsForZone(rows, "both", serverOf)
 			}
 			// 160 shard requests per second, half of them at one gatherer.
-			if arrivals++; i == 0 && arrivals%21 < 17 && math.Mod(w.now, 10) == 0 || i > 0 && (arrivals+i)%60 == 0 {
-				in.Queries = []gather.Query{{ID: id, Number: id, Class: "i", Deadline: w.now + 2000}}
+			if arrivals++; i == 0 && arrivals%21 < 17 && math.Mod(recorder.now, 10) == 0 || i > 0 && (arrivals+i)%60 == 0 {
+				in.Queries = []gather.Query{{ID: id, Number: id, Class: "i", Deadline: recorder.now + 2000}}
 				in.Requests = []gather.ShardRequest{{ID: id + 1, Number: id, Weight: 1}}
 				id += 2
 			}
-			remaining := w.inFlight[:0]
-			for _, o := range w.inFlight {
-				if o.gatherer == i && o.time <= w.now {
-					in.Results = append(in.Results, gather.AttemptResult{Request: o.request, Server: o.server, Outcome: gather.Succeeded, Finished: true})
+			remaining := recorder.inFlight[:0]
+			for _, attempt := range recorder.inFlight {
+				if attempt.gatherer == i && attempt.time <= recorder.now {
+					in.Results = append(in.Results, gather.AttemptResult{Request: attempt.request, Server: attempt.server, Outcome: gather.Succeeded, Finished: true})
 				} else {
-					remaining = append(remaining, o)
+					remaining = append(remaining, attempt)
 				}
 			}
-			w.inFlight, w.gatherer = remaining, i
-			g.Round(&in, w)
+			recorder.inFlight, recorder.gatherer = remaining, i
+			g.Round(&in, recorder)
 		}
 	}
-	total, toWarmingUp := len(w.sent), 0
-	for i, first := range w.sent {
+	total, toWarmingUp := len(recorder.sent), 0
+	for i, first := range recorder.sent {
 		if first.server != 2 {
 			continue
 		}
 		toWarmingUp++
 		sum := 0.0
-		for _, s := range w.sent[i:] {
+		for _, s := range recorder.sent[i:] {
 			if s.time > first.time+2000 {
 				break
 			}
@@ -345,9 +345,9 @@
 			}
 		}
 		// Rule 4 uses the capacity at each moment of the window. It is lowest at the beginning of the window.
-		safe := 100 * (cold.InitialCapacityShare + (1-cold.InitialCapacityShare)*min((first.time-m.At)/cold.WarmupTime, 1))
+		safe := 100 * (warmingUp.InitialCapacityShare + (1-warmingUp.InitialCapacityShare)*min((first.time-m.At)/warmingUp.WarmupTime, 1))
 		if allowed := 3 * safe * 2; sum > allowed {
-			t.Fatalf("at %g: %g attempts in 2 s, %g allowed", first.time-m.At, sum, allowed)
+			t.Fatalf("%g ms after the start of the host: %g attempts in 2 s, want at most %g", first.time-m.At, sum, allowed)
 		}
 	}
 	if total < 1200 || toWarmingUp < total/20 {
--- a/logic/balance/explain.go
+++ b/logic/balance/explain.go
@@ -12,8 +12,8 @@
 type HostReport struct {
 	Name         string  `json:"Name"`
 	Zone         string  `json:"Hall"`
-	Capacity     int64   `json:"Capacity"` // of the warm host
-	SafeCapacity int64   `json:"Can"`      // at the moment of the report
+	Capacity     int64   `json:"Capacity"` // capacity of the warm host
+	SafeCapacity int64   `json:"Can"`      // safe capacity at the moment of the report
 	Load         int64   `json:"Load"`
 	Utilisation  float64 `json:"Use"`
 	Reason       string  `json:"Why"`
--- a/logic/balance/infeasibility.go
+++ b/logic/balance/infeasibility.go
@@ -13,8 +13,8 @@
 	return p.prove(at, func(h int) int64 { return p.capacity[h] })
 }
 
-// Bottleneck returns a proof that the maximum utilisation cannot be below u: demand that does not fit hosts
-// that are all below u. It returns nil if there is no demand.
+// Bottleneck returns a proof that the maximum utilisation cannot be below u. The proof lists demand that does
+// not fit if all hosts stay below u. Bottleneck returns nil if there is no demand.
 func (p *Problem) Bottleneck(at float64, u placement.Ratio) *placement.Infeasibility {
 	return p.prove(at, func(h int) int64 {
 		if load := p.capacity[h] * u.Load; load > 0 {
@@ -130,7 +130,7 @@
 	return placement.HostCapacity
 }
 
-// zoneLimitKind returns which of a zone's two limits applies, which is the lower one.
+// zoneLimitKind returns which of a zone's two limits applies: the lower one.
 func (p *Problem) zoneLimitKind(zone int) placement.LimitKind {
 	if z := &p.model.Zones[zone]; z.MaxLoad < 0 || p.zoneLimits[zone] < z.MaxLoad {
 		return placement.ZoneHeadroom
--- a/logic/balance/network.go
+++ b/logic/balance/network.go
@@ -104,7 +104,8 @@
 	n.inForceArcs = append(n.inForceArcs, inForceArcs)
 }
 
-// cost returns the cost of a unit from a zone to a host: its price first, then one unit of change.
+// cost returns the cost of a unit from a zone to a host. Its first component is the price of the unit, its
+// second one is one unit of change.
 func (p *Problem) cost(zone, host int) flow.Cost {
 	return flow.Cost{First: p.unitCost(zone, host), Second: 1}
 }
--- a/logic/balance/solution.go
+++ b/logic/balance/solution.go
@@ -62,12 +62,12 @@
 	units := make([][]int64, len(p.rows))
 	for i, r := range p.rows {
 		units[i] = make([]int64, len(p.replicas[r.segment]))
-		namedRow := byKey[rowKey{p.model.Segments[r.segment].Name, p.model.Zones[r.zone].Name}]
-		if namedRow == nil {
+		planRow := byKey[rowKey{p.model.Segments[r.segment].Name, p.model.Zones[r.zone].Name}]
+		if planRow == nil {
 			continue
 		}
 		for j, h := range p.replicas[r.segment] {
-			units[i][j] = rateOf(namedRow, p.model.Hosts[h].Name)
+			units[i][j] = rateOf(planRow, p.model.Hosts[h].Name)
 		}
 	}
 	return units
--- a/logic/balance/solve.go
+++ b/logic/balance/solve.go
@@ -109,13 +109,13 @@
 
 // overlay returns the rows of base, with each row replaced that has the same segment and zone as one in rows.
 func overlay(rows, base []placement.Row) []placement.Row {
-	own := map[rowKey]placement.Row{}
+	replacements := map[rowKey]placement.Row{}
 	for i := range rows {
-		own[keyOf(&rows[i])] = rows[i]
+		replacements[keyOf(&rows[i])] = rows[i]
 	}
 	merged := slices.Clone(base)
 	for i := range base {
-		if row, found := own[keyOf(&base[i])]; found {
+		if row, found := replacements[keyOf(&base[i])]; found {
 			row.ReplicaSet = base[i].ReplicaSet
 			merged[i] = row
 		}
--- a/logic/balance/utilisation.go
+++ b/logic/balance/utilisation.go
@@ -6,8 +6,8 @@
 	"yokeroute/logic/placement"
 )
 
-// idle is the utilisation of hosts without load.
-var idle = placement.Ratio{Load: 0, Capacity: 1}
+// idleUtilisation is the utilisation of hosts without load.
+var idleUtilisation = placement.Ratio{Load: 0, Capacity: 1}
 
 // MinUtilisation returns the least maximum utilisation at which all demand fits, or false if it does not fit
 // even at full capacity. With overload, hosts may be filled beyond their capacity and zones beyond their
@@ -22,7 +22,7 @@
 	if overload {
 		n.removeZoneLimits()
 	}
-	u := idle
+	u := idleUtilisation
 	unassigned := p.demand
 	for unassigned > 0 {
 		hosts, need := n.cutDemand()
@@ -63,7 +63,7 @@
 // one. It returns false if the hosts have no capacity.
 func (p *Problem) MinUtilisationOn(hosts []int, need int64) (placement.Ratio, bool) {
 	if need == 0 {
-		return idle, true
+		return idleUtilisation, true
 	}
 	return p.minUtilisationOn(hosts, need)
 }
@@ -92,18 +92,18 @@
 			next = append(next, placement.Ratio{Load: u.MaxLoad(capacity) + 1, Capacity: capacity})
 		}
 	}
-	slices.SortFunc(next, compare)
+	slices.SortFunc(next, compareRatios)
 	for ; fittingUnits < need; fittingUnits++ {
 		u = next[0]
 		next = next[1:]
 		following := placement.Ratio{Load: u.Load + 1, Capacity: u.Capacity}
-		i, _ := slices.BinarySearchFunc(next, following, compare)
+		i, _ := slices.BinarySearchFunc(next, following, compareRatios)
 		next = slices.Insert(next, i, following)
 	}
 	return u, true
 }
 
-func compare(a, b placement.Ratio) int {
+func compareRatios(a, b placement.Ratio) int {
 	switch {
 	case a.Less(b):
 		return -1
@@ -116,7 +116,7 @@
 // MaxUtilisation returns the highest utilisation of any host. For a host with load but without capacity, it
 // assumes a capacity of one unit.
 func (p *Problem) MaxUtilisation(loads []int64) placement.Ratio {
-	highest := idle
+	highest := idleUtilisation
 	for h, load := range loads {
 		r := placement.Ratio{Load: load, Capacity: max(p.capacity[h], 1)}
 		if load > 0 && highest.Less(r) {
--- a/logic/placement/active.go
+++ b/logic/placement/active.go
@@ -8,7 +8,7 @@
 
 // ActivePlan is the plan whose weights a gatherer uses.
 type ActivePlan struct {
-	Plan   *Plan   // nil for none
+	Plan   *Plan   // plan in force, nil for none
 	MaxAge float64 // milliseconds after the model's At at which the plan becomes stale, 0 for never
 }
 
@@ -17,8 +17,8 @@
 	Rows         []Row   // nil if plain round robin applies
 	CaseName     string  // case whose weights are in effect, empty for the plan's own weights
 	MissingHosts int     // number of the plan's hosts that are missing from the endpoint list
-	Stale        bool    // the plan is older than its maximum age
-	ValidUntil   float64 // time until which this holds, if the endpoint list does not change
+	Stale        bool    // whether the plan has reached its maximum age
+	ValidUntil   float64 // time until which the weights stay the same if the endpoint list does not change
 }
 
 // ListedHost reports whether a host is on the endpoint list and may get new shard requests.
@@ -86,11 +86,12 @@
 }
 
 // EffectiveRows selects the weights in effect at a moment: those of the current step, or those of a case if
-// hosts are missing from the endpoint list. It solves nothing. For the plan's own weights and for each case,
-// it computes the load of the hosts that remain; the weight of missing hosts is distributed among the other
-// hosts of the row in proportion to their weights, as in the gatherers' round robin. It selects the weights
-// with the lowest maximum utilisation, and prefers the plan's own weights among equals. It returns the name
-// of the selected case, empty for none, and the number of the plan's hosts that are missing.
+// hosts are missing from the endpoint list. It solves nothing. For the plan's own weights and for each case
+// that loses any of these hosts, it computes the load of the hosts that remain; the weight of missing hosts
+// is distributed among the other hosts of the row in proportion to their weights, as in the gatherers' round
+// robin. It selects the weights with the lowest maximum utilisation, and prefers the plan's own weights among
+// equals. It returns the name of the selected case, empty for none, and the number of the plan's hosts that
+// are missing.
 func (p *Plan) EffectiveRows(at float64, listed ListedHost) (rows []Row, caseName string, missing int) {
 	lost := map[string]bool{}
 	for i := range p.Model.Hosts {
--- a/logic/placement/diff.go
+++ b/logic/placement/diff.go
@@ -175,11 +175,11 @@
 }
 
 // describeNames returns a line that counts and lists names, or nil if there are none.
-func describeNames(names []string, noun, what string) []string {
+func describeNames(names []string, noun, state string) []string {
 	if len(names) == 0 {
 		return nil
 	}
-	return []string{fmt.Sprintf("%s %s: %s", pluralise(len(names), noun), what, firstNames(names))}
+	return []string{fmt.Sprintf("%s %s: %s", pluralise(len(names), noun), state, firstNames(names))}
 }
 
 func describeHostLoads(hosts []Delta, rate func(int64) string) string {
@@ -203,9 +203,9 @@
 	return strings.Join(names[:listed], " ") + fmt.Sprintf(" and %d more", len(names)-listed)
 }
 
-func pluralise(n int, what string) string {
+func pluralise(n int, noun string) string {
 	if n == 1 {
-		return "1 " + what
+		return "1 " + noun
 	}
-	return fmt.Sprintf("%d %ss", n, what)
+	return fmt.Sprintf("%d %ss", n, noun)
 }
--- a/logic/placement/infeasibility.go
+++ b/logic/placement/infeasibility.go
@@ -33,7 +33,7 @@
 // Limit is a limit that is part of a proof of infeasibility, with the load that it allows.
 type Limit struct {
 	Kind     LimitKind `json:"Kind"`
-	Name     string    `json:"Name"` // of the host or zone
+	Name     string    `json:"Name"` // name of the host or zone
 	Capacity int64     `json:"Takes"`
 }
 
@@ -41,7 +41,7 @@
 type Relaxation struct {
 	Limit      int   `json:"Limit"` // index in the limits of the proof
 	To         int64 `json:"To"`
-	Sufficient bool  `json:"Enough"` // all demand fits then; if false, another infeasibility remains
+	Sufficient bool  `json:"Enough"` // whether all demand fits then; if not, another infeasibility remains
 }
 
 // Infeasibility is a proof that no weights fit: all hosts that could serve the needs are subject to the
@@ -67,7 +67,7 @@
 	seen := map[Need]bool{}
 	for _, n := range f.Needs {
 		if seen[n] || !slices.Contains(m.Demands, Demand(n)) {
-			return fmt.Sprintf("no demand for %s of %d units from %s, or listed twice",
+			return fmt.Sprintf("the model has no demand for %s of %d units from %s, or the proof lists it twice",
 				n.Segment, n.Rate, n.Zone)
 		}
 		seen[n] = true
@@ -75,7 +75,7 @@
 		for _, name := range s.Hosts {
 			h := &m.Hosts[slices.IndexFunc(m.Hosts, func(h Host) bool { return h.Name == name })]
 			if !hosts[name] && !zones[h.Zone] {
-				return fmt.Sprintf("demand for %s can also go to %s, which has no limit here",
+				return fmt.Sprintf("demand for %s can also go to host %s, for which the proof has no limit",
 					n.Segment, name)
 			}
 		}
@@ -96,7 +96,7 @@
 		if l.Kind.OfZone() {
 			i := slices.IndexFunc(m.Zones, func(z Zone) bool { return z.Name == l.Name })
 			if i < 0 || zones[l.Name] || m.ZoneLoadLimit(&m.Zones[i], f.At) != l.Capacity {
-				return nil, nil, fmt.Sprintf("limit of hall %s is not %d units, or listed twice",
+				return nil, nil, fmt.Sprintf("the limit of hall %s is not %d units, or the proof lists it twice",
 					l.Name, l.Capacity)
 			}
 			zones[l.Name] = true
@@ -104,7 +104,7 @@
 		}
 		i := slices.IndexFunc(m.Hosts, func(h Host) bool { return h.Name == l.Name })
 		if i < 0 || hosts[l.Name] || m.SafeCapacity(&m.Hosts[i], f.At) != l.Capacity {
-			return nil, nil, fmt.Sprintf("capacity of host %s is not %d units, or listed twice",
+			return nil, nil, fmt.Sprintf("the capacity of host %s is not %d units, or the proof lists it twice",
 				l.Name, l.Capacity)
 		}
 		hosts[l.Name] = true
--- a/logic/placement/model.go
+++ b/logic/placement/model.go
@@ -39,7 +39,7 @@
 	At        float64    `json:"At"`     // time from which the plan is in effect
 	ClockSkew float64    `json:"Clocks"` // milliseconds by which a gatherer's clock may run ahead
 	Steps     int        `json:"Steps"`  // number of steps until the last host is warm
-	MaxMoves  int        `json:"Copies"` // maximum of replicas that may move, -1 for no limit
+	MaxMoves  int        `json:"Copies"` // maximum number of replicas that may move, -1 for no limit
 	Zones     []Zone     `json:"Halls"`
 	Hosts     []Host     `json:"Hosts"`
 	Segments  []Segment  `json:"Segments"`
@@ -50,7 +50,7 @@
 // Zone is a set of hosts with common load limits.
 type Zone struct {
 	Name    string `json:"Name"`
-	MaxLoad int64  `json:"Most"` // of all its hosts together, -1 for no limit
+	MaxLoad int64  `json:"Most"` // maximum load of all its hosts together, -1 for no limit
 	// The hosts of the zone have to keep free the greater of Headroom and HeadroomShare of their capacity.
 	Headroom      int64   `json:"Spare"`
 	HeadroomShare float64 `json:"SpareShare"`
@@ -61,20 +61,20 @@
 type Host struct {
 	Name                 string       `json:"Name"`
 	Zone                 string       `json:"Hall"`
-	Capacity             int64        `json:"Capacity"` // of the warm host
-	Cost                 int64        `json:"Cost"`     // of a shard request, in thousandths
+	Capacity             int64        `json:"Capacity"` // capacity of the warm host
+	Cost                 int64        `json:"Cost"`     // cost of a shard request, in thousandths
 	State                gather.State `json:"State"`
-	StartedAt            float64      `json:"Started"` // 0 for long ago; may be after At
+	StartedAt            float64      `json:"Started"` // start time, 0 for long ago; may be after the model's At
 	InitialCapacityShare float64      `json:"ColdShare"`
 	WarmupTime           float64      `json:"Warming"` // milliseconds
-	MaxSegments          int          `json:"Holds"`   // maximum that it can hold, 0 for no limit
+	MaxSegments          int          `json:"Holds"`   // maximum number of segments, 0 for no limit
 }
 
 // Segment is a part of the data. Each of its hosts holds a replica of it.
 type Segment struct {
 	Name       string   `json:"Name"`
 	ReplicaSet int      `json:"Group"`    // replica set in the gatherers' settings, -1 for none
-	Replicas   int      `json:"Replicas"` // number in a new placement, 0 for as many as now
+	Replicas   int      `json:"Replicas"` // number of replicas in a new placement, 0 for as many as now
 	Hosts      []string `json:"On"`
 }
 
--- a/logic/placement/validate.go
+++ b/logic/placement/validate.go
@@ -29,8 +29,8 @@
 
 func (e *EntryError) Error() string { return fmt.Sprintf("%s %q: %s", e.Kind, e.Value, e.Problem) }
 
-// validator collects the errors in a model. The sets of names of a kind are filled while entries of that kind
-// are validated.
+// validator collects the errors in a model. Its maps hold the names of the entries validated so far, by which
+// other entries may refer to them.
 type validator struct {
 	m        *Model
 	errors   []*EntryError
@@ -73,7 +73,7 @@
 func (v *validator) checkRate(e entry, field string, rate, minimum int64) {
 	switch {
 	case rate < minimum:
-		v.reject(e, field, fmt.Sprint(rate), "is under %d", minimum)
+		v.reject(e, field, fmt.Sprint(rate), "is below the minimum of %d", minimum)
 	case rate > MaxRate:
 		v.reject(e, field, fmt.Sprint(rate), "is more than %d units; set a larger unit", MaxRate)
 	}
@@ -171,7 +171,8 @@
 				len(v.m.Hosts))
 		}
 		if s.ReplicaSet >= 0 && replicaSets[s.ReplicaSet] {
-			v.reject(e, "group", fmt.Sprint(s.ReplicaSet), "is already the group of another segment")
+			v.reject(e, "group", fmt.Sprint(s.ReplicaSet),
+				"is already the group of another segment; every segment has its own group")
 		}
 		replicaSets[s.ReplicaSet] = true
 	}
@@ -211,7 +212,7 @@
 		v.checkCost(e, c.Cost)
 		key := direction{c.From, c.To}
 		if given[key] {
-			v.reject(e, "to", c.To, "is given twice from %s", c.From)
+			v.reject(e, "to", c.To, "is given twice from %s; write one cost for each direction", c.From)
 		}
 		given[key] = true
 		if c.From == c.To {
--- a/logic/placing/bench_test.go
+++ b/logic/placing/bench_test.go
@@ -10,10 +10,10 @@
 	"yokeroute/logic/placement"
 )
 
-// fleet returns a model with uneven hosts and load: two kinds of hosts in three zones, sets of four hosts
-// with six segments each, and a tenth of the segments with five times the demand of the others. If placed is
-// true, the segments have hosts.
-func fleet(hosts int, seed uint64, placed bool) *placement.Model {
+// benchmarkModel returns a model with uneven hosts and load: two kinds of hosts in three zones, sets of four
+// hosts with six segments each, and a tenth of the segments with five times the demand of the others. If
+// placed is true, the segments have hosts.
+func benchmarkModel(hosts int, seed uint64, placed bool) *placement.Model {
 	random := pcg.New(seed)
 	m := &placement.Model{Unit: 1, MaxMoves: -1, Steps: 8}
 	for i := range 3 {
@@ -54,13 +54,13 @@
 	return m
 }
 
-var hostCounts = []int{12, 100, 310, 1000} // numbers of hosts
+var hostCounts = []int{12, 100, 310, 1000} // numbers of hosts of the benchmark models
 
 // BenchmarkWeights measures the computation of one set of weights.
 func BenchmarkWeights(b *testing.B) {
 	for _, n := range hostCounts {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := fleet(n, 1, true).Normalized()
+			m := benchmarkModel(n, 1, true).Normalized()
 			p := balance.NewProblem(m)
 			p.SetTime(0, nil)
 			b.ReportAllocs()
@@ -79,7 +79,7 @@
 func BenchmarkPlan(b *testing.B) {
 	for _, n := range hostCounts[:3] {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
-			m := fleet(n, 1, true)
+			m := benchmarkModel(n, 1, true)
 			b.ReportAllocs()
 			for b.Loop() {
 				plan, _, err := balance.Solve(m, nil, alwaysHasTime)
@@ -96,7 +96,7 @@
 	for _, n := range hostCounts {
 		for _, limit := range []time.Duration{time.Second, 10 * time.Second} {
 			b.Run(fmt.Sprintf("%d/%v", n, limit), func(b *testing.B) {
-				m := fleet(n, 1, false)
+				m := benchmarkModel(n, 1, false)
 				b.ReportAllocs()
 				for b.Loop() {
 					deadline := time.Now().Add(limit)
--- a/logic/placing/branchandbound.go
+++ b/logic/placing/branchandbound.go
@@ -12,17 +12,17 @@
 	*job
 	best       value
 	assignment [][]int // best known placement: the hosts of each segment
-	found      bool    // whether best and the placement are set
+	found      bool    // whether best and assignment are set
 	acceptAny  bool    // stop at the first placement that fits
 
 	placed      [][]int // hosts of the segments placed so far
 	segmentsOn  []int   // number of segments on each host
 	moved       int     // moves of the segments placed so far
-	forcedMoves []int   // by index in the order: minimum number of moves of the segments from there on
-	sets        [][]int // buffer of hostSets
+	forcedMoves []int   // minimum number of moves of the segments at each index of the order and after it
+	setBuffer   [][]int // buffer of hostSets
 }
 
-// run searches all placements. It reports whether it was complete, rather than ended by the time.
+// run searches all placements. It returns false if it stopped early because the time ran out.
 func (b *branchAndBound) run() bool {
 	b.placed = make([][]int, len(b.order))
 	b.segmentsOn = make([]int, len(b.model.Hosts))
@@ -30,13 +30,13 @@
 	for i := len(b.order) - 1; i >= 0; i-- {
 		s, remaining := b.order[i], 0
 		for _, h := range b.currentHosts[s] {
-			if slices.Contains(b.usable, h) {
+			if slices.Contains(b.usableHosts, h) {
 				remaining++
 			}
 		}
 		b.forcedMoves[i] = b.forcedMoves[i+1]
 		if len(b.currentHosts[s]) > 0 {
-			b.forcedMoves[i] += max(b.wanted[s]-remaining, 0)
+			b.forcedMoves[i] += max(b.replicaCounts[s]-remaining, 0)
 		}
 	}
 	return b.extend(0)
@@ -48,8 +48,8 @@
 	bound value
 }
 
-// extend places the segments from index i in the order on. It reports whether it was complete, rather than
-// ended by the time.
+// extend places the segments at index i of the order and after it. It returns false if it stopped early
+// because the time ran out.
 func (b *branchAndBound) extend(i int) bool {
 	if i == len(b.order) {
 		return true // choices has evaluated the complete placements
@@ -135,7 +135,7 @@
 		if b.placed[s] != nil {
 			b.problem.SetHosts(s, b.placed[s])
 		} else {
-			b.problem.SetHosts(s, b.usable)
+			b.problem.SetHosts(s, b.usableHosts)
 		}
 	}
 	u, fits := b.problem.MinUtilisation(false)
@@ -156,7 +156,7 @@
 // combinations would yield the same placements with other host names.
 func (b *branchAndBound) hostSets(s, i int) [][]int {
 	var hosts []int
-	for _, h := range b.usable {
+	for _, h := range b.usableHosts {
 		if b.segmentsOn[h] < b.maxSegments(h) {
 			hosts = append(hosts, h)
 		}
@@ -173,14 +173,14 @@
 			}
 		}
 	}
-	b.sets = b.sets[:0]
+	b.setBuffer = b.setBuffer[:0]
 	var chosen []int
 	taken := make([]bool, len(hosts))
 	var choose func(k int)
 	choose = func(k int) {
-		if len(chosen) == b.wanted[s] {
+		if len(chosen) == b.replicaCounts[s] {
 			if b.inEnoughZones(s, chosen) {
-				b.sets = append(b.sets, slices.Clone(chosen))
+				b.setBuffer = append(b.setBuffer, slices.Clone(chosen))
 			}
 			return
 		}
@@ -196,22 +196,22 @@
 		}
 	}
 	choose(0)
-	return slices.Clone(b.sets)
+	return slices.Clone(b.setBuffer)
 }
 
-// signature returns a key that is equal for hosts that are equivalent for placing the segments from index i
-// in the order on. It consists of the zone and figures of the host, of which placed segments it holds, and of
-// which of the remaining segments it holds at present.
+// signature returns a key that is equal for hosts that are equivalent for placing the segments at index i of
+// the order and after it. It consists of the zone and the properties of the host, of which placed segments it
+// holds, and of which of the remaining segments it holds at present.
 func (b *branchAndBound) signature(h, i int) string {
 	host := &b.model.Hosts[h]
 	key := binary.AppendVarint(nil, int64(b.problem.Zone(h)))
-	figures := []int64{
+	properties := []int64{
 		b.problem.Capacity(h),
 		host.Cost,
 		int64(b.maxSegments(h)),
 		int64(b.segmentsOn[h]),
 	}
-	for _, n := range figures {
+	for _, n := range properties {
 		key = binary.AppendVarint(key, n)
 	}
 	for k, s := range b.order {
--- a/logic/placing/infeasibility.go
+++ b/logic/placing/infeasibility.go
@@ -39,13 +39,13 @@
 	Kind        InfeasibilityKind        `json:"Kind"`
 	Segment     string                   `json:"Segment"`
 	Need        int64                    `json:"Need"`  // required hosts, slots, moves or units, by kind
-	Available   int64                    `json:"Takes"` // how many of them there are, or are allowed
+	Available   int64                    `json:"Takes"` // available or allowed number of them
 	Hosts       []string                 `json:"Hosts"`
-	Proof       *placement.Infeasibility `json:"Clash"`  // for DemandTooHigh; refers to the OneSegmentModel
+	Proof       *placement.Infeasibility `json:"Clash"`  // for DemandTooHigh: proof for the OneSegmentModel
 	Limits      []string                 `json:"Limits"` // for ConflictingLimits: a minimal set of them
-	Relaxations []string                 `json:"Lifts"`  // changes of which each one would be sufficient
+	Relaxations []string                 `json:"Lifts"`  // changes; each one would be sufficient by itself
 	Unproven    bool                     `json:"Unproven"`
-	Attempts    int                      `json:"Tries"` // number of attempted changes
+	Attempts    int                      `json:"Tries"` // number of changes that the search has attempted
 }
 
 // runningHosts returns the names of the hosts that may hold replicas.
@@ -93,15 +93,15 @@
 	return p, at
 }
 
-// largestHosts returns the running hosts with the highest capacity, up to want of them.
-func largestHosts(m *placement.Model, p *balance.Problem, want int) (hosts []int) {
+// largestHosts returns the running hosts with the highest capacity, at most count of them.
+func largestHosts(m *placement.Model, p *balance.Problem, count int) (hosts []int) {
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
 			hosts = append(hosts, i)
 		}
 	}
 	slices.SortStableFunc(hosts, func(a, b int) int { return cmp.Compare(p.Capacity(b), p.Capacity(a)) })
-	return hosts[:min(want, len(hosts))]
+	return hosts[:min(count, len(hosts))]
 }
 
 // findInfeasibility returns a reason why no placement can fit that is found without a search, or nil.
@@ -278,7 +278,7 @@
 	for _, l := range limits {
 		candidate := current
 		if l.relax(&candidate); !j.isFeasible(candidate, infeasibility) {
-			current = candidate // the others conflict without this limit
+			current = candidate // the other limits conflict even without this one
 			continue
 		}
 		infeasibility.Limits = append(infeasibility.Limits, l.name)
--- a/logic/placing/initial.go
+++ b/logic/placing/initial.go
@@ -23,24 +23,24 @@
 func (j *job) initialPlacement() (assignment [][]int, found bool) {
 	p := &initial{
 		job:        j,
-		assignment: make([][]int, len(j.wanted)),
+		assignment: make([][]int, len(j.replicaCounts)),
 		segmentsOn: make([]int, len(j.model.Hosts)),
 		load:       make([]float64, len(j.model.Hosts)),
 	}
 	for _, s := range j.order {
 		for _, h := range j.currentHosts[s] {
-			if len(p.assignment[s]) < j.wanted[s] && slices.Contains(j.usable, h) && p.hasSlot(h) {
+			if len(p.assignment[s]) < j.replicaCounts[s] && slices.Contains(j.usableHosts, h) && p.hasSlot(h) {
 				p.addReplica(s, h)
 			}
 		}
 	}
 	for _, s := range j.order {
-		for len(p.assignment[s]) < j.wanted[s] || !j.inEnoughZones(s, p.assignment[s]) {
+		for len(p.assignment[s]) < j.replicaCounts[s] || !j.inEnoughZones(s, p.assignment[s]) {
 			host := p.leastUtilised(s)
 			if host < 0 {
 				return nil, false
 			}
-			if len(p.assignment[s]) == j.wanted[s] && !p.removeFromSharedZone(s) {
+			if len(p.assignment[s]) == j.replicaCounts[s] && !p.removeFromSharedZone(s) {
 				return nil, false
 			}
 			p.addReplica(s, host)
@@ -53,7 +53,7 @@
 
 // replicaLoad returns the load of one replica of a segment if all its replicas get the same load.
 func (p *initial) replicaLoad(segment int) float64 {
-	return float64(p.demands[segment]) / float64(p.wanted[segment])
+	return float64(p.demands[segment]) / float64(p.replicaCounts[segment])
 }
 
 func (p *initial) addReplica(segment, host int) {
@@ -77,7 +77,7 @@
 	needsNewZone := count < p.minZones[segment]
 	best := -1
 	lowest := math.Inf(1)
-	for _, h := range p.usable {
+	for _, h := range p.usableHosts {
 		if !p.hasSlot(h) || slices.Contains(p.assignment[segment], h) ||
 			needsNewZone && usedZones[p.problem.Zone(h)] {
 			continue
--- a/logic/placing/localsearch.go
+++ b/logic/placing/localsearch.go
@@ -23,8 +23,8 @@
 	replicaArcs [][]int // from each segment to its hosts, in the order of assignment
 	hostArcs    []int   // from each host to its zone
 	zoneArcs    []int   // from each zone to the sink
-	hosts       int     // node of the first host
-	zones       int     // node of the first zone
+	firstHost   int     // node of the first host
+	firstZone   int     // node of the first zone
 	assignment  [][]int // hosts of each segment, unsorted
 	segmentsOn  []int   // number of segments on each host
 	moved       int     // number of moved replicas
@@ -89,10 +89,10 @@
 		job:        j,
 		random:     random,
 		segmentsOn: make([]int, len(j.model.Hosts)),
-		hosts:      2 + len(assignment),
+		firstHost:  2 + len(assignment),
 	}
-	ls.zones = ls.hosts + len(j.model.Hosts)
-	ls.network = flow.New(ls.zones + len(j.model.Zones))
+	ls.firstZone = ls.firstHost + len(j.model.Hosts)
+	ls.network = flow.New(ls.firstZone + len(j.model.Zones))
 	total := int64(0)
 	for s, hosts := range assignment {
 		ls.assignment = append(ls.assignment, slices.Clone(hosts))
@@ -100,7 +100,7 @@
 		total += j.demands[s]
 		var slots []int
 		for _, host := range hosts {
-			slots = append(slots, ls.network.AddArc(2+s, ls.hosts+host, j.demands[s], flow.Cost{}))
+			slots = append(slots, ls.network.AddArc(2+s, ls.firstHost+host, j.demands[s], flow.Cost{}))
 			ls.segmentsOn[host]++
 		}
 		ls.replicaArcs = append(ls.replicaArcs, slots)
@@ -108,7 +108,7 @@
 	}
 	for host := range j.model.Hosts {
 		maxLoad := target.MaxLoad(j.problem.Capacity(host))
-		arc := ls.network.AddArc(ls.hosts+host, ls.zones+j.problem.Zone(host), maxLoad, flow.Cost{})
+		arc := ls.network.AddArc(ls.firstHost+host, ls.firstZone+j.problem.Zone(host), maxLoad, flow.Cost{})
 		ls.hostArcs = append(ls.hostArcs, arc)
 	}
 	for zone := range j.model.Zones {
@@ -116,13 +116,13 @@
 		if limit < 0 {
 			limit = placement.MaxRate
 		}
-		ls.zoneArcs = append(ls.zoneArcs, ls.network.AddArc(ls.zones+zone, 1, limit, flow.Cost{}))
+		ls.zoneArcs = append(ls.zoneArcs, ls.network.AddArc(ls.firstZone+zone, 1, limit, flow.Cost{}))
 	}
 	ls.shortfall = total - ls.network.Augment(0, 1, total)
 	return ls
 }
 
-// isAllowed reports whether the limits allow to move the replica in a slot of segment s to another host.
+// isAllowed reports whether the limits allow moving the replica in a slot of segment s to another host.
 func (ls *localSearch) isAllowed(s, slot, to int) bool {
 	if slices.Contains(ls.assignment[s], to) || ls.segmentsOn[to] >= ls.maxSegments(to) {
 		return false
@@ -142,7 +142,7 @@
 		ls.network.RemoveFlow(units, ls.segmentArcs[s], arc, ls.hostArcs[from], ls.zoneArcs[ls.problem.Zone(from)])
 		ls.shortfall += units
 	}
-	ls.network.Retarget(arc, ls.hosts+to)
+	ls.network.Retarget(arc, ls.firstHost+to)
 	ls.moved -= ls.moves(s, ls.assignment[s])
 	ls.assignment[s][slot] = to
 	ls.moved += ls.moves(s, ls.assignment[s])
@@ -166,7 +166,7 @@
 	ls.moved += ls.moves(s, ls.assignment[s])
 	ls.segmentsOn[to]--
 	ls.segmentsOn[from]++
-	ls.network.Retarget(ls.replicaArcs[s][slot], ls.hosts+from)
+	ls.network.Retarget(ls.replicaArcs[s][slot], ls.firstHost+from)
 	ls.network.Restore(ls.savedFlow)
 	ls.shortfall = savedShortfall
 	return false
@@ -180,7 +180,7 @@
 // two steps, or one that increases it, to leave a local minimum. It ends when the number of attempts reaches
 // maxAttempts.
 func (ls *localSearch) reduceShortfall(maxAttempts int) {
-	const worseOneIn = 4 // one in so many rounds without an improvement keeps a random move
+	const worseOneIn = 4 // on average, one of so many rounds without an improvement keeps a random move
 	for ls.shortfall > 0 && ls.attempts < maxAttempts && ls.hasTime() {
 		from, to := ls.candidates()
 		if len(from) == 0 || len(to) == 0 {
@@ -203,13 +203,13 @@
 	cut := ls.network.Reachable(0)
 	for s := range ls.assignment {
 		for i, host := range ls.assignment[s] {
-			if cut[2+s] && cut[ls.hosts+host] {
+			if cut[2+s] && cut[ls.firstHost+host] {
 				from = append(from, slot{s, i})
 			}
 		}
 	}
-	for _, host := range ls.usable {
-		if !cut[ls.hosts+host] && ls.segmentsOn[host] < ls.maxSegments(host) {
+	for _, host := range ls.usableHosts {
+		if !cut[ls.firstHost+host] && ls.segmentsOn[host] < ls.maxSegments(host) {
 			to = append(to, host)
 		}
 	}
@@ -220,10 +220,10 @@
 // the shortfall, or occasionally one that leaves it unchanged. It reports whether it has kept a move.
 func (ls *localSearch) moveAny(from []slot, to []int, maxAttempts int) bool {
 	const (
-		maxMoves   = 32
-		equalOneIn = 8 // one in so many moves that leave the shortfall unchanged is kept
+		maxTries   = 32
+		equalOneIn = 8 // on average, one of so many moves that leave the shortfall unchanged is kept
 	)
-	for range maxMoves {
+	for range maxTries {
 		source, host := from[ls.randomIndex(len(from))], to[ls.randomIndex(len(to))]
 		if ls.attempts >= maxAttempts || !ls.isAllowed(source.segment, source.index, host) {
 			ls.attempts++ // counted so that the search ends even if no move is allowed
@@ -280,15 +280,15 @@
 
 // reduceCost tries changes that keep the utilisation and reduce the cost or the number of moves. It starts
 // with the most promising ones: it moves replicas into the zone whose gatherers send the most load for the
-// segment to otherSlot zones, on the hosts with the most free capacity. Then it tries random moves to other
-// zones, to cheaper or larger hosts, or back to current hosts.
-func (ls *localSearch) reduceCost(keepIfBetter func([][]int), now func() value) {
+// segment to other zones, to the hosts with the most free capacity. Then it tries random moves to other
+// zones, to cheaper or larger hosts, or back to the hosts that hold the segment now.
+func (ls *localSearch) reduceCost(keepIfBetter func([][]int), current func() value) {
 	p := balance.NewProblem(ls.model)
 	p.CopyCapacity(ls.problem)
 	for s, hosts := range ls.assignment {
 		p.SetHosts(s, slices.Clone(hosts))
 	}
-	u := now().utilisation
+	u := current().utilisation
 	units, cost, _ := p.MinCost(u, false, nil)
 	moved := ls.moved
 	// keepIfCheaper moves a replica and keeps the move if the utilisation does not rise and the cost is
@@ -323,11 +323,11 @@
 			improved = ls.moveIntoZone(s, zone, p.Loads(units), u, keepIfCheaper) || improved
 		}
 	}
-	for idle := 0; idle < 4*len(ls.assignment)*len(ls.usable) && ls.hasEffort(); idle++ {
+	for failures := 0; failures < 4*len(ls.assignment)*len(ls.usableHosts) && ls.hasEffort(); failures++ {
 		s := ls.randomIndex(len(ls.assignment))
-		slot, to := ls.randomIndex(len(ls.assignment[s])), ls.usable[ls.randomIndex(len(ls.usable))]
+		slot, to := ls.randomIndex(len(ls.assignment[s])), ls.usableHosts[ls.randomIndex(len(ls.usableHosts))]
 		if ls.attempts++; ls.isAllowed(s, slot, to) && ls.canHelp(s, slot, to) && keepIfCheaper(s, slot, to) {
-			idle = 0
+			failures = 0
 		}
 	}
 	keepIfBetter(ls.assignment)
@@ -349,7 +349,7 @@
 ) bool {
 	freeCapacity := func(host int) int64 { return u.MaxLoad(ls.problem.Capacity(host)) - loads[host] }
 	var to []int
-	for _, host := range ls.usable {
+	for _, host := range ls.usableHosts {
 		if ls.problem.Zone(host) == zone && freeCapacity(host) > 0 {
 			to = append(to, host)
 		}
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -23,7 +23,9 @@
 
 // Config configures a search.
 type Config struct {
-	Effort int    // number of attempted changes after which the search ends, independent of the machine
+	// Effort is the number of attempted changes after which the search ends. It does not depend on the speed
+	// of the machine.
+	Effort int
 	Seed   uint64 // seed of the random numbers
 }
 
@@ -37,13 +39,13 @@
 
 // Result is the result of a search that has found a placement.
 type Result struct {
-	Model          *placement.Model `json:"Model"` // normalized, with the new hosts of segments
+	Model          *placement.Model `json:"Model"` // the normalized model with the new hosts of segments
 	Moves          []Move           `json:"Moves"`
-	MaxUtilisation placement.Ratio  `json:"Greatest"` // when all hosts are warm
+	MaxUtilisation placement.Ratio  `json:"Greatest"` // maximum utilisation when all hosts are warm
 	Cost           int64            `json:"Cost"`
 	Bound          placement.Ratio  `json:"Bound"`   // lower bound of MaxUtilisation for all placements
-	CostBound      int64            `json:"Floor"`   // lower bound of the cost at that utilisation
-	Proven         bool             `json:"Proven"`  // whether no placement is better
+	CostBound      int64            `json:"Floor"`   // lower bound of the cost at the utilisation Bound
+	Proven         bool             `json:"Proven"`  // whether it is proven that no placement is better
 	Attempts       int              `json:"Tries"`   // number of attempted changes
 	TimedOut       bool             `json:"Stopped"` // whether the time ran out before the effort was used up
 }
@@ -73,18 +75,18 @@
 
 // job holds the input of a search and counts its attempts.
 type job struct {
-	model        *placement.Model
-	problem      *balance.Problem
-	relaxed      relaxed
-	usable       []int   // hosts that may hold replicas
-	wanted       []int   // number of replicas of each segment
-	minZones     []int   // minimum number of zones for each segment
-	currentHosts [][]int // hosts that hold each segment now
-	demands      []int64 // demand for each segment
-	order        []int   // segments, sorted by descending demand
-	hasTime      func() bool
-	attempts     int
-	effort       int
+	model         *placement.Model
+	problem       *balance.Problem
+	relaxed       relaxed
+	usableHosts   []int   // hosts that may hold replicas
+	replicaCounts []int   // number of replicas of each segment
+	minZones      []int   // minimum number of zones for each segment
+	currentHosts  [][]int // hosts that hold each segment now
+	demands       []int64 // demand for each segment
+	order         []int   // segments, sorted by descending demand
+	hasTime       func() bool
+	attempts      int
+	effort        int
 }
 
 func newJob(m *placement.Model, relax relaxed, effort int, hasTime func() bool) *job {
@@ -94,14 +96,14 @@
 	zones := map[string]bool{}
 	for i, h := range m.Hosts {
 		if h.State == gather.Running {
-			j.usable = append(j.usable, i)
+			j.usableHosts = append(j.usableHosts, i)
 			zones[h.Zone] = true
 		}
 	}
 	for i, s := range m.Segments {
 		j.currentHosts = append(j.currentHosts, slices.Clone(j.problem.Hosts(i)))
 		want := wantedReplicas(&s)
-		j.wanted = append(j.wanted, want)
+		j.replicaCounts = append(j.replicaCounts, want)
 		spread := min(want, len(zones))
 		if relax.spread {
 			spread = 0
@@ -114,8 +116,8 @@
 	return j
 }
 
-// moves returns the number of hosts that do not hold a replica of the segment yet. It is zero for a segment
-// without current hosts, which is new.
+// moves returns how many of the hosts do not hold a replica of the segment yet. It returns zero for a new
+// segment, which no host holds yet.
 func (j *job) moves(segment int, hosts []int) int {
 	if len(j.currentHosts[segment]) == 0 {
 		return 0
@@ -139,8 +141,8 @@
 
 // maxSegments returns the maximum number of segments that a host may hold.
 func (j *job) maxSegments(host int) int {
-	if holds := j.model.Hosts[host].MaxSegments; holds > 0 && !j.relaxed.slots {
-		return holds
+	if limit := j.model.Hosts[host].MaxSegments; limit > 0 && !j.relaxed.slots {
+		return limit
 	}
 	return len(j.model.Segments)
 }
@@ -192,7 +194,7 @@
 	r := &Result{}
 	r.Bound, r.CostBound = j.lowerBound()
 	assignment, v, found := j.search(config.Seed, r.Bound)
-	isExact := len(j.usable) <= MaxExactHosts
+	isExact := len(j.usableHosts) <= MaxExactHosts
 	if isExact {
 		b := branchAndBound{job: j, best: v, assignment: assignment, found: found}
 		r.Proven = b.run()
@@ -210,12 +212,12 @@
 	if r.Proven {
 		r.Bound, r.CostBound = v.utilisation, v.cost
 	}
-	j.describe(r, assignment)
+	j.fillResult(r, assignment)
 	return r, nil, nil
 }
 
-// describe sets the model and the moves of a result.
-func (j *job) describe(r *Result, assignment [][]int) {
+// fillResult sets the model and the moves of a result to those of a placement.
+func (j *job) fillResult(r *Result, assignment [][]int) {
 	m := *j.model
 	m.Segments = slices.Clone(m.Segments)
 	for s, hosts := range assignment {
@@ -255,7 +257,7 @@
 	if !fits {
 		return placement.Ratio{Load: 1, Capacity: 1}, 0
 	}
-	for s, want := range j.wanted {
+	for s, want := range j.replicaCounts {
 		largest := largestHosts(j.model, j.problem, want)
 		if segmentBound, ok := j.problem.MinUtilisationOn(largest, j.demands[s]); ok && u.Less(segmentBound) {
 			u = segmentBound
--- a/logic/placing/placing_test.go
+++ b/logic/placing/placing_test.go
@@ -18,11 +18,11 @@
 func searchByBruteForce(m *placement.Model, relax relaxed) (best value, found bool) {
 	j := newJob(m.Normalized(), relax, 0, alwaysHasTime)
 	var sets [][][]int
-	for s, want := range j.wanted {
+	for s, want := range j.replicaCounts {
 		var segmentSets [][]int
-		for mask := range 1 << len(j.usable) {
+		for mask := range 1 << len(j.usableHosts) {
 			var hosts []int
-			for i, h := range j.usable {
+			for i, h := range j.usableHosts {
 				if mask>>i&1 == 1 {
 					hosts = append(hosts, h)
 				}
@@ -65,11 +65,11 @@
 func randomModel(r *rand.Rand, hosts, segments int) *placement.Model {
 	m := &placement.Model{Unit: 1, MaxMoves: r.Intn(5) - 1}
 	for i := range 1 + r.Intn(2) {
-		h := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
+		zone := placement.Zone{Name: fmt.Sprint("hall", i), MaxLoad: -1}
 		if r.Intn(4) == 0 {
-			h.MaxLoad = int64(4 + r.Intn(14))
+			zone.MaxLoad = int64(4 + r.Intn(14))
 		}
-		m.Zones = append(m.Zones, h)
+		m.Zones = append(m.Zones, zone)
 	}
 	for i := range 2 + r.Intn(hosts-1) {
 		h := placement.Host{Name: fmt.Sprintf("h%02d", i), Zone: m.Zones[r.Intn(len(m.Zones))].Name, Capacity: int64(2 + r.Intn(9)),
@@ -124,8 +124,8 @@
 		t.Fatalf("value %+v, fits: %t, result %+v, brute force found %+v, model %+v", v, fits, got, want, m)
 	}
 	for s, hosts := range j.currentHosts {
-		if len(hosts) != j.wanted[s] || !j.inEnoughZones(s, hosts) {
-			t.Fatalf("segment %s is on hosts %v: wrong number or too few zones, model %+v", m.Segments[s].Name, hosts, m)
+		if len(hosts) != j.replicaCounts[s] || !j.inEnoughZones(s, hosts) {
+			t.Fatalf("segment %s is on hosts %v, want %d hosts in at least %d zones, model %+v", m.Segments[s].Name, hosts, j.replicaCounts[s], j.minZones[s], m)
 		}
 	}
 	return nil
@@ -134,7 +134,7 @@
 // checkInfeasibility checks an infeasibility independently of the search.
 func checkInfeasibility(t *testing.T, m *placement.Model, f *Infeasibility) {
 	t.Helper()
-	n := m.Normalized()
+	normalized := m.Normalized()
 	switch f.Kind {
 	case TooFewHosts, TooFewSlots, TooManyMoves, SegmentDemandTooHigh:
 		if f.Need <= f.Available {
@@ -142,12 +142,12 @@
 		}
 		if f.Kind == SegmentDemandTooHigh {
 			demand, capacity := int64(0), int64(0)
-			for _, d := range n.Demands {
+			for _, d := range normalized.Demands {
 				if d.Segment == f.Segment {
 					demand += d.Rate
 				}
 			}
-			for _, h := range n.Hosts {
+			for _, h := range normalized.Hosts {
 				if slices.Contains(f.Hosts, h.Name) {
 					capacity += h.Capacity
 				}
@@ -157,14 +157,14 @@
 			}
 		}
 	case DemandTooHigh:
-		if reason := f.Proof.Verify(OneSegmentModel(n)); reason != "" {
+		if reason := f.Proof.Verify(OneSegmentModel(normalized)); reason != "" {
 			t.Fatalf("%+v: %s", f.Proof, reason)
 		}
 	case ConflictingLimits:
 		relaxAllExcept := func(additional string) relaxed {
-			l := relaxed{true, true, true, true, make([]bool, len(n.Zones))}
-			for i, h := range n.Zones {
-				l.zones[i] = !slices.Contains(f.Limits, "hall "+h.Name) || additional == "hall "+h.Name
+			l := relaxed{true, true, true, true, make([]bool, len(normalized.Zones))}
+			for i, zone := range normalized.Zones {
+				l.zones[i] = !slices.Contains(f.Limits, "hall "+zone.Name) || additional == "hall "+zone.Name
 			}
 			isRelaxed := func(name string) bool { return !slices.Contains(f.Limits, name) || additional == name }
 			l.moves, l.spread, l.slots, l.capacity = isRelaxed(limitMoves), isRelaxed(limitSpread), isRelaxed(limitSlots), isRelaxed(limitCapacity)
@@ -202,6 +202,6 @@
 	}
 	t.Logf("%d models, infeasible ones by kind: %v", *randomModelCount, kinds)
 	if kinds[ConflictingLimits] < *randomModelCount/100 || kinds[DemandTooHigh] < *randomModelCount/100 {
-		t.Errorf("too few infeasible models of some kind: %v", kinds)
+		t.Errorf("infeasible models by kind: %v; want at least %d of the kinds %q and %q", kinds, *randomModelCount/100, ConflictingLimits, DemandTooHigh)
 	}
 }
