--- a/logic/placing/branchandbound.go
+++ b/logic/placing/branchandbound.go
@@ -95,7 +95,7 @@
 		if moves > b.maxMoves() {
 			continue
 		}
-		b.attempts++
+		b.triedChanges++
 		b.placed[segment] = hosts
 		v, fits := b.bound(i + 1)
 		b.placed[segment] = nil
--- a/logic/placing/infeasibility.go
+++ b/logic/placing/infeasibility.go
@@ -45,7 +45,7 @@
 	Limits      []string                 `json:"Limits"` // for ConflictingLimits: a minimal set of them
 	Relaxations []string                 `json:"Lifts"`  // changes; each one would be sufficient by itself
 	Unproven    bool                     `json:"Unproven"`
-	Attempts    int                      `json:"Tries"` // number of changes that the search has attempted
+	Attempts    int                      `json:"Tries"` // number of changes that the search has tried
 }
 
 // runningHosts returns the names of the hosts that may hold replicas.
@@ -273,7 +273,7 @@
 		}
 	}
 	limits = append(limits, limit{limitCapacity, func(l *relaxed) { l.capacity = true }})
-	infeasibility := &Infeasibility{Kind: ConflictingLimits, Attempts: j.attempts}
+	infeasibility := &Infeasibility{Kind: ConflictingLimits, Attempts: j.triedChanges}
 	current := nothingRelaxed
 	for _, l := range limits {
 		candidate := current
@@ -311,7 +311,7 @@
 	relaxedJob := newJob(j.model, relax, j.effort, j.hasTime)
 	b := branchAndBound{job: relaxedJob, acceptAny: true}
 	isComplete := b.run()
-	infeasibility.Attempts += relaxedJob.attempts
+	infeasibility.Attempts += relaxedJob.triedChanges
 	infeasibility.Unproven = infeasibility.Unproven || !isComplete && !b.found
 	return b.found
 }
--- a/logic/placing/localsearch.go
+++ b/logic/placing/localsearch.go
@@ -54,12 +54,12 @@
 	// between the bound and the best utilisation found, since changes can't be told apart at a target that is
 	// too low.
 	target := bound
-	for round := 0; round < 6 && j.attempts < j.effort/2 && j.hasTime(); round++ {
+	for round := 0; round < 6 && j.triedChanges < j.effort/2 && j.hasTime(); round++ {
 		if found && !bound.Less(v.utilisation) {
 			break
 		}
 		ls := j.newLocalSearch(assignment, target, random)
-		ls.reduceShortfall(j.attempts + max(j.effort/12, 1))
+		ls.reduceShortfall(j.triedChanges + max(j.effort/12, 1))
 		if assignment = ls.assignment; ls.shortfall == 0 {
 			keepIfBetter(assignment)
 		}
@@ -71,7 +71,7 @@
 	}
 	if !found {
 		ls := j.newLocalSearch(assignment, placement.Ratio{Load: 1, Capacity: 1}, random)
-		ls.reduceShortfall(max(j.effort/2, j.attempts+1))
+		ls.reduceShortfall(max(j.effort/2, j.triedChanges+1))
 		keepIfBetter(ls.assignment)
 	}
 	if !found {
@@ -156,7 +156,7 @@
 func (ls *localSearch) tryMove(s, slot, to int, accept func() bool) bool {
 	from, savedShortfall := ls.assignment[s][slot], ls.shortfall
 	ls.savedFlow = ls.network.Save(ls.savedFlow)
-	ls.attempts++
+	ls.triedChanges++
 	ls.moveReplica(s, slot, to)
 	if accept() {
 		return true
@@ -177,17 +177,17 @@
 
 // reduceShortfall moves replicas from overfull hosts, which a minimum cut identifies, to hosts with free
 // capacity. Occasionally it keeps a change that does not reduce the shortfall, since some improvements take
-// two steps, or one that increases it, to leave a local minimum. It ends when the number of attempts reaches
-// maxAttempts.
-func (ls *localSearch) reduceShortfall(maxAttempts int) {
+// two steps, or one that increases it, to leave a local minimum. It ends when the number of tried changes
+// reaches maxTriedChanges.
+func (ls *localSearch) reduceShortfall(maxTriedChanges int) {
 	const worseOneIn = 4 // on average, one of so many rounds without an improvement keeps a random move
-	for ls.shortfall > 0 && ls.attempts < maxAttempts && ls.hasTime() {
+	for ls.shortfall > 0 && ls.triedChanges < maxTriedChanges && ls.hasTime() {
 		from, to := ls.candidates()
 		if len(from) == 0 || len(to) == 0 {
 			ls.swap(from)
 			continue
 		}
-		if ls.moveAny(from, to, maxAttempts) || ls.swap(from) || ls.randomIndex(worseOneIn) != 0 {
+		if ls.moveAny(from, to, maxTriedChanges) || ls.swap(from) || ls.randomIndex(worseOneIn) != 0 {
 			continue
 		}
 		source, host := from[ls.randomIndex(len(from))], to[ls.randomIndex(len(to))]
@@ -218,15 +218,15 @@
 
 // moveAny tries to move random replicas of from to random hosts of to. It keeps the first move that reduces
 // the shortfall, or occasionally one that leaves it unchanged. It reports whether it has kept a move.
-func (ls *localSearch) moveAny(from []slot, to []int, maxAttempts int) bool {
+func (ls *localSearch) moveAny(from []slot, to []int, maxTriedChanges int) bool {
 	const (
 		maxTries   = 32
 		equalOneIn = 8 // on average, one of so many moves that leave the shortfall unchanged is kept
 	)
 	for range maxTries {
 		source, host := from[ls.randomIndex(len(from))], to[ls.randomIndex(len(to))]
-		if ls.attempts >= maxAttempts || !ls.isAllowed(source.segment, source.index, host) {
-			ls.attempts++ // counted so that the search ends even if no move is allowed
+		if ls.triedChanges >= maxTriedChanges || !ls.isAllowed(source.segment, source.index, host) {
+			ls.triedChanges++ // counted so that the search ends even if no move is allowed
 			continue
 		}
 		before := ls.shortfall
@@ -251,7 +251,7 @@
 		s, otherSegment := source.segment, ls.randomIndex(len(ls.assignment))
 		slot, otherSlot := source.index, ls.randomIndex(len(ls.assignment[otherSegment]))
 		host, otherHost := ls.assignment[s][slot], ls.assignment[otherSegment][otherSlot]
-		ls.attempts++
+		ls.triedChanges++
 		if s == otherSegment || host == otherHost ||
 			slices.Contains(ls.assignment[s], otherHost) || slices.Contains(ls.assignment[otherSegment], host) {
 			continue
@@ -326,14 +326,14 @@
 	for failures := 0; failures < 4*len(ls.assignment)*len(ls.usableHosts) && ls.hasEffort(); failures++ {
 		s := ls.randomIndex(len(ls.assignment))
 		slot, to := ls.randomIndex(len(ls.assignment[s])), ls.usableHosts[ls.randomIndex(len(ls.usableHosts))]
-		if ls.attempts++; ls.isAllowed(s, slot, to) && ls.canHelp(s, slot, to) && keepIfCheaper(s, slot, to) {
+		if ls.triedChanges++; ls.isAllowed(s, slot, to) && ls.canHelp(s, slot, to) && keepIfCheaper(s, slot, to) {
 			failures = 0
 		}
 	}
 	keepIfBetter(ls.assignment)
 }
 
-func (ls *localSearch) hasEffort() bool { return ls.attempts < ls.effort && ls.hasTime() }
+func (ls *localSearch) hasEffort() bool { return ls.triedChanges < ls.effort && ls.hasTime() }
 
 // canHelp reports whether a move could reduce the cost or the number of moved replicas.
 func (ls *localSearch) canHelp(s, slot, to int) bool {
@@ -357,7 +357,7 @@
 	slices.SortStableFunc(to, func(a, b int) int { return cmp.Compare(freeCapacity(b), freeCapacity(a)) })
 	for _, host := range to[:min(3, len(to))] {
 		for slot := range ls.assignment[s] {
-			if ls.attempts++; ls.hasEffort() && ls.isAllowed(s, slot, host) && keepIfCheaper(s, slot, host) {
+			if ls.triedChanges++; ls.hasEffort() && ls.isAllowed(s, slot, host) && keepIfCheaper(s, slot, host) {
 				return true
 			}
 		}
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -23,7 +23,7 @@
 
 // Config configures a search.
 type Config struct {
-	// Effort is the number of attempted changes after which the search ends. It does not depend on the speed
+	// Effort is the number of tried changes after which the search ends. It does not depend on the speed
 	// of the machine.
 	Effort int
 	Seed   uint64 // seed of the random numbers
@@ -46,7 +46,7 @@
 	Bound          placement.Ratio  `json:"Bound"`   // lower bound of MaxUtilisation for all placements
 	CostBound      int64            `json:"Floor"`   // lower bound of the cost at the utilisation Bound
 	Proven         bool             `json:"Proven"`  // whether it is proven that no placement is better
-	Attempts       int              `json:"Tries"`   // number of attempted changes
+	Attempts       int              `json:"Tries"`   // number of changes that the search has tried
 	TimedOut       bool             `json:"Stopped"` // whether the time ran out before the effort was used up
 }
 
@@ -73,7 +73,7 @@
 	zones                          []bool
 }
 
-// job holds the input of a search and counts its attempts.
+// job holds the input of a search and counts the changes that it tries.
 type job struct {
 	model         *placement.Model
 	problem       *balance.Problem
@@ -85,7 +85,7 @@
 	demands       []int64 // demand for each segment
 	order         []int   // segments, sorted by descending demand
 	hasTime       func() bool
-	attempts      int
+	triedChanges  int
 	effort        int
 }
 
@@ -200,12 +200,12 @@
 		r.Proven = b.run()
 		assignment, v, found = b.assignment, b.best, b.found
 	}
-	r.Attempts, r.TimedOut = j.attempts, !hasTime()
+	r.Attempts, r.TimedOut = j.triedChanges, !hasTime()
 	if !found {
 		if isExact && r.Proven {
 			return nil, j.conflictingLimits(), nil
 		}
-		return nil, &Infeasibility{Kind: NotFound, Unproven: true, Attempts: j.attempts}, nil
+		return nil, &Infeasibility{Kind: NotFound, Unproven: true, Attempts: j.triedChanges}, nil
 	}
 	r.MaxUtilisation, r.Cost = v.utilisation, v.cost
 	r.Proven = r.Proven || !r.Bound.Less(v.utilisation) && r.CostBound == v.cost && v.moves == 0
