--- a/internal/gatherer/report/checkpoint.go
+++ b/internal/gatherer/report/checkpoint.go
@@ -17,14 +17,14 @@
 // started.
 const maxCheckpoints = 8
 
-// checkpoint contains all counts at one point in time. Since a reader requests the counts since a given checkpoint, it
-// loses no counts if a response is lost.
+// checkpoint contains all counts at one point in time. A reader names the checkpoint from which it requests counts, so
+// that it loses no counts if a response is lost.
 type checkpoint struct {
 	id                string
-	createdAt         float64
+	createdAt         float64                // Unix milliseconds
 	classes           map[string]*ClassStats // read-only
 	connectionsOpened int64
-	cpuTime           float64
+	cpuTime           float64 // milliseconds of one core
 }
 
 // SinceCheckpoint builds a report of the counts since the checkpoint with this ID, and takes a new checkpoint.
--- a/internal/gatherer/report/collector_test.go
+++ b/internal/gatherer/report/collector_test.go
@@ -26,9 +26,12 @@
 	return NewCollector("g", testSettings(), func() float64 { return *now }, fixedConnections{})
 }
 
-var halves = []dispatch.ShardRequest{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
+// halfWeightRequests contains two shard requests of equal weight.
+var halfWeightRequests = []dispatch.ShardRequest{{Shard: 0, Weight: 0.5}, {Shard: 1, Weight: 0.5}}
 
-func query(class string) *dispatch.Query { return &dispatch.Query{Class: class, ShardRequests: halves} }
+func query(class string) *dispatch.Query {
+	return &dispatch.Query{Class: class, ShardRequests: halfWeightRequests}
+}
 
 // TestCollectorCountsEachResult tests that each kind of result increments its own count and earns the right value.
 func TestCollectorCountsEachResult(t *testing.T) {
@@ -37,7 +40,9 @@
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 150) // beyond the objective
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 1}}}, 50)
-	for _, kind := range []dispatch.ResultKind{dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned} {
+	for _, kind := range []dispatch.ResultKind{
+		dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned,
+	} {
 		c.QueryDecided(query("once"), dispatch.Result{Kind: kind}, 10)
 	}
 	c.QueryDecided(query("none such"), dispatch.Result{}, 10)
@@ -51,8 +56,8 @@
 		t.Errorf("earned value %g, want %g", stats.EarnedValue, want)
 	}
 	once := d.Classes["once"]
-	if once.Queries != 4 || once.Rejected != 1 || once.Failed != 1 || once.InternalErrors != 1 || once.ClientDisconnected != 1 ||
-		once.EarnedValue != 0 {
+	if once.Queries != 4 || once.Rejected != 1 || once.Failed != 1 || once.InternalErrors != 1 ||
+		once.ClientDisconnected != 1 || once.EarnedValue != 0 {
 		t.Errorf("class once: %+v", once)
 	}
 }
--- a/internal/gatherer/report/document.go
+++ b/internal/gatherer/report/document.go
@@ -197,8 +197,8 @@
 }
 
 // allNonNegative reports whether all values are finite and at least 0.
-func allNonNegative(figures ...float64) bool {
-	for _, v := range figures {
+func allNonNegative(values ...float64) bool {
+	for _, v := range values {
 		if !(v >= 0) || math.IsInf(v, 0) {
 			return false
 		}
--- a/internal/gatherer/report/histogram.go
+++ b/internal/gatherer/report/histogram.go
@@ -88,7 +88,9 @@
 	for i := 0; i < len(pairs); i += 2 {
 		value, count := pairs[i], pairs[i+1]
 		if value < 0 || value > maxUnits || count < 0 || count > math.MaxInt64/2-h.TotalCount() {
-			return fmt.Errorf("histogram has a count of %d at %d tenths of a millisecond, which is out of range", count, value)
+			return fmt.Errorf(
+				"histogram has count %d at %d tenths of a millisecond, want a total of 0 to MaxInt64/2 at 0 to 600000",
+				count, value)
 		}
 		if err := h.RecordValues(value, count); err != nil {
 			return fmt.Errorf("histogram: %w", err)
--- a/internal/gatherer/report/kept_test.go
+++ b/internal/gatherer/report/kept_test.go
@@ -55,9 +55,9 @@
 }
 
 // keptCollector returns a collector with a fixed incarnation, version and program, and a clock that the test sets.
-func keptCollector(now *float64, process string) *Collector {
+func keptCollector(now *float64, incarnation string) *Collector {
 	c := newTestCollector(now)
-	c.header.Incarnation = process
+	c.header.Incarnation = incarnation
 	c.header.Version = "41"
 	c.header.Program = "4cedc032988f2f85"
 	c.header.Formats = map[string]int{"report": 1, "rollout": 1, "state": 1}
@@ -66,11 +66,11 @@
 
 // countOneOfEach sets every kind of field and count of a collector.
 func countOneOfEach(c *Collector, now *float64) {
-	for kind, sum := range map[string]string{
+	for kind, fingerprint := range map[string]string{
 		"config": "fcdbac570983ceb8", "operator": "68935394c0ab2c77", "plan": "11", "placement": "12",
 		"segments": "13", "other": "",
 	} {
-		c.SetFile(kind, sum)
+		c.SetFile(kind, fingerprint)
 	}
 	c.UpdateEndpoints(gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{
 		{ID: 1, State: gather.Running},
@@ -81,7 +81,9 @@
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 50)
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Complete: true}, 150.25)
 	c.QueryDecided(query("any"), dispatch.Result{Kind: dispatch.Served, Hits: []dispatch.Hit{{Shard: 1}}}, 62.5)
-	for _, kind := range []dispatch.ResultKind{dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned} {
+	for _, kind := range []dispatch.ResultKind{
+		dispatch.Rejected, dispatch.Failed, dispatch.InternalError, dispatch.Abandoned,
+	} {
 		c.QueryDecided(query("once"), dispatch.Result{Kind: kind}, 10)
 	}
 	stats := c.classes["any"]
--- a/internal/gatherer/report/server.go
+++ b/internal/gatherer/report/server.go
@@ -94,7 +94,7 @@
 // Address returns the address on which the server listens.
 func (s *Server) Address() string { return s.listener.Addr().String() }
 
-// Run serves requests until ctx is done. It answers the requests that have arrived before it returns.
+// Run serves requests until ctx is done. Before it returns, it answers the requests that have arrived.
 func (s *Server) Run(ctx context.Context) {
 	s.http.Start()
 	select {
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -115,7 +115,8 @@
 	return p.attempts
 }
 
-func sameAsKept(t *testing.T, name string, got []byte) {
+// wantKept checks that got is identical to the kept file.
+func wantKept(t *testing.T, name string, got []byte) {
 	t.Helper()
 	file := filepath.Join("testdata", "kept", name)
 	want, err := os.ReadFile(file)
@@ -127,33 +128,45 @@
 	}
 }
 
-var keptOutcomes = []gather.Outcome{gather.Succeeded, gather.Failed, gather.Rejected, gather.TimedOut, gather.ConnectFailed, gather.ConnectionReset,
-	gather.Cancelled, gather.NotSent, gather.NotOwner}
+var keptOutcomes = []gather.Outcome{
+	gather.Succeeded, gather.Failed, gather.Rejected, gather.TimedOut, gather.ConnectFailed, gather.ConnectionReset,
+	gather.Cancelled, gather.NotSent, gather.NotOwner,
+}
 
 // TestDocumentsMatchKept runs queries that cover every outcome of an attempt, every result, both passes of a two-pass
 // query and an attempt that is never written. The recorded file and the documents served at Path must be identical to
 // the kept files.
 func TestDocumentsMatchKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: recordStart})
+	file, err := Create(FileConfig{
+		Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: recordStart,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	recorder := New(20, 1)
 	recorder.SetServerNames([]shardcall.Address{{ID: 10, Name: "a:9000"}, {ID: 11, Name: "b:9000"}})
 	p := newSteppedPicker(keptSettings, file, recorder)
-	p.EnableTwoPass(map[string]twopass.Settings{"any": {LatencyObjective: 400, CompleteShare: 0.9, MinShare: 0.5, FirstPassShare: 0.3, TrialShare: 0.5}})
+	p.EnableTwoPass(map[string]twopass.Settings{
+		"any": {LatencyObjective: 400, CompleteShare: 0.9, MinShare: 0.5, FirstPassShare: 0.3, TrialShare: 0.5},
+	})
 	updateEndpoints := func(l gather.EndpointList) {
 		p.UpdateEndpoints(l)
 		file.UpdateEndpoints(l, p.now)
 		p.runRound(nil)
 	}
-	running := []gather.Endpoint{{ID: 10, ReplicaSet: 0}, {ID: 11, ReplicaSet: 1}, {ID: 12, ReplicaSet: 2}, {ID: 13, ReplicaSet: 3}}
+	running := []gather.Endpoint{
+		{ID: 10, ReplicaSet: 0}, {ID: 11, ReplicaSet: 1}, {ID: 12, ReplicaSet: 2}, {ID: 13, ReplicaSet: 3},
+	}
 	updateEndpoints(gather.EndpointList{Full: true, Endpoints: running})
-	updateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Draining}, {ID: 13, ReplicaSet: 3, State: gather.Draining}}})
+	updateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{
+		{ID: 14, State: gather.Draining}, {ID: 13, ReplicaSet: 3, State: gather.Draining},
+	}})
 	updateEndpoints(gather.EndpointList{Endpoints: []gather.Endpoint{{ID: 14, State: gather.Removed}}})
 	updateEndpoints(gather.EndpointList{Failed: true})
-	updateEndpoints(gather.EndpointList{Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed})})
+	updateEndpoints(gather.EndpointList{
+		Full: true, Endpoints: append(running[:3:3], gather.Endpoint{ID: 14, State: gather.Removed}),
+	})
 
 	endQuery := func(query *dispatch.Query, decide func(w gather.Writer)) {
 		p.runRound(decide)
@@ -185,7 +198,10 @@
 	query, _ = p.submit("broken", "once", 0)
 	endQuery(query, func(gather.Writer) { panic("the module fails") })
 
-	query = &dispatch.Query{ID: "never-written", Class: "once", Deadline: p.now + 300, ShardRequests: []dispatch.ShardRequest{{Shard: 1, Weight: 1}}}
+	query = &dispatch.Query{
+		ID: "never-written", Class: "once", Deadline: p.now + 300,
+		ShardRequests: []dispatch.ShardRequest{{Shard: 1, Weight: 1}},
+	}
 	p.Submit(query)
 	p.runRound(func(w gather.Writer) { w.Send(p.requests[0], 11, 100) })
 	p.Report(p.attempts[0], gather.NotSent, nil)
@@ -211,8 +227,8 @@
 			}
 			p.Report(attempt, gather.Succeeded, []byte(c.summaries[i]))
 		}
-		first := p.requests[0] - 1
-		p.runRound(func(w gather.Writer) { w.Answer(first, true) })
+		firstPassID := p.requests[0] - 1
+		p.runRound(func(w gather.Writer) { w.Answer(firstPassID, true) })
 		if result, ended := query.Result(); ended {
 			file.QueryAnswered(query, result, p.now)
 			continue
@@ -225,8 +241,8 @@
 		for _, attempt := range p.write() {
 			p.Report(attempt, gather.Succeeded, []byte("7c01"))
 		}
-		second := p.requests[0] - 1
-		endQuery(query, func(w gather.Writer) { w.Answer(second, true) })
+		secondPassID := p.requests[0] - 1
+		endQuery(query, func(w gather.Writer) { w.Answer(secondPassID, true) })
 	}
 
 	query, _ = p.submit("many-calls", "mark", 3)
@@ -245,17 +261,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsKept(t, "one-of-each.record", recorded)
+	wantKept(t, "one-of-each.record", recorded)
 
 	served := func(path string) []byte {
 		w := httptest.NewRecorder()
 		recorder.ServeHTTP(w, httptest.NewRequest("GET", path, nil))
 		return fmt.Appendf(nil, "%d %s\n%s", w.Code, w.Header().Get("Content-Type"), w.Body.Bytes())
 	}
-	sameAsKept(t, "list.answer", served(Path))
-	sameAsKept(t, "unknown.answer", served(Path+"/unknown"))
+	wantKept(t, "list.answer", served(Path))
+	wantKept(t, "unknown.answer", served(Path+"/unknown"))
 	for _, q := range recorder.ring {
-		sameAsKept(t, q.ID+".answer", served(Path+"/"+q.ID))
+		wantKept(t, q.ID+".answer", served(Path+"/"+q.ID))
 	}
 }
 
@@ -263,15 +279,19 @@
 func TestRecordOfSegmentsMatchesKept(t *testing.T) {
 	const maxSegments, shards = 16, 4
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(FileConfig{Name: name, MaxBytes: 1 << 20, Settings: keptSettings, Shards: shards, StartedAt: recordStart})
+	file, err := Create(FileConfig{
+		Name: name, MaxBytes: 1 << 20, Settings: keptSettings, Shards: shards, StartedAt: recordStart,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := newSteppedPicker(dispatch.OwnershipSettings(keptSettings, maxSegments), file)
 	p.EnableOwnership(maxSegments, shards)
 	p.SetServerNames(map[uint32]string{10: "h0", 11: "h1"})
-	m, err := ownership.NewMap(1, []ownership.Segment{{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
-		{Name: "s1", Range: ownership.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}}})
+	m, err := ownership.NewMap(1, []ownership.Segment{
+		{Name: "s0", Range: ownership.Range{Lo: 0, Hi: 1<<63 - 1}, Owners: []string{"h0"}},
+		{Name: "s1", Range: ownership.Range{Lo: 1 << 63, Hi: math.MaxUint64}, Owners: []string{"h1"}},
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,13 +316,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsKept(t, "segments.record", recorded)
+	wantKept(t, "segments.record", recorded)
 }
 
 // TestFullRecordMatchesKept compares a record that reaches its maximum size to the kept file.
 func TestFullRecordMatchesKept(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
-	file, err := Create(FileConfig{Name: name, MaxBytes: 700, FlushEach: true, Settings: &gather.Settings{DrainGrace: 250}, StartedAt: recordStart})
+	file, err := Create(FileConfig{
+		Name: name, MaxBytes: 700, FlushEach: true, Settings: &gather.Settings{DrainGrace: 250}, StartedAt: recordStart,
+	})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -317,5 +339,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	sameAsKept(t, "full.record", recorded)
+	wantKept(t, "full.record", recorded)
 }
--- a/internal/gatherer/trace/recorder.go
+++ b/internal/gatherer/trace/recorder.go
@@ -47,11 +47,11 @@
 }
 
 // SetServerNames replaces the names by which traces identify servers.
-func (r *Recorder) SetServerNames(all []shardcall.Address) {
+func (r *Recorder) SetServerNames(addresses []shardcall.Address) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.serverNames)
-	for _, a := range all {
+	for _, a := range addresses {
 		r.serverNames[a.ID] = a.Name
 	}
 }
--- a/internal/gatherer/trace/trace.go
+++ b/internal/gatherer/trace/trace.go
@@ -1,8 +1,8 @@
 // Package trace records the course of queries and their attempts.
 //
 // A Recorder keeps the newest queries in memory and serves them over HTTP, so that an operator can find out how each
-// was processed and why. A File writes every event of a gatherer to a file, on which package rulecheck checks the
-// rules of the protocol.
+// was processed and why. A File writes every event of a gatherer to a file, which package rulecheck checks against
+// the rules of the protocol.
 package trace
 
 // Query is the trace of a query, as it is served at Path. The JSON keys are part of the published interface.
@@ -33,7 +33,7 @@
 	Summary   string  `json:"summary,omitempty"` // summary that a first-pass attempt returned
 }
 
-// Decision records why a query was served in one or in two passes. Latencies are in milliseconds.
+// Decision records why a query was served in one or in two passes. Latencies and durations are in milliseconds.
 type Decision struct {
 	TwoPass        bool    `json:"two"`
 	Reason         string  `json:"why"`
--- a/internal/storage/atomicfile/atomicfile_test.go
+++ b/internal/storage/atomicfile/atomicfile_test.go
@@ -28,16 +28,16 @@
 		t.Fatal(err)
 	}
 	if err := Write(directory, []byte("content")); err == nil {
-		t.Error("Write replaces a folder")
+		t.Error("Write replaced a folder, want an error")
 	}
 	if entries, err := os.ReadDir(folder); err != nil || len(entries) != 2 {
 		t.Errorf("folder contains %v, %v, want the file and the folder", entries, err)
 	}
 }
 
-// TestKeepExistingAndFailedWrites tests that KeepExisting prevents a file from being replaced, and that a failed
-// write leaves no temporary file.
-func TestKeepExistingAndFailedWrites(t *testing.T) {
+// TestKeepExistingPreventsReplacingAndFailedWritesLeaveNoFile tests that KeepExisting prevents a file from being
+// replaced, and that a failed write leaves no temporary file.
+func TestKeepExistingPreventsReplacingAndFailedWritesLeaveNoFile(t *testing.T) {
 	write := func(name, text string, keepExisting bool) error {
 		file := File{Name: name, Mode: PrivateMode, KeepExisting: keepExisting}
 		return file.WriteFrom(func(w io.Writer) error { _, err := io.WriteString(w, text); return err })
--- a/internal/storage/formats/formats.go
+++ b/internal/storage/formats/formats.go
@@ -12,7 +12,7 @@
 type Format struct {
 	Name          string // name of the format, as in the answer to GET /report
 	Number        int
-	Location      string
+	Location      string // where the data is stored or sent
 	NumberedBy    string // the part of the data that contains the number
 	OlderVersions string // what versions that know only lower numbers do with the data
 	NewerVersions string // what versions that know higher numbers do with the data
--- a/internal/storage/journal/journal.go
+++ b/internal/storage/journal/journal.go
@@ -32,7 +32,7 @@
 	// later writes, until a snapshot succeeds.
 	failure error
 	sync    func(*os.File) error
-	// unsynced is set while the snapshot and the folder's entries are not yet synced as Open has left them.
+	// unsynced is set if Open has written a snapshot and folder entries that have not been synced since.
 	unsynced bool
 }
 
--- a/internal/storage/runfolder/runfolder_test.go
+++ b/internal/storage/runfolder/runfolder_test.go
@@ -34,7 +34,7 @@
 	return all
 }
 
-// wantFolder checks that all files of a folder are identical to those of the folder name in testdata/kept.
+// wantFolder checks that folder contains the same files, with the same contents, as the folder testdata/kept/NAME.
 func wantFolder(t *testing.T, folder, name string) {
 	t.Helper()
 	got, want := readFiles(t, folder), readFiles(t, filepath.Join("testdata", "kept", name))
@@ -141,22 +141,22 @@
 // resumes.
 func TestProcessSupersededDuringOpenIsRejected(t *testing.T) {
 	folder := t.TempDir()
-	stopped := &Folder{path: folder}
+	suspended := &Folder{path: folder}
 	previous, err := readToken(folder)
 	if err == nil {
-		err = stopped.acquireLock()
+		err = suspended.acquireLock()
 	}
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer stopped.Close()
+	defer suspended.Close()
 	next, err := Open(folder, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer next.Close()
-	if err := stopped.acquireToken(previous); !errors.Is(err, ErrSuperseded) {
-		t.Errorf("the suspended process resumed with token %d, %v, want ErrSuperseded", stopped.FencingToken, err)
+	if err := suspended.acquireToken(previous); !errors.Is(err, ErrSuperseded) {
+		t.Errorf("the suspended process resumed with token %d, %v, want ErrSuperseded", suspended.FencingToken, err)
 	}
 	if err := next.CheckSuperseded(); err != nil {
 		t.Errorf("the process that took over: %v", err)
--- a/internal/storage/statedir/gathererstate.go
+++ b/internal/storage/statedir/gathererstate.go
@@ -1,4 +1,4 @@
-// Package statedir stores the state that a gatherer needs after a restart in a directory on a persistent disk: the
+// Package statedir stores, in a directory on a persistent disk, the state that a gatherer needs after a restart: the
 // non-idempotent queries that may have run, the newest segment map, and the draining servers.
 package statedir
 
@@ -34,10 +34,10 @@
 // errRepairLater is returned for records that arrive before a failed journal may be replaced.
 var errRepairLater = errors.New("journal: an earlier write failed and the journal has not been replaced yet")
 
-// claim records when a non-idempotent query, which may have run since, was sent.
+// claim records the ID of a non-idempotent query and when it was sent. The query may have run since then.
 type claim struct {
 	id     string
-	sentAt float64
+	sentAt float64 // Unix milliseconds
 }
 
 // RecoveredState reports what OpenGathererState found in the folder.
@@ -52,7 +52,7 @@
 }
 
 // OpenGathererState opens the state in a folder. If folder is empty, or if records are lost, each non-idempotent query
-// that its client marks as a repeat is assumed to have run possibly before the start, until the retention has passed.
+// that its client marks as a repeat counts as one that may have run before the start, until the retention has passed.
 // Times are in Unix milliseconds, the retention is in milliseconds.
 func OpenGathererState(
 	folder string, maxJournalBytes int64, retention, now float64,
@@ -199,7 +199,7 @@
 	return err
 }
 
-// repair replaces a failed journal by a snapshot, at the earliest repairInterval after the failure or the last attempt.
+// repair replaces a failed journal by a snapshot, no sooner than repairInterval after the failure or the last attempt.
 func (g *GathererState) repair(now float64) error {
 	if now < g.nextRepairAt {
 		return errRepairLater
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -11,6 +11,7 @@
 	"yokeroute/logic/ownership"
 )
 
+// openState opens a state with a journal of at most 2000 bytes before a snapshot and a retention of 1000 ms.
 func openState(t *testing.T, dir string, now float64) (*GathererState, RecoveredState) {
 	t.Helper()
 	g, r, err := OpenGathererState(dir, 2000, 1000, now)
@@ -113,8 +114,8 @@
 	}
 }
 
-// TestRecordNotRunDoesNotWaitForSync guards against delaying the answer to a client whose query has not run until the
-// disk has synced that. The record survives a crash of the process. If a crash of the machine loses it, the query
+// TestRecordNotRunDoesNotWaitForSync guards against making a client wait for a sync of the disk before it is told that
+// its query has not run. The record survives a crash of the process. If a crash of the machine loses it, the query
 // counts as one that may have run, and a repeat fails.
 func TestRecordNotRunDoesNotWaitForSync(t *testing.T) {
 	dir := t.TempDir()
@@ -137,7 +138,7 @@
 	}{{copyDir(t, dir), false}, {copyBefore, true}} {
 		reopened, r := openState(t, c.dir, 2)
 		if r.Damaged || reopened.MayHaveRun("a", true, 3) != c.aMayHaveRun || !reopened.MayHaveRun("b", false, 3) {
-			t.Errorf("recovered %+v: MayHaveRun of a returned %t", r, reopened.MayHaveRun("a", true, 3))
+			t.Errorf("recovered %+v: MayHaveRun(a) returned %t", r, reopened.MayHaveRun("a", true, 3))
 		}
 	}
 	if err := g.RecordSent([]string{"a"}, 2); err != nil || syncs != 2 || !g.MayHaveRun("a", false, 3) {
--- a/internal/storage/statedir/kept_test.go
+++ b/internal/storage/statedir/kept_test.go
@@ -38,7 +38,7 @@
 	return all
 }
 
-// wantFolder checks that all files of a folder are identical to those of the folder name in testdata/kept.
+// wantFolder checks that folder contains the same files, with the same contents, as the folder testdata/kept/NAME.
 func wantFolder(t *testing.T, folder, name string) {
 	t.Helper()
 	got, want := readFiles(t, folder), readFiles(t, filepath.Join("testdata", "kept", name))
@@ -105,7 +105,7 @@
 	for id, want := range map[string]bool{"first": true, "second": false, "third": true, "<&> \"name\"": true,
 		"late": true, "never": false} {
 		if got := g.MayHaveRun(id, true, now); got != want {
-			t.Errorf("MayHaveRun of %s returned %t, want %t", id, got, want)
+			t.Errorf("MayHaveRun(%s) returned %t, want %t", id, got, want)
 		}
 	}
 	m, want := g.Map(), keptMap(t)
