--- a/internal/control/rollout/claims.go
+++ b/internal/control/rollout/claims.go
@@ -27,7 +27,7 @@
 var errClaimedByOtherRun = errors.New("is being changed by another run")
 
 // claimRejected reports whether err means that a gatherer rejected a claim. A claim without a response does not count
-// as rejected, since the gatherer may not be claimed by anyone.
+// as rejected, since possibly nobody holds a claim on the gatherer.
 func claimRejected(err error) bool {
 	return errors.Is(err, errClaimedByOtherRun) || errors.Is(err, runfolder.ErrSuperseded)
 }
--- a/internal/control/rollout/claims_test.go
+++ b/internal/control/rollout/claims_test.go
@@ -51,13 +51,13 @@
 	} {
 		err := client.claim(context.Background(), 0, c.runID, c.fencingToken)
 		if !errors.Is(err, c.want) || claimRejected(err) != (c.want != nil) {
-			t.Errorf("run %s, token %d: unexpected result of claim: %v", c.runID, c.fencingToken, err)
+			t.Errorf("run %s, token %d: claim: got error %v, want %v", c.runID, c.fencingToken, err, c.want)
 		}
 		if err != nil && !strings.Contains(err.Error(), c.text) {
 			t.Errorf("run %s, token %d: got error %v, want one that contains %q", c.runID, c.fencingToken, err, c.text)
 		}
 		if err := client.claimAll(context.Background(), c.runID, c.fencingToken); !errors.Is(err, c.want) {
-			t.Errorf("run %s, token %d: unexpected result of claimAll: %v", c.runID, c.fencingToken, err)
+			t.Errorf("run %s, token %d: claimAll: got error %v, want %v", c.runID, c.fencingToken, err, c.want)
 		}
 	}
 	if err := client.claim(context.Background(), 1, "one", 1); err == nil || claimRejected(err) {
--- a/internal/control/rollout/commandstep.go
+++ b/internal/control/rollout/commandstep.go
@@ -19,7 +19,8 @@
 )
 
 const (
-	// processPollInterval is the interval of checks whether a process has ended that is not a child of this one.
+	// processPollInterval is the interval at which awaitEnd checks whether a process has ended. The process may be that
+	// of an earlier controller's step, and so not a child of this one.
 	processPollInterval = 20 * time.Millisecond
 
 	// outputWait limits how long a command's output is read after its end, in case a child of it holds the pipe open.
@@ -51,7 +52,8 @@
 	}
 	name := s.plan.Gatherers[g].Name
 	switch {
-	case err == nil, errors.Is(err, exec.ErrWaitDelay): // ErrWaitDelay: it succeeded, but a child holds its output open
+	// ErrWaitDelay means that the command succeeded, but that a child of it holds its output open.
+	case err == nil, errors.Is(err, exec.ErrWaitDelay):
 		return nil
 	case ctx.Err() != nil:
 		return fmt.Errorf("step of %s: command did not end within %.0f s: %s", name, command.Timeout.Seconds(),
--- a/internal/control/rollout/commandstep_test.go
+++ b/internal/control/rollout/commandstep_test.go
@@ -111,12 +111,12 @@
 	first := startStoppedController(t, folder)
 	second := takeOver(t, folder)
 	earlier.Kill()
-	begunFile, finishFile := filepath.Join(folder, "began"), filepath.Join(folder, "finish")
+	startedFile, finishFile := filepath.Join(folder, "began"), filepath.Join(folder, "finish")
 	secondStep := make(chan error, 1)
 	go func() {
 		secondStep <- makeStep(context.Background(), second, commandPlan(folder, runUntilFinishScript))
 	}()
-	await(t, "the second controller's step runs", func() bool { return exists(begunFile) })
+	await(t, "the second controller's step runs", func() bool { return exists(startedFile) })
 	if err := first.Continue(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/control/rollout/controller.go
+++ b/internal/control/rollout/controller.go
@@ -38,7 +38,7 @@
 
 	mu         sync.Mutex          // guards stepStates, stepFaults and appending to the journal
 	stepStates []rollout.StepState // state of each gatherer's step, by gatherer index
-	stepFaults []string            // why each gatherer's last step failed, by gatherer index
+	stepFaults []string            // error of each gatherer's last step, empty if there is none, by gatherer index
 	steps      sync.WaitGroup      // counts the steps in progress
 }
 
--- a/internal/control/rollout/controller_test.go
+++ b/internal/control/rollout/controller_test.go
@@ -28,7 +28,7 @@
 		mu.Lock()
 		defer mu.Unlock()
 		attempts[order.Gatherer]++
-		if order.To == "new" && kills < 6 && c != nil && c.Alive() { // in turn during and before a step
+		if order.To == "new" && kills < 6 && c != nil && c.Alive() { // alternately during and before a step
 			kills++
 			c.Kill()
 			if kills%2 == 0 {
@@ -142,7 +142,7 @@
 	}
 	sendCommand("stop")
 	if code, last := s.waitExit(first); code != 1 || last.Phase != logic.Stopped {
-		t.Errorf("after stop: exit status %d, %+v", code, last)
+		t.Errorf("after stop: exit status %d, want 1 and the rollout stopped: %+v", code, last)
 	}
 	code, last := s.waitExit(s.startController("run", file, "--output", "json"))
 	if code != 1 || last.Phase != logic.Stopped || s.countVersions()["2"] != 2 {
--- a/internal/control/rollout/directives.go
+++ b/internal/control/rollout/directives.go
@@ -146,8 +146,8 @@
 func (p *Plan) outDirective() *directive.Directive {
 	return &directive.Directive{
 		Name: "out", Once: true,
-		Args:    []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "of the fleet"}},
-		Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "of a zone; default: as for the fleet"}},
+		Args:    []directive.Field{{Name: "most", Kind: directive.Count, Min: 1, Help: "limit for the fleet"}},
+		Options: []directive.Field{{Name: "zone", Kind: directive.Count, Min: 1, Help: "limit for a zone; default: as for the fleet"}},
 		Help: "How many gatherers may be unavailable at once, including those that failed by themselves or " +
 			"can't be reached. Default: one.",
 		Example: "out 2 zone 1",
--- a/internal/control/rollout/fixture_test.go
+++ b/internal/control/rollout/fixture_test.go
@@ -44,6 +44,7 @@
 	newOperatorFile        string                 // text of the new operator's file; that of the old one is empty
 	faultyProgram          atomic.Pointer[string] // program started by steps in place of newProgram, if set
 
+	// beforeStep is called before each step, if set; if it returns an error, the step fails with that error.
 	beforeStep  atomic.Pointer[func(s processtest.Step) error]
 	stepLocks   sync.Map // gatherer name to *sync.Mutex, held during a step or restart
 	controllers int      // number of controllers started so far
@@ -164,7 +165,7 @@
 
 // programStages is the part of a plan that distinguishes old from new by version, with stages and times for tests. No
 // class is evaluated by itself unless a test enables it: a few queries per second, beside other tests, are too little
-// evidence in a test's time.
+// evidence within the duration of a test.
 const programStages = `old version 1
 new version 2
 stage one count 1 least 1s
--- a/internal/control/rollout/outcomes_test.go
+++ b/internal/control/rollout/outcomes_test.go
@@ -50,7 +50,7 @@
 		t.Fatal(err)
 	}
 	if code, st := s.waitExit(c); code != 0 || st.Phase != logic.Completed {
-		t.Fatalf("exit status %d, phase %s: %s", code, st.Phase, c.Log())
+		t.Fatalf("exit status %d, phase %s, want 0 and the rollout completed: %s", code, st.Phase, c.Log())
 	}
 	if v := s.countVersions(); v["2"] != 12 {
 		t.Errorf("gatherers by version: %v, want 12 of version 2", v)
@@ -125,7 +125,7 @@
 	}
 	code, last := s.waitExit(c)
 	if code != 1 || last.Phase != logic.RolledBack {
-		t.Fatalf("exit status %d, phase %s: %s", code, last.Phase, c.Log())
+		t.Fatalf("exit status %d, phase %s, want 1 and the rollout rolled back: %s", code, last.Phase, c.Log())
 	}
 	for _, g := range last.Gatherers {
 		if g.Variant != "old" {
--- a/internal/control/rollout/plan.go
+++ b/internal/control/rollout/plan.go
@@ -40,7 +40,7 @@
 	Fingerprint string                          // checksum of the plan's text
 	Folder      string                          // folder of the journal
 	Interval    time.Duration                   // time between rounds
-	Processes   []GathererProcess               // by gatherer index
+	Processes   []GathererProcess               // address and files of each gatherer, by index
 	Old, New    Release                         // releases before and after the rollout
 	Commands    map[rollout.Variant]StepCommand // empty if the built-in stepper is used
 	ReloadOnly  bool                            // whether the built-in stepper sends SIGHUP instead of restarting
--- a/internal/control/rollout/plan_test.go
+++ b/internal/control/rollout/plan_test.go
@@ -59,7 +59,7 @@
 		}
 		_, err := rollout.ReadPlan(file)
 		if err == nil || !strings.Contains(err.Error(), c.want) || !strings.Contains(err.Error(), "plan.conf:") {
-			t.Errorf("got error %[2]v, want one with a position that contains %[1]q", c.want, err)
+			t.Errorf("got error %v, want one with a position that contains %q", err, c.want)
 		}
 	}
 	if _, err := os.Stat(filepath.Join(folder, "r")); err == nil {
--- a/internal/control/rollout/processrecord.go
+++ b/internal/control/rollout/processrecord.go
@@ -17,7 +17,7 @@
 	bootID     string // empty in records of earlier versions, and if the kernel does not provide a boot ID
 }
 
-// recordOf returns the record of the process that has the ID now.
+// recordOf returns the record of the process that currently has the ID.
 func recordOf(pid int) processRecord {
 	return processRecord{pid: pid, startTicks: process.StartTicks(pid), bootID: process.BootID()}
 }
--- a/internal/control/rollout/processrecord_test.go
+++ b/internal/control/rollout/processrecord_test.go
@@ -19,12 +19,12 @@
 func TestRecordOfAnotherBootNamesNoProcess(t *testing.T) {
 	const otherBoot = "00000000-0000-4000-8000-000000000000"
 	for name, c := range map[string]struct {
-		bootID string
-		waits  bool
+		bootID     string
+		wantKilled bool
 	}{
-		"another boot":          {otherBoot, false},
-		"this boot":             {process.BootID(), true},
-		"of an earlier version": {"", true},
+		"another boot":    {otherBoot, false},
+		"this boot":       {process.BootID(), true},
+		"earlier version": {"", true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			other := exec.Command("sleep", "60")
@@ -52,11 +52,11 @@
 			}
 			select {
 			case <-ended:
-				if !c.waits {
+				if !c.wantKilled {
 					t.Error("an unrelated process was killed")
 				}
 			case <-time.After(500 * time.Millisecond):
-				if c.waits {
+				if c.wantKilled {
 					t.Error("the step's process still runs after its timeout, want it killed")
 				}
 			}
--- a/internal/control/rollout/processstep.go
+++ b/internal/control/rollout/processstep.go
@@ -156,7 +156,7 @@
 	if err := startRecorded(cmd, func(pid int) error { return cmp.Or(s.adopt(g, pid), f.check()) }); err != nil {
 		return fmt.Errorf("gatherer %s: %w", name, err)
 	}
-	// The process is meant to outlive the controller, so that its end is not awaited here. While the controller runs,
+	// The process is meant to outlive the controller, so its end is not awaited here. While the controller runs,
 	// it is the parent and has to collect the exit status, or an ended process would remain as a zombie.
 	go func() { _ = cmd.Wait() }()
 	return nil
--- a/internal/control/rollout/status.go
+++ b/internal/control/rollout/status.go
@@ -41,7 +41,7 @@
 	Verdict      string                    `json:"verdict"`
 	Reason       string                    `json:"why"`
 	Gatherers    []GathererStatus          `json:"gatherers"`
-	Classes      map[string][2]VariantSums `json:"indexes"` // sums of the last interval by class: old, new
+	Classes      map[string][2]VariantSums `json:"indexes"` // sums of the last interval by class: all but new, new
 }
 
 // GathererStatus is the status of one gatherer.
@@ -55,7 +55,7 @@
 	Fault        string  `json:"trouble,omitempty"`
 }
 
-// VariantSums holds the counts of a class, summed over the gatherers of one variant.
+// VariantSums holds the counts of a class, summed over the gatherers that serve as new, or over all others.
 type VariantSums struct {
 	Queries     float64 `json:"Lookups"`
 	EarnedValue float64 `json:"Value"`
--- a/internal/control/rollout/validate.go
+++ b/internal/control/rollout/validate.go
@@ -66,7 +66,7 @@
 	case v.Old == (Release{}) || v.New == (Release{}):
 		v.add("new", -1, "the plan does not distinguish old from new; write old and new with a program, a version or files")
 	case v.Old == v.New:
-		v.add("new", -1, "old and new are the same")
+		v.add("new", -1, "old and new are the same; they have to differ in a field")
 	}
 	for _, field := range []struct{ name, old, new string }{
 		{"program", v.Old.Program, v.New.Program},
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -27,7 +27,7 @@
 	m, shards, err := ParseMap("m.conf", validMapFile)
 	if err != nil || m.Epoch != 7 || shards != 16 || len(m.Segments) != 2 || m.Segments[0].OwnedSince != 3 ||
 		m.Segments[1].OwnedSince != 7 || m.Segments[0].Owners[1] != "h-2" {
-		t.Fatalf("%+v, %d, %v", m, shards, err)
+		t.Fatalf("valid map file: parsed to %+v, %d shards, error %v", m, shards, err)
 	}
 	reparsed, _, err := ParseMap("again.conf", FormatMap(m, shards))
 	if err != nil || !reflect.DeepEqual(reparsed, m) {
@@ -49,7 +49,7 @@
 	} {
 		if _, _, err := ParseMap("m.conf", c.text); err == nil || !strings.Contains(err.Error(), c.want) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("parsing %q: got error %v, want the expected one-line error", c.text, err)
+			t.Errorf("parsing %q: got error %v, want a single line that contains %q", c.text, err, c.want)
 		}
 	}
 	page := filepath.Join("..", "..", "..", "docs", "operate", "reference-segments.md")
@@ -82,7 +82,7 @@
 	} {
 		if _, err := ParseResponse([]byte(strings.Replace(text, c.old, c.new, 1))); err == nil ||
 			!strings.Contains(err.Error(), c.want) {
-			t.Errorf("response with %s: got error %v, want one that names the field", c.new, err)
+			t.Errorf("response with %s: got error %v, want one that contains %q", c.new, err, c.want)
 		}
 	}
 }
@@ -90,14 +90,14 @@
 // recordingReceiver records the maps and changes that it receives from the watcher.
 type recordingReceiver struct {
 	mu           sync.Mutex
-	epochs       []string
+	entries      []string // such as "map 7" and "change 8", in the order received
 	mapRequested chan struct{}
 	received     chan bool
 }
 
 func (p *recordingReceiver) add(text string) {
 	p.mu.Lock()
-	p.epochs = append(p.epochs, text)
+	p.entries = append(p.entries, text)
 	p.mu.Unlock()
 	p.received <- true
 }
@@ -161,7 +161,7 @@
 	awaitHandover()
 	stop()
 	<-done
-	if got := strings.Join(receiver.epochs, ", "); got != "map 7, change 8, map 7" {
+	if got := strings.Join(receiver.entries, ", "); got != "map 7, change 8, map 7" {
 		t.Errorf("the receiver got %s, want map 7, change 8, map 7", got)
 	}
 }
