--- a/internal/config/placementfile/model.go
+++ b/internal/config/placementfile/model.go
@@ -83,7 +83,7 @@
 		}
 		kind := v.Text("kind")
 		if kind != "" && f.kinds[kind] == nil {
-			b.reject(v.Errorf("kind", "is no kind of this file%s", suggest.Hint(kind, f.kindNames())))
+			b.reject(v.Errorf("kind", "is not a kind in this file%s", suggest.Hint(kind, f.kindNames())))
 		} else {
 			b.fillHost(&host, v, f.kinds[kind])
 		}
@@ -191,7 +191,7 @@
 		b.reject(v.Errorf(option, "is more than %d units of %s; write less, or a larger unit",
 			placement.MaxRate, directive.FormatRate(unit)))
 	case math.Abs(units-rounded) > roundingError:
-		b.reject(v.Errorf(option, "is no multiple of the unit, %s; write %s, or a smaller unit",
+		b.reject(v.Errorf(option, "is not a multiple of the unit, %s; write %s, or a smaller unit",
 			directive.FormatRate(unit), FormatUnits(unit, int64(rounded))))
 	}
 	return int64(rounded)
--- a/internal/config/placementfile/placementfile_test.go
+++ b/internal/config/placementfile/placementfile_test.go
@@ -76,8 +76,8 @@
 // TestErrorsNameLineColumnAndWord checks that each error in a file gives one message with its line, column and word.
 func TestErrorsNameLineColumnAndWord(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
-		{"host n-1 hall north kind big", "host n-1 hall nort kind big", `f:8:15: "nort": is no hall of this file; did you mean north?`},
-		{"host n-1 hall north kind big", "host n-1 hall north kind bog", `f:8:26: "bog": is no kind of this file; did you mean big?`},
+		{"host n-1 hall north kind big", "host n-1 hall nort kind big", `f:8:15: "nort": is not a hall in this file; did you mean north?`},
+		{"host n-1 hall north kind big", "host n-1 hall north kind bog", `f:8:26: "bog": is not a kind in this file; did you mean big?`},
 		{"host n-1 hall north kind big", "host n-1 hall north kind big\nhost n-1 hall north kind big", `f:9:6: "n-1": is given twice; every host has its own name`},
 		{"hall south", "hall south\nhall south", `f:6:6: "south": is given twice`},
 		{"kind big", "kind big capacity 1/s\nkind big", `f:8:6: "big": is given twice`},
@@ -87,10 +87,10 @@
 		{"capacity 10/s", "capacity 9999999999999/s", `f:11:30: "9999999999999/s": is more than 1000000000 units of 0.5/s`},
 		{"capacity 10/s", "capacity 10", `f:11:30: "10": has no unit`},
 		{"capacity 10/s", "capacity 10MB", `"10MB": has the unit "MB", which is none of /s /min /h`},
-		{"capacity 10/s", "capacity 10.3/s", `f:11:30: "10.3/s": is no multiple of the unit, 0.5/s; write 10.5/s, or a smaller unit`},
-		{"on n-2 s-1 s-2", "on n-2 s-9 s-2", `f:13:18: "s-9": is no host of this file; did you mean s-1?`},
+		{"capacity 10/s", "capacity 10.3/s", `f:11:30: "10.3/s": is not a multiple of the unit, 0.5/s; write 10.5/s, or a smaller unit`},
+		{"on n-2 s-1 s-2", "on n-2 s-9 s-2", `f:13:18: "s-9": is not a host in this file; did you mean s-1?`},
 		{"on n-2 s-1 s-2", "on n-2 s-1 n-2", `f:13:22: "n-2": is listed twice; list each host once`},
-		{"demand b north", "demand c north", `f:15:8: "c": is no segment of this file`},
+		{"demand b north", "demand c north", `f:15:8: "c": is not a segment in this file`},
 		{"demand b south 2.5/s", "demand b north 2.5/s", `f:16:10: "north": has two demands for segment b; write one with their sum`},
 		{"crossing north south 2.5", "crossing north north 2.5", `a crossing leads to another hall; none is needed within one`},
 		{"crossing north south 2.5", "crossing north south 2.0005", `f:6:22: "2.0005": has more than three decimal places; round it to thousandths`},
@@ -100,10 +100,10 @@
 		{"demand b south 2.5/s", "step\nweights b north n-2=20/s n-1=0/s", `"n-1": does not hold the segment b`},
 		{"demand b south 2.5/s", "weights b south n-2=2.5/s", `comes before any step; write a step line first`},
 		{"demand b south 2.5/s", "step\nweights b south n-2=2.5/s", `"south": has no demand for segment b in this file`},
-		{"demand b south 2.5/s", "step\nweights c south n-2=2.5/s", `"c": is no segment of this file`},
+		{"demand b south 2.5/s", "step\nweights c south n-2=2.5/s", `"c": is not a segment in this file`},
 		{"demand b south 2.5/s", "step\nstep", `is not later than the previous step; sort the steps by time`},
 		{"demand b south 2.5/s", "case x lost n-1", `comes before the first step of the plan; write the plan's own steps first`},
-		{"demand b south 2.5/s", "step\ncase x lost n-7", `"n-7": is no host of this file`},
+		{"demand b south 2.5/s", "step\ncase x lost n-7", `"n-7": is not a host in this file`},
 		{"unit 0.5/s", "unit 0.5/s\nfrom-list", "from-list takes hosts and segments from discovery's list; remove these lines or from-list"},
 	} {
 		text := strings.Replace(validFile, c.old, c.new, 1)
--- a/internal/config/placementfile/plan.go
+++ b/internal/config/placementfile/plan.go
@@ -62,7 +62,7 @@
 		units := rates[i] / f.Model.Unit
 		rounded := math.Round(units)
 		if math.Abs(units-rounded) > roundingError || units > placement.MaxRate {
-			return hostError("is no multiple of the unit, " + directive.FormatRate(f.Model.Unit))
+			return hostError("is not a multiple of the unit, " + directive.FormatRate(f.Model.Unit))
 		}
 		if slices.ContainsFunc(row.Weights, func(w placement.Weight) bool { return w.Host == host }) {
 			return hostError("is a second weight of this host; list each host once")
@@ -106,7 +106,7 @@
 	for i, v := range b.file.lines[caseLine] {
 		for j, host := range b.file.Plan.Cases[i].LostHosts {
 			if !hosts[host] {
-				b.reject(&directive.Error{Position: v.Pos("lost", j), Token: host, Message: "is no host of this file"})
+				b.reject(&directive.Error{Position: v.Pos("lost", j), Token: host, Message: "is not a host in this file"})
 			}
 		}
 	}
@@ -132,7 +132,7 @@
 	for _, v := range b.file.lines[weightsLine] {
 		segment := v.Text("segment")
 		if holdsSegment[segment] == nil {
-			b.reject(v.Errorf("segment", "is no segment of this file"))
+			b.reject(v.Errorf("segment", "is not a segment in this file"))
 			continue
 		}
 		hosts, _ := v.Rates("hosts")
--- a/internal/config/policyfile/policyfile_test.go
+++ b/internal/config/policyfile/policyfile_test.go
@@ -51,7 +51,7 @@
 		"further\n":                            "wants share, free or both",
 		"cold 150%\n":                          "150%",
 		"close host s1\n":                      "zone",
-		"index a once-only\nindex a once-only": "once-only a is said twice",
+		"index a once-only\nindex a once-only": "once-only a is given twice",
 		"indx a once-only\n":                   "did you mean index?",
 	} {
 		if _, err := Parse("p", text); err == nil || !strings.Contains(err.Error(), want) {
--- a/internal/control/policyapi/read_test.go
+++ b/internal/control/policyapi/read_test.go
@@ -20,7 +20,7 @@
 		`{"policy":1,"hello":{"name":"g"}}`:     "hello.process",
 		`{"policy":1,` + hello + `,"wait":1e9}`: "wait: 1e+09 ms",
 		`{"policy":1,"hello":{"name":"g1","process":"1",` +
-			`"floor":[{"kind":"least","of":"x","value":7}]}}`: "hello.floor: least x 7 is not within 0 and 1",
+			`"floor":[{"kind":"least","of":"x","value":7}]}}`: "hello.floor: least x 7 is not between 0 and 1",
 		`{"policy":1,"hello":{"name":"g1","process":"1",` +
 			`"floor":[{"kind":"once-only","of":"x"},{"kind":"closed","of":"a/"}]}}`: "out of order",
 		`{"policy":1,` + hello + `,"a-word-of-later":true}`: "",
--- a/internal/control/policyclient/change_test.go
+++ b/internal/control/policyclient/change_test.go
@@ -85,8 +85,9 @@
 	}
 	before := f.status()
 	for text, reason := range map[string]string{
-		"close zone north host s5\n": "g1, cut off, would do what this forbids: closed north/s5",
-		"index any once-only\n":      "would do what this forbids",
+		"close zone north host s5\n": "if g1 loses contact, " +
+			"its fallback policy permits what this change forbids: closed north/s5",
+		"index any once-only\n": "its fallback policy permits what this change forbids",
 	} {
 		proposal := policyclient.Proposal{Base: before.Record.Epoch, Policy: f.parse(text)}
 		_, err := f.fleet.PolicyClient().Propose(f.ctx, proposal)
--- a/internal/control/segments/segments_test.go
+++ b/internal/control/segments/segments_test.go
@@ -35,12 +35,12 @@
 	}
 	for _, c := range []struct{ text, want string }{
 		{"segment a keys 0000000000000000-ffffffffffffffff on h\n", "m.conf:1:1: lacks its epoch"},
-		{"epoch 7\nsegment a keys 0-9 on h\n", `m.conf:2:16: "0-9": "0-9" is no range of keys`},
+		{"epoch 7\nsegment a keys 0-9 on h\n", `m.conf:2:16: "0-9": "0-9" is not a range of keys`},
 		{"epoch 7\nsegment a keys 8000000000000000-0000000000000000 on h\n", "ends before it begins"},
 		{"epoch 7\nsegment a on h\n", `m.conf:2:1: "segment": lacks "keys"`},
 		{"epoch 7\nsegment a keys 0000000000000000-8000000000000000 on h\nsegment b keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segments "a" and "b" both own the key 8000000000000000`},
-		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff\nsegment a keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segment "a" is there twice`},
-		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h h\n", "is empty or there twice"},
+		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff\nsegment a keys 8000000000000000-ffffffffffffffff on g\n", `m.conf:3:1: segment "a" is defined twice`},
+		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h h\n", "is empty or listed twice"},
 		{"epoch 7\nsegment a keys 0000000000000000-7fffffffffffffff on h since 9\n",
 			`m.conf:2:1: segment "a" is owned since epoch 9, the map's is 7`},
 		{"epoch -1\n", `"-1"`},
--- a/logic/ownership/change.go
+++ b/logic/ownership/change.go
@@ -132,7 +132,7 @@
 	}
 	if first.Hi == maxKey || first.Hi+1 != second.Lo {
 		return Change{}, fmt.Errorf(
-			"%q ends at %016x and %q begins at %016x: they are no neighbours in this order",
+			"%q ends at %016x and %q begins at %016x: they are not adjacent in this order",
 			left, first.Hi, right, second.Lo)
 	}
 	reason := fmt.Sprintf("merge %s and %s into %s", left, right, name)
--- a/logic/ownership/range.go
+++ b/logic/ownership/range.go
@@ -54,7 +54,8 @@
 	first, errFirst := strconv.ParseUint(lo, 16, 64)
 	last, errLast := strconv.ParseUint(hi, 16, 64)
 	if !found || len(lo) != keyDigits || len(hi) != keyDigits || errFirst != nil || errLast != nil {
-		return Range{}, fmt.Errorf("%q is no range of keys; write sixteen hex digits, a dash, sixteen more", text)
+		return Range{}, fmt.Errorf(
+			"%q is not a range of keys; write sixteen hex digits, a dash and sixteen more hex digits", text)
 	}
 	if last < first {
 		return Range{}, fmt.Errorf("the range %s ends before it begins", text)
--- a/logic/ownership/segmentmap.go
+++ b/logic/ownership/segmentmap.go
@@ -77,7 +77,7 @@
 		}
 		for j, owner := range s.Owners {
 			if owner == "" || slices.Contains(s.Owners[:j], owner) {
-				faults = append(faults, fmt.Errorf("segment %q: owner %q is empty or there twice", s.Name, owner))
+				faults = append(faults, fmt.Errorf("segment %q: owner %q is empty or listed twice", s.Name, owner))
 			}
 		}
 	}
@@ -94,7 +94,7 @@
 	case s.Name == "":
 		return fmt.Errorf("segment %d has no name", i)
 	case duplicate:
-		return fmt.Errorf("segment %q is there twice", s.Name)
+		return fmt.Errorf("segment %q is defined twice", s.Name)
 	case strings.ContainsAny(s.Name, " ,=\n"):
 		return fmt.Errorf("segment %q: the name must not contain a blank, line break, comma or =", s.Name)
 	case s.Hi < s.Lo:
@@ -115,7 +115,7 @@
 	if i := m.Find(name); i >= 0 {
 		return &m.Segments[i], nil
 	}
-	return nil, fmt.Errorf("%q is no segment%s", name, m.hint(name))
+	return nil, fmt.Errorf("%q is not a segment of the map%s", name, m.hint(name))
 }
 
 func (m *Map) hint(name string) string {
--- a/logic/placement/validate.go
+++ b/logic/placement/validate.go
@@ -113,7 +113,7 @@
 		knownNames = v.segments
 	}
 	if !knownNames[name] {
-		v.reject(e, field, name, "is no %s of this file%s", kind, nameHint(name, knownNames))
+		v.reject(e, field, name, "is not a %s in this file%s", kind, nameHint(name, knownNames))
 	}
 }
 
--- a/logic/policy/apply.go
+++ b/logic/policy/apply.go
@@ -69,8 +69,8 @@
 	for _, m := range r.Members {
 		violations, unknown := m.conflicts(c.Policy)
 		if len(violations) > 0 {
-			return nil, reject("%s, cut off, would do what this forbids: %s; tighten its floor first", m.Name,
-				violations[0])
+			return nil, reject("if %s loses contact, its fallback policy permits what this change forbids: %s; "+
+				"tighten its floor first", m.Name, violations[0])
 		}
 		if len(unknown) > 0 {
 			return nil, reject("%s does not know the kind %s; it is of an older version", m.Name,
--- a/logic/policy/policy.go
+++ b/logic/policy/policy.go
@@ -44,7 +44,7 @@
 	slices.SortFunc(p, compareEntries)
 	for i, e := range p {
 		if i > 0 && compareEntries(p[i-1], e) == 0 {
-			return nil, fmt.Errorf("%s is said twice", e)
+			return nil, fmt.Errorf("%s is given twice", e)
 		}
 		if err := e.validate(); err != nil {
 			return nil, err
@@ -68,7 +68,7 @@
 	case e.Kind == Closed && (!slash || zone == ""):
 		return fmt.Errorf("%s needs a zone and optionally a host: ZONE/ or ZONE/HOST", e)
 	case !t.flag && !(e.Value >= 0 && e.Value <= t.maxValue): // rejects NaN as well
-		return fmt.Errorf("%s is not within 0 and %g", e, t.maxValue)
+		return fmt.Errorf("%s is not between 0 and %g", e, t.maxValue)
 	case t.flag && e.Value != 0:
 		return fmt.Errorf("%s takes no value, not %g", e, e.Value)
 	}
--- a/logic/policy/policy_test.go
+++ b/logic/policy/policy_test.go
@@ -44,10 +44,10 @@
 // the entry.
 func TestNewRejectsInvalidEntries(t *testing.T) {
 	for want, entries := range map[string][]Entry{
-		"said twice":              {{Kind: NonIdempotent, Subject: "a"}, {Kind: NonIdempotent, Subject: "a"}},
+		"given twice":             {{Kind: NonIdempotent, Subject: "a"}, {Kind: NonIdempotent, Subject: "a"}},
 		"lacks its index":         {{Kind: NonIdempotent}},
 		"applies to everything":   {{Kind: RetryShare, Subject: "a", Value: 0.1}},
-		"not within 0 and 1":      {{Kind: MinShare, Subject: "a", Value: 1.5}},
+		"not between 0 and 1":     {{Kind: MinShare, Subject: "a", Value: 1.5}},
 		"needs a zone":            {{Kind: Closed, Subject: "s1"}},
 		"takes no value, not 1":   {{Kind: Closed, Subject: "north/", Value: 1}},
 		"least a -1 is not":       {{Kind: MinShare, Subject: "a", Value: -1}},
--- a/logic/policy/record_test.go
+++ b/logic/policy/record_test.go
@@ -42,8 +42,9 @@
 	t.apply(Command{Register: &Member{Name: "g2", Fallback: fallback, KnownKinds: Kinds()}}, "")
 	t.apply(Command{Register: &oldMember}, "")
 	t.apply(t.propose(0, "a", Entry{Kind: Closed, Subject: "north/s1"}),
-		"g1, cut off, would do what this forbids: closed north/s1")
-	t.apply(t.propose(0, "a", Entry{Kind: NonIdempotent, Subject: "x"}), "g1, cut off, would do")
+		"if g1 loses contact, its fallback policy permits what this change forbids: closed north/s1")
+	t.apply(t.propose(0, "a", Entry{Kind: NonIdempotent, Subject: "x"}),
+		"if g1 loses contact, its fallback policy permits what this change forbids")
 	t.apply(t.propose(0, "a"), "changes nothing")
 
 	first := t.propose(0, "a", Entry{Kind: Closed, Subject: "south/s1"}, Entry{Kind: NoHedging, Subject: "find"})
@@ -87,7 +88,7 @@
 		if len(r.Members) == 0 {
 			t.apply(change, "")
 		} else {
-			t.apply(change, "would do")
+			t.apply(change, "its fallback policy permits what this change forbids")
 		}
 		if n == 0 {
 			t.apply(Command{Forget: "g2"}, "")
