--- a/gather/endpoint.go
+++ b/gather/endpoint.go
@@ -44,7 +44,7 @@
 	Elapsed     float64
 	Succeeded   bool
 	QueueLength float64 // number of requests waiting at the server, below 0 if not reported
-	Latency     float64 // latency of its recent requests without the time in the queue, below 0 if not reported
+	Latency     float64 // latency of recent requests, excluding the time in the queue; below 0 if not reported
 }
 
 // EndpointView holds what a module has recorded about a server, for display and not for decisions.
--- a/internal/control/rollout/directives.go
+++ b/internal/control/rollout/directives.go
@@ -246,7 +246,7 @@
 			Name: "lookups", Kind: directive.Count, Min: 1, Help: "number of queries of each class at new gatherers, in a stage",
 		}},
 		Options: []directive.Field{
-			shareField("judged", "share of the queries from which on a class is evaluated separately; 2%"),
+			shareField("judged", "a class with at least this share of the queries is evaluated separately; 2%"),
 			{Name: "tries", Kind: directive.Count, Min: 1, Max: 100, Help: "attempts to change a gatherer; 2"},
 		},
 		Help:    "Minimum evidence for a stage to pass. Default: 100.",
--- a/internal/control/rollout/processrecord.go
+++ b/internal/control/rollout/processrecord.go
@@ -13,7 +13,7 @@
 // process ID, since process IDs are reused, and after a reboot start times can recur as well.
 type processRecord struct {
 	pid        int
-	startTicks string // empty if the process does not run
+	startTicks string // empty if the process is not running
 	bootID     string // empty in records of earlier versions, and if the kernel does not provide a boot ID
 }
 
--- a/internal/control/rollout/processstep.go
+++ b/internal/control/rollout/processstep.go
@@ -119,7 +119,7 @@
 func (s processStepper) adopt(g, pid int) error {
 	record := recordOf(pid)
 	if record.startTicks == "" {
-		return fmt.Errorf("gatherer %s: process %d does not run", s.plan.Gatherers[g].Name, pid)
+		return fmt.Errorf("gatherer %s: process %d is not running", s.plan.Gatherers[g].Name, pid)
 	}
 	return writeProcessRecord(s.pidFile(g), record)
 }
--- a/internal/control/rollout/status.go
+++ b/internal/control/rollout/status.go
@@ -24,8 +24,8 @@
 // maxSampleBytes limits the length of a line of the history.
 const maxSampleBytes = 4 << 20
 
-// staleness is added to one and a half intervals to give the age of a report from which on its gatherer counts as
-// unreachable in the history.
+// staleness is added to one and a half intervals. The history shows a gatherer as unreachable once its report is that
+// old.
 const staleness = 2 * time.Second
 
 // Status is the state of a rollout as published in the status file, for operators and programs.
--- a/internal/gatherer/discovery/fulllist.go
+++ b/internal/gatherer/discovery/fulllist.go
@@ -71,7 +71,8 @@
 	}
 }
 
-// startFullListRequest makes another request for the full list if there is room for it.
+// startFullListRequest makes another request for the full list unless maxFullListRequests are in flight and
+// none of them can be cancelled.
 func (w *Watcher) startFullListRequest(url string) {
 	l := w.fullList
 	if !l.reserveSlot() {
--- a/internal/gatherer/dispatch/nonidempotent.go
+++ b/internal/gatherer/dispatch/nonidempotent.go
@@ -100,7 +100,8 @@
 		}
 		return rejected, true
 	case <-timer.C:
-		p.log.WithField("query", query.ID).Debug("non-idempotent query: rejected, not recorded before its deadline")
+		p.log.WithField("query", query.ID).
+			Debug("non-idempotent query: rejected, because it was not recorded before its deadline")
 		return rejected, true
 	case <-ctx.Done():
 		return Result{Kind: Abandoned}, true
--- a/internal/gatherer/dispatch/retrybudget.go
+++ b/internal/gatherer/dispatch/retrybudget.go
@@ -7,8 +7,8 @@
 	"yokeroute/internal/stats"
 )
 
-// clockTolerance is the maximum difference, in milliseconds, assumed between this process's time of an event and that
-// of others.
+// clockTolerance is the maximum difference, in milliseconds, assumed between the times that this process and another
+// one record for the same event.
 const clockTolerance = 1.0
 
 // retryBudget limits retries and hedged requests. It counts them when their first byte is written. The module counts
--- a/internal/gatherer/frontend/conntracker.go
+++ b/internal/gatherer/frontend/conntracker.go
@@ -25,9 +25,10 @@
 
 // connTracker limits the clients' connections, so that descriptors remain for shard servers and for the next client.
 //
-// Beyond the limit it closes a connection on which no request is being served: first one that has sent nothing, or only
-// part of a request, for firstByteTimeout; then the one that has been idle longest; then a new one. Connections are
-// always accepted, since clients consider a request sent once it is written to an established connection.
+// Beyond the limit it closes one connection on which no request is being served, in this order of preference: one that
+// has sent no complete request for firstByteTimeout; the one that has been idle longest; a new one. A new connection is
+// always accepted first, even if it is then closed, since clients consider a request sent once it is written to an
+// established connection.
 type connTracker struct {
 	maxOpen   int // connections on which a request may arrive
 	maxUsed   int // connections that have carried a request, active or idle
--- a/internal/gatherer/service/platformsettings_test.go
+++ b/internal/gatherer/service/platformsettings_test.go
@@ -7,8 +7,8 @@
 	"yokeroute/internal/config/platform"
 )
 
-// TestPulledLoadReportSettingsAreParsed checks that the settings of a platform with pulled load reports, to which the
-// gatherers migrate, are all parsed.
+// TestPulledLoadReportSettingsAreParsed checks that the settings of a platform on which load reports are pulled, and to
+// which the gatherers migrate, are all parsed.
 func TestPulledLoadReportSettingsAreParsed(t *testing.T) {
 	migrated := strings.NewReplacer(
 		`"pushed"`, `"on_request"`, `"secondCopies":true`, `"secondCopies":false,"probes":true`,
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -297,6 +297,7 @@
 		t.Fatalf("no claim had the outcome %q within 8 s", want)
 	}
 	m := f.authority.Map()
+	// falseChange moves s0 to h2. The authority sends it although it has not made that change.
 	falseChange, err := m.MoveSegment("s0", []string{"h2"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/gatherer/shardcall/errors.go
+++ b/internal/gatherer/shardcall/errors.go
@@ -73,5 +73,5 @@
 	errConnRetired   = errors.New("server was removed or its address changed")
 	errConnSilent    = errors.New("no data received while attempts were in flight")
 	errFrameRejected = errors.New("server rejected a frame")
-	errNotListed     = errors.New("server is not listed")
+	errNotListed     = errors.New("server is not in the endpoint list")
 )
--- a/internal/gatherer/shardcall/frame.go
+++ b/internal/gatherer/shardcall/frame.go
@@ -150,8 +150,8 @@
 
 // parseAnswer parses the body of an answer frame. It validates everything that a decision depends on, and ignores a
 // load report that it cannot parse. The value is a copy, since the buffer of the frame is reused. Clients receive the
-// value as text, so that a value that is not text is rejected, such as the start of the next frame after a wrong
-// length.
+// value as text, so a value that is not text is rejected. This also catches a wrong length, after which the value would
+// contain the start of the next frame.
 func parseAnswer(body []byte) (answer, error) {
 	line, value, found := bytes.Cut(body, []byte{'\n'})
 	fields := bytes.SplitN(line, []byte{' '}, 4)
--- a/internal/storage/runfolder/runfolder.go
+++ b/internal/storage/runfolder/runfolder.go
@@ -89,9 +89,10 @@
 	return fmt.Errorf("%s: %w", file.Name(), err)
 }
 
-// acquireToken takes the token after previous, the highest one that was read. Only one process can create the folder of
-// the token's journal. If the folder exists already, a process that holds the lock has been superseded; a process
-// without the lock retries with a higher token and takes over from the other one.
+// acquireToken takes the token after previous, where previous is the highest token read. It creates the folder of that
+// token's journal, which only one process can do. If the folder exists, another process was first: if this process
+// holds the folder's lock, it has been superseded; if not, it retries with a higher token and takes over from that
+// process.
 func (f *Folder) acquireToken(previous uint64) error {
 	if err := os.MkdirAll(f.file(journalsFolder), 0o755); err != nil {
 		return err
@@ -159,7 +160,7 @@
 func (f *Folder) CheckSuperseded() error {
 	token, err := readToken(f.path)
 	if err == nil && token != f.FencingToken {
-		return fmt.Errorf("%w: its fencing token is %d, this process has %d", ErrSuperseded, token, f.FencingToken)
+		return fmt.Errorf("%w: the newest fencing token is %d, this process has %d", ErrSuperseded, token, f.FencingToken)
 	}
 	return err
 }
--- a/internal/testbed/emulator/scenario.go
+++ b/internal/testbed/emulator/scenario.go
@@ -73,7 +73,7 @@
 	Name     string
 	Cores    int
 	Speed    float64
-	Queue    int     // parts that wait; further ones are turned away
+	Queue    int     // maximum number of waiting parts; further ones are rejected
 	Conns    int     // connections held at once, 0 for any number
 	Setup    float64 // work of a new connection
 	Call     float64 // work of a call beside its parts'
--- a/internal/testbed/emulator/server.go
+++ b/internal/testbed/emulator/server.go
@@ -14,7 +14,7 @@
 	set     int
 	hall    int
 	kind    *Kind
-	down    int     // reasons for which it does not run
+	down    int     // number of reasons why the server is not running
 	silent  bool    // being down it says nothing, as a machine that has vanished
 	fell    bool    // over, being pushed while cold
 	started float64 // 0 for long ago
--- a/internal/testbed/processtest/faults.go
+++ b/internal/testbed/processtest/faults.go
@@ -177,7 +177,7 @@
 	}
 }
 
-// beginFault begins a fault on a gatherer's process. On one that does not run it does nothing.
+// beginFault begins a fault on a gatherer's process. It does nothing if the process is not running.
 func (g *Gatherer) beginFault(ctx context.Context, ft *Fault) error {
 	p := g.Process()
 	if !p.Alive() {
--- a/internal/testbed/processtest/policyservers.go
+++ b/internal/testbed/processtest/policyservers.go
@@ -188,7 +188,7 @@
 // StateFolder returns the folder of the server's stored state.
 func (s *PolicyServer) StateFolder() string { return filepath.Join(s.Folder, policyStateFolder) }
 
-// CopyState copies the server's stored state to a folder, while it does not run.
+// CopyState copies the server's stored state to a folder. The server must not be running.
 func (s *PolicyServer) CopyState(to string) error { return os.CopyFS(to, os.DirFS(s.StateFolder())) }
 
 // RestoreState replaces the server's stored state by a copy.
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -8,7 +8,7 @@
 )
 
 const (
-	// measuringWindowMS is the length of the measuring window; the value is the paper's.
+	// measuringWindowMS is the length of the measuring window; the value is taken from the paper.
 	measuringWindowMS = 5000.0
 	// minRecords is the number of records that a server keeps even if they are older than the window, up to
 	// maxRecordAgeMS: a small gatherer sends each server few attempts.
@@ -16,9 +16,9 @@
 	maxRecordAgeMS = 25000.0
 
 	// lateMultiple is the multiple of its usual latency above which an attempt is late and counts as failed;
-	// the value is the paper's.
+	// the value is taken from the paper.
 	lateMultiple = 2.0
-	// maxUtilization is the upper bound of a server's utilization, the paper's L·s.
+	// maxUtilization is the upper bound of a server's utilization (L·s in the paper).
 	maxUtilization = 0.9
 	// ageFactor multiplied by the mean age of the attempts in flight estimates their latency.
 	ageFactor = 1.5
@@ -31,8 +31,8 @@
 	// The shortest latency objective divided by initialLatencyDivisor is the latency assumed before there is
 	// any record.
 	initialLatencyDivisor = 10
-	// The shortest latency objective divided by initialExtraDivisor is the extra latency, the paper's r,
-	// assumed before any attempt has failed.
+	// The shortest latency objective divided by initialExtraDivisor is the extra latency (r in the
+	// paper) assumed before any attempt has failed.
 	initialExtraDivisor = 2
 
 	unknownLatency = -1.0 // value of a mean latency for which there are no records
@@ -41,10 +41,10 @@
 // estimate holds the statistics of a server, by its records and its attempts in flight. The fields latency and
 // recentLatency are unknownLatency if there is no record of such an attempt.
 type estimate struct {
-	latency              float64 // mean latency of successful attempts, the paper's s
+	latency              float64 // mean latency of successful attempts (s in the paper)
 	recentLatency        float64 // mean latency of successful attempts within the window
-	failureShare         float64 // share of failed and late attempts, the paper's f
-	extraLatency         float64 // mean extra latency of failed and late attempts, the paper's r
+	failureShare         float64 // share of failed and late attempts (f in the paper)
+	extraLatency         float64 // mean extra latency of failed and late attempts (r in the paper)
 	cautiousFailureShare float64 // failureShare with failurePrior successes added
 	successShare         float64 // share of successful attempts, including those that succeeded late
 	successesSinceLoss   float64 // successful attempts since one failed that may have been executed
@@ -89,8 +89,8 @@
 // hasMeasurements reports whether windowMedian was measured, and is not the initial latency.
 func (e *latencyEstimator) hasMeasurements() bool { return e.windowMedian != e.initialLatency() }
 
-// latency returns a server's mean latency, the paper's s. A server without records is assumed to be an
-// average one.
+// latency returns a server's mean latency, which is s in the gain formula at chooseMode. A server without
+// records is assumed to have the average latency.
 func (e *latencyEstimator) latency(server int) float64 {
 	if s := e.servers.get(server).estimate.latency; s >= 0 {
 		return s
@@ -203,8 +203,8 @@
 	}
 }
 
-// affectedAttempts returns the paper's E: the number of attempts that a request sent now would delay,
-// including itself (section III-C).
+// affectedAttempts returns the number of attempts that a request sent now would delay, including itself. It is
+// E in the gain formula at chooseMode (section III-C of the paper).
 func (e *latencyEstimator) affectedAttempts(server int) float64 {
 	utilization := min(e.servers.attemptCounts[server]/measuringWindowMS*e.latency(server), maxUtilization)
 	queue := float64(e.servers.inFlight(server) + 1)
--- a/logic/flow/mincost.go
+++ b/logic/flow/mincost.go
@@ -62,7 +62,7 @@
 		return false
 	}
 	for i, d := range n.distance {
-		if farthest.Less(d) { // unreached nodes too; this bound makes no reduced cost negative
+		if farthest.Less(d) { // also for unreached nodes; with this limit no reduced cost is negative
 			d = farthest
 		}
 		n.potential[i] = n.potential[i].Add(d)
--- a/logic/handout/handout_test.go
+++ b/logic/handout/handout_test.go
@@ -48,8 +48,8 @@
 	unanswered []*Response
 	newest     [TypeCount]uint64 // newest version received on the stream
 	restarted  bool              // the stream has begun, and no clusters were accepted on it yet
-	// unlisted holds the clusters that the proxy had when a state-of-the-world stream began. The stream does not
-	// know of them, so they may be removed while routes still refer to them.
+	// unlisted holds the clusters that the proxy already had when a state-of-the-world stream began. The new
+	// stream does not know of them, so the test accepts their removal while routes still refer to them.
 	unlisted map[string]bool
 	now      float64
 }
--- a/logic/mode.go
+++ b/logic/mode.go
@@ -21,7 +21,8 @@
 	e.dropped *= factor
 }
 
-// droppedShare returns the paper's c: the share of extra requests that never reach a server.
+// droppedShare returns the share of extra requests that never reach a server, which is c in the gain formula
+// at chooseMode.
 func (e *extraRequests) droppedShare() float64 {
 	return e.dropped / max(e.dropped+e.sent, minExtraCount)
 }
@@ -34,10 +35,10 @@
 }
 
 // chooseMode decides which requests of a query are sent. In normal mode these are the n requests with the
-// lowest f that make a complete answer. In the paper's system-assisted mode all k requests are sent, and the
-// first n responses make the answer. The mode is assisted if the net gain is positive (section III, equations
-// 1 and 4): the sum of E·(f·r + c·s) over the n normal requests, less the sum of E·(1-c)·s over the extra
-// ones.
+// lowest f that make a complete answer. In system-assisted mode all k requests are sent, and the first n
+// responses make the answer. The mode is assisted if the net gain is positive (equations 1 and 4 in section
+// III of the paper): the sum of E·(f·r + c·s) over the n normal requests, less the sum of E·(1-c)·s over
+// the extra ones.
 func (g *Gatherer) chooseMode(q *query) {
 	q.modeChosen = true
 	droppedShare := g.extras.droppedShare()
--- a/logic/ownership/handover.go
+++ b/logic/ownership/handover.go
@@ -12,11 +12,11 @@
 	Seal Step = iota
 	// Fence raises the logs of the added segments to the new epoch and closes the logs of the removed ones.
 	Fence
-	// Accept has the new owners acquire the added segments.
+	// Accept makes the new owners acquire the added segments.
 	Accept
 	// Publish announces the new epoch to the gatherers.
 	Publish
-	// Release has the old owners release the removed segments.
+	// Release makes the old owners release the removed segments.
 	Release
 	// Done means that all steps are complete.
 	Done
--- a/logic/placement/infeasibility.go
+++ b/logic/placement/infeasibility.go
@@ -22,9 +22,10 @@
 	HostWarmingUp  LimitKind = "cold"     // a host that is warming up, at its safe capacity
 	HostNotStarted LimitKind = "coming"   // a host that has not started yet
 	HostDraining   LimitKind = "draining"
-	HostGone       LimitKind = "gone"       // a host that is removed or lost
-	ZoneMaxLoad    LimitKind = "hall most"  // a zone at its maximum load
-	ZoneHeadroom   LimitKind = "hall spare" // a zone at its capacity less the headroom
+	HostGone       LimitKind = "gone" // a host that is removed or lost
+	// The values call a zone a hall.
+	ZoneMaxLoad  LimitKind = "hall most"  // a zone at its maximum load
+	ZoneHeadroom LimitKind = "hall spare" // a zone at its capacity less the headroom
 )
 
 // OfZone reports whether the limit applies to a zone rather than to a host.
--- a/logic/rollout/plan.go
+++ b/logic/rollout/plan.go
@@ -53,7 +53,7 @@
 	FalseStopRate float64 // accepted probability that a version as good as the old one is stopped
 	FalsePassRate float64 // accepted probability that a stage passes a version that does Harm
 	MinQueries    float64 // queries of each evaluated class that new gatherers need in a stage
-	MinClassShare float64 // share of the fleet's queries from which on a class is evaluated
+	MinClassShare float64 // a class is evaluated if it has at least this share of the fleet's queries
 	MaxAttempts   int     // steps that may be tried to change one gatherer to new
 }
 
