--- a/internal/control/policyapi/documents.go
+++ b/internal/control/policyapi/documents.go
@@ -1,32 +1,34 @@
 // Package policyapi defines the protocol between gatherers, operators and policy servers: HTTP requests with JSON
-// documents, their paths, their readers, and the call that a client makes. docs/protocol-policy.md describes it.
+// documents. It has the paths, the documents and their readers, and the function by which clients send requests.
+// docs/protocol-policy.md describes the protocol.
 //
-// Names of fields differ from those on the wire, which struct tags hold.
+// Go field names differ from the names on the wire, which are in the struct tags.
 package policyapi
 
 import "yokeroute/logic/policy"
 
-// Format is the format number of all documents. A reader refuses another number and skips fields that it does not
-// know, so that a later version may add fields under the same number. A kind of policy entry that it does not know
-// must not be skipped: it is refused by name.
+// Format is the format number of all documents. A reader rejects any other number and ignores unknown fields, so that
+// a later version may add fields under the same number. An unknown kind of policy entry must not be ignored: the
+// policy is rejected with an error that names the kind.
 const Format = 1
 
 // Paths at a policy server.
 const (
-	PollPath        = "/policy/ask"     // from gatherers
-	StatusPath      = "/policy/status"  // from operators, as are the next four
-	ProposePath     = "/policy/propose" //
-	AbandonPath     = "/policy/give-up"
-	ForgetPath      = "/policy/forget"
-	MembershipPath  = "/policy/steward"
-	IncarnationPath = "/policy/boot" // from other policy servers
+	PollPath        = "/policy/ask"     // requested by gatherers
+	StatusPath      = "/policy/status"  // requested by operators
+	ProposePath     = "/policy/propose" // requested by operators
+	AbandonPath     = "/policy/give-up" // requested by operators
+	ForgetPath      = "/policy/forget"  // requested by operators
+	MembershipPath  = "/policy/steward" // requested by operators
+	IncarnationPath = "/policy/boot"    // requested by other policy servers
 )
 
-// PollRequest is a gatherer's long poll. The response is delayed while there is no news for the gatherer.
+// PollRequest is a gatherer's long poll. The response is delayed until there is an update that the gatherer does not
+// have, for WaitMillis at most.
 type PollRequest struct {
 	Format     int              `json:"policy"`
 	Heartbeat  policy.Heartbeat `json:"hello"`
-	WaitMillis float64          `json:"wait"` // the longest delay of the response
+	WaitMillis float64          `json:"wait"` // maximum delay of the response, in milliseconds
 }
 
 // PollResponse answers a PollRequest.
@@ -48,7 +50,8 @@
 	Reason string `json:"why,omitempty"`
 }
 
-// ChangeResponse answers a ProposeRequest or an AbandonRequest, and ForgetRequest without a change.
+// ChangeResponse answers a ProposeRequest or an AbandonRequest with the change. It also answers a ForgetRequest,
+// without a change.
 type ChangeResponse struct {
 	Format int            `json:"policy"`
 	Change *policy.Change `json:"change,omitempty"`
@@ -60,7 +63,7 @@
 	Name   string `json:"name,omitempty"`
 }
 
-// MembershipRequest adds a policy server to the quorum, or removes it.
+// MembershipRequest adds a policy server to the quorum, or removes one.
 type MembershipRequest struct {
 	Format int    `json:"policy"`
 	Name   string `json:"name,omitempty"`
@@ -72,38 +75,38 @@
 	Format int `json:"policy"`
 }
 
-// IncarnationRequest tells a policy server the number of another one's incarnation.
+// IncarnationRequest announces to a policy server the incarnation number of another policy server.
 type IncarnationRequest struct {
 	Format      int    `json:"policy"`
 	Incarnation uint64 `json:"number,omitempty"`
 	Name        string `json:"name,omitempty"`
 }
 
-// IncarnationResponse returns the highest incarnation that was known before, 0 for none.
+// IncarnationResponse returns the highest incarnation that was known before the request, 0 for none.
 type IncarnationResponse struct {
 	Format      int    `json:"policy"`
 	Incarnation uint64 `json:"boot,omitempty"`
 }
 
-// StatusResponse answers a GET of the status.
+// StatusResponse answers a GET request for StatusPath.
 type StatusResponse struct {
 	Format int     `json:"policy"`
 	Status *Status `json:"status,omitempty"`
 }
 
-// Status is what the leader knows of the record and of the gatherers.
+// Status holds what the leader knows about the record and the gatherers.
 type Status struct {
 	Server            string                `json:"steward"` // the leader's name
 	Record            policy.Record         `json:"record"`
 	Members           []policy.MemberStatus `json:"standings"`
 	AppliedEverywhere bool                  `json:"everywhere"`
 	Missing           []string              `json:"missing,omitempty"` // gatherers that have not applied the record
-	WaitingFor        string                `json:"waits,omitempty"`   // what the pending change waits for
+	WaitingFor        string                `json:"waits,omitempty"`   // why the pending change is not decided yet
 }
 
-// ErrorResponse answers each request that failed.
+// ErrorResponse answers a request that failed.
 type ErrorResponse struct {
 	Format  int    `json:"policy"`
-	Leader  string `json:"leader,omitempty"` // the leader's name, where the server is not the leader and knows it
+	Leader  string `json:"leader,omitempty"` // name of the leader, if the server is not the leader and knows which one is
 	Message string `json:"error,omitempty"`
 }
--- a/internal/control/policyapi/kept_test.go
+++ b/internal/control/policyapi/kept_test.go
@@ -11,8 +11,8 @@
 	"yokeroute/logic/policy"
 )
 
-// kept returns a document as a released version wrote it. None of these files may be changed.
-func kept(t *testing.T, name string) []byte {
+// readKeptFile returns a document that a released version wrote. These files must not be changed.
+func readKeptFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
 	if err != nil {
@@ -21,22 +21,22 @@
 	return text
 }
 
-// document checks one kept document.
-type document func(t *testing.T, name string)
+// documentCheck checks how one kept document is read and encoded.
+type documentCheck func(t *testing.T, name string)
 
-// readAs returns a check that a kept document is read as the value it was written from, and that both what was read and
-// that value are written byte for byte as the document.
-func readAs[T any](want T, read Reader[T]) document {
+// readAs returns a check that a kept document is read as want, and that both the result and want are encoded as the
+// same bytes as the document.
+func readAs[T any](want T, read Reader[T]) documentCheck {
 	return func(t *testing.T, name string) {
 		t.Helper()
-		text := kept(t, name)
+		text := readKeptFile(t, name)
 		got, err := read(bytes.NewReader(text))
 		if err != nil || !reflect.DeepEqual(*got, want) {
-			t.Errorf("%s is read as %+v, %v", name, got, err)
+			t.Errorf("%s: read %+v, %v; want %+v", name, got, err, want)
 		}
 		for _, value := range []any{got, want} {
 			if again, err := json.Marshal(value); err != nil || !bytes.Equal(again, text) {
-				t.Errorf("%s is written as %s, %v", name, again, err)
+				t.Errorf("%s: encoded as %s, %v; want the bytes of the file", name, again, err)
 			}
 		}
 	}
@@ -127,10 +127,10 @@
 	}
 }
 
-// TestKeptDocuments: each document of the protocol is read as the value that it was written from, and is written again
-// byte for byte.
+// TestKeptDocuments checks that each protocol document of a released version is read as the value that it was written
+// from, and that this value is encoded as the same bytes.
 func TestKeptDocuments(t *testing.T) {
-	hello := policy.Heartbeat{
+	heartbeat := policy.Heartbeat{
 		Member:          keptMember(),
 		Incarnation:     "123-456",
 		Applied:         policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44},
@@ -142,33 +142,33 @@
 		RejectedUpdates: 3,
 	}
 	change := keptChange()
-	update := func(u policy.Update) document {
+	update := func(u policy.Update) documentCheck {
 		return readAs(PollResponse{Format: Format, Update: &u}, ReadPollResponse)
 	}
-	status := func(s Status) document {
+	status := func(s Status) documentCheck {
 		return readAs(StatusResponse{Format: Format, Status: &s}, Read[StatusResponse])
 	}
-	failure := func(leader, message string) document {
+	failure := func(leader, message string) documentCheck {
 		return readAs(ErrorResponse{Format: Format, Leader: leader, Message: message}, Read[ErrorResponse])
 	}
-	proposal := func(c policy.Change) document {
+	proposal := func(c policy.Change) documentCheck {
 		return readAs(ProposeRequest{Format: Format, Change: c}, ReadProposeRequest)
 	}
-	member := func(name string, remove bool) document {
+	member := func(name string, remove bool) documentCheck {
 		return readAs(MembershipRequest{Format: Format, Name: name, Remove: remove}, Read[MembershipRequest])
 	}
-	refused := "it does not know the kind turns; it is of an older version"
-	idle := policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Lease: 10_000}
-	pending := idle
-	pending.Pending = &change
-	first := policy.Heartbeat{Member: policy.Member{Name: "g1"}, Incarnation: "1"}
+	refusalReason := "it does not know the kind turns; it is of an older version"
+	withoutPending := policy.Update{Epoch: 41, Policy: keptPolicy(), LastEnded: 43, Lease: 10_000}
+	withPending := withoutPending
+	withPending.Pending = &change
+	firstHeartbeat := policy.Heartbeat{Member: policy.Member{Name: "g1"}, Incarnation: "1"}
 	proposed := policy.Change{ID: change.ID, Base: 41, Policy: keptPolicy(), Reason: change.Reason}
-	for name, check := range map[string]document{
-		"ask.json":               readAs(PollRequest{Format, hello, 2000}, ReadPollRequest),
-		"ask-first.json":         readAs(PollRequest{Format, first, 0}, ReadPollRequest),
-		"answer-word.json":       update(idle),
-		"answer-change.json":     update(pending),
-		"answer-refused.json":    update(policy.Update{Epoch: 41, LastEnded: 43, RefusalReason: refused}),
+	for name, check := range map[string]documentCheck{
+		"ask.json":               readAs(PollRequest{Format, heartbeat, 2000}, ReadPollRequest),
+		"ask-first.json":         readAs(PollRequest{Format, firstHeartbeat, 0}, ReadPollRequest),
+		"answer-word.json":       update(withoutPending),
+		"answer-change.json":     update(withPending),
+		"answer-refused.json":    update(policy.Update{Epoch: 41, LastEnded: 43, RefusalReason: refusalReason}),
 		"answer-proposed.json":   readAs(ChangeResponse{Format, &change}, Read[ChangeResponse]),
 		"answer-status.json":     status(*keptStatus()),
 		"answer-everywhere.json": status(Status{Server: "s1", AppliedEverywhere: true}),
@@ -186,7 +186,7 @@
 	} {
 		check(t, name)
 	}
-	for _, read := range []document{
+	for _, read := range []documentCheck{
 		readAs(ChangeResponse{Format: Format}, Read[ChangeResponse]),
 		readAs(IncarnationResponse{Format: Format}, Read[IncarnationResponse]),
 		readAs(PollResponse{Format: Format}, ReadPollResponse),
@@ -195,7 +195,8 @@
 	}
 }
 
-// TestKeptCommands: the commands of the log that policy servers replicate are written as before, and read again.
+// TestKeptCommands checks that commands of the replicated log that a released version wrote are read, and encoded as
+// the same bytes.
 func TestKeptCommands(t *testing.T) {
 	change, member := keptChange(), keptMember()
 	for name, want := range map[string]policy.Command{
@@ -205,13 +206,13 @@
 		"log-register.json": {Register: &member},
 		"log-forget.json":   {Forget: "g7"},
 	} {
-		text := kept(t, name)
+		text := readKeptFile(t, name)
 		var got policy.Command
 		if err := json.Unmarshal(text, &got); err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s is read as %+v, %v", name, got, err)
+			t.Errorf("%s: read %+v, %v; want %+v", name, got, err, want)
 		}
 		if again, err := json.Marshal(want); err != nil || !bytes.Equal(again, text) {
-			t.Errorf("%s is written as %s, %v", name, again, err)
+			t.Errorf("%s: encoded as %s, %v; want the bytes of the file", name, again, err)
 		}
 	}
 }
--- a/internal/control/policyapi/read.go
+++ b/internal/control/policyapi/read.go
@@ -9,7 +9,7 @@
 	"yokeroute/logic/policy"
 )
 
-// Bounds of a document. A reader refuses what exceeds them, so that no peer can exhaust its memory.
+// Limits of a document. A reader rejects a document that exceeds them, so that no peer can exhaust its memory.
 const (
 	MaxBytes       = 4 << 20
 	maxEntries     = 10_000
@@ -20,7 +20,7 @@
 	maxLeaseMillis = 3_600_000
 )
 
-// Read reads a document of this format, without checks of its fields.
+// Read reads a document and checks its size and its format number, but not its fields.
 func Read[T any](from io.Reader) (*T, error) {
 	text, err := io.ReadAll(io.LimitReader(from, MaxBytes+1))
 	if err != nil {
@@ -61,7 +61,7 @@
 		return nil, errors.New("hello: a text or list is too long")
 	case len(h.Version) > maxNameBytes || len(h.Zone) > maxNameBytes:
 		return nil, errors.New("hello: a text or list is too long")
-	case !(r.WaitMillis >= 0 && r.WaitMillis <= maxWaitMillis): // refuses NaN as well
+	case !(r.WaitMillis >= 0 && r.WaitMillis <= maxWaitMillis): // rejects NaN as well
 		return nil, fmt.Errorf("wait: %g ms, 0 to %d can be", r.WaitMillis, maxWaitMillis)
 	}
 	if err := checkPolicy("hello.floor", h.Fallback); err != nil {
@@ -85,15 +85,16 @@
 	return r, nil
 }
 
+// checkUpdate checks the fields of an update.
 func checkUpdate(u *policy.Update) error {
 	if err := checkPolicy("word.policy", u.Policy); err != nil {
 		return err
 	}
 	switch {
-	case !(u.Lease >= 0 && u.Lease <= maxLeaseMillis): // refuses NaN as well
-		return fmt.Errorf("word.lease: %g ms, at most an hour can be", u.Lease)
+	case !(u.Lease >= 0 && u.Lease <= maxLeaseMillis): // rejects NaN as well
+		return fmt.Errorf("word.lease: is %g ms, must be between 0 and an hour", u.Lease)
 	case u.LastEnded < u.Epoch:
-		return fmt.Errorf("word.last: %d is before epoch %d", u.LastEnded, u.Epoch)
+		return fmt.Errorf("word.last: %d is less than epoch %d", u.LastEnded, u.Epoch)
 	case u.Pending == nil:
 		return nil
 	case u.Pending.Number != u.LastEnded+1:
@@ -118,7 +119,8 @@
 	return r, nil
 }
 
-// checkPolicy checks that a policy is ordered and that its entries are valid. Field names it in errors.
+// checkPolicy checks that the entries of a policy are valid and in order. Errors start with field, the name of the
+// document's field.
 func checkPolicy(field string, p policy.Policy) error {
 	if len(p) > maxEntries {
 		return fmt.Errorf("%s: %d entries, at most %d can be", field, len(p), maxEntries)
--- a/internal/control/policyapi/read_test.go
+++ b/internal/control/policyapi/read_test.go
@@ -9,25 +9,25 @@
 	"yokeroute/logic/policy"
 )
 
-// TestReadRefusesInvalidDocuments: a document of another format, or with what no gatherer could apply, is refused with
-// the name of its field.
-func TestReadRefusesInvalidDocuments(t *testing.T) {
-	hello := `"hello":{"name":"g1","process":"1"}`
+// TestReadRejectsInvalidDocuments checks that a document of another format, or with a value that no gatherer could
+// apply, is rejected with an error that names the field.
+func TestReadRejectsInvalidDocuments(t *testing.T) {
+	heartbeat := `"hello":{"name":"g1","process":"1"}`
 	for text, want := range map[string]string{
-		`{`:                                     "unexpected end",
-		`{"policy":2,` + hello + `}`:            "is of the form 2, this version takes 1",
-		`{"policy":1}`:                          "hello.name",
-		`{"policy":1,"hello":{"name":"g"}}`:     "hello.process",
-		`{"policy":1,` + hello + `,"wait":1e9}`: "wait: 1e+09 ms",
+		`{`:                                 "unexpected end",
+		`{"policy":2,` + heartbeat + `}`:    "is of the form 2, this version takes 1",
+		`{"policy":1}`:                      "hello.name",
+		`{"policy":1,"hello":{"name":"g"}}`: "hello.process",
+		`{"policy":1,` + heartbeat + `,"wait":1e9}`: "wait: 1e+09 ms",
 		`{"policy":1,"hello":{"name":"g1","process":"1",` +
 			`"floor":[{"kind":"least","of":"x","value":7}]}}`: "hello.floor: least x 7 is not within 0 and 1",
 		`{"policy":1,"hello":{"name":"g1","process":"1",` +
 			`"floor":[{"kind":"once-only","of":"x"},{"kind":"closed","of":"a/"}]}}`: "out of order",
-		`{"policy":1,` + hello + `,"a-word-of-later":true}`: "",
+		`{"policy":1,` + heartbeat + `,"a-word-of-later":true}`: "",
 	} {
 		_, err := ReadPollRequest(strings.NewReader(text))
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
 	for text, want := range map[string]string{
@@ -39,17 +39,17 @@
 	} {
 		_, err := ReadPollResponse(strings.NewReader(text))
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("%s: %v", text, err)
+			t.Errorf("%s: error %v, want %q", text, err, want)
 		}
 	}
 	tooLong := `{"policy":1,"x":"` + strings.Repeat("a", MaxBytes) + `"}`
 	if _, err := ReadPollRequest(strings.NewReader(tooLong)); err == nil || !strings.Contains(err.Error(), "bytes long") {
-		t.Errorf("%v", err)
+		t.Errorf("document over %d bytes: error %v", MaxBytes, err)
 	}
 }
 
-// FuzzPollResponse: whatever a server answers, the reader returns a valid response or an error, and a lease holder that
-// handles the response permits no more than the policy in it.
+// FuzzPollResponse checks that for any input the reader returns a valid response or an error, and that a lease holder
+// that handles the response permits no more than the response's policy.
 func FuzzPollResponse(f *testing.F) {
 	f.Add([]byte(`{"policy":1,"word":{"epoch":1,"policy":[{"kind":"closed","of":"a/"}],"last":1,` +
 		`"change":{"number":2,"policy":[]},"lease":1000}}`))
@@ -65,7 +65,7 @@
 		effective, _ := h.Effective(1)
 		if accepted && r.Update.Lease > 1 && len(r.Update.Policy.UnknownKinds()) == 0 {
 			if violations := policy.Violations(effective, r.Update.Policy); len(violations) > 0 {
-				t.Fatalf("%v is in effect, the update has %v", effective, r.Update.Policy)
+				t.Fatalf("effective policy %v is less strict than the update's %v", effective, r.Update.Policy)
 			}
 		}
 		if again, err := json.Marshal(r); err != nil || len(again) == 0 {
--- a/internal/control/policyapi/typenames.go
+++ b/internal/control/policyapi/typenames.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// wireTypeNames replaces names of Go types in errors of package json. Policy servers send these errors to clients, so
-// their texts are part of the protocol and keep the names that the types first had.
+// wireTypeNames replaces names of Go types and fields in errors of package encoding/json. Policy servers send these
+// errors to clients, so their texts are part of the protocol and keep the names that the types had at first.
 var wireTypeNames = strings.NewReplacer(
 	"type struct { Format int ", "type struct { Form int ",
 	"field PollRequest.", "field Ask.",
@@ -23,16 +23,16 @@
 	"type policy.Outcome", "type policy.End",
 )
 
-// typeError is an error about the type of a field, with the type names of the protocol.
+// typeError reports a field of the wrong type. Its text has the type names of the protocol instead of the Go names.
 type typeError struct{ err *json.UnmarshalTypeError }
 
-// Error returns the text of the protocol.
+// Error returns the text that is sent to clients.
 func (e typeError) Error() string { return wireTypeNames.Replace(e.err.Error()) }
 
-// Unwrap returns the error of package json.
+// Unwrap returns the error of package encoding/json.
 func (e typeError) Unwrap() error { return e.err }
 
-// unmarshal reads a JSON text.
+// unmarshal parses JSON like json.Unmarshal, with errors that have the type names of the protocol.
 func unmarshal(text []byte, into any) error {
 	err := json.Unmarshal(text, into)
 	var mismatch *json.UnmarshalTypeError
--- a/internal/control/policyapi/typenames_test.go
+++ b/internal/control/policyapi/typenames_test.go
@@ -8,7 +8,8 @@
 	"testing"
 )
 
-// TestKeptTypeErrors: a field of the wrong type is reported in the words of a released version, as clients see them.
+// TestKeptTypeErrors checks that a field of the wrong type is reported with the same text as by a released version,
+// since clients receive it.
 func TestKeptTypeErrors(t *testing.T) {
 	type reader func(io.Reader) error
 	poll := func(r io.Reader) error { _, err := ReadPollRequest(r); return err }
@@ -48,11 +49,11 @@
 	} {
 		err := c.read(strings.NewReader(c.text))
 		if err == nil || err.Error() != "json: cannot unmarshal "+c.want {
-			t.Errorf("%s: %v", c.text, err)
+			t.Errorf("%s: error %v, want %q", c.text, err, c.want)
 		}
 		var mismatch *json.UnmarshalTypeError
 		if !errors.As(err, &mismatch) {
-			t.Errorf("%s: %T", c.text, err)
+			t.Errorf("%s: error of type %T wraps no *json.UnmarshalTypeError", c.text, err)
 		}
 	}
 }
