--- a/internal/control/policyclient/change_test.go
+++ b/internal/control/policyclient/change_test.go
@@ -58,12 +58,12 @@
 // TestRefusedChangeIsAppliedNowhere: a change that a gatherer refuses is abandoned with its reason, one that a
 // fallback policy violates is rejected, and of two that are proposed at once one is rejected. A pending change can be
 // abandoned.
-func TestRefusedChangeIsAppliedNowhere(t *testing.T) {
+func TestRejectedChangeIsNotApplied(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 4, 40, threeServers)
 	for text, reason := range map[string]string{
 		"no-copies\nindex nowhere no-copies\n":              "there is no index nowhere",
-		"no-copies\nclose zone west host s7\n":              "closed west/s7: s7 stands in ",
+		"no-copies\nclose zone west host s7\n":              "closed west/s7: the endpoint list has host s7 in zone ",
 		closeS1Text + "turns s9 50%\n":                      "",
 		closeS3Text + closeS1Text + "index any no-copies\n": "",
 	} {
@@ -104,8 +104,8 @@
 	}
 	f.fleet.Gatherers[3].Process().Continue()
 	f.awaitStatus("all apply the policy from before", func(s *policyapi.Status) bool {
-		same := s.Record.Epoch == before.Record.Epoch && s.Record.LastEnded == pending.Number
-		return s.AppliedEverywhere && same && len(s.Members) == 4 && s.Members[3].State == policy.StateApplied
+		policyUnchanged := s.Record.Epoch == before.Record.Epoch && s.Record.LastEnded == pending.Number
+		return s.AppliedEverywhere && policyUnchanged && len(s.Members) == 4 && s.Members[3].State == policy.StateApplied
 	})
 	f.check()
 }
@@ -114,7 +114,7 @@
 func (f *fleetTest) proposeTwoAtOnce(base uint64, texts ...string) *policy.Change {
 	f.Helper()
 	var mu sync.Mutex
-	var made []*policy.Change
+	var accepted []*policy.Change
 	var rejected []string
 	var wait sync.WaitGroup
 	for _, text := range texts {
@@ -126,15 +126,15 @@
 			if err != nil {
 				rejected = append(rejected, err.Error())
 			} else {
-				made = append(made, c)
+				accepted = append(accepted, c)
 			}
 		})
 	}
 	wait.Wait()
-	if len(made) != 1 || len(rejected) != 1 || !strings.Contains(rejected[0], "is being prepared") {
-		f.Fatalf("%+v, %q", made, rejected)
+	if len(accepted) != 1 || len(rejected) != 1 || !strings.Contains(rejected[0], "is being prepared") {
+		f.Fatalf("%+v, %q", accepted, rejected)
 	}
-	return made[0]
+	return accepted[0]
 }
 
 // pollLeader polls the leader, and the next one where leadership has moved meanwhile, as a gatherer does.
@@ -166,7 +166,7 @@
 
 // TestOlderGathererIsNamed: a change with a kind that a gatherer of an older version does not know is rejected and
 // names it. Once that gatherer is forgotten the change is committed, and it is not admitted again.
-func TestOlderGathererIsNamed(t *testing.T) {
+func TestErrorNamesGathererOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2, 20, threeServers)
 	poll := func() *policy.Update {
--- a/internal/control/policylease/kept_test.go
+++ b/internal/control/policylease/kept_test.go
@@ -21,8 +21,8 @@
 	"yokeroute/logic/policy"
 )
 
-// kept returns a file as a released version wrote it. None of these files may be changed.
-func kept(t *testing.T, path ...string) []byte {
+// readKeptFile returns a file that a released version wrote. These files must not be changed.
+func readKeptFile(t *testing.T, path ...string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join(path...))
 	if err != nil {
@@ -31,18 +31,18 @@
 	return text
 }
 
-// TestKeptRevision: the revision is read from the file that a released version wrote, and written again byte for
-// byte.
+// TestKeptRevision checks that the revision file of a released version is read, and that the revision is stored as the
+// same bytes.
 func TestKeptRevision(t *testing.T) {
 	folder := t.TempDir()
 	want := policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}
-	text := kept(t, "testdata", "kept", "fence")
+	text := readKeptFile(t, "testdata", "kept", "fence")
 	file := filepath.Join(folder, "policy")
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := LoadRevision(folder); got != want || err != nil {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("loaded %+v, %v; want %+v", got, err, want)
 	}
 	if err := os.Remove(file); err != nil {
 		t.Fatal(err)
@@ -51,14 +51,14 @@
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(file); err != nil || !bytes.Equal(got, text) {
-		t.Errorf("%s, %v", got, err)
+		t.Errorf("stored %s, %v; want %s", got, err, text)
 	}
 }
 
-// TestKeptPolls: the first poll and the one after an update are sent as a released version sent them, byte for byte,
-// and the revision of the update is stored likewise.
+// TestKeptPolls checks that the first poll and the poll after an update have the same bytes as those of a released
+// version, and so has the revision file that is stored after the update.
 func TestKeptPolls(t *testing.T) {
-	answer := kept(t, "..", "policyapi", "testdata", "kept", "answer-change.json")
+	answer := readKeptFile(t, "..", "policyapi", "testdata", "kept", "answer-change.json")
 	polls := make(chan string, 100)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
@@ -113,18 +113,18 @@
 		case poll := <-polls:
 			received = append(received, poll)
 		case <-timeout:
-			t.Fatalf("%q", received)
+			t.Fatalf("received %d polls within 20 s, want 2: %q", len(received), received)
 		}
 	}
 	stop()
 	<-ended
 	for i, name := range []string{"poll-first.json", "poll-next.json"} {
-		if want := "POST /policy/ask " + string(kept(t, "testdata", "kept", name)); received[i] != want {
-			t.Errorf("%s: %s", name, received[i])
+		if want := "POST /policy/ask " + string(readKeptFile(t, "testdata", "kept", name)); received[i] != want {
+			t.Errorf("%s: received %s, want %s", name, received[i], want)
 		}
 	}
 	stored, err := os.ReadFile(filepath.Join(folder, "policy"))
-	if want := kept(t, "testdata", "kept", "fence"); err != nil || !bytes.Equal(stored, want) {
-		t.Errorf("%s, %v", stored, err)
+	if want := readKeptFile(t, "testdata", "kept", "fence"); err != nil || !bytes.Equal(stored, want) {
+		t.Errorf("stored %s, %v; want %s", stored, err, want)
 	}
 }
--- a/internal/control/policylease/lease.go
+++ b/internal/control/policylease/lease.go
@@ -1,6 +1,6 @@
 // Package policylease applies the operators' policy in a gatherer. A Lease holds the policy in effect and gives the
-// dispatcher the settings that follow from it; a Poller keeps the lease renewed by polling the policy servers. What
-// is decided is decided by logic/policy.
+// dispatcher the settings that result from it. A Poller renews the lease by polling the policy servers. All decisions
+// are made by package logic/policy.
 package policylease
 
 import (
@@ -12,21 +12,21 @@
 	"yokeroute/logic/policy"
 )
 
-// Lease holds the policy in effect. It is shared by the dispatcher, the connections to shard servers and the poller.
+// Lease holds the policy in effect. The dispatcher, the connections to shard servers and the poller share it.
 type Lease struct {
 	platform *gather.Settings
 	clock    func() float64 // milliseconds
-	drained  chan struct{}  // signalled once no query is in flight under an earlier policy
+	drained  chan struct{}  // receives a value once no query is in flight under an earlier policy
 	onChange func()         // called after the policy in effect has changed
 
-	mu         sync.Mutex
-	holder     *policy.LeaseHolder
-	generation uint64 // of the policy that the fields below follow from
-	effective  policy.Policy
-	settings   *gather.Settings
-	locations  map[uint32]location // of shard servers, by ID
-	closed     map[uint32]bool
-	closedRev  uint64 // counts changes of closed
+	mu             sync.Mutex
+	holder         *policy.LeaseHolder
+	generation     uint64 // generation of effective, from which settings and closed are derived
+	effective      policy.Policy
+	settings       *gather.Settings
+	locations      map[uint32]location // locations of the shard servers, by ID
+	closed         map[uint32]bool
+	closedRevision uint64 // number of changes of closed
 }
 
 var _ dispatch.PolicyGate = (*Lease)(nil)
@@ -34,13 +34,13 @@
 // Config configures a Lease.
 type Config struct {
 	Platform *gather.Settings // the platform's settings
-	Fallback policy.Policy    // in effect without a lease
-	Revision policy.Revision  // stored by an earlier incarnation
+	Fallback policy.Policy    // policy in effect while no lease is held
+	Revision policy.Revision  // revision that an earlier incarnation stored
 	Clock    func() float64   // the dispatcher's clock, in milliseconds
 	OnChange func()           // makes the dispatcher run a round
 }
 
-// New returns a lease that is not held yet: the fallback policy is in effect.
+// New returns a lease that is not held yet, so that the fallback policy is in effect.
 func New(c Config) *Lease {
 	l := &Lease{
 		platform:  c.Platform,
@@ -54,7 +54,8 @@
 	return l
 }
 
-// refresh derives settings and closed servers from the policy in effect, where it has changed. The lock is held.
+// refresh derives the settings and the closed servers from the policy in effect if it has changed. The caller holds
+// the lock.
 func (l *Lease) refresh(now float64) {
 	effective, generation := l.holder.Effective(now)
 	if generation == l.generation {
@@ -66,7 +67,7 @@
 	l.updateClosed()
 }
 
-// Effective returns the settings for queries that arrive now, and their generation.
+// Effective returns the generation in effect and its settings, which apply to queries that arrive now.
 func (l *Lease) Effective(now float64) (uint64, *gather.Settings) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -74,14 +75,14 @@
 	return l.generation, l.settings
 }
 
-// MarkDrained records that no query is in flight from before a generation.
+// MarkDrained records that no query of a generation before the given one is in flight.
 func (l *Lease) MarkDrained(generation uint64) {
 	l.mu.Lock()
-	before := l.holder.Drained()
+	wasDrained := l.holder.Drained()
 	l.holder.MarkDrained(generation)
-	after := l.holder.Drained()
+	isDrained := l.holder.Drained()
 	l.mu.Unlock()
-	if !after || before {
+	if !isDrained || wasDrained {
 		return
 	}
 	select {
@@ -90,28 +91,28 @@
 	}
 }
 
-// Drained reports whether all queries in flight were decided by the policy in effect.
+// Drained reports whether all queries in flight are decided by the policy in effect.
 func (l *Lease) Drained() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder.Drained()
 }
 
-// heartbeat returns the lease's part of the next heartbeat.
+// heartbeat returns the fields of the next heartbeat that the lease knows.
 func (l *Lease) heartbeat() policy.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.holder.Heartbeat(l.clock())
 }
 
-// handle processes an update that answers a poll sent at sentAt. See policy.LeaseHolder.Handle for its results.
+// handle processes an update that answers a poll sent at sentAt. policy.LeaseHolder.Handle documents the results.
 func (l *Lease) handle(sentAt float64, u policy.Update) (revision policy.Revision, advanced, accepted bool) {
 	l.mu.Lock()
 	now := l.clock()
-	before := l.generation
+	previousGeneration := l.generation
 	revision, advanced, accepted = l.holder.Handle(sentAt, now, u)
 	l.refresh(now)
-	changed := l.generation != before
+	changed := l.generation != previousGeneration
 	l.mu.Unlock()
 	if changed {
 		l.onChange()
@@ -119,14 +120,15 @@
 	return revision, advanced, accepted
 }
 
-// Hold puts a policy of the gatherer's own file in effect, without policy servers. Number counts its readings.
-func (l *Lease) Hold(p policy.Policy, number uint64) error {
+// Hold puts a policy from the gatherer's local file in effect, without policy servers and without expiry. Readings is
+// how often the file has been read, and serves as the epoch.
+func (l *Lease) Hold(p policy.Policy, readings uint64) error {
 	l.mu.Lock()
 	err := l.validate(p)
 	l.mu.Unlock()
 	if err != nil {
 		return err
 	}
-	l.handle(l.clock(), policy.Update{Epoch: number, LastEnded: number, Policy: p, Lease: math.Inf(1)})
+	l.handle(l.clock(), policy.Update{Epoch: readings, LastEnded: readings, Policy: p, Lease: math.Inf(1)})
 	return nil
 }
--- a/internal/control/policylease/lease_test.go
+++ b/internal/control/policylease/lease_test.go
@@ -12,8 +12,9 @@
 	"yokeroute/logic/policy"
 )
 
-// leaseWith returns a lease on a policy that expires at 1000 by the clock that it returns as well.
-func leaseWith(t *testing.T, fallback, leased string) (*Lease, *float64) {
+// newTestLease returns a lease on the policy leased that expires at 1000 ms, and the clock's time in milliseconds,
+// which the test may set.
+func newTestLease(t *testing.T, fallback, leased string) (*Lease, *float64) {
 	t.Helper()
 	parse := func(text string) policy.Policy {
 		p, err := policyfile.Parse("p", text)
@@ -51,48 +52,49 @@
 	testPolicy = "index any least 60%\nfurther free 4\ncold 50%\nclose zone south host s2\nturns s1 50%\n"
 )
 
-// TestLeaseAppliesPolicyToSettings: settings, closed servers and weights follow from the policy, and the platform's
-// settings stay as they are.
+// TestLeaseAppliesPolicyToSettings checks that settings, closed servers and weights result from the policy, and that
+// the platform's settings are not modified.
 func TestLeaseAppliesPolicyToSettings(t *testing.T) {
-	l, _ := leaseWith(t, testFallback, testPolicy)
+	l, _ := newTestLease(t, testFallback, testPolicy)
 	_, settings := l.Effective(1)
 	class := settings.Class("any")
 	if class.MinShare != 0.6 || class.CompleteShare != 0.75 {
-		t.Errorf("%+v", class)
+		t.Errorf("class any: %+v, want min share 0.6 and complete share 0.75", class)
 	}
 	if settings.RetryBudgetFloor != 4 || settings.RetryBudgetRatio != 0.1 || settings.OverloadMultiple != 1.5 {
-		t.Errorf("%+v", settings)
+		t.Errorf("settings: %+v", settings)
 	}
 	if !settings.HedgingAllowed || l.platform.OverloadMultiple != 3 {
-		t.Errorf("%+v; %+v", settings, l.platform)
+		t.Errorf("settings %+v; platform's settings %+v", settings, l.platform)
 	}
 	if l.Weight(1) != 0.5 || l.Weight(2) != 1 || l.Blocked(1) || !l.Blocked(2) {
-		t.Errorf("%v", l.closed)
+		t.Errorf("weights %g and %g, closed servers %v", l.Weight(1), l.Weight(2), l.closed)
 	}
 }
 
-// TestExpiredLeaseRestrictsDecisions: a request or an answer that was decided before the lease expired goes only as
-// far as the fallback policy permits.
+// TestExpiredLeaseRestrictsDecisions checks that an attempt or a result that was decided before the lease expired is
+// sent afterwards only if the fallback policy permits it.
 func TestExpiredLeaseRestrictsDecisions(t *testing.T) {
-	l, now := leaseWith(t, testFallback, testPolicy)
+	l, now := newTestLease(t, testFallback, testPolicy)
 	generation, _ := l.Effective(1)
 	call := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1, Repeated: true, Hedge: true, UsesRetryBudget: true}
-	served := dispatch.Result{Kind: dispatch.Served}
-	closed := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 2}
-	if !l.Permits(call, 500) || l.Permits(closed, 500) || l.ReviewResult(call, served, 0.6, true, 500).Kind != dispatch.Served {
-		t.Error("under the lease")
+	servedResult := dispatch.Result{Kind: dispatch.Served}
+	toClosedServer := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 2}
+	if !l.Permits(call, 500) || l.Permits(toClosedServer, 500) ||
+		l.ReviewResult(call, servedResult, 0.6, true, 500).Kind != dispatch.Served {
+		t.Error("while the lease is held: wrong decision about an attempt, a closed server or a result")
 	}
 	*now = 1000
 	for _, a := range []dispatch.PolicyCheck{{Hedge: true}, {Repeated: true}, {UsesRetryBudget: true}} {
 		a.Generation, a.Class, a.Server = generation, "any", 9
 		if l.Permits(a, 1000) {
-			t.Errorf("%+v is sent after the lease", a)
+			t.Errorf("%+v is permitted after the lease expired", a)
 		}
 	}
-	first := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 9}
-	closed = dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1}
-	if !l.Permits(first, 1000) || l.Permits(closed, 1000) {
-		t.Error("a first request is sent, but not to a host that the fallback policy closes")
+	firstAttempt := dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 9}
+	toClosedServer = dispatch.PolicyCheck{Generation: generation, Class: "any", Server: 1}
+	if !l.Permits(firstAttempt, 1000) || l.Permits(toClosedServer, 1000) {
+		t.Error("after the lease expired: want a first attempt permitted, except to a host that the fallback policy closes")
 	}
 	for _, c := range []struct {
 		result dispatch.Result
@@ -100,47 +102,47 @@
 		ran    bool
 		want   dispatch.ResultKind
 	}{
-		{served, 0.6, true, dispatch.Failed},
-		{served, 0.95, true, dispatch.Served},
+		{servedResult, 0.6, true, dispatch.Failed},
+		{servedResult, 0.95, true, dispatch.Served},
 		{dispatch.Result{Kind: dispatch.Rejected}, 0, true, dispatch.Failed},
 		{dispatch.Result{Kind: dispatch.Rejected}, 0, false, dispatch.Rejected},
 	} {
 		if got := l.ReviewResult(call, c.result, c.share, c.ran, 1000).Kind; got != c.want {
-			t.Errorf("%+v: %v", c, got)
+			t.Errorf("%+v: result %v", c, got)
 		}
 	}
 	s := l.State()
 	if s.ExpiresAt != 0 || s.ExpiredLeases != 1 || !strings.Contains(s.Effective, "close zone north\n") {
-		t.Errorf("%+v", s)
+		t.Errorf("state: %+v", s)
 	}
 }
 
-// TestHoldAppliesOwnPolicy: a policy of the gatherer's own file is in effect without end; one that the platform's
-// settings or the endpoint list rule out is an error.
-func TestHoldAppliesOwnPolicy(t *testing.T) {
-	l, _ := leaseWith(t, "", "")
+// TestHoldAppliesLocalPolicy checks that a policy from the gatherer's local file is in effect without expiry, and that
+// one that conflicts with the platform's settings or the endpoint list is an error.
+func TestHoldAppliesLocalPolicy(t *testing.T) {
+	l, _ := newTestLease(t, "", "")
 	err := l.Hold(policy.Policy{{Kind: policy.Closed, Subject: "north/"}}, 2)
 	if err != nil || !l.Blocked(1) || l.Blocked(2) || l.holder.ExpiresAt() != math.Inf(1) {
-		t.Errorf("%v, %v", err, l.closed)
+		t.Errorf("error %v, closed servers %v, expires at %g", err, l.closed, l.holder.ExpiresAt())
 	}
 	for text, want := range map[string]string{
 		"index nowhere no-copies\n":  "there is no index nowhere",
-		"index any least 40%\n":      "the platform's least share is 0.5",
-		"further share 20%\n":        "budget share is 0.1",
-		"further free 9\n":           "8 free further calls",
-		"close zone north host s2\n": "s2 stands in south",
+		"index any least 40%\n":      "the platform's minimum share 0.5",
+		"further share 20%\n":        "retry budget share 0.1",
+		"further free 9\n":           "retry allowance of 8",
+		"close zone north host s2\n": "host s2 in zone south",
 	} {
 		p, err := policyfile.Parse("p", text)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := l.Hold(p, 3); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 }
 
-// BenchmarkPermits measures the check of a shard request before its first byte is sent.
+// BenchmarkPermits measures the check that precedes the first byte of every shard request.
 func BenchmarkPermits(b *testing.B) {
 	l := New(Config{
 		Platform: &gather.Settings{Classes: []gather.Class{{Name: "any"}}},
--- a/internal/control/policylease/permit.go
+++ b/internal/control/policylease/permit.go
@@ -6,11 +6,11 @@
 	"yokeroute/logic/policy"
 )
 
-// roundingError of shares: the weights that they are computed from arrive rounded.
+// roundingError is the tolerance in comparisons of shares, which are computed from weights that arrive rounded.
 const roundingError = 1e-4
 
-// Permits reports whether a shard request may be sent now: not to a closed server, and where it was decided by a
-// policy that has expired, not if the policy in effect forbids it.
+// Permits reports whether an attempt may be sent now. An attempt to a closed server may not be sent, and neither may
+// one that was decided by an expired policy if the policy in effect forbids it.
 func (l *Lease) Permits(c dispatch.PolicyCheck, now float64) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -22,7 +22,7 @@
 		return true
 	case c.Hedge && l.effective.Has(policy.NoHedging, c.Class):
 		return false
-	case c.Repeated && l.restrictsEffect(c.Class):
+	case c.Repeated && l.nonIdempotentByPolicy(c.Class):
 		return false
 	case !c.UsesRetryBudget:
 		return true
@@ -30,15 +30,17 @@
 	return !l.effective.Has(policy.RetryShare, "") && !l.effective.Has(policy.RetryAllowance, "")
 }
 
-// restrictsEffect reports whether a class is non-idempotent by policy alone. The lock is held.
-func (l *Lease) restrictsEffect(class string) bool {
+// nonIdempotentByPolicy reports whether the policy makes a class non-idempotent that is idempotent by the platform's
+// settings. The caller holds the lock.
+func (l *Lease) nonIdempotentByPolicy(class string) bool {
 	return l.effective.Has(policy.NonIdempotent, class) && l.platform.Class(class).Effect != gather.NonIdempotent
 }
 
-// ReviewResult returns the result that may be given now. One that was decided by a policy that has expired becomes a
-// failure where it would answer below the min share, or reject a query that may have run.
+// ReviewResult returns the result that may be given now. A result that was decided by an expired policy becomes a
+// failure if it is an answer below the minimum share, or if it rejects a query that may have run and that the policy
+// in effect makes non-idempotent.
 func (l *Lease) ReviewResult(
-	c dispatch.PolicyCheck, r dispatch.Result, share float64, ran bool, now float64,
+	c dispatch.PolicyCheck, r dispatch.Result, share float64, mayHaveRun bool, now float64,
 ) dispatch.Result {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -50,7 +52,7 @@
 	switch {
 	case r.Kind == dispatch.Served && share < minShare-roundingError:
 		return dispatch.Result{Kind: dispatch.Failed}
-	case r.Kind == dispatch.Rejected && ran && l.restrictsEffect(c.Class):
+	case r.Kind == dispatch.Rejected && mayHaveRun && l.nonIdempotentByPolicy(c.Class):
 		return dispatch.Result{Kind: dispatch.Failed}
 	}
 	return r
--- a/internal/control/policylease/poller.go
+++ b/internal/control/policylease/poller.go
@@ -16,9 +16,10 @@
 )
 
 const (
-	// A poll without news is answered after pollWait: well within a lease, so that some polls may be lost.
+	// pollWait is the time after which a server answers a poll even without an update. It is well within a lease, so
+	// that the lease is renewed although some polls are lost.
 	pollWait = 2 * time.Second
-	// A server that has not answered after responseGrace more is given up.
+	// responseGrace is how long after pollWait the poller waits for the response before it tries another server.
 	responseGrace = time.Second
 
 	minBackoff = 50 * time.Millisecond
@@ -28,22 +29,22 @@
 // PollerConfig configures a Poller.
 type PollerConfig struct {
 	Servers []operator.PolicyServer
-	Member  policy.Member // its KnownKinds are set by the poller
-	// Incarnation differs after each start of the process.
+	Member  policy.Member // this gatherer; NewPoller sets its KnownKinds
+	// Incarnation is different for each start of the process.
 	Incarnation string
 	Version     string
-	StateFolder string // where the revision is stored, empty for nowhere
+	StateFolder string // folder in which the revision is stored; if empty, it is not stored
 	Log         *logrus.Logger
 }
 
-// Poller polls the policy servers, one poll after the other, and hands their updates to a lease.
+// Poller polls one policy server at a time and passes the updates to a lease.
 type Poller struct {
 	config PollerConfig
 	lease  *Lease
 	http   *http.Client
 }
 
-// NewPoller returns a poller. Run makes it poll.
+// NewPoller returns a poller for a lease. It does not poll before Run is called.
 func NewPoller(lease *Lease, c PollerConfig) *Poller {
 	c.Member.KnownKinds = policy.Kinds()
 	transport := &http.Transport{
@@ -54,13 +55,13 @@
 	return &Poller{config: c, lease: lease, http: &http.Client{Transport: transport}}
 }
 
-// errDrained ends a poll that has to be sent again, as there is news for the leader.
+// errDrained cancels a poll because the gatherer has drained: the next poll reports that to the leader at once.
 var errDrained = errors.New("the gatherer has drained")
 
-// Run polls until ctx ends. No query waits for it.
+// Run polls until ctx is done. No query waits for it.
 func (p *Poller) Run(ctx context.Context) {
 	defer p.http.CloseIdleConnections()
-	current := 0 // index of the server that is polled
+	current := 0 // index of the polled server
 	backoff := minBackoff
 	failing := false
 	for ctx.Err() == nil {
@@ -77,7 +78,7 @@
 				continue
 			}
 			if !failing {
-				p.serverLog(current).WithError(err).Warn("policy client: server does not answer")
+				p.serverLog(current).WithError(err).Warn("policy client: poll failed")
 			}
 			failing = true
 			current = (current + 1) % len(p.config.Servers)
@@ -86,11 +87,11 @@
 			continue
 		}
 		if failing {
-			p.serverLog(current).Info("policy client: server answers again")
+			p.serverLog(current).Info("policy client: poll succeeded again")
 		}
 		failing = false
 		backoff = minBackoff
-		if !p.handle(sentAt, update) || update.Lease == 0 { // the next update would be the same
+		if !p.handle(sentAt, update) || update.Lease == 0 { // an immediate poll would return the same update
 			p.pause(ctx, maxBackoff)
 		}
 	}
@@ -100,7 +101,7 @@
 	return p.config.Log.WithField("server", p.config.Servers[server].Name)
 }
 
-// leaderIndex returns the index of the server that an error names as the leader, -1 where it names none.
+// leaderIndex returns the index of the server that an error names as the leader, or -1 if it names none.
 func (p *Poller) leaderIndex(err error) int {
 	var status *policyapi.StatusError
 	if !errors.As(err, &status) || !status.NotLeader() || status.Leader == "" {
@@ -109,8 +110,8 @@
 	return slices.IndexFunc(p.config.Servers, func(s operator.PolicyServer) bool { return s.Name == status.Leader })
 }
 
-// handle hands an update to the lease, and stores the revision where it has advanced. It reports whether the update
-// was accepted.
+// handle passes an update to the lease and stores the revision if it has advanced. It reports whether the update was
+// accepted.
 func (p *Poller) handle(sentAt float64, u policy.Update) bool {
 	revision, advanced, accepted := p.lease.handle(sentAt, u)
 	log := p.config.Log.WithFields(logrus.Fields{"epoch": u.Epoch, "last": u.LastEnded})
@@ -119,7 +120,7 @@
 	}
 	switch {
 	case !accepted:
-		log.Error("policy client: update rejected: older than the revision or against the platform's settings")
+		log.Error("policy client: update rejected: it is older than the revision or conflicts with the platform's settings")
 	case u.Lease == 0:
 		log.WithField("reason", u.RefusalReason).Error("policy client: no lease granted, fallback policy in effect")
 	case advanced:
@@ -131,7 +132,7 @@
 	return accepted
 }
 
-// pause waits for some time, or until there is news for the leader.
+// pause waits for d, until the gatherer has drained, or until ctx is done.
 func (p *Poller) pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -140,15 +141,16 @@
 	}
 }
 
-// poll sends one poll. It ends with errDrained once the gatherer has drained, which the leader has to learn.
+// poll sends one poll. It fails with errDrained if the gatherer drains meanwhile, so that the next poll can report it
+// to the leader.
 func (p *Poller) poll(ctx context.Context, s operator.PolicyServer) (sentAt float64, u policy.Update, err error) {
 	limit := pollWait + responseGrace
-	ctx, cancelTimeout := context.WithTimeoutCause(ctx, limit, fmt.Errorf("no answer within %s", limit))
+	ctx, cancelTimeout := context.WithTimeoutCause(ctx, limit, fmt.Errorf("no response within %s", limit))
 	defer cancelTimeout()
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	select {
-	case <-p.lease.drained: // this poll reports it
+	case <-p.lease.drained: // this poll reports that the gatherer has drained
 	default:
 	}
 	request := policyapi.PollRequest{
@@ -167,13 +169,13 @@
 	case err != nil:
 		return 0, u, err
 	case response.Update == nil:
-		return 0, u, errors.New("the answer holds no update")
+		return 0, u, errors.New("the response has no update")
 	}
 	return sentAt, *response.Update, nil
 }
 
-// cancelOnceDrained cancels a poll once the gatherer has drained. The function that it returns ends the watch and
-// waits for its end.
+// cancelOnceDrained starts a goroutine that cancels a poll once the gatherer has drained. The returned function stops
+// the goroutine and waits until it has ended.
 func (p *Poller) cancelOnceDrained(cancel context.CancelCauseFunc) (stop func()) {
 	answered := make(chan struct{})
 	ended := make(chan struct{})
@@ -191,6 +193,7 @@
 	}
 }
 
+// heartbeat returns the next heartbeat.
 func (p *Poller) heartbeat() policy.Heartbeat {
 	heartbeat := p.lease.heartbeat()
 	heartbeat.Member = p.config.Member
--- a/internal/control/policylease/report.go
+++ b/internal/control/policylease/report.go
@@ -5,14 +5,14 @@
 	"yokeroute/logic/policy"
 )
 
-// State is what a gatherer reports of its policy.
+// State is a gatherer's report on its policy.
 type State struct {
 	policy.Heartbeat
-	ExpiresAt float64 `json:"until"` // of the lease, by the gatherer's clock in milliseconds; 0 without a lease
-	Effective string  `json:"acts"`  // the policy in effect, as the text of a policy file
+	ExpiresAt float64 `json:"until"` // when the lease expires, by the gatherer's clock in milliseconds; 0 without a lease
+	Effective string  `json:"acts"`  // the policy in effect, in the syntax of policy files
 }
 
-// State returns the state now.
+// State returns the current state.
 func (l *Lease) State() State {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/control/policylease/revisionfile.go
+++ b/internal/control/policylease/revisionfile.go
@@ -14,7 +14,7 @@
 
 const (
 	revisionFormat = "yokeroute fence 1"
-	revisionFile   = "policy" // in the state folder
+	revisionFile   = "policy" // file name in the state folder
 )
 
 // storedRevision is the document in the revision file.
@@ -23,9 +23,9 @@
 	Revision policy.Revision `json:"at"`
 }
 
-// LoadRevision reads the revision that an earlier incarnation has stored in a state folder. It is zero where there is
-// no folder or no file, and also with an error where the file is damaged: a gatherer without a lease applies its
-// fallback policy, which depends on no revision.
+// LoadRevision reads the revision that an earlier incarnation stored in a state folder. It returns the zero revision
+// if folder is empty or the file does not exist. If the file is damaged it returns the zero revision and an error; the
+// gatherer can still start, since without a lease it applies its fallback policy, which does not depend on a revision.
 func LoadRevision(folder string) (policy.Revision, error) {
 	if folder == "" {
 		return policy.Revision{}, nil
@@ -53,14 +53,14 @@
 	r := stored.Revision
 	switch {
 	case stored.Format != revisionFormat:
-		return policy.Revision{}, fmt.Errorf("the form is %.40q, this reader knows %q", stored.Format, revisionFormat)
+		return policy.Revision{}, fmt.Errorf("unsupported format %.40q, this version reads %q", stored.Format, revisionFormat)
 	case r.LastEnded < r.Epoch:
-		return policy.Revision{}, fmt.Errorf("it says that %d has ended and %d is in force", r.LastEnded, r.Epoch)
+		return policy.Revision{}, fmt.Errorf("last ended change %d is less than epoch %d", r.LastEnded, r.Epoch)
 	}
 	return r, nil
 }
 
-// saveRevision stores a revision in a state folder, empty for nowhere.
+// saveRevision stores a revision in a state folder. It does nothing if folder is empty.
 func saveRevision(folder string, r policy.Revision) error {
 	if folder == "" {
 		return nil
--- a/internal/control/policylease/revisionfile_test.go
+++ b/internal/control/policylease/revisionfile_test.go
@@ -9,19 +9,19 @@
 	"yokeroute/logic/policy"
 )
 
-// TestLoadRevision: a stored revision is read as it was written. A file that is truncated at any byte, has another
-// format, or contradicts itself is an error, and the revision is then zero.
+// TestLoadRevision checks that a stored revision is read as it was written, and that a file that is truncated at any
+// byte, has another format or is inconsistent yields an error and the zero revision.
 func TestLoadRevision(t *testing.T) {
 	folder := t.TempDir()
 	want := policy.Revision{Epoch: 41, LastEnded: 43, Pending: 44}
 	if got, err := LoadRevision(folder); got != (policy.Revision{}) || err != nil {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("without a file: loaded %+v, %v; want the zero revision", got, err)
 	}
 	if err := saveRevision(folder, want); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := LoadRevision(folder); got != want || err != nil {
-		t.Errorf("%+v, %v", got, err)
+		t.Errorf("loaded %+v, %v; want %+v", got, err, want)
 	}
 	file := filepath.Join(folder, revisionFile)
 	text, err := os.ReadFile(file)
@@ -33,7 +33,7 @@
 			t.Fatal(err)
 		}
 		if got, err := LoadRevision(folder); err == nil || got != (policy.Revision{}) {
-			t.Fatalf("truncated after %d bytes: %+v, %v", n, got, err)
+			t.Fatalf("truncated after %d bytes: loaded %+v, %v; want an error", n, got, err)
 		}
 	}
 	for _, bad := range []string{
@@ -44,13 +44,13 @@
 			t.Fatal(err)
 		}
 		if got, err := LoadRevision(folder); err == nil || got != (policy.Revision{}) {
-			t.Errorf("%s: %+v, %v", bad, got, err)
+			t.Errorf("%s: loaded %+v, %v; want an error", bad, got, err)
 		}
 	}
 	if err := saveRevision("", want); err != nil {
 		t.Error(err)
 	}
 	if err := saveRevision(filepath.Join(folder, "nowhere"), want); err == nil {
-		t.Error("stored where there is no folder")
+		t.Error("saveRevision succeeded in a folder that does not exist")
 	}
 }
--- a/internal/control/policylease/servers.go
+++ b/internal/control/policylease/servers.go
@@ -10,10 +10,11 @@
 	"yokeroute/logic/policy"
 )
 
-// location is where a shard server runs.
+// location holds the zone and the host of a shard server.
 type location struct{ zone, host string }
 
-// Follow takes over an endpoint list with the servers' zones; addresses have the servers' names.
+// Follow updates the shard servers' locations from an endpoint list, which has their zones, and from their addresses,
+// which have their names.
 func (l *Lease) Follow(list gather.EndpointList, addresses []shardcall.Address) {
 	if list.Failed {
 		return
@@ -37,43 +38,43 @@
 	l.updateClosed()
 }
 
-// updateClosed derives the closed servers from the policy in effect. The lock is held.
+// updateClosed derives the closed servers from the policy in effect. The caller holds the lock.
 func (l *Lease) updateClosed() {
 	closed := map[uint32]bool{}
-	for id, at := range l.locations {
-		if l.effective.Closes(at.zone, at.host) {
+	for id, loc := range l.locations {
+		if l.effective.Closes(loc.zone, loc.host) {
 			closed[id] = true
 		}
 	}
 	if !maps.Equal(closed, l.closed) {
 		l.closed = closed
-		l.closedRev++
+		l.closedRevision++
 	}
 }
 
-// BlockedRevision returns a number that changes whenever the set of closed servers does.
+// BlockedRevision returns a number that changes whenever the set of closed servers changes.
 func (l *Lease) BlockedRevision() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.closedRev
+	return l.closedRevision
 }
 
-// Blocked reports whether a server may get no new requests.
+// Blocked reports whether a server is closed, so that no new requests may be sent to it.
 func (l *Lease) Blocked(server uint32) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.closed[server]
 }
 
-// Weight returns the share of its usual traffic that a server is sent.
+// Weight returns the fraction of its usual traffic that a server receives.
 func (l *Lease) Weight(server uint32) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.effective.Value(policy.HostWeight, l.locations[server].host, 1)
 }
 
-// validate reports why a policy cannot be applied: the platform's settings rule it out, or it names a host in another
-// zone than the endpoint list does, and would close nothing. The lock is held.
+// validate returns an error if a policy cannot be applied: it conflicts with the platform's settings, or it closes a
+// host in another zone than the endpoint list has it in, so that it would close nothing. The caller holds the lock.
 func (l *Lease) validate(p policy.Policy) error {
 	if err := Validate(l.platform, p); err != nil {
 		return err
@@ -83,9 +84,9 @@
 		if e.Kind != policy.Closed || host == "" {
 			continue
 		}
-		for _, at := range l.locations {
-			if at.host == host && at.zone != zone {
-				return fmt.Errorf("%s: %s stands in %s", e, host, at.zone)
+		for _, loc := range l.locations {
+			if loc.host == host && loc.zone != zone {
+				return fmt.Errorf("%s: the endpoint list has host %s in zone %s", e, host, loc.zone)
 			}
 		}
 	}
--- a/internal/control/policylease/settings.go
+++ b/internal/control/policylease/settings.go
@@ -8,11 +8,12 @@
 	"yokeroute/logic/policy"
 )
 
-// tolerance is by how much a policy's value may exceed the platform's: both were read from decimal text.
-const tolerance = 1e-9
+// valueTolerance is the amount by which a policy's value may be beyond the platform's value. Both are parsed from
+// decimal text.
+const valueTolerance = 1e-9
 
-// Validate reports why the platform's settings rule out a policy: it names a class that they do not have, or is
-// looser than they are.
+// Validate returns an error if a policy names a class that the platform's settings do not have, or is less strict than
+// these settings.
 func Validate(settings *gather.Settings, p policy.Policy) error {
 	for _, e := range p {
 		if err := validateClass(settings, e); err != nil {
@@ -38,26 +39,26 @@
 func validateValue(settings *gather.Settings, e policy.Entry) error {
 	switch e.Kind {
 	case policy.MinShare:
-		if least := settings.Class(e.Subject).MinShare; e.Value < least-tolerance {
-			return fmt.Errorf("%s: the platform's least share is %g; a policy can't allow more", e, least)
+		if minShare := settings.Class(e.Subject).MinShare; e.Value < minShare-valueTolerance {
+			return fmt.Errorf("%s: is less than the platform's minimum share %g; a policy can't be less strict", e, minShare)
 		}
 		return nil
 	case policy.RetryShare, policy.RetryAllowance:
 		if settings.RetryBudgetWindow == 0 {
-			return fmt.Errorf("%s: the platform has no budget of further calls, and so no window for it", e)
+			return fmt.Errorf("%s: the platform's settings have no retry budget, and so no window for it", e)
 		}
 	}
-	switch share, free := settings.RetryBudgetRatio, settings.RetryBudgetFloor; {
-	case e.Kind == policy.RetryShare && e.Value > share+tolerance:
-		return fmt.Errorf("%s: the platform's budget share is %g; a policy can't allow more", e, share)
-	case e.Kind == policy.RetryAllowance && e.Value > free+tolerance:
-		return fmt.Errorf("%s: the platform has %g free further calls; a policy can't allow more", e, free)
+	switch maxRatio, maxAllowance := settings.RetryBudgetRatio, settings.RetryBudgetFloor; {
+	case e.Kind == policy.RetryShare && e.Value > maxRatio+valueTolerance:
+		return fmt.Errorf("%s: exceeds the platform's retry budget share %g; a policy can't be less strict", e, maxRatio)
+	case e.Kind == policy.RetryAllowance && e.Value > maxAllowance+valueTolerance:
+		return fmt.Errorf("%s: exceeds the platform's retry allowance of %g; a policy can't be less strict", e, maxAllowance)
 	}
 	return nil
 }
 
-// Apply returns the platform's settings as a policy restricts them. The given settings are not modified, and are
-// returned where the policy is empty.
+// Apply returns the platform's settings with the restrictions of a policy. It does not modify the given settings, and
+// returns them if the policy is empty.
 func Apply(settings *gather.Settings, p policy.Policy) *gather.Settings {
 	if len(p) == 0 {
 		return settings
@@ -78,7 +79,7 @@
 	return restricted
 }
 
-// applyToClass restricts the class that an entry names, or all classes.
+// applyToClass applies an entry to the class that it names. A NoHedging entry without a class applies to all classes.
 func applyToClass(settings *gather.Settings, e policy.Entry) {
 	if e.Kind == policy.NoHedging && e.Subject == "" {
 		settings.HedgingAllowed = false
@@ -94,7 +95,7 @@
 	case policy.NoHedging:
 		class.HedgingForbidden = true
 	case policy.MinShare:
-		// An answer that counts as complete must be allowed, so the threshold of completeness rises as well.
+		// An answer that counts as complete must be permitted, so CompleteShare has to be at least MinShare.
 		class.MinShare = max(e.Value, class.MinShare)
 		class.CompleteShare = max(e.Value, class.CompleteShare)
 	}
