--- a/internal/control/policyserver/config.go
+++ b/internal/control/policyserver/config.go
@@ -1,7 +1,7 @@
-// Package policyserver is one of the few servers that replicate the policies of a fleet. The replicated log is that of
-// hashicorp/raft, stored in bbolt; logic/policy decides what its entries do and when a change commits. Gatherers and
-// operators use HTTP, as package policyapi has it. Gatherers take no part in the quorum, and no query of a gatherer
-// waits for a policy server.
+// Package policyserver implements a policy server, one of the few servers that replicate the policies of a fleet. It
+// uses the replicated log of hashicorp/raft, stored in bbolt. Package logic/policy defines what the log entries do and
+// when a change commits. Gatherers and operators use the HTTP protocol of package policyapi. Gatherers are not members
+// of the quorum, and no query of a gatherer waits for a policy server.
 package policyserver
 
 import (
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// Defaults and multiples of the times in a configuration.
+// Default durations of a configuration, and the minimum ratio of the lease to the heartbeat interval.
 const (
 	defaultLease         = 10 * time.Second
 	defaultChangeTimeout = time.Minute
 	defaultHeartbeat     = 100 * time.Millisecond
 
-	minHeartbeatsInLease = 10
+	minHeartbeatsPerLease = 10
 )
 
-// Peer is a policy server as another one reaches it.
+// Peer holds a policy server's name and the addresses at which another policy server reaches it.
 type Peer struct{ Name, Raft, HTTP string }
 
 // Config is the configuration of a policy server.
 type Config struct {
 	Name          string
-	Folder        string // of stored state
+	Folder        string // folder for stored state
 	Listen        string // address for gatherers and operators
 	RaftListen    string // address for the other policy servers
 	Peers         []Peer // all policy servers, including this one
 	Lease         time.Duration
 	ChangeTimeout time.Duration
-	FirstEpoch    uint64        // epoch of a record that is created anew
-	Joins         bool          // waits to be added to an existing quorum instead of creating one
-	Heartbeat     time.Duration // between heartbeats of the leader
+	FirstEpoch    uint64        // initial epoch of a newly created record
+	Joins         bool          // whether the server waits to be added to an existing quorum instead of creating one
+	Heartbeat     time.Duration // interval between heartbeats of the leader
 }
 
-// Read reads a configuration file.
+// Read reads and validates a configuration file.
 func Read(file string) (*Config, error) {
 	c := &Config{Lease: defaultLease, ChangeTimeout: defaultChangeTimeout, Heartbeat: defaultHeartbeat}
 	if err := c.Directives().Read(file); err != nil {
@@ -49,29 +49,29 @@
 	return c, nil
 }
 
-// validate checks what no single line of a file shows.
+// validate checks the rules that involve several directives or missing ones.
 func (c *Config) validate() error {
 	switch {
 	case c.Name == "":
-		return fmt.Errorf("has no line that names it; write steward NAME in FOLDER listen ADDRESS raft ADDRESS")
+		return fmt.Errorf("has no steward directive; add steward NAME in FOLDER listen ADDRESS raft ADDRESS")
 	case !slices.ContainsFunc(c.Peers, func(p Peer) bool { return p.Name == c.Name }):
-		return fmt.Errorf("policy server %s is not among the peers; write a peer line for it as for the others", c.Name)
+		return fmt.Errorf("policy server %s is not among the peers; add a peer directive for it", c.Name)
 	case len(c.Peers)%2 == 0:
-		return fmt.Errorf("names %d policy servers; an even number bears no more losses than one less", len(c.Peers))
-	case c.Lease < minHeartbeatsInLease*c.Heartbeat:
-		return fmt.Errorf("a lease of %g ms is too short for heartbeats of %g ms: ten of them at least",
+		return fmt.Errorf("has %d peers; use an odd number, as one server fewer tolerates as many failures", len(c.Peers))
+	case c.Lease < minHeartbeatsPerLease*c.Heartbeat:
+		return fmt.Errorf("lease of %g ms is too short for a heartbeat every %g ms; it must last ten heartbeats at least",
 			milliseconds(c.Lease), milliseconds(c.Heartbeat))
 	}
 	return nil
 }
 
-// milliseconds returns a duration as files and decisions have it.
+// milliseconds returns a duration in milliseconds, the unit of configuration files and of package logic/policy.
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// duration returns the duration of a number of milliseconds.
+// duration converts milliseconds to a time.Duration.
 func duration(milliseconds float64) time.Duration {
 	return time.Duration(math.Round(milliseconds * float64(time.Millisecond)))
 }
 
-// Reference returns the reference page of configuration files.
+// Reference returns the reference page for configuration files.
 func Reference() string { return (&Config{}).Directives().Reference() }
--- a/internal/control/policyserver/directives.go
+++ b/internal/control/policyserver/directives.go
@@ -6,10 +6,10 @@
 	"yokeroute/internal/config/directive"
 )
 
-const intro = "What one policy server of a fleet needs to know: `yokeroute policy-server FILE`. " +
-	"Each has a file of its own; three policy servers bear the loss of one, five of two."
+const intro = "Configuration of one policy server of a fleet: `yokeroute policy-server FILE`. " +
+	"Each policy server has its own file. Three policy servers tolerate the loss of one, five the loss of two."
 
-// Bounds of times in a configuration file, in milliseconds.
+// Limits of durations in a configuration file, in milliseconds.
 const (
 	minLeaseMillis         = 200
 	maxLeaseMillis         = 600_000
@@ -18,7 +18,7 @@
 	maxHeartbeatMillis     = 10_000
 )
 
-// Directives returns the table of directives, which fill the configuration.
+// Directives returns the table of directives. Applying a directive sets the fields of c.
 func (c *Config) Directives() *directive.Table {
 	return &directive.Table{Name: "policy server's file", Intro: intro, Directives: []*directive.Directive{
 		c.serverDirective(),
@@ -36,12 +36,12 @@
 		Once: true,
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "in", Kind: directive.Text, Required: true, Help: "folder on a lasting disk"},
+			{Name: "in", Kind: directive.Text, Required: true, Help: "folder for stored state, on a persistent disk"},
 			{Name: "listen", Kind: directive.Address, Required: true,
-				Help: "for gatherers and operators; whoever reaches it may change policies"},
-			{Name: "raft", Kind: directive.Address, Required: true, Help: "for the other policy servers"},
+				Help: "address for gatherers and operators; every client that can connect to it may change policies"},
+			{Name: "raft", Kind: directive.Address, Required: true, Help: "address for the other policy servers"},
 		},
-		Help:    "Names the policy server.",
+		Help:    "Sets the policy server's name, state folder and addresses.",
 		Example: "steward s1 in steward-s1 listen 127.0.0.1:8700 raft 127.0.0.1:8701",
 		Apply: func(v *directive.Values) error {
 			c.Name = v.Text("name")
@@ -58,12 +58,13 @@
 		Name: "peer",
 		Args: []directive.Field{{Name: "name", Kind: directive.Name}},
 		Options: []directive.Field{
-			{Name: "raft", Kind: directive.Address, Required: true, Help: "where this policy server reaches it"},
+			{Name: "raft", Kind: directive.Address, Required: true,
+				Help: "address at which this policy server reaches its raft port"},
 			{Name: "http", Kind: directive.Address, Required: true,
-				Help: "the same, for what policy servers ask each other beside their log"},
+				Help: "address at which this policy server reaches its HTTP port, for requests outside the replicated log"},
 		},
-		Help: "A policy server of the fleet. All of them stand in each file, this one as well; " +
-			"who they are is settled at the first start.",
+		Help: "Declares a policy server of the fleet. Each file lists all policy servers, including its own; " +
+			"the quorum is created with these members at the first start.",
 		Example: "peer s2 raft 127.0.0.1:8711 http 127.0.0.1:8710",
 		Apply: func(v *directive.Values) error {
 			if slices.ContainsFunc(c.Peers, func(p Peer) bool { return p.Name == v.Text("name") }) {
@@ -82,10 +83,10 @@
 		Args: []directive.Field{{Name: "time", Kind: directive.Duration, Min: minLeaseMillis, Max: maxLeaseMillis}},
 		Options: []directive.Field{
 			{Name: "limit", Kind: directive.Duration, Min: minChangeTimeoutMillis,
-				Help: "after which a change that not all have prepared is given up; 60s"},
+				Help: "time after which a change that not all gatherers have prepared is abandoned; 60s by default"},
 		},
-		Help: "For how long a gatherer goes by what it has heard, 10s unless told: " +
-			"one that is cut off acts within its floor after it, and a change waits for one that is away as long.",
+		Help: "How long a gatherer applies a policy without hearing from the leader, 10s by default. " +
+			"After that, a gatherer that is cut off applies its floor; a change waits that long for an absent gatherer.",
 		Example: "lease 10s limit 1min",
 		Apply: func(v *directive.Values) error {
 			c.Lease = duration(v.Number("time", milliseconds(defaultLease)))
@@ -100,8 +101,8 @@
 		Name: "beat",
 		Once: true,
 		Args: []directive.Field{{Name: "time", Kind: directive.Duration, Min: minHeartbeatMillis, Max: maxHeartbeatMillis}},
-		Help: "Between two heartbeats of the leader, 100ms unless told; " +
-			"after ten of them unheard another is elected.",
+		Help: "Interval between heartbeats of the leader, 100ms by default; " +
+			"after ten missed heartbeats another leader is elected.",
 		Example: "beat 100ms",
 		Apply: func(v *directive.Values) error {
 			c.Heartbeat = duration(v.Number("time", milliseconds(defaultHeartbeat)))
@@ -114,8 +115,8 @@
 	return &directive.Directive{
 		Name: "joins",
 		Once: true,
-		Help: "This policy server is new among others that run: it begins no log, " +
-			"and waits until `yokeroute policy server add` takes it in.",
+		Help: "Makes this policy server join an existing quorum: it creates no log, " +
+			"and waits until `yokeroute policy server add` adds it.",
 		Example: "joins",
 		Apply: func(*directive.Values) error {
 			c.Joins = true
@@ -129,8 +130,8 @@
 		Name: "begins",
 		Once: true,
 		Args: []directive.Field{{Name: "number", Kind: directive.Count}},
-		Help: "Number before the first change of a record that is made anew because the old one is lost: " +
-			"above every number that a gatherer has heard, since none goes back.",
+		Help: "Number before the first change of a record that is created anew because the old one is lost. " +
+			"It must be above every number that a gatherer has received, since gatherers never go back to a lower one.",
 		Example: "begins 1000",
 		Apply: func(v *directive.Values) error {
 			c.FirstEpoch = uint64(v.Number("number", 0))
--- a/internal/control/policyserver/fsm_test.go
+++ b/internal/control/policyserver/fsm_test.go
@@ -14,7 +14,7 @@
 	"yokeroute/logic/policy"
 )
 
-// snapshotBuffer is a raft.SnapshotSink in memory.
+// snapshotBuffer is an in-memory raft.SnapshotSink.
 type snapshotBuffer struct{ bytes.Buffer }
 
 func (*snapshotBuffer) ID() string    { return "one" }
@@ -30,11 +30,11 @@
 	return m.Apply(&raft.Log{Data: text}).(applyResult)
 }
 
-// TestStateMachine: a record of 100,000 changes stays small, its snapshot restores the same record, whoever holds an
-// older record has it as it was, and an entry that is no command changes nothing.
+// TestStateMachine checks that a record stays small after 100,000 changes, that its snapshot restores the same record,
+// that an earlier record which a reader holds is not modified, and that an invalid log entry has no effect.
 func TestStateMachine(t *testing.T) {
 	m := newStateMachine(7)
-	first, changed := m.current()
+	initial, changed := m.current()
 	for n := range uint64(100_000) {
 		p := policy.Policy{{Kind: policy.WarmUpShare, Value: float64(n%2) / 2}}
 		change := &policy.Change{Base: 7 + n, ID: fmt.Sprint(n), Policy: p}
@@ -48,14 +48,14 @@
 	select {
 	case <-changed:
 	default:
-		t.Error("nobody was notified")
+		t.Error("the channel of the initial record was not closed when the record changed")
 	}
 	if r := m.Apply(&raft.Log{Data: []byte("{")}).(applyResult); r.err == nil {
-		t.Error("half a command was applied")
+		t.Error("an invalid command was applied")
 	}
 	record, _ := m.current()
-	if first.Epoch != 7 || len(first.History) != 0 {
-		t.Errorf("the first record is now %+v", first)
+	if initial.Epoch != 7 || len(initial.History) != 0 {
+		t.Errorf("the initial record was modified: %+v", initial)
 	}
 	if record.Epoch != 100_007 || len(record.History) < 1000 || len(record.History) > 1250 ||
 		record.TrimmedChanges+uint64(len(record.History)) != 100_000 {
@@ -65,24 +65,24 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var to snapshotBuffer
-	if err := snap.Persist(&to); err != nil {
+	var sink snapshotBuffer
+	if err := snap.Persist(&sink); err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("a snapshot of %d bytes", to.Len())
-	if to.Len() > 1<<20 {
-		t.Errorf("a snapshot of %d bytes", to.Len())
+	t.Logf("snapshot size: %d bytes", sink.Len())
+	if sink.Len() > 1<<20 {
+		t.Errorf("snapshot has %d bytes, want at most %d", sink.Len(), 1<<20)
 	}
-	other := newStateMachine(0)
-	if err := other.Restore(io.NopCloser(bytes.NewReader(to.Bytes()))); err != nil {
+	restored := newStateMachine(0)
+	if err := restored.Restore(io.NopCloser(bytes.NewReader(sink.Bytes()))); err != nil {
 		t.Fatal(err)
 	}
-	if again, _ := other.current(); !reflect.DeepEqual(again, record) {
-		t.Errorf("%+v", again)
+	if again, _ := restored.current(); !reflect.DeepEqual(again, record) {
+		t.Errorf("restored %+v, want %+v", again, record)
 	}
-	later := strings.Replace(to.String(), `"policies":1`, `"policies":2`, 1)
-	err = other.Restore(io.NopCloser(strings.NewReader(later)))
-	if err == nil || !strings.Contains(err.Error(), "the form is 2") {
-		t.Errorf("%v", err)
+	nextFormat := strings.Replace(sink.String(), `"policies":1`, `"policies":2`, 1)
+	err = restored.Restore(io.NopCloser(strings.NewReader(nextFormat)))
+	if err == nil || !strings.Contains(err.Error(), "unsupported format 2") {
+		t.Errorf("restore of format 2: error %v", err)
 	}
 }
--- a/internal/control/policyserver/handlers.go
+++ b/internal/control/policyserver/handlers.go
@@ -9,6 +9,7 @@
 	"yokeroute/logic/policy"
 )
 
+// handler returns the handler of all paths of the protocol.
 func (s *Server) handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+policyapi.PollPath, s.handlePoll)
@@ -69,7 +70,7 @@
 	s.execute(r.Context(), w, policy.Command{Forget: request.Name})
 }
 
-// execute replicates a command and answers with the change that results.
+// execute replicates a command and responds with the resulting change.
 func (s *Server) execute(ctx context.Context, w http.ResponseWriter, c policy.Command) {
 	replica := s.replica.Load()
 	if replica == nil {
@@ -90,15 +91,15 @@
 	if !ok {
 		return
 	}
-	before, err := s.incarnations.record(request.Name, request.Incarnation)
+	previous, err := s.incarnations.record(request.Name, request.Incarnation)
 	if err != nil {
 		s.respondFailure(w, err)
 		return
 	}
-	respond(w, http.StatusOK, policyapi.IncarnationResponse{Format: policyapi.Format, Incarnation: before})
+	respond(w, http.StatusOK, policyapi.IncarnationResponse{Format: policyapi.Format, Incarnation: previous})
 }
 
-// handleMembership adds a policy server to the quorum, or removes it.
+// handleMembership adds a policy server to the quorum, or removes one.
 func (s *Server) handleMembership(w http.ResponseWriter, r *http.Request) {
 	request, ok := readRequest(w, r, policyapi.Read[policyapi.MembershipRequest])
 	if !ok {
--- a/internal/control/policyserver/incarnations.go
+++ b/internal/control/policyserver/incarnations.go
@@ -15,12 +15,13 @@
 	"yokeroute/internal/control/policyapi"
 )
 
-// ErrStaleDisk reports a policy server that was started with a disk from before some of its earlier incarnations.
-var ErrStaleDisk = errors.New("the disk is older than this policy server: it was started since then. " +
-	"It may have voted in ways that it does not remember; replace it under a new name: docs/operate/policy.md")
+// ErrStaleDisk reports that a policy server was started with a disk that lacks some of its earlier incarnations, such
+// as an old copy.
+var ErrStaleDisk = errors.New("the disk is older than this policy server: the server has been started since. " +
+	"It may have cast votes that the disk does not hold; replace it under a new name: docs/operate/policy.md")
 
 const (
-	incarnationFile     = "boots" // in the state folder
+	incarnationFile     = "boots" // file name in the state folder
 	fileLockTimeout     = time.Second
 	announceTimeout     = 2 * time.Second
 	announceRetryPause  = 200 * time.Millisecond
@@ -29,23 +30,23 @@
 
 var incarnationBucket = []byte("boots")
 
-// incarnationStore counts the incarnations of each policy server: its own, and those that the others have announced.
-// A server whose own count is lower than what another one knows runs on a stale disk. It has voted in ways that it
-// does not remember and must not take part.
+// incarnationStore stores the number of incarnations of each policy server: its own, and those that the others have
+// announced. A server whose own number is lower than the one that another server knows runs on a stale disk. It may
+// have cast votes that the disk does not hold, so it must not take part in the quorum.
 type incarnationStore struct{ db *bbolt.DB }
 
 func openIncarnations(folder string) (*incarnationStore, error) {
 	options := &bbolt.Options{Timeout: fileLockTimeout}
 	db, err := bbolt.Open(filepath.Join(folder, incarnationFile), 0o600, options)
 	if err != nil {
-		return nil, fmt.Errorf("folder %s: %w; another policy server may run in it", folder, err)
+		return nil, fmt.Errorf("state folder %s: %w; another policy server may be using it", folder, err)
 	}
 	err = db.Update(func(tx *bbolt.Tx) error {
 		_, err := tx.CreateBucketIfNotExists(incarnationBucket)
 		return err
 	})
 	if err != nil {
-		return nil, errors.Join(fmt.Errorf("folder %s: %w", folder, err), db.Close())
+		return nil, errors.Join(fmt.Errorf("state folder %s: %w", folder, err), db.Close())
 	}
 	return &incarnationStore{db}, nil
 }
@@ -62,19 +63,20 @@
 	return incarnation, err
 }
 
-// record stores an incarnation that is higher than the highest known one, and returns the one known before.
-func (s *incarnationStore) record(name string, incarnation uint64) (before uint64, err error) {
+// record stores an incarnation if it is higher than the highest known one, and returns the one known before.
+func (s *incarnationStore) record(name string, incarnation uint64) (previous uint64, err error) {
 	err = s.db.Update(func(tx *bbolt.Tx) error {
 		bucket := tx.Bucket(incarnationBucket)
-		before = readCounter(bucket, name)
-		if incarnation <= before {
+		previous = readCounter(bucket, name)
+		if incarnation <= previous {
 			return nil
 		}
 		return bucket.Put([]byte(name), binary.BigEndian.AppendUint64(nil, incarnation))
 	})
-	return before, err
+	return previous, err
 }
 
+// readCounter returns the stored incarnation of a server, 0 if there is none.
 func readCounter(bucket *bbolt.Bucket, name string) uint64 {
 	value := bucket.Get([]byte(name))
 	if len(value) != storedCounterLength {
@@ -83,22 +85,22 @@
 	return binary.BigEndian.Uint64(value)
 }
 
-// begin counts this incarnation and announces it to the other servers. It waits for one of them at least, as nobody
-// else can tell a stale disk from a current one. A single server has nobody to ask.
-func (s *incarnationStore) begin(ctx context.Context, c *Config, log *logrus.Logger) error {
+// startIncarnation stores a new incarnation and announces it to the other servers. It waits until at least one of them
+// has answered, since only another server can tell that the disk is stale. A server without peers does not wait.
+func (s *incarnationStore) startIncarnation(ctx context.Context, c *Config, log *logrus.Logger) error {
 	latest, err := s.latest(c.Name)
 	if err != nil {
 		return err
 	}
-	own := latest + 1
-	if _, err := s.record(c.Name, own); err != nil {
+	incarnation := latest + 1
+	if _, err := s.record(c.Name, incarnation); err != nil {
 		return err
 	}
 	if len(c.Peers) == 1 {
 		return nil
 	}
 	for logged := false; ; logged = true {
-		answered, err := announceToPeers(ctx, c, own)
+		answered, err := announceToPeers(ctx, c, incarnation)
 		if answered || err != nil {
 			return err
 		}
@@ -113,27 +115,28 @@
 	}
 }
 
-// announceToPeers announces an incarnation to each peer, and reports whether one has answered.
-func announceToPeers(ctx context.Context, c *Config, own uint64) (answered bool, err error) {
+// announceToPeers announces an incarnation to each peer, and reports whether at least one has answered. It returns
+// ErrStaleDisk if a peer knows of the same or a later incarnation.
+func announceToPeers(ctx context.Context, c *Config, incarnation uint64) (answered bool, err error) {
 	for _, p := range c.Peers {
 		if p.Name == c.Name {
 			continue
 		}
-		before, err := announce(ctx, p.HTTP, c.Name, own)
+		previous, err := announce(ctx, p.HTTP, c.Name, incarnation)
 		if err != nil {
 			continue
 		}
-		if before >= own {
-			return false, fmt.Errorf("policy server %s: %w (start %d here, %s knows of start %d)",
-				c.Name, ErrStaleDisk, own, p.Name, before)
+		if previous >= incarnation {
+			return false, fmt.Errorf("policy server %s: %w (incarnation %d here, %s knows of incarnation %d)",
+				c.Name, ErrStaleDisk, incarnation, p.Name, previous)
 		}
 		answered = true
 	}
 	return answered, nil
 }
 
-// announce announces an incarnation to one server, and returns the highest one that it knew before.
-func announce(ctx context.Context, address, name string, incarnation uint64) (before uint64, err error) {
+// announce announces an incarnation to one server, and returns the highest incarnation that the server knew before.
+func announce(ctx context.Context, address, name string, incarnation uint64) (previous uint64, err error) {
 	ctx, cancel := context.WithTimeout(ctx, announceTimeout)
 	defer cancel()
 	e := policyapi.Endpoint{Method: http.MethodPost, Address: address, Path: policyapi.IncarnationPath}
--- a/internal/control/policyserver/kept_test.go
+++ b/internal/control/policyserver/kept_test.go
@@ -19,8 +19,8 @@
 	"yokeroute/logic/policy"
 )
 
-// keptFolder returns a copy of the state folder that a released version wrote: its log, a snapshot of a part of it, and
-// its incarnations. None of the files that it is made of may be changed.
+// keptFolder returns a copy of a state folder that a released version wrote: its log, a snapshot of a part of the log,
+// and its incarnations. The files that it is copied from must not be changed.
 func keptFolder(t *testing.T) string {
 	t.Helper()
 	folder := t.TempDir()
@@ -49,6 +49,7 @@
 	return folder
 }
 
+// keptText returns a file that a released version wrote.
 func keptText(t *testing.T, name string) string {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("testdata", "kept", name))
@@ -58,7 +59,7 @@
 	return string(text)
 }
 
-// keptServer starts a server in a copy of the kept state folder, and returns its address.
+// keptServer starts a server with a copy of the kept state folder. It returns its address and its configuration.
 func keptServer(t *testing.T) (address string, c *Config, stop func()) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "s1.conf")
@@ -100,37 +101,37 @@
 		}
 		select {
 		case <-timeout:
-			t.Fatalf("it does not lead: %v", err)
+			t.Fatalf("the server did not become the leader within 20 s: %v", err)
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// TestKeptFolder: a server that is started in the state folder of a released version leads with the record as it was,
-// continues its incarnations, and answers each request in the same bytes as that version.
+// TestKeptFolder checks that a server that is started with the state folder of a released version becomes the leader
+// with the stored record, continues its incarnations, and answers each request with the same bytes as that version.
 func TestKeptFolder(t *testing.T) {
 	address, config, stop := keptServer(t)
 	record, err := json.Marshal(awaitRecord(t, address))
 	if err != nil || string(record) != strings.TrimSpace(keptText(t, "record.json")) {
-		t.Errorf("the record is %s, %v", record, err)
+		t.Errorf("record %s, %v; want the one in record.json", record, err)
 	}
 	for _, c := range []struct {
 		name, path string
 		status     int
 	}{
-		{"ask-news", "/policy/ask", 200},    // at once, since its revision is older
-		{"ask-nothing", "/policy/ask", 200}, // once its wait is over
+		{"ask-news", "/policy/ask", 200},    // answered at once, since the poll's revision is older
+		{"ask-nothing", "/policy/ask", 200}, // answered once the poll's wait is over
 		{"ask-unread", "/policy/ask", 400},
-		{"ask-refused", "/policy/ask", 200},       // by its fallback policy
-		{"propose-again", "/policy/propose", 200}, // what was proposed before the restart
+		{"ask-refused", "/policy/ask", 200},       // granted no lease because of its fallback policy
+		{"propose-again", "/policy/propose", 200}, // repeats a proposal from before the restart
 		{"propose-second", "/policy/propose", 409},
 		{"propose-unread", "/policy/propose", 400},
 		{"give-up-again", "/policy/give-up", 200},
 		{"give-up-unknown", "/policy/give-up", 409},
 		{"forget-unknown", "/policy/forget", 409},
 		{"forget-unread", "/policy/forget", 400},
-		{"boot-old", "/policy/boot", 200}, // incarnation 3 of a server that has had five
-		{"boot-own", "/policy/boot", 200}, // incarnation 2 of this one
+		{"boot-old", "/policy/boot", 200}, // incarnation 3 of a server that has had 5
+		{"boot-own", "/policy/boot", 200}, // incarnation 2 of this server
 		{"boot-new", "/policy/boot", 200},
 	} {
 		request := strings.NewReader(keptText(t, c.name+".request"))
@@ -141,10 +142,10 @@
 		got, err := io.ReadAll(resp.Body)
 		resp.Body.Close()
 		if want := keptText(t, c.name+".answer"); err != nil || string(got) != want {
-			t.Errorf("%s: %s, %v", c.name, got, err)
+			t.Errorf("%s: response %s, %v; want %s", c.name, got, err, want)
 		}
 		if resp.StatusCode != c.status || resp.Header.Get("Content-Type") != "application/json" {
-			t.Errorf("%s: %s, %v", c.name, resp.Status, resp.Header)
+			t.Errorf("%s: status %s, header %v; want status %d", c.name, resp.Status, resp.Header, c.status)
 		}
 	}
 	stop()
@@ -155,12 +156,12 @@
 	defer incarnations.Close()
 	for name, want := range map[string]uint64{"s1": 2, "s7": 5, "s8": 1} {
 		if got, err := incarnations.latest(name); got != want || err != nil {
-			t.Errorf("incarnation %d of %s is known, %v", got, name, err)
+			t.Errorf("latest incarnation of %s: %d, %v; want %d", name, got, err, want)
 		}
 	}
 }
 
-// TestKeptSnapshot: a snapshot of a released version is read, and written again byte for byte.
+// TestKeptSnapshot checks that a snapshot of a released version is restored, and written again with the same bytes.
 func TestKeptSnapshot(t *testing.T) {
 	found, err := filepath.Glob(filepath.Join("testdata", "kept", "state-1", "snapshots", "*", "state.bin"))
 	if err != nil || len(found) != 1 {
@@ -178,13 +179,14 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var to snapshotBuffer
-	if err := snap.Persist(&to); err != nil || !bytes.Equal(to.Bytes(), text) {
-		t.Errorf("%s, %v", to.String(), err)
+	var sink snapshotBuffer
+	if err := snap.Persist(&sink); err != nil || !bytes.Equal(sink.Bytes(), text) {
+		t.Errorf("written as %s, %v; want %s", sink.String(), err, text)
 	}
 }
 
-// TestKeptNotLeader: a server that is not the leader answers every request in the same bytes as a released version.
+// TestKeptNotLeader checks that a server that is not the leader answers every request with the same bytes as a released
+// version.
 func TestKeptNotLeader(t *testing.T) {
 	s := newServer(&Config{Name: "s1"}, quietLog())
 	for path, body := range map[string]string{
@@ -199,12 +201,13 @@
 		w := httptest.NewRecorder()
 		s.handler().ServeHTTP(w, httptest.NewRequest(method, path, strings.NewReader(body)))
 		if want := `{"policy":1,"error":"this steward does not lead"}` + "\n"; w.Code != 421 || w.Body.String() != want {
-			t.Errorf("%s: %d, %s", path, w.Code, w.Body)
+			t.Errorf("%s: status %d, %s; want status 421, %s", path, w.Code, w.Body, want)
 		}
 	}
 }
 
-// TestKeptAnnouncement: an incarnation is announced in the same bytes as by a released version, and the answer is read.
+// TestKeptAnnouncement checks that an incarnation is announced with the same bytes as by a released version, and that
+// the response is read.
 func TestKeptAnnouncement(t *testing.T) {
 	for answer, want := range map[string]string{
 		`{"policy":1,"boot":5}`:     "5 <nil>",
@@ -217,10 +220,10 @@
 			got = r.Method + " " + r.URL.Path + " " + string(body)
 			io.WriteString(w, answer)
 		}))
-		before, err := announce(t.Context(), strings.TrimPrefix(server.URL, "http://"), "s1", 6)
+		previous, err := announce(t.Context(), strings.TrimPrefix(server.URL, "http://"), "s1", 6)
 		server.Close()
-		if fmt.Sprint(before, err) != want || got != `POST /policy/boot {"policy":1,"number":6,"name":"s1"}` {
-			t.Errorf("%s: %d, %v; sent %s", answer, before, err, got)
+		if fmt.Sprint(previous, err) != want || got != `POST /policy/boot {"policy":1,"number":6,"name":"s1"}` {
+			t.Errorf("%s: %d, %v, want %s; sent %s", answer, previous, err, want, got)
 		}
 	}
 }
--- a/internal/control/policyserver/leadership.go
+++ b/internal/control/policyserver/leadership.go
@@ -8,12 +8,12 @@
 	"yokeroute/logic/policy"
 )
 
-// onLeadership starts or ends this server's term as the leader. A new leader starts once it has applied everything that
-// was committed before.
+// onLeadership starts or ends this server's term as the leader. A new leader starts to decide only after it has applied
+// all entries that were committed before.
 func (s *Server) onLeadership(ctx context.Context, isLeader bool) {
 	if isLeader {
 		if err := s.replica.Load().awaitApplied(ctx); err != nil {
-			s.log.WithError(err).Warn("policy server: leadership lost while log was applied")
+			s.log.WithError(err).Warn("policy server: leadership lost while applying the log")
 			return
 		}
 	}
@@ -27,8 +27,8 @@
 	s.log.WithField("leader", isLeader).Info("policy server: leadership changed")
 }
 
-// withLeader calls do with the leader's decisions on the current record, under the lock. It reports whether this server
-// is the leader.
+// withLeader calls do under the lock if this server is the leader, with the policy.Leader for the current record and
+// the current time. It reports whether this server is the leader.
 func (s *Server) withLeader(do func(l *policy.Leader, now float64)) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -40,7 +40,7 @@
 	return true
 }
 
-// notifyChanged makes Run review the pending change. Notifications before the review are merged.
+// notifyChanged makes Run review the pending change. Several notifications before the review cause one review.
 func (s *Server) notifyChanged() {
 	select {
 	case s.changed <- struct{}{}:
@@ -48,7 +48,7 @@
 	}
 }
 
-// decide commits or abandons the pending change, where it is time.
+// decide commits or abandons the pending change if this server is the leader and the change is due.
 func (s *Server) decide(ctx context.Context) {
 	var command *policy.Command
 	s.withLeader(func(l *policy.Leader, now float64) { command, _ = l.Decide(now) })
@@ -57,7 +57,7 @@
 	}
 	change, err := s.replica.Load().execute(ctx, *command)
 	if err != nil {
-		s.log.WithError(err).Warn("policy server: change not ended")
+		s.log.WithError(err).Warn("policy server: pending change not committed or abandoned")
 		return
 	}
 	fields := logrus.Fields{"change": change.Number, "outcome": change.Outcome, "reason": change.OutcomeReason}
--- a/internal/control/policyserver/poll.go
+++ b/internal/control/policyserver/poll.go
@@ -10,15 +10,15 @@
 	"yokeroute/logic/policy"
 )
 
-// handlePoll answers a gatherer's poll: at once where there is news for it, or else when there is, its wait
-// is over or the server ends.
+// handlePoll answers a gatherer's poll: at once if there is an update that the gatherer does not have, and otherwise
+// once there is one, the poll's wait is over, or the server shuts down.
 func (s *Server) handlePoll(w http.ResponseWriter, r *http.Request) {
 	request, ok := readRequest(w, r, policyapi.ReadPollRequest)
 	if !ok {
 		return
 	}
-	// The lease counts from the time of the poll, however late the answer is. So leadership has to be verified after
-	// the poll has arrived.
+	// The lease starts when the gatherer sends the poll, however late the response is. So leadership has to be verified
+	// after the poll has arrived.
 	if err := s.verifier.Verify(r.Context()); err != nil {
 		s.respondNotLeader(w)
 		return
@@ -49,8 +49,8 @@
 	respond(w, http.StatusOK, policyapi.PollResponse{Format: policyapi.Format, Update: &update})
 }
 
-// awaitUpdate waits until there is news for a gatherer, its wait is over or the server ends. It does not wait
-// for one without a lease, and returns false where the gatherer has given up.
+// awaitUpdate waits until there is an update that a gatherer does not have, the poll's wait is over, or the server
+// shuts down. It does not wait if lease is 0, and returns false if the gatherer has cancelled the poll.
 func (s *Server) awaitUpdate(ctx context.Context, r *policyapi.PollRequest, lease float64) (policy.Update, bool) {
 	timeout := time.NewTimer(duration(r.WaitMillis))
 	defer timeout.Stop()
@@ -72,9 +72,8 @@
 	}
 }
 
-// register registers a gatherer that is new or has changed, and returns the reason where the record rejects it. It
-// tries the command on a copy of the record first: a gatherer that is rejected polls again and again, and must not fill
-// the log.
+// register registers a gatherer that is new or has changed, and returns the reason if the record rejects it. It applies
+// the command to a copy of the record first, since a rejected gatherer keeps polling and must not fill the log.
 func (s *Server) register(ctx context.Context, m policy.Member) (refusalReason string, err error) {
 	record, _ := s.fsm.current()
 	if record.Registered(m) {
--- a/internal/control/policyserver/replica.go
+++ b/internal/control/policyserver/replica.go
@@ -19,7 +19,7 @@
 	"yokeroute/logic/policy"
 )
 
-// Times of raft, as multiples of the heartbeat interval.
+// Timeouts of raft, as multiples of the heartbeat interval.
 const (
 	electionHeartbeats    = 10
 	leaderLeaseHeartbeats = 5
@@ -31,34 +31,35 @@
 	maxCommitTimeout = 50 * time.Millisecond
 )
 
-// shutdownTimeout is within which raft has to end: it may wait for a disk. The log outlasts a process that ends before.
-const shutdownTimeout = 5 * time.Second
+// raftShutdownTimeout limits how long Close waits for raft, which may be waiting for a disk. If the process ends before
+// raft does, the log stays intact.
+const raftShutdownTimeout = 5 * time.Second
 
-// errShutdownTimeout reports that the server ended while raft still ran.
-var errShutdownTimeout = errors.New("raft has not ended in time")
+// errShutdownTimeout reports that the server was closed while raft was still running.
+var errShutdownTimeout = errors.New("raft did not shut down in time")
 
-// Bounds of the log.
+// Parameters of the log, the snapshots and the connections.
 const (
-	logFile           = "log" // in the state folder
+	logFile           = "log" // file name in the state folder
 	retainedSnapshots = 2
 	snapshotThreshold = 2000 // entries
-	trailingLogs      = 500  // entries that are kept behind a snapshot
+	trailingLogs      = 500  // entries before a snapshot that the log retains
 	snapshotInterval  = 10 * time.Second
-	pooledConnections = 3 // to each peer
+	pooledConnections = 3 // connections to each peer
 )
 
-// replica is this server's part in the replicated log.
+// replica is this server's replica of the log.
 type replica struct {
 	*raft.Raft
 	heartbeat time.Duration
 	store     *boltdb.BoltStore
-	streams   *namedStreams
+	streams   *streamLayer
 	transport *raft.NetworkTransport
 	logWriter io.Closer
 }
 
-// openReplica opens the log and the snapshots in the state folder, and takes part in the quorum. A server that finds
-// none creates a log, unless it joins an existing quorum.
+// openReplica opens the log and the snapshots in the state folder and starts raft. If the folder has none, it creates a
+// log, unless the server joins an existing quorum.
 func openReplica(c *Config, fsm raft.FSM, log *logrus.Logger) (_ *replica, err error) {
 	r := &replica{heartbeat: c.Heartbeat}
 	defer func() {
@@ -116,7 +117,7 @@
 	return config
 }
 
-// bootstrap creates a log where there is none and this server does not join an existing quorum.
+// bootstrap creates a log if there is none and this server does not join an existing quorum.
 func (r *replica) bootstrap(c *Config, config *raft.Config, snapshots raft.SnapshotStore) error {
 	exists, err := raft.HasExistingState(r.store, r.store, snapshots)
 	if err != nil || exists || c.Joins {
@@ -129,13 +130,13 @@
 	return raft.BootstrapCluster(config, r.store, r.store, snapshots, r.transport, raft.Configuration{Servers: servers})
 }
 
-// Close leaves the quorum and closes what the replica has opened. Where raft does not end in time, the log stays open:
-// raft may be writing to it.
+// Close shuts raft down and closes everything that the replica has opened. If raft does not shut down in time, the log
+// stays open, since raft may be writing to it.
 func (r *replica) Close() error {
 	var errs []error
 	if r.Raft != nil {
-		r.streams.disconnect() // raft reads a snapshot from its peer without a time limit
-		ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
+		r.streams.disconnect() // raft would otherwise read a snapshot from a peer without a time limit
+		ctx, cancel := context.WithTimeout(context.Background(), raftShutdownTimeout)
 		defer cancel()
 		if err := await(ctx, r.Shutdown()); err != nil {
 			return errors.Join(errShutdownTimeout, err)
@@ -153,8 +154,8 @@
 	return errors.Join(errs...)
 }
 
-// await waits for the result of a future until ctx ends. A leader whose followers answer heartbeats but can't write
-// keeps its leadership, and never has a result.
+// await waits for the result of a future until ctx is done. Without the limit it could wait forever: a leader whose
+// followers answer heartbeats but cannot write keeps its leadership and never gets a result.
 func await(ctx context.Context, future raft.Future) error {
 	result := make(chan error, 1)
 	go func() { result <- future.Error() }()
@@ -166,8 +167,8 @@
 	}
 }
 
-// execute replicates a command and returns the result of applying it. After a policy.RejectedError the command has had
-// no effect; after another error it is not known whether it has, or will have.
+// execute replicates a command and returns the result of applying it. A policy.RejectedError means that the command has
+// had no effect. After any other error it is unknown whether it has had, or will have, an effect.
 func (r *replica) execute(ctx context.Context, c policy.Command) (*policy.Change, error) {
 	text, err := json.Marshal(c)
 	if err != nil {
@@ -181,7 +182,7 @@
 	return result.change, result.err
 }
 
-// awaitApplied waits until all entries that were committed before are applied here.
+// awaitApplied waits until this server has applied all entries that were committed before the call.
 func (r *replica) awaitApplied(ctx context.Context) error {
 	return await(ctx, r.Barrier(barrierHeartbeats*r.heartbeat))
 }
--- a/internal/control/policyserver/respond.go
+++ b/internal/control/policyserver/respond.go
@@ -12,21 +12,22 @@
 	"yokeroute/logic/policy"
 )
 
-// respond writes a document.
+// respond sends a response with a document.
 func respond(w http.ResponseWriter, status int, doc any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(doc); err != nil {
-		return // the client has gone
+		return // the client has closed the connection
 	}
 }
 
+// respondError sends an ErrorResponse.
 func respondError(w http.ResponseWriter, status int, message string) {
 	respond(w, status, policyapi.ErrorResponse{Format: policyapi.Format, Message: message})
 }
 
-// respondFailure answers a request that failed: with a conflict where the record has rejected it, and otherwise so that
-// the client tries again.
+// respondFailure answers a request that failed: with a conflict if the record has rejected it, and otherwise with a
+// status after which the client retries.
 func (s *Server) respondFailure(w http.ResponseWriter, err error) {
 	var rejected policy.RejectedError
 	switch {
@@ -47,14 +48,14 @@
 		errors.Is(err, raft.ErrLeadershipTransferInProgress)
 }
 
-// respondNotLeader answers that this server is not the leader, and names the leader where it is known.
+// respondNotLeader responds that this server is not the leader, with the name of the leader if it is known.
 func (s *Server) respondNotLeader(w http.ResponseWriter) {
 	leader := ""
 	if r := s.replica.Load(); r != nil {
 		_, id := r.LeaderWithID()
 		leader = string(id)
 	}
-	if leader == s.config.Name { // elected, but has not applied the log yet
+	if leader == s.config.Name { // this server has been elected, but has not applied the log yet
 		leader = ""
 	}
 	respond(w, http.StatusMisdirectedRequest, policyapi.ErrorResponse{
@@ -64,7 +65,7 @@
 	})
 }
 
-// readRequest reads a request's document. It answers the request itself where the document is invalid.
+// readRequest reads a request's document. If the document is invalid, it responds with an error and returns false.
 func readRequest[T any](w http.ResponseWriter, r *http.Request, read policyapi.Reader[T]) (*T, bool) {
 	var body io.Reader = http.MaxBytesReader(w, r.Body, policyapi.MaxBytes+1)
 	doc, err := read(body)
--- a/internal/control/policyserver/server.go
+++ b/internal/control/policyserver/server.go
@@ -17,9 +17,9 @@
 	"yokeroute/logic/policy"
 )
 
-// A leader reviews the pending change at least once in leaseReviews parts of a lease, and each maxReviewInterval.
+// A leader reviews the pending change at least reviewsPerLease times per lease, and at least every maxReviewInterval.
 const (
-	leaseReviews      = 20
+	reviewsPerLease   = 20
 	maxReviewInterval = 200 * time.Millisecond
 )
 
@@ -28,8 +28,8 @@
 	idleTimeout       = time.Minute
 )
 
-// endTimeouts leave raft time to end within that of the process.
-var endTimeouts = httpserver.Timeouts{Handshakes: 50 * time.Millisecond, Requests: time.Second}
+// httpShutdownTimeouts are short enough that raft can shut down, too, before the process has to end.
+var httpShutdownTimeouts = httpserver.Timeouts{Handshakes: 50 * time.Millisecond, Requests: time.Second}
 
 // Server is a running policy server.
 type Server struct {
@@ -42,18 +42,19 @@
 	replica      atomic.Pointer[replica] // nil until the server takes part in the quorum
 	listener     net.Listener
 	http         *httpserver.Server // nil until the server listens
-	changed      chan struct{}      // signalled when the leader has handled a heartbeat
+	changed      chan struct{}      // receives a value when the leader has handled a heartbeat
 
 	mu     sync.Mutex
-	leader *policy.Leader // nil while another server leads
+	leader *policy.Leader // nil while this server is not the leader
 }
 
-// Open starts a policy server. It listens and takes part in the quorum once Open returns; Run makes it serve. With
-// ErrStaleDisk it must not be started again from this disk.
+// Open starts a policy server. Once Open returns, the server listens and takes part in the quorum; Run makes it serve.
+// After ErrStaleDisk it must not be started with this disk again.
 func Open(ctx context.Context, c *Config, log *logrus.Logger) (*Server, error) {
-	return open(ctx, c, log, endTimeouts)
+	return open(ctx, c, log, httpShutdownTimeouts)
 }
 
+// open is Open with other timeouts for the shutdown of the HTTP server.
 func open(ctx context.Context, c *Config, log *logrus.Logger, timeouts httpserver.Timeouts) (_ *Server, err error) {
 	s := newServer(c, log)
 	defer func() {
@@ -72,7 +73,7 @@
 		return nil, err
 	}
 	s.http.Start()
-	if err := s.incarnations.begin(ctx, c, log); err != nil {
+	if err := s.incarnations.startIncarnation(ctx, c, log); err != nil {
 		return nil, err
 	}
 	replica, err := openReplica(c, s.fsm, log)
@@ -105,7 +106,7 @@
 	}
 }
 
-// isLeader reports whether the server is the leader by its own state.
+// isLeader reports whether the server is the leader according to its own state.
 func (s *Server) isLeader() bool {
 	r := s.replica.Load()
 	return r != nil && r.State() == raft.Leader
@@ -114,26 +115,27 @@
 // verifyLeader asks the quorum whether the server is still the leader.
 func (s *Server) verifyLeader() error { return s.replica.Load().VerifyLeader().Error() }
 
-// now returns the server's monotonic clock, in milliseconds.
+// now returns the time since the server's start by the monotonic clock, in milliseconds.
 func (s *Server) now() float64 { return milliseconds(time.Since(s.startedAt)) }
 
-// Run serves until ctx ends, answers the requests that have come, and closes the server.
+// Run serves until ctx is done, answers the requests that have arrived by then, and closes the server.
 func (s *Server) Run(ctx context.Context) (err error) {
-	serving, stop := context.WithCancel(context.WithoutCancel(ctx)) // past the end of ctx, until requests are answered
+	// serving outlasts ctx until the requests that have arrived are answered.
+	serving, stop := context.WithCancel(context.WithoutCancel(ctx))
 	var wait sync.WaitGroup
 	defer func() {
-		closed := s.close()
+		closeErr := s.close()
 		stop()
 		wait.Wait()
-		err = errors.Join(err, closed)
+		err = errors.Join(err, closeErr)
 	}()
 	wait.Go(func() { s.verifier.run(serving) })
-	cancelEnd := context.AfterFunc(ctx, func() {
-		_ = s.http.Close() // close returns its error
+	stopWatchingContext := context.AfterFunc(ctx, func() {
+		_ = s.http.Close() // s.close returns the same error
 		stop()
 	})
-	defer cancelEnd()
-	review := time.NewTicker(min(s.config.Lease/leaseReviews, maxReviewInterval))
+	defer stopWatchingContext()
+	review := time.NewTicker(min(s.config.Lease/reviewsPerLease, maxReviewInterval))
 	defer review.Stop()
 	leadership := s.replica.Load().LeaderCh()
 	_, recordChanged := s.fsm.current()
@@ -154,7 +156,7 @@
 	}
 }
 
-// close ends everything that Open has started, in the reverse order, and waits for it.
+// close stops everything that Open has started, in reverse order, and waits for it to end.
 func (s *Server) close() error {
 	var errs []error
 	if s.http != nil {
--- a/internal/control/policyserver/server_test.go
+++ b/internal/control/policyserver/server_test.go
@@ -22,7 +22,8 @@
 	return log
 }
 
-func singleServer(t *testing.T) *Config {
+// singleServerConfig returns the configuration of a policy server without peers.
+func singleServerConfig(t *testing.T) *Config {
 	return &Config{
 		Name:          "s1",
 		Folder:        filepath.Join(t.TempDir(), "state"),
@@ -35,18 +36,18 @@
 	}
 }
 
-// TestOpenUndoesWhatItBegan: where a late step of Open fails, the earlier ones are undone: the state folder can be opened
-// again at once.
-func TestOpenUndoesWhatItBegan(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+// TestOpenReleasesResourcesOnFailure checks that the earlier steps of Open are undone if a late step fails: the state
+// folder can be opened again at once.
+func TestOpenReleasesResourcesOnFailure(t *testing.T) {
+	occupied, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
-	c := singleServer(t)
-	c.RaftListen = taken.Addr().String()
+	defer occupied.Close()
+	c := singleServerConfig(t)
+	c.RaftListen = occupied.Addr().String()
 	if _, err := Open(t.Context(), c, quietLog()); err == nil || !strings.Contains(err.Error(), "address already in use") {
-		t.Fatalf("%v", err)
+		t.Fatalf("Open with an occupied address: error %v", err)
 	}
 	c.RaftListen = "127.0.0.1:0"
 	s, err := Open(t.Context(), c, quietLog())
@@ -58,27 +59,27 @@
 	}
 }
 
-// TestOpenRefusesStaleDisk: a server does not start where another one knows of a later incarnation.
+// TestOpenRefusesStaleDisk checks that a server does not start if another one knows of a later incarnation of it.
 func TestOpenRefusesStaleDisk(t *testing.T) {
 	peer := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		respond(w, http.StatusOK, policyapi.IncarnationResponse{Format: policyapi.Format, Incarnation: 5})
 	}))
 	defer peer.Close()
-	c := singleServer(t)
+	c := singleServerConfig(t)
 	c.Peers = append(c.Peers, Peer{Name: "s2", Raft: "127.0.0.1:1", HTTP: strings.TrimPrefix(peer.URL, "http://")})
 	if _, err := Open(t.Context(), c, quietLog()); !errors.Is(err, ErrStaleDisk) {
-		t.Errorf("%v", err)
+		t.Errorf("error %v, want ErrStaleDisk", err)
 	}
 }
 
-// TestRunReportsFailureOfHTTP: a server whose listener fails ends, and says so.
+// TestRunReportsFailureOfHTTP checks that Run returns an error if the HTTP listener fails.
 func TestRunReportsFailureOfHTTP(t *testing.T) {
-	s, err := Open(t.Context(), singleServer(t), quietLog())
+	s, err := Open(t.Context(), singleServerConfig(t), quietLog())
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.listener.Close()
 	if err := s.Run(t.Context()); err == nil || !strings.Contains(err.Error(), "HTTP server on 127.0.0.1:") {
-		t.Errorf("%v", err)
+		t.Errorf("Run: error %v", err)
 	}
 }
--- a/internal/control/policyserver/shutdown_test.go
+++ b/internal/control/policyserver/shutdown_test.go
@@ -18,10 +18,10 @@
 	"yokeroute/logic/policy"
 )
 
-// endTimeout is within which a policy server has to end once its context does.
-const endTimeout = 10 * time.Second
+// shutdownLimit is the time within which a policy server has to end once its context is done.
+const shutdownLimit = 10 * time.Second
 
-// awaitEnd wants a server that has been told to end to have ended.
+// awaitEnd waits until a server has ended, for shutdownLimit at most.
 func awaitEnd(t *testing.T, ended <-chan error) {
 	t.Helper()
 	select {
@@ -29,15 +29,15 @@
 		if err != nil {
 			t.Error(err)
 		}
-	case <-time.After(endTimeout):
-		t.Fatal("the server has not ended")
+	case <-time.After(shutdownLimit):
+		t.Fatalf("the server has not ended within %s", shutdownLimit)
 	}
 }
 
-// TestServerEndsWhileSnapshotArrives guards against a policy server that does not end on SIGTERM, as a leader that
-// was cut off has sent it a part of a snapshot.
-func TestServerEndsWhileSnapshotArrives(t *testing.T) {
-	c := singleServer(t)
+// TestServerEndsDuringSnapshotInstallation guards against a policy server that does not end on SIGTERM because a
+// leader that was cut off has sent it only a part of a snapshot.
+func TestServerEndsDuringSnapshotInstallation(t *testing.T) {
+	c := singleServerConfig(t)
 	c.Joins = true
 	c.RaftListen = reservedport.ForTest(t)
 	ctx, cancel := context.WithCancel(t.Context())
@@ -69,19 +69,19 @@
 	if _, err := writer.Write([]byte("the beginning")); err != nil {
 		t.Fatal(err)
 	}
-	for s.replica.Load().CurrentTerm() != request.Term { // it has begun to install the snapshot
+	for s.replica.Load().CurrentTerm() != request.Term { // until the server installs the snapshot
 		time.Sleep(time.Millisecond)
 	}
 	cancel()
 	awaitEnd(t, ended)
 }
 
-// TestEndAnswersWhatClientsHaveSent guards against requests that are reset by the end of the server: of one a
-// part has come, one is a poll that waits for news, and the last one's connection is established by its
-// client and not accepted.
-func TestEndAnswersWhatClientsHaveSent(t *testing.T) {
-	patient := httpserver.Timeouts{Handshakes: time.Second, Requests: endTimeout / 2} // for a busy machine
-	s, err := open(t.Context(), singleServer(t), quietLog(), patient)
+// TestShutdownAnswersPendingRequests guards against requests that are reset when the server shuts down: a request of
+// which only a part has arrived, a poll that waits for an update, and a request on a connection that its client has
+// established and the server has not accepted yet.
+func TestShutdownAnswersPendingRequests(t *testing.T) {
+	timeouts := httpserver.Timeouts{Handshakes: time.Second, Requests: shutdownLimit / 2} // long enough for a busy machine
+	s, err := open(t.Context(), singleServerConfig(t), quietLog(), timeouts)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -90,24 +90,24 @@
 	go func() { ended <- s.Run(ctx) }()
 	address := s.listener.Addr().String()
 	awaitRecord(t, address)
-	begun := lateclient.Dial(t, address)
+	partial := lateclient.Dial(t, address)
 	head, body := requestText(t, policyapi.AbandonPath, policyapi.AbandonRequest{Format: policyapi.Format, Number: 7})
-	begun.Send(head + body[:9])
+	partial.Send(head + body[:9])
 	polling := lateclient.Dial(t, address)
 	sendWaitingPoll(t, s, polling)
 	lateclient.CompleteHandshakesWithData(t, s.listener)
 	queued := lateclient.Dial(t, address)
 	cancel()
 	lateclient.AwaitRefusal(t, address)
-	begun.Send(body[9:])
+	partial.Send(body[9:])
 	queued.Send("GET " + policyapi.StatusPath + " HTTP/1.1\r\nHost: h\r\n\r\n")
-	begun.WantLastResponse(http.StatusConflict) // there is no such change
+	partial.WantLastResponse(http.StatusConflict) // no such change is pending
 	polling.WantLastResponse(http.StatusOK)
 	queued.WantLastResponse(http.StatusOK)
 	awaitEnd(t, ended)
 }
 
-// requestText returns a request's head and its document.
+// requestText returns the head and the body of a POST request.
 func requestText(t *testing.T, path string, doc any) (head, body string) {
 	t.Helper()
 	text, err := json.Marshal(doc)
@@ -117,7 +117,7 @@
 	return fmt.Sprintf("POST %s HTTP/1.1\r\nHost: h\r\nContent-Length: %d\r\n\r\n", path, len(text)), string(text)
 }
 
-// sendWaitingPoll sends a poll for which there is no news, and returns once the leader has handled it.
+// sendWaitingPoll sends a poll for which there is no update, and returns once the leader has handled it.
 func sendWaitingPoll(t *testing.T, s *Server, c *lateclient.Client) {
 	t.Helper()
 	record, _ := s.fsm.current()
--- a/internal/control/policyserver/snapshot.go
+++ b/internal/control/policyserver/snapshot.go
@@ -11,7 +11,7 @@
 	"yokeroute/logic/policy"
 )
 
-// snapshotFormat is the format number of snapshots. A server that knows lower numbers only refuses one.
+// snapshotFormat is the format number of snapshots. A server rejects a snapshot of another format.
 const snapshotFormat = 1
 
 // snapshot is the document in a snapshot file.
@@ -28,10 +28,10 @@
 	return sink.Close()
 }
 
-// Release has nothing to release.
+// Release does nothing: the snapshot holds no resources.
 func (s *snapshot) Release() {}
 
-// ReadSnapshot reads the record of a snapshot, and closes it.
+// ReadSnapshot reads the record of a snapshot, and closes the reader.
 func ReadSnapshot(from io.ReadCloser) (*policy.Record, error) {
 	defer from.Close()
 	var s snapshot
@@ -39,7 +39,7 @@
 		return nil, fmt.Errorf("snapshot of policies: %w", err)
 	}
 	if s.Format != snapshotFormat {
-		return nil, fmt.Errorf("snapshot of policies: the form is %d, this version reads %d", s.Format, snapshotFormat)
+		return nil, fmt.Errorf("snapshot of policies: unsupported format %d, this version reads %d", s.Format, snapshotFormat)
 	}
 	return &s.Record, nil
 }
--- a/internal/control/policyserver/transport.go
+++ b/internal/control/policyserver/transport.go
@@ -9,23 +9,23 @@
 	"github.com/hashicorp/raft"
 )
 
-// namedStreams connects policy servers for raft. They address each other by name, and each one's configuration has
-// its own addresses for the names.
-type namedStreams struct {
+// streamLayer connects policy servers for raft. It implements raft.StreamLayer with the servers' names as addresses;
+// each server's configuration maps the names to network addresses.
+type streamLayer struct {
 	net.Listener
 	own       serverName
 	addresses map[raft.ServerAddress]string
 
 	mu       sync.Mutex
-	accepted map[net.Conn]bool // open connections of peers; nil once they are disconnected for good
+	accepted map[net.Conn]bool // open connections from peers; nil after disconnect
 }
 
-func newNamedStreams(c *Config, listener net.Listener) *namedStreams {
+func newNamedStreams(c *Config, listener net.Listener) *streamLayer {
 	addresses := make(map[raft.ServerAddress]string, len(c.Peers))
 	for _, p := range c.Peers {
 		addresses[raft.ServerAddress(p.Name)] = p.Raft
 	}
-	return &namedStreams{
+	return &streamLayer{
 		Listener:  listener,
 		own:       serverName(c.Name),
 		addresses: addresses,
@@ -33,8 +33,8 @@
 	}
 }
 
-// Accept waits for a connection of a peer.
-func (s *namedStreams) Accept() (net.Conn, error) {
+// Accept waits for a connection from a peer.
+func (s *streamLayer) Accept() (net.Conn, error) {
 	for {
 		conn, err := s.Listener.Accept()
 		if err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// disconnect closes the connections of peers, and those that come.
-func (s *namedStreams) disconnect() {
+// disconnect closes all connections from peers, and makes Accept close later ones.
+func (s *streamLayer) disconnect() {
 	s.mu.Lock()
 	accepted := s.accepted
 	s.accepted = nil
@@ -65,10 +65,10 @@
 	}
 }
 
-// acceptedStream is a connection of a peer.
+// acceptedStream is a connection from a peer.
 type acceptedStream struct {
 	net.Conn
-	streams *namedStreams
+	streams *streamLayer
 }
 
 // Close closes the connection.
@@ -79,7 +79,7 @@
 	return c.Conn.Close()
 }
 
-// serverName is a policy server's name as a net.Addr.
+// serverName is a policy server's name. It implements net.Addr.
 type serverName string
 
 // Network returns the name of the address family.
@@ -88,14 +88,14 @@
 // String returns the name.
 func (n serverName) String() string { return string(n) }
 
-// Addr returns this server's name, by which the others address it.
-func (s *namedStreams) Addr() net.Addr { return s.own }
+// Addr returns this server's name, which is its address for the other servers.
+func (s *streamLayer) Addr() net.Addr { return s.own }
 
 // Dial connects to a server by its name.
-func (s *namedStreams) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
+func (s *streamLayer) Dial(name raft.ServerAddress, timeout time.Duration) (net.Conn, error) {
 	address, known := s.addresses[name]
 	if !known {
-		return nil, fmt.Errorf("no policy server is named %s", name)
+		return nil, fmt.Errorf("no peer is named %s", name)
 	}
 	return net.DialTimeout("tcp", address, timeout)
 }
--- a/internal/control/policyserver/verify.go
+++ b/internal/control/policyserver/verify.go
@@ -8,11 +8,11 @@
 )
 
 // leadershipVerifier asks the quorum whether this server is still the leader. One verification serves all requests that
-// arrived before it started. A verification that started earlier does not count for a request: a server that was
-// suspended and deposed would otherwise grant leases.
+// arrived before it started. It does not serve requests that arrive later: otherwise a server that was suspended, and
+// lost its leadership meanwhile, would grant leases.
 type leadershipVerifier struct {
-	isLeader func() bool  // by this server's own state
-	verify   func() error // by the quorum
+	isLeader func() bool  // reports whether this server is the leader according to its own state
+	verify   func() error // asks the quorum, and returns nil if this server is the leader
 	requests chan chan error
 }
 
@@ -20,15 +20,15 @@
 	return &leadershipVerifier{isLeader: isLeader, verify: verify, requests: make(chan chan error)}
 }
 
-// run serves requests until ctx ends.
+// run serves requests until ctx is done.
 func (v *leadershipVerifier) run(ctx context.Context) {
 	for {
 		waiting := v.nextBatch(ctx)
 		if waiting == nil {
 			return
 		}
-		// The library does not answer a verification that it has not started when it shuts down, so this goroutine
-		// may outlive ctx.
+		// When raft shuts down, it does not answer a verification that it has not started. So this goroutine may
+		// outlive ctx.
 		verified := make(chan error, 1)
 		go func() { verified <- v.verify() }()
 		err := raft.ErrRaftShutdown
@@ -42,7 +42,7 @@
 	}
 }
 
-// nextBatch waits for a request and returns all that have arrived by then, nil once ctx ends.
+// nextBatch waits for a request and returns all that have arrived by then, or nil once ctx is done.
 func (v *leadershipVerifier) nextBatch(ctx context.Context) (waiting []chan error) {
 	select {
 	case <-ctx.Done():
--- a/internal/control/policyserver/verify_test.go
+++ b/internal/control/policyserver/verify_test.go
@@ -8,8 +8,8 @@
 	"github.com/hashicorp/raft"
 )
 
-// TestVerifierEndsWithoutAnswer: a verification that is never answered, as where raft is shut down before it starts it,
-// keeps neither the verifier nor a request from ending.
+// TestVerifierEndsWithoutAnswer checks that the verifier and its requests end although a verification is never
+// answered, which happens if raft shuts down before it starts the verification.
 func TestVerifierEndsWithoutAnswer(t *testing.T) {
 	started := make(chan struct{})
 	v := newLeadershipVerifier(func() bool { return true }, func() error { close(started); select {} })
@@ -21,20 +21,20 @@
 	stop()
 	<-ended
 	if err := <-answered; !errors.Is(err, raft.ErrRaftShutdown) {
-		t.Errorf("%v", err)
+		t.Errorf("Verify: error %v, want %v", err, raft.ErrRaftShutdown)
 	}
 	err := newLeadershipVerifier(func() bool { return false }, nil).Verify(t.Context())
 	if !errors.Is(err, raft.ErrNotLeader) {
-		t.Errorf("%v", err)
+		t.Errorf("Verify on a server that is not the leader: error %v, want %v", err, raft.ErrNotLeader)
 	}
 }
 
-// TestVerifyEndsWithItsContext: a request that is given up is not a leader's.
+// TestVerifyEndsWithItsContext checks that a call of Verify whose context is cancelled fails with raft.ErrNotLeader.
 func TestVerifyEndsWithItsContext(t *testing.T) {
 	v := newLeadershipVerifier(func() bool { return true }, nil)
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	if err := v.Verify(ctx); !errors.Is(err, raft.ErrNotLeader) || !errors.Is(err, context.Canceled) {
-		t.Errorf("%v", err)
+		t.Errorf("Verify: error %v, want %v and %v", err, raft.ErrNotLeader, context.Canceled)
 	}
 }
