--- a/internal/control/policyclient/await.go
+++ b/internal/control/policyclient/await.go
@@ -10,8 +10,8 @@
 	"yokeroute/logic/policy"
 )
 
-// Await waits until a change was abandoned, or was committed and is applied everywhere. It calls onProgress with what
-// is missing, each time that this changes.
+// Await waits until a change is abandoned, or is committed and applied everywhere. It calls onProgress with what the
+// change waits for, each time that this text changes.
 func (c *Client) Await(ctx context.Context, number uint64, onProgress func(string)) (*policy.Change, error) {
 	reported := ""
 	for {
@@ -41,7 +41,7 @@
 	}
 }
 
-// changeProgress returns a change that has ended and needs no further waiting, or else what is missing.
+// changeProgress returns the change if Await is to return it, and otherwise what the change waits for.
 func changeProgress(s *policyapi.Status, number uint64) (ended *policy.Change, progress string, err error) {
 	record := &s.Record
 	switch {
@@ -57,9 +57,9 @@
 	}
 	switch {
 	case ended == nil:
-		return nil, "", fmt.Errorf("change %d ended long ago", number)
+		return nil, "", fmt.Errorf("change %d has ended and is no longer in the history", number)
 	case ended.Outcome != policy.Committed || s.AppliedEverywhere:
 		return ended, "", nil
 	}
-	return nil, "decided; not yet heard by " + strings.Join(s.Missing, ", "), nil
+	return nil, "committed; not yet applied by " + strings.Join(s.Missing, ", "), nil
 }
--- a/internal/control/policyclient/change_test.go
+++ b/internal/control/policyclient/change_test.go
@@ -14,9 +14,9 @@
 	"yokeroute/logic/policy"
 )
 
-// TestChangeIsAppliedEverywhere: a change is applied everywhere while one gatherer is suspended through all of it,
-// one is killed and restarted, one is cut off from the policy servers, and the leader is killed in its midst. No
-// gatherer applies the old policy once one applies the new one.
+// TestChangeIsAppliedEverywhere checks that a change is applied everywhere while one gatherer is suspended until the
+// change is applied, one is killed and restarted, one is cut off from the policy servers, and the leader is killed
+// before the change is committed. No gatherer applies the old policy once one applies the new one.
 func TestChangeIsAppliedEverywhere(t *testing.T) {
 	const gatherers = 12
 	f := startFleet(t, gatherers, 150, threeServers)
@@ -34,7 +34,7 @@
 	second := f.propose(closeS3Text)
 	leader := f.fleet.Leader(f.ctx)
 	if leader == nil {
-		t.Fatal("no policy server leads")
+		t.Fatal("no policy server is the leader")
 	}
 	leader.Process().Kill()
 	if err := killed.Start(f.ctx); err != nil {
@@ -50,14 +50,14 @@
 			t.Fatal(err)
 		}
 	}
-	f.awaitStatus("all apply the second change", allApply(gatherers, second))
+	f.awaitStatus("all gatherers apply the second change", allApply(gatherers, second))
 	f.awaitServed(50)
 	f.check([2]string{"s3", "s1"})
 }
 
-// TestRefusedChangeIsAppliedNowhere: a change that a gatherer refuses is abandoned with its reason, one that a
-// fallback policy violates is rejected, and of two that are proposed at once one is rejected. A pending change can be
-// abandoned.
+// TestRejectedChangeIsNotApplied checks that a change that a gatherer rejects is abandoned with the gatherer's reason,
+// that a proposal that a fallback policy violates is rejected, that one of two concurrent proposals is rejected, and
+// that a pending change can be abandoned.
 func TestRejectedChangeIsNotApplied(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 4, 40, threeServers)
@@ -74,13 +74,13 @@
 		}
 		if reason == "" {
 			if ended.Outcome != policy.Committed {
-				t.Errorf("%q: %+v", text, ended)
+				t.Errorf("%q: not committed: %+v", text, ended)
 			}
 			continue
 		}
 		byGatherer := strings.HasPrefix(ended.OutcomeReason, "g")
 		if ended.Outcome != policy.Abandoned || !strings.Contains(ended.OutcomeReason, reason) || !byGatherer {
-			t.Errorf("%q: %+v", text, ended)
+			t.Errorf("%q: %+v, want abandoned by a gatherer with the reason %q", text, ended, reason)
 		}
 	}
 	before := f.status()
@@ -91,10 +91,10 @@
 		proposal := policyclient.Proposal{Base: before.Record.Epoch, Policy: f.parse(text)}
 		_, err := f.fleet.PolicyClient().Propose(f.ctx, proposal)
 		if err == nil || !strings.Contains(err.Error(), reason) {
-			t.Errorf("%q: %v", text, err)
+			t.Errorf("%q: error %v, want %q", text, err, reason)
 		}
 	}
-	// With one gatherer suspended a change stays pending for the length of its lease.
+	// While one gatherer is suspended a change stays pending until the gatherer's lease expires.
 	if err := f.fleet.Gatherers[3].Process().Stop(f.ctx); err != nil {
 		t.Fatal(err)
 	}
@@ -103,14 +103,14 @@
 		t.Fatal(err)
 	}
 	f.fleet.Gatherers[3].Process().Continue()
-	f.awaitStatus("all apply the policy from before", func(s *policyapi.Status) bool {
+	f.awaitStatus("all gatherers apply the previous policy", func(s *policyapi.Status) bool {
 		policyUnchanged := s.Record.Epoch == before.Record.Epoch && s.Record.LastEnded == pending.Number
 		return s.AppliedEverywhere && policyUnchanged && len(s.Members) == 4 && s.Members[3].State == policy.StateApplied
 	})
 	f.check()
 }
 
-// proposeTwoAtOnce proposes two policies at once, and returns the change that is not rejected.
+// proposeTwoAtOnce proposes two policies concurrently, and returns the change that is not rejected.
 func (f *fleetTest) proposeTwoAtOnce(base uint64, texts ...string) *policy.Change {
 	f.Helper()
 	var mu sync.Mutex
@@ -132,12 +132,12 @@
 	}
 	wait.Wait()
 	if len(accepted) != 1 || len(rejected) != 1 || !strings.Contains(rejected[0], "is being prepared") {
-		f.Fatalf("%+v, %q", accepted, rejected)
+		f.Fatalf("want one proposal accepted and one rejected; accepted %+v, rejected %q", accepted, rejected)
 	}
 	return accepted[0]
 }
 
-// pollLeader polls the leader, and the next one where leadership has moved meanwhile, as a gatherer does.
+// pollLeader polls the leader. If the leadership changes meanwhile, it polls the new leader, as a gatherer does.
 func (f *fleetTest) pollLeader(request policyapi.PollRequest) *policy.Update {
 	f.Helper()
 	var response *policyapi.PollResponse
@@ -154,7 +154,7 @@
 			return false
 		}
 		if err != nil || response.Update == nil {
-			f.Fatalf("%v, %+v", err, response)
+			f.Fatalf("poll: error %v, response %+v", err, response)
 		}
 		return true
 	})
@@ -164,8 +164,9 @@
 	return response.Update
 }
 
-// TestOlderGathererIsNamed: a change with a kind that a gatherer of an older version does not know is rejected and
-// names it. Once that gatherer is forgotten the change is committed, and it is not admitted again.
+// TestErrorNamesGathererOfOlderVersion checks that a change with a policy kind that a gatherer of an older version does
+// not know is rejected with an error that names the gatherer. Once that gatherer is removed from the members the change
+// is committed, and the gatherer is not admitted again.
 func TestErrorNamesGathererOfOlderVersion(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 2, 20, threeServers)
@@ -182,19 +183,19 @@
 		return f.pollLeader(request)
 	}
 	if u := poll(); u.Lease == 0 {
-		t.Errorf("%+v", u)
+		t.Errorf("gatherer of an older version: no lease granted: %+v", u)
 	}
 	text := "turns s4 50%\n"
 	_, err := f.fleet.PolicyClient().Propose(f.ctx, policyclient.Proposal{Policy: f.parse(text)})
 	if err == nil || !strings.Contains(err.Error(), "old does not know the kind turns; it is of an older version") {
-		t.Errorf("%v", err)
+		t.Errorf("proposal with an unknown kind: error %v", err)
 	}
 	if err := f.fleet.PolicyClient().Forget(f.ctx, "old"); err != nil {
 		t.Fatal(err)
 	}
 	f.awaitApplied(f.propose(text))
 	if u := poll(); u.Lease != 0 || !strings.Contains(u.RefusalReason, "does not know the kind turns") {
-		t.Errorf("%+v", u)
+		t.Errorf("after the change: update %+v, want no lease and the unknown kind", u)
 	}
 	f.awaitServed(20)
 	f.check()
--- a/internal/control/policyclient/client.go
+++ b/internal/control/policyclient/client.go
@@ -1,5 +1,5 @@
-// Package policyclient is the operators' client of the policy servers: it proposes and abandons changes, reads the
-// status, and administers members.
+// Package policyclient implements the operators' client of the policy servers. It proposes and abandons changes, reads
+// the status, removes gatherers, and changes the membership of the quorum.
 package policyclient
 
 import (
@@ -17,10 +17,10 @@
 )
 
 const (
-	// attemptTimeout bounds one request, so that a server that hangs does not hide those that serve. The request may
-	// still be executed: a retry sends the same idempotency key.
+	// attemptTimeout limits one request, so that a server that hangs does not keep the client from trying the others.
+	// The request may still be executed after the timeout, so a retry has the same idempotency key.
 	attemptTimeout = 1500 * time.Millisecond
-	// Some seconds of retries outlast a leader election.
+	// The client retries for some seconds, which is longer than a leader election takes.
 	maxRounds  = 20
 	roundPause = 200 * time.Millisecond
 
@@ -28,12 +28,12 @@
 	idBytes       = 12
 )
 
-// Client sends requests to whichever policy server is the leader.
+// Client sends requests to the policy server that is the leader.
 type Client struct {
-	Servers []string // addresses, at best of all policy servers
+	Servers []string // addresses of policy servers, preferably of all
 }
 
-// call sends a request to one server after the other until the leader answers.
+// call sends a request to each server in turn, for several rounds, until the leader responds.
 func call[T any](ctx context.Context, c *Client, method, path string, request any) (*T, error) {
 	for round := 0; ; round++ {
 		response, failures, err := callEach[T](ctx, c.Servers, method, path, request)
@@ -41,7 +41,7 @@
 			return response, err
 		}
 		if round >= maxRounds {
-			return nil, fmt.Errorf("no leader among the policy servers answers: %s", strings.Join(failures, "; "))
+			return nil, fmt.Errorf("no policy server responded as the leader: %s", strings.Join(failures, "; "))
 		}
 		select {
 		case <-ctx.Done():
@@ -51,8 +51,8 @@
 	}
 }
 
-// callEach sends a request to each server in turn. It returns the leader's response, or the error by which the leader
-// has rejected the request; and otherwise why each server could not answer.
+// callEach sends a request to each server in turn, until one responds or rejects the request. It returns the response
+// or the error of the rejection, and otherwise a list of the servers' failures.
 func callEach[T any](ctx context.Context, servers []string, method, path string, request any) (*T, []string, error) {
 	var failures []string
 	for _, address := range servers {
@@ -75,6 +75,7 @@
 	return nil, failures, nil
 }
 
+// callOne sends a request to one server.
 func callOne[T any](ctx context.Context, e policyapi.Endpoint, request any) (*T, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
@@ -88,7 +89,7 @@
 		return nil, err
 	}
 	if r.Status == nil {
-		return nil, errors.New("the answer holds no status")
+		return nil, errors.New("the response has no status")
 	}
 	return r.Status, nil
 }
@@ -96,12 +97,12 @@
 // Proposal is a policy to be proposed.
 type Proposal struct {
 	ID     string // idempotency key; a random one is used where it is empty
-	Base   uint64 // the epoch that the policy was written for
+	Base   uint64 // epoch of the record on which the policy is based
 	Policy policy.Policy
 	Reason string
 }
 
-// Propose proposes a policy and returns the change. The error is a policy.RejectedError where the record rejects it.
+// Propose proposes a policy and returns the change. If the record rejects it, the error is a policy.RejectedError.
 func (c *Client) Propose(ctx context.Context, p Proposal) (*policy.Change, error) {
 	if p.ID == "" {
 		p.ID = randomID()
@@ -117,6 +118,7 @@
 	return r.Change, nil
 }
 
+// randomID returns a random idempotency key.
 func randomID() string {
 	var id [idBytes]byte
 	rand.Read(id[:]) // never fails
@@ -130,7 +132,8 @@
 	return err
 }
 
-// Forget removes a gatherer that will never return. Its fallback policy then does not limit what can be proposed.
+// Forget removes a gatherer that will not return from the members. Its fallback policy then no longer restricts which
+// policies can be proposed.
 func (c *Client) Forget(ctx context.Context, name string) error {
 	request := policyapi.ForgetRequest{Format: policyapi.Format, Name: name}
 	_, err := call[policyapi.ChangeResponse](ctx, c, http.MethodPost, policyapi.ForgetPath, request)
--- a/internal/control/policyclient/fleet_test.go
+++ b/internal/control/policyclient/fleet_test.go
@@ -44,14 +44,15 @@
 seed 5
 `
 
-// The policies of tests open and close two hosts. A detached gatherer sends to neither.
+// Policies of the tests, which close one of two hosts. The fallback policy closes both, so a detached gatherer sends to
+// neither.
 const (
 	fallbackText = "close zone north host s1\nclose zone south host s3\nclose zone west host s7\nno-copies\n"
 	closeS1Text  = "close zone north host s1\n"
 	closeS3Text  = "close zone south host s3\n"
 )
 
-// threeServers have times that a machine full of other tests can keep.
+// threeServers configures three policy servers with intervals that are long enough for a machine busy with other tests.
 var threeServers = processtest.PolicyConfig{
 	Servers:       3,
 	Lease:         3 * time.Second,
@@ -59,13 +60,13 @@
 	Heartbeat:     50 * time.Millisecond,
 }
 
-// fleetTest is a fleet of processes with policy servers, under load.
+// fleetTest runs a fleet of processes with policy servers under load.
 type fleetTest struct {
 	*testing.T
 	fleet     *processtest.Fleet
 	ctx       context.Context
 	stopLoad  func()
-	checkFrom float64 // since when policies are checked against each other, Unix milliseconds
+	checkFrom float64 // check ignores sends before this time, in Unix milliseconds
 }
 
 // startFleet starts a fleet and waits until all gatherers apply the policy.
@@ -103,7 +104,7 @@
 	return f
 }
 
-// status returns the leader's status, nil where no server leads.
+// status returns the leader's status, or nil if no leader responds.
 func (f *fleetTest) status() *policyapi.Status {
 	ctx, cancel := context.WithTimeout(f.ctx, statusTimeout)
 	defer cancel()
@@ -114,20 +115,20 @@
 	return s
 }
 
-// awaitStatus waits until the leader's status fulfils a condition.
-func (f *fleetTest) awaitStatus(what string, holds func(s *policyapi.Status) bool) {
+// awaitStatus waits until the leader's status fulfils a condition, which what describes.
+func (f *fleetTest) awaitStatus(what string, condition func(s *policyapi.Status) bool) {
 	f.Helper()
 	var last *policyapi.Status
 	err := process.WaitUntil(f.ctx, what, func() bool {
 		last = f.status()
-		return last != nil && holds(last)
+		return last != nil && condition(last)
 	})
 	if err != nil {
-		f.Fatalf("%v: %+v; %v", err, last, f.fleet.Faults())
+		f.Fatalf("%v: last status %+v; faults %v", err, last, f.fleet.Faults())
 	}
 }
 
-// parse reads a policy.
+// parse parses a policy.
 func (f *fleetTest) parse(text string) policy.Policy {
 	f.Helper()
 	p, err := policyfile.Parse(f.Name(), text)
@@ -137,13 +138,13 @@
 	return p
 }
 
-// propose proposes a policy for the committed epoch.
+// propose proposes a policy that is based on the committed epoch.
 func (f *fleetTest) propose(text string) *policy.Change {
 	f.Helper()
 	p := f.parse(text)
 	s := f.status()
 	if s == nil {
-		f.Fatal("no policy server leads")
+		f.Fatal("no policy server is the leader")
 	}
 	proposal := policyclient.Proposal{Base: s.Record.Epoch, Policy: p, Reason: f.Name()}
 	c, err := f.fleet.PolicyClient().Propose(f.ctx, proposal)
@@ -159,11 +160,11 @@
 	onProgress := func(line string) { f.Logf("change %d: %s", c.Number, line) }
 	ended, err := f.fleet.PolicyClient().Await(f.ctx, c.Number, onProgress)
 	if err != nil || ended.Outcome != policy.Committed {
-		f.Fatalf("%+v, %v", ended, err)
+		f.Fatalf("change %d: %+v, %v; want it committed", c.Number, ended, err)
 	}
 }
 
-// awaitServed waits until so many more queries are served.
+// awaitServed waits until n more queries are served.
 func (f *fleetTest) awaitServed(n int) {
 	f.Helper()
 	served := func() int { return f.fleet.Front.Total().Endings[processtest.Satisfied] }
@@ -185,9 +186,9 @@
 	}
 }
 
-// check ends the fleet and checks that all processes together kept the rules, and that no gatherer did what the
-// policy of another forbade: of each pair of hosts, all sends to the first, which a change closed, came before all to
-// the second, which it opened.
+// check stops the load and checks the rules on the traces of all processes. It also checks that no gatherer did what
+// the policy of another gatherer forbade. Each pair consists of a host that a change closed and a host that the same
+// change opened: all sends to the first must come before all sends to the second.
 func (f *fleetTest) check(pairs ...[2]string) {
 	f.Helper()
 	for _, pair := range pairs {
@@ -219,16 +220,16 @@
 			}
 		}
 		if last.At == 0 || first.At == 0 {
-			f.Errorf("sends by server %v: none to one of %v", counts, pair)
+			f.Errorf("no sends to at least one server of %v; sends by server: %v", pair, counts)
 		}
 		if last.At >= first.At {
-			f.Errorf("%s sent to %s, %.1f ms after %s had sent to %s",
+			f.Errorf("%s sent to the closed server %s %.1f ms after %s had sent to the opened server %s",
 				last.Gatherer, last.Server, last.At-first.At, first.Gatherer, first.Server)
 		}
 	}
 }
 
-// allApply returns a condition that all of so many gatherers apply a change.
+// allApply returns a condition that holds if the given number of gatherers apply a change.
 func allApply(gatherers int, c *policy.Change) func(s *policyapi.Status) bool {
 	return func(s *policyapi.Status) bool {
 		applying := 0
--- a/internal/control/policyclient/kept_test.go
+++ b/internal/control/policyclient/kept_test.go
@@ -15,8 +15,8 @@
 	"yokeroute/internal/control/policyapi"
 )
 
-// kept returns a document as a released version wrote it.
-func kept(t *testing.T, name string) []byte {
+// readKeptFile returns a document that a released version wrote.
+func readKeptFile(t *testing.T, name string) []byte {
 	t.Helper()
 	text, err := os.ReadFile(filepath.Join("..", "policyapi", "testdata", "kept", name))
 	if err != nil {
@@ -25,22 +25,24 @@
 	return text
 }
 
+// decode parses a kept document.
 func decode[T any](t *testing.T, name string) (doc T) {
 	t.Helper()
-	if err := json.Unmarshal(kept(t, name), &doc); err != nil {
+	if err := json.Unmarshal(readKeptFile(t, name), &doc); err != nil {
 		t.Fatal(err)
 	}
 	return doc
 }
 
-// request is what a fake policy server has received.
+// request is a request that a fake policy server has received.
 type request struct{ method, path, body string }
 
-// fakeServer answers every request with a kept document. Its second result returns the requests received so far.
+// fakeServer starts a server that answers every request with a kept document. The returned function returns the
+// requests received since its last call.
 func fakeServer(t *testing.T, answer string) (address string, received func() []request) {
 	t.Helper()
 	requests := make(chan request, 100)
-	text := kept(t, answer)
+	text := readKeptFile(t, answer)
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
 		if kind := r.Header.Get("Content-Type"); kind != "application/json" {
@@ -65,8 +67,8 @@
 	}
 }
 
-// TestKeptRequests: each call of the client sends the request that a released version sent, byte for byte, and
-// returns what the answer holds.
+// TestKeptRequests checks that each method of the client sends the same bytes as a released version, and returns the
+// content of the response.
 func TestKeptRequests(t *testing.T) {
 	const noBody = "null"
 	proposal := decode[policyapi.ProposeRequest](t, "proposal.json").Change
@@ -77,7 +79,7 @@
 		"GET /policy/status": {"answer-status.json", noBody, func(ctx context.Context, c *Client) error {
 			got, err := c.Status(ctx)
 			if want := decode[policyapi.StatusResponse](t, "answer-status.json"); !reflect.DeepEqual(got, want.Status) {
-				t.Errorf("%+v", got)
+				t.Errorf("status %+v, want %+v", got, want.Status)
 			}
 			return err
 		}},
@@ -89,7 +91,7 @@
 				Reason: "host s9 <is> \"repaired\"",
 			})
 			if want := decode[policyapi.ChangeResponse](t, "answer-proposed.json"); !reflect.DeepEqual(got, want.Change) {
-				t.Errorf("%+v", got)
+				t.Errorf("change %+v, want %+v", got, want.Change)
 			}
 			return err
 		}},
@@ -109,18 +111,18 @@
 		}
 		body := c.request
 		if body != noBody {
-			body = string(kept(t, c.request))
+			body = string(readKeptFile(t, c.request))
 		}
 		all := received()
 		if len(all) != 1 || all[0].method+" "+all[0].path != call || all[0].body != body {
-			t.Errorf("%s: %q", call, all)
+			t.Errorf("%s: received %q, want one request with the body %s", call, all, body)
 		}
 	}
 	address, received := fakeServer(t, "answer-empty.json")
 	if err := (&Client{Servers: []string{address}}).RemoveServer(t.Context(), "s4"); err != nil {
 		t.Error(err)
 	}
-	if all := received(); len(all) != 1 || all[0].body != string(kept(t, "member-out.json")) {
-		t.Errorf("%q", all)
+	if all := received(); len(all) != 1 || all[0].body != string(readKeptFile(t, "member-out.json")) {
+		t.Errorf("RemoveServer: received %q", all)
 	}
 }
--- a/internal/control/policyclient/linearizable_test.go
+++ b/internal/control/policyclient/linearizable_test.go
@@ -23,7 +23,7 @@
 	minPerFault      = 12 // operations
 )
 
-// input is an operation on the record: a read of the highest number that was given to a change, or a proposal.
+// input is an operation on the record: a read of the highest number that was assigned to a change, or a proposal.
 type input struct {
 	read bool
 	id   string
@@ -31,11 +31,11 @@
 
 // output is an operation's result.
 type output struct {
-	number  uint64 // that was read, or that the proposal got; 0 where it was rejected
-	unknown bool   // whether the proposal took effect
+	number  uint64 // number that was read or that the proposal was assigned; 0 for a rejected proposal
+	unknown bool   // whether it is unknown if the proposal took effect
 }
 
-// operationLog collects the operations of several clients.
+// operationLog records the operations of several clients.
 type operationLog struct {
 	*fleetTest
 	startedAt time.Time
@@ -44,7 +44,7 @@
 	operations []porcupine.Operation
 }
 
-// run sends operations of one client until ctx ends.
+// run executes operations of one client until ctx is done.
 func (l *operationLog) run(ctx context.Context, client int) {
 	for n := 0; ctx.Err() == nil; n++ {
 		if n%2 == 0 {
@@ -55,7 +55,7 @@
 	}
 }
 
-// read reads the record. A read that fails says nothing, and is not logged.
+// read reads the record. A read that fails has no effect and no result, so it is not logged.
 func (l *operationLog) read(ctx context.Context, client int) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -71,7 +71,7 @@
 	l.add(client, input{read: true}, out, call, l.now())
 }
 
-// proposeChange proposes a change for the epoch that it reads before.
+// proposeChange reads the epoch of the record and proposes a change that is based on it.
 func (l *operationLog) proposeChange(ctx context.Context, client int, id string) {
 	ctx, cancel := context.WithTimeout(ctx, operationTimeout)
 	defer cancel()
@@ -88,7 +88,7 @@
 	switch {
 	case err == nil:
 		out.number = c.Number
-	case !errors.As(err, &rejected): // it may have taken effect, or may yet
+	case !errors.As(err, &rejected): // the proposal may have taken effect, or may still do so
 		out.unknown = true
 		end = int64(time.Hour)
 	}
@@ -110,7 +110,7 @@
 	return len(l.operations)
 }
 
-// changes returns how many proposals got a number.
+// changes returns the number of proposals that are known to have been accepted.
 func (l *operationLog) changes() (n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -122,7 +122,8 @@
 	return n
 }
 
-// disturb kills, suspends or isolates the leader, waits until the others go on, and undoes it.
+// disturb kills, suspends or isolates the leader, waits until the other servers have served minPerFault operations, and
+// undoes the fault.
 func (l *operationLog) disturb(i int) {
 	l.Helper()
 	leader := l.fleet.Leader(l.ctx)
@@ -143,8 +144,8 @@
 	if err := inject[i%3](); err != nil {
 		l.Fatal(err)
 	}
-	goOn := func() bool { return l.count() >= before+minPerFault }
-	if err := process.WaitUntil(l.ctx, "the others go on", goOn); err != nil {
+	othersContinue := func() bool { return l.count() >= before+minPerFault }
+	if err := process.WaitUntil(l.ctx, "the other policy servers serve operations", othersContinue); err != nil {
 		l.Fatal(err)
 	}
 	if err := undo[i%3](); err != nil {
@@ -155,8 +156,8 @@
 	}
 }
 
-// TestRecordIsLinearizable: what several operators propose and read at once, while policy servers are killed,
-// suspended and isolated, is as if it had happened one after the other.
+// TestRecordIsLinearizable checks that concurrent proposals and reads of several operators are linearizable while
+// policy servers are killed, suspended and isolated.
 func TestRecordIsLinearizable(t *testing.T) {
 	t.Parallel()
 	servers := threeServers
@@ -172,8 +173,8 @@
 	for i := range 4 {
 		l.disturb(i)
 	}
-	enough := func() bool { return l.changes() >= minChanges }
-	if err := process.WaitUntil(l.ctx, "some changes were made", enough); err != nil {
+	enoughChanges := func() bool { return l.changes() >= minChanges }
+	if err := process.WaitUntil(l.ctx, "enough changes are accepted", enoughChanges); err != nil {
 		t.Fatal(err)
 	}
 	stop()
@@ -184,15 +185,16 @@
 	unknown := len(l.operations) - len(known)
 	result, _ := porcupine.CheckOperationsVerbose(recordModel(uint64(unknown)), known, checkTimeout)
 	if result != porcupine.Ok {
-		t.Errorf("%d operations, %d with an unknown result: %v", len(l.operations), unknown, result)
+		t.Errorf("history of %d operations, %d with an unknown result: check result %v, want %v",
+			len(l.operations), unknown, result, porcupine.Ok)
 	}
 	t.Logf("%d operations, %d changes, %d with an unknown result", len(l.operations), l.changes(), unknown)
 	l.check()
 }
 
-// recordModel is the record as a register that holds the highest number that was given. A number is given once, and
-// each read returns all that were given before. A proposal with an unknown result is not in the history; each may
-// have taken a number at any time.
+// recordModel returns a model of the record as a register that holds the highest number that was assigned to a change.
+// A number is assigned once, and a read returns a number that is not lower than those assigned before. Proposals with
+// an unknown result are not in the history, but each of them may have been assigned a number at any time.
 func recordModel(unknown uint64) porcupine.Model {
 	return porcupine.Model{
 		Init: func() any { return uint64(0) },
--- a/internal/control/policyclient/outage_test.go
+++ b/internal/control/policyclient/outage_test.go
@@ -13,10 +13,10 @@
 	"yokeroute/logic/policy"
 )
 
-// TestServingWithoutQuorum: with two of three policy servers down nothing is committed and queries are served; a
-// pending change ends once they are back. With all down for longer than a lease, gatherers apply their fallback
-// policies and serve, also those that restart then with a torn, stale or lost state. A policy server with a stale
-// disk does not serve.
+// TestServingWithoutQuorum checks an outage of the policy servers. While two of three are down no change is committed
+// and queries are served; a pending change is committed once they are back. While all are down for longer than a lease,
+// gatherers apply their fallback policies and serve queries, including gatherers that restart meanwhile with a torn,
+// stale or lost state. A policy server with a stale disk does not start.
 func TestServingWithoutQuorum(t *testing.T) {
 	f := startFleet(t, 4, 60, threeServers)
 	servers := f.fleet.PolicyServers
@@ -42,13 +42,13 @@
 	f.fleet.Gatherers[3].Process().Continue()
 	ctx, cancel := context.WithTimeout(f.ctx, 6*time.Second)
 	if _, err := f.fleet.PolicyClient().Status(ctx); err == nil {
-		t.Error("one policy server of three says that it is the leader")
+		t.Error("one policy server of three reports a status as the leader while the other two are down")
 	}
 	cancel()
 	f.awaitServed(20)
 	leader.Process().Kill()
 	f.restartWithStates("torn", "gone", "stale")
-	f.awaitServed(50) // by the fallback policies
+	f.awaitServed(50) // under the fallback policies
 	for _, s := range servers {
 		if err := s.Start(); err != nil {
 			t.Fatal(err)
@@ -60,11 +60,11 @@
 	f.awaitApplied(second)
 	f.awaitServed(20)
 	f.checkStaleDisk(followers[0], staleDisk)
-	f.awaitApplied(f.propose(closeS3Text + "no-copies\n")) // two of three go on
+	f.awaitApplied(f.propose(closeS3Text + "no-copies\n")) // two of three servers form a quorum
 	f.check([2]string{"s3", "s1"})
 }
 
-// restartWithStates kills one gatherer for each state, and starts it again with its state folder in that state.
+// restartWithStates kills one gatherer for each state, and restarts it with its state folder in that state.
 func (f *fleetTest) restartWithStates(states ...string) {
 	f.Helper()
 	for i, state := range states {
@@ -79,7 +79,8 @@
 	}
 }
 
-// checkStaleDisk restarts a policy server with an earlier copy of its disk: the others know that it has voted since.
+// checkStaleDisk restarts a policy server with an earlier copy of its disk, and checks that it exits: the other servers
+// know that it has been started since the copy was made.
 func (f *fleetTest) checkStaleDisk(s *processtest.PolicyServer, staleDisk string) {
 	f.Helper()
 	s.Process().Kill()
@@ -95,13 +96,13 @@
 		f.Fatal(err)
 	}
 	if !strings.Contains(p.Log(), "the disk is older than this policy server") {
-		f.Errorf("%v: %s", p.Err(), p.Log())
+		f.Errorf("policy server with a stale disk ended with %v, log: %s", p.Err(), p.Log())
 	}
 }
 
-// TestPartitionedFleet: the fleet is split, with the leader and two gatherers on one side, and two policy servers and
-// the other gatherers on the other. The side with the quorum commits a change; the other applies its fallback policy,
-// and then the change once the split is over.
+// TestPartitionedFleet checks a network partition with the leader and two gatherers on one side, and two policy servers
+// and the other gatherers on the other side. The side with the quorum commits a change. The gatherers on the other side
+// apply their fallback policies, and the change once the partition has ended.
 func TestPartitionedFleet(t *testing.T) {
 	t.Parallel()
 	const gatherers = 6
@@ -117,12 +118,13 @@
 		for i, g := range f.fleet.Gatherers {
 			if (s == leader) != (i < 2) {
 				link := f.fleet.Link(g.Name + ":" + s.Name)
-				// Some receive answers that they cannot send polls for.
+				// Both directions or only one of them fail: some gatherers can receive from a server that they
+				// cannot reach.
 				link.Change(func(w *processtest.Weather) { w.Silent = [2]bool{i%2 == 0, true} })
 			}
 		}
 	}
-	err := process.WaitUntil(f.ctx, "another policy server leads", func() bool {
+	err := process.WaitUntil(f.ctx, "another policy server is the leader", func() bool {
 		now := f.fleet.Leader(f.ctx)
 		return now != nil && now != leader
 	})
@@ -135,7 +137,7 @@
 	if err := f.fleet.MendPolicyServers(); err != nil {
 		t.Fatal(err)
 	}
-	f.awaitStatus("all apply the second change", func(s *policyapi.Status) bool {
+	f.awaitStatus("all gatherers apply the second change", func(s *policyapi.Status) bool {
 		for _, m := range s.Members {
 			if m.State != policy.StateApplied || m.Applied.Epoch != second.Number {
 				return false
--- a/internal/control/policyclient/shutdown_test.go
+++ b/internal/control/policyclient/shutdown_test.go
@@ -13,13 +13,14 @@
 	"yokeroute/internal/testbed/processtest"
 )
 
-// endTimeout is within which a policy server has to end after SIGTERM.
-const endTimeout = 10 * time.Second
+// shutdownLimit is the time within which a policy server has to end after SIGTERM.
+const shutdownLimit = 10 * time.Second
 
-// terminate ends a policy server's process by SIGTERM and wants status 0.
+// terminate sends SIGTERM to a policy server's process and checks that it exits with status 0. Another status is
+// accepted if the server could not write its log.
 func (f *fleetTest) terminate(s *processtest.PolicyServer) {
 	f.Helper()
-	ctx, cancel := context.WithTimeout(f.ctx, endTimeout)
+	ctx, cancel := context.WithTimeout(f.ctx, shutdownLimit)
 	defer cancel()
 	p := s.Process()
 	if err := p.Terminate(ctx); err != nil {
@@ -32,7 +33,7 @@
 	}
 }
 
-// followers are the policy servers beside the leader.
+// followers returns the policy servers other than the leader.
 func (f *fleetTest) followers(leader *processtest.PolicyServer) (followers []*processtest.PolicyServer) {
 	for _, s := range f.fleet.PolicyServers {
 		if s != leader {
@@ -52,14 +53,14 @@
 		leader = f.fleet.Leader(f.ctx)
 	}
 	if leader == nil {
-		f.Fatal("no leader")
+		f.Fatal("no policy server is the leader")
 	}
 	return leader
 }
 
-// TestLeaderEndsWithEntryThatIsNotCommitted guards against a policy server that does not end on SIGTERM: its followers
-// answer heartbeats and can't write, so that what it decides is never committed.
-func TestLeaderEndsWithEntryThatIsNotCommitted(t *testing.T) {
+// TestLeaderEndsWithUncommittedEntry guards against a leader that does not end on SIGTERM because its followers answer
+// heartbeats but cannot write, so that its log entries are never committed.
+func TestLeaderEndsWithUncommittedEntry(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, 10, threeServers)
 	leader := f.awaitLeader()
@@ -74,18 +75,20 @@
 		}
 	}
 	gatherer.Continue()
-	f.awaitStatus("the change is to be committed", func(s *policyapi.Status) bool { return s.WaitingFor == "" && s.Record.Pending != nil })
-	time.Sleep(time.Second) // for a review or more, of which nothing tells
+	f.awaitStatus("the pending change is due to be committed", func(s *policyapi.Status) bool {
+		return s.WaitingFor == "" && s.Record.Pending != nil
+	})
+	time.Sleep(time.Second) // time for at least one review of the change, which cannot be observed
 	f.terminate(leader)
 	for _, s := range f.followers(leader) {
 		f.terminate(s)
 	}
 }
 
-// TestPolicyServersEndAtAnyMoment guards against policy servers that do not end on SIGTERM: just after they went on,
-// twice, cut off with a proposal or a membership change that can't be committed, without a log that can be written,
-// and while they wait for a peer at their start.
-func TestPolicyServersEndAtAnyMoment(t *testing.T) {
+// TestPolicyServersEndOnSIGTERM guards against policy servers that do not end on SIGTERM: just after they were resumed,
+// if they receive it twice, while they are isolated with a proposal or a membership change that cannot be committed, if
+// their log cannot be written, and while they wait for a peer at their start.
+func TestPolicyServersEndOnSIGTERM(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, 1, 10, threeServers)
 	propose := func(s *processtest.PolicyServer) {
@@ -93,41 +96,41 @@
 		defer cancel()
 		f.proposeTo(ctx, s)
 	}
-	for _, moment := range []struct {
-		name string
-		come func(s *processtest.PolicyServer) error
+	for _, testCase := range []struct {
+		name    string
+		prepare func(s *processtest.PolicyServer) error
 	}{
-		{"just after it went on", func(s *processtest.PolicyServer) error {
+		{"just after it was resumed", func(s *processtest.PolicyServer) error {
 			if err := s.Process().Stop(f.ctx); err != nil {
 				return err
 			}
-			time.Sleep(time.Second) // another one leads then, or not yet
+			time.Sleep(time.Second) // another server may have become the leader by then
 			return s.Process().Continue()
 		}},
-		{"cut off with a proposal", func(s *processtest.PolicyServer) error {
+		{"isolated with a proposal", func(s *processtest.PolicyServer) error {
 			err := s.Isolate(true)
 			propose(s)
 			return err
 		}},
-		{"while a membership change is under way", func(s *processtest.PolicyServer) error {
+		{"isolated with a membership change", func(s *processtest.PolicyServer) error {
 			err := s.Isolate(true)
 			ctx, cancel := context.WithTimeout(f.ctx, time.Second)
 			defer cancel()
 			client := policyclient.Client{Servers: []string{s.HTTP}}
-			f.Logf("removed from %s: %v", s.Name, client.RemoveServer(ctx, "w9")) // never a member: nothing changes
+			f.Logf("removed from %s: %v", s.Name, client.RemoveServer(ctx, "w9")) // not a member, so nothing changes
 			return err
 		}},
-		{"without a log that can be written", func(s *processtest.PolicyServer) error {
-			s.Process().ExpectExit() // raft panics where it can't save its term
+		{"with a log that cannot be written", func(s *processtest.PolicyServer) error {
+			s.Process().ExpectExit() // raft panics if it cannot save its term
 			err := s.Process().RefuseWrites(true)
 			propose(s)
 			return err
 		}},
-		{"a second time", func(s *processtest.PolicyServer) error { return s.Process().Signal(syscall.SIGTERM) }},
+		{"with a second SIGTERM", func(s *processtest.PolicyServer) error { return s.Process().Signal(syscall.SIGTERM) }},
 	} {
 		leader := f.awaitLeader()
-		t.Logf("%s: %s", moment.name, leader.Name)
-		if err := moment.come(leader); err != nil {
+		t.Logf("%s: %s", testCase.name, leader.Name)
+		if err := testCase.prepare(leader); err != nil {
 			t.Fatal(err)
 		}
 		f.terminate(leader)
@@ -142,19 +145,19 @@
 	for _, s := range f.fleet.PolicyServers {
 		f.terminate(s)
 	}
-	alone := f.fleet.PolicyServers[0]
-	if err := alone.Start(); err != nil {
+	waiting := f.fleet.PolicyServers[0]
+	if err := waiting.Start(); err != nil {
 		t.Fatal(err)
 	}
-	if err := process.WaitUntil(f.ctx, "it waits for a peer", func() bool {
-		return strings.Contains(alone.Process().Log(), "waiting for another policy server")
+	if err := process.WaitUntil(f.ctx, "the policy server waits for a peer", func() bool {
+		return strings.Contains(waiting.Process().Log(), "waiting for another policy server")
 	}); err != nil {
 		t.Fatal(err)
 	}
-	f.terminate(alone)
+	f.terminate(waiting)
 }
 
-// proposeTo proposes a change to one policy server, whatever becomes of it.
+// proposeTo proposes a change to one policy server, and ignores the result.
 func (f *fleetTest) proposeTo(ctx context.Context, s *processtest.PolicyServer) {
 	client := policyclient.Client{Servers: []string{s.HTTP}}
 	_, err := client.Propose(ctx, policyclient.Proposal{ID: "p" + s.Name, Policy: f.parse(closeS1Text)})
--- a/internal/control/policyclient/tighten_test.go
+++ b/internal/control/policyclient/tighten_test.go
@@ -9,9 +9,9 @@
 	"yokeroute/internal/testbed/processtest"
 )
 
-// TestNonIdempotentByPolicy: a class becomes non-idempotent and the retry budget zero while servers are slow,
-// connections are reset, clients retry and one gatherer restarts each second; and back again. Meanwhile no shard
-// request of a query that was admitted then is sent again where an attempt may have run.
+// TestNonIdempotentByPolicy changes a class to non-idempotent and the retry budget to zero, and back again, while
+// servers are slow, connections are reset, clients retry, and one gatherer restarts each second. It checks that no
+// shard request of a query that was admitted while the class was non-idempotent is repeated if an attempt may have run.
 func TestNonIdempotentByPolicy(t *testing.T) {
 	t.Parallel()
 	servers := threeServers
@@ -29,11 +29,11 @@
 	stopRestarts := f.restartEachSecond(f.fleet.Gatherers[3])
 	defer stopRestarts()
 	f.awaitApplied(f.propose("index any once-only\nfurther share 0% free 0\ncold 50%\n"))
-	tightened := unixMilliseconds()
+	restrictedAt := unixMilliseconds()
 	f.awaitServed(150)
-	loosening := unixMilliseconds()
+	relaxingFrom := unixMilliseconds()
 	f.awaitApplied(f.propose("no-copies\n"))
-	loosened := unixMilliseconds()
+	relaxedAt := unixMilliseconds()
 	f.awaitServed(150)
 	stopRestarts()
 	stopResets()
@@ -46,29 +46,31 @@
 	for _, s := range sends {
 		switch {
 		case s.Class != "any":
-		case s.At < tightened && s.Repeated:
+		case s.At < restrictedAt && s.Repeated:
 			before++
-		case s.AdmittedAt > tightened && s.At < loosening:
+		case s.AdmittedAt > restrictedAt && s.At < relaxingFrom:
 			meanwhile++
 			if s.Repeated {
-				t.Errorf("%s sent a shard request of %s again while the class was non-idempotent, "+
+				t.Errorf("%s repeated a shard request of class %s while the class was non-idempotent, "+
 					"%.0f ms after its query was admitted", s.Gatherer, s.Class, s.At-s.AdmittedAt)
 			}
-		case s.AdmittedAt > loosened && s.Repeated:
+		case s.AdmittedAt > relaxedAt && s.Repeated:
 			after++
 		}
 	}
-	t.Logf("sent again: %d before, %d after; %d attempts meanwhile", before, after, meanwhile)
+	t.Logf("repeated attempts: %d before, %d after; attempts while non-idempotent: %d", before, after, meanwhile)
 	if before == 0 || meanwhile < 100 {
-		t.Errorf("sent again %d times before, %d attempts meanwhile: it shows nothing", before, meanwhile)
+		t.Errorf("%d repeated attempts before and %d attempts while the class was non-idempotent, "+
+			"want at least 1 and 100: too few for the check to be meaningful", before, meanwhile)
 	}
 }
 
-// resetConnections resets the connections to shard servers again and again, so that attempts on them may have run. It
-// returns a channel that can be received from after each round, and how to stop.
+// resetConnections repeatedly resets the connections to shard servers, so that attempts on them may have run. It
+// returns a channel from which a value can be received after each round of resets, and a function that stops the
+// resets.
 func (f *fleetTest) resetConnections() (rounds <-chan struct{}, stop func()) {
 	ctx, cancel := context.WithCancel(f.ctx)
-	done := make(chan struct{})
+	roundDone := make(chan struct{})
 	var wait sync.WaitGroup
 	wait.Go(func() {
 		for {
@@ -78,18 +80,18 @@
 			select {
 			case <-ctx.Done():
 				return
-			case done <- struct{}{}:
+			case roundDone <- struct{}{}:
 			case <-time.After(400 * time.Millisecond):
 			}
 		}
 	})
-	return done, func() {
+	return roundDone, func() {
 		cancel()
 		wait.Wait()
 	}
 }
 
-// restartEachSecond kills and starts a gatherer each second, until stop is called.
+// restartEachSecond kills and restarts a gatherer each second, until the returned function is called.
 func (f *fleetTest) restartEachSecond(g *processtest.Gatherer) (stop func()) {
 	ctx, cancel := context.WithCancel(f.ctx)
 	var wait sync.WaitGroup
--- a/internal/control/policyserver/config_test.go
+++ b/internal/control/policyserver/config_test.go
@@ -21,7 +21,7 @@
 		strings.Replace(serverLine, "s1", "s9", 1) + peers:                 "policy server s9 is not among the peers; add",
 		serverLine + peers + "peer s4 raft 127.0.0.1:7 http 127.0.0.1:8\n": "has 4 peers; use an odd number",
 		serverLine + peers + "peer s3 raft 127.0.0.1:7 http 127.0.0.1:8\n": "s.conf:5:6: \"s3\": is given twice",
-		serverLine + peers + "lease 500ms\nbeat 100ms\n":                   "lease of 500 ms is too short for a heartbeat every",
+		serverLine + peers + "lease 500ms\nbeat 100ms\n":                   "lease of 500 ms is too short for a heartbeat every 100 ms",
 		serverLine + peers + "leas 500ms\n":                                "did you mean lease?",
 	} {
 		if err := os.WriteFile(file, []byte(text), 0o644); err != nil {
