--- a/internal/control/policyclient/linearizable_test.go
+++ b/internal/control/policyclient/linearizable_test.go
@@ -20,7 +20,8 @@
 	operationTimeout = 12 * time.Second
 	checkTimeout     = 60 * time.Second
 	minChanges       = 4
-	minPerFault      = 12 // operations
+
+	minOperationsPerFault = 12
 )
 
 // input is an operation on the record: a read of the highest number that was assigned to a change, or a proposal.
@@ -122,8 +123,8 @@
 	return n
 }
 
-// disturb kills, suspends or isolates the leader, waits until the other servers have served minPerFault operations, and
-// undoes the fault.
+// disturb kills, suspends or isolates the leader, waits until the other servers have served minOperationsPerFault
+// operations, and undoes the fault.
 func (l *operationLog) disturb(i int) {
 	l.Helper()
 	leader := l.fleet.Leader(l.ctx)
@@ -144,7 +145,7 @@
 	if err := inject[i%3](); err != nil {
 		l.Fatal(err)
 	}
-	othersContinue := func() bool { return l.count() >= before+minPerFault }
+	othersContinue := func() bool { return l.count() >= before+minOperationsPerFault }
 	if err := process.WaitUntil(l.ctx, "the other policy servers serve operations", othersContinue); err != nil {
 		l.Fatal(err)
 	}
--- a/internal/control/policyclient/outage_test.go
+++ b/internal/control/policyclient/outage_test.go
@@ -13,11 +13,11 @@
 	"yokeroute/logic/policy"
 )
 
-// TestServingWithoutQuorum checks an outage of the policy servers. While two of three are down no change is committed
-// and queries are served; a pending change is committed once they are back. While all are down for longer than a lease,
-// gatherers apply their fallback policies and serve queries, including gatherers that restart meanwhile with a torn,
+// TestQueriesAreServedWithoutQuorum checks an outage of the policy servers. While two of three are down no change is
+// committed and queries are served; a pending change is committed once they are back. While all are down for longer
+// than a lease, gatherers apply their fallback policies and serve queries, including gatherers that restart meanwhile with a torn,
 // stale or lost state. A policy server with a stale disk does not start.
-func TestServingWithoutQuorum(t *testing.T) {
+func TestQueriesAreServedWithoutQuorum(t *testing.T) {
 	f := startFleet(t, 4, 60, threeServers)
 	servers := f.fleet.PolicyServers
 	f.awaitApplied(f.propose(closeS1Text))
@@ -100,10 +100,10 @@
 	}
 }
 
-// TestPartitionedFleet checks a network partition with the leader and two gatherers on one side, and two policy servers
-// and the other gatherers on the other side. The side with the quorum commits a change. The gatherers on the other side
+// TestPartitionWithQuorumCommitsChange checks a network partition with the leader and two gatherers on one side, and
+// two policy servers and the other gatherers on the other side. The side with the quorum commits a change. The gatherers on the other side
 // apply their fallback policies, and the change once the partition has ended.
-func TestPartitionedFleet(t *testing.T) {
+func TestPartitionWithQuorumCommitsChange(t *testing.T) {
 	t.Parallel()
 	const gatherers = 6
 	f := startFleet(t, gatherers, 60, threeServers)
@@ -125,8 +125,8 @@
 		}
 	}
 	err := process.WaitUntil(f.ctx, "another policy server is the leader", func() bool {
-		now := f.fleet.Leader(f.ctx)
-		return now != nil && now != leader
+		current := f.fleet.Leader(f.ctx)
+		return current != nil && current != leader
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/control/policylease/lease.go
+++ b/internal/control/policylease/lease.go
@@ -26,7 +26,7 @@
 	settings       *gather.Settings
 	locations      map[uint32]location // locations of the shard servers, by ID
 	closed         map[uint32]bool
-	closedRevision uint64 // number of changes of closed
+	closedRevision uint64 // incremented whenever closed changes
 }
 
 var _ dispatch.PolicyGate = (*Lease)(nil)
@@ -98,7 +98,7 @@
 	return l.holder.Drained()
 }
 
-// heartbeat returns the fields of the next heartbeat that the lease knows.
+// heartbeat returns a heartbeat with the fields that the lease knows. Poller.heartbeat sets the others.
 func (l *Lease) heartbeat() policy.Heartbeat {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,8 +120,8 @@
 	return revision, advanced, accepted
 }
 
-// Hold puts a policy from the gatherer's local file in effect, without policy servers and without expiry. Readings is
-// how often the file has been read, and serves as the epoch.
+// Hold puts a policy from the gatherer's local file in effect, without policy servers and without expiry. The epoch is
+// readings, the number of times that the file has been read.
 func (l *Lease) Hold(p policy.Policy, readings uint64) error {
 	l.mu.Lock()
 	err := l.validate(p)
--- a/internal/control/policylease/lease_test.go
+++ b/internal/control/policylease/lease_test.go
@@ -62,13 +62,15 @@
 		t.Errorf("class any: %+v, want min share 0.6 and complete share 0.75", class)
 	}
 	if settings.RetryBudgetFloor != 4 || settings.RetryBudgetRatio != 0.1 || settings.OverloadMultiple != 1.5 {
-		t.Errorf("settings: %+v", settings)
+		t.Errorf("settings %+v, want retry allowance 4, retry share 0.1 and overload multiple 1.5", settings)
 	}
 	if !settings.HedgingAllowed || l.platform.OverloadMultiple != 3 {
-		t.Errorf("settings %+v; platform's settings %+v", settings, l.platform)
+		t.Errorf("settings %+v, want hedging allowed; platform's settings %+v, want overload multiple 3",
+			settings, l.platform)
 	}
 	if l.Weight(1) != 0.5 || l.Weight(2) != 1 || l.Blocked(1) || !l.Blocked(2) {
-		t.Errorf("weights %g and %g, closed servers %v", l.Weight(1), l.Weight(2), l.closed)
+		t.Errorf("weights %g and %g, want 0.5 and 1; closed servers %v, want server 2",
+			l.Weight(1), l.Weight(2), l.closed)
 	}
 }
 
@@ -97,23 +99,23 @@
 		t.Error("after the lease expired: want a first attempt permitted, except to a host that the fallback policy closes")
 	}
 	for _, c := range []struct {
-		result dispatch.Result
-		share  float64
-		ran    bool
-		want   dispatch.ResultKind
+		result     dispatch.Result
+		share      float64
+		mayHaveRun bool
+		want       dispatch.ResultKind
 	}{
 		{servedResult, 0.6, true, dispatch.Failed},
 		{servedResult, 0.95, true, dispatch.Served},
 		{dispatch.Result{Kind: dispatch.Rejected}, 0, true, dispatch.Failed},
 		{dispatch.Result{Kind: dispatch.Rejected}, 0, false, dispatch.Rejected},
 	} {
-		if got := l.ReviewResult(call, c.result, c.share, c.ran, 1000).Kind; got != c.want {
-			t.Errorf("%+v: result %v", c, got)
+		if got := l.ReviewResult(call, c.result, c.share, c.mayHaveRun, 1000).Kind; got != c.want {
+			t.Errorf("%+v: result %v, want %v", c, got, c.want)
 		}
 	}
 	s := l.State()
 	if s.ExpiresAt != 0 || s.ExpiredLeases != 1 || !strings.Contains(s.Effective, "close zone north\n") {
-		t.Errorf("state: %+v", s)
+		t.Errorf("state %+v, want no lease, 1 expired lease and the fallback policy in effect", s)
 	}
 }
 
@@ -123,7 +125,8 @@
 	l, _ := newTestLease(t, "", "")
 	err := l.Hold(policy.Policy{{Kind: policy.Closed, Subject: "north/"}}, 2)
 	if err != nil || !l.Blocked(1) || l.Blocked(2) || l.holder.ExpiresAt() != math.Inf(1) {
-		t.Errorf("error %v, closed servers %v, expires at %g", err, l.closed, l.holder.ExpiresAt())
+		t.Errorf("error %v, closed servers %v, expires at %g; want server 1 closed without expiry",
+			err, l.closed, l.holder.ExpiresAt())
 	}
 	for text, want := range map[string]string{
 		"index nowhere no-copies\n":  "there is no index nowhere",
--- a/internal/control/policylease/poller.go
+++ b/internal/control/policylease/poller.go
@@ -177,19 +177,19 @@
 // cancelOnceDrained starts a goroutine that cancels a poll once the gatherer has drained. The returned function stops
 // the goroutine and waits until it has ended.
 func (p *Poller) cancelOnceDrained(cancel context.CancelCauseFunc) (stop func()) {
-	answered := make(chan struct{})
-	ended := make(chan struct{})
+	pollEnded := make(chan struct{})
+	goroutineEnded := make(chan struct{})
 	go func() {
-		defer close(ended)
+		defer close(goroutineEnded)
 		select {
 		case <-p.lease.drained:
 			cancel(errDrained)
-		case <-answered:
+		case <-pollEnded:
 		}
 	}()
 	return func() {
-		close(answered)
-		<-ended
+		close(pollEnded)
+		<-goroutineEnded
 	}
 }
 
--- a/internal/control/policyserver/config_test.go
+++ b/internal/control/policyserver/config_test.go
@@ -29,7 +29,7 @@
 		}
 		_, err := Read(file)
 		if (err == nil) != (want == "") || err != nil && !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v, want %q", err, want)
+			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
 }
--- a/internal/control/policyserver/fsm_test.go
+++ b/internal/control/policyserver/fsm_test.go
@@ -59,7 +59,8 @@
 	}
 	if record.Epoch != 100_007 || len(record.History) < 1000 || len(record.History) > 1250 ||
 		record.TrimmedChanges+uint64(len(record.History)) != 100_000 {
-		t.Errorf("epoch %d, %d kept, %d trimmed", record.Epoch, len(record.History), record.TrimmedChanges)
+		t.Errorf("epoch %d, %d changes kept, %d trimmed; want epoch 100007, 1000 to 1250 kept, 100000 in total",
+			record.Epoch, len(record.History), record.TrimmedChanges)
 	}
 	snap, err := m.Snapshot()
 	if err != nil {
--- a/internal/control/policyserver/leadership.go
+++ b/internal/control/policyserver/leadership.go
@@ -57,7 +57,7 @@
 	}
 	change, err := s.replica.Load().execute(ctx, *command)
 	if err != nil {
-		s.log.WithError(err).Warn("policy server: pending change not committed or abandoned")
+		s.log.WithError(err).Warn("policy server: failed to commit or abandon the pending change")
 		return
 	}
 	fields := logrus.Fields{"change": change.Number, "outcome": change.Outcome, "reason": change.OutcomeReason}
--- a/internal/control/policyserver/replica.go
+++ b/internal/control/policyserver/replica.go
@@ -85,7 +85,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r.streams = newNamedStreams(c, listener)
+	r.streams = newStreamLayer(c, listener)
 	r.transport = raft.NewNetworkTransportWithConfig(&raft.NetworkTransportConfig{
 		Stream:  r.streams,
 		MaxPool: pooledConnections,
--- a/internal/control/policyserver/transport.go
+++ b/internal/control/policyserver/transport.go
@@ -20,7 +20,7 @@
 	accepted map[net.Conn]bool // open connections from peers; nil after disconnect
 }
 
-func newNamedStreams(c *Config, listener net.Listener) *streamLayer {
+func newStreamLayer(c *Config, listener net.Listener) *streamLayer {
 	addresses := make(map[raft.ServerAddress]string, len(c.Peers))
 	for _, p := range c.Peers {
 		addresses[raft.ServerAddress(p.Name)] = p.Raft
