--- a/internal/control/policyclient/outage_test.go
+++ b/internal/control/policyclient/outage_test.go
@@ -15,8 +15,8 @@
 
 // TestQueriesAreServedWithoutQuorum checks an outage of the policy servers. While two of three are down no change is
 // committed and queries are served; a pending change is committed once they are back. While all are down for longer
-// than a lease, gatherers apply their fallback policies and serve queries, including gatherers that restart meanwhile with a torn,
-// stale or lost state. A policy server with a stale disk does not start.
+// than a lease, gatherers apply their fallback policies and serve queries, including gatherers that restart meanwhile
+// with a torn, stale or lost state. A policy server with a stale disk does not start.
 func TestQueriesAreServedWithoutQuorum(t *testing.T) {
 	f := startFleet(t, 4, 60, threeServers)
 	servers := f.fleet.PolicyServers
@@ -101,8 +101,8 @@
 }
 
 // TestPartitionWithQuorumCommitsChange checks a network partition with the leader and two gatherers on one side, and
-// two policy servers and the other gatherers on the other side. The side with the quorum commits a change. The gatherers on the other side
-// apply their fallback policies, and the change once the partition has ended.
+// two policy servers and the other gatherers on the other side. The side with the quorum commits a change. The
+// gatherers on the other side apply their fallback policies, and the change once the partition has ended.
 func TestPartitionWithQuorumCommitsChange(t *testing.T) {
 	t.Parallel()
 	const gatherers = 6
--- a/internal/control/policyclient/tighten_test.go
+++ b/internal/control/policyclient/tighten_test.go
@@ -10,8 +10,9 @@
 )
 
 // TestNonIdempotentByPolicyIsNotRepeated changes a class to non-idempotent and the retry budget to zero, and back
-// again, while servers are slow, connections are reset, clients retry, and one gatherer restarts each second. It checks that no
-// shard request of a query that was admitted while the class was non-idempotent is repeated if an attempt may have run.
+// again, while servers are slow, connections are reset, clients retry, and one gatherer restarts each second. It checks
+// that no shard request of a query that was admitted while the class was non-idempotent is repeated if an attempt may
+// have run.
 func TestNonIdempotentByPolicyIsNotRepeated(t *testing.T) {
 	t.Parallel()
 	servers := threeServers
