--- a/internal/control/policyclient/tighten_test.go
+++ b/internal/control/policyclient/tighten_test.go
@@ -9,11 +9,10 @@
 	"yokeroute/internal/testbed/processtest"
 )
 
-// TestNonIdempotentByPolicyIsNotRepeated changes a class to non-idempotent and the retry budget to zero, and back
-// again, while servers are slow, connections are reset, clients retry, and one gatherer restarts each second. It checks
-// that no shard request of a query that was admitted while the class was non-idempotent is repeated if an attempt may
-// have run.
-func TestNonIdempotentByPolicyIsNotRepeated(t *testing.T) {
+// TestNonIdempotentByPolicy changes a class to non-idempotent and the retry budget to zero, and back again, while
+// servers are slow, connections are reset, clients retry, and one gatherer restarts each second. It checks that no
+// shard request of a query that was admitted while the class was non-idempotent is repeated if an attempt may have run.
+func TestNonIdempotentByPolicy(t *testing.T) {
 	t.Parallel()
 	servers := threeServers
 	servers.Fallback = "no-copies\nindex any once-only least 75%\nfurther share 0% free 0\ncold 20%\n"
