--- a/internal/config/placementfile/placementfile_test.go
+++ b/internal/config/placementfile/placementfile_test.go
@@ -73,8 +73,9 @@
 	}
 }
 
-// TestErrorsNameLineColumnAndWord checks that each error in a file gives one message with its line, column and word.
-func TestErrorsNameLineColumnAndWord(t *testing.T) {
+// TestParseErrorsNameLineColumnAndWord checks that each error in a file gives one message with its line, column and
+// word.
+func TestParseErrorsNameLineColumnAndWord(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"host n-1 hall north kind big", "host n-1 hall nort kind big", `f:8:15: "nort": is no hall of this file; did you mean north?`},
 		{"host n-1 hall north kind big", "host n-1 hall north kind bog", `f:8:26: "bog": is no kind of this file; did you mean big?`},
--- a/internal/control/rollout/kept_test.go
+++ b/internal/control/rollout/kept_test.go
@@ -145,10 +145,10 @@
 	}
 }
 
-// TestFolderIsWrittenByteForByteAsKept checks that a rollout's folder (journal with every kind of record, status,
-// history, the operator's command, the controller's number) is written byte for byte like the kept one, which fixes
-// the format.
-func TestFolderIsWrittenByteForByteAsKept(t *testing.T) {
+// TestRolloutFolderMatchesKeptFolderByteForByte checks that a rollout's folder (journal with every kind of record,
+// status, history, the operator's command, the controller's number) is written byte for byte like the kept one, which
+// fixes the format.
+func TestRolloutFolderMatchesKeptFolderByteForByte(t *testing.T) {
 	folder := filepath.Join(t.TempDir(), "run")
 	writeFolder(t, folder)
 	want, got := folderFiles(t, filepath.Join(keptFolder, "rollout-1")), folderFiles(t, folder)
--- a/internal/control/rollout/processrecord_test.go
+++ b/internal/control/rollout/processrecord_test.go
@@ -14,9 +14,9 @@
 	"yokeroute/logic/rollout"
 )
 
-// TestRecordOfAnotherBootNamesNoProcess guards against a controller that, after a reboot, waits for and then kills an
-// unrelated process that happens to have the process ID and the start time of a recorded step's process.
-func TestRecordOfAnotherBootNamesNoProcess(t *testing.T) {
+// TestProcessRecordFromEarlierBootIsIgnored guards against a controller that, after a reboot, waits for and then kills
+// an unrelated process that happens to have the process ID and the start time of a recorded step's process.
+func TestProcessRecordFromEarlierBootIsIgnored(t *testing.T) {
 	const otherBoot = "00000000-0000-4000-8000-000000000000"
 	for name, c := range map[string]struct {
 		bootID string
--- a/internal/control/rollout/recordedstart_test.go
+++ b/internal/control/rollout/recordedstart_test.go
@@ -46,9 +46,9 @@
 	}
 }
 
-// TestCommandRunsOnceRecorded checks that a command runs only after it is recorded, under the recorded process ID and
-// without the pipe's descriptor, and that a command that can't be recorded does not run at all.
-func TestCommandRunsOnceRecorded(t *testing.T) {
+// TestCommandRunsOnlyAfterItIsRecorded checks that a command runs only after it is recorded, under the recorded process
+// ID and without the pipe's descriptor, and that a command that can't be recorded does not run at all.
+func TestCommandRunsOnlyAfterItIsRecorded(t *testing.T) {
 	marker := filepath.Join(t.TempDir(), "ran")
 	recordedPID := 0
 	script := `{ echo $$ "$1"; [ ! -e /proc/$$/fd/3 ] || echo descriptor 3 is open; } > "$2"`
@@ -84,9 +84,9 @@
 	}
 }
 
-// TestStepEndsWithItsCommand guards against a step that fails or does not end because a child outlives the command and
-// holds its output open, for example a gatherer that a deploy script starts.
-func TestStepEndsWithItsCommand(t *testing.T) {
+// TestStepEndsWithCommandDespiteChildHoldingOutput guards against a step that fails or does not end because a child
+// outlives the command and holds its output open, for example a gatherer that a deploy script starts.
+func TestStepEndsWithCommandDespiteChildHoldingOutput(t *testing.T) {
 	p := keptPlan(t.TempDir())
 	p.Commands = map[rollout.Variant]StepCommand{
 		rollout.New: {Args: []string{"sh", "-c", "sleep 20 & echo $! > " + filepath.Join(p.Folder, "child")}, Timeout: time.Minute},
--- a/internal/gatherer/background/background_test.go
+++ b/internal/gatherer/background/background_test.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// TestCancelPanicAndShutdownEndJobs checks that pause returns ErrCancelled in a cancelled job, that a panic ends only
+// TestJobEndsOnCancelPanicAndShutdown checks that pause returns ErrCancelled in a cancelled job, that a panic ends only
 // its own job, and that the scheduler cancels and awaits the running job when it stops.
-func TestCancelPanicAndShutdownEndJobs(t *testing.T) {
+func TestJobEndsOnCancelPanicAndShutdown(t *testing.T) {
 	s, stop := newScheduler(t, 0.5)
 	started, result := make(chan bool), make(chan error, 1)
 	s.Submit("a", jobs.Normal, func(pause func() error) error {
--- a/internal/gatherer/dispatch/ownership_test.go
+++ b/internal/gatherer/dispatch/ownership_test.go
@@ -217,9 +217,9 @@
 	}
 }
 
-// TestRetriesAfterNotOwnerUseRetryBudget guards against attempts that bypass the retry budget because they follow a
-// rejection by a server that does not own the keys. They count as retries.
-func TestRetriesAfterNotOwnerUseRetryBudget(t *testing.T) {
+// TestRetryAfterNotOwnerAnswerCountsAgainstRetryBudget guards against attempts that bypass the retry budget because
+// they follow a rejection by a server that does not own the keys. They count as retries.
+func TestRetryAfterNotOwnerAnswerCountsAgainstRetryBudget(t *testing.T) {
 	p, m := newOwnershipPicker(t, func(s *gather.Settings) {
 		s.RetryBudgetFloor = 3.0
 		s.RetryBudgetRatio = 0.0
--- a/internal/gatherer/dispatch/recordpolicy_test.go
+++ b/internal/gatherer/dispatch/recordpolicy_test.go
@@ -30,10 +30,10 @@
 	return r
 }
 
-// TestClassMadeNonIdempotentByPolicyIsRecorded guards against sending unrecorded queries of a class that a policy
-// change makes non-idempotent. A query that arrives after the change is recorded before it is sent; one that arrived
-// before it is not recorded and is rejected.
-func TestClassMadeNonIdempotentByPolicyIsRecorded(t *testing.T) {
+// TestQueryIsRecordedIfPolicyMakesItsClassNonIdempotent guards against sending unrecorded queries of a class that a
+// policy change makes non-idempotent. A query that arrives after the change is recorded before it is sent; one that
+// arrived before it is not recorded and is rejected.
+func TestQueryIsRecordedIfPolicyMakesItsClassNonIdempotent(t *testing.T) {
 	p, store := newPicker(t, nil), newGatedStore()
 	close(store.gate)
 	gate := &switchedGate{initial: p.settings, restricted: p.settings.Clone()}
--- a/internal/gatherer/dispatch/twopass_test.go
+++ b/internal/gatherer/dispatch/twopass_test.go
@@ -11,9 +11,9 @@
 	"yokeroute/internal/pcg"
 )
 
-// TestFirstPassDecidesSecondPass checks which shards the second pass requests after a first pass that proved all, none
-// or some shards empty, or received malformed summaries.
-func TestFirstPassDecidesSecondPass(t *testing.T) {
+// TestSecondPassRequestsShardsNotProvedEmpty checks which shards the second pass requests after a first pass that
+// proved all, none or some shards empty, or received malformed summaries.
+func TestSecondPassRequestsShardsNotProvedEmpty(t *testing.T) {
 	for name, c := range map[string]struct {
 		summaries []string
 		second    int // shard requests wanted in the second pass
--- a/internal/gatherer/frontend/activequeries_test.go
+++ b/internal/gatherer/frontend/activequeries_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// TestIDInUseIsRejected sends a query with the ID of another client's query in flight. The response is 409.
-func TestIDInUseIsRejected(t *testing.T) {
+// TestQueryWithIDInUseIsRejected sends a query with the ID of another client's query in flight. The response is 409.
+func TestQueryWithIDInUseIsRejected(t *testing.T) {
 	release := make(chan struct{})
 	f, _, address := startServer(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-release
@@ -67,10 +67,10 @@
 	}
 }
 
-// TestSecondRequestIsServedOnlyAfterAbandonment has a second request with the same ID wait for the end of the first. If
-// the first one was answered, the second comes from a different client and is rejected. If the first one was abandoned,
-// the second may come from the same client and is served.
-func TestSecondRequestIsServedOnlyAfterAbandonment(t *testing.T) {
+// TestRequestWithSameIDIsServedOnlyIfFirstWasAbandoned has a second request with the same ID wait for the end of the
+// first. If the first one was answered, the second comes from a different client and is rejected. If the first one was
+// abandoned, the second may come from the same client and is served.
+func TestRequestWithSameIDIsServedOnlyIfFirstWasAbandoned(t *testing.T) {
 	for _, abandoned := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			a := &activeQueries{byID: map[string]*activeQuery{}}
--- a/internal/gatherer/frontend/conntracker_test.go
+++ b/internal/gatherer/frontend/conntracker_test.go
@@ -12,9 +12,10 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestSilentConnectionClosesFirst checks the order in which connections are closed beyond the limit: first one that has
-// sent nothing, but not one with unread bytes of a request; then an idle one; and new ones beyond the hard limit.
-func TestSilentConnectionClosesFirst(t *testing.T) {
+// TestSilentConnectionIsClosedFirstBeyondLimit checks the order in which connections are closed beyond the limit: first
+// one that has sent nothing, but not one with unread bytes of a request; then an idle one; and new ones beyond the hard
+// limit.
+func TestSilentConnectionIsClosedFirstBeyondLimit(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -137,9 +138,9 @@
 	}
 }
 
-// TestOverloadIsRejectedAndClosed has a client send a query while the maximum number of connections is in use. The
-// query is rejected with 503 at once, and the connection is closed.
-func TestOverloadIsRejectedAndClosed(t *testing.T) {
+// TestConnectionBeyondLimitIsRejectedAndClosed has a client send a query while the maximum number of connections is in
+// use. The query is rejected with 503 at once, and the connection is closed.
+func TestConnectionBeyondLimitIsRejectedAndClosed(t *testing.T) {
 	release := make(chan struct{})
 	f, _, address := startServer(t, 1, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-release
--- a/internal/gatherer/frontend/request_test.go
+++ b/internal/gatherer/frontend/request_test.go
@@ -82,8 +82,8 @@
 	}
 }
 
-// TestQueryTextUnescapes checks that escapes in a query's text are decoded.
-func TestQueryTextUnescapes(t *testing.T) {
+// TestEscapesInQueryTextAreDecoded checks that escapes in a query's text are decoded.
+func TestEscapesInQueryTextAreDecoded(t *testing.T) {
 	got, err := queryText([]byte(`"a\u0041\""`))
 	if err != nil || string(got) != `aA"` {
 		t.Errorf("query text %q, %v, want `aA\"`", got, err)
--- a/internal/gatherer/frontend/response_test.go
+++ b/internal/gatherer/frontend/response_test.go
@@ -9,9 +9,9 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestResultsOnTheWire checks the response to each kind of result, with values forwarded byte for byte, and that
-// queries are parsed correctly.
-func TestResultsOnTheWire(t *testing.T) {
+// TestResponseToEachResultIsUnchanged checks the response to each kind of result, with values forwarded byte for byte,
+// and that queries are parsed correctly.
+func TestResponseToEachResultIsUnchanged(t *testing.T) {
 	hits := []dispatch.Hit{{Shard: 3, Value: []byte("5be2")}, {Shard: 9, Value: []byte("a\"\n")}}
 	for _, c := range []struct {
 		result           dispatch.Result
--- a/internal/gatherer/frontend/shutdown_test.go
+++ b/internal/gatherer/frontend/shutdown_test.go
@@ -15,9 +15,9 @@
 	"yokeroute/internal/gatherer/dispatch"
 )
 
-// TestShutdownDrains checks that queries in flight are answered during a shutdown, that queries on new connections are
-// served, and that each response closes its connection.
-func TestShutdownDrains(t *testing.T) {
+// TestShutdownServesQueriesAndClosesConnections checks that queries in flight are answered during a shutdown, that
+// queries on new connections are served, and that each response closes its connection.
+func TestShutdownServesQueriesAndClosesConnections(t *testing.T) {
 	release := make(chan struct{})
 	f, s, address := startServer(t, 10, func(context.Context, *dispatch.Query) dispatch.Result {
 		<-release
--- a/internal/gatherer/service/kept_test.go
+++ b/internal/gatherer/service/kept_test.go
@@ -35,8 +35,9 @@
 	}
 }
 
-// TestAdminEndpointResponses checks status, content type and body of the gatherer's own endpoints byte for byte.
-func TestAdminEndpointResponses(t *testing.T) {
+// TestAdminEndpointResponsesAreUnchanged checks status, content type and body of the gatherer's own endpoints byte for
+// byte.
+func TestAdminEndpointResponsesAreUnchanged(t *testing.T) {
 	operatorFile := &operator.File{BackgroundShare: 0.05, TracesKept: 4, TraceShare: 1}
 	_, address, end := startGatherer(t, operatorFile, plainMachine, func(text string) string { return text })
 	defer end()
--- a/internal/gatherer/service/segments_test.go
+++ b/internal/gatherer/service/segments_test.go
@@ -278,11 +278,11 @@
 	}
 }
 
-// TestContradictingAuthorityStopsNonIdempotentQueries has an authority send a gatherer a change that was never made,
-// and later a different one of the same epoch. Non-idempotent queries are rejected once the contradiction is detected,
-// reads are still served, and all queries are served again with a later epoch. A change with a wrong checksum is
-// ignored.
-func TestContradictingAuthorityStopsNonIdempotentQueries(t *testing.T) {
+// TestNonIdempotentQueriesAreRejectedIfAuthorityContradictsItself has an authority send a gatherer a change that was
+// never made, and later a different one of the same epoch. Non-idempotent queries are rejected once the contradiction
+// is detected, reads are still served, and all queries are served again with a later epoch. A change with a wrong
+// checksum is ignored.
+func TestNonIdempotentQueriesAreRejectedIfAuthorityContradictsItself(t *testing.T) {
 	f := startSegmentFleet(t, 3, 1, &standin.SegmentLogs{}, "")
 	f.awaitReady(f.addresses[0])
 	startedAt := time.Now()
--- a/internal/gatherer/trace/kept_test.go
+++ b/internal/gatherer/trace/kept_test.go
@@ -133,10 +133,10 @@
 	gather.Cancelled, gather.NotSent, gather.NotOwner,
 }
 
-// TestDocumentsMatchKept runs queries that cover every outcome of an attempt, every result, both passes of a two-pass
-// query and an attempt that is never written. The recorded file and the documents served at Path must be identical to
-// the kept files.
-func TestDocumentsMatchKept(t *testing.T) {
+// TestTraceDocumentsMatchKeptFiles runs queries that cover every outcome of an attempt, every result, both passes of a
+// two-pass query and an attempt that is never written. The recorded file and the documents served at Path must be
+// identical to the kept files.
+func TestTraceDocumentsMatchKeptFiles(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
 	file, err := Create(FileConfig{
 		Name: name, MaxBytes: 1 << 20, FlushEach: true, Settings: keptSettings, StartedAt: recordStart,
@@ -275,8 +275,8 @@
 	}
 }
 
-// TestRecordOfSegmentsMatchesKept compares a record with a segment map to the kept file.
-func TestRecordOfSegmentsMatchesKept(t *testing.T) {
+// TestRecordOfSegmentsMatchesKeptFile compares a record with a segment map to the kept file.
+func TestRecordOfSegmentsMatchesKeptFile(t *testing.T) {
 	const maxSegments, shards = 16, 4
 	name := filepath.Join(t.TempDir(), "record")
 	file, err := Create(FileConfig{
@@ -319,8 +319,8 @@
 	wantKept(t, "segments.record", recorded)
 }
 
-// TestFullRecordMatchesKept compares a record that reaches its maximum size to the kept file.
-func TestFullRecordMatchesKept(t *testing.T) {
+// TestFullRecordMatchesKeptFile compares a record that reaches its maximum size to the kept file.
+func TestFullRecordMatchesKeptFile(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "record")
 	file, err := Create(FileConfig{
 		Name: name, MaxBytes: 700, FlushEach: true, Settings: &gather.Settings{DrainGrace: 250}, StartedAt: recordStart,
--- a/internal/httpserver/httpserver_test.go
+++ b/internal/httpserver/httpserver_test.go
@@ -128,9 +128,9 @@
 	}
 }
 
-// TestCloseIsBounded checks that Close returns although one handler blocks until its context ends and one client
-// sends nothing.
-func TestCloseIsBounded(t *testing.T) {
+// TestCloseReturnsDespiteBlockedHandlerAndSilentClient checks that Close returns although one handler blocks until its
+// context ends and one client sends nothing.
+func TestCloseReturnsDespiteBlockedHandlerAndSilentClient(t *testing.T) {
 	serving := make(chan struct{})
 	l := listen(t)
 	s := start(t, l, Timeouts{Handshakes: time.Millisecond, Requests: 50 * time.Millisecond},
--- a/internal/storage/runfolder/runfolder_test.go
+++ b/internal/storage/runfolder/runfolder_test.go
@@ -188,9 +188,9 @@
 	}
 }
 
-// TestProcessThatRecordedNothingIsSkipped guards against losing the earlier records after a process was killed right
+// TestTokenOfProcessWithoutRecordsIsSkipped guards against losing the earlier records after a process was killed right
 // after it took its token.
-func TestProcessThatRecordedNothingIsSkipped(t *testing.T) {
+func TestTokenOfProcessWithoutRecordsIsSkipped(t *testing.T) {
 	folder := t.TempDir()
 	if err := os.CopyFS(folder, os.DirFS(filepath.Join("testdata", "kept", "run"))); err != nil {
 		t.Fatal(err)
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -65,9 +65,9 @@
 	}
 }
 
-// TestRepeatsMayHaveRunWhereRecordsAreMissing opens a state without a folder and one with lost records. A query that is
-// marked as a repeat must count as one that may have run until the retention has passed.
-func TestRepeatsMayHaveRunWhereRecordsAreMissing(t *testing.T) {
+// TestRepeatedQueryMayHaveRunIfRecordsAreMissing opens a state without a folder and one with lost records. A query that
+// is marked as a repeat must count as one that may have run until the retention has passed.
+func TestRepeatedQueryMayHaveRunIfRecordsAreMissing(t *testing.T) {
 	g, r, err := OpenGathererState("", 0, 1000, 5000)
 	if err != nil || r.UnknownUntil != 6000 {
 		t.Fatalf("state without a folder: %+v, %v, want UnknownUntil 6000", r, err)
@@ -114,10 +114,10 @@
 	}
 }
 
-// TestRecordNotRunDoesNotWaitForSync guards against making a client wait for a sync of the disk before it is told that
-// its query has not run. The record survives a crash of the process. If a crash of the machine loses it, the query
-// counts as one that may have run, and a repeat fails.
-func TestRecordNotRunDoesNotWaitForSync(t *testing.T) {
+// TestRecordThatQueryHasNotRunDoesNotWaitForSync guards against making a client wait for a sync of the disk before it
+// is told that its query has not run. The record survives a crash of the process. If a crash of the machine loses it,
+// the query counts as one that may have run, and a repeat fails.
+func TestRecordThatQueryHasNotRunDoesNotWaitForSync(t *testing.T) {
 	dir := t.TempDir()
 	g, _ := openState(t, dir, 0)
 	syncs := 0
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -123,10 +123,10 @@
 	})
 }
 
-// TestPreparedCaseIsAsGoodAsSolvingAgain checks that the weights of the case for the loss of half a zone give
-// no higher maximum utilisation than solving again without the lost host, and that a loss without a case of
-// its own gets weights with the expected maximum utilisation.
-func TestPreparedCaseIsAsGoodAsSolvingAgain(t *testing.T) {
+// TestWeightsOfPreparedCaseAreAsGoodAsSolvingAgain checks that the weights of the case for the loss of half a
+// zone give no higher maximum utilisation than solving again without the lost host, and that a loss without a
+// case of its own gets weights with the expected maximum utilisation.
+func TestWeightsOfPreparedCaseAreAsGoodAsSolvingAgain(t *testing.T) {
 	m := twoZoneModel()
 	m.Hosts[0].Cost, m.Hosts[1].Cost = 5, 3
 	plan := mustSolve(t, m)
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestPlanWithoutListedHostsOrTooOldGivesNoWeights checks that a plan gives no weights, so that plain round
+// TestPlanGivesNoWeightsIfTooOldOrWithoutListedHosts checks that a plan gives no weights, so that plain round
 // robin applies, if none of its hosts is on the endpoint list or if the plan is older than its maximum age.
-func TestPlanWithoutListedHostsOrTooOldGivesNoWeights(t *testing.T) {
+func TestPlanGivesNoWeightsIfTooOldOrWithoutListedHosts(t *testing.T) {
 	plan := mustSolve(t, twoZoneModel())
 	active := placement.ActivePlan{Plan: plan, MaxAge: 1000}
 	effective := active.At(plan.Model.At+10, func(string) bool { return false })
--- a/logic/handout/handout_test.go
+++ b/logic/handout/handout_test.go
@@ -164,10 +164,10 @@
 	p.t.Fatal("responses are still due after 300 answers")
 }
 
-// TestProxyNeverLacksARoutedCluster applies random changes, delayed answers, rejections and new streams. The
-// proxy must never hold a route to a cluster that it lacks, and must end with the newest view except for
+// TestProxyNeverHasRouteToMissingCluster applies random changes, delayed answers, rejections and new streams.
+// The proxy must never hold a route to a cluster that it lacks, and must end with the newest view except for
 // resources that it rejected.
-func TestProxyNeverLacksARoutedCluster(t *testing.T) {
+func TestProxyNeverHasRouteToMissingCluster(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		views := &source{version: 1, clusters: map[string]int{"c0": 1, "c1": 1},
 			endpoints:      map[string]int{"c0": 1, "c1": 1},
@@ -292,9 +292,9 @@
 	}
 }
 
-// TestRejectionsAreBackedOff checks that responses to repeated rejections become less and less frequent, and
+// TestBacksOffAfterRejections checks that responses to repeated rejections become less and less frequent, and
 // that one faulty resource does not block the others.
-func TestRejectionsAreBackedOff(t *testing.T) {
+func TestBacksOffAfterRejections(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
 		views := &source{version: 1, clusters: map[string]int{"c0": 1, "c1": 1, "c2": 1},
 			endpoints: map[string]int{"c0": 1, "c1": 1, "c2": 1}, urgentVersions: map[string]uint64{}}
@@ -360,9 +360,9 @@
 	}
 }
 
-// TestInvalidRequestsAndStaleAnswers checks that invalid requests fail and that answers to older responses
-// change nothing.
-func TestInvalidRequestsAndStaleAnswers(t *testing.T) {
+// TestInvalidRequestsFailAndStaleAnswersAreIgnored checks that invalid requests fail and that answers to
+// older responses change nothing.
+func TestInvalidRequestsFailAndStaleAnswersAreIgnored(t *testing.T) {
 	s := &Stream{}
 	if err := s.HandleRequest(&Request{Type: TypeCount}, 0); err == nil {
 		t.Error("request for an unknown type was accepted")
--- a/logic/hoststate/hoststate_test.go
+++ b/logic/hoststate/hoststate_test.go
@@ -428,9 +428,9 @@
 	}
 }
 
-// TestAdvanceVersionBoundsTheLead checks that the version is raised above one that a proxy holds, unless that
-// is older or implausibly far ahead.
-func TestAdvanceVersionBoundsTheLead(t *testing.T) {
+// TestAdvanceVersionIgnoresOldAndImplausibleVersions checks that the version is raised above one that a proxy
+// holds, unless that is older or implausibly far ahead.
+func TestAdvanceVersionIgnoresOldAndImplausibleVersions(t *testing.T) {
 	decider := New(WarmupSettings{}, 10)
 	if decider.AdvanceVersion(9) || !decider.AdvanceVersion(500) || decider.Version() != 501 ||
 		decider.AdvanceVersion(math.MaxUint64) || decider.Version() != 501 {
--- a/logic/jobs/jobs_test.go
+++ b/logic/jobs/jobs_test.go
@@ -12,9 +12,9 @@
 
 var budget = Budget{Share: 0.1, Burst: 20, Slice: 1}
 
-// TestBudgetHoldsOverAnySpanOfTime tests with random jobs, some of which exceed their slices, that the budget holds
-// over every span of time.
-func TestBudgetHoldsOverAnySpanOfTime(t *testing.T) {
+// TestJobsStayWithinBudgetOverAnySpanOfTime tests with random jobs, some of which exceed their slices, that
+// the budget holds over every span of time.
+func TestJobsStayWithinBudgetOverAnySpanOfTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(0, budget)
 		type usage struct{ at, cpu float64 }
@@ -91,9 +91,10 @@
 	}
 }
 
-// TestJobsOfOneNameAreMergedRepeatedAndCancelled tests that a job which is added twice runs once if it has not
-// started, and once more if it has, and that Cancel removes a job that has not started and marks one that has.
-func TestJobsOfOneNameAreMergedRepeatedAndCancelled(t *testing.T) {
+// TestJobsWithSameNameAreMergedRepeatedAndCancelled tests that a job which is added twice runs once if it has
+// not started, and once more if it has, and that Cancel removes a job that has not started and marks one that
+// has.
+func TestJobsWithSameNameAreMergedRepeatedAndCancelled(t *testing.T) {
 	q := New(0, budget)
 	first, added := q.Add("plan", Low)
 	second, addedAgain := q.Add("plan", Normal)
--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -68,10 +68,10 @@
 	return c, err == nil
 }
 
-// TestOverlapsPartitionARange checks that the overlaps of a range are consecutive, cover the range and have
-// shares that add up to 1. It compares the segment of each overlap with a linear search for the owner of each
-// key at a segment's border.
-func TestOverlapsPartitionARange(t *testing.T) {
+// TestOverlapsWithSegmentsCoverRangeOnce checks that the overlaps of a range are consecutive, cover the range
+// and have shares that add up to 1. It compares the segment of each overlap with a linear search for the
+// owner of each key at a segment's border.
+func TestOverlapsWithSegmentsCoverRangeOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMap(t)
 		for n := range rapid.IntRange(0, 6).Draw(t, "changes") {
@@ -366,9 +366,9 @@
 	}
 }
 
-// TestReplicaSetIndexReusesNumbersLast checks that each number is used by one segment at a time, that kept
-// segments keep theirs, and that freed numbers are reused last.
-func TestReplicaSetIndexReusesNumbersLast(t *testing.T) {
+// TestReplicaSetIndexReusesFreedNumbersLast checks that each number is used by one segment at a time, that
+// kept segments keep theirs, and that freed numbers are reused last.
+func TestReplicaSetIndexReusesFreedNumbersLast(t *testing.T) {
 	x := NewReplicaSetIndex(3)
 	m, _ := NewMap(1, []Segment{{Name: "a", Range: Range{0, 9}, Owners: []string{"h"}},
 		{Name: "b", Range: Range{10, 19}, Owners: []string{"g", "h"}}})
--- a/logic/policy/messages_test.go
+++ b/logic/policy/messages_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestUpdateIsNewToHeartbeat tests that a waiting poll is answered when a change is proposed, committed or abandoned,
-// but not for a pending change that its gatherer refuses.
-func TestUpdateIsNewToHeartbeat(t *testing.T) {
+// TestWaitingPollIsAnsweredOnlyIfUpdateIsNew tests that a waiting poll is answered when a change is proposed,
+// committed or abandoned, but not for a pending change that its gatherer refuses.
+func TestWaitingPollIsAnsweredOnlyIfUpdateIsNew(t *testing.T) {
 	pending := &Change{Number: 8}
 	revision := func(epoch, lastEnded, pending uint64) Revision {
 		return Revision{Epoch: epoch, LastEnded: lastEnded, Pending: pending}
--- a/logic/retry_test.go
+++ b/logic/retry_test.go
@@ -8,9 +8,9 @@
 
 const testTickMS = 5.0
 
-// TestArrivalsLeaveBudgetWindowEarlyAndRetriesLate checks that arrivals leave the window a tick early and
+// TestRetryBudgetIsNotExceededByRoundingToTicks checks that arrivals leave the window a tick early and
 // retries a tick late, so that the budget is not exceeded when times are rounded to ticks.
-func TestArrivalsLeaveBudgetWindowEarlyAndRetriesLate(t *testing.T) {
+func TestRetryBudgetIsNotExceededByRoundingToTicks(t *testing.T) {
 	settings := &gather.Settings{RetryBudgetWindow: 1000, RetryBudgetFloor: 2, RetryBudgetRatio: 0.1}
 	var budget retryBudget
 	budget.countRetry(100)
--- a/logic/rollout/decider_test.go
+++ b/logic/rollout/decider_test.go
@@ -40,9 +40,9 @@
 	return func(_ int, v Variant, _ int) float64 { return rate(v) }
 }
 
-// TestReasonOfEachWaitStopAndRollback tests the phase and the reason that operators read in each case that holds,
-// stops or rolls back a rollout.
-func TestReasonOfEachWaitStopAndRollback(t *testing.T) {
+// TestDeciderGivesReasonForEachWaitStopAndRollback tests the phase and the reason that operators read in each
+// case that holds, stops or rolls back a rollout.
+func TestDeciderGivesReasonForEachWaitStopAndRollback(t *testing.T) {
 	for name, c := range map[string]struct {
 		changePlan func(p *Plan)
 		setUp      func(f *fleet)
@@ -172,10 +172,10 @@
 	}
 }
 
-// TestStageOfAWholeZoneIsComparedWithOtherZones tests a stage that leaves no old gatherers in a zone. The zone is
-// compared with the old gatherers of the other zone by how much both have changed since the baseline, even though
-// the two zones have always differed.
-func TestStageOfAWholeZoneIsComparedWithOtherZones(t *testing.T) {
+// TestStageThatCoversAZoneIsComparedWithOtherZones tests a stage that leaves no old gatherers in a zone. The
+// zone is compared with the old gatherers of the other zone by how much both have changed since the baseline,
+// even though the two zones have always differed.
+func TestStageThatCoversAZoneIsComparedWithOtherZones(t *testing.T) {
 	for _, c := range []struct {
 		harm      float64
 		wantPhase Phase
--- a/logic/roundrobin/roundrobin_test.go
+++ b/logic/roundrobin/roundrobin_test.go
@@ -46,8 +46,9 @@
 	return counts
 }
 
-// TestSlotsFollowTheShares checks that in any run of slots each replica gets its share, to within two slots.
-func TestSlotsFollowTheShares(t *testing.T) {
+// TestReplicasGetSlotsInProportionToShares checks that in any run of slots each replica gets its share, to
+// within two slots.
+func TestReplicasGetSlotsInProportionToShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		shares := rapid.SliceOfN(rapid.SampledFrom([]float64{0.5, 1, 1, 2, 3}), 1, 6).Draw(t, "shares")
 		sum := 0.0
@@ -102,9 +103,9 @@
 	}
 }
 
-// TestCrowdedReplicaIsSkipped checks that Next skips a replica that has more attempts in flight in proportion
-// to its share than the least busy one would have with one more.
-func TestCrowdedReplicaIsSkipped(t *testing.T) {
+// TestReplicaWithTooManyAttemptsInFlightIsSkipped checks that Next skips a replica that has more attempts in
+// flight in proportion to its share than the least busy one would have with one more.
+func TestReplicaWithTooManyAttemptsInFlightIsSkipped(t *testing.T) {
 	w := newWeighted(1, []float64{1, 2})
 	inFlight := []int{3, 1}
 	next := func() int { return w.Next(0, func(server int) int { return inFlight[server] }, acceptAny) }
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -390,10 +390,10 @@
 	s.run()
 }
 
-// TestOldRecordsDoNotShedEveryQuery guards against a gatherer that rejects all queries for up to 25 s while
-// the servers are idle: it was slow itself when it measured them, and sends no attempts that would bring
-// newer records.
-func TestOldRecordsDoNotShedEveryQuery(t *testing.T) {
+// TestQueriesAreNotAllShedBecauseOfOldRecords guards against a gatherer that rejects all queries for up to 25
+// s while the servers are idle: it was slow itself when it measured them, and sends no attempts that would
+// bring newer records.
+func TestQueriesAreNotAllShedBecauseOfOldRecords(t *testing.T) {
 	runScenario(t, `
 		at 0: list 1:0 2:1 3:2 4:3
 		query 10,20,30,40 all 4 1000
--- a/logic/twopass/decide_test.go
+++ b/logic/twopass/decide_test.go
@@ -96,10 +96,10 @@
 	return twoPass / float64(n), trials / float64(n)
 }
 
-// TestDecideFollowsEmptyShare checks that queries go in two passes if most shards are proved empty, and in
-// one pass if few are. While one pass is chosen, a limited number of trials keeps the estimate up to date, so
-// that the decision follows a change of the content.
-func TestDecideFollowsEmptyShare(t *testing.T) {
+// TestDecideChoosesTwoPassesIfMostShardsAreEmpty checks that queries go in two passes if most shards are
+// proved empty, and in one pass if few are. While one pass is chosen, a limited number of trials keeps the
+// estimate up to date, so that the decision follows a change of the content.
+func TestDecideChoosesTwoPassesIfMostShardsAreEmpty(t *testing.T) {
 	for _, c := range []struct{ emptyShare, low, high float64 }{
 		{0, 0, 0.04},
 		{0.1, 0, 0.04},
--- a/logic/twopass/summary_test.go
+++ b/logic/twopass/summary_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// TestParseSummary checks that valid summaries are parsed, and which fault the error for invalid ones names.
-func TestParseSummary(t *testing.T) {
+// TestParseSummaryNamesFaultOfInvalidSummary checks that valid summaries are parsed, and which fault the
+// error for invalid ones names.
+func TestParseSummaryNamesFaultOfInvalidSummary(t *testing.T) {
 	for text, want := range map[string]string{
 		"none v3":                          "",
 		"some 12 0.5 v3":                   "",
