--- a/cmd/yokeroute/plansummary.go
+++ b/cmd/yokeroute/plansummary.go
@@ -26,7 +26,7 @@
 	} else {
 		fmt.Fprintf(w, "placement: greatest utilisation %.1f%% when all are warm, "+
 			"within %.1f%% of the least that can be; %s; %d tries\n",
-			utilisation, optimalityGap(r), moves, r.Attempts)
+			utilisation, optimalityGap(r), moves, r.TriedChanges)
 	}
 	if r.TimedOut {
 		fmt.Fprintln(w, "placement: the time ran out before the effort; another run may find another one")
--- a/cmd/yokeroute/serve.go
+++ b/cmd/yokeroute/serve.go
@@ -87,7 +87,7 @@
 	if err != nil {
 		return nil, err
 	}
-	service.Limit(config.Limits)
+	service.ApplyRuntimeLimits(config.Limits)
 	listener, err := net.Listen("tcp", config.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("listen: %w", err)
@@ -109,7 +109,7 @@
 			return
 		case <-hangup:
 			s.Reload(o.files.loadPlatform)
-			s.Reread(o.files.operator)
+			s.ReloadOperatorFile(o.files.operator)
 		}
 	}
 }
--- a/gather/gather.go
+++ b/gather/gather.go
@@ -14,8 +14,8 @@
 // Round holds the events observed since the last round, each slice in the order of arrival.
 type Round struct {
 	Now float64
-	// HeldUp is the delay of this round after the time that Wake had requested.
-	HeldUp float64
+	// WakeDelay is the delay of this round after the time that Wake had requested.
+	WakeDelay float64
 	// Settings holds the new settings, nil if they are unchanged. An open query keeps those at its arrival.
 	Settings      *Settings
 	EndpointLists []EndpointList
--- a/gather/query.go
+++ b/gather/query.go
@@ -12,19 +12,19 @@
 
 // Query is a query that has arrived, or one pass of it. Its shard requests arrive in the same round.
 type Query struct {
-	ID             uint64
-	Number         uint64 // number that the query shares with its shard requests
-	Class          string
-	Tenant         string
-	Cost           float64 // expected work of all shard requests, 0 if unknown
-	Key            string
-	Deadline       float64
-	Retry          bool // the client marked the query as a retry
-	Write          bool
-	Pass           Pass
-	ArrivedAt      float64 // 0 for the time of this round
-	ReceivedWeight float64 // weight already received, in addition to the requests of this round
-	FullCallExtra  float64 // first pass only: additional time that a full call would take
+	ID               uint64
+	Number           uint64 // number that the query shares with its shard requests
+	Class            string
+	Tenant           string
+	Cost             float64 // expected work of all shard requests, 0 if unknown
+	Key              string
+	Deadline         float64
+	Retry            bool // the client marked the query as a retry
+	Write            bool
+	Pass             Pass
+	ArrivedAt        float64 // 0 for the time of this round
+	ReceivedWeight   float64 // weight already received, in addition to the requests of this round
+	FullRequestExtra float64 // first pass only: additional time that a full call would take
 }
 
 // ShardRequest is the part of a query that one shard answers.
@@ -71,10 +71,10 @@
 
 // AttemptResult is the result of one attempt.
 type AttemptResult struct {
-	Request  uint64
-	Server   uint32
-	Attempt  int // number of the attempt within its request, from 0
-	Elapsed  float64
-	Outcome  Outcome
-	Finished bool // the request must not have further attempts
+	Request           uint64
+	Server            uint32
+	Attempt           int // number of the attempt within its request, from 0
+	Elapsed           float64
+	Outcome           Outcome
+	NoFurtherAttempts bool // the request must not have further attempts
 }
--- a/internal/control/policylease/lease.go
+++ b/internal/control/policylease/lease.go
@@ -120,9 +120,9 @@
 	return revision, advanced, accepted
 }
 
-// Hold puts a policy from the gatherer's local file in effect, without policy servers and without expiry. The epoch is
-// readings, the number of times that the file has been read.
-func (l *Lease) Hold(p policy.Policy, readings uint64) error {
+// ApplyLocal puts a policy from the gatherer's local file in effect, without policy servers and without expiry. The
+// epoch is readings, the number of times that the file has been read.
+func (l *Lease) ApplyLocal(p policy.Policy, readings uint64) error {
 	l.mu.Lock()
 	err := l.validate(p)
 	l.mu.Unlock()
--- a/internal/control/policylease/lease_test.go
+++ b/internal/control/policylease/lease_test.go
@@ -41,7 +41,7 @@
 		OnChange: func() {},
 	})
 	list := gather.EndpointList{Full: true, Endpoints: []gather.Endpoint{{ID: 1, Zone: "north"}, {ID: 2, Zone: "south"}}}
-	l.Follow(list, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
+	l.UpdateEndpoints(list, []shardcall.Address{{ID: 1, Name: "s1"}, {ID: 2, Name: "s2"}})
 	l.handle(0, policy.Update{Epoch: 1, LastEnded: 1, Policy: parse(leased), Lease: 1000})
 	return l, &now
 }
@@ -119,11 +119,11 @@
 	}
 }
 
-// TestHoldAppliesLocalPolicy checks that a policy from the gatherer's local file is in effect without expiry, and that
-// one that conflicts with the platform's settings or the endpoint list is an error.
-func TestHoldAppliesLocalPolicy(t *testing.T) {
+// TestApplyLocalAppliesLocalPolicy checks that a policy from the gatherer's local file is in effect without expiry, and
+// that one that conflicts with the platform's settings or the endpoint list is an error.
+func TestApplyLocalAppliesLocalPolicy(t *testing.T) {
 	l, _ := newTestLease(t, "", "")
-	err := l.Hold(policy.Policy{{Kind: policy.Closed, Subject: "north/"}}, 2)
+	err := l.ApplyLocal(policy.Policy{{Kind: policy.Closed, Subject: "north/"}}, 2)
 	if err != nil || !l.Blocked(1) || l.Blocked(2) || l.holder.ExpiresAt() != math.Inf(1) {
 		t.Errorf("error %v, closed servers %v, expires at %g; want server 1 closed without expiry",
 			err, l.closed, l.holder.ExpiresAt())
@@ -139,7 +139,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if err := l.Hold(p, 3); err == nil || !strings.Contains(err.Error(), want) {
+		if err := l.ApplyLocal(p, 3); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%q: error %v, want %q", text, err, want)
 		}
 	}
--- a/internal/control/policylease/servers.go
+++ b/internal/control/policylease/servers.go
@@ -13,9 +13,9 @@
 // location holds the zone and the host of a shard server.
 type location struct{ zone, host string }
 
-// Follow updates the shard servers' locations from an endpoint list, which has their zones, and from their addresses,
-// which have their names.
-func (l *Lease) Follow(list gather.EndpointList, addresses []shardcall.Address) {
+// UpdateEndpoints updates the shard servers' locations from an endpoint list, which has their zones, and from their
+// addresses, which have their names.
+func (l *Lease) UpdateEndpoints(list gather.EndpointList, addresses []shardcall.Address) {
 	if list.Failed {
 		return
 	}
--- a/internal/control/rollout/claims_test.go
+++ b/internal/control/rollout/claims_test.go
@@ -25,7 +25,7 @@
 		if err := json.NewDecoder(r.Body).Decode(&requested); err != nil || r.URL.Path != report.ClaimPath {
 			t.Errorf("%s: %v", r.URL, err)
 		}
-		if holder, granted := rollout.Grant(&holderClaim, requested, 0); !granted {
+		if holder, granted := rollout.GrantClaim(&holderClaim, requested, 0); !granted {
 			w.WriteHeader(http.StatusConflict)
 			if err := json.NewEncoder(w).Encode(holder); err != nil {
 				t.Error(err)
--- a/internal/gatherer/dispatch/attempt.go
+++ b/internal/gatherer/dispatch/attempt.go
@@ -160,12 +160,12 @@
 		}
 	}
 	result := gather.AttemptResult{
-		Request:  a.moduleID,
-		Server:   a.Server,
-		Attempt:  a.number,
-		Elapsed:  end.latency,
-		Outcome:  end.outcome,
-		Finished: end.outcome == gather.Succeeded,
+		Request:           a.moduleID,
+		Server:            a.Server,
+		Attempt:           a.number,
+		Elapsed:           end.latency,
+		Outcome:           end.outcome,
+		NoFurtherAttempts: end.outcome == gather.Succeeded,
 	}
 	if end.outcome == gather.NotOwner { // not a fault of the server: the module counts the attempt as not sent
 		result.Outcome = gather.NotSent
--- a/internal/gatherer/dispatch/picker_test.go
+++ b/internal/gatherer/dispatch/picker_test.go
@@ -242,6 +242,6 @@
 }
 
 func (m heldUpRecorder) Round(in *gather.Round, w gather.Writer) {
-	*m.heldUp = append(*m.heldUp, in.HeldUp)
+	*m.heldUp = append(*m.heldUp, in.WakeDelay)
 	m.Module.Round(in, w)
 }
--- a/internal/gatherer/dispatch/query.go
+++ b/internal/gatherer/dispatch/query.go
@@ -178,18 +178,18 @@
 func (p *Picker) addToRound(in *gather.Round, query *Query) {
 	p.queries.byID[query.id] = query
 	in.Queries = append(in.Queries, gather.Query{
-		ID:             query.id,
-		Number:         query.id,
-		Class:          query.Class,
-		Tenant:         query.Tenant,
-		Cost:           query.Cost,
-		Key:            query.RouteKey,
-		Deadline:       query.Deadline,
-		Retry:          query.Retried,
-		Pass:           query.pass.kind,
-		ArrivedAt:      query.pass.parentAdmittedAt,
-		ReceivedWeight: query.pass.receivedWeight,
-		FullCallExtra:  query.pass.fullCallExtra,
+		ID:               query.id,
+		Number:           query.id,
+		Class:            query.Class,
+		Tenant:           query.Tenant,
+		Cost:             query.Cost,
+		Key:              query.RouteKey,
+		Deadline:         query.Deadline,
+		Retry:            query.Retried,
+		Pass:             query.pass.kind,
+		ArrivedAt:        query.pass.parentAdmittedAt,
+		ReceivedWeight:   query.pass.receivedWeight,
+		FullRequestExtra: query.pass.fullCallExtra,
 	})
 	if p.ownership != nil {
 		p.splitByOwner(in, query)
--- a/internal/gatherer/dispatch/round.go
+++ b/internal/gatherer/dispatch/round.go
@@ -75,7 +75,7 @@
 func (p *Picker) runRound(now float64) Actions {
 	in := p.intake.drain()
 	p.actions = Actions{}
-	in.HeldUp = p.schedule.begin(now)
+	in.WakeDelay = p.schedule.begin(now)
 	p.applyEndpointLists(in.EndpointLists)
 	if in.Weights != nil {
 		p.module.weights = in.Weights
--- a/internal/gatherer/dispatch/twopass.go
+++ b/internal/gatherer/dispatch/twopass.go
@@ -169,7 +169,7 @@
 		query.twoPass.outcomes[i].Weight = r.Weight
 	}
 	firstPass.Deadline = min(decision.FirstPassDeadline+deadlineMarginRounds*p.schedule.interval, query.Deadline)
-	firstPass.pass.fullCallExtra = decision.FullCallExtra
+	firstPass.pass.fullCallExtra = decision.FullRequestExtra
 	firstPass.assignID(p.intake.allocate(firstPass.size()))
 	t.queries[query.id] = query
 	p.addToRound(in, firstPass)
--- a/internal/gatherer/plans/plans.go
+++ b/internal/gatherer/plans/plans.go
@@ -41,11 +41,11 @@
 	active    placement.ActivePlan
 	placement *placementfile.File // input for solving, nil if plans are not solved
 	endpoints map[uint32]placementfile.NamedEndpoint
-	order     []uint32            // server IDs in the order of discovery's list
-	serverIDs map[string]uint32   // server IDs by host name
-	applied   [][]gather.Weight   // weights that the dispatcher has
-	logged    placement.Effective // status that was logged last
-	timer     *time.Timer         // calls applyWeights when the weights may change with time
+	order     []uint32                   // server IDs in the order of discovery's list
+	serverIDs map[string]uint32          // server IDs by host name
+	applied   [][]gather.Weight          // weights that the dispatcher has
+	logged    placement.EffectiveWeights // status that was logged last
+	timer     *time.Timer                // calls applyWeights when the weights may change with time
 }
 
 // New returns a keeper without a plan.
@@ -80,7 +80,7 @@
 	if k.active.Plan == nil && k.applied != nil && file == nil {
 		k.log.Info("plan: removed; using plain round robin")
 	}
-	k.logged = placement.Effective{MissingHosts: -1} // differs from any status, so that the next one is logged
+	k.logged = placement.EffectiveWeights{MissingHosts: -1} // differs from any status, so that the next one is logged
 	k.applyWeights()
 	k.submitSolve()
 	return nil
@@ -246,7 +246,7 @@
 	}
 }
 
-func (k *Keeper) logStatus(s placement.Effective) {
+func (k *Keeper) logStatus(s placement.EffectiveWeights) {
 	log := k.log.WithField("missing", s.MissingHosts)
 	switch {
 	case s.Stale:
--- a/internal/gatherer/report/collector.go
+++ b/internal/gatherer/report/collector.go
@@ -125,7 +125,7 @@
 	now := c.now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	holder, granted = rollout.Grant(c.claim, claim, now)
+	holder, granted = rollout.GrantClaim(c.claim, claim, now)
 	if granted {
 		c.claim = &holder
 	}
@@ -136,7 +136,7 @@
 func (c *Collector) ReleaseClaim(runID string, fencingToken uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if rollout.Release(c.claim, runID, fencingToken) {
+	if rollout.ReleaseClaim(c.claim, runID, fencingToken) {
 		c.claim = nil
 	}
 }
--- a/internal/gatherer/service/policy.go
+++ b/internal/gatherer/service/policy.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	a.Picker.SetPolicyGate(a.policy.lease)
-	a.hooks.endpoints = append(a.hooks.endpoints, a.policy.lease.Follow)
+	a.hooks.endpoints = append(a.hooks.endpoints, a.policy.lease.UpdateEndpoints)
 	return nil
 }
 
@@ -61,7 +61,7 @@
 		return err
 	}
 	p.fileRevision++
-	return p.lease.Hold(document, p.fileRevision)
+	return p.lease.ApplyLocal(document, p.fileRevision)
 }
 
 // pollPolicyServers returns the policy of the policy servers. The fallback policy applies while there is no lease.
--- a/internal/gatherer/service/reload.go
+++ b/internal/gatherer/service/reload.go
@@ -26,7 +26,7 @@
 		apply(c)
 	}
 	if c.Limits != old.Limits {
-		Limit(c.Limits)
+		ApplyRuntimeLimits(c.Limits)
 	}
 	for _, key := range keysNeedingRestart(old, c) {
 		s.log.WithField("key", key).Warn("service: configuration key takes effect at the next start")
@@ -53,9 +53,9 @@
 	return keys
 }
 
-// Reread reads the operator's file again and applies it. An invalid file, or one that names an invalid plan, changes
-// nothing.
-func (s *Service) Reread(file string) {
+// ReloadOperatorFile reads the operator's file again and applies it. An invalid file, or one that names an invalid
+// plan, changes nothing.
+func (s *Service) ReloadOperatorFile(file string) {
 	if err := s.reloadOperatorFile(file); err != nil {
 		s.log.WithError(err).Error("service: operator's file rejected")
 	}
@@ -77,9 +77,9 @@
 	return nil
 }
 
-// Limit configures the Go runtime for the platform's CPU and memory limits, so that the process is neither killed for
-// exceeding its memory nor throttled during a garbage collection.
-func Limit(l platform.Limits) {
+// ApplyRuntimeLimits configures the Go runtime for the platform's CPU and memory limits, so that the process is neither
+// killed for exceeding its memory nor throttled during a garbage collection.
+func ApplyRuntimeLimits(l platform.Limits) {
 	const (
 		bytesPerMegabyte = 1 << 20
 		// The remaining quarter is for goroutine stacks, kernel buffers and the program itself.
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -143,12 +143,12 @@
 		return fmt.Errorf("field ref or server is missing, or unknown verdict %q", m.Verdict)
 	}
 	r.Results = append(r.Results, gather.AttemptResult{
-		Request:  *m.ID,
-		Server:   *m.Server,
-		Attempt:  m.Attempt,
-		Elapsed:  milliseconds(m.Elapsed),
-		Outcome:  outcome,
-		Finished: m.Closed,
+		Request:           *m.ID,
+		Server:            *m.Server,
+		Attempt:           m.Attempt,
+		Elapsed:           milliseconds(m.Elapsed),
+		Outcome:           outcome,
+		NoFurtherAttempts: m.Closed,
 	})
 	return nil
 }
--- a/internal/storage/statedir/gathererstate_test.go
+++ b/internal/storage/statedir/gathererstate_test.go
@@ -29,7 +29,7 @@
 	if !r.Empty || r.UnknownUntil > 0 {
 		t.Errorf("new folder: %+v, want an empty state", r)
 	}
-	m, err := ownership.NewMap(3, []ownership.Segment{{Name: "s", Range: ownership.All, Owners: []string{"a"}}})
+	m, err := ownership.NewMap(3, []ownership.Segment{{Name: "s", Range: ownership.AllKeys, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/testbed/processtest/worse/main.go
+++ b/internal/testbed/processtest/worse/main.go
@@ -122,7 +122,7 @@
 		return err
 	}
 	log := logrus.New()
-	service.Limit(c.Limits)
+	service.ApplyRuntimeLimits(c.Limits)
 	listener, err := net.Listen("tcp", c.Listen)
 	if err != nil {
 		return err
--- a/internal/testbed/scale/decisions.go
+++ b/internal/testbed/scale/decisions.go
@@ -132,7 +132,7 @@
 		outcome = gather.Failed
 	}
 	heap.Push(&q.results, scheduledResult{q.now + latency, gather.AttemptResult{Request: part, Server: server, Attempt: number, Elapsed: latency,
-		Outcome: outcome, Finished: outcome == gather.Succeeded}})
+		Outcome: outcome, NoFurtherAttempts: outcome == gather.Succeeded}})
 }
 
 // Cancel is the module's writer's: a call that is given up may be answered all the same.
--- a/logic/backoff/backoff.go
+++ b/logic/backoff/backoff.go
@@ -1,7 +1,7 @@
 // Package backoff computes how long a gatherer waits between failed calls to a service that all gatherers
 // share. The pauses grow exponentially, so that a service that many gatherers call at once can answer some of
-// them. They are limited, so that a gatherer receives a change within the 6 s after which the change counts as
-// known to it.
+// them. They are limited, so that a gatherer receives a change within the 6 s after which the change counts
+// as known to it.
 package backoff
 
 const (
--- a/logic/balance/cases_test.go
+++ b/logic/balance/cases_test.go
@@ -320,7 +320,7 @@
 			remaining := recorder.inFlight[:0]
 			for _, attempt := range recorder.inFlight {
 				if attempt.gatherer == i && attempt.time <= recorder.now {
-					in.Results = append(in.Results, gather.AttemptResult{Request: attempt.request, Server: attempt.server, Outcome: gather.Succeeded, Finished: true})
+					in.Results = append(in.Results, gather.AttemptResult{Request: attempt.request, Server: attempt.server, Outcome: gather.Succeeded, NoFurtherAttempts: true})
 				} else {
 					remaining = append(remaining, attempt)
 				}
--- a/logic/baselines/attempt.go
+++ b/logic/baselines/attempt.go
@@ -162,7 +162,7 @@
 	a.ended = true
 	a.neverExecuted = result.Outcome.NeverExecuted()
 	r.inFlight--
-	r.closed = r.closed || result.Finished
+	r.closed = r.closed || result.NoFurtherAttempts
 	if s := m.servers[a.server]; s != nil {
 		s.inFlight--
 	}
--- a/logic/baselines/baselines_test.go
+++ b/logic/baselines/baselines_test.go
@@ -41,7 +41,7 @@
 		after *= 20
 	}
 	f.pending = append(f.pending, pendingResult{f.now + after, gather.AttemptResult{Request: request,
-		Server: server, Attempt: attempt, Outcome: outcome, Finished: outcome == gather.Succeeded}})
+		Server: server, Attempt: attempt, Outcome: outcome, NoFurtherAttempts: outcome == gather.Succeeded}})
 }
 
 func (f *fleet) Cancel(request uint64, attempt int)      { f.write("cancel", request, attempt) }
--- a/logic/day_test.go
+++ b/logic/day_test.go
@@ -66,11 +66,11 @@
 		sim.attempts++
 		after, ended := outcome(server)
 		sim.results = append(sim.results, scheduledResult{at: sim.now + after, result: gather.AttemptResult{
-			Request:  request,
-			Server:   server,
-			Attempt:  sim.recorder.attempts[request] - 1,
-			Outcome:  ended,
-			Finished: ended == gather.Succeeded,
+			Request:           request,
+			Server:            server,
+			Attempt:           sim.recorder.attempts[request] - 1,
+			Outcome:           ended,
+			NoFurtherAttempts: ended == gather.Succeeded,
 		}})
 	}
 }
--- a/logic/dispatch.go
+++ b/logic/dispatch.go
@@ -42,7 +42,7 @@
 // with, so its start time is set earlier by the time saved, and its record has less weight.
 func (g *Gatherer) dispatch(r *shardRequest, replica int) {
 	g.replicas.recordChoice(g.servers.replicaSet(r.Shard), replica, g.now, g.settings)
-	savedTime := r.query.FullCallExtra
+	savedTime := r.query.FullRequestExtra
 	a := &attempt{
 		request:          r,
 		server:           replica,
@@ -71,7 +71,7 @@
 	a.ended = true
 	a.neverExecuted = result.Outcome.NeverExecuted()
 	r.inFlight--
-	r.closed = r.closed || result.Finished
+	r.closed = r.closed || result.NoFurtherAttempts
 	r.succeeded = r.succeeded || result.Outcome == gather.Succeeded
 	g.servers.removeInFlight(a)
 	g.latencies.record(a, result.Outcome, g.now)
--- a/logic/estimates.go
+++ b/logic/estimates.go
@@ -38,8 +38,8 @@
 	unknownLatency = -1.0 // value of a mean latency for which there are no records
 )
 
-// estimate holds the statistics of a server, by its records and its attempts in flight. The fields latency and
-// recentLatency are unknownLatency if there is no record of such an attempt.
+// estimate holds the statistics of a server, by its records and its attempts in flight. The fields latency
+// and recentLatency are unknownLatency if there is no record of such an attempt.
 type estimate struct {
 	latency              float64 // mean latency of successful attempts (s in the paper)
 	recentLatency        float64 // mean latency of successful attempts within the window
@@ -203,8 +203,8 @@
 	}
 }
 
-// affectedAttempts returns the number of attempts that a request sent now would delay, including itself. It is
-// E in the gain formula at chooseMode (section III-C of the paper).
+// affectedAttempts returns the number of attempts that a request sent now would delay, including itself. It
+// is E in the gain formula at chooseMode (section III-C of the paper).
 func (e *latencyEstimator) affectedAttempts(server int) float64 {
 	utilization := min(e.servers.attemptCounts[server]/measuringWindowMS*e.latency(server), maxUtilization)
 	queue := float64(e.servers.inFlight(server) + 1)
--- a/logic/gatherer_test.go
+++ b/logic/gatherer_test.go
@@ -31,7 +31,7 @@
 			Requests: []gather.ShardRequest{{ID: id + 1, Number: id, Weight: 1}},
 		})
 		now++
-		result := gather.AttemptResult{Request: id + 1, Outcome: gather.Succeeded, Finished: true}
+		result := gather.AttemptResult{Request: id + 1, Outcome: gather.Succeeded, NoFurtherAttempts: true}
 		round(gather.Round{Now: now, Results: []gather.AttemptResult{result}})
 	}
 	if n := g.latencies.records.Count(0) + g.latencies.records.Count(1); n < 1900 {
--- a/logic/jobs/jobs_test.go
+++ b/logic/jobs/jobs_test.go
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestClassesShareTheBudgetByWeight tests that classes share the budget by weight while all have jobs, that the job
-// added first runs first within a class, and that a class is not compensated for its idle time.
+// TestClassesShareTheBudgetByWeight tests that classes share the budget by weight while all have jobs, that
+// the job added first runs first within a class, and that a class is not compensated for its idle time.
 func TestClassesShareTheBudgetByWeight(t *testing.T) {
 	q := New(0, Budget{Share: 1, Burst: 1000, Slice: 1})
 	for i := range 3 {
--- a/logic/logic.go
+++ b/logic/logic.go
@@ -79,8 +79,8 @@
 // Round applies the events observed since the last round and writes the decisions.
 func (g *Gatherer) Round(in *gather.Round, w gather.Writer) {
 	elapsed, decay := g.startRound(in.Now, w)
-	if in.HeldUp > stallTicks*g.tick() {
-		g.latencies.totalStall += in.HeldUp
+	if in.WakeDelay > stallTicks*g.tick() {
+		g.latencies.totalStall += in.WakeDelay
 	}
 	if in.Settings != nil {
 		g.applySettings(in.Settings)
--- a/logic/ownership/model_test.go
+++ b/logic/ownership/model_test.go
@@ -350,7 +350,7 @@
 // explore visits every reachable state of a scenario, "move" or "split", and stops at the first fault. It
 // returns how many states it found.
 func explore(t *testing.T, fencing bool, scenario string) (states int, fault string) {
-	first, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
+	first, err := NewMap(1, []Segment{{Name: "s", Range: AllKeys, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/logic/ownership/ownership_test.go
+++ b/logic/ownership/ownership_test.go
@@ -273,7 +273,7 @@
 // TestTrackerReportsConflictingSources applies two different changes of the same epoch. The first one is
 // kept, and only a full map of a later epoch ends the conflict.
 func TestTrackerReportsConflictingSources(t *testing.T) {
-	m, err := NewMap(1, []Segment{{Name: "s", Range: All, Owners: []string{"a"}}})
+	m, err := NewMap(1, []Segment{{Name: "s", Range: AllKeys, Owners: []string{"a"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/logic/ownership/range.go
+++ b/logic/ownership/range.go
@@ -17,14 +17,14 @@
 // Range is the set of keys from Lo to Hi. Both are included, so that a Range can hold all keys.
 type Range struct{ Lo, Hi uint64 }
 
-// All is the range of all keys.
-var All = Range{0, maxKey}
+// AllKeys is the range of all keys.
+var AllKeys = Range{0, maxKey}
 
 // ShardRange returns the keys of one shard, given the number of shards into which clients divide the keys
 // evenly.
 func ShardRange(shard, shards int) Range {
 	if shards <= 1 {
-		return All
+		return AllKeys
 	}
 	width := maxKey/uint64(shards) + 1
 	lo := uint64(shard) * width
--- a/logic/passes_test.go
+++ b/logic/passes_test.go
@@ -112,7 +112,7 @@
 	q.Pass = gather.Pass(sim.random.Uint32() % 3)
 	switch q.Pass {
 	case gather.FirstPass:
-		q.FullCallExtra = 30 * sim.random.Float64()
+		q.FullRequestExtra = 30 * sim.random.Float64()
 	case gather.SecondPass:
 		q.ArrivedAt = sim.now - 50
 		q.ReceivedWeight = 0.5 * sim.random.Float64()
--- a/logic/placement/active.go
+++ b/logic/placement/active.go
@@ -12,8 +12,8 @@
 	MaxAge float64 // milliseconds after the model's At at which the plan becomes stale, 0 for never
 }
 
-// Effective holds the weights of an active plan that are in effect at a moment, and its status.
-type Effective struct {
+// EffectiveWeights holds the weights of an active plan that are in effect at a moment, and its status.
+type EffectiveWeights struct {
 	Rows         []Row   // nil if plain round robin applies
 	CaseName     string  // case whose weights are in effect, empty for the plan's own weights
 	MissingHosts int     // number of the plan's hosts that are missing from the endpoint list
@@ -25,8 +25,8 @@
 type ListedHost func(host string) bool
 
 // At returns the weights in effect at a moment, and the status of the plan.
-func (a *ActivePlan) At(now float64, listed ListedHost) Effective {
-	e := Effective{ValidUntil: math.Inf(1)}
+func (a *ActivePlan) At(now float64, listed ListedHost) EffectiveWeights {
+	e := EffectiveWeights{ValidUntil: math.Inf(1)}
 	if a.Plan == nil {
 		return e
 	}
--- a/logic/placing/bench_test.go
+++ b/logic/placing/bench_test.go
@@ -107,7 +107,7 @@
 					b.ReportMetric((r.MaxUtilisation.Float()/r.Bound.Float()-1)*100, "gap%")
 					b.ReportMetric(r.MaxUtilisation.Float()*100, "greatest%")
 					b.ReportMetric((float64(r.Cost)/float64(r.CostBound)-1)*100, "costgap%")
-					b.ReportMetric(float64(r.Attempts), "tries")
+					b.ReportMetric(float64(r.TriedChanges), "tries")
 				}
 			})
 		}
--- a/logic/placing/infeasibility.go
+++ b/logic/placing/infeasibility.go
@@ -36,16 +36,16 @@
 
 // Infeasibility is the reason why no placement fits.
 type Infeasibility struct {
-	Kind        InfeasibilityKind        `json:"Kind"`
-	Segment     string                   `json:"Segment"`
-	Need        int64                    `json:"Need"`  // required hosts, slots, moves or units, by kind
-	Available   int64                    `json:"Takes"` // available or allowed number of them
-	Hosts       []string                 `json:"Hosts"`
-	Proof       *placement.Infeasibility `json:"Clash"`  // for DemandTooHigh: proof for the OneSegmentModel
-	Limits      []string                 `json:"Limits"` // for ConflictingLimits: a minimal set of them
-	Relaxations []string                 `json:"Lifts"`  // changes; each one would be sufficient by itself
-	Unproven    bool                     `json:"Unproven"`
-	Attempts    int                      `json:"Tries"` // number of changes that the search has tried
+	Kind         InfeasibilityKind        `json:"Kind"`
+	Segment      string                   `json:"Segment"`
+	Need         int64                    `json:"Need"`  // required hosts, slots, moves or units, by kind
+	Available    int64                    `json:"Takes"` // available or allowed number of them
+	Hosts        []string                 `json:"Hosts"`
+	Proof        *placement.Infeasibility `json:"Clash"`  // for DemandTooHigh: proof for the OneSegmentModel
+	Limits       []string                 `json:"Limits"` // for ConflictingLimits: a minimal set of them
+	Relaxations  []string                 `json:"Lifts"`  // changes; each one would be sufficient by itself
+	Unproven     bool                     `json:"Unproven"`
+	TriedChanges int                      `json:"Tries"` // number of changes that the search has tried
 }
 
 // runningHosts returns the names of the hosts that may hold replicas.
@@ -273,7 +273,7 @@
 		}
 	}
 	limits = append(limits, limit{limitCapacity, func(l *relaxed) { l.capacity = true }})
-	infeasibility := &Infeasibility{Kind: ConflictingLimits, Attempts: j.triedChanges}
+	infeasibility := &Infeasibility{Kind: ConflictingLimits, TriedChanges: j.triedChanges}
 	current := nothingRelaxed
 	for _, l := range limits {
 		candidate := current
@@ -311,7 +311,7 @@
 	relaxedJob := newJob(j.model, relax, j.effort, j.hasTime)
 	b := branchAndBound{job: relaxedJob, acceptAny: true}
 	isComplete := b.run()
-	infeasibility.Attempts += relaxedJob.triedChanges
+	infeasibility.TriedChanges += relaxedJob.triedChanges
 	infeasibility.Unproven = infeasibility.Unproven || !isComplete && !b.found
 	return b.found
 }
@@ -354,7 +354,8 @@
 			b.WriteString(" There was not enough time to prove that none of them can be left out.")
 		}
 	default:
-		fmt.Fprintf(&b, "No placement was found in %d tries; that proves nothing. Give it more effort.", f.Attempts)
+		fmt.Fprintf(&b, "No placement was found in %d tries; that proves nothing. Give it more effort.",
+			f.TriedChanges)
 	}
 	if len(f.Relaxations) > 0 {
 		fmt.Fprintf(&b, "\nAny one of these would do against it: %s.", strings.Join(f.Relaxations, "; "))
--- a/logic/placing/placing.go
+++ b/logic/placing/placing.go
@@ -46,7 +46,7 @@
 	Bound          placement.Ratio  `json:"Bound"`   // lower bound of MaxUtilisation for all placements
 	CostBound      int64            `json:"Floor"`   // lower bound of the cost at the utilisation Bound
 	Proven         bool             `json:"Proven"`  // whether it is proven that no placement is better
-	Attempts       int              `json:"Tries"`   // number of changes that the search has tried
+	TriedChanges   int              `json:"Tries"`   // number of changes that the search has tried
 	TimedOut       bool             `json:"Stopped"` // whether the time ran out before the effort was used up
 }
 
@@ -200,12 +200,12 @@
 		r.Proven = b.run()
 		assignment, v, found = b.assignment, b.best, b.found
 	}
-	r.Attempts, r.TimedOut = j.triedChanges, !hasTime()
+	r.TriedChanges, r.TimedOut = j.triedChanges, !hasTime()
 	if !found {
 		if isExact && r.Proven {
 			return nil, j.conflictingLimits(), nil
 		}
-		return nil, &Infeasibility{Kind: NotFound, Unproven: true, Attempts: j.triedChanges}, nil
+		return nil, &Infeasibility{Kind: NotFound, Unproven: true, TriedChanges: j.triedChanges}, nil
 	}
 	r.MaxUtilisation, r.Cost = v.utilisation, v.cost
 	r.Proven = r.Proven || !r.Bound.Less(v.utilisation) && r.CostBound == v.cost && v.moves == 0
--- a/logic/policy/compare_test.go
+++ b/logic/policy/compare_test.go
@@ -14,8 +14,9 @@
 	return reflect.DeepEqual(append(Policy{}, p...), append(Policy{}, q...))
 }
 
-// TestIntersectIsTheLoosestPolicyWithinBoth tests that an intersection permits only what both policies permit and is
-// the loosest such policy, that it is ordered, and that Intersect is commutative, associative and idempotent.
+// TestIntersectIsTheLoosestPolicyWithinBoth tests that an intersection permits only what both policies permit
+// and is the loosest such policy, that it is ordered, and that Intersect is commutative, associative and
+// idempotent.
 func TestIntersectIsTheLoosestPolicyWithinBoth(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p, q, r := drawPolicy(t, "p"), drawPolicy(t, "q"), drawPolicy(t, "r")
--- a/logic/policy/leader_test.go
+++ b/logic/policy/leader_test.go
@@ -47,8 +47,9 @@
 	return leaderTest{t, NewLeader(record, 1000, 5000, 0)}
 }
 
-// TestLeaderCommitsOrAbandonsThePendingChange tests that a leader waits for all gatherers that may hold a lease,
-// names those that it waits for, and abandons a change that a gatherer refuses or that is not prepared in time.
+// TestLeaderCommitsOrAbandonsThePendingChange tests that a leader waits for all gatherers that may hold a
+// lease, names those that it waits for, and abandons a change that a gatherer refuses or that is not prepared
+// in time.
 func TestLeaderCommitsOrAbandonsThePendingChange(test *testing.T) {
 	t := newLeaderTest(test)
 	t.checkDecision(0, 0, 0, "")
--- a/logic/policy/lease_test.go
+++ b/logic/policy/lease_test.go
@@ -39,8 +39,8 @@
 	return leaseTest{t, NewLeaseHolder(bothClosed, Revision{Epoch: 3, LastEnded: 3}, validate)}
 }
 
-// TestLeaseHolderAppliesUpdatesAndFallsBack tests a gatherer that starts with its fallback policy, prepares a change,
-// is suspended beyond its lease and refuses changes. It must never go back to an earlier revision.
+// TestLeaseHolderAppliesUpdatesAndFallsBack tests a gatherer that starts with its fallback policy, prepares a
+// change, is suspended beyond its lease and refuses changes. It must never go back to an earlier revision.
 func TestLeaseHolderAppliesUpdatesAndFallsBack(test *testing.T) {
 	t := newLeaseTest(test)
 	t.checkEffective(0, bothClosed, false)
--- a/logic/policy/model_test.go
+++ b/logic/policy/model_test.go
@@ -8,14 +8,14 @@
 
 var exploreMore = flag.Bool("whole", false, "also explore more gatherers and combined faults, which takes minutes")
 
-// The model consists of one record, a leader and possibly a deposed one, gatherers, their polls and answers in
-// flight, and discrete time. The test explores every order of events within bounds on faults, and checks in
-// every state what each gatherer could do. Times are distinguished only as far as behavior depends on them,
-// which keeps the number of states finite without a bound on time. Gatherers are symmetric: states that differ
-// only by the names of gatherers are the same.
+// The model consists of one record, a leader and possibly a deposed one, gatherers, their polls and answers
+// in flight, and discrete time. The test explores every order of events within bounds on faults, and checks
+// in every state what each gatherer could do. Times are distinguished only as far as behavior depends on
+// them, which keeps the number of states finite without a bound on time. Gatherers are symmetric: states that
+// differ only by the names of gatherers are the same.
 
-// Two policies, neither of which is looser than the other: the old one closes the north, the new one the south. Their
-// intersection is the fallback policy.
+// Two policies, neither of which is looser than the other: the old one closes the north, the new one the
+// south. Their intersection is the fallback policy.
 var (
 	oldPolicy  = Policy{{Kind: Closed, Subject: "north/"}}
 	newPolicy  = Policy{{Kind: Closed, Subject: "south/"}}
@@ -70,8 +70,9 @@
 	return e
 }
 
-// TestNoOrderOfEventsMixesOldAndNewPolicy tests that in no order of events one gatherer does what only the old policy
-// permits while another does what only the new one permits. Omitting any single safeguard must lead to a violation.
+// TestNoOrderOfEventsMixesOldAndNewPolicy tests that in no order of events one gatherer does what only the
+// old policy permits while another does what only the new one permits. Omitting any single safeguard must
+// lead to a violation.
 func TestNoOrderOfEventsMixesOldAndNewPolicy(t *testing.T) {
 	t.Parallel()
 	type bounds struct {
--- a/logic/policy/modelsteps_test.go
+++ b/logic/policy/modelsteps_test.go
@@ -118,7 +118,8 @@
 	}
 }
 
-// addActions adds the events of a gatherer that is not suspended: suspension, polls, answers and drained queries.
+// addActions adds the events of a gatherer that is not suspended: suspension, polls, answers and drained
+// queries.
 func (s *transitions) addActions(i int) {
 	n := &s.from.nodes[i]
 	if s.from.faults.suspensions > 0 {
@@ -198,7 +199,8 @@
 	n.noticeGeneration(w.now, n.holder.effective, n.holder.generation)
 }
 
-// noticeGeneration keeps the policy by which queries in flight were decided if another policy has taken effect.
+// noticeGeneration keeps the policy by which queries in flight were decided if another policy has taken
+// effect.
 func (n *node) noticeGeneration(now float64, previous Policy, generation uint64) {
 	if _, current := n.holder.Effective(now); current == generation {
 		return
--- a/logic/policy/modelworld_test.go
+++ b/logic/policy/modelworld_test.go
@@ -161,8 +161,8 @@
 	return 0
 }
 
-// elapsedCode returns a byte for the time that has elapsed since t, which is the same for all times of at least
-// maximum.
+// elapsedCode returns a byte for the time that has elapsed since t, which is the same for all times of at
+// least maximum.
 func (w *modelState) elapsedCode(t, maximum float64) byte {
 	return byte(min(max(w.now-t, -1), maximum) + 1)
 }
@@ -230,7 +230,8 @@
 	return key
 }
 
-// instancesKey returns the part of the key for what a leader knows of a gatherer's instances that may hold a lease.
+// instancesKey returns the part of the key for what a leader knows of a gatherer's instances that may hold a
+// lease.
 func (w *modelState) instancesKey(l *Leader, i int) (key []byte) {
 	for _, in := range l.instances {
 		if in.name != nodeNames[i] || w.now > in.polledAt+l.MaxLeaseAge() {
--- a/logic/policy/policy_test.go
+++ b/logic/policy/policy_test.go
@@ -40,8 +40,8 @@
 	return mustNew(t, entries...)
 }
 
-// TestNewRejectsInvalidEntries tests that New rejects entries that no gatherer could apply, with an error that names
-// the entry.
+// TestNewRejectsInvalidEntries tests that New rejects entries that no gatherer could apply, with an error
+// that names the entry.
 func TestNewRejectsInvalidEntries(t *testing.T) {
 	for want, entries := range map[string][]Entry{
 		"given twice":             {{Kind: NonIdempotent, Subject: "a"}, {Kind: NonIdempotent, Subject: "a"}},
--- a/logic/policy/record_test.go
+++ b/logic/policy/record_test.go
@@ -32,9 +32,9 @@
 	return Command{Propose: &Change{Base: base, ID: id, Policy: mustNew(t, entries...)}}
 }
 
-// TestRecordAppliesCommands tests that changes are proposed, committed and abandoned and that members are registered
-// and forgotten. A command that conflicts with the record is rejected with the reason, and a repeated command has no
-// further effect.
+// TestRecordAppliesCommands tests that changes are proposed, committed and abandoned and that members are
+// registered and forgotten. A command that conflicts with the record is rejected with the reason, and a
+// repeated command has no further effect.
 func TestRecordAppliesCommands(test *testing.T) {
 	t := recordTest{test, &Record{}}
 	fallback := mustNew(t, Entry{Kind: Closed, Subject: "south/"}, Entry{Kind: NoHedging})
--- a/logic/rollout/claim.go
+++ b/logic/rollout/claim.go
@@ -7,13 +7,13 @@
 	ExpiresAt    float64 `json:"until"` // by the gatherer's clock, Unix milliseconds
 }
 
-// Grant decides on a request for a claim. current is the claim that the gatherer holds, nil for none. Grant
-// returns the claim that is valid from now on, and whether it is the requested one.
+// GrantClaim decides on a request for a claim. current is the claim that the gatherer holds, nil for none.
+// GrantClaim returns the claim that is valid from now on, and whether it is the requested one.
 //
 // A request from another rollout is rejected until the current claim expires, since steps of the rollout
 // that holds it may still be running. A request from a controller of the same rollout with a lower fencing
 // token is rejected too: that controller has been replaced and must not change anything any more.
-func Grant(current *Claim, requested Claim, now float64) (holder Claim, granted bool) {
+func GrantClaim(current *Claim, requested Claim, now float64) (holder Claim, granted bool) {
 	if current == nil || current.ExpiresAt <= now {
 		return requested, true
 	}
@@ -23,8 +23,8 @@
 	return requested, true
 }
 
-// Release reports whether a request to release a claim frees the gatherer: it has to come from the rollout
-// that holds the claim, by the controller that acquired it or by a later one.
-func Release(current *Claim, runID string, fencingToken uint64) bool {
+// ReleaseClaim reports whether a request to release a claim frees the gatherer: it has to come from the
+// rollout that holds the claim, by the controller that acquired it or by a later one.
+func ReleaseClaim(current *Claim, runID string, fencingToken uint64) bool {
 	return current != nil && current.RunID == runID && current.FencingToken <= fencingToken
 }
--- a/logic/rollout/decider_test.go
+++ b/logic/rollout/decider_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestDeciderPassesAllStagesOfAGoodVersion tests that a version as good as the old one passes all stages in order,
-// with no more gatherers unavailable than allowed.
+// TestDeciderPassesAllStagesOfAGoodVersion tests that a version as good as the old one passes all stages in
+// order, with no more gatherers unavailable than allowed.
 func TestDeciderPassesAllStagesOfAGoodVersion(t *testing.T) {
 	f := newFleet(12, nil)
 	reached := map[int]int{}
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestHarmWhileWarmingUpIsFoundBeforeMostGatherersChange tests that a version which harms only while it warms up is
-// found by the second or third gatherer that starts as new: once the first one seems harmful, further gatherers are
-// changed one at a time. A harmless version is not slowed down.
+// TestHarmWhileWarmingUpIsFoundBeforeMostGatherersChange tests that a version which harms only while it warms
+// up is found by the second or third gatherer that starts as new: once the first one seems harmful, further
+// gatherers are changed one at a time. A harmless version is not slowed down.
 func TestHarmWhileWarmingUpIsFoundBeforeMostGatherersChange(t *testing.T) {
 	for _, c := range []struct {
 		harm      float64
@@ -229,10 +229,10 @@
 	}
 }
 
-// TestRepeatedExitsOfNewProcessesRollBackTheFirstStage tests new gatherers whose processes exit on their own, at
-// intervals so long that the minimum observation time of a stage passes before the harm is proved, while no class has
-// enough queries to be evaluated. The rollout is rolled back at the first stage. A single exit, or exits that are as
-// frequent among old gatherers, do not hold back a good version.
+// TestRepeatedExitsOfNewProcessesRollBackTheFirstStage tests new gatherers whose processes exit on their own,
+// at intervals so long that the minimum observation time of a stage passes before the harm is proved, while
+// no class has enough queries to be evaluated. The rollout is rolled back at the first stage. A single exit,
+// or exits that are as frequent among old gatherers, do not hold back a good version.
 func TestRepeatedExitsOfNewProcessesRollBackTheFirstStage(t *testing.T) {
 	for name, c := range map[string]struct {
 		exits         func(f *fleet) func(g int) bool
@@ -286,8 +286,8 @@
 	}
 }
 
-// TestDeciderResumesAtAnEarlierPosition tests that a decider which starts at the position of an earlier one observes
-// the old gatherers again, continues at that stage and undoes nothing.
+// TestDeciderResumesAtAnEarlierPosition tests that a decider which starts at the position of an earlier one
+// observes the old gatherers again, continues at that stage and undoes nothing.
 func TestDeciderResumesAtAnEarlierPosition(t *testing.T) {
 	f := newFleet(12, nil)
 	for range 1000 {
@@ -305,9 +305,9 @@
 	}
 }
 
-// TestStepsNeverExceedTheUnavailabilityBounds tests with gatherers that become unreachable and return at random that
-// no step starts which exceeds the limit of unavailable gatherers, overall or in a zone, and that a rollback ends
-// once all gatherers answer.
+// TestStepsNeverExceedTheUnavailabilityBounds tests with gatherers that become unreachable and return at
+// random that no step starts which exceeds the limit of unavailable gatherers, overall or in a zone, and that
+// a rollback ends once all gatherers answer.
 func TestStepsNeverExceedTheUnavailabilityBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(4, 14).Draw(t, "gatherers")
--- a/logic/rollout/eprocess_test.go
+++ b/logic/rollout/eprocess_test.go
@@ -7,9 +7,10 @@
 	"yokeroute/internal/pcg"
 )
 
-// TestEProcessRarelyReachesThresholdUnderHypothesis tests that of 4,000 runs of 300 intervals at the border of the
-// hypothesis, no more than the accepted probability ever reach the threshold although it is checked after each
-// interval, and that a shift beyond the hypothesis is detected. It tests the same for likelihoodRatio.
+// TestEProcessRarelyReachesThresholdUnderHypothesis tests that of 4,000 runs of 300 intervals at the border
+// of the hypothesis, no more than the accepted probability ever reach the threshold although it is checked
+// after each interval, and that a shift beyond the hypothesis is detected. It tests the same for
+// likelihoodRatio.
 func TestEProcessRarelyReachesThresholdUnderHypothesis(t *testing.T) {
 	random := pcg.New(3)
 	normal := func() float64 {
--- a/logic/rollout/fleet_test.go
+++ b/logic/rollout/fleet_test.go
@@ -13,8 +13,8 @@
 	stepMillis     = 3000
 )
 
-// fleet simulates gatherers with loss rates by variant, and steps that end after stepMillis. Slices and maps are
-// indexed by gatherer.
+// fleet simulates gatherers with loss rates by variant, and steps that end after stepMillis. Slices and maps
+// are indexed by gatherer.
 type fleet struct {
 	plan               Plan
 	decider            *Decider
--- a/logic/rollout/journal_test.go
+++ b/logic/rollout/journal_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// TestReplayReturnsUnfinishedSteps tests that a journal which ends after any of its records yields exactly the steps
-// that have a recorded start and no recorded end, in their order, and that another plan's journal is rejected.
+// TestReplayReturnsUnfinishedSteps tests that a journal which ends after any of its records yields exactly
+// the steps that have a recorded start and no recorded end, in their order, and that another plan's journal
+// is rejected.
 func TestReplayReturnsUnfinishedSteps(t *testing.T) {
 	records := []Record{
 		{Kind: ControllerStarted, PlanSum: "p", FencingToken: 1},
--- a/logic/rollout/plan_test.go
+++ b/logic/rollout/plan_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestCheckReportsEveryMistake tests that Check reports each kind of mistake in a plan, and none in a valid plan.
+// TestCheckReportsEveryMistake tests that Check reports each kind of mistake in a plan, and none in a valid
+// plan.
 func TestCheckReportsEveryMistake(t *testing.T) {
 	for want, change := range map[string]func(p *Plan){
 		"has no stages":                               func(p *Plan) { p.Stages = nil },
--- a/logic/scenario_test.go
+++ b/logic/scenario_test.go
@@ -195,7 +195,7 @@
 	}
 }
 
-func (s *scenario) setWakeDelay(fields []string) { s.round.HeldUp = s.number(fields, 1) }
+func (s *scenario) setWakeDelay(fields []string) { s.round.WakeDelay = s.number(fields, 1) }
 
 func (s *scenario) list(fields []string) {
 	list := gather.EndpointList{Full: true}
@@ -247,7 +247,7 @@
 func (s *scenario) firstPass(fields []string) {
 	for _, name := range strings.Split(fields[1], ",") {
 		s.addQuery(gather.Query{ID: s.id(name), Class: fields[2], Deadline: s.number(fields, 4),
-			Pass: gather.FirstPass, FullCallExtra: s.number(fields, 5)})
+			Pass: gather.FirstPass, FullRequestExtra: s.number(fields, 5)})
 		s.addRequests(s.id(name), s.id(name)+1, int(s.number(fields, 3)), 0)
 	}
 }
@@ -314,7 +314,7 @@
 				s.recorder.lines)
 		}
 		s.round.Results = append(s.round.Results, gather.AttemptResult{Request: key.request, Server: server,
-			Attempt: key.attempt, Outcome: outcome, Finished: outcome == gather.NotSent})
+			Attempt: key.attempt, Outcome: outcome, NoFurtherAttempts: outcome == gather.NotSent})
 	}
 }
 
--- a/logic/twopass/decide.go
+++ b/logic/twopass/decide.go
@@ -109,7 +109,7 @@
 	TwoPass           bool
 	Reason            Reason
 	FirstPassDeadline float64
-	FullCallExtra     float64 // processing time of a full request minus that of a first-pass request
+	FullRequestExtra  float64 // processing time of a full request minus that of a first-pass request
 
 	EmptyShare     float64 // fraction of the shards expected to be proved empty
 	OwnGain        float64 // latency that two passes save the query itself
@@ -125,11 +125,11 @@
 	class := d.classes[query.Class]
 	e := d.estimate(now, class, query)
 	decision := Decision{
-		FullCallExtra:  max(e.fullWork-e.firstPassWork, 0),
-		EmptyShare:     e.emptyShare,
-		OwnGain:        e.onePass - e.firstPass - e.secondPass,
-		SavedElsewhere: e.savedElsewhere,
-		FirstPassCost:  e.firstPassCost,
+		FullRequestExtra: max(e.fullWork-e.firstPassWork, 0),
+		EmptyShare:       e.emptyShare,
+		OwnGain:          e.onePass - e.firstPass - e.secondPass,
+		SavedElsewhere:   e.savedElsewhere,
+		FirstPassCost:    e.firstPassCost,
 	}
 	objective := class.settings.LatencyObjective
 	timeLeft := min(objective, query.Deadline-now)
